--- a/base/ids/ids.go
+++ b/base/ids/ids.go
@@ -28,10 +28,13 @@
 // Epoch orders the owners of a key or of a hold. Of two epochs the one with
 // the higher number is newer; the owner's address breaks ties.
 type Epoch struct {
-	Number int64
-	Owner  Address
+	Number int64   `avro:"Number"`
+	Owner  Address `avro:"Owner"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Epoch) SchemaName() string { return "Epoch_17" }
+
 // Compare orders two epochs: negative when this one is older.
 //
 // Example:
--- a/control/cohort/keep.go
+++ b/control/cohort/keep.go
@@ -24,15 +24,21 @@
 
 // Size is how many routers a zone is known to have had.
 type Size struct {
-	Zone    ids.Zone
-	Routers int64
+	Zone    ids.Zone `avro:"Zone"`
+	Routers int64    `avro:"Routers"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Size) SchemaName() string { return "Size_23" }
+
 type kept struct {
-	Members []Member
-	Sizes   []Size
+	Members []Member `avro:"Members"`
+	Sizes   []Size   `avro:"Sizes"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (kept) SchemaName() string { return "kept_23" }
+
 // Load takes what the disk holds. Nobody is known to be there until it is heard
 // of, so all stand as removed, in the oldest of lives.
 //
--- a/control/cohort/member.go
+++ b/control/cohort/member.go
@@ -15,24 +15,27 @@
 
 // Member is one daemon as the others know it.
 type Member struct {
-	Address ids.Address
-	Role    string
-	Zone    ids.Zone
-	Region  ids.Region
-	Front   ids.Address
-	Ready   bool
+	Address ids.Address `avro:"Address"`
+	Role    string      `avro:"Role"`
+	Zone    ids.Zone    `avro:"Zone"`
+	Region  ids.Region  `avro:"Region"`
+	Front   ids.Address `avro:"Front"`
+	Ready   bool        `avro:"Ready"`
 	// Unable says that a router reaches no runner for some of its routes.
-	Unable bool
+	Unable bool `avro:"Unable"`
 	// Core says that the daemon serves control; Relay that it passes news on for
 	// its zone. Both are known everywhere, others only in their own zone.
-	Core  bool
-	Relay bool
+	Core  bool `avro:"Core"`
+	Relay bool `avro:"Relay"`
 	// LinkMbps is how much the daemon's machine can carry.
-	LinkMbps    int64
-	Incarnation ids.Incarnation
-	State       State
+	LinkMbps    int64           `avro:"LinkMbps"`
+	Incarnation ids.Incarnation `avro:"Incarnation"`
+	State       State           `avro:"State"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Member) SchemaName() string { return "Member_23" }
+
 // Present tells whether the member may be spoken to.
 //
 // Example:
--- a/control/cohort/probe.go
+++ b/control/cohort/probe.go
@@ -13,13 +13,16 @@
 
 // Datagram is what daemons send each other to learn who is there.
 type Datagram struct {
-	Kind    int64
-	Number  int64
-	From    ids.Address
-	Target  ids.Address
-	Reports []Member
+	Kind    int64       `avro:"Kind"`
+	Number  int64       `avro:"Number"`
+	From    ids.Address `avro:"From"`
+	Target  ids.Address `avro:"Target"`
+	Reports []Member    `avro:"Reports"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Datagram) SchemaName() string { return "Datagram_23" }
+
 // The kinds of datagrams.
 const (
 	kindProbe int64 = iota
--- a/control/cohort/table.go
+++ b/control/cohort/table.go
@@ -39,10 +39,13 @@
 // Sums are digests of the members that are present: equal sums mean equal
 // tables. Daemons of one zone compare both, others only that of the backbone.
 type Sums struct {
-	Zone     int64
-	Backbone int64
+	Zone     int64 `avro:"Zone"`
+	Backbone int64 `avro:"Backbone"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Sums) SchemaName() string { return "Sums_23" }
+
 // NewTable makes a table that knows only its own daemon.
 //
 // Example:
--- a/control/contact/contact.go
+++ b/control/contact/contact.go
@@ -29,14 +29,22 @@
 )
 
 // Ask is the question that shows contact.
-type Ask struct{ From ids.Address }
+type Ask struct {
+	From ids.Address `avro:"From"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (Ask) SchemaName() string { return "Ask_24" }
 
 // Told answers it with the reading of the own steady clock, in this life.
 type Told struct {
-	Life    int64
-	Reading int64
+	Life    int64 `avro:"Life"`
+	Reading int64 `avro:"Reading"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Told) SchemaName() string { return "Told_24" }
+
 // Options are what a contact is made from.
 type Options struct {
 	Address ids.Address
--- a/control/contact/round.go
+++ b/control/contact/round.go
@@ -10,10 +10,13 @@
 // Stamp ends an order that is passed on: a reading of the receiver's steady
 // clock, in the life that it was learnt of.
 type Stamp struct {
-	Life int64
-	End  int64
+	Life int64 `avro:"Life"`
+	End  int64 `avro:"End"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Stamp) SchemaName() string { return "Stamp_24" }
+
 // round asks all voters, unless they were asked just now.
 func (contact *Contact) round(inner scope.Scope) {
 	now := inner.Now()
--- a/control/courier/courier_test.go
+++ b/control/courier/courier_test.go
@@ -18,22 +18,36 @@
 )
 
 type item struct {
-	Name  string
-	Bytes []byte
+	Name  string `avro:"Name"`
+	Bytes []byte `avro:"Bytes"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (item) SchemaName() string { return "item_24" }
+
 type question struct {
-	Number int64
-	Items  []item
+	Number int64  `avro:"Number"`
+	Items  []item `avro:"Items"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (question) SchemaName() string { return "question_24" }
+
 // older is the question as another build may know it.
 type older struct {
-	Number int64
-	Items  []string
+	Number int64    `avro:"Number"`
+	Items  []string `avro:"Items"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (older) SchemaName() string { return "older_24" }
+
+type answer struct {
+	Sum int64 `avro:"Sum"`
 }
 
-type answer struct{ Sum int64 }
+// SchemaName names the stored and sent form; it must never change.
+func (answer) SchemaName() string { return "answer_24" }
 
 var asking = question{Number: 700, Items: []item{{Name: "a", Bytes: []byte("xyz")}, {Name: "b"}}}
 
@@ -168,3 +182,22 @@
 		_, _ = Unpack[question](body)
 	}
 }
+
+type unnamed struct {
+	Number int64 `avro:"Number"`
+}
+
+type untagged struct{ Number int64 }
+
+func (untagged) SchemaName() string { return "untagged" }
+
+// TestPack_refusesFormsThatFollowGoNames keeps a form from hanging on the names
+// of Go types and fields, which may change while stored values stay.
+func TestPack_refusesFormsThatFollowGoNames(t *testing.T) {
+	if _, err := Pack(unnamed{}); err == nil || !strings.Contains(err.Error(), "SchemaName") {
+		t.Errorf("no SchemaName: %v", err)
+	}
+	if _, err := Pack(untagged{}); err == nil || !strings.Contains(err.Error(), "avro tag") {
+		t.Errorf("no avro tag: %v", err)
+	}
+}
--- a/control/courier/schema.go
+++ b/control/courier/schema.go
@@ -30,8 +30,8 @@
 	addition sync.Mutex
 )
 
-// formOf gives the form of a message type. The schema is derived from the
-// struct's fields in their order, so both ends must be of one build.
+// formOf gives the form of a message type. The schema is made of the type's
+// SchemaName and of the fields' avro tags and types, in the fields' order.
 func formOf(kind reflect.Type) (form, error) {
 	if known := forms.Load(); known != nil {
 		if found, has := (*known)[kind]; has {
@@ -71,6 +71,22 @@
 	return made, nil
 }
 
+// Named is implemented by every struct that is stored or sent. The name is part
+// of the schema, and so of the fingerprint ahead of every stored value and every
+// message: it stays as it is when the Go type is renamed or moved, and so do the
+// names in the avro tags of the fields.
+type Named interface {
+	SchemaName() string
+}
+
+func schemaName(kind reflect.Type) (string, error) {
+	named, ok := reflect.Zero(kind).Interface().(Named)
+	if !ok {
+		return "", fmt.Errorf("courier: %s has no SchemaName", kind)
+	}
+	return named.SchemaName(), nil
+}
+
 var plain = map[reflect.Kind]string{
 	reflect.String: "string", reflect.Int64: "long", reflect.Int: "long",
 	reflect.Bool: "boolean", reflect.Float64: "double",
@@ -90,7 +106,10 @@
 	if kind.Kind() != reflect.Struct {
 		return nil, fmt.Errorf("courier: %s has no Avro shape", kind)
 	}
-	name := fmt.Sprintf("%s_%d", kind.Name(), len(kind.PkgPath()))
+	name, err := schemaName(kind)
+	if err != nil {
+		return nil, err
+	}
 	if named[kind] {
 		return name, nil
 	}
@@ -98,11 +117,15 @@
 	fields := []any{}
 	for index := range kind.NumField() {
 		field := kind.Field(index)
+		tag, tagged := field.Tag.Lookup("avro")
+		if !tagged {
+			return nil, fmt.Errorf("courier: %s.%s has no avro tag", kind, field.Name)
+		}
 		shape, err := shapeOf(field.Type, named)
 		if err != nil {
 			return nil, err
 		}
-		fields = append(fields, map[string]any{"name": field.Name, "type": shape})
+		fields = append(fields, map[string]any{"name": tag, "type": shape})
 	}
 	return map[string]any{"type": "record", "name": name, "fields": fields}, nil
 }
--- a/control/desk/order.go
+++ b/control/desk/order.go
@@ -11,26 +11,32 @@
 
 // Order is what is asked of the owner of a key.
 type Order struct {
-	Key    string
-	Verb   string
-	Change revision.Change
+	Key    string          `avro:"Key"`
+	Verb   string          `avro:"Verb"`
+	Change revision.Change `avro:"Change"`
 	// Forwarded says that a controller without a vote passed it on: whoever gets
 	// it brings it to the owner.
-	Forwarded bool
+	Forwarded bool `avro:"Forwarded"`
 	// Past is the serial of a zone's value that was in force after the order came;
 	// 0 where it was not looked for.
-	Past ids.Serial
+	Past ids.Serial `avro:"Past"`
 	// Until is when one that was passed on may not be begun any more.
-	Until contact.Stamp
+	Until contact.Stamp `avro:"Until"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Order) SchemaName() string { return "Order_21" }
+
 // Outcome is what came of it. A kind of None says that it was done.
 type Outcome struct {
-	Kind   int64
-	Detail string
-	Value  []byte
+	Kind   int64  `avro:"Kind"`
+	Detail string `avro:"Detail"`
+	Value  []byte `avro:"Value"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Outcome) SchemaName() string { return "Outcome_21" }
+
 // The verbs of orders.
 const (
 	VerbRead   = "read"
--- a/control/desk/sweep.go
+++ b/control/desk/sweep.go
@@ -12,7 +12,12 @@
 )
 
 // EpochKept is the value of a hold's key: how often the duty was gained.
-type EpochKept struct{ Number int64 }
+type EpochKept struct {
+	Number int64 `avro:"Number"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (EpochKept) SchemaName() string { return "EpochKept_21" }
 
 func nextEpoch(current []byte) ([]byte, error) {
 	kept := EpochKept{}
--- /dev/null
+++ b/control/discovery/forms_test.go
@@ -0,0 +1,15 @@
+package discovery
+
+import (
+	"testing"
+
+	"onyxwell/control/courier/formtest"
+)
+
+// TestForms_keepTheirBytes covers each struct of this package that is stored or
+// sent: the golden files were written by the build before its forms had names.
+func TestForms_keepTheirBytes(t *testing.T) {
+	formtest.Golden[Beat](t, "beat")
+	formtest.Golden[List](t, "list")
+	formtest.Golden[Runner](t, "runner")
+}
--- a/control/discovery/runner.go
+++ b/control/discovery/runner.go
@@ -37,22 +37,35 @@
 
 // Runner is one runner as the platform lists it. Times are in milliseconds.
 type Runner struct {
-	ID         ids.RunnerID
-	Service    ids.Service
-	Address    ids.Address
-	Zone       ids.Zone
-	Version    string
-	Capacity   int64
-	Draining   bool
-	ColdLeftMS int64
-	TimeLeftMS int64
+	ID         ids.RunnerID `avro:"ID"`
+	Service    ids.Service  `avro:"Service"`
+	Address    ids.Address  `avro:"Address"`
+	Zone       ids.Zone     `avro:"Zone"`
+	Version    string       `avro:"Version"`
+	Capacity   int64        `avro:"Capacity"`
+	Draining   bool         `avro:"Draining"`
+	ColdLeftMS int64        `avro:"ColdLeftMS"`
+	TimeLeftMS int64        `avro:"TimeLeftMS"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Runner) SchemaName() string { return "Runner_26" }
+
 // List is the runners of a zone, or of all zones, at one moment.
-type List struct{ Runners []Runner }
+type List struct {
+	Runners []Runner `avro:"Runners"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (List) SchemaName() string { return "List_26" }
 
 // Beat says that the parts with this digest were still the platform's lately.
-type Beat struct{ Digest int64 }
+type Beat struct {
+	Digest int64 `avro:"Digest"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (Beat) SchemaName() string { return "Beat_26" }
 
 // sameAs tells whether two lists say the same but for times that run down.
 func (l List) sameAs(other List) bool {
--- a/control/eject/eject.go
+++ b/control/eject/eject.go
@@ -18,12 +18,20 @@
 
 // Rest says for how long a runner is to be left alone.
 type Rest struct {
-	Runner ids.RunnerID
-	LeftMS int64
+	Runner ids.RunnerID `avro:"Runner"`
+	LeftMS int64        `avro:"LeftMS"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Rest) SchemaName() string { return "Rest_22" }
+
 // Rests is the news of one zone; an empty one ends all rests.
-type Rests struct{ Runners []Rest }
+type Rests struct {
+	Runners []Rest `avro:"Runners"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (Rests) SchemaName() string { return "Rests_22" }
 
 const (
 	// fewestFailed and leastRatio are how many requests must fail, and which part,
--- a/control/evacuation/evacuation.go
+++ b/control/evacuation/evacuation.go
@@ -15,10 +15,13 @@
 
 // Kept is a zone's value; the serial rises with each change.
 type Kept struct {
-	Serial ids.Serial
-	Empty  bool
+	Serial ids.Serial `avro:"Serial"`
+	Empty  bool       `avro:"Empty"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Kept) SchemaName() string { return "Kept_27" }
+
 // Key is the register's key of a zone.
 //
 // Example:
--- /dev/null
+++ b/control/lease/forms_test.go
@@ -0,0 +1,14 @@
+package lease
+
+import (
+	"testing"
+
+	"onyxwell/control/courier/formtest"
+)
+
+// TestForms_keepTheirBytes covers each struct of this package that is stored or
+// sent: the golden files were written by the build before its forms had names.
+func TestForms_keepTheirBytes(t *testing.T) {
+	formtest.Golden[Ask](t, "ask")
+	formtest.Golden[Told](t, "told")
+}
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -35,23 +35,29 @@
 // gives back what was granted to questions up to this number. Voters marks the
 // cohort under which is asked.
 type Ask struct {
-	Duty    string
-	Holder  ids.Address
-	Life    int64
-	Number  int64
-	Voters  int64
-	Renew   bool
-	Release bool
+	Duty    string      `avro:"Duty"`
+	Holder  ids.Address `avro:"Holder"`
+	Life    int64       `avro:"Life"`
+	Number  int64       `avro:"Number"`
+	Voters  int64       `avro:"Voters"`
+	Renew   bool        `avro:"Renew"`
+	Release bool        `avro:"Release"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Ask) SchemaName() string { return "Ask_22" }
+
 // Told is the voter's answer. Misfenced says that it knows other voters, of the
 // generation named.
 type Told struct {
-	Granted    bool
-	Misfenced  bool
-	Generation int64
+	Granted    bool  `avro:"Granted"`
+	Misfenced  bool  `avro:"Misfenced"`
+	Generation int64 `avro:"Generation"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Told) SchemaName() string { return "Told_22" }
+
 // Grants is what came of a question to all voters.
 type Grants int
 
--- /dev/null
+++ b/control/lengths/forms_test.go
@@ -0,0 +1,16 @@
+package lengths
+
+import (
+	"testing"
+
+	"onyxwell/control/courier/formtest"
+)
+
+// TestForms_keepTheirBytes covers each struct of this package that is stored or
+// sent: the golden files were written by the build before its forms had names.
+func TestForms_keepTheirBytes(t *testing.T) {
+	formtest.Golden[Expected](t, "expected")
+	formtest.Golden[Kind](t, "kind")
+	formtest.Golden[Split](t, "split")
+	formtest.Golden[Sum](t, "sum")
+}
--- a/control/lengths/lengths.go
+++ b/control/lengths/lengths.go
@@ -15,21 +15,27 @@
 // Kind is what requests are told apart by before they run: service, route, and
 // the power of two of their prompt's tokens. Bucket 0 is an unknown length.
 type Kind struct {
-	Service ids.Service
-	Route   string
-	Bucket  int64
+	Service ids.Service `avro:"Service"`
+	Route   string      `avro:"Route"`
+	Bucket  int64       `avro:"Bucket"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Kind) SchemaName() string { return "Kind_24" }
+
 // Sum is what was seen of one kind: how many answers, for how long each ran, how
 // many tokens had to be read for them, and how many began slowly.
 type Sum struct {
-	Kind    Kind
-	Count   float64
-	SpentMS float64
-	Tokens  float64
-	Slow    float64
+	Kind    Kind    `avro:"Kind"`
+	Count   float64 `avro:"Count"`
+	SpentMS float64 `avro:"SpentMS"`
+	Tokens  float64 `avro:"Tokens"`
+	Slow    float64 `avro:"Slow"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Sum) SchemaName() string { return "Sum_24" }
+
 // mostBucket bounds the sketch; the last bucket holds all longer prompts.
 const mostBucket = 20
 
@@ -60,12 +66,15 @@
 
 // Expected is how long answers of a kind are expected to take.
 type Expected struct {
-	Kind Kind
-	MS   float64
+	Kind Kind    `avro:"Kind"`
+	MS   float64 `avro:"MS"`
 	// Count is on how many answers of late it rests.
-	Count float64
+	Count float64 `avro:"Count"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Expected) SchemaName() string { return "Expected_24" }
+
 const (
 	// fewestOfKind is how many answers an expectation rests on at least, and
 	// fewestOfAll how many a split does.
--- a/control/lengths/split.go
+++ b/control/lengths/split.go
@@ -22,13 +22,16 @@
 
 // Split cuts a service's answers into short and long ones.
 type Split struct {
-	Service ids.Service
+	Service ids.Service `avro:"Service"`
 	// CutMS is the time from which an answer counts as long.
-	CutMS float64
+	CutMS float64 `avro:"CutMS"`
 	// ShortPart is the part of the work that short ones are.
-	ShortPart float64
+	ShortPart float64 `avro:"ShortPart"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Split) SchemaName() string { return "Split_24" }
+
 // Split finds the cut that parts short from long best: the one between two kinds
 // where the classes' times, on a scale of ratios, lie farthest apart for how many
 // there are of each. False says that there is nothing to tell apart.
--- a/control/readindex/reader.go
+++ b/control/readindex/reader.go
@@ -17,10 +17,20 @@
 const Message = "readindex"
 
 // Ask asks a controller for the read index.
-type Ask struct{ From ids.Address }
+type Ask struct {
+	From ids.Address `avro:"From"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (Ask) SchemaName() string { return "Ask_26" }
 
 // Told answers it: the serial of the newest version, 0 where none was taken.
-type Told struct{ Serial ids.Serial }
+type Told struct {
+	Serial ids.Serial `avro:"Serial"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (Told) SchemaName() string { return "Told_26" }
 
 // Reader answers with reads that a majority confirms. Questions that wait
 // together share the next read, which begins after all of them came in.
--- a/control/register/acceptor.go
+++ b/control/register/acceptor.go
@@ -15,11 +15,14 @@
 
 // record is what the journal holds: a slot, or the identity of the disk.
 type record struct {
-	Identity    bool
-	Incarnation ids.Incarnation
-	Slot        Slot
+	Identity    bool            `avro:"Identity"`
+	Incarnation ids.Incarnation `avro:"Incarnation"`
+	Slot        Slot            `avro:"Slot"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (record) SchemaName() string { return "record_25" }
+
 // Acceptor is one voter: what it promised and accepted for each key.
 type Acceptor struct {
 	// Monitor may be left out; it is set before the first call.
--- a/control/register/message.go
+++ b/control/register/message.go
@@ -16,11 +16,14 @@
 // Accepted is a value under the epoch of the owner that wrote it. The sequence
 // counts an owner's writes and goes on under the next owner.
 type Accepted struct {
-	Epoch    ids.Epoch
-	Sequence int64
-	Value    []byte
+	Epoch    ids.Epoch `avro:"Epoch"`
+	Sequence int64     `avro:"Sequence"`
+	Value    []byte    `avro:"Value"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Accepted) SchemaName() string { return "Accepted_25" }
+
 // newer tells whether this value was written after the other.
 func (accepted Accepted) newer(other Accepted) bool {
 	if order := accepted.Epoch.Compare(other.Epoch); order != 0 {
@@ -31,35 +34,47 @@
 
 // Slot is what one voter holds for one key.
 type Slot struct {
-	Key      string
-	Promised ids.Epoch
-	Accepted Accepted
+	Key      string    `avro:"Key"`
+	Promised ids.Epoch `avro:"Promised"`
+	Accepted Accepted  `avro:"Accepted"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Slot) SchemaName() string { return "Slot_25" }
+
 // Seat is one voter's place. A voter whose disk was lost comes back under
 // another incarnation; while it is learning its votes don't count.
 type Seat struct {
-	Address     ids.Address
-	Incarnation ids.Incarnation
-	Learning    bool
+	Address     ids.Address     `avro:"Address"`
+	Incarnation ids.Incarnation `avro:"Incarnation"`
+	Learning    bool            `avro:"Learning"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Seat) SchemaName() string { return "Seat_25" }
+
 // Voters is the value of the cohort key: who votes. From one generation to the
 // next a single seat changes, and a new seat learns before it votes, so every
 // majority of the one meets every majority of the other.
 type Voters struct {
-	Generation int64
-	Seats      []Seat
+	Generation int64  `avro:"Generation"`
+	Seats      []Seat `avro:"Seats"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Voters) SchemaName() string { return "Voters_25" }
+
 // Fence is carried by every message to a voter: a voter of another incarnation
 // or generation refuses it.
 type Fence struct {
-	Generation  int64
-	Mark        int64
-	Incarnation ids.Incarnation
+	Generation  int64           `avro:"Generation"`
+	Mark        int64           `avro:"Mark"`
+	Incarnation ids.Incarnation `avro:"Incarnation"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Fence) SchemaName() string { return "Fence_25" }
+
 // Verdict is a voter's word on a message.
 type Verdict int64
 
@@ -73,82 +88,116 @@
 
 // PromiseAsk asks a voter to refuse epochs below this one.
 type PromiseAsk struct {
-	Fence Fence
-	Key   string
-	Epoch ids.Epoch
+	Fence Fence     `avro:"Fence"`
+	Key   string    `avro:"Key"`
+	Epoch ids.Epoch `avro:"Epoch"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (PromiseAsk) SchemaName() string { return "PromiseAsk_25" }
+
 // PromiseTold is the answer, with what the voter holds.
 type PromiseTold struct {
-	Verdict    Verdict
-	Generation int64
-	Slot       Slot
+	Verdict    Verdict `avro:"Verdict"`
+	Generation int64   `avro:"Generation"`
+	Slot       Slot    `avro:"Slot"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (PromiseTold) SchemaName() string { return "PromiseTold_25" }
+
 // AcceptAsk asks a voter to take a value.
 type AcceptAsk struct {
-	Fence    Fence
-	Key      string
-	Accepted Accepted
+	Fence    Fence    `avro:"Fence"`
+	Key      string   `avro:"Key"`
+	Accepted Accepted `avro:"Accepted"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (AcceptAsk) SchemaName() string { return "AcceptAsk_25" }
+
 // AcceptTold is the answer.
 type AcceptTold struct {
-	Verdict    Verdict
-	Generation int64
-	Promised   ids.Epoch
+	Verdict    Verdict   `avro:"Verdict"`
+	Generation int64     `avro:"Generation"`
+	Promised   ids.Epoch `avro:"Promised"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (AcceptTold) SchemaName() string { return "AcceptTold_25" }
+
 // ConfirmAsk asks whether no newer owner than this epoch is known.
 type ConfirmAsk struct {
-	Fence Fence
-	Key   string
-	Epoch ids.Epoch
+	Fence Fence     `avro:"Fence"`
+	Key   string    `avro:"Key"`
+	Epoch ids.Epoch `avro:"Epoch"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (ConfirmAsk) SchemaName() string { return "ConfirmAsk_25" }
+
 // CopyAsk asks for what a voter holds: under one key, or under all where none
 // is named.
-type CopyAsk struct{ Key string }
+type CopyAsk struct {
+	Key string `avro:"Key"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (CopyAsk) SchemaName() string { return "CopyAsk_25" }
 
 // CopyTold is all that a voter holds.
 type CopyTold struct {
-	Incarnation ids.Incarnation
-	Generation  int64
-	Mark        int64
-	Voting      bool
-	Slots       []Slot
+	Incarnation ids.Incarnation `avro:"Incarnation"`
+	Generation  int64           `avro:"Generation"`
+	Mark        int64           `avro:"Mark"`
+	Voting      bool            `avro:"Voting"`
+	Slots       []Slot          `avro:"Slots"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (CopyTold) SchemaName() string { return "CopyTold_25" }
+
 // Held is how one key stands on one disk, without its value.
 type Held struct {
-	Key      string
-	Promised ids.Epoch
-	Epoch    ids.Epoch
-	Sequence int64
+	Key      string    `avro:"Key"`
+	Promised ids.Epoch `avro:"Promised"`
+	Epoch    ids.Epoch `avro:"Epoch"`
+	Sequence int64     `avro:"Sequence"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Held) SchemaName() string { return "Held_25" }
+
 // accepted is what the digest stands for; it has no value and is never learnt.
 func (held Held) accepted() Accepted { return Accepted{Epoch: held.Epoch, Sequence: held.Sequence} }
 
 // HeldAsk asks how all keys stand, and says by a sum how they stand with the
 // asker.
-type HeldAsk struct{ Sum int64 }
+type HeldAsk struct {
+	Sum int64 `avro:"Sum"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (HeldAsk) SchemaName() string { return "HeldAsk_25" }
 
 // HeldTold is how all keys stand on a voter's disk.
 type HeldTold struct {
-	Incarnation ids.Incarnation
-	Generation  int64
-	Mark        int64
-	Voting      bool
+	Incarnation ids.Incarnation `avro:"Incarnation"`
+	Generation  int64           `avro:"Generation"`
+	Mark        int64           `avro:"Mark"`
+	Voting      bool            `avro:"Voting"`
 	// Leaving says that it gives its seat to whoever asks for it.
-	Leaving bool
+	Leaving bool `avro:"Leaving"`
 	// Away are the voters that did not answer this one for a while.
-	Away []ids.Address
+	Away []ids.Address `avro:"Away"`
 	// Same says that all keys stand as with the asker; they are left out then.
-	Same bool
-	Keys []Held
+	Same bool   `avro:"Same"`
+	Keys []Held `avro:"Keys"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (HeldTold) SchemaName() string { return "HeldTold_25" }
+
 // Sum is a digest of how all keys stand.
 //
 // Example:
--- a/control/revision/keep.go
+++ b/control/revision/keep.go
@@ -14,22 +14,28 @@
 // Kept is the value of the register: the document in force, and which changes
 // were taken.
 type Kept struct {
-	Serial ids.Serial
+	Serial ids.Serial `avro:"Serial"`
 	// Document is the text, or what it packs to.
-	Document []byte
-	Packed   bool
-	Memory   Memory
+	Document []byte `avro:"Document"`
+	Packed   bool   `avro:"Packed"`
+	Memory   Memory `avro:"Memory"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Kept) SchemaName() string { return "Kept_25" }
+
 // Change is what an operator sends.
 type Change struct {
-	Whole bool
-	Match ids.Serial
-	Body  []byte
+	Whole bool       `avro:"Whole"`
+	Match ids.Serial `avro:"Match"`
+	Body  []byte     `avro:"Body"`
 	// Packed says that the body is as it travels between controllers.
-	Packed bool
+	Packed bool `avro:"Packed"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Change) SchemaName() string { return "Change_25" }
+
 // Packing gives the change as it travels between controllers.
 //
 // Example:
--- a/control/revision/memory.go
+++ b/control/revision/memory.go
@@ -37,17 +37,20 @@
 type Memory struct {
 	// First is how many changes were taken before those in Recent: it counts
 	// whole pages.
-	First int64
+	First int64 `avro:"First"`
 	// Base is the version that the first of Recent was taken on.
-	Base ids.Serial
+	Base ids.Serial `avro:"Base"`
 	// Recent holds the changes since then, each as the rise of the version and
 	// the change's digest.
-	Recent []byte
+	Recent []byte `avro:"Recent"`
 	// Spans holds the rise of the version over each page that is still there,
 	// the oldest first; the last ends at Base.
-	Spans []byte
+	Spans []byte `avro:"Spans"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Memory) SchemaName() string { return "Memory_25" }
+
 // entry is one remembered change: the version that it was taken on, the rise of
 // the version and the digest.
 type entry struct {
--- a/control/revision/memory_test.go
+++ b/control/revision/memory_test.go
@@ -133,13 +133,21 @@
 	}
 }
 
+// olderKept is Kept as an older build wrote it: the same name, other fields.
+type olderKept struct {
+	Serial   ids.Serial `avro:"Serial"`
+	Document []byte     `avro:"Document"`
+}
+
+// SchemaName is that of Kept.
+func (olderKept) SchemaName() string { return Kept{}.SchemaName() }
+
 // TestValueOfAnotherFormIsRefused reads what an older build kept.
 func TestValueOfAnotherFormIsRefused(t *testing.T) {
-	type Kept struct {
-		Serial   ids.Serial
-		Document []byte
+	old, err := courier.Pack(olderKept{Serial: 7, Document: []byte(good)})
+	if err != nil {
+		t.Fatal(err)
 	}
-	old, _ := courier.Pack(Kept{Serial: 7, Document: []byte(good)})
 	for _, value := range [][]byte{old, old[4:], []byte("odd")} {
 		if _, err := ReadKept(value); err == nil {
 			t.Fatal("it was read")
--- a/control/revision/page.go
+++ b/control/revision/page.go
@@ -12,11 +12,14 @@
 // follows from its index and the changes that were taken, so whoever writes it
 // writes the same.
 type Page struct {
-	Index   int64
-	Base    ids.Serial
-	Entries []byte
+	Index   int64      `avro:"Index"`
+	Base    ids.Serial `avro:"Base"`
+	Entries []byte     `avro:"Entries"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Page) SchemaName() string { return "Page_25" }
+
 // Sealed is how many changes are sealed once this page is.
 //
 // Example:
--- a/control/room/room.go
+++ b/control/room/room.go
@@ -14,16 +14,19 @@
 // Reading sums what routers saw of one route's first answers. Units are prompt
 // tokens, or one a request where a route has none.
 type Reading struct {
-	Service      ids.Service
-	Route        string
-	Count        float64
-	Units        float64
-	UnitsSquared float64
-	FirstMS      float64
+	Service      ids.Service `avro:"Service"`
+	Route        string      `avro:"Route"`
+	Count        float64     `avro:"Count"`
+	Units        float64     `avro:"Units"`
+	UnitsSquared float64     `avro:"UnitsSquared"`
+	FirstMS      float64     `avro:"FirstMS"`
 	// Crossed is the sum of units times first answer, for the fit.
-	Crossed float64
+	Crossed float64 `avro:"Crossed"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Reading) SchemaName() string { return "Reading_21" }
+
 // Plus joins two sums.
 //
 // Example:
--- a/control/scaler/plan.go
+++ b/control/scaler/plan.go
@@ -12,98 +12,127 @@
 
 // Plan says how routers share requests out among runners, and why.
 type Plan struct {
-	Holder   ids.Address
-	Runners  []RunnerPlan
-	Flows    []Flow
-	Replicas []Replicas
+	Holder   ids.Address  `avro:"Holder"`
+	Runners  []RunnerPlan `avro:"Runners"`
+	Flows    []Flow       `avro:"Flows"`
+	Replicas []Replicas   `avro:"Replicas"`
 	// Lengths are how long answers take in each region, told back to its routers.
-	Lengths []RegionLengths
+	Lengths []RegionLengths `avro:"Lengths"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Plan) SchemaName() string { return "Plan_23" }
+
 // RegionLengths is what was learnt of a region's answers.
 type RegionLengths struct {
-	Region   ids.Region
-	Expected []lengths.Expected
-	Splits   []lengths.Split
+	Region   ids.Region         `avro:"Region"`
+	Expected []lengths.Expected `avro:"Expected"`
+	Splits   []lengths.Split    `avro:"Splits"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (RegionLengths) SchemaName() string { return "RegionLengths_23" }
+
 // RunnerPlan is the plan for one runner.
 type RunnerPlan struct {
-	Runner ids.RunnerID
+	Runner ids.RunnerID `avro:"Runner"`
 	// Limit is n_limit, the most requests that it can finish in a second.
-	Limit float64
+	Limit float64 `avro:"Limit"`
 	// Cap is max_num_seqs, how many requests it should have running at most.
-	Cap float64
+	Cap float64 `avro:"Cap"`
 	// Memory is the part of its memory that it needs at the cap.
-	Memory float64
+	Memory float64 `avro:"Memory"`
 	// Weight is its share in routing.
-	Weight float64
+	Weight float64 `avro:"Weight"`
 	// Group is the class of requests that it takes first, if its region's are
 	// grouped by length.
-	Group lengths.Class
+	Group lengths.Class `avro:"Group"`
 	// Resting takes it out of rotation while it is looked at.
-	Resting bool
+	Resting bool `avro:"Resting"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (RunnerPlan) SchemaName() string { return "RunnerPlan_23" }
+
 // Flow is the share of an origin's requests that a region's runners take.
 type Flow struct {
-	Service ids.Service
-	Homes   string
-	Origin  ids.Region
-	Target  ids.Region
-	Share   float64
+	Service ids.Service `avro:"Service"`
+	Homes   string      `avro:"Homes"`
+	Origin  ids.Region  `avro:"Origin"`
+	Target  ids.Region  `avro:"Target"`
+	Share   float64     `avro:"Share"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Flow) SchemaName() string { return "Flow_23" }
+
 // Replicas is how many runners of a type the load needs.
 type Replicas struct {
-	Service ids.Service
-	Region  ids.Region
-	Needed  float64
-	Ready   int64
-	Load    float64
-	Ceiling float64
+	Service ids.Service `avro:"Service"`
+	Region  ids.Region  `avro:"Region"`
+	Needed  float64     `avro:"Needed"`
+	Ready   int64       `avro:"Ready"`
+	Load    float64     `avro:"Load"`
+	Ceiling float64     `avro:"Ceiling"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Replicas) SchemaName() string { return "Replicas_23" }
+
 // Sample is what one router saw of one runner in one span. Running and Pending
 // are sums over time: so many requests for so many seconds.
 type Sample struct {
-	Runner   ids.RunnerID
-	Service  ids.Service
-	Arrived  float64
-	Finished float64
-	Running  float64
-	Pending  float64
-	Failed   float64
+	Runner   ids.RunnerID `avro:"Runner"`
+	Service  ids.Service  `avro:"Service"`
+	Arrived  float64      `avro:"Arrived"`
+	Finished float64      `avro:"Finished"`
+	Running  float64      `avro:"Running"`
+	Pending  float64      `avro:"Pending"`
+	Failed   float64      `avro:"Failed"`
 	// SpentMS is the execution time summed over the finished requests.
-	SpentMS float64
+	SpentMS float64 `avro:"SpentMS"`
 	// Memory and Busy are utilisations, from 0 to 1, as far as they are known.
-	Memory float64
-	Busy   float64
+	Memory float64 `avro:"Memory"`
+	Busy   float64 `avro:"Busy"`
 	// Units is the work sent: prompt tokens, or one a request without any.
-	Units float64
+	Units float64 `avro:"Units"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Sample) SchemaName() string { return "Sample_23" }
+
 // Demand is what visitors of a region asked of a service.
 type Demand struct {
-	Service ids.Service
-	Homes   string
-	Arrived float64
+	Service ids.Service `avro:"Service"`
+	Homes   string      `avro:"Homes"`
+	Arrived float64     `avro:"Arrived"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Demand) SchemaName() string { return "Demand_23" }
+
 // ReportAsk carries a router's samples to the holder of the plan.
 type ReportAsk struct {
-	From    ids.Address
-	Region  ids.Region
-	Samples []Sample
-	Demands []Demand
+	From    ids.Address `avro:"From"`
+	Region  ids.Region  `avro:"Region"`
+	Samples []Sample    `avro:"Samples"`
+	Demands []Demand    `avro:"Demands"`
 	// Readings are how long first answers took.
-	Readings []room.Reading
+	Readings []room.Reading `avro:"Readings"`
 	// Lengths are how long whole answers took, by kind.
-	Lengths []lengths.Sum
+	Lengths []lengths.Sum `avro:"Lengths"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (ReportAsk) SchemaName() string { return "ReportAsk_23" }
+
 // ReportTold answers it.
-type ReportTold struct{ Holding bool }
+type ReportTold struct {
+	Holding bool `avro:"Holding"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (ReportTold) SchemaName() string { return "ReportTold_23" }
 
 // ReadPlan reads the body of the news item that has the whole plan.
 //
--- a/control/scaler/routing.go
+++ b/control/scaler/routing.go
@@ -22,30 +22,39 @@
 // of the runners that differ from their type. It grows with what differs, not with
 // the runners, and says the same while nothing does.
 type Routing struct {
-	Holder  ids.Address
-	Types   []TypeWeight
-	Runners []RunnerWeight
-	Flows   []Flow
+	Holder  ids.Address    `avro:"Holder"`
+	Types   []TypeWeight   `avro:"Types"`
+	Runners []RunnerWeight `avro:"Runners"`
+	Flows   []Flow         `avro:"Flows"`
 	// Lengths are how long answers take in each region, told back to its routers.
-	Lengths []RegionLengths
+	Lengths []RegionLengths `avro:"Lengths"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Routing) SchemaName() string { return "Routing_23" }
+
 // TypeWeight is the weight of a runner of a service with a version of software.
 type TypeWeight struct {
-	Service ids.Service
-	Version string
-	Weight  float64
+	Service ids.Service `avro:"Service"`
+	Version string      `avro:"Version"`
+	Weight  float64     `avro:"Weight"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (TypeWeight) SchemaName() string { return "TypeWeight_23" }
+
 // RunnerWeight is the weight of a runner that differs from its type, is grouped,
 // or rests.
 type RunnerWeight struct {
-	Runner  ids.RunnerID
-	Weight  float64
-	Group   lengths.Class
-	Resting bool
+	Runner  ids.RunnerID  `avro:"Runner"`
+	Weight  float64       `avro:"Weight"`
+	Group   lengths.Class `avro:"Group"`
+	Resting bool          `avro:"Resting"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (RunnerWeight) SchemaName() string { return "RunnerWeight_23" }
+
 // ReadRouting reads the body of the news item.
 //
 // Example:
--- a/control/scaler/wire.go
+++ b/control/scaler/wire.go
@@ -14,37 +14,46 @@
 // floating ones, the names of services once, and all of it packed where it is
 // long. A sample takes a fifth of what it does as it is kept.
 type ReportMessage struct {
-	Packed bool
-	Body   []byte
+	Packed bool   `avro:"Packed"`
+	Body   []byte `avro:"Body"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (ReportMessage) SchemaName() string { return "ReportMessage_23" }
+
 // compactReport is the body of the message.
 type compactReport struct {
-	From     ids.Address
-	Region   ids.Region
-	Services []ids.Service
-	Samples  []compactSample
-	Demands  []Demand
-	Readings []room.Reading
-	Lengths  []lengths.Sum
+	From     ids.Address     `avro:"From"`
+	Region   ids.Region      `avro:"Region"`
+	Services []ids.Service   `avro:"Services"`
+	Samples  []compactSample `avro:"Samples"`
+	Demands  []Demand        `avro:"Demands"`
+	Readings []room.Reading  `avro:"Readings"`
+	Lengths  []lengths.Sum   `avro:"Lengths"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (compactReport) SchemaName() string { return "compactReport_23" }
+
 // compactSample is a Sample: Service is its place among the services, times and
 // what is running are in thousandths, as are the utilisations.
 type compactSample struct {
-	Runner   ids.RunnerID
-	Service  int64
-	Arrived  int64
-	Finished int64
-	Running  int64
-	Pending  int64
-	Failed   int64
-	SpentMS  int64
-	Memory   int64
-	Busy     int64
-	Units    int64
+	Runner   ids.RunnerID `avro:"Runner"`
+	Service  int64        `avro:"Service"`
+	Arrived  int64        `avro:"Arrived"`
+	Finished int64        `avro:"Finished"`
+	Running  int64        `avro:"Running"`
+	Pending  int64        `avro:"Pending"`
+	Failed   int64        `avro:"Failed"`
+	SpentMS  int64        `avro:"SpentMS"`
+	Memory   int64        `avro:"Memory"`
+	Busy     int64        `avro:"Busy"`
+	Units    int64        `avro:"Units"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (compactSample) SchemaName() string { return "compactSample_23" }
+
 // thousandths is the unit of what is below one in a message.
 const thousandths = 1000
 
--- a/control/seat/seat.go
+++ b/control/seat/seat.go
@@ -66,10 +66,20 @@
 }
 
 // LearnAsk carries slots to a voter whose copies are old.
-type LearnAsk struct{ Slots []register.Slot }
+type LearnAsk struct {
+	Slots []register.Slot `avro:"Slots"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (LearnAsk) SchemaName() string { return "LearnAsk_21" }
 
 // LearnTold answers it.
-type LearnTold struct{ Taken bool }
+type LearnTold struct {
+	Taken bool `avro:"Taken"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (LearnTold) SchemaName() string { return "LearnTold_21" }
 
 // Open reads the journal. On the very first start the seeds are the voters; an
 // empty disk later is a new one, whose votes of before are forgotten, and so is
--- a/control/spread/exchange.go
+++ b/control/spread/exchange.go
@@ -14,33 +14,47 @@
 // ExchangeAsk opens a comparison: by the digest of what both should hold alone,
 // or, once the digests were found to differ, by the marks of all of it.
 type ExchangeAsk struct {
-	From   cohort.Member
-	Sums   cohort.Sums
-	Digest int64
-	Listed bool
-	Marks  []Mark
+	From   cohort.Member `avro:"From"`
+	Sums   cohort.Sums   `avro:"Sums"`
+	Digest int64         `avro:"Digest"`
+	Listed bool          `avro:"Listed"`
+	Marks  []Mark        `avro:"Marks"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (ExchangeAsk) SchemaName() string { return "ExchangeAsk_23" }
+
 // ExchangeTold answers with what is newer and what is wanted; or, where the asker
 // listed no marks, with whether its digest differs.
 type ExchangeTold struct {
-	From    cohort.Member
-	Sums    cohort.Sums
-	Members []cohort.Member
-	Differs bool
-	Items   []Item
-	Wanted  []string
+	From    cohort.Member   `avro:"From"`
+	Sums    cohort.Sums     `avro:"Sums"`
+	Members []cohort.Member `avro:"Members"`
+	Differs bool            `avro:"Differs"`
+	Items   []Item          `avro:"Items"`
+	Wanted  []string        `avro:"Wanted"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (ExchangeTold) SchemaName() string { return "ExchangeTold_23" }
+
 // GiveAsk carries the items that were wanted, and the members where the tables
 // still differ.
 type GiveAsk struct {
-	Items   []Item
-	Members []cohort.Member
+	Items   []Item          `avro:"Items"`
+	Members []cohort.Member `avro:"Members"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (GiveAsk) SchemaName() string { return "GiveAsk_23" }
+
 // GiveTold answers it.
-type GiveTold struct{ Taken int64 }
+type GiveTold struct {
+	Taken int64 `avro:"Taken"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (GiveTold) SchemaName() string { return "GiveTold_23" }
 
 // Spreader passes news on: what was made here goes down the tier of relays at
 // once, and digests are compared with others now and then.
--- a/control/spread/news.go
+++ b/control/spread/news.go
@@ -16,18 +16,24 @@
 // Item is one piece of news; of one key the highest serial counts. Packed says
 // that the body is compressed, as it travels between daemons.
 type Item struct {
-	Key    string
-	Serial ids.Serial
-	Body   []byte
-	Packed bool
+	Key    string     `avro:"Key"`
+	Serial ids.Serial `avro:"Serial"`
+	Body   []byte     `avro:"Body"`
+	Packed bool       `avro:"Packed"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Item) SchemaName() string { return "Item_23" }
+
 // Mark names an item without its body.
 type Mark struct {
-	Key    string
-	Serial ids.Serial
+	Key    string     `avro:"Key"`
+	Serial ids.Serial `avro:"Serial"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Mark) SchemaName() string { return "Mark_23" }
+
 // News holds the newest item of each key.
 type News struct {
 	lock  sync.Mutex
--- a/control/spread/push.go
+++ b/control/spread/push.go
@@ -15,22 +15,33 @@
 // regions by one relay in each, zones likewise, and members itself. Each daemon
 // splits its duty over a few others, so nobody sends to more than the fan-out.
 type Duty struct {
-	Regions []ids.Region
-	Zones   []ids.Zone
-	Members []ids.Address
+	Regions []ids.Region  `avro:"Regions"`
+	Zones   []ids.Zone    `avro:"Zones"`
+	Members []ids.Address `avro:"Members"`
 	// Backbone says that of a zone's members only the backbone wants the news.
-	Backbone bool
+	Backbone bool `avro:"Backbone"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Duty) SchemaName() string { return "Duty_23" }
+
 // PushAsk hands news down the tier.
 type PushAsk struct {
-	From  ids.Address
-	Items []Item
-	Duty  Duty
+	From  ids.Address `avro:"From"`
+	Items []Item      `avro:"Items"`
+	Duty  Duty        `avro:"Duty"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (PushAsk) SchemaName() string { return "PushAsk_23" }
+
 // PushTold answers it: how many of the items were new.
-type PushTold struct{ Taken int64 }
+type PushTold struct {
+	Taken int64 `avro:"Taken"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (PushTold) SchemaName() string { return "PushTold_23" }
 
 // Counts are what went through the tier here.
 type Counts struct{ Pushed, Failed, Relayed atomic.Int64 }
--- a/control/zoneview/lost.go
+++ b/control/zoneview/lost.go
@@ -12,7 +12,12 @@
 // Lost is the news of one zone on others: those whose backbone answered before and
 // does not now. Their runners are gone too, most likely; routers of the zone need
 // not find that out one request at a time.
-type Lost struct{ Zones []ids.Zone }
+type Lost struct {
+	Zones []ids.Zone `avro:"Zones"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (Lost) SchemaName() string { return "Lost_25" }
 
 // LostKey is the news key of what a zone's daemons are told of lost zones.
 //
--- a/control/zoneview/zoneview.go
+++ b/control/zoneview/zoneview.go
@@ -24,11 +24,14 @@
 // Fronts are where clients of a zone may go: Able routers, and those that are
 // ready but reach no runner for some of their routes.
 type Fronts struct {
-	Zone   ids.Zone
-	Able   []ids.Address
-	Unable []ids.Address
+	Zone   ids.Zone      `avro:"Zone"`
+	Able   []ids.Address `avro:"Able"`
+	Unable []ids.Address `avro:"Unable"`
 }
 
+// SchemaName names the stored and sent form; it must never change.
+func (Fronts) SchemaName() string { return "Fronts_25" }
+
 // Watcher makes the news of its zone while it relays, and reads that of others.
 type Watcher struct {
 	Table *cohort.Table
