--- a/base/boot/boot.go
+++ b/base/boot/boot.go
@@ -116,10 +116,6 @@
 }
 
 // Path tells where the boot file is.
-//
-// Example:
-//
-//	settings, err := boot.Read(boot.Path())
 func Path() string {
 	if path := os.Getenv(Variable); path != "" {
 		return path
@@ -128,10 +124,6 @@
 }
 
 // Read reads and checks a boot file.
-//
-// Example:
-//
-//	settings, err := boot.Read("/etc/onyxwell/boot.toml")
 func Read(path string) (*Boot, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -141,10 +133,6 @@
 }
 
 // Parse checks the text of a boot file.
-//
-// Example:
-//
-//	settings, err := boot.Parse(text)
 func Parse(text string) (*Boot, error) {
 	settings := &Boot{}
 	if _, err := toml.Decode(text, settings); err != nil {
@@ -157,19 +145,11 @@
 }
 
 // Milliseconds turns a figure of the boot file into a span.
-//
-// Example:
-//
-//	drain := boot.Milliseconds(settings.Bounds.DrainMS)
 func Milliseconds(figure float64) time.Duration {
 	return time.Duration(figure * float64(time.Millisecond))
 }
 
 // Seconds turns a figure of the boot file into a span.
-//
-// Example:
-//
-//	grace := boot.Seconds(settings.Bounds.GraceS)
 func Seconds(figure float64) time.Duration { return time.Duration(figure * float64(time.Second)) }
 
 func validAddress(address ids.Address) bool {
--- a/base/boot/check.go
+++ b/base/boot/check.go
@@ -17,20 +17,12 @@
 
 // InnerAddress is where a daemon of the role listens for the system's own
 // daemons on the machine of that IP.
-//
-// Example:
-//
-//	address := settings.InnerAddress("10.1.0.13", "fleet-controller")
 func (settings *Boot) InnerAddress(ip string, role string) ids.Address {
 	return ids.Address(net.JoinHostPort(ip, strconv.Itoa(settings.PortRange[0]+seats[role])))
 }
 
 // Uses tells whether the settings give a port away: to what this process serves,
 // to what controllers serve, or to what daemons say to each other.
-//
-// Example:
-//
-//	if settings.Uses(19464) { return }
 func (settings *Boot) Uses(port int) bool {
 	if len(settings.PortRange) == 2 && port >= settings.PortRange[0] && port <= settings.PortRange[1] {
 		return true
@@ -50,10 +42,6 @@
 
 // SeedAddresses are the inner addresses of the controllers that the boot file
 // names.
-//
-// Example:
-//
-//	for _, address := range settings.SeedAddresses() { greet(address) }
 func (settings *Boot) SeedAddresses() []ids.Address {
 	var found []ids.Address
 	for _, seed := range settings.Seeds {
@@ -66,10 +54,6 @@
 }
 
 // ZoneNames gives the names of all zones in order.
-//
-// Example:
-//
-//	for _, zone := range settings.ZoneNames() { show(zone) }
 func (settings *Boot) ZoneNames() []ids.Zone { return slices.Sorted(maps.Keys(settings.Zones)) }
 
 type check struct {
@@ -119,10 +103,6 @@
 }
 
 // Require tells which of the named listening addresses are missing.
-//
-// Example:
-//
-//	err := settings.Require("front", "readiness")
 func (settings *Boot) Require(names ...string) error {
 	for _, name := range names {
 		if settings.Listen[name] == "" {
--- a/base/call/ask.go
+++ b/base/call/ask.go
@@ -57,10 +57,6 @@
 
 // Ask sends a question and reads its answer: the client's side of the one
 // generic handler.
-//
-// Example:
-//
-//	page, err := call.Ask[discovery.Page](short, client, platform, discovery.PageQuestion{Zone: zone})
 func Ask[Told any, Pointer interface {
 	*Told
 	Hearing
--- a/base/call/dial.go
+++ b/base/call/dial.go
@@ -26,10 +26,6 @@
 }
 
 // Dial opens a connection that a dead or cut-off machine can't hold for ever.
-//
-// Example:
-//
-//	connection, err := call.Dialing{Limit: limit, Silence: silence}.Dial(ctx, "tcp", address)
 func (dialing Dialing) Dial(ctx context.Context, network string, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialing.Limit,
@@ -58,10 +54,6 @@
 
 // Client makes an HTTP client with a pool of its own that adds nothing to what
 // is sent.
-//
-// Example:
-//
-//	client := call.Client(call.Pooling{Dialing: dialing, Idle: 10 * clock.Second, PerHost: 2})
 func Client(pooling Pooling) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
--- a/base/call/serve.go
+++ b/base/call/serve.go
@@ -51,20 +51,12 @@
 }
 
 // NewTable makes an empty table.
-//
-// Example:
-//
-//	table := call.NewTable(top, 4<<20)
 func NewTable(top scope.Scope, bodyLimit int64) *Table {
 	return &Table{Scope: top, BodyLimit: bodyLimit, exact: map[string]func(scope.Scope, Incoming) reply.Reply{}}
 }
 
 // Handle adds a pair of question and answer to the table. A path that ends
 // with a slash takes all that begins with it.
-//
-// Example:
-//
-//	call.Handle(table, "GET", "/lookup", directory.Lookup)
 func Handle[Asked any, Pointer interface {
 	*Asked
 	Question
@@ -153,10 +145,6 @@
 }
 
 // Server makes an HTTP server for a handler with bounds on slow callers.
-//
-// Example:
-//
-//	server := call.Server(table, 5*clock.Second, 30*clock.Second)
 func Server(handler http.Handler, headWait clock.Span, idle clock.Span) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headWait, IdleTimeout: idle}
 }
--- a/base/call/traffic.go
+++ b/base/call/traffic.go
@@ -29,10 +29,6 @@
 }
 
 // Counting counts the bytes of a connection; without a count it stays as it is.
-//
-// Example:
-//
-//	link = call.Counting(link, &daemon.Traffic)
 func Counting(link net.Conn, traffic *Traffic) net.Conn {
 	if traffic == nil {
 		return link
@@ -55,10 +51,6 @@
 }
 
 // CountingListener counts the bytes of all connections that it accepts.
-//
-// Example:
-//
-//	listener = call.CountingListener(listener, &daemon.Traffic)
 func CountingListener(listener net.Listener, traffic *Traffic) net.Listener {
 	if traffic == nil {
 		return listener
--- a/base/chance/chance.go
+++ b/base/chance/chance.go
@@ -13,11 +13,6 @@
 var replaced atomic.Pointer[func(bound int64) int64]
 
 // Replace has all draws come from a function, until it is replaced by none.
-//
-// Example:
-//
-//	chance.Replace(func(bound int64) int64 { return source.Int64N(bound) })
-//	defer chance.Replace(nil)
 func Replace(draw func(bound int64) int64) {
 	if draw == nil {
 		replaced.Store(nil)
@@ -27,10 +22,6 @@
 }
 
 // Int63 draws a number from 0 up to below the bound, which must be above 0.
-//
-// Example:
-//
-//	incarnation := 1 + chance.Int63(1<<62)
 func Int63(bound int64) int64 {
 	if draw := replaced.Load(); draw != nil {
 		return (*draw)(bound)
@@ -39,17 +30,9 @@
 }
 
 // Below draws an index from 0 up to below the bound, which must be above 0.
-//
-// Example:
-//
-//	partner := members[chance.Below(len(members))]
 func Below(bound int) int { return int(Int63(int64(bound))) }
 
 // Part draws a part of a span; of none it is none.
-//
-// Example:
-//
-//	inner.Wait(chance.Part(250 * clock.Millisecond))
 func Part(span clock.Span) clock.Span {
 	if span <= 0 {
 		return 0
@@ -58,17 +41,9 @@
 }
 
 // Fraction draws a number from 0 up to below 1.
-//
-// Example:
-//
-//	if chance.Fraction() < 0.25 { probe() }
 func Fraction() float64 { return float64(Int63(1<<53)) / (1 << 53) }
 
 // Shuffle puts elements into a drawn order.
-//
-// Example:
-//
-//	chance.Shuffle(relays)
 func Shuffle[Element any](elements []Element) {
 	for last := len(elements) - 1; last > 0; last-- {
 		other := Below(last + 1)
--- a/base/clock/clock.go
+++ b/base/clock/clock.go
@@ -21,24 +21,12 @@
 type Instant int64
 
 // Add moves an instant by a span.
-//
-// Example:
-//
-//	limit := clock.Now().Add(200 * clock.Millisecond)
 func (instant Instant) Add(span Span) Instant { return instant + Instant(span) }
 
 // Since tells how much later this instant is than the earlier one.
-//
-// Example:
-//
-//	spent := clock.Now().Since(begin)
 func (instant Instant) Since(earlier Instant) Span { return Span(instant - earlier) }
 
 // Before tells whether this instant comes before the other.
-//
-// Example:
-//
-//	if clock.Now().Before(limit) { ... }
 func (instant Instant) Before(other Instant) bool { return instant < other }
 
 // Clock tells the steady time and wakes its callers.
@@ -54,11 +42,6 @@
 type steady struct{ begin time.Time }
 
 // Steady gives the clock of the machine.
-//
-// Example:
-//
-//	machine := clock.Steady()
-//	begin := machine.Now()
 func Steady() Clock { return steady{begin: time.Now().Add(-time.Second)} }
 
 func (machine steady) Now() Instant { return Instant(time.Since(machine.begin)) }
@@ -75,10 +58,6 @@
 
 // Wait blocks for the span or until the context ends; it tells whether the
 // span passed whole.
-//
-// Example:
-//
-//	for clock.Wait(ctx, machine, 300*clock.Millisecond) { tick() }
 func Wait(ctx context.Context, source Clock, span Span) bool {
 	if machine, real := source.(steady); real {
 		return machine.wait(ctx, span)
--- a/base/clock/fake.go
+++ b/base/clock/fake.go
@@ -18,11 +18,6 @@
 }
 
 // NewFake gives a fake clock that stands one second after its start.
-//
-// Example:
-//
-//	machine := clock.NewFake()
-//	machine.Move(3 * clock.Second)
 func NewFake() *Fake { return &Fake{now: Instant(Second)} }
 
 // Now gives the present instant.
@@ -47,10 +42,6 @@
 }
 
 // Move lets the span pass and wakes all whose time has come.
-//
-// Example:
-//
-//	machine.Move(250 * clock.Millisecond)
 func (fake *Fake) Move(span Span) {
 	fake.lock.Lock()
 	fake.now = fake.now.Add(span)
@@ -72,10 +63,6 @@
 
 // Next moves the clock to the first instant that somebody waits for; false
 // says that nobody waits.
-//
-// Example:
-//
-//	for !finished() { machine.Next() }
 func (fake *Fake) Next() bool {
 	fake.lock.Lock()
 	if len(fake.waiting) == 0 {
--- a/base/failure/failure.go
+++ b/base/failure/failure.go
@@ -78,10 +78,6 @@
 }
 
 // Answer looks the kind up in the table.
-//
-// Example:
-//
-//	status := failure.NoRoute.Answer().Status // 404
 func (kind Kind) Answer() Answer {
 	if kind < 0 || kind >= kinds {
 		return answers[Internal]
@@ -90,10 +86,6 @@
 }
 
 // String gives the kind's name as logs and answers carry it.
-//
-// Example:
-//
-//	failure.NoRoute.String() // "no-route"
 func (kind Kind) String() string { return kind.Answer().Name }
 
 // Failure is an error of a known kind.
@@ -111,19 +103,11 @@
 }
 
 // Of makes an error of the kind with a detail in the manner of fmt.
-//
-// Example:
-//
-//	return failure.Of(failure.BadSpec, "routes[%d].service: unknown %q", index, name)
 func Of(kind Kind, format string, values ...any) error {
 	return &Failure{Kind: kind, Detail: fmt.Sprintf(format, values...)}
 }
 
 // KindOf finds the kind of an error; an error of no known kind is Internal.
-//
-// Example:
-//
-//	if failure.KindOf(err) == failure.StaleSpec { ... }
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -136,10 +120,6 @@
 }
 
 // DetailOf gives what is said beyond the kind.
-//
-// Example:
-//
-//	body.Detail = failure.DetailOf(err)
 func DetailOf(err error) string {
 	var known *Failure
 	if errors.As(err, &known) {
--- a/base/fixed/fixed.go
+++ b/base/fixed/fixed.go
@@ -10,10 +10,6 @@
 
 // Run runs a package's tests with a fixed seed, unless the command line names
 // one.
-//
-// Example:
-//
-//	func TestMain(tests *testing.M) { fixed.Run(tests) }
 func Run(tests *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
--- a/base/invariant/invariant.go
+++ b/base/invariant/invariant.go
@@ -66,10 +66,6 @@
 
 // Violated counts a violation of a promise, told with the facts in the manner
 // of fmt.
-//
-// Example:
-//
-//	if sentBefore { monitor.Violated(invariant.RunOnce, "attempt %s ran at %s", attempt, runner) }
 func (monitor *Monitor) Violated(name Name, format string, facts ...any) {
 	if monitor == nil {
 		monitor = &process
@@ -85,10 +81,6 @@
 }
 
 // Count gives how often a promise was violated.
-//
-// Example:
-//
-//	total += monitor.Count(invariant.RunOnce)
 func (monitor *Monitor) Count(name Name) int64 {
 	if monitor == nil {
 		monitor = &process
--- a/base/pack/pack.go
+++ b/base/pack/pack.go
@@ -17,10 +17,6 @@
 )
 
 // Pack gives a body as it travels; false says that it stays as it is.
-//
-// Example:
-//
-//	body, packed := pack.Pack(document)
 func Pack(body []byte) ([]byte, bool) {
 	if len(body) < worth {
 		return body, false
@@ -40,10 +36,6 @@
 }
 
 // Unpack gives a body as it was; one that is not packed stays as it is.
-//
-// Example:
-//
-//	document, err := pack.Unpack(kept.Document, kept.Packed)
 func Unpack(body []byte, packed bool) ([]byte, error) {
 	if !packed {
 		return body, nil
--- a/base/program/hangup.go
+++ b/base/program/hangup.go
@@ -19,10 +19,6 @@
 
 // Hangups has SIGHUPs be told from now on; they are ignored before. It is called
 // before the settings file is read for the first time.
-//
-// Example:
-//
-//	hangups := program.Hangups()
 func Hangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/base/program/program.go
+++ b/base/program/program.go
@@ -42,10 +42,6 @@
 }
 
 // Main parses the command line and runs a command; it gives the exit status.
-//
-// Example:
-//
-//	func main() { os.Exit(program.Main(program.Daemon{Name: "router", Serve: serve}, os.Args[1:])) }
 func Main(daemon Daemon, arguments []string) int {
 	hangups := Hangups()
 	var line commandLine
--- a/base/program/watch.go
+++ b/base/program/watch.go
@@ -16,10 +16,6 @@
 }
 
 // Open reads a settings file for the first time.
-//
-// Example:
-//
-//	file, settings, err := program.Open("/etc/onyxwell/boot.toml")
 func Open(path string) (*File, *boot.Boot, error) {
 	file := &File{path: path, last: stampOf(path)}
 	settings, err := boot.Read(path)
@@ -28,10 +24,6 @@
 
 // Watch reads the settings file again on each SIGHUP, and when the file changes
 // without any signal, and gives each new one.
-//
-// Example:
-//
-//	for fresh := range file.Watch(top, hangups) { daemon.Reread(fresh) }
 func (file *File) Watch(top scope.Scope, hangups <-chan os.Signal) <-chan *boot.Boot {
 	reread := make(chan *boot.Boot, 1)
 	go file.watch(top, hangups, reread)
--- a/base/quota/quota.go
+++ b/base/quota/quota.go
@@ -44,10 +44,6 @@
 }
 
 // New makes a quota of so many bytes; the monitor may be nil.
-//
-// Example:
-//
-//	bodies := quota.New(settings.Limits.MemoryMB<<20/4, monitor)
 func New(limit int64, monitor *invariant.Monitor) *Quota {
 	made := &Quota{monitor: monitor}
 	made.small.limit = max(first, limit/smallShare)
@@ -56,10 +52,6 @@
 }
 
 // Taken is how many bytes are reserved now.
-//
-// Example:
-//
-//	metrics.Gauge("body_bytes", "Bytes reserved for bodies.", nil, func() float64 { return float64(bodies.Taken()) })
 func (q *Quota) Taken() int64 {
 	if q == nil {
 		return 0
@@ -84,18 +76,9 @@
 }
 
 // Hold makes an empty body that is to be read.
-//
-// Example:
-//
-//	body := bodies.Hold()
-//	defer body.Release()
 func (q *Quota) Hold() *Body { return &Body{quota: q} }
 
 // Release gives the body's room back; it may be called more than once.
-//
-// Example:
-//
-//	defer body.Release()
 func (b *Body) Release() {
 	if b.quota != nil && b.room != nil {
 		b.quota.give(b.room, b.taken)
@@ -153,10 +136,6 @@
 // Read reads to the end, which comes after most bytes at the latest; told is the
 // length that was told, below 0 for none. With ErrFull the bytes so far are
 // there, and the rest can still be read.
-//
-// Example:
-//
-//	err := body.Read(io.LimitReader(response.Body, most), response.ContentLength, most)
 func (b *Body) Read(from io.Reader, told int64, most int64) error {
 	for {
 		if len(b.Bytes) == cap(b.Bytes) {
--- a/base/reply/reply.go
+++ b/base/reply/reply.go
@@ -33,10 +33,6 @@
 }
 
 // Of makes the answer for a kind of failure.
-//
-// Example:
-//
-//	reply.Of(failure.NoRoute, "").Send(writer)
 func Of(kind failure.Kind, detail string) Reply {
 	told := kind.Answer()
 	made := JSON(told.Status, trouble{Error: told.Name, Text: told.Text, Detail: detail})
@@ -46,19 +42,11 @@
 }
 
 // Failure makes the answer for an error.
-//
-// Example:
-//
-//	if err != nil { reply.Failure(err).Send(writer) }
 func Failure(err error) Reply {
 	return Of(failure.KindOf(err), failure.DetailOf(err))
 }
 
 // JSON makes an answer with a JSON body.
-//
-// Example:
-//
-//	reply.JSON(200, map[string]int{"ttl_s": 1}).Send(writer)
 func JSON(status int, value any) Reply {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -68,10 +56,6 @@
 }
 
 // Raw makes an answer from bytes as they are.
-//
-// Example:
-//
-//	reply.Raw(200, "application/json", document).Send(writer)
 func Raw(status int, contentType string, body []byte) Reply {
 	header := http.Header{}
 	if contentType != "" {
@@ -81,37 +65,21 @@
 }
 
 // Empty makes an answer without a body.
-//
-// Example:
-//
-//	reply.Empty(200).Send(writer)
 func Empty(status int) Reply { return Reply{Status: status, Header: http.Header{}} }
 
 // After asks the caller to come back no sooner than the span from now.
-//
-// Example:
-//
-//	reply.Of(failure.Crowded, "").After(400 * clock.Millisecond).Send(writer)
 func (made Reply) After(span clock.Span) Reply {
 	made.Header.Set("Retry-After", strconv.FormatFloat(span.Seconds(), 'f', 3, 64))
 	return made
 }
 
 // Close asks that the connection end with this answer.
-//
-// Example:
-//
-//	reply.Of(failure.Leaving, "").Close().Send(writer)
 func (made Reply) Close() Reply {
 	made.Closing = true
 	return made
 }
 
 // Send writes the answer.
-//
-// Example:
-//
-//	reply.Empty(200).Send(writer)
 func (made Reply) Send(writer http.ResponseWriter) {
 	header := writer.Header()
 	for name, values := range made.Header {
@@ -130,10 +98,6 @@
 
 // Begin writes the head of an answer whose body follows piece by piece; the
 // head's values are passed on as they are. A length below 0 is unknown.
-//
-// Example:
-//
-//	reply.Begin(writer, 200, heads, -1, leaving)
 func Begin(writer http.ResponseWriter, status int, heads http.Header, length int64, closing bool) {
 	header := writer.Header()
 	for name, values := range heads {
@@ -156,10 +120,6 @@
 
 // ReadWithin bounds how long the rest of a request may take to arrive; 0 is no
 // bound.
-//
-// Example:
-//
-//	reply.ReadWithin(writer, 15*clock.Second)
 func ReadWithin(writer http.ResponseWriter, span clock.Span) {
 	until := time.Time{}
 	if span > 0 {
@@ -169,8 +129,4 @@
 }
 
 // Abort ends a begun answer so that it looks broken, never complete.
-//
-// Example:
-//
-//	if broken { reply.Abort() }
 func Abort() { panic(http.ErrAbortHandler) }
--- a/base/scope/scope.go
+++ b/base/scope/scope.go
@@ -29,10 +29,6 @@
 }
 
 // New makes the outermost scope; what the options leave out is filled in.
-//
-// Example:
-//
-//	top := scope.New(scope.Options{Boot: settings, Log: logger})
 func New(options Options) Scope {
 	if options.Clock == nil {
 		options.Clock = clock.Steady()
@@ -47,32 +43,18 @@
 }
 
 // Under gives the same scope below another context.
-//
-// Example:
-//
-//	inner := top.Under(request.Context())
 func (scope Scope) Under(parent context.Context) Scope {
 	scope.Context = parent
 	return scope
 }
 
 // WithLimit gives the same scope with an end after the span.
-//
-// Example:
-//
-//	short, release := top.WithLimit(250 * clock.Millisecond)
-//	defer release()
 func (scope Scope) WithLimit(span clock.Span) (Scope, func()) {
 	limited, cancel := scope.Clock.WithLimit(scope.Context, span)
 	return scope.Under(limited), cancel
 }
 
 // WithEnd gives the same scope and a function that ends it.
-//
-// Example:
-//
-//	inner, end := top.WithEnd()
-//	defer end()
 func (scope Scope) WithEnd() (Scope, func()) {
 	inner, cancel := context.WithCancel(scope.Context)
 	return scope.Under(inner), cancel
@@ -80,39 +62,18 @@
 
 // OnEnd has something done once the scope has ended; the function it gives back
 // calls that off.
-//
-// Example:
-//
-//	stop := caller.OnEnd(giveUp)
-//	defer stop()
 func (scope Scope) OnEnd(act func()) (stop func() bool) { return context.AfterFunc(scope.Context, act) }
 
 // Detached gives the same scope without the end of its parent.
-//
-// Example:
-//
-//	go sweep(call.Detached())
 func (scope Scope) Detached() Scope { return scope.Under(context.WithoutCancel(scope.Context)) }
 
 // Wait blocks for the span; false says that the scope ended first.
-//
-// Example:
-//
-//	for top.Wait(clock.Second) { sweep() }
 func (scope Scope) Wait(span clock.Span) bool { return clock.Wait(scope.Context, scope.Clock, span) }
 
 // Now gives the present instant.
-//
-// Example:
-//
-//	begin := top.Now()
 func (scope Scope) Now() clock.Instant { return scope.Clock.Now() }
 
 // Logger makes a logger of JSON lines at a level: debug, info, warn or error.
-//
-// Example:
-//
-//	logger := scope.Logger("info", os.Stderr)
 func Logger(level string, writer io.Writer) *log.Logger {
 	return &log.Logger{Level: log.ParseLevel(level), TimeFormat: "15:04:05.000", Writer: &log.IOWriter{Writer: writer}}
 }
--- a/base/telemetry/telemetry.go
+++ b/base/telemetry/telemetry.go
@@ -47,10 +47,6 @@
 
 // New makes the figures of a daemon, with those of its process and of the
 // invariants that the monitor counts.
-//
-// Example:
-//
-//	metrics := telemetry.New(&invariant.Monitor{Log: top.Log})
 func New(monitor *invariant.Monitor) *Metrics {
 	metrics := &Metrics{registry: prometheus.NewRegistry(), routes: map[string]bool{}}
 	metrics.requests = counters("requests_total", "Requests of clients that ended, by route and outcome: answered, or the kind of failure told, or cut, or left.", "route", "outcome")
@@ -77,10 +73,6 @@
 }
 
 // Total adds a figure that only rises and is read when it is asked for.
-//
-// Example:
-//
-//	metrics.Total("messages_sent_total", "Messages sent.", nil, func() float64 { return float64(sent.Load()) })
 func (metrics *Metrics) Total(name string, help string, labels map[string]string, read func() float64) {
 	if metrics == nil {
 		return
@@ -91,10 +83,6 @@
 }
 
 // Gauge adds a figure that is read when it is asked for.
-//
-// Example:
-//
-//	metrics.Gauge("config_version", "Version acted on.", nil, func() float64 { return float64(serial()) })
 func (metrics *Metrics) Gauge(name string, help string, labels map[string]string, read func() float64) {
 	if metrics == nil {
 		return
@@ -105,10 +93,6 @@
 }
 
 // Request counts a client's request that ended, with the time that it took.
-//
-// Example:
-//
-//	metrics.Request("r-1", "answered", 120*clock.Millisecond)
 func (metrics *Metrics) Request(route string, outcome string, spent clock.Span) {
 	if metrics == nil {
 		return
@@ -133,10 +117,6 @@
 
 // Send counts a request sent to a runner, by its fate and the cause of a
 // further try.
-//
-// Example:
-//
-//	metrics.Send("refused", "declined")
 func (metrics *Metrics) Send(fate string, cause string) {
 	if metrics != nil {
 		metrics.sends.WithLabelValues(fate, cause).Inc()
@@ -144,10 +124,6 @@
 }
 
 // Lookup counts an answer of the directory by its circle.
-//
-// Example:
-//
-//	metrics.Lookup("zone")
 func (metrics *Metrics) Lookup(circle string) {
 	if metrics != nil {
 		metrics.lookups.WithLabelValues(circle).Inc()
@@ -155,10 +131,6 @@
 }
 
 // Call counts an answered call, with the time that it took.
-//
-// Example:
-//
-//	metrics.Call("PUT /settings", "200", 80*clock.Millisecond)
 func (metrics *Metrics) Call(call string, status string, spent clock.Span) {
 	if metrics == nil {
 		return
@@ -168,10 +140,6 @@
 }
 
 // Handler serves the figures as text.
-//
-// Example:
-//
-//	common.ServeHTTP(inner, address, metrics.Handler("/metrics"))
 func (metrics *Metrics) Handler(path string) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+path, promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{}))
--- a/control/cohort/keep.go
+++ b/control/cohort/keep.go
@@ -41,10 +41,6 @@
 
 // Load takes what the disk holds. Nobody is known to be there until it is heard
 // of, so all stand as removed, in the oldest of lives.
-//
-// Example:
-//
-//	err := keeper.Load()
 func (keeper *Keeper) Load() error {
 	body, err := keeper.Disk.Read(keeper.Name)
 	if err != nil || len(body) == 0 {
@@ -66,10 +62,6 @@
 }
 
 // Save writes the members if they changed since the last time.
-//
-// Example:
-//
-//	err := keeper.Save()
 func (keeper *Keeper) Save() error {
 	sums := keeper.Table.Sums()
 	if sums == keeper.told {
@@ -91,10 +83,6 @@
 }
 
 // Run saves now and then until the scope ends.
-//
-// Example:
-//
-//	keeper.Run(top, 2*clock.Second)
 func (keeper *Keeper) Run(inner scope.Scope, every clock.Span) {
 	for inner.Wait(every) {
 		if err := keeper.Save(); err != nil {
--- a/control/cohort/member.go
+++ b/control/cohort/member.go
@@ -37,17 +37,9 @@
 func (Member) SchemaName() string { return "Member_23" }
 
 // Present tells whether the member may be spoken to.
-//
-// Example:
-//
-//	if member.Present() { exchange(member) }
 func (member Member) Present() bool { return member.State == Alive || member.State == Suspect }
 
 // Backbone tells whether the member is known in all zones.
-//
-// Example:
-//
-//	if member.Zone != own && !member.Backbone() { forget(member) }
 func (member Member) Backbone() bool { return member.Core || member.Relay }
 
 // newer tells whether this report overrides the other.
--- a/control/cohort/probe.go
+++ b/control/cohort/probe.go
@@ -58,11 +58,6 @@
 }
 
 // Run probes until the scope ends.
-//
-// Example:
-//
-//	prober := &cohort.Prober{Table: table, Pace: pace, Send: send}
-//	prober.Run(top)
 func (prober *Prober) Run(inner scope.Scope) {
 	last := inner.Now()
 	for inner.Wait(prober.Pace.Every) {
@@ -80,10 +75,6 @@
 }
 
 // Probe asks one member, then asks others to ask it, then suspects it.
-//
-// Example:
-//
-//	prober.Probe(inner, member)
 func (prober *Prober) Probe(inner scope.Scope, target Member) {
 	number, answered := prober.open()
 	defer prober.close(number)
@@ -110,10 +101,6 @@
 
 // Take handles a datagram that arrived; one that can't be read is counted and
 // dropped.
-//
-// Example:
-//
-//	prober.Take(inner, sender, body)
 func (prober *Prober) Take(inner scope.Scope, sender fmt.Stringer, body []byte) {
 	datagram, err := courier.Disclose[Datagram](prober.Gate, body)
 	if err != nil {
--- a/control/cohort/relays.go
+++ b/control/cohort/relays.go
@@ -13,10 +13,6 @@
 // For the own zone every member works them out by itself; those of other zones
 // say of themselves that they are. Nothing rests on agreement: news only rises,
 // so two views of who relays cost bytes and no more.
-//
-// Example:
-//
-//	for _, relay := range table.Relays(zone) { if push(relay) { break } }
 func (table *Table) Relays(zone ids.Zone, count int) []Member {
 	var able []Member
 	own := zone == table.Self().Zone
@@ -31,10 +27,6 @@
 
 // Elect has the daemon say of itself whether it relays for its zone; one that
 // has only just begun, and may know nobody yet, waits.
-//
-// Example:
-//
-//	table.Elect(2, patience)
 func (table *Table) Elect(count int, patience clock.Span) {
 	self := table.Self()
 	if table.clock.Now().Since(table.born) < patience || !self.Present() {
--- a/control/cohort/scope.go
+++ b/control/cohort/scope.go
@@ -17,10 +17,6 @@
 )
 
 // Forget drops members that were gone for very long.
-//
-// Example:
-//
-//	table.Forget()
 func (table *Table) Forget() {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -38,26 +34,14 @@
 }
 
 // Now is the present instant on the table's clock.
-//
-// Example:
-//
-//	if table.Now().Since(seen) > patience { ... }
 func (table *Table) Now() clock.Instant { return table.clock.Now() }
 
 // Seasoned tells whether the daemon has lived for as long as members that are
 // gone are remembered.
-//
-// Example:
-//
-//	if table.Seasoned() { lower(count) }
 func (table *Table) Seasoned() bool { return table.clock.Now().Since(table.born) > removedStays }
 
 // Told gives the members to tell a daemon: all, where it is of the same zone;
 // otherwise the backbone, and those that lately were part of it.
-//
-// Example:
-//
-//	told.Members = table.Told(asked.From.Zone)
 func (table *Table) Told(zone ids.Zone) []Member {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -81,10 +65,6 @@
 
 // Differs tells whether a table of another daemon with these sums differs in
 // what both should know.
-//
-// Example:
-//
-//	if table.Differs(asked.From.Zone, asked.Sums) { told.Members = table.Told(asked.From.Zone) }
 func (table *Table) Differs(zone ids.Zone, sums Sums) bool {
 	own := table.Sums()
 	return own.Backbone != sums.Backbone || (zone == table.Self().Zone && own.Zone != sums.Zone)
--- a/control/cohort/table.go
+++ b/control/cohort/table.go
@@ -47,10 +47,6 @@
 func (Sums) SchemaName() string { return "Sums_23" }
 
 // NewTable makes a table that knows only its own daemon.
-//
-// Example:
-//
-//	table := cohort.NewTable(top.Clock, cohort.Member{Address: address, Role: "router"})
 func NewTable(machine clock.Clock, self Member) *Table {
 	self.Incarnation = max(self.Incarnation, 1)
 	table := &Table{clock: machine, born: machine.Now(), self: self, members: map[ids.Address]*seen{}}
@@ -59,10 +55,6 @@
 }
 
 // Self gives the table's own daemon.
-//
-// Example:
-//
-//	region := table.Self().Region
 func (table *Table) Self() Member {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -70,10 +62,6 @@
 }
 
 // Announce changes what the daemon says of itself.
-//
-// Example:
-//
-//	table.Announce(func(self *cohort.Member) { self.Ready = true })
 func (table *Table) Announce(change func(self *Member)) {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -87,10 +75,6 @@
 
 // Merge takes reports of members and tells whether any was news. A report that
 // the daemon itself is gone is refuted by a higher incarnation.
-//
-// Example:
-//
-//	if table.Merge(told.Members) { spreadSoon() }
 func (table *Table) Merge(reports []Member) bool {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -130,10 +114,6 @@
 }
 
 // Judge moves a member to a state on this daemon's own evidence.
-//
-// Example:
-//
-//	table.Judge(address, cohort.Suspect)
 func (table *Table) Judge(address ids.Address, state State) {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -148,10 +128,6 @@
 
 // Members gives all members in the order of their addresses; the list is shared
 // and must not be changed.
-//
-// Example:
-//
-//	for _, member := range table.Members() { ... }
 func (table *Table) Members() []Member {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -170,10 +146,6 @@
 }
 
 // Find gives the member at an address.
-//
-// Example:
-//
-//	member, found := table.Find(address)
 func (table *Table) Find(address ids.Address) (Member, bool) {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -185,10 +157,6 @@
 }
 
 // Since tells for how long a member has been in its state.
-//
-// Example:
-//
-//	if table.Since(address) > patience { replace(address) }
 func (table *Table) Since(address ids.Address) clock.Span {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -200,10 +168,6 @@
 }
 
 // Sums gives the digests of the table.
-//
-// Example:
-//
-//	if told.Sums.Backbone != table.Sums().Backbone { sendMembers() }
 func (table *Table) Sums() Sums {
 	table.lock.Lock()
 	defer table.lock.Unlock()
--- a/control/contact/contact.go
+++ b/control/contact/contact.go
@@ -106,10 +106,6 @@
 }
 
 // New makes a contact that was not had yet.
-//
-// Example:
-//
-//	reached := contact.New(contact.Options{Address: address, Voters: voter.Voters, Messenger: messenger, Fresh: pace.Pass})
 func New(options Options) *Contact {
 	if options.Wait == 0 {
 		options.Wait = min(options.Fresh/2, longest)
@@ -132,10 +128,6 @@
 }
 
 // Serve adds the contact's message to a table of calls.
-//
-// Example:
-//
-//	reached.Serve(common.Calls)
 func (contact *Contact) Serve(calls *call.Table) {
 	courier.Handle(calls, "contact", func(inner scope.Scope, _ Ask) (Told, error) {
 		return contact.Tell(inner.Now()), nil
@@ -143,20 +135,12 @@
 }
 
 // Tell answers the question of another.
-//
-// Example:
-//
-//	told := reached.Tell(top.Now())
 func (contact *Contact) Tell(now clock.Instant) Told {
 	return Told{Life: contact.options.Life, Reading: int64(now)}
 }
 
 // Heard notes that another answered a question which was sent at this instant
 // or later. A missing contact notes nothing.
-//
-// Example:
-//
-//	reached.Heard(voter, begin)
 func (contact *Contact) Heard(address ids.Address, asked clock.Instant) {
 	if contact == nil {
 		return
@@ -179,10 +163,6 @@
 
 // Answered tells when the newest question that another answered was sent; 0
 // where none was.
-//
-// Example:
-//
-//	alive := reached.Answered(owner) > begin
 func (contact *Contact) Answered(address ids.Address) clock.Instant {
 	contact.lock.Lock()
 	defer contact.lock.Unlock()
@@ -192,10 +172,6 @@
 // Age is how long ago a majority of the voters was last known to hear this
 // controller; false where it never was. Who knows of no voters yet has nobody
 // to ask, and counts as in contact.
-//
-// Example:
-//
-//	age, known := reached.Age(top.Now())
 func (contact *Contact) Age(now clock.Instant) (clock.Span, bool) {
 	seats := contact.options.Voters().Seats
 	if len(seats) == 0 {
@@ -222,10 +198,6 @@
 }
 
 // Fresh tells whether contact is young enough for an order to be begun.
-//
-// Example:
-//
-//	if reached.Fresh(top.Now()) { begin() }
 func (contact *Contact) Fresh(now clock.Instant) bool {
 	age, known := contact.Age(now)
 	return known && age <= contact.options.Fresh && contact.heardSince(now.Add(-age))
--- a/control/contact/guard.go
+++ b/control/contact/guard.go
@@ -8,10 +8,6 @@
 
 // Sure makes sure of contact, with a round of questions where it is not fresh.
 // Without a majority within the wait it is an Unsettled failure.
-//
-// Example:
-//
-//	if err := reached.Sure(short); err != nil { return err }
 func (contact *Contact) Sure(inner scope.Scope) error {
 	if contact.Fresh(inner.Now()) {
 		return ended(inner)
@@ -53,10 +49,6 @@
 
 // Guard makes sure of contact and gives a scope that ends when it is lost: a
 // quarter of a second after its beginning or after the loss, whichever is later.
-//
-// Example:
-//
-//	guarded, release, err := reached.Guard(short)
 func (contact *Contact) Guard(inner scope.Scope) (scope.Scope, func(), error) {
 	if contact.woken(inner.Now()) {
 		// What came while this process stood still may be from callers that are
--- a/control/contact/round.go
+++ b/control/contact/round.go
@@ -73,10 +73,6 @@
 
 // Stamp makes the end of an order that is passed on now and given up at the
 // instant named. Where the receiver's clock is not known it is asked.
-//
-// Example:
-//
-//	order.Until, err = reached.Stamp(brief, owner, giveUp)
 func (contact *Contact) Stamp(inner scope.Scope, address ids.Address, giveUp clock.Instant) (Stamp, error) {
 	known, found := contact.reading(address)
 	if !found || inner.Now().Since(known.came) > readingKept*contact.options.Fresh {
@@ -99,19 +95,11 @@
 }
 
 // Open tells whether an order that was passed here may still be begun.
-//
-// Example:
-//
-//	if !reached.Open(order.Until, top.Now()) { refuse() }
 func (contact *Contact) Open(stamp Stamp, now clock.Instant) bool {
 	return stamp.Life == contact.options.Life && int64(now) < stamp.End
 }
 
 // Run keeps contact fresh, or finds that it is lost, until the scope ends.
-//
-// Example:
-//
-//	reached.Run(top)
 func (contact *Contact) Run(inner scope.Scope) {
 	fresh := contact.options.Fresh
 	contact.lock.Lock()
--- a/control/contact/status.go
+++ b/control/contact/status.go
@@ -31,10 +31,6 @@
 }
 
 // Status tells how old contact is; a missing contact was never had.
-//
-// Example:
-//
-//	told.Contact = reached.Status(top.Now())
 func (contact *Contact) Status(now clock.Instant) Status {
 	told := Status{AgeMS: -1, WholeAgeMS: -1}
 	if contact == nil {
@@ -52,10 +48,6 @@
 // WholeAge is how long ago all voters were last known to hear this controller,
 // those that are learning too; false where they never were. Run keeps it up, so
 // it outlives voters that answered and were replaced.
-//
-// Example:
-//
-//	age, known := reached.WholeAge(top.Now())
 func (contact *Contact) WholeAge(now clock.Instant) (clock.Span, bool) {
 	oldest := now
 	seats := contact.options.Voters().Seats
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -50,10 +50,6 @@
 }
 
 // Run runs the controller until the scope ends, then leaves in order.
-//
-// Example:
-//
-//	err := made.Run(top, reread)
 func (made *Controller) Run(top scope.Scope, reread <-chan *boot.Boot) error {
 	defer made.own.Close()
 	running, end := context.WithCancel(context.Background())
@@ -83,10 +79,6 @@
 }
 
 // New puts a controller together.
-//
-// Example:
-//
-//	made, err := controller.New(top, controller.Options{})
 func New(top scope.Scope, options Options) (*Controller, error) {
 	made := &Controller{pace: daemon.PaceOf(top.Boot), view: daemon.NewView(top)}
 	var err error
--- a/control/controller/look.go
+++ b/control/controller/look.go
@@ -7,10 +7,6 @@
 )
 
 // Held tells whether this controller does a duty now, and under which epoch.
-//
-// Example:
-//
-//	epoch, held := made.Held("census")
 func (made *Controller) Held(duty string) (int64, bool) {
 	for _, holder := range made.duties {
 		if holder.Duty() == duty {
@@ -21,33 +17,17 @@
 }
 
 // Voters gives the voters as this controller knows them.
-//
-// Example:
-//
-//	seats := made.Voters().Seats
 func (made *Controller) Voters() register.Voters { return made.own.Acceptor.Voters() }
 
 // Voting tells whether this controller's disk votes.
-//
-// Example:
-//
-//	if !made.Voting() { wait() }
 func (made *Controller) Voting() bool { return made.own.Voting() }
 
 // Slots gives all that this controller's disk holds.
-//
-// Example:
-//
-//	for _, slot := range made.Slots() { show(slot.Key) }
 func (made *Controller) Slots() []register.Slot {
 	return made.own.Acceptor.Copy(register.CopyAsk{}).Slots
 }
 
 // Read reads a key as an order of the operator does: confirmed by a majority.
-//
-// Example:
-//
-//	value, err := made.Read(short, evacuation.Key(zone))
 func (made *Controller) Read(inner scope.Scope, key string) ([]byte, error) {
 	return made.front.Do(inner, desk.Order{Key: key, Verb: desk.VerbRead})
 }
--- a/control/courier/courier.go
+++ b/control/courier/courier.go
@@ -23,10 +23,6 @@
 
 // New makes a courier: how long a connection may take to come up, and how long
 // a silent one is kept, is in the dialing.
-//
-// Example:
-//
-//	messenger := courier.New(call.Dialing{Limit: 500 * clock.Millisecond, Silence: 2 * clock.Second})
 func New(dialing call.Dialing) *Courier { return Over(machine{}, dialing) }
 
 // Network makes the clients that messages go through.
@@ -40,10 +36,6 @@
 
 // Over makes a courier whose messages go over a network that isn't the
 // machine's own.
-//
-// Example:
-//
-//	messenger := courier.Over(network, dialing)
 func Over(network Network, dialing call.Dialing) *Courier {
 	return &Courier{traffic: dialing.Count, client: network.Client(call.Pooling{Dialing: dialing, Idle: 10 * dialing.Silence, PerHost: 4})}
 }
@@ -76,10 +68,6 @@
 }
 
 // Send asks another daemon and waits for its answer.
-//
-// Example:
-//
-//	promise, err := courier.Send[register.PromiseAnswer](short, messenger, address, "promise", question)
 func Send[Told, Asked any](inner scope.Scope, messenger *Courier, address ids.Address, name string, question Asked) (Told, error) {
 	var nothing Told
 	body, err := Enclose(messenger.Gate, question)
@@ -122,10 +110,6 @@
 }
 
 // Handle serves a message of that name.
-//
-// Example:
-//
-//	courier.Handle(table, "promise", acceptor.Promise)
 func Handle[Asked, Told any](table *call.Table, name string, serve func(scope.Scope, Asked) (Told, error)) {
 	call.Handle(table, "POST", "/"+name, func(inner scope.Scope, question packet[Asked]) (packed[Told], error) {
 		answer, err := serve(inner, question.message)
--- a/control/courier/gate.go
+++ b/control/courier/gate.go
@@ -30,17 +30,9 @@
 var flawNames = [flaws]string{"torn", "version", "deployment", "oversized", "unknown"}
 
 // FlawNames gives the names of all flaws, by flaw.
-//
-// Example:
-//
-//	for flaw, name := range courier.FlawNames() { ... }
 func FlawNames() []string { return flawNames[:] }
 
 // String gives the flaw's name as the log and the status carry it.
-//
-// Example:
-//
-//	courier.Foreign.String() // "deployment"
 func (flaw Flaw) String() string { return flawNames[flaw] }
 
 // flawed is a failure of kind BadRequest that knows its flaw.
@@ -60,10 +52,6 @@
 }
 
 // FlawOf finds what is wrong with a message by the error that refused it.
-//
-// Example:
-//
-//	if courier.FlawOf(err) == courier.Version { ... }
 func FlawOf(err error) Flaw {
 	var known *flawed
 	if errors.As(err, &known) {
@@ -99,10 +87,6 @@
 // NewGate makes the gate of a deployment. Its mark is derived from the zones of
 // the boot file and their regions: all daemons of a deployment are told the
 // same ones, and they stay.
-//
-// Example:
-//
-//	gate := courier.NewGate(top.Boot.Zones)
 func NewGate(zones map[ids.Zone]ids.Region) *Gate {
 	var names []string
 	for zone, region := range zones {
@@ -115,10 +99,6 @@
 }
 
 // Enter takes the mark off a message, or refuses one of another deployment.
-//
-// Example:
-//
-//	body, err := gate.Enter(incoming)
 func (gate *Gate) Enter(body []byte) ([]byte, error) {
 	if gate == nil {
 		return body, nil
@@ -134,10 +114,6 @@
 
 // Refused counts a message that was refused, and logs the first of its flaw
 // from that sender.
-//
-// Example:
-//
-//	gate.Refused(inner, sender, err)
 func (gate *Gate) Refused(inner scope.Scope, sender string, err error) {
 	if gate == nil {
 		return
@@ -157,10 +133,6 @@
 }
 
 // Totals gives the counts by the names of the flaws.
-//
-// Example:
-//
-//	told.Refused = messenger.Gate.Totals()
 func (gate *Gate) Totals() map[string]int64 {
 	totals := map[string]int64{}
 	if gate == nil {
@@ -173,10 +145,6 @@
 }
 
 // Enclose packs a message with the mark of the gate's deployment.
-//
-// Example:
-//
-//	body, err := courier.Enclose(prober.Gate, datagram)
 func Enclose[Message any](gate *Gate, message Message) ([]byte, error) {
 	if gate == nil {
 		return packAfter(nil, message)
@@ -185,10 +153,6 @@
 }
 
 // Disclose reads a message that Enclose made.
-//
-// Example:
-//
-//	datagram, err := courier.Disclose[Datagram](prober.Gate, body)
 func Disclose[Message any](gate *Gate, body []byte) (Message, error) {
 	rest, err := gate.Enter(body)
 	if err != nil {
--- a/control/courier/pack.go
+++ b/control/courier/pack.go
@@ -27,10 +27,6 @@
 var writers = sync.Pool{New: func() any { return avro.NewWriter(io.Discard, 512) }}
 
 // Pack turns a message into bytes: the fingerprint of its schema, then Avro.
-//
-// Example:
-//
-//	body, err := courier.Pack(Digest{Serial: 7})
 func Pack[Message any](message Message) ([]byte, error) {
 	return packAfter(nil, message)
 }
@@ -56,10 +52,6 @@
 // Unpack reads a message that Pack made, here or in another daemon of the same
 // build. One that is torn, that has anything after its end or that was made
 // from another form of the type is refused with its Flaw.
-//
-// Example:
-//
-//	digest, err := courier.Unpack[Digest](body)
 func Unpack[Message any](body []byte) (message Message, err error) {
 	known, err := formOf(reflect.TypeFor[Message]())
 	if err != nil {
--- a/control/courier/tally.go
+++ b/control/courier/tally.go
@@ -22,10 +22,6 @@
 }
 
 // Add counts a message that was answered.
-//
-// Example:
-//
-//	tally.Add("exchange", len(question), len(answer))
 func (t *Tally) Add(name string, asked int, told int) {
 	if t == nil {
 		return
@@ -40,10 +36,6 @@
 }
 
 // Volumes gives what was counted, by the messages' names.
-//
-// Example:
-//
-//	for name, volume := range tally.Volumes() { ... }
 func (t *Tally) Volumes() map[string]Volume {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/control/daemon/confirm.go
+++ b/control/daemon/confirm.go
@@ -10,10 +10,6 @@
 
 // ReadIndex makes what holds a daemon back until a majority confirmed, after
 // its start, the version that it acts on.
-//
-// Example:
-//
-//	gate := common.ReadIndex(frame.Ready(), serial)
 func (daemon *Daemon) ReadIndex(first <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
 		First: first, Serial: serial, Fetch: daemon.Spreader.Exchange, Controllers: daemon.controllers,
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -75,10 +75,6 @@
 const bodiesPart = 4
 
 // New makes the common part for a role.
-//
-// Example:
-//
-//	common, err := daemon.New(top, daemon.Options{Role: "router", Fresh: snapshot.Absorb})
 func New(top scope.Scope, options Options) (*Daemon, error) {
 	settings, role := top.Boot, options.Role
 	pace := PaceOf(settings)
@@ -157,19 +153,11 @@
 func (piece part) String() string { return piece.name }
 
 // Part adds a part that the supervisor keeps running.
-//
-// Example:
-//
-//	common.Part("sweep", func(inner scope.Scope) error { front.Run(inner, every); return nil })
 func (daemon *Daemon) Part(name string, run func(inner scope.Scope) error) {
 	daemon.tree.Add(part{name: name, top: daemon.Scope, run: run})
 }
 
 // Once adds a part that comes to an end of its own, and is not run again.
-//
-// Example:
-//
-//	common.Once("readindex", gate.Run)
 func (daemon *Daemon) Once(name string, run func(inner scope.Scope)) {
 	daemon.Part(name, func(inner scope.Scope) error {
 		run(inner)
@@ -179,17 +167,9 @@
 }
 
 // Run runs all parts until the context ends.
-//
-// Example:
-//
-//	err := common.Run(ctx)
 func (daemon *Daemon) Run(ctx context.Context) error { return daemon.tree.Serve(ctx) }
 
 // ServeHTTP serves a handler at an address until the scope ends.
-//
-// Example:
-//
-//	common.Part("control", func(inner scope.Scope) error { return common.ServeHTTP(inner, address, calls) })
 func (daemon *Daemon) ServeHTTP(inner scope.Scope, address ids.Address, handler http.Handler) error {
 	return daemon.Network.Serve(inner, address, handler, nil)
 }
@@ -220,20 +200,12 @@
 }
 
 // Leave tells a few others that this daemon goes.
-//
-// Example:
-//
-//	common.Leave(top)
 func (daemon *Daemon) Leave(inner scope.Scope) {
 	daemon.Table.Announce(func(self *cohort.Member) { self.State, self.Ready = cohort.Left, false })
 	daemon.Tell(inner)
 }
 
 // Tell exchanges with several others at once.
-//
-// Example:
-//
-//	common.Tell(top)
 func (daemon *Daemon) Tell(inner scope.Scope) {
 	for _, address := range daemon.Spreader.Several() {
 		go daemon.Spreader.Exchange(inner, address)
@@ -241,8 +213,4 @@
 }
 
 // Reread replaces the boot file's values after it changed.
-//
-// Example:
-//
-//	common.Reread(fresh)
 func (daemon *Daemon) Reread(fresh *boot.Boot) { daemon.Spreader.Reseed(fresh.SeedAddresses()) }
--- a/control/daemon/list.go
+++ b/control/daemon/list.go
@@ -12,10 +12,6 @@
 
 // NewView makes the view of the list of runners that a daemon of these settings
 // acts on.
-//
-// Example:
-//
-//	view := daemon.NewView(top)
 func NewView(top scope.Scope) *discovery.View {
 	return discovery.NewView(discovery.ViewOptions{
 		Clock: top.Clock, Zones: top.Boot.ZoneNames(),
@@ -24,10 +20,6 @@
 }
 
 // Platform makes a reader of the platform's list, with connections of its own.
-//
-// Example:
-//
-//	platform := common.Platform()
 func (daemon *Daemon) Platform() *discovery.Platform {
 	settings, pace := daemon.Scope.Boot, PaceOf(daemon.Scope.Boot)
 	return &discovery.Platform{
--- a/control/daemon/pace.go
+++ b/control/daemon/pace.go
@@ -37,10 +37,6 @@
 // PaceOf works the paces out from the bounds: news must be everywhere well
 // inside the time for applying a spec, orders be answered well inside the time
 // for acknowledging them.
-//
-// Example:
-//
-//	pace := daemon.PaceOf(top.Boot)
 func PaceOf(settings *boot.Boot) Pace {
 	apply := boot.Milliseconds(settings.Bounds.ApplyWithinMS)
 	touch := boot.Milliseconds(settings.Bounds.InTouchMS)
--- a/control/daemon/sums.go
+++ b/control/daemon/sums.go
@@ -63,10 +63,6 @@
 
 // Report sends a router's report up: to the first relay of its zone that
 // answers, or straight to the planner where none does.
-//
-// Example:
-//
-//	common.Report(inner, report)
 func (daemon *Daemon) Report(inner scope.Scope, report scaler.ReportAsk) {
 	pace := PaceOf(daemon.Scope.Boot)
 	for _, relay := range daemon.Table.Relays(daemon.Table.Self().Zone, pace.Relays) {
--- a/control/desk/chosen.go
+++ b/control/desk/chosen.go
@@ -11,10 +11,6 @@
 )
 
 // Chosen publishes a value that a majority holds.
-//
-// Example:
-//
-//	register.Options{Chosen: front.Chosen}
 func (desk *Desk) Chosen(key string, accepted register.Accepted) {
 	if item, found := newsOf(key, accepted.Value); found {
 		desk.options.News.Put(item)
--- a/control/desk/desk.go
+++ b/control/desk/desk.go
@@ -63,10 +63,6 @@
 }
 
 // New makes a desk.
-//
-// Example:
-//
-//	front := desk.New(desk.Options{Address: address, Keeper: keeper, Acceptor: voter})
 func New(options Options) *Desk {
 	if options.Pause == nil {
 		options.Pause = func() clock.Span { return chance.Part(options.Pass / 4) }
@@ -85,10 +81,6 @@
 }
 
 // Serve adds the desk's message to a table of calls.
-//
-// Example:
-//
-//	front.Serve(calls)
 func (desk *Desk) Serve(calls *call.Table) {
 	courier.Handle(calls, "order", func(inner scope.Scope, order Order) (Outcome, error) {
 		return outcomeOf(desk.Passed(inner, order)), nil
@@ -97,10 +89,6 @@
 
 // Passed takes an order that another controller passed on: one to the owner of
 // its key is acted on only if the key is owned here.
-//
-// Example:
-//
-//	value, err := front.Passed(call, order)
 func (desk *Desk) Passed(inner scope.Scope, order Order) ([]byte, error) {
 	short, release := inner.WithLimit(desk.options.Limit)
 	defer release()
@@ -134,10 +122,6 @@
 }
 
 // Do brings an order to the owner of its key and gives the register's value.
-//
-// Example:
-//
-//	value, err := front.Do(call, desk.Order{Key: spec.Key, Verb: desk.VerbRead})
 func (desk *Desk) Do(inner scope.Scope, order Order) ([]byte, error) {
 	limited, release := inner.WithLimit(desk.options.Limit)
 	defer release()
--- a/control/desk/sweep.go
+++ b/control/desk/sweep.go
@@ -32,10 +32,6 @@
 }
 
 // Epoch writes a new epoch for a duty.
-//
-// Example:
-//
-//	hold.Options{Epoch: front.Epoch}
 func (desk *Desk) Epoch(inner scope.Scope, duty string) (int64, error) {
 	value, err := desk.Do(inner, Order{Key: "hold/" + duty, Verb: VerbEpoch})
 	if err != nil {
@@ -47,10 +43,6 @@
 
 // Newest gives the serial of the newest configuration that a majority confirms
 // now; 0 where none was taken.
-//
-// Example:
-//
-//	readindex.NewReader(front.Newest).Serve(calls)
 func (desk *Desk) Newest(inner scope.Scope) (ids.Serial, error) {
 	value, err := desk.Do(inner, Order{Key: spec.Key, Verb: VerbRead})
 	if err != nil {
@@ -64,10 +56,6 @@
 // news here: an owner may have fallen between its write and its telling. Each
 // is read from the owner, which settles it. The owner of the spec also seals
 // the memory of changes that were taken.
-//
-// Example:
-//
-//	front.Sweep(top)
 func (desk *Desk) Sweep(inner scope.Scope) {
 	desk.seal(inner)
 	for _, slot := range desk.options.Acceptor.Copy(register.CopyAsk{}).Slots {
@@ -89,10 +77,6 @@
 }
 
 // Run sweeps until the scope ends.
-//
-// Example:
-//
-//	front.Run(top, 500*clock.Millisecond)
 func (desk *Desk) Run(inner scope.Scope, every clock.Span) {
 	for inner.Err() == nil {
 		desk.Sweep(inner)
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -72,10 +72,6 @@
 }
 
 // Serve adds the directory's call to a table.
-//
-// Example:
-//
-//	(&directory.Directory{Table: table, Zones: zones}).Serve(calls)
 func (directory *Directory) Serve(calls *call.Table) {
 	call.Handle(calls, http.MethodGet, "/lookup", func(inner scope.Scope, asked Lookup) (Found, error) {
 		return Found{Addresses: directory.Choose(asked), TTLS: min(1, inner.Boot.Bounds.TTLMaxS)}, nil
@@ -105,10 +101,6 @@
 // able there is no answer, so that the client asks another directory or stays
 // with what it has, unless its region is known to be lost: one whose routers
 // start, leave in order or were not heard of yet is not.
-//
-// Example:
-//
-//	addresses := directory.Choose(directory.Lookup{Region: region, Zone: zone})
 func (directory *Directory) Choose(asked Lookup) []ids.Address {
 	able, unable, cut := directory.all()
 	now := directory.Table.Now()
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -40,10 +40,6 @@
 const looksAtView = 4
 
 // Run looks after the list until the scope ends.
-//
-// Example:
-//
-//	fallback.Run(top)
 func (f *Fallback) Run(inner scope.Scope) {
 	for inner.Wait(f.pause()) {
 		if !f.due(inner.Now()) || !inner.Wait(f.turn(inner)) || f.View.Fresh() {
@@ -103,10 +99,6 @@
 }
 
 // Read reads the list once and tells it to the zone.
-//
-// Example:
-//
-//	fallback.Read(top)
 func (f *Fallback) Read(inner scope.Scope) {
 	inner.Log.Info().Str("part", "census").Msg("no news of it: the platform is asked from here")
 	parts, err := f.Platform.Read(inner)
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -100,10 +100,6 @@
 }
 
 // Read reads the whole list, by zone. It is not to be called by two at once.
-//
-// Example:
-//
-//	parts, err := platform.Read(top)
 func (p *Platform) Read(inner scope.Scope) (map[ids.Zone]List, error) {
 	if p.apart {
 		return p.readApart(inner)
@@ -132,10 +128,6 @@
 }
 
 // ByZone tells whether the list is so long that it is read by zone.
-//
-// Example:
-//
-//	if platform.ByZone() { readOften() }
 func (p *Platform) ByZone() bool { return p.apart }
 
 // zones are those of the settings and those in which runners were seen.
--- a/control/discovery/reader.go
+++ b/control/discovery/reader.go
@@ -57,10 +57,6 @@
 }
 
 // Run reads the list until the scope ends.
-//
-// Example:
-//
-//	reader.Run(top)
 func (r *Reader) Run(inner scope.Scope) {
 	for spent := clock.Span(0); inner.Wait(max(r.pause(inner)-spent, r.Every/restPart)); {
 		begin := inner.Now()
@@ -88,10 +84,6 @@
 }
 
 // Read reads the list once and makes news of what changed.
-//
-// Example:
-//
-//	reader.Read(top)
 func (r *Reader) Read(inner scope.Scope) {
 	before, held := r.Held(inner.Now())
 	if !held {
--- a/control/discovery/runner.go
+++ b/control/discovery/runner.go
@@ -22,17 +22,9 @@
 )
 
 // PartKey is the news key of a zone's part of the list.
-//
-// Example:
-//
-//	item, found := news.Get(discovery.PartKey("kelvin-hall"))
 func PartKey(zone ids.Zone) string { return PartPrefix + string(zone) }
 
 // LocalKey is the news key of a list that was read for one zone alone.
-//
-// Example:
-//
-//	news.Put(spread.Item{Key: discovery.LocalKey(zone), Serial: serial, Body: body})
 func LocalKey(zone ids.Zone) string { return spread.LocalPrefix + string(zone) }
 
 // Runner is one runner as the platform lists it. Times are in milliseconds.
@@ -109,8 +101,4 @@
 }
 
 // SerialOf joins a duty's epoch and a count of its acts to one rising serial.
-//
-// Example:
-//
-//	serial := discovery.SerialOf(epoch, counter)
 func SerialOf(epoch int64, counter int64) ids.Serial { return ids.Serial(epoch<<32 | counter) }
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -49,19 +49,11 @@
 }
 
 // NewView makes a view that knows nothing yet.
-//
-// Example:
-//
-//	view := discovery.NewView(discovery.ViewOptions{Clock: top.Clock, Zones: zones, Patience: patience})
 func NewView(options ViewOptions) *View {
 	return &View{options: options, told: map[ids.Zone]*Section{}, sections: map[ids.Zone]*Section{}, born: options.Clock.Now()}
 }
 
 // Absorb takes an item of news; it tells whether the list may be another one now.
-//
-// Example:
-//
-//	if view.Absorb(item) { rebuild(view.Sections()) }
 func (v *View) Absorb(item spread.Item) bool {
 	if zone, found := zoneOf(item.Key); found {
 		return v.absorbPart(zone, item)
@@ -143,10 +135,6 @@
 }
 
 // Take has a list stand in place of the parts that were told.
-//
-// Example:
-//
-//	view.Take(list)
 func (v *View) Take(list List) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -168,10 +156,6 @@
 }
 
 // Whole tells whether the list can be acted on.
-//
-// Example:
-//
-//	if !view.Whole() { wait() }
 func (v *View) Whole() bool {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -179,10 +163,6 @@
 }
 
 // Fresh tells whether the list was confirmed, or read, within the patience.
-//
-// Example:
-//
-//	if !view.Fresh() { readItself() }
 func (v *View) Fresh() bool {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -191,10 +171,6 @@
 
 // Confirmed is when the list was last confirmed or read; before that, when the
 // view was made.
-//
-// Example:
-//
-//	age := now.Since(view.Confirmed())
 func (v *View) Confirmed() clock.Instant {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -205,10 +181,6 @@
 }
 
 // Sections gives the parts that are to be acted on; nobody changes them.
-//
-// Example:
-//
-//	for zone, section := range view.Sections() { ... }
 func (v *View) Sections() map[ids.Zone]*Section {
 	v.lock.Lock()
 	defer v.lock.Unlock()
@@ -219,10 +191,6 @@
 }
 
 // Runners gives all runners, in the order of their zones.
-//
-// Example:
-//
-//	for _, runner := range view.Runners() { ... }
 func (v *View) Runners() []Runner {
 	sections := v.Sections()
 	var runners []Runner
--- a/control/eject/eject.go
+++ b/control/eject/eject.go
@@ -73,10 +73,6 @@
 }
 
 // Take adds a report of a router of the zone.
-//
-// Example:
-//
-//	judge.Take(report, top.Now())
 func (judge *Judge) Take(report scaler.ReportAsk, now clock.Instant) {
 	judge.lock.Lock()
 	defer judge.lock.Unlock()
@@ -97,10 +93,6 @@
 }
 
 // Verdict tells who is to rest now; changed says that the zone must be told.
-//
-// Example:
-//
-//	if rests, changed := judge.Verdict(top.Now()); changed { tell(rests) }
 func (judge *Judge) Verdict(now clock.Instant) (rests Rests, changed bool) {
 	judge.lock.Lock()
 	defer judge.lock.Unlock()
@@ -179,15 +171,7 @@
 }
 
 // Key is the news key of a zone's rests; only that zone hears of it.
-//
-// Example:
-//
-//	item, found := news.Get(eject.Key(zone))
 func Key(zone ids.Zone) string { return spread.ZonePrefix + string(zone) }
 
 // Read reads the body of the news item.
-//
-// Example:
-//
-//	rests, err := eject.Read(item.Body)
 func Read(body []byte) (Rests, error) { return courier.Unpack[Rests](body) }
--- a/control/evacuation/evacuation.go
+++ b/control/evacuation/evacuation.go
@@ -23,17 +23,9 @@
 func (Kept) SchemaName() string { return "Kept_27" }
 
 // Key is the register's key of a zone.
-//
-// Example:
-//
-//	key := evacuation.Key("hall-a") // "evacuation/hall-a"
 func Key(zone ids.Zone) string { return Prefix + string(zone) }
 
 // ZoneOf gives the zone of a key; false for the keys of others.
-//
-// Example:
-//
-//	zone, found := evacuation.ZoneOf(item.Key)
 func ZoneOf(key string) (ids.Zone, bool) {
 	zone, found := strings.CutPrefix(key, Prefix)
 	return ids.Zone(zone), found
@@ -41,10 +33,6 @@
 
 // Step makes the next value of a zone's key, unless the zone was turned over
 // since a serial was in force: 0 for any.
-//
-// Example:
-//
-//	value, err := keeper.Change(short, evacuation.Key(zone), evacuation.Step(true, kept.Serial))
 func Step(empty bool, past ids.Serial) func([]byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		kept, err := Read(current)
@@ -60,10 +48,6 @@
 }
 
 // Read reads a zone's value; none is a zone that was never emptied.
-//
-// Example:
-//
-//	kept, err := evacuation.Read(value)
 func Read(value []byte) (Kept, error) {
 	if len(value) == 0 {
 		return Kept{}, nil
--- a/control/journal/journal.go
+++ b/control/journal/journal.go
@@ -67,10 +67,6 @@
 // Open reads the records of a journal, cuts a torn tail and starts writing
 // after it. A damaged file gives no records: see Journal.Damage. One of another
 // version is ErrVersion. All that it read lasts when it returns.
-//
-// Example:
-//
-//	opened, records, err := journal.Open(journal.Options{Disk: journal.Folder(path), Name: "registers", Whole: whole})
 func Open(options Options) (*Journal, [][]byte, error) {
 	if options.Shortest == 0 {
 		options.Shortest = 1 << 20
@@ -131,10 +127,6 @@
 
 // Save writes a record and returns once a sync has covered it. After an error
 // the record may or may not be there.
-//
-// Example:
-//
-//	if err := opened.Save(record); err != nil { refuse() }
 func (journal *Journal) Save(record []byte) error {
 	if len(record) == 0 || len(record) > recordLimit {
 		return fmt.Errorf("%w: %d bytes", ErrLength, len(record))
@@ -154,10 +146,6 @@
 }
 
 // Close ends the journal; records that wait are refused.
-//
-// Example:
-//
-//	defer opened.Close()
 func (journal *Journal) Close() { journal.once.Do(func() { close(journal.done) }) }
 
 func (journal *Journal) run() {
--- a/control/journal/write.go
+++ b/control/journal/write.go
@@ -130,10 +130,6 @@
 
 // Replace gives a file new content: after a loss of power it has the old or the
 // new, and the new once Replace returned without an error.
-//
-// Example:
-//
-//	err := journal.Replace(disk, "members", body)
 func Replace(disk Disk, name string, content []byte) error {
 	file, _, err := replace(disk, name, content)
 	if err == nil {
--- a/control/lease/granter.go
+++ b/control/lease/granter.go
@@ -38,10 +38,6 @@
 
 // NewGranter makes a voter that grants nothing for a first span, since it may
 // have granted holds in a life before.
-//
-// Example:
-//
-//	granter := lease.NewGranter(top.Clock, 2*clock.Second, voting)
 func NewGranter(machine clock.Clock, span clock.Span, voting func() (bool, int64)) *Granter {
 	_, voters := voting()
 	return &Granter{
@@ -51,10 +47,6 @@
 }
 
 // Grant answers a daemon that wants or has a duty.
-//
-// Example:
-//
-//	told := granter.Grant(lease.Ask{Duty: "plan", Holder: address, Life: life, Number: 1, Voters: mark})
 func (granter *Granter) Grant(asked Ask) Told {
 	voting, voters := granter.voting()
 	granter.lock.Lock()
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -99,10 +99,6 @@
 }
 
 // NewHolder makes a holder that does not hold yet.
-//
-// Example:
-//
-//	holder := lease.NewHolder(lease.Options{Duty: "census", Address: address, Span: span, Ask: ask, Epoch: epoch})
 func NewHolder(options Options) *Holder {
 	for options.Life == 0 {
 		options.Life = chance.Int63(1 << 62)
@@ -111,17 +107,9 @@
 }
 
 // Duty names what is held.
-//
-// Example:
-//
-//	shown[holder.Duty()] = held
 func (holder *Holder) Duty() string { return holder.options.Duty }
 
 // Held tells whether the duty is this daemon's now, and under which epoch.
-//
-// Example:
-//
-//	epoch, held := holder.Held(top.Now())
 func (holder *Holder) Held(now clock.Instant) (int64, bool) {
 	holder.lock.Lock()
 	defer holder.lock.Unlock()
@@ -133,10 +121,6 @@
 }
 
 // Run strives for the duty until the scope ends.
-//
-// Example:
-//
-//	holder.Run(top)
 func (holder *Holder) Run(inner scope.Scope) {
 	for inner.Err() == nil {
 		pause := holder.options.Span / 3
@@ -151,10 +135,6 @@
 }
 
 // Release gives the duty up.
-//
-// Example:
-//
-//	holder.Release(top)
 func (holder *Holder) Release(inner scope.Scope) {
 	holder.lock.Lock()
 	holder.until, holder.released = 0, holder.number
@@ -164,10 +144,6 @@
 }
 
 // Rest gives the duty up and leaves it to others for a span.
-//
-// Example:
-//
-//	holder.Rest(top, 2*clock.Second)
 func (holder *Holder) Rest(inner scope.Scope, span clock.Span) {
 	holder.lock.Lock()
 	holder.rests = inner.Now().Add(span)
@@ -176,10 +152,6 @@
 }
 
 // Leave gives the duty up for good: it is not striven for again.
-//
-// Example:
-//
-//	holder.Leave(top)
 func (holder *Holder) Leave(inner scope.Scope) {
 	holder.lock.Lock()
 	holder.left = true
@@ -219,10 +191,6 @@
 
 // Strive asks once for the duty, or renews it; it tells whether a majority
 // granted it.
-//
-// Example:
-//
-//	held := holder.Strive(top)
 func (holder *Holder) Strive(inner scope.Scope) bool {
 	short, release := inner.WithLimit(holder.options.Span / 3)
 	defer release()
--- a/control/lengths/lengths.go
+++ b/control/lengths/lengths.go
@@ -40,10 +40,6 @@
 const mostBucket = 20
 
 // BucketOf gives the bucket of a prompt's tokens; none or nonsense is unknown.
-//
-// Example:
-//
-//	kind := lengths.Kind{Service: service, Route: route.Name, Bucket: lengths.BucketOf(6610)}
 func BucketOf(tokens float64) int64 {
 	if !(tokens >= 1) {
 		return 0
@@ -52,10 +48,6 @@
 }
 
 // Plus joins two sums of one kind.
-//
-// Example:
-//
-//	total = total.Plus(sum)
 func (sum Sum) Plus(other Sum) Sum {
 	sum.Count += other.Count
 	sum.SpentMS += other.SpentMS
@@ -102,10 +94,6 @@
 }
 
 // Take adds sums that were seen.
-//
-// Example:
-//
-//	estimator.Take(report.Lengths)
 func (estimator *Estimator) Take(seen []Sum) {
 	if estimator.sums == nil {
 		estimator.sums, estimator.told, estimator.cuts = map[Kind]Sum{}, map[Kind]float64{}, map[ids.Service]cut{}
@@ -116,10 +104,6 @@
 }
 
 // Age forgets a part of what was seen.
-//
-// Example:
-//
-//	estimator.Age(1)
 func (estimator *Estimator) Age(seconds float64) {
 	part := math.Exp(-seconds / memory)
 	for kind, sum := range estimator.sums {
@@ -135,10 +119,6 @@
 
 // Expect gives the expectations that rest on enough answers, the ones with the
 // most answers where there are very many. One that hardly changed stays as told.
-//
-// Example:
-//
-//	plan.Expected = estimator.Expect()
 func (estimator *Estimator) Expect() []Expected {
 	var found []Expected
 	for kind, sum := range estimator.sums {
--- a/control/lengths/split.go
+++ b/control/lengths/split.go
@@ -35,10 +35,6 @@
 // Split finds the cut that parts short from long best: the one between two kinds
 // where the classes' times, on a scale of ratios, lie farthest apart for how many
 // there are of each. False says that there is nothing to tell apart.
-//
-// Example:
-//
-//	split, apart := estimator.Split("readers")
 func (estimator *Estimator) Split(service ids.Service) (Split, bool) {
 	var kinds []Sum
 	count, work := 0.0, 0.0
--- a/control/lengths/table.go
+++ b/control/lengths/table.go
@@ -15,10 +15,6 @@
 type mean struct{ sum, count float64 }
 
 // NewTable makes a table of a region's expectations.
-//
-// Example:
-//
-//	table := lengths.NewTable(plan.Expected, plan.Splits)
 func NewTable(told []Expected, splits []Split) *Table {
 	made := &Table{exact: map[Kind]float64{}, loose: map[Kind]mean{}, splits: map[ids.Service]Split{}}
 	for _, expected := range told {
@@ -44,10 +40,6 @@
 
 // Expect tells how long a kind of answer is expected to take: by its own past,
 // else by that of other routes of the service with prompts as long.
-//
-// Example:
-//
-//	milliseconds, known := table.Expect(kind)
 func (table *Table) Expect(kind Kind) (float64, bool) {
 	if table == nil || kind.Bucket == 0 {
 		return 0, false
@@ -60,10 +52,6 @@
 }
 
 // Class gives the class of a kind of request.
-//
-// Example:
-//
-//	if table.Class(kind) == lengths.Long { useLongRunners() }
 func (table *Table) Class(kind Kind) Class {
 	expected, known := table.Expect(kind)
 	if !known {
--- a/control/operator/operator.go
+++ b/control/operator/operator.go
@@ -102,10 +102,6 @@
 }
 
 // ServeRoom adds the call that tells the room of every model family.
-//
-// Example:
-//
-//	operator.ServeRoom(calls, news)
 func ServeRoom(calls *call.Table, news *spread.News) {
 	call.Handle(calls, http.MethodGet, "/room", func(scope.Scope, Nothing) (Rooms, error) {
 		item, found := news.Get(room.Key)
@@ -123,10 +119,6 @@
 func (Done) Reply() reply.Reply { return reply.Empty(http.StatusOK) }
 
 // Serve adds the operator's calls to a table.
-//
-// Example:
-//
-//	operator.Serve(calls, front)
 func Serve(calls *call.Table, front Desk) {
 	change := func(inner scope.Scope, asked SettingsChange) (SettingsTaken, error) {
 		_, err := front.Do(inner, desk.Order{Key: spec.Key, Verb: desk.VerbChange, Change: asked.Change})
--- a/control/readindex/gate.go
+++ b/control/readindex/gate.go
@@ -53,10 +53,6 @@
 }
 
 // NewGate makes a closed gate.
-//
-// Example:
-//
-//	gate := readindex.NewGate(readindex.Options{First: frame.Ready(), Bound: 2 * pace.Pass})
 func NewGate(options Options) *Gate {
 	if options.Jitter == nil {
 		options.Jitter = func(span clock.Span) clock.Span { return span/2 + chance.Part(span) }
@@ -67,17 +63,9 @@
 }
 
 // Ready is closed once the router may serve.
-//
-// Example:
-//
-//	<-gate.Ready()
 func (gate *Gate) Ready() <-chan struct{} { return gate.ready }
 
 // State tells how it stands with the confirmation.
-//
-// Example:
-//
-//	if gate.State() == readindex.Unconfirmed { tell() }
 func (gate *Gate) State() string { return gate.state.Load().(string) }
 
 type answer struct {
@@ -97,10 +85,6 @@
 
 // Run asks until the version is confirmed, then waits for the scope's end: a
 // part that ends is started again.
-//
-// Example:
-//
-//	gate.Run(top)
 func (gate *Gate) Run(inner scope.Scope) {
 	bound := gate.options.Bound
 	answers := make(chan answer, 64)
--- a/control/readindex/reader.go
+++ b/control/readindex/reader.go
@@ -49,17 +49,9 @@
 }
 
 // NewReader makes a reader; read is one read that a majority confirms.
-//
-// Example:
-//
-//	readindex.NewReader(front.Newest).Serve(common.Calls)
 func NewReader(read func(inner scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
 
 // Serve adds the reader's message to a table of calls.
-//
-// Example:
-//
-//	reader.Serve(calls)
 func (reader *Reader) Serve(calls *call.Table) {
 	courier.Handle(calls, Message, func(inner scope.Scope, _ Ask) (Told, error) {
 		serial, err := reader.Newest(inner)
@@ -68,10 +60,6 @@
 }
 
 // Newest gives the serial that a majority confirmed after the question came.
-//
-// Example:
-//
-//	serial, err := reader.Newest(call)
 func (reader *Reader) Newest(inner scope.Scope) (ids.Serial, error) {
 	reader.lock.Lock()
 	mine := reader.waiting
--- a/control/register/acceptor.go
+++ b/control/register/acceptor.go
@@ -41,10 +41,6 @@
 }
 
 // NewAcceptor makes a voter from the records of its journal.
-//
-// Example:
-//
-//	voter, err := register.NewAcceptor(address, records)
 func NewAcceptor(address ids.Address, records [][]byte) (*Acceptor, error) {
 	made := &Acceptor{address: address, slots: map[string]Slot{}, kept: map[string]Slot{}}
 	for _, body := range records {
@@ -64,10 +60,6 @@
 }
 
 // Attach gives the voter its store; a voter without one answers nothing.
-//
-// Example:
-//
-//	voter.Attach(opened)
 func (acceptor *Acceptor) Attach(store Store) {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -75,10 +67,6 @@
 }
 
 // Whole gives records that stand for all that the voter holds.
-//
-// Example:
-//
-//	journal.Options{Disk: disk, Name: "registers", Whole: voter.Whole}
 func (acceptor *Acceptor) Whole() [][]byte {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -93,10 +81,6 @@
 }
 
 // Identify gives a new disk its incarnation.
-//
-// Example:
-//
-//	err := voter.Identify(incarnation)
 func (acceptor *Acceptor) Identify(incarnation ids.Incarnation) error {
 	acceptor.lock.Lock()
 	acceptor.incarnation, acceptor.identified = incarnation, true
@@ -106,10 +90,6 @@
 }
 
 // Form plants the first voters; only a disk that holds none takes them.
-//
-// Example:
-//
-//	err := voter.Form(register.Voters{Generation: 1, Seats: seats})
 func (acceptor *Acceptor) Form(voters Voters) error {
 	acceptor.lock.Lock()
 	if len(acceptor.slots) > 0 {
@@ -129,10 +109,6 @@
 }
 
 // Promise answers a taker of a key.
-//
-// Example:
-//
-//	told := voter.Promise(register.PromiseAsk{Fence: fence, Key: "spec", Epoch: epoch})
 func (acceptor *Acceptor) Promise(asked PromiseAsk) PromiseTold {
 	acceptor.lock.Lock()
 	slot := acceptor.slot(asked.Key)
@@ -152,10 +128,6 @@
 }
 
 // Accept answers an owner's write.
-//
-// Example:
-//
-//	told := voter.Accept(register.AcceptAsk{Fence: fence, Key: "spec", Accepted: value})
 func (acceptor *Acceptor) Accept(asked AcceptAsk) AcceptTold {
 	acceptor.lock.Lock()
 	told := AcceptTold{Verdict: acceptor.fenced(asked.Fence, asked.Key)}
@@ -181,10 +153,6 @@
 }
 
 // Confirm tells whether the epoch is still the newest that the voter knows.
-//
-// Example:
-//
-//	told := voter.Confirm(register.ConfirmAsk{Fence: fence, Key: "spec", Epoch: epoch})
 func (acceptor *Acceptor) Confirm(asked ConfirmAsk) AcceptTold {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -197,10 +165,6 @@
 }
 
 // Slot gives what the voter holds for a key.
-//
-// Example:
-//
-//	owner := voter.Slot("spec").Promised.Owner
 func (acceptor *Acceptor) Slot(key string) Slot {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
--- a/control/register/commit.go
+++ b/control/register/commit.go
@@ -32,29 +32,17 @@
 // is made on top of the one before, and all are answered, refusals too, once
 // the write is on a majority. So a key bears many orders at once, and its owner
 // answers well before others take it for silent.
-//
-// Example:
-//
-//	value, err := keeper.Change(short, "evacuation/hall", step)
 func (keeper *Keeper) Change(inner scope.Scope, key string, step Step) ([]byte, error) {
 	return keeper.wait(key, &waiting{inner: inner, step: step, done: make(chan struct{})})
 }
 
 // Read gives the value that a majority confirms.
-//
-// Example:
-//
-//	value, err := keeper.Read(short, "spec")
 func (keeper *Keeper) Read(inner scope.Scope, key string) ([]byte, error) {
 	return keeper.Change(inner, key, func([]byte) ([]byte, error) { return nil, nil })
 }
 
 // Settle takes the key over anew, even from itself, and so writes its newest
 // value to all voters again.
-//
-// Example:
-//
-//	err := keeper.Settle(short, register.CohortKey)
 func (keeper *Keeper) Settle(inner scope.Scope, key string) error {
 	return keeper.alone(inner, key, func(inner scope.Scope, state *owned) error {
 		state.holding = false
@@ -69,10 +57,6 @@
 }
 
 // Owns tells whether this keeper believes that it owns the key.
-//
-// Example:
-//
-//	if !keeper.Owns("spec") { passOn() }
 func (keeper *Keeper) Owns(key string) bool {
 	keeper.lock.Lock()
 	defer keeper.lock.Unlock()
--- a/control/register/join.go
+++ b/control/register/join.go
@@ -75,10 +75,6 @@
 // Join goes the way to a seat: find the voters, learn what they hold, take the
 // place of this machine's older disk, of a voter that is gone, or a further one
 // while fewer than wanted are there, learn what came since, and only then vote.
-//
-// Example:
-//
-//	joiner.Join(short)
 func (joiner *Joiner) Join(inner scope.Scope) error {
 	joiner.back.Store(nil)
 	joiner.hear(inner)
@@ -148,10 +144,6 @@
 }
 
 // LearnVoters takes the voters that another controller knows.
-//
-// Example:
-//
-//	joiner.LearnVoters(short, address)
 func (joiner *Joiner) LearnVoters(inner scope.Scope, address ids.Address) {
 	short, release := joiner.brief(inner)
 	defer release()
@@ -167,10 +159,6 @@
 
 // Mend repairs whichever side of a refused message knows only older voters; of
 // one generation two takers may have proposed different ones.
-//
-// Example:
-//
-//	joiner.Mend(short, address, told.Generation)
 func (joiner *Joiner) Mend(inner scope.Scope, address ids.Address, theirs int64) {
 	own := joiner.Acceptor.Voters().Generation
 	if theirs >= own {
--- a/control/register/learn.go
+++ b/control/register/learn.go
@@ -59,10 +59,6 @@
 // Copy gives what the voter's disk holds, and under which voters. What is not on
 // the disk yet is not told: whoever learns here counts on it that this voter
 // goes on fencing off older generations, and may lose its memory right after.
-//
-// Example:
-//
-//	all := voter.Copy(register.CopyAsk{})
 func (acceptor *Acceptor) Copy(asked CopyAsk) CopyTold {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -80,10 +76,6 @@
 }
 
 // Leave has the voter give its seat to whoever asks for it; it votes until then.
-//
-// Example:
-//
-//	voter.Leave()
 func (acceptor *Acceptor) Leave() {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -91,10 +83,6 @@
 }
 
 // Held gives how all keys stand on the voter's disk.
-//
-// Example:
-//
-//	told := voter.Held()
 func (acceptor *Acceptor) Held() HeldTold {
 	copied := acceptor.Copy(CopyAsk{})
 	told := HeldTold{Incarnation: copied.Incarnation, Generation: copied.Generation, Mark: copied.Mark, Voting: copied.Voting}
@@ -111,10 +99,6 @@
 }
 
 // Voting tells whether this disk votes now.
-//
-// Example:
-//
-//	if !voter.Voting() { join() }
 func (acceptor *Acceptor) Voting() bool {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -122,10 +106,6 @@
 }
 
 // Voters gives the voters as this voter knows them.
-//
-// Example:
-//
-//	seats := voter.Voters().Seats
 func (acceptor *Acceptor) Voters() Voters {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -133,10 +113,6 @@
 }
 
 // Incarnation tells which disk this is.
-//
-// Example:
-//
-//	seat := register.Seat{Address: address, Incarnation: voter.Incarnation()}
 func (acceptor *Acceptor) Incarnation() ids.Incarnation {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -145,10 +121,6 @@
 
 // Identified tells whether the disk has an identity; one without it is blank,
 // whatever else stands on it.
-//
-// Example:
-//
-//	if !voter.Identified() { err = voter.Identify(incarnation) }
 func (acceptor *Acceptor) Identified() bool {
 	acceptor.lock.Lock()
 	defer acceptor.lock.Unlock()
@@ -159,10 +131,6 @@
 // of each key. A value older than what was promised is left alone, just as if
 // the owner's message had come too late; one who does not vote yet takes all. Without
 // an error the disk has all that was taken.
-//
-// Example:
-//
-//	err := voter.Learn(all.Slots)
 func (acceptor *Acceptor) Learn(slots []Slot) error {
 	acceptor.lock.Lock()
 	var keys []string
--- a/control/register/mark.go
+++ b/control/register/mark.go
@@ -17,10 +17,6 @@
 var lastMarked atomic.Pointer[marked]
 
 // Mark tells voters of one generation apart that two takers proposed at once.
-//
-// Example:
-//
-//	fence := register.Fence{Generation: voters.Generation, Mark: voters.Mark()}
 func (voters Voters) Mark() int64 {
 	if last := lastMarked.Load(); last != nil && last.voters.same(voters) {
 		return last.mark
--- a/control/register/message.go
+++ b/control/register/message.go
@@ -199,10 +199,6 @@
 func (HeldTold) SchemaName() string { return "HeldTold_25" }
 
 // Sum is a digest of how all keys stand.
-//
-// Example:
-//
-//	asked := register.HeldAsk{Sum: voter.Held().Sum()}
 func (told HeldTold) Sum() int64 {
 	digest := fnv.New64a()
 	for _, held := range told.Keys {
@@ -212,10 +208,6 @@
 }
 
 // Fence makes the fence of a message to one seat.
-//
-// Example:
-//
-//	asked := register.ConfirmAsk{Fence: voters.Fence(seat), Key: "spec", Epoch: epoch}
 func (voters Voters) Fence(seat Seat) Fence {
 	return Fence{Generation: voters.Generation, Mark: voters.Mark(), Incarnation: seat.Incarnation}
 }
--- a/control/register/owned.go
+++ b/control/register/owned.go
@@ -9,10 +9,6 @@
 // one over, so that an order which others passed here long ago can't take the
 // key from whoever acts on it by now. Where the key is not owned under the
 // voters of now it is an Unsettled failure, and nothing was begun.
-//
-// Example:
-//
-//	value, err := keeper.ChangeOwned(short, "evacuation/hall", step)
 func (keeper *Keeper) ChangeOwned(inner scope.Scope, key string, step Step) ([]byte, error) {
 	return keeper.wait(key, &waiting{inner: inner, step: step, owned: true, done: make(chan struct{})})
 }
--- a/control/register/owner.go
+++ b/control/register/owner.go
@@ -31,10 +31,6 @@
 }
 
 // NewKeeper makes a keeper that owns nothing yet.
-//
-// Example:
-//
-//	keeper := register.NewKeeper(register.Options{Address: address, Line: line, Voters: voter.Voters})
 func NewKeeper(options Options) *Keeper {
 	if options.Spawn == nil {
 		options.Spawn = func(send func()) { go send() }
--- a/control/register/place.go
+++ b/control/register/place.go
@@ -80,10 +80,6 @@
 }
 
 // Hopeful tells, without a message, whether there seems to be a seat to ask for.
-//
-// Example:
-//
-//	if joiner.Hopeful() { joiner.Join(short) }
 func (joiner *Joiner) Hopeful() bool {
 	_, found := joiner.place(joiner.Acceptor.Voters())
 	return found
--- a/control/register/redundancy.go
+++ b/control/register/redundancy.go
@@ -35,10 +35,6 @@
 }
 
 // String is the redundancy in one line.
-//
-// Example:
-//
-//	top.Log.Info().Str("part", "seat").Msg(state.String())
 func (redundancy Redundancy) String() string {
 	var lagging []string
 	for _, key := range redundancy.Keys {
@@ -52,10 +48,6 @@
 
 // Redundancy asks all voters how they stand, and repairs nothing: it is for one
 // that has no seat of its own.
-//
-// Example:
-//
-//	state := joiner.Redundancy(short)
 func (joiner *Joiner) Redundancy(inner scope.Scope) Redundancy {
 	return (&Survey{Joiner: joiner}).look(inner).redundancy()
 }
--- a/control/register/repair.go
+++ b/control/register/repair.go
@@ -15,10 +15,6 @@
 // so a voter that promised another owner since refuses it as it would the first.
 // Under voters that are no longer those of now the key is taken over anew, which
 // writes to all.
-//
-// Example:
-//
-//	err := keeper.Repair(short, "spec", lagging)
 func (keeper *Keeper) Repair(inner scope.Scope, key string, lagging []Seat) error {
 	return keeper.alone(inner, key, func(inner scope.Scope, state *owned) error {
 		if !state.holding {
@@ -68,10 +64,6 @@
 // Round asks all voters how they stand, has what lags repaired, and tells how
 // much more the state bears. A voter lags that is behind what was the newest a
 // round ago: what is just being written is left alone.
-//
-// Example:
-//
-//	state := survey.Round(short)
 func (survey *Survey) Round(inner scope.Scope) Redundancy {
 	found := survey.look(inner)
 	before := survey.newest
@@ -132,19 +124,10 @@
 }
 
 // Lags tells whether some key lagged in the last round.
-//
-// Example:
-//
-//	if survey.Lags() { lookAgainSoon() }
 func (survey *Survey) Lags() bool { return len(survey.rounds) > 0 }
 
 // HandOn makes sure that what this disk holds the newest of is held by enough
 // others, and tells whether it is; one that leaves asks until it is so.
-//
-// Example:
-//
-//	for !survey.HandOn(short) && short.Wait(pause) {
-//	}
 func (survey *Survey) HandOn(inner scope.Scope) bool {
 	if !survey.Joiner.Acceptor.Voting() {
 		return true
@@ -169,10 +152,6 @@
 // Follow takes what voters, asked in turn, hold newer than this disk: one that
 // stands by is then close behind when a seat is free. What it takes is no vote
 // and remembers no promise; both come with the learning for a seat.
-//
-// Example:
-//
-//	survey.Follow(short)
 func (survey *Survey) Follow(inner scope.Scope) {
 	joiner := survey.Joiner
 	peers := joiner.peers(joiner.Acceptor.Voters())
--- a/control/revision/check.go
+++ b/control/revision/check.go
@@ -32,18 +32,10 @@
 })
 
 // Schema gives the JSON schema of a whole configuration.
-//
-// Example:
-//
-//	os.Stdout.Write(revision.Schema())
 func Schema() []byte { return schemaText }
 
 // Check reads a whole document and refuses an invalid one with a BadSpec
 // failure that names the field.
-//
-// Example:
-//
-//	version, err := revision.Check(document)
 func Check(document []byte) (*spec.Spec, error) {
 	loose, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
--- a/control/revision/keep.go
+++ b/control/revision/keep.go
@@ -37,10 +37,6 @@
 func (Change) SchemaName() string { return "Change_25" }
 
 // Packing gives the change as it travels between controllers.
-//
-// Example:
-//
-//	order.Change = order.Change.Packing()
 func (change Change) Packing() Change {
 	if !change.Packed {
 		change.Body, change.Packed = pack.Pack(change.Body)
@@ -49,10 +45,6 @@
 }
 
 // Serial is the version that the change makes, by its body.
-//
-// Example:
-//
-//	acknowledge(order.Change.Serial())
 func (change Change) Serial() ids.Serial {
 	var read patch
 	_ = json.Unmarshal(change.Body, &read)
@@ -69,18 +61,10 @@
 // Step makes the register's next value from a change. A change that was taken
 // before leaves the value as it is, whatever is in force by now; whether one on
 // an old version was, a Beyond failure tells where to look up.
-//
-// Example:
-//
-//	value, err := keeper.Change(short, spec.Key, change.Step)
 func (change Change) Step(current []byte) ([]byte, error) { return change.step(current, 0) }
 
 // After is Step where so many of the oldest changes are known to be sealed in
 // pages that a majority holds: they leave the value.
-//
-// Example:
-//
-//	value, err := keeper.Change(short, spec.Key, change.After(sealed))
 func (change Change) After(sealed int64) func([]byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) { return change.step(current, sealed) }
 }
@@ -120,10 +104,6 @@
 }
 
 // ReadKept reads the register's value with its document as text.
-//
-// Example:
-//
-//	kept, err := revision.ReadKept(value)
 func ReadKept(value []byte) (Kept, error) {
 	kept, err := Travelling(value)
 	if err != nil {
@@ -135,10 +115,6 @@
 }
 
 // Travelling reads the register's value and leaves its document as it is kept.
-//
-// Example:
-//
-//	kept, err := revision.Travelling(value)
 func Travelling(value []byte) (Kept, error) {
 	if len(value) == 0 {
 		return Kept{}, nil
--- a/control/revision/memory.go
+++ b/control/revision/memory.go
@@ -150,10 +150,6 @@
 
 // Due gives the next page to seal, where so many changes are known to be sealed
 // already.
-//
-// Example:
-//
-//	if page, due := kept.Memory.Due(sealed); due { write(page) }
 func (memory Memory) Due(sealed int64) (Page, bool) {
 	first, base, left := memory.First, memory.Base, memory.Recent
 	for {
--- a/control/revision/page.go
+++ b/control/revision/page.go
@@ -21,17 +21,9 @@
 func (Page) SchemaName() string { return "Page_25" }
 
 // Sealed is how many changes are sealed once this page is.
-//
-// Example:
-//
-//	sealed = page.Sealed()
 func (page Page) Sealed() int64 { return (page.Index + 1) * pageLength }
 
 // Key is the register's key of the page: they go round in a ring.
-//
-// Example:
-//
-//	keeper.Change(short, page.Key(), page.Step)
 func (page Page) Key() string { return pageKey(page.Index) }
 
 func pageKey(index int64) string { return fmt.Sprintf("%s%d", PagePrefix, index%pageCount) }
@@ -69,18 +61,10 @@
 }
 
 // Key is the register's key of the page that knows.
-//
-// Example:
-//
-//	value, err := keeper.Read(short, beyond.Key())
 func (beyond *Beyond) Key() string { return pageKey(beyond.index) }
 
 // Judge looks the order up in the page's value: no error means that it was
 // taken, StaleSpec that another was, and Forgotten that the page is gone.
-//
-// Example:
-//
-//	err := beyond.Judge(value)
 func (beyond *Beyond) Judge(value []byte) error {
 	if len(value) == 0 {
 		return beyond
--- a/control/revision/patch.go
+++ b/control/revision/patch.go
@@ -8,10 +8,6 @@
 
 // Patch makes a whole document from one in force and the changes to it. Items
 // that are not changed keep their bytes.
-//
-// Example:
-//
-//	document, err := revision.Patch(current, change)
 func Patch(document []byte, change []byte) ([]byte, error) {
 	var asked patch
 	if err := json.Unmarshal(change, &asked); err != nil {
--- a/control/room/estimate.go
+++ b/control/room/estimate.go
@@ -78,10 +78,6 @@
 }
 
 // Estimate works the room of every family out.
-//
-// Example:
-//
-//	report := room.Estimate(seen)
 func Estimate(seen Seen) Report {
 	report := Report{Routers: seen.Routers}
 	for _, service := range seen.Spec.Services {
--- a/control/room/room.go
+++ b/control/room/room.go
@@ -28,10 +28,6 @@
 func (Reading) SchemaName() string { return "Reading_21" }
 
 // Plus joins two sums.
-//
-// Example:
-//
-//	total = total.Plus(reading)
 func (reading Reading) Plus(other Reading) Reading {
 	other.Count += reading.Count
 	other.Units += reading.Units
@@ -42,10 +38,6 @@
 }
 
 // Scaled gives a part of the sums; older looks are forgotten this way.
-//
-// Example:
-//
-//	total = total.Scaled(0.95)
 func (reading Reading) Scaled(part float64) Reading {
 	reading.Count *= part
 	reading.Units *= part
@@ -64,10 +56,6 @@
 
 // FitPace draws the least squares line of first answer on units. All routes of
 // a family share it, since they share its runners.
-//
-// Example:
-//
-//	pace, enough := room.FitPace(readings)
 func FitPace(readings []Reading) (Pace, bool) {
 	total := Reading{}
 	for _, reading := range readings {
@@ -111,10 +99,6 @@
 // grow while the share of requests whose wait is over the spare time stays
 // small. It is below 1 where the goal is missed already, and 0 where no load at
 // all would keep it.
-//
-// Example:
-//
-//	alone := room.Factor(load, goal-first, false)
 func Factor(load Load, spareMS float64, together bool) float64 {
 	growing := load.Own
 	if together {
--- a/control/scaler/ceiling.go
+++ b/control/scaler/ceiling.go
@@ -40,10 +40,6 @@
 // does in IV-A-1: least squares with a t-test says whether the limit was
 // reached; a normal or an extreme value sample, smoothed by a kernel density
 // estimate, gives n_limit and t_limit.
-//
-// Example:
-//
-//	ceiling, enough := scaler.Estimate(finished, running, spentS, memory)
 func Estimate(finished []float64, running []float64, spentS []float64, memory []float64) (Ceiling, bool) {
 	if len(finished) < fewestPoints {
 		return Ceiling{Points: len(finished)}, false
--- a/control/scaler/detector.go
+++ b/control/scaler/detector.go
@@ -41,10 +41,6 @@
 }
 
 // Learn makes a profile from metric vectors; too few give none.
-//
-// Example:
-//
-//	profile := scaler.Learn(vectors)
 func Learn(vectors [][]float64) *Profile {
 	if len(vectors) < fewestNormal {
 		return nil
@@ -117,10 +113,6 @@
 
 // Detect tells whether a vector stands out from the profile, and by the sign
 // of the mean reconstruction difference, in which direction.
-//
-// Example:
-//
-//	if direction := profile.Detect(vector); direction != scaler.Steady { plan() }
 func (profile *Profile) Detect(vector []float64) Direction {
 	if profile == nil {
 		return Steady
--- a/control/scaler/make.go
+++ b/control/scaler/make.go
@@ -27,10 +27,6 @@
 )
 
 // Plan makes a plan from the window and the runners that there are.
-//
-// Example:
-//
-//	plan := planner.Plan(runners)
 func (scaler *Scaler) Plan(runners []Listed) Plan {
 	plan := Plan{Holder: scaler.options.Address}
 	types := scaler.typeCeilings(runners)
--- a/control/scaler/plan.go
+++ b/control/scaler/plan.go
@@ -135,8 +135,4 @@
 func (ReportTold) SchemaName() string { return "ReportTold_23" }
 
 // ReadPlan reads the body of the news item that has the whole plan.
-//
-// Example:
-//
-//	plan, err := scaler.ReadPlan(item.Body)
 func ReadPlan(body []byte) (Plan, error) { return courier.Unpack[Plan](body) }
--- a/control/scaler/replicas.go
+++ b/control/scaler/replicas.go
@@ -22,10 +22,6 @@
 // the paper's program (8), with the sign of the first constraint turned, so
 // that the replicas cover the load. Where all replicas together don't, it
 // gives all of them.
-//
-// Example:
-//
-//	needed := scaler.Solve(types, load)
 func Solve(types []Type, load float64) []float64 {
 	needed := make([]float64, len(types))
 	able := 0.0
--- a/control/scaler/routing.go
+++ b/control/scaler/routing.go
@@ -56,10 +56,6 @@
 func (RunnerWeight) SchemaName() string { return "RunnerWeight_23" }
 
 // ReadRouting reads the body of the news item.
-//
-// Example:
-//
-//	routing, err := scaler.ReadRouting(item.Body)
 func ReadRouting(body []byte) (Routing, error) { return courier.Unpack[Routing](body) }
 
 // routing takes out of a plan what routers need.
--- a/control/scaler/scaler.go
+++ b/control/scaler/scaler.go
@@ -68,10 +68,6 @@
 }
 
 // New makes a scaler.
-//
-// Example:
-//
-//	planner := scaler.New(scaler.Options{Address: address, News: news, Held: holder.Held})
 func New(options Options) *Scaler {
 	made := &Scaler{options: options}
 	made.forget()
@@ -89,10 +85,6 @@
 }
 
 // Serve adds the scaler's message to a table of calls.
-//
-// Example:
-//
-//	planner.Serve(common.Calls)
 func (scaler *Scaler) Serve(calls *call.Table) {
 	courier.Handle(calls, "report", func(inner scope.Scope, message ReportMessage) (ReportTold, error) {
 		_, held := scaler.options.Held(inner.Now())
@@ -108,10 +100,6 @@
 }
 
 // Take adds a router's report to the window.
-//
-// Example:
-//
-//	planner.Take(report)
 func (scaler *Scaler) Take(report ReportAsk) {
 	scaler.lock.Lock()
 	defer scaler.lock.Unlock()
@@ -120,10 +108,6 @@
 }
 
 // Run looks at the metrics once a step until the scope ends.
-//
-// Example:
-//
-//	planner.Run(top)
 func (scaler *Scaler) Run(inner scope.Scope) {
 	last := inner.Now()
 	for inner.Wait(scaler.options.Step) {
@@ -135,10 +119,6 @@
 
 // Look closes a step: it detects, and plans anew where a runner stands out,
 // the runners changed, or it is time.
-//
-// Example:
-//
-//	planner.Look(top.Now(), clock.Second)
 func (scaler *Scaler) Look(now clock.Instant, spent clock.Span) {
 	epoch, held := scaler.options.Held(now)
 	scaler.lock.Lock()
@@ -169,10 +149,6 @@
 
 // Work is what routers lately sent and read: the readings of every route over
 // so many seconds, and the units a second of every runner.
-//
-// Example:
-//
-//	readings, units, seconds := planner.Work()
 func (scaler *Scaler) Work() (readings []room.Reading, units map[ids.RunnerID]float64, seconds float64) {
 	scaler.lock.Lock()
 	defer scaler.lock.Unlock()
--- a/control/scaler/sum.go
+++ b/control/scaler/sum.go
@@ -20,10 +20,6 @@
 }
 
 // Add takes a router's report.
-//
-// Example:
-//
-//	sum.Add(report)
 func (sum *Sum) Add(report ReportAsk) {
 	sum.lock.Lock()
 	defer sum.lock.Unlock()
@@ -65,10 +61,6 @@
 }
 
 // Take gives the sum since the last time; false says that nothing was added.
-//
-// Example:
-//
-//	if report, any := sum.Take(); any { send(report) }
 func (sum *Sum) Take() (ReportAsk, bool) {
 	sum.lock.Lock()
 	defer sum.lock.Unlock()
--- a/control/scaler/wire.go
+++ b/control/scaler/wire.go
@@ -60,10 +60,6 @@
 func whole(value float64) int64 { return int64(math.Round(value)) }
 
 // Message gives a report as it travels.
-//
-// Example:
-//
-//	message, err := report.Message()
 func (report ReportAsk) Message() (ReportMessage, error) {
 	compact := compactReport{
 		From: report.From, Region: report.Region, Demands: report.Demands, Readings: report.Readings, Lengths: report.Lengths,
@@ -94,10 +90,6 @@
 }
 
 // Report reads the report out of the message.
-//
-// Example:
-//
-//	report, err := message.Report()
 func (message ReportMessage) Report() (ReportAsk, error) {
 	body, err := pack.Unpack(message.Body, message.Packed)
 	if err != nil {
--- a/control/seat/pace.go
+++ b/control/seat/pace.go
@@ -23,10 +23,6 @@
 // PaceOf gives each stage its part of the time to catch up, from how long a duty is
 // held and an order passed on. Contact is asked for each two thirds of the latter:
 // one that answers is never silent for twice as long.
-//
-// Example:
-//
-//	seat.Options{Pace: seat.PaceOf(top.Boot, pace.Hold, pace.Pass)}
 func PaceOf(settings *boot.Boot, hold clock.Span, pass clock.Span) Pace {
 	whole := boot.Seconds(settings.Bounds.CatchUpS)
 	if whole == 0 {
--- a/control/seat/run.go
+++ b/control/seat/run.go
@@ -14,10 +14,6 @@
 
 // Seek names the keeper through which a seat is asked for and what lags is
 // repaired.
-//
-// Example:
-//
-//	own.Seek(keeper)
 func (seat *Seat) Seek(keeper *register.Keeper) {
 	seat.joiner = &register.Joiner{
 		Address: seat.options.Address, Acceptor: seat.Acceptor, Keeper: keeper,
@@ -36,10 +32,6 @@
 // left to learn when a seat gets free. In calm that is done now and then; what
 // changes (a voter falls silent, the voters are others, a key lags) has it done
 // at the next tick, and at each while the change is young.
-//
-// Example:
-//
-//	own.Run(top, 300*clock.Millisecond)
 func (seat *Seat) Run(inner scope.Scope, every clock.Span) {
 	tick := min(seat.options.Pace.Tick, every)
 	next := inner.Now()
@@ -101,10 +93,6 @@
 
 // Redundancy tells how much more the control state bears, as last seen from
 // here; without a seat nothing was.
-//
-// Example:
-//
-//	if own.Redundancy().Bears < 1 { wait() }
 func (seat *Seat) Redundancy() register.Redundancy {
 	seat.lock.Lock()
 	defer seat.lock.Unlock()
@@ -113,10 +101,6 @@
 
 // RedundancyNow is the same, for which the voters are asked where there is no
 // seat here.
-//
-// Example:
-//
-//	told.Redundancy = own.RedundancyNow(short)
 func (seat *Seat) RedundancyNow(inner scope.Scope) register.Redundancy {
 	if seat.Voting() {
 		return seat.Redundancy()
@@ -128,10 +112,6 @@
 // what this disk holds is held by enough others, and that its seat is taken by one
 // that stands by. Where nobody does it keeps its seat: one that leaves can't tell
 // whether it will be started again.
-//
-// Example:
-//
-//	own.HandOn(leaving)
 func (seat *Seat) HandOn(inner scope.Scope) {
 	short, release := inner.WithLimit(boot.Seconds(inner.Boot.Bounds.GraceS) / 4)
 	defer release()
@@ -144,10 +124,6 @@
 }
 
 // Leave says that this seat is free for one that stands by.
-//
-// Example:
-//
-//	own.Leave()
 func (seat *Seat) Leave() { seat.Acceptor.Leave() }
 
 // awaited tells whether somebody who stands by could take the seat yet.
--- a/control/seat/seat.go
+++ b/control/seat/seat.go
@@ -84,10 +84,6 @@
 // Open reads the journal. On the very first start the seeds are the voters; an
 // empty disk later is a new one, whose votes of before are forgotten, and so is
 // a damaged one. A disk that refuses is asked again until the scope ends.
-//
-// Example:
-//
-//	own, err := seat.Open(top, seat.Options{Address: address, Disk: journal.Folder(path)})
 func Open(top scope.Scope, options Options) (*Seat, error) {
 	damaged := false
 	options.Pace = options.Pace.or(cmp.Or(options.Patience, options.Limit))
@@ -157,24 +153,12 @@
 }
 
 // Voting tells whether this disk votes now.
-//
-// Example:
-//
-//	if !own.Voting() { join() }
 func (seat *Seat) Voting() bool { return seat.Acceptor.Voting() }
 
 // Close ends the journal.
-//
-// Example:
-//
-//	defer own.Close()
 func (seat *Seat) Close() { seat.opened.Close() }
 
 // Serve adds the voter's messages to a table of calls.
-//
-// Example:
-//
-//	own.Serve(common.Calls)
 func (seat *Seat) Serve(calls *call.Table) {
 	courier.Handle(calls, "promise", func(_ scope.Scope, asked register.PromiseAsk) (register.PromiseTold, error) {
 		return seat.Acceptor.Promise(asked), nil
@@ -204,10 +188,6 @@
 
 // AskHold asks all voters for a duty and tells what they granted.
 // The own voter is asked first: while it refuses, the others are left in peace.
-//
-// Example:
-//
-//	lease.Options{Ask: own.AskHold}
 func (seat *Seat) AskHold(inner scope.Scope, asked lease.Ask) lease.Grants {
 	voters := seat.Acceptor.Voters()
 	seats := voters.Seats
--- a/control/seat/spread.go
+++ b/control/seat/spread.go
@@ -7,19 +7,11 @@
 
 // Wanted is how many voters bear the loss of so many machines at one time: one
 // more than twice as many, and never fewer than three.
-//
-// Example:
-//
-//	seat.Options{Seats: seat.Wanted(top.Boot)}
 func Wanted(settings *boot.Boot) int { return max(3, 2*settings.Tolerate.Machines+1) }
 
 // Copies is how many disks must hold an order before it is answered: one more
 // than may be lost at one time. Where fewer controllers than seeds are usual
 // are named, there are no more than these.
-//
-// Example:
-//
-//	register.Options{Copies: seat.Copies(top.Boot)}
 func Copies(settings *boot.Boot) int {
 	if seeds := len(settings.Seeds); seeds < 3 {
 		return min(seeds, settings.Tolerate.Machines+1)
--- a/control/spec/spec.go
+++ b/control/spec/spec.go
@@ -49,37 +49,21 @@
 }
 
 // Repeatable tells whether a request may run again after it may have run.
-//
-// Example:
-//
-//	if route.Repeatable() { tryAgain() }
 func (route *Route) Repeatable() bool {
 	return route.Kind == Safe || (route.Kind == Streaming && route.Resumable)
 }
 
 // AtHome tells whether the route's requests may be served in a region.
-//
-// Example:
-//
-//	if !route.AtHome(runner.Region) { continue }
 func (route *Route) AtHome(region ids.Region) bool {
 	return len(route.Homes) == 0 || slices.Contains(route.Homes, region)
 }
 
 // Goal is the time within which an answer earns its full worth.
-//
-// Example:
-//
-//	early := route.Goal() / 4
 func (route *Route) Goal() clock.Span {
 	return clock.Span(route.GoalMS * float64(clock.Millisecond))
 }
 
 // Parts gives the services of the route with their weights.
-//
-// Example:
-//
-//	for _, part := range route.Parts() { ... }
 func (route *Route) Parts() []Share {
 	if len(route.Shares) > 0 {
 		return route.Shares
@@ -124,10 +108,6 @@
 }
 
 // Read reads a document that was checked before.
-//
-// Example:
-//
-//	version, err := spec.Read(item.Body)
 func Read(document []byte) (*Spec, error) {
 	read := &Spec{}
 	if err := json.Unmarshal(document, read); err != nil {
@@ -147,10 +127,6 @@
 }
 
 // Match finds the route of a host and path: the longest prefix wins.
-//
-// Example:
-//
-//	route := version.Match("shop.example", "/a/b")
 func (spec *Spec) Match(host string, path string) *Route {
 	var best *Route
 	for _, route := range spec.hosts[HostOnly(host)] {
@@ -162,17 +138,9 @@
 }
 
 // Service finds a service by its name; nil where there is none.
-//
-// Example:
-//
-//	service := version.Service("readers")
 func (spec *Spec) Service(name ids.Service) *Service { return spec.services[name] }
 
 // HostOnly gives the host of a Host head, in lower case and without a port.
-//
-// Example:
-//
-//	spec.HostOnly("Shop.example:80") // "shop.example"
 func HostOnly(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/control/spread/digest.go
+++ b/control/spread/digest.go
@@ -10,10 +10,6 @@
 )
 
 // Marks names the items that another daemon should hold.
-//
-// Example:
-//
-//	digest := news.Marks(partner)
 func (news *News) Marks(partner cohort.Member) []Mark {
 	news.lock.Lock()
 	defer news.lock.Unlock()
@@ -30,10 +26,6 @@
 
 // Digest is one number for all that Marks names: two that hold the same items
 // have the same.
-//
-// Example:
-//
-//	if asked.Digest != news.Digest(partner) { compareMarks() }
 func (news *News) Digest(partner cohort.Member) int64 {
 	digest := fnv.New64a()
 	for _, mark := range news.Marks(partner) {
@@ -45,10 +37,6 @@
 
 // Compare gives the items that are newer here than the marks say, and the keys
 // of those that are newer there. The items are as they travel.
-//
-// Example:
-//
-//	items, wanted := news.Compare(asked.Marks, asked.From)
 func (news *News) Compare(marks []Mark, partner cohort.Member) (items []Item, wanted []string) {
 	news.lock.Lock()
 	defer news.lock.Unlock()
--- a/control/spread/exchange.go
+++ b/control/spread/exchange.go
@@ -92,10 +92,6 @@
 }
 
 // Serve adds the spreader's messages to a table of calls.
-//
-// Example:
-//
-//	spreader.Serve(calls)
 func (spreader *Spreader) Serve(calls *call.Table) {
 	courier.Handle(calls, "exchange", func(_ scope.Scope, asked ExchangeAsk) (ExchangeTold, error) {
 		return spreader.compared(asked), nil
@@ -137,10 +133,6 @@
 }
 
 // Run exchanges with a partner now and then, and pushes whatever is new.
-//
-// Example:
-//
-//	spreader.Run(top)
 func (spreader *Spreader) Run(inner scope.Scope) {
 	for inner.Err() == nil {
 		select {
@@ -160,10 +152,6 @@
 }
 
 // Exchange compares news and members with one other daemon.
-//
-// Example:
-//
-//	spreader.Exchange(top, address)
 func (spreader *Spreader) Exchange(inner scope.Scope, address ids.Address) {
 	short, release := inner.WithLimit(spreader.Limit)
 	defer release()
--- a/control/spread/news.go
+++ b/control/spread/news.go
@@ -48,10 +48,6 @@
 }
 
 // NewNews makes an empty store of news.
-//
-// Example:
-//
-//	news := spread.NewNews(func(item spread.Item) { snapshot.Absorb(item) })
 func NewNews(fresh func(Item)) *News {
 	if fresh == nil {
 		fresh = func(Item) {}
@@ -69,10 +65,6 @@
 
 // Put takes an item that this daemon made; it tells whether it was newer than
 // what was known.
-//
-// Example:
-//
-//	news.Put(spread.Item{Key: "spec", Serial: 7, Body: document})
 func (news *News) Put(item Item) bool {
 	if known, found := news.Get(item.Key); found && item.Serial <= known.Serial {
 		return false
@@ -136,10 +128,6 @@
 }
 
 // Get gives the item of a key.
-//
-// Example:
-//
-//	item, found := news.Get("plan")
 func (news *News) Get(key string) (Item, bool) {
 	news.lock.Lock()
 	defer news.lock.Unlock()
@@ -156,10 +144,6 @@
 }
 
 // Empty tells whether nothing is known yet.
-//
-// Example:
-//
-//	if news.Empty() { askAtOnce() }
 func (news *News) Empty() bool {
 	news.lock.Lock()
 	defer news.lock.Unlock()
@@ -167,10 +151,6 @@
 }
 
 // Under gives the items whose keys begin so, in the order of their keys.
-//
-// Example:
-//
-//	for _, item := range news.Under("view/") { ... }
 func (news *News) Under(prefix string) []Item {
 	news.lock.Lock()
 	defer news.lock.Unlock()
--- a/control/spread/partner.go
+++ b/control/spread/partner.go
@@ -85,10 +85,6 @@
 
 // Several picks those who are told at once of a change in this daemon itself:
 // the relays of its zone, and one more of it.
-//
-// Example:
-//
-//	for _, address := range spreader.Several() { spreader.Exchange(top, address) }
 func (spreader *Spreader) Several() []ids.Address {
 	self := spreader.Table.Self()
 	var chosen []ids.Address
@@ -131,10 +127,6 @@
 }
 
 // Reseed replaces the seeds.
-//
-// Example:
-//
-//	spreader.Reseed(fresh.SeedAddresses())
 func (spreader *Spreader) Reseed(seeds []ids.Address) {
 	spreader.fresh.Store(&seeds)
 }
--- a/control/spread/push.go
+++ b/control/spread/push.go
@@ -98,10 +98,6 @@
 
 // Push brings items to all that the duty names, and returns when each part was
 // handed on or given up: what is given up is mended by comparing digests.
-//
-// Example:
-//
-//	spreader.Push(top, items, spread.Duty{Zones: []ids.Zone{zone}})
 func (spreader *Spreader) Push(inner scope.Scope, items []Item, duty Duty) {
 	for narrowed, some := range spreader.scopes(items) {
 		spreader.pushScope(inner, some, narrowed.apply(spreader, duty))
--- a/control/spread/serial.go
+++ b/control/spread/serial.go
@@ -8,10 +8,6 @@
 
 // Write makes an item of a key that more than one daemon may write, above the one
 // that is known.
-//
-// Example:
-//
-//	news.Write("size/kelvin-hall", address, body)
 func (news *News) Write(key string, writer ids.Address, body []byte) bool {
 	known, _ := news.Get(key)
 	return news.Put(Item{Key: key, Serial: NextSerial(known.Serial, writer), Body: body})
@@ -23,10 +19,6 @@
 // NextSerial gives a serial above the one that is known, for items that more
 // than one daemon may write: two that write at once get different ones, so that
 // one of them counts everywhere.
-//
-// Example:
-//
-//	news.Put(spread.Item{Key: key, Serial: spread.NextSerial(known.Serial, address), Body: body})
 func NextSerial(known ids.Serial, writer ids.Address) ids.Serial {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(writer))
--- a/control/zoneview/lost.go
+++ b/control/zoneview/lost.go
@@ -20,17 +20,9 @@
 func (Lost) SchemaName() string { return "Lost_25" }
 
 // LostKey is the news key of what a zone's daemons are told of lost zones.
-//
-// Example:
-//
-//	item, found := news.Get(zoneview.LostKey(zone))
 func LostKey(zone ids.Zone) string { return spread.LostPrefix + string(zone) }
 
 // ReadLost reads the body of the news item.
-//
-// Example:
-//
-//	lost, err := zoneview.ReadLost(item.Body)
 func ReadLost(body []byte) (Lost, error) { return courier.Unpack[Lost](body) }
 
 // lost gives the zones of whose backbone nobody answers, though somebody did in
--- a/control/zoneview/sizes.go
+++ b/control/zoneview/sizes.go
@@ -14,10 +14,6 @@
 // Routers tells among how many routers sums are to be shared: all of this zone
 // that are known, gone or not, and those of the other zones. A zone that nothing
 // was heard of counts as the largest.
-//
-// Example:
-//
-//	share := extra / float64(watcher.Routers())
 func (watcher *Watcher) Routers() int {
 	if counted := watcher.routers.Load(); counted > 0 {
 		return int(counted)
@@ -28,10 +24,6 @@
 // Sharers tells among how many routers the rate of a cold runner in a zone is
 // shared: those of the zone itself serve it, since they know each other, and
 // nobody else does. Only where a zone has no routers do all.
-//
-// Example:
-//
-//	bound := warmth.Bound{PerS: service.ColdPerS, Sharers: watcher.Sharers(runner.Zone)}
 func (watcher *Watcher) Sharers(zone ids.Zone) int {
 	if zone == watcher.Table.Self().Zone {
 		return max(1, int(watcher.inZone.Load()))
@@ -70,10 +62,6 @@
 }
 
 // Absorb reads a size out of an item of news; other items are left alone.
-//
-// Example:
-//
-//	spread.NewNews(func(item spread.Item) { watcher.Absorb(item) })
 func (watcher *Watcher) Absorb(item spread.Item) {
 	if len(item.Key) <= len(SizePrefix) || item.Key[:len(SizePrefix)] != SizePrefix {
 		return
@@ -84,10 +72,6 @@
 }
 
 // Learn takes sizes: from news, or from a disk.
-//
-// Example:
-//
-//	keeper.Sized = watcher.Learn
 func (watcher *Watcher) Learn(sizes []cohort.Size) {
 	watcher.lock.Lock()
 	defer watcher.lock.Unlock()
@@ -100,10 +84,6 @@
 }
 
 // Sizes gives what is known of the other zones.
-//
-// Example:
-//
-//	keeper.Sizes = watcher.Sizes
 func (watcher *Watcher) Sizes() []cohort.Size {
 	watcher.lock.Lock()
 	defer watcher.lock.Unlock()
@@ -123,10 +103,6 @@
 }
 
 // Regions counts the routers of each region.
-//
-// Example:
-//
-//	for _, region := range watcher.Regions() { show(region) }
 func (watcher *Watcher) Regions() []Region {
 	self := watcher.Table.Self()
 	known, ready := map[ids.Zone]int64{self.Zone: watcher.ownSize()}, map[ids.Zone]int64{}
--- a/control/zoneview/zoneview.go
+++ b/control/zoneview/zoneview.go
@@ -51,10 +51,6 @@
 
 // Look makes news of the own zone where it changed, if this daemon is the first
 // to relay for it.
-//
-// Example:
-//
-//	watcher.Look()
 func (watcher *Watcher) Look() {
 	watcher.Table.Forget()
 	watcher.count()
@@ -122,10 +118,6 @@
 // Elsewhere gives the fronts of the other zones from which some daemon of the
 // backbone answers, and the zones from which not all do: they may be out of
 // reach, even if that is not sure yet.
-//
-// Example:
-//
-//	reached, cut := watcher.Elsewhere()
 func (watcher *Watcher) Elsewhere() (reached []Fronts, cut []ids.Zone) {
 	answers, silent := watcher.backbones()
 	own := watcher.Table.Self().Zone
--- a/data/admit/decision.go
+++ b/data/admit/decision.go
@@ -46,17 +46,9 @@
 }
 
 // Service is the service that the request goes to.
-//
-// Example:
-//
-//	board.Sent(decision.Service(), runner.ID, number, tokens, now)
 func (decision *Decision) Service() ids.Service { return decision.service }
 
 // Ask tells what to do next.
-//
-// Example:
-//
-//	order := decision.Ask(now)
 func (decision *Decision) Ask(now clock.Instant) Order {
 	if !now.Before(decision.asking.Limit) {
 		return decision.finally(failure.LimitBeforeRun, failure.LimitReached)
@@ -99,10 +91,6 @@
 
 // Holds asks again, right before the bytes are written, whether the runner may
 // still be sent to; it takes the request's place at a cold one.
-//
-// Example:
-//
-//	if !decision.Holds(order.Runner, now) { continue }
 func (decision *Decision) Holds(runner *snapshot.Runner, now clock.Instant) bool {
 	options := decision.gate.options
 	seen := options.Frame.Now()
@@ -113,10 +101,6 @@
 }
 
 // Tell notes the fate of a sending.
-//
-// Example:
-//
-//	decision.Tell(order.Runner, result.Fate)
 func (decision *Decision) Tell(runner *snapshot.Runner, fate forward.Fate) {
 	decision.tried[runner.ID] = true
 	if fate == forward.Unsent {
--- a/data/admit/gate.go
+++ b/data/admit/gate.go
@@ -44,10 +44,6 @@
 }
 
 // NewGate makes a gate.
-//
-// Example:
-//
-//	gate := admit.NewGate(admit.Options{Scope: top, Frame: frame, Board: board})
 func NewGate(options Options) *Gate { return &Gate{options: options} }
 
 // Asking is what is known of a request when it is let in.
@@ -66,10 +62,6 @@
 }
 
 // Prompt reads the parts of a prompt: ids and tokens, in order.
-//
-// Example:
-//
-//	asking.Prompt("5c1e07a2:800,e4402b7d:250")
 func (asking *Asking) Prompt(text string) {
 	if text == "" {
 		return
@@ -86,10 +78,6 @@
 
 // Counted reads the tokens of the prompt and the most out, as the request tells
 // them. What is absent or broken leaves the length unknown; it refuses nothing.
-//
-// Example:
-//
-//	asking.Counted("1460,80")
 func (asking *Asking) Counted(text string) {
 	prompt, _, _ := strings.Cut(text, ",")
 	if tokens, err := strconv.ParseFloat(strings.TrimSpace(prompt), 64); err == nil && tokens > 0 && tokens < 1e9 {
@@ -98,10 +86,6 @@
 }
 
 // Kind is what the request is told apart by before it runs.
-//
-// Example:
-//
-//	board.Took(decision.Kind(), spent, tokens)
 func (decision *Decision) Kind() lengths.Kind {
 	return lengths.Kind{
 		Service: decision.service, Route: decision.asking.Route.Name, Bucket: lengths.BucketOf(decision.asking.Length),
@@ -109,10 +93,6 @@
 }
 
 // Begin opens the decision on a request.
-//
-// Example:
-//
-//	decision := gate.Begin(asking)
 func (gate *Gate) Begin(asking Asking) *Decision {
 	decision := &Decision{gate: gate, asking: asking, tried: map[ids.RunnerID]bool{}}
 	decision.service = gate.service(asking.Route)
--- a/data/admit/left.go
+++ b/data/admit/left.go
@@ -30,8 +30,4 @@
 }
 
 // LeftOut tells which runners the last choice left out.
-//
-// Example:
-//
-//	log.Str("left_out", decision.LeftOut().String())
 func (decision *Decision) LeftOut() LeftOut { return decision.left }
--- a/data/answer/door.go
+++ b/data/answer/door.go
@@ -17,11 +17,6 @@
 // NewServer makes the server of a front. What it can't read gets a 4xx and a
 // closed connection; nothing is answered past the front. How long heads and
 // rests may take is up to the configuration in force.
-//
-// Example:
-//
-//	server := answer.NewServer(front)
-//	err := server.Serve(answer.Door(front, listener))
 func NewServer(front *Front) *http.Server {
 	server := call.Server(front, asTheConnectionSays, asTheConnectionSays)
 	server.ConnState = func(link net.Conn, state http.ConnState) {
@@ -43,10 +38,6 @@
 // Door has the connections of a listener watched for heads that say two things
 // of where a body ends, which net/http mends without a word, and held to the
 // limits in force.
-//
-// Example:
-//
-//	server.Serve(answer.Door(front, listener))
 func Door(front *Front, listener net.Listener) net.Listener {
 	return door{Listener: listener, front: front, places: placesOf(front.options.Scope.Boot.Limits.OpenFiles)}
 }
--- a/data/answer/front.go
+++ b/data/answer/front.go
@@ -50,10 +50,6 @@
 }
 
 // NewFront makes a front.
-//
-// Example:
-//
-//	front := answer.NewFront(answer.Options{Scope: top, Frame: frame, Gate: gate, Sender: sender})
 func NewFront(options Options) *Front {
 	front := &Front{options: options}
 	if memory := options.Scope.Boot.Limits.MemoryMB << 20; memory > 0 {
@@ -77,20 +73,12 @@
 
 // Leave has every answer from now on ask its visitor to go elsewhere next, and
 // requests that come later than the last be turned away.
-//
-// Example:
-//
-//	front.Leave(top.Now().Add(3 * clock.Second))
 func (front *Front) Leave(last clock.Instant) {
 	front.last.Store(int64(last))
 	front.leaving.Store(true)
 }
 
 // Running tells how many requests are being answered.
-//
-// Example:
-//
-//	for front.Running() > 0 && top.Wait(pause) {}
 func (front *Front) Running() int64 { return front.running.Load() }
 
 // ServeHTTP answers one request.
--- a/data/answer/links.go
+++ b/data/answer/links.go
@@ -42,10 +42,6 @@
 // Rest closes the connections on which nothing is asked. net/http would do that
 // too, and also close one whose next request it is reading, which it then has
 // answered into nothing.
-//
-// Example:
-//
-//	front.Rest()
 func (front *Front) Rest() {
 	for _, link := range front.links.list() {
 		if link.timing.end() {
@@ -56,10 +52,6 @@
 
 // Finish closes connections as their answers go out, until none is asked for one
 // any more or the scope ends.
-//
-// Example:
-//
-//	front.Finish(closing)
 func (front *Front) Finish(inner scope.Scope) {
 	const pause = 20 * clock.Millisecond
 	for front.asked() && inner.Wait(pause) {
--- a/data/budget/budget.go
+++ b/data/budget/budget.go
@@ -38,19 +38,11 @@
 }
 
 // New makes a budget.
-//
-// Example:
-//
-//	tries := budget.New(budget.Options{Ratio: 0.2, Extra: 60, Window: 10 * clock.Second, Sharers: routers})
 func New(options Options) *Budget {
 	return &Budget{options: options, windows: map[ids.Service]*window{}}
 }
 
 // Request counts a request for a service.
-//
-// Example:
-//
-//	tries.Request(service, now)
 func (budget *Budget) Request(service ids.Service, now clock.Instant) {
 	budget.lock.Lock()
 	defer budget.lock.Unlock()
@@ -59,10 +51,6 @@
 }
 
 // Spend pays for one further try; false says that there is nothing left.
-//
-// Example:
-//
-//	if !tries.Spend(service, now) { giveUp() }
 func (budget *Budget) Spend(service ids.Service, now clock.Instant) bool {
 	budget.lock.Lock()
 	defer budget.lock.Unlock()
--- a/data/forward/events.go
+++ b/data/forward/events.go
@@ -27,10 +27,6 @@
 
 // NewEvents reads a stream that goes on after an event's id; an empty id is
 // the start.
-//
-// Example:
-//
-//	events := forward.NewEvents(response.Body, "12")
 func NewEvents(body io.Reader, after string) *Events {
 	events := &Events{reader: bufio.NewReaderSize(body, 4096)}
 	if number, err := strconv.ParseInt(after, 10, 64); err == nil {
@@ -41,10 +37,6 @@
 
 // Next gives the bytes of the next whole event, which are good until the next
 // call. A rest that is no whole event comes with io.ErrUnexpectedEOF.
-//
-// Example:
-//
-//	for { event, err := events.Next(); ... }
 func (events *Events) Next() ([]byte, error) {
 	events.event = events.event[:0]
 	number, numbered := int64(0), false
--- a/data/forward/fate.go
+++ b/data/forward/fate.go
@@ -27,10 +27,6 @@
 var fateNames = [...]string{Unsent: "unsent", Refused: "refused", Answered: "answered", Doubtful: "doubtful", Garbled: "garbled"}
 
 // String gives the fate's name as logs and figures carry it.
-//
-// Example:
-//
-//	forward.Refused.String() // "refused"
 func (fate Fate) String() string { return fateNames[fate] }
 
 // sign is what a sending showed.
--- a/data/forward/hops.go
+++ b/data/forward/hops.go
@@ -17,10 +17,6 @@
 const ours = "Onyxwell-"
 
 // PassedOn gives the heads that are passed on, in either direction.
-//
-// Example:
-//
-//	header := forward.PassedOn(request.Header)
 func PassedOn(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, value := range header["Connection"] {
@@ -39,10 +35,6 @@
 
 // Discard ends a response that is not needed; a short rest is read, so that
 // the connection can be kept.
-//
-// Example:
-//
-//	defer forward.Discard(result.Response)
 func Discard(response *http.Response) {
 	if response == nil {
 		return
--- a/data/forward/pool.go
+++ b/data/forward/pool.go
@@ -134,10 +134,6 @@
 }
 
 // Forget closes the kept connections that nobody uses.
-//
-// Example:
-//
-//	sender.Forget()
 func (sender *Sender) Forget() { _ = sender.clear(sender.options.Clock.Now(), 0) }
 
 // clear closes the idle connections of more than an age; it counts the others.
--- a/data/forward/sender.go
+++ b/data/forward/sender.go
@@ -91,19 +91,11 @@
 }
 
 // NewSender makes a sender.
-//
-// Example:
-//
-//	sender := forward.NewSender(forward.Options{Clock: top.Clock, Dialing: dialing, Idle: 10 * clock.Second, PerHost: 64})
 func NewSender(options Options) *Sender {
 	return &Sender{options: options, dial: options.Dialing.Dial, hosts: map[string]*host{}, trusts: map[ids.Service]*trust{}}
 }
 
 // Send sends a request to a runner, once, and waits for the head of the answer.
-//
-// Example:
-//
-//	result := sender.Send(limited, trip)
 func (sender *Sender) Send(inner scope.Scope, trip Trip) Result {
 	begin := sender.options.Clock.Now()
 	link, sign, err := sender.take(inner, trip)
--- a/data/metrics/board.go
+++ b/data/metrics/board.go
@@ -85,10 +85,6 @@
 }
 
 // NewBoard makes an empty board.
-//
-// Example:
-//
-//	board := metrics.NewBoard()
 func NewBoard() *Board {
 	board := &Board{seed: maphash.MakeSeed(), wanted: map[demandKey]float64{}, read: map[readingKey]room.Reading{}, took: map[lengths.Kind]lengths.Sum{}}
 	for index := range board.shards {
@@ -110,10 +106,6 @@
 }
 
 // Look gives a copy of a runner's ledger.
-//
-// Example:
-//
-//	load := board.Look(runner.ID).Load
 func (board *Board) Look(id ids.RunnerID) Ledger {
 	var seen Ledger
 	board.with(id, func(ledger *Ledger) { seen = *ledger })
@@ -122,10 +114,6 @@
 }
 
 // Asked notes how much visitors want of a service.
-//
-// Example:
-//
-//	board.Asked(service, homes)
 func (board *Board) Asked(service ids.Service, homes string) {
 	board.demand.lock.Lock()
 	defer board.demand.lock.Unlock()
@@ -133,10 +121,6 @@
 }
 
 // Read notes how long a first answer took for a request of so many units.
-//
-// Example:
-//
-//	board.Read(service, route.Name, tokens, first)
 func (board *Board) Read(service ids.Service, route string, units float64, first clock.Span) {
 	milliseconds := float64(first) / float64(clock.Millisecond)
 	board.demand.lock.Lock()
@@ -160,10 +144,6 @@
 }
 
 // Sent notes a request that goes to a runner.
-//
-// Example:
-//
-//	board.Sent(runner.ID, metrics.Sending{Service: service, Number: number}, now)
 func (board *Board) Sent(id ids.RunnerID, sending Sending, now clock.Instant) {
 	board.with(id, func(ledger *Ledger) {
 		ledger.Service = sending.Service
@@ -177,10 +157,6 @@
 }
 
 // Began notes the first sign of an answer.
-//
-// Example:
-//
-//	board.Began(id, number, tokens, now)
 func (board *Board) Began(id ids.RunnerID, number uint64, tokens float64, now clock.Instant) {
 	board.with(id, func(ledger *Ledger) {
 		ledger.Unanswered = max(0, ledger.Unanswered-tokens)
@@ -202,10 +178,6 @@
 }
 
 // Ended notes the end of a request.
-//
-// Example:
-//
-//	board.Ended(id, metrics.Ending{Number: number, Finished: true, Spent: spent}, now)
 func (board *Board) Ended(id ids.RunnerID, ending Ending, now clock.Instant) {
 	board.with(id, func(ledger *Ledger) {
 		ledger.Running = max(0, ledger.Running-1)
@@ -229,10 +201,6 @@
 }
 
 // Sample adds one look at how many are running; looks are averaged.
-//
-// Example:
-//
-//	board.Sample()
 func (board *Board) Sample() {
 	for index := range board.shards {
 		part := &board.shards[index]
--- a/data/metrics/collect.go
+++ b/data/metrics/collect.go
@@ -9,10 +9,6 @@
 )
 
 // Collect gives what was seen since the last time, and begins anew.
-//
-// Example:
-//
-//	report := board.Collect(now, now.Since(last))
 func (board *Board) Collect(now clock.Instant, spent clock.Span) scaler.ReportAsk {
 	var report scaler.ReportAsk
 	for index := range board.shards {
@@ -45,10 +41,6 @@
 
 // Took notes a whole answer: its kind, how long it took, how many tokens had to
 // be read for it, and whether it began slowly.
-//
-// Example:
-//
-//	board.Took(lengths.Sum{Kind: kind, Count: 1, SpentMS: 130, Tokens: 1800})
 func (board *Board) Took(answer lengths.Sum) {
 	board.demand.lock.Lock()
 	defer board.demand.lock.Unlock()
--- a/data/metrics/doubt.go
+++ b/data/metrics/doubt.go
@@ -7,10 +7,6 @@
 
 // Due gives the doubted runners whose next test is due, and puts the one after
 // it off: the pause doubles from the first to eight times as long.
-//
-// Example:
-//
-//	for _, id := range board.Due(now, 125*clock.Millisecond) { go test(id) }
 func (board *Board) Due(now clock.Instant, first clock.Span) []ids.RunnerID {
 	var found []ids.RunnerID
 	for index := range board.shards {
@@ -29,10 +25,6 @@
 }
 
 // Doubt doubts a runner on other evidence than a request's.
-//
-// Example:
-//
-//	board.Doubt(id, now)
 func (board *Board) Doubt(id ids.RunnerID, now clock.Instant) {
 	board.with(id, func(ledger *Ledger) { ledger.doubt(now) })
 }
@@ -64,10 +56,6 @@
 
 // SaysIll notes that a doubted runner answered a test by saying that it is ill;
 // it tells whether the runner should be tried with requests nevertheless.
-//
-// Example:
-//
-//	if board.SaysIll(id) { board.Vouch(id, now) }
 func (board *Board) SaysIll(id ids.RunnerID) bool {
 	try := false
 	board.with(id, func(ledger *Ledger) {
@@ -78,10 +66,6 @@
 }
 
 // Vouch ends the doubt about a runner that a test found well.
-//
-// Example:
-//
-//	board.Vouch(id, now)
 func (board *Board) Vouch(id ids.RunnerID, now clock.Instant) {
 	board.with(id, func(ledger *Ledger) { ledger.clear(now) })
 }
@@ -95,10 +79,6 @@
 }
 
 // Drop forgets a runner that is listed no more.
-//
-// Example:
-//
-//	board.Drop(id)
 func (board *Board) Drop(id ids.RunnerID) {
 	board.with(id, func(ledger *Ledger) { ledger.Doubted = false })
 }
--- a/data/metrics/told.go
+++ b/data/metrics/told.go
@@ -9,10 +9,6 @@
 )
 
 // Told notes the load that a runner put in an answer: running, waiting, slots.
-//
-// Example:
-//
-//	board.Told(id, "3,0,8", now)
 func (board *Board) Told(id ids.RunnerID, text string, now clock.Instant) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -54,10 +54,6 @@
 }
 
 // Run runs the router until the scope ends, then leaves in order.
-//
-// Example:
-//
-//	err := r.Run(top, reread)
 func (r *Router) Run(top scope.Scope, reread <-chan *boot.Boot) error {
 	running, end := context.WithCancel(context.Background())
 	defer end()
@@ -77,10 +73,6 @@
 }
 
 // New puts a router together.
-//
-// Example:
-//
-//	r, err := router.New(top, router.Options{})
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
 	r := &Router{pace: daemon.PaceOf(top.Boot), board: metrics.NewBoard(), warmth: warmth.New(chance)}
--- a/data/script/script.go
+++ b/data/script/script.go
@@ -40,10 +40,6 @@
 
 // Start starts a runner on the loopback that answers the first request with
 // the first step, and so on; the last step answers all that follow.
-//
-// Example:
-//
-//	runner := script.Start(t, script.Plain(200, "seal", "body"))
 func Start(t testing.TB, steps ...Step) *Runner {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,10 +61,6 @@
 }
 
 // Seen gives the requests that arrived, in their order.
-//
-// Example:
-//
-//	if len(runner.Seen()) != 1 { t.Fatal("it came twice") }
 func (runner *Runner) Seen() []Seen {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
@@ -76,10 +68,6 @@
 }
 
 // Links tells how many connections were made to the runner.
-//
-// Example:
-//
-//	if runner.Links() != 1 { t.Fatal("a kept connection was not used") }
 func (runner *Runner) Links() int {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
@@ -119,10 +107,6 @@
 }
 
 // Raw writes text in which {id} stands for the request's attempt id.
-//
-// Example:
-//
-//	script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\n...", true)
 func Raw(text string, open bool) Step {
 	return func(seen Seen, writer io.Writer) bool {
 		_, _ = io.WriteString(writer, strings.ReplaceAll(text, "{id}", seen.Attempt))
@@ -131,20 +115,12 @@
 }
 
 // Plain answers with a status, a seal and a body.
-//
-// Example:
-//
-//	script.Plain(200, "seal", "body")
 func Plain(status int, seal string, body string) Step {
 	return Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: %s\r\nContent-Length: %d\r\n\r\n%s",
 		status, seal, len(body), body), true)
 }
 
 // After does something once the request is there, before it is answered.
-//
-// Example:
-//
-//	script.After(listTheOther, script.Hangup())
 func After(act func(), step Step) Step {
 	return func(seen Seen, writer io.Writer) bool {
 		act()
@@ -153,20 +129,12 @@
 }
 
 // Refuse turns a request away without running it.
-//
-// Example:
-//
-//	script.Refuse(503)
 func Refuse(status int) Step {
 	return Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", status), true)
 }
 
 // Events answers with a stream of events from one id to another; a stream that
 // is not whole breaks off after the last.
-//
-// Example:
-//
-//	script.Events("seal", 1, 3, true)
 func Events(seal string, first int, last int, whole bool) Step {
 	text := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: " + seal +
 		"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -181,17 +149,9 @@
 }
 
 // Hangup closes the connection without an answer.
-//
-// Example:
-//
-//	script.Hangup()
 func Hangup() Step { return Raw("", false) }
 
 // Reset writes text as Raw does and resets the connection.
-//
-// Example:
-//
-//	script.Reset("H")
 func Reset(text string) Step {
 	return func(seen Seen, writer io.Writer) bool {
 		Raw(text, false)(seen, writer)
--- a/data/snapshot/query.go
+++ b/data/snapshot/query.go
@@ -6,10 +6,6 @@
 )
 
 // Find gives the listed runner of an id; nil where there is none.
-//
-// Example:
-//
-//	runner := seen.Find(id)
 func (seen *Snapshot) Find(id ids.RunnerID) *Runner {
 	for _, runners := range seen.Runners {
 		for _, runner := range runners {
@@ -23,10 +19,6 @@
 
 // Usable tells whether a runner may be sent requests now: listed, ready, and
 // in a zone that is not being emptied.
-//
-// Example:
-//
-//	if !frame.Now().Usable(runner.Service, runner.ID) { chooseAnother() }
 func (seen *Snapshot) Usable(service ids.Service, id ids.RunnerID) bool {
 	for _, runner := range seen.Runners[service] {
 		if runner.ID == id {
@@ -37,10 +29,6 @@
 }
 
 // Open tells the same of a runner of this snapshot.
-//
-// Example:
-//
-//	for _, runner := range seen.Runners[service] { if seen.Open(runner) { ... } }
 func (seen *Snapshot) Open(runner *Runner) bool {
 	return !runner.Draining && !seen.Empty[runner.Zone]
 }
@@ -66,10 +54,6 @@
 
 // Weight is a runner's share in routing: its own in the plan, else its type's,
 // else, without a plan, its capacity.
-//
-// Example:
-//
-//	total += seen.Weight(runner)
 func (seen *Snapshot) Weight(runner *Runner) float64 {
 	if planned := seen.Planned[runner.ID]; planned.Weight > 0 {
 		return planned.Weight
--- a/data/snapshot/rests.go
+++ b/data/snapshot/rests.go
@@ -35,10 +35,6 @@
 }
 
 // Rests tells whether a runner is to be left alone where others are there.
-//
-// Example:
-//
-//	if seen.Rests(runner.ID, now) { keepForLast(runner) }
 func (seen *Snapshot) Rests(id ids.RunnerID, now clock.Instant) bool {
 	until, found := seen.Resting[id]
 	return seen.Planned[id].Resting || (found && now.Before(until))
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -78,10 +78,6 @@
 }
 
 // NewFrame makes a frame with an empty snapshot.
-//
-// Example:
-//
-//	frame := snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: top.Boot.Zones})
 func NewFrame(options Options) *Frame {
 	if options.Listed == nil {
 		options.Listed = func(*Snapshot) {}
@@ -95,25 +91,13 @@
 }
 
 // Now gives the snapshot of now.
-//
-// Example:
-//
-//	seen := frame.Now()
 func (frame *Frame) Now() *Snapshot { return frame.now.Load() }
 
 // Ready is closed once a spec and a list of runners are known.
-//
-// Example:
-//
-//	<-frame.Ready()
 func (frame *Frame) Ready() <-chan struct{} { return frame.ready }
 
 // Absorb takes an item of news; the news store calls it in rising order of
 // serials.
-//
-// Example:
-//
-//	news := spread.NewNews(frame.Absorb)
 func (frame *Frame) Absorb(item spread.Item) {
 	if frame.options.View.Absorb(item) {
 		frame.swap(frame.relist)
@@ -137,10 +121,6 @@
 }
 
 // Take takes a list that was not told as news.
-//
-// Example:
-//
-//	frame.Take(list)
 func (frame *Frame) Take(list discovery.List) {
 	frame.options.View.Take(list)
 	frame.swap(frame.relist)
--- a/data/warmth/warmth.go
+++ b/data/warmth/warmth.go
@@ -36,10 +36,6 @@
 // New makes a warmth that knows nobody yet. Chance gives numbers from 0 to below
 // 1: routers that learn of a cold runner at once must not all begin with it at
 // once.
-//
-// Example:
-//
-//	cold := warmth.New(rand.Float64)
 func New(chance func() float64) *Warmth {
 	return &Warmth{runners: map[ids.RunnerID]*standing{}, chance: chance}
 }
@@ -54,10 +50,6 @@
 // List takes a list of runners. One that was not on the list before is cold
 // for its whole warm-up, whatever the list says; on the first list of all the
 // list's own word counts.
-//
-// Example:
-//
-//	cold.List(entries, lag, now)
 func (warmth *Warmth) List(entries []Entry, lag clock.Span, now clock.Instant) {
 	warmth.lock.Lock()
 	defer warmth.lock.Unlock()
@@ -85,10 +77,6 @@
 }
 
 // Chill holds a runner for cold until an instant.
-//
-// Example:
-//
-//	cold.Chill(id, now.Add(warmup), now)
 func (warmth *Warmth) Chill(id ids.RunnerID, until clock.Instant, now clock.Instant) {
 	warmth.lock.Lock()
 	defer warmth.lock.Unlock()
@@ -108,10 +96,6 @@
 }
 
 // Cold tells whether a runner is held for cold.
-//
-// Example:
-//
-//	if cold.Cold(id, now) { weight = ramped }
 func (warmth *Warmth) Cold(id ids.RunnerID, now clock.Instant) bool {
 	warmth.lock.Lock()
 	defer warmth.lock.Unlock()
@@ -120,19 +104,11 @@
 }
 
 // Open tells whether a runner could take a request now, without taking it.
-//
-// Example:
-//
-//	if cold.Open(id, bound, now) { candidates = append(candidates, id) }
 func (warmth *Warmth) Open(id ids.RunnerID, bound Bound, now clock.Instant) bool {
 	return warmth.ask(id, bound, now, false)
 }
 
 // Take takes one request's place at a runner; a warm one always has place.
-//
-// Example:
-//
-//	if !cold.Take(id, bound, now) { chooseAnother() }
 func (warmth *Warmth) Take(id ids.RunnerID, bound Bound, now clock.Instant) bool {
 	return warmth.ask(id, bound, now, true)
 }
--- a/deployment/layout.go
+++ b/deployment/layout.go
@@ -58,17 +58,9 @@
 }
 
 // Name is the machine's name, as in r0-z1-2.
-//
-// Example:
-//
-//	file := machine.Name() + ".log"
 func (machine Machine) Name() string { return fmt.Sprintf("%s-%d", machine.Zone.Name, machine.Number) }
 
 // Role is the name of the daemon that the machine runs.
-//
-// Example:
-//
-//	program := filepath.Join("target", machine.Role())
 func (machine Machine) Role() string {
 	if machine.Number == 0 {
 		return "fleet-controller"
@@ -77,17 +69,9 @@
 }
 
 // Address is where the machine listens at a port.
-//
-// Example:
-//
-//	url := "http://" + machine.Address(deployment.ControlPort) + "/settings"
 func (machine Machine) Address(port int) string { return fmt.Sprintf("%s:%d", machine.IP, port) }
 
 // AllZones gives the zones of all regions.
-//
-// Example:
-//
-//	for _, zone := range layout.AllZones() { ... }
 func (layout Layout) AllZones() []Zone {
 	var found []Zone
 	for region := range layout.Regions {
@@ -102,19 +86,11 @@
 }
 
 // Machine gives a machine of a zone, also one beyond the layout's own.
-//
-// Example:
-//
-//	controller := layout.Machine(zone, 0)
 func (layout Layout) Machine(zone Zone, number int) Machine {
 	return Machine{Zone: zone, Number: number, IP: fmt.Sprintf("127.%d.%d.%d", layout.Subnet+zone.number, number/250, 1+number%250)}
 }
 
 // Machines gives all machines, zone by zone, the controller's first.
-//
-// Example:
-//
-//	for _, machine := range layout.Machines() { start(machine) }
 func (layout Layout) Machines() []Machine {
 	var found []Machine
 	for _, zone := range layout.AllZones() {
@@ -126,28 +102,16 @@
 }
 
 // PlatformAddress is where the platform's list is served.
-//
-// Example:
-//
-//	listener, err := net.Listen("tcp", layout.PlatformAddress())
 func (layout Layout) PlatformAddress() string {
 	return fmt.Sprintf("127.%d.0.1:%d", layout.Subnet-1, PlatformPort)
 }
 
 // RunnerIP is the address of a runner.
-//
-// Example:
-//
-//	address := fmt.Sprintf("%s:%d", layout.RunnerIP(3), deployment.RunnerPort)
 func (layout Layout) RunnerIP(index int) string {
 	return fmt.Sprintf("127.%d.%d.%d", layout.Subnet-2, index/250, 1+index%250)
 }
 
 // Seeds are the control addresses of the first zones' controllers, three at most.
-//
-// Example:
-//
-//	settings := layout.Settings(machine, folder, true, layout.Seeds())
 func (layout Layout) Seeds() []string {
 	var found []string
 	zones := layout.AllZones()
@@ -159,10 +123,6 @@
 
 // Settings is the text of a machine's settings file. First says that the whole
 // deployment starts for the first time.
-//
-// Example:
-//
-//	text := layout.Settings(machine, "/tmp/data", true, layout.Seeds())
 func (layout Layout) Settings(machine Machine, folder string, first bool, seeds []string) string {
 	zones := layout.AllZones()
 	var text strings.Builder
@@ -214,10 +174,6 @@
 
 // Write puts a machine's settings file and an empty data folder into a folder
 // of its own, and gives the file's path.
-//
-// Example:
-//
-//	path, err := layout.Write(folder, machine)
 func (layout Layout) Write(folder string, machine Machine) (string, error) {
 	own := filepath.Join(folder, machine.Name())
 	data := filepath.Join(own, "data")
@@ -229,10 +185,6 @@
 }
 
 // Free names an address that is in use already, before anything starts.
-//
-// Example:
-//
-//	if err := layout.Free(); err != nil { return err }
 func (layout Layout) Free() error {
 	wanted := []string{layout.PlatformAddress()}
 	for _, zone := range layout.AllZones() {
--- a/deployment/platform.go
+++ b/deployment/platform.go
@@ -65,10 +65,6 @@
 }
 
 // Serve serves a handler at an address; the function it gives ends that.
-//
-// Example:
-//
-//	stop, err := deployment.Serve(layout.PlatformAddress(), platform)
 func Serve(address string, handler http.Handler) (stop func(), err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/deployment/process.go
+++ b/deployment/process.go
@@ -25,10 +25,6 @@
 
 // Start starts a command for a machine; what it writes goes to the log. Its
 // standard input is a pipe, whose end tells it that this program is gone.
-//
-// Example:
-//
-//	process, err := deployment.Start(machine, log, "target/router", "--boot", path)
 func Start(machine Machine, log io.Writer, name string, arguments ...string) (*Process, error) {
 	process := &Process{Machine: machine, command: exec.Command(name, arguments...), ended: make(chan struct{})}
 	process.command.Stdout, process.command.Stderr = log, log
@@ -49,34 +45,18 @@
 }
 
 // Input is the process's standard input.
-//
-// Example:
-//
-//	_, err := io.WriteString(process.Input(), order)
 func (process *Process) Input() io.Writer { return process.input }
 
 // Ended is closed once the process has ended.
-//
-// Example:
-//
-//	<-process.Ended()
 func (process *Process) Ended() <-chan struct{} { return process.ended }
 
 // Err says how an ended process ended; nil is status 0.
-//
-// Example:
-//
-//	if err := process.Err(); err != nil { ... }
 func (process *Process) Err() error {
 	<-process.ended
 	return process.err
 }
 
 // Over tells whether the process has ended.
-//
-// Example:
-//
-//	if process.Over() { report(process.Err()) }
 func (process *Process) Over() bool {
 	select {
 	case <-process.ended:
@@ -87,27 +67,15 @@
 }
 
 // Signal sends the process a signal.
-//
-// Example:
-//
-//	process.Signal(syscall.SIGHUP)
 func (process *Process) Signal(signal syscall.Signal) { _ = process.command.Process.Signal(signal) }
 
 // Kill ends the process without asking and waits until it is gone.
-//
-// Example:
-//
-//	process.Kill()
 func (process *Process) Kill() {
 	_ = process.command.Process.Kill()
 	<-process.ended
 }
 
 // Stop ends processes: in order first, then, after the span, without asking.
-//
-// Example:
-//
-//	defer deployment.Stop(all, 5*clock.Second)
 func Stop(all []*Process, span clock.Span) {
 	for _, process := range all {
 		process.Signal(syscall.SIGTERM)
@@ -137,10 +105,6 @@
 )
 
 // Usage reads what the system tells of the process.
-//
-// Example:
-//
-//	usage, err := process.Usage()
 func (process *Process) Usage() (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.command.Process.Pid))
 	if err != nil {
--- a/emulator/client/client.go
+++ b/emulator/client/client.go
@@ -72,10 +72,6 @@
 var kinds = []oracle.Kind{oracle.Safe, oracle.Unsafe, oracle.Unsafe, oracle.Stream, oracle.Resumable}
 
 // Request draws a request; the same seed and number give the same one.
-//
-// Example:
-//
-//	asked := draw.Request(17)
 func (draw Draw) Request(number int) Request {
 	seed := draw.Seed
 	drawn := rand.New(rand.NewPCG(seed, uint64(number)))
@@ -110,10 +106,6 @@
 }
 
 // Text gives the request's bytes.
-//
-// Example:
-//
-//	fmt.Print(request.Text())
 func (request Request) Text() string {
 	if request.raw != "" {
 		return request.raw
@@ -146,10 +138,6 @@
 
 // Close ends the connection and gives the bytes that came while no request
 // waited.
-//
-// Example:
-//
-//	defer c.Close()
 func (c *Client) Close() string {
 	if c.conn == nil {
 		return ""
@@ -165,10 +153,6 @@
 }
 
 // Send sends a request and gives what came of it.
-//
-// Example:
-//
-//	got := c.Send(top, draw.Request(17))
 func (c *Client) Send(top scope.Scope, request Request) oracle.Got {
 	got := oracle.Got{Attempt: request.Asked.Attempt}
 	if request.anew {
--- a/emulator/client/rude.go
+++ b/emulator/client/rude.go
@@ -63,10 +63,6 @@
 }
 
 // RudeKinds are the names of all rude requests.
-//
-// Example:
-//
-//	options.RudeKinds = client.RudeKinds()[:3]
 func RudeKinds() []string {
 	var names []string
 	for _, kind := range rude {
--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -45,10 +45,6 @@
 
 // Run plays an experiment until all requests are through or the scope ends; the
 // report tells what was seen either way.
-//
-// Example:
-//
-//	report, err := experiment.Run(top, options)
 func Run(top scope.Scope, options Options) (*Report, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
--- a/emulator/experiment/options.go
+++ b/emulator/experiment/options.go
@@ -52,10 +52,6 @@
 }
 
 // Defaults are a small experiment without troubles.
-//
-// Example:
-//
-//	options := experiment.Defaults()
 func Defaults() Options {
 	return Options{
 		Requests: 10000, Clients: 48, Routers: 2, Runners: 12, Seed: 1, Mix: runner.Mix{}, Round: 20000,
@@ -64,10 +60,6 @@
 }
 
 // Check tells in one line all that is wrong with the options.
-//
-// Example:
-//
-//	if err := options.Check(); err != nil { ... }
 func (options Options) Check() error {
 	var wrong []string
 	for _, number := range []struct {
@@ -121,10 +113,6 @@
 
 // Again is the command line that plays the experiment again; it says so where
 // the routers are not the real ones, which no command line gives.
-//
-// Example:
-//
-//	fmt.Println(options.Again())
 func (options Options) Again() string {
 	text := fmt.Sprintf("emulator experiment --requests %d --clients %d --routers %d --runners %d --seed %d --round %d --patience %v --forgive %v",
 		options.Requests, options.Clients, options.Routers, options.Runners, options.Seed, options.Round, options.Patience, options.Forgive)
--- a/emulator/experiment/process.go
+++ b/emulator/experiment/process.go
@@ -32,10 +32,6 @@
 // tells its address, and leaves in order when the scope ends. It ends at once
 // when the pipe does. On a SIGHUP it reads its boot file again, as the router's
 // program does, takes its configuration anew, and tells so in a line.
-//
-// Example:
-//
-//	err := experiment.Serve(stopped, os.Stdin, os.Stdout)
 func Serve(top scope.Scope, in io.Reader, out io.Writer) error {
 	lines := json.NewDecoder(in)
 	var first order
--- a/emulator/experiment/report.go
+++ b/emulator/experiment/report.go
@@ -89,10 +89,6 @@
 
 // Outcomes counts the ends of all requests by name: a status, cut, left or no
 // answer.
-//
-// Example:
-//
-//	good := report.Outcomes()["200"]
 func (report *Report) Outcomes() map[string]int {
 	report.lock.Lock()
 	defer report.lock.Unlock()
@@ -109,10 +105,6 @@
 const mostShown = 5
 
 // Show prints the report.
-//
-// Example:
-//
-//	report.Show(os.Stdout)
 func (report *Report) Show(out io.Writer) {
 	fmt.Fprintf(out, "seed %d: %d of %d requests in %.1f s, %.0f a second; %d runs, %d refusals by runners, %d restarts, %d freezes and %d SIGHUPs of routers\n\n", report.options.Seed,
 		report.Requests, report.options.Requests, report.Spent.Seconds(), float64(report.Requests)/max(report.Spent.Seconds(), 1e-9), report.Runs, report.Refusals, report.Restarts, report.Freezes, report.Hangups)
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -70,10 +70,6 @@
 
 // Real makes the real router's data plane: only the news that feed it and the
 // rate at which doubts end are the experiment's.
-//
-// Example:
-//
-//	options.Build = experiment.Real
 func Real(top scope.Scope, document []byte, options Options) Router {
 	made := &real{board: metrics.NewBoard(), warmth: warmth.New(rand.Float64)}
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: map[ids.Zone]ids.Region{"zone": "region"}, Region: "region", Listed: made.listed(top)})
--- a/emulator/links/links.go
+++ b/emulator/links/links.go
@@ -36,10 +36,6 @@
 }
 
 // Obey takes orders, one JSON object after another, until they end.
-//
-// Example:
-//
-//	go func() { links.Obey(os.Stdin); os.Exit(0) }()
 func (l *Links) Obey(orders io.Reader) {
 	decoder := json.NewDecoder(orders)
 	for {
@@ -52,10 +48,6 @@
 }
 
 // Set replaces what is broken.
-//
-// Example:
-//
-//	links.Set(links.Order{Mute: []string{"*"}})
 func (l *Links) Set(order Order) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/emulator/oracle/oracle.go
+++ b/emulator/oracle/oracle.go
@@ -24,17 +24,9 @@
 )
 
 // Repeatable tells whether an attempt of the kind may run more than once.
-//
-// Example:
-//
-//	if kind.Repeatable() { ... }
 func (kind Kind) Repeatable() bool { return kind == Safe || kind == Resumable }
 
 // Streams tells whether the answer is a series of events.
-//
-// Example:
-//
-//	if kind.Streams() { ... }
 func (kind Kind) Streams() bool { return kind == Stream || kind == Resumable }
 
 // Call is what must reach a runner as the client sent it.
@@ -145,10 +137,6 @@
 }
 
 // Asked notes an attempt right before the client sends it.
-//
-// Example:
-//
-//	oracle.Asked(oracle.Asked{Attempt: id, Kind: oracle.Unsafe, Service: "desk", Call: call})
 func (oracle *Oracle) Asked(asked Asked) {
 	oracle.with(asked.Attempt, func(known *attempt) {
 		known.asked = &asked
@@ -158,10 +146,6 @@
 }
 
 // Ran notes what arrived at a runner, before a byte of its answer is written.
-//
-// Example:
-//
-//	runner := runner.Options{Tell: history.Ran}
 func (oracle *Oracle) Ran(run Run) {
 	oracle.with(run.Attempt, func(known *attempt) {
 		known.runs = append(known.runs, run)
@@ -175,10 +159,6 @@
 }
 
 // Got notes what a client got. What can be told at once is: bodies are not kept.
-//
-// Example:
-//
-//	history.Got(oracle.Got{Attempt: id, Status: 200, Seal: seal, Echo: id, Body: body, Whole: true})
 func (oracle *Oracle) Got(got Got) {
 	oracle.with(got.Attempt, func(known *attempt) {
 		known.order = append(known.order, fmt.Sprintf("got: status %d, seal %s, echo %s, %d bytes, whole %v %s",
@@ -194,10 +174,6 @@
 }
 
 // Judge tells all broken rules; it is asked after all is over.
-//
-// Example:
-//
-//	for _, verdict := range history.Judge() { ... }
 func (oracle *Oracle) Judge() []Verdict {
 	oracle.lock.Lock()
 	defer oracle.lock.Unlock()
@@ -226,10 +202,6 @@
 // Forget drops what was there at the last Forget, so that long experiments fit
 // into memory. What came since is judged once more: a straggler among its runs
 // is not one that nobody asked for.
-//
-// Example:
-//
-//	history.Forget()
 func (oracle *Oracle) Forget() {
 	oracle.lock.Lock()
 	defer oracle.lock.Unlock()
--- a/emulator/oracle/rest.go
+++ b/emulator/oracle/rest.go
@@ -1,10 +1,6 @@
 package oracle
 
 // Rest notes the digest of a body that a runner read whole after it had answered.
-//
-// Example:
-//
-//	runner := runner.Options{Rest: history.Rest}
 func (oracle *Oracle) Rest(id string, body uint64) {
 	oracle.with(id, func(known *attempt) {
 		if known.asked == nil || known.asked.Call.Body == body {
--- a/emulator/piece/piece.go
+++ b/emulator/piece/piece.go
@@ -18,10 +18,6 @@
 }
 
 // Hash mixes words to one number, the same on every machine.
-//
-// Example:
-//
-//	size := piece.Hash(attempt, "size") % 8
 func Hash(words ...string) uint64 {
 	digest := fnv.New64a()
 	for _, word := range words {
@@ -46,17 +42,9 @@
 )
 
 // Total is how many pieces the answer to an attempt has, whichever run makes it.
-//
-// Example:
-//
-//	last := piece.Total(attempt)
 func Total(attempt string) int { return 1 + int(Hash(attempt, "total")%mostPieces) }
 
 // Line is the text of one piece, without an end of line.
-//
-// Example:
-//
-//	source.Line(1)
 func (source Source) Line(number int) string {
 	mark := Hash(source.Attempt, "padding", fmt.Sprint(number))
 	padding := int(mark % mostPadding)
@@ -68,10 +56,6 @@
 }
 
 // Plain is the whole body of an answer that is no stream.
-//
-// Example:
-//
-//	body := source.Plain()
 func (source Source) Plain() string {
 	var text strings.Builder
 	for number := 1; number <= Total(source.Attempt); number++ {
@@ -82,10 +66,6 @@
 }
 
 // Event is one event of a stream, as its bytes go over the wire.
-//
-// Example:
-//
-//	event := source.Event(3)
 func (source Source) Event(number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, source.Line(number))
 }
--- a/emulator/runner/play.go
+++ b/emulator/runner/play.go
@@ -35,10 +35,6 @@
 
 // Streams tells whether a path is answered with a stream of events: its last
 // part, or one before it, is "stream" or "resumable".
-//
-// Example:
-//
-//	runner.Streams("/resumable/7") // true
 func Streams(path string) bool {
 	for _, name := range []string{"/stream/", "/resumable/"} {
 		for at := 0; at+len(name) <= len(path); at++ {
@@ -150,10 +146,6 @@
 }
 
 // CallOf is what must reach a runner unchanged, for the oracle.
-//
-// Example:
-//
-//	asked.Call = runner.CallOf("POST", "/safe/1", "shop.example", body)
 func CallOf(method string, target string, host string, body []byte) oracle.Call {
 	return oracle.Call{Method: method, Target: target, Host: host, Body: piece.Hash(string(body))}
 }
--- a/emulator/runner/runner.go
+++ b/emulator/runner/runner.go
@@ -56,10 +56,6 @@
 }
 
 // Start checks the settings and begins to listen.
-//
-// Example:
-//
-//	played, err := runner.Start(runner.Options{Scope: top, Settings: runner.Defaults("desk", "i-1"), Address: "127.0.0.1:0"})
 func Start(options Options) (*Runner, error) {
 	if err := options.Settings.Check(); err != nil {
 		return nil, err
@@ -82,17 +78,9 @@
 }
 
 // Address is where the runner listens.
-//
-// Example:
-//
-//	list := discovery.List{Runners: []discovery.Runner{{Address: ids.Address(played.Address())}}}
 func (runner *Runner) Address() string { return runner.listener.Addr().String() }
 
 // Life tells who has the address now.
-//
-// Example:
-//
-//	id := played.Life().ID
 func (runner *Runner) Life() Life {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
@@ -100,10 +88,6 @@
 }
 
 // Met tells how often each trouble befell a request.
-//
-// Example:
-//
-//	resets := played.Met()[runner.ResetBody]
 func (runner *Runner) Met() map[string]int {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
@@ -115,10 +99,6 @@
 }
 
 // Open tells how many connections are open.
-//
-// Example:
-//
-//	for played.Open() > 0 && top.Wait(pause) {}
 func (runner *Runner) Open() int {
 	runner.lock.Lock()
 	defer runner.lock.Unlock()
@@ -127,10 +107,6 @@
 
 // Become gives the address to a new life; its connections are reset, or stay
 // with the new life as though nothing had been.
-//
-// Example:
-//
-//	played.Become("other", true)
 func (runner *Runner) Become(service string, reset bool) {
 	runner.lock.Lock()
 	runner.lives++
@@ -149,10 +125,6 @@
 }
 
 // Close ends the runner and its connections.
-//
-// Example:
-//
-//	defer played.Close()
 func (runner *Runner) Close() {
 	_ = runner.listener.Close()
 	runner.lock.Lock()
--- a/emulator/runner/settings.go
+++ b/emulator/runner/settings.go
@@ -47,10 +47,6 @@
 }
 
 // Defaults are settings of a runner that keeps to the pages.
-//
-// Example:
-//
-//	settings := runner.Defaults("desk", "i-1")
 func Defaults(service string, id string) Settings {
 	return Settings{
 		Services: []string{service}, ID: id, Capacity: 32, Queue: 32, Connections: 256,
@@ -60,10 +56,6 @@
 }
 
 // Check tells in one line all that is wrong with the settings.
-//
-// Example:
-//
-//	if err := settings.Check(); err != nil { ... }
 func (settings Settings) Check() error {
 	var wrong []string
 	need := func(good bool, text string, values ...any) {
--- a/emulator/runner/trouble.go
+++ b/emulator/runner/trouble.go
@@ -104,10 +104,6 @@
 type Mix map[string]float64
 
 // All is the mix of all troubles together, each at a rate of its own.
-//
-// Example:
-//
-//	settings.Mix = runner.All()
 func All() Mix {
 	mix := Mix{}
 	for _, trouble := range Troubles {
@@ -117,10 +113,6 @@
 }
 
 // Set takes name=rate.
-//
-// Example:
-//
-//	err := mix.Set("extra-late=0.1")
 func (mix Mix) Set(text string) error {
 	name, rate, found := strings.Cut(text, "=")
 	value, err := strconv.ParseFloat(rate, 64)
@@ -133,10 +125,6 @@
 }
 
 // Check names the troubles that don't exist and the rates that are out of bounds.
-//
-// Example:
-//
-//	if err := mix.Check(); err != nil { ... }
 func (mix Mix) Check() error {
 	known := map[string]bool{}
 	for _, trouble := range Troubles {
--- a/replay/player.go
+++ b/replay/player.go
@@ -40,10 +40,6 @@
 
 // Play sends every record at its time and gives the outcomes in the order of
 // their routes.
-//
-// Example:
-//
-//	outcomes := replay.Play(top, records, replay.Options{Routers: routers, Speed: 1, Limit: limit})
 func Play(inner scope.Scope, records []Record, options Options) []Outcome {
 	var lock sync.Mutex
 	var running sync.WaitGroup
@@ -131,10 +127,6 @@
 }
 
 // NewClient makes the client that a day is played with.
-//
-// Example:
-//
-//	replay.Options{Client: replay.NewClient(64)}
 func NewClient(perRouter int) *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{MaxIdleConnsPerHost: perRouter, DisableCompression: true, IdleConnTimeout: 10 * clock.Second},
--- a/replay/record.go
+++ b/replay/record.go
@@ -27,10 +27,6 @@
 }
 
 // At is when the request was sent.
-//
-// Example:
-//
-//	top.Wait(record.At())
 func (record Record) At() clock.Span { return clock.Span(record.AtMS * float64(clock.Millisecond)) }
 
 // group names the route that the outcome is counted under.
@@ -47,10 +43,6 @@
 
 // Read reads a recorded day. The first broken record ends it, named by its
 // line.
-//
-// Example:
-//
-//	records, err := replay.Read(file)
 func Read(source io.Reader) ([]Record, error) {
 	lines := bufio.NewScanner(source)
 	lines.Buffer(make([]byte, 64<<10), lineLimit)
--- a/simulation/disk/disk.go
+++ b/simulation/disk/disk.go
@@ -62,10 +62,6 @@
 }
 
 // New makes an empty disk.
-//
-// Example:
-//
-//	machine := disk.New(disk.Options{Draw: func(odds int) bool { return source.IntN(odds) == 0 }})
 func New(options Options) *Disk {
 	if options.Draw == nil {
 		options.Draw = func(int) bool { return false }
@@ -79,10 +75,6 @@
 // Mount gives a process its view of the disk, which dies with the process: all
 // its acts, and those of the files it opened, return ErrDead after a Kill,
 // LosePower or Wipe, also those that were under way.
-//
-// Example:
-//
-//	opened, records, err := journal.Open(journal.Options{Disk: machine.Mount(), Name: "registers", Whole: whole})
 func (disk *Disk) Mount() journal.Disk {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -90,10 +82,6 @@
 }
 
 // Kill ends the process; all that it wrote stays, synced or not.
-//
-// Example:
-//
-//	machine.Kill()
 func (disk *Disk) Kill() {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -101,10 +89,6 @@
 }
 
 // Wipe loses the disk: the next process finds an empty one.
-//
-// Example:
-//
-//	machine.Wipe()
 func (disk *Disk) Wipe() {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -113,10 +97,6 @@
 }
 
 // Bytes gives the size of a file as a process sees it; 0 for a missing one.
-//
-// Example:
-//
-//	size := machine.Bytes("registers")
 func (disk *Disk) Bytes(name string) int64 {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -127,10 +107,6 @@
 }
 
 // Written gives the bytes that all processes wrote so far.
-//
-// Example:
-//
-//	before := machine.Written()
 func (disk *Disk) Written() int64 {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -139,17 +115,9 @@
 
 // Spoil flips a bit of a byte in the synced part of a file and tells where; -1
 // if the file has no such part.
-//
-// Example:
-//
-//	at := machine.Spoil("registers")
 func (disk *Disk) Spoil(name string) int64 { return disk.SpoilWithin(name, math.MaxInt) }
 
 // SpoilWithin is Spoil for the first bytes of a file.
-//
-// Example:
-//
-//	at := machine.SpoilWithin("registers", 4096)
 func (disk *Disk) SpoilWithin(name string, length int) int64 {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
--- a/simulation/disk/loss.go
+++ b/simulation/disk/loss.go
@@ -68,10 +68,6 @@
 // four all of it, else each change of a file's bytes, its length and each name
 // that was made, renamed or removed by itself. A renamed file's old and new
 // name count as two.
-//
-// Example:
-//
-//	machine.LosePower()
 func (disk *Disk) LosePower() {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
--- a/simulation/drill.go
+++ b/simulation/drill.go
@@ -45,10 +45,6 @@
 var fromLoss = map[string]bool{"planned": true, "gone": true}
 
 // Drills names the kinds of loss that a run may play again and again, in order.
-//
-// Example:
-//
-//	options := simulation.Options{Site: simulation.Sites["three"], Quiet: true, Drill: simulation.Drills()[0]}
 func Drills() []string {
 	var names []string
 	for _, one := range drills {
--- a/simulation/run.go
+++ b/simulation/run.go
@@ -14,10 +14,6 @@
 
 // Run plays one run. It needs a test for the bubble of simulated time in which
 // everything goes on; the command makes one.
-//
-// Example:
-//
-//	result := simulation.Run(t, simulation.Options{Site: simulation.Sites["three"], Seed: 7, Length: 40 * clock.Second, Operators: 3})
 func Run(t *testing.T, options Options) Result {
 	var world *World
 	synctest.Test(t, func(*testing.T) {
--- a/simulation/service.go
+++ b/simulation/service.go
@@ -12,10 +12,6 @@
 }
 
 // Strikes names what Options.Service may be.
-//
-// Example:
-//
-//	options := simulation.Options{Site: simulation.Sites["nine"], Quiet: true, Hurry: true, Service: simulation.Strikes()[0]}
 func Strikes() []string { return sortedKeys(strikes) }
 
 const (
--- a/simulation/troubles.go
+++ b/simulation/troubles.go
@@ -54,10 +54,6 @@
 }
 
 // Troubles names all that can go wrong, in order.
-//
-// Example:
-//
-//	for _, name := range simulation.Troubles() { fmt.Println(name) }
 func Troubles() []string { return sortedKeys(troubles) }
 
 // chosen are the troubles of a run.
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -15,10 +15,6 @@
 
 // Serve is one daemon of a soak: the same parts as the program that ships, on a
 // network whose links are broken as the orders say. It ends when the orders do.
-//
-// Example:
-//
-//	status := soak.Serve("router", []string{"--boot", path}, os.Stdin)
 func Serve(role string, arguments []string, orders io.Reader) int {
 	broken := &links.Links{}
 	go func() {
--- a/soak/options.go
+++ b/soak/options.go
@@ -46,10 +46,6 @@
 }
 
 // Defaults are a run of three controllers and six routers.
-//
-// Example:
-//
-//	options := soak.Defaults()
 func Defaults() Options {
 	return Options{
 		Seed: 1, Length: 30 * clock.Second, Overlap: 3, Every: 3 * clock.Second,
@@ -58,10 +54,6 @@
 }
 
 // Check tells all that is wrong with the options.
-//
-// Example:
-//
-//	if err := options.Check(); err != nil { ... }
 func (options Options) Check() error {
 	var found []error
 	for _, number := range []struct {
@@ -98,10 +90,6 @@
 }
 
 // Again is the command line that plays the run again.
-//
-// Example:
-//
-//	fmt.Println(options.Again())
 func (options Options) Again() string {
 	text := fmt.Sprintf("soak run --from %d --seeds 1 --length %v --overlap %d --every %v --regions %d --zones %d --routers %d --runners %d --clients %d --operators %d --rude %g",
 		options.Seed, options.Length, options.Overlap, options.Every, options.Regions, options.Zones, options.Routers,
--- a/soak/run.go
+++ b/soak/run.go
@@ -36,10 +36,6 @@
 }
 
 // Run plays one run. It ends all that it started, also when the scope ends.
-//
-// Example:
-//
-//	report, err := soak.Run(top, options)
 func Run(top scope.Scope, options Options) (Report, error) {
 	if err := options.Check(); err != nil {
 		return Report{}, err
@@ -168,10 +164,6 @@
 }
 
 // Show prints the report.
-//
-// Example:
-//
-//	report.Show(os.Stdout)
 func (report Report) Show(out io.Writer) {
 	fmt.Fprintf(out, "seed %d: %d requests, %d served; changes: %d acknowledged, %d refused, %d unclear, longest acknowledgement %.2f s; %d reads; %d processes started; troubles %v; all served %.2f s after trouble, a change in force everywhere after %.2f s; at most %.0f MB\n",
 		report.Options.Seed, report.Requests, report.Served, report.Acknowledged, report.Refused, report.Open, report.Longest.Seconds(), report.Reads,
@@ -185,10 +177,6 @@
 }
 
 // Tidy removes the folder of a run that found nothing.
-//
-// Example:
-//
-//	err := report.Tidy()
 func (report Report) Tidy() error {
 	if len(report.Findings) > 0 {
 		return nil
--- a/soak/troubles.go
+++ b/soak/troubles.go
@@ -48,10 +48,6 @@
 }
 
 // KindNames are the names of all troubles.
-//
-// Example:
-//
-//	fmt.Println(soak.KindNames())
 func KindNames() []string {
 	var names []string
 	for _, kind := range kinds {
@@ -61,10 +57,6 @@
 }
 
 // KindText tells what a trouble does.
-//
-// Example:
-//
-//	fmt.Println(soak.KindText("wipe"))
 func KindText(name string) string {
 	kind, _ := kindNamed(name)
 	return kind.text
