--- a/base/boot/boot.go
+++ b/base/boot/boot.go
@@ -57,13 +57,13 @@
 }
 
 // UnmarshalText reads PORT/PATH, as in 19464/metrics; kong calls it.
-func (place *MetricsPlace) UnmarshalText(text []byte) error {
+func (m *MetricsPlace) UnmarshalText(text []byte) error {
 	port, path, found := strings.Cut(string(text), "/")
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 || !found || path == "" || strings.ContainsAny(path, " {}") {
 		return fmt.Errorf("%q is no PORT/PATH such as 19464/metrics", text)
 	}
-	place.Port, place.Path = int(number), "/"+path
+	m.Port, m.Path = int(number), "/"+path
 	return nil
 }
 
--- a/base/boot/check.go
+++ b/base/boot/check.go
@@ -17,18 +17,18 @@
 
 // InnerAddress is where a daemon of the role listens for the system's own
 // daemons on the machine of that IP.
-func (settings *Boot) InnerAddress(ip string, role string) ids.Address {
-	return ids.Address(net.JoinHostPort(ip, strconv.Itoa(settings.PortRange[0]+seats[role])))
+func (b *Boot) InnerAddress(ip string, role string) ids.Address {
+	return ids.Address(net.JoinHostPort(ip, strconv.Itoa(b.PortRange[0]+seats[role])))
 }
 
 // Uses tells whether the settings give a port away: to what this process serves,
 // to what controllers serve, or to what daemons say to each other.
-func (settings *Boot) Uses(port int) bool {
-	if len(settings.PortRange) == 2 && port >= settings.PortRange[0] && port <= settings.PortRange[1] {
+func (b *Boot) Uses(port int) bool {
+	if len(b.PortRange) == 2 && port >= b.PortRange[0] && port <= b.PortRange[1] {
 		return true
 	}
-	given := slices.Clone(settings.Seeds)
-	for _, address := range settings.Listen {
+	given := slices.Clone(b.Seeds)
+	for _, address := range b.Listen {
 		given = append(given, address)
 	}
 	for _, address := range given {
@@ -42,19 +42,19 @@
 
 // SeedAddresses are the inner addresses of the controllers that the boot file
 // names.
-func (settings *Boot) SeedAddresses() []ids.Address {
+func (b *Boot) SeedAddresses() []ids.Address {
 	var found []ids.Address
-	for _, seed := range settings.Seeds {
+	for _, seed := range b.Seeds {
 		parsed, err := netip.ParseAddrPort(string(seed))
 		if err == nil {
-			found = append(found, settings.InnerAddress(parsed.Addr().String(), "fleet-controller"))
+			found = append(found, b.InnerAddress(parsed.Addr().String(), "fleet-controller"))
 		}
 	}
 	return found
 }
 
 // ZoneNames gives the names of all zones in order.
-func (settings *Boot) ZoneNames() []ids.Zone { return slices.Sorted(maps.Keys(settings.Zones)) }
+func (b *Boot) ZoneNames() []ids.Zone { return slices.Sorted(maps.Keys(b.Zones)) }
 
 type check struct {
 	holds func(*Boot) bool
@@ -82,19 +82,19 @@
 	{func(settings *Boot) bool { return validAddress(settings.Platform.Address) }, "cloud_api.address is not an address"},
 }
 
-func (settings *Boot) problems() []error {
+func (b *Boot) problems() []error {
 	var found []error
 	for _, check := range checks {
-		if !check.holds(settings) {
+		if !check.holds(b) {
 			found = append(found, fmt.Errorf("%s", check.text))
 		}
 	}
-	for index, seed := range settings.Seeds {
+	for index, seed := range b.Seeds {
 		if !validAddress(seed) {
 			found = append(found, fmt.Errorf("seed_nodes[%d]: %q is not an address", index, seed))
 		}
 	}
-	for name, address := range settings.Listen {
+	for name, address := range b.Listen {
 		if !validAddress(address) {
 			found = append(found, fmt.Errorf("listen.%s: %q is not an address", name, address))
 		}
@@ -103,9 +103,9 @@
 }
 
 // Require tells which of the named listening addresses are missing.
-func (settings *Boot) Require(names ...string) error {
+func (b *Boot) Require(names ...string) error {
 	for _, name := range names {
-		if settings.Listen[name] == "" {
+		if b.Listen[name] == "" {
 			return fmt.Errorf("boot file: listen.%s is missing", name)
 		}
 	}
--- a/base/call/ask.go
+++ b/base/call/ask.go
@@ -60,10 +60,10 @@
 func Ask[Told any, Pointer interface {
 	*Told
 	Hearing
-}](inner scope.Scope, client *http.Client, address ids.Address, asking Asking) (Told, error) {
+}](ctx scope.Scope, client *http.Client, address ids.Address, asking Asking) (Told, error) {
 	var told Told
 	outgoing := asking.Outgoing()
-	request, err := http.NewRequestWithContext(inner, outgoing.Method, "http://"+string(address)+outgoing.Path, bytes.NewReader(outgoing.Body))
+	request, err := http.NewRequestWithContext(ctx, outgoing.Method, "http://"+string(address)+outgoing.Path, bytes.NewReader(outgoing.Body))
 	if err != nil {
 		return told, err
 	}
--- a/base/call/dial.go
+++ b/base/call/dial.go
@@ -26,15 +26,15 @@
 }
 
 // Dial opens a connection that a dead or cut-off machine can't hold for ever.
-func (dialing Dialing) Dial(ctx context.Context, network string, address string) (net.Conn, error) {
+func (d Dialing) Dial(ctx context.Context, network string, address string) (net.Conn, error) {
 	dialer := net.Dialer{
-		Timeout: dialing.Limit,
+		Timeout: d.Limit,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: max(dialing.Silence/2, clock.Second), Interval: clock.Second, Count: 3,
+			Enable: true, Idle: max(d.Silence/2, clock.Second), Interval: clock.Second, Count: 3,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(descriptor uintptr) {
-				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(dialing.Silence.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(d.Silence.Milliseconds()))
 			})
 		},
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return Counting(link, dialing.Count), nil
+	return Counting(link, d.Count), nil
 }
 
 // Pooling says how many connections a client keeps.
--- a/base/call/serve.go
+++ b/base/call/serve.go
@@ -61,12 +61,12 @@
 	*Asked
 	Question
 }, Told Answer](table *Table, method string, path string, serve func(scope.Scope, Asked) (Told, error)) {
-	table.exact[method+" "+path] = func(inner scope.Scope, incoming Incoming) reply.Reply {
+	table.exact[method+" "+path] = func(ctx scope.Scope, incoming Incoming) reply.Reply {
 		var asked Asked
 		if err := Pointer(&asked).Read(incoming); err != nil {
 			return table.refuse(incoming.Request, err)
 		}
-		told, err := serve(inner, asked)
+		told, err := serve(ctx, asked)
 		if err != nil {
 			return reply.Failure(err)
 		}
@@ -75,34 +75,34 @@
 }
 
 // ServeHTTP finds the call in the table and answers it.
-func (table *Table) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (t *Table) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	path := request.URL.Path
-	serve, tail := table.exact[request.Method+" "+path], ""
+	serve, tail := t.exact[request.Method+" "+path], ""
 	if serve == nil {
 		cut := strings.LastIndexByte(path, '/') + 1
-		serve, tail = table.exact[request.Method+" "+path[:cut]], path[cut:]
+		serve, tail = t.exact[request.Method+" "+path[:cut]], path[cut:]
 	}
 	if serve == nil {
-		table.refuse(request, failure.Of(failure.UnknownCall, "%s %s", request.Method, path)).Send(writer)
+		t.refuse(request, failure.Of(failure.UnknownCall, "%s %s", request.Method, path)).Send(writer)
 		return
 	}
-	held := table.Bodies.Hold()
+	held := t.Bodies.Hold()
 	defer held.Release()
-	if err := table.read(writer, request, held); err != nil {
-		table.refuse(request, bodyFault(err)).Send(writer)
+	if err := t.read(writer, request, held); err != nil {
+		t.refuse(request, bodyFault(err)).Send(writer)
 		return
 	}
 	body, err := held.Bytes, error(nil)
-	if table.Gate != nil {
-		if body, err = table.Gate.Enter(body); err != nil {
-			table.refuse(request, err).Send(writer)
+	if t.Gate != nil {
+		if body, err = t.Gate.Enter(body); err != nil {
+			t.refuse(request, err).Send(writer)
 			return
 		}
 	}
-	inner := table.Scope.Under(request.Context())
-	begin := inner.Now()
-	answer := serve(inner, Incoming{Request: request, Tail: tail, Body: body})
-	table.Metrics.Call(request.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(answer.Status), inner.Now().Since(begin))
+	ctx := t.Scope.Under(request.Context())
+	begin := ctx.Now()
+	answer := serve(ctx, Incoming{Request: request, Tail: tail, Body: body})
+	t.Metrics.Call(request.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(answer.Status), ctx.Now().Since(begin))
 	answer.Send(writer)
 }
 
@@ -111,20 +111,20 @@
 const bodyWait = 10 * clock.Second
 
 // read takes a call's body in.
-func (table *Table) read(writer http.ResponseWriter, request *http.Request, held *quota.Body) error {
+func (t *Table) read(writer http.ResponseWriter, request *http.Request, held *quota.Body) error {
 	if request.ContentLength == 0 {
 		return nil
 	}
 	reply.ReadWithin(writer, bodyWait)
 	defer reply.ReadWithin(writer, 0)
-	return held.Read(http.MaxBytesReader(writer, request.Body, table.BodyLimit), request.ContentLength, table.BodyLimit)
+	return held.Read(http.MaxBytesReader(writer, request.Body, t.BodyLimit), request.ContentLength, t.BodyLimit)
 }
 
 // refuse answers a call that was not read.
-func (table *Table) refuse(request *http.Request, err error) reply.Reply {
-	if table.Gate != nil {
+func (t *Table) refuse(request *http.Request, err error) reply.Reply {
+	if t.Gate != nil {
 		sender, _, _ := net.SplitHostPort(request.RemoteAddr)
-		table.Gate.Refused(table.Scope, sender, err)
+		t.Gate.Refused(t.Scope, sender, err)
 	}
 	return reply.Failure(err)
 }
--- a/base/call/traffic.go
+++ b/base/call/traffic.go
@@ -15,16 +15,16 @@
 }
 
 // Read counts what comes in.
-func (link counted) Read(buffer []byte) (int, error) {
-	size, err := link.Conn.Read(buffer)
-	link.traffic.BytesIn.Add(int64(size))
+func (c counted) Read(buffer []byte) (int, error) {
+	size, err := c.Conn.Read(buffer)
+	c.traffic.BytesIn.Add(int64(size))
 	return size, err
 }
 
 // Write counts what goes out.
-func (link counted) Write(buffer []byte) (int, error) {
-	size, err := link.Conn.Write(buffer)
-	link.traffic.BytesOut.Add(int64(size))
+func (c counted) Write(buffer []byte) (int, error) {
+	size, err := c.Conn.Write(buffer)
+	c.traffic.BytesOut.Add(int64(size))
 	return size, err
 }
 
@@ -42,12 +42,12 @@
 }
 
 // Accept counts the bytes of what it accepts.
-func (listener countedListener) Accept() (net.Conn, error) {
-	link, err := listener.Listener.Accept()
+func (c countedListener) Accept() (net.Conn, error) {
+	link, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return Counting(link, listener.traffic), nil
+	return Counting(link, c.traffic), nil
 }
 
 // CountingListener counts the bytes of all connections that it accepts.
--- a/base/clock/clock.go
+++ b/base/clock/clock.go
@@ -21,13 +21,13 @@
 type Instant int64
 
 // Add moves an instant by a span.
-func (instant Instant) Add(span Span) Instant { return instant + Instant(span) }
+func (i Instant) Add(span Span) Instant { return i + Instant(span) }
 
 // Since tells how much later this instant is than the earlier one.
-func (instant Instant) Since(earlier Instant) Span { return Span(instant - earlier) }
+func (i Instant) Since(earlier Instant) Span { return Span(i - earlier) }
 
 // Before tells whether this instant comes before the other.
-func (instant Instant) Before(other Instant) bool { return instant < other }
+func (i Instant) Before(other Instant) bool { return i < other }
 
 // Clock tells the steady time and wakes its callers.
 type Clock interface {
@@ -44,15 +44,15 @@
 // Steady gives the clock of the machine.
 func Steady() Clock { return steady{begin: time.Now().Add(-time.Second)} }
 
-func (machine steady) Now() Instant { return Instant(time.Since(machine.begin)) }
+func (s steady) Now() Instant { return Instant(time.Since(s.begin)) }
 
-func (machine steady) After(span Span) <-chan struct{} {
+func (s steady) After(span Span) <-chan struct{} {
 	done := make(chan struct{})
 	time.AfterFunc(span, func() { close(done) })
 	return done
 }
 
-func (machine steady) WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc) {
+func (s steady) WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(parent, span)
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-func (machine steady) wait(ctx context.Context, span Span) bool {
+func (s steady) wait(ctx context.Context, span Span) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/base/clock/fake.go
+++ b/base/clock/fake.go
@@ -7,7 +7,7 @@
 
 // Fake is a clock for tests: it stands still until it is moved.
 type Fake struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	now     Instant
 	waiting []sleeper
 }
@@ -21,41 +21,41 @@
 func NewFake() *Fake { return &Fake{now: Instant(Second)} }
 
 // Now gives the present instant.
-func (fake *Fake) Now() Instant {
-	fake.lock.Lock()
-	defer fake.lock.Unlock()
-	return fake.now
+func (f *Fake) Now() Instant {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.now
 }
 
 // After gives a channel that is closed once the clock was moved by the span.
-func (fake *Fake) After(span Span) <-chan struct{} {
+func (f *Fake) After(span Span) <-chan struct{} {
 	done := make(chan struct{})
-	fake.at(span, func() { close(done) })
+	f.at(span, func() { close(done) })
 	return done
 }
 
 // WithLimit gives a context that ends once the clock was moved by the span.
-func (fake *Fake) WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc) {
+func (f *Fake) WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	fake.at(span, func() { cancel(context.DeadlineExceeded) })
+	f.at(span, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() { cancel(context.Canceled) }
 }
 
 // Move lets the span pass and wakes all whose time has come.
-func (fake *Fake) Move(span Span) {
-	fake.lock.Lock()
-	fake.now = fake.now.Add(span)
+func (f *Fake) Move(span Span) {
+	f.mu.Lock()
+	f.now = f.now.Add(span)
 	var due []sleeper
 	var rest []sleeper
-	for _, waiting := range fake.waiting {
-		if fake.now.Before(waiting.until) {
+	for _, waiting := range f.waiting {
+		if f.now.Before(waiting.until) {
 			rest = append(rest, waiting)
 		} else {
 			due = append(due, waiting)
 		}
 	}
-	fake.waiting = rest
-	fake.lock.Unlock()
+	f.waiting = rest
+	f.mu.Unlock()
 	for _, waiting := range due {
 		waiting.wake()
 	}
@@ -63,29 +63,29 @@
 
 // Next moves the clock to the first instant that somebody waits for; false
 // says that nobody waits.
-func (fake *Fake) Next() bool {
-	fake.lock.Lock()
-	if len(fake.waiting) == 0 {
-		fake.lock.Unlock()
+func (f *Fake) Next() bool {
+	f.mu.Lock()
+	if len(f.waiting) == 0 {
+		f.mu.Unlock()
 		return false
 	}
-	first := fake.waiting[0].until
-	for _, waiting := range fake.waiting {
+	first := f.waiting[0].until
+	for _, waiting := range f.waiting {
 		first = min(first, waiting.until)
 	}
-	span := first.Since(fake.now)
-	fake.lock.Unlock()
-	fake.Move(span)
+	span := first.Since(f.now)
+	f.mu.Unlock()
+	f.Move(span)
 	return true
 }
 
-func (fake *Fake) at(span Span, wake func()) {
-	fake.lock.Lock()
+func (f *Fake) at(span Span, wake func()) {
+	f.mu.Lock()
 	if span > 0 {
-		fake.waiting = append(fake.waiting, sleeper{until: fake.now.Add(span), wake: wake})
-		fake.lock.Unlock()
+		f.waiting = append(f.waiting, sleeper{until: f.now.Add(span), wake: wake})
+		f.mu.Unlock()
 		return
 	}
-	fake.lock.Unlock()
+	f.mu.Unlock()
 	wake()
 }
--- a/base/failure/failure.go
+++ b/base/failure/failure.go
@@ -78,15 +78,15 @@
 }
 
 // Answer looks the kind up in the table.
-func (kind Kind) Answer() Answer {
-	if kind < 0 || kind >= kinds {
+func (k Kind) Answer() Answer {
+	if k < 0 || k >= kinds {
 		return answers[Internal]
 	}
-	return answers[kind]
+	return answers[k]
 }
 
 // String gives the kind's name as logs and answers carry it.
-func (kind Kind) String() string { return kind.Answer().Name }
+func (k Kind) String() string { return k.Answer().Name }
 
 // Failure is an error of a known kind.
 type Failure struct {
@@ -95,11 +95,11 @@
 }
 
 // Error tells the kind and the detail.
-func (failure *Failure) Error() string {
-	if failure.Detail == "" {
-		return failure.Kind.String()
+func (f *Failure) Error() string {
+	if f.Detail == "" {
+		return f.Kind.String()
 	}
-	return failure.Kind.String() + ": " + failure.Detail
+	return f.Kind.String() + ": " + f.Detail
 }
 
 // Of makes an error of the kind with a detail in the manner of fmt.
--- a/base/ids/ids.go
+++ b/base/ids/ids.go
@@ -36,6 +36,6 @@
 func (Epoch) SchemaName() string { return "Epoch_17" }
 
 // Compare orders two epochs: negative when this one is older.
-func (epoch Epoch) Compare(other Epoch) int {
-	return cmp.Or(cmp.Compare(epoch.Number, other.Number), cmp.Compare(epoch.Owner, other.Owner))
+func (e Epoch) Compare(other Epoch) int {
+	return cmp.Or(cmp.Compare(e.Number, other.Number), cmp.Compare(e.Owner, other.Owner))
 }
--- a/base/invariant/invariant.go
+++ b/base/invariant/invariant.go
@@ -66,26 +66,26 @@
 
 // Violated counts a violation of a promise, told with the facts in the manner
 // of fmt.
-func (monitor *Monitor) Violated(name Name, format string, facts ...any) {
-	if monitor == nil {
-		monitor = &process
+func (m *Monitor) Violated(name Name, format string, facts ...any) {
+	if m == nil {
+		m = &process
 	}
-	count := monitor.counts[indexOf(name)].Add(1)
-	if testing.Testing() && !monitor.Tolerant {
+	count := m.counts[indexOf(name)].Add(1)
+	if testing.Testing() && !m.Tolerant {
 		panic(fmt.Sprintf("invariant %s is violated: "+format, append([]any{name}, facts...)...))
 	}
-	if monitor.Log != nil && count <= loggedMost {
-		monitor.Log.Error().Str("part", "invariant").Str("invariant", string(name)).Int64("count", count).
+	if m.Log != nil && count <= loggedMost {
+		m.Log.Error().Str("part", "invariant").Str("invariant", string(name)).Int64("count", count).
 			Msg(fmt.Sprintf(format, facts...))
 	}
 }
 
 // Count gives how often a promise was violated.
-func (monitor *Monitor) Count(name Name) int64 {
-	if monitor == nil {
-		monitor = &process
+func (m *Monitor) Count(name Name) int64 {
+	if m == nil {
+		m = &process
 	}
-	return monitor.counts[indexOf(name)].Load()
+	return m.counts[indexOf(name)].Load()
 }
 
 func indexOf(name Name) int {
--- a/base/program/watch.go
+++ b/base/program/watch.go
@@ -24,13 +24,13 @@
 
 // Watch reads the settings file again on each SIGHUP, and when the file changes
 // without any signal, and gives each new one.
-func (file *File) Watch(top scope.Scope, hangups <-chan os.Signal) <-chan *boot.Boot {
+func (f *File) Watch(top scope.Scope, hangups <-chan os.Signal) <-chan *boot.Boot {
 	reread := make(chan *boot.Boot, 1)
-	go file.watch(top, hangups, reread)
+	go f.watch(top, hangups, reread)
 	return reread
 }
 
-func (file *File) watch(top scope.Scope, hangups <-chan os.Signal, reread chan<- *boot.Boot) {
+func (f *File) watch(top scope.Scope, hangups <-chan os.Signal, reread chan<- *boot.Boot) {
 	pause := max(boot.Seconds(top.Boot.Bounds.SeedLagS), boot.Milliseconds(top.Boot.Bounds.ApplyWithinMS))
 	for {
 		// A SIGHUP says that the file changed, whatever its size and time say.
@@ -42,16 +42,16 @@
 			changed = true
 		case <-top.Clock.After(pause):
 		}
-		stamp := stampOf(file.path)
-		if stamp == file.last && !changed {
+		stamp := stampOf(f.path)
+		if stamp == f.last && !changed {
 			continue
 		}
-		fresh, err := boot.Read(file.path)
+		fresh, err := boot.Read(f.path)
 		if err != nil {
 			top.Log.Error().Str("part", "boot").Err(err).Msg("the changed boot file is not taken")
 			continue
 		}
-		file.last = stamp
+		f.last = stamp
 		select {
 		case reread <- fresh:
 		case <-top.Done():
--- a/base/program/watch_test.go
+++ b/base/program/watch_test.go
@@ -35,19 +35,19 @@
 // settingsAt is a settings file of a test.
 type settingsAt string
 
-func (path settingsAt) write(t *testing.T, name string) {
+func (s settingsAt) write(t *testing.T, name string) {
 	t.Helper()
-	if err := os.WriteFile(string(path), fmt.Appendf(nil, bootText, name), 0o600); err != nil {
+	if err := os.WriteFile(string(s), fmt.Appendf(nil, bootText, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // read reads the file for the first time; what it gives begins to watch it, on a
 // clock that stands still.
-func (path settingsAt) read(t *testing.T) (watch func() <-chan *boot.Boot) {
+func (s settingsAt) read(t *testing.T) (watch func() <-chan *boot.Boot) {
 	t.Helper()
 	hangups := Hangups()
-	file, settings, err := Open(string(path))
+	file, settings, err := Open(string(s))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/base/reply/reply.go
+++ b/base/reply/reply.go
@@ -68,32 +68,32 @@
 func Empty(status int) Reply { return Reply{Status: status, Header: http.Header{}} }
 
 // After asks the caller to come back no sooner than the span from now.
-func (made Reply) After(span clock.Span) Reply {
-	made.Header.Set("Retry-After", strconv.FormatFloat(span.Seconds(), 'f', 3, 64))
-	return made
+func (r Reply) After(span clock.Span) Reply {
+	r.Header.Set("Retry-After", strconv.FormatFloat(span.Seconds(), 'f', 3, 64))
+	return r
 }
 
 // Close asks that the connection end with this answer.
-func (made Reply) Close() Reply {
-	made.Closing = true
-	return made
+func (r Reply) Close() Reply {
+	r.Closing = true
+	return r
 }
 
 // Send writes the answer.
-func (made Reply) Send(writer http.ResponseWriter) {
+func (r Reply) Send(writer http.ResponseWriter) {
 	header := writer.Header()
-	for name, values := range made.Header {
+	for name, values := range r.Header {
 		header[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
 		header["Content-Type"] = nil
 	}
-	header.Set("Content-Length", strconv.Itoa(len(made.Body)))
-	if made.Closing {
+	header.Set("Content-Length", strconv.Itoa(len(r.Body)))
+	if r.Closing {
 		header.Set("Connection", "close")
 	}
-	writer.WriteHeader(made.Status)
-	_, _ = writer.Write(made.Body)
+	writer.WriteHeader(r.Status)
+	_, _ = writer.Write(r.Body)
 }
 
 // Begin writes the head of an answer whose body follows piece by piece; the
--- a/base/scope/scope.go
+++ b/base/scope/scope.go
@@ -43,35 +43,35 @@
 }
 
 // Under gives the same scope below another context.
-func (scope Scope) Under(parent context.Context) Scope {
-	scope.Context = parent
-	return scope
+func (s Scope) Under(parent context.Context) Scope {
+	s.Context = parent
+	return s
 }
 
 // WithLimit gives the same scope with an end after the span.
-func (scope Scope) WithLimit(span clock.Span) (Scope, func()) {
-	limited, cancel := scope.Clock.WithLimit(scope.Context, span)
-	return scope.Under(limited), cancel
+func (s Scope) WithLimit(span clock.Span) (Scope, func()) {
+	limited, cancel := s.Clock.WithLimit(s.Context, span)
+	return s.Under(limited), cancel
 }
 
 // WithEnd gives the same scope and a function that ends it.
-func (scope Scope) WithEnd() (Scope, func()) {
-	inner, cancel := context.WithCancel(scope.Context)
-	return scope.Under(inner), cancel
+func (s Scope) WithEnd() (Scope, func()) {
+	inner, cancel := context.WithCancel(s.Context)
+	return s.Under(inner), cancel
 }
 
 // OnEnd has something done once the scope has ended; the function it gives back
 // calls that off.
-func (scope Scope) OnEnd(act func()) (stop func() bool) { return context.AfterFunc(scope.Context, act) }
+func (s Scope) OnEnd(act func()) (stop func() bool) { return context.AfterFunc(s.Context, act) }
 
 // Detached gives the same scope without the end of its parent.
-func (scope Scope) Detached() Scope { return scope.Under(context.WithoutCancel(scope.Context)) }
+func (s Scope) Detached() Scope { return s.Under(context.WithoutCancel(s.Context)) }
 
 // Wait blocks for the span; false says that the scope ended first.
-func (scope Scope) Wait(span clock.Span) bool { return clock.Wait(scope.Context, scope.Clock, span) }
+func (s Scope) Wait(span clock.Span) bool { return clock.Wait(s.Context, s.Clock, span) }
 
 // Now gives the present instant.
-func (scope Scope) Now() clock.Instant { return scope.Clock.Now() }
+func (s Scope) Now() clock.Instant { return s.Clock.Now() }
 
 // Logger makes a logger of JSON lines at a level: debug, info, warn or error.
 func Logger(level string, writer io.Writer) *log.Logger {
--- a/base/telemetry/telemetry.go
+++ b/base/telemetry/telemetry.go
@@ -37,7 +37,7 @@
 	calls    *prometheus.CounterVec
 	called   *prometheus.HistogramVec
 
-	lock   sync.Mutex
+	mu     sync.Mutex
 	routes map[string]bool
 }
 
@@ -73,75 +73,75 @@
 }
 
 // Total adds a figure that only rises and is read when it is asked for.
-func (metrics *Metrics) Total(name string, help string, labels map[string]string, read func() float64) {
-	if metrics == nil {
+func (m *Metrics) Total(name string, help string, labels map[string]string, read func() float64) {
+	if m == nil {
 		return
 	}
-	metrics.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
+	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: namespace, Name: name, Help: help, ConstLabels: labels,
 	}, read))
 }
 
 // Gauge adds a figure that is read when it is asked for.
-func (metrics *Metrics) Gauge(name string, help string, labels map[string]string, read func() float64) {
-	if metrics == nil {
+func (m *Metrics) Gauge(name string, help string, labels map[string]string, read func() float64) {
+	if m == nil {
 		return
 	}
-	metrics.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: namespace, Name: name, Help: help, ConstLabels: labels,
 	}, read))
 }
 
 // Request counts a client's request that ended, with the time that it took.
-func (metrics *Metrics) Request(route string, outcome string, spent clock.Span) {
-	if metrics == nil {
+func (m *Metrics) Request(route string, outcome string, spent clock.Span) {
+	if m == nil {
 		return
 	}
-	metrics.requests.WithLabelValues(metrics.bounded(route), outcome).Inc()
-	metrics.spent.WithLabelValues(outcome).Observe(spent.Seconds())
+	m.requests.WithLabelValues(m.bounded(route), outcome).Inc()
+	m.spent.WithLabelValues(outcome).Observe(spent.Seconds())
 }
 
 // bounded gives the label of a route: the first ones have their own.
-func (metrics *Metrics) bounded(route string) string {
+func (m *Metrics) bounded(route string) string {
 	if route == "" {
 		return noRoute
 	}
-	metrics.lock.Lock()
-	defer metrics.lock.Unlock()
-	if !metrics.routes[route] && len(metrics.routes) >= routesMost {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.routes[route] && len(m.routes) >= routesMost {
 		return otherRoutes
 	}
-	metrics.routes[route] = true
+	m.routes[route] = true
 	return route
 }
 
 // Send counts a request sent to a runner, by its fate and the cause of a
 // further try.
-func (metrics *Metrics) Send(fate string, cause string) {
-	if metrics != nil {
-		metrics.sends.WithLabelValues(fate, cause).Inc()
+func (m *Metrics) Send(fate string, cause string) {
+	if m != nil {
+		m.sends.WithLabelValues(fate, cause).Inc()
 	}
 }
 
 // Lookup counts an answer of the directory by its circle.
-func (metrics *Metrics) Lookup(circle string) {
-	if metrics != nil {
-		metrics.lookups.WithLabelValues(circle).Inc()
+func (m *Metrics) Lookup(circle string) {
+	if m != nil {
+		m.lookups.WithLabelValues(circle).Inc()
 	}
 }
 
 // Call counts an answered call, with the time that it took.
-func (metrics *Metrics) Call(call string, status string, spent clock.Span) {
-	if metrics == nil {
+func (m *Metrics) Call(call string, status string, spent clock.Span) {
+	if m == nil {
 		return
 	}
-	metrics.calls.WithLabelValues(call, status).Inc()
-	metrics.called.WithLabelValues(call).Observe(spent.Seconds())
+	m.calls.WithLabelValues(call, status).Inc()
+	m.called.WithLabelValues(call).Observe(spent.Seconds())
 }
 
 // Handler serves the figures as text.
-func (metrics *Metrics) Handler(path string) http.Handler {
+func (m *Metrics) Handler(path string) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+path, promhttp.HandlerFor(metrics.registry, promhttp.HandlerOpts{}))
+	mux.Handle("GET "+path, promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
 	return mux
 }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -29,12 +29,12 @@
 	Seed    uint64   `help:"What requests and troubles are drawn from: the same seed draws the same. Which runner a request comes to, and when, still varies from run to run." default:"1"`
 }
 
-func (troubles troubles) mix() (runner.Mix, error) {
+func (t troubles) mix() (runner.Mix, error) {
 	mix := runner.Mix{}
-	if troubles.Mix == "all" {
+	if t.Mix == "all" {
 		mix = runner.All()
 	}
-	for _, text := range troubles.Trouble {
+	for _, text := range t.Trouble {
 		if err := mix.Set(text); err != nil {
 			return nil, fmt.Errorf("%w (--list-troubles shows all)", err)
 		}
@@ -143,18 +143,18 @@
 	return status
 }
 
-func (command experimentCommand) play(stopped context.Context, out io.Writer, errors io.Writer) (int, error) {
-	mix, err := command.mix()
+func (e experimentCommand) play(stopped context.Context, out io.Writer, errors io.Writer) (int, error) {
+	mix, err := e.mix()
 	if err != nil {
 		return 0, err
 	}
-	if command.Limit < 0 {
-		return 0, fmt.Errorf("limit %v: 0s or more is wanted", command.Limit)
+	if e.Limit < 0 {
+		return 0, fmt.Errorf("limit %v: 0s or more is wanted", e.Limit)
 	}
 	// The HTTP client writes loose bytes of runners to the standard log.
 	log.SetOutput(io.Discard)
 	var program []string
-	if command.Processes {
+	if e.Processes {
 		own, err := os.Executable()
 		if err != nil {
 			return 0, err
@@ -162,15 +162,15 @@
 		program = []string{own, "router"}
 	}
 	top := scope.New(scope.Options{}).Under(stopped)
-	if command.Limit > 0 {
-		limited, release := top.WithLimit(command.Limit)
+	if e.Limit > 0 {
+		limited, release := top.WithLimit(e.Limit)
 		defer release()
 		top = limited
 	}
 	report, err := experiment.Run(top, experiment.Options{
-		Requests: command.Requests, Clients: command.Clients, Routers: command.Routers, Runners: command.Runners,
-		Seed: command.Seed, Mix: mix, Round: command.Round, Patience: command.Patience, Forgive: command.Forgive, Restart: command.Restart, Freeze: command.Freeze, Hangup: command.Hangup, Program: program, Rude: command.Rude, RudeKinds: command.RudeKind,
-		Progress: func(sent int) { fmt.Fprintf(errors, "%d of %d requests\n", sent, command.Requests) },
+		Requests: e.Requests, Clients: e.Clients, Routers: e.Routers, Runners: e.Runners,
+		Seed: e.Seed, Mix: mix, Round: e.Round, Patience: e.Patience, Forgive: e.Forgive, Restart: e.Restart, Freeze: e.Freeze, Hangup: e.Hangup, Program: program, Rude: e.Rude, RudeKinds: e.RudeKind,
+		Progress: func(sent int) { fmt.Fprintf(errors, "%d of %d requests\n", sent, e.Requests) },
 	})
 	if err != nil {
 		return 0, err
@@ -179,8 +179,8 @@
 	if len(report.Verdicts) > 0 {
 		return 2, nil
 	}
-	if report.Requests < command.Requests {
-		fmt.Fprintf(out, "stopped after %d of %d requests\n", report.Requests, command.Requests)
+	if report.Requests < e.Requests {
+		fmt.Fprintf(out, "stopped after %d of %d requests\n", report.Requests, e.Requests)
 		return 3, nil
 	}
 	return 0, nil
--- a/cmd/emulator/run.go
+++ b/cmd/emulator/run.go
@@ -26,21 +26,21 @@
 	Troubles []string `json:"troubles,omitempty"`
 }
 
-func (command runCommand) play(stopped context.Context, out io.Writer) (int, error) {
-	mix, err := command.mix()
+func (r runCommand) play(stopped context.Context, out io.Writer) (int, error) {
+	mix, err := r.mix()
 	if err != nil {
 		return 0, err
 	}
 	var lock sync.Mutex
 	lines := json.NewEncoder(out)
 	settings := runner.Settings{
-		Services: command.Service, ID: command.ID, Capacity: command.Capacity, Queue: command.Queue, Connections: command.Connections,
-		Work: command.Work, Gap: command.Gap, ReadToken: command.ReadToken, CacheTokens: command.CacheTokens,
-		Cold: command.Cold, ColdPerS: command.ColdPerS, KeepIdle: command.KeepIdle, Silent: command.Silent,
-		Version: command.Weights, Phase: command.Phase, Health: command.Health, Seed: command.Seed, Mix: mix,
+		Services: r.Service, ID: r.ID, Capacity: r.Capacity, Queue: r.Queue, Connections: r.Connections,
+		Work: r.Work, Gap: r.Gap, ReadToken: r.ReadToken, CacheTokens: r.CacheTokens,
+		Cold: r.Cold, ColdPerS: r.ColdPerS, KeepIdle: r.KeepIdle, Silent: r.Silent,
+		Version: r.Weights, Phase: r.Phase, Health: r.Health, Seed: r.Seed, Mix: mix,
 	}
 	played, err := runner.Start(runner.Options{
-		Scope: scope.New(scope.Options{}), Settings: settings, Address: command.Address,
+		Scope: scope.New(scope.Options{}), Settings: settings, Address: r.Address,
 		Tell: func(run oracle.Run) {
 			lock.Lock()
 			defer lock.Unlock()
@@ -55,7 +55,7 @@
 	}
 	defer played.Close()
 	lock.Lock()
-	fmt.Fprintf(out, "runner %s of %s at %s, seed %d, troubles: %s\n", command.ID, command.Service[0], played.Address(), command.Seed, shownOf(mix))
+	fmt.Fprintf(out, "runner %s of %s at %s, seed %d, troubles: %s\n", r.ID, r.Service[0], played.Address(), r.Seed, shownOf(mix))
 	lock.Unlock()
 	<-stopped.Done()
 	lock.Lock()
--- a/cmd/room/main.go
+++ b/cmd/room/main.go
@@ -40,12 +40,12 @@
 }
 
 // Hear reads the report.
-func (answer *heard) Hear(told call.Heard) error {
+func (h *heard) Hear(told call.Heard) error {
 	if told.Status != 200 {
 		return failure.Of(failure.Unready, "the controller answered %d: %s", told.Status, told.Body)
 	}
-	answer.body = told.Body
-	return json.Unmarshal(told.Body, &answer.report)
+	h.body = told.Body
+	return json.Unmarshal(told.Body, &h.report)
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -50,16 +50,16 @@
 }
 
 // options checks the settings and names the one that is wrong.
-func (set setting) options() (simulation.Options, error) {
-	site, found := simulation.Sites[set.Site]
+func (s setting) options() (simulation.Options, error) {
+	site, found := simulation.Sites[s.Site]
 	if !found {
-		return simulation.Options{}, fmt.Errorf("--site: %q is not known; see 'simulate list'", set.Site)
+		return simulation.Options{}, fmt.Errorf("--site: %q is not known; see 'simulate list'", s.Site)
 	}
 	known := map[string]bool{}
 	for _, name := range simulation.Troubles() {
 		known[name] = true
 	}
-	for _, name := range set.Trouble {
+	for _, name := range s.Trouble {
 		if !known[name] {
 			return simulation.Options{}, fmt.Errorf("--trouble: %q is not known; see 'simulate list'", name)
 		}
@@ -68,16 +68,16 @@
 		holds bool
 		text  string
 	}{
-		{set.Point >= 0 && set.Point <= 4, "--point wants 0 to 4"},
-		{set.Length >= 10*time.Second && set.Length <= time.Hour, "--length wants 10s to 1h"},
-		{set.Operators >= 1 && set.Operators <= 16, "--operators wants 1 to 16"},
+		{s.Point >= 0 && s.Point <= 4, "--point wants 0 to 4"},
+		{s.Length >= 10*time.Second && s.Length <= time.Hour, "--length wants 10s to 1h"},
+		{s.Operators >= 1 && s.Operators <= 16, "--operators wants 1 to 16"},
 	}
 	for _, check := range checks {
 		if !check.holds {
 			return simulation.Options{}, errors.New(check.text)
 		}
 	}
-	return simulation.Options{Site: site, Point: set.Point, Only: set.Trouble, Length: set.Length, Operators: set.Operators, Quiet: set.Quiet, Hurry: set.Hurry, Drill: set.Drill, Service: set.Service}, nil
+	return simulation.Options{Site: site, Point: s.Point, Only: s.Trouble, Length: s.Length, Operators: s.Operators, Quiet: s.Quiet, Hurry: s.Hurry, Drill: s.Drill, Service: s.Service}, nil
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
--- a/cmd/simulate/many.go
+++ b/cmd/simulate/many.go
@@ -27,7 +27,7 @@
 
 // sum is what many runs came to.
 type sum struct {
-	lock     sync.Mutex
+	mu       sync.Mutex
 	played   map[uint64]bool
 	broken   []simulation.Result
 	counts   map[string]int
@@ -45,8 +45,8 @@
 }
 
 // many plays seeds in several processes until they are done or time is up.
-func (line commandLine) many() (int, error) {
-	asked := line.Run
+func (c commandLine) many() (int, error) {
+	asked := c.Run
 	if _, err := asked.options(); err != nil {
 		return 0, err
 	}
@@ -81,28 +81,28 @@
 }
 
 // arguments are those of a process that plays some seeds.
-func (set setting) arguments() []string {
-	made := []string{"--site", set.Site, "--point", strconv.Itoa(set.Point), "--length", set.Length.String(), "--operators", strconv.Itoa(set.Operators)}
-	for name, set := range map[string]bool{"--quiet": set.Quiet, "--hurry": set.Hurry} {
+func (s setting) arguments() []string {
+	made := []string{"--site", s.Site, "--point", strconv.Itoa(s.Point), "--length", s.Length.String(), "--operators", strconv.Itoa(s.Operators)}
+	for name, set := range map[string]bool{"--quiet": s.Quiet, "--hurry": s.Hurry} {
 		if set {
 			made = append(made, name)
 		}
 	}
-	for name, value := range map[string]string{"--drill": set.Drill, "--service": set.Service} {
+	for name, value := range map[string]string{"--drill": s.Drill, "--service": s.Service} {
 		if value != "" {
 			made = append(made, name, value)
 		}
 	}
-	for _, name := range set.Trouble {
+	for _, name := range s.Trouble {
 		made = append(made, "--trouble", name)
 	}
 	return made
 }
 
-func (total *sum) play(ctx context.Context, set setting, first uint64, seeds int) {
+func (s *sum) play(ctx context.Context, set setting, first uint64, seeds int) {
 	program, err := os.Executable()
 	if err != nil {
-		total.fail(first, err.Error())
+		s.fail(first, err.Error())
 		return
 	}
 	arguments := append([]string{"batch", "--from", strconv.FormatUint(first, 10), "--seeds", strconv.Itoa(seeds)}, set.arguments()...)
@@ -114,7 +114,7 @@
 		err = child.Start()
 	}
 	if err != nil {
-		total.fail(first, err.Error())
+		s.fail(first, err.Error())
 		return
 	}
 	next := first
@@ -123,70 +123,70 @@
 	for lines.Scan() {
 		var result simulation.Result
 		if json.Unmarshal(lines.Bytes(), &result) == nil && result.Counts != nil {
-			total.take(result)
+			s.take(result)
 			next = result.Seed + 1
 		}
 	}
 	if err := child.Wait(); err != nil && ctx.Err() == nil {
 		head, _, _ := strings.Cut(said.String(), "\n\n")
-		total.fail(next, err.Error()+": "+head)
+		s.fail(next, err.Error()+": "+head)
 	}
 }
 
-func (total *sum) fail(seed uint64, text string) {
-	total.lock.Lock()
-	defer total.lock.Unlock()
-	total.unplayed = append(total.unplayed, fmt.Sprintf("seed %d was not played to its end: %.600s", seed, text))
+func (s *sum) fail(seed uint64, text string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unplayed = append(s.unplayed, fmt.Sprintf("seed %d was not played to its end: %.600s", seed, text))
 }
 
-func (total *sum) take(result simulation.Result) {
-	total.lock.Lock()
-	defer total.lock.Unlock()
-	total.played[result.Seed] = true
+func (s *sum) take(result simulation.Result) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.played[result.Seed] = true
 	for name, count := range result.Counts {
-		total.counts[name] += count
+		s.counts[name] += count
 	}
 	for _, span := range result.Whole {
-		total.whole = append(total.whole, span.Seconds())
+		s.whole = append(s.whole, span.Seconds())
 	}
 	for _, span := range result.Acks {
-		total.acks = append(total.acks, span.Seconds())
+		s.acks = append(s.acks, span.Seconds())
 	}
 	for name, spans := range result.Redundancy {
 		for _, span := range spans {
-			total.redundancy[name] = append(total.redundancy[name], span.Seconds())
+			s.redundancy[name] = append(s.redundancy[name], span.Seconds())
 		}
 	}
-	total.service.Span += result.Service.Span
-	total.service.Changes += result.Service.Changes
-	total.service.Acks = append(total.service.Acks, result.Service.Acks...)
-	total.service.Silences = append(total.service.Silences, result.Service.Silences...)
-	total.gaps = append(total.gaps, result.Gap.Seconds())
+	s.service.Span += result.Service.Span
+	s.service.Changes += result.Service.Changes
+	s.service.Acks = append(s.service.Acks, result.Service.Acks...)
+	s.service.Silences = append(s.service.Silences, result.Service.Silences...)
+	s.gaps = append(s.gaps, result.Gap.Seconds())
 	if len(result.Broken) > 0 {
-		total.broken = append(total.broken, result)
+		s.broken = append(s.broken, result)
 	}
 }
 
 // tell sums up and gives the exit status.
-func (total *sum) tell(set setting, asked int) int {
-	for _, name := range names(total.counts) {
-		fmt.Printf("%10d %s\n", total.counts[name], name)
-	}
-	show("seconds from the end of trouble until all is whole", total.whole)
-	show("seconds until an order is acknowledged", total.acks)
-	show("longest seconds of a run without an acknowledgement", total.gaps)
-	sort.Slice(total.broken, func(left, right int) bool { return total.broken[left].Seed < total.broken[right].Seed })
-	for _, result := range total.broken {
+func (s *sum) tell(set setting, asked int) int {
+	for _, name := range names(s.counts) {
+		fmt.Printf("%10d %s\n", s.counts[name], name)
+	}
+	show("seconds from the end of trouble until all is whole", s.whole)
+	show("seconds until an order is acknowledged", s.acks)
+	show("longest seconds of a run without an acknowledgement", s.gaps)
+	sort.Slice(s.broken, func(left, right int) bool { return s.broken[left].Seed < s.broken[right].Seed })
+	for _, result := range s.broken {
 		for _, text := range result.Broken {
 			fmt.Printf("BROKEN seed %d: %s\n", result.Seed, text)
 		}
 		fmt.Printf("  again: simulate seed %d %s --trace\n", result.Seed, strings.Join(set.arguments(), " "))
 	}
-	for _, text := range total.unplayed {
+	for _, text := range s.unplayed {
 		fmt.Println("NOT PLAYED " + text)
 	}
-	fmt.Printf("%d of %d seeds played on %s, point %d: %d broke a promise\n", len(total.played), asked, set.Site, set.Point, len(total.broken))
-	if len(total.broken)+len(total.unplayed) > 0 {
+	fmt.Printf("%d of %d seeds played on %s, point %d: %d broke a promise\n", len(s.played), asked, set.Site, set.Point, len(s.broken))
+	if len(s.broken)+len(s.unplayed) > 0 {
 		return 1
 	}
 	return 0
--- a/cmd/simulate/play.go
+++ b/cmd/simulate/play.go
@@ -24,13 +24,13 @@
 }
 
 // one plays a seed again.
-func (line commandLine) one() (int, error) {
-	options, err := line.Seed.options()
+func (c commandLine) one() (int, error) {
+	options, err := c.Seed.options()
 	if err != nil {
 		return 0, err
 	}
-	options.Seed = line.Seed.Number
-	if line.Seed.Trace {
+	options.Seed = c.Seed.Number
+	if c.Seed.Trace {
 		options.Trace = os.Stdout
 	}
 	bubble(func(t *testing.T) {
@@ -46,14 +46,14 @@
 }
 
 // batch plays some seeds for the run that started it, a line of JSON each.
-func (line commandLine) batch() (int, error) {
-	options, err := line.Batch.options()
+func (c commandLine) batch() (int, error) {
+	options, err := c.Batch.options()
 	if err != nil {
 		return 0, err
 	}
 	bubble(func(t *testing.T) {
-		for offset := range line.Batch.Seeds {
-			options.Seed = line.Batch.From + uint64(offset)
+		for offset := range c.Batch.Seeds {
+			options.Seed = c.Batch.From + uint64(offset)
 			body, err := json.Marshal(simulation.Run(t, options))
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/simulate/redundancy.go
+++ b/cmd/simulate/redundancy.go
@@ -30,42 +30,42 @@
 }
 
 // kinds are those that are played.
-func (asked redundancy) kinds() ([]string, error) {
+func (r redundancy) kinds() ([]string, error) {
 	all := simulation.Drills()
-	for _, name := range asked.Kind {
+	for _, name := range r.Kind {
 		if !slices.Contains(all, name) {
 			return nil, fmt.Errorf("--kind: %q is not one of: %s", name, strings.Join(all, "; "))
 		}
 	}
-	if len(asked.Kind) > 0 {
-		return asked.Kind, nil
+	if len(r.Kind) > 0 {
+		return r.Kind, nil
 	}
 	return all, nil
 }
 
-func (asked redundancy) setting(kind string) setting {
-	return setting{Site: asked.Site, Length: asked.Length, Operators: 2, Quiet: true, Drill: kind}
+func (r redundancy) setting(kind string) setting {
+	return setting{Site: r.Site, Length: r.Length, Operators: 2, Quiet: true, Drill: kind}
 }
 
 // play plays the seeds of each kind and prints a table.
-func (asked redundancy) play() (int, error) {
-	kinds, err := asked.kinds()
+func (r redundancy) play() (int, error) {
+	kinds, err := r.kinds()
 	if err != nil {
 		return 0, err
 	}
-	if _, err := asked.setting("").options(); err != nil {
+	if _, err := r.setting("").options(); err != nil {
 		return 0, err
 	}
-	if asked.Seeds < 1 || asked.Jobs < 1 {
+	if r.Seeds < 1 || r.Jobs < 1 {
 		return 0, errors.New("--seeds and --jobs want a number above 0")
 	}
 	sets := map[string]setting{}
 	for _, kind := range kinds {
-		sets[kind] = asked.setting(kind)
+		sets[kind] = r.setting(kind)
 	}
-	totals := each(kinds, sets, asked.From, asked.Seeds, asked.Jobs, asked.Within)
-	bound := simulation.Sites[asked.Site].Bounds.CatchUpS
-	fmt.Printf("%s: seconds from a return or the start of the one in its place (gone, planned: from the loss) until redundancy is whole\n", asked.Site)
+	totals := each(kinds, sets, r.From, r.Seeds, r.Jobs, r.Within)
+	bound := simulation.Sites[r.Site].Bounds.CatchUpS
+	fmt.Printf("%s: seconds from a return or the start of the one in its place (gone, planned: from the loss) until redundancy is whole\n", r.Site)
 	fmt.Println("| kind | count | median | 99 in 100 | worst | catch_up_s | outside |")
 	fmt.Println("|---|---|---|---|---|---|---|")
 	status := 0
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, kind := range kinds {
-		status = max(status, totals[kind].complain(kind, asked.Seeds))
+		status = max(status, totals[kind].complain(kind, r.Seeds))
 	}
 	return status, nil
 }
@@ -97,17 +97,17 @@
 }
 
 // complain prints which seeds broke a promise or were not played.
-func (total *sum) complain(name string, seeds int) int {
-	for _, result := range total.broken {
+func (s *sum) complain(name string, seeds int) int {
+	for _, result := range s.broken {
 		fmt.Printf("BROKEN %s, seed %d: %s\n", name, result.Seed, strings.Join(result.Broken, "; "))
 	}
-	for _, text := range total.unplayed {
+	for _, text := range s.unplayed {
 		fmt.Printf("NOT PLAYED %s, %s\n", name, text)
 	}
-	if len(total.played) < seeds {
-		fmt.Printf("%s: %d of %d seeds played\n", name, len(total.played), seeds)
+	if len(s.played) < seeds {
+		fmt.Printf("%s: %d of %d seeds played\n", name, len(s.played), seeds)
 	}
-	if len(total.broken) > 0 || len(total.played) < seeds {
+	if len(s.broken) > 0 || len(s.played) < seeds {
 		return 1
 	}
 	return 0
--- a/cmd/simulate/service.go
+++ b/cmd/simulate/service.go
@@ -27,15 +27,15 @@
 var struck = []string{"quiet", "kill", "freeze", "cut"}
 
 // play plays the seeds of each row and prints a table.
-func (asked service) play() (int, error) {
-	if asked.Seeds < 1 || asked.Jobs < 1 {
+func (s service) play() (int, error) {
+	if s.Seeds < 1 || s.Jobs < 1 {
 		return 0, errors.New("--seeds and --jobs want a number above 0")
 	}
 	sets := map[string]setting{}
 	var order []string
-	for _, site := range asked.Site {
+	for _, site := range s.Site {
 		for _, strike := range struck {
-			set := setting{Site: site, Length: asked.Length, Operators: asked.Operators, Quiet: true, Hurry: asked.Hurry, Service: strike}
+			set := setting{Site: site, Length: s.Length, Operators: s.Operators, Quiet: true, Hurry: s.Hurry, Service: strike}
 			if _, err := set.options(); err != nil {
 				return 0, err
 			}
@@ -43,7 +43,7 @@
 			order, sets[name] = append(order, name), set
 		}
 	}
-	totals := each(order, sets, asked.From, asked.Seeds, asked.Jobs, asked.Within)
+	totals := each(order, sets, s.From, s.Seeds, s.Jobs, s.Within)
 	fmt.Println("simulated seconds; orders are acknowledged after (median, 99 in 100); silence is the longest without an acknowledgement after a loss of the owner")
 	fmt.Println("| site, owner | seeds, broken | changes a second | median | 99 in 100 | losses | silence, median | worst |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
@@ -52,15 +52,15 @@
 		fmt.Println(totals[name].served(name))
 	}
 	for _, name := range order {
-		status = max(status, totals[name].complain(name, asked.Seeds))
+		status = max(status, totals[name].complain(name, s.Seeds))
 	}
 	return status, nil
 }
 
 // served is a row of the table.
-func (total *sum) served(name string) string {
-	measured := total.service
-	row := fmt.Sprintf("| %s | %d, %d | ", name, len(total.played), len(total.broken))
+func (s *sum) served(name string) string {
+	measured := s.service
+	row := fmt.Sprintf("| %s | %d, %d | ", name, len(s.played), len(s.broken))
 	if measured.Span == 0 || len(measured.Acks) == 0 {
 		return row + "none taken | | | | | |"
 	}
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -99,13 +99,13 @@
 // subnets is how far the addresses of runs at one time lie apart.
 const subnets = 15
 
-func (command runCommand) play(out io.Writer) (int, error) {
+func (r runCommand) play(out io.Writer) (int, error) {
 	own, err := os.Executable()
 	if err != nil {
 		return 0, err
 	}
-	if command.Jobs < 1 || command.Jobs > 10 || command.Seeds < 1 {
-		return 0, fmt.Errorf("jobs %d, seeds %d: 1 to 10 jobs and 1 seed or more are wanted", command.Jobs, command.Seeds)
+	if r.Jobs < 1 || r.Jobs > 10 || r.Seeds < 1 {
+		return 0, fmt.Errorf("jobs %d, seeds %d: 1 to 10 jobs and 1 seed or more are wanted", r.Jobs, r.Seeds)
 	}
 	stopped, release := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer release()
@@ -113,9 +113,9 @@
 	seeds := make(chan uint64)
 	go func() {
 		defer close(seeds)
-		for index := range command.Seeds {
+		for index := range r.Seeds {
 			select {
-			case seeds <- command.From + uint64(index):
+			case seeds <- r.From + uint64(index):
 			case <-stopped.Done():
 				return
 			}
@@ -125,17 +125,17 @@
 	var lock sync.Mutex
 	status, played := 0, 0
 	var failed error
-	for job := range command.Jobs {
+	for job := range r.Jobs {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
 			for seed := range seeds {
-				report, err := soak.Run(top, command.options(own, seed, job))
+				report, err := soak.Run(top, r.options(own, seed, job))
 				lock.Lock()
 				played++
 				if err == nil {
 					report.Show(out)
-					if !command.Keep {
+					if !r.Keep {
 						err = report.Tidy()
 					}
 				}
@@ -150,18 +150,18 @@
 		}()
 	}
 	workers.Wait()
-	fmt.Fprintf(out, "%d of %d seeds played\n", played, command.Seeds)
+	fmt.Fprintf(out, "%d of %d seeds played\n", played, r.Seeds)
 	return status, failed
 }
 
-func (command runCommand) options(own string, seed uint64, job int) soak.Options {
+func (r runCommand) options(own string, seed uint64, job int) soak.Options {
 	options := soak.Options{
-		Seed: seed, Length: command.Length, Overlap: command.Overlap, Every: command.Every, Kinds: command.Trouble,
-		Regions: command.Regions, Zones: command.Zones, Routers: command.Routers, Runners: command.Runners,
-		Clients: command.Clients, Operators: command.Operators, Rude: command.Rude, Subnet: command.Subnet + job*subnets,
-		Folder: filepath.Join(command.Folder, fmt.Sprintf("seed-%d", seed)), Program: []string{own, "daemon"},
+		Seed: seed, Length: r.Length, Overlap: r.Overlap, Every: r.Every, Kinds: r.Trouble,
+		Regions: r.Regions, Zones: r.Zones, Routers: r.Routers, Runners: r.Runners,
+		Clients: r.Clients, Operators: r.Operators, Rude: r.Rude, Subnet: r.Subnet + job*subnets,
+		Folder: filepath.Join(r.Folder, fmt.Sprintf("seed-%d", seed)), Program: []string{own, "daemon"},
 	}
-	if command.Mix == "all" {
+	if r.Mix == "all" {
 		options.Mix = runner.All()
 	}
 	return options
--- a/control/cohort/circle.go
+++ b/control/cohort/circle.go
@@ -19,65 +19,65 @@
 
 var circles = []circle{nearCircle, farCircle}
 
-func (prober *Prober) circleOf(member Member) circle {
-	if member.Zone == prober.Table.Self().Zone {
+func (p *Prober) circleOf(member Member) circle {
+	if member.Zone == p.Table.Self().Zone {
 		return nearCircle
 	}
 	return farCircle
 }
 
 // next gives the members of a circle one after another, in a new order each turn.
-func (prober *Prober) next(of circle) (Member, bool) {
-	prober.lock.Lock()
-	defer prober.lock.Unlock()
-	if prober.turns == nil {
-		prober.turns = map[circle][]Member{}
+func (p *Prober) next(of circle) (Member, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.turns == nil {
+		p.turns = map[circle][]Member{}
 	}
-	if len(prober.turns[of]) == 0 {
-		turn := prober.others(of, "")
-		if prober.Shuffle != nil {
-			prober.Shuffle(turn)
+	if len(p.turns[of]) == 0 {
+		turn := p.others(of, "")
+		if p.Shuffle != nil {
+			p.Shuffle(turn)
 		} else {
 			chance.Shuffle(turn)
 		}
-		prober.turns[of] = turn
+		p.turns[of] = turn
 	}
-	if len(prober.turns[of]) == 0 {
+	if len(p.turns[of]) == 0 {
 		return Member{}, false
 	}
-	target := prober.turns[of][0]
-	prober.turns[of] = prober.turns[of][1:]
+	target := p.turns[of][0]
+	p.turns[of] = p.turns[of][1:]
 	return target, true
 }
 
 // hurry puts those of a suspected member's zone at the head of the turn, and gives
 // them: a zone that is lost is found out as a whole.
-func (prober *Prober) hurry(suspected Member) []Member {
-	of := prober.circleOf(suspected)
+func (p *Prober) hurry(suspected Member) []Member {
+	of := p.circleOf(suspected)
 	if of == nearCircle {
 		return nil
 	}
 	var mates []Member
-	for _, member := range prober.others(of, suspected.Address) {
+	for _, member := range p.others(of, suspected.Address) {
 		if member.Zone == suspected.Zone && member.State == Alive {
 			mates = append(mates, member)
 		}
 	}
-	prober.lock.Lock()
-	defer prober.lock.Unlock()
-	if prober.turns != nil {
-		prober.turns[of] = append(mates, slices.DeleteFunc(prober.turns[of], func(member Member) bool { return member.Zone == suspected.Zone })...)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.turns != nil {
+		p.turns[of] = append(mates, slices.DeleteFunc(p.turns[of], func(member Member) bool { return member.Zone == suspected.Zone })...)
 	}
 	return mates
 }
 
 // others are those of a circle whom this daemon probes. Only the backbone
 // probes over zones.
-func (prober *Prober) others(of circle, without ids.Address) []Member {
-	self := prober.Table.Self()
+func (p *Prober) others(of circle, without ids.Address) []Member {
+	self := p.Table.Self()
 	var found []Member
-	for _, member := range prober.Table.Members() {
-		if prober.circleOf(member) != of || (of == farCircle && !self.Backbone()) {
+	for _, member := range p.Table.Members() {
+		if p.circleOf(member) != of || (of == farCircle && !self.Backbone()) {
 			continue
 		}
 		if member.Present() && member.Address != self.Address && member.Address != without {
@@ -87,8 +87,8 @@
 	return found
 }
 
-func (prober *Prober) thirds(target Member) []Member {
-	found := prober.others(prober.circleOf(target), target.Address)
+func (p *Prober) thirds(target Member) []Member {
+	found := p.others(p.circleOf(target), target.Address)
 	chance.Shuffle(found)
-	return found[:min(prober.Pace.Seconds, len(found))]
+	return found[:min(p.Pace.Seconds, len(found))]
 }
--- a/control/cohort/cohort_test.go
+++ b/control/cohort/cohort_test.go
@@ -73,7 +73,7 @@
 type stranger ids.Address
 
 // String gives its address.
-func (sender stranger) String() string { return string(sender) }
+func (s stranger) String() string { return string(s) }
 
 // net joins probers without any network; members in dead answer nothing, and
 // pairs in cut don't reach each other.
@@ -109,26 +109,26 @@
 }
 
 // probe runs one probe, letting time pass while it waits.
-func (net *net) probe(from ids.Address, to ids.Address) {
-	target, _ := net.probers[from].Table.Find(to)
+func (n *net) probe(from ids.Address, to ids.Address) {
+	target, _ := n.probers[from].Table.Find(to)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		net.probers[from].Probe(net.scope, target)
+		n.probers[from].Probe(n.scope, target)
 	}()
 	for {
 		select {
 		case <-done:
 			return
 		default:
-			net.clock.Next()
+			n.clock.Next()
 			runtime.Gosched()
 		}
 	}
 }
 
-func (net *net) state(at ids.Address, of ids.Address) State {
-	member, _ := net.probers[at].Table.Find(of)
+func (n *net) state(at ids.Address, of ids.Address) State {
+	member, _ := n.probers[at].Table.Find(of)
 	return member.State
 }
 
--- a/control/cohort/keep.go
+++ b/control/cohort/keep.go
@@ -41,8 +41,8 @@
 
 // Load takes what the disk holds. Nobody is known to be there until it is heard
 // of, so all stand as removed, in the oldest of lives.
-func (keeper *Keeper) Load() error {
-	body, err := keeper.Disk.Read(keeper.Name)
+func (k *Keeper) Load() error {
+	body, err := k.Disk.Read(k.Name)
 	if err != nil || len(body) == 0 {
 		return err
 	}
@@ -54,39 +54,39 @@
 	for index := range read.Members {
 		read.Members[index].State, read.Members[index].Incarnation, read.Members[index].Ready = Removed, 0, false
 	}
-	keeper.Table.Merge(read.Members)
-	if keeper.Sized != nil {
-		keeper.Sized(read.Sizes)
+	k.Table.Merge(read.Members)
+	if k.Sized != nil {
+		k.Sized(read.Sizes)
 	}
 	return nil
 }
 
 // Save writes the members if they changed since the last time.
-func (keeper *Keeper) Save() error {
-	sums := keeper.Table.Sums()
-	if sums == keeper.told {
+func (k *Keeper) Save() error {
+	sums := k.Table.Sums()
+	if sums == k.told {
 		return nil
 	}
-	whole := kept{Members: keeper.Table.Members()}
-	if keeper.Sizes != nil {
-		whole.Sizes = keeper.Sizes()
+	whole := kept{Members: k.Table.Members()}
+	if k.Sizes != nil {
+		whole.Sizes = k.Sizes()
 	}
 	body, err := courier.Pack(whole)
 	if err != nil {
 		return err
 	}
-	err = journal.Replace(keeper.Disk, keeper.Name, body)
+	err = journal.Replace(k.Disk, k.Name, body)
 	if err == nil {
-		keeper.told = sums
+		k.told = sums
 	}
 	return err
 }
 
 // Run saves now and then until the scope ends.
-func (keeper *Keeper) Run(inner scope.Scope, every clock.Span) {
-	for inner.Wait(every) {
-		if err := keeper.Save(); err != nil {
-			inner.Log.Warn().Str("part", "members").Err(err).Msg("the members are not saved")
+func (k *Keeper) Run(ctx scope.Scope, every clock.Span) {
+	for ctx.Wait(every) {
+		if err := k.Save(); err != nil {
+			ctx.Log.Warn().Str("part", "members").Err(err).Msg("the members are not saved")
 		}
 	}
 }
--- a/control/cohort/member.go
+++ b/control/cohort/member.go
@@ -37,15 +37,15 @@
 func (Member) SchemaName() string { return "Member_23" }
 
 // Present tells whether the member may be spoken to.
-func (member Member) Present() bool { return member.State == Alive || member.State == Suspect }
+func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
 // Backbone tells whether the member is known in all zones.
-func (member Member) Backbone() bool { return member.Core || member.Relay }
+func (m Member) Backbone() bool { return m.Core || m.Relay }
 
 // newer tells whether this report overrides the other.
-func (member Member) newer(other Member) bool {
-	if member.Incarnation != other.Incarnation {
-		return member.Incarnation > other.Incarnation
+func (m Member) newer(other Member) bool {
+	if m.Incarnation != other.Incarnation {
+		return m.Incarnation > other.Incarnation
 	}
-	return member.State > other.State
+	return m.State > other.State
 }
--- a/control/cohort/probe.go
+++ b/control/cohort/probe.go
@@ -51,69 +51,69 @@
 	// Spawn runs what asks on another's behalf; tests run it in place.
 	Spawn func(ask func())
 
-	lock    sync.Mutex
+	mu      sync.Mutex
 	number  int64
 	waiting map[int64]chan struct{}
 	turns   map[circle][]Member
 }
 
 // Run probes until the scope ends.
-func (prober *Prober) Run(inner scope.Scope) {
-	last := inner.Now()
-	for inner.Wait(prober.Pace.Every) {
-		now := inner.Now()
+func (p *Prober) Run(ctx scope.Scope) {
+	last := ctx.Now()
+	for ctx.Wait(p.Pace.Every) {
+		now := ctx.Now()
 		// A daemon whose own clock jumped was frozen: it doubts itself first.
-		frozen := now.Since(last) > 3*prober.Pace.Every
+		frozen := now.Since(last) > 3*p.Pace.Every
 		last = now
-		prober.expire(frozen)
+		p.expire(frozen)
 		for _, circle := range circles {
-			if target, found := prober.next(circle); found && !frozen {
-				go prober.Probe(inner, target)
+			if target, found := p.next(circle); found && !frozen {
+				go p.Probe(ctx, target)
 			}
 		}
 	}
 }
 
 // Probe asks one member, then asks others to ask it, then suspects it.
-func (prober *Prober) Probe(inner scope.Scope, target Member) {
-	number, answered := prober.open()
-	defer prober.close(number)
-	begin := inner.Now()
-	prober.post(target.Address, Datagram{Kind: kindProbe, Number: number})
-	if waitFor(inner, answered, prober.Pace.Answer) {
+func (p *Prober) Probe(ctx scope.Scope, target Member) {
+	number, answered := p.open()
+	defer p.close(number)
+	begin := ctx.Now()
+	p.post(target.Address, Datagram{Kind: kindProbe, Number: number})
+	if waitFor(ctx, answered, p.Pace.Answer) {
 		return
 	}
-	for _, third := range prober.thirds(target) {
-		prober.post(third.Address, Datagram{Kind: kindSecond, Number: number, Target: target.Address})
+	for _, third := range p.thirds(target) {
+		p.post(third.Address, Datagram{Kind: kindSecond, Number: number, Target: target.Address})
 	}
-	prober.post(target.Address, Datagram{Kind: kindProbe, Number: number})
-	if waitFor(inner, answered, 2*prober.Pace.Answer) || inner.Err() != nil {
+	p.post(target.Address, Datagram{Kind: kindProbe, Number: number})
+	if waitFor(ctx, answered, 2*p.Pace.Answer) || ctx.Err() != nil {
 		return
 	}
-	if inner.Now().Since(begin) > 6*prober.Pace.Answer {
+	if ctx.Now().Since(begin) > 6*p.Pace.Answer {
 		return
 	}
-	prober.Table.Judge(target.Address, Suspect)
-	for _, mate := range prober.hurry(target) {
-		prober.spawn(func() { prober.Probe(inner, mate) })
+	p.Table.Judge(target.Address, Suspect)
+	for _, mate := range p.hurry(target) {
+		p.spawn(func() { p.Probe(ctx, mate) })
 	}
 }
 
 // Take handles a datagram that arrived; one that can't be read is counted and
 // dropped.
-func (prober *Prober) Take(inner scope.Scope, sender fmt.Stringer, body []byte) {
-	datagram, err := courier.Disclose[Datagram](prober.Gate, body)
+func (p *Prober) Take(ctx scope.Scope, sender fmt.Stringer, body []byte) {
+	datagram, err := courier.Disclose[Datagram](p.Gate, body)
 	if err != nil {
-		prober.Gate.Refused(inner, sender.String(), err)
+		p.Gate.Refused(ctx, sender.String(), err)
 		return
 	}
 	handle := handlers[datagram.Kind]
 	if handle == nil {
-		prober.Gate.Refused(inner, sender.String(), failure.Of(failure.UnknownCall, "datagram of kind %d", datagram.Kind))
+		p.Gate.Refused(ctx, sender.String(), failure.Of(failure.UnknownCall, "datagram of kind %d", datagram.Kind))
 		return
 	}
-	prober.Table.Merge(datagram.Reports)
-	handle(prober, inner, datagram)
+	p.Table.Merge(datagram.Reports)
+	handle(p, ctx, datagram)
 }
 
 var handlers = map[int64]func(*Prober, scope.Scope, Datagram){
@@ -133,15 +133,15 @@
 	},
 }
 
-func (prober *Prober) spawn(ask func()) {
-	if prober.Spawn != nil {
-		prober.Spawn(ask)
+func (p *Prober) spawn(ask func()) {
+	if p.Spawn != nil {
+		p.Spawn(ask)
 		return
 	}
 	go ask()
 }
 
-func waitFor(inner scope.Scope, answered chan struct{}, span clock.Span) bool {
+func waitFor(ctx scope.Scope, answered chan struct{}, span clock.Span) bool {
 	select {
 	case <-answered:
 		return true
@@ -150,52 +150,52 @@
 	select {
 	case <-answered:
 		return true
-	case <-inner.Done():
+	case <-ctx.Done():
 		return false
-	case <-inner.Clock.After(span):
+	case <-ctx.Clock.After(span):
 		return false
 	}
 }
 
-func (prober *Prober) post(to ids.Address, datagram Datagram) {
-	datagram.From = prober.Table.Self().Address
-	datagram.Reports = prober.Table.untold(4, to)
-	if body, err := courier.Enclose(prober.Gate, datagram); err == nil {
-		prober.Send(to, body)
+func (p *Prober) post(to ids.Address, datagram Datagram) {
+	datagram.From = p.Table.Self().Address
+	datagram.Reports = p.Table.untold(4, to)
+	if body, err := courier.Enclose(p.Gate, datagram); err == nil {
+		p.Send(to, body)
 	}
 }
 
-func (prober *Prober) open() (int64, chan struct{}) {
-	prober.lock.Lock()
-	defer prober.lock.Unlock()
-	if prober.waiting == nil {
-		prober.waiting = map[int64]chan struct{}{}
+func (p *Prober) open() (int64, chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.waiting == nil {
+		p.waiting = map[int64]chan struct{}{}
 	}
-	prober.number++
-	prober.waiting[prober.number] = make(chan struct{})
-	return prober.number, prober.waiting[prober.number]
+	p.number++
+	p.waiting[p.number] = make(chan struct{})
+	return p.number, p.waiting[p.number]
 }
 
-func (prober *Prober) close(number int64) {
-	prober.lock.Lock()
-	defer prober.lock.Unlock()
-	delete(prober.waiting, number)
+func (p *Prober) close(number int64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.waiting, number)
 }
 
-func (prober *Prober) wake(number int64) {
-	prober.lock.Lock()
-	defer prober.lock.Unlock()
-	if answered := prober.waiting[number]; answered != nil {
-		delete(prober.waiting, number)
+func (p *Prober) wake(number int64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if answered := p.waiting[number]; answered != nil {
+		delete(p.waiting, number)
 		close(answered)
 	}
 }
 
 // expire removes members whose suspicion was not refuted in time.
-func (prober *Prober) expire(frozen bool) {
-	for _, member := range prober.Table.Members() {
-		if member.State == Suspect && !frozen && prober.Table.Since(member.Address) > prober.Pace.Suspicion {
-			prober.Table.Judge(member.Address, Removed)
+func (p *Prober) expire(frozen bool) {
+	for _, member := range p.Table.Members() {
+		if member.State == Suspect && !frozen && p.Table.Since(member.Address) > p.Pace.Suspicion {
+			p.Table.Judge(member.Address, Removed)
 		}
 	}
 }
--- a/control/cohort/relays.go
+++ b/control/cohort/relays.go
@@ -13,10 +13,10 @@
 // For the own zone every member works them out by itself; those of other zones
 // say of themselves that they are. Nothing rests on agreement: news only rises,
 // so two views of who relays cost bytes and no more.
-func (table *Table) Relays(zone ids.Zone, count int) []Member {
+func (t *Table) Relays(zone ids.Zone, count int) []Member {
 	var able []Member
-	own := zone == table.Self().Zone
-	for _, member := range table.Members() {
+	own := zone == t.Self().Zone
+	for _, member := range t.Members() {
 		if member.Zone == zone && member.State == Alive && (own || member.Backbone()) {
 			able = append(able, member)
 		}
@@ -27,16 +27,16 @@
 
 // Elect has the daemon say of itself whether it relays for its zone; one that
 // has only just begun, and may know nobody yet, waits.
-func (table *Table) Elect(count int, patience clock.Span) {
-	self := table.Self()
-	if table.clock.Now().Since(table.born) < patience || !self.Present() {
+func (t *Table) Elect(count int, patience clock.Span) {
+	self := t.Self()
+	if t.clock.Now().Since(t.born) < patience || !self.Present() {
 		return
 	}
 	chosen := false
-	for _, relay := range table.Relays(self.Zone, count) {
+	for _, relay := range t.Relays(self.Zone, count) {
 		chosen = chosen || relay.Address == self.Address
 	}
-	table.Announce(func(self *Member) { self.Relay = chosen })
+	t.Announce(func(self *Member) { self.Relay = chosen })
 }
 
 // rank orders members by how well they relay: machines with more link first,
--- a/control/cohort/scope.go
+++ b/control/cohort/scope.go
@@ -17,37 +17,37 @@
 )
 
 // Forget drops members that were gone for very long.
-func (table *Table) Forget() {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	now := table.clock.Now()
-	for address, known := range table.members {
+func (t *Table) Forget() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock.Now()
+	for address, known := range t.members {
 		away := now.Since(known.since)
-		stranger := !table.kept(known.Member) && now.Since(known.left) > strangerStays
+		stranger := !t.kept(known.Member) && now.Since(known.left) > strangerStays
 		gone := (known.State == Left && away > leftStays) || (known.State == Removed && away > removedStays)
-		if address != table.self.Address && (stranger || gone) {
-			table.add(known)
-			delete(table.members, address)
-			table.snapshot = nil
+		if address != t.self.Address && (stranger || gone) {
+			t.add(known)
+			delete(t.members, address)
+			t.snapshot = nil
 		}
 	}
 }
 
 // Now is the present instant on the table's clock.
-func (table *Table) Now() clock.Instant { return table.clock.Now() }
+func (t *Table) Now() clock.Instant { return t.clock.Now() }
 
 // Seasoned tells whether the daemon has lived for as long as members that are
 // gone are remembered.
-func (table *Table) Seasoned() bool { return table.clock.Now().Since(table.born) > removedStays }
+func (t *Table) Seasoned() bool { return t.clock.Now().Since(t.born) > removedStays }
 
 // Told gives the members to tell a daemon: all, where it is of the same zone;
 // otherwise the backbone, and those that lately were part of it.
-func (table *Table) Told(zone ids.Zone) []Member {
-	table.lock.Lock()
-	defer table.lock.Unlock()
+func (t *Table) Told(zone ids.Zone) []Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var members []Member
-	for _, known := range table.members {
-		if table.tells(known, zone) {
+	for _, known := range t.members {
+		if t.tells(known, zone) {
 			members = append(members, known.Member)
 		}
 	}
@@ -55,33 +55,33 @@
 	return members
 }
 
-func (table *Table) tells(known *seen, zone ids.Zone) bool {
-	if known.Backbone() || known.Address == table.self.Address {
+func (t *Table) tells(known *seen, zone ids.Zone) bool {
+	if known.Backbone() || known.Address == t.self.Address {
 		return true
 	}
-	lately := known.former && table.clock.Now().Since(known.left) <= strangerStays
-	return lately || (known.Zone == table.self.Zone && zone == table.self.Zone)
+	lately := known.former && t.clock.Now().Since(known.left) <= strangerStays
+	return lately || (known.Zone == t.self.Zone && zone == t.self.Zone)
 }
 
 // Differs tells whether a table of another daemon with these sums differs in
 // what both should know.
-func (table *Table) Differs(zone ids.Zone, sums Sums) bool {
-	own := table.Sums()
-	return own.Backbone != sums.Backbone || (zone == table.Self().Zone && own.Zone != sums.Zone)
+func (t *Table) Differs(zone ids.Zone, sums Sums) bool {
+	own := t.Sums()
+	return own.Backbone != sums.Backbone || (zone == t.Self().Zone && own.Zone != sums.Zone)
 }
 
 // untold gives the daemon's own report and up to count others that were told
 // least often and that a daemon at the address should know.
-func (table *Table) untold(count int, to ids.Address) []Member {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	zone := table.self.Zone
-	if known := table.members[to]; known != nil {
+func (t *Table) untold(count int, to ids.Address) []Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	zone := t.self.Zone
+	if known := t.members[to]; known != nil {
 		zone = known.Zone
 	}
 	var fresh []*seen
-	for _, known := range table.members {
-		if known.told < 4 && known.Address != table.self.Address && table.tells(known, zone) {
+	for _, known := range t.members {
+		if known.told < 4 && known.Address != t.self.Address && t.tells(known, zone) {
 			fresh = append(fresh, known)
 		}
 	}
@@ -91,7 +91,7 @@
 		}
 		return fresh[left].Address < fresh[right].Address
 	})
-	reports := []Member{table.self}
+	reports := []Member{t.self}
 	for _, known := range fresh[:min(count, len(fresh))] {
 		known.told++
 		reports = append(reports, known.Member)
--- a/control/cohort/table.go
+++ b/control/cohort/table.go
@@ -27,7 +27,7 @@
 
 // Table holds the members that a daemon knows, itself included.
 type Table struct {
-	lock     sync.Mutex
+	mu       sync.Mutex
 	clock    clock.Clock
 	born     clock.Instant
 	self     Member
@@ -55,41 +55,41 @@
 }
 
 // Self gives the table's own daemon.
-func (table *Table) Self() Member {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	return table.self
+func (t *Table) Self() Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.self
 }
 
 // Announce changes what the daemon says of itself.
-func (table *Table) Announce(change func(self *Member)) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	before := table.self
-	change(&table.self)
-	if table.self != before {
-		table.self.Incarnation++
-		table.put(table.self)
+func (t *Table) Announce(change func(self *Member)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	before := t.self
+	change(&t.self)
+	if t.self != before {
+		t.self.Incarnation++
+		t.put(t.self)
 	}
 }
 
 // Merge takes reports of members and tells whether any was news. A report that
 // the daemon itself is gone is refuted by a higher incarnation.
-func (table *Table) Merge(reports []Member) bool {
-	table.lock.Lock()
-	defer table.lock.Unlock()
+func (t *Table) Merge(reports []Member) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	news := false
 	for _, report := range reports {
-		if report.Address == table.self.Address {
-			news = table.refute(report) || news
+		if report.Address == t.self.Address {
+			news = t.refute(report) || news
 			continue
 		}
-		known := table.members[report.Address]
-		if known == nil && !table.kept(report) {
+		known := t.members[report.Address]
+		if known == nil && !t.kept(report) {
 			continue
 		}
 		if known == nil || report.newer(known.Member) {
-			table.put(report)
+			t.put(report)
 			news = true
 		}
 	}
@@ -97,59 +97,59 @@
 }
 
 // kept tells whether a member belongs into this table.
-func (table *Table) kept(member Member) bool {
-	return member.Zone == table.self.Zone || member.Backbone()
+func (t *Table) kept(member Member) bool {
+	return member.Zone == t.self.Zone || member.Backbone()
 }
 
-func (table *Table) refute(report Member) bool {
-	if !report.newer(table.self) && report == table.self {
+func (t *Table) refute(report Member) bool {
+	if !report.newer(t.self) && report == t.self {
 		return false
 	}
-	if report.Incarnation < table.self.Incarnation {
+	if report.Incarnation < t.self.Incarnation {
 		return false
 	}
-	table.self.Incarnation = report.Incarnation + 1
-	table.put(table.self)
+	t.self.Incarnation = report.Incarnation + 1
+	t.put(t.self)
 	return true
 }
 
 // Judge moves a member to a state on this daemon's own evidence.
-func (table *Table) Judge(address ids.Address, state State) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	known := table.members[address]
-	if known == nil || address == table.self.Address || known.State >= state {
+func (t *Table) Judge(address ids.Address, state State) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known := t.members[address]
+	if known == nil || address == t.self.Address || known.State >= state {
 		return
 	}
 	report := known.Member
 	report.State = state
-	table.put(report)
+	t.put(report)
 }
 
 // Members gives all members in the order of their addresses; the list is shared
 // and must not be changed.
-func (table *Table) Members() []Member {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	if table.snapshot != nil {
-		return table.snapshot
+func (t *Table) Members() []Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.snapshot != nil {
+		return t.snapshot
 	}
-	members := make([]Member, 0, len(table.members))
-	for _, known := range table.members {
-		if table.kept(known.Member) {
+	members := make([]Member, 0, len(t.members))
+	for _, known := range t.members {
+		if t.kept(known.Member) {
 			members = append(members, known.Member)
 		}
 	}
 	sort.Slice(members, func(left, right int) bool { return members[left].Address < members[right].Address })
-	table.snapshot = members
+	t.snapshot = members
 	return members
 }
 
 // Find gives the member at an address.
-func (table *Table) Find(address ids.Address) (Member, bool) {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	known := table.members[address]
+func (t *Table) Find(address ids.Address) (Member, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known := t.members[address]
 	if known == nil {
 		return Member{}, false
 	}
@@ -157,54 +157,54 @@
 }
 
 // Since tells for how long a member has been in its state.
-func (table *Table) Since(address ids.Address) clock.Span {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	known := table.members[address]
+func (t *Table) Since(address ids.Address) clock.Span {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known := t.members[address]
 	if known == nil {
 		return 0
 	}
-	return table.clock.Now().Since(known.since)
+	return t.clock.Now().Since(known.since)
 }
 
 // Sums gives the digests of the table.
-func (table *Table) Sums() Sums {
-	table.lock.Lock()
-	defer table.lock.Unlock()
-	return table.sums
+func (t *Table) Sums() Sums {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.sums
 }
 
 // put replaces what is known of a member; the sums change by that member alone.
-func (table *Table) put(member Member) {
-	table.snapshot = nil
-	known := table.members[member.Address]
+func (t *Table) put(member Member) {
+	t.snapshot = nil
+	known := t.members[member.Address]
 	if known == nil {
 		known = &seen{}
-		table.members[member.Address] = known
+		t.members[member.Address] = known
 	} else {
-		table.add(known)
+		t.add(known)
 	}
 	if known.State != member.State || known.Incarnation == 0 {
-		known.since = table.clock.Now()
+		known.since = t.clock.Now()
 	}
 	if known.Backbone() && !member.Backbone() {
-		known.former, known.left = true, table.clock.Now()
+		known.former, known.left = true, t.clock.Now()
 	}
 	known.Member, known.told, known.mark = member, 0, markOf(member)
-	table.add(known)
+	t.add(known)
 }
 
 // add puts a member's mark into the sums, or takes it out again: marks are
 // joined by exclusive or.
-func (table *Table) add(known *seen) {
+func (t *Table) add(known *seen) {
 	if !known.Present() {
 		return
 	}
-	if known.Zone == table.self.Zone {
-		table.sums.Zone ^= known.mark
+	if known.Zone == t.self.Zone {
+		t.sums.Zone ^= known.mark
 	}
 	if known.Backbone() {
-		table.sums.Backbone ^= known.mark
+		t.sums.Backbone ^= known.mark
 	}
 }
 
--- a/control/contact/contact.go
+++ b/control/contact/contact.go
@@ -79,7 +79,7 @@
 // Contact is this controller's contact with the voters.
 type Contact struct {
 	options Options
-	lock    sync.Mutex
+	mu      sync.Mutex
 	peers   map[ids.Address]peer
 	asked   clock.Instant
 	changed chan struct{}
@@ -114,8 +114,8 @@
 		options.Silence = min(options.Fresh+options.Wait, quarter)
 	}
 	if options.Ask == nil {
-		options.Ask = func(inner scope.Scope, address ids.Address) (Told, error) {
-			return courier.Send[Told](inner, options.Messenger, address, "contact", Ask{From: options.Address})
+		options.Ask = func(ctx scope.Scope, address ids.Address) (Told, error) {
+			return courier.Send[Told](ctx, options.Messenger, address, "contact", Ask{From: options.Address})
 		}
 	}
 	if options.Spawn == nil {
@@ -128,67 +128,67 @@
 }
 
 // Serve adds the contact's message to a table of calls.
-func (contact *Contact) Serve(calls *call.Table) {
-	courier.Handle(calls, "contact", func(inner scope.Scope, _ Ask) (Told, error) {
-		return contact.Tell(inner.Now()), nil
+func (c *Contact) Serve(calls *call.Table) {
+	courier.Handle(calls, "contact", func(ctx scope.Scope, _ Ask) (Told, error) {
+		return c.Tell(ctx.Now()), nil
 	})
 }
 
 // Tell answers the question of another.
-func (contact *Contact) Tell(now clock.Instant) Told {
-	return Told{Life: contact.options.Life, Reading: int64(now)}
+func (c *Contact) Tell(now clock.Instant) Told {
+	return Told{Life: c.options.Life, Reading: int64(now)}
 }
 
 // Heard notes that another answered a question which was sent at this instant
 // or later. A missing contact notes nothing.
-func (contact *Contact) Heard(address ids.Address, asked clock.Instant) {
-	if contact == nil {
+func (c *Contact) Heard(address ids.Address, asked clock.Instant) {
+	if c == nil {
 		return
 	}
-	contact.lock.Lock()
-	defer contact.lock.Unlock()
-	known := contact.peers[address]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known := c.peers[address]
 	if known.asked < asked {
 		known.asked = asked
-		contact.keep(address, known)
+		c.keep(address, known)
 	}
 }
 
 // keep needs the lock.
-func (contact *Contact) keep(address ids.Address, known peer) {
-	contact.peers[address] = known
-	close(contact.changed)
-	contact.changed = make(chan struct{})
+func (c *Contact) keep(address ids.Address, known peer) {
+	c.peers[address] = known
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
 // Answered tells when the newest question that another answered was sent; 0
 // where none was.
-func (contact *Contact) Answered(address ids.Address) clock.Instant {
-	contact.lock.Lock()
-	defer contact.lock.Unlock()
-	return contact.peers[address].asked
+func (c *Contact) Answered(address ids.Address) clock.Instant {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.peers[address].asked
 }
 
 // Age is how long ago a majority of the voters was last known to hear this
 // controller; false where it never was. Who knows of no voters yet has nobody
 // to ask, and counts as in contact.
-func (contact *Contact) Age(now clock.Instant) (clock.Span, bool) {
-	seats := contact.options.Voters().Seats
+func (c *Contact) Age(now clock.Instant) (clock.Span, bool) {
+	seats := c.options.Voters().Seats
 	if len(seats) == 0 {
 		return 0, true
 	}
 	var heard []clock.Instant
-	contact.lock.Lock()
+	c.mu.Lock()
 	for _, seat := range seats {
-		known, found := contact.peers[seat.Address]
-		if seat.Address == contact.options.Address {
+		known, found := c.peers[seat.Address]
+		if seat.Address == c.options.Address {
 			known.asked, found = now, true
 		}
 		if found && known.asked > 0 && !seat.Learning {
 			heard = append(heard, known.asked)
 		}
 	}
-	contact.lock.Unlock()
+	c.mu.Unlock()
 	quorum := len(seats)/2 + 1
 	if len(heard) < quorum {
 		return 0, false
@@ -198,7 +198,7 @@
 }
 
 // Fresh tells whether contact is young enough for an order to be begun.
-func (contact *Contact) Fresh(now clock.Instant) bool {
-	age, known := contact.Age(now)
-	return known && age <= contact.options.Fresh && contact.heardSince(now.Add(-age))
+func (c *Contact) Fresh(now clock.Instant) bool {
+	age, known := c.Age(now)
+	return known && age <= c.options.Fresh && c.heardSince(now.Add(-age))
 }
--- a/control/contact/contact_test.go
+++ b/control/contact/contact_test.go
@@ -36,16 +36,16 @@
 // scripted is a contact of the first of some voters; the others answer after a
 // delay each, or never.
 func scripted(count int, delays *sync.Map) *Contact {
-	return New(Options{Address: "0", Voters: voters(count), Fresh: fresh, Ask: func(inner scope.Scope, address ids.Address) (Told, error) {
+	return New(Options{Address: "0", Voters: voters(count), Fresh: fresh, Ask: func(ctx scope.Scope, address ids.Address) (Told, error) {
 		delay, answers := delays.Load(address)
 		if !answers {
-			<-inner.Done()
-			return Told{}, inner.Err()
+			<-ctx.Done()
+			return Told{}, ctx.Err()
 		}
-		if !inner.Wait(delay.(clock.Span)) {
-			return Told{}, inner.Err()
+		if !ctx.Wait(delay.(clock.Span)) {
+			return Told{}, ctx.Err()
 		}
-		return Told{Life: 7, Reading: int64(inner.Now())}, nil
+		return Told{Life: 7, Reading: int64(ctx.Now())}, nil
 	}})
 }
 
--- a/control/contact/guard.go
+++ b/control/contact/guard.go
@@ -8,40 +8,40 @@
 
 // Sure makes sure of contact, with a round of questions where it is not fresh.
 // Without a majority within the wait it is an Unsettled failure.
-func (contact *Contact) Sure(inner scope.Scope) error {
-	if contact.Fresh(inner.Now()) {
-		return ended(inner)
+func (c *Contact) Sure(ctx scope.Scope) error {
+	if c.Fresh(ctx.Now()) {
+		return ended(ctx)
 	}
-	short, release := inner.WithLimit(contact.options.Wait)
+	short, release := ctx.WithLimit(c.options.Wait)
 	defer release()
 	for short.Err() == nil {
-		contact.lock.Lock()
-		changed := contact.changed
-		contact.lock.Unlock()
-		contact.round(inner)
-		if contact.Fresh(inner.Now()) {
-			contact.note(inner, true)
-			return ended(inner)
+		c.mu.Lock()
+		changed := c.changed
+		c.mu.Unlock()
+		c.round(ctx)
+		if c.Fresh(ctx.Now()) {
+			c.note(ctx, true)
+			return ended(ctx)
 		}
 		select {
 		case <-changed:
 		case <-short.Done():
-		case <-short.Clock.After(contact.pace()):
+		case <-short.Clock.After(c.pace()):
 		}
 	}
-	if contact.Fresh(inner.Now()) {
-		return ended(inner)
+	if c.Fresh(ctx.Now()) {
+		return ended(ctx)
 	}
-	if err := ended(inner); err != nil {
+	if err := ended(ctx); err != nil {
 		return err
 	}
-	contact.note(inner, false)
+	c.note(ctx, false)
 	return failure.Of(failure.Unsettled, "no contact with a majority of the voters")
 }
 
 // ended is the failure of one whose caller is gone.
-func ended(inner scope.Scope) error {
-	if inner.Err() == nil {
+func ended(ctx scope.Scope) error {
+	if ctx.Err() == nil {
 		return nil
 	}
 	return failure.Of(failure.Unsettled, "the caller is gone, or out of time")
@@ -49,19 +49,19 @@
 
 // Guard makes sure of contact and gives a scope that ends when it is lost: a
 // quarter of a second after its beginning or after the loss, whichever is later.
-func (contact *Contact) Guard(inner scope.Scope) (scope.Scope, func(), error) {
-	if contact.woken(inner.Now()) {
+func (c *Contact) Guard(ctx scope.Scope) (scope.Scope, func(), error) {
+	if c.woken(ctx.Now()) {
 		// What came while this process stood still may be from callers that are
 		// gone: they are noticed first.
-		inner.Wait(lull)
+		ctx.Wait(lull)
 	}
-	if err := contact.Sure(inner); err != nil {
-		return inner, func() {}, err
+	if err := c.Sure(ctx); err != nil {
+		return ctx, func() {}, err
 	}
-	guarded, end := inner.WithEnd()
-	contact.options.Spawn(func() {
+	guarded, end := ctx.WithEnd()
+	c.options.Spawn(func() {
 		defer end()
-		contact.watch(guarded)
+		c.watch(guarded)
 	})
 	return guarded, end, nil
 }
@@ -71,14 +71,14 @@
 
 // woken tells whether this process stood still until a moment ago. Only while
 // Run runs can it be found.
-func (contact *Contact) woken(now clock.Instant) bool {
-	contact.lock.Lock()
-	defer contact.lock.Unlock()
-	if contact.beat > 0 && now.Since(contact.beat) > contact.options.Fresh {
-		contact.stood = now
+func (c *Contact) woken(now clock.Instant) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.beat > 0 && now.Since(c.beat) > c.options.Fresh {
+		c.stood = now
 	}
-	if contact.beat > 0 {
-		contact.beat = now
+	if c.beat > 0 {
+		c.beat = now
 	}
-	return contact.stood > 0 && now.Since(contact.stood) < contact.options.Wait
+	return c.stood > 0 && now.Since(c.stood) < c.options.Wait
 }
--- a/control/contact/round.go
+++ b/control/contact/round.go
@@ -18,54 +18,54 @@
 func (Stamp) SchemaName() string { return "Stamp_24" }
 
 // round asks all voters, unless they were asked just now.
-func (contact *Contact) round(inner scope.Scope) {
-	now := inner.Now()
-	contact.lock.Lock()
-	early := contact.asked > 0 && now.Since(contact.asked) < contact.pace()
+func (c *Contact) round(ctx scope.Scope) {
+	now := ctx.Now()
+	c.mu.Lock()
+	early := c.asked > 0 && now.Since(c.asked) < c.pace()
 	if !early {
-		contact.asked = now
+		c.asked = now
 	}
-	contact.lock.Unlock()
+	c.mu.Unlock()
 	if early {
 		return
 	}
-	for _, seat := range contact.options.Voters().Seats {
-		if seat.Address != contact.options.Address {
-			contact.options.Spawn(func() {
+	for _, seat := range c.options.Voters().Seats {
+		if seat.Address != c.options.Address {
+			c.options.Spawn(func() {
 				// A late answer still shows contact as of its question.
-				message, release := inner.Detached().WithLimit(2 * contact.options.Fresh)
+				message, release := ctx.Detached().WithLimit(2 * c.options.Fresh)
 				defer release()
-				_ = contact.ask(message, seat.Address)
+				_ = c.ask(message, seat.Address)
 			})
 		}
 	}
 }
 
 // ask asks one voter and notes its answer.
-func (contact *Contact) ask(inner scope.Scope, address ids.Address) error {
-	begin := inner.Now()
-	told, err := contact.options.Ask(inner, address)
+func (c *Contact) ask(ctx scope.Scope, address ids.Address) error {
+	begin := ctx.Now()
+	told, err := c.options.Ask(ctx, address)
 	if err != nil {
 		return err
 	}
-	came := inner.Now()
-	contact.lock.Lock()
-	defer contact.lock.Unlock()
-	known := contact.peers[address]
+	came := ctx.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known := c.peers[address]
 	if known.asked < begin {
 		// The answer to a later question came already where this one was late.
 		known.asked, known.trips = begin, known.trips.with(came.Since(begin))
 	}
-	if known.told.Life != told.Life || told.lead(came) >= known.told.lead(known.came) || came.Since(known.came) > contact.options.Fresh {
+	if known.told.Life != told.Life || told.lead(came) >= known.told.lead(known.came) || came.Since(known.came) > c.options.Fresh {
 		known.came, known.told = came, told
 	}
-	contact.keep(address, known)
+	c.keep(address, known)
 	return nil
 }
 
 // lead is by how much the other's clock was ahead when its answer came: the
 // answer that was quickest underway leaves an order the most time.
-func (told Told) lead(came clock.Instant) int64 { return told.Reading - int64(came) }
+func (t Told) lead(came clock.Instant) int64 { return t.Reading - int64(came) }
 
 // readingKept is how many times Fresh a reading is used before it is asked for
 // again.
@@ -73,13 +73,13 @@
 
 // Stamp makes the end of an order that is passed on now and given up at the
 // instant named. Where the receiver's clock is not known it is asked.
-func (contact *Contact) Stamp(inner scope.Scope, address ids.Address, giveUp clock.Instant) (Stamp, error) {
-	known, found := contact.reading(address)
-	if !found || inner.Now().Since(known.came) > readingKept*contact.options.Fresh {
-		if err := contact.ask(inner, address); err != nil {
+func (c *Contact) Stamp(ctx scope.Scope, address ids.Address, giveUp clock.Instant) (Stamp, error) {
+	known, found := c.reading(address)
+	if !found || ctx.Now().Since(known.came) > readingKept*c.options.Fresh {
+		if err := c.ask(ctx, address); err != nil {
 			return Stamp{}, err
 		}
-		if known, found = contact.reading(address); !found {
+		if known, found = c.reading(address); !found {
 			return Stamp{}, failure.Of(failure.Unsettled, "%s tells no reading of its clock", address)
 		}
 	}
@@ -87,31 +87,31 @@
 	return Stamp{Life: known.told.Life, End: known.told.Reading + int64(left-left/100)}, nil
 }
 
-func (contact *Contact) reading(address ids.Address) (peer, bool) {
-	contact.lock.Lock()
-	defer contact.lock.Unlock()
-	known := contact.peers[address]
+func (c *Contact) reading(address ids.Address) (peer, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known := c.peers[address]
 	return known, known.told.Life != 0
 }
 
 // Open tells whether an order that was passed here may still be begun.
-func (contact *Contact) Open(stamp Stamp, now clock.Instant) bool {
-	return stamp.Life == contact.options.Life && int64(now) < stamp.End
+func (c *Contact) Open(stamp Stamp, now clock.Instant) bool {
+	return stamp.Life == c.options.Life && int64(now) < stamp.End
 }
 
 // Run keeps contact fresh, or finds that it is lost, until the scope ends.
-func (contact *Contact) Run(inner scope.Scope) {
-	fresh := contact.options.Fresh
-	contact.lock.Lock()
-	contact.beat = inner.Now()
-	contact.lock.Unlock()
-	for inner.Wait(fresh * 2 / 3) {
-		contact.woken(inner.Now())
-		_, _ = contact.WholeAge(inner.Now())
-		age, known := contact.Age(inner.Now())
+func (c *Contact) Run(ctx scope.Scope) {
+	fresh := c.options.Fresh
+	c.mu.Lock()
+	c.beat = ctx.Now()
+	c.mu.Unlock()
+	for ctx.Wait(fresh * 2 / 3) {
+		c.woken(ctx.Now())
+		_, _ = c.WholeAge(ctx.Now())
+		age, known := c.Age(ctx.Now())
 		if !known || age > fresh/3 {
-			contact.round(inner)
+			c.round(ctx)
 		}
-		contact.note(inner, known && age <= fresh+contact.options.Wait && contact.heardSince(inner.Now().Add(-age)))
+		c.note(ctx, known && age <= fresh+c.options.Wait && c.heardSince(ctx.Now().Add(-age)))
 	}
 }
--- a/control/contact/silence_test.go
+++ b/control/contact/silence_test.go
@@ -23,16 +23,16 @@
 
 func newLine(delay func(number int64) clock.Span) *line {
 	made := &line{delay: delay}
-	made.contact = New(Options{Address: "0", Voters: voters(3), Fresh: 375 * clock.Millisecond, Ask: func(inner scope.Scope, address ids.Address) (Told, error) {
+	made.contact = New(Options{Address: "0", Voters: voters(3), Fresh: 375 * clock.Millisecond, Ask: func(ctx scope.Scope, address ids.Address) (Told, error) {
 		if address == "2" {
-			<-inner.Done()
-			return Told{}, inner.Err()
+			<-ctx.Done()
+			return Told{}, ctx.Err()
 		}
-		if cut := made.cut.Load(); cut || !inner.Wait(made.delay(made.asked.Add(1))) || made.cut.Load() {
-			<-inner.Done()
-			return Told{}, inner.Err()
+		if cut := made.cut.Load(); cut || !ctx.Wait(made.delay(made.asked.Add(1))) || made.cut.Load() {
+			<-ctx.Done()
+			return Told{}, ctx.Err()
 		}
-		return Told{Life: 7, Reading: int64(inner.Now())}, nil
+		return Told{Life: 7, Reading: int64(ctx.Now())}, nil
 	}})
 	return made
 }
@@ -158,15 +158,15 @@
 // stood still looks at.
 type jumping struct {
 	clock.Clock
-	lock  sync.Mutex
+	mu    sync.Mutex
 	leapt clock.Span
 }
 
 // Now is ahead by what was leapt.
-func (machine *jumping) Now() clock.Instant {
-	machine.lock.Lock()
-	defer machine.lock.Unlock()
-	return machine.Clock.Now().Add(machine.leapt)
+func (j *jumping) Now() clock.Instant {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return j.Clock.Now().Add(j.leapt)
 }
 
 // TestProcessThatStoodStillLooksFirst has a process stand still in an order:
@@ -182,9 +182,9 @@
 		}
 		for range 3 {
 			guarded.Wait(500 * clock.Millisecond)
-			machine.lock.Lock()
+			machine.mu.Lock()
 			machine.leapt += clock.Second
-			machine.lock.Unlock()
+			machine.mu.Unlock()
 		}
 		if !guarded.Wait(clock.Second) {
 			t.Error("an order ended though its process alone stood still")
--- a/control/contact/status.go
+++ b/control/contact/status.go
@@ -6,17 +6,17 @@
 )
 
 // note logs each change of state once.
-func (contact *Contact) note(inner scope.Scope, had bool) {
-	contact.lock.Lock()
-	turned := contact.lost == had
-	contact.lost = !had
-	contact.lock.Unlock()
+func (c *Contact) note(ctx scope.Scope, had bool) {
+	c.mu.Lock()
+	turned := c.lost == had
+	c.lost = !had
+	c.mu.Unlock()
 	if !turned {
 		return
 	}
-	age, _ := contact.Age(inner.Now())
-	inner.Log.Warn().Str("part", "contact").Bool("majority", had).Int64("age_ms", age.Milliseconds()).
-		Int64("whole_age_ms", contact.Status(inner.Now()).WholeAgeMS).Msg(tidings[had])
+	age, _ := c.Age(ctx.Now())
+	ctx.Log.Warn().Str("part", "contact").Bool("majority", had).Int64("age_ms", age.Milliseconds()).
+		Int64("whole_age_ms", c.Status(ctx.Now()).WholeAgeMS).Msg(tidings[had])
 }
 
 var tidings = map[bool]string{true: "a majority of the voters answers again", false: "no majority of the voters answers"}
@@ -31,15 +31,15 @@
 }
 
 // Status tells how old contact is; a missing contact was never had.
-func (contact *Contact) Status(now clock.Instant) Status {
+func (c *Contact) Status(now clock.Instant) Status {
 	told := Status{AgeMS: -1, WholeAgeMS: -1}
-	if contact == nil {
+	if c == nil {
 		return told
 	}
-	if age, known := contact.Age(now); known {
-		told.Majority, told.AgeMS = contact.Fresh(now), age.Milliseconds()
+	if age, known := c.Age(now); known {
+		told.Majority, told.AgeMS = c.Fresh(now), age.Milliseconds()
 	}
-	if age, known := contact.WholeAge(now); known {
+	if age, known := c.WholeAge(now); known {
 		told.WholeAgeMS = age.Milliseconds()
 	}
 	return told
@@ -48,18 +48,18 @@
 // WholeAge is how long ago all voters were last known to hear this controller,
 // those that are learning too; false where they never were. Run keeps it up, so
 // it outlives voters that answered and were replaced.
-func (contact *Contact) WholeAge(now clock.Instant) (clock.Span, bool) {
+func (c *Contact) WholeAge(now clock.Instant) (clock.Span, bool) {
 	oldest := now
-	seats := contact.options.Voters().Seats
-	contact.lock.Lock()
-	defer contact.lock.Unlock()
+	seats := c.options.Voters().Seats
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, seat := range seats {
-		if seat.Address != contact.options.Address {
-			oldest = min(oldest, contact.peers[seat.Address].asked)
+		if seat.Address != c.options.Address {
+			oldest = min(oldest, c.peers[seat.Address].asked)
 		}
 	}
 	if len(seats) > 0 {
-		contact.whole = max(contact.whole, oldest)
+		c.whole = max(c.whole, oldest)
 	}
-	return now.Since(contact.whole), contact.whole > 0
+	return now.Since(c.whole), c.whole > 0
 }
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -50,29 +50,29 @@
 }
 
 // Run runs the controller until the scope ends, then leaves in order.
-func (made *Controller) Run(top scope.Scope, reread <-chan *boot.Boot) error {
-	defer made.own.Close()
+func (c *Controller) Run(top scope.Scope, reread <-chan *boot.Boot) error {
+	defer c.own.Close()
 	running, end := context.WithCancel(context.Background())
 	defer end()
 	ended := make(chan error, 1)
-	go func() { ended <- made.common.Run(running) }()
-	made.common.Table.Announce(func(self *cohort.Member) { self.Ready = true })
+	go func() { ended <- c.common.Run(running) }()
+	c.common.Table.Announce(func(self *cohort.Member) { self.Ready = true })
 	for {
 		select {
 		case fresh := <-reread:
-			made.common.Reread(fresh)
+			c.common.Reread(fresh)
 		case err := <-ended:
 			return err
 		case <-top.Done():
 			// Calls that run are answered; others find another controller.
 			leaving := top.Detached()
-			made.own.Leave()
-			made.common.Leave(leaving)
-			for _, duty := range made.duties {
+			c.own.Leave()
+			c.common.Leave(leaving)
+			for _, duty := range c.duties {
 				go duty.Leave(leaving)
 			}
-			leaving.Wait(made.pace.Order)
-			made.own.HandOn(leaving)
+			leaving.Wait(c.pace.Order)
+			c.own.HandOn(leaving)
 			return nil
 		}
 	}
@@ -96,7 +96,7 @@
 	if err := members.Load(); err != nil {
 		top.Log.Warn().Str("part", "members").Err(err).Msg("the members of before can't be read")
 	}
-	made.common.Part("members", func(inner scope.Scope) error { members.Run(inner, made.pace.Hold); return nil })
+	made.common.Part("members", func(ctx scope.Scope) error { members.Run(ctx, made.pace.Hold); return nil })
 	made.reach = contact.New(contact.Options{
 		Address: made.common.Address, Messenger: made.common.Messenger, Fresh: made.pace.Pass,
 		Voters: func() register.Voters { return made.own.Acceptor.Voters() },
@@ -127,34 +127,34 @@
 	made.front.Serve(made.common.Calls)
 	made.reach.Serve(made.common.Calls)
 	readindex.NewReader(made.front.Newest).Serve(made.common.Calls)
-	made.common.Part("contact", func(inner scope.Scope) error { made.reach.Run(inner); return nil })
+	made.common.Part("contact", func(ctx scope.Scope) error { made.reach.Run(ctx); return nil })
 	made.parts(top)
 	return made, nil
 }
 
-func (made *Controller) parts(top scope.Scope) {
-	common, pace := made.common, made.pace
-	common.Part("seat", func(inner scope.Scope) error {
-		made.own.Run(inner, pace.Exchange)
+func (c *Controller) parts(top scope.Scope) {
+	common, pace := c.common, c.pace
+	common.Part("seat", func(ctx scope.Scope) error {
+		c.own.Run(ctx, pace.Exchange)
 		return nil
 	})
-	common.Part("sweep", func(inner scope.Scope) error { made.front.Run(inner, pace.Sweep); return nil })
-	made.duty("census", func(holder *lease.Holder) func(inner scope.Scope) {
+	common.Part("sweep", func(ctx scope.Scope) error { c.front.Run(ctx, pace.Sweep); return nil })
+	c.duty("census", func(holder *lease.Holder) func(ctx scope.Scope) {
 		reader := &discovery.Reader{
 			Platform: common.Platform(), News: common.News, Held: holder.Held,
-			Resign: func(inner scope.Scope) { holder.Rest(inner, pace.Hold) },
+			Resign: func(ctx scope.Scope) { holder.Rest(ctx, pace.Hold) },
 			Every:  pace.Census, Beat: 2 * pace.Census,
 		}
 		return reader.Run
 	})
-	made.duty("plan", made.planner(top))
+	c.duty("plan", c.planner(top))
 	orders := call.NewTable(top, top.Boot.Limits.MemoryMB<<20/16)
 	orders.Metrics, orders.Bodies = common.Metrics, common.Bodies
-	operator.Serve(orders, made.front)
+	operator.Serve(orders, c.front)
 	operator.ServeRoom(orders, common.News)
-	made.serveStatus(orders)
-	common.Part("control", func(inner scope.Scope) error {
-		return common.ServeHTTP(inner, top.Boot.Listen["control"], orders)
+	c.serveStatus(orders)
+	common.Part("control", func(ctx scope.Scope) error {
+		return common.ServeHTTP(ctx, top.Boot.Listen["control"], orders)
 	})
 	lookups := call.NewTable(top, 1<<16)
 	lookups.Metrics, lookups.Bodies = common.Metrics, common.Bodies
@@ -163,19 +163,19 @@
 		Patience: max(boot.Seconds(top.Boot.Bounds.RecoveryS), pace.Hold), Metrics: common.Metrics, Monitor: common.Monitor,
 	}
 	front.Serve(lookups)
-	common.Part("directory", func(inner scope.Scope) error {
-		return common.ServeHTTP(inner, top.Boot.Listen["directory"], lookups)
+	common.Part("directory", func(ctx scope.Scope) error {
+		return common.ServeHTTP(ctx, top.Boot.Listen["directory"], lookups)
 	})
 }
 
 // duty adds what one controller does at a time.
-func (made *Controller) duty(name string, work func(holder *lease.Holder) func(inner scope.Scope)) {
+func (c *Controller) duty(name string, work func(holder *lease.Holder) func(ctx scope.Scope)) {
 	holder := lease.NewHolder(lease.Options{
-		Duty: name, Address: made.common.Address, Span: made.pace.Hold,
-		Ask: made.own.AskHold, Epoch: made.front.Epoch, Monitor: made.common.Monitor,
+		Duty: name, Address: c.common.Address, Span: c.pace.Hold,
+		Ask: c.own.AskHold, Epoch: c.front.Epoch, Monitor: c.common.Monitor,
 	})
-	made.duties = append(made.duties, holder)
+	c.duties = append(c.duties, holder)
 	run := work(holder)
-	made.common.Part("hold "+name, func(inner scope.Scope) error { holder.Run(inner); return nil })
-	made.common.Part(name, func(inner scope.Scope) error { run(inner); return nil })
+	c.common.Part("hold "+name, func(ctx scope.Scope) error { holder.Run(ctx); return nil })
+	c.common.Part(name, func(ctx scope.Scope) error { run(ctx); return nil })
 }
--- a/control/controller/plan.go
+++ b/control/controller/plan.go
@@ -18,23 +18,23 @@
 )
 
 // planner adds the scaler, which works while this controller has the duty.
-func (made *Controller) planner(top scope.Scope) func(*lease.Holder) func(scope.Scope) {
+func (c *Controller) planner(top scope.Scope) func(*lease.Holder) func(scope.Scope) {
 	return func(holder *lease.Holder) func(scope.Scope) {
-		made.scaler = scaler.New(scaler.Options{
-			Address: made.common.Address, News: made.common.News, Held: holder.Held, Now: top.Now,
-			Runners: func() []scaler.Listed { return made.runners(top) }, Serial: discovery.SerialOf,
+		c.scaler = scaler.New(scaler.Options{
+			Address: c.common.Address, News: c.common.News, Held: holder.Held, Now: top.Now,
+			Runners: func() []scaler.Listed { return c.runners(top) }, Serial: discovery.SerialOf,
 			Window: metricWindow, Step: metricStep, Pace: planPace, Grouping: top.Boot.Grouping,
 		})
-		made.scaler.Serve(made.common.Calls)
-		made.common.Part("room", func(inner scope.Scope) error { made.estimate(inner, holder); return nil })
-		return made.scaler.Run
+		c.scaler.Serve(c.common.Calls)
+		c.common.Part("room", func(ctx scope.Scope) error { c.estimate(ctx, holder); return nil })
+		return c.scaler.Run
 	}
 }
 
 // runners reads the newest list.
-func (made *Controller) runners(top scope.Scope) []scaler.Listed {
+func (c *Controller) runners(top scope.Scope) []scaler.Listed {
 	var listed []scaler.Listed
-	for _, runner := range made.view.Runners() {
+	for _, runner := range c.view.Runners() {
 		listed = append(listed, scaler.Listed{
 			ID: runner.ID, Service: runner.Service, Version: runner.Version, Region: top.Boot.Zones[runner.Zone],
 			Ready: !runner.Draining, Cold: runner.ColdLeftMS > 0,
--- a/control/controller/room.go
+++ b/control/controller/room.go
@@ -18,28 +18,28 @@
 const roomPace = 5
 
 // estimate tells the room of every family while this controller plans.
-func (made *Controller) estimate(inner scope.Scope, holder *lease.Holder) {
-	for counter := int64(1); inner.Wait(roomPace * metricStep); counter++ {
-		epoch, held := holder.Held(inner.Now())
+func (c *Controller) estimate(ctx scope.Scope, holder *lease.Holder) {
+	for counter := int64(1); ctx.Wait(roomPace * metricStep); counter++ {
+		epoch, held := holder.Held(ctx.Now())
 		if !held {
 			continue
 		}
-		seen, known := made.seen(inner)
+		seen, known := c.seen(ctx)
 		if !known {
 			continue
 		}
 		body, err := json.Marshal(room.Estimate(seen))
-		if now, held := holder.Held(inner.Now()); err != nil || !held || now != epoch {
+		if now, held := holder.Held(ctx.Now()); err != nil || !held || now != epoch {
 			continue
 		}
-		made.common.News.Put(spread.Item{Key: room.Key, Serial: discovery.SerialOf(epoch, counter), Body: body})
-		inner.Log.Info().Str("part", "room").RawJSON("report", body).Msg("estimated")
+		c.common.News.Put(spread.Item{Key: room.Key, Serial: discovery.SerialOf(epoch, counter), Body: body})
+		ctx.Log.Info().Str("part", "room").RawJSON("report", body).Msg("estimated")
 	}
 }
 
 // seen gathers what the estimate needs: every runner on the list, as it stands.
-func (made *Controller) seen(inner scope.Scope) (room.Seen, bool) {
-	item, found := made.common.News.Get(spec.Key)
+func (c *Controller) seen(ctx scope.Scope) (room.Seen, bool) {
+	item, found := c.common.News.Get(spec.Key)
 	if !found {
 		return room.Seen{}, false
 	}
@@ -49,16 +49,16 @@
 	}
 	seen := room.Seen{Spec: version}
 	var units map[ids.RunnerID]float64
-	seen.Readings, units, seen.Seconds = made.scaler.Work()
-	resting := made.resting()
-	for _, runner := range made.view.Runners() {
-		standing := standingOf(runner, made.emptied(runner.Zone), resting[runner.ID])
+	seen.Readings, units, seen.Seconds = c.scaler.Work()
+	resting := c.resting()
+	for _, runner := range c.view.Runners() {
+		standing := standingOf(runner, c.emptied(runner.Zone), resting[runner.ID])
 		seen.Runners = append(seen.Runners, room.Runner{
-			ID: runner.ID, Service: runner.Service, Region: inner.Boot.Zones[runner.Zone], Slots: float64(runner.Capacity),
+			ID: runner.ID, Service: runner.Service, Region: ctx.Boot.Zones[runner.Zone], Slots: float64(runner.Capacity),
 			Standing: standing, UnitsPerS: units[runner.ID],
 		})
 	}
-	seen.Routers = made.routers()
+	seen.Routers = c.routers()
 	return seen, true
 }
 
@@ -76,8 +76,8 @@
 	return room.Ready
 }
 
-func (made *Controller) emptied(zone ids.Zone) bool {
-	item, found := made.common.News.Get(evacuation.Key(zone))
+func (c *Controller) emptied(zone ids.Zone) bool {
+	item, found := c.common.News.Get(evacuation.Key(zone))
 	if !found {
 		return false
 	}
@@ -85,9 +85,9 @@
 	return err == nil && kept.Empty
 }
 
-func (made *Controller) resting() map[ids.RunnerID]bool {
+func (c *Controller) resting() map[ids.RunnerID]bool {
 	resting := map[ids.RunnerID]bool{}
-	item, _ := made.common.News.Get(scaler.Key)
+	item, _ := c.common.News.Get(scaler.Key)
 	if routing, err := scaler.ReadRouting(item.Body); err == nil {
 		for _, planned := range routing.Runners {
 			resting[planned.Runner] = planned.Resting
@@ -97,9 +97,9 @@
 }
 
 // routers counts the routers of each region, those that are gone too.
-func (made *Controller) routers() []room.Routers {
+func (c *Controller) routers() []room.Routers {
 	var counted []room.Routers
-	for _, region := range made.common.Zones.Regions() {
+	for _, region := range c.common.Zones.Regions() {
 		counted = append(counted, room.Routers{Region: region.Name, Known: region.Known, Ready: region.Ready})
 	}
 	return counted
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -48,8 +48,8 @@
 }
 
 // Reply gives the status as JSON.
-func (told status) Reply() reply.Reply {
-	body, err := json.MarshalIndent(told, "", "  ")
+func (s status) Reply() reply.Reply {
+	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		return reply.Failure(err)
 	}
@@ -57,45 +57,45 @@
 }
 
 // serveStatus adds the call to the operator's table.
-func (made *Controller) serveStatus(orders *call.Table) {
-	call.Handle(orders, http.MethodGet, "/status", func(inner scope.Scope, _ operator.Nothing) (status, error) {
-		return made.status(inner), nil
+func (c *Controller) serveStatus(orders *call.Table) {
+	call.Handle(orders, http.MethodGet, "/status", func(ctx scope.Scope, _ operator.Nothing) (status, error) {
+		return c.status(ctx), nil
 	})
 }
 
-func (made *Controller) status(inner scope.Scope) status {
-	common := made.common
+func (c *Controller) status(ctx scope.Scope) status {
+	common := c.common
 	told := status{
-		Address: common.Address, Regions: common.Zones.Regions(), Voters: made.own.Acceptor.Voters().Seats,
-		Contact:    made.reach.Status(inner.Now()),
-		Redundancy: made.own.RedundancyNow(inner),
+		Address: common.Address, Regions: common.Zones.Regions(), Voters: c.own.Acceptor.Voters().Seats,
+		Contact:    c.reach.Status(ctx.Now()),
+		Redundancy: c.own.RedundancyNow(ctx),
 		Owners:     map[string]string{}, Duties: map[string]bool{}, News: map[string]int64{},
 		Pushed: common.Spreader.Counts.Pushed.Load(), Failed: common.Spreader.Counts.Failed.Load(),
 		Relayed: common.Spreader.Counts.Relayed.Load(), Sent: common.Traffic.Messages.Load(),
 		Out: common.Traffic.BytesOut.Load(), In: common.Traffic.BytesIn.Load(),
 		Refused: common.Messenger.Gate.Totals(),
 	}
-	for _, slot := range made.own.Acceptor.Copy(register.CopyAsk{}).Slots {
+	for _, slot := range c.own.Acceptor.Copy(register.CopyAsk{}).Slots {
 		if !strings.HasPrefix(slot.Key, revision.PagePrefix) {
 			told.Owners[slot.Key] = string(slot.Promised.Owner)
 		}
 	}
-	for _, duty := range made.duties {
-		_, told.Duties[duty.Duty()] = duty.Held(inner.Now())
+	for _, duty := range c.duties {
+		_, told.Duties[duty.Duty()] = duty.Held(ctx.Now())
 	}
-	for _, mark := range common.News.Marks(cohort.Member{Core: true, Zone: inner.Boot.Zone}) {
+	for _, mark := range common.News.Marks(cohort.Member{Core: true, Zone: ctx.Boot.Zone}) {
 		told.News[mark.Key] = int64(mark.Serial)
 	}
-	told.Zones = made.zones(inner)
+	told.Zones = c.zones(ctx)
 	return told
 }
 
 // zones lists who relays for each zone.
-func (made *Controller) zones(inner scope.Scope) []zoneStatus {
+func (c *Controller) zones(ctx scope.Scope) []zoneStatus {
 	var found []zoneStatus
-	members := made.common.Table.Members()
-	for _, name := range inner.Boot.ZoneNames() {
-		one := zoneStatus{Zone: name, Region: inner.Boot.Zones[name]}
+	members := c.common.Table.Members()
+	for _, name := range ctx.Boot.ZoneNames() {
+		one := zoneStatus{Zone: name, Region: ctx.Boot.Zones[name]}
 		for _, member := range members {
 			alive := member.Zone == name && member.State == cohort.Alive
 			one.Reached = one.Reached || alive
--- a/control/courier/courier.go
+++ b/control/courier/courier.go
@@ -46,17 +46,17 @@
 }
 
 // Outgoing makes the call.
-func (question asked) Outgoing() call.Outgoing {
-	return call.Outgoing{Method: "POST", Path: "/" + question.name, Body: question.body,
+func (a asked) Outgoing() call.Outgoing {
+	return call.Outgoing{Method: "POST", Path: "/" + a.name, Body: a.body,
 		Header: http.Header{"Content-Type": {"avro/binary"}}}
 }
 
 type told struct{ body []byte }
 
 // Hear reads the answer or the failure that the other daemon told.
-func (answer *told) Hear(heard call.Heard) error {
+func (t *told) Hear(heard call.Heard) error {
 	if heard.Status == http.StatusOK {
-		answer.body = heard.Body
+		t.body = heard.Body
 		return nil
 	}
 	number, _ := strconv.Atoi(heard.Header.Get(reply.KindHeader))
@@ -68,7 +68,7 @@
 }
 
 // Send asks another daemon and waits for its answer.
-func Send[Told, Asked any](inner scope.Scope, messenger *Courier, address ids.Address, name string, question Asked) (Told, error) {
+func Send[Told, Asked any](ctx scope.Scope, messenger *Courier, address ids.Address, name string, question Asked) (Told, error) {
 	var nothing Told
 	body, err := Enclose(messenger.Gate, question)
 	if err != nil {
@@ -77,14 +77,14 @@
 	if messenger.traffic != nil {
 		messenger.traffic.Messages.Add(1)
 	}
-	answer, err := call.Ask[told](inner, messenger.client, address, asked{name: name, body: body})
+	answer, err := call.Ask[told](ctx, messenger.client, address, asked{name: name, body: body})
 	if err != nil {
 		return nothing, err
 	}
 	messenger.Tally.Add(name, len(body), len(answer.body))
 	told, err := Unpack[Told](answer.body)
 	if err != nil {
-		messenger.Gate.Refused(inner, string(address), err)
+		messenger.Gate.Refused(ctx, string(address), err)
 	}
 	return told, err
 }
@@ -92,17 +92,17 @@
 type packet[Asked any] struct{ message Asked }
 
 // Read unpacks the question.
-func (question *packet[Asked]) Read(incoming call.Incoming) error {
+func (p *packet[Asked]) Read(incoming call.Incoming) error {
 	message, err := Unpack[Asked](incoming.Body)
-	question.message = message
+	p.message = message
 	return err
 }
 
 type packed[Told any] struct{ message Told }
 
 // Reply packs the answer.
-func (answer packed[Told]) Reply() reply.Reply {
-	body, err := Pack(answer.message)
+func (p packed[Told]) Reply() reply.Reply {
+	body, err := Pack(p.message)
 	if err != nil {
 		return reply.Of(failure.Internal, err.Error())
 	}
@@ -111,8 +111,8 @@
 
 // Handle serves a message of that name.
 func Handle[Asked, Told any](table *call.Table, name string, serve func(scope.Scope, Asked) (Told, error)) {
-	call.Handle(table, "POST", "/"+name, func(inner scope.Scope, question packet[Asked]) (packed[Told], error) {
-		answer, err := serve(inner, question.message)
+	call.Handle(table, "POST", "/"+name, func(ctx scope.Scope, question packet[Asked]) (packed[Told], error) {
+		answer, err := serve(ctx, question.message)
 		return packed[Told]{message: answer}, err
 	})
 }
--- a/control/courier/gate.go
+++ b/control/courier/gate.go
@@ -33,7 +33,7 @@
 func FlawNames() []string { return flawNames[:] }
 
 // String gives the flaw's name as the log and the status carry it.
-func (flaw Flaw) String() string { return flawNames[flaw] }
+func (f Flaw) String() string { return flawNames[f] }
 
 // flawed is a failure of kind BadRequest that knows its flaw.
 type flawed struct {
@@ -42,10 +42,10 @@
 }
 
 // Error tells the failure.
-func (err *flawed) Error() string { return err.told.Error() }
+func (f *flawed) Error() string { return f.told.Error() }
 
 // Unwrap gives the failure.
-func (err *flawed) Unwrap() error { return err.told }
+func (f *flawed) Unwrap() error { return f.told }
 
 func flawOf(flaw Flaw, format string, values ...any) error {
 	return &flawed{flaw: flaw, told: failure.Of(failure.BadRequest, "%s: %s", flaw, fmt.Sprintf(format, values...))}
@@ -77,7 +77,7 @@
 type Gate struct {
 	Counts Counts
 	mark   []byte
-	lock   sync.Mutex
+	mu     sync.Mutex
 	told   map[string]bool
 }
 
@@ -99,47 +99,47 @@
 }
 
 // Enter takes the mark off a message, or refuses one of another deployment.
-func (gate *Gate) Enter(body []byte) ([]byte, error) {
-	if gate == nil {
+func (g *Gate) Enter(body []byte) ([]byte, error) {
+	if g == nil {
 		return body, nil
 	}
 	if len(body) < markLength {
 		return nil, flawOf(Torn, "%d bytes", len(body))
 	}
-	if string(body[:markLength]) != string(gate.mark) {
-		return nil, flawOf(Foreign, "mark %x, not %x", body[:markLength], gate.mark)
+	if string(body[:markLength]) != string(g.mark) {
+		return nil, flawOf(Foreign, "mark %x, not %x", body[:markLength], g.mark)
 	}
 	return body[markLength:], nil
 }
 
 // Refused counts a message that was refused, and logs the first of its flaw
 // from that sender.
-func (gate *Gate) Refused(inner scope.Scope, sender string, err error) {
-	if gate == nil {
+func (g *Gate) Refused(ctx scope.Scope, sender string, err error) {
+	if g == nil {
 		return
 	}
 	flaw := FlawOf(err)
-	gate.Counts[flaw].Add(1)
+	g.Counts[flaw].Add(1)
 	name := flaw.String() + " " + sender
-	gate.lock.Lock()
-	logged := gate.told[name] || len(gate.told) >= toldLimit
+	g.mu.Lock()
+	logged := g.told[name] || len(g.told) >= toldLimit
 	if !logged {
-		gate.told[name] = true
+		g.told[name] = true
 	}
-	gate.lock.Unlock()
+	g.mu.Unlock()
 	if !logged {
-		inner.Log.Warn().Str("part", "gate").Str("flaw", flaw.String()).Str("sender", sender).Msg(err.Error())
+		ctx.Log.Warn().Str("part", "gate").Str("flaw", flaw.String()).Str("sender", sender).Msg(err.Error())
 	}
 }
 
 // Totals gives the counts by the names of the flaws.
-func (gate *Gate) Totals() map[string]int64 {
+func (g *Gate) Totals() map[string]int64 {
 	totals := map[string]int64{}
-	if gate == nil {
+	if g == nil {
 		return totals
 	}
 	for flaw := range flaws {
-		totals[flaw.String()] = gate.Counts[flaw].Load()
+		totals[flaw.String()] = g.Counts[flaw].Load()
 	}
 	return totals
 }
--- a/control/courier/tally.go
+++ b/control/courier/tally.go
@@ -17,7 +17,7 @@
 // Tally counts the messages that a daemon sent, by their name. A nil one counts
 // nothing.
 type Tally struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	volumes map[string]Volume
 }
 
@@ -26,8 +26,8 @@
 	if t == nil {
 		return
 	}
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if t.volumes == nil {
 		t.volumes = map[string]Volume{}
 	}
@@ -37,7 +37,7 @@
 
 // Volumes gives what was counted, by the messages' names.
 func (t *Tally) Volumes() map[string]Volume {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return maps.Clone(t.volumes)
 }
--- a/control/daemon/confirm.go
+++ b/control/daemon/confirm.go
@@ -10,26 +10,26 @@
 
 // ReadIndex makes what holds a daemon back until a majority confirmed, after
 // its start, the version that it acts on.
-func (daemon *Daemon) ReadIndex(first <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
+func (d *Daemon) ReadIndex(first <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
-		First: first, Serial: serial, Fetch: daemon.Spreader.Exchange, Controllers: daemon.controllers,
-		Ask: func(inner scope.Scope, address ids.Address) (readindex.Told, error) {
-			return courier.Send[readindex.Told](inner, daemon.Messenger, address, readindex.Message, readindex.Ask{From: daemon.Address})
+		First: first, Serial: serial, Fetch: d.Spreader.Exchange, Controllers: d.controllers,
+		Ask: func(ctx scope.Scope, address ids.Address) (readindex.Told, error) {
+			return courier.Send[readindex.Told](ctx, d.Messenger, address, readindex.Message, readindex.Ask{From: d.Address})
 		},
-		Bound: 2 * PaceOf(daemon.Scope.Boot).Pass,
+		Bound: 2 * PaceOf(d.Scope.Boot).Pass,
 	})
 }
 
 // controllers gives the controllers that answer; the seeds where none is known.
-func (daemon *Daemon) controllers() []ids.Address {
+func (d *Daemon) controllers() []ids.Address {
 	var found []ids.Address
-	for _, member := range daemon.Table.Members() {
+	for _, member := range d.Table.Members() {
 		if member.Core && member.State == cohort.Alive {
 			found = append(found, member.Address)
 		}
 	}
 	if len(found) == 0 {
-		return daemon.Scope.Boot.SeedAddresses()
+		return d.Scope.Boot.SeedAddresses()
 	}
 	return found
 }
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -51,7 +51,7 @@
 	socket  Socket
 	sum     scaler.Sum
 	judge   eject.Judge
-	lock    sync.Mutex
+	mu      sync.Mutex
 	planned ids.Serial
 	holder  ids.Address
 }
@@ -121,22 +121,22 @@
 		FailureBackoff: pace.Exchange, Timeout: pace.Connect,
 		EventHook: func(event suture.Event) { top.Log.Warn().Str("part", "tree").Msg(event.String()) },
 	})
-	made.Part("inner", func(inner scope.Scope) error { return made.serveInner(inner) })
-	made.Part("probe", func(inner scope.Scope) error { made.prober.Run(inner); return nil })
+	made.Part("inner", func(ctx scope.Scope) error { return made.serveInner(ctx) })
+	made.Part("probe", func(ctx scope.Scope) error { made.prober.Run(ctx); return nil })
 	made.Part("datagrams", made.receive)
 	made.serveSums()
 	made.serveMetrics()
 	if options.View != nil {
 		made.followList(options.View)
 	}
-	made.Part("relays", func(inner scope.Scope) error {
-		for inner.Wait(pace.View) {
+	made.Part("relays", func(ctx scope.Scope) error {
+		for ctx.Wait(pace.View) {
 			made.Table.Elect(pace.Relays, pace.Probe.Suspicion)
 			made.Zones.Look()
 		}
 		return nil
 	})
-	made.Part("spread", func(inner scope.Scope) error { made.Spreader.Run(inner); return nil })
+	made.Part("spread", func(ctx scope.Scope) error { made.Spreader.Run(ctx); return nil })
 	return made, nil
 }
 
@@ -147,70 +147,70 @@
 }
 
 // Serve runs the part under suture.
-func (piece part) Serve(ctx context.Context) error { return piece.run(piece.top.Under(ctx)) }
+func (p part) Serve(ctx context.Context) error { return p.run(p.top.Under(ctx)) }
 
 // String names the part in logs.
-func (piece part) String() string { return piece.name }
+func (p part) String() string { return p.name }
 
 // Part adds a part that the supervisor keeps running.
-func (daemon *Daemon) Part(name string, run func(inner scope.Scope) error) {
-	daemon.tree.Add(part{name: name, top: daemon.Scope, run: run})
+func (d *Daemon) Part(name string, run func(ctx scope.Scope) error) {
+	d.tree.Add(part{name: name, top: d.Scope, run: run})
 }
 
 // Once adds a part that comes to an end of its own, and is not run again.
-func (daemon *Daemon) Once(name string, run func(inner scope.Scope)) {
-	daemon.Part(name, func(inner scope.Scope) error {
-		run(inner)
-		<-inner.Done()
+func (d *Daemon) Once(name string, run func(ctx scope.Scope)) {
+	d.Part(name, func(ctx scope.Scope) error {
+		run(ctx)
+		<-ctx.Done()
 		return nil
 	})
 }
 
 // Run runs all parts until the context ends.
-func (daemon *Daemon) Run(ctx context.Context) error { return daemon.tree.Serve(ctx) }
+func (d *Daemon) Run(ctx context.Context) error { return d.tree.Serve(ctx) }
 
 // ServeHTTP serves a handler at an address until the scope ends.
-func (daemon *Daemon) ServeHTTP(inner scope.Scope, address ids.Address, handler http.Handler) error {
-	return daemon.Network.Serve(inner, address, handler, nil)
+func (d *Daemon) ServeHTTP(ctx scope.Scope, address ids.Address, handler http.Handler) error {
+	return d.Network.Serve(ctx, address, handler, nil)
 }
 
-func (daemon *Daemon) serveInner(inner scope.Scope) error {
-	return daemon.Network.Serve(inner, daemon.Address, daemon.Calls, &daemon.Traffic)
+func (d *Daemon) serveInner(ctx scope.Scope) error {
+	return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic)
 }
 
-func (daemon *Daemon) send(to ids.Address, body []byte) {
-	daemon.Traffic.Messages.Add(1)
-	daemon.Traffic.BytesOut.Add(int64(len(body)))
-	daemon.Messenger.Tally.Add("datagram", len(body), 0)
-	daemon.socket.Send(to, body)
+func (d *Daemon) send(to ids.Address, body []byte) {
+	d.Traffic.Messages.Add(1)
+	d.Traffic.BytesOut.Add(int64(len(body)))
+	d.Messenger.Tally.Add("datagram", len(body), 0)
+	d.socket.Send(to, body)
 }
 
-func (daemon *Daemon) receive(inner scope.Scope) error {
-	stop := context.AfterFunc(inner, func() { _ = daemon.socket.Close() })
+func (d *Daemon) receive(ctx scope.Scope) error {
+	stop := context.AfterFunc(ctx, func() { _ = d.socket.Close() })
 	defer stop()
 	buffer := make([]byte, 64<<10)
 	for {
-		size, sender, err := daemon.socket.Receive(buffer)
+		size, sender, err := d.socket.Receive(buffer)
 		if err != nil {
 			return err
 		}
-		daemon.Traffic.BytesIn.Add(int64(size))
-		daemon.prober.Take(inner, sender, buffer[:size])
+		d.Traffic.BytesIn.Add(int64(size))
+		d.prober.Take(ctx, sender, buffer[:size])
 	}
 }
 
 // Leave tells a few others that this daemon goes.
-func (daemon *Daemon) Leave(inner scope.Scope) {
-	daemon.Table.Announce(func(self *cohort.Member) { self.State, self.Ready = cohort.Left, false })
-	daemon.Tell(inner)
+func (d *Daemon) Leave(ctx scope.Scope) {
+	d.Table.Announce(func(self *cohort.Member) { self.State, self.Ready = cohort.Left, false })
+	d.Tell(ctx)
 }
 
 // Tell exchanges with several others at once.
-func (daemon *Daemon) Tell(inner scope.Scope) {
-	for _, address := range daemon.Spreader.Several() {
-		go daemon.Spreader.Exchange(inner, address)
+func (d *Daemon) Tell(ctx scope.Scope) {
+	for _, address := range d.Spreader.Several() {
+		go d.Spreader.Exchange(ctx, address)
 	}
 }
 
 // Reread replaces the boot file's values after it changed.
-func (daemon *Daemon) Reread(fresh *boot.Boot) { daemon.Spreader.Reseed(fresh.SeedAddresses()) }
+func (d *Daemon) Reread(fresh *boot.Boot) { d.Spreader.Reseed(fresh.SeedAddresses()) }
--- a/control/daemon/figures.go
+++ b/control/daemon/figures.go
@@ -18,12 +18,12 @@
 const volumesEvery = 10 * clock.Second
 
 // logVolumes logs what was sent to other daemons, by message, since the start.
-func (daemon *Daemon) logVolumes(inner scope.Scope) error {
-	for inner.Wait(volumesEvery) {
-		volumes := daemon.Messenger.Tally.Volumes()
+func (d *Daemon) logVolumes(ctx scope.Scope) error {
+	for ctx.Wait(volumesEvery) {
+		volumes := d.Messenger.Tally.Volumes()
 		for _, name := range slices.Sorted(maps.Keys(volumes)) {
 			volume := volumes[name]
-			inner.Log.Debug().Str("part", "volumes").Str("message", name).Int64("messages", volume.Messages).
+			ctx.Log.Debug().Str("part", "volumes").Str("message", name).Int64("messages", volume.Messages).
 				Int64("asked_bytes", volume.Asked).Int64("told_bytes", volume.Told).Msg("sent since the start")
 		}
 	}
@@ -32,26 +32,26 @@
 
 // serveMetrics serves the daemon's figures where the command line names a port
 // and a path.
-func (daemon *Daemon) serveMetrics() {
-	metrics, where := daemon.Metrics, daemon.Scope.Boot.Metrics
-	metrics.Total("messages_sent_total", "Messages and datagrams sent to other daemons.", nil, func() float64 { return float64(daemon.Traffic.Messages.Load()) })
-	metrics.Gauge("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(daemon.Table.Members())) })
+func (d *Daemon) serveMetrics() {
+	metrics, where := d.Metrics, d.Scope.Boot.Metrics
+	metrics.Total("messages_sent_total", "Messages and datagrams sent to other daemons.", nil, func() float64 { return float64(d.Traffic.Messages.Load()) })
+	metrics.Gauge("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(d.Table.Members())) })
 	for flaw, name := range courier.FlawNames() {
 		metrics.Total("messages_refused_total", "Messages of other daemons that were dropped, by their flaw.",
-			map[string]string{"flaw": name}, func() float64 { return float64(daemon.Messenger.Gate.Counts[flaw].Load()) })
+			map[string]string{"flaw": name}, func() float64 { return float64(d.Messenger.Gate.Counts[flaw].Load()) })
 	}
-	if daemon.Scope.Log.Level <= log.DebugLevel {
-		daemon.Part("volumes", daemon.logVolumes)
+	if d.Scope.Log.Level <= log.DebugLevel {
+		d.Part("volumes", d.logVolumes)
 	}
 	if where.Port == 0 {
 		return
 	}
-	if daemon.Scope.Boot.Uses(where.Port) {
-		daemon.Scope.Log.Error().Str("part", "metrics").Int("port", where.Port).Msg("the port is one that the settings give away: figures are not served")
+	if d.Scope.Boot.Uses(where.Port) {
+		d.Scope.Log.Error().Str("part", "metrics").Int("port", where.Port).Msg("the port is one that the settings give away: figures are not served")
 		return
 	}
-	address := ids.Address(net.JoinHostPort(daemon.Scope.Boot.IP, strconv.Itoa(where.Port)))
-	daemon.Part("metrics", func(inner scope.Scope) error {
-		return daemon.ServeHTTP(inner, address, metrics.Handler(where.Path))
+	address := ids.Address(net.JoinHostPort(d.Scope.Boot.IP, strconv.Itoa(where.Port)))
+	d.Part("metrics", func(ctx scope.Scope) error {
+		return d.ServeHTTP(ctx, address, metrics.Handler(where.Path))
 	})
 }
--- a/control/daemon/list.go
+++ b/control/daemon/list.go
@@ -20,10 +20,10 @@
 }
 
 // Platform makes a reader of the platform's list, with connections of its own.
-func (daemon *Daemon) Platform() *discovery.Platform {
-	settings, pace := daemon.Scope.Boot, PaceOf(daemon.Scope.Boot)
+func (d *Daemon) Platform() *discovery.Platform {
+	settings, pace := d.Scope.Boot, PaceOf(d.Scope.Boot)
 	return &discovery.Platform{
-		Client: daemon.Network.Client(call.Pooling{
+		Client: d.Network.Client(call.Pooling{
 			Dialing: call.Dialing{Limit: pace.Connect, Silence: pace.Silence}, Idle: 4 * pace.Silence, PerHost: discovery.ReadersAtOnce,
 		}),
 		Address: settings.Platform.Address, Zones: settings.ZoneNames(), Every: pace.Census,
@@ -31,11 +31,11 @@
 }
 
 // followList has the list read from here where no news of it comes.
-func (daemon *Daemon) followList(view *discovery.View) {
+func (d *Daemon) followList(view *discovery.View) {
 	fallback := &discovery.Fallback{
-		Platform: daemon.Platform(), View: view, News: daemon.News, Table: daemon.Table,
-		Routers: daemon.Zones.Routers, Every: PaceOf(daemon.Scope.Boot).Census, Hurry: !daemon.Scope.Boot.FirstStart,
+		Platform: d.Platform(), View: view, News: d.News, Table: d.Table,
+		Routers: d.Zones.Routers, Every: PaceOf(d.Scope.Boot).Census, Hurry: !d.Scope.Boot.FirstStart,
 	}
-	daemon.Spreader.Lacks = func() bool { return !view.Whole() }
-	daemon.Part("list", func(inner scope.Scope) error { fallback.Run(inner); return nil })
+	d.Spreader.Lacks = func() bool { return !view.Whole() }
+	d.Part("list", func(ctx scope.Scope) error { fallback.Run(ctx); return nil })
 }
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -37,13 +37,13 @@
 type Sockets struct{}
 
 // Serve listens at the address and answers calls there.
-func (Sockets) Serve(inner scope.Scope, address ids.Address, handler http.Handler, count *call.Traffic) error {
+func (Sockets) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *call.Traffic) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
 	}
 	server := call.Server(handler, 5*clock.Second, 60*clock.Second)
-	stop := context.AfterFunc(inner, func() { _ = server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(call.CountingListener(listener, count)); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -69,14 +69,14 @@
 
 type socket struct{ opened *net.UDPConn }
 
-func (socket socket) Send(to ids.Address, body []byte) {
+func (s socket) Send(to ids.Address, body []byte) {
 	if address, err := net.ResolveUDPAddr("udp", string(to)); err == nil {
-		_, _ = socket.opened.WriteToUDP(body, address)
+		_, _ = s.opened.WriteToUDP(body, address)
 	}
 }
 
-func (socket socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
-	return socket.opened.ReadFromUDP(buffer)
+func (s socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
+	return s.opened.ReadFromUDP(buffer)
 }
 
-func (socket socket) Close() error { return socket.opened.Close() }
+func (s socket) Close() error { return s.opened.Close() }
--- a/control/daemon/sums.go
+++ b/control/daemon/sums.go
@@ -18,89 +18,89 @@
 
 // serveSums takes the reports of the zone's routers, judges by them which
 // runners the zone should leave alone, and sends their sum to the planner.
-func (daemon *Daemon) serveSums() {
-	courier.Handle(daemon.Calls, "sum", func(inner scope.Scope, message scaler.ReportMessage) (scaler.ReportTold, error) {
+func (d *Daemon) serveSums() {
+	courier.Handle(d.Calls, "sum", func(ctx scope.Scope, message scaler.ReportMessage) (scaler.ReportTold, error) {
 		report, err := message.Report()
 		if err == nil {
-			daemon.take(report, inner.Now())
+			d.take(report, ctx.Now())
 		}
 		return scaler.ReportTold{Holding: true}, err
 	})
-	daemon.Part("sums", func(inner scope.Scope) error {
-		for turn := 1; inner.Wait(judgeSpan); turn++ {
-			daemon.judgeRunners(inner.Now())
+	d.Part("sums", func(ctx scope.Scope) error {
+		for turn := 1; ctx.Wait(judgeSpan); turn++ {
+			d.judgeRunners(ctx.Now())
 			if turn%sumTurns == 0 {
-				daemon.sendSum(inner)
+				d.sendSum(ctx)
 			}
 		}
 		return nil
 	})
 }
 
-func (daemon *Daemon) take(report scaler.ReportAsk, now clock.Instant) {
-	daemon.sum.Add(report)
-	daemon.judge.Take(report, now)
+func (d *Daemon) take(report scaler.ReportAsk, now clock.Instant) {
+	d.sum.Add(report)
+	d.judge.Take(report, now)
 }
 
 // judgeRunners tells the zone who is to rest, where that changed.
-func (daemon *Daemon) judgeRunners(now clock.Instant) {
-	rests, changed := daemon.judge.Verdict(now)
+func (d *Daemon) judgeRunners(now clock.Instant) {
+	rests, changed := d.judge.Verdict(now)
 	if !changed {
 		return
 	}
 	if body, err := courier.Pack(rests); err == nil {
-		daemon.News.Write(eject.Key(daemon.Table.Self().Zone), daemon.Address, body)
+		d.News.Write(eject.Key(d.Table.Self().Zone), d.Address, body)
 	}
 }
 
-func (daemon *Daemon) sendSum(inner scope.Scope) {
-	report, any := daemon.sum.Take()
-	if holder := daemon.planner(); any && holder != "" {
-		report.From = daemon.Address
-		go func() { _ = daemon.carry(inner, holder, "report", report) }()
+func (d *Daemon) sendSum(ctx scope.Scope) {
+	report, any := d.sum.Take()
+	if holder := d.planner(); any && holder != "" {
+		report.From = d.Address
+		go func() { _ = d.carry(ctx, holder, "report", report) }()
 	}
 }
 
 // Report sends a router's report up: to the first relay of its zone that
 // answers, or straight to the planner where none does.
-func (daemon *Daemon) Report(inner scope.Scope, report scaler.ReportAsk) {
-	pace := PaceOf(daemon.Scope.Boot)
-	for _, relay := range daemon.Table.Relays(daemon.Table.Self().Zone, pace.Relays) {
-		if relay.Address == daemon.Address {
-			daemon.take(report, inner.Now())
+func (d *Daemon) Report(ctx scope.Scope, report scaler.ReportAsk) {
+	pace := PaceOf(d.Scope.Boot)
+	for _, relay := range d.Table.Relays(d.Table.Self().Zone, pace.Relays) {
+		if relay.Address == d.Address {
+			d.take(report, ctx.Now())
 			return
 		}
-		if daemon.carry(inner, relay.Address, "sum", report) == nil {
+		if d.carry(ctx, relay.Address, "sum", report) == nil {
 			return
 		}
 	}
-	if holder := daemon.planner(); holder != "" {
-		_ = daemon.carry(inner, holder, "report", report)
+	if holder := d.planner(); holder != "" {
+		_ = d.carry(ctx, holder, "report", report)
 	}
 }
 
-func (daemon *Daemon) carry(inner scope.Scope, to ids.Address, name string, report scaler.ReportAsk) error {
-	short, release := inner.WithLimit(daemon.Spreader.Limit)
+func (d *Daemon) carry(ctx scope.Scope, to ids.Address, name string, report scaler.ReportAsk) error {
+	short, release := ctx.WithLimit(d.Spreader.Limit)
 	defer release()
 	message, err := report.Message()
 	if err == nil {
-		_, err = courier.Send[scaler.ReportTold](short, daemon.Messenger, to, name, message)
+		_, err = courier.Send[scaler.ReportTold](short, d.Messenger, to, name, message)
 	}
 	return err
 }
 
 // planner tells who made the newest plan; the plan is read once a version.
-func (daemon *Daemon) planner() ids.Address {
-	item, found := daemon.News.Get(scaler.Key)
+func (d *Daemon) planner() ids.Address {
+	item, found := d.News.Get(scaler.Key)
 	if !found {
 		return ""
 	}
-	daemon.lock.Lock()
-	defer daemon.lock.Unlock()
-	if item.Serial != daemon.planned {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if item.Serial != d.planned {
 		if routing, err := scaler.ReadRouting(item.Body); err == nil {
-			daemon.planned, daemon.holder = item.Serial, routing.Holder
+			d.planned, d.holder = item.Serial, routing.Holder
 		}
 	}
-	return daemon.holder
+	return d.holder
 }
--- a/control/desk/chosen.go
+++ b/control/desk/chosen.go
@@ -11,9 +11,9 @@
 )
 
 // Chosen publishes a value that a majority holds.
-func (desk *Desk) Chosen(key string, accepted register.Accepted) {
+func (d *Desk) Chosen(key string, accepted register.Accepted) {
 	if item, found := newsOf(key, accepted.Value); found {
-		desk.options.News.Put(item)
+		d.options.News.Put(item)
 	}
 }
 
--- a/control/desk/desk.go
+++ b/control/desk/desk.go
@@ -54,7 +54,7 @@
 // Desk acts on orders or passes them on.
 type Desk struct {
 	options Options
-	lock    sync.Mutex
+	mu      sync.Mutex
 	// silent says until when an owner counts as such, busy how many orders in a
 	// row it left unanswered.
 	silent map[ids.Address]clock.Instant
@@ -68,8 +68,8 @@
 		options.Pause = func() clock.Span { return chance.Part(options.Pass / 4) }
 	}
 	if options.Send == nil {
-		options.Send = func(inner scope.Scope, address ids.Address, order Order) (Outcome, error) {
-			return courier.Send[Outcome](inner, options.Messenger, address, "order", order)
+		options.Send = func(ctx scope.Scope, address ids.Address, order Order) (Outcome, error) {
+			return courier.Send[Outcome](ctx, options.Messenger, address, "order", order)
 		}
 	}
 	if options.Contact == nil {
@@ -81,65 +81,65 @@
 }
 
 // Serve adds the desk's message to a table of calls.
-func (desk *Desk) Serve(calls *call.Table) {
-	courier.Handle(calls, "order", func(inner scope.Scope, order Order) (Outcome, error) {
-		return outcomeOf(desk.Passed(inner, order)), nil
+func (d *Desk) Serve(calls *call.Table) {
+	courier.Handle(calls, "order", func(ctx scope.Scope, order Order) (Outcome, error) {
+		return outcomeOf(d.Passed(ctx, order)), nil
 	})
 }
 
 // Passed takes an order that another controller passed on: one to the owner of
 // its key is acted on only if the key is owned here.
-func (desk *Desk) Passed(inner scope.Scope, order Order) ([]byte, error) {
-	short, release := inner.WithLimit(desk.options.Limit)
+func (d *Desk) Passed(ctx scope.Scope, order Order) ([]byte, error) {
+	short, release := ctx.WithLimit(d.options.Limit)
 	defer release()
 	if order.Until == (contact.Stamp{}) {
 		return nil, failure.Of(failure.Unsettled, "an order that was passed on without an end")
 	}
-	if err := desk.open(short, order); err != nil {
+	if err := d.open(short, order); err != nil {
 		return nil, err
 	}
 	if order.Forwarded {
 		order.Forwarded = false
-		return desk.Do(short, order)
+		return d.Do(short, order)
 	}
-	guarded, end, err := desk.options.Contact.Guard(short)
+	guarded, end, err := d.options.Contact.Guard(short)
 	if err != nil {
 		return nil, err
 	}
 	defer end()
-	return desk.act(guarded, order, desk.options.Keeper.ChangeOwned)
+	return d.act(guarded, order, d.options.Keeper.ChangeOwned)
 }
 
 // open tells whether an order may still be begun.
-func (desk *Desk) open(inner scope.Scope, order Order) error {
-	if inner.Err() != nil {
+func (d *Desk) open(ctx scope.Scope, order Order) error {
+	if ctx.Err() != nil {
 		return failure.Of(failure.Unsettled, "the caller is gone, or out of time")
 	}
-	if order.Until != (contact.Stamp{}) && !desk.options.Contact.Open(order.Until, inner.Now()) {
+	if order.Until != (contact.Stamp{}) && !d.options.Contact.Open(order.Until, ctx.Now()) {
 		return failure.Of(failure.Unsettled, "the order came too late")
 	}
 	return nil
 }
 
 // Do brings an order to the owner of its key and gives the register's value.
-func (desk *Desk) Do(inner scope.Scope, order Order) ([]byte, error) {
-	limited, release := inner.WithLimit(desk.options.Limit)
+func (d *Desk) Do(ctx scope.Scope, order Order) ([]byte, error) {
+	limited, release := ctx.WithLimit(d.options.Limit)
 	defer release()
-	short, end, err := desk.options.Contact.Guard(limited)
+	short, end, err := d.options.Contact.Guard(limited)
 	if err != nil {
 		return nil, err
 	}
 	defer end()
-	return desk.once(short, order)
+	return d.once(short, order)
 }
 
 // strive brings an order to the owner of its key as often as others take it
 // over meanwhile.
-func (desk *Desk) strive(short scope.Scope, order Order) ([]byte, error) {
+func (d *Desk) strive(short scope.Scope, order Order) ([]byte, error) {
 	for tries := 1; ; tries++ {
-		value, err := desk.bring(short, order, tries)
+		value, err := d.bring(short, order, tries)
 		settled := failure.KindOf(err) != failure.Unsettled
-		if settled || short.Err() != nil || tries == mostTries || !desk.outbid(order.Key) {
+		if settled || short.Err() != nil || tries == mostTries || !d.outbid(order.Key) {
 			return value, err
 		}
 	}
@@ -150,9 +150,9 @@
 const mostTries = 8
 
 // outbid tells whether the own voter promised the key to another last.
-func (desk *Desk) outbid(key string) bool {
-	owner := desk.options.Acceptor.Slot(key).Promised.Owner
-	return owner != "" && owner != desk.options.Address
+func (d *Desk) outbid(key string) bool {
+	owner := d.options.Acceptor.Slot(key).Promised.Owner
+	return owner != "" && owner != d.options.Address
 }
 
 // bring acts on an order where its key is owned here or has no owner that
@@ -161,52 +161,52 @@
 // Takers hold each other up, and all of them the key's orders. So an owner that
 // is only busy is left alone, a taker waits a random while first, longer with
 // each try, and whoever finds then that another took the key goes to that one.
-func (desk *Desk) bring(short scope.Scope, order Order, tries int) ([]byte, error) {
-	if desk.options.Keeper.Owns(order.Key) {
-		return desk.act(short, order, desk.options.Keeper.Change)
+func (d *Desk) bring(short scope.Scope, order Order, tries int) ([]byte, error) {
+	if d.options.Keeper.Owns(order.Key) {
+		return d.act(short, order, d.options.Keeper.Change)
 	}
-	if !desk.options.Acceptor.Voting() {
-		return desk.forward(short, order)
+	if !d.options.Acceptor.Voting() {
+		return d.forward(short, order)
 	}
-	if owner, found := desk.owner(short, order.Key); found {
+	if owner, found := d.owner(short, order.Key); found {
 		begin := short.Now()
-		outcome, err := desk.pass(short, owner, order, desk.options.Pass)
+		outcome, err := d.pass(short, owner, order, d.options.Pass)
 		kind := failure.Kind(outcome.Kind)
 		if err == nil && kind != failure.Unsettled && kind != failure.Internal {
-			desk.answered(owner)
+			d.answered(owner)
 			return outcome.Value, outcome.err()
 		}
-		if err != nil && short.Err() == nil && desk.suspect(owner, begin, short.Now()) {
+		if err != nil && short.Err() == nil && d.suspect(owner, begin, short.Now()) {
 			return nil, failure.Of(failure.Unsettled, "the owner of %s is busy", order.Key)
 		}
 	}
-	before := desk.options.Acceptor.Slot(order.Key).Promised
-	if !short.Wait(clock.Span(min(tries, mostPauses)) * desk.options.Pause()) {
+	before := d.options.Acceptor.Slot(order.Key).Promised
+	if !short.Wait(clock.Span(min(tries, mostPauses)) * d.options.Pause()) {
 		return nil, failure.Of(failure.Unsettled, "out of time")
 	}
-	if desk.outbid(order.Key) && desk.options.Acceptor.Slot(order.Key).Promised != before {
+	if d.outbid(order.Key) && d.options.Acceptor.Slot(order.Key).Promised != before {
 		return nil, failure.Of(failure.Unsettled, "another took %s meanwhile", order.Key)
 	}
-	return desk.act(short, order, desk.options.Keeper.Change)
+	return d.act(short, order, d.options.Keeper.Change)
 }
 
 // mostPauses is by how much a taker's pause grows at most.
 const mostPauses = 3
 
 // act carries an order out here, taking the key over where needed.
-func (desk *Desk) act(inner scope.Scope, order Order, change func(scope.Scope, string, register.Step) ([]byte, error)) ([]byte, error) {
+func (d *Desk) act(ctx scope.Scope, order Order, change func(scope.Scope, string, register.Step) ([]byte, error)) ([]byte, error) {
 	verb := verbs[order.Verb]
 	if verb == nil {
 		return nil, failure.Of(failure.UnknownCall, "verb %q", order.Verb)
 	}
 	// That the order may still be begun is looked at under the key's turn.
 	carry := func(step register.Step) ([]byte, error) {
-		return change(inner, order.Key, func(current []byte) ([]byte, error) {
-			if err := desk.open(inner, order); err != nil {
+		return change(ctx, order.Key, func(current []byte) ([]byte, error) {
+			if err := d.open(ctx, order); err != nil {
 				return nil, err
 			}
 			return step(current)
 		})
 	}
-	return desk.settle(inner, order, carry, verb(order))
+	return d.settle(ctx, order, carry, verb(order))
 }
--- a/control/desk/house_test.go
+++ b/control/desk/house_test.go
@@ -57,16 +57,16 @@
 	return told, nil
 }
 
-func (house *house) Promise(_ scope.Scope, address ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return carry(house, address, func(voter *register.Acceptor) register.PromiseTold { return voter.Promise(asked) })
+func (h *house) Promise(_ scope.Scope, address ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
+	return carry(h, address, func(voter *register.Acceptor) register.PromiseTold { return voter.Promise(asked) })
 }
 
-func (house *house) Accept(_ scope.Scope, address ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
-	return carry(house, address, func(voter *register.Acceptor) register.AcceptTold { return voter.Accept(asked) })
+func (h *house) Accept(_ scope.Scope, address ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
+	return carry(h, address, func(voter *register.Acceptor) register.AcceptTold { return voter.Accept(asked) })
 }
 
-func (house *house) Confirm(_ scope.Scope, address ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
-	return carry(house, address, func(voter *register.Acceptor) register.AcceptTold { return voter.Confirm(asked) })
+func (h *house) Confirm(_ scope.Scope, address ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
+	return carry(h, address, func(voter *register.Acceptor) register.AcceptTold { return voter.Confirm(asked) })
 }
 
 var names = []ids.Address{"a", "b", "c"}
@@ -138,35 +138,35 @@
 })
 
 // plant gives the voters the grown spec, as one that a majority holds.
-func (house *house) plant() []revision.Change {
-	for _, seat := range house.voters.Seats {
-		house.acceptor[seat.Address].Accept(register.AcceptAsk{
-			Fence: house.voters.Fence(seat), Key: spec.Key,
+func (h *house) plant() []revision.Change {
+	for _, seat := range h.voters.Seats {
+		h.acceptor[seat.Address].Accept(register.AcceptAsk{
+			Fence: h.voters.Fence(seat), Key: spec.Key,
 			Accepted: register.Accepted{Epoch: ids.Epoch{Number: 1, Owner: "a"}, Sequence: 1, Value: grown().value},
 		})
 	}
 	return grown().taken
 }
 
-func (house *house) order(name ids.Address, change revision.Change) failure.Kind {
-	_, err := house.desks[name].Do(house.scope, Order{Key: spec.Key, Verb: VerbChange, Change: change})
+func (h *house) order(name ids.Address, change revision.Change) failure.Kind {
+	_, err := h.desks[name].Do(h.scope, Order{Key: spec.Key, Verb: VerbChange, Change: change})
 	return failure.KindOf(err)
 }
 
 // again sends an order again while there is no clear answer: one who was the
 // owner of a key finds out at its first confirmation that it isn't any more.
-func (house *house) again(name ids.Address, change revision.Change) failure.Kind {
+func (h *house) again(name ids.Address, change revision.Change) failure.Kind {
 	kind := failure.Unsettled
 	for try := 0; try < 3 && kind == failure.Unsettled; try++ {
-		kind = house.order(name, change)
+		kind = h.order(name, change)
 	}
 	return kind
 }
 
 // pages counts the pages that a voter holds.
-func (house *house) pages(name ids.Address) int {
+func (h *house) pages(name ids.Address) int {
 	count := 0
-	for _, slot := range house.acceptor[name].Copy(register.CopyAsk{}).Slots {
+	for _, slot := range h.acceptor[name].Copy(register.CopyAsk{}).Slots {
 		if strings.HasPrefix(slot.Key, revision.PagePrefix) && len(slot.Accepted.Value) > 0 {
 			count++
 		}
--- a/control/desk/once.go
+++ b/control/desk/once.go
@@ -15,12 +15,12 @@
 // first. Each write turns it over: where its serial is higher by then, it was as
 // wanted since the order came, and nothing is left to be done, though others may
 // have turned it back.
-func (desk *Desk) once(short scope.Scope, order Order) ([]byte, error) {
+func (d *Desk) once(short scope.Scope, order Order) ([]byte, error) {
 	wanted, wishing := wishes[order.Verb]
 	if !wishing || order.Past > 0 {
-		return desk.strive(short, order)
+		return d.strive(short, order)
 	}
-	value, err := desk.strive(short, Order{Key: order.Key, Verb: VerbRead, Until: order.Until})
+	value, err := d.strive(short, Order{Key: order.Key, Verb: VerbRead, Until: order.Until})
 	if err != nil {
 		return nil, err
 	}
@@ -33,5 +33,5 @@
 	}
 	// The first write of all may leave the zone as it was.
 	order.Past = max(kept.Serial, 1)
-	return desk.strive(short, order)
+	return d.strive(short, order)
 }
--- a/control/desk/order.go
+++ b/control/desk/order.go
@@ -61,9 +61,9 @@
 	return Outcome{Kind: int64(failure.KindOf(err)), Detail: failure.DetailOf(err)}
 }
 
-func (outcome Outcome) err() error {
-	if kind := failure.Kind(outcome.Kind); kind != failure.None {
-		return failure.Of(kind, "%s", outcome.Detail)
+func (o Outcome) err() error {
+	if kind := failure.Kind(o.Kind); kind != failure.None {
+		return failure.Of(kind, "%s", o.Detail)
 	}
 	return nil
 }
--- a/control/desk/repeats.go
+++ b/control/desk/repeats.go
@@ -16,7 +16,7 @@
 // of them stand in pages that a majority holds, and at which write of the spec
 // it looked last whether a further page is due.
 type pages struct {
-	lock     sync.Mutex
+	mu       sync.Mutex
 	sealed   int64
 	epoch    ids.Epoch
 	sequence int64
@@ -25,22 +25,22 @@
 // settle carries a step out. A change of the spec may have been taken before:
 // the spec itself tells of the newest changes; for an older one the page that
 // knows is read, as any key is: confirmed by a majority.
-func (desk *Desk) settle(inner scope.Scope, order Order, carry func(register.Step) ([]byte, error), step register.Step) ([]byte, error) {
+func (d *Desk) settle(ctx scope.Scope, order Order, carry func(register.Step) ([]byte, error), step register.Step) ([]byte, error) {
 	if order.Verb != VerbChange {
 		return carry(step)
 	}
-	desk.pages.lock.Lock()
-	sealed := desk.pages.sealed
-	desk.pages.lock.Unlock()
+	d.pages.mu.Lock()
+	sealed := d.pages.sealed
+	d.pages.mu.Unlock()
 	value, err := carry(order.Change.After(sealed))
 	var beyond *revision.Beyond
 	if !errors.As(err, &beyond) {
 		return value, err
 	}
-	page, err := desk.options.Keeper.Read(inner, beyond.Key())
-	if failure.KindOf(err) == failure.Unsettled && inner.Err() == nil {
+	page, err := d.options.Keeper.Read(ctx, beyond.Key())
+	if failure.KindOf(err) == failure.Unsettled && ctx.Err() == nil {
 		// The page may have had another owner since this one read it last.
-		page, err = desk.options.Keeper.Read(inner, beyond.Key())
+		page, err = d.options.Keeper.Read(ctx, beyond.Key())
 	}
 	if err != nil {
 		return nil, err
@@ -55,15 +55,15 @@
 // holds counts as sealed; the next change of the spec leaves out what it holds.
 // What is here when the owner falls is done again by the next one, and comes
 // out the same.
-func (desk *Desk) seal(inner scope.Scope) {
-	if !desk.options.Keeper.Owns(spec.Key) {
+func (d *Desk) seal(ctx scope.Scope) {
+	if !d.options.Keeper.Owns(spec.Key) {
 		return
 	}
-	desk.pages.lock.Lock()
-	sealed := desk.pages.sealed
-	held := desk.options.Acceptor.Slot(spec.Key).Accepted
-	looked := held.Epoch == desk.pages.epoch && held.Sequence == desk.pages.sequence
-	desk.pages.lock.Unlock()
+	d.pages.mu.Lock()
+	sealed := d.pages.sealed
+	held := d.options.Acceptor.Slot(spec.Key).Accepted
+	looked := held.Epoch == d.pages.epoch && held.Sequence == d.pages.sequence
+	d.pages.mu.Unlock()
 	if looked {
 		return
 	}
@@ -73,23 +73,23 @@
 		if _, due := duePage(held.Value, sealed); !due {
 			break
 		}
-		written, err := desk.sealNext(inner, sealed)
+		written, err := d.sealNext(ctx, sealed)
 		if err != nil || written <= sealed {
 			return
 		}
 		sealed = written
 	}
-	desk.pages.lock.Lock()
-	defer desk.pages.lock.Unlock()
-	desk.pages.epoch, desk.pages.sequence = held.Epoch, held.Sequence
+	d.pages.mu.Lock()
+	defer d.pages.mu.Unlock()
+	d.pages.epoch, d.pages.sequence = held.Epoch, held.Sequence
 }
 
 // sealNext writes one page out of the spec that a majority confirms, and gives
 // how many changes are sealed by then.
-func (desk *Desk) sealNext(inner scope.Scope, sealed int64) (int64, error) {
-	short, release := inner.WithLimit(desk.options.Limit)
+func (d *Desk) sealNext(ctx scope.Scope, sealed int64) (int64, error) {
+	short, release := ctx.WithLimit(d.options.Limit)
 	defer release()
-	value, err := desk.options.Keeper.Read(short, spec.Key)
+	value, err := d.options.Keeper.Read(short, spec.Key)
 	if err != nil {
 		return sealed, err
 	}
@@ -97,12 +97,12 @@
 	if !due {
 		return sealed, nil
 	}
-	if _, err := desk.options.Keeper.Change(short, page.Key(), page.Step); err != nil {
+	if _, err := d.options.Keeper.Change(short, page.Key(), page.Step); err != nil {
 		return sealed, err
 	}
-	desk.pages.lock.Lock()
-	defer desk.pages.lock.Unlock()
-	desk.pages.sealed = max(desk.pages.sealed, page.Sealed())
+	d.pages.mu.Lock()
+	defer d.pages.mu.Unlock()
+	d.pages.sealed = max(d.pages.sealed, page.Sealed())
 	return page.Sealed(), nil
 }
 
--- a/control/desk/repeats_test.go
+++ b/control/desk/repeats_test.go
@@ -45,50 +45,50 @@
 
 // act has one controller, which is not at work yet, sweep or get an order: a
 // new one, a rival on any version, or a repeat of one that may be under way.
-func (trial *trial) act() {
-	name := rapid.SampledFrom(names).Draw(trial.t, "controller")
-	if trial.busy[name] {
+func (t *trial) act() {
+	name := rapid.SampledFrom(names).Draw(t.t, "controller")
+	if t.busy[name] {
 		return
 	}
-	trial.busy[name] = true
-	defer delete(trial.busy, name)
-	index := len(trial.sent)
-	switch rapid.IntRange(0, 4).Draw(trial.t, "act") {
+	t.busy[name] = true
+	defer delete(t.busy, name)
+	index := len(t.sent)
+	switch rapid.IntRange(0, 4).Draw(t.t, "act") {
 	case 0:
-		trial.desks[name].Sweep(trial.scope)
+		t.desks[name].Sweep(t.scope)
 		return
 	case 1:
-		trial.sent = append(trial.sent, patchOn(trial.newest, trial.newest+3, fmt.Sprint(index)))
+		t.sent = append(t.sent, patchOn(t.newest, t.newest+3, fmt.Sprint(index)))
 	case 2:
-		rivalled := rapid.SampledFrom(trial.sent).Draw(trial.t, "rival").Match
-		trial.sent = append(trial.sent, patchOn(rivalled, trial.newest+5, fmt.Sprint(index)))
+		rivalled := rapid.SampledFrom(t.sent).Draw(t.t, "rival").Match
+		t.sent = append(t.sent, patchOn(rivalled, t.newest+5, fmt.Sprint(index)))
 	case 3:
-		index = rapid.IntRange(max(0, index-5), index-1).Draw(trial.t, "repeat")
+		index = rapid.IntRange(max(0, index-5), index-1).Draw(t.t, "repeat")
 	default:
-		index = rapid.IntRange(0, index-1).Draw(trial.t, "repeat")
+		index = rapid.IntRange(0, index-1).Draw(t.t, "repeat")
 	}
-	trial.judge(index, trial.order(name, trial.sent[index]))
+	t.judge(index, t.order(name, t.sent[index]))
 }
 
 // judge holds an answer against all that was told before.
-func (trial *trial) judge(index int, kind failure.Kind) {
-	trial.told[kind]++
+func (t *trial) judge(index int, kind failure.Kind) {
+	t.told[kind]++
 	if kind == failure.Unsettled {
 		return
 	}
-	change := trial.sent[index]
-	if before, decided := trial.known[index]; decided && before != kind {
-		trial.t.Fatalf("order %d on version %d: %v, and before %v", index, change.Match, kind, before)
+	change := t.sent[index]
+	if before, decided := t.known[index]; decided && before != kind {
+		t.t.Fatalf("order %d on version %d: %v, and before %v", index, change.Match, kind, before)
 	}
-	trial.known[index] = kind
+	t.known[index] = kind
 	if kind != failure.None {
 		return
 	}
-	if other, taken := trial.winner[change.Match]; taken && other != index {
-		trial.t.Fatalf("orders %d and %d were both acknowledged on version %d", other, index, change.Match)
+	if other, taken := t.winner[change.Match]; taken && other != index {
+		t.t.Fatalf("orders %d and %d were both acknowledged on version %d", other, index, change.Match)
 	}
-	trial.winner[change.Match] = index
-	trial.newest = max(trial.newest, change.Serial())
+	t.winner[change.Match] = index
+	t.newest = max(t.newest, change.Serial())
 }
 
 // TestRepeatsAtAnyController has three controllers take the spec over from each
--- a/control/desk/sweep.go
+++ b/control/desk/sweep.go
@@ -32,8 +32,8 @@
 }
 
 // Epoch writes a new epoch for a duty.
-func (desk *Desk) Epoch(inner scope.Scope, duty string) (int64, error) {
-	value, err := desk.Do(inner, Order{Key: "hold/" + duty, Verb: VerbEpoch})
+func (d *Desk) Epoch(ctx scope.Scope, duty string) (int64, error) {
+	value, err := d.Do(ctx, Order{Key: "hold/" + duty, Verb: VerbEpoch})
 	if err != nil {
 		return 0, err
 	}
@@ -43,8 +43,8 @@
 
 // Newest gives the serial of the newest configuration that a majority confirms
 // now; 0 where none was taken.
-func (desk *Desk) Newest(inner scope.Scope) (ids.Serial, error) {
-	value, err := desk.Do(inner, Order{Key: spec.Key, Verb: VerbRead})
+func (d *Desk) Newest(ctx scope.Scope) (ids.Serial, error) {
+	value, err := d.Do(ctx, Order{Key: spec.Key, Verb: VerbRead})
 	if err != nil {
 		return 0, err
 	}
@@ -56,31 +56,31 @@
 // news here: an owner may have fallen between its write and its telling. Each
 // is read from the owner, which settles it. The owner of the spec also seals
 // the memory of changes that were taken.
-func (desk *Desk) Sweep(inner scope.Scope) {
-	desk.seal(inner)
-	for _, slot := range desk.options.Acceptor.Copy(register.CopyAsk{}).Slots {
+func (d *Desk) Sweep(ctx scope.Scope) {
+	d.seal(ctx)
+	for _, slot := range d.options.Acceptor.Copy(register.CopyAsk{}).Slots {
 		item, found := newsOf(slot.Key, slot.Accepted.Value)
 		if !found {
 			continue
 		}
-		if known, told := desk.options.News.Get(slot.Key); told && known.Serial >= item.Serial {
+		if known, told := d.options.News.Get(slot.Key); told && known.Serial >= item.Serial {
 			continue
 		}
-		value, err := desk.Do(inner, Order{Key: slot.Key, Verb: VerbRead})
+		value, err := d.Do(ctx, Order{Key: slot.Key, Verb: VerbRead})
 		if err != nil {
 			continue
 		}
 		if settled, found := newsOf(slot.Key, value); found {
-			desk.options.News.Put(settled)
+			d.options.News.Put(settled)
 		}
 	}
 }
 
 // Run sweeps until the scope ends.
-func (desk *Desk) Run(inner scope.Scope, every clock.Span) {
-	for inner.Err() == nil {
-		desk.Sweep(inner)
-		if !inner.Wait(every) {
+func (d *Desk) Run(ctx scope.Scope, every clock.Span) {
+	for ctx.Err() == nil {
+		d.Sweep(ctx)
+		if !ctx.Wait(every) {
 			return
 		}
 	}
--- a/control/desk/world_test.go
+++ b/control/desk/world_test.go
@@ -32,7 +32,7 @@
 	t     *testing.T
 	top   scope.Scope
 	nodes map[ids.Address]*node
-	lock  sync.Mutex
+	mu    sync.Mutex
 	cut   map[ids.Address]bool
 	disk  clock.Span
 	// held has orders to a controller kept by the network.
@@ -52,7 +52,7 @@
 }
 
 // Save takes as long as the world's disks do.
-func (own *node) Save([]byte) error { <-own.world.top.Clock.After(own.world.disk); return nil }
+func (n *node) Save([]byte) error { <-n.world.top.Clock.After(n.world.disk); return nil }
 
 func newWorld(t *testing.T, disk clock.Span) *world {
 	made := &world{t: t, top: scope.New(scope.Options{}), nodes: map[ids.Address]*node{}, cut: map[ids.Address]bool{}, held: map[ids.Address]*[]Order{}}
@@ -66,19 +66,19 @@
 	return made
 }
 
-func (world *world) start(address ids.Address, voters register.Voters) {
-	made := &node{world: world, address: address}
-	world.nodes[address] = made
+func (w *world) start(address ids.Address, voters register.Voters) {
+	made := &node{world: w, address: address}
+	w.nodes[address] = made
 	var err error
 	if made.voter, err = register.NewAcceptor(address, nil); err != nil {
-		world.t.Fatal(err)
+		w.t.Fatal(err)
 	}
 	made.voter.Attach(made)
 	if err := made.voter.Form(voters); err != nil {
-		world.t.Fatal(err)
+		w.t.Fatal(err)
 	}
-	made.contact = contact.New(contact.Options{Address: address, Voters: made.voter.Voters, Fresh: pass, Ask: func(inner scope.Scope, to ids.Address) (contact.Told, error) {
-		return deliver(made, inner, to, func(other *node) contact.Told { return other.contact.Tell(inner.Now()) })
+	made.contact = contact.New(contact.Options{Address: address, Voters: made.voter.Voters, Fresh: pass, Ask: func(ctx scope.Scope, to ids.Address) (contact.Told, error) {
+		return deliver(made, ctx, to, func(other *node) contact.Told { return other.contact.Tell(ctx.Now()) })
 	}})
 	made.keeper = register.NewKeeper(register.Options{
 		Address: address, Line: made, Voters: made.voter.Voters, MessageLimit: 2 * clock.Second,
@@ -86,70 +86,70 @@
 	})
 	made.desk = New(Options{
 		Address: address, Keeper: made.keeper, Acceptor: made.voter, Contact: made.contact,
-		Table: cohort.NewTable(world.top.Clock, cohort.Member{Address: address}),
+		Table: cohort.NewTable(w.top.Clock, cohort.Member{Address: address}),
 		News:  spread.NewNews(nil), Pass: pass, Limit: limit, Pause: func() clock.Span { return 0 }, Send: made.send,
 	})
 }
 
-func (world *world) reach(from ids.Address, to ids.Address) bool {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	return world.cut[from] == world.cut[to]
+func (w *world) reach(from ids.Address, to ids.Address) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.cut[from] == w.cut[to]
 }
 
 // cutOff cuts a controller off from the others, or joins it again.
-func (world *world) cutOff(address ids.Address, off bool) {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	world.cut[address] = off
+func (w *world) cutOff(address ids.Address, off bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.cut[address] = off
 }
 
 // deliver brings a message there and its answer back; over a cut link neither
 // comes, nor any word of it.
-func deliver[Told any](from *node, inner scope.Scope, to ids.Address, serve func(*node) Told) (Told, error) {
+func deliver[Told any](from *node, ctx scope.Scope, to ids.Address, serve func(*node) Told) (Told, error) {
 	const link = 35 * clock.Millisecond
 	var told Told
 	if from.address == to {
 		return serve(from), nil
 	}
-	if from.world.reach(from.address, to) && inner.Wait(link) {
+	if from.world.reach(from.address, to) && ctx.Wait(link) {
 		told = serve(from.world.nodes[to])
-		if from.world.reach(from.address, to) && inner.Wait(link) {
+		if from.world.reach(from.address, to) && ctx.Wait(link) {
 			return told, nil
 		}
 	}
-	<-inner.Done()
-	return told, inner.Err()
+	<-ctx.Done()
+	return told, ctx.Err()
 }
 
-func (own *node) Promise(inner scope.Scope, to ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return deliver(own, inner, to, func(other *node) register.PromiseTold { return other.voter.Promise(asked) })
+func (n *node) Promise(ctx scope.Scope, to ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
+	return deliver(n, ctx, to, func(other *node) register.PromiseTold { return other.voter.Promise(asked) })
 }
 
-func (own *node) Accept(inner scope.Scope, to ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
-	return deliver(own, inner, to, func(other *node) register.AcceptTold { return other.voter.Accept(asked) })
+func (n *node) Accept(ctx scope.Scope, to ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
+	return deliver(n, ctx, to, func(other *node) register.AcceptTold { return other.voter.Accept(asked) })
 }
 
-func (own *node) Confirm(inner scope.Scope, to ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
-	return deliver(own, inner, to, func(other *node) register.AcceptTold { return other.voter.Confirm(asked) })
+func (n *node) Confirm(ctx scope.Scope, to ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
+	return deliver(n, ctx, to, func(other *node) register.AcceptTold { return other.voter.Confirm(asked) })
 }
 
 // send passes an order on, unless the network keeps those to the receiver.
-func (own *node) send(inner scope.Scope, to ids.Address, order Order) (Outcome, error) {
-	own.world.lock.Lock()
-	kept := own.world.held[to]
+func (n *node) send(ctx scope.Scope, to ids.Address, order Order) (Outcome, error) {
+	n.world.mu.Lock()
+	kept := n.world.held[to]
 	if kept != nil {
 		*kept = append(*kept, order)
 	}
-	own.world.lock.Unlock()
+	n.world.mu.Unlock()
 	if kept != nil {
-		<-inner.Done()
-		return Outcome{}, inner.Err()
+		<-ctx.Done()
+		return Outcome{}, ctx.Err()
 	}
-	outcome, err := deliver(own, inner, to, func(other *node) Outcome { return outcomeOf(other.desk.Passed(inner, order)) })
-	own.world.lock.Lock()
-	meddle := own.world.unsettled
-	own.world.lock.Unlock()
+	outcome, err := deliver(n, ctx, to, func(other *node) Outcome { return outcomeOf(other.desk.Passed(ctx, order)) })
+	n.world.mu.Lock()
+	meddle := n.world.unsettled
+	n.world.mu.Unlock()
 	if meddle == nil || order.Verb == VerbRead || err != nil {
 		return outcome, err
 	}
@@ -159,35 +159,35 @@
 
 // hold has the network keep the orders to a controller from now on; it gives
 // what was kept.
-func (world *world) hold(to ids.Address, kept *[]Order) {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	world.held[to] = kept
+func (w *world) hold(to ids.Address, kept *[]Order) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.held[to] = kept
 }
 
 // ask gives an order to a controller.
-func (world *world) ask(to ids.Address, order Order) (failure.Kind, []byte, clock.Span) {
-	begin := world.top.Now()
-	value, err := world.nodes[to].desk.Do(world.top, order)
-	return failure.KindOf(err), value, world.top.Now().Since(begin)
+func (w *world) ask(to ids.Address, order Order) (failure.Kind, []byte, clock.Span) {
+	begin := w.top.Now()
+	value, err := w.nodes[to].desk.Do(w.top, order)
+	return failure.KindOf(err), value, w.top.Now().Since(begin)
 }
 
 // must gives an order that has to be acknowledged.
-func (world *world) must(to ids.Address, order Order) []byte {
-	world.t.Helper()
-	kind, value, _ := world.ask(to, order)
+func (w *world) must(to ids.Address, order Order) []byte {
+	w.t.Helper()
+	kind, value, _ := w.ask(to, order)
 	if kind != failure.None {
-		world.t.Fatalf("%s %s at %s: %v", order.Verb, order.Key, to, kind)
+		w.t.Fatalf("%s %s at %s: %v", order.Verb, order.Key, to, kind)
 	}
 	return value
 }
 
 // empty tells whether the zone is being emptied.
-func (world *world) empty(at ids.Address) bool {
-	world.t.Helper()
-	kept, err := evacuation.Read(world.must(at, zone(VerbRead)))
+func (w *world) empty(at ids.Address) bool {
+	w.t.Helper()
+	kept, err := evacuation.Read(w.must(at, zone(VerbRead)))
 	if err != nil {
-		world.t.Fatal(err)
+		w.t.Fatal(err)
 	}
 	return kept.Empty
 }
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -26,9 +26,9 @@
 }
 
 // Read takes where the client is.
-func (asked *Lookup) Read(incoming call.Incoming) error {
+func (l *Lookup) Read(incoming call.Incoming) error {
 	query := incoming.Request.URL.Query()
-	asked.Region, asked.Zone = ids.Region(query.Get("region")), ids.Zone(query.Get("zone"))
+	l.Region, l.Zone = ids.Region(query.Get("region")), ids.Zone(query.Get("zone"))
 	return nil
 }
 
@@ -39,11 +39,11 @@
 }
 
 // Reply tells the addresses; an empty list is no answer.
-func (told Found) Reply() reply.Reply {
-	if len(told.Addresses) == 0 {
+func (f Found) Reply() reply.Reply {
+	if len(f.Addresses) == 0 {
 		return reply.Empty(http.StatusServiceUnavailable)
 	}
-	return reply.JSON(http.StatusOK, told)
+	return reply.JSON(http.StatusOK, f)
 }
 
 // Directory answers from the members of its own zone that this daemon knows,
@@ -72,9 +72,9 @@
 }
 
 // Serve adds the directory's call to a table.
-func (directory *Directory) Serve(calls *call.Table) {
-	call.Handle(calls, http.MethodGet, "/lookup", func(inner scope.Scope, asked Lookup) (Found, error) {
-		return Found{Addresses: directory.Choose(asked), TTLS: min(1, inner.Boot.Bounds.TTLMaxS)}, nil
+func (d *Directory) Serve(calls *call.Table) {
+	call.Handle(calls, http.MethodGet, "/lookup", func(ctx scope.Scope, asked Lookup) (Found, error) {
+		return Found{Addresses: d.Choose(asked), TTLS: min(1, ctx.Boot.Bounds.TTLMaxS)}, nil
 	})
 }
 
@@ -101,45 +101,45 @@
 // able there is no answer, so that the client asks another directory or stays
 // with what it has, unless its region is known to be lost: one whose routers
 // start, leave in order or were not heard of yet is not.
-func (directory *Directory) Choose(asked Lookup) []ids.Address {
-	able, unable, cut := directory.all()
-	now := directory.Table.Now()
+func (d *Directory) Choose(asked Lookup) []ids.Address {
+	able, unable, cut := d.all()
+	now := d.Table.Now()
 	for _, circle := range near {
 		if chosen := circle.of(able, asked); len(chosen) > 0 {
-			directory.regions.able(asked.Region, now)
-			return directory.tell(circle, chosen)
+			d.regions.able(asked.Region, now)
+			return d.tell(circle, chosen)
 		}
 	}
 	if len(able) == 0 && !cut {
 		// All are in reach, and none is better than those nearby.
 		for _, circle := range near {
 			if chosen := circle.of(unable, asked); len(chosen) > 0 {
-				return directory.tell(circle, chosen)
+				return d.tell(circle, chosen)
 			}
 		}
 		able = unable
 	}
-	if !directory.lost(asked.Region, unable, now) {
-		return directory.tell(circle{name: noCircle}, nil)
+	if !d.lost(asked.Region, unable, now) {
+		return d.tell(circle{name: noCircle}, nil)
 	}
 	chosen := away.of(able, asked)
-	directory.watch(asked, chosen, now)
+	d.watch(asked, chosen, now)
 	if len(chosen) == 0 {
-		return directory.tell(circle{name: noCircle}, nil)
+		return d.tell(circle{name: noCircle}, nil)
 	}
-	return directory.tell(away, chosen)
+	return d.tell(away, chosen)
 }
 
-func (directory *Directory) tell(circle circle, chosen []ids.Address) []ids.Address {
-	directory.Metrics.Lookup(circle.name)
+func (d *Directory) tell(circle circle, chosen []ids.Address) []ids.Address {
+	d.Metrics.Lookup(circle.name)
 	return chosen
 }
 
 // of gives the fronts of the routers in the circle, as many as a client reads.
-func (circle circle) of(routers []place, asked Lookup) []ids.Address {
+func (c circle) of(routers []place, asked Lookup) []ids.Address {
 	var chosen []ids.Address
 	for _, router := range routers {
-		if circle.has(router, asked) && len(chosen) < listLimit {
+		if c.has(router, asked) && len(chosen) < listLimit {
 			chosen = append(chosen, router.front)
 		}
 	}
@@ -148,24 +148,24 @@
 
 // all gives the routers everywhere: those that serve, those that reach no
 // runners, and whether some are out of reach.
-func (directory *Directory) all() (able []place, unable []place, cut bool) {
-	able, unable, cut = directory.own()
-	if directory.Elsewhere == nil {
+func (d *Directory) all() (able []place, unable []place, cut bool) {
+	able, unable, cut = d.own()
+	if d.Elsewhere == nil {
 		return able, unable, cut
 	}
-	reached, gone := directory.Elsewhere()
+	reached, gone := d.Elsewhere()
 	for _, fronts := range reached {
-		able = append(able, directory.places(fronts.Zone, fronts.Able)...)
-		unable = append(unable, directory.places(fronts.Zone, fronts.Unable)...)
+		able = append(able, d.places(fronts.Zone, fronts.Able)...)
+		unable = append(unable, d.places(fronts.Zone, fronts.Unable)...)
 	}
 	return able, unable, cut || len(gone) > 0
 }
 
 // own gives the routers of the directory's zone: those that serve, those that
 // reach no runners, and whether some are out of reach.
-func (directory *Directory) own() (able []place, unable []place, cut bool) {
-	zone := directory.Table.Self().Zone
-	for _, member := range directory.Table.Members() {
+func (d *Directory) own() (able []place, unable []place, cut bool) {
+	zone := d.Table.Self().Zone
+	for _, member := range d.Table.Members() {
 		if member.Zone != zone || member.Front == "" {
 			continue
 		}
@@ -181,10 +181,10 @@
 	return able, unable, cut
 }
 
-func (directory *Directory) places(zone ids.Zone, fronts []ids.Address) []place {
+func (d *Directory) places(zone ids.Zone, fronts []ids.Address) []place {
 	var found []place
 	for _, front := range fronts {
-		found = append(found, place{front: front, zone: zone, region: directory.Zones[zone]})
+		found = append(found, place{front: front, zone: zone, region: d.Zones[zone]})
 	}
 	return found
 }
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -12,7 +12,7 @@
 // regions remembers of each region when it last had an able router, and whether
 // it was lost since. The zero value is ready.
 type regions struct {
-	lock sync.Mutex
+	mu   sync.Mutex
 	seen map[ids.Region]*region
 }
 
@@ -22,21 +22,21 @@
 	lost  bool
 }
 
-func (regions *regions) of(name ids.Region, now clock.Instant) *region {
-	if regions.seen == nil {
-		regions.seen = map[ids.Region]*region{}
+func (r *regions) of(name ids.Region, now clock.Instant) *region {
+	if r.seen == nil {
+		r.seen = map[ids.Region]*region{}
 	}
-	if regions.seen[name] == nil {
-		regions.seen[name] = &region{since: now}
+	if r.seen[name] == nil {
+		r.seen[name] = &region{since: now}
 	}
-	return regions.seen[name]
+	return r.seen[name]
 }
 
 // able notes that a region has an able router now.
-func (regions *regions) able(name ids.Region, now clock.Instant) {
-	regions.lock.Lock()
-	defer regions.lock.Unlock()
-	known := regions.of(name, now)
+func (r *regions) able(name ids.Region, now clock.Instant) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	known := r.of(name, now)
 	known.since, known.lost = now, false
 }
 
@@ -44,22 +44,22 @@
 // its daemons answer no more, its routers reach no runners, or it has had no
 // able router for longer than the patience. That stands until it has one again.
 // A place that is no region of the deployment is as good as lost.
-func (directory *Directory) lost(name ids.Region, unable []place, now clock.Instant) bool {
-	if !directory.served(name) {
+func (d *Directory) lost(name ids.Region, unable []place, now clock.Instant) bool {
+	if !d.served(name) {
 		return true
 	}
-	directory.regions.lock.Lock()
-	defer directory.regions.lock.Unlock()
-	known := directory.regions.of(name, now)
-	if now.Since(known.since) > directory.Patience || directory.silent(name) || in(name, unable) {
+	d.regions.mu.Lock()
+	defer d.regions.mu.Unlock()
+	known := d.regions.of(name, now)
+	if now.Since(known.since) > d.Patience || d.silent(name) || in(name, unable) {
 		known.lost = true
 	}
 	return known.lost
 }
 
 // served tells whether a region is one of the deployment's.
-func (directory *Directory) served(name ids.Region) bool {
-	for _, known := range directory.Zones {
+func (d *Directory) served(name ids.Region) bool {
+	for _, known := range d.Zones {
 		if known == name {
 			return true
 		}
@@ -69,9 +69,9 @@
 
 // silent tells whether a daemon of a region ceased to answer lately, without
 // having left in order.
-func (directory *Directory) silent(name ids.Region) bool {
-	for _, member := range directory.Table.Members() {
-		gone := member.State == cohort.Removed && directory.Table.Since(member.Address) <= directory.Patience
+func (d *Directory) silent(name ids.Region) bool {
+	for _, member := range d.Table.Members() {
+		gone := member.State == cohort.Removed && d.Table.Since(member.Address) <= d.Patience
 		if member.Region == name && (member.State == cohort.Suspect || gone) {
 			return true
 		}
@@ -89,11 +89,11 @@
 }
 
 // watch counts an answer that leads clients out of a region that was not lost.
-func (directory *Directory) watch(asked Lookup, chosen []ids.Address, now clock.Instant) {
-	directory.regions.lock.Lock()
-	lost := directory.regions.of(asked.Region, now).lost
-	directory.regions.lock.Unlock()
-	if len(chosen) > 0 && !lost && directory.served(asked.Region) {
-		directory.Monitor.Violated(invariant.LedAway, "clients of %s in %s are led to %v", asked.Zone, asked.Region, chosen)
+func (d *Directory) watch(asked Lookup, chosen []ids.Address, now clock.Instant) {
+	d.regions.mu.Lock()
+	lost := d.regions.of(asked.Region, now).lost
+	d.regions.mu.Unlock()
+	if len(chosen) > 0 && !lost && d.served(asked.Region) {
+		d.Monitor.Violated(invariant.LedAway, "clients of %s in %s are led to %v", asked.Zone, asked.Region, chosen)
 	}
 }
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -40,12 +40,12 @@
 const looksAtView = 4
 
 // Run looks after the list until the scope ends.
-func (f *Fallback) Run(inner scope.Scope) {
-	for inner.Wait(f.pause()) {
-		if !f.due(inner.Now()) || !inner.Wait(f.turn(inner)) || f.View.Fresh() {
+func (f *Fallback) Run(ctx scope.Scope) {
+	for ctx.Wait(f.pause()) {
+		if !f.due(ctx.Now()) || !ctx.Wait(f.turn(ctx)) || f.View.Fresh() {
 			continue
 		}
-		f.Read(inner)
+		f.Read(ctx)
 	}
 }
 
@@ -81,7 +81,7 @@
 }
 
 // turn is how long this daemon leaves the reading to others of its zone.
-func (f *Fallback) turn(inner scope.Scope) clock.Span {
+func (f *Fallback) turn(ctx scope.Scope) clock.Span {
 	self := f.Table.Self()
 	relays := f.Table.Relays(self.Zone, relaysFirst)
 	// A router that knows nobody yet is no relay: somebody will tell it the list.
@@ -91,7 +91,7 @@
 			return clock.Span(place) * f.Every
 		}
 	}
-	crowd := boot.Seconds(ratePart * float64(max(1, f.Routers())) / max(1, inner.Boot.Platform.RatePerS))
+	crowd := boot.Seconds(ratePart * float64(max(1, f.Routers())) / max(1, ctx.Boot.Platform.RatePerS))
 	if f.hurries() {
 		return f.Every/hurryTurn + chance.Part(crowd)
 	}
@@ -99,11 +99,11 @@
 }
 
 // Read reads the list once and tells it to the zone.
-func (f *Fallback) Read(inner scope.Scope) {
-	inner.Log.Info().Str("part", "census").Msg("no news of it: the platform is asked from here")
-	parts, err := f.Platform.Read(inner)
+func (f *Fallback) Read(ctx scope.Scope) {
+	ctx.Log.Info().Str("part", "census").Msg("no news of it: the platform is asked from here")
+	parts, err := f.Platform.Read(ctx)
 	if err != nil {
-		inner.Log.Warn().Str("part", "census").Err(err).Msg("the platform did not answer")
+		ctx.Log.Warn().Str("part", "census").Err(err).Msg("the platform did not answer")
 		return
 	}
 	var list List
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -20,13 +20,13 @@
 }
 
 // Outgoing makes the call.
-func (ask PageAsk) Outgoing() call.Outgoing {
+func (p PageAsk) Outgoing() call.Outgoing {
 	query := url.Values{}
-	if ask.Zone != "" {
-		query.Set("zone", string(ask.Zone))
+	if p.Zone != "" {
+		query.Set("zone", string(p.Zone))
 	}
-	if ask.Token != "" {
-		query.Set("page_token", ask.Token)
+	if p.Token != "" {
+		query.Set("page_token", p.Token)
 	}
 	path := "/servers"
 	if len(query) > 0 {
@@ -62,11 +62,11 @@
 }
 
 // Hear reads the page.
-func (page *Page) Hear(heard call.Heard) error {
+func (p *Page) Hear(heard call.Heard) error {
 	if heard.Status != http.StatusOK {
 		return failure.Of(failure.Unready, "the platform answered %d", heard.Status)
 	}
-	return json.Unmarshal(heard.Body, page)
+	return json.Unmarshal(heard.Body, p)
 }
 
 const (
@@ -100,21 +100,21 @@
 }
 
 // Read reads the whole list, by zone. It is not to be called by two at once.
-func (p *Platform) Read(inner scope.Scope) (map[ids.Zone]List, error) {
+func (p *Platform) Read(ctx scope.Scope) (map[ids.Zone]List, error) {
 	if p.apart {
-		return p.readApart(inner)
+		return p.readApart(ctx)
 	}
-	begin := inner.Now()
-	short, release := inner.WithLimit(p.Every)
+	begin := ctx.Now()
+	short, release := ctx.WithLimit(p.Every)
 	defer release()
 	list, pages, err := p.chain(short, "")
 	p.Calls = pages
-	if pages >= fewestPages && inner.Now().Since(begin) > p.Every/2 {
+	if pages >= fewestPages && ctx.Now().Since(begin) > p.Every/2 {
 		p.apart = true
 	}
 	if err != nil {
 		if p.apart {
-			return p.readApart(inner)
+			return p.readApart(ctx)
 		}
 		return nil, err
 	}
@@ -147,8 +147,8 @@
 
 // readApart reads each zone's list. A zone that can't be read fails the reading:
 // a list with a hole says of the runners in it that they are gone.
-func (p *Platform) readApart(inner scope.Scope) (map[ids.Zone]List, error) {
-	short, release := inner.WithLimit(4 * p.Every)
+func (p *Platform) readApart(ctx scope.Scope) (map[ids.Zone]List, error) {
+	short, release := ctx.WithLimit(4 * p.Every)
 	defer release()
 	var lock sync.Mutex
 	var group sync.WaitGroup
@@ -180,10 +180,10 @@
 }
 
 // chain reads one page after another; it tells how many were asked for.
-func (p *Platform) chain(inner scope.Scope, zone ids.Zone) (List, int, error) {
+func (p *Platform) chain(ctx scope.Scope, zone ids.Zone) (List, int, error) {
 	list, token := List{}, ""
 	for pages := 1; pages <= pageLimit; pages++ {
-		page, err := p.page(inner, PageAsk{Zone: zone, Token: token})
+		page, err := p.page(ctx, PageAsk{Zone: zone, Token: token})
 		if err != nil {
 			return List{}, pages, err
 		}
@@ -198,8 +198,8 @@
 	return List{}, pageLimit, failure.Of(failure.Internal, "the platform's list has no end")
 }
 
-func (p *Platform) page(inner scope.Scope, ask PageAsk) (Page, error) {
-	short, release := inner.WithLimit(p.Every)
+func (p *Platform) page(ctx scope.Scope, ask PageAsk) (Page, error) {
+	short, release := ctx.WithLimit(p.Every)
 	defer release()
 	return call.Ask[Page](short, p.Client, p.Address, ask)
 }
--- a/control/discovery/reader.go
+++ b/control/discovery/reader.go
@@ -57,11 +57,11 @@
 }
 
 // Run reads the list until the scope ends.
-func (r *Reader) Run(inner scope.Scope) {
-	for spent := clock.Span(0); inner.Wait(max(r.pause(inner)-spent, r.Every/restPart)); {
-		begin := inner.Now()
-		r.Read(inner)
-		spent = inner.Now().Since(begin)
+func (r *Reader) Run(ctx scope.Scope) {
+	for spent := clock.Span(0); ctx.Wait(max(r.pause(ctx)-spent, r.Every/restPart)); {
+		begin := ctx.Now()
+		r.Read(ctx)
+		spent = ctx.Now().Since(begin)
 	}
 }
 
@@ -71,12 +71,12 @@
 
 // pause is the time from one reading to the next: longer where nothing changes, and
 // where the pages of one are so many that the platform's rate would be passed.
-func (r *Reader) pause(inner scope.Scope) clock.Span {
+func (r *Reader) pause(ctx scope.Scope) clock.Span {
 	every := r.Every
 	if r.quiet >= quietReadings && !r.Platform.ByZone() {
 		every *= quietFactor
 	}
-	rate := inner.Boot.Platform.RatePerS
+	rate := ctx.Boot.Platform.RatePerS
 	if rate <= 0 {
 		return every
 	}
@@ -84,20 +84,20 @@
 }
 
 // Read reads the list once and makes news of what changed.
-func (r *Reader) Read(inner scope.Scope) {
-	before, held := r.Held(inner.Now())
+func (r *Reader) Read(ctx scope.Scope) {
+	before, held := r.Held(ctx.Now())
 	if !held {
 		r.failed, r.quiet = 0, 0
 		return
 	}
-	parts, err := r.Platform.Read(inner)
+	parts, err := r.Platform.Read(ctx)
 	if err != nil {
-		inner.Log.Warn().Str("part", "census").Err(err).Msg("the platform did not answer")
-		r.fail(inner)
+		ctx.Log.Warn().Str("part", "census").Err(err).Msg("the platform did not answer")
+		r.fail(ctx)
 		return
 	}
 	r.failed = 0
-	now := inner.Now()
+	now := ctx.Now()
 	epoch, held := r.Held(now)
 	if !held || epoch != before {
 		return
@@ -105,11 +105,11 @@
 	r.tell(epoch, parts, now)
 }
 
-func (r *Reader) fail(inner scope.Scope) {
+func (r *Reader) fail(ctx scope.Scope) {
 	if r.failed++; r.failed >= failuresBorne && r.Resign != nil {
 		r.failed = 0
-		inner.Log.Info().Str("part", "census").Msg("the duty is given back: the platform is not reached from here")
-		r.Resign(inner)
+		ctx.Log.Info().Str("part", "census").Msg("the duty is given back: the platform is not reached from here")
+		r.Resign(ctx)
 	}
 }
 
--- a/control/discovery/reader_test.go
+++ b/control/discovery/reader_test.go
@@ -23,7 +23,7 @@
 // platform is a scripted platform with one runner a page: two in zone a, one in
 // zone b.
 type platform struct {
-	lock      sync.Mutex
+	mu        sync.Mutex
 	condition string
 	cold      int
 	down      bool
@@ -36,8 +36,8 @@
 var standing = []string{"a", "a", "b"}
 
 func (p *platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.calls = append(p.calls, request.URL.RequestURI())
 	p.clock.Move(p.slow)
 	if p.down {
@@ -64,8 +64,8 @@
 }
 
 func (p *platform) asked() []string {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	asked := p.calls
 	p.calls = nil
 	slices.Sort(asked)
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -27,7 +27,7 @@
 // that was read for this zone stands in their place, until a beat confirms them.
 type View struct {
 	options ViewOptions
-	lock    sync.Mutex
+	mu      sync.Mutex
 	// told are the parts as they were told, digest is theirs, and beat the digest
 	// that was last confirmed.
 	told   map[ids.Zone]*Section
@@ -72,8 +72,8 @@
 	if err != nil {
 		return false
 	}
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	before := v.whole()
 	if old := v.told[zone]; old != nil {
 		v.digest ^= partDigest(zone, old.serial)
@@ -98,8 +98,8 @@
 	if err != nil {
 		return false
 	}
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	v.heard, v.beat = true, beat.Digest
 	return v.confirm()
 }
@@ -136,8 +136,8 @@
 
 // Take has a list stand in place of the parts that were told.
 func (v *View) Take(list List) {
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	v.sections, v.local = map[ids.Zone]*Section{}, true
 	for zone, part := range byZone(list.Runners, v.options.Zones) {
 		v.sections[zone] = &Section{Runners: part.Runners}
@@ -157,23 +157,23 @@
 
 // Whole tells whether the list can be acted on.
 func (v *View) Whole() bool {
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	return v.local || v.whole()
 }
 
 // Fresh tells whether the list was confirmed, or read, within the patience.
 func (v *View) Fresh() bool {
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	return (v.local || v.whole()) && v.options.Clock.Now().Since(v.fresh) < v.options.Patience
 }
 
 // Confirmed is when the list was last confirmed or read; before that, when the
 // view was made.
 func (v *View) Confirmed() clock.Instant {
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	if v.local || v.whole() {
 		return v.fresh
 	}
@@ -182,8 +182,8 @@
 
 // Sections gives the parts that are to be acted on; nobody changes them.
 func (v *View) Sections() map[ids.Zone]*Section {
-	v.lock.Lock()
-	defer v.lock.Unlock()
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	if !v.local && !v.whole() {
 		return nil
 	}
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -46,28 +46,28 @@
 	return list
 }
 
-func (told *told) part(zone ids.Zone, serial ids.Serial, names ...ids.RunnerID) bool {
-	told.serials[zone] = serial
-	return told.view.Absorb(item(PartKey(zone), serial, listOf(zone, names...)))
+func (t *told) part(zone ids.Zone, serial ids.Serial, names ...ids.RunnerID) bool {
+	t.serials[zone] = serial
+	return t.view.Absorb(item(PartKey(zone), serial, listOf(zone, names...)))
 }
 
-func (told *told) beat(serial ids.Serial) bool {
+func (t *told) beat(serial ids.Serial) bool {
 	digest := int64(0)
-	for zone, serial := range told.serials {
+	for zone, serial := range t.serials {
 		digest ^= partDigest(zone, serial)
 	}
-	return told.view.Absorb(item(BeatKey, serial, Beat{Digest: digest}))
+	return t.view.Absorb(item(BeatKey, serial, Beat{Digest: digest}))
 }
 
-func (told *told) wants(moment string, names ...ids.RunnerID) {
-	told.t.Helper()
-	found := told.view.Runners()
+func (t *told) wants(moment string, names ...ids.RunnerID) {
+	t.t.Helper()
+	found := t.view.Runners()
 	same := len(found) == len(names)
 	for index := range found {
 		same = same && found[index].ID == names[index]
 	}
 	if !same {
-		told.t.Errorf("%s: %+v, not %v", moment, found, names)
+		t.t.Errorf("%s: %+v, not %v", moment, found, names)
 	}
 }
 
--- a/control/eject/eject.go
+++ b/control/eject/eject.go
@@ -67,23 +67,23 @@
 
 // Judge keeps what a zone's requests met lately.
 type Judge struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	records map[ids.RunnerID]*record
 	told    []ids.RunnerID
 }
 
 // Take adds a report of a router of the zone.
-func (judge *Judge) Take(report scaler.ReportAsk, now clock.Instant) {
-	judge.lock.Lock()
-	defer judge.lock.Unlock()
-	if judge.records == nil {
-		judge.records = map[ids.RunnerID]*record{}
+func (j *Judge) Take(report scaler.ReportAsk, now clock.Instant) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.records == nil {
+		j.records = map[ids.RunnerID]*record{}
 	}
 	for _, sample := range report.Samples {
-		known := judge.records[sample.Runner]
+		known := j.records[sample.Runner]
 		if known == nil {
 			known = &record{}
-			judge.records[sample.Runner] = known
+			j.records[sample.Runner] = known
 		}
 		known.service = sample.Service
 		if sample.Finished+sample.Failed > 0 {
@@ -93,18 +93,18 @@
 }
 
 // Verdict tells who is to rest now; changed says that the zone must be told.
-func (judge *Judge) Verdict(now clock.Instant) (rests Rests, changed bool) {
-	judge.lock.Lock()
-	defer judge.lock.Unlock()
-	services := judge.forget(now)
-	names := make([]ids.RunnerID, 0, len(judge.records))
-	for id := range judge.records {
+func (j *Judge) Verdict(now clock.Instant) (rests Rests, changed bool) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	services := j.forget(now)
+	names := make([]ids.RunnerID, 0, len(j.records))
+	for id := range j.records {
 		names = append(names, id)
 	}
 	slices.SortFunc(names, func(left, right ids.RunnerID) int { return strings.Compare(string(left), string(right)) })
 	var resting []ids.RunnerID
 	for _, id := range names {
-		known := judge.records[id]
+		known := j.records[id]
 		total := services[known.service]
 		if !now.Before(known.until) && known.stands(total) && float64(total.resting+1) <= mostResting*float64(total.runners) {
 			known.until = now.Add(firstRest << known.falls)
@@ -117,8 +117,8 @@
 			rests.Runners = append(rests.Runners, Rest{Runner: id, LeftMS: known.until.Since(now).Milliseconds()})
 		}
 	}
-	changed = !slices.Equal(resting, judge.told)
-	judge.told = resting
+	changed = !slices.Equal(resting, j.told)
+	j.told = resting
 	return rests, changed
 }
 
@@ -129,16 +129,16 @@
 }
 
 // forget drops what is old and adds up what is left.
-func (judge *Judge) forget(now clock.Instant) map[ids.Service]*sums {
+func (j *Judge) forget(now clock.Instant) map[ids.Service]*sums {
 	services := map[ids.Service]*sums{}
-	for id, known := range judge.records {
+	for id, known := range j.records {
 		known.looks = slices.DeleteFunc(known.looks, func(seen look) bool { return now.Since(seen.at) > memory })
 		if quiet := now.Since(known.until); known.falls > 0 && quiet > forgiven {
 			known.falls--
 			known.until = known.until.Add(forgiven)
 		}
 		if len(known.looks) == 0 && known.falls == 0 {
-			delete(judge.records, id)
+			delete(j.records, id)
 			continue
 		}
 		total := services[known.service]
@@ -158,9 +158,9 @@
 }
 
 // stands tells whether a runner stands out from its peers.
-func (known *record) stands(total *sums) bool {
+func (r *record) stands(total *sums) bool {
 	finished, failed := 0.0, 0.0
-	for _, seen := range known.looks {
+	for _, seen := range r.looks {
 		finished, failed = finished+seen.finished, failed+seen.failed
 	}
 	if failed < fewestFailed || failed < leastRatio*(finished+failed) {
--- a/control/journal/disk.go
+++ b/control/journal/disk.go
@@ -37,8 +37,8 @@
 type Folder string
 
 // Read gives a whole file; a missing one is empty.
-func (folder Folder) Read(name string) ([]byte, error) {
-	content, err := os.ReadFile(filepath.Join(string(folder), name))
+func (f Folder) Read(name string) ([]byte, error) {
+	content, err := os.ReadFile(filepath.Join(string(f), name))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
@@ -46,11 +46,11 @@
 }
 
 // Create opens an empty file, making the folder where it is missing.
-func (folder Folder) Create(name string) (File, error) {
-	if err := makeFolder(string(folder)); err != nil {
+func (f Folder) Create(name string) (File, error) {
+	if err := makeFolder(string(f)); err != nil {
 		return nil, err
 	}
-	return os.OpenFile(filepath.Join(string(folder), name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
+	return os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 }
 
 // makeFolder makes a folder and those above it; each that it makes is synced
@@ -72,8 +72,8 @@
 }
 
 // Append opens a file and cuts it to the length.
-func (folder Folder) Append(name string, length int64) (File, error) {
-	file, err := os.OpenFile(filepath.Join(string(folder), name), os.O_WRONLY, 0o644)
+func (f Folder) Append(name string, length int64) (File, error) {
+	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
@@ -88,13 +88,13 @@
 }
 
 // Rename gives a file another name.
-func (folder Folder) Rename(from string, to string) error {
-	return os.Rename(filepath.Join(string(folder), from), filepath.Join(string(folder), to))
+func (f Folder) Rename(from string, to string) error {
+	return os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to))
 }
 
 // Remove takes a file away; a missing one is no fault.
-func (folder Folder) Remove(name string) error {
-	err := os.Remove(filepath.Join(string(folder), name))
+func (f Folder) Remove(name string) error {
+	err := os.Remove(filepath.Join(string(f), name))
 	if os.IsNotExist(err) {
 		return nil
 	}
@@ -102,8 +102,8 @@
 }
 
 // SyncFolder makes the names of all files last.
-func (folder Folder) SyncFolder() error {
-	opened, err := os.Open(string(folder))
+func (f Folder) SyncFolder() error {
+	opened, err := os.Open(string(f))
 	if err != nil {
 		return err
 	}
--- a/control/journal/journal.go
+++ b/control/journal/journal.go
@@ -80,8 +80,8 @@
 	return opened, records, nil
 }
 
-func (journal *Journal) begin() ([][]byte, error) {
-	disk, name := journal.options.Disk, journal.options.Name
+func (j *Journal) begin() ([][]byte, error) {
+	disk, name := j.options.Disk, j.options.Name
 	content, err := disk.Read(name)
 	if err != nil {
 		return nil, err
@@ -90,13 +90,13 @@
 	if err != nil {
 		return nil, err
 	}
-	journal.generation = found.generation
+	j.generation = found.generation
 	if err = disk.Remove(newName(name)); err != nil {
 		return nil, err
 	}
 	if found.damage != nil {
 		found.damage.File, found.damage.Aside = name, asideName(name)
-		journal.Damage = found.damage
+		j.Damage = found.damage
 		if err = disk.Rename(name, asideName(name)); err == nil {
 			err = disk.SyncFolder()
 		}
@@ -106,7 +106,7 @@
 		found = reading{}
 	}
 	if found.length == 0 {
-		return found.records, journal.fill(found.records)
+		return found.records, j.fill(found.records)
 	}
 	file, err := disk.Append(name, found.length)
 	if err != nil {
@@ -120,43 +120,43 @@
 		_ = file.Close()
 		return nil, err
 	}
-	journal.file, journal.frames, journal.length = file, found.frames, found.length
-	journal.rewrite = journal.bounded(journal.options.Shortest)
+	j.file, j.frames, j.length = file, found.frames, found.length
+	j.rewrite = j.bounded(j.options.Shortest)
 	return found.records, nil
 }
 
 // Save writes a record and returns once a sync has covered it. After an error
 // the record may or may not be there.
-func (journal *Journal) Save(record []byte) error {
+func (j *Journal) Save(record []byte) error {
 	if len(record) == 0 || len(record) > recordLimit {
 		return fmt.Errorf("%w: %d bytes", ErrLength, len(record))
 	}
 	waiting := entry{record: record, told: make(chan error, 1)}
 	select {
-	case journal.inbox <- waiting:
-	case <-journal.done:
+	case j.inbox <- waiting:
+	case <-j.done:
 		return ErrClosed
 	}
 	select {
 	case err := <-waiting.told:
 		return err
-	case <-journal.done:
+	case <-j.done:
 		return ErrClosed
 	}
 }
 
 // Close ends the journal; records that wait are refused.
-func (journal *Journal) Close() { journal.once.Do(func() { close(journal.done) }) }
+func (j *Journal) Close() { j.once.Do(func() { close(j.done) }) }
 
-func (journal *Journal) run() {
+func (j *Journal) run() {
 	for {
 		select {
-		case <-journal.done:
-			journal.drop()
+		case <-j.done:
+			j.drop()
 			return
-		case first := <-journal.inbox:
-			batch := journal.gather(first)
-			err := journal.write(batch)
+		case first := <-j.inbox:
+			batch := j.gather(first)
+			err := j.write(batch)
 			for _, waiting := range batch {
 				waiting.told <- err
 			}
@@ -164,11 +164,11 @@
 	}
 }
 
-func (journal *Journal) gather(first entry) []entry {
+func (j *Journal) gather(first entry) []entry {
 	batch, size := []entry{first}, sizeLength+len(first.record)
 	for size < batchLimit {
 		select {
-		case next := <-journal.inbox:
+		case next := <-j.inbox:
 			batch, size = append(batch, next), size+sizeLength+len(next.record)
 		default:
 			return batch
