--- a/control/journal/model_test.go
+++ b/control/journal/model_test.go
@@ -18,7 +18,7 @@
 
 // voter is a small model of what a journal serves: numbers that only grow.
 type voter struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	numbers [3]int
 }
 
@@ -26,11 +26,11 @@
 	return []byte(fmt.Sprintf("%d %d %s", key, number, bytes.Repeat([]byte("."), number%60)))
 }
 
-func (voter *voter) whole() [][]byte {
-	voter.lock.Lock()
-	defer voter.lock.Unlock()
+func (v *voter) whole() [][]byte {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	var all [][]byte
-	for key, number := range voter.numbers {
+	for key, number := range v.numbers {
 		all = append(all, record(key, number))
 	}
 	return all
@@ -51,73 +51,73 @@
 	power bool
 }
 
-func (machine *machine) pause(string, int) error {
-	if machine.until == 0 {
-		machine.end()
+func (m *machine) pause(string, int) error {
+	if m.until == 0 {
+		m.end()
 	}
-	machine.until--
-	if machine.refuses > 0 && machine.source.IntN(machine.refuses) == 0 {
+	m.until--
+	if m.refuses > 0 && m.source.IntN(m.refuses) == 0 {
 		return errRefused
 	}
 	return nil
 }
 
-func (machine *machine) end() {
-	if machine.power {
-		machine.disk.LosePower()
+func (m *machine) end() {
+	if m.power {
+		m.disk.LosePower()
 		return
 	}
-	machine.disk.Kill()
+	m.disk.Kill()
 }
 
 // start opens the journal, with the machine dying on the way at times.
-func (machine *machine) start() {
+func (m *machine) start() {
 	for {
-		machine.voter = &voter{}
-		own := machine.voter
-		opened, records, err := journal.Open(journal.Options{Disk: machine.disk.Mount(), Name: "j", Whole: own.whole, Shortest: 300, Limit: 64 << 10})
+		m.voter = &voter{}
+		own := m.voter
+		opened, records, err := journal.Open(journal.Options{Disk: m.disk.Mount(), Name: "j", Whole: own.whole, Shortest: 300, Limit: 64 << 10})
 		if err != nil {
-			machine.until, machine.refuses = -1, 0
+			m.until, m.refuses = -1, 0
 			continue
 		}
 		if opened.Damage != nil {
-			machine.t.Fatalf("nothing was spoilt: %+v", opened.Damage)
+			m.t.Fatalf("nothing was spoilt: %+v", opened.Damage)
 		}
 		for _, body := range records {
 			key, number := 0, 0
 			if _, err := fmt.Sscanf(string(body), "%d %d", &key, &number); err != nil {
-				machine.t.Fatal(err)
+				m.t.Fatal(err)
 			}
 			own.numbers[key] = max(own.numbers[key], number)
 		}
 		for key, number := range own.numbers {
-			if number < machine.acked[key] || number > machine.handed[key] {
-				machine.t.Fatalf("key %d: %d was acknowledged, %d handed over, %d read back", key, machine.acked[key], machine.handed[key], number)
+			if number < m.acked[key] || number > m.handed[key] {
+				m.t.Fatalf("key %d: %d was acknowledged, %d handed over, %d read back", key, m.acked[key], m.handed[key], number)
 			}
 			// What Open gave is acted on, so it lasts too.
-			machine.acked[key] = number
+			m.acked[key] = number
 		}
-		machine.opened = opened
+		m.opened = opened
 		return
 	}
 }
 
 // save hands over the next number of each key at once.
-func (machine *machine) save(keys int) error {
+func (m *machine) save(keys int) error {
 	faults := make([]error, keys)
 	var all sync.WaitGroup
 	for key := range keys {
-		machine.handed[key]++
-		number := machine.handed[key]
-		machine.voter.lock.Lock()
-		machine.voter.numbers[key] = number
-		machine.voter.lock.Unlock()
-		all.Go(func() { faults[key] = machine.opened.Save(record(key, number)) })
+		m.handed[key]++
+		number := m.handed[key]
+		m.voter.mu.Lock()
+		m.voter.numbers[key] = number
+		m.voter.mu.Unlock()
+		all.Go(func() { faults[key] = m.opened.Save(record(key, number)) })
 	}
 	all.Wait()
 	for key := range keys {
 		if faults[key] == nil {
-			machine.acked[key] = machine.handed[key]
+			m.acked[key] = m.handed[key]
 		}
 	}
 	return errors.Join(faults...)
--- a/control/journal/write.go
+++ b/control/journal/write.go
@@ -11,76 +11,76 @@
 
 // write makes a batch last, as a frame behind the others or as part of the
 // whole state in a new file.
-func (journal *Journal) write(batch []entry) error {
+func (j *Journal) write(batch []entry) error {
 	records := make([][]byte, 0, len(batch))
 	size := int64(frameLength)
 	for _, waiting := range batch {
 		records = append(records, waiting.record)
 		size += sizeLength + int64(len(waiting.record))
 	}
-	if journal.file == nil || journal.length+size > journal.rewrite {
-		err := journal.renew()
+	if j.file == nil || j.length+size > j.rewrite {
+		err := j.renew()
 		if err == nil {
 			return nil
 		}
-		if journal.adrift {
+		if j.adrift {
 			return fmt.Errorf("journal: %w", err)
 		}
 		// The old file still has its name, and what was synced is as good as
 		// ever: where there is no room for another it goes on growing.
-		journal.rewrite = journal.bounded(journal.length + journal.options.Shortest)
-		if journal.beyond(journal.length + size) {
+		j.rewrite = j.bounded(j.length + j.options.Shortest)
+		if j.beyond(j.length + size) {
 			return fmt.Errorf("journal: %w", err)
 		}
-		if err = journal.reopen(); err != nil {
+		if err = j.reopen(); err != nil {
 			return fmt.Errorf("journal: %w", err)
 		}
 	}
-	framed := frame(journal.generation, journal.frames+1, records)
-	if err := put(journal.file, framed); err != nil {
+	framed := frame(j.generation, j.frames+1, records)
+	if err := put(j.file, framed); err != nil {
 		// What lies behind the synced bytes is not known now: this handle is
 		// never used again.
-		journal.drop()
+		j.drop()
 		return fmt.Errorf("journal: %w", err)
 	}
-	journal.frames++
-	journal.length += int64(len(framed))
+	j.frames++
+	j.length += int64(len(framed))
 	return nil
 }
 
 // reopen goes on with the old file, cut to what was synced.
-func (journal *Journal) reopen() error {
-	if journal.file != nil {
+func (j *Journal) reopen() error {
+	if j.file != nil {
 		return nil
 	}
-	file, err := journal.options.Disk.Append(journal.options.Name, journal.length)
+	file, err := j.options.Disk.Append(j.options.Name, j.length)
 	if err == nil {
-		journal.file = file
+		j.file = file
 	}
 	return err
 }
 
-func (journal *Journal) drop() {
-	if journal.file != nil {
-		_ = journal.file.Close()
-		journal.file = nil
+func (j *Journal) drop() {
+	if j.file != nil {
+		_ = j.file.Close()
+		j.file = nil
 	}
 }
 
 // renew writes the whole state to a new file, which takes the old one's place.
 // The batch that waits is part of that state: see Options.Whole.
-func (journal *Journal) renew() error {
-	err := journal.fill(journal.options.Whole())
+func (j *Journal) renew() error {
+	err := j.fill(j.options.Whole())
 	if errors.Is(err, syscall.ENOSPC) {
-		_ = journal.options.Disk.Remove(asideName(journal.options.Name))
-		_ = journal.options.Disk.SyncFolder()
+		_ = j.options.Disk.Remove(asideName(j.options.Name))
+		_ = j.options.Disk.SyncFolder()
 	}
 	return err
 }
 
 // fill makes a new file of records and gives it the journal's name.
-func (journal *Journal) fill(records [][]byte) error {
-	generation, frames := journal.generation+1, uint64(0)
+func (j *Journal) fill(records [][]byte) error {
+	generation, frames := j.generation+1, uint64(0)
 	content := make([]byte, headLength)
 	for len(records) > 0 {
 		count, size := 0, 0
@@ -94,32 +94,32 @@
 	}
 	copy(content, head(generation, len(content)))
 	length := int64(len(content))
-	if journal.beyond(length) {
+	if j.beyond(length) {
 		return ErrRoom
 	}
-	file, renamed, err := replace(journal.options.Disk, journal.options.Name, content)
+	file, renamed, err := replace(j.options.Disk, j.options.Name, content)
 	if renamed {
-		journal.drop()
-		journal.adrift = err != nil
+		j.drop()
+		j.adrift = err != nil
 	}
 	if err != nil {
 		return err
 	}
-	journal.file, journal.generation, journal.frames, journal.length = file, generation, frames, length
-	journal.rewrite = journal.bounded(max(journal.options.Shortest, 2*length))
+	j.file, j.generation, j.frames, j.length = file, generation, frames, length
+	j.rewrite = j.bounded(max(j.options.Shortest, 2*length))
 	return nil
 }
 
 // bounded gives a length at which the file is written anew: at its limit it is
 // anyway.
-func (journal *Journal) bounded(length int64) int64 {
-	if journal.options.Limit > 0 {
-		return min(length, journal.options.Limit)
+func (j *Journal) bounded(length int64) int64 {
+	if j.options.Limit > 0 {
+		return min(length, j.options.Limit)
 	}
 	return length
 }
 
-func (journal *Journal) beyond(length int64) bool { return journal.bounded(length) < length }
+func (j *Journal) beyond(length int64) bool { return j.bounded(length) < length }
 
 func put(file File, content []byte) error {
 	if _, err := file.Write(content); err != nil {
--- a/control/lease/granter.go
+++ b/control/lease/granter.go
@@ -25,7 +25,7 @@
 
 // Granter is the voter's side: it grants a duty to one holder at a time.
 type Granter struct {
-	lock       sync.Mutex
+	mu         sync.Mutex
 	clock      clock.Clock
 	span       clock.Span
 	grants     map[string]grant
@@ -47,22 +47,22 @@
 }
 
 // Grant answers a daemon that wants or has a duty.
-func (granter *Granter) Grant(asked Ask) Told {
-	voting, voters := granter.voting()
-	granter.lock.Lock()
-	defer granter.lock.Unlock()
-	now := granter.clock.Now()
-	if voters != granter.voters {
+func (g *Granter) Grant(asked Ask) Told {
+	voting, voters := g.voting()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.Now()
+	if voters != g.voters {
 		// Other voters may have granted what this one does not know of.
-		granter.quietUntil, granter.voters = now.Add(granter.span), voters
+		g.quietUntil, g.voters = now.Add(g.span), voters
 	}
-	late := granter.late(asked)
-	known, found := granter.grants[asked.Duty]
+	late := g.late(asked)
+	known, found := g.grants[asked.Duty]
 	current := found && now.Before(known.until)
 	own := current && known.holder == asked.Holder && known.life == asked.Life
 	if asked.Release {
 		if own && known.number <= asked.Number {
-			delete(granter.grants, asked.Duty)
+			delete(g.grants, asked.Duty)
 		}
 		return Told{}
 	}
@@ -71,20 +71,20 @@
 	}
 	// A grant that its holder does not know of any more runs out first.
 	renewal := own && asked.Renew
-	if late || !voting || (current && !renewal) || (!renewal && now.Before(granter.quietUntil)) {
+	if late || !voting || (current && !renewal) || (!renewal && now.Before(g.quietUntil)) {
 		return Told{}
 	}
-	granter.grants[asked.Duty] = grant{holder: asked.Holder, life: asked.Life, number: asked.Number, until: now.Add(granter.span)}
+	g.grants[asked.Duty] = grant{holder: asked.Holder, life: asked.Life, number: asked.Number, until: now.Add(g.span)}
 	return Told{Granted: true}
 }
 
 // late tells whether the asker said this, or something later, before.
-func (granter *Granter) late(asked Ask) bool {
+func (g *Granter) late(asked Ask) bool {
 	from := asker{duty: asked.Duty, holder: asked.Holder}
-	newest := granter.heard[from]
+	newest := g.heard[from]
 	if newest.life == asked.Life && asked.Number <= newest.number {
 		return true
 	}
-	granter.heard[from] = said{life: asked.Life, number: asked.Number}
+	g.heard[from] = said{life: asked.Life, number: asked.Number}
 	return false
 }
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -87,7 +87,7 @@
 // Holder is the side of the daemon that wants the duty.
 type Holder struct {
 	options Options
-	lock    sync.Mutex
+	mu      sync.Mutex
 	epoch   int64
 	until   clock.Instant
 	// number counts the questions; those up to released were given back.
@@ -107,116 +107,116 @@
 }
 
 // Duty names what is held.
-func (holder *Holder) Duty() string { return holder.options.Duty }
+func (h *Holder) Duty() string { return h.options.Duty }
 
 // Held tells whether the duty is this daemon's now, and under which epoch.
-func (holder *Holder) Held(now clock.Instant) (int64, bool) {
-	holder.lock.Lock()
-	defer holder.lock.Unlock()
-	return holder.epoch, holder.held(now)
+func (h *Holder) Held(now clock.Instant) (int64, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.epoch, h.held(now)
 }
 
-func (holder *Holder) held(now clock.Instant) bool {
-	return holder.epoch > 0 && now.Before(holder.until)
+func (h *Holder) held(now clock.Instant) bool {
+	return h.epoch > 0 && now.Before(h.until)
 }
 
 // Run strives for the duty until the scope ends.
-func (holder *Holder) Run(inner scope.Scope) {
-	for inner.Err() == nil {
-		pause := holder.options.Span / 3
-		if !holder.Strive(inner) {
+func (h *Holder) Run(ctx scope.Scope) {
+	for ctx.Err() == nil {
+		pause := h.options.Span / 3
+		if !h.Strive(ctx) {
 			// Askers that split the votes must not meet again.
-			pause = pause/2 + chance.Part(holder.options.Span/3)
+			pause = pause/2 + chance.Part(h.options.Span/3)
 		}
-		if !inner.Wait(pause) {
+		if !ctx.Wait(pause) {
 			return
 		}
 	}
 }
 
 // Release gives the duty up.
-func (holder *Holder) Release(inner scope.Scope) {
-	holder.lock.Lock()
-	holder.until, holder.released = 0, holder.number
-	number := holder.number
-	holder.lock.Unlock()
-	holder.options.Ask(inner, holder.ask(number, Ask{Release: true}))
+func (h *Holder) Release(ctx scope.Scope) {
+	h.mu.Lock()
+	h.until, h.released = 0, h.number
+	number := h.number
+	h.mu.Unlock()
+	h.options.Ask(ctx, h.ask(number, Ask{Release: true}))
 }
 
 // Rest gives the duty up and leaves it to others for a span.
-func (holder *Holder) Rest(inner scope.Scope, span clock.Span) {
-	holder.lock.Lock()
-	holder.rests = inner.Now().Add(span)
-	holder.lock.Unlock()
-	holder.Release(inner)
+func (h *Holder) Rest(ctx scope.Scope, span clock.Span) {
+	h.mu.Lock()
+	h.rests = ctx.Now().Add(span)
+	h.mu.Unlock()
+	h.Release(ctx)
 }
 
 // Leave gives the duty up for good: it is not striven for again.
-func (holder *Holder) Leave(inner scope.Scope) {
-	holder.lock.Lock()
-	holder.left = true
-	holder.lock.Unlock()
-	holder.Release(inner)
+func (h *Holder) Leave(ctx scope.Scope) {
+	h.mu.Lock()
+	h.left = true
+	h.mu.Unlock()
+	h.Release(ctx)
 }
 
-func (holder *Holder) ask(number int64, asked Ask) Ask {
-	asked.Duty, asked.Holder, asked.Life, asked.Number = holder.options.Duty, holder.options.Address, holder.options.Life, number
+func (h *Holder) ask(number int64, asked Ask) Ask {
+	asked.Duty, asked.Holder, asked.Life, asked.Number = h.options.Duty, h.options.Address, h.options.Life, number
 	return asked
 }
 
 // begin numbers a question, and tells whether the duty is held now, and whether
 // it is left to others.
-func (holder *Holder) begin(now clock.Instant) (number int64, renew bool, rests bool) {
-	holder.lock.Lock()
-	defer holder.lock.Unlock()
-	holder.number++
-	return holder.number, holder.held(now), holder.left || now.Before(holder.rests)
+func (h *Holder) begin(now clock.Instant) (number int64, renew bool, rests bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.number++
+	return h.number, h.held(now), h.left || now.Before(h.rests)
 }
 
 // gain has what was granted to a question count, under a new epoch where one is
 // given; without one only if the duty is held still. What was given back in the
 // meantime does not count.
-func (holder *Holder) gain(inner scope.Scope, number int64, epoch int64, until clock.Instant) bool {
-	holder.lock.Lock()
-	defer holder.lock.Unlock()
-	if holder.released >= number || (epoch == 0 && !holder.held(inner.Now())) {
+func (h *Holder) gain(ctx scope.Scope, number int64, epoch int64, until clock.Instant) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.released >= number || (epoch == 0 && !h.held(ctx.Now())) {
 		return false
 	}
-	if epoch > 0 && epoch <= holder.epoch {
-		holder.options.Monitor.Violated(invariant.EpochRises, "duty %s is gained under epoch %d after %d", holder.options.Duty, epoch, holder.epoch)
+	if epoch > 0 && epoch <= h.epoch {
+		h.options.Monitor.Violated(invariant.EpochRises, "duty %s is gained under epoch %d after %d", h.options.Duty, epoch, h.epoch)
 	}
-	holder.epoch, holder.until = max(holder.epoch, epoch), until
+	h.epoch, h.until = max(h.epoch, epoch), until
 	return true
 }
 
 // Strive asks once for the duty, or renews it; it tells whether a majority
 // granted it.
-func (holder *Holder) Strive(inner scope.Scope) bool {
-	short, release := inner.WithLimit(holder.options.Span / 3)
+func (h *Holder) Strive(ctx scope.Scope) bool {
+	short, release := ctx.WithLimit(h.options.Span / 3)
 	defer release()
-	begin := inner.Now()
-	number, renew, rests := holder.begin(begin)
+	begin := ctx.Now()
+	number, renew, rests := h.begin(begin)
 	if rests {
 		return false
 	}
-	if grants := holder.options.Ask(short, holder.ask(number, Ask{Renew: renew})); grants != Majority {
+	if grants := h.options.Ask(short, h.ask(number, Ask{Renew: renew})); grants != Majority {
 		if !renew && grants == Fewer {
 			// What a minority granted is given back, so that another can gain it.
-			holder.Release(inner)
+			h.Release(ctx)
 		}
 		return renew
 	}
 	// Counted from before the question, less a margin for clocks that differ.
-	until := begin.Add(holder.options.Span * 9 / 10)
-	if renew && holder.gain(inner, number, 0, until) {
+	until := begin.Add(h.options.Span * 9 / 10)
+	if renew && h.gain(ctx, number, 0, until) {
 		return true
 	}
 	// A hold that ran out in the meantime is a new one: another may have had the
 	// duty in between.
-	epoch, err := holder.options.Epoch(inner, holder.options.Duty)
-	inner.Log.Info().Str("part", "hold").Str("duty", holder.options.Duty).Int64("epoch", epoch).Err(err).Msg("granted")
-	if err != nil || !holder.gain(inner, number, epoch, until) {
-		holder.Release(inner)
+	epoch, err := h.options.Epoch(ctx, h.options.Duty)
+	ctx.Log.Info().Str("part", "hold").Str("duty", h.options.Duty).Int64("epoch", epoch).Err(err).Msg("granted")
+	if err != nil || !h.gain(ctx, number, epoch, until) {
+		h.Release(ctx)
 		return false
 	}
 	return true
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -59,14 +59,14 @@
 	return made
 }
 
-func (world *world) granter() *Granter {
-	return NewGranter(world.clock, span, func() (bool, int64) { return true, 1 })
+func (w *world) granter() *Granter {
+	return NewGranter(w.clock, span, func() (bool, int64) { return true, 1 })
 }
 
-func (world *world) held() []int {
+func (w *world) held() []int {
 	var found []int
-	for index, holder := range world.holders {
-		if _, held := holder.Held(world.clock.Now()); held {
+	for index, holder := range w.holders {
+		if _, held := holder.Held(w.clock.Now()); held {
 			found = append(found, index)
 		}
 	}
--- a/control/lengths/lengths.go
+++ b/control/lengths/lengths.go
@@ -48,12 +48,12 @@
 }
 
 // Plus joins two sums of one kind.
-func (sum Sum) Plus(other Sum) Sum {
-	sum.Count += other.Count
-	sum.SpentMS += other.SpentMS
-	sum.Tokens += other.Tokens
-	sum.Slow += other.Slow
-	return sum
+func (s Sum) Plus(other Sum) Sum {
+	s.Count += other.Count
+	s.SpentMS += other.SpentMS
+	s.Tokens += other.Tokens
+	s.Slow += other.Slow
+	return s
 }
 
 // Expected is how long answers of a kind are expected to take.
@@ -94,36 +94,36 @@
 }
 
 // Take adds sums that were seen.
-func (estimator *Estimator) Take(seen []Sum) {
-	if estimator.sums == nil {
-		estimator.sums, estimator.told, estimator.cuts = map[Kind]Sum{}, map[Kind]float64{}, map[ids.Service]cut{}
+func (e *Estimator) Take(seen []Sum) {
+	if e.sums == nil {
+		e.sums, e.told, e.cuts = map[Kind]Sum{}, map[Kind]float64{}, map[ids.Service]cut{}
 	}
 	for _, sum := range seen {
-		estimator.sums[sum.Kind] = sum.Plus(estimator.sums[sum.Kind])
+		e.sums[sum.Kind] = sum.Plus(e.sums[sum.Kind])
 	}
 }
 
 // Age forgets a part of what was seen.
-func (estimator *Estimator) Age(seconds float64) {
+func (e *Estimator) Age(seconds float64) {
 	part := math.Exp(-seconds / memory)
-	for kind, sum := range estimator.sums {
+	for kind, sum := range e.sums {
 		sum.Count, sum.SpentMS, sum.Tokens, sum.Slow = sum.Count*part, sum.SpentMS*part, sum.Tokens*part, sum.Slow*part
 		if sum.Count < 0.05 {
-			delete(estimator.sums, kind)
-			delete(estimator.told, kind)
+			delete(e.sums, kind)
+			delete(e.told, kind)
 			continue
 		}
-		estimator.sums[kind] = sum
+		e.sums[kind] = sum
 	}
 }
 
 // Expect gives the expectations that rest on enough answers, the ones with the
 // most answers where there are very many. One that hardly changed stays as told.
-func (estimator *Estimator) Expect() []Expected {
+func (e *Estimator) Expect() []Expected {
 	var found []Expected
-	for kind, sum := range estimator.sums {
+	for kind, sum := range e.sums {
 		if sum.Count >= fewestOfKind {
-			found = append(found, Expected{Kind: kind, MS: estimator.steadied(kind, sum.SpentMS/sum.Count), Count: sum.Count})
+			found = append(found, Expected{Kind: kind, MS: e.steadied(kind, sum.SpentMS/sum.Count), Count: sum.Count})
 		}
 	}
 	slices.SortFunc(found, func(left, right Expected) int {
@@ -137,13 +137,13 @@
 	return found
 }
 
-func (estimator *Estimator) steadied(kind Kind, milliseconds float64) float64 {
-	before, known := estimator.told[kind]
+func (e *Estimator) steadied(kind Kind, milliseconds float64) float64 {
+	before, known := e.told[kind]
 	if known && math.Abs(milliseconds-before) <= steady*before {
 		return before
 	}
-	estimator.told[kind] = math.Round(milliseconds)
-	return estimator.told[kind]
+	e.told[kind] = math.Round(milliseconds)
+	return e.told[kind]
 }
 
 func compareKinds(left Kind, right Kind) int {
--- a/control/lengths/split.go
+++ b/control/lengths/split.go
@@ -35,10 +35,10 @@
 // Split finds the cut that parts short from long best: the one between two kinds
 // where the classes' times, on a scale of ratios, lie farthest apart for how many
 // there are of each. False says that there is nothing to tell apart.
-func (estimator *Estimator) Split(service ids.Service) (Split, bool) {
+func (e *Estimator) Split(service ids.Service) (Split, bool) {
 	var kinds []Sum
 	count, work := 0.0, 0.0
-	for kind, sum := range estimator.sums {
+	for kind, sum := range e.sums {
 		if kind.Service == service && kind.Bucket > 0 && sum.Count > 0 {
 			kinds = append(kinds, sum)
 			count, work = count+sum.Count, work+sum.Tokens
@@ -67,18 +67,18 @@
 			best.long, suffering = work-short.Tokens, short.Slow/short.Count
 		}
 	}
-	return estimator.settle(best, bestGap > 0, suffering)
+	return e.settle(best, bestGap > 0, suffering)
 }
 
 // settle begins a split only where short calls suffer: as long as they don't,
 // one group serves both best, since long prompts then wait less for each other.
 // A split lasts until the long work has gone back, and a cut that hardly moved
 // stays: a class that changes moves prompts away from where they were read.
-func (estimator *Estimator) settle(found cut, apart bool, suffering float64) (Split, bool) {
-	before, known := estimator.cuts[found.Service]
+func (e *Estimator) settle(found cut, apart bool, suffering float64) (Split, bool) {
+	before, known := e.cuts[found.Service]
 	wanted := apart && (suffering >= suffers || (known && found.long >= goneBack*before.long))
 	if !wanted {
-		delete(estimator.cuts, found.Service)
+		delete(e.cuts, found.Service)
 		return Split{}, false
 	}
 	if known && math.Abs(found.CutMS-before.CutMS) <= steady*before.CutMS && math.Abs(found.ShortPart-before.ShortPart) <= 0.1 {
@@ -88,6 +88,6 @@
 	if known {
 		found.long = before.long
 	}
-	estimator.cuts[found.Service] = found
+	e.cuts[found.Service] = found
 	return found.Split, true
 }
--- a/control/lengths/table.go
+++ b/control/lengths/table.go
@@ -40,24 +40,24 @@
 
 // Expect tells how long a kind of answer is expected to take: by its own past,
 // else by that of other routes of the service with prompts as long.
-func (table *Table) Expect(kind Kind) (float64, bool) {
-	if table == nil || kind.Bucket == 0 {
+func (t *Table) Expect(kind Kind) (float64, bool) {
+	if t == nil || kind.Bucket == 0 {
 		return 0, false
 	}
-	if exact, found := table.exact[kind]; found {
+	if exact, found := t.exact[kind]; found {
 		return exact, true
 	}
-	loose, found := table.loose[Kind{Service: kind.Service, Bucket: kind.Bucket}]
+	loose, found := t.loose[Kind{Service: kind.Service, Bucket: kind.Bucket}]
 	return loose.sum / max(1, loose.count), found
 }
 
 // Class gives the class of a kind of request.
-func (table *Table) Class(kind Kind) Class {
-	expected, known := table.Expect(kind)
+func (t *Table) Class(kind Kind) Class {
+	expected, known := t.Expect(kind)
 	if !known {
 		return Unknown
 	}
-	split, apart := table.splits[kind.Service]
+	split, apart := t.splits[kind.Service]
 	if !apart {
 		return Unknown
 	}
--- a/control/operator/operator.go
+++ b/control/operator/operator.go
@@ -32,7 +32,7 @@
 var version = regexp.MustCompile(`^(?:(0|[1-9][0-9]*)|"(0|[1-9][0-9]*)")$`)
 
 // Read takes the version that the change builds on and the body.
-func (asked *SettingsChange) Read(incoming call.Incoming) error {
+func (s *SettingsChange) Read(incoming call.Incoming) error {
 	matches := incoming.Request.Header.Values("If-Match")
 	if len(matches) != 1 {
 		return failure.Of(failure.BadRequest, "If-Match: stands %d times, not once", len(matches))
@@ -48,7 +48,7 @@
 	if err != nil {
 		return failure.Of(failure.BadRequest, "If-Match: %s is above any version", matches[0])
 	}
-	asked.Change = revision.Change{
+	s.Change = revision.Change{
 		Whole: incoming.Request.Method == http.MethodPut, Match: ids.Serial(match), Body: incoming.Body,
 	}
 	return nil
@@ -60,22 +60,22 @@
 // Reply tells the version that the change made. A repeat is told its own one
 // again, whatever came into force since: it acknowledges that order and no
 // other.
-func (told SettingsTaken) Reply() reply.Reply {
-	return reply.JSON(http.StatusOK, map[string]any{"config_version": told.Serial})
+func (s SettingsTaken) Reply() reply.Reply {
+	return reply.JSON(http.StatusOK, map[string]any{"config_version": s.Serial})
 }
 
 // Nothing is a question that has no parts.
 type Nothing struct{}
 
 // Read has nothing to read.
-func (asked *Nothing) Read(call.Incoming) error { return nil }
+func (n *Nothing) Read(call.Incoming) error { return nil }
 
 // Settings is the configuration in force.
 type Settings struct{ Document []byte }
 
 // Reply gives the document as it was sent.
-func (told Settings) Reply() reply.Reply {
-	return reply.Raw(http.StatusOK, "application/json", told.Document)
+func (s Settings) Reply() reply.Reply {
+	return reply.Raw(http.StatusOK, "application/json", s.Document)
 }
 
 // ZoneOrder is POST or DELETE /empty/ZONE.
@@ -87,9 +87,9 @@
 var zoneVerbs = map[string]string{http.MethodPost: desk.VerbEmpty, http.MethodDelete: desk.VerbRefill}
 
 // Read takes the zone off the path.
-func (asked *ZoneOrder) Read(incoming call.Incoming) error {
-	asked.Zone = ids.Zone(incoming.Tail)
-	asked.Verb = zoneVerbs[incoming.Request.Method]
+func (z *ZoneOrder) Read(incoming call.Incoming) error {
+	z.Zone = ids.Zone(incoming.Tail)
+	z.Verb = zoneVerbs[incoming.Request.Method]
 	return nil
 }
 
@@ -97,8 +97,8 @@
 type Rooms struct{ Report []byte }
 
 // Reply gives the report.
-func (told Rooms) Reply() reply.Reply {
-	return reply.Raw(http.StatusOK, "application/json", told.Report)
+func (r Rooms) Reply() reply.Reply {
+	return reply.Raw(http.StatusOK, "application/json", r.Report)
 }
 
 // ServeRoom adds the call that tells the room of every model family.
@@ -120,14 +120,14 @@
 
 // Serve adds the operator's calls to a table.
 func Serve(calls *call.Table, front Desk) {
-	change := func(inner scope.Scope, asked SettingsChange) (SettingsTaken, error) {
-		_, err := front.Do(inner, desk.Order{Key: spec.Key, Verb: desk.VerbChange, Change: asked.Change})
+	change := func(ctx scope.Scope, asked SettingsChange) (SettingsTaken, error) {
+		_, err := front.Do(ctx, desk.Order{Key: spec.Key, Verb: desk.VerbChange, Change: asked.Change})
 		return SettingsTaken{Serial: asked.Change.Serial()}, err
 	}
 	call.Handle(calls, http.MethodPut, "/settings", change)
 	call.Handle(calls, http.MethodPatch, "/settings", change)
-	call.Handle(calls, http.MethodGet, "/settings", func(inner scope.Scope, _ Nothing) (Settings, error) {
-		value, err := front.Do(inner, desk.Order{Key: spec.Key, Verb: desk.VerbRead})
+	call.Handle(calls, http.MethodGet, "/settings", func(ctx scope.Scope, _ Nothing) (Settings, error) {
+		value, err := front.Do(ctx, desk.Order{Key: spec.Key, Verb: desk.VerbRead})
 		if err != nil {
 			return Settings{}, err
 		}
@@ -137,11 +137,11 @@
 		}
 		return Settings{Document: kept.Document}, err
 	})
-	empty := func(inner scope.Scope, asked ZoneOrder) (Done, error) {
-		if _, known := inner.Boot.Zones[asked.Zone]; !known {
+	empty := func(ctx scope.Scope, asked ZoneOrder) (Done, error) {
+		if _, known := ctx.Boot.Zones[asked.Zone]; !known {
 			return Done{}, failure.Of(failure.UnknownZone, "%q", asked.Zone)
 		}
-		_, err := front.Do(inner, desk.Order{Key: evacuation.Key(asked.Zone), Verb: asked.Verb})
+		_, err := front.Do(ctx, desk.Order{Key: evacuation.Key(asked.Zone), Verb: asked.Verb})
 		return Done{}, err
 	}
 	call.Handle(calls, http.MethodPost, "/empty/", empty)
--- a/control/operator/operator_test.go
+++ b/control/operator/operator_test.go
@@ -21,8 +21,8 @@
 
 type store struct{ refuses bool }
 
-func (store *store) Save([]byte) error {
-	if store.refuses {
+func (s *store) Save([]byte) error {
+	if s.refuses {
 		return io.ErrShortWrite
 	}
 	return nil
@@ -31,16 +31,16 @@
 // alone is a line on which only the own voter answers.
 type alone struct{ voter *register.Acceptor }
 
-func (line alone) Promise(_ scope.Scope, _ ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return line.voter.Promise(asked), nil
+func (a alone) Promise(_ scope.Scope, _ ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
+	return a.voter.Promise(asked), nil
 }
 
-func (line alone) Accept(_ scope.Scope, _ ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
-	return line.voter.Accept(asked), nil
+func (a alone) Accept(_ scope.Scope, _ ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
+	return a.voter.Accept(asked), nil
 }
 
-func (line alone) Confirm(_ scope.Scope, _ ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
-	return line.voter.Confirm(asked), nil
+func (a alone) Confirm(_ scope.Scope, _ ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
+	return a.voter.Confirm(asked), nil
 }
 
 type office struct {
@@ -82,18 +82,18 @@
 	return made
 }
 
-func (office *office) ask(method string, path string, match string, body string) (int, string) {
-	office.t.Helper()
-	request, err := http.NewRequest(method, office.server.URL+path, strings.NewReader(body))
+func (o *office) ask(method string, path string, match string, body string) (int, string) {
+	o.t.Helper()
+	request, err := http.NewRequest(method, o.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		office.t.Fatal(err)
+		o.t.Fatal(err)
 	}
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		office.t.Fatal(err)
+		o.t.Fatal(err)
 	}
 	defer response.Body.Close()
 	text, _ := io.ReadAll(response.Body)
--- a/control/operator/refusal_test.go
+++ b/control/operator/refusal_test.go
@@ -18,8 +18,8 @@
 // cut is a body that ends before its announced length.
 type cut struct{ io.Reader }
 
-func (body cut) Read(buffer []byte) (int, error) {
-	size, err := body.Reader.Read(buffer)
+func (c cut) Read(buffer []byte) (int, error) {
+	size, err := c.Reader.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -182,7 +182,7 @@
 }
 
 // send asks without a network between; the path is taken as it is.
-func (office *office) send(method string, path string, header http.Header, body io.Reader) (int, string) {
+func (o *office) send(method string, path string, header http.Header, body io.Reader) (int, string) {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(method, path, body)
 	for name, values := range header {
@@ -190,7 +190,7 @@
 			request.Header[name] = values
 		}
 	}
-	office.calls.ServeHTTP(recorder, request)
+	o.calls.ServeHTTP(recorder, request)
 	return recorder.Code, recorder.Body.String()
 }
 
--- a/control/readindex/gate.go
+++ b/control/readindex/gate.go
@@ -63,10 +63,10 @@
 }
 
 // Ready is closed once the router may serve.
-func (gate *Gate) Ready() <-chan struct{} { return gate.ready }
+func (g *Gate) Ready() <-chan struct{} { return g.ready }
 
 // State tells how it stands with the confirmation.
-func (gate *Gate) State() string { return gate.state.Load().(string) }
+func (g *Gate) State() string { return g.state.Load().(string) }
 
 type answer struct {
 	from ids.Address
@@ -85,43 +85,43 @@
 
 // Run asks until the version is confirmed, then waits for the scope's end: a
 // part that ends is started again.
-func (gate *Gate) Run(inner scope.Scope) {
-	bound := gate.options.Bound
+func (g *Gate) Run(ctx scope.Scope) {
+	bound := g.options.Bound
 	answers := make(chan answer, 64)
 	pause := bound / firstPause
-	next := inner.Now()
-	gate.since = next
-	for inner.Err() == nil && !gate.judge(inner) {
-		if now := inner.Now(); !now.Before(next) && (!gate.known || gate.behind()) {
-			gate.ask(inner, answers)
-			next = now.Add(gate.options.Jitter(pause))
+	next := ctx.Now()
+	g.since = next
+	for ctx.Err() == nil && !g.judge(ctx) {
+		if now := ctx.Now(); !now.Before(next) && (!g.known || g.behind()) {
+			g.ask(ctx, answers)
+			next = now.Add(g.options.Jitter(pause))
 			pause = min(pause*3/2, longestPause*bound)
 		}
 		select {
 		case heard := <-answers:
-			gate.take(inner, heard)
-		case <-inner.Clock.After(bound / looks):
-		case <-inner.Done():
+			g.take(ctx, heard)
+		case <-ctx.Clock.After(bound / looks):
+		case <-ctx.Done():
 		}
 	}
-	<-inner.Done()
+	<-ctx.Done()
 }
 
 // ask asks the next controller: each once, in random order, then all again.
-func (gate *Gate) ask(inner scope.Scope, answers chan<- answer) {
-	if len(gate.queue) == 0 {
-		gate.queue = append(gate.queue, gate.options.Controllers()...)
-		chance.Shuffle(gate.queue)
+func (g *Gate) ask(ctx scope.Scope, answers chan<- answer) {
+	if len(g.queue) == 0 {
+		g.queue = append(g.queue, g.options.Controllers()...)
+		chance.Shuffle(g.queue)
 	}
-	if len(gate.queue) == 0 {
+	if len(g.queue) == 0 {
 		return
 	}
-	address := gate.queue[0]
-	gate.queue = gate.queue[1:]
+	address := g.queue[0]
+	g.queue = g.queue[1:]
 	go func() {
-		short, release := inner.WithLimit(gate.options.Bound)
+		short, release := ctx.WithLimit(g.options.Bound)
 		defer release()
-		told, err := gate.options.Ask(short, address)
+		told, err := g.options.Ask(short, address)
 		select {
 		case answers <- answer{from: address, told: told, err: err}:
 		default:
@@ -129,26 +129,26 @@
 	}()
 }
 
-func (gate *Gate) take(inner scope.Scope, heard answer) {
+func (g *Gate) take(ctx scope.Scope, heard answer) {
 	if heard.err != nil {
 		return
 	}
-	gate.known, gate.target, gate.since = true, max(gate.target, heard.told.Serial), inner.Now()
-	gate.from = heard.from
-	gate.fetch(inner)
+	g.known, g.target, g.since = true, max(g.target, heard.told.Serial), ctx.Now()
+	g.from = heard.from
+	g.fetch(ctx)
 }
 
 // fetch asks whoever told of a newer version for its news.
-func (gate *Gate) fetch(inner scope.Scope) {
-	if gate.behind() {
-		go gate.options.Fetch(inner, gate.from)
+func (g *Gate) fetch(ctx scope.Scope) {
+	if g.behind() {
+		go g.options.Fetch(ctx, g.from)
 	}
 }
 
 // first tells whether some version is acted on.
-func (gate *Gate) first() bool {
+func (g *Gate) first() bool {
 	select {
-	case <-gate.options.First:
+	case <-g.options.First:
 		return true
 	default:
 		return false
@@ -156,27 +156,27 @@
 }
 
 // behind tells whether an older version than the read index is acted on.
-func (gate *Gate) behind() bool {
-	return gate.known && gate.first() && gate.options.Serial() < gate.target
+func (g *Gate) behind() bool {
+	return g.known && g.first() && g.options.Serial() < g.target
 }
 
 // judge opens the gate where that is due; it tells whether all is confirmed.
-func (gate *Gate) judge(inner scope.Scope) bool {
-	if !gate.first() {
+func (g *Gate) judge(ctx scope.Scope) bool {
+	if !g.first() {
 		return false
 	}
-	if !gate.had && gate.known {
+	if !g.had && g.known {
 		// The wait for a version that is behind begins when it is there.
-		gate.since = inner.Now()
-		gate.fetch(inner)
+		g.since = ctx.Now()
+		g.fetch(ctx)
 	}
-	gate.had = true
-	if gate.known && !gate.behind() {
-		gate.open(inner, Confirmed)
+	g.had = true
+	if g.known && !g.behind() {
+		g.open(ctx, Confirmed)
 		return true
 	}
-	if inner.Now().Since(gate.since) > gate.options.Bound {
-		gate.open(inner, Unconfirmed)
+	if ctx.Now().Since(g.since) > g.options.Bound {
+		g.open(ctx, Unconfirmed)
 	}
 	return false
 }
@@ -187,19 +187,19 @@
 }
 
 // open changes the state, and logs what is not as usual.
-func (gate *Gate) open(inner scope.Scope, state string) {
-	before := gate.State()
+func (g *Gate) open(ctx scope.Scope, state string) {
+	before := g.State()
 	if before == state {
 		return
 	}
-	gate.state.Store(state)
+	g.state.Store(state)
 	if state == Unconfirmed || before == Unconfirmed {
-		inner.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(gate.options.Serial())).
+		ctx.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.Serial())).
 			Msg(tidings[state])
 	}
 	select {
-	case <-gate.ready:
+	case <-g.ready:
 	default:
-		close(gate.ready)
+		close(g.ready)
 	}
 }
--- a/control/readindex/reader.go
+++ b/control/readindex/reader.go
@@ -36,7 +36,7 @@
 // together share the next read, which begins after all of them came in.
 type Reader struct {
 	read    func(inner scope.Scope) (ids.Serial, error)
-	lock    sync.Mutex
+	mu      sync.Mutex
 	busy    bool
 	waiting *shared
 }
@@ -49,48 +49,48 @@
 }
 
 // NewReader makes a reader; read is one read that a majority confirms.
-func NewReader(read func(inner scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
+func NewReader(read func(ctx scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
 
 // Serve adds the reader's message to a table of calls.
-func (reader *Reader) Serve(calls *call.Table) {
-	courier.Handle(calls, Message, func(inner scope.Scope, _ Ask) (Told, error) {
-		serial, err := reader.Newest(inner)
+func (r *Reader) Serve(calls *call.Table) {
+	courier.Handle(calls, Message, func(ctx scope.Scope, _ Ask) (Told, error) {
+		serial, err := r.Newest(ctx)
 		return Told{Serial: serial}, err
 	})
 }
 
 // Newest gives the serial that a majority confirmed after the question came.
-func (reader *Reader) Newest(inner scope.Scope) (ids.Serial, error) {
-	reader.lock.Lock()
-	mine := reader.waiting
+func (r *Reader) Newest(ctx scope.Scope) (ids.Serial, error) {
+	r.mu.Lock()
+	mine := r.waiting
 	if mine == nil {
 		mine = &shared{done: make(chan struct{})}
-		reader.waiting = mine
+		r.waiting = mine
 	}
-	if !reader.busy {
-		reader.busy = true
-		go reader.work(inner.Detached())
+	if !r.busy {
+		r.busy = true
+		go r.work(ctx.Detached())
 	}
-	reader.lock.Unlock()
+	r.mu.Unlock()
 	select {
 	case <-mine.done:
 		return mine.serial, mine.err
-	case <-inner.Done():
-		return 0, inner.Err()
+	case <-ctx.Done():
+		return 0, ctx.Err()
 	}
 }
 
 // work reads for those who wait until nobody does.
-func (reader *Reader) work(inner scope.Scope) {
+func (r *Reader) work(ctx scope.Scope) {
 	for {
-		reader.lock.Lock()
-		turn := reader.waiting
-		reader.waiting, reader.busy = nil, turn != nil
-		reader.lock.Unlock()
+		r.mu.Lock()
+		turn := r.waiting
+		r.waiting, r.busy = nil, turn != nil
+		r.mu.Unlock()
 		if turn == nil {
 			return
 		}
-		turn.serial, turn.err = reader.read(inner)
+		turn.serial, turn.err = r.read(ctx)
 		close(turn.done)
 	}
 }
--- a/control/readindex/readindex_test.go
+++ b/control/readindex/readindex_test.go
@@ -24,10 +24,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		top := scope.New(scope.Options{})
 		var newest, reads atomic.Int64
-		reader := NewReader(func(inner scope.Scope) (ids.Serial, error) {
+		reader := NewReader(func(ctx scope.Scope) (ids.Serial, error) {
 			reads.Add(1)
 			seen := newest.Load()
-			inner.Wait(100 * clock.Millisecond)
+			ctx.Wait(100 * clock.Millisecond)
 			return ids.Serial(seen), nil
 		})
 		told := make(chan bool)
@@ -72,18 +72,18 @@
 	t.Cleanup(func() { end(); scope.New(scope.Options{}).Wait(bound) })
 	made.gate = NewGate(Options{
 		Controllers: func() []ids.Address { return []ids.Address{"cut", "well"} },
-		Ask: func(inner scope.Scope, address ids.Address) (Told, error) {
+		Ask: func(ctx scope.Scope, address ids.Address) (Told, error) {
 			made.asks.Add(1)
 			if address == "cut" || made.cut.Load() {
-				inner.Wait(190 * clock.Millisecond)
+				ctx.Wait(190 * clock.Millisecond)
 				return Told{}, errors.New("unsettled")
 			}
-			inner.Wait(80 * clock.Millisecond)
+			ctx.Wait(80 * clock.Millisecond)
 			return Told{Serial: ids.Serial(made.newest.Load())}, nil
 		},
 		First: made.first, Serial: func() ids.Serial { return ids.Serial(made.serial.Load()) },
-		Fetch: func(inner scope.Scope, _ ids.Address) {
-			if inner.Wait(100 * clock.Millisecond); !made.cut.Load() {
+		Fetch: func(ctx scope.Scope, _ ids.Address) {
+			if ctx.Wait(100 * clock.Millisecond); !made.cut.Load() {
 				made.serial.Store(made.newest.Load())
 			}
 		},
@@ -93,14 +93,14 @@
 }
 
 // run gives how long after the first version the gate opened.
-func (site *site) run(firstAfter clock.Span, serial int64) clock.Span {
-	go func() { site.gate.Run(site.top); site.over.Store(true) }()
-	site.top.Wait(firstAfter)
-	site.serial.Store(serial)
-	close(site.first)
-	begin := site.top.Now()
-	<-site.gate.Ready()
-	return site.top.Now().Since(begin)
+func (s *site) run(firstAfter clock.Span, serial int64) clock.Span {
+	go func() { s.gate.Run(s.top); s.over.Store(true) }()
+	s.top.Wait(firstAfter)
+	s.serial.Store(serial)
+	close(s.first)
+	begin := s.top.Now()
+	<-s.gate.Ready()
+	return s.top.Now().Since(begin)
 }
 
 func TestOldVersionIsNotServed(t *testing.T) {
--- a/control/register/acceptor.go
+++ b/control/register/acceptor.go
@@ -27,7 +27,7 @@
 type Acceptor struct {
 	// Monitor may be left out; it is set before the first call.
 	Monitor     *invariant.Monitor
-	lock        sync.Mutex
+	mu          sync.Mutex
 	store       Store
 	address     ids.Address
 	incarnation ids.Incarnation
@@ -60,104 +60,104 @@
 }
 
 // Attach gives the voter its store; a voter without one answers nothing.
-func (acceptor *Acceptor) Attach(store Store) {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	acceptor.store = store
+func (a *Acceptor) Attach(store Store) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.store = store
 }
 
 // Whole gives records that stand for all that the voter holds.
-func (acceptor *Acceptor) Whole() [][]byte {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
+func (a *Acceptor) Whole() [][]byte {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var records [][]byte
-	if acceptor.identified {
-		records = append(records, pack(record{Identity: true, Incarnation: acceptor.incarnation}))
+	if a.identified {
+		records = append(records, pack(record{Identity: true, Incarnation: a.incarnation}))
 	}
-	for _, slot := range sorted(acceptor.slots) {
+	for _, slot := range sorted(a.slots) {
 		records = append(records, pack(record{Slot: slot}))
 	}
 	return records
 }
 
 // Identify gives a new disk its incarnation.
-func (acceptor *Acceptor) Identify(incarnation ids.Incarnation) error {
-	acceptor.lock.Lock()
-	acceptor.incarnation, acceptor.identified = incarnation, true
-	store := acceptor.store
-	acceptor.lock.Unlock()
+func (a *Acceptor) Identify(incarnation ids.Incarnation) error {
+	a.mu.Lock()
+	a.incarnation, a.identified = incarnation, true
+	store := a.store
+	a.mu.Unlock()
 	return store.Save(pack(record{Identity: true, Incarnation: incarnation}))
 }
 
 // Form plants the first voters; only a disk that holds none takes them.
-func (acceptor *Acceptor) Form(voters Voters) error {
-	acceptor.lock.Lock()
-	if len(acceptor.slots) > 0 {
-		acceptor.lock.Unlock()
+func (a *Acceptor) Form(voters Voters) error {
+	a.mu.Lock()
+	if len(a.slots) > 0 {
+		a.mu.Unlock()
 		return nil
 	}
 	slot := Slot{Key: CohortKey, Accepted: Accepted{Sequence: 1, Value: pack(voters)}}
-	acceptor.slots[CohortKey] = slot
-	acceptor.identified = true
-	acceptor.seeVoters()
-	store := acceptor.store
-	acceptor.lock.Unlock()
-	if err := store.Save(pack(record{Identity: true, Incarnation: acceptor.incarnation})); err != nil {
+	a.slots[CohortKey] = slot
+	a.identified = true
+	a.seeVoters()
+	store := a.store
+	a.mu.Unlock()
+	if err := store.Save(pack(record{Identity: true, Incarnation: a.incarnation})); err != nil {
 		return err
 	}
-	return acceptor.keep(CohortKey)
+	return a.keep(CohortKey)
 }
 
 // Promise answers a taker of a key.
-func (acceptor *Acceptor) Promise(asked PromiseAsk) PromiseTold {
-	acceptor.lock.Lock()
-	slot := acceptor.slot(asked.Key)
-	told := PromiseTold{Verdict: acceptor.fenced(asked.Fence, asked.Key), Generation: acceptor.voters.Generation, Slot: slot}
+func (a *Acceptor) Promise(asked PromiseAsk) PromiseTold {
+	a.mu.Lock()
+	slot := a.slot(asked.Key)
+	told := PromiseTold{Verdict: a.fenced(asked.Fence, asked.Key), Generation: a.voters.Generation, Slot: slot}
 	if told.Verdict == Granted && asked.Epoch.Compare(slot.Promised) <= 0 {
 		told.Verdict = Outbid
 	}
 	if told.Verdict != Granted {
-		acceptor.lock.Unlock()
+		a.mu.Unlock()
 		return told
 	}
 	slot.Promised = asked.Epoch
-	acceptor.set(slot)
-	acceptor.lock.Unlock()
-	told.Slot, told.Verdict = slot, acceptor.grant(asked.Key)
+	a.set(slot)
+	a.mu.Unlock()
+	told.Slot, told.Verdict = slot, a.grant(asked.Key)
 	return told
 }
 
 // Accept answers an owner's write.
-func (acceptor *Acceptor) Accept(asked AcceptAsk) AcceptTold {
-	acceptor.lock.Lock()
-	told := AcceptTold{Verdict: acceptor.fenced(asked.Fence, asked.Key)}
-	slot := acceptor.slot(asked.Key)
+func (a *Acceptor) Accept(asked AcceptAsk) AcceptTold {
+	a.mu.Lock()
+	told := AcceptTold{Verdict: a.fenced(asked.Fence, asked.Key)}
+	slot := a.slot(asked.Key)
 	if told.Verdict == Granted && asked.Accepted.Epoch.Compare(slot.Promised) < 0 {
 		told.Verdict = Outbid
 	}
 	if told.Verdict == Granted && slot.Accepted.newer(asked.Accepted) {
 		told.Verdict = Outbid
 	}
-	told.Promised, told.Generation = slot.Promised, acceptor.voters.Generation
+	told.Promised, told.Generation = slot.Promised, a.voters.Generation
 	if told.Verdict != Granted {
-		acceptor.lock.Unlock()
+		a.mu.Unlock()
 		return told
 	}
 	slot.Promised, slot.Accepted = asked.Accepted.Epoch, asked.Accepted
-	acceptor.set(slot)
-	acceptor.seeVoters()
-	told.Generation = acceptor.voters.Generation
-	acceptor.lock.Unlock()
-	told.Verdict = acceptor.grant(asked.Key)
+	a.set(slot)
+	a.seeVoters()
+	told.Generation = a.voters.Generation
+	a.mu.Unlock()
+	told.Verdict = a.grant(asked.Key)
 	return told
 }
 
 // Confirm tells whether the epoch is still the newest that the voter knows.
-func (acceptor *Acceptor) Confirm(asked ConfirmAsk) AcceptTold {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	slot := acceptor.slot(asked.Key)
-	told := AcceptTold{Verdict: acceptor.fenced(asked.Fence, asked.Key), Promised: slot.Promised, Generation: acceptor.voters.Generation}
+func (a *Acceptor) Confirm(asked ConfirmAsk) AcceptTold {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	slot := a.slot(asked.Key)
+	told := AcceptTold{Verdict: a.fenced(asked.Fence, asked.Key), Promised: slot.Promised, Generation: a.voters.Generation}
 	if told.Verdict == Granted && slot.Promised.Compare(asked.Epoch) != 0 {
 		told.Verdict = Outbid
 	}
@@ -165,24 +165,24 @@
 }
 
 // Slot gives what the voter holds for a key.
-func (acceptor *Acceptor) Slot(key string) Slot {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	return acceptor.slot(key)
+func (a *Acceptor) Slot(key string) Slot {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.slot(key)
 }
 
-func (acceptor *Acceptor) slot(key string) Slot {
-	slot := acceptor.slots[key]
+func (a *Acceptor) slot(key string) Slot {
+	slot := a.slots[key]
 	slot.Key = key
 	return slot
 }
 
 // set puts a slot in place of the one before, whose promise it may not lower.
-func (acceptor *Acceptor) set(slot Slot) {
-	if before := acceptor.slots[slot.Key].Promised; slot.Promised.Compare(before) < 0 {
-		acceptor.Monitor.Violated(invariant.PromiseRises, "key %s: promised %v after %v", slot.Key, slot.Promised, before)
+func (a *Acceptor) set(slot Slot) {
+	if before := a.slots[slot.Key].Promised; slot.Promised.Compare(before) < 0 {
+		a.Monitor.Violated(invariant.PromiseRises, "key %s: promised %v after %v", slot.Key, slot.Promised, before)
 	}
-	acceptor.slots[slot.Key] = slot
+	a.slots[slot.Key] = slot
 }
 
 func sorted(slots map[string]Slot) []Slot {
--- a/control/register/ask.go
+++ b/control/register/ask.go
@@ -53,21 +53,21 @@
 func always() bool { return true }
 
 // doubted tells whether one does not answer this machine's questions now.
-func (joiner *Joiner) doubted(address ids.Address) bool {
-	return joiner.Doubt != nil && joiner.Doubt(address)
+func (j *Joiner) doubted(address ids.Address) bool {
+	return j.Doubt != nil && j.Doubt(address)
 }
 
 // each asks all addresses at once and waits for all answers but those in doubt.
-func (joiner *Joiner) each(addresses []ids.Address, ask func(address ids.Address)) {
-	gather(joiner, addresses, joiner.doubted, always, func(address ids.Address) (struct{}, bool) {
+func (j *Joiner) each(addresses []ids.Address, ask func(address ids.Address)) {
+	gather(j, addresses, j.doubted, always, func(address ids.Address) (struct{}, bool) {
 		ask(address)
 		return struct{}{}, true
 	}, func(ids.Address, struct{}) {})
 }
 
 // present gives those of some addresses that are not gone; all where they all are.
-func (joiner *Joiner) present(addresses []ids.Address) []ids.Address {
-	found := slices.DeleteFunc(slices.Clone(addresses), joiner.gone)
+func (j *Joiner) present(addresses []ids.Address) []ids.Address {
+	found := slices.DeleteFunc(slices.Clone(addresses), j.gone)
 	if len(found) == 0 {
 		return addresses
 	}
--- a/control/register/ask_test.go
+++ b/control/register/ask_test.go
@@ -168,26 +168,26 @@
 	turn *sync.Mutex
 }
 
-func (reach missing) wait(inner scope.Scope) {
-	reach.turn.Unlock()
-	defer reach.turn.Lock()
-	<-inner.Done()
+func (m missing) wait(ctx scope.Scope) {
+	m.turn.Unlock()
+	defer m.turn.Lock()
+	<-ctx.Done()
 }
 
-func (reach missing) Copy(inner scope.Scope, address ids.Address, asked CopyAsk) (CopyTold, error) {
-	if address == reach.one {
-		reach.wait(inner)
-		return CopyTold{}, inner.Err()
+func (m missing) Copy(ctx scope.Scope, address ids.Address, asked CopyAsk) (CopyTold, error) {
+	if address == m.one {
+		m.wait(ctx)
+		return CopyTold{}, ctx.Err()
 	}
-	return reach.Reach.Copy(inner, address, asked)
+	return m.Reach.Copy(ctx, address, asked)
 }
 
-func (reach missing) Held(inner scope.Scope, address ids.Address) (HeldTold, error) {
-	if address == reach.one {
-		reach.wait(inner)
-		return HeldTold{}, inner.Err()
+func (m missing) Held(ctx scope.Scope, address ids.Address) (HeldTold, error) {
+	if address == m.one {
+		m.wait(ctx)
+		return HeldTold{}, ctx.Err()
 	}
-	told, err := reach.Reach.Held(inner, address)
-	told.Away = []ids.Address{reach.one}
+	told, err := m.Reach.Held(ctx, address)
+	told.Away = []ids.Address{m.one}
 	return told, err
 }
--- a/control/register/away.go
+++ b/control/register/away.go
@@ -10,42 +10,42 @@
 
 // gone tells whether a voter's seat is free: by what this machine saw itself, or
 // since a majority of the voters miss it.
-func (joiner *Joiner) gone(address ids.Address) bool {
-	if back := joiner.back.Load(); back != nil && (*back)[address] {
+func (j *Joiner) gone(address ids.Address) bool {
+	if back := j.back.Load(); back != nil && (*back)[address] {
 		return false
 	}
-	away := joiner.away.Load()
-	return (away != nil && (*away)[address]) || joiner.Gone(address)
+	away := j.away.Load()
+	return (away != nil && (*away)[address]) || j.Gone(address)
 }
 
 // note notes that one which seemed gone answered in this run.
-func (joiner *Joiner) note(address ids.Address) {
+func (j *Joiner) note(address ids.Address) {
 	grown := map[ids.Address]bool{address: true}
-	if back := joiner.back.Load(); back != nil {
+	if back := j.back.Load(); back != nil {
 		maps.Copy(grown, *back)
 	}
-	joiner.back.Store(&grown)
+	j.back.Store(&grown)
 }
 
 // hear learns who the voters are and whom of their number they miss: a newcomer
 // knows nobody for long enough to miss them itself. A majority that votes under
 // the voters known here is word enough that these are the newest: a majority of
 // them would hold any newer ones. All others are asked where there is none.
-func (joiner *Joiner) hear(inner scope.Scope) {
-	joiner.away.Store(nil)
+func (j *Joiner) hear(ctx scope.Scope) {
+	j.away.Store(nil)
 	for range hearings {
-		voters := joiner.Acceptor.Voters()
-		heard, contended := joiner.hearOfAway(inner, voters)
-		if contended && joiner.Answer > 0 && inner.Wait(joiner.Answer/2+chance.Part(joiner.Answer)) {
+		voters := j.Acceptor.Voters()
+		heard, contended := j.hearOfAway(ctx, voters)
+		if contended && j.Answer > 0 && ctx.Wait(j.Answer/2+chance.Part(j.Answer)) {
 			continue
 		}
 		if heard {
 			return
 		}
-		if joiner.Acceptor.Voters().Mark() == voters.Mark() {
-			joiner.introduce(inner, voters)
+		if j.Acceptor.Voters().Mark() == voters.Mark() {
+			j.introduce(ctx, voters)
 		}
-		if joiner.Acceptor.Voters().Mark() == voters.Mark() {
+		if j.Acceptor.Voters().Mark() == voters.Mark() {
 			return
 		}
 	}
@@ -53,11 +53,11 @@
 
 // introduce asks all other controllers for the voters. Who knows none is content
 // with the first that it hears of: these know newer ones if there are any.
-func (joiner *Joiner) introduce(inner scope.Scope, voters Voters) {
-	doubt := func(address ids.Address) bool { return voters.Generation == 0 || joiner.doubted(address) }
-	known := func() bool { return joiner.Acceptor.Voters().Generation > 0 }
-	gather(joiner, joiner.present(joiner.Others()), doubt, known, func(address ids.Address) (struct{}, bool) {
-		joiner.LearnVoters(inner, address)
+func (j *Joiner) introduce(ctx scope.Scope, voters Voters) {
+	doubt := func(address ids.Address) bool { return voters.Generation == 0 || j.doubted(address) }
+	known := func() bool { return j.Acceptor.Voters().Generation > 0 }
+	gather(j, j.present(j.Others()), doubt, known, func(address ids.Address) (struct{}, bool) {
+		j.LearnVoters(ctx, address)
 		return struct{}{}, true
 	}, func(ids.Address, struct{}) {})
 }
@@ -69,14 +69,14 @@
 // them votes under these, and whether another is changing them just now: two that
 // bid against each other both get nowhere. A bid that was seen before is one that
 // was given up. Newer voters that one of them knows are learnt.
-func (joiner *Joiner) hearOfAway(inner scope.Scope, voters Voters) (majority bool, contended bool) {
+func (j *Joiner) hearOfAway(ctx scope.Scope, voters Voters) (majority bool, contended bool) {
 	reports, heard, bid := map[ids.Address]int{}, 0, ids.Epoch{}
 	missed := func(address ids.Address) bool {
-		return joiner.doubted(address) || reports[address] >= quorum(len(voters.Seats))
+		return j.doubted(address) || reports[address] >= quorum(len(voters.Seats))
 	}
-	gather(joiner, joiner.present(joiner.peers(voters)), missed, always, func(address ids.Address) (HeldTold, bool) {
-		told, err := joiner.held(inner, address)
-		joiner.follow(inner, address, voters, told, err)
+	gather(j, j.present(j.peers(voters)), missed, always, func(address ids.Address) (HeldTold, bool) {
+		told, err := j.held(ctx, address)
+		j.follow(ctx, address, voters, told, err)
 		return told, err == nil && told.Voting
 	}, func(_ ids.Address, told HeldTold) {
 		if told.Mark == voters.Mark() {
@@ -93,15 +93,15 @@
 	for address, count := range reports {
 		away[address] = count >= quorum(len(voters.Seats))
 	}
-	joiner.away.Store(&away)
-	contended = bid.Number > 0 && bid.Owner != joiner.Address && bid != joiner.bid
-	joiner.bid = bid
+	j.away.Store(&away)
+	contended = bid.Number > 0 && bid.Owner != j.Address && bid != j.bid
+	j.bid = bid
 	return voters.Generation > 0 && heard >= quorum(len(voters.Seats)), contended
 }
 
 // follow learns the voters from one that knows others than these, and none older.
-func (joiner *Joiner) follow(inner scope.Scope, address ids.Address, voters Voters, told HeldTold, err error) {
+func (j *Joiner) follow(ctx scope.Scope, address ids.Address, voters Voters, told HeldTold, err error) {
 	if err == nil && told.Generation >= voters.Generation && told.Mark != voters.Mark() {
-		joiner.LearnVoters(inner, address)
+		j.LearnVoters(ctx, address)
 	}
 }
--- a/control/register/commit.go
+++ b/control/register/commit.go
@@ -32,51 +32,51 @@
 // is made on top of the one before, and all are answered, refusals too, once
 // the write is on a majority. So a key bears many orders at once, and its owner
 // answers well before others take it for silent.
-func (keeper *Keeper) Change(inner scope.Scope, key string, step Step) ([]byte, error) {
-	return keeper.wait(key, &waiting{inner: inner, step: step, done: make(chan struct{})})
+func (k *Keeper) Change(ctx scope.Scope, key string, step Step) ([]byte, error) {
+	return k.wait(key, &waiting{inner: ctx, step: step, done: make(chan struct{})})
 }
 
 // Read gives the value that a majority confirms.
-func (keeper *Keeper) Read(inner scope.Scope, key string) ([]byte, error) {
-	return keeper.Change(inner, key, func([]byte) ([]byte, error) { return nil, nil })
+func (k *Keeper) Read(ctx scope.Scope, key string) ([]byte, error) {
+	return k.Change(ctx, key, func([]byte) ([]byte, error) { return nil, nil })
 }
 
 // Settle takes the key over anew, even from itself, and so writes its newest
 // value to all voters again.
-func (keeper *Keeper) Settle(inner scope.Scope, key string) error {
-	return keeper.alone(inner, key, func(inner scope.Scope, state *owned) error {
+func (k *Keeper) Settle(ctx scope.Scope, key string) error {
+	return k.alone(ctx, key, func(ctx scope.Scope, state *owned) error {
 		state.holding = false
-		return keeper.hold(inner, state, key)
+		return k.hold(ctx, state, key)
 	})
 }
 
 // alone does something with the key that goes together with no change.
-func (keeper *Keeper) alone(inner scope.Scope, key string, act func(scope.Scope, *owned) error) error {
-	_, err := keeper.wait(key, &waiting{inner: inner, alone: act, done: make(chan struct{})})
+func (k *Keeper) alone(ctx scope.Scope, key string, act func(scope.Scope, *owned) error) error {
+	_, err := k.wait(key, &waiting{inner: ctx, alone: act, done: make(chan struct{})})
 	return err
 }
 
 // Owns tells whether this keeper believes that it owns the key.
-func (keeper *Keeper) Owns(key string) bool {
-	keeper.lock.Lock()
-	defer keeper.lock.Unlock()
-	state := keeper.keys[key]
+func (k *Keeper) Owns(key string) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	state := k.keys[key]
 	return state != nil && (state.writing || state.holding)
 }
 
-func (keeper *Keeper) wait(key string, mine *waiting) ([]byte, error) {
-	keeper.lock.Lock()
-	state := keeper.keys[key]
+func (k *Keeper) wait(key string, mine *waiting) ([]byte, error) {
+	k.mu.Lock()
+	state := k.keys[key]
 	if state == nil {
 		state = &owned{}
-		keeper.keys[key] = state
+		k.keys[key] = state
 	}
 	state.queue = append(state.queue, mine)
 	begin := !state.writing
 	state.writing = true
-	keeper.lock.Unlock()
+	k.mu.Unlock()
 	if begin {
-		keeper.options.Spawn(func() { keeper.serve(mine.inner.Detached(), state, key) })
+		k.options.Spawn(func() { k.serve(mine.inner.Detached(), state, key) })
 	}
 	select {
 	case <-mine.done:
@@ -92,17 +92,17 @@
 }
 
 // serve works on the key until nobody waits.
-func (keeper *Keeper) serve(inner scope.Scope, state *owned, key string) {
+func (k *Keeper) serve(ctx scope.Scope, state *owned, key string) {
 	for {
-		together := keeper.together(state)
+		together := k.together(state)
 		if len(together) == 0 {
 			return
 		}
-		err := keeper.bounded(inner, state, key, together)
+		err := k.bounded(ctx, state, key, together)
 		if err != nil && !state.holding && !errors.Is(err, errUnwanted) {
 			// Who took the key since acts on it now: to bid again for those that
 			// wait here would keep the key from both.
-			together = append(together, keeper.drain(state)...)
+			together = append(together, k.drain(state)...)
 		}
 		for _, one := range together {
 			if err != nil {
@@ -113,19 +113,19 @@
 	}
 }
 
-func (keeper *Keeper) bounded(inner scope.Scope, state *owned, key string, together []*waiting) error {
-	if keeper.options.RoundLimit > 0 {
-		limited, release := inner.WithLimit(keeper.options.RoundLimit)
+func (k *Keeper) bounded(ctx scope.Scope, state *owned, key string, together []*waiting) error {
+	if k.options.RoundLimit > 0 {
+		limited, release := ctx.WithLimit(k.options.RoundLimit)
 		defer release()
-		inner = limited
+		ctx = limited
 	}
-	return keeper.commit(inner, state, key, together)
+	return k.commit(ctx, state, key, together)
 }
 
 // drain takes all that wait for the key.
-func (keeper *Keeper) drain(state *owned) []*waiting {
-	keeper.lock.Lock()
-	defer keeper.lock.Unlock()
+func (k *Keeper) drain(state *owned) []*waiting {
+	k.mu.Lock()
+	defer k.mu.Unlock()
 	rest := state.queue
 	state.queue = nil
 	return rest
@@ -133,9 +133,9 @@
 
 // together takes what waits; what is done alone goes alone. Those who
 // gave up before their change was begun are left out.
-func (keeper *Keeper) together(state *owned) []*waiting {
-	keeper.lock.Lock()
-	defer keeper.lock.Unlock()
+func (k *Keeper) together(state *owned) []*waiting {
+	k.mu.Lock()
+	defer k.mu.Unlock()
 	var chosen []*waiting
 	for len(state.queue) > 0 && len(chosen) < mostTogether {
 		next := state.queue[0]
@@ -159,17 +159,17 @@
 
 // commit makes all steps on top of each other and writes what comes of them;
 // where nothing changes, a majority confirms that the value is the newest.
-func (keeper *Keeper) commit(inner scope.Scope, state *owned, key string, together []*waiting) error {
+func (k *Keeper) commit(ctx scope.Scope, state *owned, key string, together []*waiting) error {
 	if act := together[0].alone; act != nil {
-		return act(inner, state)
+		return act(ctx, state)
 	}
-	if together = keeper.owned(state, key, together); len(together) == 0 {
+	if together = k.owned(state, key, together); len(together) == 0 {
 		return nil
 	}
-	wanted, release := whileWanted(inner, together)
+	wanted, release := whileWanted(ctx, together)
 	defer release()
-	if err := keeper.hold(wanted, state, key); err != nil {
-		if wanted.Err() != nil && inner.Err() == nil {
+	if err := k.hold(wanted, state, key); err != nil {
+		if wanted.Err() != nil && ctx.Err() == nil {
 			return errUnwanted
 		}
 		return err
@@ -183,9 +183,9 @@
 		one.value, one.err = value, refusal
 	}
 	if changed {
-		return keeper.write(inner, state, key, value)
+		return k.write(ctx, state, key, value)
 	}
-	return keeper.confirm(inner, state, key)
+	return k.confirm(ctx, state, key)
 }
 
 // errUnwanted is of a bid that was let go; who came since has one made anew.
@@ -195,8 +195,8 @@
 // a key that nobody waits for any more is let go: one that was cut off in the
 // middle of its bid would else keep what it is asked after its return waiting
 // behind it. A write goes on: it may have reached a voter.
-func whileWanted(inner scope.Scope, together []*waiting) (scope.Scope, func()) {
-	wanted, end := inner.WithEnd()
+func whileWanted(ctx scope.Scope, together []*waiting) (scope.Scope, func()) {
+	wanted, end := ctx.WithEnd()
 	left := atomic.Int64{}
 	left.Store(int64(len(together)))
 	var stops []func() bool
--- a/control/register/join.go
+++ b/control/register/join.go
@@ -75,29 +75,29 @@
 // Join goes the way to a seat: find the voters, learn what they hold, take the
 // place of this machine's older disk, of a voter that is gone, or a further one
 // while fewer than wanted are there, learn what came since, and only then vote.
-func (joiner *Joiner) Join(inner scope.Scope) error {
-	joiner.back.Store(nil)
-	joiner.hear(inner)
-	joiner.wait()
+func (j *Joiner) Join(ctx scope.Scope) error {
+	j.back.Store(nil)
+	j.hear(ctx)
+	j.wait()
 	for range steps {
-		voters := joiner.Acceptor.Voters()
+		voters := j.Acceptor.Voters()
 		if voters.Generation == 0 {
 			return failure.Of(failure.Unsettled, "no voters are known")
 		}
-		if joiner.Acceptor.Voting() {
+		if j.Acceptor.Voting() {
 			return nil
 		}
-		if err := joiner.step(inner, voters); err != nil {
+		if err := j.step(ctx, voters); err != nil {
 			return err
 		}
-		joiner.each(joiner.present(joiner.peers(voters)), func(address ids.Address) { joiner.LearnVoters(inner, address) })
+		j.each(j.present(j.peers(voters)), func(address ids.Address) { j.LearnVoters(ctx, address) })
 	}
 	return nil
 }
 
-func (joiner *Joiner) step(inner scope.Scope, voters Voters) error {
-	own := Seat{Address: joiner.Address, Incarnation: joiner.Acceptor.Incarnation(), Learning: true}
-	index, found := joiner.place(voters)
+func (j *Joiner) step(ctx scope.Scope, voters Voters) error {
+	own := Seat{Address: j.Address, Incarnation: j.Acceptor.Incarnation(), Learning: true}
+	index, found := j.place(voters)
 	if !found {
 		return ErrNoSeat
 	}
@@ -114,24 +114,24 @@
 		own.Learning, size = false, size+1
 	}
 	if seated != own {
-		found, back := joiner.reached(inner, voters, index)
+		found, back := j.reached(ctx, voters, index)
 		if back {
 			// Another seat may be free all the same.
-			joiner.note(seated.Address)
-			return joiner.step(inner, voters)
+			j.note(seated.Address)
+			return j.step(ctx, voters)
 		}
 		if found < max(needed(size), quorum(size)) {
 			return failure.Of(failure.Unsettled, "too few others to take a seat")
 		}
 	}
-	if !joiner.learn(inner, voters, needed(size)) {
-		if joiner.Acceptor.Voters().Mark() != voters.Mark() {
+	if !j.learn(ctx, voters, needed(size)) {
+		if j.Acceptor.Voters().Mark() != voters.Mark() {
 			// They are others by now: whoever changed them may still be at it.
 			return nil
 		}
 		// A voter that missed the change of voters, and promised a taker since,
 		// can't be mended by copies: the key is written again.
-		if err := joiner.Keeper.Settle(inner, CohortKey); err != nil {
+		if err := j.Keeper.Settle(ctx, CohortKey); err != nil {
 			return err
 		}
 		return failure.Of(failure.Unsettled, "too few others to learn from")
@@ -139,34 +139,34 @@
 	if seated == own {
 		own.Learning = false
 	}
-	_, err := joiner.Keeper.Change(inner, CohortKey, joiner.seating(voters, index, own))
+	_, err := j.Keeper.Change(ctx, CohortKey, j.seating(voters, index, own))
 	return err
 }
 
 // LearnVoters takes the voters that another controller knows.
-func (joiner *Joiner) LearnVoters(inner scope.Scope, address ids.Address) {
-	short, release := joiner.brief(inner)
+func (j *Joiner) LearnVoters(ctx scope.Scope, address ids.Address) {
+	short, release := j.brief(ctx)
 	defer release()
-	told, err := joiner.Reach.Copy(short, address, CopyAsk{Key: CohortKey})
+	told, err := j.Reach.Copy(short, address, CopyAsk{Key: CohortKey})
 	if err != nil {
 		return
 	}
 	for _, slot := range told.Slots {
 		slot.Promised = ids.Epoch{}
-		_ = joiner.Acceptor.Learn([]Slot{slot})
+		_ = j.Acceptor.Learn([]Slot{slot})
 	}
 }
 
 // Mend repairs whichever side of a refused message knows only older voters; of
 // one generation two takers may have proposed different ones.
-func (joiner *Joiner) Mend(inner scope.Scope, address ids.Address, theirs int64) {
-	own := joiner.Acceptor.Voters().Generation
+func (j *Joiner) Mend(ctx scope.Scope, address ids.Address, theirs int64) {
+	own := j.Acceptor.Voters().Generation
 	if theirs >= own {
-		joiner.LearnVoters(inner, address)
+		j.LearnVoters(ctx, address)
 	}
 	if theirs <= own {
-		slot := joiner.Acceptor.Slot(CohortKey)
+		slot := j.Acceptor.Slot(CohortKey)
 		slot.Promised = ids.Epoch{}
-		_ = joiner.Reach.Learn(inner, address, []Slot{slot})
+		_ = j.Reach.Learn(ctx, address, []Slot{slot})
 	}
 }
--- a/control/register/keep.go
+++ b/control/register/keep.go
@@ -4,23 +4,23 @@
 // first, so that messages meanwhile are judged by it; but nothing may be
 // answered on it before the disk has it, also when another call's save of it is
 // under way or has failed: each caller sees to the disk itself.
-func (acceptor *Acceptor) keep(keys ...string) error {
-	acceptor.lock.Lock()
-	store := acceptor.store
+func (a *Acceptor) keep(keys ...string) error {
+	a.mu.Lock()
+	store := a.store
 	var ahead []Slot
 	for _, key := range keys {
-		if slot := acceptor.slot(key); !same(slot, acceptor.kept[key]) {
+		if slot := a.slot(key); !same(slot, a.kept[key]) {
 			ahead = append(ahead, slot)
 		}
 	}
-	acceptor.lock.Unlock()
+	a.mu.Unlock()
 	for _, slot := range ahead {
 		if err := store.Save(pack(record{Slot: slot})); err != nil {
 			return err
 		}
-		acceptor.lock.Lock()
-		acceptor.kept[slot.Key] = merge(acceptor.kept[slot.Key], slot)
-		acceptor.lock.Unlock()
+		a.mu.Lock()
+		a.kept[slot.Key] = merge(a.kept[slot.Key], slot)
+		a.mu.Unlock()
 	}
 	return nil
 }
@@ -28,8 +28,8 @@
 // grant gives the verdict on a message that was taken in memory. A voter that
 // acts under a generation must remember it as long as what it did under it: one
 // that fell back to an older one would grant what the newer one fences.
-func (acceptor *Acceptor) grant(key string) Verdict {
-	if acceptor.keep(CohortKey, key) != nil {
+func (a *Acceptor) grant(key string) Verdict {
+	if a.keep(CohortKey, key) != nil {
 		return Broken
 	}
 	return Granted
--- a/control/register/keep_test.go
+++ b/control/register/keep_test.go
@@ -14,24 +14,24 @@
 	saves   []func() error
 }
 
-func (script *script) Save(record []byte) error {
-	if len(script.saves) > 0 {
-		next := script.saves[0]
-		script.saves = script.saves[1:]
+func (s *script) Save(record []byte) error {
+	if len(s.saves) > 0 {
+		next := s.saves[0]
+		s.saves = s.saves[1:]
 		if err := next(); err != nil {
 			return err
 		}
 	}
-	script.records = append(script.records, record)
+	s.records = append(s.records, record)
 	return nil
 }
 
 func refuse() error { return errors.New("the disk refuses") }
 
 // again reads the disk as the next life of the program would.
-func (script *script) again(t *testing.T) *Acceptor {
+func (s *script) again(t *testing.T) *Acceptor {
 	t.Helper()
-	voter, err := NewAcceptor("a", script.records)
+	voter, err := NewAcceptor("a", s.records)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/register/learn.go
+++ b/control/register/learn.go
@@ -12,9 +12,9 @@
 }
 
 // seeVoters reads the voters out of the cohort slot.
-func (acceptor *Acceptor) seeVoters() {
-	if voters, found := votersOf(acceptor.slots[CohortKey]); found {
-		acceptor.voters = voters
+func (a *Acceptor) seeVoters() {
+	if voters, found := votersOf(a.slots[CohortKey]); found {
+		a.voters = voters
 	}
 }
 
@@ -29,26 +29,26 @@
 // fenced tells whether a message may be acted on. The cohort key is open to
 // takers of any generation: their majorities are counted over the old and the
 // new voters, so they find the newest.
-func (acceptor *Acceptor) fenced(fence Fence, key string) Verdict {
-	if acceptor.store == nil || !acceptor.voting() || fence.Incarnation != acceptor.incarnation {
+func (a *Acceptor) fenced(fence Fence, key string) Verdict {
+	if a.store == nil || !a.voting() || fence.Incarnation != a.incarnation {
 		return Misfenced
 	}
-	if key != CohortKey && (fence.Generation != acceptor.voters.Generation || fence.Mark != acceptor.voters.Mark()) {
+	if key != CohortKey && (fence.Generation != a.voters.Generation || fence.Mark != a.voters.Mark()) {
 		return Misfenced
 	}
 	return Granted
 }
 
-func (acceptor *Acceptor) voting() bool { return acceptor.votesUnder(acceptor.voters) }
+func (a *Acceptor) voting() bool { return a.votesUnder(a.voters) }
 
-func (acceptor *Acceptor) votesUnder(voters Voters) bool {
-	seat, found := voters.seat(acceptor.address)
-	return found && acceptor.identified && !seat.Learning && seat.Incarnation == acceptor.incarnation
+func (a *Acceptor) votesUnder(voters Voters) bool {
+	seat, found := voters.seat(a.address)
+	return found && a.identified && !seat.Learning && seat.Incarnation == a.incarnation
 }
 
 // seat finds the seat at an address.
-func (voters Voters) seat(address ids.Address) (Seat, bool) {
-	for _, seat := range voters.Seats {
+func (v Voters) seat(address ids.Address) (Seat, bool) {
+	for _, seat := range v.Seats {
 		if seat.Address == address {
 			return seat, true
 		}
@@ -59,36 +59,36 @@
 // Copy gives what the voter's disk holds, and under which voters. What is not on
 // the disk yet is not told: whoever learns here counts on it that this voter
 // goes on fencing off older generations, and may lose its memory right after.
-func (acceptor *Acceptor) Copy(asked CopyAsk) CopyTold {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	voters, _ := votersOf(acceptor.kept[CohortKey])
+func (a *Acceptor) Copy(asked CopyAsk) CopyTold {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	voters, _ := votersOf(a.kept[CohortKey])
 	told := CopyTold{
-		Incarnation: acceptor.incarnation, Generation: voters.Generation,
-		Mark: voters.Mark(), Voting: acceptor.votesUnder(voters),
+		Incarnation: a.incarnation, Generation: voters.Generation,
+		Mark: voters.Mark(), Voting: a.votesUnder(voters),
 	}
 	if asked.Key == "" {
-		told.Slots = sorted(acceptor.kept)
-	} else if held, found := acceptor.kept[asked.Key]; found {
+		told.Slots = sorted(a.kept)
+	} else if held, found := a.kept[asked.Key]; found {
 		told.Slots = []Slot{held}
 	}
 	return told
 }
 
 // Leave has the voter give its seat to whoever asks for it; it votes until then.
-func (acceptor *Acceptor) Leave() {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	acceptor.leaving = true
+func (a *Acceptor) Leave() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.leaving = true
 }
 
 // Held gives how all keys stand on the voter's disk.
-func (acceptor *Acceptor) Held() HeldTold {
-	copied := acceptor.Copy(CopyAsk{})
+func (a *Acceptor) Held() HeldTold {
+	copied := a.Copy(CopyAsk{})
 	told := HeldTold{Incarnation: copied.Incarnation, Generation: copied.Generation, Mark: copied.Mark, Voting: copied.Voting}
-	acceptor.lock.Lock()
-	told.Leaving = acceptor.leaving
-	acceptor.lock.Unlock()
+	a.mu.Lock()
+	told.Leaving = a.leaving
+	a.mu.Unlock()
 	told.Keys = make([]Held, 0, len(copied.Slots))
 	for _, slot := range copied.Slots {
 		told.Keys = append(told.Keys, Held{
@@ -99,45 +99,45 @@
 }
 
 // Voting tells whether this disk votes now.
-func (acceptor *Acceptor) Voting() bool {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	return acceptor.voting()
+func (a *Acceptor) Voting() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voting()
 }
 
 // Voters gives the voters as this voter knows them.
-func (acceptor *Acceptor) Voters() Voters {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	return acceptor.voters
+func (a *Acceptor) Voters() Voters {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voters
 }
 
 // Incarnation tells which disk this is.
-func (acceptor *Acceptor) Incarnation() ids.Incarnation {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	return acceptor.incarnation
+func (a *Acceptor) Incarnation() ids.Incarnation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.incarnation
 }
 
 // Identified tells whether the disk has an identity; one without it is blank,
 // whatever else stands on it.
-func (acceptor *Acceptor) Identified() bool {
-	acceptor.lock.Lock()
-	defer acceptor.lock.Unlock()
-	return acceptor.identified
+func (a *Acceptor) Identified() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.identified
 }
 
 // Learn takes slots that others hold: the newest value and the highest promise
 // of each key. A value older than what was promised is left alone, just as if
 // the owner's message had come too late; one who does not vote yet takes all. Without
 // an error the disk has all that was taken.
-func (acceptor *Acceptor) Learn(slots []Slot) error {
-	acceptor.lock.Lock()
+func (a *Acceptor) Learn(slots []Slot) error {
+	a.mu.Lock()
 	var keys []string
 	for _, seen := range slots {
-		held := acceptor.slot(seen.Key)
+		held := a.slot(seen.Key)
 		mended := held
-		if seen.Accepted.newer(held.Accepted) && (!acceptor.voting() || seen.Accepted.Epoch.Compare(held.Promised) >= 0) {
+		if seen.Accepted.newer(held.Accepted) && (!a.voting() || seen.Accepted.Epoch.Compare(held.Promised) >= 0) {
 			mended.Accepted = seen.Accepted
 		}
 		if seen.Promised.Compare(held.Promised) > 0 {
@@ -145,12 +145,12 @@
 		}
 		keys = append(keys, seen.Key)
 		if !same(mended, held) {
-			acceptor.set(mended)
+			a.set(mended)
 		}
 	}
-	acceptor.seeVoters()
-	acceptor.lock.Unlock()
-	return acceptor.keep(keys...)
+	a.seeVoters()
+	a.mu.Unlock()
+	return a.keep(keys...)
 }
 
 // merge keeps the higher promise and the newer value of two states of a slot;
--- a/control/register/mark.go
+++ b/control/register/mark.go
@@ -17,21 +17,21 @@
 var lastMarked atomic.Pointer[marked]
 
 // Mark tells voters of one generation apart that two takers proposed at once.
-func (voters Voters) Mark() int64 {
-	if last := lastMarked.Load(); last != nil && last.voters.same(voters) {
+func (v Voters) Mark() int64 {
+	if last := lastMarked.Load(); last != nil && last.voters.same(v) {
 		return last.mark
 	}
-	made := &marked{voters: Voters{Generation: voters.Generation, Seats: slices.Clone(voters.Seats)}, mark: voters.sum()}
+	made := &marked{voters: Voters{Generation: v.Generation, Seats: slices.Clone(v.Seats)}, mark: v.sum()}
 	lastMarked.Store(made)
 	return made.mark
 }
 
-func (voters Voters) same(other Voters) bool {
-	return voters.Generation == other.Generation && slices.Equal(voters.Seats, other.Seats)
+func (v Voters) same(other Voters) bool {
+	return v.Generation == other.Generation && slices.Equal(v.Seats, other.Seats)
 }
 
-func (voters Voters) sum() int64 {
+func (v Voters) sum() int64 {
 	digest := fnv.New64a()
-	_, _ = digest.Write(pack(voters))
+	_, _ = digest.Write(pack(v))
 	return int64(digest.Sum64())
 }
--- a/control/register/message.go
+++ b/control/register/message.go
@@ -25,11 +25,11 @@
 func (Accepted) SchemaName() string { return "Accepted_25" }
 
 // newer tells whether this value was written after the other.
-func (accepted Accepted) newer(other Accepted) bool {
-	if order := accepted.Epoch.Compare(other.Epoch); order != 0 {
+func (a Accepted) newer(other Accepted) bool {
+	if order := a.Epoch.Compare(other.Epoch); order != 0 {
 		return order > 0
 	}
-	return accepted.Sequence > other.Sequence
+	return a.Sequence > other.Sequence
 }
 
 // Slot is what one voter holds for one key.
@@ -169,7 +169,7 @@
 func (Held) SchemaName() string { return "Held_25" }
 
 // accepted is what the digest stands for; it has no value and is never learnt.
-func (held Held) accepted() Accepted { return Accepted{Epoch: held.Epoch, Sequence: held.Sequence} }
+func (h Held) accepted() Accepted { return Accepted{Epoch: h.Epoch, Sequence: h.Sequence} }
 
 // HeldAsk asks how all keys stand, and says by a sum how they stand with the
 // asker.
@@ -199,17 +199,17 @@
 func (HeldTold) SchemaName() string { return "HeldTold_25" }
 
 // Sum is a digest of how all keys stand.
-func (told HeldTold) Sum() int64 {
+func (h HeldTold) Sum() int64 {
 	digest := fnv.New64a()
-	for _, held := range told.Keys {
+	for _, held := range h.Keys {
 		_, _ = digest.Write(pack(held))
 	}
 	return int64(digest.Sum64())
 }
 
 // Fence makes the fence of a message to one seat.
-func (voters Voters) Fence(seat Seat) Fence {
-	return Fence{Generation: voters.Generation, Mark: voters.Mark(), Incarnation: seat.Incarnation}
+func (v Voters) Fence(seat Seat) Fence {
+	return Fence{Generation: v.Generation, Mark: v.Mark(), Incarnation: seat.Incarnation}
 }
 
 // enough tells whether the votes are a majority, and at least so many copies; a
--- a/control/register/model_test.go
+++ b/control/register/model_test.go
@@ -23,17 +23,17 @@
 	draw    func(odds int) bool
 }
 
-func (disk *disk) Save(record []byte) error {
-	if disk.refuses {
-		disk.dirty = true
-		if disk.draw(2) {
-			disk.records = append(disk.records, record)
+func (d *disk) Save(record []byte) error {
+	if d.refuses {
+		d.dirty = true
+		if d.draw(2) {
+			d.records = append(d.records, record)
 		}
 		return errors.New("model: the disk refuses")
 	}
-	disk.records = append(disk.records, record)
-	if disk.dirty {
-		disk.records, disk.dirty = disk.whole(), false
+	d.records = append(d.records, record)
+	if d.dirty {
+		d.records, d.dirty = d.whole(), false
 	}
 	return nil
 }
@@ -49,16 +49,16 @@
 	running bool
 }
 
-func (life *life) Save(record []byte) error {
-	if life.running && life.world.depth < 2 && life.world.draw(10) {
-		life.world.depth++
-		life.world.happen()
-		life.world.depth--
+func (l *life) Save(record []byte) error {
+	if l.running && l.world.depth < 2 && l.world.draw(10) {
+		l.world.depth++
+		l.world.happen()
+		l.world.depth--
 	}
-	if life.born != life.disk.born {
+	if l.born != l.disk.born {
 		return errors.New("model: the program ended before the sync")
 	}
-	return life.disk.Save(record)
+	return l.disk.Save(record)
 }
 
 // machine is one simulated controller.
@@ -98,12 +98,12 @@
 	losses int
 }
 
-func (world *world) draw(odds int) bool {
-	return !world.calm && rapid.IntRange(0, odds-1).Draw(world.t, "chance") == 0
+func (w *world) draw(odds int) bool {
+	return !w.calm && rapid.IntRange(0, odds-1).Draw(w.t, "chance") == 0
 }
 
-func (world *world) find(address ids.Address) *machine {
-	for _, found := range world.machines {
+func (w *world) find(address ids.Address) *machine {
+	for _, found := range w.machines {
 		if found.address == address {
 			return found
 		}
@@ -155,39 +155,39 @@
 	from  ids.Address
 }
 
-func (line line) mend(address ids.Address, verdict Verdict, theirs int64, err error) {
-	if err == nil && verdict == Misfenced && address != line.from {
-		line.world.find(line.from).joiner.Mend(line.world.scope, address, theirs)
+func (l line) mend(address ids.Address, verdict Verdict, theirs int64, err error) {
+	if err == nil && verdict == Misfenced && address != l.from {
+		l.world.find(l.from).joiner.Mend(l.world.scope, address, theirs)
 	}
 }
 
-func (line line) Promise(_ scope.Scope, address ids.Address, asked PromiseAsk) (PromiseTold, error) {
-	told, err := carry(line.world, line.from, address, func(voter *Acceptor) PromiseTold { return voter.Promise(asked) })
-	line.mend(address, told.Verdict, told.Generation, err)
+func (l line) Promise(_ scope.Scope, address ids.Address, asked PromiseAsk) (PromiseTold, error) {
+	told, err := carry(l.world, l.from, address, func(voter *Acceptor) PromiseTold { return voter.Promise(asked) })
+	l.mend(address, told.Verdict, told.Generation, err)
 	return told, err
 }
 
-func (line line) Accept(_ scope.Scope, address ids.Address, asked AcceptAsk) (AcceptTold, error) {
-	told, err := carry(line.world, line.from, address, func(voter *Acceptor) AcceptTold { return voter.Accept(asked) })
-	line.mend(address, told.Verdict, told.Generation, err)
+func (l line) Accept(_ scope.Scope, address ids.Address, asked AcceptAsk) (AcceptTold, error) {
+	told, err := carry(l.world, l.from, address, func(voter *Acceptor) AcceptTold { return voter.Accept(asked) })
+	l.mend(address, told.Verdict, told.Generation, err)
 	return told, err
 }
 
-func (line line) Confirm(_ scope.Scope, address ids.Address, asked ConfirmAsk) (AcceptTold, error) {
-	told, err := carry(line.world, line.from, address, func(voter *Acceptor) AcceptTold { return voter.Confirm(asked) })
-	line.mend(address, told.Verdict, told.Generation, err)
+func (l line) Confirm(_ scope.Scope, address ids.Address, asked ConfirmAsk) (AcceptTold, error) {
+	told, err := carry(l.world, l.from, address, func(voter *Acceptor) AcceptTold { return voter.Confirm(asked) })
+	l.mend(address, told.Verdict, told.Generation, err)
 	return told, err
 }
 
-func (line line) Copy(_ scope.Scope, address ids.Address, asked CopyAsk) (CopyTold, error) {
-	return carry(line.world, line.from, address, func(voter *Acceptor) CopyTold { return voter.Copy(asked) })
+func (l line) Copy(_ scope.Scope, address ids.Address, asked CopyAsk) (CopyTold, error) {
+	return carry(l.world, l.from, address, func(voter *Acceptor) CopyTold { return voter.Copy(asked) })
 }
 
-func (line line) Held(_ scope.Scope, address ids.Address) (HeldTold, error) {
-	return carry(line.world, line.from, address, func(voter *Acceptor) HeldTold { return voter.Held() })
+func (l line) Held(_ scope.Scope, address ids.Address) (HeldTold, error) {
+	return carry(l.world, l.from, address, func(voter *Acceptor) HeldTold { return voter.Held() })
 }
 
-func (line line) Learn(_ scope.Scope, address ids.Address, slots []Slot) error {
-	err, lost := carry(line.world, line.from, address, func(voter *Acceptor) error { return voter.Learn(slots) })
+func (l line) Learn(_ scope.Scope, address ids.Address, slots []Slot) error {
+	err, lost := carry(l.world, l.from, address, func(voter *Acceptor) error { return voter.Learn(slots) })
 	return errors.Join(err, lost)
 }
--- a/control/register/owned.go
+++ b/control/register/owned.go
@@ -9,13 +9,13 @@
 // one over, so that an order which others passed here long ago can't take the
 // key from whoever acts on it by now. Where the key is not owned under the
 // voters of now it is an Unsettled failure, and nothing was begun.
-func (keeper *Keeper) ChangeOwned(inner scope.Scope, key string, step Step) ([]byte, error) {
-	return keeper.wait(key, &waiting{inner: inner, step: step, owned: true, done: make(chan struct{})})
+func (k *Keeper) ChangeOwned(ctx scope.Scope, key string, step Step) ([]byte, error) {
+	return k.wait(key, &waiting{inner: ctx, step: step, owned: true, done: make(chan struct{})})
 }
 
 // owned leaves out those that want the key owned already where it is not.
-func (keeper *Keeper) owned(state *owned, key string, together []*waiting) []*waiting {
-	if state.holding && state.voters.Mark() == keeper.options.Voters().Mark() {
+func (k *Keeper) owned(state *owned, key string, together []*waiting) []*waiting {
+	if state.holding && state.voters.Mark() == k.options.Voters().Mark() {
 		return together
 	}
 	var rest []*waiting
--- a/control/register/owner.go
+++ b/control/register/owner.go
@@ -12,7 +12,7 @@
 // Keeper owns keys: it takes them over, changes them and confirms them.
 type Keeper struct {
 	options Options
-	lock    sync.Mutex
+	mu      sync.Mutex
 	keys    map[string]*owned
 }
 
@@ -49,23 +49,23 @@
 const attempts = 2
 
 // hold makes sure that this keeper owns the key under the voters of now.
-func (keeper *Keeper) hold(inner scope.Scope, state *owned, key string) error {
-	voters := keeper.options.Voters()
+func (k *Keeper) hold(ctx scope.Scope, state *owned, key string) error {
+	voters := k.options.Voters()
 	if state.holding && state.voters.Mark() == voters.Mark() {
 		return nil
 	}
 	var err error
 	for range attempts {
 		state.holding = false
-		state.voters = keeper.options.Voters()
-		state.highest = max(state.highest, keeper.options.Seen(key)) + 1
-		state.epoch = ids.Epoch{Number: state.highest, Owner: keeper.options.Address}
-		err = keeper.takeOver(inner, state, key)
-		inner.Log.Info().Str("part", "register").Str("key", key).Int64("epoch", state.epoch.Number).Err(err).Msg("taken over")
+		state.voters = k.options.Voters()
+		state.highest = max(state.highest, k.options.Seen(key)) + 1
+		state.epoch = ids.Epoch{Number: state.highest, Owner: k.options.Address}
+		err = k.takeOver(ctx, state, key)
+		ctx.Log.Info().Str("part", "register").Str("key", key).Int64("epoch", state.epoch.Number).Err(err).Msg("taken over")
 		if err == nil {
 			return nil
 		}
-		if inner.Err() != nil || state.highest == state.epoch.Number {
+		if ctx.Err() != nil || state.highest == state.epoch.Number {
 			return err
 		}
 	}
@@ -73,8 +73,8 @@
 }
 
 // takeOver gains the key under the state's epoch and settles its last write.
-func (keeper *Keeper) takeOver(inner scope.Scope, state *owned, key string) error {
-	newest, err := keeper.take(inner, state, key)
+func (k *Keeper) takeOver(ctx scope.Scope, state *owned, key string) error {
+	newest, err := k.take(ctx, state, key)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	if newest.Sequence > 0 {
 		// The value found may stand on a minority only: it is written again
 		// under the new epoch before anything is built on it.
-		if err := keeper.write(inner, state, key, newest.Value); err != nil {
+		if err := k.write(ctx, state, key, newest.Value); err != nil {
 			return err
 		}
 	}
@@ -91,9 +91,9 @@
 }
 
 // write puts a value on a majority of disks.
-func (keeper *Keeper) write(inner scope.Scope, state *owned, key string, value []byte) error {
+func (k *Keeper) write(ctx scope.Scope, state *owned, key string, value []byte) error {
 	next := Accepted{Epoch: state.epoch, Sequence: state.current.Sequence + 1, Value: value}
-	sets, copies := [][]Seat{state.voters.Seats}, keeper.options.Copies
+	sets, copies := [][]Seat{state.voters.Seats}, k.options.Copies
 	if key == CohortKey {
 		// A seat must be filled also while too few disks are there for orders.
 		copies = 0
@@ -103,8 +103,8 @@
 		}
 		sets = append(sets, voters.Seats)
 	}
-	err := keeper.rounds(inner, state, sets, copies, func(message scope.Scope, seat Seat) (Verdict, int64) {
-		told, err := keeper.options.Line.Accept(message, seat.Address, AcceptAsk{Fence: state.voters.Fence(seat), Key: key, Accepted: next})
+	err := k.rounds(ctx, state, sets, copies, func(message scope.Scope, seat Seat) (Verdict, int64) {
+		told, err := k.options.Line.Accept(message, seat.Address, AcceptAsk{Fence: state.voters.Fence(seat), Key: key, Accepted: next})
 		return verdictOf(told.Verdict, err), told.Promised.Number
 	})
 	if err != nil {
@@ -112,14 +112,14 @@
 		return err
 	}
 	state.current = next
-	keeper.options.Chosen(key, next)
+	k.options.Chosen(key, next)
 	return nil
 }
 
 // confirm asks a majority whether this keeper is still the owner.
-func (keeper *Keeper) confirm(inner scope.Scope, state *owned, key string) error {
-	err := keeper.rounds(inner, state, [][]Seat{state.voters.Seats}, 0, func(message scope.Scope, seat Seat) (Verdict, int64) {
-		told, err := keeper.options.Line.Confirm(message, seat.Address, ConfirmAsk{Fence: state.voters.Fence(seat), Key: key, Epoch: state.epoch})
+func (k *Keeper) confirm(ctx scope.Scope, state *owned, key string) error {
+	err := k.rounds(ctx, state, [][]Seat{state.voters.Seats}, 0, func(message scope.Scope, seat Seat) (Verdict, int64) {
+		told, err := k.options.Line.Confirm(message, seat.Address, ConfirmAsk{Fence: state.voters.Fence(seat), Key: key, Epoch: state.epoch})
 		return verdictOf(told.Verdict, err), told.Promised.Number
 	})
 	if err != nil {
--- a/control/register/place.go
+++ b/control/register/place.go
@@ -12,7 +12,7 @@
 // seating replaces one seat, or adds one behind the last; the change is dropped
 // where the voters are no longer those that it was made for, or the one to be
 // replaced is back: this is asked last of all, right before the change is sent.
-func (joiner *Joiner) seating(known Voters, index int, own Seat) Step {
+func (j *Joiner) seating(known Voters, index int, own Seat) Step {
 	return func(current []byte) ([]byte, error) {
 		voters, err := courier.Unpack[Voters](current)
 		if err != nil || voters.Mark() != known.Mark() {
@@ -20,7 +20,7 @@
 		}
 		if index < len(voters.Seats) {
 			seated := voters.Seats[index]
-			if seated.Address != joiner.Address && !seated.Learning && !joiner.gone(seated.Address) {
+			if seated.Address != j.Address && !seated.Learning && !j.gone(seated.Address) {
 				return nil, failure.Of(failure.Unsettled, "%s is back", seated.Address)
 			}
 		}
@@ -42,12 +42,12 @@
 const courtesy = 2
 
 // wait notes one more run that finds a seat of another learning.
-func (joiner *Joiner) wait() {
-	voters := joiner.Acceptor.Voters()
-	if mark := voters.Mark(); mark != joiner.mark {
-		joiner.mark, joiner.waited = mark, 0
+func (j *Joiner) wait() {
+	voters := j.Acceptor.Voters()
+	if mark := voters.Mark(); mark != j.mark {
+		j.mark, j.waited = mark, 0
 	}
-	joiner.waited++
+	j.waited++
 }
 
 // place finds the seat to ask for: this machine's own, or while nobody else is
@@ -55,33 +55,33 @@
 // seat may lie where too many stand already only if it was so before. A
 // newcomer that is there but gets nowhere loses its seat, which counts for
 // nothing: two replacements don't wait for each other for ever.
-func (joiner *Joiner) place(voters Voters) (int, bool) {
+func (j *Joiner) place(voters Voters) (int, bool) {
 	gone, found, stuck, learning := 0, false, 0, false
 	var others []ids.Address
 	for index, voter := range voters.Seats {
-		if voter.Address == joiner.Address {
+		if voter.Address == j.Address {
 			return index, true
 		}
 		others = append(others, voter.Address)
-		if joiner.gone(voter.Address) {
+		if j.gone(voter.Address) {
 			gone, found = index, true
 		} else if voter.Learning {
 			stuck, learning = index, true
 		}
 	}
 	if learning {
-		return stuck, joiner.waited > patience
+		return stuck, j.waited > patience
 	}
 	if found {
 		// One that stands where fewer have a seat goes first.
-		return gone, joiner.Fits(slices.Delete(others, gone, gone+1)) || joiner.waited > courtesy
+		return gone, j.Fits(slices.Delete(others, gone, gone+1)) || j.waited > courtesy
 	}
-	return len(others), len(others) < joiner.Wanted && joiner.Fits(others)
+	return len(others), len(others) < j.Wanted && j.Fits(others)
 }
 
 // Hopeful tells, without a message, whether there seems to be a seat to ask for.
-func (joiner *Joiner) Hopeful() bool {
-	_, found := joiner.place(joiner.Acceptor.Voters())
+func (j *Joiner) Hopeful() bool {
+	_, found := j.place(j.Acceptor.Voters())
 	return found
 }
 
@@ -91,10 +91,10 @@
 func needed(seats int) int { return seats - quorum(seats) + 1 }
 
 // peers gives the voters besides this machine.
-func (joiner *Joiner) peers(voters Voters) []ids.Address {
+func (j *Joiner) peers(voters Voters) []ids.Address {
 	var found []ids.Address
 	for _, seat := range voters.Seats {
-		if seat.Address != joiner.Address {
+		if seat.Address != j.Address {
 			found = append(found, seat.Address)
 		}
 	}
@@ -102,11 +102,11 @@
 }
 
 // brief gives one question its limit.
-func (joiner *Joiner) brief(inner scope.Scope) (scope.Scope, func()) {
-	if joiner.Answer == 0 {
-		return inner, func() {}
+func (j *Joiner) brief(ctx scope.Scope) (scope.Scope, func()) {
+	if j.Answer == 0 {
+		return ctx, func() {}
 	}
-	short, release := inner.WithLimit(joiner.Answer)
+	short, release := ctx.WithLimit(j.Answer)
 	return short, func() { release() }
 }
 
@@ -115,13 +115,13 @@
 // seat is to be taken answers itself and still votes: it is not gone then,
 // whatever others say. One in doubt has left several questions of this machine
 // without an answer by then, and is not waited for once more.
-func (joiner *Joiner) reached(inner scope.Scope, voters Voters, index int) (int, bool) {
+func (j *Joiner) reached(ctx scope.Scope, voters Voters, index int) (int, bool) {
 	found, back := 0, false
 	taken := func(address ids.Address) bool {
 		return index < len(voters.Seats) && voters.Seats[index].Address == address
 	}
-	gather(joiner, joiner.peers(voters), joiner.doubted, always, func(address ids.Address) (HeldTold, bool) {
-		told, err := joiner.held(inner, address)
+	gather(j, j.peers(voters), j.doubted, always, func(address ids.Address) (HeldTold, bool) {
+		told, err := j.held(ctx, address)
 		return told, err == nil
 	}, func(address ids.Address, told HeldTold) {
 		seat, _ := voters.seat(address)
@@ -138,10 +138,10 @@
 }
 
 // held asks one how it stands, for as long as one question may take.
-func (joiner *Joiner) held(inner scope.Scope, address ids.Address) (HeldTold, error) {
-	short, release := joiner.brief(inner)
+func (j *Joiner) held(ctx scope.Scope, address ids.Address) (HeldTold, error) {
+	short, release := j.brief(ctx)
 	defer release()
-	return joiner.Reach.Held(short, address)
+	return j.Reach.Held(short, address)
 }
 
 // newest is the newest of one key that others told of.
@@ -154,18 +154,18 @@
 // learn takes the newest of each key from so many other voters, all of whom
 // fence off older voters than these; values travel only where this disk lacks
 // them.
-func (joiner *Joiner) learn(inner scope.Scope, voters Voters, missing int) bool {
+func (j *Joiner) learn(ctx scope.Scope, voters Voters, missing int) bool {
 	found := map[string]newest{}
 	var keys []string
 	// Those that seem gone are asked too: they may be there all the same, and so
 	// many are needed.
-	gather(joiner, joiner.peers(voters), joiner.doubted, func() bool { return missing <= 0 }, func(address ids.Address) (HeldTold, bool) {
+	gather(j, j.peers(voters), j.doubted, func() bool { return missing <= 0 }, func(address ids.Address) (HeldTold, bool) {
 		voter, _ := voters.seat(address)
 		if voter.Learning {
 			return HeldTold{}, false
 		}
-		told, err := joiner.held(inner, address)
-		joiner.follow(inner, address, voters, told, err)
+		told, err := j.held(ctx, address)
+		j.follow(ctx, address, voters, told, err)
 		return told, err == nil && told.Voting && told.Mark == voters.Mark() && told.Incarnation == voter.Incarnation
 	}, func(address ids.Address, told HeldTold) {
 		missing--
@@ -188,24 +188,24 @@
 	}
 	var slots []Slot
 	for _, key := range keys {
-		slot, whole := joiner.fetch(inner, key, found[key])
+		slot, whole := j.fetch(ctx, key, found[key])
 		if !whole {
 			return false
 		}
 		slots = append(slots, slot)
 	}
-	return joiner.Acceptor.Learn(slots) == nil
+	return j.Acceptor.Learn(slots) == nil
 }
 
 // fetch makes the slot to learn, with its value where this disk lacks it.
-func (joiner *Joiner) fetch(inner scope.Scope, key string, seen newest) (Slot, bool) {
+func (j *Joiner) fetch(ctx scope.Scope, key string, seen newest) (Slot, bool) {
 	slot := Slot{Key: key, Promised: seen.promised}
-	if !seen.held.accepted().newer(joiner.Acceptor.Slot(key).Accepted) {
+	if !seen.held.accepted().newer(j.Acceptor.Slot(key).Accepted) {
 		return slot, true
 	}
-	short, release := joiner.brief(inner)
+	short, release := j.brief(ctx)
 	defer release()
-	told, err := joiner.Reach.Copy(short, seen.holder, CopyAsk{Key: key})
+	told, err := j.Reach.Copy(short, seen.holder, CopyAsk{Key: key})
 	if err != nil || len(told.Slots) != 1 || seen.held.accepted().newer(told.Slots[0].Accepted) {
 		return slot, false
 	}
--- a/control/register/redundancy.go
+++ b/control/register/redundancy.go
@@ -35,21 +35,21 @@
 }
 
 // String is the redundancy in one line.
-func (redundancy Redundancy) String() string {
+func (r Redundancy) String() string {
 	var lagging []string
-	for _, key := range redundancy.Keys {
+	for _, key := range r.Keys {
 		if len(key.Behind) > 0 {
 			lagging = append(lagging, fmt.Sprintf("%s on %d", key.Key, key.Disks))
 		}
 	}
-	return fmt.Sprintf("bears %d more losses: %d of %d votes, learning %v, away %v, lagging [%s]", redundancy.Bears,
-		redundancy.Votes, redundancy.Seats, redundancy.Learning, redundancy.Away, strings.Join(lagging, ", "))
+	return fmt.Sprintf("bears %d more losses: %d of %d votes, learning %v, away %v, lagging [%s]", r.Bears,
+		r.Votes, r.Seats, r.Learning, r.Away, strings.Join(lagging, ", "))
 }
 
 // Redundancy asks all voters how they stand, and repairs nothing: it is for one
 // that has no seat of its own.
-func (joiner *Joiner) Redundancy(inner scope.Scope) Redundancy {
-	return (&Survey{Joiner: joiner}).look(inner).redundancy()
+func (j *Joiner) Redundancy(ctx scope.Scope) Redundancy {
+	return (&Survey{Joiner: j}).look(ctx).redundancy()
 }
 
 // view is what one round of questions found.
@@ -62,8 +62,8 @@
 
 // look asks all voters how they stand; those that don't answer, or with another
 // disk than the seated one, are left out.
-func (survey *Survey) look(inner scope.Scope) view {
-	joiner := survey.Joiner
+func (s *Survey) look(ctx scope.Scope) view {
+	joiner := s.Joiner
 	found := view{voters: joiner.Acceptor.Voters(), told: map[ids.Address]HeldTold{}, newest: map[string]Held{}}
 	add := func(address ids.Address, told HeldTold) {
 		seat, _ := found.voters.seat(address)
@@ -79,7 +79,7 @@
 	}
 	add(joiner.Address, joiner.Acceptor.Held())
 	gather(joiner, joiner.peers(found.voters), joiner.doubted, always, func(address ids.Address) (HeldTold, bool) {
-		told, err := joiner.held(inner, address)
+		told, err := joiner.held(ctx, address)
 		return told, err == nil
 	}, add)
 	for key := range found.newest {
@@ -90,18 +90,18 @@
 }
 
 // behind gives the voters that hold something older than this.
-func (found view) behind(key string, mark Held) []Seat {
+func (v view) behind(key string, mark Held) []Seat {
 	var lagging []Seat
-	for _, seat := range found.voters.Seats {
-		if told, answered := found.told[seat.Address]; answered && mark.accepted().newer(told.held(key).accepted()) {
+	for _, seat := range v.voters.Seats {
+		if told, answered := v.told[seat.Address]; answered && mark.accepted().newer(told.held(key).accepted()) {
 			lagging = append(lagging, seat)
 		}
 	}
 	return lagging
 }
 
-func (told HeldTold) held(key string) Held {
-	for _, held := range told.Keys {
+func (h HeldTold) held(key string) Held {
+	for _, held := range h.Keys {
 		if held.Key == key {
 			return held
 		}
@@ -110,42 +110,42 @@
 }
 
 // holders counts the disks that hold the newest of a key.
-func (found view) holders(key string) int {
-	return len(found.told) - len(found.behind(key, found.newest[key]))
+func (v view) holders(key string) int {
+	return len(v.told) - len(v.behind(key, v.newest[key]))
 }
 
 // rank is the place of a voter among those that answered.
-func (found view) rank(address ids.Address) int {
+func (v view) rank(address ids.Address) int {
 	rank := 0
-	for _, seat := range found.voters.Seats {
+	for _, seat := range v.voters.Seats {
 		if seat.Address == address {
 			return rank
 		}
-		if _, answered := found.told[seat.Address]; answered {
+		if _, answered := v.told[seat.Address]; answered {
 			rank++
 		}
 	}
 	return rank
 }
 
-func (found view) redundancy() Redundancy {
-	state := Redundancy{Seats: len(found.voters.Seats), Learning: []ids.Address{}, Away: []ids.Address{}, Keys: []KeyHeld{}}
-	for _, seat := range found.voters.Seats {
-		told, answered := found.told[seat.Address]
+func (v view) redundancy() Redundancy {
+	state := Redundancy{Seats: len(v.voters.Seats), Learning: []ids.Address{}, Away: []ids.Address{}, Keys: []KeyHeld{}}
+	for _, seat := range v.voters.Seats {
+		told, answered := v.told[seat.Address]
 		switch {
 		case seat.Learning:
 			state.Learning = append(state.Learning, seat.Address)
 		case !answered:
 			state.Away = append(state.Away, seat.Address)
-		case told.Mark == found.voters.Mark():
+		case told.Mark == v.voters.Mark():
 			state.Votes++
 		}
 	}
 	state.Bears = state.Votes - quorum(state.Seats)
 	state.Whole = state.Seats > 0 && state.Votes == state.Seats
-	for _, key := range found.keys {
-		held := KeyHeld{Key: key, Disks: found.holders(key), Behind: []ids.Address{}}
-		for _, seat := range found.behind(key, found.newest[key]) {
+	for _, key := range v.keys {
+		held := KeyHeld{Key: key, Disks: v.holders(key), Behind: []ids.Address{}}
+		for _, seat := range v.behind(key, v.newest[key]) {
 			held.Behind = append(held.Behind, seat.Address)
 		}
 		// The newest is never on its last disk while as many are left as it bears.
--- a/control/register/register_test.go
+++ b/control/register/register_test.go
@@ -11,17 +11,17 @@
 
 // write adds a mark to the history under the key, or only reads it, and checks
 // what the outcome says against all that was acknowledged before it began.
-func (world *world) write(subject *machine, reads bool) bool {
+func (w *world) write(subject *machine, reads bool) bool {
 	if !subject.up || subject.busy {
 		return false
 	}
 	subject.busy = true
 	defer func() { subject.busy = false }()
-	before := world.acked
-	world.writes++
-	mark := string(rune('A'+world.writes%26)) + string(subject.address) + ";"
+	before := w.acked
+	w.writes++
+	mark := string(rune('A'+w.writes%26)) + string(subject.address) + ";"
 	keeper := subject.keeper
-	value, err := keeper.Change(world.scope, "spec", func(current []byte) ([]byte, error) {
+	value, err := keeper.Change(w.scope, "spec", func(current []byte) ([]byte, error) {
 		if reads {
 			return nil, nil
 		}
@@ -31,13 +31,13 @@
 		return false
 	}
 	if !strings.HasPrefix(string(value), before) {
-		world.t.Fatalf("acknowledged %q is gone: %s now answers %q", before, subject.address, value)
+		w.t.Fatalf("acknowledged %q is gone: %s now answers %q", before, subject.address, value)
 	}
-	if !strings.HasPrefix(string(value), world.acked) && !strings.HasPrefix(world.acked, string(value)) {
-		world.t.Fatalf("two histories were acknowledged: %q and %q", world.acked, value)
+	if !strings.HasPrefix(string(value), w.acked) && !strings.HasPrefix(w.acked, string(value)) {
+		w.t.Fatalf("two histories were acknowledged: %q and %q", w.acked, value)
 	}
-	if len(value) > len(world.acked) {
-		world.acked = string(value)
+	if len(value) > len(w.acked) {
+		w.acked = string(value)
 	}
 	return true
 }
@@ -47,25 +47,25 @@
 // there, that is as many disks at one time as may be lost. One that is back but
 // that others still take for gone counts as lost itself: a machine does so for
 // some seconds after its return, and its seat may just be taken.
-func (world *world) bearable(subject *machine) bool {
+func (w *world) bearable(subject *machine) bool {
 	whole := 0
-	for _, other := range world.machines {
+	for _, other := range w.machines {
 		if other == subject {
 			continue
 		}
-		seat, seated := world.newest().seat(other.address)
+		seat, seated := w.newest().seat(other.address)
 		sound := other.up && !other.gone && !seat.Learning && seat.Incarnation == other.acceptor.Incarnation()
-		if seated && sound && other.acceptor.Voters().Mark() == world.newest().Mark() {
+		if seated && sound && other.acceptor.Voters().Mark() == w.newest().Mark() {
 			whole++
 		}
 	}
-	return whole >= quorum(len(world.newest().Seats))
+	return whole >= quorum(len(w.newest().Seats))
 }
 
-func (world *world) newest() Voters {
+func (w *world) newest() Voters {
 	var newest Accepted
 	voters := Voters{}
-	for _, other := range world.machines {
+	for _, other := range w.machines {
 		if held := other.acceptor.Slot(CohortKey).Accepted; held.newer(newest) {
 			newest, voters = held, other.acceptor.Voters()
 		}
@@ -74,51 +74,51 @@
 }
 
 // happen lets one thing happen anywhere.
-func (world *world) happen() {
-	subject := world.machines[rapid.IntRange(0, len(world.machines)-1).Draw(world.t, "machine")]
-	other := world.machines[rapid.IntRange(0, len(world.machines)-1).Draw(world.t, "other")]
+func (w *world) happen() {
+	subject := w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(w.t, "machine")]
+	other := w.machines[rapid.IntRange(0, len(w.machines)-1).Draw(w.t, "other")]
 	events := []func(){
-		func() { world.write(subject, false) },
-		func() { world.write(subject, false) },
-		func() { world.write(subject, true) },
-		func() { world.join(subject) },
-		func() { world.join(subject) },
-		func() { world.look(subject) },
-		func() { world.look(subject) },
+		func() { w.write(subject, false) },
+		func() { w.write(subject, false) },
+		func() { w.write(subject, true) },
+		func() { w.join(subject) },
+		func() { w.join(subject) },
+		func() { w.look(subject) },
+		func() { w.look(subject) },
 		func() {
 			// A message comes late, perhaps once more later.
-			if len(world.late) > 0 {
-				world.late[rapid.IntRange(0, len(world.late)-1).Draw(world.t, "late")]()
+			if len(w.late) > 0 {
+				w.late[rapid.IntRange(0, len(w.late)-1).Draw(w.t, "late")]()
 			}
 		},
 		func() {
 			// Killed, with what the disk holds, and back.
 			if !subject.busy {
-				world.start(subject)
+				w.start(subject)
 			}
 		},
 		func() {
 			// The disk is lost; it must be the only one of the voters' disks.
-			if !subject.busy && world.bearable(subject) {
+			if !subject.busy && w.bearable(subject) {
 				subject.disk.records = nil
-				world.start(subject)
+				w.start(subject)
 			}
 		},
 		func() { subject.disk.refuses = !subject.disk.refuses },
 		func() { subject.up = !subject.up },
 		func() { subject.gone = !subject.up },
-		func() { world.cuts[[2]ids.Address{subject.address, other.address}] = subject != other },
-		func() { world.cuts = map[[2]ids.Address]bool{} },
+		func() { w.cuts[[2]ids.Address{subject.address, other.address}] = subject != other },
+		func() { w.cuts = map[[2]ids.Address]bool{} },
 	}
-	events[rapid.IntRange(0, len(events)-1).Draw(world.t, "event")]()
+	events[rapid.IntRange(0, len(events)-1).Draw(w.t, "event")]()
 }
 
-func (world *world) join(subject *machine) {
+func (w *world) join(subject *machine) {
 	if !subject.up || subject.busy || subject.acceptor.Voting() {
 		return
 	}
 	subject.busy = true
-	_ = subject.joiner.Join(world.scope)
+	_ = subject.joiner.Join(w.scope)
 	subject.busy = false
 }
 
@@ -138,29 +138,29 @@
 }
 
 // settle ends all trouble; within some rounds the key must be served again.
-func (world *world) settle() {
-	world.calm = true
-	world.cuts = map[[2]ids.Address]bool{}
-	for _, subject := range world.machines {
+func (w *world) settle() {
+	w.calm = true
+	w.cuts = map[[2]ids.Address]bool{}
+	for _, subject := range w.machines {
 		subject.disk.refuses = false
 		subject.up, subject.gone = true, false
 	}
 	served := false
 	for range 8 {
-		for _, subject := range world.machines {
-			world.join(subject)
+		for _, subject := range w.machines {
+			w.join(subject)
 		}
-		for _, subject := range world.machines {
-			served = world.write(subject, false) || served
+		for _, subject := range w.machines {
+			served = w.write(subject, false) || served
 		}
 	}
-	for _, seat := range world.newest().Seats {
-		if holder := world.find(seat.Address); seat.Learning || !holder.acceptor.Voting() {
-			world.t.Fatalf("the seat of %s is not filled after all trouble ended: %+v", seat.Address, world.newest())
+	for _, seat := range w.newest().Seats {
+		if holder := w.find(seat.Address); seat.Learning || !holder.acceptor.Voting() {
+			w.t.Fatalf("the seat of %s is not filled after all trouble ended: %+v", seat.Address, w.newest())
 		}
 	}
 	if !served {
-		world.t.Fatalf("the key is not served after all trouble ended: %+v", world.newest())
+		w.t.Fatalf("the key is not served after all trouble ended: %+v", w.newest())
 	}
 }
 
--- a/control/register/repair_test.go
+++ b/control/register/repair_test.go
@@ -9,38 +9,38 @@
 )
 
 // survey runs a round on every machine: a voter surveys, another follows.
-func (world *world) survey() {
-	for _, subject := range world.machines {
-		world.look(subject)
+func (w *world) survey() {
+	for _, subject := range w.machines {
+		w.look(subject)
 	}
 }
 
-func (world *world) look(subject *machine) {
+func (w *world) look(subject *machine) {
 	if !subject.up || subject.busy {
 		return
 	}
 	subject.busy = true
 	if subject.acceptor.Voting() {
-		subject.survey.Round(world.scope)
+		subject.survey.Round(w.scope)
 	} else {
-		subject.survey.Follow(world.scope)
+		subject.survey.Follow(w.scope)
 	}
 	subject.busy = false
 }
 
-func (world *world) lagging() int {
+func (w *world) lagging() int {
 	count := 0
-	for _, seat := range world.newest().Seats {
-		if world.find(seat.Address).acceptor.Slot("spec").Accepted.Sequence < world.newestOf("spec").Sequence {
+	for _, seat := range w.newest().Seats {
+		if w.find(seat.Address).acceptor.Slot("spec").Accepted.Sequence < w.newestOf("spec").Sequence {
 			count++
 		}
 	}
 	return count
 }
 
-func (world *world) newestOf(key string) Accepted {
+func (w *world) newestOf(key string) Accepted {
 	var newest Accepted
-	for _, subject := range world.machines {
+	for _, subject := range w.machines {
 		if held := subject.acceptor.Slot(key).Accepted; held.newer(newest) {
 			newest = held
 		}
--- a/control/register/replace_test.go
+++ b/control/register/replace_test.go
@@ -44,38 +44,38 @@
 }
 
 // runs has every machine strive for a seat so many times.
-func (world *world) runs(times int) {
+func (w *world) runs(times int) {
 	for range times {
-		for _, subject := range world.machines {
-			world.join(subject)
+		for _, subject := range w.machines {
+			w.join(subject)
 		}
 	}
 }
 
 // lose brings one of the three troubles on so many voters.
-func (world *world) lose(count int) {
-	seats := world.newest().Seats
-	first, gap := rapid.IntRange(0, len(seats)-1).Draw(world.t, "first"), rapid.IntRange(1, len(seats)-1).Draw(world.t, "gap")
+func (w *world) lose(count int) {
+	seats := w.newest().Seats
+	first, gap := rapid.IntRange(0, len(seats)-1).Draw(w.t, "first"), rapid.IntRange(1, len(seats)-1).Draw(w.t, "gap")
 	for index := range count {
-		subject := world.find(seats[(first+index*gap)%len(seats)].Address)
+		subject := w.find(seats[(first+index*gap)%len(seats)].Address)
 		troubles := []func(){
 			func() { subject.up, subject.gone = false, true },
 			func() { subject.up, subject.gone, subject.disk.records = false, true, nil },
-			func() { subject.disk.records = nil; world.start(subject) },
+			func() { subject.disk.records = nil; w.start(subject) },
 			func() { subject.up = false },
 		}
-		troubles[rapid.IntRange(0, len(troubles)-1).Draw(world.t, "trouble")]()
+		troubles[rapid.IntRange(0, len(troubles)-1).Draw(w.t, "trouble")]()
 	}
 }
 
 // loseNewcomer takes away whoever is on its way to a seat; its disk stays or
 // goes.
-func (world *world) loseNewcomer() {
-	for _, subject := range world.machines {
+func (w *world) loseNewcomer() {
+	for _, subject := range w.machines {
 		if subject.up && subject.busy && !subject.acceptor.Voting() {
 			subject.up, subject.gone = false, true
 			subject.disk.born++
-			if rapid.Bool().Draw(world.t, "wiped") {
+			if rapid.Bool().Draw(w.t, "wiped") {
 				subject.disk.records = nil
 			}
 		}
@@ -84,13 +84,13 @@
 
 // serves has a change answered by whichever voter can; the first try may only
 // tell voters of each other's newer generation.
-func (world *world) serves(when string) {
+func (w *world) serves(when string) {
 	served := false
-	for _, subject := range append(world.machines, world.machines...) {
-		served = served || (subject.acceptor.Voting() && world.write(subject, false))
+	for _, subject := range append(w.machines, w.machines...) {
+		served = served || (subject.acceptor.Voting() && w.write(subject, false))
 	}
 	if !served {
-		world.t.Fatalf("no change is answered %s: %+v", when, world.newest())
+		w.t.Fatalf("no change is answered %s: %+v", when, w.newest())
 	}
 }
 
--- a/control/register/rounds.go
+++ b/control/register/rounds.go
@@ -18,12 +18,12 @@
 // rounds sends a message to every seat of the sets and returns once each set
 // has a majority of grants (and so many copies, where that is more), or can't
 // get it any more, or the scope ends.
-func (keeper *Keeper) rounds(inner scope.Scope, state *owned, sets [][]Seat, copies int, send func(scope.Scope, Seat) (Verdict, int64)) error {
+func (k *Keeper) rounds(ctx scope.Scope, state *owned, sets [][]Seat, copies int, send func(scope.Scope, Seat) (Verdict, int64)) error {
 	seats := union(sets)
 	votes := make(chan vote, len(seats))
 	for _, seat := range seats {
-		keeper.options.Spawn(func() {
-			message, release := inner.Detached().WithLimit(keeper.options.MessageLimit)
+		k.options.Spawn(func() {
+			message, release := ctx.Detached().WithLimit(k.options.MessageLimit)
 			defer release()
 			verdict, number := send(message, seat)
 			votes <- vote{seat: seat, verdict: verdict, number: number}
@@ -40,7 +40,7 @@
 			} else {
 				refused[cast.seat.Address] = true
 			}
-		case <-inner.Done():
+		case <-ctx.Done():
 			return failure.Of(failure.Unsettled, "the voters did not answer in time")
 		}
 		if allHave(sets, granted, copies) {
@@ -56,13 +56,13 @@
 // take asks the voters for the key under the state's epoch and gives the
 // newest value found. Taking the cohort key may uncover newer voters, whose
 // majority is then needed too.
-func (keeper *Keeper) take(inner scope.Scope, state *owned, key string) (Accepted, error) {
+func (k *Keeper) take(ctx scope.Scope, state *owned, key string) (Accepted, error) {
 	for {
 		var lock sync.Mutex
 		var newest Accepted
 		sets := [][]Seat{state.voters.Seats}
-		err := keeper.rounds(inner, state, sets, 0, func(message scope.Scope, seat Seat) (Verdict, int64) {
-			told, err := keeper.options.Line.Promise(message, seat.Address, PromiseAsk{Fence: state.voters.Fence(seat), Key: key, Epoch: state.epoch})
+		err := k.rounds(ctx, state, sets, 0, func(message scope.Scope, seat Seat) (Verdict, int64) {
+			told, err := k.options.Line.Promise(message, seat.Address, PromiseAsk{Fence: state.voters.Fence(seat), Key: key, Epoch: state.epoch})
 			verdict := verdictOf(told.Verdict, err)
 			lock.Lock()
 			defer lock.Unlock()
--- a/control/revision/chain_test.go
+++ b/control/revision/chain_test.go
@@ -31,13 +31,13 @@
 	return made
 }
 
-func (chain *chain) take(change Change) {
-	chain.t.Helper()
-	next, err := change.After(chain.sealed)(chain.value)
+func (c *chain) take(change Change) {
+	c.t.Helper()
+	next, err := change.After(c.sealed)(c.value)
 	if err != nil || next == nil {
-		chain.t.Fatalf("change %d was not taken: %v", len(chain.taken), err)
+		c.t.Fatalf("change %d was not taken: %v", len(c.taken), err)
 	}
-	chain.value, chain.taken = next, append(chain.taken, change)
+	c.value, c.taken = next, append(c.taken, change)
 }
 
 func patchOn(match ids.Serial, serial ids.Serial, mark int) Change {
@@ -47,50 +47,50 @@
 
 // grow takes so many changes with uneven rises. All but the last two are put
 // into the memory as a step does it, without reading the documents.
-func (chain *chain) grow(count int) {
-	chain.t.Helper()
-	kept, err := Travelling(chain.value)
+func (c *chain) grow(count int) {
+	c.t.Helper()
+	kept, err := Travelling(c.value)
 	for range count - 2 {
-		change := patchOn(kept.Serial, kept.Serial+1+ids.Serial(len(chain.taken)%5), 0)
+		change := patchOn(kept.Serial, kept.Serial+1+ids.Serial(len(c.taken)%5), 0)
 		kept.Serial = change.Serial()
 		kept.Memory.add(kept.Serial-change.Match, change.digest())
-		kept.Memory.drop(chain.sealed)
-		chain.taken = append(chain.taken, change)
+		kept.Memory.drop(c.sealed)
+		c.taken = append(c.taken, change)
 	}
-	if chain.value, _ = courier.Pack(kept); err != nil {
-		chain.t.Fatalf("%v", err)
+	if c.value, _ = courier.Pack(kept); err != nil {
+		c.t.Fatalf("%v", err)
 	}
 	for range min(count, 2) {
-		kept, _ = Travelling(chain.value)
-		chain.take(patchOn(kept.Serial, kept.Serial+1+ids.Serial(len(chain.taken)%5), 0))
+		kept, _ = Travelling(c.value)
+		c.take(patchOn(kept.Serial, kept.Serial+1+ids.Serial(len(c.taken)%5), 0))
 	}
 }
 
 // seal writes the pages that are due.
-func (chain *chain) seal() {
+func (c *chain) seal() {
 	for {
-		kept, _ := Travelling(chain.value)
-		page, due := kept.Memory.Due(chain.sealed)
+		kept, _ := Travelling(c.value)
+		page, due := kept.Memory.Due(c.sealed)
 		if !due {
 			return
 		}
-		next, err := page.Step(chain.pages[page.Key()])
+		next, err := page.Step(c.pages[page.Key()])
 		if err != nil || next == nil {
-			chain.t.Fatalf("page %d: %v", page.Index, err)
+			c.t.Fatalf("page %d: %v", page.Index, err)
 		}
-		chain.pages[page.Key()], chain.sealed = next, page.Sealed()
+		c.pages[page.Key()], c.sealed = next, page.Sealed()
 	}
 }
 
 // ask gives what becomes of an order that is sent now: None where it counts as
 // taken before, and nothing may change.
-func (chain *chain) ask(change Change) failure.Kind {
-	next, err := change.After(chain.sealed)(chain.value)
+func (c *chain) ask(change Change) failure.Kind {
+	next, err := change.After(c.sealed)(c.value)
 	if beyond, found := err.(*Beyond); found {
-		err = beyond.Judge(chain.pages[beyond.Key()])
+		err = beyond.Judge(c.pages[beyond.Key()])
 	}
 	if next != nil {
-		chain.t.Fatalf("an order on version %d was taken anew", change.Match)
+		c.t.Fatalf("an order on version %d was taken anew", change.Match)
 	}
 	return failure.KindOf(err)
 }
--- a/control/revision/keep.go
+++ b/control/revision/keep.go
@@ -37,53 +37,53 @@
 func (Change) SchemaName() string { return "Change_25" }
 
 // Packing gives the change as it travels between controllers.
-func (change Change) Packing() Change {
-	if !change.Packed {
-		change.Body, change.Packed = pack.Pack(change.Body)
+func (c Change) Packing() Change {
+	if !c.Packed {
+		c.Body, c.Packed = pack.Pack(c.Body)
 	}
-	return change
+	return c
 }
 
 // Serial is the version that the change makes, by its body.
-func (change Change) Serial() ids.Serial {
+func (c Change) Serial() ids.Serial {
 	var read patch
-	_ = json.Unmarshal(change.Body, &read)
+	_ = json.Unmarshal(c.Body, &read)
 	return read.Serial
 }
 
-func (change Change) digest() []byte {
+func (c Change) digest() []byte {
 	hash := sha256.New()
-	_, _ = fmt.Fprintln(hash, change.Whole, change.Match)
-	hash.Write(change.Body)
+	_, _ = fmt.Fprintln(hash, c.Whole, c.Match)
+	hash.Write(c.Body)
 	return hash.Sum(nil)[:digestLength]
 }
 
 // Step makes the register's next value from a change. A change that was taken
 // before leaves the value as it is, whatever is in force by now; whether one on
 // an old version was, a Beyond failure tells where to look up.
-func (change Change) Step(current []byte) ([]byte, error) { return change.step(current, 0) }
+func (c Change) Step(current []byte) ([]byte, error) { return c.step(current, 0) }
 
 // After is Step where so many of the oldest changes are known to be sealed in
 // pages that a majority holds: they leave the value.
-func (change Change) After(sealed int64) func([]byte) ([]byte, error) {
-	return func(current []byte) ([]byte, error) { return change.step(current, sealed) }
+func (c Change) After(sealed int64) func([]byte) ([]byte, error) {
+	return func(current []byte) ([]byte, error) { return c.step(current, sealed) }
 }
 
-func (change Change) step(current []byte, sealed int64) ([]byte, error) {
+func (c Change) step(current []byte, sealed int64) ([]byte, error) {
 	kept, err := ReadKept(current)
 	if err != nil {
 		return nil, failure.Of(failure.Internal, "kept spec: %v", err)
 	}
-	if change.Body, err = pack.Unpack(change.Body, change.Packed); err != nil {
+	if c.Body, err = pack.Unpack(c.Body, c.Packed); err != nil {
 		return nil, failure.Of(failure.BadRequest, "packed change: %v", err)
 	}
-	digest := change.digest()
-	if change.Match != kept.Serial {
-		return nil, kept.Memory.find(change.Match, digest, kept.Serial)
+	digest := c.digest()
+	if c.Match != kept.Serial {
+		return nil, kept.Memory.find(c.Match, digest, kept.Serial)
 	}
-	document := change.Body
-	if !change.Whole {
-		patched, err := Patch(kept.Document, change.Body)
+	document := c.Body
+	if !c.Whole {
+		patched, err := Patch(kept.Document, c.Body)
 		if err != nil {
 			return nil, err
 		}
@@ -98,7 +98,7 @@
 	}
 	kept.Serial = checked.Serial
 	kept.Document, kept.Packed = pack.Pack(document)
-	kept.Memory.add(checked.Serial-change.Match, digest)
+	kept.Memory.add(checked.Serial-c.Match, digest)
 	kept.Memory.drop(sealed)
 	return courier.Pack(kept)
 }
--- a/control/revision/memory.go
+++ b/control/revision/memory.go
@@ -112,33 +112,33 @@
 
 // add remembers a change. What was read off a message may share its room with
 // other values: nothing is added in place.
-func (memory *Memory) add(rise ids.Serial, digest []byte) {
-	memory.Recent = append(binary.AppendUvarint(slices.Clip(memory.Recent), uint64(rise)), digest...)
+func (m *Memory) add(rise ids.Serial, digest []byte) {
+	m.Recent = append(binary.AppendUvarint(slices.Clip(m.Recent), uint64(rise)), digest...)
 }
 
 // drop takes pages off the recent changes: those before the count that is known
 // to be sealed, and the oldest where there are too many.
-func (memory *Memory) drop(sealed int64) {
+func (m *Memory) drop(sealed int64) {
 	for {
-		page, rise := stretch(memory.Recent, pageLength)
-		over := len(memory.Recent) > recentMost*(digestLength+1)
-		if page == nil || (memory.First+pageLength > sealed && !over) {
+		page, rise := stretch(m.Recent, pageLength)
+		over := len(m.Recent) > recentMost*(digestLength+1)
+		if page == nil || (m.First+pageLength > sealed && !over) {
 			break
 		}
-		memory.First, memory.Base = memory.First+pageLength, memory.Base+rise
-		memory.Recent = memory.Recent[len(page):]
-		memory.Spans = binary.AppendUvarint(slices.Clip(memory.Spans), uint64(rise))
+		m.First, m.Base = m.First+pageLength, m.Base+rise
+		m.Recent = m.Recent[len(page):]
+		m.Spans = binary.AppendUvarint(slices.Clip(m.Spans), uint64(rise))
 	}
-	spans := memory.spans()
+	spans := m.spans()
 	for surplus := len(spans) - pageCount; surplus > 0; surplus-- {
-		_, width := binary.Uvarint(memory.Spans)
-		memory.Spans = memory.Spans[width:]
+		_, width := binary.Uvarint(m.Spans)
+		m.Spans = m.Spans[width:]
 	}
 }
 
-func (memory *Memory) spans() []ids.Serial {
+func (m *Memory) spans() []ids.Serial {
 	var spans []ids.Serial
-	for left := memory.Spans; len(left) > 0; {
+	for left := m.Spans; len(left) > 0; {
 		rise, width := binary.Uvarint(left)
 		if width <= 0 {
 			break
@@ -150,8 +150,8 @@
 
 // Due gives the next page to seal, where so many changes are known to be sealed
 // already.
-func (memory Memory) Due(sealed int64) (Page, bool) {
-	first, base, left := memory.First, memory.Base, memory.Recent
+func (m Memory) Due(sealed int64) (Page, bool) {
+	first, base, left := m.First, m.Base, m.Recent
 	for {
 		entries, rise := stretch(left, pageLength)
 		if entries == nil {
@@ -167,12 +167,12 @@
 }
 
 // find tells whether the order was taken: no error says that it was.
-func (memory Memory) find(match ids.Serial, digest []byte, serial ids.Serial) error {
+func (m Memory) find(match ids.Serial, digest []byte, serial ids.Serial) error {
 	current := fmt.Sprintf("version %d is", serial)
-	if match >= memory.Base {
-		return judge(memory.Base, memory.Recent, match, digest, current)
+	if match >= m.Base {
+		return judge(m.Base, m.Recent, match, digest, current)
 	}
-	index, base, spans := memory.First/pageLength, memory.Base, memory.spans()
+	index, base, spans := m.First/pageLength, m.Base, m.spans()
 	for position := len(spans) - 1; position >= 0; position-- {
 		index, base = index-1, base-spans[position]
 		if match >= base {
--- a/control/revision/page.go
+++ b/control/revision/page.go
@@ -21,26 +21,26 @@
 func (Page) SchemaName() string { return "Page_25" }
 
 // Sealed is how many changes are sealed once this page is.
-func (page Page) Sealed() int64 { return (page.Index + 1) * pageLength }
+func (p Page) Sealed() int64 { return (p.Index + 1) * pageLength }
 
 // Key is the register's key of the page: they go round in a ring.
-func (page Page) Key() string { return pageKey(page.Index) }
+func (p Page) Key() string { return pageKey(p.Index) }
 
 func pageKey(index int64) string { return fmt.Sprintf("%s%d", PagePrefix, index%pageCount) }
 
 // Step writes the page over an older one. One that is there already, or is
 // followed by a newer one, stays.
-func (page Page) Step(current []byte) ([]byte, error) {
+func (p Page) Step(current []byte) ([]byte, error) {
 	if len(current) > 0 {
 		present, err := courier.Unpack[Page](current)
 		if err != nil {
 			return nil, failure.Of(failure.Internal, "kept page: %v", err)
 		}
-		if present.Index >= page.Index {
+		if present.Index >= p.Index {
 			return nil, nil
 		}
 	}
-	return courier.Pack(page)
+	return courier.Pack(p)
 }
 
 // Beyond is told of an order on a version older than what stands beside the
@@ -53,28 +53,28 @@
 }
 
 // Error tells the failure.
-func (beyond *Beyond) Error() string { return beyond.Unwrap().Error() }
+func (b *Beyond) Error() string { return b.Unwrap().Error() }
 
 // Unwrap gives the failure that this is where nobody looks further.
-func (beyond *Beyond) Unwrap() error {
-	return failure.Of(failure.Forgotten, "If-Match: what was taken on %d is not remembered any more", beyond.match)
+func (b *Beyond) Unwrap() error {
+	return failure.Of(failure.Forgotten, "If-Match: what was taken on %d is not remembered any more", b.match)
 }
 
 // Key is the register's key of the page that knows.
-func (beyond *Beyond) Key() string { return pageKey(beyond.index) }
+func (b *Beyond) Key() string { return pageKey(b.index) }
 
 // Judge looks the order up in the page's value: no error means that it was
 // taken, StaleSpec that another was, and Forgotten that the page is gone.
-func (beyond *Beyond) Judge(value []byte) error {
+func (b *Beyond) Judge(value []byte) error {
 	if len(value) == 0 {
-		return beyond
+		return b
 	}
 	page, err := courier.Unpack[Page](value)
 	if err != nil {
 		return failure.Of(failure.Internal, "kept page: %v", err)
 	}
-	if page.Index != beyond.index {
-		return beyond
+	if page.Index != b.index {
+		return b
 	}
-	return judge(page.Base, page.Entries, beyond.match, beyond.digest, "a newer version is")
+	return judge(page.Base, page.Entries, b.match, b.digest, "a newer version is")
 }
--- a/control/room/room.go
+++ b/control/room/room.go
@@ -28,23 +28,23 @@
 func (Reading) SchemaName() string { return "Reading_21" }
 
 // Plus joins two sums.
-func (reading Reading) Plus(other Reading) Reading {
-	other.Count += reading.Count
-	other.Units += reading.Units
-	other.UnitsSquared += reading.UnitsSquared
-	other.FirstMS += reading.FirstMS
-	other.Crossed += reading.Crossed
+func (r Reading) Plus(other Reading) Reading {
+	other.Count += r.Count
+	other.Units += r.Units
+	other.UnitsSquared += r.UnitsSquared
+	other.FirstMS += r.FirstMS
+	other.Crossed += r.Crossed
 	return other
 }
 
 // Scaled gives a part of the sums; older looks are forgotten this way.
-func (reading Reading) Scaled(part float64) Reading {
-	reading.Count *= part
-	reading.Units *= part
-	reading.UnitsSquared *= part
-	reading.FirstMS *= part
-	reading.Crossed *= part
-	return reading
+func (r Reading) Scaled(part float64) Reading {
+	r.Count *= part
+	r.Units *= part
+	r.UnitsSquared *= part
+	r.FirstMS *= part
+	r.Crossed *= part
+	return r
 }
 
 // Pace is how a runner of a family reads: a first answer takes StartMS and
--- a/control/scaler/detector.go
+++ b/control/scaler/detector.go
@@ -84,24 +84,24 @@
 	return made
 }
 
-func (profile *Profile) normalise(vector []float64) []float64 {
+func (p *Profile) normalise(vector []float64) []float64 {
 	normal := make([]float64, len(vector))
 	for metric, value := range vector {
-		normal[metric] = (value - profile.mean[metric]) / profile.spread[metric]
+		normal[metric] = (value - p.mean[metric]) / p.spread[metric]
 	}
 	return normal
 }
 
 // reconstruct gives how far the vector is from what the profile makes of it,
 // and the mean difference between the two.
-func (profile *Profile) reconstruct(vector []float64) (float64, float64) {
-	input := mat.NewVecDense(len(vector), profile.normalise(vector))
+func (p *Profile) reconstruct(vector []float64) (float64, float64) {
+	input := mat.NewVecDense(len(vector), p.normalise(vector))
 	var hidden, output mat.VecDense
-	hidden.MulVec(profile.base.T(), input)
-	for part, reach := range profile.reach {
+	hidden.MulVec(p.base.T(), input)
+	for part, reach := range p.reach {
 		hidden.SetVec(part, math.Min(reach, math.Max(-reach, hidden.AtVec(part))))
 	}
-	output.MulVec(profile.base, &hidden)
+	output.MulVec(p.base, &hidden)
 	miss, difference := 0.0, 0.0
 	for metric := range vector {
 		gap := input.AtVec(metric) - output.AtVec(metric)
@@ -113,12 +113,12 @@
 
 // Detect tells whether a vector stands out from the profile, and by the sign
 // of the mean reconstruction difference, in which direction.
-func (profile *Profile) Detect(vector []float64) Direction {
-	if profile == nil {
+func (p *Profile) Detect(vector []float64) Direction {
+	if p == nil {
 		return Steady
 	}
-	miss, difference := profile.reconstruct(vector)
-	if miss <= profile.miss+peak*math.Max(profile.around, 0.1*profile.miss) {
+	miss, difference := p.reconstruct(vector)
+	if miss <= p.miss+peak*math.Max(p.around, 0.1*p.miss) {
 		return Steady
 	}
 	if difference > 0 {
--- a/control/scaler/flows.go
+++ b/control/scaler/flows.go
@@ -73,7 +73,7 @@
 
 // weight is what a region has to give: what is left of its ceilings, and never
 // nothing.
-func (supply *supply) weight() float64 { return max(supply.left, supply.limit/20, 1e-6) }
+func (s *supply) weight() float64 { return max(s.left, s.limit/20, 1e-6) }
 
 func flow(key demandKey, target ids.Region, part float64) Flow {
 	return Flow{Service: key.service, Homes: key.homes, Origin: key.origin, Target: target, Share: part}
--- a/control/scaler/group.go
+++ b/control/scaler/group.go
@@ -18,11 +18,11 @@
 )
 
 // learnLengths adds a report's answers to what is known of its region.
-func (scaler *Scaler) learnLengths(report ReportAsk) {
-	known := scaler.lengths[report.Region]
+func (s *Scaler) learnLengths(report ReportAsk) {
+	known := s.lengths[report.Region]
 	if known == nil {
 		known = &lengths.Estimator{}
-		scaler.lengths[report.Region] = known
+		s.lengths[report.Region] = known
 	}
 	known.Take(report.Lengths)
 }
@@ -30,16 +30,16 @@
 // group cuts each region's answers into short and long ones and gives each class
 // a part of the runners whose weights are its part of the work. Weights stay as
 // they are: within a class requests are shared out by the ceilings.
-func (scaler *Scaler) group(plan *Plan, listed []Listed) {
-	if !scaler.options.Grouping {
+func (s *Scaler) group(plan *Plan, listed []Listed) {
+	if !s.options.Grouping {
 		return
 	}
 	places := map[ids.RunnerID]Listed{}
 	for _, runner := range listed {
 		places[runner.ID] = runner
 	}
-	for _, region := range sortedKeys(scaler.lengths) {
-		known := scaler.lengths[region]
+	for _, region := range sortedKeys(s.lengths) {
+		known := s.lengths[region]
 		told := RegionLengths{Region: region, Expected: known.Expect()}
 		pools := map[ids.Service][]*RunnerPlan{}
 		for index := range plan.Runners {
--- a/control/scaler/make.go
+++ b/control/scaler/make.go
@@ -27,9 +27,9 @@
 )
 
 // Plan makes a plan from the window and the runners that there are.
-func (scaler *Scaler) Plan(runners []Listed) Plan {
-	plan := Plan{Holder: scaler.options.Address}
-	types := scaler.typeCeilings(runners)
+func (s *Scaler) Plan(runners []Listed) Plan {
+	plan := Plan{Holder: s.options.Address}
+	types := s.typeCeilings(runners)
 	regions := map[ids.Service]map[ids.Region][]RunnerPlan{}
 	supplies := map[ids.Service]map[ids.Region]*supply{}
 	for _, runner := range runners {
@@ -37,8 +37,8 @@
 			continue
 		}
 		key := typeKey{service: runner.Service, version: runner.Version}
-		ceiling := scaler.ceiling(runner, types[key])
-		planned := scaler.weigh(runner, ceiling, scaler.typeWeight(key, types[key]))
+		ceiling := s.ceiling(runner, types[key])
+		planned := s.weigh(runner, ceiling, s.typeWeight(key, types[key]))
 		plan.Runners = append(plan.Runners, planned)
 		if regions[runner.Service] == nil {
 			regions[runner.Service] = map[ids.Region][]RunnerPlan{}
@@ -55,25 +55,25 @@
 		given.reached = given.reached || ceiling.Reached
 	}
 	for _, service := range sortedKeys(regions) {
-		plan.Replicas = append(plan.Replicas, scaler.replicas(service, regions[service])...)
-		if scaler.known(service) {
-			plan.Flows = append(plan.Flows, share(scaler.window.demand, service, supplies[service])...)
+		plan.Replicas = append(plan.Replicas, s.replicas(service, regions[service])...)
+		if s.known(service) {
+			plan.Flows = append(plan.Flows, share(s.window.demand, service, supplies[service])...)
 		}
 	}
-	scaler.group(&plan, runners)
-	plan.Flows = scaler.steady(plan.Flows)
+	s.group(&plan, runners)
+	plan.Flows = s.steady(plan.Flows)
 	return plan
 }
 
 // typeCeilings estimates each type from the looks at all its runners.
-func (scaler *Scaler) typeCeilings(runners []Listed) map[typeKey]Ceiling {
+func (s *Scaler) typeCeilings(runners []Listed) map[typeKey]Ceiling {
 	pools := map[typeKey]*pool{}
 	for _, runner := range runners {
 		key := typeKey{service: runner.Service, version: runner.Version}
 		if pools[key] == nil {
 			pools[key] = &pool{}
 		}
-		if run := scaler.window.runs[runner.ID]; run != nil {
+		if run := s.window.runs[runner.ID]; run != nil {
 			pools[key].add(run.points)
 		}
 	}
@@ -88,25 +88,25 @@
 
 type pool struct{ finished, running, spentS, memory []float64 }
 
-func (pool *pool) add(points []point) {
+func (p *pool) add(points []point) {
 	for _, seen := range points {
-		pool.finished = append(pool.finished, seen.finished)
-		pool.running = append(pool.running, seen.running)
-		pool.spentS = append(pool.spentS, seen.spentMS/1000)
-		pool.memory = append(pool.memory, seen.memory)
+		p.finished = append(p.finished, seen.finished)
+		p.running = append(p.running, seen.running)
+		p.spentS = append(p.spentS, seen.spentMS/1000)
+		p.memory = append(p.memory, seen.memory)
 	}
 }
 
-func (pool *pool) estimate() (Ceiling, bool) {
-	return Estimate(pool.finished, pool.running, pool.spentS, pool.memory)
+func (p *pool) estimate() (Ceiling, bool) {
+	return Estimate(p.finished, p.running, p.spentS, p.memory)
 }
 
 // ceiling is a runner's own estimate, drawn towards its type's by how few looks
 // it rests on: without fresh metrics it decays to the type's as its looks leave
 // the window.
-func (scaler *Scaler) ceiling(runner Listed, common Ceiling) Ceiling {
+func (s *Scaler) ceiling(runner Listed, common Ceiling) Ceiling {
 	var own pool
-	if run := scaler.window.runs[runner.ID]; run != nil {
+	if run := s.window.runs[runner.ID]; run != nil {
 		own.add(run.points)
 	}
 	ceiling, enough := own.estimate()
@@ -128,12 +128,12 @@
 // weigh gives a runner its weight: its ceiling, less while it is cold. One that
 // hardly differs from its type has the type's weight, and a weight that hardly
 // differs from the last one stays as it was.
-func (scaler *Scaler) weigh(runner Listed, ceiling Ceiling, common float64) RunnerPlan {
+func (s *Scaler) weigh(runner Listed, ceiling Ceiling, common float64) RunnerPlan {
 	planned := RunnerPlan{
 		Runner: runner.ID, Limit: round(ceiling.Limit), Cap: round(ceiling.Cap), Memory: round(ceiling.Memory),
-		Resting: scaler.resting[runner.ID] > 0,
+		Resting: s.resting[runner.ID] > 0,
 	}
-	before, known := scaler.last[runner.ID]
+	before, known := s.last[runner.ID]
 	if planned.Limit <= 0 && known {
 		planned.Limit, planned.Cap, planned.Memory = before.Limit, before.Cap, before.Memory
 	}
@@ -144,7 +144,7 @@
 		full = before.Weight
 	}
 	planned.Weight = full
-	scaler.last[runner.ID] = planned
+	s.last[runner.ID] = planned
 	if runner.Cold {
 		planned.Weight = round(ramp * full)
 	}
@@ -152,7 +152,7 @@
 }
 
 // replicas solves the program for one service: its types are the regions.
-func (scaler *Scaler) replicas(service ids.Service, regions map[ids.Region][]RunnerPlan) []Replicas {
+func (s *Scaler) replicas(service ids.Service, regions map[ids.Region][]RunnerPlan) []Replicas {
 	var types []Type
 	var shown []Replicas
 	for _, region := range sortedKeys(regions) {
@@ -167,7 +167,7 @@
 		shown = append(shown, Replicas{Service: service, Region: region, Ready: int64(kind.Most), Ceiling: round(kind.Limit)})
 	}
 	load := 0.0
-	for key, wanted := range scaler.window.demand {
+	for key, wanted := range s.window.demand {
 		if key.service == service {
 			load += wanted.perS
 		}
@@ -178,8 +178,8 @@
 	return shown
 }
 
-func (scaler *Scaler) known(service ids.Service) bool {
-	for key := range scaler.window.demand {
+func (s *Scaler) known(service ids.Service) bool {
+	for key := range s.window.demand {
 		if key.service == service {
 			return true
 		}
--- a/control/scaler/publish.go
+++ b/control/scaler/publish.go
@@ -6,18 +6,18 @@
 )
 
 // inherit takes over the ceilings and weights that another holder told.
-func (scaler *Scaler) inherit() {
-	if item, found := scaler.options.News.Get(WholeKey); found {
+func (s *Scaler) inherit() {
+	if item, found := s.options.News.Get(WholeKey); found {
 		if plan, err := ReadPlan(item.Body); err == nil {
 			for _, planned := range plan.Runners {
-				scaler.last[planned.Runner] = planned
+				s.last[planned.Runner] = planned
 			}
 		}
 	}
-	if item, found := scaler.options.News.Get(Key); found {
+	if item, found := s.options.News.Get(Key); found {
 		if told, err := ReadRouting(item.Body); err == nil {
 			for _, known := range told.Types {
-				scaler.types[typeKey{service: known.Service, version: known.Version}] = known.Weight
+				s.types[typeKey{service: known.Service, version: known.Version}] = known.Weight
 			}
 		}
 	}
@@ -27,31 +27,31 @@
 // only the next holder of the duty.
 const wholePace = 6
 
-func (scaler *Scaler) publish(plan Plan, runners []Listed) {
-	scaler.made = plan
-	body, err := courier.Pack(scaler.routing(plan, runners))
+func (s *Scaler) publish(plan Plan, runners []Listed) {
+	s.made = plan
+	body, err := courier.Pack(s.routing(plan, runners))
 	if err != nil {
 		return
 	}
-	if string(body) != string(scaler.told) && scaler.tell(Key, body) {
-		scaler.told = body
+	if string(body) != string(s.told) && s.tell(Key, body) {
+		s.told = body
 	}
-	if scaler.plans%wholePace == 0 {
+	if s.plans%wholePace == 0 {
 		if body, err = courier.Pack(plan); err == nil {
-			scaler.tell(WholeKey, body)
+			s.tell(WholeKey, body)
 		}
 	}
-	scaler.plans++
+	s.plans++
 }
 
 // tell makes news under the next serial, unless the duty has ended while the plan
 // was made.
-func (scaler *Scaler) tell(key string, body []byte) bool {
-	if scaler.options.Now != nil {
-		if epoch, held := scaler.options.Held(scaler.options.Now()); !held || epoch != scaler.epoch {
+func (s *Scaler) tell(key string, body []byte) bool {
+	if s.options.Now != nil {
+		if epoch, held := s.options.Held(s.options.Now()); !held || epoch != s.epoch {
 			return false
 		}
 	}
-	scaler.counter++
-	return scaler.options.News.Put(spread.Item{Key: key, Serial: scaler.options.Serial(scaler.epoch, scaler.counter), Body: body})
+	s.counter++
+	return s.options.News.Put(spread.Item{Key: key, Serial: s.options.Serial(s.epoch, s.counter), Body: body})
 }
--- a/control/scaler/routing.go
+++ b/control/scaler/routing.go
@@ -59,20 +59,20 @@
 func ReadRouting(body []byte) (Routing, error) { return courier.Unpack[Routing](body) }
 
 // routing takes out of a plan what routers need.
-func (scaler *Scaler) routing(plan Plan, runners []Listed) Routing {
+func (s *Scaler) routing(plan Plan, runners []Listed) Routing {
 	told := Routing{Holder: plan.Holder, Flows: plan.Flows, Lengths: plan.Lengths}
 	types := map[ids.RunnerID]typeKey{}
 	present := map[typeKey]bool{}
 	for _, runner := range runners {
 		key := typeKey{service: runner.Service, version: runner.Version}
 		types[runner.ID] = key
-		if !present[key] && scaler.types[key] > 0 {
+		if !present[key] && s.types[key] > 0 {
 			present[key] = true
-			told.Types = append(told.Types, TypeWeight{Service: key.service, Version: key.version, Weight: scaler.types[key]})
+			told.Types = append(told.Types, TypeWeight{Service: key.service, Version: key.version, Weight: s.types[key]})
 		}
 	}
 	for _, planned := range plan.Runners {
-		same := planned.Weight == scaler.types[types[planned.Runner]]
+		same := planned.Weight == s.types[types[planned.Runner]]
 		if !same || planned.Resting || planned.Group != lengths.Unknown {
 			told.Runners = append(told.Runners, RunnerWeight{
 				Runner: planned.Runner, Weight: planned.Weight, Group: planned.Group, Resting: planned.Resting,
@@ -84,12 +84,12 @@
 
 // typeWeight gives the weight of a type: its ceiling, unless that hardly differs
 // from the weight of before.
-func (scaler *Scaler) typeWeight(key typeKey, common Ceiling) float64 {
+func (s *Scaler) typeWeight(key typeKey, common Ceiling) float64 {
 	limit := round(common.Limit)
-	if before := scaler.types[key]; limit <= 0 || near(limit, before) {
+	if before := s.types[key]; limit <= 0 || near(limit, before) {
 		return before
 	}
-	scaler.types[key] = limit
+	s.types[key] = limit
 	return limit
 }
 
@@ -110,7 +110,7 @@
 }
 
 // steady keeps the shares of a demand of before where all of them hardly changed.
-func (scaler *Scaler) steady(flows []Flow) []Flow {
+func (s *Scaler) steady(flows []Flow) []Flow {
 	groups := map[origin][]Flow{}
 	for _, flow := range flows {
 		flow.Share = round(flow.Share)
@@ -124,11 +124,11 @@
 		if !first {
 			continue
 		}
-		if before := scaler.flows[key]; alike(before, group) {
+		if before := s.flows[key]; alike(before, group) {
 			group = before
 		}
 		kept = append(kept, group...)
-		scaler.flows[key] = group
+		s.flows[key] = group
 		delete(groups, key)
 	}
 	return kept
--- a/control/scaler/routing_test.go
+++ b/control/scaler/routing_test.go
@@ -7,13 +7,13 @@
 )
 
 // of is what routers read out of the routing for a runner of a type.
-func (routing Routing) of(id ids.RunnerID, kind Listed) (weight float64, resting bool) {
-	for _, known := range routing.Types {
+func (r Routing) of(id ids.RunnerID, kind Listed) (weight float64, resting bool) {
+	for _, known := range r.Types {
 		if known.Service == kind.Service && known.Version == kind.Version {
 			weight = known.Weight
 		}
 	}
-	for _, planned := range routing.Runners {
+	for _, planned := range r.Runners {
 		if planned.Runner == id {
 			return planned.Weight, planned.Resting
 		}
--- a/control/scaler/scaler.go
+++ b/control/scaler/scaler.go
@@ -48,7 +48,7 @@
 // Scaler plans while it holds the duty.
 type Scaler struct {
 	options  Options
-	lock     sync.Mutex
+	mu       sync.Mutex
 	window   *window
 	profiles map[ids.Service]*Profile
 	last     map[ids.RunnerID]RunnerPlan
@@ -74,103 +74,103 @@
 	return made
 }
 
-func (scaler *Scaler) forget() {
-	scaler.window = newWindow(scaler.options.Window, scaler.options.Step)
-	scaler.profiles = map[ids.Service]*Profile{}
-	scaler.last = map[ids.RunnerID]RunnerPlan{}
-	scaler.types, scaler.flows = map[typeKey]float64{}, map[origin][]Flow{}
-	scaler.resting = map[ids.RunnerID]int{}
-	scaler.lengths = map[ids.Region]*lengths.Estimator{}
-	scaler.steps, scaler.plans, scaler.told, scaler.ready = 0, 0, nil, ""
+func (s *Scaler) forget() {
+	s.window = newWindow(s.options.Window, s.options.Step)
+	s.profiles = map[ids.Service]*Profile{}
+	s.last = map[ids.RunnerID]RunnerPlan{}
+	s.types, s.flows = map[typeKey]float64{}, map[origin][]Flow{}
+	s.resting = map[ids.RunnerID]int{}
+	s.lengths = map[ids.Region]*lengths.Estimator{}
+	s.steps, s.plans, s.told, s.ready = 0, 0, nil, ""
 }
 
 // Serve adds the scaler's message to a table of calls.
-func (scaler *Scaler) Serve(calls *call.Table) {
-	courier.Handle(calls, "report", func(inner scope.Scope, message ReportMessage) (ReportTold, error) {
-		_, held := scaler.options.Held(inner.Now())
+func (s *Scaler) Serve(calls *call.Table) {
+	courier.Handle(calls, "report", func(ctx scope.Scope, message ReportMessage) (ReportTold, error) {
+		_, held := s.options.Held(ctx.Now())
 		if !held {
 			return ReportTold{}, nil
 		}
 		report, err := message.Report()
 		if err == nil {
-			scaler.Take(report)
+			s.Take(report)
 		}
 		return ReportTold{Holding: held}, err
 	})
 }
 
 // Take adds a router's report to the window.
-func (scaler *Scaler) Take(report ReportAsk) {
-	scaler.lock.Lock()
-	defer scaler.lock.Unlock()
-	scaler.window.take(report)
-	scaler.learnLengths(report)
+func (s *Scaler) Take(report ReportAsk) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.window.take(report)
+	s.learnLengths(report)
 }
 
 // Run looks at the metrics once a step until the scope ends.
-func (scaler *Scaler) Run(inner scope.Scope) {
-	last := inner.Now()
-	for inner.Wait(scaler.options.Step) {
-		now := inner.Now()
-		scaler.Look(now, now.Since(last))
+func (s *Scaler) Run(ctx scope.Scope) {
+	last := ctx.Now()
+	for ctx.Wait(s.options.Step) {
+		now := ctx.Now()
+		s.Look(now, now.Since(last))
 		last = now
 	}
 }
 
 // Look closes a step: it detects, and plans anew where a runner stands out,
 // the runners changed, or it is time.
-func (scaler *Scaler) Look(now clock.Instant, spent clock.Span) {
-	epoch, held := scaler.options.Held(now)
-	scaler.lock.Lock()
-	defer scaler.lock.Unlock()
+func (s *Scaler) Look(now clock.Instant, spent clock.Span) {
+	epoch, held := s.options.Held(now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if !held {
 		return
 	}
-	if epoch != scaler.epoch {
-		scaler.forget()
-		scaler.epoch, scaler.counter = epoch, 0
-		scaler.inherit()
+	if epoch != s.epoch {
+		s.forget()
+		s.epoch, s.counter = epoch, 0
+		s.inherit()
 	}
-	scaler.window.close(now, spent)
-	for _, known := range scaler.lengths {
+	s.window.close(now, spent)
+	for _, known := range s.lengths {
 		known.Age(spent.Seconds())
 	}
-	hit := scaler.detect()
-	runners := scaler.options.Runners()
-	changed := scaler.changed(runners)
-	if hit || changed || scaler.steps%scaler.options.Pace == 0 {
-		scaler.publish(scaler.Plan(runners), runners)
+	hit := s.detect()
+	runners := s.options.Runners()
+	changed := s.changed(runners)
+	if hit || changed || s.steps%s.options.Pace == 0 {
+		s.publish(s.Plan(runners), runners)
 	}
-	if scaler.steps%scaler.options.Pace == 0 {
-		scaler.learn()
+	if s.steps%s.options.Pace == 0 {
+		s.learn()
 	}
-	scaler.steps++
+	s.steps++
 }
 
 // Work is what routers lately sent and read: the readings of every route over
 // so many seconds, and the units a second of every runner.
-func (scaler *Scaler) Work() (readings []room.Reading, units map[ids.RunnerID]float64, seconds float64) {
-	scaler.lock.Lock()
-	defer scaler.lock.Unlock()
-	seconds = max(scaler.window.seconds, 0.001)
-	for _, reading := range scaler.window.readings {
+func (s *Scaler) Work() (readings []room.Reading, units map[ids.RunnerID]float64, seconds float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	seconds = max(s.window.seconds, 0.001)
+	for _, reading := range s.window.readings {
 		readings = append(readings, reading)
 	}
 	units = map[ids.RunnerID]float64{}
-	for id, run := range scaler.window.runs {
+	for id, run := range s.window.runs {
 		units[id] = run.units / seconds
 	}
 	return readings, units, seconds
 }
 
-func (scaler *Scaler) changed(runners []Listed) bool {
+func (s *Scaler) changed(runners []Listed) bool {
 	sign := ""
 	for _, runner := range runners {
 		if runner.Ready {
 			sign += string(runner.ID) + " "
 		}
 	}
-	changed := sign != scaler.ready
-	scaler.ready = sign
+	changed := sign != s.ready
+	s.ready = sign
 	return changed
 }
--- a/control/scaler/scaler_test.go
+++ b/control/scaler/scaler_test.go
@@ -33,21 +33,21 @@
 	return made
 }
 
-func (bench *bench) fresh() *Scaler {
+func (b *bench) fresh() *Scaler {
 	return New(Options{
-		Address: "c", News: bench.news, Runners: func() []Listed { return bench.runners },
-		Now:    bench.clock.Now,
-		Held:   func(clock.Instant) (int64, bool) { return bench.epoch, bench.held },
+		Address: "c", News: b.news, Runners: func() []Listed { return b.runners },
+		Now:    b.clock.Now,
+		Held:   func(clock.Instant) (int64, bool) { return b.epoch, b.held },
 		Serial: func(epoch int64, counter int64) ids.Serial { return ids.Serial(epoch<<32 | counter) },
 		Window: 60 * clock.Second, Step: clock.Second, Pace: 5,
 	})
 }
 
 // pass lets seconds pass in which each runner finishes its rate, at its limit.
-func (bench *bench) pass(seconds int, rates map[ids.RunnerID]float64, demand float64) {
+func (b *bench) pass(seconds int, rates map[ids.RunnerID]float64, demand float64) {
 	for second := range seconds {
 		report := ReportAsk{From: "r", Region: "north"}
-		for _, runner := range bench.runners {
+		for _, runner := range b.runners {
 			rate := rates[runner.ID]
 			wobble := float64(second%3) - 1
 			report.Samples = append(report.Samples, Sample{
@@ -56,16 +56,16 @@
 			})
 		}
 		report.Demands = []Demand{{Service: "s", Arrived: demand}}
-		bench.scaler.Take(report)
-		bench.clock.Move(clock.Second)
-		bench.scaler.Look(bench.clock.Now(), clock.Second)
+		b.scaler.Take(report)
+		b.clock.Move(clock.Second)
+		b.scaler.Look(b.clock.Now(), clock.Second)
 	}
 }
 
 // plan is the last plan that was made; what was told of it must say the same.
-func (bench *bench) plan(t *testing.T) Plan {
+func (b *bench) plan(t *testing.T) Plan {
 	t.Helper()
-	item, found := bench.news.Get(Key)
+	item, found := b.news.Get(Key)
 	if !found {
 		t.Fatal("no plan was told")
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := bench.scaler.made
+	plan := b.scaler.made
 	for _, planned := range plan.Runners {
 		if weight, resting := routing.of(planned.Runner, Listed{Service: "s", Version: "v1"}); weight != planned.Weight || resting != planned.Resting {
 			t.Fatalf("%+v is told as %v, resting %v", planned, weight, resting)
@@ -82,8 +82,8 @@
 	return plan
 }
 
-func (plan Plan) of(id ids.RunnerID) RunnerPlan {
-	for _, planned := range plan.Runners {
+func (p Plan) of(id ids.RunnerID) RunnerPlan {
+	for _, planned := range p.Runners {
 		if planned.Runner == id {
 			return planned
 		}
--- a/control/scaler/sum.go
+++ b/control/scaler/sum.go
@@ -11,7 +11,7 @@
 // Sum adds up the reports of a zone's routers, so that the planner hears zones
 // and not routers.
 type Sum struct {
-	lock     sync.Mutex
+	mu       sync.Mutex
 	samples  map[ids.RunnerID]Sample
 	demands  map[demandKey]Demand
 	readings map[readingKey]room.Reading
@@ -20,64 +20,64 @@
 }
 
 // Add takes a router's report.
-func (sum *Sum) Add(report ReportAsk) {
-	sum.lock.Lock()
-	defer sum.lock.Unlock()
-	if sum.samples == nil {
-		sum.samples, sum.demands = map[ids.RunnerID]Sample{}, map[demandKey]Demand{}
-		sum.readings, sum.lengths = map[readingKey]room.Reading{}, map[lengths.Kind]lengths.Sum{}
+func (s *Sum) Add(report ReportAsk) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.samples == nil {
+		s.samples, s.demands = map[ids.RunnerID]Sample{}, map[demandKey]Demand{}
+		s.readings, s.lengths = map[readingKey]room.Reading{}, map[lengths.Kind]lengths.Sum{}
 	}
-	sum.region = report.Region
+	s.region = report.Region
 	for _, sample := range report.Samples {
-		sum.samples[sample.Runner] = sample.plus(sum.samples[sample.Runner])
+		s.samples[sample.Runner] = sample.plus(s.samples[sample.Runner])
 	}
 	for _, wanted := range report.Demands {
 		key := demandKey{service: wanted.Service, homes: wanted.Homes}
-		wanted.Arrived += sum.demands[key].Arrived
-		sum.demands[key] = wanted
+		wanted.Arrived += s.demands[key].Arrived
+		s.demands[key] = wanted
 	}
 	for _, reading := range report.Readings {
 		key := readingKey{service: reading.Service, route: reading.Route}
-		sum.readings[key] = sum.readings[key].Plus(reading)
+		s.readings[key] = s.readings[key].Plus(reading)
 	}
 	for _, seen := range report.Lengths {
-		sum.lengths[seen.Kind] = seen.Plus(sum.lengths[seen.Kind])
+		s.lengths[seen.Kind] = seen.Plus(s.lengths[seen.Kind])
 	}
 }
 
 // plus joins what two routers saw of one runner: counts add up, of what the
 // runner tells of itself the higher counts.
-func (sample Sample) plus(other Sample) Sample {
-	sample.Arrived += other.Arrived
-	sample.Finished += other.Finished
-	sample.Running += other.Running
-	sample.Pending += other.Pending
-	sample.Failed += other.Failed
-	sample.SpentMS += other.SpentMS
-	sample.Units += other.Units
-	sample.Memory = max(sample.Memory, other.Memory)
-	sample.Busy = max(sample.Busy, other.Busy)
-	return sample
+func (s Sample) plus(other Sample) Sample {
+	s.Arrived += other.Arrived
+	s.Finished += other.Finished
+	s.Running += other.Running
+	s.Pending += other.Pending
+	s.Failed += other.Failed
+	s.SpentMS += other.SpentMS
+	s.Units += other.Units
+	s.Memory = max(s.Memory, other.Memory)
+	s.Busy = max(s.Busy, other.Busy)
+	return s
 }
 
 // Take gives the sum since the last time; false says that nothing was added.
-func (sum *Sum) Take() (ReportAsk, bool) {
-	sum.lock.Lock()
-	defer sum.lock.Unlock()
-	report := ReportAsk{Region: sum.region}
-	for _, sample := range sum.samples {
+func (s *Sum) Take() (ReportAsk, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	report := ReportAsk{Region: s.region}
+	for _, sample := range s.samples {
 		report.Samples = append(report.Samples, sample)
 	}
-	for _, wanted := range sum.demands {
+	for _, wanted := range s.demands {
 		report.Demands = append(report.Demands, wanted)
 	}
-	for _, reading := range sum.readings {
+	for _, reading := range s.readings {
 		report.Readings = append(report.Readings, reading)
 	}
-	for _, seen := range sum.lengths {
+	for _, seen := range s.lengths {
 		report.Lengths = append(report.Lengths, seen)
 	}
-	any := sum.samples != nil
-	sum.samples, sum.demands, sum.readings, sum.lengths = nil, nil, nil, nil
+	any := s.samples != nil
+	s.samples, s.demands, s.readings, s.lengths = nil, nil, nil, nil
 	return report, any
 }
--- a/control/scaler/window.go
+++ b/control/scaler/window.go
@@ -23,9 +23,9 @@
 }
 
 // vector is the metric vector that the detector looks at.
-func (point point) vector() []float64 {
+func (p point) vector() []float64 {
 	return []float64{
-		point.finished, point.running, point.arrived, point.pending, point.spentMS, point.memory, point.busy,
+		p.finished, p.running, p.arrived, p.pending, p.spentMS, p.memory, p.busy,
 	}
 }
 
@@ -72,12 +72,12 @@
 }
 
 // take adds a router's samples to the span that is open.
-func (window *window) take(report ReportAsk) {
+func (w *window) take(report ReportAsk) {
 	for _, sample := range report.Samples {
-		run := window.runs[sample.Runner]
+		run := w.runs[sample.Runner]
 		if run == nil {
 			run = &series{}
-			window.runs[sample.Runner] = run
+			w.runs[sample.Runner] = run
 		}
 		run.service = sample.Service
 		run.open.arrived += sample.Arrived
@@ -92,14 +92,14 @@
 	}
 	for _, reading := range report.Readings {
 		key := readingKey{service: reading.Service, route: reading.Route}
-		window.readings[key] = window.readings[key].Plus(reading)
+		w.readings[key] = w.readings[key].Plus(reading)
 	}
 	for _, wanted := range report.Demands {
 		key := demandKey{service: wanted.Service, homes: wanted.Homes, origin: report.Region}
-		if window.demand[key] == nil {
-			window.demand[key] = &rate{}
+		if w.demand[key] == nil {
+			w.demand[key] = &rate{}
 		}
-		window.demand[key].count += wanted.Arrived
+		w.demand[key].count += wanted.Arrived
 	}
 }
 
@@ -107,25 +107,25 @@
 const remembered = 0.9
 
 // forget ages readings and units by a step.
-func (window *window) forget(seconds float64) {
+func (w *window) forget(seconds float64) {
 	part := math.Pow(remembered, seconds)
-	for key, reading := range window.readings {
-		window.readings[key] = reading.Scaled(part)
+	for key, reading := range w.readings {
+		w.readings[key] = reading.Scaled(part)
 	}
-	for _, run := range window.runs {
+	for _, run := range w.runs {
 		run.units *= part
 	}
-	window.seconds = window.seconds*part + seconds
+	w.seconds = w.seconds*part + seconds
 }
 
 // smoothing is how much of a new rate is taken over in one step.
 const smoothing = 0.3
 
 // close ends the open span and drops what is older than the window.
-func (window *window) close(now clock.Instant, spent clock.Span) {
+func (w *window) close(now clock.Instant, spent clock.Span) {
 	seconds := max(spent.Seconds(), 0.001)
-	window.forget(seconds)
-	for id, run := range window.runs {
+	w.forget(seconds)
+	for id, run := range w.runs {
 		closed := run.open
 		closed.at = now
 		closed.arrived /= seconds
@@ -139,14 +139,14 @@
 		if closed.arrived+closed.finished+closed.running+closed.failed > 0 {
 			run.points = append(run.points, closed)
 		}
-		for len(run.points) > 0 && now.Since(run.points[0].at) > window.length {
+		for len(run.points) > 0 && now.Since(run.points[0].at) > w.length {
 			run.points = run.points[1:]
 		}
 		if len(run.points) == 0 {
-			delete(window.runs, id)
+			delete(w.runs, id)
 		}
 	}
-	for _, wanted := range window.demand {
+	for _, wanted := range w.demand {
 		wanted.perS += smoothing * (wanted.count/seconds - wanted.perS)
 		wanted.count = 0
 	}
--- a/control/scaler/wire.go
+++ b/control/scaler/wire.go
@@ -60,12 +60,12 @@
 func whole(value float64) int64 { return int64(math.Round(value)) }
 
 // Message gives a report as it travels.
-func (report ReportAsk) Message() (ReportMessage, error) {
+func (r ReportAsk) Message() (ReportMessage, error) {
 	compact := compactReport{
-		From: report.From, Region: report.Region, Demands: report.Demands, Readings: report.Readings, Lengths: report.Lengths,
+		From: r.From, Region: r.Region, Demands: r.Demands, Readings: r.Readings, Lengths: r.Lengths,
 	}
 	places := map[ids.Service]int64{}
-	for _, sample := range report.Samples {
+	for _, sample := range r.Samples {
 		place, known := places[sample.Service]
 		if !known {
 			place = int64(len(compact.Services))
@@ -90,8 +90,8 @@
 }
 
 // Report reads the report out of the message.
-func (message ReportMessage) Report() (ReportAsk, error) {
-	body, err := pack.Unpack(message.Body, message.Packed)
+func (r ReportMessage) Report() (ReportAsk, error) {
+	body, err := pack.Unpack(r.Body, r.Packed)
 	if err != nil {
 		return ReportAsk{}, err
 	}
--- a/control/seat/missing_test.go
+++ b/control/seat/missing_test.go
@@ -19,8 +19,8 @@
 
 // listen gives a controller a contact, and what has it hear all that are not
 // silent.
-func (site *site) listen(index int, silent map[ids.Address]bool) func() {
-	subject := site.seats[index]
+func (s *site) listen(index int, silent map[ids.Address]bool) func() {
+	subject := s.seats[index]
 	subject.options.Pace = pace
 	subject.options.Contact = contact.New(contact.Options{
 		Address: subject.options.Address, Voters: subject.Acceptor.Voters, Fresh: 500 * clock.Millisecond,
@@ -28,10 +28,10 @@
 	return func() {
 		for _, voter := range subject.Acceptor.Voters().Seats {
 			if voter.Address != subject.options.Address && !silent[voter.Address] {
-				subject.options.Contact.Heard(voter.Address, site.clock.Now())
+				subject.options.Contact.Heard(voter.Address, s.clock.Now())
 			}
 		}
-		subject.stirred(site.clock.Now())
+		subject.stirred(s.clock.Now())
 	}
 }
 
--- a/control/seat/pace.go
+++ b/control/seat/pace.go
@@ -35,17 +35,17 @@
 }
 
 // or fills in what is not set, as parts of the patience.
-func (pace Pace) or(patience clock.Span) Pace {
+func (p Pace) or(patience clock.Span) Pace {
 	for _, one := range []struct {
 		span *clock.Span
 		part clock.Span
 	}{
-		{&pace.Tick, patience / 8}, {&pace.Answer, patience / 6}, {&pace.Doubt, patience / 2},
-		{&pace.Missed, patience}, {&pace.Stir, 4 * patience},
+		{&p.Tick, patience / 8}, {&p.Answer, patience / 6}, {&p.Doubt, patience / 2},
+		{&p.Missed, patience}, {&p.Stir, 4 * patience},
 	} {
 		if *one.span == 0 {
 			*one.span = one.part
 		}
 	}
-	return pace
+	return p
 }
--- a/control/seat/run.go
+++ b/control/seat/run.go
@@ -14,13 +14,13 @@
 
 // Seek names the keeper through which a seat is asked for and what lags is
 // repaired.
-func (seat *Seat) Seek(keeper *register.Keeper) {
-	seat.joiner = &register.Joiner{
-		Address: seat.options.Address, Acceptor: seat.Acceptor, Keeper: keeper,
-		Reach: seat, Others: seat.controllers, Gone: seat.isGone,
-		Wanted: seat.options.Seats, Fits: seat.fits, Doubt: seat.doubted, Answer: seat.options.Pace.Answer,
+func (s *Seat) Seek(keeper *register.Keeper) {
+	s.joiner = &register.Joiner{
+		Address: s.options.Address, Acceptor: s.Acceptor, Keeper: keeper,
+		Reach: s, Others: s.controllers, Gone: s.isGone,
+		Wanted: s.options.Seats, Fits: s.fits, Doubt: s.doubted, Answer: s.options.Pace.Answer,
 	}
-	seat.survey = &register.Survey{Joiner: seat.joiner}
+	s.survey = &register.Survey{Joiner: s.joiner}
 }
 
 // standBys is how many calm looks one that finds no free seat lets pass before it
@@ -32,17 +32,17 @@
 // left to learn when a seat gets free. In calm that is done now and then; what
 // changes (a voter falls silent, the voters are others, a key lags) has it done
 // at the next tick, and at each while the change is young.
-func (seat *Seat) Run(inner scope.Scope, every clock.Span) {
-	tick := min(seat.options.Pace.Tick, every)
-	next := inner.Now()
-	for inner.Err() == nil {
-		now := inner.Now()
-		stirred := seat.stirred(now)
+func (s *Seat) Run(ctx scope.Scope, every clock.Span) {
+	tick := min(s.options.Pace.Tick, every)
+	next := ctx.Now()
+	for ctx.Err() == nil {
+		now := ctx.Now()
+		stirred := s.stirred(now)
 		if stirred || !now.Before(next) {
-			next = inner.Now().Add(seat.act(inner, every))
+			next = ctx.Now().Add(s.act(ctx, every))
 		}
 		// Newcomers that met each other on the way to a seat part here.
-		if !inner.Wait(tick - chance.Part(tick/2)) {
+		if !ctx.Wait(tick - chance.Part(tick/2)) {
 			return
 		}
 	}
@@ -50,93 +50,93 @@
 
 // act looks after the voters, or strives to be one, and tells how long to be idle
 // in calm.
-func (seat *Seat) act(inner scope.Scope, every clock.Span) clock.Span {
-	if seat.Voting() {
-		seat.look(inner)
+func (s *Seat) act(ctx scope.Scope, every clock.Span) clock.Span {
+	if s.Voting() {
+		s.look(ctx)
 		return every
 	}
-	return clock.Span(seat.strive(inner)+1) * every
+	return clock.Span(s.strive(ctx)+1) * every
 }
 
 // strive asks for a seat, or follows the voters while there is none, and gives
 // for how many looks to be idle.
-func (seat *Seat) strive(inner scope.Scope) int {
-	short, release := inner.WithLimit(seat.options.Limit)
+func (s *Seat) strive(ctx scope.Scope) int {
+	short, release := ctx.WithLimit(s.options.Limit)
 	defer release()
-	err := seat.joiner.Join(short)
-	inner.Log.Info().Str("part", "seat").Err(err).Msg("asked for a seat")
+	err := s.joiner.Join(short)
+	ctx.Log.Info().Str("part", "seat").Err(err).Msg("asked for a seat")
 	if !errors.Is(err, register.ErrNoSeat) {
 		return 0
 	}
-	seat.survey.Follow(short)
+	s.survey.Follow(short)
 	return standBys
 }
 
 // look has one round of questions and repairs, and logs what changed; what the
 // next look finds otherwise again was only a change on its way.
-func (seat *Seat) look(inner scope.Scope) {
-	short, release := inner.WithLimit(seat.options.Limit)
+func (s *Seat) look(ctx scope.Scope) {
+	short, release := ctx.WithLimit(s.options.Limit)
 	defer release()
-	begin := inner.Now()
-	state := seat.survey.Round(short)
-	seat.lock.Lock()
-	defer seat.lock.Unlock()
+	begin := ctx.Now()
+	state := s.survey.Round(short)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	line := state.String()
-	if line == seat.redundancy.String() && line != seat.logged {
-		seat.logged = line
-		whole := seat.options.Contact.Status(inner.Now()).WholeAgeMS
-		inner.Log.Info().Str("part", "seat").Bool("whole", state.Whole).Int64("whole_contact_age_ms", whole).Msg(line)
+	if line == s.redundancy.String() && line != s.logged {
+		s.logged = line
+		whole := s.options.Contact.Status(ctx.Now()).WholeAgeMS
+		ctx.Log.Info().Str("part", "seat").Bool("whole", state.Whole).Int64("whole_contact_age_ms", whole).Msg(line)
 	}
-	seat.redundancy = state
-	seat.miss(begin, state.Away)
+	s.redundancy = state
+	s.miss(begin, state.Away)
 }
 
 // Redundancy tells how much more the control state bears, as last seen from
 // here; without a seat nothing was.
-func (seat *Seat) Redundancy() register.Redundancy {
-	seat.lock.Lock()
-	defer seat.lock.Unlock()
-	return seat.redundancy
+func (s *Seat) Redundancy() register.Redundancy {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.redundancy
 }
 
 // RedundancyNow is the same, for which the voters are asked where there is no
 // seat here.
-func (seat *Seat) RedundancyNow(inner scope.Scope) register.Redundancy {
-	if seat.Voting() {
-		return seat.Redundancy()
+func (s *Seat) RedundancyNow(ctx scope.Scope) register.Redundancy {
+	if s.Voting() {
+		return s.Redundancy()
 	}
-	return seat.joiner.Redundancy(inner)
+	return s.joiner.Redundancy(ctx)
 }
 
 // HandOn makes sure, for at most a quarter of the time that one has to end, that
 // what this disk holds is held by enough others, and that its seat is taken by one
 // that stands by. Where nobody does it keeps its seat: one that leaves can't tell
 // whether it will be started again.
-func (seat *Seat) HandOn(inner scope.Scope) {
-	short, release := inner.WithLimit(boot.Seconds(inner.Boot.Bounds.GraceS) / 4)
+func (s *Seat) HandOn(ctx scope.Scope) {
+	short, release := ctx.WithLimit(boot.Seconds(ctx.Boot.Bounds.GraceS) / 4)
 	defer release()
-	leaving := &register.Survey{Joiner: seat.joiner, Copies: Copies(inner.Boot)}
+	leaving := &register.Survey{Joiner: s.joiner, Copies: Copies(ctx.Boot)}
 	done := leaving.HandOn(short)
-	for (!done || seat.awaited()) && short.Wait(seat.options.Patience/10) {
+	for (!done || s.awaited()) && short.Wait(s.options.Patience/10) {
 		done = leaving.HandOn(short)
 	}
-	inner.Log.Info().Str("part", "seat").Bool("enough", done).Bool("seated", seat.Voting()).Msg("what is held here is held by others")
+	ctx.Log.Info().Str("part", "seat").Bool("enough", done).Bool("seated", s.Voting()).Msg("what is held here is held by others")
 }
 
 // Leave says that this seat is free for one that stands by.
-func (seat *Seat) Leave() { seat.Acceptor.Leave() }
+func (s *Seat) Leave() { s.Acceptor.Leave() }
 
 // awaited tells whether somebody who stands by could take the seat yet.
-func (seat *Seat) awaited() bool {
-	if !seat.Voting() {
+func (s *Seat) awaited() bool {
+	if !s.Voting() {
 		return false
 	}
 	seated := map[ids.Address]bool{}
-	for _, voter := range seat.Acceptor.Voters().Seats {
+	for _, voter := range s.Acceptor.Voters().Seats {
 		seated[voter.Address] = true
 	}
-	self := seat.options.Table.Self()
-	for _, member := range seat.options.Table.Members() {
+	self := s.options.Table.Self()
+	for _, member := range s.options.Table.Members() {
 		if member.Role == self.Role && member.State == cohort.Alive && !seated[member.Address] {
 			return true
 		}
--- a/control/seat/seat.go
+++ b/control/seat/seat.go
@@ -53,7 +53,7 @@
 	joiner   *register.Joiner
 	survey   *register.Survey
 
-	lock       sync.Mutex
+	mu         sync.Mutex
 	redundancy register.Redundancy
 	logged     string
 	// unknown are voters that the table does not know, since when.
@@ -131,76 +131,76 @@
 	}
 }
 
-func (seat *Seat) begin(damaged bool) error {
-	formed := seat.Acceptor.Voters().Generation > 0
-	if seat.Acceptor.Identified() && (formed || !seat.options.First) {
+func (s *Seat) begin(damaged bool) error {
+	formed := s.Acceptor.Voters().Generation > 0
+	if s.Acceptor.Identified() && (formed || !s.options.First) {
 		return nil
 	}
-	if !seat.options.First || damaged {
-		return seat.Acceptor.Identify(ids.Incarnation(chance.Int63(1<<62) + 1))
+	if !s.options.First || damaged {
+		return s.Acceptor.Identify(ids.Incarnation(chance.Int63(1<<62) + 1))
 	}
 	voters := register.Voters{Generation: 1}
 	member := false
-	for _, address := range seat.options.Seeds {
+	for _, address := range s.options.Seeds {
 		voters.Seats = append(voters.Seats, register.Seat{Address: address})
-		member = member || address == seat.options.Address
+		member = member || address == s.options.Address
 	}
 	sort.Slice(voters.Seats, func(left, right int) bool { return voters.Seats[left].Address < voters.Seats[right].Address })
 	if !member {
-		return seat.Acceptor.Identify(ids.Incarnation(chance.Int63(1<<62) + 1))
+		return s.Acceptor.Identify(ids.Incarnation(chance.Int63(1<<62) + 1))
 	}
-	return seat.Acceptor.Form(voters)
+	return s.Acceptor.Form(voters)
 }
 
 // Voting tells whether this disk votes now.
-func (seat *Seat) Voting() bool { return seat.Acceptor.Voting() }
+func (s *Seat) Voting() bool { return s.Acceptor.Voting() }
 
 // Close ends the journal.
-func (seat *Seat) Close() { seat.opened.Close() }
+func (s *Seat) Close() { s.opened.Close() }
 
 // Serve adds the voter's messages to a table of calls.
-func (seat *Seat) Serve(calls *call.Table) {
+func (s *Seat) Serve(calls *call.Table) {
 	courier.Handle(calls, "promise", func(_ scope.Scope, asked register.PromiseAsk) (register.PromiseTold, error) {
-		return seat.Acceptor.Promise(asked), nil
+		return s.Acceptor.Promise(asked), nil
 	})
 	courier.Handle(calls, "accept", func(_ scope.Scope, asked register.AcceptAsk) (register.AcceptTold, error) {
-		return seat.Acceptor.Accept(asked), nil
+		return s.Acceptor.Accept(asked), nil
 	})
 	courier.Handle(calls, "confirm", func(_ scope.Scope, asked register.ConfirmAsk) (register.AcceptTold, error) {
-		return seat.Acceptor.Confirm(asked), nil
+		return s.Acceptor.Confirm(asked), nil
 	})
 	courier.Handle(calls, "copy", func(_ scope.Scope, asked register.CopyAsk) (register.CopyTold, error) {
-		return seat.Acceptor.Copy(asked), nil
+		return s.Acceptor.Copy(asked), nil
 	})
 	courier.Handle(calls, "held", func(_ scope.Scope, asked register.HeldAsk) (register.HeldTold, error) {
-		return seat.tellHeld(asked), nil
+		return s.tellHeld(asked), nil
 	})
 	courier.Handle(calls, "learn", func(_ scope.Scope, asked LearnAsk) (LearnTold, error) {
-		err := seat.Acceptor.Learn(asked.Slots)
+		err := s.Acceptor.Learn(asked.Slots)
 		return LearnTold{Taken: err == nil}, err
 	})
 	courier.Handle(calls, "hold", func(_ scope.Scope, asked lease.Ask) (lease.Told, error) {
-		told := seat.Granter.Grant(asked)
-		told.Generation = seat.Acceptor.Voters().Generation
+		told := s.Granter.Grant(asked)
+		told.Generation = s.Acceptor.Voters().Generation
 		return told, nil
 	})
 }
 
 // AskHold asks all voters for a duty and tells what they granted.
 // The own voter is asked first: while it refuses, the others are left in peace.
-func (seat *Seat) AskHold(inner scope.Scope, asked lease.Ask) lease.Grants {
-	voters := seat.Acceptor.Voters()
+func (s *Seat) AskHold(ctx scope.Scope, asked lease.Ask) lease.Grants {
+	voters := s.Acceptor.Voters()
 	seats := voters.Seats
 	asked.Voters = voters.Mark()
 	granted := 0
-	if seat.Granter.Grant(asked).Granted {
+	if s.Granter.Grant(asked).Granted {
 		granted = 1
 	} else if !asked.Renew && !asked.Release {
 		return lease.Nobody
 	}
 	votes := make(chan bool, len(seats))
 	for _, voter := range seats {
-		go func() { votes <- seat.askOne(inner, voter.Address, asked) }()
+		go func() { votes <- s.askOne(ctx, voter.Address, asked) }()
 	}
 	for range seats {
 		if 2*granted > len(seats) {
@@ -211,7 +211,7 @@
 			if vote {
 				granted++
 			}
-		case <-inner.Done():
+		case <-ctx.Done():
 			return lease.Fewer
 		}
 	}
@@ -221,19 +221,19 @@
 	return lease.Fewer
 }
 
-func (seat *Seat) askOne(inner scope.Scope, address ids.Address, asked lease.Ask) bool {
-	if address == seat.options.Address {
+func (s *Seat) askOne(ctx scope.Scope, address ids.Address, asked lease.Ask) bool {
+	if address == s.options.Address {
 		return false
 	}
-	message, release := inner.Detached().WithLimit(seat.options.HoldSpan / 3)
+	message, release := ctx.Detached().WithLimit(s.options.HoldSpan / 3)
 	defer release()
 	begin := message.Now()
-	told, err := courier.Send[lease.Told](message, seat.options.Messenger, address, "hold", asked)
+	told, err := courier.Send[lease.Told](message, s.options.Messenger, address, "hold", asked)
 	if err == nil {
-		seat.options.Contact.Heard(address, begin)
+		s.options.Contact.Heard(address, begin)
 	}
 	if told.Misfenced {
-		seat.mend(message, address, register.Misfenced, told.Generation, err)
+		s.mend(message, address, register.Misfenced, told.Generation, err)
 	}
 	return err == nil && told.Granted
 }
--- a/control/seat/seat_test.go
+++ b/control/seat/seat_test.go
@@ -68,21 +68,21 @@
 	return made
 }
 
-func (site *site) change(index int, value string) {
-	site.t.Helper()
+func (s *site) change(index int, value string) {
+	s.t.Helper()
 	step := func([]byte) ([]byte, error) { return []byte(value), nil }
-	if _, err := site.keeps[index].Change(site.top, "spec", step); err != nil {
-		site.t.Fatal(err)
+	if _, err := s.keeps[index].Change(s.top, "spec", step); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
 // lose ends a controller and has all others take it for removed.
-func (site *site) lose(index int) {
-	site.doors[index].Close()
-	for _, seat := range site.seats {
-		seat.options.Table.Judge(site.seats[index].options.Address, cohort.Removed)
+func (s *site) lose(index int) {
+	s.doors[index].Close()
+	for _, seat := range s.seats {
+		seat.options.Table.Judge(s.seats[index].options.Address, cohort.Removed)
 	}
-	site.clock.Move(2 * clock.Second)
+	s.clock.Move(2 * clock.Second)
 }
 
 // TestReplacedInOneRun loses a voter: the one that stood by has followed the
--- a/control/seat/spread.go
+++ b/control/seat/spread.go
@@ -21,15 +21,15 @@
 
 // fits tells whether a voter here beside the others leaves every zone and
 // region with no more than its even share of the seats.
-func (seat *Seat) fits(others []ids.Address) bool {
-	self := seat.options.Table.Self()
+func (s *Seat) fits(others []ids.Address) bool {
+	self := s.options.Table.Self()
 	regions := map[ids.Region]bool{}
-	for _, region := range seat.options.Zones {
+	for _, region := range s.options.Zones {
 		regions[region] = true
 	}
 	inZone, inRegion := 1, 1
 	for _, address := range others {
-		member, known := seat.options.Table.Find(address)
+		member, known := s.options.Table.Find(address)
 		if known && member.Zone == self.Zone {
 			inZone++
 		}
@@ -37,7 +37,7 @@
 			inRegion++
 		}
 	}
-	return inZone <= evenShare(seat.options.Seats, len(seat.options.Zones)) && inRegion <= evenShare(seat.options.Seats, len(regions))
+	return inZone <= evenShare(s.options.Seats, len(s.options.Zones)) && inRegion <= evenShare(s.options.Seats, len(regions))
 }
 
 func evenShare(seats int, places int) int { return (seats + max(1, places) - 1) / max(1, places) }
--- a/control/spec/spec.go
+++ b/control/spec/spec.go
@@ -49,26 +49,26 @@
 }
 
 // Repeatable tells whether a request may run again after it may have run.
-func (route *Route) Repeatable() bool {
-	return route.Kind == Safe || (route.Kind == Streaming && route.Resumable)
+func (r *Route) Repeatable() bool {
+	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
 // AtHome tells whether the route's requests may be served in a region.
-func (route *Route) AtHome(region ids.Region) bool {
-	return len(route.Homes) == 0 || slices.Contains(route.Homes, region)
+func (r *Route) AtHome(region ids.Region) bool {
+	return len(r.Homes) == 0 || slices.Contains(r.Homes, region)
 }
 
 // Goal is the time within which an answer earns its full worth.
-func (route *Route) Goal() clock.Span {
-	return clock.Span(route.GoalMS * float64(clock.Millisecond))
+func (r *Route) Goal() clock.Span {
+	return clock.Span(r.GoalMS * float64(clock.Millisecond))
 }
 
 // Parts gives the services of the route with their weights.
-func (route *Route) Parts() []Share {
-	if len(route.Shares) > 0 {
-		return route.Shares
+func (r *Route) Parts() []Share {
+	if len(r.Shares) > 0 {
+		return r.Shares
 	}
-	return []Share{{Service: route.Service, Weight: 1}}
+	return []Share{{Service: r.Service, Weight: 1}}
 }
 
 // Engine is what a model service tells of its runners' engines.
@@ -127,9 +127,9 @@
 }
 
 // Match finds the route of a host and path: the longest prefix wins.
-func (spec *Spec) Match(host string, path string) *Route {
+func (s *Spec) Match(host string, path string) *Route {
 	var best *Route
-	for _, route := range spec.hosts[HostOnly(host)] {
+	for _, route := range s.hosts[HostOnly(host)] {
 		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
 			best = route
 		}
@@ -138,7 +138,7 @@
 }
 
 // Service finds a service by its name; nil where there is none.
-func (spec *Spec) Service(name ids.Service) *Service { return spec.services[name] }
+func (s *Spec) Service(name ids.Service) *Service { return s.services[name] }
 
 // HostOnly gives the host of a Host head, in lower case and without a port.
 func HostOnly(host string) string {
--- a/control/spread/digest.go
+++ b/control/spread/digest.go
@@ -10,11 +10,11 @@
 )
 
 // Marks names the items that another daemon should hold.
-func (news *News) Marks(partner cohort.Member) []Mark {
-	news.lock.Lock()
-	defer news.lock.Unlock()
+func (n *News) Marks(partner cohort.Member) []Mark {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	var marks []Mark
-	for key, item := range news.items {
+	for key, item := range n.items {
 		if !concerns(key, partner) {
 			continue
 		}
@@ -26,9 +26,9 @@
 
 // Digest is one number for all that Marks names: two that hold the same items
 // have the same.
-func (news *News) Digest(partner cohort.Member) int64 {
+func (n *News) Digest(partner cohort.Member) int64 {
 	digest := fnv.New64a()
-	for _, mark := range news.Marks(partner) {
+	for _, mark := range n.Marks(partner) {
 		_, _ = digest.Write([]byte(mark.Key))
 		_, _ = digest.Write(binary.LittleEndian.AppendUint64([]byte{0}, uint64(mark.Serial)))
 	}
@@ -37,17 +37,17 @@
 
 // Compare gives the items that are newer here than the marks say, and the keys
 // of those that are newer there. The items are as they travel.
-func (news *News) Compare(marks []Mark, partner cohort.Member) (items []Item, wanted []string) {
-	news.lock.Lock()
-	defer news.lock.Unlock()
+func (n *News) Compare(marks []Mark, partner cohort.Member) (items []Item, wanted []string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	theirs := map[string]ids.Serial{}
 	for _, mark := range marks {
 		theirs[mark.Key] = mark.Serial
-		if own, found := news.items[mark.Key]; !found || own.Serial < mark.Serial {
+		if own, found := n.items[mark.Key]; !found || own.Serial < mark.Serial {
 			wanted = append(wanted, mark.Key)
 		}
 	}
-	for key, item := range news.items {
+	for key, item := range n.items {
 		if serial, found := theirs[key]; concerns(key, partner) && (!found || serial < item.Serial) {
 			items = append(items, item.wire)
 		}
--- a/control/spread/exchange.go
+++ b/control/spread/exchange.go
@@ -92,39 +92,39 @@
 }
 
 // Serve adds the spreader's messages to a table of calls.
-func (spreader *Spreader) Serve(calls *call.Table) {
+func (s *Spreader) Serve(calls *call.Table) {
 	courier.Handle(calls, "exchange", func(_ scope.Scope, asked ExchangeAsk) (ExchangeTold, error) {
-		return spreader.compared(asked), nil
+		return s.compared(asked), nil
 	})
 	courier.Handle(calls, "give", func(_ scope.Scope, asked GiveAsk) (GiveTold, error) {
-		spreader.Table.Merge(asked.Members)
-		return GiveTold{Taken: spreader.take(asked.Items)}, nil
+		s.Table.Merge(asked.Members)
+		return GiveTold{Taken: s.take(asked.Items)}, nil
 	})
-	courier.Handle(calls, "push", func(inner scope.Scope, asked PushAsk) (PushTold, error) {
-		return spreader.pushed(inner, asked), nil
+	courier.Handle(calls, "push", func(ctx scope.Scope, asked PushAsk) (PushTold, error) {
+		return s.pushed(ctx, asked), nil
 	})
 }
 
 // compared answers a question of another daemon.
-func (spreader *Spreader) compared(asked ExchangeAsk) ExchangeTold {
-	spreader.Table.Merge([]cohort.Member{asked.From})
-	told := ExchangeTold{From: spreader.Table.Self(), Sums: spreader.Table.Sums()}
-	shared := spreader.shared(asked.From)
+func (s *Spreader) compared(asked ExchangeAsk) ExchangeTold {
+	s.Table.Merge([]cohort.Member{asked.From})
+	told := ExchangeTold{From: s.Table.Self(), Sums: s.Table.Sums()}
+	shared := s.shared(asked.From)
 	if asked.Listed {
-		told.Items, told.Wanted = spreader.News.Compare(asked.Marks, shared)
+		told.Items, told.Wanted = s.News.Compare(asked.Marks, shared)
 	} else {
-		told.Differs = asked.Digest != spreader.News.Digest(shared)
+		told.Differs = asked.Digest != s.News.Digest(shared)
 	}
-	if spreader.Table.Differs(asked.From.Zone, asked.Sums) {
-		told.Members = spreader.Table.Told(asked.From.Zone)
+	if s.Table.Differs(asked.From.Zone, asked.Sums) {
+		told.Members = s.Table.Told(asked.From.Zone)
 	}
 	return told
 }
 
 // shared describes whoever would hold just what this daemon and the other both
 // should: of the backbone if both are, of a zone if it is the same.
-func (spreader *Spreader) shared(other cohort.Member) cohort.Member {
-	self := spreader.Table.Self()
+func (s *Spreader) shared(other cohort.Member) cohort.Member {
+	self := s.Table.Self()
 	both := cohort.Member{Core: self.Backbone() && other.Backbone()}
 	if self.Zone == other.Zone {
 		both.Zone = self.Zone
@@ -133,74 +133,74 @@
 }
 
 // Run exchanges with a partner now and then, and pushes whatever is new.
-func (spreader *Spreader) Run(inner scope.Scope) {
-	for inner.Err() == nil {
+func (s *Spreader) Run(ctx scope.Scope) {
+	for ctx.Err() == nil {
 		select {
-		case <-inner.Done():
+		case <-ctx.Done():
 			return
-		case <-spreader.News.own:
-			items := spreader.News.gather(spreader.News.own)
-			go spreader.Push(inner, items, spreader.everywhere())
-		case <-spreader.News.heard:
-			spreader.passOn(inner, spreader.News.gather(spreader.News.heard))
-		case <-inner.Clock.After(spreader.pause()):
-			if address, found := spreader.partner(); found {
-				go spreader.Exchange(inner, address)
+		case <-s.News.own:
+			items := s.News.gather(s.News.own)
+			go s.Push(ctx, items, s.everywhere())
+		case <-s.News.heard:
+			s.passOn(ctx, s.News.gather(s.News.heard))
+		case <-ctx.Clock.After(s.pause()):
+			if address, found := s.partner(); found {
+				go s.Exchange(ctx, address)
 			}
 		}
 	}
 }
 
 // Exchange compares news and members with one other daemon.
-func (spreader *Spreader) Exchange(inner scope.Scope, address ids.Address) {
-	short, release := inner.WithLimit(spreader.Limit)
+func (s *Spreader) Exchange(ctx scope.Scope, address ids.Address) {
+	short, release := ctx.WithLimit(s.Limit)
 	defer release()
-	told, err := spreader.ask(short, address, false)
+	told, err := s.ask(short, address, false)
 	if err == nil && told.Differs {
-		if spreader.fromNearer(inner, address, told) {
+		if s.fromNearer(ctx, address, told) {
 			return
 		}
-		told, err = spreader.ask(short, address, true)
+		told, err = s.ask(short, address, true)
 	}
 	if err != nil {
 		return
 	}
-	spreader.Table.Merge(append(told.Members, told.From))
-	spreader.take(told.Items)
+	s.Table.Merge(append(told.Members, told.From))
+	s.take(told.Items)
 	give := GiveAsk{}
 	for _, key := range told.Wanted {
-		if item, found := spreader.News.travelling(key); found {
+		if item, found := s.News.travelling(key); found {
 			give.Items = append(give.Items, item)
 		}
 	}
-	if spreader.Table.Differs(told.From.Zone, told.Sums) {
-		give.Members = spreader.Table.Told(told.From.Zone)
+	if s.Table.Differs(told.From.Zone, told.Sums) {
+		give.Members = s.Table.Told(told.From.Zone)
 	}
 	if len(give.Items)+len(give.Members) > 0 {
-		_, _ = courier.Send[GiveTold](short, spreader.Messenger, address, "give", give)
+		_, _ = courier.Send[GiveTold](short, s.Messenger, address, "give", give)
 	}
 }
 
 // ask sends one question: with all marks, or with their digest alone.
-func (spreader *Spreader) ask(inner scope.Scope, address ids.Address, listed bool) (ExchangeTold, error) {
-	partner, _ := spreader.Table.Find(address)
-	shared := spreader.shared(partner)
-	asked := ExchangeAsk{From: spreader.Table.Self(), Sums: spreader.Table.Sums(), Listed: listed}
+func (s *Spreader) ask(ctx scope.Scope, address ids.Address, listed bool) (ExchangeTold, error) {
+	partner, _ := s.Table.Find(address)
+	shared := s.shared(partner)
+	asked := ExchangeAsk{From: s.Table.Self(), Sums: s.Table.Sums(), Listed: listed}
 	if listed {
-		asked.Marks = spreader.News.Marks(shared)
+		asked.Marks = s.News.Marks(shared)
 	} else {
-		asked.Digest = spreader.News.Digest(shared)
+		asked.Digest = s.News.Digest(shared)
 	}
-	if spreader.Compare != nil {
-		return spreader.Compare(inner, address, asked)
+	if s.Compare != nil {
+		return s.Compare(ctx, address, asked)
 	}
-	return courier.Send[ExchangeTold](inner, spreader.Messenger, address, "exchange", asked)
+	return courier.Send[ExchangeTold](ctx, s.Messenger, address, "exchange", asked)
 }
 
-func (spreader *Spreader) take(items []Item) int64 {
+func (s *Spreader) take(items []Item) int64 {
 	taken := int64(0)
 	for _, item := range items {
-		if spreader.News.hear(item, spreader.News.heard) {
+		if s.News.hear(item, s.News.heard) {
 			taken++
 		}
 	}
--- a/control/spread/nearer.go
+++ b/control/spread/nearer.go
@@ -19,41 +19,41 @@
 // a daemon that is nearer than the one that it asked first, mostly a seed. It tells
 // whether that was done, or is to be tried again: the mates may know nothing yet
 // either, and the first relay of a zone is the one to bring it there.
-func (spreader *Spreader) fromNearer(inner scope.Scope, asked ids.Address, told ExchangeTold) bool {
-	if !spreader.News.Empty() {
+func (s *Spreader) fromNearer(ctx scope.Scope, asked ids.Address, told ExchangeTold) bool {
+	if !s.News.Empty() {
 		return false
 	}
-	spreader.Table.Merge(append(told.Members, told.From))
-	nearer, found := spreader.nearer(asked)
+	s.Table.Merge(append(told.Members, told.From))
+	nearer, found := s.nearer(asked)
 	if !found {
 		return false
 	}
-	short, release := inner.WithLimit(spreader.Every / nearerPart)
-	spreader.Exchange(short, nearer)
+	short, release := ctx.WithLimit(s.Every / nearerPart)
+	s.Exchange(short, nearer)
 	release()
-	if !spreader.News.Empty() {
+	if !s.News.Empty() {
 		return true
 	}
-	self := spreader.Table.Self()
-	first := spreader.Table.Relays(self.Zone, 1)
+	self := s.Table.Self()
+	first := s.Table.Relays(self.Zone, 1)
 	brings := len(first) > 0 && first[0].Address == self.Address
-	return !brings && spreader.emptyTries.Add(1) <= fromNearerTries
+	return !brings && s.emptyTries.Add(1) <= fromNearerTries
 }
 
 // nearer gives a relay or controller that is nearer than a daemon: of the own zone,
 // or of the own region where the other is of neither.
-func (spreader *Spreader) nearer(than ids.Address) (ids.Address, bool) {
-	other, _ := spreader.Table.Find(than)
+func (s *Spreader) nearer(than ids.Address) (ids.Address, bool) {
+	other, _ := s.Table.Find(than)
 	var best []cohort.Member
-	for _, member := range spreader.Table.Members() {
-		usable := member.State == cohort.Alive && member.Backbone() && member.Address != spreader.Table.Self().Address
-		if !usable || spreader.distance(member) >= spreader.distance(other) {
+	for _, member := range s.Table.Members() {
+		usable := member.State == cohort.Alive && member.Backbone() && member.Address != s.Table.Self().Address
+		if !usable || s.distance(member) >= s.distance(other) {
 			continue
 		}
-		if len(best) > 0 && spreader.distance(member) < spreader.distance(best[0]) {
+		if len(best) > 0 && s.distance(member) < s.distance(best[0]) {
 			best = nil
 		}
-		if len(best) == 0 || spreader.distance(member) == spreader.distance(best[0]) {
+		if len(best) == 0 || s.distance(member) == s.distance(best[0]) {
 			best = append(best, member)
 		}
 	}
@@ -64,8 +64,8 @@
 }
 
 // distance is 0 in the own zone, 1 in the own region, 2 elsewhere.
-func (spreader *Spreader) distance(member cohort.Member) int {
-	self := spreader.Table.Self()
+func (s *Spreader) distance(member cohort.Member) int {
+	self := s.Table.Self()
 	switch {
 	case member.Zone == self.Zone:
 		return 0
--- a/control/spread/nearer_test.go
+++ b/control/spread/nearer_test.go
@@ -45,10 +45,10 @@
 	return made
 }
 
-func (place *place) tell(addresses ...ids.Address) {
+func (p *place) tell(addresses ...ids.Address) {
 	for _, address := range addresses {
 		for index := range 5 {
-			place.mates[address].News.Put(Item{Key: fmt.Sprint("k", index), Serial: 1, Body: []byte("long")})
+			p.mates[address].News.Put(Item{Key: fmt.Sprint("k", index), Serial: 1, Body: []byte("long")})
 		}
 	}
 }
--- a/control/spread/news.go
+++ b/control/spread/news.go
@@ -36,7 +36,7 @@
 
 // News holds the newest item of each key.
 type News struct {
-	lock  sync.Mutex
+	mu    sync.Mutex
 	items map[string]held
 	// fresh are the keys made or heard here that were not yet pushed on.
 	fresh map[chan struct{}]map[string]bool
@@ -65,23 +65,23 @@
 
 // Put takes an item that this daemon made; it tells whether it was newer than
 // what was known.
-func (news *News) Put(item Item) bool {
-	if known, found := news.Get(item.Key); found && item.Serial <= known.Serial {
+func (n *News) Put(item Item) bool {
+	if known, found := n.Get(item.Key); found && item.Serial <= known.Serial {
 		return false
 	}
 	if item.Packed {
-		return news.hear(item, news.own)
+		return n.hear(item, n.own)
 	}
 	wire := item
 	wire.Body, wire.Packed = pack.Pack(item.Body)
-	return news.take(held{Item: item, wire: wire}, news.own)
+	return n.take(held{Item: item, wire: wire}, n.own)
 }
 
 // hear takes an item that came from another daemon. One that can't be unpacked
 // is dropped. Only what came by comparing digests wakes this daemon: what was
 // pushed is on its way to the others already.
-func (news *News) hear(item Item, wake chan struct{}) bool {
-	if known, found := news.Get(item.Key); found && item.Serial <= known.Serial {
+func (n *News) hear(item Item, wake chan struct{}) bool {
+	if known, found := n.Get(item.Key); found && item.Serial <= known.Serial {
 		return false
 	}
 	plain := item
@@ -90,23 +90,23 @@
 		return false
 	}
 	plain.Body, plain.Packed = body, false
-	return news.take(held{Item: plain, wire: item}, wake)
+	return n.take(held{Item: plain, wire: item}, wake)
 }
 
 // take keeps an item and wakes those who pass on what was made or heard.
-func (news *News) take(item held, wake chan struct{}) bool {
-	news.lock.Lock()
-	defer news.lock.Unlock()
-	known, found := news.items[item.Key]
+func (n *News) take(item held, wake chan struct{}) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	known, found := n.items[item.Key]
 	if found && item.Serial <= known.Serial {
 		return false
 	}
-	news.items[item.Key] = item
-	news.Fresh(item.Item)
+	n.items[item.Key] = item
+	n.Fresh(item.Item)
 	if wake == nil {
 		return true
 	}
-	news.fresh[wake][item.Key] = true
+	n.fresh[wake][item.Key] = true
 	select {
 	case wake <- struct{}{}:
 	default:
@@ -115,47 +115,47 @@
 }
 
 // gather gives what is to be passed on, as it travels: of each key the newest.
-func (news *News) gather(wake chan struct{}) []Item {
-	news.lock.Lock()
-	defer news.lock.Unlock()
+func (n *News) gather(wake chan struct{}) []Item {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	var items []Item
-	for key := range news.fresh[wake] {
-		items = append(items, news.items[key].wire)
+	for key := range n.fresh[wake] {
+		items = append(items, n.items[key].wire)
 	}
-	clear(news.fresh[wake])
+	clear(n.fresh[wake])
 	sort.Slice(items, func(left, right int) bool { return items[left].Key < items[right].Key })
 	return items
 }
 
 // Get gives the item of a key.
-func (news *News) Get(key string) (Item, bool) {
-	news.lock.Lock()
-	defer news.lock.Unlock()
-	item, found := news.items[key]
+func (n *News) Get(key string) (Item, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	item, found := n.items[key]
 	return item.Item, found
 }
 
 // travelling gives the item of a key as it travels.
-func (news *News) travelling(key string) (Item, bool) {
-	news.lock.Lock()
-	defer news.lock.Unlock()
-	item, found := news.items[key]
+func (n *News) travelling(key string) (Item, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	item, found := n.items[key]
 	return item.wire, found
 }
 
 // Empty tells whether nothing is known yet.
-func (news *News) Empty() bool {
-	news.lock.Lock()
-	defer news.lock.Unlock()
-	return len(news.items) == 0
+func (n *News) Empty() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return len(n.items) == 0
 }
 
 // Under gives the items whose keys begin so, in the order of their keys.
-func (news *News) Under(prefix string) []Item {
-	news.lock.Lock()
-	defer news.lock.Unlock()
+func (n *News) Under(prefix string) []Item {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	var items []Item
-	for key, item := range news.items {
+	for key, item := range n.items {
 		if strings.HasPrefix(key, prefix) {
 			items = append(items, item.Item)
 		}
