--- a/control/spread/partner.go
+++ b/control/spread/partner.go
@@ -16,20 +16,20 @@
 	lackingPart = 4
 )
 
-func (spreader *Spreader) lacks() bool {
-	return spreader.Hurry && spreader.Lacks != nil && spreader.Lacks()
+func (s *Spreader) lacks() bool {
+	return s.Hurry && s.Lacks != nil && s.Lacks()
 }
 
 // pause is the time until the next exchange.
-func (spreader *Spreader) pause() clock.Span {
-	if spreader.Hurry && spreader.News.Empty() {
+func (s *Spreader) pause() clock.Span {
+	if s.Hurry && s.News.Empty() {
 		// One that knows nothing can't serve: it asks at once, and often.
-		return spreader.Every / emptyPart
+		return s.Every / emptyPart
 	}
-	if spreader.lacks() {
-		return spreader.Every / lackingPart
+	if s.lacks() {
+		return s.Every / lackingPart
 	}
-	return spreader.Every*3/4 + chance.Part(spreader.Every/2)
+	return s.Every*3/4 + chance.Part(s.Every/2)
 }
 
 // Odds of whom a daemon exchanges with: one exchange of so many.
@@ -45,25 +45,25 @@
 // now and then after that, a seed; now and then one that was removed, which may
 // be back and know nobody. This is what mends all that the tier loses, and it
 // goes on where there are no relays.
-func (spreader *Spreader) partner() (ids.Address, bool) {
-	near, far, gone := spreader.others()
-	if spreader.lacks() && chance.Below(oddsRelay) == 0 {
-		if relay, found := spreader.relay(); found {
+func (s *Spreader) partner() (ids.Address, bool) {
+	near, far, gone := s.others()
+	if s.lacks() && chance.Below(oddsRelay) == 0 {
+		if relay, found := s.relay(); found {
 			return relay, true
 		}
 	}
 	if len(gone) > 0 && chance.Below(oddsGone) == 0 {
 		return gone[chance.Below(len(gone))].Address, true
 	}
-	if seeds := spreader.seeds(); len(seeds) > 0 && (len(near)+len(far) == 0 || chance.Below(oddsSeed) == 0) {
+	if seeds := s.seeds(); len(seeds) > 0 && (len(near)+len(far) == 0 || chance.Below(oddsSeed) == 0) {
 		return seeds[chance.Below(len(seeds))], true
 	}
 	odds := oddsFarOtherwise
-	if spreader.Table.Self().Backbone() {
+	if s.Table.Self().Backbone() {
 		odds = oddsFarBackbone
 	}
 	pool := near
-	if len(near) == 0 || (len(far) > 0 && (chance.Below(odds) == 0 || spreader.News.Empty())) {
+	if len(near) == 0 || (len(far) > 0 && (chance.Below(odds) == 0 || s.News.Empty())) {
 		pool = far
 	}
 	if len(pool) == 0 {
@@ -73,9 +73,9 @@
 }
 
 // relay picks one of the other daemons that relay for the own zone.
-func (spreader *Spreader) relay() (ids.Address, bool) {
-	self := spreader.Table.Self()
-	relays := spreader.Table.Relays(self.Zone, spreader.Relays)
+func (s *Spreader) relay() (ids.Address, bool) {
+	self := s.Table.Self()
+	relays := s.Table.Relays(self.Zone, s.Relays)
 	relays = slices.DeleteFunc(relays, func(member cohort.Member) bool { return member.Address == self.Address })
 	if len(relays) == 0 {
 		return "", false
@@ -85,8 +85,8 @@
 
 // Several picks those who are told at once of a change in this daemon itself:
 // the relays of its zone, and one more of it.
-func (spreader *Spreader) Several() []ids.Address {
-	self := spreader.Table.Self()
+func (s *Spreader) Several() []ids.Address {
+	self := s.Table.Self()
 	var chosen []ids.Address
 	taken := map[ids.Address]bool{self.Address: true}
 	add := func(member cohort.Member) {
@@ -95,10 +95,10 @@
 			chosen = append(chosen, member.Address)
 		}
 	}
-	for _, relay := range spreader.Table.Relays(self.Zone, spreader.Relays) {
+	for _, relay := range s.Table.Relays(self.Zone, s.Relays) {
 		add(relay)
 	}
-	near, far, _ := spreader.others()
+	near, far, _ := s.others()
 	if len(near) > 0 {
 		add(near[chance.Below(len(near))])
 	}
@@ -110,9 +110,9 @@
 
 // others sorts the members: those of this zone, those of others, and those
 // that were removed but never said that they leave.
-func (spreader *Spreader) others() (near []cohort.Member, far []cohort.Member, gone []cohort.Member) {
-	self := spreader.Table.Self()
-	for _, member := range spreader.Table.Members() {
+func (s *Spreader) others() (near []cohort.Member, far []cohort.Member, gone []cohort.Member) {
+	self := s.Table.Self()
+	for _, member := range s.Table.Members() {
 		pool := &far
 		if !member.Present() {
 			pool = &gone
@@ -127,13 +127,13 @@
 }
 
 // Reseed replaces the seeds.
-func (spreader *Spreader) Reseed(seeds []ids.Address) {
-	spreader.fresh.Store(&seeds)
+func (s *Spreader) Reseed(seeds []ids.Address) {
+	s.fresh.Store(&seeds)
 }
 
-func (spreader *Spreader) seeds() []ids.Address {
-	if fresh := spreader.fresh.Load(); fresh != nil {
+func (s *Spreader) seeds() []ids.Address {
+	if fresh := s.fresh.Load(); fresh != nil {
 		return *fresh
 	}
-	return spreader.Seeds
+	return s.Seeds
 }
--- a/control/spread/push.go
+++ b/control/spread/push.go
@@ -47,10 +47,10 @@
 type Counts struct{ Pushed, Failed, Relayed atomic.Int64 }
 
 // everywhere is the duty of the daemon that made an item.
-func (spreader *Spreader) everywhere() Duty {
+func (s *Spreader) everywhere() Duty {
 	regions := map[ids.Region]bool{}
 	duty := Duty{}
-	for _, region := range spreader.Zones {
+	for _, region := range s.Zones {
 		if !regions[region] {
 			regions[region] = true
 			duty.Regions = append(duty.Regions, region)
@@ -62,35 +62,35 @@
 
 // passOn hands what came by comparing digests to the zone: a relay pushes it to
 // the members, any other daemon has a relay compare with it.
-func (spreader *Spreader) passOn(inner scope.Scope, items []Item) {
-	self := spreader.Table.Self()
+func (s *Spreader) passOn(ctx scope.Scope, items []Item) {
+	self := s.Table.Self()
 	if self.Relay {
-		spreader.spawn(func() { spreader.Push(inner, items, Duty{Zones: []ids.Zone{self.Zone}}) })
+		s.spawn(func() { s.Push(ctx, items, Duty{Zones: []ids.Zone{self.Zone}}) })
 		return
 	}
-	for _, relay := range spreader.Table.Relays(self.Zone, 1) {
-		go spreader.Exchange(inner, relay.Address)
+	for _, relay := range s.Table.Relays(self.Zone, 1) {
+		go s.Exchange(ctx, relay.Address)
 	}
 }
 
 // pushed takes news that was handed down and goes on with the duty at once,
 // before the answer is sent: the sender need not wait for it.
-func (spreader *Spreader) pushed(inner scope.Scope, asked PushAsk) PushTold {
+func (s *Spreader) pushed(ctx scope.Scope, asked PushAsk) PushTold {
 	told := PushTold{}
 	for _, item := range asked.Items {
-		if spreader.News.hear(item, nil) {
+		if s.News.hear(item, nil) {
 			told.Taken++
 		}
 	}
 	if len(asked.Duty.Regions)+len(asked.Duty.Zones)+len(asked.Duty.Members) > 0 {
-		spreader.Counts.Relayed.Add(1)
-		spreader.spawn(func() { spreader.Push(inner.Detached(), asked.Items, spreader.without(asked)) })
+		s.Counts.Relayed.Add(1)
+		s.spawn(func() { s.Push(ctx.Detached(), asked.Items, s.without(asked)) })
 	}
 	return told
 }
 
 // without leaves the sender out of a duty: it has the news.
-func (spreader *Spreader) without(asked PushAsk) Duty {
+func (s *Spreader) without(asked PushAsk) Duty {
 	duty := asked.Duty
 	duty.Members = slices.DeleteFunc(slices.Clone(duty.Members), func(member ids.Address) bool { return member == asked.From })
 	return duty
@@ -98,26 +98,26 @@
 
 // Push brings items to all that the duty names, and returns when each part was
 // handed on or given up: what is given up is mended by comparing digests.
-func (spreader *Spreader) Push(inner scope.Scope, items []Item, duty Duty) {
-	for narrowed, some := range spreader.scopes(items) {
-		spreader.pushScope(inner, some, narrowed.apply(spreader, duty))
+func (s *Spreader) Push(ctx scope.Scope, items []Item, duty Duty) {
+	for narrowed, some := range s.scopes(items) {
+		s.pushScope(ctx, some, narrowed.apply(s, duty))
 	}
 }
 
-func (spreader *Spreader) pushScope(inner scope.Scope, items []Item, duty Duty) {
+func (s *Spreader) pushScope(ctx scope.Scope, items []Item, duty Duty) {
 	var group sync.WaitGroup
-	for _, part := range spreader.split(duty) {
+	for _, part := range s.split(duty) {
 		group.Add(1)
-		spreader.spawn(func() {
+		s.spawn(func() {
 			defer group.Done()
-			spreader.handOver(inner, items, part)
+			s.handOver(ctx, items, part)
 		})
 	}
 	group.Wait()
 }
 
 // scopes sorts items by who should hold them; each scope narrows a duty to these.
-func (spreader *Spreader) scopes(items []Item) map[*narrowing][]Item {
+func (s *Spreader) scopes(items []Item) map[*narrowing][]Item {
 	sorted := map[*narrowing][]Item{}
 	for _, item := range items {
 		for _, scope := range narrowings {
@@ -157,38 +157,38 @@
 
 // handOver sends one part to the first taker that answers soon; where none does,
 // the rest of the duty is split anew.
-func (spreader *Spreader) handOver(inner scope.Scope, items []Item, piece part) {
+func (s *Spreader) handOver(ctx scope.Scope, items []Item, piece part) {
 	for _, taker := range piece.takers[:min(mostTakers, len(piece.takers))] {
-		short, release := inner.WithLimit(spreader.Every)
-		asked := PushAsk{From: spreader.Table.Self().Address, Items: items, Duty: piece.duty(taker)}
-		err := spreader.send(short, taker, asked)
+		short, release := ctx.WithLimit(s.Every)
+		asked := PushAsk{From: s.Table.Self().Address, Items: items, Duty: piece.duty(taker)}
+		err := s.send(short, taker, asked)
 		release()
 		if err == nil {
-			spreader.Counts.Pushed.Add(1)
+			s.Counts.Pushed.Add(1)
 			return
 		}
-		spreader.Counts.Failed.Add(1)
-		if inner.Err() != nil {
+		s.Counts.Failed.Add(1)
+		if ctx.Err() != nil {
 			return
 		}
 	}
 	if len(piece.rest.Regions)+len(piece.rest.Zones)+len(piece.rest.Members) > 0 {
-		spreader.Push(inner, items, piece.rest)
+		s.Push(ctx, items, piece.rest)
 	}
 }
 
-func (spreader *Spreader) spawn(act func()) {
-	if spreader.Spawn != nil {
-		spreader.Spawn(act)
+func (s *Spreader) spawn(act func()) {
+	if s.Spawn != nil {
+		s.Spawn(act)
 		return
 	}
 	go act()
 }
 
-func (spreader *Spreader) send(inner scope.Scope, taker ids.Address, asked PushAsk) error {
-	if spreader.Carry != nil {
-		return spreader.Carry(inner, taker, asked)
+func (s *Spreader) send(ctx scope.Scope, taker ids.Address, asked PushAsk) error {
+	if s.Carry != nil {
+		return s.Carry(ctx, taker, asked)
 	}
-	_, err := courier.Send[PushTold](inner, spreader.Messenger, taker, "push", asked)
+	_, err := courier.Send[PushTold](ctx, s.Messenger, taker, "push", asked)
 	return err
 }
--- a/control/spread/serial.go
+++ b/control/spread/serial.go
@@ -8,9 +8,9 @@
 
 // Write makes an item of a key that more than one daemon may write, above the one
 // that is known.
-func (news *News) Write(key string, writer ids.Address, body []byte) bool {
-	known, _ := news.Get(key)
-	return news.Put(Item{Key: key, Serial: NextSerial(known.Serial, writer), Body: body})
+func (n *News) Write(key string, writer ids.Address, body []byte) bool {
+	known, _ := n.Get(key)
+	return n.Put(Item{Key: key, Serial: NextSerial(known.Serial, writer), Body: body})
 }
 
 // writerBits is how much of a serial tells writers apart.
--- a/control/spread/split.go
+++ b/control/spread/split.go
@@ -18,28 +18,28 @@
 
 // split cuts a duty into parts. The own region's zones and the own zone's
 // members are this daemon's to split further.
-func (spreader *Spreader) split(duty Duty) []part {
-	self := spreader.Table.Self()
+func (s *Spreader) split(duty Duty) []part {
+	self := s.Table.Self()
 	var parts []part
-	for _, chunk := range chunks(spreader.ownRegion(&duty), spreader.Fanout) {
+	for _, chunk := range chunks(s.ownRegion(&duty), s.Fanout) {
 		parts = append(parts, part{
-			takers: spreader.takers(func(zone ids.Zone) bool { return spreader.Zones[zone] == chunk[0] }),
+			takers: s.takers(func(zone ids.Zone) bool { return s.Zones[zone] == chunk[0] }),
 			duty:   func(ids.Address) Duty { return Duty{Regions: chunk, Backbone: duty.Backbone} },
 			rest:   Duty{Regions: chunk[1:], Backbone: duty.Backbone},
 		})
 	}
-	for _, chunk := range chunks(spreader.ownZone(&duty), spreader.Fanout) {
+	for _, chunk := range chunks(s.ownZone(&duty), s.Fanout) {
 		parts = append(parts, part{
-			takers: spreader.takers(func(zone ids.Zone) bool { return zone == chunk[0] }),
+			takers: s.takers(func(zone ids.Zone) bool { return zone == chunk[0] }),
 			duty:   func(ids.Address) Duty { return Duty{Zones: chunk, Backbone: duty.Backbone} },
 			rest:   Duty{Zones: chunk[1:], Backbone: duty.Backbone},
 		})
 	}
 	members := slices.DeleteFunc(slices.Clone(duty.Members), func(member ids.Address) bool {
-		known, found := spreader.Table.Find(member)
+		known, found := s.Table.Find(member)
 		return member == self.Address || (found && !known.Present())
 	})
-	for _, chunk := range chunks(members, spreader.Fanout) {
+	for _, chunk := range chunks(members, s.Fanout) {
 		parts = append(parts, part{
 			takers: chunk[:min(mostTakers, len(chunk))],
 			duty:   func(taker ids.Address) Duty { return Duty{Members: chunk[slices.Index(chunk, taker)+1:]} },
@@ -50,10 +50,10 @@
 }
 
 // ownRegion turns the own region of a duty into its zones and gives the others.
-func (spreader *Spreader) ownRegion(duty *Duty) []ids.Region {
-	self := spreader.Table.Self()
+func (s *Spreader) ownRegion(duty *Duty) []ids.Region {
+	self := s.Table.Self()
 	if slices.Contains(duty.Regions, self.Region) {
-		for zone, region := range spreader.Zones {
+		for zone, region := range s.Zones {
 			if region == self.Region && !slices.Contains(duty.Zones, zone) {
 				duty.Zones = append(duty.Zones, zone)
 			}
@@ -64,10 +64,10 @@
 }
 
 // ownZone turns the own zone of a duty into its members and gives the others.
-func (spreader *Spreader) ownZone(duty *Duty) []ids.Zone {
-	self := spreader.Table.Self()
+func (s *Spreader) ownZone(duty *Duty) []ids.Zone {
+	self := s.Table.Self()
 	if slices.Contains(duty.Zones, self.Zone) {
-		near, _, _ := spreader.others()
+		near, _, _ := s.others()
 		for _, member := range near {
 			if !slices.Contains(duty.Members, member.Address) && (member.Backbone() || !duty.Backbone) {
 				duty.Members = append(duty.Members, member.Address)
@@ -79,9 +79,9 @@
 
 // takers are the daemons of the backbone in zones that may pass news on there:
 // relays in any order, then the others.
-func (spreader *Spreader) takers(wanted func(ids.Zone) bool) []ids.Address {
+func (s *Spreader) takers(wanted func(ids.Zone) bool) []ids.Address {
 	var relays, rest []ids.Address
-	for _, member := range spreader.Table.Members() {
+	for _, member := range s.Table.Members() {
 		if member.State != cohort.Alive || !member.Backbone() || !wanted(member.Zone) {
 			continue
 		}
--- a/control/spread/tier_test.go
+++ b/control/spread/tier_test.go
@@ -56,57 +56,57 @@
 	return made
 }
 
-func (estate *estate) add(self cohort.Member, zones map[ids.Zone]ids.Region) {
+func (e *estate) add(self cohort.Member, zones map[ids.Zone]ids.Region) {
 	spreader := &Spreader{
-		News: NewNews(nil), Table: cohort.NewTable(estate.clock, self), Zones: zones,
+		News: NewNews(nil), Table: cohort.NewTable(e.clock, self), Zones: zones,
 		Relays: relaysOfZone, Fanout: 8, Every: clock.Second, Limit: clock.Second,
 		Spawn: func(act func()) { act() },
 	}
-	spreader.Carry = func(inner scope.Scope, taker ids.Address, asked PushAsk) error {
-		estate.sent[self.Address]++
+	spreader.Carry = func(ctx scope.Scope, taker ids.Address, asked PushAsk) error {
+		e.sent[self.Address]++
 		for _, item := range asked.Items {
-			estate.bytes[self.Address] += len(item.Body)
+			e.bytes[self.Address] += len(item.Body)
 		}
-		if estate.dead[taker] || estate.dead[self.Address] || estate.chance.Float64() < estate.loss {
+		if e.dead[taker] || e.dead[self.Address] || e.chance.Float64() < e.loss {
 			return errors.New("estate: lost")
 		}
-		estate.daemons[taker].pushed(inner, asked)
+		e.daemons[taker].pushed(ctx, asked)
 		return nil
 	}
-	estate.daemons[self.Address] = spreader
-	estate.order = append(estate.order, self.Address)
+	e.daemons[self.Address] = spreader
+	e.order = append(e.order, self.Address)
 }
 
 // acquaint has all know whom they should know, and the relays say what they are.
-func (estate *estate) acquaint() {
+func (e *estate) acquaint() {
 	var all []cohort.Member
-	for _, address := range estate.order {
-		all = append(all, estate.daemons[address].Table.Self())
+	for _, address := range e.order {
+		all = append(all, e.daemons[address].Table.Self())
 	}
-	for _, spreader := range estate.daemons {
+	for _, spreader := range e.daemons {
 		spreader.Table.Merge(all)
 	}
-	estate.clock.Move(clock.Second)
+	e.clock.Move(clock.Second)
 	all = nil
-	for _, address := range estate.order {
-		estate.daemons[address].Table.Elect(relaysOfZone, 0)
-		all = append(all, estate.daemons[address].Table.Self())
+	for _, address := range e.order {
+		e.daemons[address].Table.Elect(relaysOfZone, 0)
+		all = append(all, e.daemons[address].Table.Self())
 	}
-	for _, spreader := range estate.daemons {
+	for _, spreader := range e.daemons {
 		spreader.Table.Merge(all)
 	}
 }
 
-func (estate *estate) publish(origin ids.Address, item Item) {
-	spreader := estate.daemons[origin]
+func (e *estate) publish(origin ids.Address, item Item) {
+	spreader := e.daemons[origin]
 	spreader.News.Put(item)
-	spreader.Push(estate.scope, spreader.News.gather(spreader.News.own), spreader.everywhere())
+	spreader.Push(e.scope, spreader.News.gather(spreader.News.own), spreader.everywhere())
 }
 
-func (estate *estate) without(key string) []ids.Address {
+func (e *estate) without(key string) []ids.Address {
 	var found []ids.Address
-	for _, address := range estate.order {
-		if _, held := estate.daemons[address].News.Get(key); !held && !estate.dead[address] {
+	for _, address := range e.order {
+		if _, held := e.daemons[address].News.Get(key); !held && !e.dead[address] {
 			found = append(found, address)
 		}
 	}
@@ -114,14 +114,14 @@
 }
 
 // repair lets every daemon compare digests with one partner.
-func (estate *estate) repair() {
-	for _, address := range estate.order {
-		from := estate.daemons[address]
+func (e *estate) repair() {
+	for _, address := range e.order {
+		from := e.daemons[address]
 		partner, found := from.partner()
-		if !found || estate.dead[address] || estate.dead[partner] || estate.daemons[partner] == nil {
+		if !found || e.dead[address] || e.dead[partner] || e.daemons[partner] == nil {
 			continue
 		}
-		to := estate.daemons[partner]
+		to := e.daemons[partner]
 		items, wanted := to.News.Compare(from.News.Marks(from.shared(to.Table.Self())), to.shared(from.Table.Self()))
 		from.take(items)
 		for _, key := range wanted {
--- a/control/zoneview/lost.go
+++ b/control/zoneview/lost.go
@@ -27,18 +27,18 @@
 
 // lost gives the zones of whose backbone nobody answers, though somebody did in
 // this daemon's life. A zone whose daemons all left in order is not lost.
-func (watcher *Watcher) lost() Lost {
-	alive, silent := watcher.backbones()
-	watcher.lock.Lock()
-	defer watcher.lock.Unlock()
-	if watcher.answered == nil {
-		watcher.answered = map[ids.Zone]bool{}
+func (w *Watcher) lost() Lost {
+	alive, silent := w.backbones()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.answered == nil {
+		w.answered = map[ids.Zone]bool{}
 	}
 	var found Lost
-	for zone := range watcher.Zones {
+	for zone := range w.Zones {
 		if alive[zone] {
-			watcher.answered[zone] = true
-		} else if silent[zone] && watcher.answered[zone] && zone != watcher.Table.Self().Zone {
+			w.answered[zone] = true
+		} else if silent[zone] && w.answered[zone] && zone != w.Table.Self().Zone {
 			found.Zones = append(found.Zones, zone)
 		}
 	}
@@ -48,9 +48,9 @@
 
 // backbones tells of each zone whether anybody of its backbone answers, and whether
 // anybody of it does not.
-func (watcher *Watcher) backbones() (answers map[ids.Zone]bool, silent map[ids.Zone]bool) {
+func (w *Watcher) backbones() (answers map[ids.Zone]bool, silent map[ids.Zone]bool) {
 	answers, silent = map[ids.Zone]bool{}, map[ids.Zone]bool{}
-	for _, member := range watcher.Table.Members() {
+	for _, member := range w.Table.Members() {
 		if member.Backbone() {
 			answers[member.Zone] = answers[member.Zone] || member.State == cohort.Alive
 			silent[member.Zone] = silent[member.Zone] || member.State == cohort.Suspect || member.State == cohort.Removed
--- a/control/zoneview/sizes.go
+++ b/control/zoneview/sizes.go
@@ -14,81 +14,81 @@
 // Routers tells among how many routers sums are to be shared: all of this zone
 // that are known, gone or not, and those of the other zones. A zone that nothing
 // was heard of counts as the largest.
-func (watcher *Watcher) Routers() int {
-	if counted := watcher.routers.Load(); counted > 0 {
+func (w *Watcher) Routers() int {
+	if counted := w.routers.Load(); counted > 0 {
 		return int(counted)
 	}
-	return watcher.count()
+	return w.count()
 }
 
 // Sharers tells among how many routers the rate of a cold runner in a zone is
 // shared: those of the zone itself serve it, since they know each other, and
 // nobody else does. Only where a zone has no routers do all.
-func (watcher *Watcher) Sharers(zone ids.Zone) int {
-	if zone == watcher.Table.Self().Zone {
-		return max(1, int(watcher.inZone.Load()))
+func (w *Watcher) Sharers(zone ids.Zone) int {
+	if zone == w.Table.Self().Zone {
+		return max(1, int(w.inZone.Load()))
 	}
-	watcher.lock.Lock()
-	routers, heard := watcher.sizes[zone]
-	watcher.lock.Unlock()
+	w.mu.Lock()
+	routers, heard := w.sizes[zone]
+	w.mu.Unlock()
 	if heard && routers == 0 {
-		return watcher.Routers()
+		return w.Routers()
 	}
 	return 0
 }
 
 // count is asked for at each look, so that requests only read a number.
-func (watcher *Watcher) count() int {
-	self := watcher.Table.Self()
-	own := watcher.ownSize()
-	watcher.lock.Lock()
-	defer watcher.lock.Unlock()
-	largest, sum, unknown := max(own, watcher.sizes[self.Zone]), int64(0), int64(0)
+func (w *Watcher) count() int {
+	self := w.Table.Self()
+	own := w.ownSize()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	largest, sum, unknown := max(own, w.sizes[self.Zone]), int64(0), int64(0)
 	own = largest
-	for zone := range watcher.Zones {
+	for zone := range w.Zones {
 		if zone == self.Zone {
 			continue
 		}
-		size, heard := watcher.sizes[zone]
+		size, heard := w.sizes[zone]
 		largest, sum = max(largest, size), sum+size
 		if !heard {
 			unknown++
 		}
 	}
 	counted := max(1, own+sum+unknown*largest)
-	watcher.inZone.Store(own)
-	watcher.routers.Store(counted)
+	w.inZone.Store(own)
+	w.routers.Store(counted)
 	return int(counted)
 }
 
 // Absorb reads a size out of an item of news; other items are left alone.
-func (watcher *Watcher) Absorb(item spread.Item) {
+func (w *Watcher) Absorb(item spread.Item) {
 	if len(item.Key) <= len(SizePrefix) || item.Key[:len(SizePrefix)] != SizePrefix {
 		return
 	}
 	if size, err := courier.Unpack[cohort.Size](item.Body); err == nil {
-		watcher.Learn([]cohort.Size{size})
+		w.Learn([]cohort.Size{size})
 	}
 }
 
 // Learn takes sizes: from news, or from a disk.
-func (watcher *Watcher) Learn(sizes []cohort.Size) {
-	watcher.lock.Lock()
-	defer watcher.lock.Unlock()
-	if watcher.sizes == nil {
-		watcher.sizes = map[ids.Zone]int64{}
+func (w *Watcher) Learn(sizes []cohort.Size) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.sizes == nil {
+		w.sizes = map[ids.Zone]int64{}
 	}
 	for _, size := range sizes {
-		watcher.sizes[size.Zone] = size.Routers
+		w.sizes[size.Zone] = size.Routers
 	}
 }
 
 // Sizes gives what is known of the other zones.
-func (watcher *Watcher) Sizes() []cohort.Size {
-	watcher.lock.Lock()
-	defer watcher.lock.Unlock()
+func (w *Watcher) Sizes() []cohort.Size {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	var sizes []cohort.Size
-	for zone, routers := range watcher.sizes {
+	for zone, routers := range w.sizes {
 		sizes = append(sizes, cohort.Size{Zone: zone, Routers: routers})
 	}
 	slices.SortFunc(sizes, func(left, right cohort.Size) int { return strings.Compare(string(left.Zone), string(right.Zone)) })
@@ -103,23 +103,23 @@
 }
 
 // Regions counts the routers of each region.
-func (watcher *Watcher) Regions() []Region {
-	self := watcher.Table.Self()
-	known, ready := map[ids.Zone]int64{self.Zone: watcher.ownSize()}, map[ids.Zone]int64{}
-	for _, size := range watcher.Sizes() {
+func (w *Watcher) Regions() []Region {
+	self := w.Table.Self()
+	known, ready := map[ids.Zone]int64{self.Zone: w.ownSize()}, map[ids.Zone]int64{}
+	for _, size := range w.Sizes() {
 		known[size.Zone] = max(known[size.Zone], size.Routers)
 	}
-	for _, member := range watcher.own() {
+	for _, member := range w.own() {
 		if member.State == cohort.Alive && member.Ready {
 			ready[self.Zone]++
 		}
 	}
-	reached, _ := watcher.Elsewhere()
+	reached, _ := w.Elsewhere()
 	for _, fronts := range reached {
 		ready[fronts.Zone] = int64(len(fronts.Able) + len(fronts.Unable))
 	}
 	sums := map[ids.Region]Region{}
-	for zone, region := range watcher.Zones {
+	for zone, region := range w.Zones {
 		sums[region] = Region{Name: region, Known: sums[region].Known + known[zone], Ready: sums[region].Ready + ready[zone]}
 	}
 	return slices.SortedFunc(maps.Values(sums), func(left, right Region) int {
--- a/control/zoneview/zoneview.go
+++ b/control/zoneview/zoneview.go
@@ -41,7 +41,7 @@
 	// Role is that of the daemons which carry requests.
 	Role string
 
-	lock  sync.Mutex
+	mu    sync.Mutex
 	sizes map[ids.Zone]int64
 	// answered are the zones of whose backbone somebody answered in this life.
 	answered map[ids.Zone]bool
@@ -51,17 +51,17 @@
 
 // Look makes news of the own zone where it changed, if this daemon is the first
 // to relay for it.
-func (watcher *Watcher) Look() {
-	watcher.Table.Forget()
-	watcher.count()
-	lost := watcher.lost()
-	self := watcher.Table.Self()
-	first := watcher.Table.Relays(self.Zone, 1)
+func (w *Watcher) Look() {
+	w.Table.Forget()
+	w.count()
+	lost := w.lost()
+	self := w.Table.Self()
+	first := w.Table.Relays(self.Zone, 1)
 	if !self.Relay || len(first) == 0 || first[0].Address != self.Address {
 		return
 	}
 	fronts := Fronts{Zone: self.Zone}
-	for _, member := range watcher.own() {
+	for _, member := range w.own() {
 		serving := member.State == cohort.Alive && member.Ready && member.Front != ""
 		if serving && member.Unable {
 			fronts.Unable = append(fronts.Unable, member.Front)
@@ -69,38 +69,38 @@
 			fronts.Able = append(fronts.Able, member.Front)
 		}
 	}
-	publish(watcher, FrontsPrefix, fronts)
-	if _, told := watcher.News.Get(LostKey(self.Zone)); told || len(lost.Zones) > 0 {
-		publish(watcher, spread.LostPrefix, lost)
+	publish(w, FrontsPrefix, fronts)
+	if _, told := w.News.Get(LostKey(self.Zone)); told || len(lost.Zones) > 0 {
+		publish(w, spread.LostPrefix, lost)
 	}
-	publish(watcher, SizePrefix, cohort.Size{Zone: self.Zone, Routers: watcher.size()})
+	publish(w, SizePrefix, cohort.Size{Zone: self.Zone, Routers: w.size()})
 }
 
 // size is how many routers the zone could have. A daemon that has not lived long
 // enough to have heard of all of them never lowers what was told before.
-func (watcher *Watcher) size() int64 {
-	own := watcher.ownSize()
-	if watcher.Table.Seasoned() {
+func (w *Watcher) size() int64 {
+	own := w.ownSize()
+	if w.Table.Seasoned() {
 		return own
 	}
-	watcher.lock.Lock()
-	defer watcher.lock.Unlock()
-	return max(own, watcher.sizes[watcher.Table.Self().Zone])
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return max(own, w.sizes[w.Table.Self().Zone])
 }
 
 // own gives the routers of this zone.
-func (watcher *Watcher) own() []cohort.Member {
-	zone := watcher.Table.Self().Zone
+func (w *Watcher) own() []cohort.Member {
+	zone := w.Table.Self().Zone
 	var found []cohort.Member
-	for _, member := range watcher.Table.Members() {
-		if member.Zone == zone && member.Role == watcher.Role {
+	for _, member := range w.Table.Members() {
+		if member.Zone == zone && member.Role == w.Role {
 			found = append(found, member)
 		}
 	}
 	return found
 }
 
-func (watcher *Watcher) ownSize() int64 { return int64(len(watcher.own())) }
+func (w *Watcher) ownSize() int64 { return int64(len(w.own())) }
 
 // publish makes an item where the newest of its key says something else. Two
 // relays that both believe to be the first write under serials that differ.
@@ -118,10 +118,10 @@
 // Elsewhere gives the fronts of the other zones from which some daemon of the
 // backbone answers, and the zones from which not all do: they may be out of
 // reach, even if that is not sure yet.
-func (watcher *Watcher) Elsewhere() (reached []Fronts, cut []ids.Zone) {
-	answers, silent := watcher.backbones()
-	own := watcher.Table.Self().Zone
-	for _, item := range watcher.News.Under(FrontsPrefix) {
+func (w *Watcher) Elsewhere() (reached []Fronts, cut []ids.Zone) {
+	answers, silent := w.backbones()
+	own := w.Table.Self().Zone
+	for _, item := range w.News.Under(FrontsPrefix) {
 		fronts, err := courier.Unpack[Fronts](item.Body)
 		if err != nil || fronts.Zone == own {
 			continue
--- a/data/admit/affinity.go
+++ b/data/admit/affinity.go
@@ -45,8 +45,8 @@
 }
 
 // rareFirst tells whether the first of several shared parts is a rare one.
-func (gate *Gate) rareFirst(asking Asking) bool {
-	return len(asking.Parts) >= fewestChained && gate.firsts.rare(asking.Parts[0], asking.Tokens)
+func (g *Gate) rareFirst(asking Asking) bool {
+	return len(asking.Parts) >= fewestChained && g.firsts.rare(asking.Parts[0], asking.Tokens)
 }
 
 const (
@@ -141,7 +141,7 @@
 
 // firsts remembers how much work lately came with each first part, in tokens.
 type firsts struct {
-	lock   sync.Mutex
+	mu     sync.Mutex
 	tokens map[string]float64
 	total  float64
 	count  float64
@@ -149,8 +149,8 @@
 
 // rare counts a prompt, and tells whether its first part is a rare one.
 func (f *firsts) rare(first string, tokens float64) bool {
-	f.lock.Lock()
-	defer f.lock.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if f.tokens == nil {
 		f.tokens = map[string]float64{}
 	}
--- a/data/admit/choose.go
+++ b/data/admit/choose.go
@@ -21,30 +21,30 @@
 
 // choose picks the runner for the next sending. Where none is open now but one
 // soon will be, it tells how long that takes.
-func (gate *Gate) choose(decision *Decision, now clock.Instant) (*snapshot.Runner, clock.Span) {
-	seen := gate.options.Frame.Now()
+func (g *Gate) choose(decision *Decision, now clock.Instant) (*snapshot.Runner, clock.Span) {
+	seen := g.options.Frame.Now()
 	if seen.Spec == nil {
 		return nil, 0
 	}
 	service := seen.Spec.Service(decision.service)
-	found, soon := gate.candidates(seen, service, decision, now)
+	found, soon := g.candidates(seen, service, decision, now)
 	if len(found) == 0 {
 		return nil, soon
 	}
-	if found = gate.timely(decision.asking.Route, found, now); len(found) == 0 {
+	if found = g.timely(decision.asking.Route, found, now); len(found) == 0 {
 		decision.crowded = true
 		return nil, 0
 	}
 	key, shared := affinity(decision.asking.Parts)
 	shared = shared && decision.asking.Route.Sticky
 	if !shared || !travels(decision.asking) {
-		found = gate.region(seen, decision, found)
+		found = g.region(seen, decision, found)
 	}
-	found = gate.group(seen, decision, found)
+	found = g.group(seen, decision, found)
 	if shared {
 		return keyed(decision, found, key).runner, 0
 	}
-	return gate.lighterOfTwo(found).runner, 0
+	return g.lighterOfTwo(found).runner, 0
 }
 
 // shortWait is how long a request waits before it asks again.
@@ -52,11 +52,11 @@
 
 // candidates are the runners that are listed, at home, open, awake and within
 // what cold ones may get.
-func (gate *Gate) candidates(seen *snapshot.Snapshot, service *spec.Service, decision *Decision, now clock.Instant) ([]candidate, clock.Span) {
+func (g *Gate) candidates(seen *snapshot.Snapshot, service *spec.Service, decision *Decision, now clock.Instant) ([]candidate, clock.Span) {
 	var found, resting []candidate
 	soon := clock.Span(0)
 	route := decision.asking.Route
-	share := gate.connections(service)
+	share := g.connections(service)
 	patience := max(route.Goal()/2, 50*clock.Millisecond)
 	decision.left = LeftOut{}
 	for _, runner := range seen.Runners[decision.service] {
@@ -72,8 +72,8 @@
 			decision.left.Away++
 			continue
 		}
-		ledger := gate.options.Board.Look(runner.ID)
-		if ledger.Doubted || gate.options.Board.Silence(runner.ID, now) > patience {
+		ledger := g.options.Board.Look(runner.ID)
+		if ledger.Doubted || g.options.Board.Silence(runner.ID, now) > patience {
 			// Its test may be over in a moment.
 			decision.left.Silent++
 			soon = shortWait
@@ -83,7 +83,7 @@
 			decision.left.Full++
 			continue
 		}
-		if !gate.options.Warmth.Open(runner.ID, gate.bound(service, runner.Zone), now) {
+		if !g.options.Warmth.Open(runner.ID, g.bound(service, runner.Zone), now) {
 			decision.left.Cold++
 			soon = shortWait
 			continue
@@ -91,7 +91,7 @@
 		slots := math.Max(1, float64(runner.Capacity))
 		told := ledger.Load.Running + ledger.Load.Waiting
 		able := candidate{runner: runner, weight: seen.Weight(runner), load: math.Max(told+ledger.Load.Sent, ledger.Running) / slots, group: seen.Planned[runner.ID].Group}
-		if seen.Rests(runner.ID, now) || gate.lost(runner.Zone) {
+		if seen.Rests(runner.ID, now) || g.lost(runner.Zone) {
 			resting = append(resting, able)
 		} else {
 			found = append(found, able)
@@ -104,11 +104,11 @@
 }
 
 // connections is this router's part of the connections that a runner accepts.
-func (gate *Gate) connections(service *spec.Service) float64 {
+func (g *Gate) connections(service *spec.Service) float64 {
 	if service == nil || service.MaxConnections <= 0 {
 		return math.Inf(1)
 	}
-	return math.Max(1, float64(service.MaxConnections)/float64(max(1, gate.options.Routers())))
+	return math.Max(1, float64(service.MaxConnections)/float64(max(1, g.options.Routers())))
 }
 
 const (
@@ -121,14 +121,14 @@
 // timely leaves out the runners at which requests of the same urgency have
 // waited so long that another would miss its goal. Where that is all of them,
 // what is let in would only make everybody late.
-func (gate *Gate) timely(route *spec.Route, found []candidate, now clock.Instant) []candidate {
+func (g *Gate) timely(route *spec.Route, found []candidate, now clock.Instant) []candidate {
 	if route.GoalMS <= 0 {
 		return found
 	}
 	limit := clock.Span(timelyPart * float64(route.Goal()))
 	kept := found[:0:0]
 	for _, able := range found {
-		if count, oldest := gate.options.Board.Queue(able.runner.ID, route.Urgency, now); count < fewestWaiting || oldest <= limit {
+		if count, oldest := g.options.Board.Queue(able.runner.ID, route.Urgency, now); count < fewestWaiting || oldest <= limit {
 			kept = append(kept, able)
 		}
 	}
@@ -137,7 +137,7 @@
 
 // region narrows the choice to one region: by the plan's shares, or the own
 // region first, as long as the runners there are not the fuller ones by far.
-func (gate *Gate) region(seen *snapshot.Snapshot, decision *Decision, found []candidate) []candidate {
+func (g *Gate) region(seen *snapshot.Snapshot, decision *Decision, found []candidate) []candidate {
 	regions := map[ids.Region][]candidate{}
 	for _, able := range found {
 		regions[able.runner.Region] = append(regions[able.runner.Region], able)
@@ -149,40 +149,40 @@
 	total := 0.0
 	shares := map[ids.Region]float64{}
 	for _, flow := range seen.Flows {
-		if flow.Service == decision.service && flow.Homes == homes && flow.Origin == gate.options.Region && regions[flow.Target] != nil {
+		if flow.Service == decision.service && flow.Homes == homes && flow.Origin == g.options.Region && regions[flow.Target] != nil {
 			shares[flow.Target] += flow.Share
 			total += flow.Share
 		}
 	}
-	aim := gate.options.Chance() * total
+	aim := g.options.Chance() * total
 	for _, flow := range seen.Flows {
-		if share := shares[flow.Target]; share > 0 && flow.Service == decision.service && flow.Homes == homes && flow.Origin == gate.options.Region {
+		if share := shares[flow.Target]; share > 0 && flow.Service == decision.service && flow.Homes == homes && flow.Origin == g.options.Region {
 			if aim -= share; aim < 0 {
 				return regions[flow.Target]
 			}
 		}
 	}
-	if own := regions[gate.options.Region]; own != nil {
+	if own := regions[g.options.Region]; own != nil {
 		return own
 	}
 	return found
 }
 
 // lighterOfTwo draws two by weight and takes the one with less load.
-func (gate *Gate) lighterOfTwo(found []candidate) candidate {
-	first, second := gate.draw(found), gate.draw(found)
+func (g *Gate) lighterOfTwo(found []candidate) candidate {
+	first, second := g.draw(found), g.draw(found)
 	if second.load < first.load {
 		return second
 	}
 	return first
 }
 
-func (gate *Gate) draw(found []candidate) candidate {
+func (g *Gate) draw(found []candidate) candidate {
 	total := 0.0
 	for _, able := range found {
 		total += able.weight
 	}
-	aim := gate.options.Chance() * total
+	aim := g.options.Chance() * total
 	for _, able := range found {
 		if aim -= able.weight; aim < 0 {
 			return able
--- a/data/admit/decision.go
+++ b/data/admit/decision.go
@@ -46,44 +46,44 @@
 }
 
 // Service is the service that the request goes to.
-func (decision *Decision) Service() ids.Service { return decision.service }
+func (d *Decision) Service() ids.Service { return d.service }
 
 // Ask tells what to do next.
-func (decision *Decision) Ask(now clock.Instant) Order {
-	if !now.Before(decision.asking.Limit) {
-		return decision.finally(failure.LimitBeforeRun, failure.LimitReached)
+func (d *Decision) Ask(now clock.Instant) Order {
+	if !now.Before(d.asking.Limit) {
+		return d.finally(failure.LimitBeforeRun, failure.LimitReached)
 	}
-	route := decision.asking.Route
-	if decision.ran && !route.Repeatable() {
-		return decision.finally(failure.RunnerLost, failure.RunnerLost)
+	route := d.asking.Route
+	if d.ran && !route.Repeatable() {
+		return d.finally(failure.RunnerLost, failure.RunnerLost)
 	}
-	if decision.sends >= max(1, route.Tries) {
-		return decision.finally(failure.Crowded, failure.RunnerLost)
+	if d.sends >= max(1, route.Tries) {
+		return d.finally(failure.Crowded, failure.RunnerLost)
 	}
-	runner, pause := decision.gate.choose(decision, now)
+	runner, pause := d.gate.choose(d, now)
 	if runner == nil {
 		// A short wait is no refusal that comes late.
-		if pause > 0 && now.Add(pause).Since(decision.asking.Since) < route.Goal()/4 {
+		if pause > 0 && now.Add(pause).Since(d.asking.Since) < route.Goal()/4 {
 			return Order{Act: Wait, Span: pause}
 		}
 		promise := failure.NoRunner
-		if decision.crowded {
+		if d.crowded {
 			promise = failure.Crowded
 		}
-		return decision.finally(promise, failure.RunnerLost)
+		return d.finally(promise, failure.RunnerLost)
 	}
-	if decision.arrived && !decision.gate.options.Budget.Spend(decision.service, now) {
-		return decision.finally(failure.BudgetSpent, failure.RunnerLost)
+	if d.arrived && !d.gate.options.Budget.Spend(d.service, now) {
+		return d.finally(failure.BudgetSpent, failure.RunnerLost)
 	}
 	return Order{Act: Send, Runner: runner}
 }
 
 // finally picks the last answer: a promise only where nothing can have run.
-func (decision *Decision) finally(promise failure.Kind, broken failure.Kind) Order {
-	if !decision.ran {
+func (d *Decision) finally(promise failure.Kind, broken failure.Kind) Order {
+	if !d.ran {
 		return Order{Act: Answer, Kind: promise}
 	}
-	if decision.garbled && broken == failure.RunnerLost {
+	if d.garbled && broken == failure.RunnerLost {
 		broken = failure.RunnerGarbled
 	}
 	return Order{Act: Answer, Kind: broken}
@@ -91,23 +91,23 @@
 
 // Holds asks again, right before the bytes are written, whether the runner may
 // still be sent to; it takes the request's place at a cold one.
-func (decision *Decision) Holds(runner *snapshot.Runner, now clock.Instant) bool {
-	options := decision.gate.options
+func (d *Decision) Holds(runner *snapshot.Runner, now clock.Instant) bool {
+	options := d.gate.options
 	seen := options.Frame.Now()
-	if seen.Spec == nil || !seen.Usable(decision.service, runner.ID) {
+	if seen.Spec == nil || !seen.Usable(d.service, runner.ID) {
 		return false
 	}
-	return options.Warmth.Take(runner.ID, decision.gate.bound(seen.Spec.Service(decision.service), runner.Zone), now)
+	return options.Warmth.Take(runner.ID, d.gate.bound(seen.Spec.Service(d.service), runner.Zone), now)
 }
 
 // Tell notes the fate of a sending.
-func (decision *Decision) Tell(runner *snapshot.Runner, fate forward.Fate) {
-	decision.tried[runner.ID] = true
+func (d *Decision) Tell(runner *snapshot.Runner, fate forward.Fate) {
+	d.tried[runner.ID] = true
 	if fate == forward.Unsent {
 		return
 	}
-	decision.sends++
-	decision.arrived = true
-	decision.ran = decision.ran || fate != forward.Refused
-	decision.garbled = fate == forward.Garbled
+	d.sends++
+	d.arrived = true
+	d.ran = d.ran || fate != forward.Refused
+	d.garbled = fate == forward.Garbled
 }
--- a/data/admit/gate.go
+++ b/data/admit/gate.go
@@ -62,7 +62,7 @@
 }
 
 // Prompt reads the parts of a prompt: ids and tokens, in order.
-func (asking *Asking) Prompt(text string) {
+func (a *Asking) Prompt(text string) {
 	if text == "" {
 		return
 	}
@@ -70,46 +70,46 @@
 	for _, piece := range strings.Split(text, ",") {
 		id, count, _ := strings.Cut(strings.TrimSpace(piece), ":")
 		own, _ = strconv.ParseFloat(count, 64)
-		asking.Parts = append(asking.Parts, id)
-		asking.Tokens += own
+		a.Parts = append(a.Parts, id)
+		a.Tokens += own
 	}
-	asking.Shared = asking.Tokens - own
+	a.Shared = a.Tokens - own
 }
 
 // Counted reads the tokens of the prompt and the most out, as the request tells
 // them. What is absent or broken leaves the length unknown; it refuses nothing.
-func (asking *Asking) Counted(text string) {
+func (a *Asking) Counted(text string) {
 	prompt, _, _ := strings.Cut(text, ",")
 	if tokens, err := strconv.ParseFloat(strings.TrimSpace(prompt), 64); err == nil && tokens > 0 && tokens < 1e9 {
-		asking.Length = tokens
+		a.Length = tokens
 	}
 }
 
 // Kind is what the request is told apart by before it runs.
-func (decision *Decision) Kind() lengths.Kind {
+func (d *Decision) Kind() lengths.Kind {
 	return lengths.Kind{
-		Service: decision.service, Route: decision.asking.Route.Name, Bucket: lengths.BucketOf(decision.asking.Length),
+		Service: d.service, Route: d.asking.Route.Name, Bucket: lengths.BucketOf(d.asking.Length),
 	}
 }
 
 // Begin opens the decision on a request.
-func (gate *Gate) Begin(asking Asking) *Decision {
-	decision := &Decision{gate: gate, asking: asking, tried: map[ids.RunnerID]bool{}}
-	decision.service = gate.service(asking.Route)
-	decision.rareFirst = gate.rareFirst(asking)
-	gate.options.Board.Asked(decision.service, homesKey(asking.Route))
-	gate.options.Budget.Request(decision.service, gate.options.Scope.Now())
+func (g *Gate) Begin(asking Asking) *Decision {
+	decision := &Decision{gate: g, asking: asking, tried: map[ids.RunnerID]bool{}}
+	decision.service = g.service(asking.Route)
+	decision.rareFirst = g.rareFirst(asking)
+	g.options.Board.Asked(decision.service, homesKey(asking.Route))
+	g.options.Budget.Request(decision.service, g.options.Scope.Now())
 	return decision
 }
 
 // service picks one of the route's services by their weights.
-func (gate *Gate) service(route *spec.Route) ids.Service {
+func (g *Gate) service(route *spec.Route) ids.Service {
 	parts := route.Parts()
 	total := 0.0
 	for _, part := range parts {
 		total += part.Weight
 	}
-	aim := gate.options.Chance() * total
+	aim := g.options.Chance() * total
 	for _, part := range parts {
 		if aim -= part.Weight; aim < 0 {
 			return part.Service
@@ -126,13 +126,13 @@
 	return key
 }
 
-func (gate *Gate) lost(zone ids.Zone) bool {
-	return gate.options.Lost != nil && gate.options.Lost(zone)
+func (g *Gate) lost(zone ids.Zone) bool {
+	return g.options.Lost != nil && g.options.Lost(zone)
 }
 
-func (gate *Gate) bound(service *spec.Service, zone ids.Zone) warmth.Bound {
+func (g *Gate) bound(service *spec.Service, zone ids.Zone) warmth.Bound {
 	if service == nil {
 		return warmth.Bound{}
 	}
-	return warmth.Bound{PerS: service.ColdPerS, Sharers: gate.options.Sharers(zone)}
+	return warmth.Bound{PerS: service.ColdPerS, Sharers: g.options.Sharers(zone)}
 }
--- a/data/admit/group.go
+++ b/data/admit/group.go
@@ -18,7 +18,7 @@
 // first. Where these are much fuller than the others, or none is left, all are
 // there to choose from: grouping never makes a runner stand idle beside a queue,
 // and never refuses.
-func (gate *Gate) group(seen *snapshot.Snapshot, decision *Decision, found []candidate) []candidate {
+func (g *Gate) group(seen *snapshot.Snapshot, decision *Decision, found []candidate) []candidate {
 	class := seen.Lengths.Class(decision.Kind())
 	if class == lengths.Unknown {
 		return found
--- a/data/admit/left.go
+++ b/data/admit/left.go
@@ -30,4 +30,4 @@
 }
 
 // LeftOut tells which runners the last choice left out.
-func (decision *Decision) LeftOut() LeftOut { return decision.left }
+func (d *Decision) LeftOut() LeftOut { return d.left }
--- a/data/answer/carry.go
+++ b/data/answer/carry.go
@@ -30,88 +30,88 @@
 }
 
 // carry asks the decision and obeys until the visit is over.
-func (visit *visit) carry() {
-	top := visit.front.options.Scope.Under(visit.request.Context())
-	inner, release := top.WithLimit(visit.limit.Since(visit.since))
+func (v *visit) carry() {
+	top := v.front.options.Scope.Under(v.request.Context())
+	ctx, release := top.WithLimit(v.limit.Since(v.since))
 	defer release()
-	decision := visit.front.options.Gate.Begin(visit.asking)
+	decision := v.front.options.Gate.Begin(v.asking)
 	for {
 		if top.Err() != nil {
-			visit.abort()
+			v.abort()
 		}
 		order := decision.Ask(top.Now())
-		if acts[order.Act](visit, inner, decision, order) {
+		if acts[order.Act](v, ctx, decision, order) {
 			return
 		}
 	}
 }
 
 // send takes the request to a runner and its answer to the visitor.
-func (visit *visit) send(inner scope.Scope, decision *admit.Decision, order admit.Order) bool {
-	if visit.begun && !visit.known {
+func (v *visit) send(ctx scope.Scope, decision *admit.Decision, order admit.Order) bool {
+	if v.begun && !v.known {
 		// What was passed on had no ids, so that no other run can go on after it.
-		visit.abort()
+		v.abort()
 	}
-	options, runner := visit.front.options, order.Runner
-	begin := inner.Now()
+	options, runner := v.front.options, order.Runner
+	begin := ctx.Now()
 	if !decision.Holds(runner, begin) {
 		return false
 	}
 	trip := forward.Trip{
-		Request: visit.sent, Runner: runner.ID, Address: runner.Address,
-		Left: visit.limit.Since(begin), Urgency: visit.route.Urgency,
-		Service: decision.Service(), Once: !visit.route.Repeatable(),
+		Request: v.sent, Runner: runner.ID, Address: runner.Address,
+		Left: v.limit.Since(begin), Urgency: v.route.Urgency,
+		Service: decision.Service(), Once: !v.route.Repeatable(),
 	}
-	resumed := visit.known
+	resumed := v.known
 	if resumed {
-		trip.LastEvent = strconv.FormatInt(visit.last, 10)
+		trip.LastEvent = strconv.FormatInt(v.last, 10)
 	}
-	visit.checkSending(runner, trip.Left, begin)
-	number := visit.front.number.Add(1)
+	v.checkSending(runner, trip.Left, begin)
+	number := v.front.number.Add(1)
 	options.Board.Sent(runner.ID, metrics.Sending{
-		Service: decision.Service(), Number: number, Tokens: visit.asking.Tokens, Urgency: visit.route.Urgency,
-		Goal: visit.route.Goal(),
+		Service: decision.Service(), Number: number, Tokens: v.asking.Tokens, Urgency: v.route.Urgency,
+		Goal: v.route.Goal(),
 	}, begin)
-	ending := metrics.Ending{Number: number, Tokens: visit.asking.Tokens}
-	result := options.Sender.Send(inner, trip)
-	visit.hear(runner, result.Response)
+	ending := metrics.Ending{Number: number, Tokens: v.asking.Tokens}
+	result := options.Sender.Send(ctx, trip)
+	v.hear(runner, result.Response)
 	fate, over, slow := result.Fate, false, 0.0
 	if result.Fate == forward.Answered {
 		ending.Began = true
-		first := inner.Now()
-		if first.Since(visit.since) > visit.route.Goal()/slowPart {
+		first := ctx.Now()
+		if first.Since(v.since) > v.route.Goal()/slowPart {
 			slow = 1
 		}
-		options.Board.Began(runner.ID, number, visit.asking.Tokens, first)
-		if visit.asking.Tokens > 0 && !visit.known {
-			options.Board.Read(decision.Service(), visit.route.Name, visit.asking.Tokens, first.Since(begin))
+		options.Board.Began(runner.ID, number, v.asking.Tokens, first)
+		if v.asking.Tokens > 0 && !v.known {
+			options.Board.Read(decision.Service(), v.route.Name, v.asking.Tokens, first.Since(begin))
 		}
-		fate, over = visit.pass(inner, runner, result.Response)
+		fate, over = v.pass(ctx, runner, result.Response)
 	} else {
-		discard(inner, result.Response)
+		discard(ctx, result.Response)
 	}
-	now := inner.Now()
+	now := ctx.Now()
 	ending.Finished = fate == forward.Answered
 	ending.Spent = now.Since(begin)
 	cause := result.Cause
 	if result.Fate != fate {
 		cause = "body"
 	}
-	visit.sentTo(runner, fate, cause, ending.Spent)
-	if ending.Finished && visit.asking.Tokens == 0 {
-		options.Board.Read(decision.Service(), visit.route.Name, 1, ending.Spent)
+	v.sentTo(runner, fate, cause, ending.Spent)
+	if ending.Finished && v.asking.Tokens == 0 {
+		options.Board.Read(decision.Service(), v.route.Name, 1, ending.Spent)
 	}
 	if ending.Finished && !resumed {
-		options.Board.Took(visit.answered(decision, ending.Spent, slow))
+		options.Board.Took(v.answered(decision, ending.Spent, slow))
 	}
-	late := visit.gone || visit.request.Context().Err() != nil || !now.Before(visit.limit)
-	ending.Broken = fate != forward.Answered && broken(result, late, ending, visit.route)
+	late := v.gone || v.request.Context().Err() != nil || !now.Before(v.limit)
+	ending.Broken = fate != forward.Answered && broken(result, late, ending, v.route)
 	options.Board.Ended(runner.ID, ending, now)
 	if !result.Stale {
 		decision.Tell(runner, fate)
 	}
-	if visit.gone {
-		visit.abort()
+	if v.gone {
+		v.abort()
 	}
 	return over
 }
@@ -122,7 +122,7 @@
 
 // discard ends a response that is not passed on; one whose rest does not come is
 // left to the end of the visit.
-func discard(inner scope.Scope, response *http.Response) {
+func discard(ctx scope.Scope, response *http.Response) {
 	if response == nil || response.Body == http.NoBody {
 		return
 	}
@@ -133,7 +133,7 @@
 	}()
 	select {
 	case <-done:
-	case <-inner.Clock.After(discardWait):
+	case <-ctx.Clock.After(discardWait):
 	}
 }
 
@@ -141,10 +141,10 @@
 const slowPart = 4
 
 // answered is what the length of answers is learnt from.
-func (visit *visit) answered(decision *admit.Decision, spent clock.Span, slow float64) lengths.Sum {
+func (v *visit) answered(decision *admit.Decision, spent clock.Span, slow float64) lengths.Sum {
 	return lengths.Sum{
 		Kind: decision.Kind(), Count: 1, SpentMS: float64(spent) / float64(clock.Millisecond),
-		Tokens: max(0, visit.asking.Tokens-visit.asking.Shared), Slow: slow,
+		Tokens: max(0, v.asking.Tokens-v.asking.Shared), Slow: slow,
 	}
 }
 
@@ -166,15 +166,15 @@
 }
 
 // hear takes what a runner says of itself in an answer's head.
-func (visit *visit) hear(runner *snapshot.Runner, response *http.Response) {
+func (v *visit) hear(runner *snapshot.Runner, response *http.Response) {
 	if response == nil {
 		return
 	}
-	now := visit.front.options.Scope.Now()
+	now := v.front.options.Scope.Now()
 	if load := response.Header.Get(forward.LoadHeader); load != "" {
-		visit.front.options.Board.Told(runner.ID, load, now)
+		v.front.options.Board.Told(runner.ID, load, now)
 	}
 	if left, err := strconv.ParseFloat(response.Header.Get(forward.ColdHeader), 64); err == nil && left > 0 {
-		visit.front.options.Warmth.Chill(runner.ID, now.Add(boot.Milliseconds(left)), now)
+		v.front.options.Warmth.Chill(runner.ID, now.Add(boot.Milliseconds(left)), now)
 	}
 }
--- a/data/answer/door.go
+++ b/data/answer/door.go
@@ -49,25 +49,25 @@
 }
 
 // Close closes the door.
-func (door door) Close() error {
-	door.places.close()
-	return door.Listener.Close()
+func (d door) Close() error {
+	d.places.close()
+	return d.Listener.Close()
 }
 
 // Accept gives the next connection.
-func (door door) Accept() (net.Conn, error) {
-	if err := door.places.take(); err != nil {
+func (d door) Accept() (net.Conn, error) {
+	if err := d.places.take(); err != nil {
 		return nil, err
 	}
-	link, err := door.Listener.Accept()
+	link, err := d.Listener.Accept()
 	if err != nil {
-		door.places.leave()
+		d.places.leave()
 		return nil, err
 	}
-	made := &watched{Conn: link, places: door.places}
-	made.timing.limits = door.front.limits
+	made := &watched{Conn: link, places: d.places}
+	made.timing.limits = d.front.limits
 	made.timing.enter(readingHead)
-	made.links = &door.front.links
+	made.links = &d.front.links
 	made.links.add(made)
 	return made, nil
 }
@@ -97,27 +97,27 @@
 const nameMost = len("transfer-encoding:")
 
 // Read reads along.
-func (link *watched) Read(buffer []byte) (int, error) {
-	size, err := link.Conn.Read(buffer)
+func (w *watched) Read(buffer []byte) (int, error) {
+	size, err := w.Conn.Read(buffer)
 	for size == 0 {
-		until, more := link.timing.longer(err)
+		until, more := w.timing.longer(err)
 		if !more {
 			break
 		}
-		if err = link.Conn.SetReadDeadline(until); err == nil {
-			size, err = link.Conn.Read(buffer)
+		if err = w.Conn.SetReadDeadline(until); err == nil {
+			size, err = w.Conn.Read(buffer)
 		}
 	}
 	if size > 0 {
-		link.timing.begin()
-		if link.answered.Swap(false) {
-			link.over, link.line = false, link.line[:0]
-			link.lengths.Store(0)
-			link.codings.Store(0)
-			link.heads.Store(0)
+		w.timing.begin()
+		if w.answered.Swap(false) {
+			w.over, w.line = false, w.line[:0]
+			w.lengths.Store(0)
+			w.codings.Store(0)
+			w.heads.Store(0)
 		}
-		if !link.over {
-			link.scan(buffer[:size])
+		if !w.over {
+			w.scan(buffer[:size])
 		}
 	}
 	return size, err
@@ -125,65 +125,65 @@
 
 // SetReadDeadline sets the deadline of the limits in force in place of
 // net/http's, but while a request is being answered.
-func (link *watched) SetReadDeadline(set time.Time) error {
-	return link.Conn.SetReadDeadline(link.timing.deadline(set))
+func (w *watched) SetReadDeadline(set time.Time) error {
+	return w.Conn.SetReadDeadline(w.timing.deadline(set))
 }
 
 // Write notes that an answer went out.
-func (link *watched) Write(buffer []byte) (int, error) {
-	link.answered.Store(true)
-	return link.Conn.Write(buffer)
+func (w *watched) Write(buffer []byte) (int, error) {
+	w.answered.Store(true)
+	return w.Conn.Write(buffer)
 }
 
 // Close ends the connection and gives its place to another.
-func (link *watched) Close() error {
-	link.left.Do(func() {
-		link.links.remove(link)
-		link.places.leave()
+func (w *watched) Close() error {
+	w.left.Do(func() {
+		w.links.remove(w)
+		w.places.leave()
 	})
-	return link.Conn.Close()
+	return w.Conn.Close()
 }
 
 // CloseWrite ends our side alone, so that a last answer is not lost by a reset.
-func (link *watched) CloseWrite() error {
-	if half, able := link.Conn.(interface{ CloseWrite() error }); able {
+func (w *watched) CloseWrite() error {
+	if half, able := w.Conn.(interface{ CloseWrite() error }); able {
 		return half.CloseWrite()
 	}
-	return link.Conn.Close()
+	return w.Conn.Close()
 }
 
 // spoil has the connection's end be a reset.
-func (link *watched) spoil() {
-	if able, known := link.Conn.(interface{ SetLinger(seconds int) error }); known {
+func (w *watched) spoil() {
+	if able, known := w.Conn.(interface{ SetLinger(seconds int) error }); known {
 		_ = able.SetLinger(0)
 	}
 }
 
-func (link *watched) scan(text []byte) {
-	for len(text) > 0 && !link.over {
+func (w *watched) scan(text []byte) {
+	for len(text) > 0 && !w.over {
 		part, rest, ended := bytes.Cut(text, []byte("\n"))
-		link.line = append(link.line, part[:min(len(part), nameMost-min(nameMost, len(link.line)))]...)
+		w.line = append(w.line, part[:min(len(part), nameMost-min(nameMost, len(w.line)))]...)
 		text = rest
 		if !ended {
 			return
 		}
-		line := strings.ToLower(string(link.line))
-		link.over = strings.TrimRight(line, "\r") == ""
+		line := strings.ToLower(string(w.line))
+		w.over = strings.TrimRight(line, "\r") == ""
 		if strings.HasPrefix(line, "content-length:") {
-			link.lengths.Add(1)
+			w.lengths.Add(1)
 		}
 		if strings.HasPrefix(line, "transfer-encoding:") {
-			link.codings.Add(1)
+			w.codings.Add(1)
 		}
-		link.line = link.line[:0]
+		w.line = w.line[:0]
 	}
 }
 
 // torn tells whether the request's head says two things of its body, and whether
 // that was seen.
-func (link *watched) torn() (torn bool, seen bool) {
-	lengths, codings := link.lengths.Load(), link.codings.Load()
-	seen = link.heads.Add(1) == 1
+func (w *watched) torn() (torn bool, seen bool) {
+	lengths, codings := w.lengths.Load(), w.codings.Load()
+	seen = w.heads.Add(1) == 1
 	return seen && lengths+codings > 1, seen
 }
 
--- a/data/answer/framing_test.go
+++ b/data/answer/framing_test.go
@@ -40,8 +40,8 @@
 }
 
 // raw sends bytes and gives all that comes back, and how it ended.
-func (house *house) raw(text string) (string, error) {
-	link := house.dial()
+func (h *house) raw(text string) (string, error) {
+	link := h.dial()
 	_, _ = io.WriteString(link, text)
 	got, err := io.ReadAll(link)
 	return string(got), err
--- a/data/answer/front.go
+++ b/data/answer/front.go
@@ -64,8 +64,8 @@
 const bodiesPart = 4
 
 // limits are those of the configuration in force.
-func (front *Front) limits() spec.Limits {
-	if seen := front.options.Frame.Now(); seen.Spec != nil {
+func (f *Front) limits() spec.Limits {
+	if seen := f.options.Frame.Now(); seen.Spec != nil {
 		return seen.Spec.Limits
 	}
 	return spec.Limits{}
@@ -73,23 +73,23 @@
 
 // Leave has every answer from now on ask its visitor to go elsewhere next, and
 // requests that come later than the last be turned away.
-func (front *Front) Leave(last clock.Instant) {
-	front.last.Store(int64(last))
-	front.leaving.Store(true)
+func (f *Front) Leave(last clock.Instant) {
+	f.last.Store(int64(last))
+	f.leaving.Store(true)
 }
 
 // Running tells how many requests are being answered.
-func (front *Front) Running() int64 { return front.running.Load() }
+func (f *Front) Running() int64 { return f.running.Load() }
 
 // ServeHTTP answers one request.
-func (front *Front) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	front.running.Add(1)
-	defer front.running.Add(-1)
+func (f *Front) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	f.running.Add(1)
+	defer f.running.Add(-1)
 	if link, known := request.Context().Value(watchedKey{}).(*watched); known && !link.timing.enter(handling) {
 		// It was closed as the request arrived: nobody would get the answer.
 		reply.Abort()
 	}
-	visit := &visit{front: front, writer: writer, request: request, since: front.options.Scope.Now(), held: front.bodies.Hold()}
+	visit := &visit{front: f, writer: writer, request: request, since: f.options.Scope.Now(), held: f.bodies.Hold()}
 	defer visit.record()
 	defer visit.held.Release()
 	if err := visit.read(); err != nil {
@@ -137,30 +137,30 @@
 
 // refuse answers with a failure, and where it promises that nothing ran,
 // tells when to come back.
-func (visit *visit) refuse(kind failure.Kind, detail string) {
-	if visit.begun {
-		visit.abort()
+func (v *visit) refuse(kind failure.Kind, detail string) {
+	if v.begun {
+		v.abort()
 	}
-	if kind.Answer().NotRun && visit.mayHaveRun() {
-		visit.front.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", visit.sent.Attempt, kind, visit.sends)
+	if kind.Answer().NotRun && v.mayHaveRun() {
+		v.front.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", v.sent.Attempt, kind, v.sends)
 	}
-	visit.outcome, visit.reason = kind.String(), detail
+	v.outcome, v.reason = kind.String(), detail
 	made := reply.Of(kind, detail)
-	if kind.Answer().Status == http.StatusServiceUnavailable && visit.route != nil {
-		made = made.After(max(comeBack(kind, visit.route.Goal()), 20*clock.Millisecond))
+	if kind.Answer().Status == http.StatusServiceUnavailable && v.route != nil {
+		made = made.After(max(comeBack(kind, v.route.Goal()), 20*clock.Millisecond))
 	}
-	if visit.closes() {
+	if v.closes() {
 		made = made.Close()
 	}
-	visit.refused = true
-	made.Send(visit.writer)
+	v.refused = true
+	made.Send(v.writer)
 }
 
 // closes tells whether the connection ends with the answer: the router leaves, or
 // others wait for the connection's place.
-func (visit *visit) closes() bool {
-	link, known := visit.request.Context().Value(watchedKey{}).(*watched)
-	return visit.front.leaving.Load() || (known && link.places.crowded())
+func (v *visit) closes() bool {
+	link, known := v.request.Context().Value(watchedKey{}).(*watched)
+	return v.front.leaving.Load() || (known && link.places.crowded())
 }
 
 // comeBack is when a visitor may find things better: soon where a runner is
--- a/data/answer/harness_test.go
+++ b/data/answer/harness_test.go
@@ -91,25 +91,25 @@
 	return made
 }
 
-func (house *house) spec(serial int, text string) {
-	house.news.Put(spread.Item{Key: "spec", Serial: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
+func (h *house) spec(serial int, text string) {
+	h.news.Put(spread.Item{Key: "spec", Serial: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
 }
 
-func (house *house) list() {
-	house.serial++
-	body, err := courier.Pack(discovery.List{Runners: house.listed})
+func (h *house) list() {
+	h.serial++
+	body, err := courier.Pack(discovery.List{Runners: h.listed})
 	if err != nil {
-		house.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	house.news.Put(spread.Item{Key: discovery.PartKey("all"), Serial: house.serial, Body: body})
+	h.news.Put(spread.Item{Key: discovery.PartKey("all"), Serial: h.serial, Body: body})
 }
 
-func (house *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
+func (h *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
 	body, err := courier.Pack(evacuation.Kept{Serial: serial, Empty: empty})
 	if err != nil {
-		house.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	house.news.Put(spread.Item{Key: evacuation.Key(zone), Serial: serial, Body: body})
+	h.news.Put(spread.Item{Key: evacuation.Key(zone), Serial: serial, Body: body})
 }
 
 type told struct {
@@ -121,11 +121,11 @@
 }
 
 // ask sends a visitor's request and reads the answer to its end.
-func (house *house) ask(path string, body string, heads ...string) told {
-	house.t.Helper()
-	request, err := http.NewRequest("POST", house.server.URL+path, strings.NewReader(body))
+func (h *house) ask(path string, body string, heads ...string) told {
+	h.t.Helper()
+	request, err := http.NewRequest("POST", h.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		house.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	request.Host = "shop.example"
 	request.Header.Set("Onyxwell-Attempt-Id", "v1")
--- a/data/answer/hostile_test.go
+++ b/data/answer/hostile_test.go
@@ -55,12 +55,12 @@
 	{"no request at all", "\x16\x03\x01 hello\r\n\r\n", 400},
 }
 
-func (house *house) dial() net.Conn {
-	link, err := net.Dial("tcp", house.server.Listener.Addr().String())
+func (h *house) dial() net.Conn {
+	link, err := net.Dial("tcp", h.server.Listener.Addr().String())
 	if err != nil {
-		house.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	house.t.Cleanup(func() { _ = link.Close() })
+	h.t.Cleanup(func() { _ = link.Close() })
 	return link
 }
 
--- a/data/answer/limits.go
+++ b/data/answer/limits.go
@@ -35,7 +35,7 @@
 // its limits from when it is made, and a configuration may bring others.
 type timing struct {
 	limits func() spec.Limits
-	lock   sync.Mutex
+	mu     sync.Mutex
 	phase  phase
 	// since is when the phase began.
 	since time.Time
@@ -45,8 +45,8 @@
 
 // enter begins a phase; false says that the connection is closed.
 func (t *timing) enter(next phase) bool {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if t.phase == closed {
 		return false
 	}
@@ -57,16 +57,16 @@
 
 // begin notes that bytes have arrived.
 func (t *timing) begin() {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	t.begun = true
 }
 
 // end has a connection on which nothing is asked be closed; false says that
 // something is.
 func (t *timing) end() bool {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if t.phase == handling || t.begun {
 		return false
 	}
@@ -76,15 +76,15 @@
 
 // asked tells whether a request is being read or answered.
 func (t *timing) asked() bool {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return t.phase == handling || (t.phase != closed && t.begun)
 }
 
 // deadline gives the deadline that counts where net/http sets one.
 func (t *timing) deadline(set time.Time) time.Time {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if t.phase == handling || t.phase == closed {
 		return set
 	}
@@ -114,8 +114,8 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return time.Time{}, false
 	}
-	t.lock.Lock()
-	defer t.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if t.phase == handling || t.phase == closed {
 		return time.Time{}, false
 	}
--- a/data/answer/links.go
+++ b/data/answer/links.go
@@ -9,31 +9,31 @@
 
 // links are the connections of a front's clients. The zero value is ready.
 type links struct {
-	lock sync.Mutex
-	all  map[*watched]bool
+	mu  sync.Mutex
+	all map[*watched]bool
 }
 
-func (links *links) add(link *watched) {
-	links.lock.Lock()
-	defer links.lock.Unlock()
-	if links.all == nil {
-		links.all = map[*watched]bool{}
+func (l *links) add(link *watched) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.all == nil {
+		l.all = map[*watched]bool{}
 	}
-	links.all[link] = true
+	l.all[link] = true
 }
 
-func (links *links) remove(link *watched) {
-	links.lock.Lock()
-	defer links.lock.Unlock()
-	delete(links.all, link)
+func (l *links) remove(link *watched) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.all, link)
 }
 
 // list gives all connections.
-func (links *links) list() []*watched {
-	links.lock.Lock()
-	defer links.lock.Unlock()
+func (l *links) list() []*watched {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var all []*watched
-	for link := range links.all {
+	for link := range l.all {
 		all = append(all, link)
 	}
 	return all
@@ -42,8 +42,8 @@
 // Rest closes the connections on which nothing is asked. net/http would do that
 // too, and also close one whose next request it is reading, which it then has
 // answered into nothing.
-func (front *Front) Rest() {
-	for _, link := range front.links.list() {
+func (f *Front) Rest() {
+	for _, link := range f.links.list() {
 		if link.timing.end() {
 			_ = link.Close()
 		}
@@ -52,15 +52,15 @@
 
 // Finish closes connections as their answers go out, until none is asked for one
 // any more or the scope ends.
-func (front *Front) Finish(inner scope.Scope) {
+func (f *Front) Finish(ctx scope.Scope) {
 	const pause = 20 * clock.Millisecond
-	for front.asked() && inner.Wait(pause) {
-		front.Rest()
+	for f.asked() && ctx.Wait(pause) {
+		f.Rest()
 	}
 }
 
-func (front *Front) asked() bool {
-	for _, link := range front.links.list() {
+func (f *Front) asked() bool {
+	for _, link := range f.links.list() {
 		if link.timing.asked() {
 			return true
 		}
--- a/data/answer/places.go
+++ b/data/answer/places.go
@@ -34,33 +34,33 @@
 }
 
 // take waits for a place.
-func (places *places) take() error {
-	if places == nil {
+func (p *places) take() error {
+	if p == nil {
 		return nil
 	}
 	select {
-	case places.taken <- struct{}{}:
+	case p.taken <- struct{}{}:
 		return nil
-	case <-places.closed:
+	case <-p.closed:
 		return net.ErrClosed
 	}
 }
 
 // leave gives a place back.
-func (places *places) leave() {
-	if places != nil {
-		<-places.taken
+func (p *places) leave() {
+	if p != nil {
+		<-p.taken
 	}
 }
 
 // close has nobody wait any more.
-func (places *places) close() {
-	if places != nil {
-		places.once.Do(func() { close(places.closed) })
+func (p *places) close() {
+	if p != nil {
+		p.once.Do(func() { close(p.closed) })
 	}
 }
 
 // crowded tells whether few places are left.
-func (places *places) crowded() bool {
-	return places != nil && len(places.taken) >= max(1, cap(places.taken)*crowdedPart/4)
+func (p *places) crowded() bool {
+	return p != nil && len(p.taken) >= max(1, cap(p.taken)*crowdedPart/4)
 }
--- a/data/answer/read.go
+++ b/data/answer/read.go
@@ -17,66 +17,66 @@
 )
 
 // read takes the request in, within the spec's limits.
-func (visit *visit) read() error {
-	visit.seen = visit.front.options.Frame.Now()
-	if visit.seen.Spec == nil {
+func (v *visit) read() error {
+	v.seen = v.front.options.Frame.Now()
+	if v.seen.Spec == nil {
 		return failure.Of(failure.Unready, "")
 	}
-	limits := visit.seen.Spec.Limits
-	if limits.MaxHeaderBytes > 0 && headBytes(visit.request) > limits.MaxHeaderBytes {
+	limits := v.seen.Spec.Limits
+	if limits.MaxHeaderBytes > 0 && headBytes(v.request) > limits.MaxHeaderBytes {
 		return failure.Of(failure.HeadTooLarge, "over %d bytes", limits.MaxHeaderBytes)
 	}
-	if err := odd(visit.request); err != nil {
+	if err := odd(v.request); err != nil {
 		return err
 	}
-	path, _, _ := strings.Cut(visit.request.RequestURI, "?")
-	visit.route = visit.seen.Spec.Match(visit.request.Host, path)
-	if visit.route == nil {
+	path, _, _ := strings.Cut(v.request.RequestURI, "?")
+	v.route = v.seen.Spec.Match(v.request.Host, path)
+	if v.route == nil {
 		return failure.Of(failure.NoRoute, "")
 	}
-	if visit.front.leaving.Load() && visit.since > clock.Instant(visit.front.last.Load()) {
+	if v.front.leaving.Load() && v.since > clock.Instant(v.front.last.Load()) {
 		return failure.Of(failure.Leaving, "")
 	}
-	if told := visit.request.Header[forward.AttemptHeader]; len(told) != 1 || told[0] == "" {
+	if told := v.request.Header[forward.AttemptHeader]; len(told) != 1 || told[0] == "" {
 		return failure.Of(failure.BadRequest, "there must be one "+forward.AttemptHeader)
 	}
-	body, err := visit.body(limits)
+	body, err := v.body(limits)
 	if err != nil {
 		return err
 	}
-	visit.sent = &forward.Request{
-		Method: visit.request.Method, Target: visit.request.RequestURI, Host: visit.request.Host,
-		Header: forward.PassedOn(visit.request.Header), Body: body,
-		Attempt: visit.request.Header.Get(forward.AttemptHeader),
+	v.sent = &forward.Request{
+		Method: v.request.Method, Target: v.request.RequestURI, Host: v.request.Host,
+		Header: forward.PassedOn(v.request.Header), Body: body,
+		Attempt: v.request.Header.Get(forward.AttemptHeader),
 	}
-	visit.time()
-	visit.asking = admit.Asking{Route: visit.route, Since: visit.since, Limit: visit.limit}
-	visit.asking.Bytes = len(body)
-	visit.asking.Prompt(visit.request.Header.Get(forward.PrefixHeader))
-	visit.asking.Counted(visit.request.Header.Get(forward.CountHeader))
-	if after := visit.request.Header.Get(forward.LastEventField); after != "" {
-		visit.last, err = strconv.ParseInt(after, 10, 64)
-		visit.known = err == nil
+	v.time()
+	v.asking = admit.Asking{Route: v.route, Since: v.since, Limit: v.limit}
+	v.asking.Bytes = len(body)
+	v.asking.Prompt(v.request.Header.Get(forward.PrefixHeader))
+	v.asking.Counted(v.request.Header.Get(forward.CountHeader))
+	if after := v.request.Header.Get(forward.LastEventField); after != "" {
+		v.last, err = strconv.ParseInt(after, 10, 64)
+		v.known = err == nil
 	}
 	return nil
 }
 
-func (visit *visit) body(limits spec.Limits) ([]byte, error) {
-	if limits.MaxBodyBytes > 0 && visit.request.ContentLength > limits.MaxBodyBytes {
+func (v *visit) body(limits spec.Limits) ([]byte, error) {
+	if limits.MaxBodyBytes > 0 && v.request.ContentLength > limits.MaxBodyBytes {
 		return nil, failure.Of(failure.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
 	most := limits.MaxBodyBytes
 	if most <= 0 {
-		most = visit.front.options.Scope.Boot.Limits.MemoryMB << 20 / 64
+		most = v.front.options.Scope.Boot.Limits.MemoryMB << 20 / 64
 	}
-	if visit.request.ContentLength == 0 {
+	if v.request.ContentLength == 0 {
 		return nil, nil
 	}
-	reply.ReadWithin(visit.writer, boot.Milliseconds(limits.IdleMS))
-	err := visit.held.Read(http.MaxBytesReader(visit.writer, visit.request.Body, most), visit.request.ContentLength, most)
-	reply.ReadWithin(visit.writer, 0)
+	reply.ReadWithin(v.writer, boot.Milliseconds(limits.IdleMS))
+	err := v.held.Read(http.MaxBytesReader(v.writer, v.request.Body, most), v.request.ContentLength, most)
+	reply.ReadWithin(v.writer, 0)
 	if err == nil {
-		return visit.held.Bytes, nil
+		return v.held.Bytes, nil
 	}
 	if errors.Is(err, quota.ErrFull) {
 		return nil, failure.Of(failure.NoMemory, "")
@@ -93,13 +93,13 @@
 }
 
 // time works out until when the request may take.
-func (visit *visit) time() {
-	span := boot.Milliseconds(visit.route.GiveUpMS)
-	if left, err := strconv.ParseFloat(visit.request.Header.Get(forward.LeftHeader), 64); err == nil && left > 0 {
-		visit.clientLeft = boot.Milliseconds(left)
-		span = min(span, visit.clientLeft)
+func (v *visit) time() {
+	span := boot.Milliseconds(v.route.GiveUpMS)
+	if left, err := strconv.ParseFloat(v.request.Header.Get(forward.LeftHeader), 64); err == nil && left > 0 {
+		v.clientLeft = boot.Milliseconds(left)
+		span = min(span, v.clientLeft)
 	}
-	visit.limit = visit.since.Add(span)
+	v.limit = v.since.Add(span)
 }
 
 func headBytes(request *http.Request) int64 {
--- a/data/answer/record.go
+++ b/data/answer/record.go
@@ -9,44 +9,44 @@
 )
 
 // record counts how the visit ended, and logs one that failed.
-func (visit *visit) record() {
-	options := visit.front.options
-	spent := options.Scope.Now().Since(visit.since)
-	outcome := visit.outcome
+func (v *visit) record() {
+	options := v.front.options
+	spent := options.Scope.Now().Since(v.since)
+	outcome := v.outcome
 	if outcome == "" {
 		outcome = outcomeCut
-		if visit.gone || visit.request.Context().Err() != nil {
+		if v.gone || v.request.Context().Err() != nil {
 			outcome = outcomeLeft
 		}
 	}
 	route := ""
-	if visit.route != nil {
-		route = visit.route.Name
+	if v.route != nil {
+		route = v.route.Name
 	}
 	options.Metrics.Request(route, outcome, spent)
 	if ordinary[outcome] {
 		return
 	}
-	if told, suppressed := visit.front.lines.take(outcome, options.Scope.Now()); told {
-		visit.log(outcome, route, spent, suppressed)
+	if told, suppressed := v.front.lines.take(outcome, options.Scope.Now()); told {
+		v.log(outcome, route, spent, suppressed)
 	}
 }
 
 // log writes the line of a request that failed: how it ended and why, and what
 // came of each sending.
-func (visit *visit) log(outcome string, route string, spent clock.Span, suppressed int64) {
-	entry := visit.front.options.Scope.Log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
-		Str("attempt", visit.request.Header.Get(forward.AttemptHeader)).
-		Dur("spent", spent).Int("body_bytes", visit.asking.Bytes).Int64("running", visit.front.Running()).Int64("suppressed", suppressed)
-	if visit.reason != "" {
-		entry = entry.Str("reason", visit.reason)
+func (v *visit) log(outcome string, route string, spent clock.Span, suppressed int64) {
+	entry := v.front.options.Scope.Log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
+		Str("attempt", v.request.Header.Get(forward.AttemptHeader)).
+		Dur("spent", spent).Int("body_bytes", v.asking.Bytes).Int64("running", v.front.Running()).Int64("suppressed", suppressed)
+	if v.reason != "" {
+		entry = entry.Str("reason", v.reason)
 	}
-	if visit.seen != nil && visit.seen.Spec != nil {
-		entry = entry.Int64("version", int64(visit.seen.Spec.Serial))
+	if v.seen != nil && v.seen.Spec != nil {
+		entry = entry.Int64("version", int64(v.seen.Spec.Serial))
 	}
-	if len(visit.sends) > 0 {
+	if len(v.sends) > 0 {
 		var sendings []string
-		for _, sent := range visit.sends {
+		for _, sent := range v.sends {
 			sendings = append(sendings, fmt.Sprintf("%s %s %s %s", sent.runner, sent.fate, sent.cause, sent.spent))
 		}
 		entry = entry.Strs("sendings", sendings)
@@ -60,7 +60,7 @@
 
 // lines counts the log lines of the present second, by outcome.
 type lines struct {
-	lock   sync.Mutex
+	mu     sync.Mutex
 	second int64
 	counts map[string]int
 	// suppressed are those that were not written since the last of the outcome.
@@ -70,8 +70,8 @@
 // take tells whether another line of an outcome may be written now, and how many
 // were not since the last.
 func (l *lines) take(outcome string, now clock.Instant) (bool, int64) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if second := int64(now) / int64(clock.Second); second != l.second || l.counts == nil {
 		l.second, l.counts = second, map[string]int{}
 	}
--- a/data/answer/trace.go
+++ b/data/answer/trace.go
@@ -17,12 +17,12 @@
 }
 
 // mayHaveRun tells whether the runner may have begun to work.
-func (sending sending) mayHaveRun() bool {
-	return sending.fate != forward.Unsent && sending.fate != forward.Refused
+func (s sending) mayHaveRun() bool {
+	return s.fate != forward.Unsent && s.fate != forward.Refused
 }
 
 // arrived tells whether the runner counts it as an arrival.
-func (sending sending) arrived() bool { return sending.fate != forward.Unsent }
+func (s sending) arrived() bool { return s.fate != forward.Unsent }
 
 // Outcomes of requests beside the names of the kinds of failures.
 const (
@@ -41,8 +41,8 @@
 }
 
 // mayHaveRun tells whether any sending so far may have run.
-func (visit *visit) mayHaveRun() bool {
-	for _, sent := range visit.sends {
+func (v *visit) mayHaveRun() bool {
+	for _, sent := range v.sends {
 		if sent.mayHaveRun() {
 			return true
 		}
@@ -52,30 +52,30 @@
 
 // checkSending looks at a sending right before it is made: what the decision
 // and the snapshot should have seen to already.
-func (visit *visit) checkSending(runner *snapshot.Runner, left clock.Span, now clock.Instant) {
-	monitor, route := visit.front.options.Monitor, visit.route
+func (v *visit) checkSending(runner *snapshot.Runner, left clock.Span, now clock.Instant) {
+	monitor, route := v.front.options.Monitor, v.route
 	arrivals := 0
-	for _, sent := range visit.sends {
+	for _, sent := range v.sends {
 		if sent.arrived() {
 			arrivals++
 		}
 	}
-	if !route.Repeatable() && visit.mayHaveRun() {
-		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", visit.sent.Attempt, route.Name, runner.ID, visit.sends)
+	if !route.Repeatable() && v.mayHaveRun() {
+		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", v.sent.Attempt, route.Name, runner.ID, v.sends)
 	}
 	if arrivals >= max(1, route.Tries) {
-		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", visit.sent.Attempt, route.Name, runner.ID, arrivals, route.Tries)
+		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", v.sent.Attempt, route.Name, runner.ID, arrivals, route.Tries)
 	}
 	if !route.AtHome(runner.Region) {
-		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", visit.sent.Attempt, route.Name, runner.ID, runner.Region)
+		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", v.sent.Attempt, route.Name, runner.ID, runner.Region)
 	}
-	if told := visit.clientLeft; told > 0 && now.Add(left).Since(visit.since) > told {
-		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", visit.sent.Attempt, left, told)
+	if told := v.clientLeft; told > 0 && now.Add(left).Since(v.since) > told {
+		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", v.sent.Attempt, left, told)
 	}
 }
 
 // sentTo notes what came of a sending, and counts it.
-func (visit *visit) sentTo(runner *snapshot.Runner, fate forward.Fate, cause string, spent clock.Span) {
-	visit.sends = append(visit.sends, sending{runner: runner.ID, fate: fate, cause: cause, spent: spent})
-	visit.front.options.Metrics.Send(fate.String(), cause)
+func (v *visit) sentTo(runner *snapshot.Runner, fate forward.Fate, cause string, spent clock.Span) {
+	v.sends = append(v.sends, sending{runner: runner.ID, fate: fate, cause: cause, spent: spent})
+	v.front.options.Metrics.Send(fate.String(), cause)
 }
--- a/data/budget/budget.go
+++ b/data/budget/budget.go
@@ -27,7 +27,7 @@
 // Budget counts requests and further tries in a sliding window, per service.
 type Budget struct {
 	options Options
-	lock    sync.Mutex
+	mu      sync.Mutex
 	windows map[ids.Service]*window
 }
 
@@ -43,28 +43,28 @@
 }
 
 // Request counts a request for a service.
-func (budget *Budget) Request(service ids.Service, now clock.Instant) {
-	budget.lock.Lock()
-	defer budget.lock.Unlock()
-	counted := budget.window(service, now)
+func (b *Budget) Request(service ids.Service, now clock.Instant) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	counted := b.window(service, now)
 	counted.requests[counted.slice%slices]++
 }
 
 // Spend pays for one further try; false says that there is nothing left.
-func (budget *Budget) Spend(service ids.Service, now clock.Instant) bool {
-	budget.lock.Lock()
-	defer budget.lock.Unlock()
-	counted := budget.window(service, now)
+func (b *Budget) Spend(service ids.Service, now clock.Instant) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	counted := b.window(service, now)
 	requests, spent := 0.0, 0.0
 	for index := range slices {
 		requests += counted.requests[index]
 		spent += counted.spent[index]
 	}
-	share := budget.options.Extra / float64(max(1, budget.options.Sharers()))
-	if now.Before(budget.options.ExtraFrom) {
+	share := b.options.Extra / float64(max(1, b.options.Sharers()))
+	if now.Before(b.options.ExtraFrom) {
 		share = 0
 	}
-	if spent+1 > budget.options.Ratio*requests+share {
+	if spent+1 > b.options.Ratio*requests+share {
 		return false
 	}
 	counted.spent[counted.slice%slices]++
@@ -73,13 +73,13 @@
 
 // window moves a service's window on to now. One slice more than the span is
 // kept, so that no span of the whole length is counted short.
-func (budget *Budget) window(service ids.Service, now clock.Instant) *window {
-	length := int64(budget.options.Window) / (slices - 1)
+func (b *Budget) window(service ids.Service, now clock.Instant) *window {
+	length := int64(b.options.Window) / (slices - 1)
 	slice := int64(now) / max(1, length)
-	counted := budget.windows[service]
+	counted := b.windows[service]
 	if counted == nil {
 		counted = &window{slice: slice}
-		budget.windows[service] = counted
+		b.windows[service] = counted
 	}
 	for steps := 0; counted.slice < slice && steps < slices; steps++ {
 		counted.slice++
--- a/data/forward/connection.go
+++ b/data/forward/connection.go
@@ -50,36 +50,36 @@
 }
 
 // Read notes when the runner was last heard and keeps heads within their bound.
-func (link *connection) Read(buffer []byte) (int, error) {
-	if link.left == 0 {
+func (c *connection) Read(buffer []byte) (int, error) {
+	if c.left == 0 {
 		return 0, errHeadTooLong
 	}
-	if link.left > 0 && len(buffer) > link.left {
-		buffer = buffer[:link.left]
+	if c.left > 0 && len(buffer) > c.left {
+		buffer = buffer[:c.left]
 	}
-	size, err := link.Conn.Read(buffer)
+	size, err := c.Conn.Read(buffer)
 	if size > 0 {
-		link.heard = link.clock.Now()
-		if link.left > 0 {
-			link.left -= size
+		c.heard = c.clock.Now()
+		if c.left > 0 {
+			c.left -= size
 		}
 	}
 	return size, err
 }
 
 // cut ends the exchange that is under way, whose time is over.
-func (link *connection) cut() { _ = link.Conn.Close() }
+func (c *connection) cut() { _ = c.Conn.Close() }
 
 // bear notes that the connection carries an attempt.
-func (link *connection) bear(attempt string) {
-	link.carried[link.count%remembered] = attempt
-	link.count++
+func (c *connection) bear(attempt string) {
+	c.carried[c.count%remembered] = attempt
+	c.count++
 }
 
 // bore tells whether an attempt went over the connection lately: an answer that
 // comes twice could not be told from the one to come.
-func (link *connection) bore(attempt string) bool {
-	for _, carried := range link.carried {
+func (c *connection) bore(attempt string) bool {
+	for _, carried := range c.carried {
 		if carried == attempt {
 			return true
 		}
@@ -89,11 +89,11 @@
 
 // disturbed tells whether a kept connection has something to read: an end, or
 // bytes that belong to no request.
-func (link *connection) disturbed() bool {
-	if link.reader.Buffered() > 0 {
+func (c *connection) disturbed() bool {
+	if c.reader.Buffered() > 0 {
 		return true
 	}
-	inner, able := link.Conn.(syscall.Conn)
+	inner, able := c.Conn.(syscall.Conn)
 	if !able {
 		return false
 	}
@@ -125,10 +125,10 @@
 }()
 
 // send writes a request. A large one goes out while the answer is read already.
-func (link *connection) send(head []byte, body []byte) *writing {
+func (c *connection) send(head []byte, body []byte) *writing {
 	out := &writing{done: ended}
 	if len(head)+len(body) <= atOnce {
-		size, err := link.Conn.Write(append(head, body...))
+		size, err := c.Conn.Write(append(head, body...))
 		out.size, out.err = int64(size), err
 		return out
 	}
@@ -136,16 +136,16 @@
 	go func() {
 		defer close(out.done)
 		parts := net.Buffers{head, body}
-		out.size, out.err = parts.WriteTo(link.Conn)
+		out.size, out.err = parts.WriteTo(c.Conn)
 	}()
 	return out
 }
 
 // whole tells whether the request went out whole by now.
-func (out *writing) whole() bool {
+func (w *writing) whole() bool {
 	select {
-	case <-out.done:
-		return out.err == nil
+	case <-w.done:
+		return w.err == nil
 	default:
 		return false
 	}
@@ -153,10 +153,10 @@
 
 // refused tells that the connection took not one byte: whatever is there to be
 // read answers nothing.
-func (out *writing) refused() bool {
+func (w *writing) refused() bool {
 	select {
-	case <-out.done:
-		return out.err != nil && out.size == 0
+	case <-w.done:
+		return w.err != nil && w.size == 0
 	default:
 		return false
 	}
@@ -170,23 +170,23 @@
 }
 
 // Read gives io.EOF only where the body is whole.
-func (body *body) Read(buffer []byte) (int, error) {
-	if body.over != nil {
-		return 0, body.over
+func (b *body) Read(buffer []byte) (int, error) {
+	if b.over != nil {
+		return 0, b.over
 	}
-	size, err := body.source.Read(buffer)
+	size, err := b.source.Read(buffer)
 	if err != nil {
-		body.over = err
-		body.settle(errors.Is(err, io.EOF))
+		b.over = err
+		b.settle(errors.Is(err, io.EOF))
 	}
 	return size, err
 }
 
 // Close gives up what was not read.
-func (body *body) Close() error {
-	if body.over == nil {
-		body.over = errClosed
-		body.settle(false)
+func (b *body) Close() error {
+	if b.over == nil {
+		b.over = errClosed
+		b.settle(false)
 	}
 	return nil
 }
--- a/data/forward/events.go
+++ b/data/forward/events.go
@@ -37,49 +37,49 @@
 
 // Next gives the bytes of the next whole event, which are good until the next
 // call. A rest that is no whole event comes with io.ErrUnexpectedEOF.
-func (events *Events) Next() ([]byte, error) {
-	events.event = events.event[:0]
+func (e *Events) Next() ([]byte, error) {
+	e.event = e.event[:0]
 	number, numbered := int64(0), false
 	for {
-		line, err := events.reader.ReadSlice('\n')
-		events.event = append(events.event, line...)
-		if len(events.event) > eventMost {
-			return events.event, errEndless
+		line, err := e.reader.ReadSlice('\n')
+		e.event = append(e.event, line...)
+		if len(e.event) > eventMost {
+			return e.event, errEndless
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err != nil {
-			if errors.Is(err, io.EOF) && len(bytes.TrimSpace(events.event)) > 0 {
+			if errors.Is(err, io.EOF) && len(bytes.TrimSpace(e.event)) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
-			return events.event, err
+			return e.event, err
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
-			if len(bytes.Trim(events.event, "\r\n")) == 0 {
+			if len(bytes.Trim(e.event, "\r\n")) == 0 {
 				// An event without a line is the end of a wrong frame.
-				return events.event, ErrOrder
+				return e.event, ErrOrder
 			}
-			return events.event, events.follow(number, numbered)
+			return e.event, e.follow(number, numbered)
 		}
 		if value, found := bytes.CutPrefix(text, []byte("id:")); found {
 			read, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
-			if err != nil && events.Known || numbered {
-				return events.event, ErrOrder
+			if err != nil && e.Known || numbered {
+				return e.event, ErrOrder
 			}
 			number, numbered = read, err == nil
 		}
 	}
 }
 
-func (events *Events) follow(number int64, numbered bool) error {
+func (e *Events) follow(number int64, numbered bool) error {
 	if !numbered {
 		return nil
 	}
-	if events.Known && number != events.Last+1 {
+	if e.Known && number != e.Last+1 {
 		return ErrOrder
 	}
-	events.Last, events.Known = number, true
+	e.Last, e.Known = number, true
 	return nil
 }
--- a/data/forward/fate.go
+++ b/data/forward/fate.go
@@ -27,7 +27,7 @@
 var fateNames = [...]string{Unsent: "unsent", Refused: "refused", Answered: "answered", Doubtful: "doubtful", Garbled: "garbled"}
 
 // String gives the fate's name as logs and figures carry it.
-func (fate Fate) String() string { return fateNames[fate] }
+func (f Fate) String() string { return fateNames[f] }
 
 // sign is what a sending showed.
 type sign int
@@ -63,7 +63,7 @@
 }
 
 // String gives the sign's name as logs and figures carry it.
-func (sign sign) String() string { return signNames[sign] }
+func (s sign) String() string { return signNames[s] }
 
 // verdict is what follows from a sign.
 type verdict struct {
@@ -124,12 +124,12 @@
 }
 
 // result is what the caller hears of a sign.
-func (sign sign) result(err error, response *http.Response) Result {
-	told := verdicts[sign]
+func (s sign) result(err error, response *http.Response) Result {
+	told := verdicts[s]
 	if err == nil {
 		err = told.err
 	}
-	return Result{Fate: told.fate, Cause: sign.String(), Fault: err, Response: response, Stale: sign == stale, Local: sign == starved}
+	return Result{Fate: told.fate, Cause: s.String(), Fault: err, Response: response, Stale: s == stale, Local: s == starved}
 }
 
 // ending is how an exchange over a connection ended.
--- a/data/forward/head.go
+++ b/data/forward/head.go
@@ -17,18 +17,18 @@
 )
 
 // readAnswer reads the head of the answer; interim ones are passed over.
-func (link *connection) readAnswer(method string) (*http.Response, error) {
-	link.left = headLimit
+func (c *connection) readAnswer(method string) (*http.Response, error) {
+	c.left = headLimit
 	for {
-		response, err := readHead(link.reader)
+		response, err := readHead(c.reader)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		link.left = unbounded
-		source, length, err := link.frame(method, response)
+		c.left = unbounded
+		source, length, err := c.frame(method, response)
 		if err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 
 // frame gives the body that follows a head, and its length. A head that says
 // two different things of it is none.
-func (link *connection) frame(method string, response *http.Response) (io.Reader, int64, error) {
+func (c *connection) frame(method string, response *http.Response) (io.Reader, int64, error) {
 	lengths, coded := response.Header["Content-Length"], response.Header["Transfer-Encoding"]
 	length := int64(ends)
 	for _, text := range lengths {
@@ -127,12 +127,12 @@
 		return http.NoBody, 0, nil
 	}
 	if length == chunks {
-		return &chunked{link: link, data: httputil.NewChunkedReader(link.reader)}, length, nil
+		return &chunked{link: c, data: httputil.NewChunkedReader(c.reader)}, length, nil
 	}
 	if length == ends {
-		return link.reader, length, nil
+		return c.reader, length, nil
 	}
-	return &counted{reader: link.reader, left: length}, length, nil
+	return &counted{reader: c.reader, left: length}, length, nil
 }
 
 // counted reads a body of a known length.
@@ -141,15 +141,15 @@
 	left   int64
 }
 
-func (counted *counted) Read(buffer []byte) (int, error) {
-	if counted.left == 0 {
+func (c *counted) Read(buffer []byte) (int, error) {
+	if c.left == 0 {
 		return 0, io.EOF
 	}
-	if int64(len(buffer)) > counted.left {
-		buffer = buffer[:counted.left]
+	if int64(len(buffer)) > c.left {
+		buffer = buffer[:c.left]
 	}
-	size, err := counted.reader.Read(buffer)
-	if counted.left -= int64(size); counted.left == 0 {
+	size, err := c.reader.Read(buffer)
+	if c.left -= int64(size); c.left == 0 {
 		return size, io.EOF
 	}
 	return size, whole(err)
@@ -161,12 +161,12 @@
 	data io.Reader
 }
 
-func (chunked *chunked) Read(buffer []byte) (int, error) {
-	size, err := chunked.data.Read(buffer)
+func (c *chunked) Read(buffer []byte) (int, error) {
+	size, err := c.data.Read(buffer)
 	if !errors.Is(err, io.EOF) {
 		return size, err
 	}
-	if torn := trailer(chunked.link.reader); torn != nil {
+	if torn := trailer(c.link.reader); torn != nil {
 		return size, whole(torn)
 	}
 	return size, io.EOF
--- a/data/forward/outgoing.go
+++ b/data/forward/outgoing.go
@@ -11,30 +11,30 @@
 )
 
 // heads are the request's own heads as they go out.
-func (trip Trip) heads() http.Header {
-	if trip.LastEvent == "" {
-		return trip.Request.Header
+func (t Trip) heads() http.Header {
+	if t.LastEvent == "" {
+		return t.Request.Header
 	}
-	return http.Header{LastEventField: {trip.LastEvent}}
+	return http.Header{LastEventField: {t.LastEvent}}
 }
 
 var errRequest = errors.New("forward: the request can't be written as one")
 
 // head makes the head of the request. The body always has a length, which is
 // our own.
-func (trip Trip) head(left clock.Span) ([]byte, error) {
-	request := trip.Request
+func (t Trip) head(left clock.Span) ([]byte, error) {
+	request := t.Request
 	if !plain(request.Method) || !plain(request.Target) || !plain(request.Host) {
 		return nil, errRequest
 	}
 	made := bytes.NewBuffer(make([]byte, 0, 1024+min(len(request.Body), atOnce)))
 	made.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
 	own := [...]string{
-		TargetHeader, string(trip.Runner),
+		TargetHeader, string(t.Runner),
 		LeftHeader, strconv.FormatInt(max(1, left.Milliseconds()), 10),
-		UrgencyHeader, strconv.Itoa(min(9, max(0, trip.Urgency))),
+		UrgencyHeader, strconv.Itoa(min(9, max(0, t.Urgency))),
 		"Content-Length", request.length(),
-		LastEventField, trip.LastEvent,
+		LastEventField, t.LastEvent,
 	}
 	for index := 0; index < len(own); index += 2 {
 		if own[index+1] != "" {
@@ -42,7 +42,7 @@
 		}
 	}
 	skipped := replaced
-	if trip.LastEvent != "" {
+	if t.LastEvent != "" {
 		skipped = replacedEvent
 	}
 	if err := request.Header.WriteSubset(made, skipped); err != nil {
@@ -55,11 +55,11 @@
 // bodied are the methods whose requests name a length also where it is 0.
 var bodied = map[string]bool{http.MethodPost: true, http.MethodPut: true, http.MethodPatch: true}
 
-func (request *Request) length() string {
-	if len(request.Body) == 0 && !bodied[request.Method] {
+func (r *Request) length() string {
+	if len(r.Body) == 0 && !bodied[r.Method] {
 		return ""
 	}
-	return strconv.Itoa(len(request.Body))
+	return strconv.Itoa(len(r.Body))
 }
 
 // plain tells whether a word of the request's line has no byte that could end it.
--- a/data/forward/sender.go
+++ b/data/forward/sender.go
@@ -85,7 +85,7 @@
 	dial    func(ctx context.Context, network string, address string) (net.Conn, error)
 	// sweeping says that idle connections are looked after.
 	sweeping atomic.Bool
-	lock     sync.Mutex
+	mu       sync.Mutex
 	hosts    map[string]*host
 	trusts   map[ids.Service]*trust
 }
@@ -96,15 +96,15 @@
 }
 
 // Send sends a request to a runner, once, and waits for the head of the answer.
-func (sender *Sender) Send(inner scope.Scope, trip Trip) Result {
-	begin := sender.options.Clock.Now()
-	link, sign, err := sender.take(inner, trip)
+func (s *Sender) Send(ctx scope.Scope, trip Trip) Result {
+	begin := s.options.Clock.Now()
+	link, sign, err := s.take(ctx, trip)
 	if link == nil {
 		return sign.result(err, nil)
 	}
 	// A new connection may have taken a while: the runner hears what is left now.
-	spent := sender.options.Clock.Now().Since(begin)
-	if inner.Err() != nil || spent >= max(trip.Left, clock.Millisecond) {
+	spent := s.options.Clock.Now().Since(begin)
+	if ctx.Err() != nil || spent >= max(trip.Left, clock.Millisecond) {
 		_ = link.Conn.Close()
 		return expired.result(nil, nil)
 	}
@@ -113,9 +113,9 @@
 		_ = link.Conn.Close()
 		return undialed.result(err, nil)
 	}
-	release := context.AfterFunc(inner, link.cut)
+	release := context.AfterFunc(ctx, link.cut)
 	link.bear(trip.Request.Attempt)
-	out, trust := link.send(head, trip.Request.Body), sender.trustOf(trip.Service)
+	out, trust := link.send(head, trip.Request.Body), s.trustOf(trip.Service)
 	var response *http.Response
 	if !out.refused() {
 		response, err = link.readAnswer(trip.Request.Method)
@@ -128,7 +128,7 @@
 			return unwritten.result(errors.Join(out.err, err), nil)
 		}
 		trip.Request.sent = append(trip.Request.sent, trip.Address)
-		if inner.Err() == nil {
+		if ctx.Err() == nil {
 			trust.lapse(link.idle)
 		}
 		return silent.result(err, nil)
@@ -137,7 +137,7 @@
 	trust.work(link.idle)
 	link.host.learn(response.Header)
 	sign = judge(trip.Request.Attempt, response)
-	sender.follow(link, out, release, sign, response)
+	s.follow(link, out, release, sign, response)
 	response.Request = &http.Request{Method: trip.Request.Method, Header: trip.heads()}
 	if fate := verdicts[sign].fate; fate != Answered && fate != Refused {
 		_ = response.Body.Close()
@@ -147,7 +147,7 @@
 }
 
 // follow has the connection be kept or closed once the answer's body has ended.
-func (sender *Sender) follow(link *connection, out *writing, release func() bool, sign sign, response *http.Response) {
+func (s *Sender) follow(link *connection, out *writing, release func() bool, sign sign, response *http.Response) {
 	framed, closing := response.ContentLength != ends, response.Close
 	settle := func(whole bool) {
 		reason := barred(ending{
@@ -157,7 +157,7 @@
 			_ = link.Conn.Close()
 			return
 		}
-		sender.put(link)
+		s.put(link)
 	}
 	source := io.Reader(response.Body)
 	if response.ContentLength == 0 {
--- a/data/forward/trust.go
+++ b/data/forward/trust.go
@@ -22,57 +22,57 @@
 // connection: they may forget one without notice, and what is sent on it then
 // may have run.
 type trust struct {
-	lock   sync.Mutex
+	mu     sync.Mutex
 	limit  clock.Span
 	worked clock.Span
 }
 
 // allows tells whether a connection that was idle for so long may be used. For
 // what may run only once, just ages that were seen to work are good enough.
-func (trust *trust) allows(idle clock.Span, once bool) bool {
-	if trust == nil {
+func (t *trust) allows(idle clock.Span, once bool) bool {
+	if t == nil {
 		return true
 	}
-	trust.lock.Lock()
-	defer trust.lock.Unlock()
-	if trust.limit > 0 && idle > trust.limit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.limit > 0 && idle > t.limit {
 		return false
 	}
-	return !once || idle <= max(trust.worked, fewestTrusted)
+	return !once || idle <= max(t.worked, fewestTrusted)
 }
 
 // work notes that a connection of that idle age was still good.
-func (trust *trust) work(idle clock.Span) {
-	trust.lock.Lock()
-	defer trust.lock.Unlock()
-	trust.worked = max(trust.worked, idle)
-	if trust.limit > 0 && idle > trust.limit/2 {
-		trust.limit += clock.Span(regained * float64(trust.limit))
+func (t *trust) work(idle clock.Span) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.worked = max(t.worked, idle)
+	if t.limit > 0 && idle > t.limit/2 {
+		t.limit += clock.Span(regained * float64(t.limit))
 	}
 }
 
 // lapse notes that a connection of that idle age was not.
-func (trust *trust) lapse(idle clock.Span) {
+func (t *trust) lapse(idle clock.Span) {
 	if idle <= fewestTrusted {
 		return
 	}
-	trust.lock.Lock()
-	defer trust.lock.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	limit := max(fewestTrusted, clock.Span(lapsePart*float64(idle)))
-	if trust.limit == 0 || limit < trust.limit {
-		trust.limit = limit
+	if t.limit == 0 || limit < t.limit {
+		t.limit = limit
 	}
-	trust.worked = min(trust.worked, trust.limit)
+	t.worked = min(t.worked, t.limit)
 }
 
 // trustOf gives what was learnt of a service.
-func (sender *Sender) trustOf(service ids.Service) *trust {
-	sender.lock.Lock()
-	defer sender.lock.Unlock()
-	known := sender.trusts[service]
+func (s *Sender) trustOf(service ids.Service) *trust {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known := s.trusts[service]
 	if known == nil {
 		known = &trust{}
-		sender.trusts[service] = known
+		s.trusts[service] = known
 	}
 	return known
 }
--- a/data/forward/wire_test.go
+++ b/data/forward/wire_test.go
@@ -35,41 +35,41 @@
 	most int
 }
 
-func (wire *wire) Write(text []byte) (int, error) {
-	if len(wire.acts) > 0 {
-		wire.now, wire.acts = wire.acts[0], wire.acts[1:]
-		wire.unread = strings.ReplaceAll(wire.now.answer, "{id}", "a1")
+func (w *wire) Write(text []byte) (int, error) {
+	if len(w.acts) > 0 {
+		w.now, w.acts = w.acts[0], w.acts[1:]
+		w.unread = strings.ReplaceAll(w.now.answer, "{id}", "a1")
 	}
-	size := min(len(text), wire.now.takes)
-	wire.wrote.Write(text[:size])
+	size := min(len(text), w.now.takes)
+	w.wrote.Write(text[:size])
 	if size < len(text) {
 		return size, errReset
 	}
 	return size, nil
 }
 
-func (wire *wire) Read(buffer []byte) (int, error) {
-	if wire.unread == "" || wire.closed {
-		return 0, wire.now.err
+func (w *wire) Read(buffer []byte) (int, error) {
+	if w.unread == "" || w.closed {
+		return 0, w.now.err
 	}
-	if wire.most > 0 && len(buffer) > wire.most {
-		buffer = buffer[:wire.most]
+	if w.most > 0 && len(buffer) > w.most {
+		buffer = buffer[:w.most]
 	}
-	size := copy(buffer, wire.unread)
-	wire.unread = wire.unread[size:]
+	size := copy(buffer, w.unread)
+	w.unread = w.unread[size:]
 	return size, nil
 }
 
-func (wire *wire) Close() error {
-	wire.closed = true
+func (w *wire) Close() error {
+	w.closed = true
 	return nil
 }
 
-func (wire *wire) LocalAddr() net.Addr              { return nil }
-func (wire *wire) RemoteAddr() net.Addr             { return nil }
-func (wire *wire) SetDeadline(time.Time) error      { return nil }
-func (wire *wire) SetReadDeadline(time.Time) error  { return nil }
-func (wire *wire) SetWriteDeadline(time.Time) error { return nil }
+func (w *wire) LocalAddr() net.Addr              { return nil }
+func (w *wire) RemoteAddr() net.Addr             { return nil }
+func (w *wire) SetDeadline(time.Time) error      { return nil }
+func (w *wire) SetReadDeadline(time.Time) error  { return nil }
+func (w *wire) SetWriteDeadline(time.Time) error { return nil }
 
 var errReset = errors.New("connection reset by peer")
 
--- a/data/metrics/board.go
+++ b/data/metrics/board.go
@@ -75,7 +75,7 @@
 }
 
 type shard struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	ledgers map[ids.RunnerID]*Ledger
 }
 
@@ -93,10 +93,10 @@
 	return board
 }
 
-func (board *Board) with(id ids.RunnerID, act func(ledger *Ledger)) {
-	part := &board.shards[maphash.String(board.seed, string(id))%shards]
-	part.lock.Lock()
-	defer part.lock.Unlock()
+func (b *Board) with(id ids.RunnerID, act func(ledger *Ledger)) {
+	part := &b.shards[maphash.String(b.seed, string(id))%shards]
+	part.mu.Lock()
+	defer part.mu.Unlock()
 	ledger := part.ledgers[id]
 	if ledger == nil {
 		ledger = &Ledger{waits: map[uint64]waiting{}}
@@ -106,27 +106,27 @@
 }
 
 // Look gives a copy of a runner's ledger.
-func (board *Board) Look(id ids.RunnerID) Ledger {
+func (b *Board) Look(id ids.RunnerID) Ledger {
 	var seen Ledger
-	board.with(id, func(ledger *Ledger) { seen = *ledger })
+	b.with(id, func(ledger *Ledger) { seen = *ledger })
 	seen.waits = nil
 	return seen
 }
 
 // Asked notes how much visitors want of a service.
-func (board *Board) Asked(service ids.Service, homes string) {
-	board.demand.lock.Lock()
-	defer board.demand.lock.Unlock()
-	board.wanted[demandKey{service: service, homes: homes}]++
+func (b *Board) Asked(service ids.Service, homes string) {
+	b.demand.mu.Lock()
+	defer b.demand.mu.Unlock()
+	b.wanted[demandKey{service: service, homes: homes}]++
 }
 
 // Read notes how long a first answer took for a request of so many units.
-func (board *Board) Read(service ids.Service, route string, units float64, first clock.Span) {
+func (b *Board) Read(service ids.Service, route string, units float64, first clock.Span) {
 	milliseconds := float64(first) / float64(clock.Millisecond)
-	board.demand.lock.Lock()
-	defer board.demand.lock.Unlock()
+	b.demand.mu.Lock()
+	defer b.demand.mu.Unlock()
 	key := readingKey{service: service, route: route}
-	board.read[key] = board.read[key].Plus(room.Reading{
+	b.read[key] = b.read[key].Plus(room.Reading{
 		Service: service, Route: route, Count: 1, Units: units, UnitsSquared: units * units,
 		FirstMS: milliseconds, Crossed: units * milliseconds,
 	})
@@ -144,8 +144,8 @@
 }
 
 // Sent notes a request that goes to a runner.
-func (board *Board) Sent(id ids.RunnerID, sending Sending, now clock.Instant) {
-	board.with(id, func(ledger *Ledger) {
+func (b *Board) Sent(id ids.RunnerID, sending Sending, now clock.Instant) {
+	b.with(id, func(ledger *Ledger) {
 		ledger.Service = sending.Service
 		ledger.Running++
 		ledger.Unanswered += sending.Tokens
@@ -157,8 +157,8 @@
 }
 
 // Began notes the first sign of an answer.
-func (board *Board) Began(id ids.RunnerID, number uint64, tokens float64, now clock.Instant) {
-	board.with(id, func(ledger *Ledger) {
+func (b *Board) Began(id ids.RunnerID, number uint64, tokens float64, now clock.Instant) {
+	b.with(id, func(ledger *Ledger) {
 		ledger.Unanswered = max(0, ledger.Unanswered-tokens)
 		ledger.clear(now)
 		delete(ledger.waits, number)
@@ -178,8 +178,8 @@
 }
 
 // Ended notes the end of a request.
-func (board *Board) Ended(id ids.RunnerID, ending Ending, now clock.Instant) {
-	board.with(id, func(ledger *Ledger) {
+func (b *Board) Ended(id ids.RunnerID, ending Ending, now clock.Instant) {
+	b.with(id, func(ledger *Ledger) {
 		ledger.Running = max(0, ledger.Running-1)
 		counted := ledger.waits[ending.Number].overdue
 		delete(ledger.waits, ending.Number)
@@ -201,15 +201,15 @@
 }
 
 // Sample adds one look at how many are running; looks are averaged.
-func (board *Board) Sample() {
-	for index := range board.shards {
-		part := &board.shards[index]
-		part.lock.Lock()
+func (b *Board) Sample() {
+	for index := range b.shards {
+		part := &b.shards[index]
+		part.mu.Lock()
 		for _, ledger := range part.ledgers {
 			ledger.looks++
 			ledger.runningSum += ledger.Running
 			ledger.pendingSum += float64(len(ledger.waits))
 		}
-		part.lock.Unlock()
+		part.mu.Unlock()
 	}
 }
--- a/data/metrics/collect.go
+++ b/data/metrics/collect.go
@@ -9,11 +9,11 @@
 )
 
 // Collect gives what was seen since the last time, and begins anew.
-func (board *Board) Collect(now clock.Instant, spent clock.Span) scaler.ReportAsk {
+func (b *Board) Collect(now clock.Instant, spent clock.Span) scaler.ReportAsk {
 	var report scaler.ReportAsk
-	for index := range board.shards {
-		part := &board.shards[index]
-		part.lock.Lock()
+	for index := range b.shards {
+		part := &b.shards[index]
+		part.mu.Lock()
 		for id, ledger := range part.ledgers {
 			if sample, any := ledger.collect(id, now, spent.Seconds()); any {
 				report.Samples = append(report.Samples, sample)
@@ -21,46 +21,46 @@
 				delete(part.ledgers, id)
 			}
 		}
-		part.lock.Unlock()
+		part.mu.Unlock()
 	}
-	board.demand.lock.Lock()
-	defer board.demand.lock.Unlock()
-	for key, arrived := range board.wanted {
+	b.demand.mu.Lock()
+	defer b.demand.mu.Unlock()
+	for key, arrived := range b.wanted {
 		report.Demands = append(report.Demands, scaler.Demand{Service: key.service, Homes: key.homes, Arrived: arrived})
 	}
-	for _, reading := range board.read {
+	for _, reading := range b.read {
 		report.Readings = append(report.Readings, reading)
 	}
-	for _, sum := range board.took {
+	for _, sum := range b.took {
 		report.Lengths = append(report.Lengths, sum)
 	}
-	board.wanted, board.read = map[demandKey]float64{}, map[readingKey]room.Reading{}
-	board.took = map[lengths.Kind]lengths.Sum{}
+	b.wanted, b.read = map[demandKey]float64{}, map[readingKey]room.Reading{}
+	b.took = map[lengths.Kind]lengths.Sum{}
 	return report
 }
 
 // Took notes a whole answer: its kind, how long it took, how many tokens had to
 // be read for it, and whether it began slowly.
-func (board *Board) Took(answer lengths.Sum) {
-	board.demand.lock.Lock()
-	defer board.demand.lock.Unlock()
-	board.took[answer.Kind] = answer.Plus(board.took[answer.Kind])
+func (b *Board) Took(answer lengths.Sum) {
+	b.demand.mu.Lock()
+	defer b.demand.mu.Unlock()
+	b.took[answer.Kind] = answer.Plus(b.took[answer.Kind])
 }
 
-func (ledger *Ledger) collect(id ids.RunnerID, now clock.Instant, seconds float64) (scaler.Sample, bool) {
-	ledger.countOverdue(now)
-	part := seconds / max(1, ledger.looks)
+func (l *Ledger) collect(id ids.RunnerID, now clock.Instant, seconds float64) (scaler.Sample, bool) {
+	l.countOverdue(now)
+	part := seconds / max(1, l.looks)
 	sample := scaler.Sample{
-		Runner: id, Service: ledger.Service, Arrived: ledger.arrived, Finished: ledger.finished, Failed: ledger.failed,
-		Units:   ledger.units,
-		SpentMS: ledger.spentMS, Running: ledger.runningSum * part, Pending: ledger.pendingSum * part,
+		Runner: id, Service: l.Service, Arrived: l.arrived, Finished: l.finished, Failed: l.failed,
+		Units:   l.units,
+		SpentMS: l.spentMS, Running: l.runningSum * part, Pending: l.pendingSum * part,
 	}
-	if ledger.Load.Slots > 0 {
-		sample.Busy = ledger.Load.Running / ledger.Load.Slots
+	if l.Load.Slots > 0 {
+		sample.Busy = l.Load.Running / l.Load.Slots
 		sample.Memory = sample.Busy
 	}
-	any := ledger.arrived+ledger.finished+ledger.failed > 0 || ledger.Running > 0
-	ledger.arrived, ledger.finished, ledger.failed, ledger.spentMS, ledger.units = 0, 0, 0, 0, 0
-	ledger.runningSum, ledger.pendingSum, ledger.looks = 0, 0, 0
+	any := l.arrived+l.finished+l.failed > 0 || l.Running > 0
+	l.arrived, l.finished, l.failed, l.spentMS, l.units = 0, 0, 0, 0, 0
+	l.runningSum, l.pendingSum, l.looks = 0, 0, 0
 	return sample, any
 }
--- a/data/metrics/doubt.go
+++ b/data/metrics/doubt.go
@@ -7,11 +7,11 @@
 
 // Due gives the doubted runners whose next test is due, and puts the one after
 // it off: the pause doubles from the first to eight times as long.
-func (board *Board) Due(now clock.Instant, first clock.Span) []ids.RunnerID {
+func (b *Board) Due(now clock.Instant, first clock.Span) []ids.RunnerID {
 	var found []ids.RunnerID
-	for index := range board.shards {
-		part := &board.shards[index]
-		part.lock.Lock()
+	for index := range b.shards {
+		part := &b.shards[index]
+		part.mu.Lock()
 		for id, ledger := range part.ledgers {
 			if ledger.Doubted && !now.Before(ledger.due) {
 				found = append(found, id)
@@ -19,14 +19,14 @@
 				ledger.tests++
 			}
 		}
-		part.lock.Unlock()
+		part.mu.Unlock()
 	}
 	return found
 }
 
 // Doubt doubts a runner on other evidence than a request's.
-func (board *Board) Doubt(id ids.RunnerID, now clock.Instant) {
-	board.with(id, func(ledger *Ledger) { ledger.doubt(now) })
+func (b *Board) Doubt(id ids.RunnerID, now clock.Instant) {
+	b.with(id, func(ledger *Ledger) { ledger.doubt(now) })
 }
 
 // A runner that falls again within relapse of the last doubt rests before its
@@ -37,17 +37,17 @@
 	mostFalls = 4
 )
 
-func (ledger *Ledger) doubt(now clock.Instant) {
-	if ledger.Doubted {
+func (l *Ledger) doubt(now clock.Instant) {
+	if l.Doubted {
 		return
 	}
-	ledger.Doubted, ledger.tests, ledger.ill, ledger.due = true, 0, 0, now
-	if ledger.cleared == 0 || now.Since(ledger.cleared) > relapse {
-		ledger.falls = 0
+	l.Doubted, l.tests, l.ill, l.due = true, 0, 0, now
+	if l.cleared == 0 || now.Since(l.cleared) > relapse {
+		l.falls = 0
 		return
 	}
-	ledger.due = now.Add(restAfter << ledger.falls)
-	ledger.falls = min(mostFalls, ledger.falls+1)
+	l.due = now.Add(restAfter << l.falls)
+	l.falls = min(mostFalls, l.falls+1)
 }
 
 // illAnswers is how often a runner may say that it is ill before it is tried all
@@ -56,9 +56,9 @@
 
 // SaysIll notes that a doubted runner answered a test by saying that it is ill;
 // it tells whether the runner should be tried with requests nevertheless.
-func (board *Board) SaysIll(id ids.RunnerID) bool {
+func (b *Board) SaysIll(id ids.RunnerID) bool {
 	try := false
-	board.with(id, func(ledger *Ledger) {
+	b.with(id, func(ledger *Ledger) {
 		ledger.ill++
 		try = ledger.ill >= illAnswers
 	})
@@ -66,19 +66,19 @@
 }
 
 // Vouch ends the doubt about a runner that a test found well.
-func (board *Board) Vouch(id ids.RunnerID, now clock.Instant) {
-	board.with(id, func(ledger *Ledger) { ledger.clear(now) })
+func (b *Board) Vouch(id ids.RunnerID, now clock.Instant) {
+	b.with(id, func(ledger *Ledger) { ledger.clear(now) })
 }
 
 // clear ends the doubt about a runner.
-func (ledger *Ledger) clear(now clock.Instant) {
-	if ledger.Doubted {
-		ledger.cleared = now
+func (l *Ledger) clear(now clock.Instant) {
+	if l.Doubted {
+		l.cleared = now
 	}
-	ledger.Doubted, ledger.Heard = false, now
+	l.Doubted, l.Heard = false, now
 }
 
 // Drop forgets a runner that is listed no more.
-func (board *Board) Drop(id ids.RunnerID) {
-	board.with(id, func(ledger *Ledger) { ledger.Doubted = false })
+func (b *Board) Drop(id ids.RunnerID) {
+	b.with(id, func(ledger *Ledger) { ledger.Doubted = false })
 }
--- a/data/metrics/told.go
+++ b/data/metrics/told.go
@@ -9,7 +9,7 @@
 )
 
 // Told notes the load that a runner put in an answer: running, waiting, slots.
-func (board *Board) Told(id ids.RunnerID, text string, now clock.Instant) {
+func (b *Board) Told(id ids.RunnerID, text string, now clock.Instant) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
 		return
@@ -22,7 +22,7 @@
 		}
 		figures[index] = figure
 	}
-	board.with(id, func(ledger *Ledger) {
+	b.with(id, func(ledger *Ledger) {
 		ledger.Load = Load{Running: figures[0], Waiting: figures[1], Slots: figures[2], At: now}
 	})
 }
--- a/data/metrics/waiting.go
+++ b/data/metrics/waiting.go
@@ -7,9 +7,9 @@
 
 // Silence tells how long the oldest request at a runner has waited for a first
 // sign, if the runner gave no other sign of life since.
-func (board *Board) Silence(id ids.RunnerID, now clock.Instant) clock.Span {
+func (b *Board) Silence(id ids.RunnerID, now clock.Instant) clock.Span {
 	silence := clock.Span(0)
-	board.with(id, func(ledger *Ledger) {
+	b.with(id, func(ledger *Ledger) {
 		for _, held := range ledger.waits {
 			since := held.since
 			if since.Before(ledger.Heard) {
@@ -23,9 +23,9 @@
 
 // Queue tells how many of this router's requests of an urgency wait at a runner
 // for a first sign, and for how long the oldest has.
-func (board *Board) Queue(id ids.RunnerID, urgency int, now clock.Instant) (int, clock.Span) {
+func (b *Board) Queue(id ids.RunnerID, urgency int, now clock.Instant) (int, clock.Span) {
 	count, oldest := 0, clock.Span(0)
-	board.with(id, func(ledger *Ledger) {
+	b.with(id, func(ledger *Ledger) {
 		for _, held := range ledger.waits {
 			if held.urgency == urgency {
 				count++
@@ -42,12 +42,12 @@
 
 // countOverdue counts requests that hang: waiting for their end would tell of an
 // ill runner only when the clients have long given up.
-func (ledger *Ledger) countOverdue(now clock.Instant) {
-	for number, held := range ledger.waits {
+func (l *Ledger) countOverdue(now clock.Instant) {
+	for number, held := range l.waits {
 		if !held.overdue && held.goal > 0 && now.Since(held.since) > overdueGoals*held.goal {
 			held.overdue = true
-			ledger.waits[number] = held
-			ledger.failed++
+			l.waits[number] = held
+			l.failed++
 		}
 	}
 }
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -19,8 +19,8 @@
 type health struct{ path string }
 
 // Outgoing makes the call.
-func (asked health) Outgoing() call.Outgoing {
-	return call.Outgoing{Method: http.MethodGet, Path: asked.path}
+func (h health) Outgoing() call.Outgoing {
+	return call.Outgoing{Method: http.MethodGet, Path: h.path}
 }
 
 // condition is what a runner said of itself.
@@ -31,12 +31,12 @@
 }
 
 // Hear takes a well runner, or one that is only full, for alive.
-func (told *condition) Hear(heard call.Heard) error {
+func (c *condition) Hear(heard call.Heard) error {
 	full := heard.Status == http.StatusServiceUnavailable && heard.Header.Get(reply.NotRunHeader) != ""
-	told.ill = heard.Status != http.StatusOK && !full
-	told.id = ids.RunnerID(heard.Header.Get(forward.RunnerHeader))
+	c.ill = heard.Status != http.StatusOK && !full
+	c.id = ids.RunnerID(heard.Header.Get(forward.RunnerHeader))
 	if left, err := strconv.ParseFloat(heard.Header.Get(forward.ColdHeader), 64); err == nil {
-		told.cold = boot.Milliseconds(left)
+		c.cold = boot.Milliseconds(left)
 	}
 	return nil
 }
@@ -47,14 +47,14 @@
 
 // doubts tests runners that broke down until they are well again, and tells
 // the directory when this router reaches no runner for some route.
-func (r *Router) doubts(inner scope.Scope) error {
+func (r *Router) doubts(ctx scope.Scope) error {
 	client := call.Client(call.Pooling{Dialing: call.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence}, Idle: r.pace.Connect, PerHost: 1})
 	unable, reached := 0, false
-	for inner.Wait(r.pace.Connect / looksAtDoubt) {
-		now := inner.Now()
-		r.testLost(inner, client)
+	for ctx.Wait(r.pace.Connect / looksAtDoubt) {
+		now := ctx.Now()
+		r.testLost(ctx, client)
 		for _, id := range r.board.Due(now, r.pace.Connect/4) {
-			go r.test(inner, client, id)
+			go r.test(ctx, client, id)
 		}
 		if r.reaches(now) {
 			unable, reached = 0, true
@@ -69,27 +69,27 @@
 }
 
 // ask asks a runner of a configured service whether it is well.
-func (r *Router) ask(inner scope.Scope, client *http.Client, seen *snapshot.Snapshot, runner *snapshot.Runner) (condition, error) {
-	short, release := inner.WithLimit(r.pace.Connect)
+func (r *Router) ask(ctx scope.Scope, client *http.Client, seen *snapshot.Snapshot, runner *snapshot.Runner) (condition, error) {
+	short, release := ctx.WithLimit(r.pace.Connect)
 	defer release()
 	return call.Ask[condition](short, client, runner.Address, health{path: seen.Spec.Service(runner.Service).HealthPath})
 }
 
-func (r *Router) test(inner scope.Scope, client *http.Client, id ids.RunnerID) {
+func (r *Router) test(ctx scope.Scope, client *http.Client, id ids.RunnerID) {
 	seen := r.frame.Now()
 	runner := seen.Find(id)
 	if runner == nil || seen.Spec == nil || seen.Spec.Service(runner.Service) == nil {
 		r.board.Drop(id)
 		return
 	}
-	told, err := r.ask(inner, client, seen, runner)
+	told, err := r.ask(ctx, client, seen, runner)
 	if err != nil || (told.id != "" && told.id != id) {
 		return
 	}
 	if told.ill && (told.id != id || !r.board.SaysIll(id)) {
 		return
 	}
-	now := inner.Now()
+	now := ctx.Now()
 	if told.cold > 0 {
 		r.warmth.Chill(id, now.Add(told.cold), now)
 	}
--- a/data/router/leave.go
+++ b/data/router/leave.go
@@ -22,8 +22,8 @@
 // open has the router be ready with an entrance; it does not where the router
 // leaves already.
 func (r *Router) open(opened *entrance) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if r.leaving {
 		return
 	}
@@ -33,16 +33,16 @@
 
 // leaves tells whether the router leaves.
 func (r *Router) leaves() bool {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return r.leaving
 }
 
 // withdraw has the router not be ready any more; it gives the entrance that its
 // clients came through, nil where they never did.
 func (r *Router) withdraw() *entrance {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.leaving = true
 	r.common.Table.Announce(func(self *cohort.Member) { self.Ready = false })
 	return r.entrance
--- a/data/router/lost.go
+++ b/data/router/lost.go
@@ -16,7 +16,7 @@
 // then: once one answers, the zone is used again, though it may still be told as
 // lost. So the tests of a zone do not grow with its runners.
 type lostZones struct {
-	lock  sync.Mutex
+	mu    sync.Mutex
 	zones map[ids.Zone]*lostZone
 	told  map[ids.Zone]bool
 }
@@ -38,15 +38,15 @@
 
 // has tells whether a zone's runners are left alone.
 func (l *lostZones) has(zone ids.Zone) bool {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return l.zones[zone] != nil
 }
 
 // update takes over which zones are told as lost.
 func (l *lostZones) update(told map[ids.Zone]bool, now clock.Instant) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if l.zones == nil {
 		l.zones = map[ids.Zone]*lostZone{}
 	}
@@ -70,8 +70,8 @@
 
 // tests gives the zones whose next test is due, and puts the one after it off.
 func (l *lostZones) tests(now clock.Instant, first clock.Span) []ids.Zone {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var due []ids.Zone
 	for zone, known := range l.zones {
 		if !now.Before(known.due) {
@@ -85,18 +85,18 @@
 
 // found ends the loss of a zone.
 func (l *lostZones) found(zone ids.Zone) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	delete(l.zones, zone)
 }
 
 // testLost looks after the lost zones.
-func (r *Router) testLost(inner scope.Scope, client *http.Client) {
-	seen, now := r.frame.Now(), inner.Now()
+func (r *Router) testLost(ctx scope.Scope, client *http.Client) {
+	seen, now := r.frame.Now(), ctx.Now()
 	r.lost.update(seen.Lost, now)
 	for _, zone := range r.lost.tests(now, r.pace.Connect/4) {
 		for _, runner := range samples(seen, zone) {
-			go r.testZone(inner, client, runner)
+			go r.testZone(ctx, client, runner)
 		}
 	}
 }
@@ -120,16 +120,16 @@
 
 // testZone asks a runner of a lost zone whether it is there. Where it started anew,
 // all of its service in the zone count as cold for as long as it does.
-func (r *Router) testZone(inner scope.Scope, client *http.Client, runner *snapshot.Runner) {
+func (r *Router) testZone(ctx scope.Scope, client *http.Client, runner *snapshot.Runner) {
 	seen := r.frame.Now()
 	if seen.Spec == nil || seen.Spec.Service(runner.Service) == nil {
 		return
 	}
-	told, err := r.ask(inner, client, seen, runner)
+	told, err := r.ask(ctx, client, seen, runner)
 	if err != nil || told.ill {
 		return
 	}
-	now := inner.Now()
+	now := ctx.Now()
 	for _, mate := range seen.Runners[runner.Service] {
 		if mate.Zone == runner.Zone && told.cold > 0 {
 			r.warmth.Chill(mate.ID, now.Add(told.cold), now)
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -46,7 +46,7 @@
 	lost   lostZones
 	gate   *readindex.Gate
 	front  *answer.Front
-	lock   sync.Mutex
+	mu     sync.Mutex
 	// entrance is what clients come through, once there is one; leaving says that
 	// the router leaves.
 	entrance *entrance
@@ -144,8 +144,8 @@
 
 func (r *Router) parts(top scope.Scope) {
 	common := r.common
-	common.Part("readiness", func(inner scope.Scope) error {
-		return common.ServeHTTP(inner, top.Boot.Listen["readiness"], http.HandlerFunc(r.readiness))
+	common.Part("readiness", func(ctx scope.Scope) error {
+		return common.ServeHTTP(ctx, top.Boot.Listen["readiness"], http.HandlerFunc(r.readiness))
 	})
 	common.Once("readindex", r.gate.Run)
 	common.Part("front", r.serveFront)
@@ -173,21 +173,21 @@
 // spec is confirmed as the newest. The door
 // opens a little earlier: those who come while these are on their way wait in
 // the listener's queue rather than being turned off.
-func (r *Router) serveFront(inner scope.Scope) error {
-	address := string(inner.Boot.Listen["front"])
+func (r *Router) serveFront(ctx scope.Scope) error {
+	address := string(ctx.Boot.Listen["front"])
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = listener.Close() }()
 	select {
-	case <-inner.Done():
+	case <-ctx.Done():
 		return nil
 	case <-r.gate.Ready():
-	case <-inner.Clock.After(r.pace.Connect):
+	case <-ctx.Clock.After(r.pace.Connect):
 		_ = listener.Close()
 		select {
-		case <-inner.Done():
+		case <-ctx.Done():
 			return nil
 		case <-r.gate.Ready():
 		}
@@ -196,14 +196,14 @@
 		}
 	}
 	server := answer.NewServer(r.front)
-	stop := context.AfterFunc(inner, func() { _ = server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	door := answer.Door(r.front, listener)
 	r.open(&entrance{listener: door, server: server})
-	r.common.Tell(inner)
+	r.common.Tell(ctx)
 	if err := server.Serve(door); !errors.Is(err, http.ErrServerClosed) && !r.leaves() {
 		return err
 	}
-	<-inner.Done()
+	<-ctx.Done()
 	return nil
 }
--- a/data/router/tasks.go
+++ b/data/router/tasks.go
@@ -13,22 +13,22 @@
 )
 
 // report sends what this router saw of the runners up to its zone's relay.
-func (r *Router) report(inner scope.Scope) error {
-	last := inner.Now()
-	for turn := 1; inner.Wait(reportSpan / looks); turn++ {
+func (r *Router) report(ctx scope.Scope) error {
+	last := ctx.Now()
+	for turn := 1; ctx.Wait(reportSpan / looks); turn++ {
 		r.board.Sample()
 		if turn%looks != 0 {
 			continue
 		}
-		now := inner.Now()
+		now := ctx.Now()
 		asked := r.board.Collect(now, now.Since(last))
-		asked.From, asked.Region = r.common.Address, inner.Boot.Region
-		if !inner.Boot.Grouping {
+		asked.From, asked.Region = r.common.Address, ctx.Boot.Region
+		if !ctx.Boot.Grouping {
 			// Only grouping by length needs them.
 			asked.Lengths = nil
 		}
 		last = now
-		go r.common.Report(inner, asked)
+		go r.common.Report(ctx, asked)
 	}
 	return nil
 }
--- a/data/script/script.go
+++ b/data/script/script.go
@@ -32,7 +32,7 @@
 // Runner is a scripted runner.
 type Runner struct {
 	Address ids.Address
-	lock    sync.Mutex
+	mu      sync.Mutex
 	steps   []Step
 	seen    []Seen
 	links   int
@@ -61,24 +61,24 @@
 }
 
 // Seen gives the requests that arrived, in their order.
-func (runner *Runner) Seen() []Seen {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	return append([]Seen(nil), runner.seen...)
+func (r *Runner) Seen() []Seen {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]Seen(nil), r.seen...)
 }
 
 // Links tells how many connections were made to the runner.
-func (runner *Runner) Links() int {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	return runner.links
+func (r *Runner) Links() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.links
 }
 
-func (runner *Runner) serve(link net.Conn) {
+func (r *Runner) serve(link net.Conn) {
 	defer link.Close()
-	runner.lock.Lock()
-	runner.links++
-	runner.lock.Unlock()
+	r.mu.Lock()
+	r.links++
+	r.mu.Unlock()
 	reader := bufio.NewReader(link)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -93,17 +93,17 @@
 			Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header,
 			Body: string(body), Attempt: request.Header.Get("Onyxwell-Attempt-Id"),
 		}
-		if !runner.next(seen)(seen, link) {
+		if !r.next(seen)(seen, link) {
 			return
 		}
 	}
 }
 
-func (runner *Runner) next(seen Seen) Step {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	runner.seen = append(runner.seen, seen)
-	return runner.steps[min(len(runner.seen), len(runner.steps))-1]
+func (r *Runner) next(seen Seen) Step {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.seen = append(r.seen, seen)
+	return r.steps[min(len(r.seen), len(r.steps))-1]
 }
 
 // Raw writes text in which {id} stands for the request's attempt id.
--- a/data/snapshot/query.go
+++ b/data/snapshot/query.go
@@ -6,8 +6,8 @@
 )
 
 // Find gives the listed runner of an id; nil where there is none.
-func (seen *Snapshot) Find(id ids.RunnerID) *Runner {
-	for _, runners := range seen.Runners {
+func (s *Snapshot) Find(id ids.RunnerID) *Runner {
+	for _, runners := range s.Runners {
 		for _, runner := range runners {
 			if runner.ID == id {
 				return runner
@@ -19,18 +19,18 @@
 
 // Usable tells whether a runner may be sent requests now: listed, ready, and
 // in a zone that is not being emptied.
-func (seen *Snapshot) Usable(service ids.Service, id ids.RunnerID) bool {
-	for _, runner := range seen.Runners[service] {
+func (s *Snapshot) Usable(service ids.Service, id ids.RunnerID) bool {
+	for _, runner := range s.Runners[service] {
 		if runner.ID == id {
-			return seen.Open(runner)
+			return s.Open(runner)
 		}
 	}
 	return false
 }
 
 // Open tells the same of a runner of this snapshot.
-func (seen *Snapshot) Open(runner *Runner) bool {
-	return !runner.Draining && !seen.Empty[runner.Zone]
+func (s *Snapshot) Open(runner *Runner) bool {
+	return !runner.Draining && !s.Empty[runner.Zone]
 }
 
 // runnerType tells runners apart by what the plan weighs them by.
@@ -40,25 +40,25 @@
 }
 
 // plan takes over what a plan says of runners and regions.
-func (seen *Snapshot) plan(routing scaler.Routing) {
-	seen.Flows = routing.Flows
-	seen.types = map[runnerType]float64{}
+func (s *Snapshot) plan(routing scaler.Routing) {
+	s.Flows = routing.Flows
+	s.types = map[runnerType]float64{}
 	for _, known := range routing.Types {
-		seen.types[runnerType{service: known.Service, version: known.Version}] = known.Weight
+		s.types[runnerType{service: known.Service, version: known.Version}] = known.Weight
 	}
-	seen.Planned = map[ids.RunnerID]scaler.RunnerWeight{}
+	s.Planned = map[ids.RunnerID]scaler.RunnerWeight{}
 	for _, planned := range routing.Runners {
-		seen.Planned[planned.Runner] = planned
+		s.Planned[planned.Runner] = planned
 	}
 }
 
 // Weight is a runner's share in routing: its own in the plan, else its type's,
 // else, without a plan, its capacity.
-func (seen *Snapshot) Weight(runner *Runner) float64 {
-	if planned := seen.Planned[runner.ID]; planned.Weight > 0 {
+func (s *Snapshot) Weight(runner *Runner) float64 {
+	if planned := s.Planned[runner.ID]; planned.Weight > 0 {
 		return planned.Weight
 	}
-	if weight := seen.types[runnerType{service: runner.Service, version: runner.Version}]; weight > 0 {
+	if weight := s.types[runnerType{service: runner.Service, version: runner.Version}]; weight > 0 {
 		return weight
 	}
 	return float64(max(1, runner.Capacity))
--- a/data/snapshot/rests.go
+++ b/data/snapshot/rests.go
@@ -8,12 +8,12 @@
 )
 
 // absorbRests takes over who rests; the news comes to the own zone only.
-func (frame *Frame) absorbRests(next *Snapshot, body []byte) bool {
+func (f *Frame) absorbRests(next *Snapshot, body []byte) bool {
 	rests, err := eject.Read(body)
 	if err != nil {
 		return false
 	}
-	now := frame.options.Clock.Now()
+	now := f.options.Clock.Now()
 	next.Resting = map[ids.RunnerID]clock.Instant{}
 	for _, rest := range rests.Runners {
 		next.Resting[rest.Runner] = now.Add(clock.Span(rest.LeftMS) * clock.Millisecond)
@@ -35,7 +35,7 @@
 }
 
 // Rests tells whether a runner is to be left alone where others are there.
-func (seen *Snapshot) Rests(id ids.RunnerID, now clock.Instant) bool {
-	until, found := seen.Resting[id]
-	return seen.Planned[id].Resting || (found && now.Before(until))
+func (s *Snapshot) Rests(id ids.RunnerID, now clock.Instant) bool {
+	until, found := s.Resting[id]
+	return s.Planned[id].Resting || (found && now.Before(until))
 }
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -63,7 +63,7 @@
 // Frame holds the snapshot of now.
 type Frame struct {
 	options Options
-	lock    sync.Mutex
+	mu      sync.Mutex
 	now     atomic.Pointer[Snapshot]
 	ready   chan struct{}
 	once    sync.Once
@@ -91,39 +91,39 @@
 }
 
 // Now gives the snapshot of now.
-func (frame *Frame) Now() *Snapshot { return frame.now.Load() }
+func (f *Frame) Now() *Snapshot { return f.now.Load() }
 
 // Ready is closed once a spec and a list of runners are known.
-func (frame *Frame) Ready() <-chan struct{} { return frame.ready }
+func (f *Frame) Ready() <-chan struct{} { return f.ready }
 
 // Absorb takes an item of news; the news store calls it in rising order of
 // serials.
-func (frame *Frame) Absorb(item spread.Item) {
-	if frame.options.View.Absorb(item) {
-		frame.swap(frame.relist)
+func (f *Frame) Absorb(item spread.Item) {
+	if f.options.View.Absorb(item) {
+		f.swap(f.relist)
 		return
 	}
 	if absorb := absorbers[item.Key]; absorb != nil {
-		frame.swap(func(next *Snapshot) bool { return absorb(frame, next, item) })
+		f.swap(func(next *Snapshot) bool { return absorb(f, next, item) })
 		return
 	}
 	if strings.HasPrefix(item.Key, spread.ZonePrefix) {
-		frame.swap(func(next *Snapshot) bool { return frame.absorbRests(next, item.Body) })
+		f.swap(func(next *Snapshot) bool { return f.absorbRests(next, item.Body) })
 		return
 	}
 	if strings.HasPrefix(item.Key, spread.LostPrefix) {
-		frame.swap(func(next *Snapshot) bool { return absorbLost(next, item.Body) })
+		f.swap(func(next *Snapshot) bool { return absorbLost(next, item.Body) })
 		return
 	}
 	if zone, found := evacuation.ZoneOf(item.Key); found {
-		frame.swap(func(next *Snapshot) bool { return frame.absorbZone(next, zone, item.Body) })
+		f.swap(func(next *Snapshot) bool { return f.absorbZone(next, zone, item.Body) })
 	}
 }
 
 // Take takes a list that was not told as news.
-func (frame *Frame) Take(list discovery.List) {
-	frame.options.View.Take(list)
-	frame.swap(frame.relist)
+func (f *Frame) Take(list discovery.List) {
+	f.options.View.Take(list)
+	f.swap(f.relist)
 }
 
 var absorbers = map[string]func(*Frame, *Snapshot, spread.Item) bool{
@@ -153,37 +153,37 @@
 
 // relist takes the runners over from the view; those of a zone whose section is
 // the same stay the same.
-func (frame *Frame) relist(next *Snapshot) bool {
-	sections := frame.options.View.Sections()
+func (f *Frame) relist(next *Snapshot) bool {
+	sections := f.options.View.Sections()
 	if sections == nil {
 		return false
 	}
 	standings := map[ids.Zone]standing{}
 	next.Runners = map[ids.Service][]*Runner{}
 	for _, zone := range slices.Sorted(maps.Keys(sections)) {
-		known := frame.standing[zone]
+		known := f.standing[zone]
 		if known.section != sections[zone] {
-			known = frame.stand(sections[zone])
+			known = f.stand(sections[zone])
 		}
 		standings[zone] = known
 		for _, runner := range known.runners {
 			next.Runners[runner.Service] = append(next.Runners[runner.Service], runner)
 		}
 	}
-	frame.standing = standings
-	frame.options.Listed(next)
+	f.standing = standings
+	f.options.Listed(next)
 	return true
 }
 
-func (frame *Frame) stand(section *discovery.Section) standing {
+func (f *Frame) stand(section *discovery.Section) standing {
 	made := standing{section: section}
 	for _, listed := range section.Runners {
-		made.runners = append(made.runners, &Runner{Runner: listed, Region: frame.options.Zones[listed.Zone]})
+		made.runners = append(made.runners, &Runner{Runner: listed, Region: f.options.Zones[listed.Zone]})
 	}
 	return made
 }
 
-func (frame *Frame) absorbZone(next *Snapshot, zone ids.Zone, body []byte) bool {
+func (f *Frame) absorbZone(next *Snapshot, zone ids.Zone, body []byte) bool {
 	kept, err := evacuation.Read(body)
 	if err != nil {
 		return false
@@ -196,25 +196,25 @@
 		refilled[name] = when
 	}
 	if empty[zone] && !kept.Empty {
-		refilled[zone] = frame.options.Clock.Now()
+		refilled[zone] = f.options.Clock.Now()
 	}
 	empty[zone] = kept.Empty
 	next.Empty, next.Refilled = empty, refilled
 	return true
 }
 
-func (frame *Frame) swap(change func(next *Snapshot) bool) {
-	frame.lock.Lock()
-	defer frame.lock.Unlock()
-	next := *frame.now.Load()
+func (f *Frame) swap(change func(next *Snapshot) bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	next := *f.now.Load()
 	if !change(&next) {
 		return
 	}
-	if before := frame.now.Load().Spec; before != nil && next.Spec.Serial < before.Serial {
-		frame.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Spec.Serial, before.Serial)
+	if before := f.now.Load().Spec; before != nil && next.Spec.Serial < before.Serial {
+		f.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Spec.Serial, before.Serial)
 	}
-	frame.now.Store(&next)
+	f.now.Store(&next)
 	if next.Spec != nil && next.Runners != nil {
-		frame.once.Do(func() { close(frame.ready) })
+		f.once.Do(func() { close(f.ready) })
 	}
 }
--- a/data/warmth/warmth.go
+++ b/data/warmth/warmth.go
@@ -18,7 +18,7 @@
 
 // Warmth knows until when each runner is cold.
 type Warmth struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	runners map[ids.RunnerID]*standing
 	listed  bool
 	chance  func() float64
@@ -50,17 +50,17 @@
 // List takes a list of runners. One that was not on the list before is cold
 // for its whole warm-up, whatever the list says; on the first list of all the
 // list's own word counts.
-func (warmth *Warmth) List(entries []Entry, lag clock.Span, now clock.Instant) {
-	warmth.lock.Lock()
-	defer warmth.lock.Unlock()
+func (w *Warmth) List(entries []Entry, lag clock.Span, now clock.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	present := map[ids.RunnerID]bool{}
 	for _, entry := range entries {
 		present[entry.ID] = true
-		known := warmth.runners[entry.ID]
+		known := w.runners[entry.ID]
 		if known == nil {
 			known = &standing{}
-			warmth.runners[entry.ID] = known
-			if warmth.listed && entry.Warmup > 0 {
+			w.runners[entry.ID] = known
+			if w.listed && entry.Warmup > 0 {
 				known.chill(now.Add(entry.Warmup+lag), now)
 			}
 		}
@@ -68,55 +68,55 @@
 			known.chill(now.Add(entry.ColdLeft+lag), now)
 		}
 	}
-	for id := range warmth.runners {
+	for id := range w.runners {
 		if !present[id] {
-			delete(warmth.runners, id)
+			delete(w.runners, id)
 		}
 	}
-	warmth.listed = warmth.listed || len(entries) > 0
+	w.listed = w.listed || len(entries) > 0
 }
 
 // Chill holds a runner for cold until an instant.
-func (warmth *Warmth) Chill(id ids.RunnerID, until clock.Instant, now clock.Instant) {
-	warmth.lock.Lock()
-	defer warmth.lock.Unlock()
-	if known := warmth.runners[id]; known != nil {
+func (w *Warmth) Chill(id ids.RunnerID, until clock.Instant, now clock.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if known := w.runners[id]; known != nil {
 		known.chill(until, now)
 	}
 }
 
 // chill lengthens a cold spell, or begins one.
-func (known *standing) chill(until clock.Instant, now clock.Instant) {
-	if !now.Before(known.coldUntil) {
-		known.began, known.placed = now, false
+func (s *standing) chill(until clock.Instant, now clock.Instant) {
+	if !now.Before(s.coldUntil) {
+		s.began, s.placed = now, false
 	}
-	if known.coldUntil.Before(until) {
-		known.coldUntil = until
+	if s.coldUntil.Before(until) {
+		s.coldUntil = until
 	}
 }
 
 // Cold tells whether a runner is held for cold.
-func (warmth *Warmth) Cold(id ids.RunnerID, now clock.Instant) bool {
-	warmth.lock.Lock()
-	defer warmth.lock.Unlock()
-	known := warmth.runners[id]
+func (w *Warmth) Cold(id ids.RunnerID, now clock.Instant) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	known := w.runners[id]
 	return known != nil && now.Before(known.coldUntil)
 }
 
 // Open tells whether a runner could take a request now, without taking it.
-func (warmth *Warmth) Open(id ids.RunnerID, bound Bound, now clock.Instant) bool {
-	return warmth.ask(id, bound, now, false)
+func (w *Warmth) Open(id ids.RunnerID, bound Bound, now clock.Instant) bool {
+	return w.ask(id, bound, now, false)
 }
 
 // Take takes one request's place at a runner; a warm one always has place.
-func (warmth *Warmth) Take(id ids.RunnerID, bound Bound, now clock.Instant) bool {
-	return warmth.ask(id, bound, now, true)
+func (w *Warmth) Take(id ids.RunnerID, bound Bound, now clock.Instant) bool {
+	return w.ask(id, bound, now, true)
 }
 
-func (warmth *Warmth) ask(id ids.RunnerID, bound Bound, now clock.Instant, take bool) bool {
-	warmth.lock.Lock()
-	defer warmth.lock.Unlock()
-	known := warmth.runners[id]
+func (w *Warmth) ask(id ids.RunnerID, bound Bound, now clock.Instant, take bool) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	known := w.runners[id]
 	if known == nil || bound.PerS <= 0 || !now.Before(known.coldUntil) {
 		return true
 	}
@@ -125,7 +125,7 @@
 	}
 	gap := float64(clock.Second) * float64(bound.Sharers) / bound.PerS
 	if !known.placed {
-		known.placed, known.next = true, known.began.Add(clock.Span(gap*warmth.chance()))
+		known.placed, known.next = true, known.began.Add(clock.Span(gap*w.chance()))
 	}
 	if now.Before(known.next) {
 		return false
--- a/deployment/layout.go
+++ b/deployment/layout.go
@@ -58,27 +58,27 @@
 }
 
 // Name is the machine's name, as in r0-z1-2.
-func (machine Machine) Name() string { return fmt.Sprintf("%s-%d", machine.Zone.Name, machine.Number) }
+func (m Machine) Name() string { return fmt.Sprintf("%s-%d", m.Zone.Name, m.Number) }
 
 // Role is the name of the daemon that the machine runs.
-func (machine Machine) Role() string {
-	if machine.Number == 0 {
+func (m Machine) Role() string {
+	if m.Number == 0 {
 		return "fleet-controller"
 	}
 	return "router"
 }
 
 // Address is where the machine listens at a port.
-func (machine Machine) Address(port int) string { return fmt.Sprintf("%s:%d", machine.IP, port) }
+func (m Machine) Address(port int) string { return fmt.Sprintf("%s:%d", m.IP, port) }
 
 // AllZones gives the zones of all regions.
-func (layout Layout) AllZones() []Zone {
+func (l Layout) AllZones() []Zone {
 	var found []Zone
-	for region := range layout.Regions {
-		for index := range layout.Zones {
+	for region := range l.Regions {
+		for index := range l.Zones {
 			found = append(found, Zone{
 				Name: ids.Zone(fmt.Sprintf("r%d-z%d", region, index)), Region: ids.Region(fmt.Sprintf("r%d", region)),
-				number: region*layout.Zones + index,
+				number: region*l.Zones + index,
 			})
 		}
 	}
@@ -86,45 +86,45 @@
 }
 
 // Machine gives a machine of a zone, also one beyond the layout's own.
-func (layout Layout) Machine(zone Zone, number int) Machine {
-	return Machine{Zone: zone, Number: number, IP: fmt.Sprintf("127.%d.%d.%d", layout.Subnet+zone.number, number/250, 1+number%250)}
+func (l Layout) Machine(zone Zone, number int) Machine {
+	return Machine{Zone: zone, Number: number, IP: fmt.Sprintf("127.%d.%d.%d", l.Subnet+zone.number, number/250, 1+number%250)}
 }
 
 // Machines gives all machines, zone by zone, the controller's first.
-func (layout Layout) Machines() []Machine {
+func (l Layout) Machines() []Machine {
 	var found []Machine
-	for _, zone := range layout.AllZones() {
-		for number := range 1 + layout.Routers {
-			found = append(found, layout.Machine(zone, number))
+	for _, zone := range l.AllZones() {
+		for number := range 1 + l.Routers {
+			found = append(found, l.Machine(zone, number))
 		}
 	}
 	return found
 }
 
 // PlatformAddress is where the platform's list is served.
-func (layout Layout) PlatformAddress() string {
-	return fmt.Sprintf("127.%d.0.1:%d", layout.Subnet-1, PlatformPort)
+func (l Layout) PlatformAddress() string {
+	return fmt.Sprintf("127.%d.0.1:%d", l.Subnet-1, PlatformPort)
 }
 
 // RunnerIP is the address of a runner.
-func (layout Layout) RunnerIP(index int) string {
-	return fmt.Sprintf("127.%d.%d.%d", layout.Subnet-2, index/250, 1+index%250)
+func (l Layout) RunnerIP(index int) string {
+	return fmt.Sprintf("127.%d.%d.%d", l.Subnet-2, index/250, 1+index%250)
 }
 
 // Seeds are the control addresses of the first zones' controllers, three at most.
-func (layout Layout) Seeds() []string {
+func (l Layout) Seeds() []string {
 	var found []string
-	zones := layout.AllZones()
+	zones := l.AllZones()
 	for _, zone := range zones[:min(3, len(zones))] {
-		found = append(found, layout.Machine(zone, 0).Address(ControlPort))
+		found = append(found, l.Machine(zone, 0).Address(ControlPort))
 	}
 	return found
 }
 
 // Settings is the text of a machine's settings file. First says that the whole
 // deployment starts for the first time.
-func (layout Layout) Settings(machine Machine, folder string, first bool, seeds []string) string {
-	zones := layout.AllZones()
+func (l Layout) Settings(machine Machine, folder string, first bool, seeds []string) string {
+	zones := l.AllZones()
 	var text strings.Builder
 	fmt.Fprintf(&text, "node_name = %q\nzone = %q\nregion = %q\nip = %q\nport_range = [%d, %d]\nfirst_start = %v\ndata_dir = %q\nrules_in_force = [\"base\"]\n",
 		machine.Name(), machine.Zone.Name, machine.Zone.Region, machine.IP, FirstPort, LastPort, first, folder)
@@ -140,7 +140,7 @@
 	} else {
 		fmt.Fprintf(&text, "front = %q\nreadiness = %q\n", machine.Address(FrontPort), machine.Address(ReadyPort))
 	}
-	fmt.Fprintf(&text, limitsText, layout.MemoryMB, link, min(2, (len(zones)-1)/2), layout.GraceS, layout.PlatformAddress())
+	fmt.Fprintf(&text, limitsText, l.MemoryMB, link, min(2, (len(zones)-1)/2), l.GraceS, l.PlatformAddress())
 	return text.String()
 }
 
@@ -174,21 +174,21 @@
 
 // Write puts a machine's settings file and an empty data folder into a folder
 // of its own, and gives the file's path.
-func (layout Layout) Write(folder string, machine Machine) (string, error) {
+func (l Layout) Write(folder string, machine Machine) (string, error) {
 	own := filepath.Join(folder, machine.Name())
 	data := filepath.Join(own, "data")
 	if err := os.MkdirAll(data, 0o755); err != nil {
 		return "", err
 	}
 	path := filepath.Join(own, "boot.toml")
-	return path, os.WriteFile(path, []byte(layout.Settings(machine, data, true, layout.Seeds())), 0o644)
+	return path, os.WriteFile(path, []byte(l.Settings(machine, data, true, l.Seeds())), 0o644)
 }
 
 // Free names an address that is in use already, before anything starts.
-func (layout Layout) Free() error {
-	wanted := []string{layout.PlatformAddress()}
-	for _, zone := range layout.AllZones() {
-		wanted = append(wanted, layout.Machine(zone, 0).Address(ControlPort), layout.Machine(zone, 1).Address(FirstPort))
+func (l Layout) Free() error {
+	wanted := []string{l.PlatformAddress()}
+	for _, zone := range l.AllZones() {
+		wanted = append(wanted, l.Machine(zone, 0).Address(ControlPort), l.Machine(zone, 1).Address(FirstPort))
 	}
 	for _, address := range wanted {
 		listener, err := net.Listen("tcp", address)
--- a/deployment/platform.go
+++ b/deployment/platform.go
@@ -42,13 +42,13 @@
 }
 
 // ServeHTTP answers GET /servers.
-func (platform *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	platform.Calls.Add(1)
-	if platform.Down.Load() {
+func (p *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	p.Calls.Add(1)
+	if p.Down.Load() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	list := platform.List()
+	list := p.List()
 	if zone := request.URL.Query().Get("zone"); zone != "" {
 		list = slices.DeleteFunc(slices.Clone(list), func(listed Listed) bool { return listed.Zone != zone })
 	}
--- a/deployment/process.go
+++ b/deployment/process.go
@@ -45,21 +45,21 @@
 }
 
 // Input is the process's standard input.
-func (process *Process) Input() io.Writer { return process.input }
+func (p *Process) Input() io.Writer { return p.input }
 
 // Ended is closed once the process has ended.
-func (process *Process) Ended() <-chan struct{} { return process.ended }
+func (p *Process) Ended() <-chan struct{} { return p.ended }
 
 // Err says how an ended process ended; nil is status 0.
-func (process *Process) Err() error {
-	<-process.ended
-	return process.err
+func (p *Process) Err() error {
+	<-p.ended
+	return p.err
 }
 
 // Over tells whether the process has ended.
-func (process *Process) Over() bool {
+func (p *Process) Over() bool {
 	select {
-	case <-process.ended:
+	case <-p.ended:
 		return true
 	default:
 		return false
@@ -67,12 +67,12 @@
 }
 
 // Signal sends the process a signal.
-func (process *Process) Signal(signal syscall.Signal) { _ = process.command.Process.Signal(signal) }
+func (p *Process) Signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
 // Kill ends the process without asking and waits until it is gone.
-func (process *Process) Kill() {
-	_ = process.command.Process.Kill()
-	<-process.ended
+func (p *Process) Kill() {
+	_ = p.command.Process.Kill()
+	<-p.ended
 }
 
 // Stop ends processes: in order first, then, after the span, without asking.
@@ -105,14 +105,14 @@
 )
 
 // Usage reads what the system tells of the process.
-func (process *Process) Usage() (Usage, error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.command.Process.Pid))
+func (p *Process) Usage() (Usage, error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 	if err != nil {
 		return Usage{}, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= residentField {
-		return Usage{}, fmt.Errorf("/proc: %d fields of %s", len(fields), process.Machine.Name())
+		return Usage{}, fmt.Errorf("/proc: %d fields of %s", len(fields), p.Machine.Name())
 	}
 	user, _ := strconv.ParseFloat(fields[userField], 64)
 	system, _ := strconv.ParseFloat(fields[systemField], 64)
--- a/emulator/client/client.go
+++ b/emulator/client/client.go
@@ -72,14 +72,14 @@
 var kinds = []oracle.Kind{oracle.Safe, oracle.Unsafe, oracle.Unsafe, oracle.Stream, oracle.Resumable}
 
 // Request draws a request; the same seed and number give the same one.
-func (draw Draw) Request(number int) Request {
-	seed := draw.Seed
+func (d Draw) Request(number int) Request {
+	seed := d.Seed
 	drawn := rand.New(rand.NewPCG(seed, uint64(number)))
-	kind, service := kinds[drawn.IntN(len(kinds))], draw.Services[drawn.IntN(len(draw.Services))]
+	kind, service := kinds[drawn.IntN(len(kinds))], d.Services[drawn.IntN(len(d.Services))]
 	id := fmt.Sprintf("%016x", piece.Hash("attempt", fmt.Sprint(seed), fmt.Sprint(number)))
 	drawing := Request{
 		chunked: drawn.IntN(4) == 0, anew: drawn.IntN(5) == 0, Leaves: drawn.IntN(100) == 0, expects: drawn.IntN(50) == 0,
-		left: draw.Patience, Router: drawn.IntN(draw.Routers),
+		left: d.Patience, Router: drawn.IntN(d.Routers),
 		parts: fmt.Sprintf("%x:%d,%x:%d", drawn.IntN(20), 100, number, 50),
 	}
 	if drawn.IntN(10) == 0 {
@@ -99,32 +99,32 @@
 	if total := piece.Total(id); kind == oracle.Resumable && total > 1 && drawn.IntN(4) == 0 {
 		drawing.Asked.After = 1 + drawn.IntN(total-1)
 	}
-	if drawn.Float64() < draw.Rude {
-		drawing.offend(drawn, draw.RudeKinds)
+	if drawn.Float64() < d.Rude {
+		drawing.offend(drawn, d.RudeKinds)
 	}
 	return drawing
 }
 
 // Text gives the request's bytes.
-func (request Request) Text() string {
-	if request.raw != "" {
-		return request.raw
+func (r Request) Text() string {
+	if r.raw != "" {
+		return r.raw
 	}
 	var text strings.Builder
-	asked := request.Asked
+	asked := r.Asked
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", asked.Call.Method, asked.Call.Target, Host,
-		forward.AttemptHeader, asked.Attempt, forward.LeftHeader, request.left.Milliseconds())
-	fmt.Fprintf(&text, "Onyxwell-Model: m\r\n%s: 150,20\r\n%s: %s\r\n", forward.CountHeader, forward.PrefixHeader, request.parts)
+		forward.AttemptHeader, asked.Attempt, forward.LeftHeader, r.left.Milliseconds())
+	fmt.Fprintf(&text, "Onyxwell-Model: m\r\n%s: 150,20\r\n%s: %s\r\n", forward.CountHeader, forward.PrefixHeader, r.parts)
 	if asked.After > 0 {
 		fmt.Fprintf(&text, "%s: %d\r\n", forward.LastEventField, asked.After)
 	}
-	if request.expects && request.body != "" {
+	if r.expects && r.body != "" {
 		text.WriteString("Expect: 100-continue\r\n")
 	}
-	if request.chunked && request.body != "" {
-		half := len(request.body) / 2
+	if r.chunked && r.body != "" {
+		half := len(r.body) / 2
 		text.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		for _, chunk := range []string{request.body[:half], request.body[half:]} {
+		for _, chunk := range []string{r.body[:half], r.body[half:]} {
 			if chunk != "" {
 				fmt.Fprintf(&text, "%x\r\n%s\r\n", len(chunk), chunk)
 			}
@@ -132,7 +132,7 @@
 		text.WriteString("0\r\n\r\n")
 		return text.String()
 	}
-	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(request.body), request.body)
+	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n%s", len(r.body), r.body)
 	return text.String()
 }
 
--- a/emulator/client/rude.go
+++ b/emulator/client/rude.go
@@ -71,21 +71,21 @@
 	return names
 }
 
-func (request Request) path() string { return request.Asked.Call.Target }
+func (r Request) path() string { return r.Asked.Call.Target }
 
-func (request Request) head(method string, target string) string {
+func (r Request) head(method string, target string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", method, target, Host,
-		forward.AttemptHeader, request.Asked.Attempt, forward.LeftHeader, request.left.Milliseconds())
+		forward.AttemptHeader, r.Asked.Attempt, forward.LeftHeader, r.left.Milliseconds())
 }
 
 // offend makes a request a rude one. Those whose end the router waits for close
 // their side at once.
-func (request *Request) offend(drawn *rand.Rand, names []string) {
+func (r *Request) offend(drawn *rand.Rand, names []string) {
 	chosen := rude[drawn.IntN(len(rude))]
 	for len(names) > 0 && !slices.Contains(names, chosen.name) {
 		chosen = rude[drawn.IntN(len(rude))]
 	}
-	request.Asked.Kind, request.Asked.Note = oracle.Rude, chosen.name
-	request.raw = chosen.text(*request)
-	request.Leaves, request.shuts = false, chosen.name == "closed-early"
+	r.Asked.Kind, r.Asked.Note = oracle.Rude, chosen.name
+	r.raw = chosen.text(*r)
+	r.Leaves, r.shuts = false, chosen.name == "closed-early"
 }
--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -51,23 +51,23 @@
 	}
 	made := &experiment{options: options, clock: top.Clock, report: newReport(options)}
 	// What was begun is finished also when the scope ends.
-	inner, end := top.Detached().WithEnd()
+	ctx, end := top.Detached().WithEnd()
 	defer end()
 	known := &lister{made: made}
-	if err := made.start(inner, known); err != nil {
-		made.stop(inner)
+	if err := made.start(ctx, known); err != nil {
+		made.stop(ctx)
 		return nil, err
 	}
-	go made.announce(inner, known)
+	go made.announce(ctx, known)
 	begin := top.Now()
 	for made.report.Requests < options.Requests && top.Err() == nil && len(made.report.Verdicts) == 0 {
-		made.round(top, inner, min(options.Round, options.Requests-made.report.Requests))
+		made.round(top, ctx, min(options.Round, options.Requests-made.report.Requests))
 		if options.Progress != nil && made.report.Requests < options.Requests {
 			options.Progress(made.report.Requests)
 		}
 	}
 	made.report.Spent = top.Now().Since(begin)
-	made.stop(inner)
+	made.stop(ctx)
 	if len(made.report.Verdicts) == 0 {
 		// Stragglers of the last round are there by now.
 		made.report.judge(made.history.Judge())
@@ -83,48 +83,48 @@
 }
 
 // start starts runners and routers.
-func (made *experiment) start(inner scope.Scope, known *lister) error {
-	for index := range made.options.Runners {
+func (e *experiment) start(ctx scope.Scope, known *lister) error {
+	for index := range e.options.Runners {
 		own := services[index%len(services)]
 		settings := runner.Defaults(own, fmt.Sprintf("i-%d", index+1))
 		settings.Services = []string{own, services[(index+1)%len(services)]}
-		settings.Seed, settings.Mix = made.options.Seed, made.options.Mix
+		settings.Seed, settings.Mix = e.options.Seed, e.options.Mix
 		settings.Capacity, settings.Queue = 64, 64
 		settings.Work, settings.Gap = clock.Millisecond/2, clock.Millisecond/4
-		played, err := runner.Start(runner.Options{Scope: inner, Settings: settings, Address: "127.0.0.1:0", Tell: made.ran, Rest: made.history.Rest})
+		played, err := runner.Start(runner.Options{Scope: ctx, Settings: settings, Address: "127.0.0.1:0", Tell: e.ran, Rest: e.history.Rest})
 		if err != nil {
 			return err
 		}
-		made.runners = append(made.runners, played)
+		e.runners = append(e.runners, played)
 	}
-	list, _ := known.look(inner.Now())
-	made.newest = list
-	for range made.options.Routers {
-		opened, err := made.open(inner, "", list)
+	list, _ := known.look(ctx.Now())
+	e.newest = list
+	for range e.options.Routers {
+		opened, err := e.open(ctx, "", list)
 		if err != nil {
 			return err
 		}
-		made.doors, made.fronts = append(made.doors, opened), append(made.fronts, opened.address)
+		e.doors, e.fronts = append(e.doors, opened), append(e.fronts, opened.address)
 	}
-	if made.options.Restart > 0 {
-		go made.restarts(inner)
+	if e.options.Restart > 0 {
+		go e.restarts(ctx)
 	}
-	if made.options.Freeze > 0 {
-		go made.freezes(inner)
+	if e.options.Freeze > 0 {
+		go e.freezes(ctx)
 	}
-	if made.options.Hangup > 0 {
-		go made.hangups(inner)
+	if e.options.Hangup > 0 {
+		go e.hangups(ctx)
 	}
 	return nil
 }
 
 // stop ends routers and runners and waits, for a while, until the runners have
 // told of all that reached them.
-func (made *experiment) stop(inner scope.Scope) {
-	made.doorLock.Lock()
-	defer made.doorLock.Unlock()
-	made.stopped = true
-	for _, door := range made.doors {
+func (e *experiment) stop(ctx scope.Scope) {
+	e.doorLock.Lock()
+	defer e.doorLock.Unlock()
+	e.stopped = true
+	for _, door := range e.doors {
 		if door.process != nil {
 			door.process.kill()
 			<-door.process.gone
@@ -133,79 +133,79 @@
 		}
 	}
 	// Those that a restart had leave may take a little longer.
-	made.processes.Wait()
-	for _, played := range made.runners {
+	e.processes.Wait()
+	for _, played := range e.runners {
 		played.Close()
 	}
-	for _, played := range made.runners {
+	for _, played := range e.runners {
 		for waited := clock.Span(0); played.Open() > 0 && waited < 10*clock.Second; waited += clock.Millisecond {
-			inner.Wait(clock.Millisecond)
+			ctx.Wait(clock.Millisecond)
 		}
 	}
 }
 
 // counted counts what a router still works on after its client has left.
-func (made *experiment) counted(handler http.Handler) http.Handler {
+func (e *experiment) counted(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		made.busy.Add(1)
-		defer made.busy.Add(-1)
+		e.busy.Add(1)
+		defer e.busy.Add(-1)
 		handler.ServeHTTP(writer, request)
 	})
 }
 
 // ran tells the oracle of a run.
-func (made *experiment) ran(run oracle.Run) {
-	made.history.Ran(run)
-	made.arrived.Store(int64(made.clock.Now()))
-	made.report.ran(run)
+func (e *experiment) ran(run oracle.Run) {
+	e.history.Ran(run)
+	e.arrived.Store(int64(e.clock.Now()))
+	e.report.ran(run)
 }
 
 // round has all clients send a part of the requests, waits until all is at rest
 // and judges.
-func (made *experiment) round(top scope.Scope, inner scope.Scope, count int) {
-	last := made.number.Load() + int64(count)
+func (e *experiment) round(top scope.Scope, ctx scope.Scope, count int) {
+	last := e.number.Load() + int64(count)
 	var clients sync.WaitGroup
 	var sent atomic.Int64
-	for range made.options.Clients {
+	for range e.options.Clients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			played := &client.Client{
-				Front:    func(router int) string { return made.fronts[router] },
-				Patience: made.options.Patience, History: &made.history,
+				Front:    func(router int) string { return e.fronts[router] },
+				Patience: e.options.Patience, History: &e.history,
 			}
 			defer played.Close()
 			for top.Err() == nil {
-				number := made.number.Add(1)
+				number := e.number.Add(1)
 				if number > last {
 					return
 				}
 				sent.Add(1)
-				made.one(inner, played, int(number))
+				e.one(ctx, played, int(number))
 			}
 		}()
 	}
 	clients.Wait()
-	made.number.Store(last)
-	made.report.Requests += int(sent.Load())
-	made.resting.Lock()
-	defer made.resting.Unlock()
-	made.rest(inner)
-	made.report.judge(made.history.Judge())
-	made.history.Forget()
+	e.number.Store(last)
+	e.report.Requests += int(sent.Load())
+	e.resting.Lock()
+	defer e.resting.Unlock()
+	e.rest(ctx)
+	e.report.judge(e.history.Judge())
+	e.history.Forget()
 }
 
-func (made *experiment) one(inner scope.Scope, played *client.Client, number int) {
-	wish := made.draw().Request(number)
-	begin := inner.Now()
-	got := played.Send(inner, wish)
-	made.history.Got(got)
-	made.report.got(wish, got, inner.Now().Since(begin))
+func (e *experiment) one(ctx scope.Scope, played *client.Client, number int) {
+	wish := e.draw().Request(number)
+	begin := ctx.Now()
+	got := played.Send(ctx, wish)
+	e.history.Got(got)
+	e.report.got(wish, got, ctx.Now().Since(begin))
 }
 
 // draw is what the clients' requests are drawn from.
-func (made *experiment) draw() client.Draw {
-	options := made.options
+func (e *experiment) draw() client.Draw {
+	options := e.options
 	return client.Draw{
 		Seed: options.Seed, Routers: options.Routers, Services: services, Patience: options.Patience,
 		Rude: options.Rude, RudeKinds: options.RudeKinds,
@@ -214,16 +214,16 @@
 
 // rest waits until no router works on a request any more, and a little longer
 // for what may still be on its way to a runner.
-func (made *experiment) rest(inner scope.Scope) {
-	for waited := clock.Span(0); made.busy.Load() > 0 && waited < 10*clock.Second; waited += clock.Millisecond {
-		inner.Wait(clock.Millisecond)
+func (e *experiment) rest(ctx scope.Scope) {
+	for waited := clock.Span(0); e.busy.Load() > 0 && waited < 10*clock.Second; waited += clock.Millisecond {
+		ctx.Wait(clock.Millisecond)
 	}
-	inner.Wait(5 * clock.Millisecond)
-	if len(made.options.Program) == 0 {
+	ctx.Wait(5 * clock.Millisecond)
+	if len(e.options.Program) == 0 {
 		return
 	}
 	// What a router of its own process works on isn't seen.
-	for inner.Now().Since(clock.Instant(made.arrived.Load())) < quiet && inner.Wait(quiet/10) {
+	for ctx.Now().Since(clock.Instant(e.arrived.Load())) < quiet && ctx.Wait(quiet/10) {
 	}
 }
 
--- a/emulator/experiment/lister.go
+++ b/emulator/experiment/lister.go
@@ -29,29 +29,29 @@
 )
 
 // look gives the list and whether it changed since the last look.
-func (lister *lister) look(now clock.Instant) (discovery.List, bool) {
+func (l *lister) look(now clock.Instant) (discovery.List, bool) {
 	var list discovery.List
-	changed := lister.lives == nil
-	for index, played := range lister.made.runners {
+	changed := l.lives == nil
+	for index, played := range l.made.runners {
 		life := played.Life()
-		if len(lister.lives) <= index {
-			lister.lives = append(lister.lives, life)
+		if len(l.lives) <= index {
+			l.lives = append(l.lives, life)
 		}
-		if old := lister.lives[index]; old != life {
-			lister.former = append(lister.former, lingering{Runner: listed(old, played), until: now.Add(linger)})
-			lister.lives[index], changed = life, true
+		if old := l.lives[index]; old != life {
+			l.former = append(l.former, lingering{Runner: listed(old, played), until: now.Add(linger)})
+			l.lives[index], changed = life, true
 		}
 		list.Runners = append(list.Runners, listed(life, played))
 	}
 	var left []lingering
-	for _, former := range lister.former {
+	for _, former := range l.former {
 		if now.Before(former.until) {
 			left = append(left, former)
 			list.Runners = append(list.Runners, former.Runner)
 		}
 	}
-	changed = changed || len(left) != len(lister.former)
-	lister.former = left
+	changed = changed || len(left) != len(l.former)
+	l.former = left
 	return list, changed
 }
 
@@ -62,12 +62,12 @@
 }
 
 // announce tells the routers of new lives, a little late.
-func (made *experiment) announce(inner scope.Scope, known *lister) {
-	for inner.Wait(lag) {
-		list, changed := known.look(inner.Now())
+func (e *experiment) announce(ctx scope.Scope, known *lister) {
+	for ctx.Wait(lag) {
+		list, changed := known.look(ctx.Now())
 		if !changed {
 			continue
 		}
-		made.tell(list)
+		e.tell(list)
 	}
 }
--- a/emulator/experiment/naive_test.go
+++ b/emulator/experiment/naive_test.go
@@ -29,7 +29,7 @@
 	top  scope.Scope
 	list atomic.Pointer[discovery.List]
 	turn atomic.Int64
-	lock sync.Mutex
+	mu   sync.Mutex
 	kept map[string][]*keptConn
 }
 
@@ -47,13 +47,13 @@
 
 // take gives a kept connection, but none to an address where the attempt went
 // before: a late answer to its first run may come there, under its own id.
-func (naive *naive) take(address string, went map[string]bool) (*keptConn, error) {
-	naive.lock.Lock()
-	defer naive.lock.Unlock()
-	fresh := went[address] && !naive.errs.again
+func (n *naive) take(address string, went map[string]bool) (*keptConn, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	fresh := went[address] && !n.errs.again
 	went[address] = true
-	if kept := naive.kept[address]; len(kept) > 0 && !fresh {
-		naive.kept[address] = kept[1:]
+	if kept := n.kept[address]; len(kept) > 0 && !fresh {
+		n.kept[address] = kept[1:]
 		return kept[0], nil
 	}
 	opened, err := net.Dial("tcp", address)
@@ -63,25 +63,25 @@
 	return &keptConn{Conn: opened, reader: bufio.NewReader(opened)}, nil
 }
 
-func (naive *naive) keep(address string, conn *keptConn) {
-	naive.lock.Lock()
-	defer naive.lock.Unlock()
-	naive.kept[address] = append(naive.kept[address], conn)
+func (n *naive) keep(address string, conn *keptConn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.kept[address] = append(n.kept[address], conn)
 }
 
 // ServeHTTP carries one request.
-func (naive *naive) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (n *naive) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	parts := strings.Split(request.URL.Path, "/")
-	repeats, ran := parts[2] == "safe" || parts[2] == "resumable" || naive.errs.resend, false
+	repeats, ran := parts[2] == "safe" || parts[2] == "resumable" || n.errs.resend, false
 	went := map[string]bool{}
 	for range 3 {
-		response, text, sent := naive.try(request, parts[1], body, went)
+		response, text, sent := n.try(request, parts[1], body, went)
 		if response != nil {
-			naive.pass(writer, response, text)
+			n.pass(writer, response, text)
 			return
 		}
 		if ran = ran || sent; ran && !repeats {
@@ -89,15 +89,15 @@
 		}
 	}
 	status := http.StatusServiceUnavailable
-	if ran && !naive.errs.promise {
+	if ran && !n.errs.promise {
 		status = http.StatusBadGateway
 	}
 	writer.WriteHeader(status)
 }
 
-func (naive *naive) pass(writer http.ResponseWriter, response *http.Response, text []byte) {
+func (n *naive) pass(writer http.ResponseWriter, response *http.Response, text []byte) {
 	for _, name := range []string{forward.AttemptHeader, forward.SealHeader} {
-		if value := response.Header.Get(name); value != "" && !(naive.errs.noSeal && name == forward.SealHeader) {
+		if value := response.Header.Get(name); value != "" && !(n.errs.noSeal && name == forward.SealHeader) {
 			writer.Header().Set(name, value)
 		}
 	}
@@ -106,9 +106,9 @@
 }
 
 // try sends a request to a runner; it tells whether it may have run there.
-func (naive *naive) try(request *http.Request, service string, body []byte, went map[string]bool) (*http.Response, []byte, bool) {
+func (n *naive) try(request *http.Request, service string, body []byte, went map[string]bool) (*http.Response, []byte, bool) {
 	var open []discovery.Runner
-	for _, runner := range naive.list.Load().Runners {
+	for _, runner := range n.list.Load().Runners {
 		if string(runner.Service) == service {
 			open = append(open, runner)
 		}
@@ -116,14 +116,14 @@
 	if len(open) == 0 {
 		return nil, nil, false
 	}
-	runner := open[int(naive.turn.Add(1))%len(open)]
+	runner := open[int(n.turn.Add(1))%len(open)]
 	address := string(runner.Address)
-	conn, err := naive.take(address, went)
+	conn, err := n.take(address, went)
 	if err != nil {
 		return nil, nil, false
 	}
 	span := 200 * clock.Millisecond
-	if naive.errs.dirty {
+	if n.errs.dirty {
 		span = 3 * clock.Millisecond
 	}
 	type told struct {
@@ -133,25 +133,25 @@
 	}
 	heard := make(chan told, 1)
 	go func() {
-		response, text, err := naive.exchange(conn, request, string(runner.ID), body)
+		response, text, err := n.exchange(conn, request, string(runner.ID), body)
 		heard <- told{response, text, err}
 	}()
 	select {
-	case <-naive.top.Clock.After(span):
-		if naive.errs.dirty {
+	case <-n.top.Clock.After(span):
+		if n.errs.dirty {
 			// The answer that is still to come is left in the connection.
 			_ = conn.SetReadDeadline(time.Unix(1, 0))
 			<-heard
 			_ = conn.SetReadDeadline(time.Time{})
-			naive.keep(address, conn)
+			n.keep(address, conn)
 		} else {
 			_ = conn.Close()
 		}
 		return nil, nil, true
 	case answer := <-heard:
 		refused := answer.response != nil && answer.response.Header.Get("Onyxwell-Not-Run") != ""
-		if answer.err == nil && !answer.response.Close && (naive.errs.byOrder || conn.reader.Buffered() == 0) {
-			naive.keep(address, conn)
+		if answer.err == nil && !answer.response.Close && (n.errs.byOrder || conn.reader.Buffered() == 0) {
+			n.keep(address, conn)
 		} else {
 			_ = conn.Close()
 		}
@@ -164,9 +164,9 @@
 
 // write sends a request; where that fails, it leaves the rest of a body once an answer
 // has begun, and goes on with the connection.
-func (naive *naive) write(conn *keptConn, heads string, body []byte) error {
+func (n *naive) write(conn *keptConn, heads string, body []byte) error {
 	half := len(body)
-	if naive.errs.abandon {
+	if n.errs.abandon {
 		half /= 2
 	}
 	_, err := conn.Write(append([]byte(heads), body[:half]...))
@@ -182,19 +182,19 @@
 	return err
 }
 
-func (naive *naive) exchange(conn *keptConn, request *http.Request, id string, body []byte) (*http.Response, []byte, error) {
+func (n *naive) exchange(conn *keptConn, request *http.Request, id string, body []byte) (*http.Response, []byte, error) {
 	target, attempt := request.RequestURI, request.Header.Get(forward.AttemptHeader)
-	if naive.errs.otherPath {
+	if n.errs.otherPath {
 		target = strings.Replace(target, "?of=", "?for=", 1)
 	}
 	heads := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", request.Method, target, request.Host, forward.AttemptHeader, attempt)
-	if !naive.errs.noTarget {
+	if !n.errs.noTarget {
 		heads += fmt.Sprintf("%s: %s\r\n", forward.TargetHeader, id)
 	}
 	if after := request.Header.Get(forward.LastEventField); after != "" {
 		heads += fmt.Sprintf("%s: %s\r\n", forward.LastEventField, after)
 	}
-	if err := naive.write(conn, fmt.Sprintf("%sContent-Length: %d\r\n\r\n", heads, len(body)), body); err != nil {
+	if err := n.write(conn, fmt.Sprintf("%sContent-Length: %d\r\n\r\n", heads, len(body)), body); err != nil {
 		return nil, nil, err
 	}
 	response, err := http.ReadResponse(conn.reader, request)
@@ -205,14 +205,14 @@
 		return nil, nil, err
 	}
 	text, err := io.ReadAll(response.Body)
-	wrong := !naive.errs.byOrder && !naive.errs.dirty && response.Header.Get(forward.AttemptHeader) != attempt
+	wrong := !n.errs.byOrder && !n.errs.dirty && response.Header.Get(forward.AttemptHeader) != attempt
 	refused := response.Header.Get("Onyxwell-Not-Run") != ""
 	lies := response.StatusCode == 429 || response.StatusCode == 503 || response.StatusCode == 408
 	bare := response.StatusCode == 200 && (response.Header.Get(forward.SealHeader) == "" || response.Header.Get("Content-Encoding") != "")
-	if wrong || bare || (lies && !refused && !naive.errs.believe) {
+	if wrong || bare || (lies && !refused && !n.errs.believe) {
 		return nil, nil, fmt.Errorf("no answer to this request")
 	}
-	if err != nil && !naive.errs.cutAsWhole {
+	if err != nil && !n.errs.cutAsWhole {
 		return nil, nil, err
 	}
 	return response, text, nil
--- a/emulator/experiment/options.go
+++ b/emulator/experiment/options.go
@@ -60,49 +60,49 @@
 }
 
 // Check tells in one line all that is wrong with the options.
-func (options Options) Check() error {
+func (o Options) Check() error {
 	var wrong []string
 	for _, number := range []struct {
 		name  string
 		value int
 		most  int
 	}{
-		{"requests", options.Requests, 1 << 40}, {"clients", options.Clients, 10000},
-		{"routers", options.Routers, 64}, {"runners", options.Runners, 1000}, {"round", options.Round, 1 << 40},
+		{"requests", o.Requests, 1 << 40}, {"clients", o.Clients, 10000},
+		{"routers", o.Routers, 64}, {"runners", o.Runners, 1000}, {"round", o.Round, 1 << 40},
 	} {
 		if number.value < 1 || number.value > number.most {
 			wrong = append(wrong, fmt.Sprintf("%s %d: 1 to %d is wanted", number.name, number.value, number.most))
 		}
 	}
-	if options.Patience < 50*clock.Millisecond {
-		wrong = append(wrong, fmt.Sprintf("patience %v: 50ms or more is wanted", options.Patience))
+	if o.Patience < 50*clock.Millisecond {
+		wrong = append(wrong, fmt.Sprintf("patience %v: 50ms or more is wanted", o.Patience))
 	}
-	if options.Forgive < 0 {
-		wrong = append(wrong, fmt.Sprintf("forgive %v: 0 or more is wanted", options.Forgive))
+	if o.Forgive < 0 {
+		wrong = append(wrong, fmt.Sprintf("forgive %v: 0 or more is wanted", o.Forgive))
 	}
-	if options.Restart < 0 {
-		wrong = append(wrong, fmt.Sprintf("restart %v: 0 or more is wanted", options.Restart))
+	if o.Restart < 0 {
+		wrong = append(wrong, fmt.Sprintf("restart %v: 0 or more is wanted", o.Restart))
 	}
 	for _, signal := range []struct {
 		name  string
 		pause clock.Span
-	}{{"freeze", options.Freeze}, {"hup", options.Hangup}} {
-		if signal.pause < 0 || (signal.pause > 0 && len(options.Program) == 0) {
+	}{{"freeze", o.Freeze}, {"hup", o.Hangup}} {
+		if signal.pause < 0 || (signal.pause > 0 && len(o.Program) == 0) {
 			wrong = append(wrong, fmt.Sprintf("%s %v: 0 is wanted, or more with routers in processes of their own (--processes)", signal.name, signal.pause))
 		}
 	}
-	if !(options.Rude >= 0 && options.Rude <= 1) {
-		wrong = append(wrong, fmt.Sprintf("rude %g: 0 to 1 is wanted", options.Rude))
+	if !(o.Rude >= 0 && o.Rude <= 1) {
+		wrong = append(wrong, fmt.Sprintf("rude %g: 0 to 1 is wanted", o.Rude))
 	}
-	if len(options.RudeKinds) > 0 && options.Rude == 0 {
+	if len(o.RudeKinds) > 0 && o.Rude == 0 {
 		wrong = append(wrong, "rude-kind without a part of the requests: rude is wanted as well")
 	}
-	for _, name := range options.RudeKinds {
+	for _, name := range o.RudeKinds {
 		if !slices.Contains(client.RudeKinds(), name) {
 			wrong = append(wrong, fmt.Sprintf("rude-kind %q: one of %s is wanted", name, strings.Join(client.RudeKinds(), ", ")))
 		}
 	}
-	if err := options.Mix.Check(); err != nil {
+	if err := o.Mix.Check(); err != nil {
 		wrong = append(wrong, err.Error())
 	}
 	if len(wrong) > 0 {
@@ -113,35 +113,35 @@
 
 // Again is the command line that plays the experiment again; it says so where
 // the routers are not the real ones, which no command line gives.
-func (options Options) Again() string {
+func (o Options) Again() string {
 	text := fmt.Sprintf("emulator experiment --requests %d --clients %d --routers %d --runners %d --seed %d --round %d --patience %v --forgive %v",
-		options.Requests, options.Clients, options.Routers, options.Runners, options.Seed, options.Round, options.Patience, options.Forgive)
-	if options.Restart > 0 {
-		text += fmt.Sprintf(" --restart %v", options.Restart)
+		o.Requests, o.Clients, o.Routers, o.Runners, o.Seed, o.Round, o.Patience, o.Forgive)
+	if o.Restart > 0 {
+		text += fmt.Sprintf(" --restart %v", o.Restart)
 	}
-	if len(options.Program) > 0 {
+	if len(o.Program) > 0 {
 		text += " --processes"
 	}
-	if options.Freeze > 0 {
-		text += fmt.Sprintf(" --freeze %v", options.Freeze)
+	if o.Freeze > 0 {
+		text += fmt.Sprintf(" --freeze %v", o.Freeze)
 	}
-	if options.Hangup > 0 {
-		text += fmt.Sprintf(" --hup %v", options.Hangup)
+	if o.Hangup > 0 {
+		text += fmt.Sprintf(" --hup %v", o.Hangup)
 	}
-	if options.Rude > 0 {
-		text += fmt.Sprintf(" --rude %g", options.Rude)
-		for _, name := range options.RudeKinds {
+	if o.Rude > 0 {
+		text += fmt.Sprintf(" --rude %g", o.Rude)
+		for _, name := range o.RudeKinds {
 			text += " --rude-kind " + name
 		}
 	}
-	if options.Mix.String() == runner.All().String() {
+	if o.Mix.String() == runner.All().String() {
 		text += " --mix all"
 	} else {
-		for _, trouble := range strings.Fields(options.Mix.String()) {
+		for _, trouble := range strings.Fields(o.Mix.String()) {
 			text += " --trouble " + trouble
 		}
 	}
-	if options.Build != nil {
+	if o.Build != nil {
 		text += "\nbut with other routers, made by Options.Build"
 	}
 	return text
--- a/emulator/experiment/process.go
+++ b/emulator/experiment/process.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	reread := file.Watch(scope.New(scope.Options{Clock: top.Clock, Boot: settings}).Under(top), hangups)
-	inner, end := top.Detached().WithEnd()
+	ctx, end := top.Detached().WithEnd()
 	defer end()
-	router := Real(inner, first.Document, Options{Forgive: first.Forgive})
+	router := Real(ctx, first.Document, Options{Forgive: first.Forgive})
 	router.List(first.List)
 	server := router.serve(listener, func(handler http.Handler) http.Handler { return handler })
 	fmt.Fprintln(out, listener.Addr())
@@ -71,7 +71,7 @@
 			router.Reread()
 			fmt.Fprintln(out, "reread", fresh.NodeName)
 		case <-top.Done():
-			(&door{router: router, server: server, end: end}).leave(inner, true)
+			(&door{router: router, server: server, end: end}).leave(ctx, true)
 			return nil
 		case <-orphaned.Done():
 			return nil
@@ -90,12 +90,12 @@
 }
 
 // spawn starts a router as a process.
-func (made *experiment) spawn(address string, list discovery.List) (*door, error) {
+func (e *experiment) spawn(address string, list discovery.List) (*door, error) {
 	folder, err := os.MkdirTemp("", "onyxwell-experiment-")
 	if err != nil {
 		return nil, err
 	}
-	begun := &process{command: exec.Command(made.options.Program[0], made.options.Program[1:]...), gone: make(chan struct{}), folder: folder}
+	begun := &process{command: exec.Command(e.options.Program[0], e.options.Program[1:]...), gone: make(chan struct{}), folder: folder}
 	err = begun.boot(0)
 	var told io.Reader
 	if err == nil {
@@ -105,18 +105,18 @@
 		_ = os.RemoveAll(folder)
 		return nil, err
 	}
-	first := order{Address: address, Boot: begun.bootFile(), Document: document(), Forgive: made.options.Forgive, List: list}
+	first := order{Address: address, Boot: begun.bootFile(), Document: document(), Forgive: e.options.Forgive, List: list}
 	err = begun.lines.Encode(first)
 	lines := bufio.NewScanner(told)
 	line := ""
 	if lines.Scan() {
 		line = lines.Text()
 	}
-	made.processes.Add(1)
+	e.processes.Add(1)
 	go func() {
-		defer made.processes.Done()
+		defer e.processes.Done()
 		for lines.Scan() {
-			made.hungup.Add(1)
+			e.hungup.Add(1)
 		}
 		_ = begun.command.Wait()
 		_ = os.RemoveAll(folder)
@@ -131,32 +131,32 @@
 }
 
 // start starts the process and gives what it tells.
-func (process *process) start() (io.Reader, error) {
-	pipe, err := process.command.StdinPipe()
+func (p *process) start() (io.Reader, error) {
+	pipe, err := p.command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	process.pipe, process.lines = pipe, json.NewEncoder(pipe)
-	told, err := process.command.StdoutPipe()
+	p.pipe, p.lines = pipe, json.NewEncoder(pipe)
+	told, err := p.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	return told, process.command.Start()
+	return told, p.command.Start()
 }
 
-func (process *process) kill() {
-	_ = process.command.Process.Kill()
-	_ = process.pipe.Close()
+func (p *process) kill() {
+	_ = p.command.Process.Kill()
+	_ = p.pipe.Close()
 }
 
 // leave asks a process to end, or ends it.
-func (process *process) leave(inner scope.Scope, orderly bool) {
+func (p *process) leave(ctx scope.Scope, orderly bool) {
 	if orderly {
-		_ = process.command.Process.Signal(syscall.SIGTERM)
+		_ = p.command.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-process.gone:
-		case <-inner.Clock.After(4 * clock.Second):
+		case <-p.gone:
+		case <-ctx.Clock.After(4 * clock.Second):
 		}
 	}
-	process.kill()
+	p.kill()
 }
--- a/emulator/experiment/report.go
+++ b/emulator/experiment/report.go
@@ -33,7 +33,7 @@
 	// Verdicts are the broken rules, the first few with their histories.
 	Verdicts []oracle.Verdict
 
-	lock     sync.Mutex
+	mu       sync.Mutex
 	outcomes map[oracle.Kind]map[string]int
 	waits    map[oracle.Kind]*hdrhistogram.Histogram
 }
@@ -45,29 +45,29 @@
 	}
 }
 
-func (report *Report) ran(run oracle.Run) {
-	report.lock.Lock()
-	defer report.lock.Unlock()
+func (r *Report) ran(run oracle.Run) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if run.Refused {
-		report.Refusals++
+		r.Refusals++
 	} else {
-		report.Runs++
+		r.Runs++
 	}
 }
 
 // longest wait that is told apart, in microseconds.
 const longest = 120_000_000
 
-func (report *Report) got(wish client.Request, got oracle.Got, wait clock.Span) {
-	report.lock.Lock()
-	defer report.lock.Unlock()
+func (r *Report) got(wish client.Request, got oracle.Got, wait clock.Span) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	kind := wish.Asked.Kind
-	if report.outcomes[kind] == nil {
-		report.outcomes[kind] = map[string]int{}
-		report.waits[kind] = hdrhistogram.New(1, longest, 3)
+	if r.outcomes[kind] == nil {
+		r.outcomes[kind] = map[string]int{}
+		r.waits[kind] = hdrhistogram.New(1, longest, 3)
 	}
-	report.outcomes[kind][outcomeOf(wish, got)]++
-	_ = report.waits[kind].RecordValue(min(longest, max(1, wait.Microseconds())))
+	r.outcomes[kind][outcomeOf(wish, got)]++
+	_ = r.waits[kind].RecordValue(min(longest, max(1, wait.Microseconds())))
 }
 
 func outcomeOf(wish client.Request, got oracle.Got) string {
@@ -83,17 +83,17 @@
 	return fmt.Sprint(got.Status)
 }
 
-func (report *Report) judge(found []oracle.Verdict) {
-	report.Verdicts = append(report.Verdicts, found...)
+func (r *Report) judge(found []oracle.Verdict) {
+	r.Verdicts = append(r.Verdicts, found...)
 }
 
 // Outcomes counts the ends of all requests by name: a status, cut, left or no
 // answer.
-func (report *Report) Outcomes() map[string]int {
-	report.lock.Lock()
-	defer report.lock.Unlock()
+func (r *Report) Outcomes() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	all := map[string]int{}
-	for _, outcomes := range report.outcomes {
+	for _, outcomes := range r.outcomes {
 		for name, count := range outcomes {
 			all[name] += count
 		}
@@ -105,17 +105,17 @@
 const mostShown = 5
 
 // Show prints the report.
-func (report *Report) Show(out io.Writer) {
-	fmt.Fprintf(out, "seed %d: %d of %d requests in %.1f s, %.0f a second; %d runs, %d refusals by runners, %d restarts, %d freezes and %d SIGHUPs of routers\n\n", report.options.Seed,
-		report.Requests, report.options.Requests, report.Spent.Seconds(), float64(report.Requests)/max(report.Spent.Seconds(), 1e-9), report.Runs, report.Refusals, report.Restarts, report.Freezes, report.Hangups)
-	report.showOutcomes(out)
-	report.showTroubles(out)
-	if len(report.Verdicts) == 0 {
+func (r *Report) Show(out io.Writer) {
+	fmt.Fprintf(out, "seed %d: %d of %d requests in %.1f s, %.0f a second; %d runs, %d refusals by runners, %d restarts, %d freezes and %d SIGHUPs of routers\n\n", r.options.Seed,
+		r.Requests, r.options.Requests, r.Spent.Seconds(), float64(r.Requests)/max(r.Spent.Seconds(), 1e-9), r.Runs, r.Refusals, r.Restarts, r.Freezes, r.Hangups)
+	r.showOutcomes(out)
+	r.showTroubles(out)
+	if len(r.Verdicts) == 0 {
 		fmt.Fprintln(out, "no rule broken")
 		return
 	}
-	fmt.Fprintf(out, "RULES BROKEN: %d; again:\n  %s\n", len(report.Verdicts), report.options.Again())
-	for _, verdict := range report.Verdicts[:min(mostShown, len(report.Verdicts))] {
+	fmt.Fprintf(out, "RULES BROKEN: %d; again:\n  %s\n", len(r.Verdicts), r.options.Again())
+	for _, verdict := range r.Verdicts[:min(mostShown, len(r.Verdicts))] {
 		fmt.Fprintf(out, "\n%s, attempt %s: %s\n", verdict.Rule, verdict.Attempt, verdict.Why)
 		for _, line := range verdict.History {
 			fmt.Fprintf(out, "  %s\n", line)
@@ -123,13 +123,13 @@
 	}
 }
 
-func (report *Report) showOutcomes(out io.Writer) {
-	report.lock.Lock()
-	defer report.lock.Unlock()
+func (r *Report) showOutcomes(out io.Writer) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "kind\trequests\twaits ms p50\tp90\tp99\tp99.9\tmost\toutcomes")
 	for _, kind := range []oracle.Kind{oracle.Safe, oracle.Unsafe, oracle.Stream, oracle.Resumable, oracle.Rude} {
-		waits := report.waits[kind]
+		waits := r.waits[kind]
 		if waits == nil {
 			continue
 		}
@@ -137,7 +137,7 @@
 		for _, quantile := range []float64{50, 90, 99, 99.9, 100} {
 			fmt.Fprintf(table, "\t%.1f", float64(waits.ValueAtQuantile(quantile))/1000)
 		}
-		fmt.Fprintf(table, "\t%s\n", sorted(report.outcomes[kind]))
+		fmt.Fprintf(table, "\t%s\n", sorted(r.outcomes[kind]))
 	}
 	_ = table.Flush()
 	fmt.Fprintln(out)
@@ -156,14 +156,14 @@
 	return text
 }
 
-func (report *Report) showTroubles(out io.Writer) {
-	if report.options.Mix.String() == "" {
+func (r *Report) showTroubles(out io.Writer) {
+	if r.options.Mix.String() == "" {
 		return
 	}
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, trouble := range runner.Troubles {
-		if rate := report.options.Mix[trouble.Name]; rate > 0 {
-			fmt.Fprintf(table, "%s\t%g\t%d times\n", trouble.Name, rate, report.Met[trouble.Name])
+		if rate := r.options.Mix[trouble.Name]; rate > 0 {
+			fmt.Fprintf(table, "%s\t%g\t%d times\n", trouble.Name, rate, r.Met[trouble.Name])
 		}
 	}
 	_ = table.Flush()
--- a/emulator/experiment/restart.go
+++ b/emulator/experiment/restart.go
@@ -21,83 +21,83 @@
 }
 
 // open has a new router serve at an address; an empty one draws a port.
-func (made *experiment) open(inner scope.Scope, address string, list discovery.List) (*door, error) {
+func (e *experiment) open(ctx scope.Scope, address string, list discovery.List) (*door, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	if len(made.options.Program) > 0 {
-		return made.spawn(address, list)
+	if len(e.options.Program) > 0 {
+		return e.spawn(address, list)
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	own, end := inner.WithEnd()
-	build := made.options.Build
+	own, end := ctx.WithEnd()
+	build := e.options.Build
 	if build == nil {
 		build = Real
 	}
-	router := build(own, document(), made.options)
+	router := build(own, document(), e.options)
 	router.List(list)
-	server := router.serve(listener, made.counted)
+	server := router.serve(listener, e.counted)
 	return &door{address: listener.Addr().String(), router: router, server: server, end: end}, nil
 }
 
 // leave ends a router in order, or at once as a crash would.
-func (door *door) leave(inner scope.Scope, orderly bool) {
-	defer door.end()
-	if door.process != nil {
-		door.process.leave(inner, orderly)
+func (d *door) leave(ctx scope.Scope, orderly bool) {
+	defer d.end()
+	if d.process != nil {
+		d.process.leave(ctx, orderly)
 		return
 	}
 	if orderly {
-		if door.router.Leave != nil {
-			door.router.Leave()
+		if d.router.Leave != nil {
+			d.router.Leave()
 		}
-		door.server.SetKeepAlivesEnabled(false)
-		closing, release := inner.WithLimit(3 * clock.Second)
+		d.server.SetKeepAlivesEnabled(false)
+		closing, release := ctx.WithLimit(3 * clock.Second)
 		defer release()
-		_ = door.server.Shutdown(context.Context(closing))
+		_ = d.server.Shutdown(context.Context(closing))
 	}
-	_ = door.server.Close()
+	_ = d.server.Close()
 }
 
 // tell gives all routers a list.
-func (made *experiment) tell(list discovery.List) {
-	made.doorLock.Lock()
-	defer made.doorLock.Unlock()
-	made.newest = list
-	for _, door := range made.doors {
+func (e *experiment) tell(list discovery.List) {
+	e.doorLock.Lock()
+	defer e.doorLock.Unlock()
+	e.newest = list
+	for _, door := range e.doors {
 		door.router.List(list)
 	}
 }
 
 // restarts has one router after another leave, in order or at once, while
 // requests are under way; another takes its address.
-func (made *experiment) restarts(inner scope.Scope) {
-	for turn := 0; inner.Wait(made.options.Restart); turn++ {
-		index := turn % len(made.doors)
-		made.doorLock.Lock()
-		old := made.doors[index]
-		made.doorLock.Unlock()
-		go old.leave(inner, turn%3 != 2)
-		for !made.replace(inner, index, old.address) && inner.Wait(10*clock.Millisecond) {
+func (e *experiment) restarts(ctx scope.Scope) {
+	for turn := 0; ctx.Wait(e.options.Restart); turn++ {
+		index := turn % len(e.doors)
+		e.doorLock.Lock()
+		old := e.doors[index]
+		e.doorLock.Unlock()
+		go old.leave(ctx, turn%3 != 2)
+		for !e.replace(ctx, index, old.address) && ctx.Wait(10*clock.Millisecond) {
 		}
 	}
 }
 
 // replace tries to have a new router serve at the address of an old one.
-func (made *experiment) replace(inner scope.Scope, index int, address string) bool {
-	made.doorLock.Lock()
-	defer made.doorLock.Unlock()
-	if made.stopped {
+func (e *experiment) replace(ctx scope.Scope, index int, address string) bool {
+	e.doorLock.Lock()
+	defer e.doorLock.Unlock()
+	if e.stopped {
 		return true
 	}
-	fresh, err := made.open(inner, address, made.newest)
+	fresh, err := e.open(ctx, address, e.newest)
 	if err != nil {
 		return false
 	}
-	made.doors[index] = fresh
-	made.restarted.Add(1)
+	e.doors[index] = fresh
+	e.restarted.Add(1)
 	return true
 }
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -40,14 +40,14 @@
 }
 
 // serve has the router serve at a listener.
-func (router Router) serve(listener net.Listener, around func(http.Handler) http.Handler) *http.Server {
-	server := router.Server
+func (r Router) serve(listener net.Listener, around func(http.Handler) http.Handler) *http.Server {
+	server := r.Server
 	if server == nil {
-		server = call.Server(router.Handler, 3*clock.Second, 15*clock.Second)
+		server = call.Server(r.Handler, 3*clock.Second, 15*clock.Second)
 	}
 	server.Handler = around(server.Handler)
-	if router.Door != nil {
-		listener = router.Door(listener)
+	if r.Door != nil {
+		listener = r.Door(listener)
 	}
 	go func() { _ = server.Serve(listener) }()
 	return server
@@ -61,7 +61,7 @@
 	frame  *snapshot.Frame
 	board  *metrics.Board
 	warmth *warmth.Warmth
-	lock   sync.Mutex
+	mu     sync.Mutex
 	runner []discovery.Runner
 }
 
@@ -102,14 +102,14 @@
 	}
 }
 
-func (made *real) list(list discovery.List) {
-	made.lock.Lock()
-	made.runner = list.Runners
-	made.lock.Unlock()
-	made.frame.Take(list)
+func (r *real) list(list discovery.List) {
+	r.mu.Lock()
+	r.runner = list.Runners
+	r.mu.Unlock()
+	r.frame.Take(list)
 }
 
-func (made *real) listed(top scope.Scope) func(*snapshot.Snapshot) {
+func (r *real) listed(top scope.Scope) func(*snapshot.Snapshot) {
 	return func(seen *snapshot.Snapshot) {
 		var entries []warmth.Entry
 		for _, runners := range seen.Runners {
@@ -117,19 +117,19 @@
 				entries = append(entries, warmth.Entry{ID: runner.ID, ColdLeft: boot.Milliseconds(float64(runner.ColdLeftMS))})
 			}
 		}
-		made.warmth.List(entries, 0, top.Now())
+		r.warmth.List(entries, 0, top.Now())
 	}
 }
 
 // forgive ends every doubt at once.
-func (made *real) forgive(top scope.Scope, every clock.Span) {
+func (r *real) forgive(top scope.Scope, every clock.Span) {
 	for top.Wait(every) {
-		made.lock.Lock()
-		runners := made.runner
-		made.lock.Unlock()
+		r.mu.Lock()
+		runners := r.runner
+		r.mu.Unlock()
 		for _, runner := range runners {
-			if made.board.Look(runner.ID).Doubted {
-				made.board.Vouch(runner.ID, top.Now())
+			if r.board.Look(runner.ID).Doubted {
+				r.board.Vouch(runner.ID, top.Now())
 			}
 		}
 	}
@@ -150,27 +150,27 @@
 }
 
 // Hear reads the answer.
-func (told *condition) Hear(heard call.Heard) error {
-	told.id, told.well = ids.RunnerID(heard.Header.Get(forward.RunnerHeader)), heard.Status == http.StatusOK
+func (c *condition) Hear(heard call.Heard) error {
+	c.id, c.well = ids.RunnerID(heard.Header.Get(forward.RunnerHeader)), heard.Status == http.StatusOK
 	if left, err := strconv.ParseFloat(heard.Header.Get(forward.ColdHeader), 64); err == nil {
-		told.cold = boot.Milliseconds(left)
+		c.cold = boot.Milliseconds(left)
 	}
 	return nil
 }
 
 // doubts tests the runners that broke down.
-func (made *real) doubts(top scope.Scope, client *http.Client) {
+func (r *real) doubts(top scope.Scope, client *http.Client) {
 	for top.Wait(routerSilence / 50) {
-		for _, id := range made.board.Due(top.Now(), routerSilence/50) {
-			go made.test(top, client, id)
+		for _, id := range r.board.Due(top.Now(), routerSilence/50) {
+			go r.test(top, client, id)
 		}
 	}
 }
 
-func (made *real) test(top scope.Scope, client *http.Client, id ids.RunnerID) {
-	runner := made.frame.Now().Find(id)
+func (r *real) test(top scope.Scope, client *http.Client, id ids.RunnerID) {
+	runner := r.frame.Now().Find(id)
 	if runner == nil {
-		made.board.Drop(id)
+		r.board.Drop(id)
 		return
 	}
 	short, release := top.WithLimit(routerSilence)
@@ -181,7 +181,7 @@
 	}
 	now := top.Now()
 	if told.cold > 0 {
-		made.warmth.Chill(id, now.Add(told.cold), now)
+		r.warmth.Chill(id, now.Add(told.cold), now)
 	}
-	made.board.Vouch(id, now)
+	r.board.Vouch(id, now)
 }
--- a/emulator/experiment/signals.go
+++ b/emulator/experiment/signals.go
@@ -14,27 +14,27 @@
 var frozen = []clock.Span{50 * clock.Millisecond, clock.Second, 300 * clock.Millisecond, 3 * clock.Second}
 
 // freezes stops one router after another in the middle and wakes it.
-func (made *experiment) freezes(inner scope.Scope) {
-	for turn := 0; inner.Wait(made.options.Freeze); turn++ {
-		made.resting.Lock()
-		made.doorLock.Lock()
-		chosen := made.doors[turn%len(made.doors)].process
-		made.doorLock.Unlock()
+func (e *experiment) freezes(ctx scope.Scope) {
+	for turn := 0; ctx.Wait(e.options.Freeze); turn++ {
+		e.resting.Lock()
+		e.doorLock.Lock()
+		chosen := e.doors[turn%len(e.doors)].process
+		e.doorLock.Unlock()
 		if chosen.command.Process.Signal(syscall.SIGSTOP) == nil {
-			inner.Wait(frozen[turn%len(frozen)])
+			ctx.Wait(frozen[turn%len(frozen)])
 			_ = chosen.command.Process.Signal(syscall.SIGCONT)
-			made.frozen.Add(1)
+			e.frozen.Add(1)
 		}
-		made.resting.Unlock()
+		e.resting.Unlock()
 	}
 }
 
 // hangups sends one router after another a SIGHUP with a changed boot file.
-func (made *experiment) hangups(inner scope.Scope) {
-	for turn := 1; inner.Wait(made.options.Hangup); turn++ {
-		made.doorLock.Lock()
-		chosen := made.doors[turn%len(made.doors)].process
-		made.doorLock.Unlock()
+func (e *experiment) hangups(ctx scope.Scope) {
+	for turn := 1; ctx.Wait(e.options.Hangup); turn++ {
+		e.doorLock.Lock()
+		chosen := e.doors[turn%len(e.doors)].process
+		e.doorLock.Unlock()
 		if chosen.boot(turn) == nil {
 			_ = chosen.command.Process.Signal(syscall.SIGHUP)
 		}
@@ -61,13 +61,13 @@
 rate_per_s = 42.0
 `
 
-func (process *process) bootFile() string { return filepath.Join(process.folder, "boot.toml") }
+func (p *process) bootFile() string { return filepath.Join(p.folder, "boot.toml") }
 
 // boot writes the process' boot file, whole or not at all.
-func (process *process) boot(turn int) error {
-	fresh := process.bootFile() + ".new"
+func (p *process) boot(turn int) error {
+	fresh := p.bootFile() + ".new"
 	if err := os.WriteFile(fresh, fmt.Appendf(nil, bootText, turn), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(fresh, process.bootFile())
+	return os.Rename(fresh, p.bootFile())
 }
--- a/emulator/links/links.go
+++ b/emulator/links/links.go
@@ -30,7 +30,7 @@
 
 // Links are the links of one daemon. The zero value is whole.
 type Links struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	order   Order
 	changed chan struct{}
 }
@@ -49,8 +49,8 @@
 
 // Set replaces what is broken.
 func (l *Links) Set(order Order) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.order = order
 	if l.changed != nil {
 		close(l.changed)
@@ -69,8 +69,8 @@
 
 // now gives what is broken, and a channel that is closed when that changes.
 func (l *Links) now() (Order, <-chan struct{}) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if l.changed == nil {
 		l.changed = make(chan struct{})
 	}
--- a/emulator/links/network.go
+++ b/emulator/links/network.go
@@ -80,7 +80,7 @@
 
 // Serve answers calls at an address until the scope ends. An answer that is
 // lost is made in full, and its connection ends in its place.
-func (n Network) Serve(inner scope.Scope, address ids.Address, handler http.Handler, count *call.Traffic) error {
+func (n Network) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *call.Traffic) error {
 	opened, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 		handler.ServeHTTP(writer, request)
 	})
 	server := call.Server(losing, 5*clock.Second, 60*clock.Second)
-	stop := context.AfterFunc(inner, func() { _ = server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	err = server.Serve(call.CountingListener(listener{Listener: opened, network: n}, count))
 	if errors.Is(err, http.ErrServerClosed) {
