--- a/emulator/oracle/oracle.go
+++ b/emulator/oracle/oracle.go
@@ -24,10 +24,10 @@
 )
 
 // Repeatable tells whether an attempt of the kind may run more than once.
-func (kind Kind) Repeatable() bool { return kind == Safe || kind == Resumable }
+func (k Kind) Repeatable() bool { return k == Safe || k == Resumable }
 
 // Streams tells whether the answer is a series of events.
-func (kind Kind) Streams() bool { return kind == Stream || kind == Resumable }
+func (k Kind) Streams() bool { return k == Stream || k == Resumable }
 
 // Call is what must reach a runner as the client sent it.
 type Call struct {
@@ -112,33 +112,33 @@
 
 // Oracle holds the history. The zero value is ready.
 type Oracle struct {
-	lock     sync.Mutex
+	mu       sync.Mutex
 	attempts map[string]*attempt
 	// earlier are those that were forgotten last: a request of theirs may still
 	// have been on its way to a runner.
 	earlier map[string]*attempt
 }
 
-func (oracle *Oracle) with(id string, act func(known *attempt)) {
-	oracle.lock.Lock()
-	defer oracle.lock.Unlock()
-	if oracle.attempts == nil {
-		oracle.attempts = map[string]*attempt{}
+func (o *Oracle) with(id string, act func(known *attempt)) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.attempts == nil {
+		o.attempts = map[string]*attempt{}
 	}
-	known := oracle.attempts[id]
+	known := o.attempts[id]
 	if known == nil {
-		known = oracle.earlier[id]
+		known = o.earlier[id]
 	}
 	if known == nil {
 		known = &attempt{}
-		oracle.attempts[id] = known
+		o.attempts[id] = known
 	}
 	act(known)
 }
 
 // Asked notes an attempt right before the client sends it.
-func (oracle *Oracle) Asked(asked Asked) {
-	oracle.with(asked.Attempt, func(known *attempt) {
+func (o *Oracle) Asked(asked Asked) {
+	o.with(asked.Attempt, func(known *attempt) {
 		known.asked = &asked
 		known.order = append(known.order, fmt.Sprintf("asked: %s %s %s, service %s, after event %d",
 			asked.Kind, asked.Call.Method, asked.Call.Target, asked.Service, asked.After)+note(asked.Note))
@@ -146,8 +146,8 @@
 }
 
 // Ran notes what arrived at a runner, before a byte of its answer is written.
-func (oracle *Oracle) Ran(run Run) {
-	oracle.with(run.Attempt, func(known *attempt) {
+func (o *Oracle) Ran(run Run) {
+	o.with(run.Attempt, func(known *attempt) {
 		known.runs = append(known.runs, run)
 		what := "ran"
 		if run.Refused {
@@ -159,8 +159,8 @@
 }
 
 // Got notes what a client got. What can be told at once is: bodies are not kept.
-func (oracle *Oracle) Got(got Got) {
-	oracle.with(got.Attempt, func(known *attempt) {
+func (o *Oracle) Got(got Got) {
+	o.with(got.Attempt, func(known *attempt) {
 		known.order = append(known.order, fmt.Sprintf("got: status %d, seal %s, echo %s, %d bytes, whole %v %s",
 			got.Status, got.Seal, got.Echo, len(got.Body), got.Whole, got.Note))
 		for _, rule := range answerRules {
@@ -174,10 +174,10 @@
 }
 
 // Judge tells all broken rules; it is asked after all is over.
-func (oracle *Oracle) Judge() []Verdict {
-	oracle.lock.Lock()
-	defer oracle.lock.Unlock()
-	found := append(judge(oracle.earlier), judge(oracle.attempts)...)
+func (o *Oracle) Judge() []Verdict {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	found := append(judge(o.earlier), judge(o.attempts)...)
 	sort.SliceStable(found, func(left int, right int) bool { return found[left].Attempt < found[right].Attempt })
 	return found
 }
@@ -202,8 +202,8 @@
 // Forget drops what was there at the last Forget, so that long experiments fit
 // into memory. What came since is judged once more: a straggler among its runs
 // is not one that nobody asked for.
-func (oracle *Oracle) Forget() {
-	oracle.lock.Lock()
-	defer oracle.lock.Unlock()
-	oracle.earlier, oracle.attempts = oracle.attempts, nil
+func (o *Oracle) Forget() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.earlier, o.attempts = o.attempts, nil
 }
--- a/emulator/oracle/rest.go
+++ b/emulator/oracle/rest.go
@@ -1,8 +1,8 @@
 package oracle
 
 // Rest notes the digest of a body that a runner read whole after it had answered.
-func (oracle *Oracle) Rest(id string, body uint64) {
-	oracle.with(id, func(known *attempt) {
+func (o *Oracle) Rest(id string, body uint64) {
+	o.with(id, func(known *attempt) {
 		if known.asked == nil || known.asked.Call.Body == body {
 			return
 		}
--- a/emulator/oracle/rules.go
+++ b/emulator/oracle/rules.go
@@ -50,9 +50,9 @@
 // promises are the statuses that say: it has not run and never will.
 var promises = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-func (known *attempt) ran() []Run {
+func (a *attempt) ran() []Run {
 	var ran []Run
-	for _, run := range known.runs {
+	for _, run := range a.runs {
 		if !run.Refused {
 			ran = append(ran, run)
 		}
@@ -60,9 +60,9 @@
 	return ran
 }
 
-func (known *attempt) sealed(seal string) *Run {
-	for index := range known.runs {
-		if run := &known.runs[index]; run.Seal == seal && !run.Refused {
+func (a *attempt) sealed(seal string) *Run {
+	for index := range a.runs {
+		if run := &a.runs[index]; run.Seal == seal && !run.Refused {
 			return run
 		}
 	}
@@ -95,7 +95,7 @@
 	return ""
 }
 
-func (known *attempt) streams() bool { return known.asked != nil && known.asked.Kind.Streams() }
+func (a *attempt) streams() bool { return a.asked != nil && a.asked.Kind.Streams() }
 
 func mixedPlain(known *attempt, got Got) string {
 	run := known.sealed(got.Seal)
@@ -155,11 +155,11 @@
 	return ""
 }
 
-func (known *attempt) all() []*Run {
+func (a *attempt) all() []*Run {
 	var all []*Run
-	for index := range known.runs {
-		if !known.runs[index].Refused {
-			all = append(all, &known.runs[index])
+	for index := range a.runs {
+		if !a.runs[index].Refused {
+			all = append(all, &a.runs[index])
 		}
 	}
 	return all
--- a/emulator/piece/piece.go
+++ b/emulator/piece/piece.go
@@ -45,27 +45,27 @@
 func Total(attempt string) int { return 1 + int(Hash(attempt, "total")%mostPieces) }
 
 // Line is the text of one piece, without an end of line.
-func (source Source) Line(number int) string {
-	mark := Hash(source.Attempt, "padding", fmt.Sprint(number))
+func (s Source) Line(number int) string {
+	mark := Hash(s.Attempt, "padding", fmt.Sprint(number))
 	padding := int(mark % mostPadding)
 	if mark%longOne == 0 {
 		padding = longPadding
 	}
-	return fmt.Sprintf("%s %s %s %d/%d %s.", source.Attempt, source.Service, source.Seal, number, Total(source.Attempt),
+	return fmt.Sprintf("%s %s %s %d/%d %s.", s.Attempt, s.Service, s.Seal, number, Total(s.Attempt),
 		strings.Repeat(string(rune('a'+number)), padding))
 }
 
 // Plain is the whole body of an answer that is no stream.
-func (source Source) Plain() string {
+func (s Source) Plain() string {
 	var text strings.Builder
-	for number := 1; number <= Total(source.Attempt); number++ {
-		text.WriteString(source.Line(number))
+	for number := 1; number <= Total(s.Attempt); number++ {
+		text.WriteString(s.Line(number))
 		text.WriteByte('\n')
 	}
 	return text.String()
 }
 
 // Event is one event of a stream, as its bytes go over the wire.
-func (source Source) Event(number int) string {
-	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, source.Line(number))
+func (s Source) Event(number int) string {
+	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, s.Line(number))
 }
--- a/emulator/runner/answer.go
+++ b/emulator/runner/answer.go
@@ -41,46 +41,46 @@
 }
 
 // head gives the bytes of the head.
-func (answer *answer) head() string {
+func (a *answer) head() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "HTTP/1.1 %d X\r\n", answer.status)
-	for _, pair := range answer.heads {
+	fmt.Fprintf(&text, "HTTP/1.1 %d X\r\n", a.status)
+	for _, pair := range a.heads {
 		fmt.Fprintf(&text, "%s: %s\r\n", pair[0], pair[1])
 	}
-	size := answer.size()
-	if answer.told {
-		size = answer.length
+	size := a.size()
+	if a.told {
+		size = a.length
 	}
-	if answer.chunked {
+	if a.chunked {
 		text.WriteString("Transfer-Encoding: chunked\r\n")
-	} else if !answer.unframed {
+	} else if !a.unframed {
 		fmt.Fprintf(&text, "Content-Length: %d\r\n", size)
 	}
-	if answer.closing || answer.unframed {
+	if a.closing || a.unframed {
 		text.WriteString("Connection: close\r\n")
 	}
 	text.WriteString("\r\n")
 	return text.String()
 }
 
-func (answer *answer) size() int {
+func (a *answer) size() int {
 	size := 0
-	for _, part := range answer.body {
+	for _, part := range a.body {
 		size += len(part)
 	}
 	return size
 }
 
 // parts gives the framed body in the pieces in which it is written.
-func (answer *answer) parts() []string {
-	if !answer.chunked {
-		return answer.body
+func (a *answer) parts() []string {
+	if !a.chunked {
+		return a.body
 	}
 	var parts []string
-	for index, part := range answer.body {
+	for index, part := range a.body {
 		chunk := fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
-		if answer.bend != nil && index == len(answer.body)/2 {
-			chunk = answer.bend(chunk)
+		if a.bend != nil && index == len(a.body)/2 {
+			chunk = a.bend(chunk)
 		}
 		parts = append(parts, chunk)
 	}
@@ -88,13 +88,13 @@
 }
 
 // text is the whole answer without what surrounds it.
-func (answer *answer) text() string { return answer.head() + strings.Join(answer.parts(), "") }
+func (a *answer) text() string { return a.head() + strings.Join(a.parts(), "") }
 
 // write sends the answer and does at its end what its troubles say; it tells
 // whether the connection goes on.
-func (link *link) write(inner scope.Scope, told *answer) bool {
-	ahead := string(link.late) + told.before
-	link.late, link.idle = told.late, told.idle
+func (l *link) write(ctx scope.Scope, told *answer) bool {
+	ahead := string(l.late) + told.before
+	l.late, l.idle = told.late, told.idle
 	segments := append([]string{told.head()}, told.parts()...)
 	if told.raw != "" {
 		segments = []string{told.raw}
@@ -109,20 +109,20 @@
 		if index == len(segments)-1 && !cut {
 			segment += told.after
 		}
-		if !link.put(inner, ahead+segment, told.dribble) {
+		if !l.put(ctx, ahead+segment, told.dribble) {
 			return false
 		}
 		ahead = ""
 		if told.gap > 0 && index+1 < len(segments) {
-			inner.Wait(told.gap)
+			ctx.Wait(told.gap)
 		}
 	}
 	if told.end != nil {
 		if cut && told.unframed {
 			// A clean end would be the body's own.
-			_ = link.conn.SetLinger(0)
+			_ = l.conn.SetLinger(0)
 		}
-		told.end(link)
+		told.end(l)
 		return false
 	}
 	return !cut && !told.closing && !told.unframed
@@ -133,18 +133,18 @@
 const dribbles = 24
 
 // put writes bytes, whole or in small pieces.
-func (link *link) put(inner scope.Scope, text string, dribble bool) bool {
+func (l *link) put(ctx scope.Scope, text string, dribble bool) bool {
 	size := len(text)
 	if dribble {
 		size = max(1, len(text)/dribbles)
 	}
 	for text != "" {
 		count := min(size, len(text))
-		if _, err := link.conn.Write([]byte(text[:count])); err != nil {
+		if _, err := l.conn.Write([]byte(text[:count])); err != nil {
 			return false
 		}
 		if text = text[count:]; text != "" {
-			inner.Wait(clock.Millisecond / 4)
+			ctx.Wait(clock.Millisecond / 4)
 		}
 	}
 	return true
--- a/emulator/runner/health.go
+++ b/emulator/runner/health.go
@@ -11,31 +11,31 @@
 
 // health waits for a place as a request does, and tells how the runner is, or
 // something else.
-func (runner *Runner) health(request *http.Request) ([]byte, error) {
-	limited, release := runner.options.Scope.WithLimit(timeLeft(request))
+func (r *Runner) health(request *http.Request) ([]byte, error) {
+	limited, release := r.options.Scope.WithLimit(timeLeft(request))
 	defer release()
-	if !runner.slots.take(limited, 0) {
+	if !r.slots.take(limited, 0) {
 		return own(http.StatusServiceUnavailable, map[string]string{"Onyxwell-Not-Run": "1"}, ""), nil
 	}
-	defer runner.slots.give()
-	running, waiting, _ := runner.slots.load()
-	runner.lock.Lock()
-	runner.asked++
-	drawn := runner.settings.Mix.draw(runner.settings.Seed, runner.settings.ID, fmt.Sprint("health ", runner.asked))
-	life, well := runner.life, !runner.fallen
-	runner.lock.Unlock()
+	defer r.slots.give()
+	running, waiting, _ := r.slots.load()
+	r.mu.Lock()
+	r.asked++
+	drawn := r.settings.Mix.draw(r.settings.Seed, r.settings.ID, fmt.Sprint("health ", r.asked))
+	life, well := r.life, !r.fallen
+	r.mu.Unlock()
 	heads := map[string]string{
 		forward.RunnerHeader: life.ID,
-		forward.LoadHeader:   fmt.Sprintf("%d,%d,%d", running, waiting, runner.settings.Capacity),
+		forward.LoadHeader:   fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity),
 	}
-	if left := runner.coldLeft(); left > 0 {
+	if left := r.coldLeft(); left > 0 {
 		heads[forward.ColdHeader] = strconv.FormatInt(left.Milliseconds(), 10)
 	}
 	if drawn.met[LyingHealth] {
-		runner.count([]string{LyingHealth})
+		r.count([]string{LyingHealth})
 		lies := []func(){
 			func() { well = !well },
-			func() { heads[forward.RunnerHeader] = runner.settings.ID + ".other" },
+			func() { heads[forward.RunnerHeader] = r.settings.ID + ".other" },
 			func() { heads[forward.ColdHeader] = "250" },
 		}
 		lies[drawn.IntN(len(lies))]()
@@ -65,11 +65,11 @@
 	Handled    int     `json:"handled"`
 }
 
-func (runner *Runner) report(*http.Request) ([]byte, error) {
-	running, waiting, handled := runner.slots.load()
+func (r *Runner) report(*http.Request) ([]byte, error) {
+	running, waiting, handled := r.slots.load()
 	body, err := json.Marshal(report{
-		Phase: runner.settings.Phase, Models: []model{{Name: "m", Version: max(1, runner.settings.Version), Adapters: []string{}}},
-		Queued: waiting, Active: running, CacheUsed: runner.cache.used(), CacheTotal: runner.settings.CacheTokens, Handled: handled,
+		Phase: r.settings.Phase, Models: []model{{Name: "m", Version: max(1, r.settings.Version), Adapters: []string{}}},
+		Queued: waiting, Active: running, CacheUsed: r.cache.used(), CacheTotal: r.settings.CacheTokens, Handled: handled,
 	})
 	return own(http.StatusOK, map[string]string{"Content-Type": "application/json"}, string(body)), err
 }
--- a/emulator/runner/link.go
+++ b/emulator/runner/link.go
@@ -28,70 +28,70 @@
 	return &link{runner: runner, conn: conn, reader: bufio.NewReaderSize(conn, 4096)}
 }
 
-func (link *link) reset() {
-	_ = link.conn.SetLinger(0)
-	_ = link.conn.Close()
+func (l *link) reset() {
+	_ = l.conn.SetLinger(0)
+	_ = l.conn.Close()
 }
 
 // drain reads what comes and heeds none of it, until the caller closes.
-func (link *link) drain(span clock.Span) {
-	limited, release := link.runner.options.Scope.WithLimit(span)
+func (l *link) drain(span clock.Span) {
+	limited, release := l.runner.options.Scope.WithLimit(span)
 	defer release()
-	stop := context.AfterFunc(limited, func() { _ = link.conn.Close() })
+	stop := context.AfterFunc(limited, func() { _ = l.conn.Close() })
 	defer stop()
-	_, _ = io.Copy(io.Discard, link.reader)
+	_, _ = io.Copy(io.Discard, l.reader)
 }
 
 // pause is how long a connection is idle before loose bytes come.
 const pause = 2 * clock.Millisecond
 
 // await waits for the next request's first byte.
-func (link *link) await() bool {
-	if link.idle != nil {
-		link.runner.options.Scope.Wait(pause)
-		_, _ = link.conn.Write(link.idle)
-		link.idle = nil
+func (l *link) await() bool {
+	if l.idle != nil {
+		l.runner.options.Scope.Wait(pause)
+		_, _ = l.conn.Write(l.idle)
+		l.idle = nil
 	}
-	limited, release := link.runner.options.Scope.WithLimit(link.runner.settings.KeepIdle)
+	limited, release := l.runner.options.Scope.WithLimit(l.runner.settings.KeepIdle)
 	defer release()
-	stop := context.AfterFunc(limited, func() { _ = link.conn.Close() })
-	_, err := link.reader.Peek(1)
+	stop := context.AfterFunc(limited, func() { _ = l.conn.Close() })
+	_, err := l.reader.Peek(1)
 	return stop() && err == nil
 }
 
-func (link *link) serve() {
-	defer link.runner.leave(link)
-	defer link.conn.Close()
-	for link.await() {
-		request, err := http.ReadRequest(link.reader)
+func (l *link) serve() {
+	defer l.runner.leave(l)
+	defer l.conn.Close()
+	for l.await() {
+		request, err := http.ReadRequest(l.reader)
 		if err != nil {
 			return
 		}
-		if !link.answer(request) {
+		if !l.answer(request) {
 			return
 		}
 	}
 }
 
 // answer serves one request and tells whether the connection goes on.
-func (link *link) answer(request *http.Request) bool {
+func (l *link) answer(request *http.Request) bool {
 	attempt := request.Header.Get(forward.AttemptHeader)
 	own := map[string]func(*http.Request) ([]byte, error){
-		link.runner.settings.Health: link.runner.health,
-		"/report":                   link.runner.report,
+		l.runner.settings.Health: l.runner.health,
+		"/report":                l.runner.report,
 	}[request.URL.Path]
 	if own != nil && attempt == "" && request.Method == http.MethodGet {
 		told, err := own(request)
 		if err == nil {
-			_, err = link.conn.Write(told)
+			_, err = l.conn.Write(told)
 		}
 		return err == nil && !request.Close
 	}
-	drawn := link.runner.settings.Mix.draw(link.runner.settings.Seed, link.runner.settings.ID, attempt)
+	drawn := l.runner.settings.Mix.draw(l.runner.settings.Seed, l.runner.settings.ID, attempt)
 	if drawn.met[ResetUnread] {
-		link.runner.count([]string{ResetUnread})
+		l.runner.count([]string{ResetUnread})
 		_, _ = io.CopyN(io.Discard, request.Body, int64(drawn.IntN(64)))
-		link.reset()
+		l.reset()
 		return false
 	}
 	asked := asking{request: request, attempt: attempt, drawn: drawn, limit: timeLeft(request)}
@@ -103,12 +103,12 @@
 		}
 		asked.body = body
 	}
-	open := link.play(asked, early)
+	open := l.play(asked, early)
 	if open && early {
 		body, err := io.ReadAll(request.Body)
 		open = err == nil
-		if open && link.runner.options.Rest != nil && attempt != "" {
-			link.runner.options.Rest(attempt, piece.Hash(string(body)))
+		if open && l.runner.options.Rest != nil && attempt != "" {
+			l.runner.options.Rest(attempt, piece.Hash(string(body)))
 		}
 	}
 	return open && !request.Close
--- a/emulator/runner/play.go
+++ b/emulator/runner/play.go
@@ -22,8 +22,8 @@
 }
 
 // after is the event after which the client wants to go on.
-func (asked asking) after() int {
-	number, err := strconv.Atoi(asked.request.Header.Get(forward.LastEventField))
+func (a asking) after() int {
+	number, err := strconv.Atoi(a.request.Header.Get(forward.LastEventField))
 	if err != nil {
 		return 0
 	}
@@ -31,7 +31,7 @@
 }
 
 // streams tells whether the request wants events: its path says so.
-func (asked asking) streams() bool { return Streams(asked.request.URL.Path) }
+func (a asking) streams() bool { return Streams(a.request.URL.Path) }
 
 // Streams tells whether a path is answered with a stream of events: its last
 // part, or one before it, is "stream" or "resumable".
@@ -47,13 +47,13 @@
 }
 
 // turnAway gives the status with which a request is refused; 0 takes it.
-func (runner *Runner) turnAway(asked asking, life Life) int {
+func (r *Runner) turnAway(asked asking, life Life) int {
 	if asked.attempt == "" {
 		return http.StatusBadRequest
 	}
 	target := asked.request.Header.Get(forward.TargetHeader)
 	expected := asked.request.Header.Get("Onyxwell-Expected-Version")
-	if (target != "" && target != life.ID) || (expected != "" && expected != strconv.Itoa(runner.settings.Version)) {
+	if (target != "" && target != life.ID) || (expected != "" && expected != strconv.Itoa(r.settings.Version)) {
 		return http.StatusMisdirectedRequest
 	}
 	if asked.drawn.met[Refusal] {
@@ -64,16 +64,16 @@
 
 // play decides whether the request runs, runs it and answers; it tells whether
 // the connection goes on.
-func (link *link) play(asked asking, early bool) bool {
-	runner := link.runner
+func (l *link) play(asked asking, early bool) bool {
+	runner := l.runner
 	limited, release := runner.options.Scope.WithLimit(asked.limit)
 	defer release()
 	status := runner.turnAway(asked, runner.Life())
 	if status != 0 {
-		return link.refuse(asked, status, early)
+		return l.refuse(asked, status, early)
 	}
 	if !runner.bear() {
-		link.reset()
+		l.reset()
 		return false
 	}
 	urgency, err := strconv.Atoi(asked.request.Header.Get(forward.UrgencyHeader))
@@ -81,31 +81,31 @@
 		urgency = 5
 	}
 	if !runner.slots.take(limited, urgency) {
-		return link.refuse(asked, http.StatusServiceUnavailable, early)
+		return l.refuse(asked, http.StatusServiceUnavailable, early)
 	}
 	defer runner.slots.give()
 	// The life may have changed while the request was in the queue.
 	seal, life := runner.seal()
 	if status = runner.turnAway(asked, life); status != 0 {
-		return link.refuse(asked, status, early)
+		return l.refuse(asked, status, early)
 	}
-	return link.run(limited, asked, early, seal, life)
+	return l.run(limited, asked, early, seal, life)
 }
 
-func (link *link) refuse(asked asking, status int, early bool) bool {
-	life := link.runner.Life()
-	told := link.runner.compose(asked, life, "", status)
+func (l *link) refuse(asked asking, status int, early bool) bool {
+	life := l.runner.Life()
+	told := l.runner.compose(asked, life, "", status)
 	told.heads = append(told.heads, [2]string{"Onyxwell-Not-Run", "1"})
 	if asked.drawn.met[Refusal] && asked.drawn.IntN(2) == 0 {
 		told.body = []string{"turned away\n"}
 	}
-	told.shape(link, asked)
-	link.tell(asked, oracle.Run{Runner: life.ID, Service: life.Service, Refused: true, Status: status, After: asked.after(), Unread: early}, told)
-	return link.write(link.runner.options.Scope, told)
+	told.shape(l, asked)
+	l.tell(asked, oracle.Run{Runner: life.ID, Service: life.Service, Refused: true, Status: status, After: asked.after(), Unread: early}, told)
+	return l.write(l.runner.options.Scope, told)
 }
 
-func (link *link) run(limited scope.Scope, asked asking, early bool, seal string, life Life) bool {
-	runner := link.runner
+func (l *link) run(limited scope.Scope, asked asking, early bool, seal string, life Life) bool {
+	runner := l.runner
 	unread := runner.cache.read(asked.request.Header.Get("Onyxwell-Model"), asked.request.Header.Get(forward.PrefixHeader))
 	work := runner.settings.Work + clock.Span(unread*float64(runner.settings.ReadToken))
 	if runner.coldLeft() > 0 {
@@ -119,30 +119,30 @@
 		status = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout}[asked.drawn.IntN(3)]
 	}
 	told := runner.compose(asked, life, seal, status)
-	told.shape(link, asked)
-	link.tell(asked, oracle.Run{
+	told.shape(l, asked)
+	l.tell(asked, oracle.Run{
 		Runner: life.ID, Service: life.Service, Seal: seal, Status: status, Framed: told.framed, After: asked.after(), Unread: early,
 	}, told)
 	if !limited.Wait(work) {
 		// The deadline passed while it ran; nobody waits any more.
-		link.drain(runner.settings.Silent)
+		l.drain(runner.settings.Silent)
 		return false
 	}
-	return link.write(limited, told)
+	return l.write(limited, told)
 }
 
-func (link *link) tell(asked asking, run oracle.Run, told *answer) {
+func (l *link) tell(asked asking, run oracle.Run, told *answer) {
 	names := told.met
 	if asked.drawn.met[EarlyAnswer] {
 		names = append(names, EarlyAnswer)
 	}
-	link.runner.count(names)
-	if link.runner.options.Tell == nil || asked.attempt == "" {
+	l.runner.count(names)
+	if l.runner.options.Tell == nil || asked.attempt == "" {
 		return
 	}
 	run.Attempt, run.Troubles = asked.attempt, names
 	run.Call = CallOf(asked.request.Method, asked.request.RequestURI, asked.request.Host, asked.body)
-	link.runner.options.Tell(run)
+	l.runner.options.Tell(run)
 }
 
 // CallOf is what must reach a runner unchanged, for the oracle.
@@ -151,23 +151,23 @@
 }
 
 // compose makes the answer that a runner without troubles gives.
-func (runner *Runner) compose(asked asking, life Life, seal string, status int) *answer {
-	running, waiting, _ := runner.slots.load()
+func (r *Runner) compose(asked asking, life Life, seal string, status int) *answer {
+	running, waiting, _ := r.slots.load()
 	made := &answer{status: status, cut: -1, chunked: asked.drawn.IntN(4) == 0}
 	made.heads = [][2]string{
 		{forward.AttemptHeader, asked.attempt},
-		{forward.LoadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, runner.settings.Capacity)},
-		{"Keep-Alive", fmt.Sprintf("timeout=%d", max(1, int(runner.settings.KeepIdle/clock.Second)))},
+		{forward.LoadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity)},
+		{"Keep-Alive", fmt.Sprintf("timeout=%d", max(1, int(r.settings.KeepIdle/clock.Second)))},
 	}
-	if left := runner.coldLeft(); left > 0 {
+	if left := r.coldLeft(); left > 0 {
 		made.heads = append(made.heads, [2]string{forward.ColdHeader, strconv.FormatInt(left.Milliseconds(), 10)})
 	}
 	if seal == "" {
 		return made
 	}
 	made.heads = append(made.heads, [2]string{forward.SealHeader, seal})
-	if runner.settings.Version > 0 {
-		made.heads = append(made.heads, [2]string{"Onyxwell-Weight-Versions", strconv.Itoa(runner.settings.Version)})
+	if r.settings.Version > 0 {
+		made.heads = append(made.heads, [2]string{"Onyxwell-Weight-Versions", strconv.Itoa(r.settings.Version)})
 	}
 	source := piece.Source{Attempt: asked.attempt, Service: life.Service, Seal: seal}
 	if !asked.streams() || status != http.StatusOK {
@@ -175,7 +175,7 @@
 		made.heads = append(made.heads, [2]string{"Content-Type", "text/plain"})
 		return made
 	}
-	made.gap, made.stream, made.chunked = runner.settings.Gap, true, !made.chunked
+	made.gap, made.stream, made.chunked = r.settings.Gap, true, !made.chunked
 	made.heads = append(made.heads, [2]string{"Content-Type", "text/event-stream"})
 	for number := asked.after() + 1; number <= piece.Total(asked.attempt); number++ {
 		made.body = append(made.body, source.Event(number))
--- a/emulator/runner/runner.go
+++ b/emulator/runner/runner.go
@@ -38,7 +38,7 @@
 	slots    slots
 	cache    cache
 
-	lock   sync.Mutex
+	mu     sync.Mutex
 	life   Life
 	lives  int
 	began  clock.Instant
@@ -78,45 +78,45 @@
 }
 
 // Address is where the runner listens.
-func (runner *Runner) Address() string { return runner.listener.Addr().String() }
+func (r *Runner) Address() string { return r.listener.Addr().String() }
 
 // Life tells who has the address now.
-func (runner *Runner) Life() Life {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	return runner.life
+func (r *Runner) Life() Life {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.life
 }
 
 // Met tells how often each trouble befell a request.
-func (runner *Runner) Met() map[string]int {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
+func (r *Runner) Met() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	met := map[string]int{}
-	for name, count := range runner.met {
+	for name, count := range r.met {
 		met[name] = count
 	}
 	return met
 }
 
 // Open tells how many connections are open.
-func (runner *Runner) Open() int {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	return len(runner.links)
+func (r *Runner) Open() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.links)
 }
 
 // Become gives the address to a new life; its connections are reset, or stay
 // with the new life as though nothing had been.
-func (runner *Runner) Become(service string, reset bool) {
-	runner.lock.Lock()
-	runner.lives++
-	runner.life = Life{ID: fmt.Sprintf("%s.%d", runner.settings.ID, runner.lives), Service: service}
-	runner.began, runner.fallen = runner.options.Scope.Now(), false
+func (r *Runner) Become(service string, reset bool) {
+	r.mu.Lock()
+	r.lives++
+	r.life = Life{ID: fmt.Sprintf("%s.%d", r.settings.ID, r.lives), Service: service}
+	r.began, r.fallen = r.options.Scope.Now(), false
 	var ended []*link
-	for link := range runner.links {
+	for link := range r.links {
 		ended = append(ended, link)
 	}
-	runner.lock.Unlock()
+	r.mu.Unlock()
 	for _, link := range ended {
 		if reset {
 			link.reset()
@@ -125,23 +125,23 @@
 }
 
 // Close ends the runner and its connections.
-func (runner *Runner) Close() {
-	_ = runner.listener.Close()
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	for link := range runner.links {
+func (r *Runner) Close() {
+	_ = r.listener.Close()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for link := range r.links {
 		link.reset()
 	}
 }
 
-func (runner *Runner) accept() {
+func (r *Runner) accept() {
 	for {
-		opened, err := runner.listener.Accept()
+		opened, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		made := newLink(runner, opened.(*net.TCPConn))
-		if !runner.enter(made) {
+		made := newLink(r, opened.(*net.TCPConn))
+		if !r.enter(made) {
 			made.reset()
 			continue
 		}
@@ -150,69 +150,69 @@
 }
 
 // enter counts a connection; one too many is not taken.
-func (runner *Runner) enter(made *link) bool {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	if most := runner.settings.Connections; most > 0 && len(runner.links) >= most {
+func (r *Runner) enter(made *link) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if most := r.settings.Connections; most > 0 && len(r.links) >= most {
 		return false
 	}
-	runner.links[made] = true
+	r.links[made] = true
 	return true
 }
 
-func (runner *Runner) leave(made *link) {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	delete(runner.links, made)
+func (r *Runner) leave(made *link) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.links, made)
 }
 
 // count notes which troubles befell a request.
-func (runner *Runner) count(names []string) {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
+func (r *Runner) count(names []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, name := range names {
-		runner.met[name]++
+		r.met[name]++
 	}
 }
 
 // coldLeft is how much longer this life is cold.
-func (runner *Runner) coldLeft() clock.Span {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	return max(0, runner.settings.Cold-runner.options.Scope.Now().Since(runner.began))
+func (r *Runner) coldLeft() clock.Span {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return max(0, r.settings.Cold-r.options.Scope.Now().Since(r.began))
 }
 
 // bear counts a request against what a cold runner bears; false says that it
 // has fallen over.
-func (runner *Runner) bear() bool {
-	if runner.settings.ColdPerS == 0 || runner.coldLeft() == 0 {
+func (r *Runner) bear() bool {
+	if r.settings.ColdPerS == 0 || r.coldLeft() == 0 {
 		return true
 	}
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	now := runner.options.Scope.Now()
-	if now.Since(runner.second) >= clock.Second {
-		runner.second, runner.burden = now, 0
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.options.Scope.Now()
+	if now.Since(r.second) >= clock.Second {
+		r.second, r.burden = now, 0
 	}
-	runner.burden++
-	runner.fallen = runner.fallen || runner.burden > 2*runner.settings.ColdPerS
-	return !runner.fallen
+	r.burden++
+	r.fallen = r.fallen || r.burden > 2*r.settings.ColdPerS
+	return !r.fallen
 }
 
 // seal gives the stamp of a new run, and who runs it.
-func (runner *Runner) seal() (string, Life) {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	runner.runs++
-	return fmt.Sprintf("%s.%d", runner.settings.ID, runner.runs), runner.life
+func (r *Runner) seal() (string, Life) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.runs++
+	return fmt.Sprintf("%s.%d", r.settings.ID, r.runs), r.life
 }
 
 // swapForeign gives an earlier attempt, never the same one, and remembers this one.
-func (runner *Runner) swapForeign(attempt string) string {
-	runner.lock.Lock()
-	defer runner.lock.Unlock()
-	if runner.foreign[0] != attempt {
-		runner.foreign = [2]string{attempt, runner.foreign[0]}
+func (r *Runner) swapForeign(attempt string) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.foreign[0] != attempt {
+		r.foreign = [2]string{attempt, r.foreign[0]}
 	}
-	return runner.foreign[1]
+	return r.foreign[1]
 }
--- a/emulator/runner/runner_test.go
+++ b/emulator/runner/runner_test.go
@@ -19,7 +19,7 @@
 type played struct {
 	*Runner
 	t    *testing.T
-	lock sync.Mutex
+	mu   sync.Mutex
 	runs []oracle.Run
 }
 
@@ -30,8 +30,8 @@
 	change(&settings)
 	made := &played{t: t}
 	begun, err := Start(Options{Scope: scope.New(scope.Options{}), Settings: settings, Address: "127.0.0.1:0", Tell: func(run oracle.Run) {
-		made.lock.Lock()
-		defer made.lock.Unlock()
+		made.mu.Lock()
+		defer made.mu.Unlock()
 		made.runs = append(made.runs, run)
 	}})
 	if err != nil {
@@ -43,11 +43,11 @@
 }
 
 // raw sends bytes on a new connection and gives all that comes back.
-func (played *played) raw(text string) string {
-	played.t.Helper()
-	conn, err := net.Dial("tcp", played.Address())
+func (p *played) raw(text string) string {
+	p.t.Helper()
+	conn, err := net.Dial("tcp", p.Address())
 	if err != nil {
-		played.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	defer conn.Close()
 	_, _ = io.WriteString(conn, text)
--- a/emulator/runner/settings.go
+++ b/emulator/runner/settings.go
@@ -56,29 +56,29 @@
 }
 
 // Check tells in one line all that is wrong with the settings.
-func (settings Settings) Check() error {
+func (s Settings) Check() error {
 	var wrong []string
 	need := func(good bool, text string, values ...any) {
 		if !good {
 			wrong = append(wrong, fmt.Sprintf(text, values...))
 		}
 	}
-	need(len(settings.Services) > 0 && settings.Services[0] != "", "a service is wanted")
-	need(settings.ID != "" && !strings.ContainsAny(settings.ID, " \r\n"), "id %q: a word is wanted", settings.ID)
-	need(settings.Capacity >= 1, "capacity %d: 1 or more is wanted", settings.Capacity)
-	need(settings.Queue >= 0, "queue %d: 0 or more is wanted", settings.Queue)
-	need(settings.Connections >= 0, "connections %d: 0 or more is wanted", settings.Connections)
-	need(settings.CacheTokens >= 0, "cache-tokens %g: 0 or more is wanted", settings.CacheTokens)
-	need(settings.ColdPerS >= 0, "cold-per-s %g: 0 or more is wanted", settings.ColdPerS)
+	need(len(s.Services) > 0 && s.Services[0] != "", "a service is wanted")
+	need(s.ID != "" && !strings.ContainsAny(s.ID, " \r\n"), "id %q: a word is wanted", s.ID)
+	need(s.Capacity >= 1, "capacity %d: 1 or more is wanted", s.Capacity)
+	need(s.Queue >= 0, "queue %d: 0 or more is wanted", s.Queue)
+	need(s.Connections >= 0, "connections %d: 0 or more is wanted", s.Connections)
+	need(s.CacheTokens >= 0, "cache-tokens %g: 0 or more is wanted", s.CacheTokens)
+	need(s.ColdPerS >= 0, "cold-per-s %g: 0 or more is wanted", s.ColdPerS)
 	for name, span := range map[string]clock.Span{
-		"work": settings.Work, "gap": settings.Gap, "read-token": settings.ReadToken, "cold": settings.Cold,
+		"work": s.Work, "gap": s.Gap, "read-token": s.ReadToken, "cold": s.Cold,
 	} {
 		need(span >= 0, "%s %v: 0 or more is wanted", name, span)
 	}
-	need(settings.KeepIdle >= clock.Millisecond, "keep-idle %v: 1ms or more is wanted", settings.KeepIdle)
-	need(settings.Silent >= clock.Millisecond, "silent %v: 1ms or more is wanted", settings.Silent)
-	need(strings.HasPrefix(settings.Health, "/"), "health %q: a path is wanted", settings.Health)
-	if err := settings.Mix.Check(); err != nil {
+	need(s.KeepIdle >= clock.Millisecond, "keep-idle %v: 1ms or more is wanted", s.KeepIdle)
+	need(s.Silent >= clock.Millisecond, "silent %v: 1ms or more is wanted", s.Silent)
+	need(strings.HasPrefix(s.Health, "/"), "health %q: a path is wanted", s.Health)
+	if err := s.Mix.Check(); err != nil {
 		wrong = append(wrong, err.Error())
 	}
 	if len(wrong) > 0 {
--- a/emulator/runner/shape.go
+++ b/emulator/runner/shape.go
@@ -113,17 +113,17 @@
 }
 
 // shape makes the answer what the attempt's troubles make of it.
-func (told *answer) shape(link *link, asked asking) {
+func (a *answer) shape(link *link, asked asking) {
 	for _, trouble := range Troubles {
-		if !asked.drawn.met[trouble.Name] || shapers[trouble.Name] == nil || told.raw != "" {
+		if !asked.drawn.met[trouble.Name] || shapers[trouble.Name] == nil || a.raw != "" {
 			continue
 		}
-		if shapers[trouble.Name](told, link, asked) {
-			told.met = append(told.met, trouble.Name)
+		if shapers[trouble.Name](a, link, asked) {
+			a.met = append(a.met, trouble.Name)
 		}
 	}
-	if told.chunked || told.unframed || told.raw != "" {
-		told.framed = 0
+	if a.chunked || a.unframed || a.raw != "" {
+		a.framed = 0
 	}
 }
 
@@ -131,8 +131,8 @@
 
 func silence(link *link) { link.drain(link.runner.settings.Silent) }
 
-func (told *answer) sealed() bool {
-	for _, pair := range told.heads {
+func (a *answer) sealed() bool {
+	for _, pair := range a.heads {
 		if pair[0] == forward.SealHeader {
 			return true
 		}
@@ -140,10 +140,10 @@
 	return false
 }
 
-func (told *answer) drop(name string) bool {
-	for index, pair := range told.heads {
+func (a *answer) drop(name string) bool {
+	for index, pair := range a.heads {
 		if pair[0] == name {
-			told.heads = append(told.heads[:index:index], told.heads[index+1:]...)
+			a.heads = append(a.heads[:index:index], a.heads[index+1:]...)
 			return true
 		}
 	}
@@ -151,37 +151,37 @@
 }
 
 // unframe leaves a run's body without length and chunks.
-func (told *answer) unframe() bool {
-	if !told.sealed() {
+func (a *answer) unframe() bool {
+	if !a.sealed() {
 		return false
 	}
-	told.chunked, told.unframed = false, true
-	for told.drop("Content-Length") {
+	a.chunked, a.unframed = false, true
+	for a.drop("Content-Length") {
 	}
 	return true
 }
 
-func (told *answer) add(name string, value string) bool {
-	told.heads = append(told.heads, [2]string{name, value})
+func (a *answer) add(name string, value string) bool {
+	a.heads = append(a.heads, [2]string{name, value})
 	return true
 }
 
 // ends has something happen at a byte of the answer; the first that is set stays.
-func (told *answer) ends(cut int, end func(link *link)) bool {
-	if told.end != nil {
+func (a *answer) ends(cut int, end func(link *link)) bool {
+	if a.end != nil {
 		return false
 	}
-	told.cut, told.end = cut, end
+	a.cut, a.end = cut, end
 	return true
 }
 
 // follow has bytes come right behind a whole answer.
-func (told *answer) follow(text string) bool {
+func (a *answer) follow(text string) bool {
 	// By a length or chunk that is too long, or none, they'd be part of the body.
-	if told.unframed || told.bend != nil || (told.told && told.framed == 0) {
+	if a.unframed || a.bend != nil || (a.told && a.framed == 0) {
 		return false
 	}
-	told.after += text
+	a.after += text
 	return true
 }
 
--- a/emulator/runner/slots.go
+++ b/emulator/runner/slots.go
@@ -11,7 +11,7 @@
 
 // slots are the places of the requests that run, and the queue before them.
 type slots struct {
-	lock     sync.Mutex
+	mu       sync.Mutex
 	capacity int
 	queue    int
 	running  int
@@ -26,67 +26,67 @@
 
 // take waits for a place; the more urgent go in first. False says that there
 // is no room, or that the scope ended first.
-func (slots *slots) take(inner scope.Scope, urgency int) bool {
-	slots.lock.Lock()
-	if slots.running < slots.capacity {
-		slots.running++
-		slots.lock.Unlock()
+func (s *slots) take(ctx scope.Scope, urgency int) bool {
+	s.mu.Lock()
+	if s.running < s.capacity {
+		s.running++
+		s.mu.Unlock()
 		return true
 	}
-	if len(slots.waiting) >= slots.queue {
-		slots.lock.Unlock()
+	if len(s.waiting) >= s.queue {
+		s.mu.Unlock()
 		return false
 	}
 	mine := &place{urgency: urgency, open: make(chan struct{})}
-	slots.waiting = append(slots.waiting, mine)
-	sort.SliceStable(slots.waiting, func(left int, right int) bool { return slots.waiting[left].urgency < slots.waiting[right].urgency })
-	slots.lock.Unlock()
+	s.waiting = append(s.waiting, mine)
+	sort.SliceStable(s.waiting, func(left int, right int) bool { return s.waiting[left].urgency < s.waiting[right].urgency })
+	s.mu.Unlock()
 	select {
 	case <-mine.open:
 		return true
-	case <-inner.Done():
+	case <-ctx.Done():
 	}
-	slots.lock.Lock()
-	defer slots.lock.Unlock()
-	for index, waiting := range slots.waiting {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for index, waiting := range s.waiting {
 		if waiting == mine {
-			slots.waiting = append(slots.waiting[:index], slots.waiting[index+1:]...)
+			s.waiting = append(s.waiting[:index], s.waiting[index+1:]...)
 			return false
 		}
 	}
 	// The place came at the same moment.
-	slots.pass()
+	s.pass()
 	return false
 }
 
 // give frees a place.
-func (slots *slots) give() {
-	slots.lock.Lock()
-	defer slots.lock.Unlock()
-	slots.handled++
-	slots.pass()
+func (s *slots) give() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.handled++
+	s.pass()
 }
 
-func (slots *slots) pass() {
-	if len(slots.waiting) == 0 {
-		slots.running--
+func (s *slots) pass() {
+	if len(s.waiting) == 0 {
+		s.running--
 		return
 	}
-	close(slots.waiting[0].open)
-	slots.waiting = slots.waiting[1:]
+	close(s.waiting[0].open)
+	s.waiting = s.waiting[1:]
 }
 
 // load gives what runs and what waits.
-func (slots *slots) load() (running int, waiting int, handled int) {
-	slots.lock.Lock()
-	defer slots.lock.Unlock()
-	return slots.running, len(slots.waiting), slots.handled
+func (s *slots) load() (running int, waiting int, handled int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.running, len(s.waiting), s.handled
 }
 
 // cache holds the parts of prompts that were read; the parts unused for longest
 // give way.
 type cache struct {
-	lock  sync.Mutex
+	mu    sync.Mutex
 	limit float64
 	total float64
 	order []string
@@ -95,9 +95,9 @@
 
 // read notes a prompt as ID:TOKENS,ID:TOKENS and gives the tokens that had to be
 // read: a part is kept only if every part before it is kept as well.
-func (cache *cache) read(model string, prompt string) float64 {
-	cache.lock.Lock()
-	defer cache.lock.Unlock()
+func (c *cache) read(model string, prompt string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	unread, whole := 0.0, true
 	for _, part := range strings.Split(prompt, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(part), ":")
@@ -106,40 +106,40 @@
 			continue
 		}
 		key := model + " " + id
-		_, kept := cache.kept[key]
+		_, kept := c.kept[key]
 		if whole = whole && kept; !whole {
 			unread += tokens
 		}
-		cache.touch(key, tokens)
+		c.touch(key, tokens)
 	}
 	return unread
 }
 
-func (cache *cache) touch(key string, tokens float64) {
-	if cache.kept == nil {
-		cache.kept = map[string]float64{}
+func (c *cache) touch(key string, tokens float64) {
+	if c.kept == nil {
+		c.kept = map[string]float64{}
 	}
-	if old, kept := cache.kept[key]; kept {
-		cache.total -= old
-		for index, name := range cache.order {
+	if old, kept := c.kept[key]; kept {
+		c.total -= old
+		for index, name := range c.order {
 			if name == key {
-				cache.order = append(cache.order[:index], cache.order[index+1:]...)
+				c.order = append(c.order[:index], c.order[index+1:]...)
 				break
 			}
 		}
 	}
-	cache.kept[key] = tokens
-	cache.total += tokens
-	cache.order = append(cache.order, key)
-	for cache.total > cache.limit && len(cache.order) > 0 {
-		cache.total -= cache.kept[cache.order[0]]
-		delete(cache.kept, cache.order[0])
-		cache.order = cache.order[1:]
+	c.kept[key] = tokens
+	c.total += tokens
+	c.order = append(c.order, key)
+	for c.total > c.limit && len(c.order) > 0 {
+		c.total -= c.kept[c.order[0]]
+		delete(c.kept, c.order[0])
+		c.order = c.order[1:]
 	}
 }
 
-func (cache *cache) used() float64 {
-	cache.lock.Lock()
-	defer cache.lock.Unlock()
-	return cache.total
+func (c *cache) used() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.total
 }
--- a/emulator/runner/trouble.go
+++ b/emulator/runner/trouble.go
@@ -113,25 +113,25 @@
 }
 
 // Set takes name=rate.
-func (mix Mix) Set(text string) error {
+func (m Mix) Set(text string) error {
 	name, rate, found := strings.Cut(text, "=")
 	value, err := strconv.ParseFloat(rate, 64)
 	if !found || err != nil {
 		return fmt.Errorf("trouble %q: name=rate is wanted, as in %s=0.1", text, ExtraLate)
 	}
 	one := Mix{name: value}
-	mix[name] = value
+	m[name] = value
 	return one.Check()
 }
 
 // Check names the troubles that don't exist and the rates that are out of bounds.
-func (mix Mix) Check() error {
+func (m Mix) Check() error {
 	known := map[string]bool{}
 	for _, trouble := range Troubles {
 		known[trouble.Name] = true
 	}
 	var wrong []string
-	for name, rate := range mix {
+	for name, rate := range m {
 		if !known[name] {
 			wrong = append(wrong, fmt.Sprintf("there is no trouble %q", name))
 		} else if !(rate >= 0 && rate <= 1) {
@@ -146,11 +146,11 @@
 }
 
 // String shows the troubles with a rate, in order.
-func (mix Mix) String() string {
+func (m Mix) String() string {
 	var shown []string
 	for _, trouble := range Troubles {
-		if mix[trouble.Name] > 0 {
-			shown = append(shown, fmt.Sprintf("%s=%g", trouble.Name, mix[trouble.Name]))
+		if m[trouble.Name] > 0 {
+			shown = append(shown, fmt.Sprintf("%s=%g", trouble.Name, m[trouble.Name]))
 		}
 	}
 	return strings.Join(shown, " ")
@@ -163,20 +163,20 @@
 }
 
 // draw gives the same fortune for the same seed, runner and attempt.
-func (mix Mix) draw(seed uint64, runner string, attempt string) *fortune {
+func (m Mix) draw(seed uint64, runner string, attempt string) *fortune {
 	drawn := &fortune{Rand: rand.New(rand.NewPCG(seed, piece.Hash(runner, attempt))), met: map[string]bool{}}
 	for _, trouble := range Troubles {
-		if drawn.Float64() < mix[trouble.Name] {
+		if drawn.Float64() < m[trouble.Name] {
 			drawn.met[trouble.Name] = true
 		}
 	}
 	return drawn
 }
 
-func (fortune *fortune) names() []string {
+func (f *fortune) names() []string {
 	var names []string
 	for _, trouble := range Troubles {
-		if fortune.met[trouble.Name] {
+		if f.met[trouble.Name] {
 			names = append(names, trouble.Name)
 		}
 	}
--- a/replay/player.go
+++ b/replay/player.go
@@ -40,20 +40,20 @@
 
 // Play sends every record at its time and gives the outcomes in the order of
 // their routes.
-func Play(inner scope.Scope, records []Record, options Options) []Outcome {
+func Play(ctx scope.Scope, records []Record, options Options) []Outcome {
 	var lock sync.Mutex
 	var running sync.WaitGroup
 	found := map[string]*Outcome{}
-	begin := inner.Now()
+	begin := ctx.Now()
 	for _, record := range records {
 		due := begin.Add(clock.Span(float64(record.At()) / options.Speed))
-		if pause := due.Since(inner.Now()); pause > 0 && !inner.Wait(pause) {
+		if pause := due.Since(ctx.Now()); pause > 0 && !ctx.Wait(pause) {
 			break
 		}
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			status, first, err := send(inner, record, options)
+			status, first, err := send(ctx, record, options)
 			lock.Lock()
 			defer lock.Unlock()
 			count(found, record.group(), status, first, err)
@@ -80,8 +80,8 @@
 }
 
 // send sends one request; the status is 0 where no head came.
-func send(inner scope.Scope, record Record, options Options) (int, clock.Span, error) {
-	short, release := inner.WithLimit(options.Limit)
+func send(ctx scope.Scope, record Record, options Options) (int, clock.Span, error) {
+	short, release := ctx.WithLimit(options.Limit)
 	defer release()
 	router := options.Routers[rand.IntN(len(options.Routers))]
 	request, err := http.NewRequestWithContext(short, record.Method, "http://"+string(router)+"/", strings.NewReader(record.Body))
@@ -97,13 +97,13 @@
 	// A played request is another one than the recorded: it has its own id.
 	request.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%016x", rand.Uint64()))
 	request.Header.Set("Onyxwell-Time-Left-Ms", fmt.Sprint(options.Limit.Milliseconds()))
-	begin := inner.Now()
+	begin := ctx.Now()
 	response, err := options.Client.Do(request)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer response.Body.Close()
-	first := inner.Now().Since(begin)
+	first := ctx.Now().Since(begin)
 	_, err = io.Copy(io.Discard, response.Body)
 	return response.StatusCode, first, err
 }
--- a/replay/record.go
+++ b/replay/record.go
@@ -27,15 +27,15 @@
 }
 
 // At is when the request was sent.
-func (record Record) At() clock.Span { return clock.Span(record.AtMS * float64(clock.Millisecond)) }
+func (r Record) At() clock.Span { return clock.Span(r.AtMS * float64(clock.Millisecond)) }
 
 // group names the route that the outcome is counted under.
-func (record Record) group() string {
-	if record.Route != "" {
-		return record.Route
+func (r Record) group() string {
+	if r.Route != "" {
+		return r.Route
 	}
-	first, _, _ := strings.Cut(strings.TrimPrefix(record.Path, "/"), "/")
-	return record.Host + "/" + first + "/"
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
+	return r.Host + "/" + first + "/"
 }
 
 // lineLimit is the longest line of a record.
--- a/simulation/afflict.go
+++ b/simulation/afflict.go
@@ -68,18 +68,18 @@
 	}
 }
 
-func (machine *Machine) losePower() {
-	machine.die()
-	machine.disk.LosePower()
-	machine.dark = true
+func (m *Machine) losePower() {
+	m.die()
+	m.disk.LosePower()
+	m.dark = true
 }
 
-func (machine *Machine) wipe() {
-	machine.losePower()
-	machine.disk.Wipe()
-	machine.losesDisk()
-	if meddle := machine.world.options.plant.Wiped; meddle != nil {
-		meddle(machine)
+func (m *Machine) wipe() {
+	m.losePower()
+	m.disk.Wipe()
+	m.losesDisk()
+	if meddle := m.world.options.plant.Wiped; meddle != nil {
+		meddle(m)
 	}
 }
 
@@ -88,11 +88,11 @@
 const behind = 32 << 10
 
 // spoil damages the journal.
-func (machine *Machine) spoil() {
-	machine.losePower()
-	if machine.disk.SpoilWithin("registers", int(machine.disk.Bytes("registers"))-behind) >= 0 {
-		machine.losesDisk()
-		machine.world.count("journals spoilt")
+func (m *Machine) spoil() {
+	m.losePower()
+	if m.disk.SpoilWithin("registers", int(m.disk.Bytes("registers"))-behind) >= 0 {
+		m.losesDisk()
+		m.world.count("journals spoilt")
 	}
 }
 
@@ -103,9 +103,9 @@
 	}
 }
 
-func (machine *Machine) comeBack() {
-	machine.dark = false
-	machine.start(false)
+func (m *Machine) comeBack() {
+	m.dark = false
+	m.start(false)
 }
 
 // replace takes a machine away for good; an empty one comes at another address.
--- a/simulation/datagram.go
+++ b/simulation/datagram.go
@@ -17,7 +17,7 @@
 type place string
 
 // String names the place.
-func (place place) String() string { return string(place) }
+func (p place) String() string { return string(p) }
 
 // socket takes datagrams.
 type socket struct {
@@ -27,18 +27,18 @@
 }
 
 // Datagrams opens an address for datagrams.
-func (life *life) Datagrams(address ids.Address) (daemon.Socket, error) {
-	opened := &socket{life: life, inbox: make(chan datagram, 256), closed: make(chan struct{})}
-	life.machine.world.lock.Lock()
-	defer life.machine.world.lock.Unlock()
-	life.sockets[address] = opened
+func (l *life) Datagrams(address ids.Address) (daemon.Socket, error) {
+	opened := &socket{life: l, inbox: make(chan datagram, 256), closed: make(chan struct{})}
+	l.machine.world.mu.Lock()
+	defer l.machine.world.mu.Unlock()
+	l.sockets[address] = opened
 	return opened, nil
 }
 
 // Send sends a datagram, which may be lost, doubled or late.
-func (socket *socket) Send(to ids.Address, body []byte) {
-	world, from := socket.life.machine.world, socket.life.machine.name
-	if socket.life.over() {
+func (s *socket) Send(to ids.Address, body []byte) {
+	world, from := s.life.machine.world, s.life.machine.name
+	if s.life.over() {
 		return
 	}
 	copies := 1
@@ -54,18 +54,18 @@
 }
 
 // drop brings a datagram to its machine.
-func (world *World) drop(from string, to ids.Address, body []byte) {
-	target, _ := world.at(to)
-	if target == nil || target.dark || target.gone || world.link(from, target.name).cut {
+func (w *World) drop(from string, to ids.Address, body []byte) {
+	target, _ := w.at(to)
+	if target == nil || target.dark || target.gone || w.link(from, target.name).cut {
 		return
 	}
 	target.deliver(func() {
 		if target.life == nil {
 			return
 		}
-		world.lock.Lock()
+		w.mu.Lock()
 		opened := target.life.sockets[to]
-		world.lock.Unlock()
+		w.mu.Unlock()
 		if opened == nil {
 			return
 		}
@@ -77,23 +77,23 @@
 }
 
 // Receive waits for the next datagram.
-func (socket *socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
+func (s *socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
 	select {
-	case got := <-socket.inbox:
+	case got := <-s.inbox:
 		return copy(buffer, got.body), got.from, nil
-	case <-socket.closed:
+	case <-s.closed:
 		return 0, nil, errDead
-	case <-socket.life.dead:
+	case <-s.life.dead:
 		return 0, nil, errDead
 	}
 }
 
 // Close ends the socket.
-func (socket *socket) Close() error {
+func (s *socket) Close() error {
 	select {
-	case <-socket.closed:
+	case <-s.closed:
 	default:
-		close(socket.closed)
+		close(s.closed)
 	}
 	return nil
 }
--- a/simulation/disk/disk.go
+++ b/simulation/disk/disk.go
@@ -50,7 +50,7 @@
 
 // Disk is the disk of one machine; it outlives the machine's processes.
 type Disk struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	options Options
 	life    int64
 	// names are as a process sees them, lasting as the next start after a loss
@@ -75,53 +75,53 @@
 // Mount gives a process its view of the disk, which dies with the process: all
 // its acts, and those of the files it opened, return ErrDead after a Kill,
 // LosePower or Wipe, also those that were under way.
-func (disk *Disk) Mount() journal.Disk {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	return &mount{disk: disk, life: disk.life}
+func (d *Disk) Mount() journal.Disk {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return &mount{disk: d, life: d.life}
 }
 
 // Kill ends the process; all that it wrote stays, synced or not.
-func (disk *Disk) Kill() {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	disk.life++
+func (d *Disk) Kill() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.life++
 }
 
 // Wipe loses the disk: the next process finds an empty one.
-func (disk *Disk) Wipe() {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	disk.life++
-	disk.names, disk.lasting, disk.loose = map[string]*content{}, map[string]*content{}, nil
+func (d *Disk) Wipe() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.life++
+	d.names, d.lasting, d.loose = map[string]*content{}, map[string]*content{}, nil
 }
 
 // Bytes gives the size of a file as a process sees it; 0 for a missing one.
-func (disk *Disk) Bytes(name string) int64 {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	if found := disk.names[name]; found != nil {
+func (d *Disk) Bytes(name string) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if found := d.names[name]; found != nil {
 		return int64(len(found.now))
 	}
 	return 0
 }
 
 // Written gives the bytes that all processes wrote so far.
-func (disk *Disk) Written() int64 {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	return disk.written
+func (d *Disk) Written() int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.written
 }
 
 // Spoil flips a bit of a byte in the synced part of a file and tells where; -1
 // if the file has no such part.
-func (disk *Disk) Spoil(name string) int64 { return disk.SpoilWithin(name, math.MaxInt) }
+func (d *Disk) Spoil(name string) int64 { return d.SpoilWithin(name, math.MaxInt) }
 
 // SpoilWithin is Spoil for the first bytes of a file.
-func (disk *Disk) SpoilWithin(name string, length int) int64 {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	found := disk.names[name]
+func (d *Disk) SpoilWithin(name string, length int) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	found := d.names[name]
 	if found == nil {
 		return -1
 	}
@@ -129,7 +129,7 @@
 	if length <= 0 {
 		return -1
 	}
-	at := disk.pick(length)
+	at := d.pick(length)
 	found.synced[at] ^= 0x10
 	found.now[at] ^= 0x10
 	return int64(at)
@@ -137,26 +137,26 @@
 
 // act waits for the disk and locks it; the caller unlocks it where the act may
 // take effect. Partly tells that it failed but may have taken effect.
-func (disk *Disk) act(life int64, act string, bytes int) (partly bool, err error) {
-	err = disk.options.Pause(act, bytes)
-	disk.lock.Lock()
-	if disk.life != life {
-		disk.lock.Unlock()
+func (d *Disk) act(life int64, act string, bytes int) (partly bool, err error) {
+	err = d.options.Pause(act, bytes)
+	d.mu.Lock()
+	if d.life != life {
+		d.mu.Unlock()
 		return false, ErrDead
 	}
-	if err != nil && (act != ActWrite && act != ActSync || disk.options.Draw(2)) {
-		disk.lock.Unlock()
+	if err != nil && (act != ActWrite && act != ActSync || d.options.Draw(2)) {
+		d.mu.Unlock()
 		return false, fmt.Errorf("disk: %w", err)
 	}
 	return err != nil, err
 }
 
 // pick draws a number from 0 up to, not including, the bound.
-func (disk *Disk) pick(bound int) int {
+func (d *Disk) pick(bound int) int {
 	low, high := 0, bound
 	for high-low > 1 {
 		middle := low + (high-low)/2
-		if disk.options.Draw(2) {
+		if d.options.Draw(2) {
 			low = middle
 		} else {
 			high = middle
@@ -165,9 +165,9 @@
 	return low
 }
 
-func (disk *Disk) used() int64 {
+func (d *Disk) used() int64 {
 	used := int64(0)
-	for _, found := range disk.names {
+	for _, found := range d.names {
 		used += int64(len(found.now))
 	}
 	return used
--- a/simulation/disk/loss.go
+++ b/simulation/disk/loss.go
@@ -21,20 +21,20 @@
 	bytes  []byte
 }
 
-func (content *content) do(done change) {
-	content.now = done.in(content.now)
-	content.loose = append(content.loose, done)
+func (c *content) do(done change) {
+	c.now = done.in(c.now)
+	c.loose = append(c.loose, done)
 }
 
 // in gives bytes with the change; what lies between is NUL.
-func (change change) in(old []byte) []byte {
-	if change.cut {
-		return resize(old, change.offset)
+func (c change) in(old []byte) []byte {
+	if c.cut {
+		return resize(old, c.offset)
 	}
-	if end := change.offset + int64(len(change.bytes)); end > int64(len(old)) {
+	if end := c.offset + int64(len(c.bytes)); end > int64(len(old)) {
 		old = resize(old, end)
 	}
-	copy(old[change.offset:], change.bytes)
+	copy(old[c.offset:], c.bytes)
 	return old
 }
 
@@ -51,64 +51,64 @@
 	content *content
 }
 
-func (step nameStep) in(names map[string]*content) {
-	if step.content == nil {
-		delete(names, step.name)
+func (n nameStep) in(names map[string]*content) {
+	if n.content == nil {
+		delete(names, n.name)
 		return
 	}
-	names[step.name] = step.content
+	names[n.name] = n.content
 }
 
-func (disk *Disk) step(step nameStep) {
-	step.in(disk.names)
-	disk.loose = append(disk.loose, step)
+func (d *Disk) step(step nameStep) {
+	step.in(d.names)
+	d.loose = append(d.loose, step)
 }
 
 // LosePower ends the process and drops what no sync covered: at one loss in
 // four all of it, else each change of a file's bytes, its length and each name
 // that was made, renamed or removed by itself. A renamed file's old and new
 // name count as two.
-func (disk *Disk) LosePower() {
-	disk.lock.Lock()
-	defer disk.lock.Unlock()
-	disk.life++
-	all := disk.options.Draw(4)
-	for _, step := range disk.loose {
-		if !all && disk.options.Draw(2) {
-			step.in(disk.lasting)
+func (d *Disk) LosePower() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.life++
+	all := d.options.Draw(4)
+	for _, step := range d.loose {
+		if !all && d.options.Draw(2) {
+			step.in(d.lasting)
 		}
 	}
-	disk.loose = nil
-	disk.names = map[string]*content{}
-	for _, name := range sorted(disk.lasting) {
-		found := disk.lasting[name]
+	d.loose = nil
+	d.names = map[string]*content{}
+	for _, name := range sorted(d.lasting) {
+		found := d.lasting[name]
 		for _, change := range found.loose {
 			if !all {
-				found.synced = disk.outcome(change, found.synced)
+				found.synced = d.outcome(change, found.synced)
 			}
 		}
 		found.loose = nil
 		found.now = bytes.Clone(found.synced)
-		disk.names[name] = found
+		d.names[name] = found
 	}
 }
 
 // outcome gives bytes with what is left of an unsynced change.
-func (disk *Disk) outcome(change change, old []byte) []byte {
+func (d *Disk) outcome(change change, old []byte) []byte {
 	size := len(change.bytes)
 	switch {
-	case disk.options.Draw(3):
+	case d.options.Draw(3):
 		// Missing, but the file may have grown by then.
-		if end := change.offset + int64(size); !change.cut && end > int64(len(old)) && disk.options.Draw(2) {
+		if end := change.offset + int64(size); !change.cut && end > int64(len(old)) && d.options.Draw(2) {
 			return resize(old, end)
 		}
 		return old
-	case !change.cut && size > 0 && disk.options.Draw(2):
-		from, to := disk.pick(size+1), disk.pick(size+1)
+	case !change.cut && size > 0 && d.options.Draw(2):
+		from, to := d.pick(size+1), d.pick(size+1)
 		if from > to {
 			from, to = to, from
 		}
-		if disk.options.Draw(2) {
+		if d.options.Draw(2) {
 			from = 0
 		}
 		change.offset, change.bytes = change.offset+int64(from), change.bytes[from:to]
--- a/simulation/disk/mount.go
+++ b/simulation/disk/mount.go
@@ -14,24 +14,24 @@
 }
 
 // Read gives a whole file; a missing one is empty.
-func (mount *mount) Read(name string) ([]byte, error) {
-	if _, err := mount.disk.act(mount.life, ActRead, int(mount.disk.Bytes(name))); err != nil {
+func (m *mount) Read(name string) ([]byte, error) {
+	if _, err := m.disk.act(m.life, ActRead, int(m.disk.Bytes(name))); err != nil {
 		return nil, err
 	}
-	defer mount.disk.lock.Unlock()
-	if found := mount.disk.names[name]; found != nil {
+	defer m.disk.mu.Unlock()
+	if found := m.disk.names[name]; found != nil {
 		return bytes.Clone(found.now), nil
 	}
 	return nil, nil
 }
 
 // Create opens an empty file.
-func (mount *mount) Create(name string) (journal.File, error) {
-	disk := mount.disk
-	if _, err := disk.act(mount.life, ActCreate, 0); err != nil {
+func (m *mount) Create(name string) (journal.File, error) {
+	disk := m.disk
+	if _, err := disk.act(m.life, ActCreate, 0); err != nil {
 		return nil, err
 	}
-	defer disk.lock.Unlock()
+	defer disk.mu.Unlock()
 	found := disk.names[name]
 	if found == nil {
 		found = &content{}
@@ -39,16 +39,16 @@
 	} else {
 		found.do(change{cut: true})
 	}
-	return &file{mount: mount, content: found}, nil
+	return &file{mount: m, content: found}, nil
 }
 
 // Append opens a file and cuts it to the length.
-func (mount *mount) Append(name string, length int64) (journal.File, error) {
-	disk := mount.disk
-	if _, err := disk.act(mount.life, ActAppend, 0); err != nil {
+func (m *mount) Append(name string, length int64) (journal.File, error) {
+	disk := m.disk
+	if _, err := disk.act(m.life, ActAppend, 0); err != nil {
 		return nil, err
 	}
-	defer disk.lock.Unlock()
+	defer disk.mu.Unlock()
 	found := disk.names[name]
 	if found == nil {
 		return nil, fmt.Errorf("%w: %s", ErrMissing, name)
@@ -56,16 +56,16 @@
 	if int64(len(found.now)) != length {
 		found.do(change{cut: true, offset: length})
 	}
-	return &file{mount: mount, content: found, offset: length}, nil
+	return &file{mount: m, content: found, offset: length}, nil
 }
 
 // Rename gives a file another name.
-func (mount *mount) Rename(from string, to string) error {
-	disk := mount.disk
-	if _, err := disk.act(mount.life, ActRename, 0); err != nil {
+func (m *mount) Rename(from string, to string) error {
+	disk := m.disk
+	if _, err := disk.act(m.life, ActRename, 0); err != nil {
 		return err
 	}
-	defer disk.lock.Unlock()
+	defer disk.mu.Unlock()
 	found := disk.names[from]
 	if found == nil {
 		return fmt.Errorf("%w: %s", ErrMissing, from)
@@ -76,12 +76,12 @@
 }
 
 // Remove takes a file away; a missing one is no fault.
-func (mount *mount) Remove(name string) error {
-	disk := mount.disk
-	if _, err := disk.act(mount.life, ActRemove, 0); err != nil {
+func (m *mount) Remove(name string) error {
+	disk := m.disk
+	if _, err := disk.act(m.life, ActRemove, 0); err != nil {
 		return err
 	}
-	defer disk.lock.Unlock()
+	defer disk.mu.Unlock()
 	if disk.names[name] != nil {
 		disk.step(nameStep{name: name})
 	}
@@ -89,12 +89,12 @@
 }
 
 // SyncFolder makes all names last.
-func (mount *mount) SyncFolder() error {
-	disk := mount.disk
-	if _, err := disk.act(mount.life, ActFolder, 0); err != nil {
+func (m *mount) SyncFolder() error {
+	disk := m.disk
+	if _, err := disk.act(m.life, ActFolder, 0); err != nil {
 		return err
 	}
-	defer disk.lock.Unlock()
+	defer disk.mu.Unlock()
 	for _, step := range disk.loose {
 		step.in(disk.lasting)
 	}
@@ -110,39 +110,39 @@
 }
 
 // Write adds bytes after those that were written through this file.
-func (file *file) Write(written []byte) (int, error) {
-	disk := file.mount.disk
-	partly, err := disk.act(file.mount.life, ActWrite, len(written))
+func (f *file) Write(written []byte) (int, error) {
+	disk := f.mount.disk
+	partly, err := disk.act(f.mount.life, ActWrite, len(written))
 	if err != nil && !partly {
 		return 0, err
 	}
-	defer disk.lock.Unlock()
+	defer disk.mu.Unlock()
 	if partly {
 		written = written[:disk.pick(len(written)+1)]
 	}
 	if disk.options.Limit > 0 && disk.used()+int64(len(written)) > disk.options.Limit {
 		return 0, ErrFull
 	}
-	file.content.do(change{offset: file.offset, bytes: bytes.Clone(written)})
-	file.offset += int64(len(written))
+	f.content.do(change{offset: f.offset, bytes: bytes.Clone(written)})
+	f.offset += int64(len(written))
 	disk.written += int64(len(written))
 	return len(written), err
 }
 
 // Sync makes all bytes of the file last.
-func (file *file) Sync() error {
-	disk := file.mount.disk
-	partly, err := disk.act(file.mount.life, ActSync, 0)
+func (f *file) Sync() error {
+	disk := f.mount.disk
+	partly, err := disk.act(f.mount.life, ActSync, 0)
 	if err != nil && !partly {
 		return err
 	}
-	defer disk.lock.Unlock()
-	for _, change := range file.content.loose {
-		file.content.synced = change.in(file.content.synced)
+	defer disk.mu.Unlock()
+	for _, change := range f.content.loose {
+		f.content.synced = change.in(f.content.synced)
 	}
-	file.content.loose = nil
+	f.content.loose = nil
 	return err
 }
 
 // Close ends the use of the file and syncs nothing.
-func (file *file) Close() error { return nil }
+func (f *file) Close() error { return nil }
--- a/simulation/drill.go
+++ b/simulation/drill.go
@@ -77,114 +77,114 @@
 }
 
 // catchUp is how long one that is back counts as lost.
-func (world *World) catchUp() clock.Span {
-	return clock.Span(world.options.Site.Bounds.CatchUpS * float64(clock.Second))
+func (w *World) catchUp() clock.Span {
+	return clock.Span(w.options.Site.Bounds.CatchUpS * float64(clock.Second))
 }
 
 // practise begins the drill of a run that has one.
-func (world *World) practise() {
+func (w *World) practise() {
 	for _, one := range drills {
-		if one.name == world.options.Drill && one.losses <= world.options.Site.Losses {
-			world.drill = drill{steps: one.steps, losses: one.losses, took: map[string][]clock.Span{}}
-			world.after(0, world.peek)
+		if one.name == w.options.Drill && one.losses <= w.options.Site.Losses {
+			w.drill = drill{steps: one.steps, losses: one.losses, took: map[string][]clock.Span{}}
+			w.after(0, w.peek)
 		}
 	}
 }
 
 // peek notes whether all is whole, and begins the next loss when it may.
-func (world *World) peek() {
-	if world.ending || world.violated() {
+func (w *World) peek() {
+	if w.ending || w.violated() {
 		return
 	}
-	world.after(peek, world.peek)
-	drill := &world.drill
+	w.after(peek, w.peek)
+	drill := &w.drill
 	if len(drill.waits) > 0 {
-		world.endWaits()
+		w.endWaits()
 	}
 	if drill.away > 0 {
 		return
 	}
 	if drill.step == len(drill.steps) && len(drill.waits) == 0 {
 		drill.step = 0
-		drill.due = max(drill.due, world.now()+world.between("calm", 0, clock.Second))
+		drill.due = max(drill.due, w.now()+w.between("calm", 0, clock.Second))
 	}
-	if drill.step < len(drill.steps) && world.now() >= drill.due {
-		world.lose(drill.steps[drill.step])
+	if drill.step < len(drill.steps) && w.now() >= drill.due {
+		w.lose(drill.steps[drill.step])
 	}
 }
 
 // endWaits notes how long all losses took that are made up for; one that takes
 // too long breaks a promise, and counts with the time until then.
-func (world *World) endWaits() {
-	drill := &world.drill
-	whole, missing := world.sound()
-	for _, seat := range world.voters().Seats {
-		machine := world.hosts[hostOf(seat.Address)]
+func (w *World) endWaits() {
+	drill := &w.drill
+	whole, missing := w.sound()
+	for _, seat := range w.voters().Seats {
+		machine := w.hosts[hostOf(seat.Address)]
 		if whole && (machine == nil || machine.leaves || machine.gone) {
 			whole, missing = false, fmt.Sprintf("%s has a seat and leaves", seat.Address)
 		}
 	}
 	first := drill.waits[0]
-	late := world.now()-first.since > settling
+	late := w.now()-first.since > settling
 	if !whole && !late {
 		return
 	}
 	for _, one := range drill.waits {
-		drill.took[one.name] = append(drill.took[one.name], world.now()-one.since)
-		world.note("waited", nil, "after", one.name, "seconds", (world.now() - one.since).Seconds(), "whole", whole)
+		drill.took[one.name] = append(drill.took[one.name], w.now()-one.since)
+		w.note("waited", nil, "after", one.name, "seconds", (w.now() - one.since).Seconds(), "whole", whole)
 	}
 	drill.waits = nil
 	if !whole {
-		world.violate("%s after %s still: %s", settling, first.name, missing)
+		w.violate("%s after %s still: %s", settling, first.name, missing)
 	}
 }
 
 // lose has some of those that vote lost in some way.
-func (world *World) lose(name string) {
-	drill, one := &world.drill, troubles[name]
+func (w *World) lose(name string) {
+	drill, one := &w.drill, troubles[name]
 	if name == "gone" {
 		one = trouble{begin: goAway}
 	}
-	targets := world.seated()
-	if len(targets) < drill.losses || world.now()+one.high > world.options.Length || (name == "gone" && world.spare() < 1) {
+	targets := w.seated()
+	if len(targets) < drill.losses || w.now()+one.high > w.options.Length || (name == "gone" && w.spare() < 1) {
 		return
 	}
-	label := world.options.Drill
+	label := w.options.Drill
 	if len(drill.steps) > 1 {
 		label = fmt.Sprintf("%s (%d)", label, drill.step+1)
 	}
 	drill.step++
 	for number := range drill.losses {
-		at := world.below(fmt.Sprint("victim ", number), len(targets))
+		at := w.below(fmt.Sprint("victim ", number), len(targets))
 		machine := targets[at]
 		targets = slices.Delete(targets, at, at+1)
 		drill.away++
-		world.count("trouble " + name)
-		world.note("trouble", machine, "name", name)
+		w.count("trouble " + name)
+		w.note("trouble", machine, "name", name)
 		if fromLoss[name] {
-			drill.waits = append(drill.waits, wait{name: label, since: world.now()})
+			drill.waits = append(drill.waits, wait{name: label, since: w.now()})
 		}
-		end := one.begin(world, machine)
-		world.after(world.between(fmt.Sprint("span ", name, number), one.low, one.high), func() {
-			world.note("trouble over", machine, "name", name)
+		end := one.begin(w, machine)
+		w.after(w.between(fmt.Sprint("span ", name, number), one.low, one.high), func() {
+			w.note("trouble over", machine, "name", name)
 			if end != nil {
 				end()
 			}
 			drill.away--
-			drill.due = world.now() + world.catchUp()
+			drill.due = w.now() + w.catchUp()
 			// Where two are lost, time counts from the return of the last.
 			if !fromLoss[name] && drill.away == 0 {
-				drill.waits = append(drill.waits, wait{name: label, since: world.now()})
+				drill.waits = append(drill.waits, wait{name: label, since: w.now()})
 			}
 		})
 	}
 }
 
 // seated are the machines that vote and are there.
-func (world *World) seated() []*Machine {
+func (w *World) seated() []*Machine {
 	var found []*Machine
-	for _, seat := range world.voters().Seats {
-		machine := world.hosts[hostOf(seat.Address)]
+	for _, seat := range w.voters().Seats {
+		machine := w.hosts[hostOf(seat.Address)]
 		if machine != nil && machine.life != nil && machine.life.control != nil && !machine.gone && !machine.leaves {
 			found = append(found, machine)
 		}
@@ -193,8 +193,8 @@
 }
 
 // spare is how many controllers there are beyond the seats.
-func (world *World) spare() int {
-	return len(world.controllers()) - max(3, 2*world.options.Site.Losses+1)
+func (w *World) spare() int {
+	return len(w.controllers()) - max(3, 2*w.options.Site.Losses+1)
 }
 
 // goAway takes a machine away for good, with none in its place.
--- a/simulation/exchange.go
+++ b/simulation/exchange.go
@@ -8,12 +8,12 @@
 )
 
 // arrived is the request as the one who serves it sees it.
-func (sent *message) arrived(inner context.Context) *http.Request {
-	place := *sent.request.URL
+func (m *message) arrived(inner context.Context) *http.Request {
+	place := *m.request.URL
 	made := &http.Request{
-		Method: sent.request.Method, URL: &place, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: sent.request.Header.Clone(), Body: io.NopCloser(bytes.NewReader(sent.body)), ContentLength: int64(len(sent.body)),
-		Host: string(sent.to), RemoteAddr: "192.0.2.1:1234", RequestURI: place.RequestURI(),
+		Method: m.request.Method, URL: &place, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Header: m.request.Header.Clone(), Body: io.NopCloser(bytes.NewReader(m.body)), ContentLength: int64(len(m.body)),
+		Host: string(m.to), RemoteAddr: "192.0.2.1:1234", RequestURI: place.RequestURI(),
 	}
 	return made.WithContext(inner)
 }
@@ -31,21 +31,21 @@
 }
 
 // leave has what waits for the asker's leaving happen.
-func (sent *message) leave() {
-	sent.lock.Lock()
-	defer sent.lock.Unlock()
-	sent.left = true
-	if sent.leaving != nil {
-		go sent.leaving()
+func (m *message) leave() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.left = true
+	if m.leaving != nil {
+		go m.leaving()
 	}
 }
 
 // onLeave has something happen when the asker goes on; nil takes it back.
-func (sent *message) onLeave(act func()) {
-	sent.lock.Lock()
-	defer sent.lock.Unlock()
-	sent.leaving = act
-	if sent.left && act != nil {
+func (m *message) onLeave(act func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.leaving = act
+	if m.left && act != nil {
 		go act()
 	}
 }
@@ -58,27 +58,27 @@
 }
 
 // Header gives the header that is sent.
-func (recorder *recorder) Header() http.Header { return recorder.header }
+func (r *recorder) Header() http.Header { return r.header }
 
 // WriteHeader keeps the first status.
-func (recorder *recorder) WriteHeader(status int) {
-	if recorder.code == 0 {
-		recorder.code = status
+func (r *recorder) WriteHeader(status int) {
+	if r.code == 0 {
+		r.code = status
 	}
 }
 
 // Write keeps a part of the body.
-func (recorder *recorder) Write(part []byte) (int, error) {
-	recorder.WriteHeader(http.StatusOK)
-	recorder.body = append(recorder.body, part...)
+func (r *recorder) Write(part []byte) (int, error) {
+	r.WriteHeader(http.StatusOK)
+	r.body = append(r.body, part...)
 	return len(part), nil
 }
 
-func (recorder *recorder) status() int {
-	if recorder.code == 0 {
+func (r *recorder) status() int {
+	if r.code == 0 {
 		return http.StatusOK
 	}
-	return recorder.code
+	return r.code
 }
 
 // room is how deep the stack of a call's goroutine gets as a rule.
--- a/simulation/history.go
+++ b/simulation/history.go
@@ -41,11 +41,11 @@
 // history is what all operators did and were told, by key.
 type history struct{ acts map[string][]act }
 
-func (history *history) add(one act) {
-	if history.acts == nil {
-		history.acts = map[string][]act{}
+func (h *history) add(one act) {
+	if h.acts == nil {
+		h.acts = map[string][]act{}
 	}
-	history.acts[one.key] = append(history.acts[one.key], one)
+	h.acts[one.key] = append(h.acts[one.key], one)
 }
 
 // state is a key's value to the checker: a version with its mark, or a zone.
@@ -121,10 +121,10 @@
 
 // check gives what is wrong with the history; nothing where some order of the
 // acts explains all answers.
-func (history *history) check() (wrong []string, unknown int) {
-	for _, key := range sortedKeys(history.acts) {
+func (h *history) check() (wrong []string, unknown int) {
+	for _, key := range sortedKeys(h.acts) {
 		var operations []porcupine.Operation
-		for _, did := range history.acts[key] {
+		for _, did := range h.acts[key] {
 			if did.outcome == unclear && did.verb != "change" && did.verb != "zone" {
 				continue
 			}
@@ -143,10 +143,10 @@
 }
 
 // lines tells the acts of a key in the order in which they began.
-func (history *history) lines() []string {
+func (h *history) lines() []string {
 	var told []string
-	for _, key := range sortedKeys(history.acts) {
-		acts := append([]act(nil), history.acts[key]...)
+	for _, key := range sortedKeys(h.acts) {
+		acts := append([]act(nil), h.acts[key]...)
 		sort.SliceStable(acts, func(left, right int) bool { return acts[left].begin < acts[right].begin })
 		for _, did := range acts {
 			told = append(told, fmt.Sprintf("%s %s order %d match %d version %d empty %v mark %d from %.3f to %.3f: %s", did.key, did.verb, did.order,
--- a/simulation/lasting.go
+++ b/simulation/lasting.go
@@ -16,23 +16,23 @@
 }
 
 // ends notes what the disk holds as its process ends.
-func (machine *Machine) ends() {
-	if machine.life.control == nil {
+func (m *Machine) ends() {
+	if m.life.control == nil {
 		return
 	}
 	kept := map[string]register.Slot{}
-	for _, slot := range machine.life.control.Slots() {
+	for _, slot := range m.life.control.Slots() {
 		kept[slot.Key] = slot
 	}
-	machine.lasting.slots = kept
+	m.lasting.slots = kept
 }
 
 // losesDisk notes that the disk is lost.
-func (machine *Machine) losesDisk() {
-	voters, err := courier.Unpack[register.Voters](machine.lasting.slots[register.CohortKey].Accepted.Value)
-	machine.lasting.slots = nil
-	if seat, found := seatOf(voters, machine); err == nil && found {
-		machine.lasting.lost, machine.lasting.identity = true, seat.Incarnation
+func (m *Machine) losesDisk() {
+	voters, err := courier.Unpack[register.Voters](m.lasting.slots[register.CohortKey].Accepted.Value)
+	m.lasting.slots = nil
+	if seat, found := seatOf(voters, m); err == nil && found {
+		m.lasting.lost, m.lasting.identity = true, seat.Incarnation
 	}
 }
 
@@ -46,17 +46,17 @@
 }
 
 // begins checks that what a process promised and accepted outlasted it.
-func (machine *Machine) begins() {
+func (m *Machine) begins() {
 	held := map[string]register.Slot{}
-	for _, slot := range machine.life.control.Slots() {
+	for _, slot := range m.life.control.Slots() {
 		held[slot.Key] = slot
 	}
-	for _, key := range sortedKeys(machine.lasting.slots) {
-		was, now := machine.lasting.slots[key], held[key]
+	for _, key := range sortedKeys(m.lasting.slots) {
+		was, now := m.lasting.slots[key], held[key]
 		order := was.Accepted.Epoch.Compare(now.Accepted.Epoch)
 		older := order > 0 || (order == 0 && was.Accepted.Sequence > now.Accepted.Sequence)
 		if older || was.Promised.Compare(now.Promised) > 0 {
-			machine.world.violate("%s starts without what its disk had for %s: epoch %d and %d, sequence %d, now %d and %d, %d", machine.name, key,
+			m.world.violate("%s starts without what its disk had for %s: epoch %d and %d, sequence %d, now %d and %d, %d", m.name, key,
 				was.Promised.Number, was.Accepted.Epoch.Number, was.Accepted.Sequence, now.Promised.Number, now.Accepted.Epoch.Number, now.Accepted.Sequence)
 			return
 		}
@@ -64,12 +64,12 @@
 }
 
 // votes checks that a disk that was lost votes as another.
-func (machine *Machine) votes() {
-	if !machine.lasting.lost || !machine.life.control.Voting() {
+func (m *Machine) votes() {
+	if !m.lasting.lost || !m.life.control.Voting() {
 		return
 	}
-	if seat, found := seatOf(machine.life.control.Voters(), machine); found && seat.Incarnation == machine.lasting.identity {
-		machine.world.violate("%s lost its disk and votes as if it had not", machine.name)
+	if seat, found := seatOf(m.life.control.Voters(), m); found && seat.Incarnation == m.lasting.identity {
+		m.world.violate("%s lost its disk and votes as if it had not", m.name)
 	}
-	machine.lasting.lost = false
+	m.lasting.lost = false
 }
--- a/simulation/loop.go
+++ b/simulation/loop.go
@@ -15,7 +15,7 @@
 // acts everything that the first set going has come to rest, since the whole
 // runs in one synctest bubble.
 type loop struct {
-	lock  sync.Mutex
+	mu    sync.Mutex
 	seed  uint64
 	begin time.Time
 	queue queue
@@ -41,26 +41,26 @@
 
 type queue []*event
 
-func (queue queue) Len() int { return len(queue) }
-func (queue queue) Less(left, right int) bool {
-	if queue[left].at != queue[right].at {
-		return queue[left].at < queue[right].at
+func (q queue) Len() int { return len(q) }
+func (q queue) Less(left, right int) bool {
+	if q[left].at != q[right].at {
+		return q[left].at < q[right].at
 	}
-	return queue[left].order < queue[right].order
+	return q[left].order < q[right].order
 }
-func (queue queue) Swap(left, right int) {
-	queue[left], queue[right] = queue[right], queue[left]
-	queue[left].index, queue[right].index = left, right
+func (q queue) Swap(left, right int) {
+	q[left], q[right] = q[right], q[left]
+	q[left].index, q[right].index = left, right
 }
-func (queue *queue) Push(one any) {
-	one.(*event).index = len(*queue)
-	*queue = append(*queue, one.(*event))
+func (q *queue) Push(one any) {
+	one.(*event).index = len(*q)
+	*q = append(*q, one.(*event))
 }
-func (queue *queue) Pop() any {
-	last := len(*queue) - 1
-	one := (*queue)[last]
-	(*queue)[last], one.index = nil, -1
-	*queue = (*queue)[:last]
+func (q *queue) Pop() any {
+	last := len(*q) - 1
+	one := (*q)[last]
+	(*q)[last], one.index = nil, -1
+	*q = (*q)[:last]
 	return one
 }
 
@@ -71,50 +71,50 @@
 }
 
 // now is the simulated time since the beginning.
-func (loop *loop) now() clock.Span { return time.Since(loop.begin) }
+func (l *loop) now() clock.Span { return time.Since(l.begin) }
 
 // after has something happen once a span has passed, unless it is forgotten.
-func (loop *loop) after(span clock.Span, act func()) *event { return loop.add(span, act, false) }
+func (l *loop) after(span clock.Span, act func()) *event { return l.add(span, act, false) }
 
 // quietly does so with an act that sets no goroutine going: nothing has to come
 // to rest after it.
-func (loop *loop) quietly(span clock.Span, act func()) { loop.add(span, act, true) }
-
-func (loop *loop) add(span clock.Span, act func(), quiet bool) *event {
-	loop.lock.Lock()
-	defer loop.lock.Unlock()
-	loop.order++
-	made := &event{at: loop.now() + max(0, span), order: loop.order, act: act, quiet: quiet}
-	heap.Push(&loop.queue, made)
-	if loop.asleep {
-		loop.asleep = false
-		loop.wake <- struct{}{}
+func (l *loop) quietly(span clock.Span, act func()) { l.add(span, act, true) }
+
+func (l *loop) add(span clock.Span, act func(), quiet bool) *event {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.order++
+	made := &event{at: l.now() + max(0, span), order: l.order, act: act, quiet: quiet}
+	heap.Push(&l.queue, made)
+	if l.asleep {
+		l.asleep = false
+		l.wake <- struct{}{}
 	}
 	return made
 }
 
 // forget takes an event back that would do nothing any more.
-func (loop *loop) forget(one *event) {
-	loop.lock.Lock()
-	defer loop.lock.Unlock()
+func (l *loop) forget(one *event) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if one.index >= 0 {
-		heap.Remove(&loop.queue, one.index)
+		heap.Remove(&l.queue, one.index)
 	}
 }
 
 // step waits for the next act before the end and does it, with the quiet ones
 // before it; false says that there is none. All must be at rest when it begins.
-func (loop *loop) step(end clock.Span) bool {
+func (l *loop) step(end clock.Span) bool {
 	for {
-		loop.lock.Lock()
-		if len(loop.queue) == 0 || loop.queue[0].at > end {
-			loop.lock.Unlock()
+		l.mu.Lock()
+		if len(l.queue) == 0 || l.queue[0].at > end {
+			l.mu.Unlock()
 			return false
 		}
-		pause := loop.queue[0].at - loop.now()
+		pause := l.queue[0].at - l.now()
 		if pause <= 0 {
-			next := heap.Pop(&loop.queue).(*event)
-			loop.lock.Unlock()
+			next := heap.Pop(&l.queue).(*event)
+			l.mu.Unlock()
 			next.act()
 			if next.quiet {
 				continue
@@ -122,25 +122,25 @@
 			synctest.Wait()
 			return true
 		}
-		loop.asleep = true
-		loop.lock.Unlock()
-		loop.sleepFor(pause)
+		l.asleep = true
+		l.mu.Unlock()
+		l.sleepFor(pause)
 	}
 }
 
 // sleepFor lets time pass; an act that is added meanwhile ends it.
-func (loop *loop) sleepFor(pause clock.Span) {
-	loop.timer.Reset(pause)
+func (l *loop) sleepFor(pause clock.Span) {
+	l.timer.Reset(pause)
 	select {
-	case <-loop.timer.C:
-		loop.lock.Lock()
-		defer loop.lock.Unlock()
-		if !loop.asleep {
-			<-loop.wake
+	case <-l.timer.C:
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		if !l.asleep {
+			<-l.wake
 		}
-		loop.asleep = false
-	case <-loop.wake:
-		loop.timer.Stop()
+		l.asleep = false
+	case <-l.wake:
+		l.timer.Stop()
 		synctest.Wait()
 	}
 }
@@ -148,8 +148,8 @@
 // draw gives a number that follows from the seed, a name and the instant, and
 // not from what else is drawn: in which order goroutines run within an instant
 // changes little. Draws of one name at one instant are alike.
-func (loop *loop) draw(name string) uint64 {
-	return mix(digest(name) ^ mix(loop.seed^mix(uint64(loop.now()))))
+func (l *loop) draw(name string) uint64 {
+	return mix(digest(name) ^ mix(l.seed^mix(uint64(l.now()))))
 }
 
 // digest is FNV-1a over all parts.
@@ -168,17 +168,17 @@
 
 // chance draws for the daemons' own jitter: by the names of the functions that
 // ask, so that a change elsewhere in the program leaves a seed's run as it was.
-func (loop *loop) chance(bound int64) int64 {
+func (l *loop) chance(bound int64) int64 {
 	var asking callers
 	count := runtime.Callers(3, asking[:])
-	loop.lock.Lock()
-	name, found := loop.askers[asking]
+	l.mu.Lock()
+	name, found := l.askers[asking]
 	if !found {
 		name = nameOf(asking[:count])
-		loop.askers[asking] = name
+		l.askers[asking] = name
 	}
-	loop.lock.Unlock()
-	return int64(loop.draw(name) % uint64(bound))
+	l.mu.Unlock()
+	return int64(l.draw(name) % uint64(bound))
 }
 
 // nameOf sums up the names of the functions that ask.
@@ -203,9 +203,9 @@
 
 // below draws an index, once a chance of one in so many, part a part of a span,
 // between a span between two.
-func (loop *loop) below(name string, bound int) int { return int(loop.draw(name) % uint64(bound)) }
-func (loop *loop) once(name string, odds int) bool  { return loop.below(name, odds) == 0 }
-func (loop *loop) fraction(name string) float64     { return float64(loop.draw(name)>>11) / (1 << 53) }
-func (loop *loop) between(name string, low clock.Span, high clock.Span) clock.Span {
-	return low + clock.Span(loop.fraction(name)*float64(high-low))
+func (l *loop) below(name string, bound int) int { return int(l.draw(name) % uint64(bound)) }
+func (l *loop) once(name string, odds int) bool  { return l.below(name, odds) == 0 }
+func (l *loop) fraction(name string) float64     { return float64(l.draw(name)>>11) / (1 << 53) }
+func (l *loop) between(name string, low clock.Span, high clock.Span) clock.Span {
+	return low + clock.Span(l.fraction(name)*float64(high-low))
 }
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -64,9 +64,9 @@
 	newest int64
 }
 
-func (life *life) over() bool {
+func (l *life) over() bool {
 	select {
-	case <-life.dead:
+	case <-l.dead:
 		return true
 	default:
 		return false
@@ -74,99 +74,99 @@
 }
 
 // start gives the machine a new process.
-func (machine *Machine) start(first bool) {
-	if machine.life != nil || machine.dark || machine.gone || machine.leaves {
+func (m *Machine) start(first bool) {
+	if m.life != nil || m.dark || m.gone || m.leaves {
 		return
 	}
-	machine.births++
+	m.births++
 	ctx, end := context.WithCancel(context.Background())
 	born := &life{
-		machine: machine, number: machine.births, dead: make(chan struct{}), end: end,
+		machine: m, number: m.births, dead: make(chan struct{}), end: end,
 		handlers: map[ids.Address]http.Handler{}, sockets: map[ids.Address]*socket{},
 	}
-	machine.world.lock.Lock()
-	born.newest = machine.world.known.version
-	machine.world.lock.Unlock()
-	machine.life = born
-	settings := machine.world.settings(machine, first)
+	m.world.mu.Lock()
+	born.newest = m.world.known.version
+	m.world.mu.Unlock()
+	m.life = born
+	settings := m.world.settings(m, first)
 	top := scope.New(scope.Options{
-		Clock: steady{machine: machine, offset: machine.world.between("boot "+machine.name, clock.Second, 1000*clock.Second) - machine.world.now()},
-		Boot:  settings, Log: machine.world.log(machine),
+		Clock: steady{machine: m, offset: m.world.between("boot "+m.name, clock.Second, 1000*clock.Second) - m.world.now()},
+		Boot:  settings, Log: m.world.log(m),
 	}).Under(ctx)
-	machine.world.note("start", machine, "life", born.number, "first", first)
+	m.world.note("start", m, "life", born.number, "first", first)
 	run := born.controller
-	if machine.carries {
+	if m.carries {
 		run = born.carry
 	}
 	go func() {
 		err := run(top)
-		machine.world.after(0, func() { machine.ended(born, err) })
+		m.world.after(0, func() { m.ended(born, err) })
 	}()
 }
 
-func (life *life) controller(top scope.Scope) error {
-	made, err := controller.New(top, controller.Options{Network: life, Disk: life.mount(top)})
+func (l *life) controller(top scope.Scope) error {
+	made, err := controller.New(top, controller.Options{Network: l, Disk: l.mount(top)})
 	if err != nil {
 		return err
 	}
-	life.machine.world.after(0, func() {
-		if !life.over() {
-			life.control = made
-			life.machine.begins()
+	l.machine.world.after(0, func() {
+		if !l.over() {
+			l.control = made
+			l.machine.begins()
 		}
 	})
 	return made.Run(top, make(chan *boot.Boot))
 }
 
 // ended starts a process again that ended by itself.
-func (machine *Machine) ended(was *life, err error) {
-	if machine.life != was {
+func (m *Machine) ended(was *life, err error) {
+	if m.life != was {
 		return
 	}
-	machine.world.note("ended", machine, "fault", fmt.Sprint(err))
-	machine.die()
-	machine.timer(500*clock.Millisecond, func() { machine.start(false) })
+	m.world.note("ended", m, "fault", fmt.Sprint(err))
+	m.die()
+	m.timer(500*clock.Millisecond, func() { m.start(false) })
 }
 
 // die ends the process at once; what it wrote stays.
-func (machine *Machine) die() {
-	if machine.life == nil {
+func (m *Machine) die() {
+	if m.life == nil {
 		return
 	}
-	machine.ends()
-	machine.disk.Kill()
-	close(machine.life.dead)
-	machine.life.end()
-	machine.life = nil
-	machine.frozen = false
-	machine.wakeUp()
+	m.ends()
+	m.disk.Kill()
+	close(m.life.dead)
+	m.life.end()
+	m.life = nil
+	m.frozen = false
+	m.wakeUp()
 }
 
 // wakeUp lets happen what waited while the machine stood still.
-func (machine *Machine) wakeUp() {
-	late := machine.late
-	machine.late = nil
+func (m *Machine) wakeUp() {
+	late := m.late
+	m.late = nil
 	for _, act := range late {
 		act()
 	}
-	machine.unstall()
+	m.unstall()
 }
 
-func (machine *Machine) unstall() {
-	waiting := machine.trouble.waiting
-	machine.trouble.waiting = nil
+func (m *Machine) unstall() {
+	waiting := m.trouble.waiting
+	m.trouble.waiting = nil
 	for _, act := range waiting {
 		act()
 	}
 }
 
 // pause is how long the disk takes for an act.
-func (machine *Machine) pause(act string, bytes int) error {
-	here := machine.life
+func (m *Machine) pause(act string, bytes int) error {
+	here := m.life
 	if here == nil || here.over() {
 		return disk.ErrDead
 	}
-	trouble, world := &machine.trouble, machine.world
+	trouble, world := &m.trouble, m.world
 	writing := act != disk.ActRead
 	if writing && trouble.refuses && act != disk.ActAppend {
 		return errRefused
@@ -187,12 +187,12 @@
 	done := make(chan struct{})
 	goOn := func() { close(done) }
 	if trouble.stalled {
-		goOn = func() { machine.deliver(func() { close(done) }) }
-		world.lock.Lock()
+		goOn = func() { m.deliver(func() { close(done) }) }
+		world.mu.Lock()
 		trouble.waiting = append(trouble.waiting, goOn)
-		world.lock.Unlock()
+		world.mu.Unlock()
 	} else {
-		machine.timer(span, goOn)
+		m.timer(span, goOn)
 	}
 	select {
 	case <-done:
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -34,7 +34,7 @@
 	given bool
 	// left says that the asker has gone on, with an answer or without; leaving
 	// is done when it does.
-	lock    sync.Mutex
+	mu      sync.Mutex
 	left    bool
 	leaving func()
 }
@@ -47,18 +47,18 @@
 }
 
 // Serve keeps a handler at an address until the scope ends.
-func (life *life) Serve(inner scope.Scope, address ids.Address, handler http.Handler, _ *call.Traffic) error {
-	world := life.machine.world
-	world.quietly(0, func() { life.handlers[address] = handler })
-	<-inner.Done()
-	world.quietly(0, func() { delete(life.handlers, address) })
+func (l *life) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *call.Traffic) error {
+	world := l.machine.world
+	world.quietly(0, func() { l.handlers[address] = handler })
+	<-ctx.Done()
+	world.quietly(0, func() { delete(l.handlers, address) })
 	return nil
 }
 
 // Client makes a client whose calls go over the simulated links.
-func (life *life) Client(pooling call.Pooling) *http.Client {
+func (l *life) Client(pooling call.Pooling) *http.Client {
 	return &http.Client{
-		Transport:     dialer{life: life, dialing: pooling.Dialing},
+		Transport:     dialer{life: l, dialing: pooling.Dialing},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -70,15 +70,15 @@
 }
 
 // RoundTrip carries a call and its answer.
-func (dialer dialer) RoundTrip(request *http.Request) (*http.Response, error) {
-	life, world := dialer.life, dialer.life.machine.world
+func (d dialer) RoundTrip(request *http.Request) (*http.Response, error) {
+	life, world := d.life, d.life.machine.world
 	reset := make(chan struct{}, 2)
 	end := func() { reset <- struct{}{} }
-	silence := life.machine.timer(dialer.dialing.Silence, end)
+	silence := life.machine.timer(d.dialing.Silence, end)
 	defer world.forget(silence)
 	world.quietly(0, func() {
 		if target, _ := world.at(ids.Address(request.URL.Host)); target != nil && (target.dark || target.gone) {
-			life.machine.timer(dialer.dialing.Limit, end)
+			life.machine.timer(d.dialing.Limit, end)
 		}
 	})
 	return world.carry(life, life.machine.name, request, reset)
@@ -86,7 +86,7 @@
 
 // carry sends a call from a place and waits for its answer, or until the
 // connection is reset.
-func (world *World) carry(sender *life, from string, request *http.Request, reset <-chan struct{}) (*http.Response, error) {
+func (w *World) carry(sender *life, from string, request *http.Request, reset <-chan struct{}) (*http.Response, error) {
 	if sender != nil && sender.over() {
 		return nil, errDead
 	}
@@ -95,15 +95,15 @@
 		answer: make(chan answered, 1),
 	}
 	defer sent.leave()
-	world.count("messages")
+	w.count("messages")
 	var dead chan struct{}
 	if sender != nil {
 		dead = sender.dead
 	}
-	if forged, done := world.tamper(sent); done {
+	if forged, done := w.tamper(sent); done {
 		return forged.response(request), forged.err
 	}
-	world.after(world.latency(from, sent.to), func() { world.arrive(sent) })
+	w.after(w.latency(from, sent.to), func() { w.arrive(sent) })
 	select {
 	case got := <-sent.answer:
 		if got.err != nil {
@@ -111,62 +111,62 @@
 		}
 		return got.response(request), nil
 	case <-request.Context().Done():
-		world.quietly(0, func() { sent.given = true })
+		w.quietly(0, func() { sent.given = true })
 		return nil, request.Context().Err()
 	case <-reset:
-		world.quietly(0, func() { sent.given = true })
+		w.quietly(0, func() { sent.given = true })
 		return nil, errReset
 	case <-dead:
 		return nil, errDead
 	}
 }
 
-func (got answered) response(request *http.Request) *http.Response {
-	if got.err != nil {
+func (a answered) response(request *http.Request) *http.Response {
+	if a.err != nil {
 		return nil
 	}
 	return &http.Response{
-		StatusCode: got.status, Header: got.header, Body: io.NopCloser(bytes.NewReader(got.body)), ContentLength: int64(len(got.body)),
+		StatusCode: a.status, Header: a.header, Body: io.NopCloser(bytes.NewReader(a.body)), ContentLength: int64(len(a.body)),
 		Request: request, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 }
 
 // arrive brings a call to its machine; what a cut holds up comes when it heals,
 // also when its asker has given up since.
-func (world *World) arrive(sent *message) {
-	target, standing := world.at(sent.to)
+func (w *World) arrive(sent *message) {
+	target, standing := w.at(sent.to)
 	if standing == platform {
-		world.platform(sent)
+		w.platform(sent)
 		return
 	}
 	if target == nil || target.dark || target.gone {
 		return
 	}
-	if link := world.link(sent.from, target.name); link.cut {
-		link.held = append(link.held, func() { world.arrive(sent) })
+	if link := w.link(sent.from, target.name); link.cut {
+		link.held = append(link.held, func() { w.arrive(sent) })
 		return
 	}
-	target.deliver(func() { world.serve(target, sent) })
+	target.deliver(func() { w.serve(target, sent) })
 }
 
-func (world *World) serve(target *Machine, sent *message) {
+func (w *World) serve(target *Machine, sent *message) {
 	here := target.life
 	var handler http.Handler
 	if here != nil {
 		handler = here.handlers[sent.to]
 	}
 	if handler == nil {
-		world.back(target, sent, answered{err: errReset})
+		w.back(target, sent, answered{err: errReset})
 		return
 	}
-	if sent.given && world.once("given "+sent.path, 2) {
+	if sent.given && w.once("given "+sent.path, 2) {
 		// The asker's reset came before the call was read.
 		return
 	}
 	sent.arrives()
 	inner, end := context.WithCancel(context.Background())
 	sent.onLeave(func() {
-		world.after(world.latency(sent.from, sent.to), func() { target.deliver(end) })
+		w.after(w.latency(sent.from, sent.to), func() { target.deliver(end) })
 	})
 	request := sent.arrived(inner)
 	go func() {
@@ -179,29 +179,29 @@
 		if here.over() {
 			got = answered{err: errReset}
 		}
-		world.quietly(0, func() { world.back(target, sent, got) })
+		w.quietly(0, func() { w.back(target, sent, got) })
 	}()
 }
 
 // back carries an answer to whoever asked.
-func (world *World) back(target *Machine, sent *message, got answered) {
-	got = world.twist(target, sent, got)
-	sent.told(got, world.now())
-	if world.answerLost(target, sent) {
-		world.count("answers lost")
+func (w *World) back(target *Machine, sent *message, got answered) {
+	got = w.twist(target, sent, got)
+	sent.told(got, w.now())
+	if w.answerLost(target, sent) {
+		w.count("answers lost")
 		return
 	}
-	world.after(world.latency(target.name, sent.to), func() {
-		link := world.link(target.name, sent.from)
+	w.after(w.latency(target.name, sent.to), func() {
+		link := w.link(target.name, sent.from)
 		if link.cut {
-			link.held = append(link.held, func() { world.hand(sent, got) })
+			link.held = append(link.held, func() { w.hand(sent, got) })
 			return
 		}
-		world.hand(sent, got)
+		w.hand(sent, got)
 	})
 }
 
-func (world *World) hand(sent *message, got answered) {
+func (w *World) hand(sent *message, got answered) {
 	if sent.sender == nil {
 		sent.answer <- got
 		return
@@ -216,11 +216,11 @@
 
 // latency is how long a way takes: by how far apart the places are, with some
 // spread, and now and then as long as a lost packet takes to be sent again.
-func (world *World) latency(from string, to ids.Address) clock.Span {
-	target, _ := world.at(to)
-	span := world.distance(from, target)
-	span += world.between("latency "+from+string(to), 0, span/4+clock.Millisecond)
-	if world.once("packet "+from+string(to), 200) {
+func (w *World) latency(from string, to ids.Address) clock.Span {
+	target, _ := w.at(to)
+	span := w.distance(from, target)
+	span += w.between("latency "+from+string(to), 0, span/4+clock.Millisecond)
+	if w.once("packet "+from+string(to), 200) {
 		span += 200 * clock.Millisecond
 	}
 	return span
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -27,57 +27,57 @@
 
 // give sends an order to one controller after another until the answer is
 // clear; it gives the body of the last answer.
-func (world *World) give(asked order) (act, []byte) {
+func (w *World) give(asked order) (act, []byte) {
 	did := asked.act
-	did.begin = world.now()
+	did.begin = w.now()
 	pause := 50 * clock.Millisecond
-	for tries := 0; !world.ending && (asked.patience == 0 || world.now()-did.begin < asked.patience); tries++ {
-		targets := world.controllers()
+	for tries := 0; !w.ending && (asked.patience == 0 || w.now()-did.begin < asked.patience); tries++ {
+		targets := w.controllers()
 		if len(targets) == 0 {
 			break
 		}
-		target := targets[world.below(fmt.Sprint("target ", did.order, tries), len(targets))]
-		sent := &sending{begin: world.now()}
+		target := targets[w.below(fmt.Sprint("target ", did.order, tries), len(targets))]
+		sent := &sending{begin: w.now()}
 		did.sendings = append(did.sendings, sent)
-		status, body := world.send(target, asked, sent)
-		did.end = world.now()
-		world.note("answer", target, "order", did.order, "verb", did.verb, "status", status, "try", tries)
+		status, body := w.send(target, asked, sent)
+		did.end = w.now()
+		w.note("answer", target, "order", did.order, "verb", did.verb, "status", status, "try", tries)
 		if ended, clear := ending[status]; clear {
 			did.outcome = ended
 			sent.settle(ended, did.end)
 			return did, body
 		}
-		world.count("tries without a clear answer")
-		world.sleep(world.between(fmt.Sprint("pause ", did.order, tries), pause/2, pause))
+		w.count("tries without a clear answer")
+		w.sleep(w.between(fmt.Sprint("pause ", did.order, tries), pause/2, pause))
 		pause = min(2*pause, clock.Second)
 	}
-	did.end = world.now()
+	did.end = w.now()
 	return did, nil
 }
 
 // send sends an order once; redirects are followed twice.
-func (world *World) send(target *Machine, asked order, sent *sending) (int, []byte) {
+func (w *World) send(target *Machine, asked order, sent *sending) (int, []byte) {
 	place := "http://" + target.ip + ":" + strconv.Itoa(controlPort) + asked.path
 	for range 3 {
 		limited, cancel := context.WithCancel(context.Background())
-		limit := world.after(clock.Second, cancel)
+		limit := w.after(clock.Second, cancel)
 		end := func() {
 			cancel()
-			world.forget(limit)
+			w.forget(limit)
 		}
 		request, _ := http.NewRequestWithContext(sent.under(limited), asked.method, place, bytes.NewReader(asked.body))
 		if asked.verb == "change" {
 			request.Header.Set("If-Match", strconv.FormatInt(asked.match, 10))
 		}
-		begin := world.now()
-		response, err := world.carry(nil, operators, request, nil)
+		begin := w.now()
+		response, err := w.carry(nil, operators, request, nil)
 		if err != nil {
 			end()
 			return 0, nil
 		}
 		body, _ := io.ReadAll(response.Body)
 		end()
-		world.answered(target, asked, response.StatusCode, world.now()-begin)
+		w.answered(target, asked, response.StatusCode, w.now()-begin)
 		if response.StatusCode != http.StatusTemporaryRedirect {
 			return response.StatusCode, body
 		}
@@ -86,15 +86,15 @@
 	return 0, nil
 }
 
-func (world *World) sleep(span clock.Span) {
+func (w *World) sleep(span clock.Span) {
 	done := make(chan struct{})
-	world.after(span, func() { close(done) })
+	w.after(span, func() { close(done) })
 	<-done
 }
 
 // put is a change of the configuration on top of a version.
-func (world *World) put(match int64, version int64, patched bool) order {
-	number := world.number()
+func (w *World) put(match int64, version int64, patched bool) order {
+	number := w.number()
 	made := order{
 		act:    act{order: number, key: "spec", verb: "change", match: match, version: version},
 		method: http.MethodPut, path: "/settings", body: whole(version, number), patience: 15 * clock.Second,
@@ -106,41 +106,41 @@
 }
 
 // zone is an evacuation, or its end.
-func (world *World) zone(zone ids.Zone, empty bool) order {
+func (w *World) zone(zone ids.Zone, empty bool) order {
 	method := map[bool]string{true: http.MethodPost, false: http.MethodDelete}[empty]
 	return order{
-		act:    act{order: world.number(), key: "evacuation/" + string(zone), verb: "zone", empty: empty},
+		act:    act{order: w.number(), key: "evacuation/" + string(zone), verb: "zone", empty: empty},
 		method: method, path: "/empty/" + string(zone), patience: 15 * clock.Second,
 	}
 }
 
 // readSettings reads the configuration and notes what was found.
-func (world *World) readSettings(patience clock.Span) (int64, bool) {
-	did, body := world.give(order{act: act{order: world.number(), key: "spec", verb: "read"}, method: http.MethodGet, path: "/settings", patience: patience})
+func (w *World) readSettings(patience clock.Span) (int64, bool) {
+	did, body := w.give(order{act: act{order: w.number(), key: "spec", verb: "read"}, method: http.MethodGet, path: "/settings", patience: patience})
 	if did.outcome == taken {
 		version, marked, found := read(body)
 		if !found {
-			world.violate("GET /settings answered what no order brought: %.200s", body)
+			w.violate("GET /settings answered what no order brought: %.200s", body)
 		}
 		did.version, did.mark = version, marked
 	}
-	world.record(did)
+	w.record(did)
 	return did.version, did.outcome == taken
 }
 
 // record takes an act into the history and counts it.
-func (world *World) record(did act) {
-	world.lock.Lock()
-	world.history.add(did)
-	world.lock.Unlock()
-	world.count(fmt.Sprintf("%s: %s", did.verb, outcomeNames[did.outcome]))
-	world.note("act", nil, "order", did.order, "key", did.key, "verb", did.verb, "match", did.match, "version", did.version, "empty", did.empty,
+func (w *World) record(did act) {
+	w.mu.Lock()
+	w.history.add(did)
+	w.mu.Unlock()
+	w.count(fmt.Sprintf("%s: %s", did.verb, outcomeNames[did.outcome]))
+	w.note("act", nil, "order", did.order, "key", did.key, "verb", did.verb, "match", did.match, "version", did.version, "empty", did.empty,
 		"mark", did.mark, "begin", did.begin.Seconds(), "outcome", outcomeNames[did.outcome])
 }
 
-func (world *World) number() int {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	world.numbered++
-	return world.numbered
+func (w *World) number() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.numbered++
+	return w.numbered
 }
--- a/simulation/plant.go
+++ b/simulation/plant.go
@@ -29,40 +29,40 @@
 }
 
 // tamper lets a planted fault answer a call.
-func (world *World) tamper(sent *message) (answered, bool) {
-	if world.options.plant.Message == nil {
+func (w *World) tamper(sent *message) (answered, bool) {
+	if w.options.plant.Message == nil {
 		return answered{}, false
 	}
-	return world.options.plant.Message(world, sent)
+	return w.options.plant.Message(w, sent)
 }
 
 // twist lets a planted fault change an answer.
-func (world *World) twist(target *Machine, sent *message, got answered) answered {
-	if world.options.plant.Answer == nil || got.err != nil {
+func (w *World) twist(target *Machine, sent *message, got answered) answered {
+	if w.options.plant.Answer == nil || got.err != nil {
 		return got
 	}
-	return world.options.plant.Answer(world, target, sent, got)
+	return w.options.plant.Answer(w, target, sent, got)
 }
 
 // mount gives a controller its disk.
-func (life *life) mount(inner scope.Scope) journal.Disk {
-	planted := life.machine.world.options.plant
+func (l *life) mount(ctx scope.Scope) journal.Disk {
+	planted := l.machine.world.options.plant
 	if planted.Begin != nil {
-		planted.Begin(inner, life)
+		planted.Begin(ctx, l)
 	}
 	if planted.Disk == nil {
-		return life.machine.disk.Mount()
+		return l.machine.disk.Mount()
 	}
-	return planted.Disk(life.machine.disk.Mount())
+	return planted.Disk(l.machine.disk.Mount())
 }
 
 // slowFrom is when a planted clock begins to run at another pace.
 const slowFrom = 4 * clock.Second
 
 // pace is how fast a machine's clock runs.
-func (machine *Machine) pace() float64 {
-	if machine.world.options.plant.Pace == nil || machine.world.now() < slowFrom {
+func (m *Machine) pace() float64 {
+	if m.world.options.plant.Pace == nil || m.world.now() < slowFrom {
 		return 1
 	}
-	return machine.world.options.plant.Pace(machine)
+	return m.world.options.plant.Pace(m)
 }
--- a/simulation/planted_test.go
+++ b/simulation/planted_test.go
@@ -62,13 +62,13 @@
 
 func only(names ...string) []string { return names }
 
-func (err planted) options(seed uint64) Options {
-	options := Options{Site: Sites["three"], Seed: seed, Point: err.point, Only: err.only, Length: clock.Span(err.length) * clock.Second, Operators: 2, script: err.script}
-	if err.site != "" {
-		options.Site = Sites[err.site]
+func (p planted) options(seed uint64) Options {
+	options := Options{Site: Sites["three"], Seed: seed, Point: p.point, Only: p.only, Length: clock.Span(p.length) * clock.Second, Operators: 2, script: p.script}
+	if p.site != "" {
+		options.Site = Sites[p.site]
 	}
-	if err.hands > 0 {
-		options.Operators = err.hands
+	if p.hands > 0 {
+		options.Operators = p.hands
 	}
 	return options
 }
--- a/simulation/plants_disks_test.go
+++ b/simulation/plants_disks_test.go
@@ -40,7 +40,7 @@
 				}
 			}
 		},
-		Begin: func(inner scope.Scope, life *life) {
+		Begin: func(ctx scope.Scope, life *life) {
 			lock.Lock()
 			incarnation, wiped := known[life.machine]
 			delete(known, life.machine)
@@ -159,33 +159,33 @@
 
 func (unsynced) Sync() error { return nil }
 
-func (disk meddled) file(file journal.File, err error) (journal.File, error) {
-	if err == nil && disk.noSync {
+func (m meddled) file(file journal.File, err error) (journal.File, error) {
+	if err == nil && m.noSync {
 		file = unsynced{file}
 	}
 	return file, err
 }
 
-func (disk meddled) Create(name string) (journal.File, error) {
-	return disk.file(disk.Disk.Create(name))
+func (m meddled) Create(name string) (journal.File, error) {
+	return m.file(m.Disk.Create(name))
 }
 
-func (disk meddled) Append(name string, length int64) (journal.File, error) {
-	return disk.file(disk.Disk.Append(name, length))
+func (m meddled) Append(name string, length int64) (journal.File, error) {
+	return m.file(m.Disk.Append(name, length))
 }
 
-func (disk meddled) SyncFolder() error {
-	if disk.noFolder {
+func (m meddled) SyncFolder() error {
+	if m.noFolder {
 		return nil
 	}
-	return disk.Disk.SyncFolder()
+	return m.Disk.SyncFolder()
 }
 
 // readTorn reads a damaged journal up to the damage, as if its tail were torn.
 type readTorn struct{ journal.Disk }
 
-func (torn readTorn) Read(name string) ([]byte, error) {
-	content, err := torn.Disk.Read(name)
+func (r readTorn) Read(name string) ([]byte, error) {
+	content, err := r.Disk.Read(name)
 	if err != nil || name != "registers" {
 		return content, err
 	}
--- a/simulation/plants_orders_test.go
+++ b/simulation/plants_orders_test.go
@@ -57,14 +57,14 @@
 }
 
 // and has both meddle.
-func (left plant) and(right plant) plant {
-	if left.Message == nil {
-		left.Message = right.Message
+func (p plant) and(right plant) plant {
+	if p.Message == nil {
+		p.Message = right.Message
 	}
-	if left.Answer == nil {
-		left.Answer = right.Answer
+	if p.Answer == nil {
+		p.Answer = right.Answer
 	}
-	return left
+	return p
 }
 
 // ghost delivers orders on zones again long after, with a later end and without
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -26,8 +26,8 @@
 }
 
 // carry runs a router's control side.
-func (life *life) carry(top scope.Scope) error {
-	world := life.machine.world
+func (l *life) carry(top scope.Scope) error {
+	world := l.machine.world
 	made := &router{newest: map[string]ids.Serial{}}
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: top.Boot.Zones, Region: top.Boot.Region})
 	absorb := func(item spread.Item) {
@@ -36,32 +36,32 @@
 		}
 		before := made.frame.Now()
 		made.frame.Absorb(item)
-		world.rises(life, made, before, item)
+		world.rises(l, made, before, item)
 	}
 	var err error
-	made.common, err = daemon.New(top, daemon.Options{Role: daemon.Carrier, Fresh: absorb, Network: life})
+	made.common, err = daemon.New(top, daemon.Options{Role: daemon.Carrier, Fresh: absorb, Network: l})
 	if err != nil {
 		return err
 	}
 	made.gate = made.common.ReadIndex(made.frame.Ready(), made.serial)
 	made.common.Once("readindex", made.gate.Run)
-	world.after(0, func() { life.router = made })
-	made.common.Part("ready", func(inner scope.Scope) error {
+	world.after(0, func() { l.router = made })
+	made.common.Part("ready", func(ctx scope.Scope) error {
 		select {
 		case <-made.gate.Ready():
 			made.common.Table.Announce(func(self *cohort.Member) { self.Ready = true })
-			world.becameReady(life, made)
-		case <-inner.Done():
+			world.becameReady(l, made)
+		case <-ctx.Done():
 		}
-		<-inner.Done()
+		<-ctx.Done()
 		return nil
 	})
 	return made.common.Run(top)
 }
 
 // serial is the version that the router acts on.
-func (made *router) serial() ids.Serial {
-	if seen := made.frame.Now(); seen.Spec != nil {
+func (r *router) serial() ids.Serial {
+	if seen := r.frame.Now(); seen.Spec != nil {
 		return seen.Spec.Serial
 	}
 	return 0
@@ -70,46 +70,46 @@
 // becameReady checks with what a router begins to serve: no version older than
 // the newest that was acknowledged before it started, unless it says that no
 // majority could be had.
-func (world *World) becameReady(life *life, made *router) {
-	world.lock.Lock()
+func (w *World) becameReady(life *life, made *router) {
+	w.mu.Lock()
 	newest := life.newest
-	world.lock.Unlock()
+	w.mu.Unlock()
 	state := made.gate.State()
-	world.count("routers ready, " + state)
-	world.note("router ready", life.machine, "state", state, "version", made.serial(), "newest at start", newest)
+	w.count("routers ready, " + state)
+	w.note("router ready", life.machine, "state", state, "version", made.serial(), "newest at start", newest)
 	if state == readindex.Confirmed && int64(made.serial()) < newest {
-		world.violate("the router of %s is ready on version %d, though %d was acknowledged before it started", life.machine.name, made.serial(), newest)
+		w.violate("the router of %s is ready on version %d, though %d was acknowledged before it started", life.machine.name, made.serial(), newest)
 	}
 }
 
 // rises checks that no part of a router's snapshot goes back.
-func (world *World) rises(life *life, made *router, before *snapshot.Snapshot, item spread.Item) {
+func (w *World) rises(life *life, made *router, before *snapshot.Snapshot, item spread.Item) {
 	after := made.frame.Now()
 	if before.Spec != nil && (after.Spec == nil || after.Spec.Serial < before.Spec.Serial) {
-		world.violate("the router of %s went back from version %d", life.machine.name, before.Spec.Serial)
+		w.violate("the router of %s went back from version %d", life.machine.name, before.Spec.Serial)
 	}
 	if zone, found := evacuation.ZoneOf(item.Key); found {
-		world.count("evacuations heard")
+		w.count("evacuations heard")
 		if item.Serial < made.newest[item.Key] {
-			world.violate("the router of %s went back on %s to %d", life.machine.name, zone, item.Serial)
+			w.violate("the router of %s went back on %s to %d", life.machine.name, zone, item.Serial)
 		}
 		made.newest[item.Key] = item.Serial
 	}
 }
 
 // platform answers for the platform's list of runners.
-func (world *World) platform(sent *message) {
+func (w *World) platform(sent *message) {
 	list := map[string]any{"next_token": nil, "servers": []map[string]any{{
-		"id": "i-" + strconv.Itoa(int(world.now().Seconds())), "service": "desk", "address": "10.200.0.1:80", "zone": world.options.Site.Places[0].Zone,
+		"id": "i-" + strconv.Itoa(int(w.now().Seconds())), "service": "desk", "address": "10.200.0.1:80", "zone": w.options.Site.Places[0].Zone,
 		"config_version": "v1", "capacity": 8, "condition": "ready", "cold_left_ms": 0,
 	}}}
 	body, _ := json.Marshal(list)
-	world.after(world.options.Site.Near, func() {
-		world.hand(sent, answered{status: http.StatusOK, header: http.Header{}, body: body})
+	w.after(w.options.Site.Near, func() {
+		w.hand(sent, answered{status: http.StatusOK, header: http.Header{}, body: body})
 	})
 }
 
 // answerLost tells whether an answer to an operator gets lost now.
-func (world *World) answerLost(target *Machine, sent *message) bool {
-	return sent.sender == nil && world.ackLost > 0 && world.fraction("answer lost "+target.name) < world.ackLost
+func (w *World) answerLost(target *Machine, sent *message) bool {
+	return sent.sender == nil && w.ackLost > 0 && w.fraction("answer lost "+target.name) < w.ackLost
 }
--- a/simulation/run.go
+++ b/simulation/run.go
@@ -38,63 +38,63 @@
 	}
 }
 
-func (world *World) play() {
-	for _, machine := range world.machines {
-		world.after(world.between("first start "+machine.name, 0, 300*clock.Millisecond), func() { machine.start(true) })
+func (w *World) play() {
+	for _, machine := range w.machines {
+		w.after(w.between("first start "+machine.name, 0, 300*clock.Millisecond), func() { machine.start(true) })
 	}
-	world.until(2 * clock.Second)
-	if world.options.script != nil {
-		go world.options.script(world)
+	w.until(2 * clock.Second)
+	if w.options.script != nil {
+		go w.options.script(w)
 	} else {
-		world.trouble()
+		w.trouble()
 	}
-	world.until(world.options.Length)
-	world.settle()
-	world.ending = true
-	world.until(world.now() + 16*clock.Second)
-	for _, machine := range world.machines {
+	w.until(w.options.Length)
+	w.settle()
+	w.ending = true
+	w.until(w.now() + 16*clock.Second)
+	for _, machine := range w.machines {
 		machine.gone = true
 		machine.die()
 	}
 	synctest.Wait()
 	// All that still waits for some time runs out; nothing is checked any more.
-	for world.step(world.now() + 120*clock.Second) {
+	for w.step(w.now() + 120*clock.Second) {
 	}
 }
 
 // trouble sets the operators and, later, the troubles going.
-func (world *World) trouble() {
-	for number := range max(1, world.options.Operators) {
-		go world.operate(fmt.Sprint("operator ", number))
-	}
-	world.until(8 * clock.Second)
-	go world.plague()
-	world.practise()
-	world.measureService()
+func (w *World) trouble() {
+	for number := range max(1, w.options.Operators) {
+		go w.operate(fmt.Sprint("operator ", number))
+	}
+	w.until(8 * clock.Second)
+	go w.plague()
+	w.practise()
+	w.measureService()
 }
 
 // until goes on to an instant, and checks after each step; a broken promise
 // ends the run.
-func (world *World) until(end clock.Span) {
+func (w *World) until(end clock.Span) {
 	// Time passes also where nothing waits for it.
-	world.after(end-world.now(), func() {})
+	w.after(end-w.now(), func() {})
 	synctest.Wait()
-	for !world.violated() && world.step(end) {
-		world.look()
+	for !w.violated() && w.step(end) {
+		w.look()
 	}
 }
 
 // settle ends all trouble; within the time to catch up everything must be whole
 // again, an order be acknowledged, and all read the same.
-func (world *World) settle() {
-	for _, one := range world.links {
+func (w *World) settle() {
+	for _, one := range w.links {
 		one.cut = false
 	}
-	for key := range world.links {
-		world.heal(key[0], key[1])
+	for key := range w.links {
+		w.heal(key[0], key[1])
 	}
-	world.ackLost, world.hurry = 0, false
-	for _, machine := range world.machines {
+	w.ackLost, w.hurry = 0, false
+	for _, machine := range w.machines {
 		machine.trouble.stalled, machine.trouble.slow, machine.trouble.refuses, machine.trouble.full = false, 0, false, false
 		if machine.frozen {
 			machine.frozen = false
@@ -103,58 +103,58 @@
 		machine.unstall()
 		machine.comeBack()
 	}
-	begin := world.now()
-	world.waitWhole(begin)
-	world.until(begin + settling)
-	if world.violated() {
+	begin := w.now()
+	w.waitWhole(begin)
+	w.until(begin + settling)
+	if w.violated() {
 		return
 	}
-	world.final()
+	w.final()
 }
 
 // waitWhole goes on until all seats are filled and every voter holds all.
-func (world *World) waitWhole(begin clock.Span) {
+func (w *World) waitWhole(begin clock.Span) {
 	whole, missing := false, ""
-	for world.now()-begin < settling && !whole && !world.violated() {
-		world.until(world.now() + 100*clock.Millisecond)
-		whole, missing = world.sound()
+	for w.now()-begin < settling && !whole && !w.violated() {
+		w.until(w.now() + 100*clock.Millisecond)
+		whole, missing = w.sound()
 	}
-	if world.violated() {
+	if w.violated() {
 		return
 	}
 	if !whole {
-		world.violate("%s after all trouble ended, still: %s", settling, missing)
+		w.violate("%s after all trouble ended, still: %s", settling, missing)
 		return
 	}
-	world.watch.wholeTook = append(world.watch.wholeTook, world.now()-begin)
+	w.watch.wholeTook = append(w.watch.wholeTook, w.now()-begin)
 }
 
 // final reads at every controller and gives one more order.
-func (world *World) final() {
+func (w *World) final() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		did, _ := world.give(world.zone(world.options.Site.Places[0].Zone, true))
-		world.record(did)
+		did, _ := w.give(w.zone(w.options.Site.Places[0].Zone, true))
+		w.record(did)
 		if did.outcome != taken {
-			world.violate("an order in calm got no acknowledgement")
+			w.violate("an order in calm got no acknowledgement")
 		}
-		for range len(world.controllers()) {
-			if _, found := world.readSettings(8 * clock.Second); !found {
-				world.violate("GET /settings is not answered in calm")
+		for range len(w.controllers()) {
+			if _, found := w.readSettings(8 * clock.Second); !found {
+				w.violate("GET /settings is not answered in calm")
 			}
 		}
 	}()
-	limit := world.now() + 30*clock.Second
-	for world.now() < limit && !world.violated() {
-		world.until(world.now() + 100*clock.Millisecond)
+	limit := w.now() + 30*clock.Second
+	for w.now() < limit && !w.violated() {
+		w.until(w.now() + 100*clock.Millisecond)
 		select {
 		case <-done:
 			return
 		default:
 		}
 	}
-	if !world.violated() {
-		world.violate("the last orders got no answer in calm")
+	if !w.violated() {
+		w.violate("the last orders got no answer in calm")
 	}
 }
--- a/simulation/script_test.go
+++ b/simulation/script_test.go
@@ -18,31 +18,31 @@
 }
 
 // order empties or refills the first zone.
-func (world *World) order(empty bool) {
-	did, _ := world.give(world.zone(world.options.Site.Places[0].Zone, empty))
-	world.record(did)
+func (w *World) order(empty bool) {
+	did, _ := w.give(w.zone(w.options.Site.Places[0].Zone, empty))
+	w.record(did)
 }
 
 // join opens the links between two; what they held up is lost with the
 // connections.
-func (world *World) join(one *Machine, other *Machine) {
-	world.link(one.name, other.name).held, world.link(other.name, one.name).held = nil, nil
-	world.heal(one.name, other.name)
-	world.heal(other.name, one.name)
+func (w *World) join(one *Machine, other *Machine) {
+	w.link(one.name, other.name).held, w.link(other.name, one.name).held = nil, nil
+	w.heal(one.name, other.name)
+	w.heal(other.name, one.name)
 }
 
-func (world *World) part(one *Machine, other *Machine) {
-	world.cut(one.name, other.name)
-	world.cut(other.name, one.name)
+func (w *World) part(one *Machine, other *Machine) {
+	w.cut(one.name, other.name)
+	w.cut(other.name, one.name)
 }
 
 // lookOn looks at the first zone until the run's troubles end.
-func (world *World) lookOn(targets ...*Machine) {
-	for world.now() < world.options.Length {
+func (w *World) lookOn(targets ...*Machine) {
+	for w.now() < w.options.Length {
 		for _, target := range targets {
-			world.lookAt(target, world.options.Site.Places[0].Zone)
+			w.lookAt(target, w.options.Site.Places[0].Zone)
 		}
-		world.sleep(50 * clock.Millisecond)
+		w.sleep(50 * clock.Millisecond)
 	}
 }
 
--- a/simulation/sending.go
+++ b/simulation/sending.go
@@ -25,40 +25,40 @@
 type sendingKey struct{}
 
 // sending finds which one a call is; there is none but for operators' calls.
-func (sent *message) sending() (*sending, bool) {
-	one, found := sent.request.Context().Value(sendingKey{}).(*sending)
+func (m *message) sending() (*sending, bool) {
+	one, found := m.request.Context().Value(sendingKey{}).(*sending)
 	return one, found
 }
 
 // arrives notes that a controller reads a sending.
-func (sent *message) arrives() {
-	if one, found := sent.sending(); found {
+func (m *message) arrives() {
+	if one, found := m.sending(); found {
 		one.read = true
 	}
 }
 
 // told notes a controller's answer to a sending, also one that gets lost.
-func (sent *message) told(got answered, now clock.Span) {
-	one, found := sent.sending()
+func (m *message) told(got answered, now clock.Span) {
+	one, found := m.sending()
 	if outcome, clear := ending[got.status]; clear && found && got.err == nil {
 		one.settle(outcome, now)
 	}
 }
 
 // settle takes the first clear answer.
-func (one *sending) settle(ended outcome, end clock.Span) {
-	if one.outcome == unclear {
-		one.outcome, one.end = ended, end
+func (s *sending) settle(ended outcome, end clock.Span) {
+	if s.outcome == unclear {
+		s.outcome, s.end = ended, end
 	}
 }
 
 // under gives a context that tells of the sending.
-func (one *sending) under(parent context.Context) context.Context {
-	return context.WithValue(parent, sendingKey{}, one)
+func (s *sending) under(parent context.Context) context.Context {
+	return context.WithValue(parent, sendingKey{}, s)
 }
 
 // operations are what the checker takes an act for.
-func (did act) operations() []porcupine.Operation {
+func (a act) operations() []porcupine.Operation {
 	made := func(one act) porcupine.Operation {
 		end := int64(one.end)
 		if one.outcome == unclear {
@@ -66,15 +66,15 @@
 		}
 		return porcupine.Operation{ClientId: one.order, Input: one, Call: int64(one.begin), Return: end}
 	}
-	if did.verb != "zone" || len(did.sendings) == 0 {
-		return []porcupine.Operation{made(did)}
+	if a.verb != "zone" || len(a.sendings) == 0 {
+		return []porcupine.Operation{made(a)}
 	}
 	var each []porcupine.Operation
-	for _, one := range did.sendings {
+	for _, one := range a.sendings {
 		if !one.read && one.outcome == unclear {
 			continue
 		}
-		sent := did
+		sent := a
 		sent.begin, sent.end, sent.outcome = one.begin, one.end, one.outcome
 		each = append(each, made(sent))
 	}
--- a/simulation/service.go
+++ b/simulation/service.go
@@ -47,65 +47,65 @@
 }
 
 // measureService begins to measure service in a run that does.
-func (world *World) measureService() {
-	if _, found := strikes[world.options.Service]; !found {
+func (w *World) measureService() {
+	if _, found := strikes[w.options.Service]; !found {
 		return
 	}
-	world.lock.Lock()
-	world.serving = serving{begin: world.now(), acks: len(world.watch.acks), changes: world.counted["change: taken"], due: world.now() + clock.Second}
-	world.lock.Unlock()
-	world.after(0, world.glance)
+	w.mu.Lock()
+	w.serving = serving{begin: w.now(), acks: len(w.watch.acks), changes: w.counted["change: taken"], due: w.now() + clock.Second}
+	w.mu.Unlock()
+	w.after(0, w.glance)
 }
 
 // glance counts what was acknowledged, and strikes when it may.
-func (world *World) glance() {
-	serving := &world.serving
+func (w *World) glance() {
+	serving := &w.serving
 	// What comes after a broken promise is no service.
-	if world.now() > world.options.Length || world.ending || world.violated() {
+	if w.now() > w.options.Length || w.ending || w.violated() {
 		if serving.hit > 0 {
 			serving.Silences = append(serving.Silences, serving.longest)
 		}
 		return
 	}
-	world.after(glance, world.glance)
-	world.lock.Lock()
-	heard := world.watch.ackedAt
-	serving.Span = world.now() - serving.begin
-	serving.Changes = world.counted["change: taken"] - serving.changes
-	serving.Acks = world.watch.acks[serving.acks:]
-	world.lock.Unlock()
+	w.after(glance, w.glance)
+	w.mu.Lock()
+	heard := w.watch.ackedAt
+	serving.Span = w.now() - serving.begin
+	serving.Changes = w.counted["change: taken"] - serving.changes
+	serving.Acks = w.watch.acks[serving.acks:]
+	w.mu.Unlock()
 	if serving.hit > 0 {
-		serving.longest = max(serving.longest, world.now()-max(heard, serving.hit))
+		serving.longest = max(serving.longest, w.now()-max(heard, serving.hit))
 	}
-	strike := strikes[world.options.Service]
-	if strike == nil || world.now() < serving.due || heard < serving.hit || world.now()+struck+world.catchUp() > world.options.Length {
+	strike := strikes[w.options.Service]
+	if strike == nil || w.now() < serving.due || heard < serving.hit || w.now()+struck+w.catchUp() > w.options.Length {
 		return
 	}
-	machine := world.owner("spec")
+	machine := w.owner("spec")
 	if machine == nil {
 		return
 	}
 	if serving.hit > 0 {
 		serving.Silences = append(serving.Silences, serving.longest)
 	}
-	serving.hit, serving.longest, serving.due = world.now(), 0, world.now()+struck+world.catchUp()
-	world.count("owners lost")
-	world.note("owner lost", machine)
-	end := strike(world, machine)
-	world.after(struck, end)
+	serving.hit, serving.longest, serving.due = w.now(), 0, w.now()+struck+w.catchUp()
+	w.count("owners lost")
+	w.note("owner lost", machine)
+	end := strike(w, machine)
+	w.after(struck, end)
 }
 
 // owner is the machine that owns a key, nil where it is not there.
-func (world *World) owner(key string) *Machine {
+func (w *World) owner(key string) *Machine {
 	var newest ids.Epoch
-	for _, machine := range world.seated() {
+	for _, machine := range w.seated() {
 		for _, slot := range machine.life.control.Slots() {
 			if slot.Key == key && slot.Promised.Compare(newest) > 0 {
 				newest = slot.Promised
 			}
 		}
 	}
-	machine := world.hosts[hostOf(ids.Address(newest.Owner))]
+	machine := w.hosts[hostOf(ids.Address(newest.Owner))]
 	if machine == nil || machine.life == nil || machine.frozen {
 		return nil
 	}
--- a/simulation/site.go
+++ b/simulation/site.go
@@ -71,19 +71,19 @@
 const platformAddress ids.Address = "10.255.0.1:80"
 
 // settings is the boot file of a machine's next process.
-func (world *World) settings(machine *Machine, first bool) *boot.Boot {
+func (w *World) settings(machine *Machine, first bool) *boot.Boot {
 	listen := func(port int) ids.Address { return ids.Address(machine.ip + ":" + strconv.Itoa(port)) }
 	made := &boot.Boot{
 		NodeName: machine.name, IP: machine.ip, Zone: machine.zone, Region: machine.region, PortRange: []int{innerPort, innerPort + 9},
 		FirstStart: first, Counted: !machine.carries, DataFolder: "/data", Zones: map[ids.Zone]ids.Region{},
 		Limits:   boot.Limits{MemoryMB: 184, OpenFiles: 4100, LinkMbps: 100, DiskMB: 64},
-		Tolerate: boot.Tolerate{Machines: world.options.Site.Losses, Zones: 1, Regions: 1}, Bounds: world.options.Site.Bounds,
+		Tolerate: boot.Tolerate{Machines: w.options.Site.Losses, Zones: 1, Regions: 1}, Bounds: w.options.Site.Bounds,
 		Platform: boot.Platform{Address: platformAddress, RatePerS: 42, MaxLagMS: 800},
 	}
-	for _, place := range world.options.Site.Places {
+	for _, place := range w.options.Site.Places {
 		made.Zones[place.Zone] = place.Region
 	}
-	for _, seed := range world.seedsNow() {
+	for _, seed := range w.seedsNow() {
 		made.Seeds = append(made.Seeds, ids.Address(seed.ip+":"+strconv.Itoa(controlPort)))
 	}
 	made.Listen = map[string]ids.Address{"control": listen(controlPort), "directory": listen(lookupPort)}
@@ -95,11 +95,11 @@
 
 // seedsNow are the seeds of a boot file that is written now: those that are gone
 // are no longer in the operator's list, and others take their places.
-func (world *World) seedsNow() []*Machine {
+func (w *World) seedsNow() []*Machine {
 	here := func(machine *Machine) bool { return !machine.gone && !machine.carries }
 	var found []*Machine
-	for _, machine := range append(slices.Clone(world.seeds), world.machines...) {
-		if here(machine) && !slices.Contains(found, machine) && len(found) < len(world.seeds) {
+	for _, machine := range append(slices.Clone(w.seeds), w.machines...) {
+		if here(machine) && !slices.Contains(found, machine) && len(found) < len(w.seeds) {
 			found = append(found, machine)
 		}
 	}
@@ -107,21 +107,21 @@
 }
 
 // at finds the machine of an address; that of the platform has none.
-func (world *World) at(address ids.Address) (*Machine, string) {
+func (w *World) at(address ids.Address) (*Machine, string) {
 	if address == platformAddress {
 		return nil, platform
 	}
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	return world.hosts[hostOf(address)], ""
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.hosts[hostOf(address)], ""
 }
 
 // distance is the shortest way from a named place to a machine.
-func (world *World) distance(from string, target *Machine) clock.Span {
-	site := world.options.Site
-	world.lock.Lock()
-	source := world.named[from]
-	world.lock.Unlock()
+func (w *World) distance(from string, target *Machine) clock.Span {
+	site := w.options.Site
+	w.mu.Lock()
+	source := w.named[from]
+	w.mu.Unlock()
 	if source == nil || target == nil {
 		return site.Near
 	}
@@ -137,22 +137,22 @@
 	held []func()
 }
 
-func (world *World) link(from string, to string) *link {
+func (w *World) link(from string, to string) *link {
 	key := [2]string{from, to}
-	if world.links[key] == nil {
-		world.links[key] = &link{}
+	if w.links[key] == nil {
+		w.links[key] = &link{}
 	}
-	return world.links[key]
+	return w.links[key]
 }
 
 // cut closes a way, heal opens it and lets through what it held up.
-func (world *World) cut(from string, to string) { world.link(from, to).cut = true }
+func (w *World) cut(from string, to string) { w.link(from, to).cut = true }
 
-func (world *World) heal(from string, to string) {
-	opened := world.link(from, to)
+func (w *World) heal(from string, to string) {
+	opened := w.link(from, to)
 	held := opened.held
 	opened.cut, opened.held = false, nil
 	for index, act := range held {
-		world.after(world.between(fmt.Sprint("heal ", from, to, index), 0, 20*clock.Millisecond), act)
+		w.after(w.between(fmt.Sprint("heal ", from, to, index), 0, 20*clock.Millisecond), act)
 	}
 }
--- a/simulation/troubles.go
+++ b/simulation/troubles.go
@@ -57,15 +57,15 @@
 func Troubles() []string { return sortedKeys(troubles) }
 
 // chosen are the troubles of a run.
-func (world *World) chosen() []string {
-	if len(world.options.Only) > 0 {
-		return world.options.Only
+func (w *World) chosen() []string {
+	if len(w.options.Only) > 0 {
+		return w.options.Only
 	}
 	var names []string
 	for name, one := range troubles {
-		fits := world.options.Point == 0
+		fits := w.options.Point == 0
 		for _, point := range one.points {
-			fits = fits || point == world.options.Point
+			fits = fits || point == w.options.Point
 		}
 		if fits {
 			names = append(names, name)
@@ -76,11 +76,11 @@
 }
 
 // lost are those that count as lost through a trouble at a machine.
-func (one trouble) lost(world *World, machine *Machine) []*Machine {
-	if !one.loses {
+func (t trouble) lost(world *World, machine *Machine) []*Machine {
+	if !t.loses {
 		return nil
 	}
-	if !one.region {
+	if !t.region {
 		return []*Machine{machine}
 	}
 	var lost []*Machine
@@ -94,11 +94,11 @@
 
 // lost counts the other controllers that are lost now: in trouble, or back for
 // less than the time that they have to catch up.
-func (world *World) lost(without []*Machine) int {
+func (w *World) lost(without []*Machine) int {
 	lost := 0
-	grace := clock.Span(world.options.Site.Bounds.CatchUpS * float64(clock.Second))
-	for _, machine := range world.controllers() {
-		back := machine.touched > 0 && world.now()-machine.touched < grace
+	grace := clock.Span(w.options.Site.Bounds.CatchUpS * float64(clock.Second))
+	for _, machine := range w.controllers() {
+		back := machine.touched > 0 && w.now()-machine.touched < grace
 		if !slices.Contains(without, machine) && (machine.troubled > 0 || back) {
 			lost++
 		}
@@ -107,27 +107,27 @@
 }
 
 // plague has troubles begin and end until the time for them is over.
-func (world *World) plague() {
-	names := world.chosen()
-	for len(names) > 0 && !world.options.Quiet {
-		pause := world.between("calm", 100*clock.Millisecond, 5*clock.Second)
-		if world.now()+pause > world.options.Length {
+func (w *World) plague() {
+	names := w.chosen()
+	for len(names) > 0 && !w.options.Quiet {
+		pause := w.between("calm", 100*clock.Millisecond, 5*clock.Second)
+		if w.now()+pause > w.options.Length {
 			return
 		}
-		world.sleep(pause)
-		if world.ending || world.violated() {
+		w.sleep(pause)
+		if w.ending || w.violated() {
 			return
 		}
-		world.afflict(names[world.below("trouble", len(names))])
+		w.afflict(names[w.below("trouble", len(names))])
 	}
 }
 
 // afflict begins a trouble at a machine that can bear it.
-func (world *World) afflict(name string) {
-	one, targets := troubles[name], world.controllers()
-	machine := targets[world.below("victim", len(targets))]
-	lost := one.lost(world, machine)
-	if len(lost) > 0 && world.lost(lost)+len(lost) > world.options.Site.Losses {
+func (w *World) afflict(name string) {
+	one, targets := troubles[name], w.controllers()
+	machine := targets[w.below("victim", len(targets))]
+	lost := one.lost(w, machine)
+	if len(lost) > 0 && w.lost(lost)+len(lost) > w.options.Site.Losses {
 		return
 	}
 	for _, each := range lost {
@@ -135,22 +135,22 @@
 			return
 		}
 	}
-	world.count("trouble " + name)
-	world.note("trouble", machine, "name", name)
+	w.count("trouble " + name)
+	w.note("trouble", machine, "name", name)
 	for _, each := range lost {
 		each.troubled++
-		each.touched = world.now()
+		each.touched = w.now()
 	}
-	end := one.begin(world, machine)
-	span := min(world.between("span "+name, one.low, one.high), max(0, world.options.Length-world.now()))
-	world.after(span, func() {
-		world.note("trouble over", machine, "name", name)
+	end := one.begin(w, machine)
+	span := min(w.between("span "+name, one.low, one.high), max(0, w.options.Length-w.now()))
+	w.after(span, func() {
+		w.note("trouble over", machine, "name", name)
 		if end != nil {
 			end()
 		}
 		for _, each := range lost {
 			each.troubled--
-			each.touched = world.now()
+			each.touched = w.now()
 		}
 	})
 }
--- a/simulation/watch.go
+++ b/simulation/watch.go
@@ -29,35 +29,35 @@
 func newWatch() watch { return watch{acts: map[acting]string{}} }
 
 // acked notes an acknowledgement.
-func (world *World) acked(did act) {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	now := world.now()
-	if world.watch.ackedAt > 0 {
-		world.watch.gap = max(world.watch.gap, now-world.watch.ackedAt)
+func (w *World) acked(did act) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := w.now()
+	if w.watch.ackedAt > 0 {
+		w.watch.gap = max(w.watch.gap, now-w.watch.ackedAt)
 	}
-	world.watch.ackedAt = now
-	world.watch.acks = append(world.watch.acks, now-did.begin)
+	w.watch.ackedAt = now
+	w.watch.acks = append(w.watch.acks, now-did.begin)
 }
 
 // answered checks what a controller answered at once.
-func (world *World) answered(target *Machine, asked order, status int, took clock.Span) {
-	world.count(fmt.Sprintf("answers %d", status))
+func (w *World) answered(target *Machine, asked order, status int, took clock.Span) {
+	w.count(fmt.Sprintf("answers %d", status))
 }
 
 // duties are what one controller does at a time.
 var duties = []string{"census", "plan"}
 
 // look checks what must hold after each step.
-func (world *World) look() {
-	for _, machine := range world.machines {
+func (w *World) look() {
+	for _, machine := range w.machines {
 		if machine.life != nil && machine.life.control != nil {
 			machine.votes()
 		}
 	}
 	for _, duty := range duties {
 		holders := ""
-		for _, machine := range world.machines {
+		for _, machine := range w.machines {
 			if machine.life == nil || machine.frozen || machine.life.control == nil {
 				continue
 			}
@@ -66,22 +66,22 @@
 				continue
 			}
 			if holders != "" {
-				world.violate("%s and %s both hold the duty %s", holders, machine.name, duty)
+				w.violate("%s and %s both hold the duty %s", holders, machine.name, duty)
 			}
 			holders = machine.name
 			key := acting{duty: duty, epoch: epoch}
-			if known := world.watch.acts[key]; known != "" && known != machine.name {
-				world.violate("%s and %s both held %s under epoch %d", known, machine.name, duty, epoch)
+			if known := w.watch.acts[key]; known != "" && known != machine.name {
+				w.violate("%s and %s both held %s under epoch %d", known, machine.name, duty, epoch)
 			}
-			world.watch.acts[key] = machine.name
+			w.watch.acts[key] = machine.name
 		}
 	}
 }
 
 // voters gives the newest voters that any disk knows.
-func (world *World) voters() register.Voters {
+func (w *World) voters() register.Voters {
 	var newest register.Voters
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if machine.life != nil && machine.life.control != nil {
 			if known := machine.life.control.Voters(); known.Generation > newest.Generation {
 				newest = known
@@ -94,15 +94,15 @@
 // sound tells whether all seats are filled by machines that are there and
 // vote, and every voter holds the newest of each key; the reason says what is
 // missing.
-func (world *World) sound() (bool, string) {
-	voters := world.voters()
-	wanted := min(max(3, 2*world.options.Site.Losses+1), len(world.controllers()))
+func (w *World) sound() (bool, string) {
+	voters := w.voters()
+	wanted := min(max(3, 2*w.options.Site.Losses+1), len(w.controllers()))
 	if len(voters.Seats) < wanted {
 		return false, fmt.Sprintf("%d seats of %d", len(voters.Seats), wanted)
 	}
 	newest, holders := map[string]register.Accepted{}, map[string]int{}
 	for _, seat := range voters.Seats {
-		machine := world.hosts[hostOf(seat.Address)]
+		machine := w.hosts[hostOf(seat.Address)]
 		if machine == nil || machine.life == nil || machine.life.control == nil || machine.frozen || !machine.life.control.Voting() {
 			return false, fmt.Sprintf("the seat of %s does not vote", seat.Address)
 		}
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -76,7 +76,7 @@
 	named    map[string]*Machine
 	seeds    []*Machine
 	links    map[[2]string]*link
-	lock     sync.Mutex
+	mu       sync.Mutex
 	counted  map[string]int
 	broken   []string
 	history  history
@@ -112,29 +112,29 @@
 }
 
 // add gives the site another machine.
-func (world *World) add(place Place, carries bool) *Machine {
-	number := len(world.machines)
+func (w *World) add(place Place, carries bool) *Machine {
+	number := len(w.machines)
 	made := &Machine{
-		world: world, zone: place.Zone, region: place.Region, carries: carries,
+		world: w, zone: place.Zone, region: place.Region, carries: carries,
 		name: fmt.Sprintf("m%d", number), ip: fmt.Sprintf("10.0.%d.%d", number/200, 1+number%200),
 	}
 	made.disk = disk.New(disk.Options{
-		Draw:  func(odds int) bool { made.draws++; return world.once(fmt.Sprint("disk ", made.name, made.draws), odds) },
+		Draw:  func(odds int) bool { made.draws++; return w.once(fmt.Sprint("disk ", made.name, made.draws), odds) },
 		Pause: made.pause,
 	})
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	world.machines = append(world.machines, made)
-	world.hosts[made.ip], world.named[made.name] = made, made
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.machines = append(w.machines, made)
+	w.hosts[made.ip], w.named[made.name] = made, made
 	return made
 }
 
 // controllers gives the machines with a controller that are not gone.
-func (world *World) controllers() []*Machine {
-	world.lock.Lock()
-	defer world.lock.Unlock()
+func (w *World) controllers() []*Machine {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	var found []*Machine
-	for _, machine := range world.machines {
+	for _, machine := range w.machines {
 		if !machine.carries && !machine.gone {
 			found = append(found, machine)
 		}
@@ -142,35 +142,35 @@
 	return found
 }
 
-func (world *World) count(what string) {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	world.counted[what]++
+func (w *World) count(what string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.counted[what]++
 }
 
 // violate notes a broken promise; a run ends at its first.
-func (world *World) violate(format string, values ...any) {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	text := fmt.Sprintf("%.3fs: ", world.now().Seconds()) + fmt.Sprintf(format, values...)
-	world.broken = append(world.broken, text)
-	if world.logger != nil {
-		world.logger.Error().Float64("at", world.now().Seconds()).Str("violation", text).Msg("violation")
+func (w *World) violate(format string, values ...any) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	text := fmt.Sprintf("%.3fs: ", w.now().Seconds()) + fmt.Sprintf(format, values...)
+	w.broken = append(w.broken, text)
+	if w.logger != nil {
+		w.logger.Error().Float64("at", w.now().Seconds()).Str("violation", text).Msg("violation")
 	}
 }
 
-func (world *World) violated() bool {
-	world.lock.Lock()
-	defer world.lock.Unlock()
-	return len(world.broken) > 0
+func (w *World) violated() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.broken) > 0
 }
 
 // note traces what happens: names and values in turn.
-func (world *World) note(what string, machine *Machine, values ...any) {
-	if world.logger == nil {
+func (w *World) note(what string, machine *Machine, values ...any) {
+	if w.logger == nil {
 		return
 	}
-	entry := world.logger.Info().Float64("at", world.now().Seconds())
+	entry := w.logger.Info().Float64("at", w.now().Seconds())
 	if machine != nil {
 		entry = entry.Str("machine", machine.name)
 	}
@@ -181,11 +181,11 @@
 }
 
 // log is the logger of a machine's process.
-func (world *World) log(machine *Machine) *log.Logger {
-	if world.options.Trace == nil {
+func (w *World) log(machine *Machine) *log.Logger {
+	if w.options.Trace == nil {
 		return scope.Logger("fatal", io.Discard)
 	}
-	made := scope.Logger("info", world.options.Trace)
+	made := scope.Logger("info", w.options.Trace)
 	made.Context = log.NewContext(nil).Str("machine", machine.name).Value()
 	return made
 }
--- a/soak/cuts.go
+++ b/soak/cuts.go
@@ -10,19 +10,19 @@
 )
 
 // during breaks links for a while.
-func (e *estate) during(inner scope.Scope, length clock.Span, what string, orders map[*machine]links.Order) {
+func (e *estate) during(ctx scope.Scope, length clock.Span, what string, orders map[*machine]links.Order) {
 	for machine, order := range orders {
 		e.tell("%s: %s %+v for %v", what, machine.Name(), order, length)
 		machine.cut(order)
 	}
-	inner.Wait(length)
+	ctx.Wait(length)
 	for machine := range orders {
 		machine.cut(links.Order{})
 		e.tell("%s: %s whole again", what, machine.Name())
 	}
 }
 
-func cutOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func cutOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	target := one(drawn, e.machines)
 	var all []string
 	for _, other := range e.role(controller.Role) {
@@ -30,10 +30,10 @@
 	}
 	peers := one(drawn, [][]string{{"*"}, all, all[:1], all[len(all)-1:]})
 	order := one(drawn, []links.Order{{Deaf: peers}, {Mute: peers}, {Deaf: peers, Mute: peers}})
-	e.during(inner, span(drawn, 500*clock.Millisecond, 8*clock.Second), "cut", map[*machine]links.Order{target: order})
+	e.during(ctx, span(drawn, 500*clock.Millisecond, 8*clock.Second), "cut", map[*machine]links.Order{target: order})
 }
 
-func halves(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func halves(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	all := e.role(controller.Role)
 	at := 1 + drawn.IntN(max(1, len(all)-1))
 	orders := map[*machine]links.Order{}
@@ -46,23 +46,23 @@
 		}
 		orders[controller] = links.Order{Deaf: others, Mute: others}
 	}
-	e.during(inner, span(drawn, clock.Second, 6*clock.Second), "halves", orders)
+	e.during(ctx, span(drawn, clock.Second, 6*clock.Second), "halves", orders)
 }
 
-func lateOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func lateOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	order := links.Order{LateMS: 20 + drawn.IntN(200)}
-	e.during(inner, span(drawn, clock.Second, 6*clock.Second), "late", map[*machine]links.Order{one(drawn, e.machines): order})
+	e.during(ctx, span(drawn, clock.Second, 6*clock.Second), "late", map[*machine]links.Order{one(drawn, e.machines): order})
 }
 
-func lostAnswers(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func lostAnswers(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	order := links.Order{LostAnswers: 0.3 + 0.6*drawn.Float64()}
-	e.during(inner, span(drawn, clock.Second, 8*clock.Second), "lost", map[*machine]links.Order{one(drawn, e.role(controller.Role)): order})
+	e.during(ctx, span(drawn, clock.Second, 8*clock.Second), "lost", map[*machine]links.Order{one(drawn, e.role(controller.Role)): order})
 }
 
-func lostDatagrams(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func lostDatagrams(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	orders := map[*machine]links.Order{}
 	for _, machine := range e.machines {
 		orders[machine] = links.Order{LostDatagrams: 0.4}
 	}
-	e.during(inner, span(drawn, clock.Second, 6*clock.Second), "datagrams", orders)
+	e.during(ctx, span(drawn, clock.Second, 6*clock.Second), "datagrams", orders)
 }
--- a/soak/estate.go
+++ b/soak/estate.go
@@ -45,7 +45,7 @@
 	wiped atomic.Int64
 	// ending says that no process is started any more.
 	ending   atomic.Bool
-	lock     sync.Mutex
+	mu       sync.Mutex
 	findings []Finding
 	events   *os.File
 }
@@ -60,8 +60,8 @@
 	runs atomic.Int64
 }
 
-func newEstate(inner scope.Scope, options Options) (*estate, error) {
-	made := &estate{options: options, layout: options.layout(), clock: inner.Clock, began: inner.Now(), stop: func() {}}
+func newEstate(ctx scope.Scope, options Options) (*estate, error) {
+	made := &estate{options: options, layout: options.layout(), clock: ctx.Clock, began: ctx.Now(), stop: func() {}}
 	if err := made.layout.Free(); err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	made.events = events
-	if err := made.startRunners(inner); err != nil {
+	if err := made.startRunners(ctx); err != nil {
 		return made, err
 	}
 	made.platform = &deployment.Platform{List: made.listed}
@@ -89,12 +89,12 @@
 			return made, err
 		}
 		made.machines = append(made.machines, machine)
-		go machine.keep(inner)
+		go machine.keep(ctx)
 	}
 	return made, nil
 }
 
-func (e *estate) startRunners(inner scope.Scope) error {
+func (e *estate) startRunners(ctx scope.Scope) error {
 	zones := e.layout.AllZones()
 	for index := range e.options.Runners {
 		own := &played{zone: zones[index%len(zones)]}
@@ -112,7 +112,7 @@
 				}
 			}
 		}
-		started, err := runner.Start(runner.Options{Scope: inner, Settings: settings, Address: "127.0.0.1:0", Tell: tell, Rest: e.history.Rest})
+		started, err := runner.Start(runner.Options{Scope: ctx, Settings: settings, Address: "127.0.0.1:0", Tell: tell, Rest: e.history.Rest})
 		if err != nil {
 			return err
 		}
@@ -149,23 +149,23 @@
 // find notes a finding.
 func (e *estate) find(promise string, format string, facts ...any) {
 	finding := Finding{Promise: promise, Why: fmt.Sprintf(format, facts...)}
-	e.lock.Lock()
+	e.mu.Lock()
 	e.findings = append(e.findings, finding)
-	e.lock.Unlock()
+	e.mu.Unlock()
 	e.tell("FINDING %s: %s", finding.Promise, finding.Why)
 }
 
 // tell writes a line of what happens.
 func (e *estate) tell(format string, facts ...any) {
 	text := fmt.Sprintf("%8.3f  %s", e.clock.Now().Since(e.began).Seconds(), fmt.Sprintf(format, facts...))
-	e.lock.Lock()
-	defer e.lock.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	fmt.Fprintln(e.events, text)
 }
 
 // measure looks at the memory of all daemons until the scope ends.
-func (e *estate) measure(inner scope.Scope) {
-	for inner.Wait(100 * clock.Millisecond) {
+func (e *estate) measure(ctx scope.Scope) {
+	for ctx.Wait(100 * clock.Millisecond) {
 		for _, machine := range e.machines {
 			machine.measure()
 		}
@@ -177,13 +177,13 @@
 	e.ending.Store(true)
 	var all []*deployment.Process
 	for _, machine := range e.machines {
-		machine.lock.Lock()
+		machine.mu.Lock()
 		machine.asked = true
 		if machine.process != nil {
 			machine.process.Signal(continueSignal)
 			all = append(all, machine.process)
 		}
-		machine.lock.Unlock()
+		machine.mu.Unlock()
 	}
 	deployment.Stop(all, grace+clock.Second)
 	e.stop()
--- a/soak/examine.go
+++ b/soak/examine.go
@@ -25,22 +25,22 @@
 
 // examine looks, once all trouble is over, whether everything that was promised
 // is there.
-func (e *estate) examine(inner scope.Scope, report *Report) {
+func (e *estate) examine(ctx scope.Scope, report *Report) {
 	for _, machine := range e.machines {
 		machine.cut(links.Order{})
 		machine.signal(continueSignal)
 	}
 	e.platform.Down.Store(false)
-	begin := inner.Now()
+	begin := ctx.Now()
 	asker := newOperator(e, rand.New(rand.NewPCG(e.options.Seed, 4)))
-	if !e.until(inner, recovery, e.ready) {
+	if !e.until(ctx, recovery, e.ready) {
 		e.find("RECOVER", "%v after all trouble: %s", recovery, e.ready())
 	}
-	report.Back = inner.Now().Since(begin)
-	e.examineChange(inner, asker, report)
-	e.examineEvacuation(inner, asker)
-	e.examineReads(inner, asker)
-	e.examineFigures(inner)
+	report.Back = ctx.Now().Since(begin)
+	e.examineChange(ctx, asker, report)
+	e.examineEvacuation(ctx, asker)
+	e.examineReads(ctx, asker)
+	e.examineFigures(ctx)
 	e.examineMemory(report)
 	e.ledger.judge(e.find)
 	for _, verdict := range e.history.Judge() {
@@ -62,9 +62,9 @@
 }
 
 // until waits until nothing is left to say, at most for the span.
-func (e *estate) until(inner scope.Scope, limit clock.Span, left func() string) bool {
-	for begin := inner.Now(); left() != ""; {
-		if inner.Now().Since(begin) > limit || !inner.Wait(20*clock.Millisecond) {
+func (e *estate) until(ctx scope.Scope, limit clock.Span, left func() string) bool {
+	for begin := ctx.Now(); left() != ""; {
+		if ctx.Now().Since(begin) > limit || !ctx.Wait(20*clock.Millisecond) {
 			return false
 		}
 	}
@@ -97,13 +97,13 @@
 }
 
 // examineChange wants a change acknowledged and in force at every router.
-func (e *estate) examineChange(inner scope.Scope, asker *operator, report *Report) {
-	if !e.until(inner, recovery, func() string {
-		if _, found := asker.read(inner); !found {
+func (e *estate) examineChange(ctx scope.Scope, asker *operator, report *Report) {
+	if !e.until(ctx, recovery, func() string {
+		if _, found := asker.read(ctx); !found {
 			return "no read is answered"
 		}
 		asker.last = nil
-		asker.change(inner)
+		asker.change(ctx)
 		if asker.last == nil {
 			return "no change is acknowledged"
 		}
@@ -112,7 +112,7 @@
 		e.find("ACKS", "no change is acknowledged %v after all trouble", recovery)
 		return
 	}
-	acked := inner.Now()
+	acked := ctx.Now()
 	path := markPrefix + asker.last.id + "/exam"
 	var all sync.WaitGroup
 	for _, machine := range e.role(router.Role) {
@@ -120,7 +120,7 @@
 		go func() {
 			defer all.Done()
 			last := ""
-			if !e.until(inner, applyWithin, func() string {
+			if !e.until(ctx, applyWithin, func() string {
 				last = e.probe(machine, path)
 				return last
 			}) {
@@ -129,7 +129,7 @@
 		}()
 	}
 	all.Wait()
-	report.Force = inner.Now().Since(acked)
+	report.Force = ctx.Now().Since(acked)
 }
 
 // probe asks a router for a path; "" is a success.
@@ -153,13 +153,13 @@
 }
 
 // examineEvacuation wants a zone left alone once it is emptied.
-func (e *estate) examineEvacuation(inner scope.Scope, asker *operator) {
+func (e *estate) examineEvacuation(ctx scope.Scope, asker *operator) {
 	zone := e.layout.AllZones()[0].Name
-	if got := asker.call(inner, http.MethodPost, "/empty/"+string(zone), -1, nil); got.status != http.StatusOK {
+	if got := asker.call(ctx, http.MethodPost, "/empty/"+string(zone), -1, nil); got.status != http.StatusOK {
 		e.find("EVAC", "an evacuation in calm gets %d", got.status)
 		return
 	}
-	acked := inner.Now()
+	acked := ctx.Now()
 	for {
 		before := e.runsIn(zone)
 		for _, machine := range e.role(router.Role) {
@@ -170,12 +170,12 @@
 		if e.runsIn(zone) == before {
 			break
 		}
-		if inner.Now().Since(acked) > evacuate || !inner.Wait(100*clock.Millisecond) {
+		if ctx.Now().Since(acked) > evacuate || !ctx.Wait(100*clock.Millisecond) {
 			e.find("EVAC", "%s still gets requests %v after its evacuation was acknowledged", zone, evacuate)
 			break
 		}
 	}
-	if got := asker.call(inner, http.MethodDelete, "/empty/"+string(zone), -1, nil); got.status != http.StatusOK {
+	if got := asker.call(ctx, http.MethodDelete, "/empty/"+string(zone), -1, nil); got.status != http.StatusOK {
 		e.find("EVAC", "an evacuation's end in calm gets %d", got.status)
 	}
 }
@@ -191,16 +191,16 @@
 }
 
 // examineReads wants the newest configuration from every controller.
-func (e *estate) examineReads(inner scope.Scope, asker *operator) {
+func (e *estate) examineReads(ctx scope.Scope, asker *operator) {
 	for _, machine := range e.role(controller.Role) {
-		begin := inner.Now()
-		if !e.until(inner, applyWithin, func() string {
-			begin = inner.Now()
-			got := asker.try(inner, machine.Address(deployment.ControlPort), http.MethodGet, "/settings", -1, nil)
+		begin := ctx.Now()
+		if !e.until(ctx, applyWithin, func() string {
+			begin = ctx.Now()
+			got := asker.try(ctx, machine.Address(deployment.ControlPort), http.MethodGet, "/settings", -1, nil)
 			if got.status != http.StatusOK {
 				return fmt.Sprint(got.status)
 			}
-			asker.note(begin, inner.Now(), got)
+			asker.note(begin, ctx.Now(), got)
 			return ""
 		}) {
 			e.find("CONFIG", "%s answers no read in calm", machine.Name())
@@ -217,7 +217,7 @@
 		starts, _ := machine.told()
 		report.Starts += starts
 	}
-	e.lock.Lock()
-	defer e.lock.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	report.Findings = e.findings
 }
--- a/soak/figures.go
+++ b/soak/figures.go
@@ -12,10 +12,10 @@
 )
 
 // examineFigures wants every daemon's figures, and no violation among them.
-func (e *estate) examineFigures(inner scope.Scope) {
+func (e *estate) examineFigures(ctx scope.Scope) {
 	for _, machine := range e.machines {
 		text := ""
-		if !e.until(inner, clock.Second, func() string {
+		if !e.until(ctx, clock.Second, func() string {
 			status := 0
 			if status, text = get(machine.Address(metricsPort), "/metrics"); status != http.StatusOK {
 				return fmt.Sprint(status)
--- a/soak/ledger.go
+++ b/soak/ledger.go
@@ -33,21 +33,21 @@
 
 // ledger holds all orders and reads. The zero value is ready.
 type ledger struct {
-	lock    sync.Mutex
+	mu      sync.Mutex
 	changes []*change
 	reads   []read
 	known   int64
 }
 
 func (l *ledger) asked(sent *change) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.changes = append(l.changes, sent)
 }
 
 func (l *ledger) answered(sent *change, status int, now clock.Instant) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	sent.status, sent.done = status, now
 	if status == http.StatusOK && sent.valid {
 		l.known = max(l.known, sent.version)
@@ -55,24 +55,24 @@
 }
 
 func (l *ledger) read(told read) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.reads = append(l.reads, told)
 	l.known = max(l.known, told.version)
 }
 
 // newest is the newest version that anybody was told of.
 func (l *ledger) newest() int64 {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return l.known
 }
 
 // counts are how many orders were acknowledged, refused, and left unclear, and
 // the longest that an acknowledgement took.
 func (l *ledger) counts() (acknowledged int, refused int, open int, longest clock.Span) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, sent := range l.changes {
 		switch {
 		case sent.acknowledged():
@@ -89,8 +89,8 @@
 
 // judge tells what no order of all acts explains.
 func (l *ledger) judge(find func(promise string, format string, facts ...any)) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.judgeChanges(find)
 	l.judgeReads(find)
 }
--- a/soak/machine.go
+++ b/soak/machine.go
@@ -21,7 +21,7 @@
 	folder string
 	log    *os.File
 
-	lock    sync.Mutex
+	mu      sync.Mutex
 	process *deployment.Process
 	// starts counts processes; asked says that the present one was asked to end,
 	// wipe that the disk is lost before the next start.
@@ -70,8 +70,8 @@
 
 // start starts the daemon.
 func (m *machine) start() error {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if m.estate.ending.Load() {
 		return nil
 	}
@@ -96,21 +96,21 @@
 }
 
 // keep has the daemon started again whenever it ends, as the platform does.
-func (m *machine) keep(inner scope.Scope) {
-	for inner.Err() == nil {
+func (m *machine) keep(ctx scope.Scope) {
+	for ctx.Err() == nil {
 		process := m.running()
 		select {
 		case <-process.Ended():
-		case <-inner.Done():
+		case <-ctx.Done():
 			return
 		}
-		m.lock.Lock()
+		m.mu.Lock()
 		asked, down := m.asked, m.down
-		m.lock.Unlock()
+		m.mu.Unlock()
 		if !asked {
 			m.estate.find("EXIT", "%s of %s ended by itself: %v", m.Role(), m.Name(), process.Err())
 		}
-		if !inner.Wait(down) {
+		if !ctx.Wait(down) {
 			return
 		}
 		starts, _ := m.told()
@@ -126,37 +126,37 @@
 }
 
 func (m *machine) running() *deployment.Process {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.process
 }
 
 // kill ends the daemon without asking; it stays down for the span.
 func (m *machine) kill(down clock.Span, wipe bool) {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.asked, m.down, m.wipe = true, down, m.wipe || wipe
 	m.process.Signal(syscall.SIGKILL)
 }
 
 // term asks the daemon to leave; one that has not ended in its time is killed.
-func (m *machine) term(inner scope.Scope) {
-	m.lock.Lock()
+func (m *machine) term(ctx scope.Scope) {
+	m.mu.Lock()
 	process := m.process
 	m.asked = true
 	process.Signal(syscall.SIGTERM)
-	m.lock.Unlock()
+	m.mu.Unlock()
 	select {
 	case <-process.Ended():
 		if err := process.Err(); err != nil && m.estate.options.planned() {
 			m.estate.find("LEAVE", "%s left with %v", m.Name(), err)
 		}
-	case <-inner.Clock.After(grace):
+	case <-ctx.Clock.After(grace):
 		if m.estate.options.planned() {
 			m.estate.find("LEAVE", "%s is still there %v after SIGTERM", m.Name(), grace)
 		}
 		process.Signal(syscall.SIGKILL)
-	case <-inner.Done():
+	case <-ctx.Done():
 	}
 }
 
@@ -165,24 +165,24 @@
 
 // cut replaces what is broken of the machine's links.
 func (m *machine) cut(order links.Order) {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.order = order
 	_ = json.NewEncoder(m.process.Input()).Encode(order)
 }
 
 // told gives how often the daemon was started and the most memory that it had.
 func (m *machine) told() (starts int, peakMB float64) {
-	m.lock.Lock()
-	defer m.lock.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.starts, m.peakMB
 }
 
 // measure notes how much memory the daemon has.
 func (m *machine) measure() {
 	usage, err := m.running().Usage()
-	m.lock.Lock()
-	defer m.lock.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if err == nil {
 		m.peakMB = max(m.peakMB, usage.MemoryMB)
 	}
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -45,15 +45,15 @@
 var unclear = map[int]bool{408: true, 429: true, 500: true, 502: true, 503: true, 504: true}
 
 // call sends an order to one controller after another until it has a clear answer.
-func (o *operator) call(inner scope.Scope, method string, path string, match int64, body []byte) answer {
+func (o *operator) call(ctx scope.Scope, method string, path string, match int64, body []byte) answer {
 	all := o.estate.role(controller.Role)
 	first, pause := o.drawn.IntN(len(all)), 20*clock.Millisecond
-	for begin, turn := inner.Now(), 0; inner.Now().Since(begin) < patience; turn++ {
+	for begin, turn := ctx.Now(), 0; ctx.Now().Since(begin) < patience; turn++ {
 		target := all[(first+turn)%len(all)].Address(deployment.ControlPort)
-		if got := o.try(inner, target, method, path, match, body); got.status != 0 && !unclear[got.status] {
+		if got := o.try(ctx, target, method, path, match, body); got.status != 0 && !unclear[got.status] {
 			return got
 		}
-		if !inner.Wait(pause) {
+		if !ctx.Wait(pause) {
 			break
 		}
 		pause = min(2*pause, 400*clock.Millisecond)
@@ -62,8 +62,8 @@
 }
 
 // try sends an order to one controller.
-func (o *operator) try(inner scope.Scope, target string, method string, path string, match int64, body []byte) answer {
-	request, err := http.NewRequestWithContext(inner, method, "http://"+target+path, bytes.NewReader(body))
+func (o *operator) try(ctx scope.Scope, target string, method string, path string, match int64, body []byte) answer {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+target+path, bytes.NewReader(body))
 	if err != nil {
 		return answer{}
 	}
@@ -84,12 +84,12 @@
 }
 
 // send sends a change and notes what came of it.
-func (o *operator) send(inner scope.Scope, sent *change) answer {
-	sent.sent = inner.Now()
+func (o *operator) send(ctx scope.Scope, sent *change) answer {
+	sent.sent = ctx.Now()
 	o.estate.ledger.asked(sent)
-	got := o.call(inner, sent.method, "/settings", sent.base, sent.body)
-	o.estate.ledger.answered(sent, got.status, inner.Now())
-	o.estate.tell("%s %s on %d to %d (%s): %d after %v", sent.method, sent.id, sent.base, sent.version, sent.note, got.status, inner.Now().Since(sent.sent))
+	got := o.call(ctx, sent.method, "/settings", sent.base, sent.body)
+	o.estate.ledger.answered(sent, got.status, ctx.Now())
+	o.estate.tell("%s %s on %d to %d (%s): %d after %v", sent.method, sent.id, sent.base, sent.version, sent.note, got.status, ctx.Now().Since(sent.sent))
 	return got
 }
 
@@ -100,19 +100,19 @@
 }
 
 // change sends one proper change on the newest version that is known.
-func (o *operator) change(inner scope.Scope) {
+func (o *operator) change(ctx scope.Scope) {
 	base := o.estate.ledger.newest()
 	sent := o.patchOn(base, base+1+int64(o.drawn.IntN(3)), "change")
-	switch got := o.send(inner, sent); got.status {
+	switch got := o.send(ctx, sent); got.status {
 	case http.StatusOK:
 		o.last = sent
 	case http.StatusPreconditionFailed:
-		o.read(inner)
+		o.read(ctx)
 	}
 }
 
 // race has two change the same version at once.
-func (o *operator) race(inner scope.Scope) {
+func (o *operator) race(ctx scope.Scope) {
 	base := o.estate.ledger.newest()
 	var both sync.WaitGroup
 	for index := range 2 {
@@ -121,14 +121,14 @@
 		both.Add(1)
 		go func() {
 			defer both.Done()
-			own.send(inner, sent)
+			own.send(ctx, sent)
 		}()
 	}
 	both.Wait()
 }
 
 // spoil sends a configuration that is invalid.
-func (o *operator) spoil(inner scope.Scope) {
+func (o *operator) spoil(ctx scope.Scope) {
 	base := o.estate.ledger.newest()
 	sent := o.patchOn(base, base+1, "invalid")
 	spoils := []func(){
@@ -141,29 +141,29 @@
 	}
 	one(o.drawn, spoils)()
 	sent.valid = false
-	o.send(inner, sent)
+	o.send(ctx, sent)
 }
 
 // repeat sends the last acknowledged change of this operator again.
-func (o *operator) repeat(inner scope.Scope) {
+func (o *operator) repeat(ctx scope.Scope) {
 	if o.last == nil {
-		o.change(inner)
+		o.change(ctx)
 		return
 	}
-	got := o.call(inner, o.last.method, "/settings", o.last.base, o.last.body)
+	got := o.call(ctx, o.last.method, "/settings", o.last.base, o.last.body)
 	if got.status != 0 && got.status != http.StatusOK {
 		o.estate.find("CONFIG", "change %s to %d was acknowledged, is sent again and gets %d: %s", o.last.id, o.last.version, got.status, got.body)
 	}
 }
 
 // read reads the configuration.
-func (o *operator) read(inner scope.Scope) (version int64, found bool) {
-	begin := inner.Now()
-	got := o.call(inner, http.MethodGet, "/settings", -1, nil)
+func (o *operator) read(ctx scope.Scope) (version int64, found bool) {
+	begin := ctx.Now()
+	got := o.call(ctx, http.MethodGet, "/settings", -1, nil)
 	if got.status != http.StatusOK {
 		return 0, false
 	}
-	return o.note(begin, inner.Now(), got)
+	return o.note(begin, ctx.Now(), got)
 }
 
 // note keeps what a read told.
@@ -184,31 +184,31 @@
 }
 
 // evacuate empties a zone for a moment.
-func (o *operator) evacuate(inner scope.Scope) {
+func (o *operator) evacuate(ctx scope.Scope) {
 	zone := one(o.drawn, o.estate.layout.AllZones()).Name
 	for _, method := range []string{http.MethodPost, http.MethodDelete} {
-		got := o.call(inner, method, "/empty/"+string(zone), -1, nil)
+		got := o.call(ctx, method, "/empty/"+string(zone), -1, nil)
 		if got.status != 0 && got.status != http.StatusOK {
 			o.estate.find("EVAC", "%s /empty/%s gets %d: %s", method, zone, got.status, got.body)
 		}
-		inner.Wait(span(o.drawn, 100*clock.Millisecond, 2*clock.Second))
+		ctx.Wait(span(o.drawn, 100*clock.Millisecond, 2*clock.Second))
 	}
 }
 
 // work sends one order after another until the scope ends.
-func (o *operator) work(inner scope.Scope) {
-	acts := []func(scope.Scope){o.change, o.change, o.race, o.repeat, o.spoil, o.evacuate, func(inner scope.Scope) { o.read(inner) }, func(inner scope.Scope) { o.read(inner) }}
-	for inner.Wait(span(o.drawn, 20*clock.Millisecond, 400*clock.Millisecond)) {
-		one(o.drawn, acts)(inner)
+func (o *operator) work(ctx scope.Scope) {
+	acts := []func(scope.Scope){o.change, o.change, o.race, o.repeat, o.spoil, o.evacuate, func(ctx scope.Scope) { o.read(ctx) }, func(ctx scope.Scope) { o.read(ctx) }}
+	for ctx.Wait(span(o.drawn, 20*clock.Millisecond, 400*clock.Millisecond)) {
+		one(o.drawn, acts)(ctx)
 	}
 }
 
 // bearsLoss tells whether some controller says that one more loss changes nothing
 // and all is made good.
-func (e *estate) bearsLoss(inner scope.Scope) bool {
+func (e *estate) bearsLoss(ctx scope.Scope) bool {
 	asker := newOperator(e, rand.New(rand.NewPCG(e.options.Seed, 0)))
 	for _, machine := range e.role(controller.Role) {
-		got := asker.try(inner, machine.Address(deployment.ControlPort), http.MethodGet, "/status", -1, nil)
+		got := asker.try(ctx, machine.Address(deployment.ControlPort), http.MethodGet, "/status", -1, nil)
 		var told struct {
 			Redundancy struct {
 				Bears int  `json:"bears_losses"`
--- a/soak/options.go
+++ b/soak/options.go
@@ -54,34 +54,34 @@
 }
 
 // Check tells all that is wrong with the options.
-func (options Options) Check() error {
+func (o Options) Check() error {
 	var found []error
 	for _, number := range []struct {
 		name        string
 		value       int
 		least, most int
 	}{
-		{"overlap", options.Overlap, 0, 10}, {"regions", options.Regions, 1, 9}, {"zones", options.Zones, 1, 9},
-		{"routers", options.Routers, 1, 10}, {"runners", options.Runners, 2, 100}, {"clients", options.Clients, 1, 500},
-		{"operators", options.Operators, 0, 20}, {"subnet", options.Subnet, 3, 200},
+		{"overlap", o.Overlap, 0, 10}, {"regions", o.Regions, 1, 9}, {"zones", o.Zones, 1, 9},
+		{"routers", o.Routers, 1, 10}, {"runners", o.Runners, 2, 100}, {"clients", o.Clients, 1, 500},
+		{"operators", o.Operators, 0, 20}, {"subnet", o.Subnet, 3, 200},
 	} {
 		if number.value < number.least || number.value > number.most {
 			found = append(found, fmt.Errorf("%s %d: %d to %d is wanted", number.name, number.value, number.least, number.most))
 		}
 	}
-	if daemons := options.Regions * options.Zones * (options.Routers + 1); daemons > 60 {
+	if daemons := o.Regions * o.Zones * (o.Routers + 1); daemons > 60 {
 		found = append(found, fmt.Errorf("%d daemons: 60 at the most", daemons))
 	}
-	if options.Length < clock.Second || options.Length > 10*60*clock.Second {
-		found = append(found, fmt.Errorf("length %v: 1s to 10m is wanted", options.Length))
+	if o.Length < clock.Second || o.Length > 10*60*clock.Second {
+		found = append(found, fmt.Errorf("length %v: 1s to 10m is wanted", o.Length))
 	}
-	if options.Every < clock.Second/2 {
-		found = append(found, fmt.Errorf("every %v: 500ms or more is wanted", options.Every))
+	if o.Every < clock.Second/2 {
+		found = append(found, fmt.Errorf("every %v: 500ms or more is wanted", o.Every))
 	}
-	if !(options.Rude >= 0 && options.Rude <= 1) {
-		found = append(found, fmt.Errorf("rude %g: 0 to 1 is wanted", options.Rude))
+	if !(o.Rude >= 0 && o.Rude <= 1) {
+		found = append(found, fmt.Errorf("rude %g: 0 to 1 is wanted", o.Rude))
 	}
-	for _, name := range options.Kinds {
+	for _, name := range o.Kinds {
 		if _, known := kindNamed(name); !known {
 			found = append(found, fmt.Errorf("trouble %q: one of %s is wanted", name, strings.Join(KindNames(), ", ")))
 		}
@@ -90,14 +90,14 @@
 }
 
 // Again is the command line that plays the run again.
-func (options Options) Again() string {
+func (o Options) Again() string {
 	text := fmt.Sprintf("soak run --from %d --seeds 1 --length %v --overlap %d --every %v --regions %d --zones %d --routers %d --runners %d --clients %d --operators %d --rude %g",
-		options.Seed, options.Length, options.Overlap, options.Every, options.Regions, options.Zones, options.Routers,
-		options.Runners, options.Clients, options.Operators, options.Rude)
-	if len(options.Mix) > 0 {
+		o.Seed, o.Length, o.Overlap, o.Every, o.Regions, o.Zones, o.Routers,
+		o.Runners, o.Clients, o.Operators, o.Rude)
+	if len(o.Mix) > 0 {
 		text += " --mix all"
 	}
-	for _, kind := range options.Kinds {
+	for _, kind := range o.Kinds {
 		text += " --trouble " + kind
 	}
 	return text
@@ -113,20 +113,20 @@
 	memoryMB    = 184
 )
 
-func (options Options) layout() deployment.Layout {
+func (o Options) layout() deployment.Layout {
 	return deployment.Layout{
-		Regions: options.Regions, Zones: options.Zones, Routers: options.Routers, Subnet: options.Subnet,
+		Regions: o.Regions, Zones: o.Zones, Routers: o.Routers, Subnet: o.Subnet,
 		GraceS: grace.Seconds(), MemoryMB: memoryMB,
 	}
 }
 
 // planned tells whether nothing but planned work is played, so that no request
 // may be cut.
-func (options Options) planned() bool {
-	if len(options.Kinds) == 0 || len(options.Mix) > 0 {
+func (o Options) planned() bool {
+	if len(o.Kinds) == 0 || len(o.Mix) > 0 {
 		return false
 	}
-	for _, name := range options.Kinds {
+	for _, name := range o.Kinds {
 		if kind, _ := kindNamed(name); !kind.planned {
 			return false
 		}
--- a/soak/run.go
+++ b/soak/run.go
@@ -40,8 +40,8 @@
 	if err := options.Check(); err != nil {
 		return Report{}, err
 	}
-	inner, end := top.WithEnd()
-	e, err := newEstate(inner, options)
+	ctx, end := top.WithEnd()
+	e, err := newEstate(ctx, options)
 	defer func() {
 		end()
 		if e != nil {
@@ -52,32 +52,32 @@
 		return Report{}, err
 	}
 	report := Report{Options: options, Troubles: map[string]int{}}
-	go e.measure(inner)
-	if !e.first(inner) {
+	go e.measure(ctx)
+	if !e.first(ctx) {
 		return report, fmt.Errorf("soak: the deployment does not serve: see the logs in %s", options.Folder)
 	}
-	e.busy(inner, &report)
-	e.examine(inner, &report)
+	e.busy(ctx, &report)
+	e.examine(ctx, &report)
 	e.summarize(&report)
 	return report, nil
 }
 
 // first sends the first configuration and waits until all routers are ready.
-func (e *estate) first(inner scope.Scope) bool {
+func (e *estate) first(ctx scope.Scope) bool {
 	asker := newOperator(e, rand.New(rand.NewPCG(e.options.Seed, 1)))
 	body, err := json.Marshal(firstDocument())
 	if err != nil {
 		return false
 	}
 	first := &change{id: "first", method: http.MethodPut, base: 0, version: 1, body: body, valid: true, note: "first"}
-	for begin := inner.Now(); inner.Now().Since(begin) < recovery; {
+	for begin := ctx.Now(); ctx.Now().Since(begin) < recovery; {
 		if e.ledger.newest() == 0 {
-			asker.send(inner, first)
+			asker.send(ctx, first)
 		}
 		if e.ledger.newest() > 0 && e.ready() == "" {
 			return true
 		}
-		if !inner.Wait(100 * clock.Millisecond) {
+		if !ctx.Wait(100 * clock.Millisecond) {
 			return false
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // busy has clients, operators and troubles go on together until the length is over.
-func (e *estate) busy(inner scope.Scope, report *Report) {
-	working, rest := inner.WithEnd()
+func (e *estate) busy(ctx scope.Scope, report *Report) {
+	working, rest := ctx.WithEnd()
 	var workers, troubles sync.WaitGroup
 	for index := range e.options.Clients {
 		workers.Add(1)
@@ -103,22 +103,22 @@
 			own.work(working)
 		}()
 	}
-	e.play(inner, report, &troubles)
+	e.play(ctx, report, &troubles)
 	troubles.Wait()
 	// Clients and operators go on a little when all is over.
-	inner.Wait(clock.Second)
+	ctx.Wait(clock.Second)
 	rest()
 	workers.Wait()
 }
 
 // play begins the troubles at their moments.
-func (e *estate) play(inner scope.Scope, report *Report, troubles *sync.WaitGroup) {
+func (e *estate) play(ctx scope.Scope, report *Report, troubles *sync.WaitGroup) {
 	drawn := rand.New(rand.NewPCG(e.options.Seed, 2))
 	names := e.options.Kinds
 	if len(names) == 0 {
 		names = KindNames()
 	}
-	for begin := inner.Now(); inner.Now().Since(begin) < e.options.Length; {
+	for begin := ctx.Now(); ctx.Now().Since(begin) < e.options.Length; {
 		for range e.options.Overlap {
 			kind, _ := kindNamed(one(drawn, names))
 			own, after := rand.New(rand.NewPCG(drawn.Uint64(), 3)), span(drawn, 0, clock.Second)
@@ -126,19 +126,19 @@
 			troubles.Add(1)
 			go func() {
 				defer troubles.Done()
-				if inner.Wait(after) {
-					kind.play(e, inner, own)
+				if ctx.Wait(after) {
+					kind.play(e, ctx, own)
 				}
 			}()
 		}
-		if !inner.Wait(span(drawn, e.options.Every/2, e.options.Every*3/2)) {
+		if !ctx.Wait(span(drawn, e.options.Every/2, e.options.Every*3/2)) {
 			return
 		}
 	}
 }
 
 // clientWork sends one request after another.
-func (e *estate) clientWork(inner scope.Scope, index int) {
+func (e *estate) clientWork(ctx scope.Scope, index int) {
 	routers := e.role("router")
 	own := &client.Client{
 		Front:    func(router int) string { return routers[router].Address(frontPort) },
@@ -148,38 +148,38 @@
 	draw := client.Draw{
 		Seed: e.options.Seed, Routers: len(routers), Services: services, Patience: 2 * clock.Second, Rude: e.options.Rude,
 	}
-	finish := inner.Detached()
-	for inner.Wait(4 * clock.Millisecond) {
+	finish := ctx.Detached()
+	for ctx.Wait(4 * clock.Millisecond) {
 		asked := draw.Request(int(e.requests.Add(1)))
-		begin := inner.Now()
+		begin := ctx.Now()
 		got := own.Send(finish, asked)
 		e.history.Got(got)
 		if got.Status == http.StatusOK && got.Whole {
 			e.served.Add(1)
 		}
-		if e.options.planned() && !got.Whole && !asked.Leaves && inner.Now().Since(begin) < patience {
+		if e.options.planned() && !got.Whole && !asked.Leaves && ctx.Now().Since(begin) < patience {
 			e.unanswered.Store(asked.Asked.Attempt, fmt.Sprintf("status %d at %s: %s", got.Status, routers[asked.Router].Name(), got.Note))
 		}
 	}
 }
 
 // Show prints the report.
-func (report Report) Show(out io.Writer) {
+func (r Report) Show(out io.Writer) {
 	fmt.Fprintf(out, "seed %d: %d requests, %d served; changes: %d acknowledged, %d refused, %d unclear, longest acknowledgement %.2f s; %d reads; %d processes started; troubles %v; all served %.2f s after trouble, a change in force everywhere after %.2f s; at most %.0f MB\n",
-		report.Options.Seed, report.Requests, report.Served, report.Acknowledged, report.Refused, report.Open, report.Longest.Seconds(), report.Reads,
-		report.Starts, report.Troubles, report.Back.Seconds(), report.Force.Seconds(), report.PeakMB)
-	for _, finding := range report.Findings {
+		r.Options.Seed, r.Requests, r.Served, r.Acknowledged, r.Refused, r.Open, r.Longest.Seconds(), r.Reads,
+		r.Starts, r.Troubles, r.Back.Seconds(), r.Force.Seconds(), r.PeakMB)
+	for _, finding := range r.Findings {
 		fmt.Fprintf(out, "  %s: %s\n", finding.Promise, finding.Why)
 	}
-	if len(report.Findings) > 0 {
-		fmt.Fprintf(out, "  again: %s\n  logs: %s\n", report.Options.Again(), report.Options.Folder)
+	if len(r.Findings) > 0 {
+		fmt.Fprintf(out, "  again: %s\n  logs: %s\n", r.Options.Again(), r.Options.Folder)
 	}
 }
 
 // Tidy removes the folder of a run that found nothing.
-func (report Report) Tidy() error {
-	if len(report.Findings) > 0 {
+func (r Report) Tidy() error {
+	if len(r.Findings) > 0 {
 		return nil
 	}
-	return os.RemoveAll(report.Options.Folder)
+	return os.RemoveAll(r.Options.Folder)
 }
--- a/soak/troubles.go
+++ b/soak/troubles.go
@@ -77,13 +77,13 @@
 	return least + clock.Span(drawn.Int64N(int64(most-least)))
 }
 
-func termOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func termOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	machine := one(drawn, e.machines)
 	e.tell("term %s", machine.Name())
-	machine.term(inner)
+	machine.term(ctx)
 }
 
-func hangupOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func hangupOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	machine := one(drawn, e.machines)
 	e.tell("hup %s", machine.Name())
 	if err := machine.settle(false, drawn.IntN(3)); err != nil {
@@ -92,21 +92,21 @@
 	machine.signal(syscall.SIGHUP)
 }
 
-func configBurst(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func configBurst(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	e.tell("config")
 	own := newOperator(e, drawn)
 	for range 3 {
-		own.change(inner)
+		own.change(ctx)
 	}
 }
 
-func killOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func killOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	machine, down := one(drawn, e.machines), span(drawn, 0, 2*clock.Second)
 	e.tell("kill %s, down for %v", machine.Name(), down)
 	machine.kill(down, false)
 }
 
-func killMany(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func killMany(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	chosen := one(drawn, [][]*machine{e.role(controller.Role), e.role(router.Role), e.machines})
 	e.tell("kill %d at once, the first %s", len(chosen), chosen[0].Name())
 	for _, machine := range chosen {
@@ -114,12 +114,12 @@
 	}
 }
 
-func pauseOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func pauseOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	machine, length := one(drawn, e.machines), span(drawn, 200*clock.Millisecond, 5*clock.Second)
 	process := machine.running()
 	e.tell("pause %s for %v", machine.Name(), length)
 	process.Signal(syscall.SIGSTOP)
-	inner.Wait(length)
+	ctx.Wait(length)
 	process.Signal(continueSignal)
 	e.tell("go on %s", machine.Name())
 }
@@ -130,18 +130,18 @@
 // mayWipe tells whether a disk may be lost now, and notes that it is: no more are
 // lost at one time than the deployment bears. A controller's word that all is made
 // good may be older than the last loss, so that the loss has its time as well.
-func (e *estate) mayWipe(inner scope.Scope) bool {
-	now, last := inner.Now(), e.wiped.Load()
+func (e *estate) mayWipe(ctx scope.Scope) bool {
+	now, last := ctx.Now(), e.wiped.Load()
 	if last != 0 && now.Since(clock.Instant(last)) < mostDown+catchUp {
 		return false
 	}
-	return e.bearsLoss(inner) && e.wiped.CompareAndSwap(last, int64(now))
+	return e.bearsLoss(ctx) && e.wiped.CompareAndSwap(last, int64(now))
 }
 
 // wipeOne takes the disk of a controller, where one may be lost now.
-func wipeOne(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func wipeOne(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	machine := one(drawn, e.role(controller.Role))
-	if !e.mayWipe(inner) {
+	if !e.mayWipe(ctx) {
 		e.tell("wipe %s: not now, an earlier loss has not been made good", machine.Name())
 		return
 	}
@@ -149,15 +149,15 @@
 	machine.kill(span(drawn, 0, mostDown), true)
 }
 
-func platformDown(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func platformDown(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	length := span(drawn, clock.Second, 6*clock.Second)
 	e.tell("platform down for %v", length)
 	e.platform.Down.Store(true)
-	inner.Wait(length)
+	ctx.Wait(length)
 	e.platform.Down.Store(false)
 }
 
-func newLives(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func newLives(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	for _, played := range e.runners {
 		if drawn.IntN(4) == 0 {
 			e.tell("runner %s: a new life", played.Life().ID)
@@ -168,7 +168,7 @@
 
 // holdBodies has many clients send all but the last byte of large bodies to one
 // router, each inside the limits.
-func holdBodies(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func holdBodies(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	const count, size = 120, maxBodyBytes - 1
 	machine, length := one(drawn, e.role(router.Role)), span(drawn, clock.Second, 4*clock.Second)
 	e.tell("hold %d bodies at %s for %v", count, machine.Name(), length)
@@ -183,7 +183,7 @@
 		held = append(held, conn)
 		go func() { _, _ = conn.Write(text) }()
 	}
-	inner.Wait(length)
+	ctx.Wait(length)
 	for _, conn := range held {
 		_ = conn.Close()
 	}
@@ -191,18 +191,18 @@
 
 // earlySignal has a daemon meet a signal soon after its start: what may come at
 // any time may come then.
-func earlySignal(e *estate, inner scope.Scope, drawn *rand.Rand) {
+func earlySignal(e *estate, ctx scope.Scope, drawn *rand.Rand) {
 	machine, signal := one(drawn, e.machines), one(drawn, []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM})
 	after := span(drawn, 15*clock.Millisecond, 400*clock.Millisecond)
 	old := machine.running()
 	machine.kill(0, false)
-	for process := old; process == old && inner.Wait(clock.Millisecond); {
+	for process := old; process == old && ctx.Wait(clock.Millisecond); {
 		process = machine.running()
 	}
 	e.tell("early %v to %s after %v", signal, machine.Name(), after)
-	inner.Wait(after)
+	ctx.Wait(after)
 	if signal == syscall.SIGTERM {
-		machine.term(inner)
+		machine.term(ctx)
 		return
 	}
 	machine.signal(signal)
--- a/tools/testjudge/main.go
+++ b/tools/testjudge/main.go
@@ -106,23 +106,23 @@
 	return seen, lines.Err()
 }
 
-func (seen results) take(next event, out io.Writer) {
+func (r results) take(next event, out io.Writer) {
 	top, _, _ := strings.Cut(next.Test, "/")
 	name := next.Package + "." + top
 	switch {
 	case next.Action == "output" || next.Action == "build-output":
-		seen.output[name] = append(seen.output[name], next.Output)
+		r.output[name] = append(r.output[name], next.Output)
 		if strings.HasPrefix(next.Output, "panic:") || strings.HasPrefix(next.Output, "fatal error:") {
-			seen.broken[next.Package] = true
+			r.broken[next.Package] = true
 		}
 		// A package's own closing line, as "go test" prints it.
 		if next.Test == "" && (strings.HasPrefix(next.Output, "ok ") || strings.HasPrefix(next.Output, "?") || strings.HasPrefix(next.Output, "FAIL")) {
 			fmt.Fprint(out, next.Output)
 		}
 	case next.Action == "fail" && next.Test == "":
-		seen.failed[next.Package] = true
+		r.failed[next.Package] = true
 	case next.Test == top && (next.Action == "pass" || next.Action == "fail" || next.Action == "skip"):
-		seen.outcomes[name] = next.Action
+		r.outcomes[name] = next.Action
 	}
 }
 
