--- a/control/desk/repeats_test.go
+++ b/control/state/command/repeats_test.go
@@ -1,4 +1,4 @@
-package desk
+package command
 
 import (
 	"fmt"
@@ -6,32 +6,32 @@
 
 	"pgregory.net/rapid"
 
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/control/revision"
-	"onyxwell/control/spec"
+	"onyxwell/control/config"
+	"onyxwell/control/config/store"
 )
 
 // trial is a house with all that was sent to it and what was told.
 type trial struct {
 	*house
 	t      *rapid.T
-	sent   []revision.Change
-	known  map[int]failure.Kind
+	sent   []store.Change
+	known  map[int]errkind.Kind
 	winner map[ids.Serial]int
 	newest ids.Serial
-	told   map[failure.Kind]int
+	told   map[errkind.Kind]int
 	busy   map[ids.Address]bool
 }
 
-func newTrial(t *rapid.T, told map[failure.Kind]int) *trial {
+func newTrial(t *rapid.T, told map[errkind.Kind]int) *trial {
 	made := &trial{
-		house: newHouse(t), t: t, known: map[int]failure.Kind{}, winner: map[ids.Serial]int{},
+		house: newHouse(t), t: t, known: map[int]errkind.Kind{}, winner: map[ids.Serial]int{},
 		told: told, busy: map[ids.Address]bool{},
 	}
 	made.sent = append(made.sent, made.plant()...)
 	for index, change := range made.sent {
-		made.known[index], made.winner[change.Match] = failure.None, index
+		made.known[index], made.winner[change.Match] = errkind.None, index
 	}
 	made.newest = made.sent[len(made.sent)-1].Serial()
 	made.lose = func() bool { return rapid.IntRange(0, 15).Draw(t, "loss") == 0 }
@@ -71,9 +71,9 @@
 }
 
 // judge holds an answer against all that was told before.
-func (t *trial) judge(index int, kind failure.Kind) {
+func (t *trial) judge(index int, kind errkind.Kind) {
 	t.told[kind]++
-	if kind == failure.Unsettled {
+	if kind == errkind.Unsettled {
 		return
 	}
 	change := t.sent[index]
@@ -81,7 +81,7 @@
 		t.t.Fatalf("order %d on version %d: %v, and before %v", index, change.Match, kind, before)
 	}
 	t.known[index] = kind
-	if kind != failure.None {
+	if kind != errkind.None {
 		return
 	}
 	if other, taken := t.winner[change.Match]; taken && other != index {
@@ -96,13 +96,13 @@
 // another is at work on the same: what was acknowledged is never refused when it
 // comes again, old or new, and no two are acknowledged on one version.
 func TestRepeatsAtAnyController(t *testing.T) {
-	told, dropped := map[failure.Kind]int{}, 0
+	told, dropped := map[errkind.Kind]int{}, 0
 	rapid.Check(t, func(t *rapid.T) {
 		trial := newTrial(t, told)
 		for range 60 {
 			trial.act()
 		}
-		if kept, _ := revision.Travelling(trial.acceptor["a"].Slot(spec.Key).Accepted.Value); kept.Memory.First > 0 {
+		if kept, _ := store.Travelling(trial.acceptor["a"].Slot(config.Key).Accepted.Value); kept.Memory.First > 0 {
 			dropped++
 		}
 	})
@@ -110,13 +110,13 @@
 	if dropped < 30 {
 		t.Error("too few cases had pages")
 	}
-	for _, kind := range []failure.Kind{failure.None, failure.StaleSpec, failure.Unsettled} {
+	for _, kind := range []errkind.Kind{errkind.None, errkind.StaleSpec, errkind.Unsettled} {
 		if told[kind] < 100 {
 			t.Errorf("only %d answers were %v", told[kind], kind)
 		}
 	}
-	if told[failure.Forgotten] > 0 {
-		t.Errorf("%d orders were forgotten", told[failure.Forgotten])
+	if told[errkind.Forgotten] > 0 {
+		t.Errorf("%d orders were forgotten", told[errkind.Forgotten])
 	}
 }
 
@@ -126,7 +126,7 @@
 	house := newHouse(t)
 	taken := house.plant()
 	newest := taken[len(taken)-1].Serial()
-	if kind := house.order("a", patchOn(newest, newest+1, "x")); kind != failure.None {
+	if kind := house.order("a", patchOn(newest, newest+1, "x")); kind != errkind.None {
 		t.Fatal(kind)
 	}
 	house.desks["b"].seal(house.scope)
@@ -134,28 +134,28 @@
 		t.Fatalf("%d pages were written by one who does not own the spec", pages)
 	}
 	house.desks["a"].seal(house.scope)
-	size := len(house.acceptor["c"].Slot(spec.Key).Accepted.Value)
+	size := len(house.acceptor["c"].Slot(config.Key).Accepted.Value)
 	if pages := house.pages("c"); pages != 2 {
 		t.Fatalf("%d pages", pages)
 	}
 	// The next owner seals the same again, and finds it done.
-	if kind := house.order("b", patchOn(newest+1, newest+2, "y")); kind != failure.None {
+	if kind := house.order("b", patchOn(newest+1, newest+2, "y")); kind != errkind.None {
 		t.Fatal(kind)
 	}
 	house.desks["b"].seal(house.scope)
-	if kind := house.order("b", patchOn(newest+2, newest+3, "z")); kind != failure.None {
+	if kind := house.order("b", patchOn(newest+2, newest+3, "z")); kind != errkind.None {
 		t.Fatal(kind)
 	}
-	after := len(house.acceptor["c"].Slot(spec.Key).Accepted.Value)
+	after := len(house.acceptor["c"].Slot(config.Key).Accepted.Value)
 	if after > size-2*256*8 {
 		t.Fatalf("the spec's value takes %d bytes, and took %d before its pages were sealed", after, size)
 	}
 	for _, name := range names {
 		for _, index := range []int{0, 3, 255, 256, 511, 512, 700, 800} {
-			if kind := house.again(name, taken[index]); kind != failure.None {
+			if kind := house.again(name, taken[index]); kind != errkind.None {
 				t.Errorf("the repeat of %d at %s: %v", index, name, kind)
 			}
-			if kind := house.again(name, patchOn(taken[index].Match, newest+9, "rival")); kind != failure.StaleSpec {
+			if kind := house.again(name, patchOn(taken[index].Match, newest+9, "rival")); kind != errkind.StaleSpec {
 				t.Errorf("the rival of %d at %s: %v", index, name, kind)
 			}
 		}
@@ -179,12 +179,12 @@
 	// The spec is confirmed with three messages; all after them are lost.
 	left := 2 * len(names)
 	house.lose = func() bool { left--; return left < 0 }
-	if kind := house.order("a", taken[3]); kind != failure.Unsettled {
+	if kind := house.order("a", taken[3]); kind != errkind.Unsettled {
 		t.Fatalf("%v", kind)
 	}
 	house.lose = func() bool { return true }
-	for _, change := range []revision.Change{taken[3], taken[800], patchOn(3, newest+9, "rival")} {
-		if kind := house.order("a", change); kind != failure.Unsettled {
+	for _, change := range []store.Change{taken[3], taken[800], patchOn(3, newest+9, "rival")} {
+		if kind := house.order("a", change); kind != errkind.Unsettled {
 			t.Fatalf("%v", kind)
 		}
 	}
--- a/control/desk/sweep.go
+++ b/control/state/command/sweep.go
@@ -1,14 +1,14 @@
-package desk
+package command
 
 import (
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
-	"onyxwell/control/register"
-	"onyxwell/control/revision"
-	"onyxwell/control/spec"
+	"onyxwell/control/config"
+	"onyxwell/control/config/store"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
 )
 
 // EpochKept is the value of a hold's key: how often the duty was gained.
@@ -22,13 +22,13 @@
 func nextEpoch(current []byte) ([]byte, error) {
 	kept := EpochKept{}
 	if len(current) > 0 {
-		read, err := courier.Unpack[EpochKept](current)
+		read, err := transport.Unpack[EpochKept](current)
 		if err != nil {
-			return nil, failure.Of(failure.Internal, "kept epoch: %v", err)
+			return nil, errkind.Of(errkind.Internal, "kept epoch: %v", err)
 		}
 		kept = read
 	}
-	return courier.Pack(EpochKept{Number: kept.Number + 1})
+	return transport.Pack(EpochKept{Number: kept.Number + 1})
 }
 
 // Epoch writes a new epoch for a duty.
@@ -37,18 +37,18 @@
 	if err != nil {
 		return 0, err
 	}
-	kept, err := courier.Unpack[EpochKept](value)
+	kept, err := transport.Unpack[EpochKept](value)
 	return kept.Number, err
 }
 
 // Newest gives the serial of the newest configuration that a majority confirms
 // now; 0 where none was taken.
 func (d *Desk) Newest(ctx scope.Scope) (ids.Serial, error) {
-	value, err := d.Do(ctx, Order{Key: spec.Key, Verb: VerbRead})
+	value, err := d.Do(ctx, Order{Key: config.Key, Verb: VerbRead})
 	if err != nil {
 		return 0, err
 	}
-	kept, err := revision.Travelling(value)
+	kept, err := store.Travelling(value)
 	return kept.Serial, err
 }
 
--- a/control/desk/world_test.go
+++ b/control/state/command/world_test.go
@@ -1,4 +1,4 @@
-package desk
+package command
 
 import (
 	"fmt"
@@ -6,20 +6,20 @@
 	"testing"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
-	"onyxwell/base/fixed"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
+	"onyxwell/base/proptest"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/control/contact"
-	"onyxwell/control/evacuation"
-	"onyxwell/control/register"
-	"onyxwell/control/revision"
-	"onyxwell/control/spec"
-	"onyxwell/control/spread"
+	"onyxwell/control/config"
+	"onyxwell/control/config/evacuation"
+	"onyxwell/control/config/store"
+	"onyxwell/control/gossip"
+	"onyxwell/control/membership"
+	"onyxwell/control/state/quorum"
+	"onyxwell/control/state/register"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 const (
 	pass  = 375 * clock.Millisecond
@@ -48,7 +48,7 @@
 	voter   *register.Acceptor
 	keeper  *register.Keeper
 	desk    *Desk
-	contact *contact.Contact
+	contact *quorum.Contact
 }
 
 // Save takes as long as the world's disks do.
@@ -77,8 +77,8 @@
 	if err := made.voter.Form(voters); err != nil {
 		w.t.Fatal(err)
 	}
-	made.contact = contact.New(contact.Options{Address: address, Voters: made.voter.Voters, Fresh: pass, Ask: func(ctx scope.Scope, to ids.Address) (contact.Told, error) {
-		return deliver(made, ctx, to, func(other *node) contact.Told { return other.contact.Tell(ctx.Now()) })
+	made.contact = quorum.New(quorum.Options{Address: address, Voters: made.voter.Voters, Fresh: pass, Ask: func(ctx scope.Scope, to ids.Address) (quorum.Told, error) {
+		return deliver(made, ctx, to, func(other *node) quorum.Told { return other.contact.Tell(ctx.Now()) })
 	}})
 	made.keeper = register.NewKeeper(register.Options{
 		Address: address, Line: made, Voters: made.voter.Voters, MessageLimit: 2 * clock.Second,
@@ -86,8 +86,8 @@
 	})
 	made.desk = New(Options{
 		Address: address, Keeper: made.keeper, Acceptor: made.voter, Contact: made.contact,
-		Table: cohort.NewTable(w.top.Clock, cohort.Member{Address: address}),
-		News:  spread.NewNews(nil), Pass: pass, Limit: limit, Pause: func() clock.Span { return 0 }, Send: made.send,
+		Table: membership.NewTable(w.top.Clock, membership.Member{Address: address}),
+		News:  gossip.NewNews(nil), Pass: pass, Limit: limit, Pause: func() clock.Span { return 0 }, Send: made.send,
 	})
 }
 
@@ -154,7 +154,7 @@
 		return outcome, err
 	}
 	meddle()
-	return outcomeOf(nil, failure.Of(failure.Unsettled, "too many voters refused")), nil
+	return outcomeOf(nil, errkind.Of(errkind.Unsettled, "too many voters refused")), nil
 }
 
 // hold has the network keep the orders to a controller from now on; it gives
@@ -166,17 +166,17 @@
 }
 
 // ask gives an order to a controller.
-func (w *world) ask(to ids.Address, order Order) (failure.Kind, []byte, clock.Span) {
+func (w *world) ask(to ids.Address, order Order) (errkind.Kind, []byte, clock.Span) {
 	begin := w.top.Now()
 	value, err := w.nodes[to].desk.Do(w.top, order)
-	return failure.KindOf(err), value, w.top.Now().Since(begin)
+	return errkind.KindOf(err), value, w.top.Now().Since(begin)
 }
 
 // must gives an order that has to be acknowledged.
 func (w *world) must(to ids.Address, order Order) []byte {
 	w.t.Helper()
 	kind, value, _ := w.ask(to, order)
-	if kind != failure.None {
+	if kind != errkind.None {
 		w.t.Fatalf("%s %s at %s: %v", order.Verb, order.Key, to, kind)
 	}
 	return value
@@ -196,5 +196,5 @@
 
 func put(match ids.Serial, serial int) Order {
 	body := fmt.Sprintf(`{"config_version":%d,"routes":[],"services":[{"name":"s"}]}`, serial)
-	return Order{Key: spec.Key, Verb: VerbChange, Change: revision.Change{Whole: true, Match: match, Body: []byte(body)}}
+	return Order{Key: config.Key, Verb: VerbChange, Change: store.Change{Whole: true, Match: match, Body: []byte(body)}}
 }
--- a/control/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -5,7 +5,7 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/control/lease"
+	"onyxwell/control/state/lease"
 )
 
 func ExampleHolder() {
--- a/control/lease/forms_test.go
+++ b/control/state/lease/forms_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"onyxwell/control/courier/formtest"
+	"onyxwell/control/transport/transporttest"
 )
 
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	formtest.Golden[Ask](t, "ask")
-	formtest.Golden[Told](t, "told")
+	transporttest.Golden[Ask](t, "ask")
+	transporttest.Golden[Told](t, "told")
 }
--- a/control/lease/lease.go
+++ b/control/state/lease/lease.go
@@ -24,10 +24,10 @@
 import (
 	"sync"
 
-	"onyxwell/base/chance"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
+	"onyxwell/base/random"
 	"onyxwell/base/scope"
 )
 
@@ -101,7 +101,7 @@
 // NewHolder makes a holder that does not hold yet.
 func NewHolder(options Options) *Holder {
 	for options.Life == 0 {
-		options.Life = chance.Int63(1 << 62)
+		options.Life = random.Int63(1 << 62)
 	}
 	return &Holder{options: options}
 }
@@ -126,7 +126,7 @@
 		pause := h.options.Span / 3
 		if !h.Strive(ctx) {
 			// Askers that split the votes must not meet again.
-			pause = pause/2 + chance.Part(h.options.Span/3)
+			pause = pause/2 + random.Part(h.options.Span/3)
 		}
 		if !ctx.Wait(pause) {
 			return
--- a/control/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/fixed"
 	"onyxwell/base/ids"
+	"onyxwell/base/proptest"
 	"onyxwell/base/scope"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 const span = 3 * clock.Second
 
--- a/control/contact/contact.go
+++ b/control/state/quorum/contact.go
@@ -1,4 +1,4 @@
-// Package contact tells whether a controller is heard by a majority of the
+// Package quorum tells whether a controller is heard by a majority of the
 // voters: it keeps, for each, when the newest question that was answered had
 // been sent. A message that needs no disk keeps this up, so slow disks don't
 // end contact. While an order is under way it is sent at a short pace, and the
@@ -13,19 +13,19 @@
 // and a hundredth is taken off for clocks that differ. Steady clocks stand
 // still while a machine is suspended: a receiver that was may begin an order
 // that much late. A process that is stopped has no such lack.
-package contact
+package quorum
 
 import (
 	"sort"
 	"sync"
 
-	"onyxwell/base/call"
-	"onyxwell/base/chance"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
+	"onyxwell/base/random"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
-	"onyxwell/control/register"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
 )
 
 // Ask is the question that shows contact.
@@ -50,7 +50,7 @@
 	Address ids.Address
 	// Voters gives the newest voters known here.
 	Voters    func() register.Voters
-	Messenger *courier.Courier
+	Messenger *transport.Courier
 	// Fresh is how old contact may be for an order to be begun on it.
 	Fresh clock.Span
 	// Wait is how long one round of questions may take; by default half of
@@ -115,21 +115,21 @@
 	}
 	if options.Ask == nil {
 		options.Ask = func(ctx scope.Scope, address ids.Address) (Told, error) {
-			return courier.Send[Told](ctx, options.Messenger, address, "contact", Ask{From: options.Address})
+			return transport.Send[Told](ctx, options.Messenger, address, "contact", Ask{From: options.Address})
 		}
 	}
 	if options.Spawn == nil {
 		options.Spawn = func(act func()) { go act() }
 	}
 	for options.Life == 0 {
-		options.Life = chance.Int63(1 << 62)
+		options.Life = random.Int63(1 << 62)
 	}
 	return &Contact{options: options, peers: map[ids.Address]peer{}, changed: make(chan struct{})}
 }
 
 // Serve adds the contact's message to a table of calls.
-func (c *Contact) Serve(calls *call.Table) {
-	courier.Handle(calls, "contact", func(ctx scope.Scope, _ Ask) (Told, error) {
+func (c *Contact) Serve(calls *httpcall.Table) {
+	transport.Handle(calls, "contact", func(ctx scope.Scope, _ Ask) (Told, error) {
 		return c.Tell(ctx.Now()), nil
 	})
 }
--- a/control/contact/contact_test.go
+++ b/control/state/quorum/contact_test.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 	"pgregory.net/rapid"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
-	"onyxwell/base/fixed"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
+	"onyxwell/base/proptest"
 	"onyxwell/base/scope"
-	"onyxwell/control/register"
+	"onyxwell/control/state/register"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 const (
 	fresh = 400 * clock.Millisecond
@@ -100,7 +100,7 @@
 		}
 		begin := top.Now()
 		for range 3 {
-			if err := made.Sure(top); failure.KindOf(err) != failure.Unsettled {
+			if err := made.Sure(top); errkind.KindOf(err) != errkind.Unsettled {
 				t.Errorf("cut off: %v", err)
 			}
 		}
@@ -176,7 +176,7 @@
 	if !made.woken(machine.Now()) {
 		t.Fatal("not found to have stood still")
 	}
-	if err := guard(true); failure.KindOf(err) != failure.Unsettled {
+	if err := guard(true); errkind.KindOf(err) != errkind.Unsettled {
 		t.Fatalf("begun for a caller that is gone: %v", err)
 	}
 	if err := guard(false); err != nil {
--- a/control/desk/forms_test.go
+++ b/control/state/quorum/forms_test.go
@@ -1,15 +1,15 @@
-package desk
+package quorum
 
 import (
 	"testing"
 
-	"onyxwell/control/courier/formtest"
+	"onyxwell/control/transport/transporttest"
 )
 
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	formtest.Golden[EpochKept](t, "epoch_kept")
-	formtest.Golden[Order](t, "order")
-	formtest.Golden[Outcome](t, "outcome")
+	transporttest.Golden[Ask](t, "ask")
+	transporttest.Golden[Stamp](t, "stamp")
+	transporttest.Golden[Told](t, "told")
 }
--- a/control/contact/guard.go
+++ b/control/state/quorum/guard.go
@@ -1,8 +1,8 @@
-package contact
+package quorum
 
 import (
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/scope"
 )
 
@@ -36,7 +36,7 @@
 		return err
 	}
 	c.note(ctx, false)
-	return failure.Of(failure.Unsettled, "no contact with a majority of the voters")
+	return errkind.Of(errkind.Unsettled, "no contact with a majority of the voters")
 }
 
 // ended is the failure of one whose caller is gone.
@@ -44,7 +44,7 @@
 	if ctx.Err() == nil {
 		return nil
 	}
-	return failure.Of(failure.Unsettled, "the caller is gone, or out of time")
+	return errkind.Of(errkind.Unsettled, "the caller is gone, or out of time")
 }
 
 // Guard makes sure of contact and gives a scope that ends when it is lost: a
--- a/control/contact/round.go
+++ b/control/state/quorum/round.go
@@ -1,8 +1,8 @@
-package contact
+package quorum
 
 import (
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -80,7 +80,7 @@
 			return Stamp{}, err
 		}
 		if known, found = c.reading(address); !found {
-			return Stamp{}, failure.Of(failure.Unsettled, "%s tells no reading of its clock", address)
+			return Stamp{}, errkind.Of(errkind.Unsettled, "%s tells no reading of its clock", address)
 		}
 	}
 	left := giveUp.Since(known.came)
--- a/control/contact/silence_test.go
+++ b/control/state/quorum/silence_test.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"sync"
@@ -7,7 +7,7 @@
 	"testing/synctest"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -66,7 +66,7 @@
 					t.Errorf("trip %v, cut %v after the beginning: ended after %v", trip, before, took)
 				}
 				for range 2 {
-					if _, _, err := line.contact.Guard(top); failure.KindOf(err) != failure.Unsettled || line.contact.Status(top.Now()).Majority {
+					if _, _, err := line.contact.Guard(top); errkind.KindOf(err) != errkind.Unsettled || line.contact.Status(top.Now()).Majority {
 						t.Errorf("begun on contact that fell silent: %v", err)
 					}
 				}
--- a/control/contact/status.go
+++ b/control/state/quorum/status.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"onyxwell/base/clock"
--- a/control/contact/status_test.go
+++ b/control/state/quorum/status_test.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"sync"
@@ -8,7 +8,7 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/register"
+	"onyxwell/control/state/register"
 )
 
 // TestWholeContactIsOfAllVoters has one of three be silent for a while, and
--- a/control/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -3,9 +3,9 @@
 import (
 	"sync/atomic"
 
-	"onyxwell/base/chance"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
+	"onyxwell/base/random"
 	"onyxwell/base/scope"
 )
 
@@ -55,7 +55,7 @@
 // NewGate makes a closed gate.
 func NewGate(options Options) *Gate {
 	if options.Jitter == nil {
-		options.Jitter = func(span clock.Span) clock.Span { return span/2 + chance.Part(span) }
+		options.Jitter = func(span clock.Span) clock.Span { return span/2 + random.Part(span) }
 	}
 	made := &Gate{options: options, ready: make(chan struct{})}
 	made.state.Store(Waiting)
@@ -111,7 +111,7 @@
 func (g *Gate) ask(ctx scope.Scope, answers chan<- answer) {
 	if len(g.queue) == 0 {
 		g.queue = append(g.queue, g.options.Controllers()...)
-		chance.Shuffle(g.queue)
+		random.Shuffle(g.queue)
 	}
 	if len(g.queue) == 0 {
 		return
--- a/control/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -7,10 +7,10 @@
 import (
 	"sync"
 
-	"onyxwell/base/call"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 // Message names the question between daemons.
@@ -52,8 +52,8 @@
 func NewReader(read func(ctx scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
 
 // Serve adds the reader's message to a table of calls.
-func (r *Reader) Serve(calls *call.Table) {
-	courier.Handle(calls, Message, func(ctx scope.Scope, _ Ask) (Told, error) {
+func (r *Reader) Serve(calls *httpcall.Table) {
+	transport.Handle(calls, Message, func(ctx scope.Scope, _ Ask) (Told, error) {
 		serial, err := r.Newest(ctx)
 		return Told{Serial: serial}, err
 	})
--- a/control/readindex/readindex_test.go
+++ b/control/state/readindex/readindex_test.go
@@ -9,12 +9,12 @@
 	"testing/synctest"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/fixed"
 	"onyxwell/base/ids"
+	"onyxwell/base/proptest"
 	"onyxwell/base/scope"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 const bound = 750 * clock.Millisecond
 
--- a/control/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -7,7 +7,7 @@
 
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 // Store makes a record last; it returns once the disk has it.
@@ -44,7 +44,7 @@
 func NewAcceptor(address ids.Address, records [][]byte) (*Acceptor, error) {
 	made := &Acceptor{address: address, slots: map[string]Slot{}, kept: map[string]Slot{}}
 	for _, body := range records {
-		kept, err := courier.Unpack[record](body)
+		kept, err := transport.Unpack[record](body)
 		if err != nil {
 			return nil, err
 		}
--- a/control/register/ask_test.go
+++ b/control/state/register/ask_test.go
@@ -7,10 +7,10 @@
 
 	"pgregory.net/rapid"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
+	"onyxwell/base/settings"
 )
 
 // TestDoubtfulIsNotWaitedFor asks three of whom one never answers in time: with a
@@ -29,7 +29,7 @@
 	} {
 		t.Run(example.text, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &boot.Boot{}})
+				top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &settings.Boot{}})
 				asker := &Joiner{Doubt: func(address ids.Address) bool { return example.doubt && address == "c" }}
 				begin, taken := top.Now(), 0
 				gather(asker, []ids.Address{"a", "b", "c"}, asker.doubted, func() bool { return taken >= example.wanted }, func(address ids.Address) (int, bool) {
@@ -60,7 +60,7 @@
 		synctest.Test(t, func(*testing.T) {
 			standBy := world.machines[3].joiner
 			standBy.Answer = 300 * clock.Millisecond
-			top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &boot.Boot{}})
+			top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &settings.Boot{}})
 			spans := []clock.Span{}
 			for range 2 {
 				begin := top.Now()
@@ -139,7 +139,7 @@
 		world.calm = true
 		synctest.Test(t, func(*testing.T) {
 			newcomer := world.machines[3].joiner
-			top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &boot.Boot{}})
+			top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &settings.Boot{}})
 			network := missing{Reach: newcomer.Reach, one: "c", turn: &sync.Mutex{}}
 			newcomer.Reach, newcomer.Answer = network, 300*clock.Millisecond
 			newcomer.Spawn = func(ask func()) {
--- a/control/register/away.go
+++ b/control/state/register/away.go
@@ -3,8 +3,8 @@
 import (
 	"maps"
 
-	"onyxwell/base/chance"
 	"onyxwell/base/ids"
+	"onyxwell/base/random"
 	"onyxwell/base/scope"
 )
 
@@ -36,7 +36,7 @@
 	for range hearings {
 		voters := j.Acceptor.Voters()
 		heard, contended := j.hearOfAway(ctx, voters)
-		if contended && j.Answer > 0 && ctx.Wait(j.Answer/2+chance.Part(j.Answer)) {
+		if contended && j.Answer > 0 && ctx.Wait(j.Answer/2+random.Part(j.Answer)) {
 			continue
 		}
 		if heard {
--- a/control/register/commit.go
+++ b/control/state/register/commit.go
@@ -4,7 +4,7 @@
 	"errors"
 	"sync/atomic"
 
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/scope"
 )
 
@@ -87,7 +87,7 @@
 	case <-mine.done:
 		return mine.value, mine.err
 	case <-mine.inner.Done():
-		return nil, failure.Of(failure.Unsettled, "%s: no majority answered in time", key)
+		return nil, errkind.Of(errkind.Unsettled, "%s: no majority answered in time", key)
 	}
 }
 
@@ -144,7 +144,7 @@
 		}
 		state.queue = state.queue[1:]
 		if next.inner.Err() != nil {
-			next.err = failure.Of(failure.Unsettled, "out of time before it was begun")
+			next.err = errkind.Of(errkind.Unsettled, "out of time before it was begun")
 			close(next.done)
 			continue
 		}
--- a/control/register/join.go
+++ b/control/state/register/join.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -82,7 +82,7 @@
 	for range steps {
 		voters := j.Acceptor.Voters()
 		if voters.Generation == 0 {
-			return failure.Of(failure.Unsettled, "no voters are known")
+			return errkind.Of(errkind.Unsettled, "no voters are known")
 		}
 		if j.Acceptor.Voting() {
 			return nil
@@ -121,7 +121,7 @@
 			return j.step(ctx, voters)
 		}
 		if found < max(needed(size), quorum(size)) {
-			return failure.Of(failure.Unsettled, "too few others to take a seat")
+			return errkind.Of(errkind.Unsettled, "too few others to take a seat")
 		}
 	}
 	if !j.learn(ctx, voters, needed(size)) {
@@ -134,7 +134,7 @@
 		if err := j.Keeper.Settle(ctx, CohortKey); err != nil {
 			return err
 		}
-		return failure.Of(failure.Unsettled, "too few others to learn from")
+		return errkind.Of(errkind.Unsettled, "too few others to learn from")
 	}
 	if seated == own {
 		own.Learning = false
--- a/control/register/learn.go
+++ b/control/state/register/learn.go
@@ -2,12 +2,12 @@
 
 import (
 	"onyxwell/base/ids"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 // pack can't fail: the types are this package's own, and a test packs each.
 func pack[Message any](message Message) []byte {
-	body, _ := courier.Pack(message)
+	body, _ := transport.Pack(message)
 	return body
 }
 
@@ -22,7 +22,7 @@
 	if len(slot.Accepted.Value) == 0 {
 		return Voters{}, false
 	}
-	voters, err := courier.Unpack[Voters](slot.Accepted.Value)
+	voters, err := transport.Unpack[Voters](slot.Accepted.Value)
 	return voters, err == nil
 }
 
--- a/control/register/message_test.go
+++ b/control/state/register/message_test.go
@@ -5,16 +5,16 @@
 	"testing"
 
 	"onyxwell/base/ids"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 func travels[Message any](t *testing.T, message Message) {
 	t.Helper()
-	body, err := courier.Pack(message)
+	body, err := transport.Pack(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := courier.Unpack[Message](body); err != nil || !reflect.DeepEqual(read, message) {
+	if read, err := transport.Unpack[Message](body); err != nil || !reflect.DeepEqual(read, message) {
 		t.Fatalf("%+v came as %+v, %v", message, read, err)
 	}
 }
--- a/control/register/owned.go
+++ b/control/state/register/owned.go
@@ -1,7 +1,7 @@
 package register
 
 import (
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/scope"
 )
 
@@ -21,7 +21,7 @@
 	var rest []*waiting
 	for _, one := range together {
 		if one.owned {
-			one.err = failure.Of(failure.Unsettled, "%s is not owned here", key)
+			one.err = errkind.Of(errkind.Unsettled, "%s is not owned here", key)
 		} else {
 			rest = append(rest, one)
 		}
--- a/control/register/owner.go
+++ b/control/state/register/owner.go
@@ -3,10 +3,10 @@
 import (
 	"sync"
 
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 // Keeper owns keys: it takes them over, changes them and confirms them.
@@ -97,9 +97,9 @@
 	if key == CohortKey {
 		// A seat must be filled also while too few disks are there for orders.
 		copies = 0
-		voters, err := courier.Unpack[Voters](value)
+		voters, err := transport.Unpack[Voters](value)
 		if err != nil {
-			return failure.Of(failure.Internal, "voters: %v", err)
+			return errkind.Of(errkind.Internal, "voters: %v", err)
 		}
 		sets = append(sets, voters.Seats)
 	}
--- a/control/register/place.go
+++ b/control/state/register/place.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 // seating replaces one seat, or adds one behind the last; the change is dropped
@@ -14,14 +14,14 @@
 // replaced is back: this is asked last of all, right before the change is sent.
 func (j *Joiner) seating(known Voters, index int, own Seat) Step {
 	return func(current []byte) ([]byte, error) {
-		voters, err := courier.Unpack[Voters](current)
+		voters, err := transport.Unpack[Voters](current)
 		if err != nil || voters.Mark() != known.Mark() {
-			return nil, failure.Of(failure.Unsettled, "the voters changed")
+			return nil, errkind.Of(errkind.Unsettled, "the voters changed")
 		}
 		if index < len(voters.Seats) {
 			seated := voters.Seats[index]
 			if seated.Address != j.Address && !seated.Learning && !j.gone(seated.Address) {
-				return nil, failure.Of(failure.Unsettled, "%s is back", seated.Address)
+				return nil, errkind.Of(errkind.Unsettled, "%s is back", seated.Address)
 			}
 		}
 		next := Voters{Generation: voters.Generation + 1}
@@ -30,7 +30,7 @@
 			next.Seats = append(next.Seats, own)
 		}
 		next.Seats[index] = own
-		return courier.Pack(next)
+		return transport.Pack(next)
 	}
 }
 
--- a/control/register/rounds.go
+++ b/control/state/register/rounds.go
@@ -3,10 +3,10 @@
 import (
 	"sync"
 
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 type vote struct {
@@ -41,16 +41,16 @@
 				refused[cast.seat.Address] = true
 			}
 		case <-ctx.Done():
-			return failure.Of(failure.Unsettled, "the voters did not answer in time")
+			return errkind.Of(errkind.Unsettled, "the voters did not answer in time")
 		}
 		if allHave(sets, granted, copies) {
 			return nil
 		}
 		if lost(sets, refused, copies) {
-			return failure.Of(failure.Unsettled, "too many voters refused")
+			return errkind.Of(errkind.Unsettled, "too many voters refused")
 		}
 	}
-	return failure.Of(failure.Unsettled, "no majority")
+	return errkind.Of(errkind.Unsettled, "no majority")
 }
 
 // take asks the voters for the key under the state's epoch and gives the
@@ -80,7 +80,7 @@
 		if key != CohortKey {
 			return found, nil
 		}
-		voters, err := courier.Unpack[Voters](found.Value)
+		voters, err := transport.Unpack[Voters](found.Value)
 		if err != nil || voters.Generation <= state.voters.Generation {
 			return found, nil
 		}
--- a/control/seat/damage_test.go
+++ b/control/state/voter/damage_test.go
@@ -1,16 +1,16 @@
-package seat
+package voter
 
 import (
 	"errors"
 	"runtime"
 	"testing"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/register"
-	"onyxwell/simulation/disk"
+	"onyxwell/base/settings"
+	"onyxwell/control/state/register"
+	"onyxwell/simulation/simdisk"
 )
 
 // TestDamagedDiskIsANewOne spoils a voter's journal: the votes of before are
@@ -18,7 +18,7 @@
 // the disk refuses an act, another each time.
 func TestDamagedDiskIsANewOne(t *testing.T) {
 	machine, acts, refused := clock.NewFake(), 0, 0
-	simulated := disk.New(disk.Options{Pause: func(string, int) error {
+	simulated := simdisk.New(simdisk.Options{Pause: func(string, int) error {
 		if acts++; acts == refused {
 			return errors.New("refused")
 		}
@@ -26,7 +26,7 @@
 	}})
 	open := func(first bool) *Seat {
 		acts, refused = 0, refused+1
-		top := scope.New(scope.Options{Clock: machine, Boot: &boot.Boot{}})
+		top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{}})
 		opened := make(chan *Seat)
 		go func() {
 			own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), First: first, Seeds: []ids.Address{"a"}, Limit: clock.Second})
@@ -72,7 +72,7 @@
 func TestDiskThatRefusedIsAskedSoon(t *testing.T) {
 	machine := clock.NewFake()
 	well := machine.Now().Add(clock.Second)
-	simulated := disk.New(disk.Options{Pause: func(string, int) error {
+	simulated := simdisk.New(simdisk.Options{Pause: func(string, int) error {
 		if machine.Now() < well {
 			return errors.New("refused")
 		}
@@ -80,7 +80,7 @@
 	}})
 	opened := make(chan error)
 	go func() {
-		top := scope.New(scope.Options{Clock: machine, Boot: &boot.Boot{}})
+		top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{}})
 		own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), First: true, Seeds: []ids.Address{"a"}, Limit: 10 * clock.Second, Pace: pace})
 		if err == nil {
 			own.Close()
--- a/control/contact/forms_test.go
+++ b/control/state/voter/forms_test.go
@@ -1,15 +1,14 @@
-package contact
+package voter
 
 import (
 	"testing"
 
-	"onyxwell/control/courier/formtest"
+	"onyxwell/control/transport/transporttest"
 )
 
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	formtest.Golden[Ask](t, "ask")
-	formtest.Golden[Stamp](t, "stamp")
-	formtest.Golden[Told](t, "told")
+	transporttest.Golden[LearnAsk](t, "learn_ask")
+	transporttest.Golden[LearnTold](t, "learn_told")
 }
--- a/control/seat/gone_test.go
+++ b/control/state/voter/gone_test.go
@@ -1,11 +1,11 @@
-package seat
+package voter
 
 import (
 	"testing"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/cohort"
+	"onyxwell/control/membership"
 )
 
 // TestOneThatAnswersIsNotGone has a voter that no daemon told of, or that was
@@ -14,20 +14,20 @@
 func TestOneThatAnswersIsNotGone(t *testing.T) {
 	for _, example := range []struct {
 		text   string
-		state  cohort.State
+		state  membership.State
 		leaves bool
 	}{
 		{text: "nobody told of it", state: -1},
-		{text: "removed", state: cohort.Removed},
-		{text: "left", state: cohort.Left, leaves: true},
+		{text: "removed", state: membership.Removed},
+		{text: "left", state: membership.Left, leaves: true},
 	} {
 		t.Run(example.text, func(t *testing.T) {
 			site := newSite(t, 3)
 			silent := map[ids.Address]bool{}
 			ask, subject, other := site.listen(0, silent), site.seats[0], site.seats[1].options.Address
-			members := []cohort.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, Core: true, State: example.state}}
+			members := []membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, Core: true, State: example.state}}
 			if example.state < 0 {
-				subject.options.Table = cohort.NewTable(site.clock, cohort.Member{Address: subject.options.Address, Role: "fleet-controller"})
+				subject.options.Table = membership.NewTable(site.clock, membership.Member{Address: subject.options.Address, Role: "fleet-controller"})
 			} else {
 				subject.options.Table.Merge(members)
 			}
--- a/control/seat/line.go
+++ b/control/state/voter/line.go
@@ -1,11 +1,11 @@
-package seat
+package voter
 
 import (
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/control/courier"
-	"onyxwell/control/register"
+	"onyxwell/control/membership"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
 )
 
 // Promise carries the message to a voter.
@@ -36,7 +36,7 @@
 		return own(asked), nil
 	}
 	begin := ctx.Now()
-	told, err := courier.Send[Told](ctx, seat.options.Messenger, address, name, asked)
+	told, err := transport.Send[Told](ctx, seat.options.Messenger, address, name, asked)
 	if err == nil {
 		seat.options.Contact.Heard(address, begin)
 	}
@@ -54,7 +54,7 @@
 
 // Copy asks a controller for what it holds.
 func (s *Seat) Copy(ctx scope.Scope, address ids.Address, asked register.CopyAsk) (register.CopyTold, error) {
-	return courier.Send[register.CopyTold](ctx, s.options.Messenger, address, "copy", asked)
+	return transport.Send[register.CopyTold](ctx, s.options.Messenger, address, "copy", asked)
 }
 
 // Held asks a controller how all keys stand on its disk. Where they stand there
@@ -62,7 +62,7 @@
 func (s *Seat) Held(ctx scope.Scope, address ids.Address) (register.HeldTold, error) {
 	own := s.Acceptor.Held()
 	begin := ctx.Now()
-	told, err := courier.Send[register.HeldTold](ctx, s.options.Messenger, address, "held", register.HeldAsk{Sum: own.Sum()})
+	told, err := transport.Send[register.HeldTold](ctx, s.options.Messenger, address, "held", register.HeldAsk{Sum: own.Sum()})
 	if err == nil {
 		s.options.Contact.Heard(address, begin)
 	}
@@ -84,7 +84,7 @@
 
 // Learn brings newer copies to a voter.
 func (s *Seat) Learn(ctx scope.Scope, address ids.Address, slots []register.Slot) error {
-	_, err := courier.Send[LearnTold](ctx, s.options.Messenger, address, "learn", LearnAsk{Slots: slots})
+	_, err := transport.Send[LearnTold](ctx, s.options.Messenger, address, "learn", LearnAsk{Slots: slots})
 	return err
 }
 
@@ -95,7 +95,7 @@
 // of it is counted from when it was first asked here.
 func (s *Seat) isGone(address ids.Address) bool {
 	member, known := s.options.Table.Find(address)
-	if member.State != cohort.Left && s.answers(address) {
+	if member.State != membership.Left && s.answers(address) {
 		// Word that it was removed is older than that, or wrong.
 		s.mu.Lock()
 		delete(s.unknown, address)
@@ -104,7 +104,7 @@
 	}
 	if known {
 		patience := s.options.Patience
-		if member.State == cohort.Left {
+		if member.State == membership.Left {
 			patience = 0
 		} else if member.Incarnation > 0 {
 			patience /= 2
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, member := range s.options.Table.Members() {
-		if member.Role == s.options.Table.Self().Role && member.State == cohort.Alive {
+		if member.Role == s.options.Table.Self().Role && member.State == membership.Alive {
 			add(member.Address)
 		}
 	}
--- a/control/seat/missing.go
+++ b/control/state/voter/missing.go
@@ -1,11 +1,11 @@
-package seat
+package voter
 
 import (
 	"slices"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/register"
+	"onyxwell/control/state/register"
 )
 
 // sight is what of the voters is seen from here without a question, and since
--- a/control/seat/missing_test.go
+++ b/control/state/voter/missing_test.go
@@ -1,4 +1,4 @@
-package seat
+package voter
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/contact"
-	"onyxwell/control/courier"
-	"onyxwell/control/register"
+	"onyxwell/control/state/quorum"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
 )
 
 // pace is that of these tests.
@@ -22,7 +22,7 @@
 func (s *site) listen(index int, silent map[ids.Address]bool) func() {
 	subject := s.seats[index]
 	subject.options.Pace = pace
-	subject.options.Contact = contact.New(contact.Options{
+	subject.options.Contact = quorum.New(quorum.Options{
 		Address: subject.options.Address, Voters: subject.Acceptor.Voters, Fresh: 500 * clock.Millisecond,
 	})
 	return func() {
@@ -82,7 +82,7 @@
 			seats[index] = learner
 		}
 	}
-	body, err := courier.Pack(register.Voters{Generation: 2, Seats: seats})
+	body, err := transport.Pack(register.Voters{Generation: 2, Seats: seats})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/seat/pace.go
+++ b/control/state/voter/pace.go
@@ -1,8 +1,8 @@
-package seat
+package voter
 
 import (
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
+	"onyxwell/base/settings"
 )
 
 // Pace is how soon a lost voter is replaced: parts of the time to catch up that
@@ -23,8 +23,8 @@
 // PaceOf gives each stage its part of the time to catch up, from how long a duty is
 // held and an order passed on. Contact is asked for each two thirds of the latter:
 // one that answers is never silent for twice as long.
-func PaceOf(settings *boot.Boot, hold clock.Span, pass clock.Span) Pace {
-	whole := boot.Seconds(settings.Bounds.CatchUpS)
+func PaceOf(node *settings.Boot, hold clock.Span, pass clock.Span) Pace {
+	whole := settings.Seconds(node.Bounds.CatchUpS)
 	if whole == 0 {
 		whole = 3 * hold
 	}
--- a/control/seat/pace_test.go
+++ b/control/state/voter/pace_test.go
@@ -1,10 +1,10 @@
-package seat
+package voter
 
 import (
 	"testing"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
+	"onyxwell/base/settings"
 	"onyxwell/control/daemon"
 )
 
@@ -12,18 +12,18 @@
 // after the other up, from the loss to the repair of the last key: as long as a
 // spec may take no longer than catching up they fit, whatever the bounds are.
 func TestReplacementFitsTheTimeToCatchUp(t *testing.T) {
-	for _, bounds := range []boot.Bounds{
+	for _, bounds := range []settings.Bounds{
 		{CatchUpS: 4, InTouchMS: 4000, ApplyWithinMS: 3000},
 		{CatchUpS: 6, InTouchMS: 6000, ApplyWithinMS: 4000},
 		{CatchUpS: 6, InTouchMS: 2000, ApplyWithinMS: 6000},
 		{CatchUpS: 60, InTouchMS: 5000, ApplyWithinMS: 5000},
 		{CatchUpS: 0, InTouchMS: 4000, ApplyWithinMS: 3000},
 	} {
-		all := daemon.PaceOf(&boot.Boot{Bounds: bounds})
-		pace, pass := PaceOf(&boot.Boot{Bounds: bounds}, all.Hold, all.Pass), all.Pass
-		whole := boot.Seconds(bounds.CatchUpS)
+		all := daemon.PaceOf(&settings.Boot{Bounds: bounds})
+		pace, pass := PaceOf(&settings.Boot{Bounds: bounds}, all.Hold, all.Pass), all.Pass
+		whole := settings.Seconds(bounds.CatchUpS)
 		if bounds.CatchUpS == 0 {
-			whole = boot.Milliseconds(bounds.InTouchMS)
+			whole = settings.Milliseconds(bounds.InTouchMS)
 		}
 		// A seat takes a question whether the one is back, one for the copies, and
 		// six rounds of messages: to take the voters' key over, to settle it and to
--- a/control/seat/run.go
+++ b/control/state/voter/run.go
@@ -1,15 +1,15 @@
-package seat
+package voter
 
 import (
 	"errors"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/chance"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
+	"onyxwell/base/random"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/control/register"
+	"onyxwell/base/settings"
+	"onyxwell/control/membership"
+	"onyxwell/control/state/register"
 )
 
 // Seek names the keeper through which a seat is asked for and what lags is
@@ -42,7 +42,7 @@
 			next = ctx.Now().Add(s.act(ctx, every))
 		}
 		// Newcomers that met each other on the way to a seat part here.
-		if !ctx.Wait(tick - chance.Part(tick/2)) {
+		if !ctx.Wait(tick - random.Part(tick/2)) {
 			return
 		}
 	}
@@ -113,7 +113,7 @@
 // that stands by. Where nobody does it keeps its seat: one that leaves can't tell
 // whether it will be started again.
 func (s *Seat) HandOn(ctx scope.Scope) {
-	short, release := ctx.WithLimit(boot.Seconds(ctx.Boot.Bounds.GraceS) / 4)
+	short, release := ctx.WithLimit(settings.Seconds(ctx.Boot.Bounds.GraceS) / 4)
 	defer release()
 	leaving := &register.Survey{Joiner: s.joiner, Copies: Copies(ctx.Boot)}
 	done := leaving.HandOn(short)
@@ -137,7 +137,7 @@
 	}
 	self := s.options.Table.Self()
 	for _, member := range s.options.Table.Members() {
-		if member.Role == self.Role && member.State == cohort.Alive && !seated[member.Address] {
+		if member.Role == self.Role && member.State == membership.Alive && !seated[member.Address] {
 			return true
 		}
 	}
--- a/control/seat/seat.go
+++ b/control/state/voter/seat.go
@@ -1,6 +1,6 @@
-// Package seat gives a controller its voter: it opens the journal, carries
+// Package voter gives a controller its voter: it opens the journal, carries
 // messages to the other voters, and gains a seat for a disk that is new.
-package seat
+package voter
 
 import (
 	"cmp"
@@ -8,30 +8,30 @@
 	"sort"
 	"sync"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/call"
-	"onyxwell/base/chance"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
+	"onyxwell/base/random"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/control/contact"
-	"onyxwell/control/courier"
-	"onyxwell/control/journal"
-	"onyxwell/control/lease"
-	"onyxwell/control/register"
+	"onyxwell/base/settings"
+	"onyxwell/control/membership"
+	"onyxwell/control/state/lease"
+	"onyxwell/control/state/quorum"
+	"onyxwell/control/state/register"
+	"onyxwell/control/state/wal"
+	"onyxwell/control/transport"
 )
 
 // Options are what a seat is opened with.
 type Options struct {
 	Address   ids.Address
-	Disk      journal.Disk
+	Disk      wal.Disk
 	First     bool
 	Seeds     []ids.Address
-	Table     *cohort.Table
-	Messenger *courier.Courier
+	Table     *membership.Table
+	Messenger *transport.Courier
 	// Contact is told whenever a voter answers; it may be missing.
-	Contact *contact.Contact
+	Contact *quorum.Contact
 	// Patience is how long a voter must be gone before another takes its seat.
 	Patience clock.Span
 	Limit    clock.Span
@@ -48,7 +48,7 @@
 	Acceptor *register.Acceptor
 	Granter  *lease.Granter
 	options  Options
-	opened   *journal.Journal
+	opened   *wal.Journal
 	now      func() clock.Instant
 	joiner   *register.Joiner
 	survey   *register.Survey
@@ -89,11 +89,11 @@
 	options.Pace = options.Pace.or(cmp.Or(options.Patience, options.Limit))
 	for {
 		made := &Seat{options: options, now: top.Now, unknown: map[ids.Address]clock.Instant{}}
-		opened, records, err := journal.Open(journal.Options{
+		opened, records, err := wal.Open(wal.Options{
 			Disk: options.Disk, Name: "registers", Limit: limit(top.Boot),
 			Whole: func() [][]byte { return made.Acceptor.Whole() },
 		})
-		if errors.Is(err, journal.ErrVersion) {
+		if errors.Is(err, wal.ErrVersion) {
 			return nil, err
 		}
 		if err == nil {
@@ -121,9 +121,9 @@
 
 // limit leaves room for the file that renews the journal, for a damaged one that
 // was set aside, and for other files.
-func limit(settings *boot.Boot) int64 { return settings.Limits.DiskMB << 20 / 4 }
+func limit(settings *settings.Boot) int64 { return settings.Limits.DiskMB << 20 / 4 }
 
-func warn(top scope.Scope, damage *journal.Damage) {
+func warn(top scope.Scope, damage *wal.Damage) {
 	if damage != nil {
 		top.Log.Warn().Str("part", "seat").Str("file", damage.File).Str("aside", damage.Aside).
 			Int64("offset", damage.Offset).Int64("bytes", damage.Bytes).Str("reason", damage.Reason).
@@ -137,7 +137,7 @@
 		return nil
 	}
 	if !s.options.First || damaged {
-		return s.Acceptor.Identify(ids.Incarnation(chance.Int63(1<<62) + 1))
+		return s.Acceptor.Identify(ids.Incarnation(random.Int63(1<<62) + 1))
 	}
 	voters := register.Voters{Generation: 1}
 	member := false
@@ -147,7 +147,7 @@
 	}
 	sort.Slice(voters.Seats, func(left, right int) bool { return voters.Seats[left].Address < voters.Seats[right].Address })
 	if !member {
-		return s.Acceptor.Identify(ids.Incarnation(chance.Int63(1<<62) + 1))
+		return s.Acceptor.Identify(ids.Incarnation(random.Int63(1<<62) + 1))
 	}
 	return s.Acceptor.Form(voters)
 }
@@ -159,27 +159,27 @@
 func (s *Seat) Close() { s.opened.Close() }
 
 // Serve adds the voter's messages to a table of calls.
-func (s *Seat) Serve(calls *call.Table) {
-	courier.Handle(calls, "promise", func(_ scope.Scope, asked register.PromiseAsk) (register.PromiseTold, error) {
+func (s *Seat) Serve(calls *httpcall.Table) {
+	transport.Handle(calls, "promise", func(_ scope.Scope, asked register.PromiseAsk) (register.PromiseTold, error) {
 		return s.Acceptor.Promise(asked), nil
 	})
-	courier.Handle(calls, "accept", func(_ scope.Scope, asked register.AcceptAsk) (register.AcceptTold, error) {
+	transport.Handle(calls, "accept", func(_ scope.Scope, asked register.AcceptAsk) (register.AcceptTold, error) {
 		return s.Acceptor.Accept(asked), nil
 	})
-	courier.Handle(calls, "confirm", func(_ scope.Scope, asked register.ConfirmAsk) (register.AcceptTold, error) {
+	transport.Handle(calls, "confirm", func(_ scope.Scope, asked register.ConfirmAsk) (register.AcceptTold, error) {
 		return s.Acceptor.Confirm(asked), nil
 	})
-	courier.Handle(calls, "copy", func(_ scope.Scope, asked register.CopyAsk) (register.CopyTold, error) {
+	transport.Handle(calls, "copy", func(_ scope.Scope, asked register.CopyAsk) (register.CopyTold, error) {
 		return s.Acceptor.Copy(asked), nil
 	})
-	courier.Handle(calls, "held", func(_ scope.Scope, asked register.HeldAsk) (register.HeldTold, error) {
+	transport.Handle(calls, "held", func(_ scope.Scope, asked register.HeldAsk) (register.HeldTold, error) {
 		return s.tellHeld(asked), nil
 	})
-	courier.Handle(calls, "learn", func(_ scope.Scope, asked LearnAsk) (LearnTold, error) {
+	transport.Handle(calls, "learn", func(_ scope.Scope, asked LearnAsk) (LearnTold, error) {
 		err := s.Acceptor.Learn(asked.Slots)
 		return LearnTold{Taken: err == nil}, err
 	})
-	courier.Handle(calls, "hold", func(_ scope.Scope, asked lease.Ask) (lease.Told, error) {
+	transport.Handle(calls, "hold", func(_ scope.Scope, asked lease.Ask) (lease.Told, error) {
 		told := s.Granter.Grant(asked)
 		told.Generation = s.Acceptor.Voters().Generation
 		return told, nil
@@ -228,7 +228,7 @@
 	message, release := ctx.Detached().WithLimit(s.options.HoldSpan / 3)
 	defer release()
 	begin := message.Now()
-	told, err := courier.Send[lease.Told](message, s.options.Messenger, address, "hold", asked)
+	told, err := transport.Send[lease.Told](message, s.options.Messenger, address, "hold", asked)
 	if err == nil {
 		s.options.Contact.Heard(address, begin)
 	}
--- a/control/seat/seat_test.go
+++ b/control/state/voter/seat_test.go
@@ -1,19 +1,19 @@
-package seat
+package voter
 
 import (
 	"net/http/httptest"
 	"strings"
 	"testing"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/control/courier"
-	"onyxwell/control/journal"
-	"onyxwell/control/register"
+	"onyxwell/base/settings"
+	"onyxwell/control/membership"
+	"onyxwell/control/state/register"
+	"onyxwell/control/state/wal"
+	"onyxwell/control/transport"
 )
 
 // site is some controllers in one process, over real calls, on one fake clock.
@@ -29,28 +29,28 @@
 func newSite(t *testing.T, count int) *site {
 	t.Helper()
 	made := &site{t: t, clock: clock.NewFake()}
-	settings := &boot.Boot{Seeds: []ids.Address{"a", "b", "c"}}
+	settings := &settings.Boot{Seeds: []ids.Address{"a", "b", "c"}}
 	settings.Tolerate.Machines, settings.Bounds.GraceS = 1, 8
 	made.top = scope.New(scope.Options{Clock: made.clock, Boot: settings})
-	var tables []*call.Table
+	var tables []*httpcall.Table
 	var addresses []ids.Address
 	for range count {
-		table := call.NewTable(made.top, 1<<20)
+		table := httpcall.NewTable(made.top, 1<<20)
 		door := httptest.NewServer(table)
 		t.Cleanup(door.Close)
 		tables, made.doors = append(tables, table), append(made.doors, door)
 		addresses = append(addresses, ids.Address(strings.TrimPrefix(door.URL, "http://")))
 	}
 	for index, address := range addresses {
-		known := cohort.NewTable(made.clock, cohort.Member{Address: address, Role: "fleet-controller"})
+		known := membership.NewTable(made.clock, membership.Member{Address: address, Role: "fleet-controller"})
 		for _, other := range addresses {
 			if other != address {
-				known.Merge([]cohort.Member{{Address: other, Role: "fleet-controller", Incarnation: 1, Core: true}})
+				known.Merge([]membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 1, Core: true}})
 			}
 		}
 		opened, err := Open(made.top, Options{
-			Address: address, Disk: journal.Folder(t.TempDir()), First: index < 3, Seeds: addresses[:3], Table: known,
-			Messenger: courier.New(call.Dialing{Limit: clock.Second, Silence: clock.Second}),
+			Address: address, Disk: wal.Folder(t.TempDir()), First: index < 3, Seeds: addresses[:3], Table: known,
+			Messenger: transport.New(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}),
 			Patience:  clock.Second, Limit: 100 * clock.Second, HoldSpan: clock.Second, Seats: 3,
 		})
 		if err != nil {
@@ -80,7 +80,7 @@
 func (s *site) lose(index int) {
 	s.doors[index].Close()
 	for _, seat := range s.seats {
-		seat.options.Table.Judge(s.seats[index].options.Address, cohort.Removed)
+		seat.options.Table.Judge(s.seats[index].options.Address, membership.Removed)
 	}
 	s.clock.Move(2 * clock.Second)
 }
--- a/control/seat/spread.go
+++ b/control/state/voter/spread.go
@@ -1,18 +1,18 @@
-package seat
+package voter
 
 import (
-	"onyxwell/base/boot"
 	"onyxwell/base/ids"
+	"onyxwell/base/settings"
 )
 
 // Wanted is how many voters bear the loss of so many machines at one time: one
 // more than twice as many, and never fewer than three.
-func Wanted(settings *boot.Boot) int { return max(3, 2*settings.Tolerate.Machines+1) }
+func Wanted(settings *settings.Boot) int { return max(3, 2*settings.Tolerate.Machines+1) }
 
 // Copies is how many disks must hold an order before it is answered: one more
 // than may be lost at one time. Where fewer controllers than seeds are usual
 // are named, there are no more than these.
-func Copies(settings *boot.Boot) int {
+func Copies(settings *settings.Boot) int {
 	if seeds := len(settings.Seeds); seeds < 3 {
 		return min(seeds, settings.Tolerate.Machines+1)
 	}
--- a/control/journal/disk.go
+++ b/control/state/wal/disk.go
@@ -1,7 +1,7 @@
-// Package journal keeps records in an append-only file: each has a length and
+// Package wal keeps records in an append-only file: each has a length and
 // a checksum, a torn tail is cut, a long file is written anew, and a record
 // counts only once a sync has covered it.
-package journal
+package wal
 
 import (
 	"io"
--- a/control/journal/journal.go
+++ b/control/state/wal/journal.go
@@ -1,8 +1,8 @@
-// Package journal keeps records in an append-only file: records that wait
+// Package wal keeps records in an append-only file: records that wait
 // together share a frame with a checksum and a sync, a torn tail is cut, damage
 // is told from it and set aside, a long file is written anew, and a record
 // counts only once a sync has covered it.
-package journal
+package wal
 
 import (
 	"errors"
--- a/control/journal/journal_test.go
+++ b/control/state/wal/journal_test.go
@@ -1,22 +1,22 @@
-package journal_test
+package wal_test
 
 import (
 	"bytes"
 	"errors"
 	"testing"
 
-	"onyxwell/base/fixed"
-	"onyxwell/control/journal"
-	"onyxwell/simulation/disk"
+	"onyxwell/base/proptest"
+	"onyxwell/control/state/wal"
+	"onyxwell/simulation/simdisk"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 // TestDamageBlanksTheDisk spoils a file before its last record.
 func TestDamageBlanksTheDisk(t *testing.T) {
-	simulated := disk.New(disk.Options{Draw: func(int) bool { return false }})
-	open := func() (*journal.Journal, [][]byte) {
-		opened, records, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return nil }})
+	simulated := simdisk.New(simdisk.Options{Draw: func(int) bool { return false }})
+	open := func() (*wal.Journal, [][]byte) {
+		opened, records, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return nil }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,23 +56,23 @@
 // TestWhatOpenGaveLasts kills the process between a write and its sync: what the
 // next process reads must not go with the power after that.
 func TestWhatOpenGaveLasts(t *testing.T) {
-	var simulated *disk.Disk
+	var simulated *simdisk.Disk
 	deadly := false
-	simulated = disk.New(disk.Options{Draw: func(odds int) bool { return odds == 4 }, Pause: func(act string, _ int) error {
-		if deadly && act == disk.ActSync {
+	simulated = simdisk.New(simdisk.Options{Draw: func(odds int) bool { return odds == 4 }, Pause: func(act string, _ int) error {
+		if deadly && act == simdisk.ActSync {
 			simulated.Kill()
 		}
 		return nil
 	}})
 	for life, want := range []int{0, 1, 1} {
 		deadly = false
-		opened, records, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "j"})
+		opened, records, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j"})
 		if err != nil || len(records) != want {
 			t.Fatalf("life %d: %q %v", life, records, err)
 		}
 		if deadly = life == 0; !deadly {
 			simulated.LosePower()
-		} else if err := opened.Save(record(0, 1)); !errors.Is(err, disk.ErrDead) {
+		} else if err := opened.Save(record(0, 1)); !errors.Is(err, simdisk.ErrDead) {
 			t.Fatal(err)
 		}
 		opened.Close()
@@ -83,21 +83,21 @@
 // has no room beside the file goes into it, and room brings the journal back.
 func TestFullDiskRecovers(t *testing.T) {
 	refused := ""
-	simulated := disk.New(disk.Options{Pause: func(act string, _ int) error {
+	simulated := simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
 		if act == refused {
-			return disk.ErrFull
+			return simdisk.ErrFull
 		}
 		return nil
 	}})
 	state := bytes.Repeat([]byte("s"), 1000)
-	opened, _, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return [][]byte{state} }, Shortest: 4000})
+	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return [][]byte{state} }, Shortest: 4000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer opened.Close()
 	for round := range 60 {
-		refused = []string{"", "", disk.ActWrite, "", disk.ActCreate, disk.ActCreate}[round/2%6]
-		if err := opened.Save(state); (err != nil) != (refused == disk.ActWrite) {
+		refused = []string{"", "", simdisk.ActWrite, "", simdisk.ActCreate, simdisk.ActCreate}[round/2%6]
+		if err := opened.Save(state); (err != nil) != (refused == simdisk.ActWrite) {
 			t.Fatalf("round %d, without %q: %v", round, refused, err)
 		}
 	}
@@ -106,14 +106,14 @@
 // TestStalledDiskAcknowledgesNothing holds up a sync.
 func TestStalledDiskAcknowledgesNothing(t *testing.T) {
 	stalls, reached, over := false, make(chan bool), make(chan bool)
-	simulated := disk.New(disk.Options{Pause: func(act string, _ int) error {
-		if stalls && act == disk.ActSync {
+	simulated := simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
+		if stalls && act == simdisk.ActSync {
 			reached <- true
 			<-over
 		}
 		return nil
 	}})
-	opened, _, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "j"})
+	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,15 +141,15 @@
 // refused, beyond it, and shrink again.
 func TestLimitIsNeverPassed(t *testing.T) {
 	const limit = 10_000
-	var simulated *disk.Disk
-	simulated = disk.New(disk.Options{Pause: func(act string, _ int) error {
+	var simulated *simdisk.Disk
+	simulated = simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
 		if old, fresh := simulated.Bytes("j"), simulated.Bytes("j.new"); max(old, fresh) > limit {
 			t.Errorf("%d and %d bytes at a %s", old, fresh, act)
 		}
 		return nil
 	}})
 	size := 10
-	opened, _, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "j", Shortest: 1000, Limit: limit,
+	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Shortest: 1000, Limit: limit,
 		Whole: func() [][]byte { return [][]byte{make([]byte, size)} }})
 	if err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 		size += 350
 		err := opened.Save(make([]byte, size))
 		refused = refused || err != nil
-		if err != nil && (!errors.Is(err, journal.ErrRoom) || size < limit-100) {
+		if err != nil && (!errors.Is(err, wal.ErrRoom) || size < limit-100) {
 			t.Fatalf("%d bytes: %v", size, err)
 		}
 	}
@@ -181,15 +181,15 @@
 			t.Fatalf("a state of %d bytes: %v", size, err)
 		}
 	}
-	if err := opened.Save(nil); !errors.Is(err, journal.ErrLength) {
+	if err := opened.Save(nil); !errors.Is(err, wal.ErrLength) {
 		t.Fatal(err)
 	}
 }
 
 func TestLongFileIsWrittenAnew(t *testing.T) {
-	simulated := disk.New(disk.Options{})
+	simulated := simdisk.New(simdisk.Options{})
 	state := bytes.Repeat([]byte("s"), 1000)
-	opened, _, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return [][]byte{state} }})
+	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return [][]byte{state} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,9 +206,9 @@
 }
 
 func TestFolderKeepsRecords(t *testing.T) {
-	folder := journal.Folder(t.TempDir() + "/new/deep")
+	folder := wal.Folder(t.TempDir() + "/new/deep")
 	for round := range 3 {
-		opened, records, err := journal.Open(journal.Options{Disk: folder, Name: "j", Whole: func() [][]byte { return nil }})
+		opened, records, err := wal.Open(wal.Options{Disk: folder, Name: "j", Whole: func() [][]byte { return nil }})
 		if err != nil || len(records) != round {
 			t.Fatalf("round %d: %d records, %v", round, len(records), err)
 		}
--- a/control/journal/model_test.go
+++ b/control/state/wal/model_test.go
@@ -1,4 +1,4 @@
-package journal_test
+package wal_test
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"pgregory.net/rapid"
 
-	"onyxwell/control/journal"
-	"onyxwell/simulation/disk"
+	"onyxwell/control/state/wal"
+	"onyxwell/simulation/simdisk"
 )
 
 var errRefused = errors.New("model: the disk refuses")
@@ -40,9 +40,9 @@
 type machine struct {
 	t       *rapid.T
 	source  *rand.Rand
-	disk    *disk.Disk
+	disk    *simdisk.Disk
 	voter   *voter
-	opened  *journal.Journal
+	opened  *wal.Journal
 	acked   [3]int
 	handed  [3]int
 	refuses int
@@ -75,7 +75,7 @@
 	for {
 		m.voter = &voter{}
 		own := m.voter
-		opened, records, err := journal.Open(journal.Options{Disk: m.disk.Mount(), Name: "j", Whole: own.whole, Shortest: 300, Limit: 64 << 10})
+		opened, records, err := wal.Open(wal.Options{Disk: m.disk.Mount(), Name: "j", Whole: own.whole, Shortest: 300, Limit: 64 << 10})
 		if err != nil {
 			m.until, m.refuses = -1, 0
 			continue
@@ -128,7 +128,7 @@
 func TestSavedRecordsOutliveEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &machine{t: t, until: -1, source: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
-		machine.disk = disk.New(disk.Options{Pause: machine.pause, Draw: func(odds int) bool { return machine.source.IntN(odds) == 0 }})
+		machine.disk = simdisk.New(simdisk.Options{Pause: machine.pause, Draw: func(odds int) bool { return machine.source.IntN(odds) == 0 }})
 		for range rapid.IntRange(1, 8).Draw(t, "lives") {
 			machine.until = rapid.IntRange(-1, 60).Draw(t, "acts until the end")
 			machine.power = rapid.Bool().Draw(t, "power")
@@ -140,7 +140,7 @@
 			}
 			machine.refuses = 0
 			if rapid.Bool().Draw(t, "goes on") {
-				if err := machine.save(1); err != nil && !errors.Is(err, disk.ErrDead) {
+				if err := machine.save(1); err != nil && !errors.Is(err, simdisk.ErrDead) {
 					t.Fatalf("the trouble is over: %v", err)
 				}
 			}
--- a/control/journal/sizes_test.go
+++ b/control/state/wal/sizes_test.go
@@ -1,4 +1,4 @@
-package journal_test
+package wal_test
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 	"time"
 
 	"onyxwell/base/ids"
-	"onyxwell/control/journal"
-	"onyxwell/control/register"
-	"onyxwell/control/revision"
-	"onyxwell/simulation/disk"
+	"onyxwell/control/config/store"
+	"onyxwell/control/state/register"
+	"onyxwell/control/state/wal"
+	"onyxwell/simulation/simdisk"
 )
 
 // route is one as operators send it, with weights of its own.
@@ -68,16 +68,16 @@
 	source := rand.New(rand.NewPCG(1, 2))
 	// The disk's own time: 120 MB/s and 5 ms a sync, 30 times slower.
 	busy := time.Duration(0)
-	simulated := disk.New(disk.Options{Limit: 64 << 20, Pause: func(act string, bytes int) error {
+	simulated := simdisk.New(simdisk.Options{Limit: 64 << 20, Pause: func(act string, bytes int) error {
 		busy += 30 * time.Duration(bytes) * time.Second / 120e6
-		if act == disk.ActSync || act == disk.ActFolder {
+		if act == simdisk.ActSync || act == simdisk.ActFolder {
 			busy += 30 * 5 * time.Millisecond
 		}
 		return nil
 	}})
-	open := func() (*register.Acceptor, *journal.Journal) {
+	open := func() (*register.Acceptor, *wal.Journal) {
 		var voter *register.Acceptor
-		opened, records, err := journal.Open(journal.Options{Disk: simulated.Mount(), Name: "registers", Limit: 16 << 20, Whole: func() [][]byte { return voter.Whole() }})
+		opened, records, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "registers", Limit: 16 << 20, Whole: func() [][]byte { return voter.Whole() }})
 		if err == nil {
 			voter, err = register.NewAcceptor("a", records)
 		}
@@ -92,7 +92,7 @@
 		b.Fatal(err)
 	}
 	text := document(source, routes)
-	value, err := revision.Change{Whole: true, Body: text}.Step(nil)
+	value, err := store.Change{Whole: true, Body: text}.Step(nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		patch, _ := json.Marshal(map[string]any{"config_version": index + 2, "changes": map[string]any{
 			"routes": []any{route(source, source.IntN(routes), max(2, routes/10))}}})
 		before := processor()
-		next, err := revision.Change{Match: ids.Serial(index + 1), Body: patch}.Step(value)
+		next, err := store.Change{Match: ids.Serial(index + 1), Body: patch}.Step(value)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/control/journal/write.go
+++ b/control/state/wal/write.go
@@ -1,4 +1,4 @@
-package journal
+package wal
 
 import (
 	"errors"
--- a/control/courier/courier_test.go
+++ b/control/transport/courier_test.go
@@ -1,4 +1,4 @@
-package courier
+package transport
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 	"strings"
 	"testing"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/reply"
+	"onyxwell/base/response"
 	"onyxwell/base/scope"
 )
 
@@ -92,19 +92,19 @@
 }
 
 // post sends bytes to a table and gives the status and the kind told.
-func post(calls *call.Table, name string, body []byte) (int, failure.Kind) {
+func post(calls *httpcall.Table, name string, body []byte) (int, errkind.Kind) {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/"+name, bytes.NewReader(body))
 	request.RemoteAddr = "10.0.0.7:4444"
 	calls.ServeHTTP(recorder, request)
-	kind, _ := strconv.Atoi(recorder.Header().Get(reply.KindHeader))
-	return recorder.Code, failure.Kind(kind)
+	kind, _ := strconv.Atoi(recorder.Header().Get(response.KindHeader))
+	return recorder.Code, errkind.Kind(kind)
 }
 
 func TestBadMessagesAreCountedLoggedOnceAndDropped(t *testing.T) {
 	written := &bytes.Buffer{}
 	top := scope.New(scope.Options{Log: scope.Logger("warn", written)})
-	calls, served := call.NewTable(top, 100), 0
+	calls, served := httpcall.NewTable(top, 100), 0
 	gate := here()
 	calls.Gate = gate
 	Handle(calls, "sum", func(scope.Scope, question) (answer, error) { served++; return answer{Sum: 1}, nil })
@@ -115,15 +115,15 @@
 		name, call string
 		body       []byte
 		status     int
-		kind       failure.Kind
+		kind       errkind.Kind
 		flaw       Flaw
 	}{
-		{"torn", "sum", good[:len(good)-2], 400, failure.BadRequest, Torn},
-		{"empty", "sum", nil, 400, failure.BadRequest, Torn},
-		{"another version", "sum", version, 400, failure.BadRequest, Version},
-		{"another deployment", "sum", foreign, 400, failure.BadRequest, Foreign},
-		{"oversized", "sum", append(bytes.Clone(good), make([]byte, 100)...), 413, failure.BodyTooLarge, Oversized},
-		{"unknown", "product", good, 404, failure.UnknownCall, Unknown},
+		{"torn", "sum", good[:len(good)-2], 400, errkind.BadRequest, Torn},
+		{"empty", "sum", nil, 400, errkind.BadRequest, Torn},
+		{"another version", "sum", version, 400, errkind.BadRequest, Version},
+		{"another deployment", "sum", foreign, 400, errkind.BadRequest, Foreign},
+		{"oversized", "sum", append(bytes.Clone(good), make([]byte, 100)...), 413, errkind.BodyTooLarge, Oversized},
+		{"unknown", "product", good, 404, errkind.UnknownCall, Unknown},
 	}
 	for _, example := range cases {
 		for range 3 {
@@ -142,7 +142,7 @@
 		t.Errorf("%d lines:\n%s", lines, written)
 	}
 	for sender := range 2 * toldLimit {
-		gate.Refused(top, fmt.Sprint(sender), failure.Of(failure.BadRequest, "odd"))
+		gate.Refused(top, fmt.Sprint(sender), errkind.Of(errkind.BadRequest, "odd"))
 	}
 	if lines := strings.Count(written.String(), "\n"); lines != toldLimit {
 		t.Errorf("%d lines after many senders", lines)
@@ -151,12 +151,12 @@
 
 func TestAnswerOfAnotherVersionIsCounted(t *testing.T) {
 	top := scope.New(scope.Options{})
-	calls := call.NewTable(top, 100)
+	calls := httpcall.NewTable(top, 100)
 	calls.Gate = here()
 	Handle(calls, "sum", func(scope.Scope, question) (older, error) { return older{Number: 9}, nil })
 	server := httptest.NewServer(calls)
 	defer server.Close()
-	messenger := New(call.Dialing{Limit: clock.Second, Silence: clock.Second})
+	messenger := New(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second})
 	messenger.Gate = here()
 	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
 	if told, err := Send[answer](top, messenger, address, "sum", asking); err == nil || FlawOf(err) != Version {
@@ -168,9 +168,9 @@
 	if totals := messenger.Gate.Totals(); totals["version"] != 1 || totals["torn"] != 0 {
 		t.Fatalf("%v", totals)
 	}
-	stranger := New(call.Dialing{Limit: clock.Second, Silence: clock.Second})
+	stranger := New(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second})
 	stranger.Gate = NewGate(nil)
-	if _, err := Send[older](top, stranger, address, "sum", asking); failure.KindOf(err) != failure.BadRequest {
+	if _, err := Send[older](top, stranger, address, "sum", asking); errkind.KindOf(err) != errkind.BadRequest {
 		t.Fatalf("a foreign message: %v", err)
 	}
 }
--- a/control/courier/gate.go
+++ b/control/transport/gate.go
@@ -1,4 +1,4 @@
-package courier
+package transport
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -48,7 +48,7 @@
 func (f *flawed) Unwrap() error { return f.told }
 
 func flawOf(flaw Flaw, format string, values ...any) error {
-	return &flawed{flaw: flaw, told: failure.Of(failure.BadRequest, "%s: %s", flaw, fmt.Sprintf(format, values...))}
+	return &flawed{flaw: flaw, told: errkind.Of(errkind.BadRequest, "%s: %s", flaw, fmt.Sprintf(format, values...))}
 }
 
 // FlawOf finds what is wrong with a message by the error that refused it.
@@ -57,13 +57,13 @@
 	if errors.As(err, &known) {
 		return known.flaw
 	}
-	if flaw, found := flawOfKind[failure.KindOf(err)]; found {
+	if flaw, found := flawOfKind[errkind.KindOf(err)]; found {
 		return flaw
 	}
 	return Torn
 }
 
-var flawOfKind = map[failure.Kind]Flaw{failure.BodyTooLarge: Oversized, failure.UnknownCall: Unknown}
+var flawOfKind = map[errkind.Kind]Flaw{errkind.BodyTooLarge: Oversized, errkind.UnknownCall: Unknown}
 
 // toldLimit bounds how many pairs of flaw and sender are remembered as logged.
 const toldLimit = 256
--- a/control/courier/schema.go
+++ b/control/transport/schema.go
@@ -1,6 +1,6 @@
-// Package courier carries messages between the system's own daemons: HTTP
+// Package transport carries messages between the system's own daemons: HTTP
 // calls whose bodies are Avro, with a schema that is read off the Go type.
-package courier
+package transport
 
 import (
 	"encoding/json"
--- a/control/courier/tally.go
+++ b/control/transport/tally.go
@@ -1,4 +1,4 @@
-package courier
+package transport
 
 import (
 	"maps"
--- a/control/courier/formtest/formtest.go
+++ b/control/transport/transporttest/golden.go
@@ -1,6 +1,6 @@
-// Package formtest checks that stored values and messages keep their bytes:
+// Package transporttest checks that stored values and messages keep their bytes:
 // what one build stores or sends must be read by every other.
-package formtest
+package transporttest
 
 import (
 	"encoding/hex"
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"onyxwell/control/courier"
+	"onyxwell/control/transport"
 )
 
 var update = flag.Bool("update-forms", false, "write the golden files of forms that have none yet")
@@ -27,7 +27,7 @@
 		var value Form
 		filler := &filler{}
 		filler.fill(reflect.ValueOf(&value).Elem())
-		packed, err := courier.Pack(value)
+		packed, err := transport.Pack(value)
 		if err != nil {
 			t.Fatalf("pack: %v", err)
 		}
@@ -39,14 +39,14 @@
 		if string(packed) != string(golden) {
 			t.Errorf("packs to\n%x, not to\n%x", packed, golden)
 		}
-		unpacked, err := courier.Unpack[Form](golden)
+		unpacked, err := transport.Unpack[Form](golden)
 		if err != nil {
 			t.Fatalf("unpack: %v", err)
 		}
 		if !reflect.DeepEqual(unpacked, value) {
 			t.Errorf("unpacks to\n%+v, not to\n%+v", unpacked, value)
 		}
-		again, err := courier.Pack(unpacked)
+		again, err := transport.Pack(unpacked)
 		if err != nil || string(again) != string(golden) {
 			t.Errorf("packs again to %x, %v", again, err)
 		}
@@ -108,7 +108,7 @@
 			f.fill(value.Field(index))
 		}
 	default:
-		panic(fmt.Sprintf("formtest: %s has no form", value.Type()))
+		panic(fmt.Sprintf("transporttest: %s has no form", value.Type()))
 	}
 }
 
--- a/data/admit/admit_test.go
+++ b/data/balancer/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package balancer
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
+	"onyxwell/control/config"
 	"onyxwell/control/discovery"
-	"onyxwell/control/scaler"
-	"onyxwell/control/spec"
-	"onyxwell/data/metrics"
+	"onyxwell/control/planning/autoscaler"
+	"onyxwell/data/runnerstats"
 	"onyxwell/data/snapshot"
 )
 
@@ -80,7 +80,7 @@
 func TestPlanDecidesTheRegion(t *testing.T) {
 	found := some(1, 1)
 	found[1].runner.Region = "south"
-	decision := &Decision{service: "s", asking: Asking{Route: &spec.Route{}}}
+	decision := &Decision{service: "s", asking: Asking{Route: &config.Route{}}}
 	count := func(seen *snapshot.Snapshot) int {
 		north := 0
 		for step := range 100 {
@@ -94,7 +94,7 @@
 	if got := count(&snapshot.Snapshot{}); got != 100 {
 		t.Errorf("without a plan %d of 100 stay", got)
 	}
-	flows := []scaler.Flow{
+	flows := []autoscaler.Flow{
 		{Service: "s", Origin: "north", Target: "north", Share: 0.7}, {Service: "s", Origin: "north", Target: "south", Share: 0.3},
 		{Service: "s", Origin: "south", Target: "south", Share: 1},
 	}
@@ -122,12 +122,12 @@
 // TestNobodyIsLetInToBeLate has requests wait at runners for ever longer: those
 // where the next would be late are left out, one that waits alone is no sign.
 func TestNobodyIsLetInToBeLate(t *testing.T) {
-	machine, board := clock.NewFake(), metrics.NewBoard()
+	machine, board := clock.NewFake(), runnerstats.NewBoard()
 	gate := NewGate(Options{Board: board})
-	route := &spec.Route{GoalMS: 1000, Urgency: 1}
+	route := &config.Route{GoalMS: 1000, Urgency: 1}
 	found := some(1, 1, 1)
 	send := func(id ids.RunnerID, number uint64, urgency int) {
-		board.Sent(id, metrics.Sending{Number: number, Urgency: urgency}, machine.Now())
+		board.Sent(id, runnerstats.Sending{Number: number, Urgency: urgency}, machine.Now())
 	}
 	send("i0", 1, 1)
 	send("i0", 2, 1)
@@ -142,7 +142,7 @@
 	if len(kept) != 2 || kept[0].runner.ID != "i1" || kept[1].runner.ID != "i2" {
 		t.Fatalf("%d kept", len(kept))
 	}
-	if kept := gate.timely(&spec.Route{}, found, machine.Now()); len(kept) != 3 {
+	if kept := gate.timely(&config.Route{}, found, machine.Now()); len(kept) != 3 {
 		t.Fatal("a route without a goal is held to one")
 	}
 }
--- a/data/admit/affinity_test.go
+++ b/data/balancer/affinity_test.go
@@ -1,4 +1,4 @@
-package admit
+package balancer
 
 import (
 	"fmt"
--- a/data/admit/choose.go
+++ b/data/balancer/choose.go
@@ -1,12 +1,12 @@
-package admit
+package balancer
 
 import (
 	"math"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/lengths"
-	"onyxwell/control/spec"
+	"onyxwell/control/config"
+	"onyxwell/control/planning/lengthstats"
 	"onyxwell/data/snapshot"
 )
 
@@ -16,7 +16,7 @@
 	weight float64
 	// load is how many requests it has for each that it can run at once.
 	load  float64
-	group lengths.Class
+	group lengthstats.Class
 }
 
 // choose picks the runner for the next sending. Where none is open now but one
@@ -52,7 +52,7 @@
 
 // candidates are the runners that are listed, at home, open, awake and within
 // what cold ones may get.
-func (g *Gate) candidates(seen *snapshot.Snapshot, service *spec.Service, decision *Decision, now clock.Instant) ([]candidate, clock.Span) {
+func (g *Gate) candidates(seen *snapshot.Snapshot, service *config.Service, decision *Decision, now clock.Instant) ([]candidate, clock.Span) {
 	var found, resting []candidate
 	soon := clock.Span(0)
 	route := decision.asking.Route
@@ -104,7 +104,7 @@
 }
 
 // connections is this router's part of the connections that a runner accepts.
-func (g *Gate) connections(service *spec.Service) float64 {
+func (g *Gate) connections(service *config.Service) float64 {
 	if service == nil || service.MaxConnections <= 0 {
 		return math.Inf(1)
 	}
@@ -121,7 +121,7 @@
 // timely leaves out the runners at which requests of the same urgency have
 // waited so long that another would miss its goal. Where that is all of them,
 // what is let in would only make everybody late.
-func (g *Gate) timely(route *spec.Route, found []candidate, now clock.Instant) []candidate {
+func (g *Gate) timely(route *config.Route, found []candidate, now clock.Instant) []candidate {
 	if route.GoalMS <= 0 {
 		return found
 	}
--- a/data/admit/decision.go
+++ b/data/balancer/decision.go
@@ -1,11 +1,11 @@
-package admit
+package balancer
 
 import (
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/data/forward"
 	"onyxwell/data/snapshot"
+	"onyxwell/data/upstream"
 )
 
 // Act is what the executor is to do next.
@@ -26,7 +26,7 @@
 	Act    Act
 	Runner *snapshot.Runner
 	Span   clock.Span
-	Kind   failure.Kind
+	Kind   errkind.Kind
 }
 
 // Decision is the state of one request on its way.
@@ -51,14 +51,14 @@
 // Ask tells what to do next.
 func (d *Decision) Ask(now clock.Instant) Order {
 	if !now.Before(d.asking.Limit) {
-		return d.finally(failure.LimitBeforeRun, failure.LimitReached)
+		return d.finally(errkind.LimitBeforeRun, errkind.LimitReached)
 	}
 	route := d.asking.Route
 	if d.ran && !route.Repeatable() {
-		return d.finally(failure.RunnerLost, failure.RunnerLost)
+		return d.finally(errkind.RunnerLost, errkind.RunnerLost)
 	}
 	if d.sends >= max(1, route.Tries) {
-		return d.finally(failure.Crowded, failure.RunnerLost)
+		return d.finally(errkind.Crowded, errkind.RunnerLost)
 	}
 	runner, pause := d.gate.choose(d, now)
 	if runner == nil {
@@ -66,25 +66,25 @@
 		if pause > 0 && now.Add(pause).Since(d.asking.Since) < route.Goal()/4 {
 			return Order{Act: Wait, Span: pause}
 		}
-		promise := failure.NoRunner
+		promise := errkind.NoRunner
 		if d.crowded {
-			promise = failure.Crowded
+			promise = errkind.Crowded
 		}
-		return d.finally(promise, failure.RunnerLost)
+		return d.finally(promise, errkind.RunnerLost)
 	}
 	if d.arrived && !d.gate.options.Budget.Spend(d.service, now) {
-		return d.finally(failure.BudgetSpent, failure.RunnerLost)
+		return d.finally(errkind.BudgetSpent, errkind.RunnerLost)
 	}
 	return Order{Act: Send, Runner: runner}
 }
 
 // finally picks the last answer: a promise only where nothing can have run.
-func (d *Decision) finally(promise failure.Kind, broken failure.Kind) Order {
+func (d *Decision) finally(promise errkind.Kind, broken errkind.Kind) Order {
 	if !d.ran {
 		return Order{Act: Answer, Kind: promise}
 	}
-	if d.garbled && broken == failure.RunnerLost {
-		broken = failure.RunnerGarbled
+	if d.garbled && broken == errkind.RunnerLost {
+		broken = errkind.RunnerGarbled
 	}
 	return Order{Act: Answer, Kind: broken}
 }
@@ -101,13 +101,13 @@
 }
 
 // Tell notes the fate of a sending.
-func (d *Decision) Tell(runner *snapshot.Runner, fate forward.Fate) {
+func (d *Decision) Tell(runner *snapshot.Runner, fate upstream.Fate) {
 	d.tried[runner.ID] = true
-	if fate == forward.Unsent {
+	if fate == upstream.Unsent {
 		return
 	}
 	d.sends++
 	d.arrived = true
-	d.ran = d.ran || fate != forward.Refused
-	d.garbled = fate == forward.Garbled
+	d.ran = d.ran || fate != upstream.Refused
+	d.garbled = fate == upstream.Garbled
 }
--- a/data/admit/gate.go
+++ b/data/balancer/gate.go
@@ -1,6 +1,6 @@
-// Package admit decides what becomes of a request: which runner it goes to,
+// Package balancer decides what becomes of a request: which runner it goes to,
 // whether it waits, or how it is answered. It is asked; the executor obeys.
-package admit
+package balancer
 
 import (
 	"strconv"
@@ -9,21 +9,21 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/lengths"
-	"onyxwell/control/spec"
-	"onyxwell/data/budget"
-	"onyxwell/data/metrics"
+	"onyxwell/control/config"
+	"onyxwell/control/planning/lengthstats"
+	"onyxwell/data/retrybudget"
+	"onyxwell/data/runnerstats"
+	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
-	"onyxwell/data/warmth"
 )
 
 // Options are what a gate is made from.
 type Options struct {
 	Scope  scope.Scope
 	Frame  *snapshot.Frame
-	Board  *metrics.Board
-	Budget *budget.Budget
-	Warmth *warmth.Warmth
+	Board  *runnerstats.Board
+	Budget *retrybudget.Budget
+	Warmth *slowstart.Warmth
 	Region ids.Region
 	// Sharers gives among how many routers the rate of a cold runner in a zone is
 	// shared; zero where it is not this router's to serve.
@@ -48,7 +48,7 @@
 
 // Asking is what is known of a request when it is let in.
 type Asking struct {
-	Route *spec.Route
+	Route *config.Route
 	// Parts are the ids of the prompt's parts, the own part last; Tokens counts
 	// all of them, Shared those before the own part. Bytes is the body's length.
 	Parts  []string
@@ -86,9 +86,9 @@
 }
 
 // Kind is what the request is told apart by before it runs.
-func (d *Decision) Kind() lengths.Kind {
-	return lengths.Kind{
-		Service: d.service, Route: d.asking.Route.Name, Bucket: lengths.BucketOf(d.asking.Length),
+func (d *Decision) Kind() lengthstats.Kind {
+	return lengthstats.Kind{
+		Service: d.service, Route: d.asking.Route.Name, Bucket: lengthstats.BucketOf(d.asking.Length),
 	}
 }
 
@@ -103,7 +103,7 @@
 }
 
 // service picks one of the route's services by their weights.
-func (g *Gate) service(route *spec.Route) ids.Service {
+func (g *Gate) service(route *config.Route) ids.Service {
 	parts := route.Parts()
 	total := 0.0
 	for _, part := range parts {
@@ -118,7 +118,7 @@
 	return parts[len(parts)-1].Service
 }
 
-func homesKey(route *spec.Route) string {
+func homesKey(route *config.Route) string {
 	key := ""
 	for _, home := range route.Homes {
 		key += string(home) + ","
@@ -130,9 +130,9 @@
 	return g.options.Lost != nil && g.options.Lost(zone)
 }
 
-func (g *Gate) bound(service *spec.Service, zone ids.Zone) warmth.Bound {
+func (g *Gate) bound(service *config.Service, zone ids.Zone) slowstart.Bound {
 	if service == nil {
-		return warmth.Bound{}
+		return slowstart.Bound{}
 	}
-	return warmth.Bound{PerS: service.ColdPerS, Sharers: g.options.Sharers(zone)}
+	return slowstart.Bound{PerS: service.ColdPerS, Sharers: g.options.Sharers(zone)}
 }
--- a/data/admit/group.go
+++ b/data/balancer/group.go
@@ -1,7 +1,7 @@
-package admit
+package balancer
 
 import (
-	"onyxwell/control/lengths"
+	"onyxwell/control/planning/lengthstats"
 	"onyxwell/data/snapshot"
 )
 
@@ -20,12 +20,12 @@
 // and never refuses.
 func (g *Gate) group(seen *snapshot.Snapshot, decision *Decision, found []candidate) []candidate {
 	class := seen.Lengths.Class(decision.Kind())
-	if class == lengths.Unknown {
+	if class == lengthstats.Unknown {
 		return found
 	}
 	var own, others []candidate
 	for _, able := range found {
-		if able.group == lengths.Unknown || able.group == class {
+		if able.group == lengthstats.Unknown || able.group == class {
 			own = append(own, able)
 		} else {
 			others = append(others, able)
@@ -35,9 +35,9 @@
 		return found
 	}
 	here, there := leastLoad(own), leastLoad(others)
-	borrows := map[lengths.Class]bool{
-		lengths.Short: here > there+shortBorrows,
-		lengths.Long:  here > longBorrows*there+longSlack,
+	borrows := map[lengthstats.Class]bool{
+		lengthstats.Short: here > there+shortBorrows,
+		lengthstats.Long:  here > longBorrows*there+longSlack,
 	}
 	if borrows[class] {
 		return found
--- a/data/answer/answer_test.go
+++ b/data/proxy/answer_test.go
@@ -1,15 +1,15 @@
-package answer
+package proxy
 
 import (
 	"onyxwell/base/clock"
 	"strings"
 	"testing"
 
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 func TestPlainAnswerIsTheRunners(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "seal-1", "whole"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "seal-1", "whole"))
 	got := newHouse(t, 10, runner).ask("/safe/x?y=1", "body")
 	if got.status != 200 || got.body != "whole" || got.header.Get("Onyxwell-Server-Seal") != "seal-1" || got.header.Get("Onyxwell-Attempt-Id") != "v1" {
 		t.Fatalf("%+v", got)
@@ -20,7 +20,7 @@
 }
 
 func TestBadInputIsNamed(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	cases := []struct {
 		path, body, head string
@@ -47,38 +47,38 @@
 	cases := []struct {
 		name   string
 		path   string
-		step   script.Step
+		step   upstreamtest.Step
 		status int
 		second bool
 	}{
-		{"full, plain", "/safe/x", script.Refuse(503), 200, true},
-		{"full, once", "/once/x", script.Refuse(503), 200, true},
-		{"another life, once", "/once/x", script.Refuse(421), 200, true},
-		{"hangs up, plain", "/safe/x", script.Hangup(), 200, true},
-		{"hangs up, once", "/once/x", script.Hangup(), 502, false},
-		{"no promise, once", "/once/x", script.Plain(503, "s", "x"), 502, false},
-		{"garbage, once", "/once/x", script.Raw("nonsense\r\n\r\n", false), 502, false},
-		{"another's answer, once", "/once/x", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), 502, false},
-		{"short body, plain", "/safe/x", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false), 200, true},
-		{"short body, once", "/once/x", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false), 502, false},
-		{"own failure, once", "/once/x", script.Plain(500, "s", "broken"), 500, false},
-		{"reset at no byte, once", "/once/x", script.Reset(""), 502, false},
-		{"reset at one byte, once", "/once/x", script.Reset("H"), 502, false},
-		{"reset at one byte, plain", "/safe/x", script.Reset("H"), 200, true},
-		{"ends with the connection, plain", "/safe/x", script.Raw(sealedHead+"\r\nwhole", false), 200, false},
-		{"ends with the connection, once", "/once/x", script.Raw(sealedHead+"\r\nwhole", false), 200, false},
-		{"ends with a reset, plain", "/safe/x", script.Reset(sealedHead + "\r\nha"), 200, true},
-		{"ends with a reset, once", "/once/x", script.Reset(sealedHead + "\r\nha"), 502, false},
-		{"ends with the connection, stream", "/stream/x", script.Raw(sealedHead+"\r\nid: 1\n\n", false), 200, false},
-		{"ends before an event, stream", "/stream/x", script.Raw(sealedHead+"\r\nid: 1\n", false), 502, false},
-		{"ends with a reset, stream", "/stream/x", script.Reset(sealedHead + "\r\nid: 1\n"), 502, false},
-		{"stream not begun", "/stream/x", script.Hangup(), 502, false},
-		{"stream full", "/stream/x", script.Refuse(503), 200, true},
+		{"full, plain", "/safe/x", upstreamtest.Refuse(503), 200, true},
+		{"full, once", "/once/x", upstreamtest.Refuse(503), 200, true},
+		{"another life, once", "/once/x", upstreamtest.Refuse(421), 200, true},
+		{"hangs up, plain", "/safe/x", upstreamtest.Hangup(), 200, true},
+		{"hangs up, once", "/once/x", upstreamtest.Hangup(), 502, false},
+		{"no promise, once", "/once/x", upstreamtest.Plain(503, "s", "x"), 502, false},
+		{"garbage, once", "/once/x", upstreamtest.Raw("nonsense\r\n\r\n", false), 502, false},
+		{"another's answer, once", "/once/x", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), 502, false},
+		{"short body, plain", "/safe/x", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false), 200, true},
+		{"short body, once", "/once/x", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false), 502, false},
+		{"own failure, once", "/once/x", upstreamtest.Plain(500, "s", "broken"), 500, false},
+		{"reset at no byte, once", "/once/x", upstreamtest.Reset(""), 502, false},
+		{"reset at one byte, once", "/once/x", upstreamtest.Reset("H"), 502, false},
+		{"reset at one byte, plain", "/safe/x", upstreamtest.Reset("H"), 200, true},
+		{"ends with the connection, plain", "/safe/x", upstreamtest.Raw(sealedHead+"\r\nwhole", false), 200, false},
+		{"ends with the connection, once", "/once/x", upstreamtest.Raw(sealedHead+"\r\nwhole", false), 200, false},
+		{"ends with a reset, plain", "/safe/x", upstreamtest.Reset(sealedHead + "\r\nha"), 200, true},
+		{"ends with a reset, once", "/once/x", upstreamtest.Reset(sealedHead + "\r\nha"), 502, false},
+		{"ends with the connection, stream", "/stream/x", upstreamtest.Raw(sealedHead+"\r\nid: 1\n\n", false), 200, false},
+		{"ends before an event, stream", "/stream/x", upstreamtest.Raw(sealedHead+"\r\nid: 1\n", false), 502, false},
+		{"ends with a reset, stream", "/stream/x", upstreamtest.Reset(sealedHead + "\r\nid: 1\n"), 502, false},
+		{"stream not begun", "/stream/x", upstreamtest.Hangup(), 502, false},
+		{"stream full", "/stream/x", upstreamtest.Refuse(503), 200, true},
 	}
 	for _, example := range cases {
-		finish := script.Plain(200, "good", "good")
+		finish := upstreamtest.Plain(200, "good", "good")
 		if strings.HasPrefix(example.path, "/stream/") {
-			finish = script.Events("good", 1, 2, true)
+			finish = upstreamtest.Events("good", 1, 2, true)
 		}
 		house, bad, good := pair(t, 10, example.step, finish)
 		got := house.ask(example.path, "x")
@@ -89,7 +89,7 @@
 }
 
 func TestBudgetIsOneForAll(t *testing.T) {
-	bad := []*script.Runner{script.Start(t, script.Hangup()), script.Start(t, script.Hangup())}
+	bad := []*upstreamtest.Runner{upstreamtest.Start(t, upstreamtest.Hangup()), upstreamtest.Start(t, upstreamtest.Hangup())}
 	house := newHouse(t, 1, bad...)
 	if got := house.ask("/safe/x", "x"); got.status != 502 || arrivals(bad...) != 2 {
 		t.Fatalf("%d after %d arrivals", got.status, arrivals(bad...))
@@ -102,7 +102,7 @@
 }
 
 func TestHomesBind(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	if got := house.ask("/home/x", "x"); got.status != 503 || arrivals(runner) != 0 {
 		t.Fatalf("%d: a runner away from home got the request", got.status)
@@ -115,7 +115,7 @@
 }
 
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.empty("n", 1, true)
 	if got := house.ask("/safe/x", "x"); got.status != 503 || got.header.Get("Retry-After") == "" || arrivals(runner) != 0 {
@@ -128,7 +128,7 @@
 }
 
 func TestLeavingClosesAfterTheAnswer(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.front.Leave(house.clock.Now())
 	if got := house.ask("/safe/x", "x"); got.status != 200 || !got.closing {
@@ -140,7 +140,7 @@
 // connection of an age that nobody tried: it goes to the same runner on a new
 // one, and the runner stands as well as before.
 func TestOldConnectionDoubtsNobody(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.clock.Move(clock.Second)
 	for range 3 {
@@ -161,7 +161,7 @@
 // TestLeavingFrontTakesNoLateRequest turns away, with a promise, what comes too
 // late to be finished before the process ends.
 func TestLeavingFrontTakesNoLateRequest(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.front.Leave(house.clock.Now().Add(clock.Second))
 	house.clock.Move(clock.Second + clock.Millisecond)
--- a/data/answer/carry.go
+++ b/data/proxy/carry.go
@@ -1,28 +1,28 @@
-package answer
+package proxy
 
 import (
 	"net/http"
 	"strconv"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/control/lengths"
-	"onyxwell/control/spec"
-	"onyxwell/data/admit"
-	"onyxwell/data/forward"
-	"onyxwell/data/metrics"
+	"onyxwell/base/settings"
+	"onyxwell/control/config"
+	"onyxwell/control/planning/lengthstats"
+	"onyxwell/data/balancer"
+	"onyxwell/data/runnerstats"
 	"onyxwell/data/snapshot"
+	"onyxwell/data/upstream"
 )
 
 // acts are what the executor can do; each tells whether the visit is over.
-var acts = map[admit.Act]func(*visit, scope.Scope, *admit.Decision, admit.Order) bool{
-	admit.Send: (*visit).send,
-	admit.Wait: func(visit *visit, inner scope.Scope, _ *admit.Decision, order admit.Order) bool {
+var acts = map[balancer.Act]func(*visit, scope.Scope, *balancer.Decision, balancer.Order) bool{
+	balancer.Send: (*visit).send,
+	balancer.Wait: func(visit *visit, inner scope.Scope, _ *balancer.Decision, order balancer.Order) bool {
 		inner.Wait(order.Span)
 		return false
 	},
-	admit.Answer: func(visit *visit, _ scope.Scope, decision *admit.Decision, order admit.Order) bool {
+	balancer.Answer: func(visit *visit, _ scope.Scope, decision *balancer.Decision, order balancer.Order) bool {
 		visit.refuse(order.Kind, "")
 		visit.reason = "left out: " + decision.LeftOut().String()
 		return true
@@ -47,7 +47,7 @@
 }
 
 // send takes the request to a runner and its answer to the visitor.
-func (v *visit) send(ctx scope.Scope, decision *admit.Decision, order admit.Order) bool {
+func (v *visit) send(ctx scope.Scope, decision *balancer.Decision, order balancer.Order) bool {
 	if v.begun && !v.known {
 		// What was passed on had no ids, so that no other run can go on after it.
 		v.abort()
@@ -57,7 +57,7 @@
 	if !decision.Holds(runner, begin) {
 		return false
 	}
-	trip := forward.Trip{
+	trip := upstream.Trip{
 		Request: v.sent, Runner: runner.ID, Address: runner.Address,
 		Left: v.limit.Since(begin), Urgency: v.route.Urgency,
 		Service: decision.Service(), Once: !v.route.Repeatable(),
@@ -68,15 +68,15 @@
 	}
 	v.checkSending(runner, trip.Left, begin)
 	number := v.front.number.Add(1)
-	options.Board.Sent(runner.ID, metrics.Sending{
+	options.Board.Sent(runner.ID, runnerstats.Sending{
 		Service: decision.Service(), Number: number, Tokens: v.asking.Tokens, Urgency: v.route.Urgency,
 		Goal: v.route.Goal(),
 	}, begin)
-	ending := metrics.Ending{Number: number, Tokens: v.asking.Tokens}
+	ending := runnerstats.Ending{Number: number, Tokens: v.asking.Tokens}
 	result := options.Sender.Send(ctx, trip)
 	v.hear(runner, result.Response)
 	fate, over, slow := result.Fate, false, 0.0
-	if result.Fate == forward.Answered {
+	if result.Fate == upstream.Answered {
 		ending.Began = true
 		first := ctx.Now()
 		if first.Since(v.since) > v.route.Goal()/slowPart {
@@ -91,7 +91,7 @@
 		discard(ctx, result.Response)
 	}
 	now := ctx.Now()
-	ending.Finished = fate == forward.Answered
+	ending.Finished = fate == upstream.Answered
 	ending.Spent = now.Since(begin)
 	cause := result.Cause
 	if result.Fate != fate {
@@ -105,7 +105,7 @@
 		options.Board.Took(v.answered(decision, ending.Spent, slow))
 	}
 	late := v.gone || v.request.Context().Err() != nil || !now.Before(v.limit)
-	ending.Broken = fate != forward.Answered && broken(result, late, ending, v.route)
+	ending.Broken = fate != upstream.Answered && broken(result, late, ending, v.route)
 	options.Board.Ended(runner.ID, ending, now)
 	if !result.Stale {
 		decision.Tell(runner, fate)
@@ -129,7 +129,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		forward.Discard(response)
+		upstream.Discard(response)
 	}()
 	select {
 	case <-done:
@@ -141,8 +141,8 @@
 const slowPart = 4
 
 // answered is what the length of answers is learnt from.
-func (v *visit) answered(decision *admit.Decision, spent clock.Span, slow float64) lengths.Sum {
-	return lengths.Sum{
+func (v *visit) answered(decision *balancer.Decision, spent clock.Span, slow float64) lengthstats.Sum {
+	return lengthstats.Sum{
 		Kind: decision.Kind(), Count: 1, SpentMS: float64(spent) / float64(clock.Millisecond),
 		Tokens: max(0, v.asking.Tokens-v.asking.Shared), Slow: slow,
 	}
@@ -152,11 +152,11 @@
 // a request away is well; one that was silent for longer than an answer's goal
 // is not. Nothing was sent on a kept connection that was too old, or for want of
 // this machine's own descriptors: that says nothing of the runner.
-func broken(result forward.Result, late bool, ending metrics.Ending, route *spec.Route) bool {
+func broken(result upstream.Result, late bool, ending runnerstats.Ending, route *config.Route) bool {
 	if result.Stale || result.Local {
 		return false
 	}
-	if result.Fate == forward.Refused {
+	if result.Fate == upstream.Refused {
 		return result.Response.StatusCode == http.StatusMisdirectedRequest
 	}
 	if late {
@@ -171,10 +171,10 @@
 		return
 	}
 	now := v.front.options.Scope.Now()
-	if load := response.Header.Get(forward.LoadHeader); load != "" {
+	if load := response.Header.Get(upstream.LoadHeader); load != "" {
 		v.front.options.Board.Told(runner.ID, load, now)
 	}
-	if left, err := strconv.ParseFloat(response.Header.Get(forward.ColdHeader), 64); err == nil && left > 0 {
-		v.front.options.Warmth.Chill(runner.ID, now.Add(boot.Milliseconds(left)), now)
+	if left, err := strconv.ParseFloat(response.Header.Get(upstream.ColdHeader), 64); err == nil && left > 0 {
+		v.front.options.Warmth.Chill(runner.ID, now.Add(settings.Milliseconds(left)), now)
 	}
 }
--- a/data/answer/descriptors_test.go
+++ b/data/proxy/descriptors_test.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"bufio"
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"onyxwell/base/boot"
-	"onyxwell/data/script"
+	"onyxwell/base/settings"
+	"onyxwell/data/upstreamtest"
 )
 
 // TestClientsLeaveDescriptorsForRunners has more clients come than a router has
 // descriptors for: some are kept waiting, none takes those that requests to
 // runners need, and connections are not kept while it is crowded.
 func TestClientsLeaveDescriptorsForRunners(t *testing.T) {
-	house := newHouseOn(t, &boot.Boot{Limits: boot.Limits{OpenFiles: 208}}, 0, script.Start(t, script.Plain(200, "s", "ok")))
+	house := newHouseOn(t, &settings.Boot{Limits: settings.Limits{OpenFiles: 208}}, 0, upstreamtest.Start(t, upstreamtest.Plain(200, "s", "ok")))
 	const most, clients = 4, 7
 	type got struct {
 		closing bool
--- a/data/answer/door.go
+++ b/data/proxy/door.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"sync/atomic"
 	"time"
 
-	"onyxwell/base/call"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
+	"onyxwell/base/httpcall"
 )
 
 // NewServer makes the server of a front. What it can't read gets a 4xx and a
 // closed connection; nothing is answered past the front. How long heads and
 // rests may take is up to the configuration in force.
 func NewServer(front *Front) *http.Server {
-	server := call.Server(front, asTheConnectionSays, asTheConnectionSays)
+	server := httpcall.Server(front, asTheConnectionSays, asTheConnectionSays)
 	server.ConnState = func(link net.Conn, state http.ConnState) {
 		if watched, known := link.(*watched); known {
 			rests(watched, state)
@@ -190,7 +190,7 @@
 // odd tells what is wrong with a request's head, beyond what net/http refuses.
 func odd(request *http.Request) error {
 	if reason := oddTarget(request); reason != "" {
-		return failure.Of(failure.BadRequest, "%s", reason)
+		return errkind.Of(errkind.BadRequest, "%s", reason)
 	}
 	link, known := request.Context().Value(watchedKey{}).(*watched)
 	if !known {
@@ -198,11 +198,11 @@
 	}
 	torn, seen := link.torn()
 	if torn {
-		return failure.Of(failure.BadRequest, "the body's length is told twice")
+		return errkind.Of(errkind.BadRequest, "the body's length is told twice")
 	}
 	if !seen && len(request.TransferEncoding) > 0 {
 		// Beside the chunks there may have been a length. By itself it is proper.
-		return failure.Of(failure.SentAhead, "")
+		return errkind.Of(errkind.SentAhead, "")
 	}
 	return nil
 }
--- a/data/answer/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"bufio"
@@ -8,11 +8,11 @@
 	"strings"
 	"testing"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/scope"
-	"onyxwell/control/spec"
-	"onyxwell/data/forward"
-	"onyxwell/data/script"
+	"onyxwell/base/settings"
+	"onyxwell/control/config"
+	"onyxwell/data/upstream"
+	"onyxwell/data/upstreamtest"
 )
 
 const sealedHead = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n"
@@ -20,9 +20,9 @@
 // TestStreamWithALengthGoesOnElsewhere has the rest of a stream come from a run
 // whose events are longer: the first one's length must not end it early.
 func TestStreamWithALengthGoesOnElsewhere(t *testing.T) {
-	first := script.Raw(sealedHead+"Content-Length: 63\r\n\r\n"+events(1, 1), false)
+	first := upstreamtest.Raw(sealedHead+"Content-Length: 63\r\n\r\n"+events(1, 1), false)
 	longer := "id: 2\ndata: token 2 token 2 token 2 token\n\n"
-	second := script.Raw(sealedHead+"Content-Length: 64\r\n\r\n"+longer+events(3, 3), true)
+	second := upstreamtest.Raw(sealedHead+"Content-Length: 64\r\n\r\n"+longer+events(3, 3), true)
 	house, _, _ := pair(t, 10, first, second)
 	if got := house.ask("/again/x", "x"); got.err != nil || got.body != events(1, 1)+longer+events(3, 3) {
 		t.Fatalf("%+v", got)
@@ -32,8 +32,8 @@
 // TestStreamWithoutIdsDoesNotGoOn has a runner break off after events that have
 // no id: another run would say them again.
 func TestStreamWithoutIdsDoesNotGoOn(t *testing.T) {
-	house, _, two := pair(t, 10, script.Raw(sealedHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
-		script.Raw(sealedHead+"Content-Length: 18\r\n\r\ndata: a\n\ndata: b\n\n", true))
+	house, _, two := pair(t, 10, upstreamtest.Raw(sealedHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
+		upstreamtest.Raw(sealedHead+"Content-Length: 18\r\n\r\ndata: a\n\ndata: b\n\n", true))
 	if got := house.ask("/again/x", "x"); got.err == nil || strings.Count(got.body, "data: a") > 1 {
 		t.Fatalf("%+v after %d further runs", got, len(two.Seen()))
 	}
@@ -51,11 +51,11 @@
 // HTTP/1.0, to whom the connection's end is the stream's: it must be a reset.
 func TestBrokenStreamToAnOldClient(t *testing.T) {
 	text := "POST /stream/x HTTP/1.0\r\n" + hostLine + badLine + "Content-Length: 1\r\n\r\nx"
-	whole := newHouse(t, 10, script.Start(t, script.Events("s", 1, 2, true)))
+	whole := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.Events("s", 1, 2, true)))
 	if got, err := whole.raw(text); err != nil || !strings.HasSuffix(got, events(1, 2)) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	broken := newHouse(t, 10, script.Start(t, script.Events("s", 1, 2, false)))
+	broken := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.Events("s", 1, 2, false)))
 	if got, err := broken.raw(text); err == nil {
 		t.Fatalf("looks whole: %q", got)
 	}
@@ -64,7 +64,7 @@
 // TestHeadTellsTheRunnersLength asks for a head alone.
 func TestHeadTellsTheRunnersLength(t *testing.T) {
 	for path, frame := range map[string]string{"/safe/x": "Content-Length: 7\r\n", "/stream/x": "Content-Length: 7\r\n", "/once/x": ""} {
-		runner := script.Start(t, script.Raw(sealedHead+frame+"\r\n", true))
+		runner := upstreamtest.Start(t, upstreamtest.Raw(sealedHead+frame+"\r\n", true))
 		link := newHouse(t, 10, runner).dial()
 		_, _ = io.WriteString(link, "HEAD "+path+" HTTP/1.1\r\n"+hostLine+badLine+"\r\n")
 		answer, err := http.ReadResponse(bufio.NewReader(link), &http.Request{Method: "HEAD"})
@@ -77,7 +77,7 @@
 // TestExpectationIsMetHere has a client wait for the word that its body is
 // wanted: the router gives it, and no runner is asked for it again.
 func TestExpectationIsMetHere(t *testing.T) {
-	runner := script.Start(t, script.Raw("HTTP/1.1 103 Early Hints\r\n\r\n"+sealedHead+"Content-Length: 2\r\n\r\nok", true))
+	runner := upstreamtest.Start(t, upstreamtest.Raw("HTTP/1.1 103 Early Hints\r\n\r\n"+sealedHead+"Content-Length: 2\r\n\r\nok", true))
 	link := newHouse(t, 10, runner).dial()
 	reader := bufio.NewReader(link)
 	for _, body := range []string{"content-length: 1\ncontent-length: 2\n\n", "ok"} {
@@ -103,7 +103,7 @@
 // what stands in the body is no request, and the one behind it is answered.
 func TestUnreadBodyIsNotARequest(t *testing.T) {
 	for _, expects := range []string{"", "Expect: 100-continue\r\n"} {
-		runner := script.Start(t, script.Plain(200, "s", "x"))
+		runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 		link := newHouse(t, 10, runner).dial()
 		reader := bufio.NewReader(link)
 		_, _ = io.WriteString(link, "POST /nowhere HTTP/1.1\r\n"+hostLine+badLine+expects+fmt.Sprintf("Content-Length: %d\r\n\r\n", len(inner)))
@@ -134,7 +134,7 @@
 		status int
 	}{{good, 200}, {fmt.Sprintf(chunks, ""), 503}, {fmt.Sprintf(chunks, "Content-Length: 5\r\n"), 503}}
 	for _, example := range cases {
-		runner := script.Start(t, script.Plain(200, "s", "x"))
+		runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 		link := newHouse(t, 10, runner).dial()
 		_, _ = io.WriteString(link, good+example.second+good)
 		reader := bufio.NewReader(link)
@@ -162,10 +162,10 @@
 
 // TestEndlessAnswerIsGarbled has a runner send more than a router may hold.
 func TestEndlessAnswerIsGarbled(t *testing.T) {
-	top := scope.New(scope.Options{Boot: &boot.Boot{Limits: boot.Limits{MemoryMB: 8}}})
-	visit := &visit{front: NewFront(Options{Scope: top}), route: &spec.Route{}}
+	top := scope.New(scope.Options{Boot: &settings.Boot{Limits: settings.Limits{MemoryMB: 8}}})
+	visit := &visit{front: NewFront(Options{Scope: top}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
-		if fate, over := visit.pass(top, nil, &http.Response{StatusCode: 200, Body: endless{}, ContentLength: length}); fate != forward.Garbled || over {
+		if fate, over := visit.pass(top, nil, &http.Response{StatusCode: 200, Body: endless{}, ContentLength: length}); fate != upstream.Garbled || over {
 			t.Errorf("length %d: %v, %v", length, fate, over)
 		}
 	}
--- a/data/answer/front.go
+++ b/data/proxy/front.go
@@ -1,34 +1,34 @@
-// Package answer is the visitor's side of a router: it reads requests, asks
+// Package proxy is the visitor's side of a router: it reads requests, asks
 // the decision what to do, obeys, and answers.
-package answer
+package proxy
 
 import (
 	"net/http"
 	"sync/atomic"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/invariant"
-	"onyxwell/base/quota"
-	"onyxwell/base/reply"
+	"onyxwell/base/memquota"
+	"onyxwell/base/response"
 	"onyxwell/base/scope"
 	"onyxwell/base/telemetry"
-	"onyxwell/control/spec"
-	"onyxwell/data/admit"
-	"onyxwell/data/forward"
-	"onyxwell/data/metrics"
+	"onyxwell/control/config"
+	"onyxwell/data/balancer"
+	"onyxwell/data/runnerstats"
+	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
-	"onyxwell/data/warmth"
+	"onyxwell/data/upstream"
 )
 
 // Options are what a front is made from.
 type Options struct {
 	Scope  scope.Scope
 	Frame  *snapshot.Frame
-	Gate   *admit.Gate
-	Board  *metrics.Board
-	Warmth *warmth.Warmth
-	Sender *forward.Sender
+	Gate   *balancer.Gate
+	Board  *runnerstats.Board
+	Warmth *slowstart.Warmth
+	Sender *upstream.Sender
 	// Metrics and Monitor may be left out.
 	Metrics *telemetry.Metrics
 	Monitor *invariant.Monitor
@@ -44,7 +44,7 @@
 	running atomic.Int64
 	lines   lines
 	// bodies bounds what bodies take together.
-	bodies *quota.Quota
+	bodies *memquota.Quota
 	// links are the clients' connections.
 	links links
 }
@@ -53,7 +53,7 @@
 func NewFront(options Options) *Front {
 	front := &Front{options: options}
 	if memory := options.Scope.Boot.Limits.MemoryMB << 20; memory > 0 {
-		front.bodies = quota.New(memory/bodiesPart, options.Monitor)
+		front.bodies = memquota.New(memory/bodiesPart, options.Monitor)
 		options.Metrics.Gauge("body_bytes", "Bytes reserved for the bodies of requests and answers.", nil, func() float64 { return float64(front.bodies.Taken()) })
 	}
 	return front
@@ -64,11 +64,11 @@
 const bodiesPart = 4
 
 // limits are those of the configuration in force.
-func (f *Front) limits() spec.Limits {
+func (f *Front) limits() config.Limits {
 	if seen := f.options.Frame.Now(); seen.Spec != nil {
 		return seen.Spec.Limits
 	}
-	return spec.Limits{}
+	return config.Limits{}
 }
 
 // Leave has every answer from now on ask its visitor to go elsewhere next, and
@@ -87,19 +87,19 @@
 	defer f.running.Add(-1)
 	if link, known := request.Context().Value(watchedKey{}).(*watched); known && !link.timing.enter(handling) {
 		// It was closed as the request arrived: nobody would get the answer.
-		reply.Abort()
+		response.Abort()
 	}
 	visit := &visit{front: f, writer: writer, request: request, since: f.options.Scope.Now(), held: f.bodies.Hold()}
 	defer visit.record()
 	defer visit.held.Release()
 	if err := visit.read(); err != nil {
-		visit.refuse(failure.KindOf(err), failure.DetailOf(err))
+		visit.refuse(errkind.KindOf(err), errkind.DetailOf(err))
 		return
 	}
 	visit.carry()
 	if !visit.begun && !visit.refused {
 		// Whoever has no answer must not get net/http's empty success.
-		reply.Abort()
+		response.Abort()
 	}
 }
 
@@ -111,9 +111,9 @@
 	since   clock.Instant
 	limit   clock.Instant
 	seen    *snapshot.Snapshot
-	route   *spec.Route
-	sent    *forward.Request
-	asking  admit.Asking
+	route   *config.Route
+	sent    *upstream.Request
+	asking  balancer.Asking
 	// begun says that the head of an answer is with the visitor, refused that one
 	// of our own is, last is the id
 	// of the last event passed on, gone that the visitor takes no more.
@@ -128,7 +128,7 @@
 	// reason is why it was refused, beyond the outcome.
 	reason string
 	// held is the request's body.
-	held *quota.Body
+	held *memquota.Body
 	// status is that of the runner's answer that was passed on.
 	status int
 	// clientLeft is the time that the client gave; 0 is not told.
@@ -137,7 +137,7 @@
 
 // refuse answers with a failure, and where it promises that nothing ran,
 // tells when to come back.
-func (v *visit) refuse(kind failure.Kind, detail string) {
+func (v *visit) refuse(kind errkind.Kind, detail string) {
 	if v.begun {
 		v.abort()
 	}
@@ -145,7 +145,7 @@
 		v.front.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", v.sent.Attempt, kind, v.sends)
 	}
 	v.outcome, v.reason = kind.String(), detail
-	made := reply.Of(kind, detail)
+	made := response.Of(kind, detail)
 	if kind.Answer().Status == http.StatusServiceUnavailable && v.route != nil {
 		made = made.After(max(comeBack(kind, v.route.Goal()), 20*clock.Millisecond))
 	}
@@ -165,8 +165,8 @@
 
 // comeBack is when a visitor may find things better: soon where a runner is
 // missing, later where there are too many requests.
-func comeBack(kind failure.Kind, goal clock.Span) clock.Span {
-	if kind == failure.Crowded {
+func comeBack(kind errkind.Kind, goal clock.Span) clock.Span {
+	if kind == errkind.Crowded {
 		return goal / 2
 	}
 	return goal / 8
--- a/data/answer/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"bytes"
@@ -9,22 +9,22 @@
 	"strings"
 	"testing"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
+	"onyxwell/base/settings"
+	"onyxwell/control/config/evacuation"
 	"onyxwell/control/discovery"
-	"onyxwell/control/evacuation"
-	"onyxwell/control/spread"
-	"onyxwell/data/admit"
-	"onyxwell/data/budget"
-	"onyxwell/data/forward"
-	"onyxwell/data/metrics"
-	"onyxwell/data/script"
+	"onyxwell/control/gossip"
+	"onyxwell/control/transport"
+	"onyxwell/data/balancer"
+	"onyxwell/data/retrybudget"
+	"onyxwell/data/runnerstats"
+	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
-	"onyxwell/data/warmth"
+	"onyxwell/data/upstream"
+	"onyxwell/data/upstreamtest"
 )
 
 const document = `{"config_version":%d,"routes":[
@@ -41,8 +41,8 @@
 	t      testing.TB
 	clock  *clock.Fake
 	frame  *snapshot.Frame
-	news   *spread.News
-	board  *metrics.Board
+	news   *gossip.News
+	board  *runnerstats.Board
 	front  *Front
 	server *httptest.Server
 	log    *bytes.Buffer
@@ -50,29 +50,29 @@
 	serial ids.Serial
 }
 
-func newHouse(t testing.TB, extra float64, runners ...*script.Runner) *house {
+func newHouse(t testing.TB, extra float64, runners ...*upstreamtest.Runner) *house {
 	t.Helper()
-	return newHouseOn(t, &boot.Boot{}, extra, runners...)
+	return newHouseOn(t, &settings.Boot{}, extra, runners...)
 }
 
 // newHouseOn makes a house on a machine of those settings.
-func newHouseOn(t testing.TB, settings *boot.Boot, extra float64, runners ...*script.Runner) *house {
+func newHouseOn(t testing.TB, settings *settings.Boot, extra float64, runners ...*upstreamtest.Runner) *house {
 	t.Helper()
 	machine := clock.NewFake()
-	made := &house{t: t, clock: machine, board: metrics.NewBoard(), log: &bytes.Buffer{}}
+	made := &house{t: t, clock: machine, board: runnerstats.NewBoard(), log: &bytes.Buffer{}}
 	top := scope.New(scope.Options{Clock: machine, Boot: settings, Log: scope.Logger("warn", made.log)})
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	made.news = spread.NewNews(made.frame.Absorb)
+	made.news = gossip.NewNews(made.frame.Absorb)
 	one := func() int { return 1 }
-	cold := warmth.New(func() float64 { return 0 })
-	gate := admit.NewGate(admit.Options{
+	cold := slowstart.New(func() float64 { return 0 })
+	gate := balancer.NewGate(balancer.Options{
 		Scope: top, Frame: made.frame, Board: made.board, Warmth: cold, Region: "north", Routers: one,
 		Sharers: func(ids.Zone) int { return 1 },
 		Chance:  func() float64 { return 0 },
-		Budget:  budget.New(budget.Options{Ratio: 0, Extra: extra, Window: 10 * clock.Second, Sharers: one}),
+		Budget:  retrybudget.New(retrybudget.Options{Ratio: 0, Extra: extra, Window: 10 * clock.Second, Sharers: one}),
 	})
-	sender := forward.NewSender(forward.Options{
-		Clock: machine, Dialing: call.Dialing{Limit: 5 * clock.Second, Silence: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
+	sender := upstream.NewSender(upstream.Options{
+		Clock: machine, Dialing: httpcall.Dialing{Limit: 5 * clock.Second, Silence: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
 	})
 	made.front = NewFront(Options{Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: cold, Sender: sender})
 	made.server = httptest.NewUnstartedServer(made.front)
@@ -92,24 +92,24 @@
 }
 
 func (h *house) spec(serial int, text string) {
-	h.news.Put(spread.Item{Key: "spec", Serial: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
+	h.news.Put(gossip.Item{Key: "spec", Serial: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
 }
 
 func (h *house) list() {
 	h.serial++
-	body, err := courier.Pack(discovery.List{Runners: h.listed})
+	body, err := transport.Pack(discovery.List{Runners: h.listed})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.news.Put(spread.Item{Key: discovery.PartKey("all"), Serial: h.serial, Body: body})
+	h.news.Put(gossip.Item{Key: discovery.PartKey("all"), Serial: h.serial, Body: body})
 }
 
 func (h *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
-	body, err := courier.Pack(evacuation.Kept{Serial: serial, Empty: empty})
+	body, err := transport.Pack(evacuation.Kept{Serial: serial, Empty: empty})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.news.Put(spread.Item{Key: evacuation.Key(zone), Serial: serial, Body: body})
+	h.news.Put(gossip.Item{Key: evacuation.Key(zone), Serial: serial, Body: body})
 }
 
 type told struct {
@@ -142,7 +142,7 @@
 	return told{status: response.StatusCode, closing: response.Close, header: response.Header, body: string(text), err: err}
 }
 
-func arrivals(runners ...*script.Runner) int {
+func arrivals(runners ...*upstreamtest.Runner) int {
 	count := 0
 	for _, runner := range runners {
 		count += len(runner.Seen())
--- a/data/answer/hostile_test.go
+++ b/data/proxy/hostile_test.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 const (
@@ -67,7 +67,7 @@
 // TestHostileRequests sends each bad request, alone and with a good one right
 // behind it, and a good one after it: none but the good ones reach the runner.
 func TestHostileRequests(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.spec(2, strings.Replace(document, `"idle_ms":15000`, `"idle_ms":2000`, 1))
 	for _, example := range hostile {
@@ -105,7 +105,7 @@
 		{"a head named by Connection", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Connection: Content-Length, Onyxwell-Attempt-Id\r\nContent-Length: 2\r\n\r\nab", "ab"},
 	}
 	for _, example := range cases {
-		runner := script.Start(t, script.Plain(200, "s", "x"))
+		runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 		link := newHouse(t, 10, runner).dial()
 		reader := bufio.NewReader(link)
 		for index, text := range []string{example.text, good} {
@@ -125,7 +125,7 @@
 
 // TestEndlessHeadIsRefused writes a head until the router has enough.
 func TestEndlessHeadIsRefused(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	link := newHouse(t, 10, runner).dial()
 	go func() {
 		_, err := io.WriteString(link, "GET /once/x HTTP/1.1\r\n"+hostLine+badLine)
--- a/data/answer/leave_test.go
+++ b/data/proxy/leave_test.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 // crossed is a listener whose connections do something when certain bytes have
@@ -65,7 +65,7 @@
 // reaches no runner.
 func TestRequestThatCrossesTheCloseIsNotPassedOn(t *testing.T) {
 	link := crossed{bytes: "/once/second", over: make(chan struct{}), once: &sync.Once{}}
-	runner := script.Start(t, script.Plain(200, "s", "x"), script.After(link.end, script.Plain(200, "s", "x")))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"), upstreamtest.After(link.end, upstreamtest.Plain(200, "s", "x")))
 	house := newHouse(t, 0, runner)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/data/answer/limits.go
+++ b/data/proxy/limits.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
-	"onyxwell/control/spec"
+	"onyxwell/base/settings"
+	"onyxwell/control/config"
 )
 
 // phase is what a client's connection is at.
@@ -34,7 +34,7 @@
 // timing holds a connection to the limits in force now. net/http's server has
 // its limits from when it is made, and a configuration may bring others.
 type timing struct {
-	limits func() spec.Limits
+	limits func() config.Limits
 	mu     sync.Mutex
 	phase  phase
 	// since is when the phase began.
@@ -100,7 +100,7 @@
 func (t *timing) until() time.Time {
 	limits := t.limits()
 	span := map[phase]clock.Span{
-		readingHead: boot.Milliseconds(limits.HeaderWaitMS), resting: boot.Milliseconds(limits.IdleMS),
+		readingHead: settings.Milliseconds(limits.HeaderWaitMS), resting: settings.Milliseconds(limits.IdleMS),
 	}[t.phase]
 	if span <= 0 {
 		return time.Time{}
--- a/data/answer/pass.go
+++ b/data/proxy/pass.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"errors"
@@ -7,41 +7,41 @@
 	"net/http"
 
 	"onyxwell/base/invariant"
-	"onyxwell/base/quota"
-	"onyxwell/base/reply"
+	"onyxwell/base/memquota"
+	"onyxwell/base/response"
 	"onyxwell/base/scope"
-	"onyxwell/control/spec"
-	"onyxwell/data/forward"
+	"onyxwell/control/config"
 	"onyxwell/data/snapshot"
+	"onyxwell/data/upstream"
 )
 
 // pass takes a runner's answer to the visitor. It gives the fate of the run
 // and whether the visit is over.
-func (v *visit) pass(ctx scope.Scope, runner *snapshot.Runner, response *http.Response) (forward.Fate, bool) {
+func (v *visit) pass(ctx scope.Scope, runner *snapshot.Runner, response *http.Response) (upstream.Fate, bool) {
 	defer response.Body.Close()
-	if v.route.Kind == spec.Streaming && response.StatusCode == http.StatusOK {
+	if v.route.Kind == config.Streaming && response.StatusCode == http.StatusOK {
 		return v.passEvents(response)
 	}
 	if v.begun {
 		// A stream's rest was asked for and something else came.
-		return forward.Garbled, false
+		return upstream.Garbled, false
 	}
 	most := v.answerMost()
 	if response.ContentLength >= most {
-		return forward.Garbled, false
+		return upstream.Garbled, false
 	}
 	source := &io.LimitedReader{R: response.Body, N: most}
 	body := v.front.bodies.Hold()
 	defer body.Release()
 	err := body.Read(source, response.ContentLength, most)
-	if errors.Is(err, quota.ErrFull) {
+	if errors.Is(err, memquota.ErrFull) {
 		return v.passUnheld(response, body, source)
 	}
 	if err != nil {
-		return forward.Doubtful, false
+		return upstream.Doubtful, false
 	}
 	if int64(len(body.Bytes)) == most {
-		return forward.Garbled, false
+		return upstream.Garbled, false
 	}
 	v.begin(response, int64(len(body.Bytes)))
 	_, err = v.writer.Write(body.Bytes)
@@ -50,7 +50,7 @@
 
 // passUnheld passes on as it comes what the memory has no room for: after a
 // break it cannot be asked for again, and looks broken.
-func (v *visit) passUnheld(response *http.Response, body *quota.Body, rest *io.LimitedReader) (forward.Fate, bool) {
+func (v *visit) passUnheld(response *http.Response, body *memquota.Body, rest *io.LimitedReader) (upstream.Fate, bool) {
 	v.begin(response, max(unknown, response.ContentLength))
 	_, err := v.writer.Write(body.Bytes)
 	body.Release()
@@ -59,10 +59,10 @@
 	}
 	source := &read{from: rest}
 	if _, err = io.Copy(v.writer, source); source.err != nil {
-		return forward.Doubtful, false
+		return upstream.Doubtful, false
 	}
 	if rest.N <= 0 {
-		return forward.Garbled, false
+		return upstream.Garbled, false
 	}
 	return v.took(err)
 }
@@ -92,22 +92,22 @@
 }
 
 // took notes whether the visitor took the last bytes.
-func (v *visit) took(err error) (forward.Fate, bool) {
+func (v *visit) took(err error) (upstream.Fate, bool) {
 	if err != nil {
 		v.gone = true
-		return forward.Doubtful, true
+		return upstream.Doubtful, true
 	}
 	v.outcome = outcomeAnswered
 	if v.status >= http.StatusInternalServerError {
 		v.outcome = outcomeRunnerFailed
 	}
-	return forward.Answered, true
+	return upstream.Answered, true
 }
 
 // begin writes the head. Asked for a head alone, a runner's length is that of the
 // body that it doesn't send.
 func (v *visit) begin(response *http.Response, length int64) {
-	told, sealed := response.Header.Get(forward.AttemptHeader), response.Header.Get(forward.SealHeader) != ""
+	told, sealed := response.Header.Get(upstream.AttemptHeader), response.Header.Get(upstream.SealHeader) != ""
 	if told != v.sent.Attempt || (response.StatusCode/100 == 2 && !sealed) {
 		v.front.options.Monitor.Violated(invariant.AnswerSeal, "attempt %s gets an answer of %q, status %d, sealed %v", v.sent.Attempt, told, response.StatusCode, sealed)
 	}
@@ -115,8 +115,8 @@
 	v.beginHead(response, length)
 }
 
-func (v *visit) beginHead(response *http.Response, length int64) {
-	header := forward.PassedOn(response.Header)
+func (v *visit) beginHead(resp *http.Response, length int64) {
+	header := upstream.PassedOn(resp.Header)
 	told := header["Content-Length"]
 	delete(header, "Content-Length")
 	if v.request.Method == http.MethodHead {
@@ -125,7 +125,7 @@
 			header["Content-Length"] = told[:1]
 		}
 	}
-	reply.Begin(v.writer, response.StatusCode, header, length, v.closes())
+	response.Begin(v.writer, resp.StatusCode, header, length, v.closes())
 	v.begun = true
 }
 
@@ -147,17 +147,17 @@
 	if link, known := v.request.Context().Value(watchedKey{}).(*watched); known && v.begun && !v.request.ProtoAtLeast(1, 1) {
 		link.spoil()
 	}
-	reply.Abort()
+	response.Abort()
 }
 
 // passEvents passes whole events on as they come. Where the runner breaks off,
 // the visit goes on after the last event that was passed.
-func (v *visit) passEvents(response *http.Response) (forward.Fate, bool) {
+func (v *visit) passEvents(response *http.Response) (upstream.Fate, bool) {
 	after := ""
 	if v.known {
-		after = response.Request.Header.Get(forward.LastEventField)
+		after = response.Request.Header.Get(upstream.LastEventField)
 	}
-	events := forward.NewEvents(response.Body, after)
+	events := upstream.NewEvents(response.Body, after)
 	flusher := http.NewResponseController(v.writer)
 	for {
 		event, err := events.Next()
@@ -185,7 +185,7 @@
 }
 
 // endEvents ends a stream that came whole.
-func (v *visit) endEvents(response *http.Response, rest []byte) (forward.Fate, bool) {
+func (v *visit) endEvents(response *http.Response, rest []byte) (upstream.Fate, bool) {
 	if !v.begun {
 		v.begin(response, v.lengthOf(response))
 	}
@@ -193,9 +193,9 @@
 	return v.took(err)
 }
 
-func fateOf(err error) forward.Fate {
-	if errors.Is(err, forward.ErrOrder) {
-		return forward.Garbled
+func fateOf(err error) upstream.Fate {
+	if errors.Is(err, upstream.ErrOrder) {
+		return upstream.Garbled
 	}
-	return forward.Doubtful
+	return upstream.Doubtful
 }
--- a/data/answer/planted_test.go
+++ b/data/proxy/planted_test.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"fmt"
@@ -9,23 +9,23 @@
 	"testing"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
 	"onyxwell/base/scope"
+	"onyxwell/control/config"
 	"onyxwell/control/discovery"
-	"onyxwell/control/spec"
-	"onyxwell/data/forward"
 	"onyxwell/data/snapshot"
+	"onyxwell/data/upstream"
 )
 
 // TestInvariantsCountPlantedViolations has a visit do what the decision keeps it
 // from, and wants each counted.
 func TestInvariantsCountPlantedViolations(t *testing.T) {
 	runner := &snapshot.Runner{Runner: discovery.Runner{ID: "i"}, Region: "north"}
-	ran := []sending{{runner: "i", fate: forward.Doubtful}}
+	ran := []sending{{runner: "i", fate: upstream.Doubtful}}
 	stamped := func(attempt string, seal string) *http.Response {
-		return &http.Response{StatusCode: 200, Header: http.Header{forward.AttemptHeader: {attempt}, forward.SealHeader: {seal}}}
+		return &http.Response{StatusCode: 200, Header: http.Header{upstream.AttemptHeader: {attempt}, upstream.SealHeader: {seal}}}
 	}
 	// A run that goes on, though it was asked for its beginning.
 	events := func(first int) *http.Response {
@@ -34,33 +34,33 @@
 	}
 	cases := []struct {
 		name   invariant.Name
-		route  spec.Route
+		route  config.Route
 		sends  []sending
 		act    func(visit *visit)
 		broken int64
 	}{
-		{invariant.RunOnce, spec.Route{Kind: spec.Unsafe, Tries: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
-		{invariant.RunOnce, spec.Route{Kind: spec.Safe, Tries: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 0},
-		{invariant.Tries, spec.Route{Kind: spec.Safe, Tries: 1}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
-		{invariant.Home, spec.Route{Kind: spec.Safe, Homes: []ids.Region{"south"}}, nil, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
-		{invariant.TimeLeft, spec.Route{Kind: spec.Safe}, nil, func(visit *visit) {
+		{invariant.RunOnce, config.Route{Kind: config.Unsafe, Tries: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
+		{invariant.RunOnce, config.Route{Kind: config.Safe, Tries: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 0},
+		{invariant.Tries, config.Route{Kind: config.Safe, Tries: 1}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
+		{invariant.Home, config.Route{Kind: config.Safe, Homes: []ids.Region{"south"}}, nil, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
+		{invariant.TimeLeft, config.Route{Kind: config.Safe}, nil, func(visit *visit) {
 			visit.clientLeft = clock.Second
 			visit.checkSending(runner, 2*clock.Second, 0)
 		}, 1},
-		{invariant.PromiseNotRun, spec.Route{Kind: spec.Unsafe}, ran, func(visit *visit) { visit.refuse(failure.Crowded, "") }, 1},
-		{invariant.PromiseNotRun, spec.Route{Kind: spec.Unsafe}, ran, func(visit *visit) { visit.refuse(failure.RunnerLost, "") }, 0},
-		{invariant.AnswerSeal, spec.Route{}, nil, func(visit *visit) { visit.begin(stamped("other", "s"), 0) }, 1},
-		{invariant.AnswerSeal, spec.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", ""), 0) }, 1},
-		{invariant.AnswerSeal, spec.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", "s"), 0) }, 0},
-		{invariant.EventOrder, spec.Route{}, nil, func(visit *visit) { goOn(visit, events(9)) }, 1},
-		{invariant.EventOrder, spec.Route{}, nil, func(visit *visit) { goOn(visit, events(6)) }, 0},
+		{invariant.PromiseNotRun, config.Route{Kind: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.Crowded, "") }, 1},
+		{invariant.PromiseNotRun, config.Route{Kind: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.RunnerLost, "") }, 0},
+		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("other", "s"), 0) }, 1},
+		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", ""), 0) }, 1},
+		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", "s"), 0) }, 0},
+		{invariant.EventOrder, config.Route{}, nil, func(visit *visit) { goOn(visit, events(9)) }, 1},
+		{invariant.EventOrder, config.Route{}, nil, func(visit *visit) { goOn(visit, events(6)) }, 0},
 	}
 	for _, example := range cases {
 		monitor := &invariant.Monitor{Tolerant: true}
 		front := NewFront(Options{Scope: scope.New(scope.Options{Clock: clock.NewFake()}), Monitor: monitor})
 		planted := &visit{
 			front: front, writer: httptest.NewRecorder(), request: httptest.NewRequest("GET", "/", nil),
-			route: &example.route, sent: &forward.Request{Attempt: "a"}, sends: example.sends,
+			route: &example.route, sent: &upstream.Request{Attempt: "a"}, sends: example.sends,
 		}
 		example.act(planted)
 		if got := monitor.Count(example.name); got != example.broken {
--- a/data/answer/record.go
+++ b/data/proxy/record.go
@@ -1,11 +1,11 @@
-package answer
+package proxy
 
 import (
 	"fmt"
 	"sync"
 
 	"onyxwell/base/clock"
-	"onyxwell/data/forward"
+	"onyxwell/data/upstream"
 )
 
 // record counts how the visit ended, and logs one that failed.
@@ -36,7 +36,7 @@
 // came of each sending.
 func (v *visit) log(outcome string, route string, spent clock.Span, suppressed int64) {
 	entry := v.front.options.Scope.Log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
-		Str("attempt", v.request.Header.Get(forward.AttemptHeader)).
+		Str("attempt", v.request.Header.Get(upstream.AttemptHeader)).
 		Dur("spent", spent).Int("body_bytes", v.asking.Bytes).Int64("running", v.front.Running()).Int64("suppressed", suppressed)
 	if v.reason != "" {
 		entry = entry.Str("reason", v.reason)
--- a/data/answer/record_test.go
+++ b/data/proxy/record_test.go
@@ -1,11 +1,11 @@
-package answer
+package proxy
 
 import (
 	"strings"
 	"testing"
 
 	"onyxwell/base/clock"
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 // TestFailedRequestTellsWhy has requests fail in different ways: each line names
@@ -24,7 +24,7 @@
 			[]string{`"outcome":"no-runner"`, `"reason":"left out: away 1"`}},
 	}
 	for _, example := range cases {
-		house := newHouse(t, 10, script.Start(t, script.Hangup()))
+		house := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.Hangup()))
 		house.ask(example.path, "", example.heads...)
 		house.server.Close()
 		for _, want := range example.want {
--- a/data/answer/stream_test.go
+++ b/data/proxy/stream_test.go
@@ -1,24 +1,24 @@
-package answer
+package proxy
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 // pair starts two runners; the second is ready only once the first has a
 // request, so that the first is asked first.
-func pair(t *testing.T, extra float64, first script.Step, second script.Step) (*house, *script.Runner, *script.Runner) {
+func pair(t *testing.T, extra float64, first upstreamtest.Step, second upstreamtest.Step) (*house, *upstreamtest.Runner, *upstreamtest.Runner) {
 	t.Helper()
 	var made *house
 	open := func() {
 		made.listed[1].Draining = false
 		made.list()
 	}
-	one := script.Start(t, script.After(open, first))
-	two := script.Start(t, second)
+	one := upstreamtest.Start(t, upstreamtest.After(open, first))
+	two := upstreamtest.Start(t, second)
 	made = newHouse(t, extra, one, two)
 	made.listed[1].Draining = true
 	made.list()
@@ -34,7 +34,7 @@
 }
 
 func TestStreamIsPassedOn(t *testing.T) {
-	runner := script.Start(t, script.Events("seal", 1, 5, true))
+	runner := upstreamtest.Start(t, upstreamtest.Events("seal", 1, 5, true))
 	got := newHouse(t, 10, runner).ask("/stream/x", "x")
 	if got.status != 200 || got.err != nil || got.body != events(1, 5) || got.header.Get("Onyxwell-Server-Seal") != "seal" {
 		t.Fatalf("%+v", got)
@@ -44,7 +44,7 @@
 // TestBrokenStreamGoesOn has one runner break off after three events: another
 // goes on after the third, under the first one's head.
 func TestBrokenStreamGoesOn(t *testing.T) {
-	house, _, second := pair(t, 10, script.Events("seal-1", 1, 3, false), script.Events("seal-2", 4, 6, true))
+	house, _, second := pair(t, 10, upstreamtest.Events("seal-1", 1, 3, false), upstreamtest.Events("seal-2", 4, 6, true))
 	got := house.ask("/again/x", "x")
 	if got.err != nil || got.body != events(1, 6) || got.header.Get("Onyxwell-Server-Seal") != "seal-1" {
 		t.Fatalf("%+v", got)
@@ -60,13 +60,13 @@
 	cases := []struct {
 		name          string
 		path          string
-		first, second script.Step
+		first, second upstreamtest.Step
 	}{
-		{"not resumable", "/stream/x", script.Events("s", 1, 3, false), script.Events("s", 4, 6, true)},
-		{"a gap", "/stream/x", script.Raw(gapped, true), script.Events("s", 2, 6, true)},
-		{"a reset where nothing tells the length", "/stream/x", script.Reset(sealedHead + "\r\n" + events(1, 3)), script.Events("s", 4, 6, true)},
-		{"an end inside an event", "/stream/x", script.Raw(sealedHead+"\r\n"+events(1, 2)+"id: 3\n", false), script.Events("s", 3, 6, true)},
-		{"goes on wrongly", "/again/x", script.Events("s", 1, 3, false), script.Events("s", 1, 6, true)},
+		{"not resumable", "/stream/x", upstreamtest.Events("s", 1, 3, false), upstreamtest.Events("s", 4, 6, true)},
+		{"a gap", "/stream/x", upstreamtest.Raw(gapped, true), upstreamtest.Events("s", 2, 6, true)},
+		{"a reset where nothing tells the length", "/stream/x", upstreamtest.Reset(sealedHead + "\r\n" + events(1, 3)), upstreamtest.Events("s", 4, 6, true)},
+		{"an end inside an event", "/stream/x", upstreamtest.Raw(sealedHead+"\r\n"+events(1, 2)+"id: 3\n", false), upstreamtest.Events("s", 3, 6, true)},
+		{"goes on wrongly", "/again/x", upstreamtest.Events("s", 1, 3, false), upstreamtest.Events("s", 1, 6, true)},
 	}
 	for _, example := range cases {
 		house, _, _ := pair(t, 10, example.first, example.second)
@@ -84,7 +84,7 @@
 	"15\r\nid: 1\ndata: token 1\n\n\r\n15\r\nid: 3\ndata: token 3\n\n\r\n0\r\n\r\n"
 
 func TestVisitorsResumedStream(t *testing.T) {
-	runner := script.Start(t, script.Events("s", 8, 9, true))
+	runner := upstreamtest.Start(t, upstreamtest.Events("s", 8, 9, true))
 	got := newHouse(t, 10, runner).ask("/again/x", "x", "Last-Event-Id", "7")
 	if got.err != nil || got.body != events(8, 9) || runner.Seen()[0].Header.Get("Last-Event-Id") != "7" {
 		t.Fatalf("%+v", got)
--- a/data/answer/target.go
+++ b/data/proxy/target.go
@@ -1,4 +1,4 @@
-package answer
+package proxy
 
 import (
 	"net/http"
--- a/data/answer/trace.go
+++ b/data/proxy/trace.go
@@ -1,28 +1,28 @@
-package answer
+package proxy
 
 import (
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
-	"onyxwell/data/forward"
 	"onyxwell/data/snapshot"
+	"onyxwell/data/upstream"
 )
 
 // sending is one sending of a request, as it is told afterwards.
 type sending struct {
 	runner ids.RunnerID
-	fate   forward.Fate
+	fate   upstream.Fate
 	cause  string
 	spent  clock.Span
 }
 
 // mayHaveRun tells whether the runner may have begun to work.
 func (s sending) mayHaveRun() bool {
-	return s.fate != forward.Unsent && s.fate != forward.Refused
+	return s.fate != upstream.Unsent && s.fate != upstream.Refused
 }
 
 // arrived tells whether the runner counts it as an arrival.
-func (s sending) arrived() bool { return s.fate != forward.Unsent }
+func (s sending) arrived() bool { return s.fate != upstream.Unsent }
 
 // Outcomes of requests beside the names of the kinds of failures.
 const (
@@ -75,7 +75,7 @@
 }
 
 // sentTo notes what came of a sending, and counts it.
-func (v *visit) sentTo(runner *snapshot.Runner, fate forward.Fate, cause string, spent clock.Span) {
+func (v *visit) sentTo(runner *snapshot.Runner, fate upstream.Fate, cause string, spent clock.Span) {
 	v.sends = append(v.sends, sending{runner: runner.ID, fate: fate, cause: cause, spent: spent})
 	v.front.options.Metrics.Send(fate.String(), cause)
 }
--- a/data/budget/budget.go
+++ b/data/retrybudget/budget.go
@@ -1,7 +1,7 @@
-// Package budget bounds the further tries that one router pays for, so that
+// Package retrybudget bounds the further tries that one router pays for, so that
 // the sum over all routers stays inside the bound whatever they know of each
 // other.
-package budget
+package retrybudget
 
 import (
 	"sync"
--- a/data/budget/budget_test.go
+++ b/data/retrybudget/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package retrybudget
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/fixed"
+	"onyxwell/base/proptest"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 const (
 	routers = 4
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -4,23 +4,23 @@
 	"net/http"
 	"strconv"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/reply"
+	"onyxwell/base/response"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/data/forward"
+	"onyxwell/base/settings"
+	"onyxwell/control/membership"
 	"onyxwell/data/snapshot"
+	"onyxwell/data/upstream"
 )
 
 // health asks a runner whether it is well.
 type health struct{ path string }
 
 // Outgoing makes the call.
-func (h health) Outgoing() call.Outgoing {
-	return call.Outgoing{Method: http.MethodGet, Path: h.path}
+func (h health) Outgoing() httpcall.Outgoing {
+	return httpcall.Outgoing{Method: http.MethodGet, Path: h.path}
 }
 
 // condition is what a runner said of itself.
@@ -31,12 +31,12 @@
 }
 
 // Hear takes a well runner, or one that is only full, for alive.
-func (c *condition) Hear(heard call.Heard) error {
-	full := heard.Status == http.StatusServiceUnavailable && heard.Header.Get(reply.NotRunHeader) != ""
+func (c *condition) Hear(heard httpcall.Heard) error {
+	full := heard.Status == http.StatusServiceUnavailable && heard.Header.Get(response.NotRunHeader) != ""
 	c.ill = heard.Status != http.StatusOK && !full
-	c.id = ids.RunnerID(heard.Header.Get(forward.RunnerHeader))
-	if left, err := strconv.ParseFloat(heard.Header.Get(forward.ColdHeader), 64); err == nil {
-		c.cold = boot.Milliseconds(left)
+	c.id = ids.RunnerID(heard.Header.Get(upstream.RunnerHeader))
+	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.ColdHeader), 64); err == nil {
+		c.cold = settings.Milliseconds(left)
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 // doubts tests runners that broke down until they are well again, and tells
 // the directory when this router reaches no runner for some route.
 func (r *Router) doubts(ctx scope.Scope) error {
-	client := call.Client(call.Pooling{Dialing: call.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence}, Idle: r.pace.Connect, PerHost: 1})
+	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence}, Idle: r.pace.Connect, PerHost: 1})
 	unable, reached := 0, false
 	for ctx.Wait(r.pace.Connect / looksAtDoubt) {
 		now := ctx.Now()
@@ -63,7 +63,7 @@
 			unable++
 		}
 		// A moment without runners is no reason to send visitors away.
-		r.common.Table.Announce(func(self *cohort.Member) { self.Unable = unable > looksAtDoubt/2 })
+		r.common.Table.Announce(func(self *membership.Member) { self.Unable = unable > looksAtDoubt/2 })
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 func (r *Router) ask(ctx scope.Scope, client *http.Client, seen *snapshot.Snapshot, runner *snapshot.Runner) (condition, error) {
 	short, release := ctx.WithLimit(r.pace.Connect)
 	defer release()
-	return call.Ask[condition](short, client, runner.Address, health{path: seen.Spec.Service(runner.Service).HealthPath})
+	return httpcall.Ask[condition](short, client, runner.Address, health{path: seen.Spec.Service(runner.Service).HealthPath})
 }
 
 func (r *Router) test(ctx scope.Scope, client *http.Client, id ids.RunnerID) {
--- a/data/router/doubt_test.go
+++ b/data/router/doubt_test.go
@@ -6,18 +6,18 @@
 	"strings"
 	"testing"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
-	"onyxwell/control/courier"
 	"onyxwell/control/daemon"
 	"onyxwell/control/discovery"
-	"onyxwell/control/spread"
-	"onyxwell/data/metrics"
+	"onyxwell/control/gossip"
+	"onyxwell/control/membership"
+	"onyxwell/control/transport"
+	"onyxwell/data/runnerstats"
+	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
-	"onyxwell/data/warmth"
 )
 
 const document = `{"config_version":1,"routes":[{"name":"a","hostname":"h","path_prefix":"/","give_up_ms":100,"service":"s"}],
@@ -26,15 +26,15 @@
 func newRouter(t *testing.T, runners ...discovery.Runner) (*Router, *clock.Fake) {
 	t.Helper()
 	machine := clock.NewFake()
-	r := &Router{board: metrics.NewBoard(), warmth: warmth.New(chance), pace: daemon.Pace{Connect: clock.Second}}
-	r.common = &daemon.Daemon{Table: cohort.NewTable(machine, cohort.Member{Address: "self", Role: Role, Region: "north"})}
+	r := &Router{board: runnerstats.NewBoard(), warmth: slowstart.New(chance), pace: daemon.Pace{Connect: clock.Second}}
+	r.common = &daemon.Daemon{Table: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
 	r.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	r.frame.Absorb(spread.Item{Key: "spec", Serial: 1, Body: []byte(document)})
-	body, err := courier.Pack(discovery.List{Runners: runners})
+	r.frame.Absorb(gossip.Item{Key: "spec", Serial: 1, Body: []byte(document)})
+	body, err := transport.Pack(discovery.List{Runners: runners})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.frame.Absorb(spread.Item{Key: discovery.PartKey("all"), Serial: 1, Body: body})
+	r.frame.Absorb(gossip.Item{Key: discovery.PartKey("all"), Serial: 1, Body: body})
 	return r, machine
 }
 
@@ -53,7 +53,7 @@
 		t.Fatal("a runner of a lost zone is reach enough")
 	}
 	r.lost.found("n")
-	r.board.Sent("one", metrics.Sending{Service: "s", Number: 1, Tokens: 0}, machine.Now())
+	r.board.Sent("one", runnerstats.Sending{Service: "s", Number: 1, Tokens: 0}, machine.Now())
 	machine.Move(2 * clock.Second)
 	if r.reaches(machine.Now()) {
 		t.Fatal("a silent runner is reach enough")
@@ -86,9 +86,9 @@
 		}))
 		address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
 		r, machine := newRouter(t, discovery.Runner{ID: "i", Service: "s", Zone: "n", Address: address})
-		r.warmth.List([]warmth.Entry{{ID: "i"}}, 0, machine.Now())
+		r.warmth.List([]slowstart.Entry{{ID: "i"}}, 0, machine.Now())
 		r.board.Doubt("i", machine.Now())
-		client := call.Client(call.Pooling{Dialing: call.Dialing{Limit: clock.Second, Silence: clock.Second}, PerHost: 1})
+		client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}, PerHost: 1})
 		r.test(scope.New(scope.Options{Clock: machine}), client, "i")
 		if well := !r.board.Look("i").Doubted; well != example.well || r.warmth.Cold("i", machine.Now()) != example.cold {
 			t.Errorf("%s: well %v, cold %v", example.name, well, r.warmth.Cold("i", machine.Now()))
--- a/data/router/leave.go
+++ b/data/router/leave.go
@@ -5,10 +5,10 @@
 	"net"
 	"net/http"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
+	"onyxwell/base/settings"
+	"onyxwell/control/membership"
 )
 
 func chance() float64 { return rand.Float64() }
@@ -28,7 +28,7 @@
 		return
 	}
 	r.entrance = opened
-	r.common.Table.Announce(func(self *cohort.Member) { self.Ready = true })
+	r.common.Table.Announce(func(self *membership.Member) { self.Ready = true })
 }
 
 // leaves tells whether the router leaves.
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
-	r.common.Table.Announce(func(self *cohort.Member) { self.Ready = false })
+	r.common.Table.Announce(func(self *membership.Member) { self.Ready = false })
 	return r.entrance
 }
 
@@ -62,14 +62,14 @@
 // leave goes in order: out of the directory at once, the door open until
 // clients have moved, then closed, and what runs is finished.
 func (r *Router) leave(top scope.Scope) {
-	grace := boot.Seconds(top.Boot.Bounds.GraceS)
+	grace := settings.Seconds(top.Boot.Bounds.GraceS)
 	begin := top.Now()
 	opened := r.withdraw()
 	r.common.Tell(top)
 	r.front.Leave(begin.Add(lastRequest))
 	r.front.Rest()
 	// Clients hold an answer of the directory for up to three times its time.
-	moving := min(4*boot.Seconds(min(1, top.Boot.Bounds.TTLMaxS)), grace*movingPart/100)
+	moving := min(4*settings.Seconds(min(1, top.Boot.Bounds.TTLMaxS)), grace*movingPart/100)
 	top.Wait(moving)
 	if opened != nil {
 		_ = opened.listener.Close()
--- a/data/router/lost_test.go
+++ b/data/router/lost_test.go
@@ -8,21 +8,21 @@
 	"sync/atomic"
 	"testing"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
 	"onyxwell/control/discovery"
-	"onyxwell/control/spread"
-	"onyxwell/control/zoneview"
-	"onyxwell/data/warmth"
+	"onyxwell/control/gossip"
+	"onyxwell/control/membership/zonesummary"
+	"onyxwell/control/transport"
+	"onyxwell/data/slowstart"
 )
 
 // tell has the router be told which zones are lost.
 func tell(r *Router, serial ids.Serial, zones ...ids.Zone) {
-	body, _ := courier.Pack(zoneview.Lost{Zones: zones})
-	r.frame.Absorb(spread.Item{Key: zoneview.LostKey("n"), Serial: serial, Body: body})
+	body, _ := transport.Pack(zonesummary.Lost{Zones: zones})
+	r.frame.Absorb(gossip.Item{Key: zonesummary.LostKey("n"), Serial: serial, Body: body})
 }
 
 func TestLostZoneIsLeftAloneUntilARunnerAnswers(t *testing.T) {
@@ -40,8 +40,8 @@
 		discovery.Runner{ID: "near", Service: "s", Zone: "n", Address: address},
 		discovery.Runner{ID: "far", Service: "s", Zone: "s", Address: address},
 		discovery.Runner{ID: "mate", Service: "s", Zone: "s", Address: address})
-	r.warmth.List([]warmth.Entry{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
-	client := call.Client(call.Pooling{Dialing: call.Dialing{Limit: clock.Second, Silence: clock.Second}, PerHost: 1})
+	r.warmth.List([]slowstart.Entry{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
+	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}, PerHost: 1})
 	top := scope.New(scope.Options{Clock: machine})
 	test := func() {
 		r.lost.update(r.frame.Now().Lost, machine.Now())
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -9,22 +9,22 @@
 	"net/http"
 	"sync"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
-	"onyxwell/base/failure"
+	"onyxwell/base/errkind"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/invariant"
-	"onyxwell/base/reply"
+	"onyxwell/base/response"
 	"onyxwell/base/scope"
+	"onyxwell/base/settings"
 	"onyxwell/control/daemon"
-	"onyxwell/control/readindex"
-	"onyxwell/data/admit"
-	"onyxwell/data/answer"
-	"onyxwell/data/budget"
-	"onyxwell/data/forward"
-	"onyxwell/data/metrics"
+	"onyxwell/control/state/readindex"
+	"onyxwell/data/balancer"
+	"onyxwell/data/proxy"
+	"onyxwell/data/retrybudget"
+	"onyxwell/data/runnerstats"
+	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
-	"onyxwell/data/warmth"
+	"onyxwell/data/upstream"
 )
 
 // Role is the routers' name in the deploy file and among members.
@@ -41,11 +41,11 @@
 	common *daemon.Daemon
 	pace   daemon.Pace
 	frame  *snapshot.Frame
-	board  *metrics.Board
-	warmth *warmth.Warmth
+	board  *runnerstats.Board
+	warmth *slowstart.Warmth
 	lost   lostZones
 	gate   *readindex.Gate
-	front  *answer.Front
+	front  *proxy.Front
 	mu     sync.Mutex
 	// entrance is what clients come through, once there is one; leaving says that
 	// the router leaves.
@@ -54,7 +54,7 @@
 }
 
 // Run runs the router until the scope ends, then leaves in order.
-func (r *Router) Run(top scope.Scope, reread <-chan *boot.Boot) error {
+func (r *Router) Run(top scope.Scope, reread <-chan *settings.Boot) error {
 	running, end := context.WithCancel(context.Background())
 	defer end()
 	ended := make(chan error, 1)
@@ -75,7 +75,7 @@
 // New puts a router together.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
-	r := &Router{pace: daemon.PaceOf(top.Boot), board: metrics.NewBoard(), warmth: warmth.New(chance)}
+	r := &Router{pace: daemon.PaceOf(top.Boot), board: runnerstats.NewBoard(), warmth: slowstart.New(chance)}
 	view := daemon.NewView(top)
 	r.frame = snapshot.NewFrame(snapshot.Options{
 		Clock: top.Clock, Zones: top.Boot.Zones, Region: top.Boot.Region, View: view, Listed: r.listed(top), Monitor: monitor,
@@ -85,16 +85,16 @@
 	if err != nil {
 		return nil, err
 	}
-	tries := budget.New(r.budget(top))
-	gate := admit.NewGate(admit.Options{
+	tries := retrybudget.New(r.budget(top))
+	gate := balancer.NewGate(balancer.Options{
 		Scope: top, Frame: r.frame, Board: r.board, Budget: tries, Warmth: r.warmth,
 		Region: top.Boot.Region, Sharers: r.common.Zones.Sharers, Routers: r.sharers, Lost: r.lost.has, Chance: chance,
 	})
-	sender := forward.NewSender(forward.Options{
-		Clock: top.Clock, Dialing: call.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence},
+	sender := upstream.NewSender(upstream.Options{
+		Clock: top.Clock, Dialing: httpcall.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence},
 		Idle: 8 * r.pace.Silence, PerHost: top.Boot.Limits.OpenFiles / 64,
 	})
-	r.front = answer.NewFront(answer.Options{
+	r.front = proxy.NewFront(proxy.Options{
 		Scope: top, Frame: r.frame, Gate: gate, Board: r.board, Warmth: r.warmth, Sender: sender,
 		Metrics: r.common.Metrics, Monitor: r.common.Monitor,
 	})
@@ -108,10 +108,10 @@
 // budget is what this router may spend on further tries. A process before this
 // one may have spent its part of the extra just now, unless all starts for the
 // first time.
-func (r *Router) budget(top scope.Scope) budget.Options {
+func (r *Router) budget(top scope.Scope) retrybudget.Options {
 	bounds := top.Boot.Bounds
-	options := budget.Options{
-		Ratio: bounds.RetryRatio, Extra: bounds.RetryExtra, Window: boot.Seconds(bounds.RetryWindowS), Sharers: r.sharers,
+	options := retrybudget.Options{
+		Ratio: bounds.RetryRatio, Extra: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Sharers: r.sharers,
 	}
 	if !top.Boot.FirstStart {
 		options.ExtraFrom = top.Now().Add(options.Window)
@@ -124,17 +124,17 @@
 
 // listed keeps the warmth of runners up with each new list.
 func (r *Router) listed(top scope.Scope) func(*snapshot.Snapshot) {
-	lag := boot.Milliseconds(top.Boot.Platform.MaxLagMS)
+	lag := settings.Milliseconds(top.Boot.Platform.MaxLagMS)
 	return func(seen *snapshot.Snapshot) {
-		var entries []warmth.Entry
+		var entries []slowstart.Entry
 		for name, runners := range seen.Runners {
 			warmup := clock.Span(0)
 			if seen.Spec != nil && seen.Spec.Service(name) != nil {
-				warmup = boot.Seconds(seen.Spec.Service(name).WarmupS)
+				warmup = settings.Seconds(seen.Spec.Service(name).WarmupS)
 			}
 			for _, runner := range runners {
-				entries = append(entries, warmth.Entry{
-					ID: runner.ID, ColdLeft: boot.Milliseconds(float64(runner.ColdLeftMS)), Warmup: warmup,
+				entries = append(entries, slowstart.Entry{
+					ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.ColdLeftMS)), Warmup: warmup,
 				})
 			}
 		}
@@ -155,18 +155,18 @@
 
 func (r *Router) readiness(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/ready" {
-		reply.Of(failure.UnknownCall, request.URL.Path).Send(writer)
+		response.Of(errkind.UnknownCall, request.URL.Path).Send(writer)
 		return
 	}
 	if !r.common.Table.Self().Ready {
-		reply.Of(failure.Unready, "the version is "+r.gate.State()).Send(writer)
+		response.Of(errkind.Unready, "the version is "+r.gate.State()).Send(writer)
 		return
 	}
 	if state := r.gate.State(); state != readindex.Confirmed {
-		reply.Raw(http.StatusOK, "text/plain", []byte(state+"\n")).Send(writer)
+		response.Raw(http.StatusOK, "text/plain", []byte(state+"\n")).Send(writer)
 		return
 	}
-	reply.Empty(http.StatusOK).Send(writer)
+	response.Empty(http.StatusOK).Send(writer)
 }
 
 // serveFront takes visitors in once a spec and the runners are known, and the
@@ -195,10 +195,10 @@
 			return err
 		}
 	}
-	server := answer.NewServer(r.front)
+	server := proxy.NewServer(r.front)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	door := answer.Door(r.front, listener)
+	door := proxy.Door(r.front, listener)
 	r.open(&entrance{listener: door, server: server})
 	r.common.Tell(ctx)
 	if err := server.Serve(door); !errors.Is(err, http.ErrServerClosed) && !r.leaves() {
--- a/data/metrics/board.go
+++ b/data/runnerstats/board.go
@@ -1,6 +1,6 @@
-// Package metrics keeps what a router sees of each runner: requests arrived,
+// Package runnerstats keeps what a router sees of each runner: requests arrived,
 // running and finished, how long they took, and the load that runners tell.
-package metrics
+package runnerstats
 
 import (
 	"hash/maphash"
@@ -8,8 +8,8 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/lengths"
-	"onyxwell/control/room"
+	"onyxwell/control/planning/headroom"
+	"onyxwell/control/planning/lengthstats"
 )
 
 const shards = 8
@@ -65,8 +65,8 @@
 	shards [shards]shard
 	demand shard
 	wanted map[demandKey]float64
-	read   map[readingKey]room.Reading
-	took   map[lengths.Kind]lengths.Sum
+	read   map[readingKey]headroom.Reading
+	took   map[lengthstats.Kind]lengthstats.Sum
 }
 
 type readingKey struct {
@@ -86,7 +86,7 @@
 
 // NewBoard makes an empty board.
 func NewBoard() *Board {
-	board := &Board{seed: maphash.MakeSeed(), wanted: map[demandKey]float64{}, read: map[readingKey]room.Reading{}, took: map[lengths.Kind]lengths.Sum{}}
+	board := &Board{seed: maphash.MakeSeed(), wanted: map[demandKey]float64{}, read: map[readingKey]headroom.Reading{}, took: map[lengthstats.Kind]lengthstats.Sum{}}
 	for index := range board.shards {
 		board.shards[index].ledgers = map[ids.RunnerID]*Ledger{}
 	}
@@ -126,7 +126,7 @@
 	b.demand.mu.Lock()
 	defer b.demand.mu.Unlock()
 	key := readingKey{service: service, route: route}
-	b.read[key] = b.read[key].Plus(room.Reading{
+	b.read[key] = b.read[key].Plus(headroom.Reading{
 		Service: service, Route: route, Count: 1, Units: units, UnitsSquared: units * units,
 		FirstMS: milliseconds, Crossed: units * milliseconds,
 	})
--- a/data/metrics/collect.go
+++ b/data/runnerstats/collect.go
@@ -1,16 +1,16 @@
-package metrics
+package runnerstats
 
 import (
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/lengths"
-	"onyxwell/control/room"
-	"onyxwell/control/scaler"
+	"onyxwell/control/planning/autoscaler"
+	"onyxwell/control/planning/headroom"
+	"onyxwell/control/planning/lengthstats"
 )
 
 // Collect gives what was seen since the last time, and begins anew.
-func (b *Board) Collect(now clock.Instant, spent clock.Span) scaler.ReportAsk {
-	var report scaler.ReportAsk
+func (b *Board) Collect(now clock.Instant, spent clock.Span) autoscaler.ReportAsk {
+	var report autoscaler.ReportAsk
 	for index := range b.shards {
 		part := &b.shards[index]
 		part.mu.Lock()
@@ -26,7 +26,7 @@
 	b.demand.mu.Lock()
 	defer b.demand.mu.Unlock()
 	for key, arrived := range b.wanted {
-		report.Demands = append(report.Demands, scaler.Demand{Service: key.service, Homes: key.homes, Arrived: arrived})
+		report.Demands = append(report.Demands, autoscaler.Demand{Service: key.service, Homes: key.homes, Arrived: arrived})
 	}
 	for _, reading := range b.read {
 		report.Readings = append(report.Readings, reading)
@@ -34,23 +34,23 @@
 	for _, sum := range b.took {
 		report.Lengths = append(report.Lengths, sum)
 	}
-	b.wanted, b.read = map[demandKey]float64{}, map[readingKey]room.Reading{}
-	b.took = map[lengths.Kind]lengths.Sum{}
+	b.wanted, b.read = map[demandKey]float64{}, map[readingKey]headroom.Reading{}
+	b.took = map[lengthstats.Kind]lengthstats.Sum{}
 	return report
 }
 
 // Took notes a whole answer: its kind, how long it took, how many tokens had to
 // be read for it, and whether it began slowly.
-func (b *Board) Took(answer lengths.Sum) {
+func (b *Board) Took(answer lengthstats.Sum) {
 	b.demand.mu.Lock()
 	defer b.demand.mu.Unlock()
 	b.took[answer.Kind] = answer.Plus(b.took[answer.Kind])
 }
 
-func (l *Ledger) collect(id ids.RunnerID, now clock.Instant, seconds float64) (scaler.Sample, bool) {
+func (l *Ledger) collect(id ids.RunnerID, now clock.Instant, seconds float64) (autoscaler.Sample, bool) {
 	l.countOverdue(now)
 	part := seconds / max(1, l.looks)
-	sample := scaler.Sample{
+	sample := autoscaler.Sample{
 		Runner: id, Service: l.Service, Arrived: l.arrived, Finished: l.finished, Failed: l.failed,
 		Units:   l.units,
 		SpentMS: l.spentMS, Running: l.runningSum * part, Pending: l.pendingSum * part,
--- a/data/metrics/waiting.go
+++ b/data/runnerstats/waiting.go
@@ -1,4 +1,4 @@
-package metrics
+package runnerstats
 
 import (
 	"onyxwell/base/clock"
--- a/data/warmth/warmth.go
+++ b/data/slowstart/warmth.go
@@ -1,6 +1,6 @@
-// Package warmth bounds what cold runners get: all routers together stay under
+// Package slowstart bounds what cold runners get: all routers together stay under
 // a runner's rate, each within its own part and without saving any up.
-package warmth
+package slowstart
 
 import (
 	"sync"
--- a/data/warmth/warmth_test.go
+++ b/data/slowstart/warmth_test.go
@@ -1,4 +1,4 @@
-package warmth
+package slowstart
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/fixed"
+	"onyxwell/base/proptest"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 // TestColdRunnersStayUnderTheirRate has several routers send a cold runner all
 // they may: in no second does the sum go over its rate by more than one each.
--- a/data/snapshot/planted_test.go
+++ b/data/snapshot/planted_test.go
@@ -6,7 +6,7 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
-	"onyxwell/control/spec"
+	"onyxwell/control/config"
 )
 
 func TestPlantedOlderVersionIsCounted(t *testing.T) {
@@ -14,7 +14,7 @@
 	frame := NewFrame(Options{Clock: clock.NewFake(), Monitor: monitor})
 	for _, serial := range []ids.Serial{4, 5, 3} {
 		frame.swap(func(next *Snapshot) bool {
-			next.Spec = &spec.Spec{Serial: serial}
+			next.Spec = &config.Spec{Serial: serial}
 			return true
 		})
 	}
--- a/data/snapshot/query.go
+++ b/data/snapshot/query.go
@@ -2,7 +2,7 @@
 
 import (
 	"onyxwell/base/ids"
-	"onyxwell/control/scaler"
+	"onyxwell/control/planning/autoscaler"
 )
 
 // Find gives the listed runner of an id; nil where there is none.
@@ -40,13 +40,13 @@
 }
 
 // plan takes over what a plan says of runners and regions.
-func (s *Snapshot) plan(routing scaler.Routing) {
+func (s *Snapshot) plan(routing autoscaler.Routing) {
 	s.Flows = routing.Flows
 	s.types = map[runnerType]float64{}
 	for _, known := range routing.Types {
 		s.types[runnerType{service: known.Service, version: known.Version}] = known.Weight
 	}
-	s.Planned = map[ids.RunnerID]scaler.RunnerWeight{}
+	s.Planned = map[ids.RunnerID]autoscaler.RunnerWeight{}
 	for _, planned := range routing.Runners {
 		s.Planned[planned.Runner] = planned
 	}
--- a/data/snapshot/rests.go
+++ b/data/snapshot/rests.go
@@ -3,13 +3,13 @@
 import (
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/control/eject"
-	"onyxwell/control/zoneview"
+	"onyxwell/control/membership/zonesummary"
+	"onyxwell/control/outlier"
 )
 
 // absorbRests takes over who rests; the news comes to the own zone only.
 func (f *Frame) absorbRests(next *Snapshot, body []byte) bool {
-	rests, err := eject.Read(body)
+	rests, err := outlier.Read(body)
 	if err != nil {
 		return false
 	}
@@ -23,7 +23,7 @@
 
 // absorbLost takes over which zones do not answer this router's.
 func absorbLost(next *Snapshot, body []byte) bool {
-	lost, err := zoneview.ReadLost(body)
+	lost, err := zonesummary.ReadLost(body)
 	if err != nil {
 		return false
 	}
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -13,12 +13,12 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
+	"onyxwell/control/config"
+	"onyxwell/control/config/evacuation"
 	"onyxwell/control/discovery"
-	"onyxwell/control/evacuation"
-	"onyxwell/control/lengths"
-	"onyxwell/control/scaler"
-	"onyxwell/control/spec"
-	"onyxwell/control/spread"
+	"onyxwell/control/gossip"
+	"onyxwell/control/planning/autoscaler"
+	"onyxwell/control/planning/lengthstats"
 )
 
 // Runner is a listed runner with the region that it stands in.
@@ -29,21 +29,21 @@
 
 // Snapshot is the state of everything at one moment; it is never changed.
 type Snapshot struct {
-	Spec     *spec.Spec
+	Spec     *config.Spec
 	Runners  map[ids.Service][]*Runner
 	Empty    map[ids.Zone]bool
 	Refilled map[ids.Zone]clock.Instant
 	// Flows are the plan's shares of regions; Planned are the runners that the plan
 	// tells apart from their type.
-	Flows   []scaler.Flow
-	Planned map[ids.RunnerID]scaler.RunnerWeight
+	Flows   []autoscaler.Flow
+	Planned map[ids.RunnerID]autoscaler.RunnerWeight
 	types   map[runnerType]float64
 	// Resting are runners that failed the zone's requests, each until when.
 	Resting map[ids.RunnerID]clock.Instant
 	// Lost are the zones that do not answer this router's zone.
 	Lost map[ids.Zone]bool
 	// Lengths are how long answers take in this region.
-	Lengths *lengths.Table
+	Lengths *lengthstats.Table
 }
 
 // Options are what a frame is made from.
@@ -98,7 +98,7 @@
 
 // Absorb takes an item of news; the news store calls it in rising order of
 // serials.
-func (f *Frame) Absorb(item spread.Item) {
+func (f *Frame) Absorb(item gossip.Item) {
 	if f.options.View.Absorb(item) {
 		f.swap(f.relist)
 		return
@@ -107,11 +107,11 @@
 		f.swap(func(next *Snapshot) bool { return absorb(f, next, item) })
 		return
 	}
-	if strings.HasPrefix(item.Key, spread.ZonePrefix) {
+	if strings.HasPrefix(item.Key, gossip.ZonePrefix) {
 		f.swap(func(next *Snapshot) bool { return f.absorbRests(next, item.Body) })
 		return
 	}
-	if strings.HasPrefix(item.Key, spread.LostPrefix) {
+	if strings.HasPrefix(item.Key, gossip.LostPrefix) {
 		f.swap(func(next *Snapshot) bool { return absorbLost(next, item.Body) })
 		return
 	}
@@ -126,17 +126,17 @@
 	f.swap(f.relist)
 }
 
-var absorbers = map[string]func(*Frame, *Snapshot, spread.Item) bool{
-	spec.Key: func(frame *Frame, next *Snapshot, item spread.Item) bool {
-		read, err := spec.Read(item.Body)
+var absorbers = map[string]func(*Frame, *Snapshot, gossip.Item) bool{
+	config.Key: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
+		read, err := config.Read(item.Body)
 		if err != nil || (next.Spec != nil && read.Serial <= next.Spec.Serial) {
 			return false
 		}
 		next.Spec = read
 		return true
 	},
-	scaler.Key: func(frame *Frame, next *Snapshot, item spread.Item) bool {
-		routing, err := scaler.ReadRouting(item.Body)
+	autoscaler.Key: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
+		routing, err := autoscaler.ReadRouting(item.Body)
 		if err != nil {
 			return false
 		}
@@ -144,7 +144,7 @@
 		next.Lengths = nil
 		for _, learnt := range routing.Lengths {
 			if learnt.Region == frame.options.Region {
-				next.Lengths = lengths.NewTable(learnt.Expected, learnt.Splits)
+				next.Lengths = lengthstats.NewTable(learnt.Expected, learnt.Splits)
 			}
 		}
 		return true
--- a/data/forward/connection.go
+++ b/data/upstream/connection.go
@@ -1,6 +1,6 @@
-// Package forward carries requests to runners and tells exactly what is known of
+// Package upstream carries requests to runners and tells exactly what is known of
 // their fate: answered, surely not run, or perhaps run.
-package forward
+package upstream
 
 import (
 	"bufio"
--- a/data/forward/fate.go
+++ b/data/upstream/fate.go
@@ -1,10 +1,10 @@
-package forward
+package upstream
 
 import (
 	"errors"
 	"net/http"
 
-	"onyxwell/base/reply"
+	"onyxwell/base/response"
 )
 
 // Fate is what is known of a request that was sent to a runner.
@@ -100,7 +100,7 @@
 		return attempt == "" || len(told) != 1 || told[0] != attempt || head.StatusCode < 200
 	}},
 	{declined, func(_ string, head *http.Response) bool {
-		return head.Header.Get(reply.NotRunHeader) != "" || head.StatusCode == http.StatusMisdirectedRequest
+		return head.Header.Get(response.NotRunHeader) != "" || head.StatusCode == http.StatusMisdirectedRequest
 	}},
 	{unsealed, func(_ string, head *http.Response) bool {
 		return head.StatusCode/100 == 2 && (head.Header.Get(SealHeader) == "" || head.Header.Get("Content-Encoding") != "")
--- a/data/forward/fate_test.go
+++ b/data/upstream/fate_test.go
@@ -1,4 +1,4 @@
-package forward
+package upstream
 
 import "testing"
 
--- a/data/forward/peer_test.go
+++ b/data/upstream/peer_test.go
@@ -1,4 +1,4 @@
-package forward
+package upstream
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 const foreignEmpty = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"
@@ -34,12 +34,12 @@
 // not be taken for the second sending's answer.
 func TestAttemptTwiceAtOneRunner(t *testing.T) {
 	var first io.Writer
-	runner := script.Start(t, func(seen script.Seen, writer io.Writer) bool {
+	runner := upstreamtest.Start(t, func(seen upstreamtest.Seen, writer io.Writer) bool {
 		first = writer
-		return script.Refuse(503)(seen, writer)
-	}, func(seen script.Seen, writer io.Writer) bool {
-		script.Refuse(503)(seen, first)
-		return script.Plain(200, "seal", "ran")(seen, writer)
+		return upstreamtest.Refuse(503)(seen, writer)
+	}, func(seen upstreamtest.Seen, writer io.Writer) bool {
+		upstreamtest.Refuse(503)(seen, first)
+		return upstreamtest.Plain(200, "seal", "ran")(seen, writer)
 	})
 	sender, trip := newSender(clock.NewFake()), tripTo(runner.Address, "POST", "x")
 	if result, _ := heard(t, sender, trip); result.Fate != Refused {
@@ -55,12 +55,12 @@
 // to that address over a new one.
 func TestAttemptAgainOverAnotherConnection(t *testing.T) {
 	var kept io.Writer
-	runner := script.Start(t, func(seen script.Seen, writer io.Writer) bool {
+	runner := upstreamtest.Start(t, func(seen upstreamtest.Seen, writer io.Writer) bool {
 		kept = writer
-		return script.Plain(200, "seal", "first")(seen, writer)
-	}, script.Raw(foreignEmpty, true), func(seen script.Seen, writer io.Writer) bool {
-		script.Refuse(503)(seen, kept)
-		return script.Plain(200, "seal", "ran")(seen, writer)
+		return upstreamtest.Plain(200, "seal", "first")(seen, writer)
+	}, upstreamtest.Raw(foreignEmpty, true), func(seen upstreamtest.Seen, writer io.Writer) bool {
+		upstreamtest.Refuse(503)(seen, kept)
+		return upstreamtest.Plain(200, "seal", "ran")(seen, writer)
 	})
 	sender := newSender(clock.NewFake())
 	trip := tripTo(runner.Address, "POST", "x")
@@ -80,25 +80,25 @@
 	own := strings.Replace(sealed, "body", "own.", 1)
 	cases := []struct {
 		name string
-		step script.Step
+		step upstreamtest.Step
 		fate Fate
 	}{
-		{"another's empty answer", script.Raw(foreignEmpty, true), Garbled},
-		{"another's answer, then ours", script.Raw(foreignEmpty+own, true), Garbled},
-		{"an extra answer at once", script.Raw(own+own, true), Answered},
-		{"bytes behind an empty answer", script.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Refused},
-		{"bytes behind the last chunk", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nx", true), Answered},
-		{"no promise, no body", script.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Doubtful},
-		{"two ids", script.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"another protocol", script.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), Garbled},
-		{"half-closed", func(seen script.Seen, writer io.Writer) bool {
-			script.Raw(own, true)(seen, writer)
+		{"another's empty answer", upstreamtest.Raw(foreignEmpty, true), Garbled},
+		{"another's answer, then ours", upstreamtest.Raw(foreignEmpty+own, true), Garbled},
+		{"an extra answer at once", upstreamtest.Raw(own+own, true), Answered},
+		{"bytes behind an empty answer", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Refused},
+		{"bytes behind the last chunk", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nx", true), Answered},
+		{"no promise, no body", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Doubtful},
+		{"two ids", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"another protocol", upstreamtest.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), Garbled},
+		{"half-closed", func(seen upstreamtest.Seen, writer io.Writer) bool {
+			upstreamtest.Raw(own, true)(seen, writer)
 			_ = writer.(*net.TCPConn).CloseWrite()
 			return true
 		}, Answered},
 	}
 	for _, example := range cases {
-		runner := script.Start(t, example.step, script.Plain(200, "seal", "next"))
+		runner := upstreamtest.Start(t, example.step, upstreamtest.Plain(200, "seal", "next"))
 		sender, trip := newSender(clock.NewFake()), tripTo(runner.Address, "POST", "x")
 		if result, _ := heard(t, sender, trip); result.Fate != example.fate {
 			t.Errorf("%s: %+v", example.name, result)
@@ -127,10 +127,10 @@
 // TestExtraAnswerLate has an extra answer come when the connection is idle.
 func TestExtraAnswerLate(t *testing.T) {
 	var late func()
-	runner := script.Start(t, func(seen script.Seen, writer io.Writer) bool {
-		late = func() { script.Plain(200, "seal", "extra")(seen, writer) }
-		return script.Plain(200, "seal", "own")(seen, writer)
-	}, script.Plain(200, "seal", "next"))
+	runner := upstreamtest.Start(t, func(seen upstreamtest.Seen, writer io.Writer) bool {
+		late = func() { upstreamtest.Plain(200, "seal", "extra")(seen, writer) }
+		return upstreamtest.Plain(200, "seal", "own")(seen, writer)
+	}, upstreamtest.Plain(200, "seal", "next"))
 	sender, trip := newSender(clock.NewFake()), tripTo(runner.Address, "POST", "x")
 	heard(t, sender, trip)
 	late()
@@ -144,7 +144,7 @@
 // after it.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	machine := clock.NewFake()
-	sender, runner := newSender(machine), script.Start(t, script.Plain(200, "seal", "own"))
+	sender, runner := newSender(machine), upstreamtest.Start(t, upstreamtest.Plain(200, "seal", "own"))
 	heard(t, sender, tripTo(runner.Address, "POST", "x"))
 	begin, host := machine.Now(), sender.host(string(runner.Address))
 	if host.clear(begin, clock.Second) != 1 {
@@ -162,7 +162,7 @@
 // TestInterimAnswers passes over those that come before the answer, within bounds.
 func TestInterimAnswers(t *testing.T) {
 	interim := "HTTP/1.1 100 Continue\r\n\r\n" + strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", 200)
-	runner := script.Start(t, script.Raw(interim+sealed, true), script.Raw(strings.Repeat(interim, 200), true))
+	runner := upstreamtest.Start(t, upstreamtest.Raw(interim+sealed, true), upstreamtest.Raw(strings.Repeat(interim, 200), true))
 	sender, trip := newSender(clock.NewFake()), tripTo(runner.Address, "POST", "x")
 	if result, text := heard(t, sender, trip); result.Fate != Answered || text != "body" {
 		t.Fatalf("%+v, %q", result, text)
@@ -208,7 +208,7 @@
 
 // TestTargetGoesOutAsItIs has targets that an URL's rules would rewrite.
 func TestTargetGoesOutAsItIs(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "seal", ""))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", ""))
 	for _, target := range []string{"//other/x", "/a/../b", "/a//b?x=/../", "/%2e%2e/", "/?a=b?c"} {
 		trip := tripTo(runner.Address, "GET", "")
 		trip.Request.Target = target
--- a/data/forward/relay_test.go
+++ b/data/upstream/relay_test.go
@@ -1,20 +1,20 @@
-package forward
+package upstream
 
 import (
 	"io"
 	"net/http"
 	"testing"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 func newSender(machine clock.Clock) *Sender {
 	return NewSender(Options{
-		Clock: machine, Dialing: call.Dialing{Limit: 5 * clock.Second, Silence: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
+		Clock: machine, Dialing: httpcall.Dialing{Limit: 5 * clock.Second, Silence: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
 	})
 }
 
@@ -40,7 +40,7 @@
 func send(sender *Sender, trip Trip) Result { return sender.Send(scope.New(scope.Options{}), trip) }
 
 func TestRequestArrivesUnchanged(t *testing.T) {
-	runner := script.Start(t, script.Plain(200, "seal", "whole"))
+	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", "whole"))
 	trip := tripTo(runner.Address, "POST", "the body")
 	trip.LastEvent = "12"
 	result := send(newSender(clock.NewFake()), trip)
@@ -71,7 +71,7 @@
 func TestClientNeverReplays(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT"} {
 		for _, body := range []string{"", "text"} {
-			runner := script.Start(t, script.Plain(200, "seal", ""), script.Hangup())
+			runner := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", ""), upstreamtest.Hangup())
 			sender := newSender(clock.NewFake())
 			trip := tripTo(runner.Address, method, body)
 			trip.Request.Header.Set("Idempotency-Key", "k")
@@ -102,7 +102,7 @@
 func TestOldConnectionIsNotTrusted(t *testing.T) {
 	machine := clock.NewFake()
 	keep := "HTTP/1.1 200 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nKeep-Alive: timeout=5\r\nContent-Length: 0\r\n\r\n"
-	runner := script.Start(t, script.Raw(keep, true))
+	runner := upstreamtest.Start(t, upstreamtest.Raw(keep, true))
 	sender := newSender(machine)
 	first := send(sender, tripTo(runner.Address, "POST", "x"))
 	Discard(first.Response)
@@ -121,27 +121,27 @@
 func TestJudgement(t *testing.T) {
 	cases := []struct {
 		name string
-		step script.Step
+		step upstreamtest.Step
 		fate Fate
 	}{
-		{"own answer", script.Plain(200, "seal", "x"), Answered},
-		{"own failure", script.Plain(500, "", "x"), Answered},
-		{"another's answer", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"no id", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"no seal", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"encoded", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"no length", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Answered},
-		{"no length, no seal", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\n\r\nwhole", false), Garbled},
-		{"no length, another's", script.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Garbled},
-		{"full", script.Refuse(503), Refused},
-		{"another life", script.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Refused},
-		{"a promise not made", script.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Doubtful},
-		{"a 429 that may have run", script.Raw("HTTP/1.1 429 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Doubtful},
-		{"silence", script.Hangup(), Doubtful},
-		{"garbage", script.Raw("these bytes are no answer\r\n\r\n", false), Doubtful},
+		{"own answer", upstreamtest.Plain(200, "seal", "x"), Answered},
+		{"own failure", upstreamtest.Plain(500, "", "x"), Answered},
+		{"another's answer", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"no id", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"encoded", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"no length", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Answered},
+		{"no length, no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\n\r\nwhole", false), Garbled},
+		{"no length, another's", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Garbled},
+		{"full", upstreamtest.Refuse(503), Refused},
+		{"another life", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Refused},
+		{"a promise not made", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Doubtful},
+		{"a 429 that may have run", upstreamtest.Raw("HTTP/1.1 429 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Doubtful},
+		{"silence", upstreamtest.Hangup(), Doubtful},
+		{"garbage", upstreamtest.Raw("these bytes are no answer\r\n\r\n", false), Doubtful},
 	}
 	for _, example := range cases {
-		runner := script.Start(t, example.step)
+		runner := upstreamtest.Start(t, example.step)
 		result := send(newSender(clock.NewFake()), tripTo(runner.Address, "POST", "x"))
 		if result.Fate != example.fate {
 			t.Errorf("%s: fate %v, not %v (%v)", example.name, result.Fate, example.fate, result.Fault)
--- a/data/forward/sender.go
+++ b/data/upstream/sender.go
@@ -1,4 +1,4 @@
-package forward
+package upstream
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"sync/atomic"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -73,7 +73,7 @@
 // Options are what a sender is made from.
 type Options struct {
 	Clock   clock.Clock
-	Dialing call.Dialing
+	Dialing httpcall.Dialing
 	// Idle is how long a connection is kept where the runner does not say.
 	Idle    clock.Span
 	PerHost int
--- a/data/forward/trust_test.go
+++ b/data/upstream/trust_test.go
@@ -1,10 +1,10 @@
-package forward
+package upstream
 
 import (
 	"testing"
 
 	"onyxwell/base/clock"
-	"onyxwell/data/script"
+	"onyxwell/data/upstreamtest"
 )
 
 // TestForgottenConnectionsAreLearnt has runners of a service forget idle
@@ -14,7 +14,7 @@
 	machine := clock.NewFake()
 	machine.Move(clock.Second)
 	sender := newSender(machine)
-	forgetful := script.Start(t, script.Plain(200, "seal", ""), script.Hangup())
+	forgetful := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", ""), upstreamtest.Hangup())
 	trip := tripTo(forgetful.Address, "POST", "x")
 	trip.Service = "s"
 	Discard(send(sender, trip).Response)
@@ -25,7 +25,7 @@
 		t.Fatalf("what may run only once went on an untried age: %+v", result)
 	}
 	Discard(send(sender, next(trip, "a3")).Response)
-	other := script.Start(t, script.Plain(200, "seal", ""))
+	other := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", ""))
 	trip.Address = other.Address
 	Discard(send(sender, trip).Response)
 	machine.Move(400 * clock.Millisecond)
--- a/data/script/script.go
+++ b/data/upstreamtest/script.go
@@ -1,6 +1,6 @@
-// Package script plays runners for tests: each connection is answered by the
+// Package upstreamtest plays runners for tests: each connection is answered by the
 // steps of a script, byte for byte, without any waiting.
-package script
+package upstreamtest
 
 import (
 	"bufio"
--- a/emulator/client/client.go
+++ b/emulator/client/client.go
@@ -14,7 +14,7 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/data/forward"
+	"onyxwell/data/upstream"
 	"onyxwell/emulator/oracle"
 	"onyxwell/emulator/piece"
 	"onyxwell/emulator/runner"
@@ -113,10 +113,10 @@
 	var text strings.Builder
 	asked := r.Asked
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", asked.Call.Method, asked.Call.Target, Host,
-		forward.AttemptHeader, asked.Attempt, forward.LeftHeader, r.left.Milliseconds())
-	fmt.Fprintf(&text, "Onyxwell-Model: m\r\n%s: 150,20\r\n%s: %s\r\n", forward.CountHeader, forward.PrefixHeader, r.parts)
+		upstream.AttemptHeader, asked.Attempt, upstream.LeftHeader, r.left.Milliseconds())
+	fmt.Fprintf(&text, "Onyxwell-Model: m\r\n%s: 150,20\r\n%s: %s\r\n", upstream.CountHeader, upstream.PrefixHeader, r.parts)
 	if asked.After > 0 {
-		fmt.Fprintf(&text, "%s: %d\r\n", forward.LastEventField, asked.After)
+		fmt.Fprintf(&text, "%s: %d\r\n", upstream.LastEventField, asked.After)
 	}
 	if r.expects && r.body != "" {
 		text.WriteString("Expect: 100-continue\r\n")
@@ -205,7 +205,7 @@
 			return
 		}
 	}
-	got.Status, got.Echo, got.Seal = response.StatusCode, response.Header.Get(forward.AttemptHeader), response.Header.Get(forward.SealHeader)
+	got.Status, got.Echo, got.Seal = response.StatusCode, response.Header.Get(upstream.AttemptHeader), response.Header.Get(upstream.SealHeader)
 	body, err := io.ReadAll(response.Body)
 	got.Body, got.Whole = string(body), err == nil
 	if err != nil {
--- a/emulator/experiment/naive_test.go
+++ b/emulator/experiment/naive_test.go
@@ -14,7 +14,7 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
 	"onyxwell/control/discovery"
-	"onyxwell/data/forward"
+	"onyxwell/data/upstream"
 )
 
 // errs are what can be wrong with a naive router.
@@ -96,8 +96,8 @@
 }
 
 func (n *naive) pass(writer http.ResponseWriter, response *http.Response, text []byte) {
-	for _, name := range []string{forward.AttemptHeader, forward.SealHeader} {
-		if value := response.Header.Get(name); value != "" && !(n.errs.noSeal && name == forward.SealHeader) {
+	for _, name := range []string{upstream.AttemptHeader, upstream.SealHeader} {
+		if value := response.Header.Get(name); value != "" && !(n.errs.noSeal && name == upstream.SealHeader) {
 			writer.Header().Set(name, value)
 		}
 	}
@@ -183,16 +183,16 @@
 }
 
 func (n *naive) exchange(conn *keptConn, request *http.Request, id string, body []byte) (*http.Response, []byte, error) {
-	target, attempt := request.RequestURI, request.Header.Get(forward.AttemptHeader)
+	target, attempt := request.RequestURI, request.Header.Get(upstream.AttemptHeader)
 	if n.errs.otherPath {
 		target = strings.Replace(target, "?of=", "?for=", 1)
 	}
-	heads := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", request.Method, target, request.Host, forward.AttemptHeader, attempt)
+	heads := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", request.Method, target, request.Host, upstream.AttemptHeader, attempt)
 	if !n.errs.noTarget {
-		heads += fmt.Sprintf("%s: %s\r\n", forward.TargetHeader, id)
+		heads += fmt.Sprintf("%s: %s\r\n", upstream.TargetHeader, id)
 	}
-	if after := request.Header.Get(forward.LastEventField); after != "" {
-		heads += fmt.Sprintf("%s: %s\r\n", forward.LastEventField, after)
+	if after := request.Header.Get(upstream.LastEventField); after != "" {
+		heads += fmt.Sprintf("%s: %s\r\n", upstream.LastEventField, after)
 	}
 	if err := n.write(conn, fmt.Sprintf("%sContent-Length: %d\r\n\r\n", heads, len(body)), body); err != nil {
 		return nil, nil, err
@@ -205,10 +205,10 @@
 		return nil, nil, err
 	}
 	text, err := io.ReadAll(response.Body)
-	wrong := !n.errs.byOrder && !n.errs.dirty && response.Header.Get(forward.AttemptHeader) != attempt
+	wrong := !n.errs.byOrder && !n.errs.dirty && response.Header.Get(upstream.AttemptHeader) != attempt
 	refused := response.Header.Get("Onyxwell-Not-Run") != ""
 	lies := response.StatusCode == 429 || response.StatusCode == 503 || response.StatusCode == 408
-	bare := response.StatusCode == 200 && (response.Header.Get(forward.SealHeader) == "" || response.Header.Get("Content-Encoding") != "")
+	bare := response.StatusCode == 200 && (response.Header.Get(upstream.SealHeader) == "" || response.Header.Get("Content-Encoding") != "")
 	if wrong || bare || (lies && !refused && !n.errs.believe) {
 		return nil, nil, fmt.Errorf("no answer to this request")
 	}
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -7,21 +7,21 @@
 	"strconv"
 	"sync"
 
-	"onyxwell/base/boot"
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
+	"onyxwell/base/settings"
+	"onyxwell/control/config"
 	"onyxwell/control/discovery"
-	"onyxwell/control/spec"
-	"onyxwell/control/spread"
-	"onyxwell/data/admit"
-	"onyxwell/data/answer"
-	"onyxwell/data/budget"
-	"onyxwell/data/forward"
-	"onyxwell/data/metrics"
+	"onyxwell/control/gossip"
+	"onyxwell/data/balancer"
+	"onyxwell/data/proxy"
+	"onyxwell/data/retrybudget"
+	"onyxwell/data/runnerstats"
+	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
-	"onyxwell/data/warmth"
+	"onyxwell/data/upstream"
 )
 
 // Router is what an experiment puts in front of the runners.
@@ -43,7 +43,7 @@
 func (r Router) serve(listener net.Listener, around func(http.Handler) http.Handler) *http.Server {
 	server := r.Server
 	if server == nil {
-		server = call.Server(r.Handler, 3*clock.Second, 15*clock.Second)
+		server = httpcall.Server(r.Handler, 3*clock.Second, 15*clock.Second)
 	}
 	server.Handler = around(server.Handler)
 	if r.Door != nil {
@@ -59,8 +59,8 @@
 // real is a router's data plane, put together as its program does.
 type real struct {
 	frame  *snapshot.Frame
-	board  *metrics.Board
-	warmth *warmth.Warmth
+	board  *runnerstats.Board
+	warmth *slowstart.Warmth
 	mu     sync.Mutex
 	runner []discovery.Runner
 }
@@ -71,21 +71,21 @@
 // Real makes the real router's data plane: only the news that feed it and the
 // rate at which doubts end are the experiment's.
 func Real(top scope.Scope, document []byte, options Options) Router {
-	made := &real{board: metrics.NewBoard(), warmth: warmth.New(rand.Float64)}
+	made := &real{board: runnerstats.NewBoard(), warmth: slowstart.New(rand.Float64)}
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: map[ids.Zone]ids.Region{"zone": "region"}, Region: "region", Listed: made.listed(top)})
-	made.frame.Absorb(spread.Item{Key: spec.Key, Serial: 1, Body: document})
+	made.frame.Absorb(gossip.Item{Key: config.Key, Serial: 1, Body: document})
 	one := func() int { return 1 }
-	gate := admit.NewGate(admit.Options{
+	gate := balancer.NewGate(balancer.Options{
 		Scope: top, Frame: made.frame, Board: made.board, Warmth: made.warmth, Region: "region", Routers: one,
 		Sharers: func(ids.Zone) int { return 1 }, Chance: rand.Float64,
-		Budget: budget.New(budget.Options{Ratio: 4, Extra: 1000, Window: 10 * clock.Second, Sharers: one}),
+		Budget: retrybudget.New(retrybudget.Options{Ratio: 4, Extra: 1000, Window: 10 * clock.Second, Sharers: one}),
 	})
-	dialing := call.Dialing{Limit: routerSilence, Silence: routerSilence}
-	sender := forward.NewSender(forward.Options{Clock: top.Clock, Dialing: dialing, Idle: 8 * routerSilence, PerHost: 64})
-	front := answer.NewFront(answer.Options{
+	dialing := httpcall.Dialing{Limit: routerSilence, Silence: routerSilence}
+	sender := upstream.NewSender(upstream.Options{Clock: top.Clock, Dialing: dialing, Idle: 8 * routerSilence, PerHost: 64})
+	front := proxy.NewFront(proxy.Options{
 		Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: made.warmth, Sender: sender,
 	})
-	client := call.Client(call.Pooling{Dialing: dialing, Idle: routerSilence, PerHost: 1})
+	client := httpcall.Client(httpcall.Pooling{Dialing: dialing, Idle: routerSilence, PerHost: 1})
 	go made.doubts(top, client)
 	if options.Forgive > 0 {
 		go made.forgive(top, options.Forgive)
@@ -93,12 +93,12 @@
 	serial := ids.Serial(1)
 	reread := func() {
 		serial++
-		made.frame.Absorb(spread.Item{Key: spec.Key, Serial: serial, Body: document})
+		made.frame.Absorb(gossip.Item{Key: config.Key, Serial: serial, Body: document})
 	}
 	return Router{
 		Handler: front, List: made.list, Leave: func() { front.Leave(top.Now().Add(3 * clock.Second)) }, Reread: reread,
-		Server: answer.NewServer(front),
-		Door:   func(listener net.Listener) net.Listener { return answer.Door(front, listener) },
+		Server: proxy.NewServer(front),
+		Door:   func(listener net.Listener) net.Listener { return proxy.Door(front, listener) },
 	}
 }
 
@@ -111,10 +111,10 @@
 
 func (r *real) listed(top scope.Scope) func(*snapshot.Snapshot) {
 	return func(seen *snapshot.Snapshot) {
-		var entries []warmth.Entry
+		var entries []slowstart.Entry
 		for _, runners := range seen.Runners {
 			for _, runner := range runners {
-				entries = append(entries, warmth.Entry{ID: runner.ID, ColdLeft: boot.Milliseconds(float64(runner.ColdLeftMS))})
+				entries = append(entries, slowstart.Entry{ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.ColdLeftMS))})
 			}
 		}
 		r.warmth.List(entries, 0, top.Now())
@@ -139,8 +139,8 @@
 type health struct{}
 
 // Outgoing makes the call.
-func (health) Outgoing() call.Outgoing {
-	return call.Outgoing{Method: http.MethodGet, Path: "/health"}
+func (health) Outgoing() httpcall.Outgoing {
+	return httpcall.Outgoing{Method: http.MethodGet, Path: "/health"}
 }
 
 type condition struct {
@@ -150,10 +150,10 @@
 }
 
 // Hear reads the answer.
-func (c *condition) Hear(heard call.Heard) error {
-	c.id, c.well = ids.RunnerID(heard.Header.Get(forward.RunnerHeader)), heard.Status == http.StatusOK
-	if left, err := strconv.ParseFloat(heard.Header.Get(forward.ColdHeader), 64); err == nil {
-		c.cold = boot.Milliseconds(left)
+func (c *condition) Hear(heard httpcall.Heard) error {
+	c.id, c.well = ids.RunnerID(heard.Header.Get(upstream.RunnerHeader)), heard.Status == http.StatusOK
+	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.ColdHeader), 64); err == nil {
+		c.cold = settings.Milliseconds(left)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 	}
 	short, release := top.WithLimit(routerSilence)
 	defer release()
-	told, err := call.Ask[condition](short, client, runner.Address, health{})
+	told, err := httpcall.Ask[condition](short, client, runner.Address, health{})
 	if err != nil || told.id != id || !told.well {
 		return
 	}
--- a/emulator/links/network.go
+++ b/emulator/links/network.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"sync"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 	"onyxwell/control/daemon"
@@ -80,7 +80,7 @@
 
 // Serve answers calls at an address until the scope ends. An answer that is
 // lost is made in full, and its connection ends in its place.
-func (n Network) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *call.Traffic) error {
+func (n Network) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error {
 	opened, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
@@ -92,10 +92,10 @@
 		}
 		handler.ServeHTTP(writer, request)
 	})
-	server := call.Server(losing, 5*clock.Second, 60*clock.Second)
+	server := httpcall.Server(losing, 5*clock.Second, 60*clock.Second)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err = server.Serve(call.CountingListener(listener{Listener: opened, network: n}, count))
+	err = server.Serve(httpcall.CountingListener(listener{Listener: opened, network: n}, count))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -115,8 +115,8 @@
 func (u *unheard) WriteHeader(int) {}
 
 // Client makes a client with connections of its own.
-func (n Network) Client(pooling call.Pooling) *http.Client {
-	client := call.Client(pooling)
+func (n Network) Client(pooling httpcall.Pooling) *http.Client {
+	client := httpcall.Client(pooling)
 	dialing := pooling.Dialing
 	client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network string, address string) (net.Conn, error) {
 		peer, _, err := net.SplitHostPort(address)
@@ -135,7 +135,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return call.Counting(n.conn(opened, dialing.Silence), dialing.Count), nil
+		return httpcall.Counting(n.conn(opened, dialing.Silence), dialing.Count), nil
 	}
 	return client
 }
--- a/emulator/runner/health.go
+++ b/emulator/runner/health.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"strconv"
 
-	"onyxwell/data/forward"
+	"onyxwell/data/upstream"
 )
 
 // health waits for a place as a request does, and tells how the runner is, or
@@ -25,18 +25,18 @@
 	life, well := r.life, !r.fallen
 	r.mu.Unlock()
 	heads := map[string]string{
-		forward.RunnerHeader: life.ID,
-		forward.LoadHeader:   fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity),
+		upstream.RunnerHeader: life.ID,
+		upstream.LoadHeader:   fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity),
 	}
 	if left := r.coldLeft(); left > 0 {
-		heads[forward.ColdHeader] = strconv.FormatInt(left.Milliseconds(), 10)
+		heads[upstream.ColdHeader] = strconv.FormatInt(left.Milliseconds(), 10)
 	}
 	if drawn.met[LyingHealth] {
 		r.count([]string{LyingHealth})
 		lies := []func(){
 			func() { well = !well },
-			func() { heads[forward.RunnerHeader] = r.settings.ID + ".other" },
-			func() { heads[forward.ColdHeader] = "250" },
+			func() { heads[upstream.RunnerHeader] = r.settings.ID + ".other" },
+			func() { heads[upstream.ColdHeader] = "250" },
 		}
 		lies[drawn.IntN(len(lies))]()
 	}
