--- a/emulator/runner/play.go
+++ b/emulator/runner/play.go
@@ -7,7 +7,7 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/data/forward"
+	"onyxwell/data/upstream"
 	"onyxwell/emulator/oracle"
 	"onyxwell/emulator/piece"
 )
@@ -23,7 +23,7 @@
 
 // after is the event after which the client wants to go on.
 func (a asking) after() int {
-	number, err := strconv.Atoi(a.request.Header.Get(forward.LastEventField))
+	number, err := strconv.Atoi(a.request.Header.Get(upstream.LastEventField))
 	if err != nil {
 		return 0
 	}
@@ -51,7 +51,7 @@
 	if asked.attempt == "" {
 		return http.StatusBadRequest
 	}
-	target := asked.request.Header.Get(forward.TargetHeader)
+	target := asked.request.Header.Get(upstream.TargetHeader)
 	expected := asked.request.Header.Get("Onyxwell-Expected-Version")
 	if (target != "" && target != life.ID) || (expected != "" && expected != strconv.Itoa(r.settings.Version)) {
 		return http.StatusMisdirectedRequest
@@ -76,7 +76,7 @@
 		l.reset()
 		return false
 	}
-	urgency, err := strconv.Atoi(asked.request.Header.Get(forward.UrgencyHeader))
+	urgency, err := strconv.Atoi(asked.request.Header.Get(upstream.UrgencyHeader))
 	if err != nil {
 		urgency = 5
 	}
@@ -106,7 +106,7 @@
 
 func (l *link) run(limited scope.Scope, asked asking, early bool, seal string, life Life) bool {
 	runner := l.runner
-	unread := runner.cache.read(asked.request.Header.Get("Onyxwell-Model"), asked.request.Header.Get(forward.PrefixHeader))
+	unread := runner.cache.read(asked.request.Header.Get("Onyxwell-Model"), asked.request.Header.Get(upstream.PrefixHeader))
 	work := runner.settings.Work + clock.Span(unread*float64(runner.settings.ReadToken))
 	if runner.coldLeft() > 0 {
 		work *= 4
@@ -155,17 +155,17 @@
 	running, waiting, _ := r.slots.load()
 	made := &answer{status: status, cut: -1, chunked: asked.drawn.IntN(4) == 0}
 	made.heads = [][2]string{
-		{forward.AttemptHeader, asked.attempt},
-		{forward.LoadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity)},
+		{upstream.AttemptHeader, asked.attempt},
+		{upstream.LoadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity)},
 		{"Keep-Alive", fmt.Sprintf("timeout=%d", max(1, int(r.settings.KeepIdle/clock.Second)))},
 	}
 	if left := r.coldLeft(); left > 0 {
-		made.heads = append(made.heads, [2]string{forward.ColdHeader, strconv.FormatInt(left.Milliseconds(), 10)})
+		made.heads = append(made.heads, [2]string{upstream.ColdHeader, strconv.FormatInt(left.Milliseconds(), 10)})
 	}
 	if seal == "" {
 		return made
 	}
-	made.heads = append(made.heads, [2]string{forward.SealHeader, seal})
+	made.heads = append(made.heads, [2]string{upstream.SealHeader, seal})
 	if r.settings.Version > 0 {
 		made.heads = append(made.heads, [2]string{"Onyxwell-Weight-Versions", strconv.Itoa(r.settings.Version)})
 	}
--- a/emulator/runner/shape.go
+++ b/emulator/runner/shape.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"onyxwell/data/forward"
+	"onyxwell/data/upstream"
 	"onyxwell/emulator/piece"
 )
 
@@ -16,9 +16,9 @@
 	FalseRefusal: func(told *answer, _ *link, _ asking) bool { return told.status > 400 && told.sealed() },
 	Refusal:      func(told *answer, _ *link, _ asking) bool { return told.status > 400 && !told.sealed() },
 
-	NoSeal: func(told *answer, _ *link, _ asking) bool { return told.drop(forward.SealHeader) },
+	NoSeal: func(told *answer, _ *link, _ asking) bool { return told.drop(upstream.SealHeader) },
 	OtherAttempt: func(told *answer, link *link, asked asking) bool {
-		return told.drop(forward.AttemptHeader) && told.add(forward.AttemptHeader, link.runner.swapForeign(asked.attempt))
+		return told.drop(upstream.AttemptHeader) && told.add(upstream.AttemptHeader, link.runner.swapForeign(asked.attempt))
 	},
 	Encoded: func(told *answer, _ *link, asked asking) bool {
 		if told.status != 200 {
@@ -37,7 +37,7 @@
 	Interim: func(told *answer, _ *link, asked asking) bool {
 		for range 1 + asked.drawn.IntN(3) {
 			status := []int{100, 102, 103, 199}[asked.drawn.IntN(4)]
-			told.before += fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n\r\n", status, forward.AttemptHeader, asked.attempt)
+			told.before += fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n\r\n", status, upstream.AttemptHeader, asked.attempt)
 		}
 		return true
 	},
@@ -133,7 +133,7 @@
 
 func (a *answer) sealed() bool {
 	for _, pair := range a.heads {
-		if pair[0] == forward.SealHeader {
+		if pair[0] == upstream.SealHeader {
 			return true
 		}
 	}
@@ -223,11 +223,11 @@
 	attempt := link.runner.swapForeign(asked.attempt)
 	source := piece.Source{Attempt: attempt, Service: link.runner.Life().Service, Seal: "extra." + fmt.Sprint(asked.drawn.IntN(1000))}
 	extra := &answer{status: 200, cut: -1, chunked: asked.drawn.IntN(2) == 0, body: []string{source.Plain()}}
-	extra.add(forward.AttemptHeader, attempt)
+	extra.add(upstream.AttemptHeader, attempt)
 	kinds := []func(){
-		func() { extra.add(forward.SealHeader, source.Seal) },
+		func() { extra.add(upstream.SealHeader, source.Seal) },
 		func() {
-			extra.add(forward.SealHeader, source.Seal)
+			extra.add(upstream.SealHeader, source.Seal)
 			extra.add("Content-Type", "text/event-stream")
 			extra.body = []string{source.Event(1), source.Event(2)}
 		},
@@ -237,7 +237,7 @@
 		},
 		func() {
 			extra.status, extra.body, extra.chunked = 204, nil, false
-			extra.add(forward.SealHeader, source.Seal)
+			extra.add(upstream.SealHeader, source.Seal)
 		},
 		func() { extra.status = 500 },
 	}
--- a/simulation/lasting.go
+++ b/simulation/lasting.go
@@ -2,8 +2,8 @@
 
 import (
 	"onyxwell/base/ids"
-	"onyxwell/control/courier"
-	"onyxwell/control/register"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
 )
 
 // lasting is what a machine's disk must bear out when its next process begins.
@@ -29,7 +29,7 @@
 
 // losesDisk notes that the disk is lost.
 func (m *Machine) losesDisk() {
-	voters, err := courier.Unpack[register.Voters](m.lasting.slots[register.CohortKey].Accepted.Value)
+	voters, err := transport.Unpack[register.Voters](m.lasting.slots[register.CohortKey].Accepted.Value)
 	m.lasting.slots = nil
 	if seat, found := seatOf(voters, m); err == nil && found {
 		m.lasting.lost, m.lasting.identity = true, seat.Incarnation
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"net/http"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
+	"onyxwell/base/settings"
 	"onyxwell/control/controller"
-	"onyxwell/simulation/disk"
+	"onyxwell/simulation/simdisk"
 )
 
 // Machine is one simulated machine; it outlives its processes.
@@ -22,7 +22,7 @@
 	region ids.Region
 	// carries says that it runs a router and no controller.
 	carries bool
-	disk    *disk.Disk
+	disk    *simdisk.Disk
 	trouble diskTrouble
 	life    *life
 	frozen  bool
@@ -115,7 +115,7 @@
 			l.machine.begins()
 		}
 	})
-	return made.Run(top, make(chan *boot.Boot))
+	return made.Run(top, make(chan *settings.Boot))
 }
 
 // ended starts a process again that ended by itself.
@@ -164,18 +164,18 @@
 func (m *Machine) pause(act string, bytes int) error {
 	here := m.life
 	if here == nil || here.over() {
-		return disk.ErrDead
+		return simdisk.ErrDead
 	}
 	trouble, world := &m.trouble, m.world
-	writing := act != disk.ActRead
-	if writing && trouble.refuses && act != disk.ActAppend {
+	writing := act != simdisk.ActRead
+	if writing && trouble.refuses && act != simdisk.ActAppend {
 		return errRefused
 	}
-	if trouble.full && act == disk.ActWrite {
-		return disk.ErrFull
+	if trouble.full && act == simdisk.ActWrite {
+		return simdisk.ErrFull
 	}
 	span := clock.Span(bytes) * clock.Second / (120 << 20)
-	if act == disk.ActSync || act == disk.ActFolder {
+	if act == simdisk.ActSync || act == simdisk.ActFolder {
 		span += world.options.Site.Sync
 	}
 	if trouble.slow > 1 {
@@ -198,6 +198,6 @@
 	case <-done:
 		return nil
 	case <-here.dead:
-		return disk.ErrDead
+		return simdisk.ErrDead
 	}
 }
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -9,8 +9,8 @@
 	"strings"
 	"sync"
 
-	"onyxwell/base/call"
 	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -47,7 +47,7 @@
 }
 
 // Serve keeps a handler at an address until the scope ends.
-func (l *life) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *call.Traffic) error {
+func (l *life) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *httpcall.Traffic) error {
 	world := l.machine.world
 	world.quietly(0, func() { l.handlers[address] = handler })
 	<-ctx.Done()
@@ -56,7 +56,7 @@
 }
 
 // Client makes a client whose calls go over the simulated links.
-func (l *life) Client(pooling call.Pooling) *http.Client {
+func (l *life) Client(pooling httpcall.Pooling) *http.Client {
 	return &http.Client{
 		Transport:     dialer{life: l, dialing: pooling.Dialing},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -66,7 +66,7 @@
 // dialer gives up on what is silent as connections do.
 type dialer struct {
 	life    *life
-	dialing call.Dialing
+	dialing httpcall.Dialing
 }
 
 // RoundTrip carries a call and its answer.
--- a/simulation/operators.go
+++ b/simulation/operators.go
@@ -6,7 +6,7 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/evacuation"
+	"onyxwell/control/config/evacuation"
 )
 
 // mostUnderWay is how many orders an operator has under way at most.
--- a/simulation/plant.go
+++ b/simulation/plant.go
@@ -3,8 +3,8 @@
 import (
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/control/journal"
-	"onyxwell/control/spread"
+	"onyxwell/control/gossip"
+	"onyxwell/control/state/wal"
 )
 
 // plant is a fault put into a run by a test, to show that it is found: it
@@ -19,11 +19,11 @@
 	// Begin meddles with what a controller's process finds on its disk.
 	Begin func(inner scope.Scope, life *life)
 	// Disk stands between a controller and its disk.
-	Disk func(disk journal.Disk) journal.Disk
+	Disk func(disk wal.Disk) wal.Disk
 	// Wiped is told of a disk that was lost.
 	Wiped func(machine *Machine)
 	// Heard may change an item of news before a router takes it in.
-	Heard func(item spread.Item) spread.Item
+	Heard func(item gossip.Item) gossip.Item
 	// Pace is how fast a machine's clock runs; 1 is right.
 	Pace func(machine *Machine) float64
 }
@@ -45,7 +45,7 @@
 }
 
 // mount gives a controller its disk.
-func (l *life) mount(ctx scope.Scope) journal.Disk {
+func (l *life) mount(ctx scope.Scope) wal.Disk {
 	planted := l.machine.world.options.plant
 	if planted.Begin != nil {
 		planted.Begin(ctx, l)
--- a/simulation/plants_disks_test.go
+++ b/simulation/plants_disks_test.go
@@ -6,10 +6,10 @@
 
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/courier"
-	"onyxwell/control/journal"
-	"onyxwell/control/register"
-	"onyxwell/simulation/disk"
+	"onyxwell/control/state/register"
+	"onyxwell/control/state/wal"
+	"onyxwell/control/transport"
+	"onyxwell/simulation/simdisk"
 )
 
 // countBlank counts the votes of disks that don't vote.
@@ -55,7 +55,7 @@
 // rewrite has a disk hold something else than it does.
 func rewrite(life *life, change func(was *register.Acceptor) (ids.Incarnation, []register.Slot)) {
 	disk := life.machine.disk.Mount()
-	opened, records, err := journal.Open(journal.Options{Disk: disk, Name: "registers", Whole: func() [][]byte { return nil }})
+	opened, records, err := wal.Open(wal.Options{Disk: disk, Name: "registers", Whole: func() [][]byte { return nil }})
 	if err != nil {
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 	_ = disk.Remove("registers")
 	made, _ := register.NewAcceptor("", nil)
-	opened, _, err = journal.Open(journal.Options{Disk: disk, Name: "registers", Whole: made.Whole})
+	opened, _, err = wal.Open(wal.Options{Disk: disk, Name: "registers", Whole: made.Whole})
 	if err != nil {
 		return
 	}
@@ -106,7 +106,7 @@
 // fillNoSeat has voters refuse every change of the voters.
 func fillNoSeat() plant {
 	return messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		asked, _ := courier.Unpack[register.AcceptAsk](sent.body[markLength:])
+		asked, _ := transport.Unpack[register.AcceptAsk](sent.body[markLength:])
 		return say(register.AcceptTold{Verdict: register.Outbid}), asked.Key == register.CohortKey
 	})
 }
@@ -151,26 +151,26 @@
 }
 
 type meddled struct {
-	journal.Disk
+	wal.Disk
 	noSync, noFolder bool
 }
 
-type unsynced struct{ journal.File }
+type unsynced struct{ wal.File }
 
 func (unsynced) Sync() error { return nil }
 
-func (m meddled) file(file journal.File, err error) (journal.File, error) {
+func (m meddled) file(file wal.File, err error) (wal.File, error) {
 	if err == nil && m.noSync {
 		file = unsynced{file}
 	}
 	return file, err
 }
 
-func (m meddled) Create(name string) (journal.File, error) {
+func (m meddled) Create(name string) (wal.File, error) {
 	return m.file(m.Disk.Create(name))
 }
 
-func (m meddled) Append(name string, length int64) (journal.File, error) {
+func (m meddled) Append(name string, length int64) (wal.File, error) {
 	return m.file(m.Disk.Append(name, length))
 }
 
@@ -182,17 +182,17 @@
 }
 
 // readTorn reads a damaged journal up to the damage, as if its tail were torn.
-type readTorn struct{ journal.Disk }
+type readTorn struct{ wal.Disk }
 
 func (r readTorn) Read(name string) ([]byte, error) {
 	content, err := r.Disk.Read(name)
 	if err != nil || name != "registers" {
 		return content, err
 	}
-	trial := disk.New(disk.Options{}).Mount()
+	trial := simdisk.New(simdisk.Options{}).Mount()
 	file, _ := trial.Create(name)
 	_, _ = file.Write(content)
-	opened, _, err := journal.Open(journal.Options{Disk: trial, Name: name, Whole: func() [][]byte { return nil }})
+	opened, _, err := wal.Open(wal.Options{Disk: trial, Name: name, Whole: func() [][]byte { return nil }})
 	if err != nil {
 		return content, nil
 	}
@@ -204,13 +204,13 @@
 }
 
 func damageIsTorn() plant {
-	return plant{Disk: func(disk journal.Disk) journal.Disk { return readTorn{disk} }}
+	return plant{Disk: func(disk wal.Disk) wal.Disk { return readTorn{disk} }}
 }
 
 func noSync() plant {
-	return plant{Disk: func(disk journal.Disk) journal.Disk { return meddled{Disk: disk, noSync: true} }}
+	return plant{Disk: func(disk wal.Disk) wal.Disk { return meddled{Disk: disk, noSync: true} }}
 }
 
 func noFolderSync() plant {
-	return plant{Disk: func(disk journal.Disk) journal.Disk { return meddled{Disk: disk, noFolder: true} }}
+	return plant{Disk: func(disk wal.Disk) wal.Disk { return meddled{Disk: disk, noFolder: true} }}
 }
--- a/simulation/plants_orders_test.go
+++ b/simulation/plants_orders_test.go
@@ -5,22 +5,22 @@
 	"net/http"
 
 	"onyxwell/base/clock"
-	"onyxwell/control/courier"
-	"onyxwell/control/desk"
-	"onyxwell/control/evacuation"
-	"onyxwell/control/register"
-	"onyxwell/control/revision"
-	"onyxwell/control/seat"
-	"onyxwell/control/spec"
+	"onyxwell/control/config"
+	"onyxwell/control/config/evacuation"
+	"onyxwell/control/config/store"
+	"onyxwell/control/state/command"
+	"onyxwell/control/state/register"
+	"onyxwell/control/state/voter"
+	"onyxwell/control/transport"
 )
 
 func forgetRepeats() plant {
 	return messages("/accept", func(_ *World, sent *message) (answered, bool) {
 		reread(sent, func(asked *register.AcceptAsk) {
-			if asked.Key == spec.Key {
-				kept, _ := revision.Travelling(asked.Accepted.Value)
-				kept.Memory = revision.Memory{Base: kept.Serial}
-				asked.Accepted.Value, _ = courier.Pack(kept)
+			if asked.Key == config.Key {
+				kept, _ := store.Travelling(asked.Accepted.Value)
+				kept.Memory = store.Memory{Base: kept.Serial}
+				asked.Accepted.Value, _ = transport.Pack(kept)
 			}
 		})
 		return answered{}, false
@@ -73,10 +73,10 @@
 	return messages("/order", func(world *World, sent *message) (answered, bool) {
 		late := &message{from: sent.from, to: sent.to, path: sent.path, request: sent.request.Clone(context.Background()), answer: make(chan answered, 1)}
 		late.body = append(late.body, sent.body...)
-		reread(late, func(asked *desk.Order) {
+		reread(late, func(asked *command.Order) {
 			asked.Until.End += int64(20 * clock.Second)
 			asked.Past = 0
-			if _, zone := evacuation.ZoneOf(asked.Key); zone && asked.Verb != desk.VerbRead {
+			if _, zone := evacuation.ZoneOf(asked.Key); zone && asked.Verb != command.VerbRead {
 				world.after(5*clock.Second, func() { world.arrive(late) })
 			}
 		})
@@ -89,8 +89,8 @@
 func countCopies() plant {
 	const copied = "Copied"
 	made := messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		asked, _ := courier.Unpack[register.AcceptAsk](sent.body[markLength:])
-		body, _ := courier.Pack(seat.LearnAsk{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Accepted}}})
+		asked, _ := transport.Unpack[register.AcceptAsk](sent.body[markLength:])
+		body, _ := transport.Pack(voter.LearnAsk{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Accepted}}})
 		sent.body = append(sent.body[:markLength:markLength], body...)
 		sent.request = sent.request.Clone(sent.request.Context())
 		sent.request.URL.Path, sent.path = "/learn", copied
--- a/simulation/plants_test.go
+++ b/simulation/plants_test.go
@@ -5,13 +5,13 @@
 	"net/http"
 	"sync"
 
-	"onyxwell/control/courier"
-	"onyxwell/control/lease"
-	"onyxwell/control/readindex"
-	"onyxwell/control/register"
-	"onyxwell/control/revision"
-	"onyxwell/control/spec"
-	"onyxwell/control/spread"
+	"onyxwell/control/config"
+	"onyxwell/control/config/store"
+	"onyxwell/control/gossip"
+	"onyxwell/control/state/lease"
+	"onyxwell/control/state/readindex"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
 )
 
 // markLength is how many bytes of the deployment's mark go ahead of a message.
@@ -19,28 +19,28 @@
 
 // reread changes a message on its way.
 func reread[Asked any](sent *message, change func(*Asked)) {
-	asked, err := courier.Unpack[Asked](sent.body[markLength:])
+	asked, err := transport.Unpack[Asked](sent.body[markLength:])
 	if err != nil {
 		panic(err)
 	}
 	change(&asked)
-	body, _ := courier.Pack(asked)
+	body, _ := transport.Pack(asked)
 	sent.body = append(sent.body[:markLength:markLength], body...)
 }
 
 // retell changes an answer on its way back.
 func retell[Told any](got answered, change func(*Told)) answered {
-	told, err := courier.Unpack[Told](got.body)
+	told, err := transport.Unpack[Told](got.body)
 	if got.status != http.StatusOK || err != nil {
 		return got
 	}
 	change(&told)
-	got.body, _ = courier.Pack(told)
+	got.body, _ = transport.Pack(told)
 	return got
 }
 
 func say[Told any](told Told) answered {
-	body, _ := courier.Pack(told)
+	body, _ := transport.Pack(told)
 	return answered{status: http.StatusOK, header: http.Header{}, body: body}
 }
 
@@ -70,17 +70,17 @@
 	}
 }
 
-func own(target *Machine) revision.Kept {
+func own(target *Machine) store.Kept {
 	if target.life == nil || target.life.control == nil {
-		return revision.Kept{}
+		return store.Kept{}
 	}
 	for _, slot := range target.life.control.Slots() {
-		if slot.Key == spec.Key {
-			kept, _ := revision.ReadKept(slot.Accepted.Value)
+		if slot.Key == config.Key {
+			kept, _ := store.ReadKept(slot.Accepted.Value)
 			return kept
 		}
 	}
-	return revision.Kept{}
+	return store.Kept{}
 }
 
 func skipConfirmation() plant {
@@ -136,8 +136,8 @@
 // if news could overtake each other.
 func hearOlder() plant {
 	var lock sync.Mutex
-	first, heard := map[string]spread.Item{}, 0
-	return plant{Heard: func(item spread.Item) spread.Item {
+	first, heard := map[string]gossip.Item{}, 0
+	return plant{Heard: func(item gossip.Item) gossip.Item {
 		lock.Lock()
 		defer lock.Unlock()
 		if _, known := first[item.Key]; !known {
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -7,11 +7,11 @@
 
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/cohort"
+	"onyxwell/control/config/evacuation"
 	"onyxwell/control/daemon"
-	"onyxwell/control/evacuation"
-	"onyxwell/control/readindex"
-	"onyxwell/control/spread"
+	"onyxwell/control/gossip"
+	"onyxwell/control/membership"
+	"onyxwell/control/state/readindex"
 	"onyxwell/data/snapshot"
 )
 
@@ -30,7 +30,7 @@
 	world := l.machine.world
 	made := &router{newest: map[string]ids.Serial{}}
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: top.Boot.Zones, Region: top.Boot.Region})
-	absorb := func(item spread.Item) {
+	absorb := func(item gossip.Item) {
 		if heard := world.options.plant.Heard; heard != nil {
 			item = heard(item)
 		}
@@ -49,7 +49,7 @@
 	made.common.Part("ready", func(ctx scope.Scope) error {
 		select {
 		case <-made.gate.Ready():
-			made.common.Table.Announce(func(self *cohort.Member) { self.Ready = true })
+			made.common.Table.Announce(func(self *membership.Member) { self.Ready = true })
 			world.becameReady(l, made)
 		case <-ctx.Done():
 		}
@@ -83,7 +83,7 @@
 }
 
 // rises checks that no part of a router's snapshot goes back.
-func (w *World) rises(life *life, made *router, before *snapshot.Snapshot, item spread.Item) {
+func (w *World) rises(life *life, made *router, before *snapshot.Snapshot, item gossip.Item) {
 	after := made.frame.Now()
 	if before.Spec != nil && (after.Spec == nil || after.Spec.Serial < before.Spec.Serial) {
 		w.violate("the router of %s went back from version %d", life.machine.name, before.Spec.Serial)
--- a/simulation/run.go
+++ b/simulation/run.go
@@ -5,8 +5,8 @@
 	"testing"
 	"testing/synctest"
 
-	"onyxwell/base/chance"
 	"onyxwell/base/clock"
+	"onyxwell/base/random"
 )
 
 // settling is how long a run goes on after all trouble has ended.
@@ -18,8 +18,8 @@
 	var world *World
 	synctest.Test(t, func(*testing.T) {
 		world = newWorld(options)
-		chance.Replace(world.chance)
-		defer chance.Replace(nil)
+		random.Replace(world.chance)
+		defer random.Replace(nil)
 		world.play()
 	})
 	wrong, unknown := world.history.check()
--- a/simulation/disk/disk.go
+++ b/simulation/simdisk/disk.go
@@ -1,7 +1,7 @@
-// Package disk simulates the disk of a machine for journal.Disk: what no sync
+// Package simdisk simulates the disk of a machine for journal.Disk: what no sync
 // covered, bytes and names alike, is kept, lost or torn by itself when the
 // power goes. It has no time and no chance of its own: both are its caller's.
-package disk
+package simdisk
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"sync"
 	"syscall"
 
-	"onyxwell/control/journal"
+	"onyxwell/control/state/wal"
 )
 
 // Faults of a simulated disk.
@@ -75,7 +75,7 @@
 // Mount gives a process its view of the disk, which dies with the process: all
 // its acts, and those of the files it opened, return ErrDead after a Kill,
 // LosePower or Wipe, also those that were under way.
-func (d *Disk) Mount() journal.Disk {
+func (d *Disk) Mount() wal.Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &mount{disk: d, life: d.life}
--- a/simulation/disk/disk_test.go
+++ b/simulation/simdisk/disk_test.go
@@ -1,4 +1,4 @@
-package disk
+package simdisk
 
 import (
 	"errors"
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
-	"onyxwell/base/fixed"
-	"onyxwell/control/journal"
+	"onyxwell/base/proptest"
+	"onyxwell/control/state/wal"
 )
 
-func TestMain(tests *testing.M) { fixed.Run(tests) }
+func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 func drawn(t *rapid.T) func(int) bool {
 	return func(odds int) bool { return rapid.IntRange(1, odds).Draw(t, "odds") == 1 }
@@ -119,4 +119,4 @@
 	}
 }
 
-var _ journal.Disk = (*mount)(nil)
+var _ wal.Disk = (*mount)(nil)
--- a/simulation/disk/loss.go
+++ b/simulation/simdisk/loss.go
@@ -1,4 +1,4 @@
-package disk
+package simdisk
 
 import (
 	"bytes"
--- a/simulation/disk/mount.go
+++ b/simulation/simdisk/mount.go
@@ -1,10 +1,10 @@
-package disk
+package simdisk
 
 import (
 	"bytes"
 	"fmt"
 
-	"onyxwell/control/journal"
+	"onyxwell/control/state/wal"
 )
 
 // mount is the disk as one process sees it.
@@ -26,7 +26,7 @@
 }
 
 // Create opens an empty file.
-func (m *mount) Create(name string) (journal.File, error) {
+func (m *mount) Create(name string) (wal.File, error) {
 	disk := m.disk
 	if _, err := disk.act(m.life, ActCreate, 0); err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 }
 
 // Append opens a file and cuts it to the length.
-func (m *mount) Append(name string, length int64) (journal.File, error) {
+func (m *mount) Append(name string, length int64) (wal.File, error) {
 	disk := m.disk
 	if _, err := disk.act(m.life, ActAppend, 0); err != nil {
 		return nil, err
--- a/simulation/site.go
+++ b/simulation/site.go
@@ -5,9 +5,9 @@
 	"slices"
 	"strconv"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
+	"onyxwell/base/settings"
 )
 
 // Place is a zone with its region.
@@ -28,7 +28,7 @@
 	Near, Far, Sync clock.Span
 	// Losses is how many machines may be lost at one time.
 	Losses int
-	Bounds boot.Bounds
+	Bounds settings.Bounds
 }
 
 // Sites are the deployments that can be named: with three controllers of which
@@ -41,12 +41,12 @@
 	"nine":  {Name: "nine", Places: places(9, 3), Routers: 2, Near: 2 * clock.Millisecond, Far: 12 * clock.Millisecond, Sync: 5 * clock.Millisecond, Losses: 2, Bounds: grown},
 }
 
-var small = boot.Bounds{
+var small = settings.Bounds{
 	SeedLagS: 3, InTouchMS: 4000, AckWithinMS: 5000, CatchUpS: 4, DrainMS: 4000, GraceS: 8, ApplyWithinMS: 3000, DowngradeMS: 250,
 	StretchMS: 6000, RetryRatio: 0.2, RetryWindowS: 10, RetryExtra: 60, EvacuateMS: 5000, RecoveryS: 12,
 }
 
-var grown = boot.Bounds{
+var grown = settings.Bounds{
 	SeedLagS: 3, InTouchMS: 6000, AckWithinMS: 8000, CatchUpS: 6, DrainMS: 5000, GraceS: 8, ApplyWithinMS: 4000, DowngradeMS: 250,
 	StretchMS: 10000, RetryRatio: 0.2, RetryWindowS: 10, RetryExtra: 600, EvacuateMS: 5000, RecoveryS: 15,
 }
@@ -71,14 +71,14 @@
 const platformAddress ids.Address = "10.255.0.1:80"
 
 // settings is the boot file of a machine's next process.
-func (w *World) settings(machine *Machine, first bool) *boot.Boot {
+func (w *World) settings(machine *Machine, first bool) *settings.Boot {
 	listen := func(port int) ids.Address { return ids.Address(machine.ip + ":" + strconv.Itoa(port)) }
-	made := &boot.Boot{
+	made := &settings.Boot{
 		NodeName: machine.name, IP: machine.ip, Zone: machine.zone, Region: machine.region, PortRange: []int{innerPort, innerPort + 9},
 		FirstStart: first, Counted: !machine.carries, DataFolder: "/data", Zones: map[ids.Zone]ids.Region{},
-		Limits:   boot.Limits{MemoryMB: 184, OpenFiles: 4100, LinkMbps: 100, DiskMB: 64},
-		Tolerate: boot.Tolerate{Machines: w.options.Site.Losses, Zones: 1, Regions: 1}, Bounds: w.options.Site.Bounds,
-		Platform: boot.Platform{Address: platformAddress, RatePerS: 42, MaxLagMS: 800},
+		Limits:   settings.Limits{MemoryMB: 184, OpenFiles: 4100, LinkMbps: 100, DiskMB: 64},
+		Tolerate: settings.Tolerate{Machines: w.options.Site.Losses, Zones: 1, Regions: 1}, Bounds: w.options.Site.Bounds,
+		Platform: settings.Platform{Address: platformAddress, RatePerS: 42, MaxLagMS: 800},
 	}
 	for _, place := range w.options.Site.Places {
 		made.Zones[place.Zone] = place.Region
--- a/simulation/watch.go
+++ b/simulation/watch.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"onyxwell/base/clock"
-	"onyxwell/control/register"
+	"onyxwell/control/state/register"
 )
 
 // watch is what the checks after each step remember.
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -16,7 +16,7 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
-	"onyxwell/simulation/disk"
+	"onyxwell/simulation/simdisk"
 )
 
 // Options are what a run is made from.
@@ -118,7 +118,7 @@
 		world: w, zone: place.Zone, region: place.Region, carries: carries,
 		name: fmt.Sprintf("m%d", number), ip: fmt.Sprintf("10.0.%d.%d", number/200, 1+number%200),
 	}
-	made.disk = disk.New(disk.Options{
+	made.disk = simdisk.New(simdisk.Options{
 		Draw:  func(odds int) bool { made.draws++; return w.once(fmt.Sprint("disk ", made.name, made.draws), odds) },
 		Pause: made.pause,
 	})
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -5,9 +5,9 @@
 	"io"
 	"os"
 
-	"onyxwell/base/boot"
 	"onyxwell/base/program"
 	"onyxwell/base/scope"
+	"onyxwell/base/settings"
 	"onyxwell/control/controller"
 	"onyxwell/data/router"
 	"onyxwell/emulator/links"
@@ -25,7 +25,7 @@
 	daemons := map[string]program.Daemon{
 		router.Role: {
 			Name: router.Role, Text: "A router of a soak.", Needs: []string{"front", "readiness"},
-			Serve: func(top scope.Scope, reread <-chan *boot.Boot) error {
+			Serve: func(top scope.Scope, reread <-chan *settings.Boot) error {
 				r, err := router.New(top, router.Options{Network: network(top)})
 				if err != nil {
 					return err
@@ -35,7 +35,7 @@
 		},
 		controller.Role: {
 			Name: controller.Role, Text: "A controller of a soak.", Needs: []string{"control", "directory"},
-			Serve: func(top scope.Scope, reread <-chan *boot.Boot) error {
+			Serve: func(top scope.Scope, reread <-chan *settings.Boot) error {
 				c, err := controller.New(top, controller.Options{Network: network(top)})
 				if err != nil {
 					return err
