--- a/control/state/register/message.go
+++ b/control/state/register/message.go
@@ -45,9 +45,9 @@
 // Seat is one voter's place. A voter whose disk was lost comes back under
 // another incarnation; while it is learning its votes don't count.
 type Seat struct {
-	Address     ids.Address     `avro:"Address"`
-	Incarnation ids.Incarnation `avro:"Incarnation"`
-	Learning    bool            `avro:"Learning"`
+	Address     ids.Address     `avro:"Address" json:"Address"`
+	Incarnation ids.Incarnation `avro:"Incarnation" json:"Incarnation"`
+	Learning    bool            `avro:"Learning" json:"Learning"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
