--- a/control/admin/operator_test.go
+++ b/control/admin/operator_test.go
@@ -21,8 +21,8 @@
 
 type fakeDisk struct{ refuses bool }
 
-func (d *fakeDisk) Save([]byte) error {
-	if d.refuses {
+func (f *fakeDisk) Save([]byte) error {
+	if f.refuses {
 		return io.ErrShortWrite
 	}
 	return nil
@@ -31,15 +31,15 @@
 // alone is a line on which only the own voter answers.
 type alone struct{ voter *register.Acceptor }
 
-func (a alone) Promise(_ scope.Scope, _ ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return a.voter.Promise(asked), nil
+func (a alone) Promise(_ scope.Scope, _ ids.Address, asked register.PrepareRequest) (register.PrepareResponse, error) {
+	return a.voter.Prepare(asked), nil
 }
 
-func (a alone) Accept(_ scope.Scope, _ ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
+func (a alone) Accept(_ scope.Scope, _ ids.Address, asked register.AcceptRequest) (register.AcceptResponse, error) {
 	return a.voter.Accept(asked), nil
 }
 
-func (a alone) Confirm(_ scope.Scope, _ ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
+func (a alone) Confirm(_ scope.Scope, _ ids.Address, asked register.ConfirmRequest) (register.AcceptResponse, error) {
 	return a.voter.Confirm(asked), nil
 }
 
@@ -61,13 +61,13 @@
 		t.Fatal(err)
 	}
 	voter.Attach(made.disk)
-	if err := voter.Form(register.Voters{Generation: 1, Seats: []register.Seat{{Address: "a"}}}); err != nil {
+	if err := voter.Bootstrap(register.VoterSet{Generation: 1, Members: []register.Member{{Address: "a"}}}); err != nil {
 		t.Fatal(err)
 	}
 	var front *command.Desk
-	keeper := register.NewKeeper(register.Options{
-		Address: "a", Line: alone{voter: voter}, Voters: voter.Voters, MessageLimit: clock.Second,
-		Chosen: func(key string, accepted register.Accepted) { front.Chosen(key, accepted) },
+	keeper := register.NewProposer(register.ProposerOptions{
+		Address: "a", Client: alone{voter: voter}, Voters: voter.Voters, MessageTimeout: clock.Second,
+		OnCommit: func(key string, accepted register.Proposal) { front.Chosen(key, accepted) },
 	})
 	front = command.New(command.Options{
 		Address: "a", Keeper: keeper, Acceptor: voter, Table: membership.NewTable(machine, membership.Member{Address: "a"}),
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -33,7 +33,7 @@
 	// Network is the machine's own where none is given.
 	Network daemon.Network
 	// Disk is the folder that the boot file names where none is given.
-	Disk wal.Disk
+	Disk wal.FS
 }
 
 // Controller is the daemon put together.
@@ -41,7 +41,7 @@
 	common *daemon.Daemon
 	pace   daemon.Pace
 	own    *voter.Seat
-	keeper *register.Keeper
+	keeper *register.Proposer
 	front  *command.Desk
 	reach  *quorum.Contact
 	scaler *autoscaler.Scaler
@@ -90,7 +90,7 @@
 	}
 	disk := options.Disk
 	if disk == nil {
-		disk = wal.Folder(top.Boot.DataFolder)
+		disk = wal.Dir(top.Boot.DataFolder)
 	}
 	members := &membership.Keeper{Table: made.common.Table, Disk: disk, Name: "members", Sizes: made.common.Zones.Sizes, Sized: made.common.Zones.Learn}
 	if err := members.Load(); err != nil {
@@ -99,7 +99,7 @@
 	made.common.Part("members", func(ctx scope.Scope) error { members.Run(ctx, made.pace.Hold); return nil })
 	made.reach = quorum.New(quorum.Options{
 		Address: made.common.Address, Messenger: made.common.Messenger, Fresh: made.pace.Pass,
-		Voters: func() register.Voters { return made.own.Acceptor.Voters() },
+		Voters: func() register.VoterSet { return made.own.Acceptor.Voters() },
 	})
 	made.own, err = voter.Open(top, voter.Options{
 		Address: made.common.Address, Disk: disk, First: top.Boot.FirstStart,
@@ -112,11 +112,11 @@
 	}
 	made.own.Acceptor.Monitor = made.common.Monitor
 	made.own.Serve(made.common.Calls)
-	made.keeper = register.NewKeeper(register.Options{
-		Address: made.common.Address, Line: made.own, Voters: made.own.Acceptor.Voters,
-		Seen:         func(key string) int64 { return made.own.Acceptor.Slot(key).Promised.Number },
-		Chosen:       func(key string, accepted register.Accepted) { made.front.Chosen(key, accepted) },
-		MessageLimit: made.pace.Silence, RoundLimit: made.pace.Order, Copies: voter.Copies(top.Boot),
+	made.keeper = register.NewProposer(register.ProposerOptions{
+		Address: made.common.Address, Client: made.own, Voters: made.own.Acceptor.Voters,
+		HighestEpoch:   func(key string) int64 { return made.own.Acceptor.Slot(key).Promised.Number },
+		OnCommit:       func(key string, accepted register.Proposal) { made.front.Chosen(key, accepted) },
+		MessageTimeout: made.pace.Silence, BatchTimeout: made.pace.Order, MinCopies: voter.Copies(top.Boot),
 	})
 	made.own.Seek(made.keeper)
 	made.front = command.New(command.Options{
--- a/control/controller/look.go
+++ b/control/controller/look.go
@@ -17,14 +17,14 @@
 }
 
 // Voters gives the voters as this controller knows them.
-func (c *Controller) Voters() register.Voters { return c.own.Acceptor.Voters() }
+func (c *Controller) Voters() register.VoterSet { return c.own.Acceptor.Voters() }
 
 // Voting tells whether this controller's disk votes.
 func (c *Controller) Voting() bool { return c.own.Voting() }
 
 // Slots gives all that this controller's disk holds.
 func (c *Controller) Slots() []register.Slot {
-	return c.own.Acceptor.Copy(register.CopyAsk{}).Slots
+	return c.own.Acceptor.Fetch(register.FetchRequest{}).Slots
 }
 
 // Read reads a key as an order of the operator does: confirmed by a majority.
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -23,7 +23,7 @@
 	Zones   []zoneStatus         `json:"zones"`
 	Regions []zonesummary.Region `json:"regions"`
 	Contact quorum.Status        `json:"contact"`
-	Voters  []register.Seat      `json:"voters"`
+	Voters  []register.Member    `json:"voters"`
 	// Redundancy is what the control state still bears, as seen from here.
 	Redundancy register.Redundancy `json:"redundancy"`
 	Owners     map[string]string   `json:"owners"`
@@ -66,7 +66,7 @@
 func (c *Controller) status(ctx scope.Scope) status {
 	common := c.common
 	told := status{
-		Address: common.Address, Regions: common.Zones.Regions(), Voters: c.own.Acceptor.Voters().Seats,
+		Address: common.Address, Regions: common.Zones.Regions(), Voters: c.own.Acceptor.Voters().Members,
 		Contact:    c.reach.Status(ctx.Now()),
 		Redundancy: c.own.RedundancyNow(ctx),
 		Owners:     map[string]string{}, Duties: map[string]bool{}, News: map[string]int64{},
@@ -75,7 +75,7 @@
 		Out: common.Traffic.BytesOut.Load(), In: common.Traffic.BytesIn.Load(),
 		Refused: common.Messenger.Gate.Totals(),
 	}
-	for _, slot := range c.own.Acceptor.Copy(register.CopyAsk{}).Slots {
+	for _, slot := range c.own.Acceptor.Fetch(register.FetchRequest{}).Slots {
 		if !strings.HasPrefix(slot.Key, store.PagePrefix) {
 			told.Owners[slot.Key] = string(slot.Promised.Owner)
 		}
--- a/control/membership/cohort_test.go
+++ b/control/membership/cohort_test.go
@@ -165,7 +165,7 @@
 }
 
 func TestMembersOutliveTheirDaemon(t *testing.T) {
-	disk := wal.Folder(t.TempDir())
+	disk := wal.Dir(t.TempDir())
 	first := table(clock.NewFake(), "a")
 	first.Merge([]Member{{Address: "b", Role: "router", Ready: true, Incarnation: 9}})
 	if err := (&Keeper{Table: first, Disk: disk, Name: "members"}).Save(); err != nil {
--- a/control/membership/keep.go
+++ b/control/membership/keep.go
@@ -13,7 +13,7 @@
 // on how many routers there could be.
 type Keeper struct {
 	Table *Table
-	Disk  wal.Disk
+	Disk  wal.FS
 	Name  string
 	// Sizes gives what else is kept with the members: how many routers the other
 	// zones had; Sized is told of them when they are read back.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	err = wal.Replace(k.Disk, k.Name, body)
+	err = wal.ReplaceFile(k.Disk, k.Name, body)
 	if err == nil {
 		k.told = sums
 	}
--- a/control/state/command/chosen.go
+++ b/control/state/command/chosen.go
@@ -11,7 +11,7 @@
 )
 
 // Chosen publishes a value that a majority holds.
-func (d *Desk) Chosen(key string, accepted register.Accepted) {
+func (d *Desk) Chosen(key string, accepted register.Proposal) {
 	if item, found := newsOf(key, accepted.Value); found {
 		d.options.News.Put(item)
 	}
--- a/control/state/command/desk.go
+++ b/control/state/command/desk.go
@@ -33,7 +33,7 @@
 // Options are what a desk is made from.
 type Options struct {
 	Address   ids.Address
-	Keeper    *register.Keeper
+	Keeper    *register.Proposer
 	Acceptor  *register.Acceptor
 	Table     *membership.Table
 	News      *gossip.News
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	defer end()
-	return d.act(guarded, order, d.options.Keeper.ChangeOwned)
+	return d.act(guarded, order, d.options.Keeper.UpdateIfOwned)
 }
 
 // open tells whether an order may still be begun.
@@ -163,7 +163,7 @@
 // each try, and whoever finds then that another took the key goes to that one.
 func (d *Desk) bring(short scope.Scope, order Order, tries int) ([]byte, error) {
 	if d.options.Keeper.Owns(order.Key) {
-		return d.act(short, order, d.options.Keeper.Change)
+		return d.act(short, order, d.options.Keeper.Update)
 	}
 	if !d.options.Acceptor.Voting() {
 		return d.forward(short, order)
@@ -187,20 +187,20 @@
 	if d.outbid(order.Key) && d.options.Acceptor.Slot(order.Key).Promised != before {
 		return nil, errkind.Of(errkind.Unsettled, "another took %s meanwhile", order.Key)
 	}
-	return d.act(short, order, d.options.Keeper.Change)
+	return d.act(short, order, d.options.Keeper.Update)
 }
 
 // mostPauses is by how much a taker's pause grows at most.
 const mostPauses = 3
 
 // act carries an order out here, taking the key over where needed.
-func (d *Desk) act(ctx scope.Scope, order Order, change func(scope.Scope, string, register.Step) ([]byte, error)) ([]byte, error) {
+func (d *Desk) act(ctx scope.Scope, order Order, change func(scope.Scope, string, register.UpdateFunc) ([]byte, error)) ([]byte, error) {
 	verb := verbs[order.Verb]
 	if verb == nil {
 		return nil, errkind.Of(errkind.UnknownCall, "verb %q", order.Verb)
 	}
 	// That the order may still be begun is looked at under the key's turn.
-	carry := func(step register.Step) ([]byte, error) {
+	carry := func(step register.UpdateFunc) ([]byte, error) {
 		return change(ctx, order.Key, func(current []byte) ([]byte, error) {
 			if err := d.open(ctx, order); err != nil {
 				return nil, err
--- a/control/state/command/desk_test.go
+++ b/control/state/command/desk_test.go
@@ -167,13 +167,13 @@
 		if !world.nodes["a"].keeper.Owns(zone("").Key) || world.empty("a") != true {
 			t.Error("the order took the key over")
 		}
-		if err := owner.keeper.Settle(world.top, zone("").Key); err != nil {
+		if err := owner.keeper.Reacquire(world.top, zone("").Key); err != nil {
 			t.Fatal(err)
 		}
 		late := stamp(200 * clock.Millisecond)
 		turn, begun := make(chan struct{}), make(chan struct{})
 		go func() {
-			_, _ = owner.keeper.Change(world.top, late.Key, func([]byte) ([]byte, error) { close(begun); <-turn; return nil, nil })
+			_, _ = owner.keeper.Update(world.top, late.Key, func([]byte) ([]byte, error) { close(begun); <-turn; return nil, nil })
 		}()
 		<-begun
 		waited := make(chan error)
--- a/control/state/command/house_test.go
+++ b/control/state/command/house_test.go
@@ -28,7 +28,7 @@
 type house struct {
 	t        failing
 	scope    scope.Scope
-	voters   register.Voters
+	voters   register.VoterSet
 	acceptor map[ids.Address]*register.Acceptor
 	desks    map[ids.Address]*Desk
 	lose     func() bool
@@ -57,16 +57,16 @@
 	return told, nil
 }
 
-func (h *house) Promise(_ scope.Scope, address ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return carry(h, address, func(voter *register.Acceptor) register.PromiseTold { return voter.Promise(asked) })
+func (h *house) Promise(_ scope.Scope, address ids.Address, asked register.PrepareRequest) (register.PrepareResponse, error) {
+	return carry(h, address, func(voter *register.Acceptor) register.PrepareResponse { return voter.Prepare(asked) })
 }
 
-func (h *house) Accept(_ scope.Scope, address ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
-	return carry(h, address, func(voter *register.Acceptor) register.AcceptTold { return voter.Accept(asked) })
+func (h *house) Accept(_ scope.Scope, address ids.Address, asked register.AcceptRequest) (register.AcceptResponse, error) {
+	return carry(h, address, func(voter *register.Acceptor) register.AcceptResponse { return voter.Accept(asked) })
 }
 
-func (h *house) Confirm(_ scope.Scope, address ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
-	return carry(h, address, func(voter *register.Acceptor) register.AcceptTold { return voter.Confirm(asked) })
+func (h *house) Confirm(_ scope.Scope, address ids.Address, asked register.ConfirmRequest) (register.AcceptResponse, error) {
+	return carry(h, address, func(voter *register.Acceptor) register.AcceptResponse { return voter.Confirm(asked) })
 }
 
 var names = []ids.Address{"a", "b", "c"}
@@ -76,9 +76,9 @@
 		t: t, scope: scope.New(scope.Options{Clock: clock.NewFake()}), lose: func() bool { return false }, happen: func() {},
 		acceptor: map[ids.Address]*register.Acceptor{}, desks: map[ids.Address]*Desk{},
 	}
-	made.voters = register.Voters{Generation: 1}
+	made.voters = register.VoterSet{Generation: 1}
 	for _, name := range names {
-		made.voters.Seats = append(made.voters.Seats, register.Seat{Address: name})
+		made.voters.Members = append(made.voters.Members, register.Member{Address: name})
 	}
 	for _, name := range names {
 		voter, err := register.NewAcceptor(name, nil)
@@ -86,14 +86,14 @@
 			t.Fatalf("%v", err)
 		}
 		voter.Attach(anyDisk{})
-		if err := voter.Form(made.voters); err != nil {
+		if err := voter.Bootstrap(made.voters); err != nil {
 			t.Fatalf("%v", err)
 		}
 		made.acceptor[name] = voter
-		keeper := register.NewKeeper(register.Options{
-			Address: name, Line: made, Voters: voter.Voters, MessageLimit: clock.Second,
-			Seen:  func(key string) int64 { return voter.Slot(key).Promised.Number },
-			Spawn: func(send func()) { send() },
+		keeper := register.NewProposer(register.ProposerOptions{
+			Address: name, Client: made, Voters: voter.Voters, MessageTimeout: clock.Second,
+			HighestEpoch: func(key string) int64 { return voter.Slot(key).Promised.Number },
+			Spawn:        func(send func()) { send() },
 		})
 		table := membership.NewTable(made.scope.Clock, membership.Member{Address: name})
 		for _, other := range names {
@@ -139,10 +139,10 @@
 
 // plant gives the voters the grown spec, as one that a majority holds.
 func (h *house) plant() []store.Change {
-	for _, seat := range h.voters.Seats {
-		h.acceptor[seat.Address].Accept(register.AcceptAsk{
-			Fence: h.voters.Fence(seat), Key: config.Key,
-			Accepted: register.Accepted{Epoch: ids.Epoch{Number: 1, Owner: "a"}, Sequence: 1, Value: grown().value},
+	for _, seat := range h.voters.Members {
+		h.acceptor[seat.Address].Accept(register.AcceptRequest{
+			Fence: h.voters.FencingToken(seat), Key: config.Key,
+			Proposal: register.Proposal{Epoch: ids.Epoch{Number: 1, Owner: "a"}, Sequence: 1, Value: grown().value},
 		})
 	}
 	return grown().taken
@@ -166,7 +166,7 @@
 // pages counts the pages that a voter holds.
 func (h *house) pages(name ids.Address) int {
 	count := 0
-	for _, slot := range h.acceptor[name].Copy(register.CopyAsk{}).Slots {
+	for _, slot := range h.acceptor[name].Fetch(register.FetchRequest{}).Slots {
 		if strings.HasPrefix(slot.Key, store.PagePrefix) && len(slot.Accepted.Value) > 0 {
 			count++
 		}
--- a/control/state/command/order.go
+++ b/control/state/command/order.go
@@ -46,12 +46,12 @@
 	VerbEpoch  = "epoch"
 )
 
-var verbs = map[string]func(Order) register.Step{
-	VerbRead:   func(Order) register.Step { return func([]byte) ([]byte, error) { return nil, nil } },
-	VerbChange: func(order Order) register.Step { return order.Change.Step },
-	VerbEmpty:  func(order Order) register.Step { return evacuation.Step(true, order.Past) },
-	VerbRefill: func(order Order) register.Step { return evacuation.Step(false, order.Past) },
-	VerbEpoch:  func(Order) register.Step { return nextEpoch },
+var verbs = map[string]func(Order) register.UpdateFunc{
+	VerbRead:   func(Order) register.UpdateFunc { return func([]byte) ([]byte, error) { return nil, nil } },
+	VerbChange: func(order Order) register.UpdateFunc { return order.Change.Step },
+	VerbEmpty:  func(order Order) register.UpdateFunc { return evacuation.Step(true, order.Past) },
+	VerbRefill: func(order Order) register.UpdateFunc { return evacuation.Step(false, order.Past) },
+	VerbEpoch:  func(Order) register.UpdateFunc { return nextEpoch },
 }
 
 func outcomeOf(value []byte, err error) Outcome {
--- a/control/state/command/pass.go
+++ b/control/state/command/pass.go
@@ -17,7 +17,7 @@
 // answer, the next is asked.
 func (d *Desk) forward(ctx scope.Scope, order Order) ([]byte, error) {
 	order.Forwarded = true
-	seats := slices.Clone(d.options.Acceptor.Voters().Seats)
+	seats := slices.Clone(d.options.Acceptor.Voters().Members)
 	random.Shuffle(seats)
 	for _, seat := range seats {
 		member, known := d.options.Table.Find(seat.Address)
--- a/control/state/command/repeats.go
+++ b/control/state/command/repeats.go
@@ -25,7 +25,7 @@
 // settle carries a step out. A change of the spec may have been taken before:
 // the spec itself tells of the newest changes; for an older one the page that
 // knows is read, as any key is: confirmed by a majority.
-func (d *Desk) settle(ctx scope.Scope, order Order, carry func(register.Step) ([]byte, error), step register.Step) ([]byte, error) {
+func (d *Desk) settle(ctx scope.Scope, order Order, carry func(register.UpdateFunc) ([]byte, error), step register.UpdateFunc) ([]byte, error) {
 	if order.Verb != VerbChange {
 		return carry(step)
 	}
@@ -97,7 +97,7 @@
 	if !due {
 		return sealed, nil
 	}
-	if _, err := d.options.Keeper.Change(short, page.Key(), page.Step); err != nil {
+	if _, err := d.options.Keeper.Update(short, page.Key(), page.Step); err != nil {
 		return sealed, err
 	}
 	d.pages.mu.Lock()
--- a/control/state/command/sweep.go
+++ b/control/state/command/sweep.go
@@ -58,7 +58,7 @@
 // the memory of changes that were taken.
 func (d *Desk) Sweep(ctx scope.Scope) {
 	d.seal(ctx)
-	for _, slot := range d.options.Acceptor.Copy(register.CopyAsk{}).Slots {
+	for _, slot := range d.options.Acceptor.Fetch(register.FetchRequest{}).Slots {
 		item, found := newsOf(slot.Key, slot.Accepted.Value)
 		if !found {
 			continue
--- a/control/state/command/world_test.go
+++ b/control/state/command/world_test.go
@@ -46,7 +46,7 @@
 	world   *world
 	address ids.Address
 	voter   *register.Acceptor
-	keeper  *register.Keeper
+	keeper  *register.Proposer
 	desk    *Desk
 	contact *quorum.Contact
 }
@@ -56,8 +56,8 @@
 
 func newWorld(t *testing.T, disk clock.Span) *world {
 	made := &world{t: t, top: scope.New(scope.Options{}), nodes: map[ids.Address]*node{}, cut: map[ids.Address]bool{}, held: map[ids.Address]*[]Order{}}
-	voters := register.Voters{Generation: 1, Seats: []register.Seat{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
-	for _, seat := range voters.Seats {
+	voters := register.VoterSet{Generation: 1, Members: []register.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
+	for _, seat := range voters.Members {
 		made.start(seat.Address, voters)
 	}
 	made.disk = disk
@@ -66,7 +66,7 @@
 	return made
 }
 
-func (w *world) start(address ids.Address, voters register.Voters) {
+func (w *world) start(address ids.Address, voters register.VoterSet) {
 	made := &node{world: w, address: address}
 	w.nodes[address] = made
 	var err error
@@ -74,15 +74,15 @@
 		w.t.Fatal(err)
 	}
 	made.voter.Attach(made)
-	if err := made.voter.Form(voters); err != nil {
+	if err := made.voter.Bootstrap(voters); err != nil {
 		w.t.Fatal(err)
 	}
 	made.contact = quorum.New(quorum.Options{Address: address, Voters: made.voter.Voters, Fresh: pass, Ask: func(ctx scope.Scope, to ids.Address) (quorum.Told, error) {
 		return deliver(made, ctx, to, func(other *node) quorum.Told { return other.contact.Tell(ctx.Now()) })
 	}})
-	made.keeper = register.NewKeeper(register.Options{
-		Address: address, Line: made, Voters: made.voter.Voters, MessageLimit: 2 * clock.Second,
-		Seen: func(key string) int64 { return made.voter.Slot(key).Promised.Number },
+	made.keeper = register.NewProposer(register.ProposerOptions{
+		Address: address, Client: made, Voters: made.voter.Voters, MessageTimeout: 2 * clock.Second,
+		HighestEpoch: func(key string) int64 { return made.voter.Slot(key).Promised.Number },
 	})
 	made.desk = New(Options{
 		Address: address, Keeper: made.keeper, Acceptor: made.voter, Contact: made.contact,
@@ -122,16 +122,16 @@
 	return told, ctx.Err()
 }
 
-func (n *node) Promise(ctx scope.Scope, to ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return deliver(n, ctx, to, func(other *node) register.PromiseTold { return other.voter.Promise(asked) })
+func (n *node) Promise(ctx scope.Scope, to ids.Address, asked register.PrepareRequest) (register.PrepareResponse, error) {
+	return deliver(n, ctx, to, func(other *node) register.PrepareResponse { return other.voter.Prepare(asked) })
 }
 
-func (n *node) Accept(ctx scope.Scope, to ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
-	return deliver(n, ctx, to, func(other *node) register.AcceptTold { return other.voter.Accept(asked) })
+func (n *node) Accept(ctx scope.Scope, to ids.Address, asked register.AcceptRequest) (register.AcceptResponse, error) {
+	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.voter.Accept(asked) })
 }
 
-func (n *node) Confirm(ctx scope.Scope, to ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
-	return deliver(n, ctx, to, func(other *node) register.AcceptTold { return other.voter.Confirm(asked) })
+func (n *node) Confirm(ctx scope.Scope, to ids.Address, asked register.ConfirmRequest) (register.AcceptResponse, error) {
+	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.voter.Confirm(asked) })
 }
 
 // send passes an order on, unless the network keeps those to the receiver.
--- a/control/state/quorum/contact.go
+++ b/control/state/quorum/contact.go
@@ -49,7 +49,7 @@
 type Options struct {
 	Address ids.Address
 	// Voters gives the newest voters known here.
-	Voters    func() register.Voters
+	Voters    func() register.VoterSet
 	Messenger *transport.Courier
 	// Fresh is how old contact may be for an order to be begun on it.
 	Fresh clock.Span
@@ -173,7 +173,7 @@
 // controller; false where it never was. Who knows of no voters yet has nobody
 // to ask, and counts as in contact.
 func (c *Contact) Age(now clock.Instant) (clock.Span, bool) {
-	seats := c.options.Voters().Seats
+	seats := c.options.Voters().Members
 	if len(seats) == 0 {
 		return 0, true
 	}
@@ -184,7 +184,7 @@
 		if seat.Address == c.options.Address {
 			known.asked, found = now, true
 		}
-		if found && known.asked > 0 && !seat.Learning {
+		if found && known.asked > 0 && !seat.Learner {
 			heard = append(heard, known.asked)
 		}
 	}
--- a/control/state/quorum/contact_test.go
+++ b/control/state/quorum/contact_test.go
@@ -25,12 +25,12 @@
 	wait  = 200 * clock.Millisecond
 )
 
-func voters(count int) func() register.Voters {
-	made := register.Voters{Generation: 1}
+func voters(count int) func() register.VoterSet {
+	made := register.VoterSet{Generation: 1}
 	for index := range count {
-		made.Seats = append(made.Seats, register.Seat{Address: ids.Address(fmt.Sprint(index))})
+		made.Members = append(made.Members, register.Member{Address: ids.Address(fmt.Sprint(index))})
 	}
-	return func() register.Voters { return made }
+	return func() register.VoterSet { return made }
 }
 
 // scripted is a contact of the first of some voters; the others answer after a
@@ -69,8 +69,8 @@
 		t.Fatal("an older question made contact older")
 	}
 	learning := voters(3)()
-	learning.Seats[1].Learning = true
-	made = New(Options{Address: "0", Voters: func() register.Voters { return learning }, Fresh: fresh})
+	learning.Members[1].Learner = true
+	made = New(Options{Address: "0", Voters: func() register.VoterSet { return learning }, Fresh: fresh})
 	made.Heard("1", now)
 	if _, known := made.Age(now); known {
 		t.Fatal("a seat that is learning counts")
--- a/control/state/quorum/round.go
+++ b/control/state/quorum/round.go
@@ -29,7 +29,7 @@
 	if early {
 		return
 	}
-	for _, seat := range c.options.Voters().Seats {
+	for _, seat := range c.options.Voters().Members {
 		if seat.Address != c.options.Address {
 			c.options.Spawn(func() {
 				// A late answer still shows contact as of its question.
--- a/control/state/quorum/silence.go
+++ b/control/state/quorum/silence.go
@@ -28,12 +28,12 @@
 // where fewer are known.
 func (c *Contact) roundTrip() clock.Span {
 	var known []clock.Span
-	seats := c.options.Voters().Seats
+	seats := c.options.Voters().Members
 	c.mu.Lock()
 	for _, seat := range seats {
 		if seat.Address == c.options.Address {
 			known = append(known, 0)
-		} else if span := c.peers[seat.Address].trips.least(); span > 0 && !seat.Learning {
+		} else if span := c.peers[seat.Address].trips.least(); span > 0 && !seat.Learner {
 			known = append(known, span)
 		}
 	}
--- a/control/state/quorum/status.go
+++ b/control/state/quorum/status.go
@@ -50,7 +50,7 @@
 // it outlives voters that answered and were replaced.
 func (c *Contact) WholeAge(now clock.Instant) (clock.Span, bool) {
 	oldest := now
-	seats := c.options.Voters().Seats
+	seats := c.options.Voters().Members
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, seat := range seats {
--- a/control/state/quorum/status_test.go
+++ b/control/state/quorum/status_test.go
@@ -19,7 +19,7 @@
 		delays := &sync.Map{}
 		made := scripted(3, delays)
 		lock, known := sync.Mutex{}, voters(3)()
-		made.options.Voters = func() register.Voters { lock.Lock(); defer lock.Unlock(); return known }
+		made.options.Voters = func() register.VoterSet { lock.Lock(); defer lock.Unlock(); return known }
 		go made.Run(top)
 		expect := func(when string, least clock.Span, most clock.Span) {
 			t.Helper()
@@ -40,7 +40,7 @@
 		top.Wait(10 * clock.Second)
 		expect("one is silent", 10*clock.Second-fresh, 10*clock.Second+fresh)
 		lock.Lock()
-		known = register.Voters{Generation: 2, Seats: []register.Seat{{Address: "0"}, {Address: "1"}, {Address: "3", Learning: true}}}
+		known = register.VoterSet{Generation: 2, Members: []register.Member{{Address: "0"}, {Address: "1"}, {Address: "3", Learner: true}}}
 		lock.Unlock()
 		top.Wait(clock.Second)
 		expect("replaced by one that is silent", 11*clock.Second-fresh, 11*clock.Second+fresh)
--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -33,16 +33,16 @@
 	incarnation ids.Incarnation
 	identified  bool
 	// slots is what memory holds, kept what of it the disk is known to have.
-	slots  map[string]Slot
-	kept   map[string]Slot
-	voters Voters
+	slots   map[string]Slot
+	durable map[string]Slot
+	voters  VoterSet
 	// leaving says that the voter gives its seat away.
 	leaving bool
 }
 
 // NewAcceptor makes a voter from the records of its journal.
 func NewAcceptor(address ids.Address, records [][]byte) (*Acceptor, error) {
-	made := &Acceptor{address: address, slots: map[string]Slot{}, kept: map[string]Slot{}}
+	made := &Acceptor{address: address, slots: map[string]Slot{}, durable: map[string]Slot{}}
 	for _, body := range records {
 		kept, err := transport.Unpack[record](body)
 		if err != nil {
@@ -52,10 +52,10 @@
 			made.incarnation, made.identified = kept.Incarnation, true
 			continue
 		}
-		made.slots[kept.Slot.Key] = merge(made.slots[kept.Slot.Key], kept.Slot)
-		made.kept[kept.Slot.Key] = made.slots[kept.Slot.Key]
+		made.slots[kept.Slot.Key] = mergeSlots(made.slots[kept.Slot.Key], kept.Slot)
+		made.durable[kept.Slot.Key] = made.slots[kept.Slot.Key]
 	}
-	made.seeVoters()
+	made.refreshVoters()
 	return made, nil
 }
 
@@ -66,16 +66,16 @@
 	a.store = store
 }
 
-// Whole gives records that stand for all that the voter holds.
-func (a *Acceptor) Whole() [][]byte {
+// Snapshot gives records that stand for all that the voter holds.
+func (a *Acceptor) Snapshot() [][]byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var records [][]byte
 	if a.identified {
-		records = append(records, pack(record{Identity: true, Incarnation: a.incarnation}))
+		records = append(records, encode(record{Identity: true, Incarnation: a.incarnation}))
 	}
-	for _, slot := range sorted(a.slots) {
-		records = append(records, pack(record{Slot: slot}))
+	for _, slot := range sortedSlots(a.slots) {
+		records = append(records, encode(record{Slot: slot}))
 	}
 	return records
 }
@@ -86,80 +86,80 @@
 	a.incarnation, a.identified = incarnation, true
 	store := a.store
 	a.mu.Unlock()
-	return store.Save(pack(record{Identity: true, Incarnation: incarnation}))
+	return store.Save(encode(record{Identity: true, Incarnation: incarnation}))
 }
 
-// Form plants the first voters; only a disk that holds none takes them.
-func (a *Acceptor) Form(voters Voters) error {
+// Bootstrap plants the first voters; only a disk that holds none takes them.
+func (a *Acceptor) Bootstrap(voters VoterSet) error {
 	a.mu.Lock()
 	if len(a.slots) > 0 {
 		a.mu.Unlock()
 		return nil
 	}
-	slot := Slot{Key: CohortKey, Accepted: Accepted{Sequence: 1, Value: pack(voters)}}
-	a.slots[CohortKey] = slot
+	slot := Slot{Key: VotersKey, Accepted: Proposal{Sequence: 1, Value: encode(voters)}}
+	a.slots[VotersKey] = slot
 	a.identified = true
-	a.seeVoters()
+	a.refreshVoters()
 	store := a.store
 	a.mu.Unlock()
-	if err := store.Save(pack(record{Identity: true, Incarnation: a.incarnation})); err != nil {
+	if err := store.Save(encode(record{Identity: true, Incarnation: a.incarnation})); err != nil {
 		return err
 	}
-	return a.keep(CohortKey)
+	return a.persist(VotersKey)
 }
 
-// Promise answers a taker of a key.
-func (a *Acceptor) Promise(asked PromiseAsk) PromiseTold {
+// Prepare answers a taker of a key.
+func (a *Acceptor) Prepare(asked PrepareRequest) PrepareResponse {
 	a.mu.Lock()
-	slot := a.slot(asked.Key)
-	told := PromiseTold{Verdict: a.fenced(asked.Fence, asked.Key), Generation: a.voters.Generation, Slot: slot}
+	slot := a.slotOf(asked.Key)
+	told := PrepareResponse{Verdict: a.checkFence(asked.Fence, asked.Key), Generation: a.voters.Generation, Slot: slot}
 	if told.Verdict == Granted && asked.Epoch.Compare(slot.Promised) <= 0 {
-		told.Verdict = Outbid
+		told.Verdict = Superseded
 	}
 	if told.Verdict != Granted {
 		a.mu.Unlock()
 		return told
 	}
 	slot.Promised = asked.Epoch
-	a.set(slot)
+	a.setSlot(slot)
 	a.mu.Unlock()
-	told.Slot, told.Verdict = slot, a.grant(asked.Key)
+	told.Slot, told.Verdict = slot, a.grantDurably(asked.Key)
 	return told
 }
 
 // Accept answers an owner's write.
-func (a *Acceptor) Accept(asked AcceptAsk) AcceptTold {
+func (a *Acceptor) Accept(asked AcceptRequest) AcceptResponse {
 	a.mu.Lock()
-	told := AcceptTold{Verdict: a.fenced(asked.Fence, asked.Key)}
-	slot := a.slot(asked.Key)
-	if told.Verdict == Granted && asked.Accepted.Epoch.Compare(slot.Promised) < 0 {
-		told.Verdict = Outbid
+	told := AcceptResponse{Verdict: a.checkFence(asked.Fence, asked.Key)}
+	slot := a.slotOf(asked.Key)
+	if told.Verdict == Granted && asked.Proposal.Epoch.Compare(slot.Promised) < 0 {
+		told.Verdict = Superseded
 	}
-	if told.Verdict == Granted && slot.Accepted.newer(asked.Accepted) {
-		told.Verdict = Outbid
+	if told.Verdict == Granted && slot.Accepted.newerThan(asked.Proposal) {
+		told.Verdict = Superseded
 	}
 	told.Promised, told.Generation = slot.Promised, a.voters.Generation
 	if told.Verdict != Granted {
 		a.mu.Unlock()
 		return told
 	}
-	slot.Promised, slot.Accepted = asked.Accepted.Epoch, asked.Accepted
-	a.set(slot)
-	a.seeVoters()
+	slot.Promised, slot.Accepted = asked.Proposal.Epoch, asked.Proposal
+	a.setSlot(slot)
+	a.refreshVoters()
 	told.Generation = a.voters.Generation
 	a.mu.Unlock()
-	told.Verdict = a.grant(asked.Key)
+	told.Verdict = a.grantDurably(asked.Key)
 	return told
 }
 
 // Confirm tells whether the epoch is still the newest that the voter knows.
-func (a *Acceptor) Confirm(asked ConfirmAsk) AcceptTold {
+func (a *Acceptor) Confirm(asked ConfirmRequest) AcceptResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	slot := a.slot(asked.Key)
-	told := AcceptTold{Verdict: a.fenced(asked.Fence, asked.Key), Promised: slot.Promised, Generation: a.voters.Generation}
+	slot := a.slotOf(asked.Key)
+	told := AcceptResponse{Verdict: a.checkFence(asked.Fence, asked.Key), Promised: slot.Promised, Generation: a.voters.Generation}
 	if told.Verdict == Granted && slot.Promised.Compare(asked.Epoch) != 0 {
-		told.Verdict = Outbid
+		told.Verdict = Superseded
 	}
 	return told
 }
@@ -168,24 +168,24 @@
 func (a *Acceptor) Slot(key string) Slot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.slot(key)
+	return a.slotOf(key)
 }
 
-func (a *Acceptor) slot(key string) Slot {
+func (a *Acceptor) slotOf(key string) Slot {
 	slot := a.slots[key]
 	slot.Key = key
 	return slot
 }
 
-// set puts a slot in place of the one before, whose promise it may not lower.
-func (a *Acceptor) set(slot Slot) {
+// setSlot puts a slot in place of the one before, whose promise it may not lower.
+func (a *Acceptor) setSlot(slot Slot) {
 	if before := a.slots[slot.Key].Promised; slot.Promised.Compare(before) < 0 {
 		a.Monitor.Violated(invariant.PromiseRises, "key %s: promised %v after %v", slot.Key, slot.Promised, before)
 	}
 	a.slots[slot.Key] = slot
 }
 
-func sorted(slots map[string]Slot) []Slot {
+func sortedSlots(slots map[string]Slot) []Slot {
 	found := make([]Slot, 0, len(slots))
 	for _, slot := range slots {
 		found = append(found, slot)
--- a/control/state/register/rounds.go
+++ b/control/state/register/broadcast.go
@@ -10,23 +10,23 @@
 )
 
 type vote struct {
-	seat    Seat
-	verdict Verdict
-	number  int64
+	member      Member
+	verdict     Verdict
+	epochNumber int64
 }
 
-// rounds sends a message to every seat of the sets and returns once each set
+// broadcast sends a message to every seat of the sets and returns once each set
 // has a majority of grants (and so many copies, where that is more), or can't
 // get it any more, or the scope ends.
-func (k *Keeper) rounds(ctx scope.Scope, state *owned, sets [][]Seat, copies int, send func(scope.Scope, Seat) (Verdict, int64)) error {
-	seats := union(sets)
+func (p *Proposer) broadcast(ctx scope.Scope, state *keyState, sets [][]Member, copies int, send func(scope.Scope, Member) (Verdict, int64)) error {
+	seats := distinctMembers(sets)
 	votes := make(chan vote, len(seats))
 	for _, seat := range seats {
-		k.options.Spawn(func() {
-			message, release := ctx.Detached().WithLimit(k.options.MessageLimit)
+		p.options.Spawn(func() {
+			message, release := ctx.Detached().WithLimit(p.options.MessageTimeout)
 			defer release()
 			verdict, number := send(message, seat)
-			votes <- vote{seat: seat, verdict: verdict, number: number}
+			votes <- vote{member: seat, verdict: verdict, epochNumber: number}
 		})
 	}
 	granted := map[ids.Address]bool{}
@@ -34,70 +34,70 @@
 	for range seats {
 		select {
 		case cast := <-votes:
-			state.highest = max(state.highest, cast.number)
+			state.highestEpoch = max(state.highestEpoch, cast.epochNumber)
 			if cast.verdict == Granted {
-				granted[cast.seat.Address] = true
+				granted[cast.member.Address] = true
 			} else {
-				refused[cast.seat.Address] = true
+				refused[cast.member.Address] = true
 			}
 		case <-ctx.Done():
 			return errkind.Of(errkind.Unsettled, "the voters did not answer in time")
 		}
-		if allHave(sets, granted, copies) {
+		if allQuorums(sets, granted, copies) {
 			return nil
 		}
-		if lost(sets, refused, copies) {
+		if quorumImpossible(sets, refused, copies) {
 			return errkind.Of(errkind.Unsettled, "too many voters refused")
 		}
 	}
 	return errkind.Of(errkind.Unsettled, "no majority")
 }
 
-// take asks the voters for the key under the state's epoch and gives the
+// prepare asks the voters for the key under the state's epoch and gives the
 // newest value found. Taking the cohort key may uncover newer voters, whose
 // majority is then needed too.
-func (k *Keeper) take(ctx scope.Scope, state *owned, key string) (Accepted, error) {
+func (p *Proposer) prepare(ctx scope.Scope, state *keyState, key string) (Proposal, error) {
 	for {
 		var lock sync.Mutex
-		var newest Accepted
-		sets := [][]Seat{state.voters.Seats}
-		err := k.rounds(ctx, state, sets, 0, func(message scope.Scope, seat Seat) (Verdict, int64) {
-			told, err := k.options.Line.Promise(message, seat.Address, PromiseAsk{Fence: state.voters.Fence(seat), Key: key, Epoch: state.epoch})
+		var newest Proposal
+		sets := [][]Member{state.voters.Members}
+		err := p.broadcast(ctx, state, sets, 0, func(message scope.Scope, seat Member) (Verdict, int64) {
+			told, err := p.options.Client.Promise(message, seat.Address, PrepareRequest{Fence: state.voters.FencingToken(seat), Key: key, Epoch: state.epoch})
 			verdict := verdictOf(told.Verdict, err)
 			lock.Lock()
 			defer lock.Unlock()
-			if verdict == Granted && told.Slot.Accepted.newer(newest) {
+			if verdict == Granted && told.Slot.Accepted.newerThan(newest) {
 				newest = told.Slot.Accepted
 			}
 			return verdict, told.Slot.Promised.Number
 		})
 		if err != nil {
-			return Accepted{}, err
+			return Proposal{}, err
 		}
 		lock.Lock()
 		found := newest
 		lock.Unlock()
-		if key != CohortKey {
+		if key != VotersKey {
 			return found, nil
 		}
-		voters, err := transport.Unpack[Voters](found.Value)
+		voters, err := transport.Unpack[VoterSet](found.Value)
 		if err != nil || voters.Generation <= state.voters.Generation {
 			return found, nil
 		}
 		state.voters = voters
-		state.highest++
-		state.epoch.Number = state.highest
+		state.highestEpoch++
+		state.epoch.Number = state.highestEpoch
 	}
 }
 
-func union(sets [][]Seat) []Seat {
-	var seats []Seat
+func distinctMembers(sets [][]Member) []Member {
+	var seats []Member
 	known := map[ids.Address]int{}
 	for _, set := range sets {
 		for _, seat := range set {
 			if index, found := known[seat.Address]; found {
 				// The newest set comes second: its incarnation is the one in force.
-				if !seat.Learning && seats[index].Learning {
+				if !seat.Learner && seats[index].Learner {
 					seats[index] = seat
 				}
 				continue
@@ -109,23 +109,23 @@
 	return seats
 }
 
-func allHave(sets [][]Seat, granted map[ids.Address]bool, copies int) bool {
+func allQuorums(sets [][]Member, granted map[ids.Address]bool, copies int) bool {
 	for _, set := range sets {
-		if len(set) > 0 && !enough(set, granted, copies) {
+		if len(set) > 0 && !hasQuorum(set, granted, copies) {
 			return false
 		}
 	}
 	return true
 }
 
-// lost tells whether some set can't grant enough any more.
-func lost(sets [][]Seat, refused map[ids.Address]bool, copies int) bool {
+// quorumImpossible tells whether some set can't grant enough any more.
+func quorumImpossible(sets [][]Member, refused map[ids.Address]bool, copies int) bool {
 	for _, set := range sets {
 		open := map[ids.Address]bool{}
 		for _, seat := range set {
 			open[seat.Address] = !refused[seat.Address]
 		}
-		if len(set) > 0 && !enough(set, open, copies) {
+		if len(set) > 0 && !hasQuorum(set, open, copies) {
 			return true
 		}
 	}
--- a/control/state/register/ask.go
+++ b/control/state/register/gather.go
@@ -52,22 +52,22 @@
 // always says that those in doubt need not be waited for.
 func always() bool { return true }
 
-// doubted tells whether one does not answer this machine's questions now.
-func (j *Joiner) doubted(address ids.Address) bool {
-	return j.Doubt != nil && j.Doubt(address)
+// suspected tells whether one does not answer this machine's questions now.
+func (j *Joiner) suspected(address ids.Address) bool {
+	return j.Suspected != nil && j.Suspected(address)
 }
 
-// each asks all addresses at once and waits for all answers but those in doubt.
-func (j *Joiner) each(addresses []ids.Address, ask func(address ids.Address)) {
-	gather(j, addresses, j.doubted, always, func(address ids.Address) (struct{}, bool) {
+// forEach asks all addresses at once and waits for all answers but those in doubt.
+func (j *Joiner) forEach(addresses []ids.Address, ask func(address ids.Address)) {
+	gather(j, addresses, j.suspected, always, func(address ids.Address) (struct{}, bool) {
 		ask(address)
 		return struct{}{}, true
 	}, func(ids.Address, struct{}) {})
 }
 
-// present gives those of some addresses that are not gone; all where they all are.
-func (j *Joiner) present(addresses []ids.Address) []ids.Address {
-	found := slices.DeleteFunc(slices.Clone(addresses), j.gone)
+// withoutReplaceable gives those of some addresses that are not gone; all where they all are.
+func (j *Joiner) withoutReplaceable(addresses []ids.Address) []ids.Address {
+	found := slices.DeleteFunc(slices.Clone(addresses), j.replaceable)
 	if len(found) == 0 {
 		return addresses
 	}
--- a/control/state/register/planted_test.go
+++ b/control/state/register/invariant_test.go
@@ -7,14 +7,14 @@
 	"onyxwell/base/invariant"
 )
 
-func TestPlantedLowerPromiseIsCounted(t *testing.T) {
+func TestAcceptor_countsLoweredPromise(t *testing.T) {
 	acceptor, err := NewAcceptor("a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	acceptor.Monitor = &invariant.Monitor{Tolerant: true}
 	for _, number := range []int64{4, 5, 3} {
-		acceptor.set(Slot{Key: "spec", Promised: ids.Epoch{Number: number}})
+		acceptor.setSlot(Slot{Key: "spec", Promised: ids.Epoch{Number: number}})
 	}
 	if got := acceptor.Monitor.Count(invariant.PromiseRises); got != 1 {
 		t.Errorf("counted %d", got)
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -10,10 +10,10 @@
 	"onyxwell/base/scope"
 )
 
-// Reach is how a joiner asks others for what they hold, and mends them.
-type Reach interface {
-	Copy(inner scope.Scope, address ids.Address, asked CopyAsk) (CopyTold, error)
-	Held(inner scope.Scope, address ids.Address) (HeldTold, error)
+// ReplicaClient is how a joiner asks others for what they hold, and mends them.
+type ReplicaClient interface {
+	Copy(inner scope.Scope, address ids.Address, asked FetchRequest) (FetchResponse, error)
+	Held(inner scope.Scope, address ids.Address) (DigestResponse, error)
 	Learn(inner scope.Scope, address ids.Address, slots []Slot) error
 }
 
@@ -35,51 +35,51 @@
 type Joiner struct {
 	Address  ids.Address
 	Acceptor *Acceptor
-	Keeper   *Keeper
-	Reach    Reach
-	// Others gives the controllers worth asking, Gone whether a voter has been
+	Proposer *Proposer
+	Replicas ReplicaClient
+	// Peers gives the controllers worth asking, Gone whether a voter has been
 	// away for so long that its seat may be taken.
-	Others func() []ids.Address
-	Gone   func(address ids.Address) bool
-	// Doubt tells whether one does not answer now: it is asked all the same, but
+	Peers       func() []ids.Address
+	Replaceable func(address ids.Address) bool
+	// Suspected tells whether one does not answer now: it is asked all the same, but
 	// not waited for where the others suffice. It may be missing.
-	Doubt func(address ids.Address) bool
-	// Wanted is how many seats there should be; Fits tells whether a seat here
+	Suspected func(address ids.Address) bool
+	// TargetVoters is how many seats there should be; Fits tells whether a seat here
 	// beside the others leaves no zone or region with too many of them.
-	Wanted int
-	Fits   func(others []ids.Address) bool
-	// Answer is how long one question may take; none says as long as the whole.
-	Answer clock.Span
+	TargetVoters     int
+	PlacementAllowed func(others []ids.Address) bool
+	// RequestTimeout is how long one question may take; none says as long as the whole.
+	RequestTimeout clock.Span
 	// Spawn runs a question; tests run it in place.
 	Spawn func(ask func())
 
-	// away are the voters that a majority of them say is away. A key's writer
+	// missedByMajority are the voters that a majority of them say is away. A key's writer
 	// reads it too, while another run may be under way: it is swapped whole.
-	away atomic.Pointer[map[ids.Address]bool]
-	// back are those that seemed gone and answered in this run.
-	back atomic.Pointer[map[ids.Address]bool]
-	// waited is how many times another was found learning under the same mark.
-	waited int
-	mark   int64
-	// bid is the newest promise of the voters' key that nothing was written under.
-	bid ids.Epoch
+	missedByMajority atomic.Pointer[map[ids.Address]bool]
+	// returned are those that seemed gone and answered in this run.
+	returned atomic.Pointer[map[ids.Address]bool]
+	// stalledRuns is how many times another was found learning under the same mark.
+	stalledRuns        int
+	stalledFingerprint int64
+	// pendingEpoch is the newest promise of the voters' key that nothing was written under.
+	pendingEpoch ids.Epoch
 }
 
-// ErrNoSeat says that all seats that are wanted are taken by others.
-var ErrNoSeat = errors.New("register: no seat is free")
+// ErrNoVacancy says that all seats that are wanted are taken by others.
+var ErrNoVacancy = errors.New("register: no seat is free")
 
-// steps bounds how many changes of voters one run makes: to be seated, and to
+// maxMembershipChanges bounds how many changes of voters one run makes: to be seated, and to
 // vote, each once more where another came in between.
-const steps = 4
+const maxMembershipChanges = 4
 
 // Join goes the way to a seat: find the voters, learn what they hold, take the
 // place of this machine's older disk, of a voter that is gone, or a further one
 // while fewer than wanted are there, learn what came since, and only then vote.
 func (j *Joiner) Join(ctx scope.Scope) error {
-	j.back.Store(nil)
-	j.hear(ctx)
-	j.wait()
-	for range steps {
+	j.returned.Store(nil)
+	j.discoverVoters(ctx)
+	j.noteStalledRun()
+	for range maxMembershipChanges {
 		voters := j.Acceptor.Voters()
 		if voters.Generation == 0 {
 			return errkind.Of(errkind.Unsettled, "no voters are known")
@@ -87,67 +87,67 @@
 		if j.Acceptor.Voting() {
 			return nil
 		}
-		if err := j.step(ctx, voters); err != nil {
+		if err := j.joinStep(ctx, voters); err != nil {
 			return err
 		}
-		j.each(j.present(j.peers(voters)), func(address ids.Address) { j.LearnVoters(ctx, address) })
+		j.forEach(j.withoutReplaceable(j.otherVoters(voters)), func(address ids.Address) { j.LearnVoters(ctx, address) })
 	}
 	return nil
 }
 
-func (j *Joiner) step(ctx scope.Scope, voters Voters) error {
-	own := Seat{Address: j.Address, Incarnation: j.Acceptor.Incarnation(), Learning: true}
-	index, found := j.place(voters)
+func (j *Joiner) joinStep(ctx scope.Scope, voters VoterSet) error {
+	own := Member{Address: j.Address, Incarnation: j.Acceptor.Incarnation(), Learner: true}
+	index, found := j.findVacancy(voters)
 	if !found {
-		return ErrNoSeat
+		return ErrNoVacancy
 	}
-	size, seated := len(voters.Seats), Seat{}
+	size, seated := len(voters.Members), Member{}
 	if index < size {
-		seated = voters.Seats[index]
-		if seated.Address == own.Address && seated.Incarnation == own.Incarnation && !seated.Learning {
+		seated = voters.Members[index]
+		if seated.Address == own.Address && seated.Incarnation == own.Incarnation && !seated.Learner {
 			return nil
 		}
 	} else {
 		// A further seat has no votes of before, which a newcomer would have to
 		// stand for: it votes from the start. Any majority that holds a change
 		// meets every majority of one seat more.
-		own.Learning, size = false, size+1
+		own.Learner, size = false, size+1
 	}
 	if seated != own {
-		found, back := j.reached(ctx, voters, index)
+		found, back := j.countAnswering(ctx, voters, index)
 		if back {
 			// Another seat may be free all the same.
-			j.note(seated.Address)
-			return j.step(ctx, voters)
+			j.markReturned(seated.Address)
+			return j.joinStep(ctx, voters)
 		}
-		if found < max(needed(size), quorum(size)) {
+		if found < max(learnQuorum(size), quorum(size)) {
 			return errkind.Of(errkind.Unsettled, "too few others to take a seat")
 		}
 	}
-	if !j.learn(ctx, voters, needed(size)) {
-		if j.Acceptor.Voters().Mark() != voters.Mark() {
+	if !j.learnFromVoters(ctx, voters, learnQuorum(size)) {
+		if j.Acceptor.Voters().Fingerprint() != voters.Fingerprint() {
 			// They are others by now: whoever changed them may still be at it.
 			return nil
 		}
 		// A voter that missed the change of voters, and promised a taker since,
 		// can't be mended by copies: the key is written again.
-		if err := j.Keeper.Settle(ctx, CohortKey); err != nil {
+		if err := j.Proposer.Reacquire(ctx, VotersKey); err != nil {
 			return err
 		}
 		return errkind.Of(errkind.Unsettled, "too few others to learn from")
 	}
 	if seated == own {
-		own.Learning = false
+		own.Learner = false
 	}
-	_, err := j.Keeper.Change(ctx, CohortKey, j.seating(voters, index, own))
+	_, err := j.Proposer.Update(ctx, VotersKey, j.replaceMember(voters, index, own))
 	return err
 }
 
 // LearnVoters takes the voters that another controller knows.
 func (j *Joiner) LearnVoters(ctx scope.Scope, address ids.Address) {
-	short, release := j.brief(ctx)
+	short, release := j.withRequestTimeout(ctx)
 	defer release()
-	told, err := j.Reach.Copy(short, address, CopyAsk{Key: CohortKey})
+	told, err := j.Replicas.Copy(short, address, FetchRequest{Key: VotersKey})
 	if err != nil {
 		return
 	}
@@ -157,16 +157,16 @@
 	}
 }
 
-// Mend repairs whichever side of a refused message knows only older voters; of
+// ReconcileVoters repairs whichever side of a refused message knows only older voters; of
 // one generation two takers may have proposed different ones.
-func (j *Joiner) Mend(ctx scope.Scope, address ids.Address, theirs int64) {
+func (j *Joiner) ReconcileVoters(ctx scope.Scope, address ids.Address, theirs int64) {
 	own := j.Acceptor.Voters().Generation
 	if theirs >= own {
 		j.LearnVoters(ctx, address)
 	}
 	if theirs <= own {
-		slot := j.Acceptor.Slot(CohortKey)
+		slot := j.Acceptor.Slot(VotersKey)
 		slot.Promised = ids.Epoch{}
-		_ = j.Reach.Learn(ctx, address, []Slot{slot})
+		_ = j.Replicas.Learn(ctx, address, []Slot{slot})
 	}
 }
--- a/control/state/register/learn.go
+++ b/control/state/register/learn.go
@@ -5,71 +5,71 @@
 	"onyxwell/control/transport"
 )
 
-// pack can't fail: the types are this package's own, and a test packs each.
-func pack[Message any](message Message) []byte {
+// encode can't fail: the types are this package's own, and a test packs each.
+func encode[Message any](message Message) []byte {
 	body, _ := transport.Pack(message)
 	return body
 }
 
-// seeVoters reads the voters out of the cohort slot.
-func (a *Acceptor) seeVoters() {
-	if voters, found := votersOf(a.slots[CohortKey]); found {
+// refreshVoters reads the voters out of the cohort slot.
+func (a *Acceptor) refreshVoters() {
+	if voters, found := decodeVoters(a.slots[VotersKey]); found {
 		a.voters = voters
 	}
 }
 
-func votersOf(slot Slot) (Voters, bool) {
+func decodeVoters(slot Slot) (VoterSet, bool) {
 	if len(slot.Accepted.Value) == 0 {
-		return Voters{}, false
+		return VoterSet{}, false
 	}
-	voters, err := transport.Unpack[Voters](slot.Accepted.Value)
+	voters, err := transport.Unpack[VoterSet](slot.Accepted.Value)
 	return voters, err == nil
 }
 
-// fenced tells whether a message may be acted on. The cohort key is open to
+// checkFence tells whether a message may be acted on. The cohort key is open to
 // takers of any generation: their majorities are counted over the old and the
 // new voters, so they find the newest.
-func (a *Acceptor) fenced(fence Fence, key string) Verdict {
+func (a *Acceptor) checkFence(fence FencingToken, key string) Verdict {
 	if a.store == nil || !a.voting() || fence.Incarnation != a.incarnation {
-		return Misfenced
+		return Fenced
 	}
-	if key != CohortKey && (fence.Generation != a.voters.Generation || fence.Mark != a.voters.Mark()) {
-		return Misfenced
+	if key != VotersKey && (fence.Generation != a.voters.Generation || fence.Fingerprint != a.voters.Fingerprint()) {
+		return Fenced
 	}
 	return Granted
 }
 
-func (a *Acceptor) voting() bool { return a.votesUnder(a.voters) }
+func (a *Acceptor) voting() bool { return a.votesIn(a.voters) }
 
-func (a *Acceptor) votesUnder(voters Voters) bool {
-	seat, found := voters.seat(a.address)
-	return found && a.identified && !seat.Learning && seat.Incarnation == a.incarnation
+func (a *Acceptor) votesIn(voters VoterSet) bool {
+	seat, found := voters.member(a.address)
+	return found && a.identified && !seat.Learner && seat.Incarnation == a.incarnation
 }
 
-// seat finds the seat at an address.
-func (v Voters) seat(address ids.Address) (Seat, bool) {
-	for _, seat := range v.Seats {
+// member finds the seat at an address.
+func (v VoterSet) member(address ids.Address) (Member, bool) {
+	for _, seat := range v.Members {
 		if seat.Address == address {
 			return seat, true
 		}
 	}
-	return Seat{}, false
+	return Member{}, false
 }
 
-// Copy gives what the voter's disk holds, and under which voters. What is not on
+// Fetch gives what the voter's disk holds, and under which voters. What is not on
 // the disk yet is not told: whoever learns here counts on it that this voter
 // goes on fencing off older generations, and may lose its memory right after.
-func (a *Acceptor) Copy(asked CopyAsk) CopyTold {
+func (a *Acceptor) Fetch(asked FetchRequest) FetchResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	voters, _ := votersOf(a.kept[CohortKey])
-	told := CopyTold{
+	voters, _ := decodeVoters(a.durable[VotersKey])
+	told := FetchResponse{
 		Incarnation: a.incarnation, Generation: voters.Generation,
-		Mark: voters.Mark(), Voting: a.votesUnder(voters),
+		Fingerprint: voters.Fingerprint(), Voting: a.votesIn(voters),
 	}
 	if asked.Key == "" {
-		told.Slots = sorted(a.kept)
-	} else if held, found := a.kept[asked.Key]; found {
+		told.Slots = sortedSlots(a.durable)
+	} else if held, found := a.durable[asked.Key]; found {
 		told.Slots = []Slot{held}
 	}
 	return told
@@ -82,16 +82,16 @@
 	a.leaving = true
 }
 
-// Held gives how all keys stand on the voter's disk.
-func (a *Acceptor) Held() HeldTold {
-	copied := a.Copy(CopyAsk{})
-	told := HeldTold{Incarnation: copied.Incarnation, Generation: copied.Generation, Mark: copied.Mark, Voting: copied.Voting}
+// Digest gives how all keys stand on the voter's disk.
+func (a *Acceptor) Digest() DigestResponse {
+	copied := a.Fetch(FetchRequest{})
+	told := DigestResponse{Incarnation: copied.Incarnation, Generation: copied.Generation, Fingerprint: copied.Fingerprint, Voting: copied.Voting}
 	a.mu.Lock()
 	told.Leaving = a.leaving
 	a.mu.Unlock()
-	told.Keys = make([]Held, 0, len(copied.Slots))
+	told.Keys = make([]KeyDigest, 0, len(copied.Slots))
 	for _, slot := range copied.Slots {
-		told.Keys = append(told.Keys, Held{
+		told.Keys = append(told.Keys, KeyDigest{
 			Key: slot.Key, Promised: slot.Promised, Epoch: slot.Accepted.Epoch, Sequence: slot.Accepted.Sequence,
 		})
 	}
@@ -106,7 +106,7 @@
 }
 
 // Voters gives the voters as this voter knows them.
-func (a *Acceptor) Voters() Voters {
+func (a *Acceptor) Voters() VoterSet {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.voters
@@ -135,31 +135,31 @@
 	a.mu.Lock()
 	var keys []string
 	for _, seen := range slots {
-		held := a.slot(seen.Key)
+		held := a.slotOf(seen.Key)
 		mended := held
-		if seen.Accepted.newer(held.Accepted) && (!a.voting() || seen.Accepted.Epoch.Compare(held.Promised) >= 0) {
+		if seen.Accepted.newerThan(held.Accepted) && (!a.voting() || seen.Accepted.Epoch.Compare(held.Promised) >= 0) {
 			mended.Accepted = seen.Accepted
 		}
 		if seen.Promised.Compare(held.Promised) > 0 {
 			mended.Promised = seen.Promised
 		}
 		keys = append(keys, seen.Key)
-		if !same(mended, held) {
-			a.set(mended)
+		if !equalSlots(mended, held) {
+			a.setSlot(mended)
 		}
 	}
-	a.seeVoters()
+	a.refreshVoters()
 	a.mu.Unlock()
-	return a.keep(keys...)
+	return a.persist(keys...)
 }
 
-// merge keeps the higher promise and the newer value of two states of a slot;
+// mergeSlots keeps the higher promise and the newer value of two states of a slot;
 // records of one key may stand in the journal in either order.
-func merge(left Slot, right Slot) Slot {
+func mergeSlots(left Slot, right Slot) Slot {
 	if left.Promised.Compare(right.Promised) > 0 {
 		right.Promised = left.Promised
 	}
-	if left.Accepted.newer(right.Accepted) {
+	if left.Accepted.newerThan(right.Accepted) {
 		right.Accepted = left.Accepted
 	}
 	return right
--- a/control/state/register/growth_test.go
+++ b/control/state/register/losses_test.go
@@ -6,26 +6,26 @@
 	"pgregory.net/rapid"
 )
 
-// TestTwoLostDisksAtOnce grows the voters, and loses two of the disks that an
+// TestUpdate_survivesTwoLostDisks grows the voters, and loses two of the disks that an
 // answered order stands on, right after the answer: the order must stay, and
 // both blank disks learn and vote again.
-func TestTwoLostDisksAtOnce(t *testing.T) {
+func TestUpdate_survivesTwoLostDisks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newWorld(t, 2)
-		world.calm = true
+		world := newCluster(t, 2)
+		world.faultFree = true
 		for range 4 {
-			for _, subject := range world.machines {
+			for _, subject := range world.nodes {
 				world.join(subject)
 			}
 		}
-		seats := world.newest().Seats
+		seats := world.currentVoters().Members
 		if len(seats) != 5 {
 			t.Fatalf("%d seats though five are wanted", len(seats))
 		}
 		for _, seat := range seats {
 			world.find(seat.Address).up = rapid.IntRange(0, 4).Draw(t, "down") > 0
 		}
-		world.write(world.find(seats[rapid.IntRange(0, 4).Draw(t, "owner")].Address), false)
+		world.update(world.find(seats[rapid.IntRange(0, 4).Draw(t, "owner")].Address), false)
 		for _, seat := range seats {
 			world.find(seat.Address).up = true
 		}
@@ -33,23 +33,23 @@
 		for _, index := range []int{first, (first + gap) % 5} {
 			lost := world.find(seats[index].Address)
 			lost.disk.records = nil
-			world.start(lost)
+			world.restart(lost)
 		}
-		world.settle()
-		if len(world.newest().Seats) != 5 {
-			t.Fatalf("seats were lost: %+v", world.newest())
+		world.healAndVerify()
+		if len(world.currentVoters().Members) != 5 {
+			t.Fatalf("seats were lost: %+v", world.currentVoters())
 		}
 	})
 }
 
-// TestTooFewDisksAnswerNothing has one of three voters down where two disks may
+// TestUpdate_refusedBelowMinCopies has one of three voters down where two disks may
 // be lost at one time: no order may be answered on the two that are left.
-func TestTooFewDisksAnswerNothing(t *testing.T) {
+func TestUpdate_refusedBelowMinCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newWorld(t, 2)
-		world.calm = true
-		world.machines[rapid.IntRange(1, 2).Draw(t, "down")].up = false
-		if world.write(world.machines[0], false) {
+		world := newCluster(t, 2)
+		world.faultFree = true
+		world.nodes[rapid.IntRange(1, 2).Draw(t, "down")].up = false
+		if world.update(world.nodes[0], false) {
 			t.Fatal("an order was answered on two disks, both of which may be lost")
 		}
 	})
--- a/control/state/register/redundancy.go
+++ b/control/state/register/redundancy.go
@@ -11,75 +11,75 @@
 
 // Redundancy is how much more the control state bears, as seen by one controller.
 type Redundancy struct {
-	Seats int `json:"seats"`
-	// Votes are the seats that answered, on the disk that was seated and under
+	Voters int `json:"seats"`
+	// CurrentVotes are the seats that answered, on the disk that was seated and under
 	// the voters of now; Away are those that did not, Learning those that don't
 	// vote yet.
-	Votes    int           `json:"votes_that_count"`
-	Learning []ids.Address `json:"learning"`
-	Away     []ids.Address `json:"away"`
+	CurrentVotes int           `json:"votes_that_count"`
+	Learners     []ids.Address `json:"learning"`
+	Unreachable  []ids.Address `json:"away"`
 	// Keys tells for each key how many disks hold the newest of it, and which
 	// voters lag.
-	Keys []KeyHeld `json:"keys"`
-	// Bears is how many more voters may be lost with every answered change kept
+	Keys []KeyRedundancy `json:"keys"`
+	// TolerableLosses is how many more voters may be lost with every answered change kept
 	// and the next one possible; below 0 no change is possible now.
-	Bears int  `json:"bears_losses"`
-	Whole bool `json:"whole"`
+	TolerableLosses int  `json:"bears_losses"`
+	Complete        bool `json:"whole"`
 }
 
-// KeyHeld is how many disks hold the newest of a key.
-type KeyHeld struct {
-	Key    string        `json:"key"`
-	Disks  int           `json:"disks"`
-	Behind []ids.Address `json:"behind"`
+// KeyRedundancy is how many disks hold the newest of a key.
+type KeyRedundancy struct {
+	Key     string        `json:"key"`
+	Copies  int           `json:"disks"`
+	Lagging []ids.Address `json:"behind"`
 }
 
 // String is the redundancy in one line.
 func (r Redundancy) String() string {
 	var lagging []string
 	for _, key := range r.Keys {
-		if len(key.Behind) > 0 {
-			lagging = append(lagging, fmt.Sprintf("%s on %d", key.Key, key.Disks))
+		if len(key.Lagging) > 0 {
+			lagging = append(lagging, fmt.Sprintf("%s on %d", key.Key, key.Copies))
 		}
 	}
-	return fmt.Sprintf("bears %d more losses: %d of %d votes, learning %v, away %v, lagging [%s]", r.Bears,
-		r.Votes, r.Seats, r.Learning, r.Away, strings.Join(lagging, ", "))
+	return fmt.Sprintf("bears %d more losses: %d of %d votes, learning %v, away %v, lagging [%s]", r.TolerableLosses,
+		r.CurrentVotes, r.Voters, r.Learners, r.Unreachable, strings.Join(lagging, ", "))
 }
 
 // Redundancy asks all voters how they stand, and repairs nothing: it is for one
 // that has no seat of its own.
 func (j *Joiner) Redundancy(ctx scope.Scope) Redundancy {
-	return (&Survey{Joiner: j}).look(ctx).redundancy()
+	return (&Repairer{Joiner: j}).survey(ctx).redundancy()
 }
 
-// view is what one round of questions found.
-type view struct {
-	voters Voters
-	told   map[ids.Address]HeldTold
-	newest map[string]Held
-	keys   []string
+// clusterView is what one round of questions found.
+type clusterView struct {
+	voters  VoterSet
+	digests map[ids.Address]DigestResponse
+	newest  map[string]KeyDigest
+	keys    []string
 }
 
-// look asks all voters how they stand; those that don't answer, or with another
+// survey asks all voters how they stand; those that don't answer, or with another
 // disk than the seated one, are left out.
-func (s *Survey) look(ctx scope.Scope) view {
-	joiner := s.Joiner
-	found := view{voters: joiner.Acceptor.Voters(), told: map[ids.Address]HeldTold{}, newest: map[string]Held{}}
-	add := func(address ids.Address, told HeldTold) {
-		seat, _ := found.voters.seat(address)
+func (r *Repairer) survey(ctx scope.Scope) clusterView {
+	joiner := r.Joiner
+	found := clusterView{voters: joiner.Acceptor.Voters(), digests: map[ids.Address]DigestResponse{}, newest: map[string]KeyDigest{}}
+	add := func(address ids.Address, told DigestResponse) {
+		seat, _ := found.voters.member(address)
 		if !told.Voting || told.Incarnation != seat.Incarnation {
 			return
 		}
-		found.told[address] = told
+		found.digests[address] = told
 		for _, held := range told.Keys {
-			if known, seen := found.newest[held.Key]; !seen || held.accepted().newer(known.accepted()) {
+			if known, seen := found.newest[held.Key]; !seen || held.proposal().newerThan(known.proposal()) {
 				found.newest[held.Key] = held
 			}
 		}
 	}
-	add(joiner.Address, joiner.Acceptor.Held())
-	gather(joiner, joiner.peers(found.voters), joiner.doubted, always, func(address ids.Address) (HeldTold, bool) {
-		told, err := joiner.held(ctx, address)
+	add(joiner.Address, joiner.Acceptor.Digest())
+	gather(joiner, joiner.otherVoters(found.voters), joiner.suspected, always, func(address ids.Address) (DigestResponse, bool) {
+		told, err := joiner.fetchDigest(ctx, address)
 		return told, err == nil
 	}, add)
 	for key := range found.newest {
@@ -89,68 +89,68 @@
 	return found
 }
 
-// behind gives the voters that hold something older than this.
-func (v view) behind(key string, mark Held) []Seat {
-	var lagging []Seat
-	for _, seat := range v.voters.Seats {
-		if told, answered := v.told[seat.Address]; answered && mark.accepted().newer(told.held(key).accepted()) {
+// lagging gives the voters that hold something older than this.
+func (c clusterView) lagging(key string, mark KeyDigest) []Member {
+	var lagging []Member
+	for _, seat := range c.voters.Members {
+		if told, answered := c.digests[seat.Address]; answered && mark.proposal().newerThan(told.key(key).proposal()) {
 			lagging = append(lagging, seat)
 		}
 	}
 	return lagging
 }
 
-func (h HeldTold) held(key string) Held {
-	for _, held := range h.Keys {
+func (d DigestResponse) key(key string) KeyDigest {
+	for _, held := range d.Keys {
 		if held.Key == key {
 			return held
 		}
 	}
-	return Held{}
+	return KeyDigest{}
 }
 
-// holders counts the disks that hold the newest of a key.
-func (v view) holders(key string) int {
-	return len(v.told) - len(v.behind(key, v.newest[key]))
+// copies counts the disks that hold the newest of a key.
+func (c clusterView) copies(key string) int {
+	return len(c.digests) - len(c.lagging(key, c.newest[key]))
 }
 
 // rank is the place of a voter among those that answered.
-func (v view) rank(address ids.Address) int {
+func (c clusterView) rank(address ids.Address) int {
 	rank := 0
-	for _, seat := range v.voters.Seats {
+	for _, seat := range c.voters.Members {
 		if seat.Address == address {
 			return rank
 		}
-		if _, answered := v.told[seat.Address]; answered {
+		if _, answered := c.digests[seat.Address]; answered {
 			rank++
 		}
 	}
 	return rank
 }
 
-func (v view) redundancy() Redundancy {
-	state := Redundancy{Seats: len(v.voters.Seats), Learning: []ids.Address{}, Away: []ids.Address{}, Keys: []KeyHeld{}}
-	for _, seat := range v.voters.Seats {
-		told, answered := v.told[seat.Address]
+func (c clusterView) redundancy() Redundancy {
+	state := Redundancy{Voters: len(c.voters.Members), Learners: []ids.Address{}, Unreachable: []ids.Address{}, Keys: []KeyRedundancy{}}
+	for _, seat := range c.voters.Members {
+		told, answered := c.digests[seat.Address]
 		switch {
-		case seat.Learning:
-			state.Learning = append(state.Learning, seat.Address)
+		case seat.Learner:
+			state.Learners = append(state.Learners, seat.Address)
 		case !answered:
-			state.Away = append(state.Away, seat.Address)
-		case told.Mark == v.voters.Mark():
-			state.Votes++
+			state.Unreachable = append(state.Unreachable, seat.Address)
+		case told.Fingerprint == c.voters.Fingerprint():
+			state.CurrentVotes++
 		}
 	}
-	state.Bears = state.Votes - quorum(state.Seats)
-	state.Whole = state.Seats > 0 && state.Votes == state.Seats
-	for _, key := range v.keys {
-		held := KeyHeld{Key: key, Disks: v.holders(key), Behind: []ids.Address{}}
-		for _, seat := range v.behind(key, v.newest[key]) {
-			held.Behind = append(held.Behind, seat.Address)
+	state.TolerableLosses = state.CurrentVotes - quorum(state.Voters)
+	state.Complete = state.Voters > 0 && state.CurrentVotes == state.Voters
+	for _, key := range c.keys {
+		held := KeyRedundancy{Key: key, Copies: c.copies(key), Lagging: []ids.Address{}}
+		for _, seat := range c.lagging(key, c.newest[key]) {
+			held.Lagging = append(held.Lagging, seat.Address)
 		}
 		// The newest is never on its last disk while as many are left as it bears.
-		state.Bears = min(state.Bears, held.Disks-1)
-		state.Whole = state.Whole && held.Disks == state.Seats
+		state.TolerableLosses = min(state.TolerableLosses, held.Copies-1)
+		state.Complete = state.Complete && held.Copies == state.Voters
 		state.Keys = append(state.Keys, held)
 	}
 	return state
--- a/control/state/voter/damage_test.go
+++ b/control/state/voter/damage_test.go
@@ -49,8 +49,8 @@
 	if !own.Voting() || own.Acceptor.Incarnation() != 0 {
 		t.Fatalf("a seed does not vote: %+v", own.Acceptor.Voters())
 	}
-	fence := register.Fence{Generation: 1, Mark: own.Acceptor.Voters().Mark()}
-	if told := own.Acceptor.Promise(register.PromiseAsk{Fence: fence, Key: "k", Epoch: ids.Epoch{Number: 1, Owner: "a"}}); told.Verdict != register.Granted {
+	fence := register.FencingToken{Generation: 1, Fingerprint: own.Acceptor.Voters().Fingerprint()}
+	if told := own.Acceptor.Prepare(register.PrepareRequest{Fence: fence, Key: "k", Epoch: ids.Epoch{Number: 1, Owner: "a"}}); told.Verdict != register.Granted {
 		t.Fatalf("%+v", told)
 	}
 	own.Close()
@@ -60,8 +60,8 @@
 	for _, first := range []bool{true, false} {
 		simulated.Kill()
 		own = open(first)
-		if own.Voting() || !own.Acceptor.Identified() || own.Acceptor.Incarnation() == 0 || len(own.Acceptor.Whole()) != 1 {
-			t.Fatalf("first %v: %+v", first, own.Acceptor.Copy(register.CopyAsk{}))
+		if own.Voting() || !own.Acceptor.Identified() || own.Acceptor.Incarnation() == 0 || len(own.Acceptor.Snapshot()) != 1 {
+			t.Fatalf("first %v: %+v", first, own.Acceptor.Fetch(register.FetchRequest{}))
 		}
 		own.Close()
 	}
--- a/control/state/voter/line.go
+++ b/control/state/voter/line.go
@@ -9,23 +9,23 @@
 )
 
 // Promise carries the message to a voter.
-func (s *Seat) Promise(ctx scope.Scope, address ids.Address, asked register.PromiseAsk) (register.PromiseTold, error) {
-	return carry(s, ctx, address, "promise", asked, s.Acceptor.Promise, func(told register.PromiseTold) (register.Verdict, int64) {
+func (s *Seat) Promise(ctx scope.Scope, address ids.Address, asked register.PrepareRequest) (register.PrepareResponse, error) {
+	return carry(s, ctx, address, "promise", asked, s.Acceptor.Prepare, func(told register.PrepareResponse) (register.Verdict, int64) {
 		return told.Verdict, told.Generation
 	})
 }
 
 // Accept carries the message to a voter.
-func (s *Seat) Accept(ctx scope.Scope, address ids.Address, asked register.AcceptAsk) (register.AcceptTold, error) {
+func (s *Seat) Accept(ctx scope.Scope, address ids.Address, asked register.AcceptRequest) (register.AcceptResponse, error) {
 	return carry(s, ctx, address, "accept", asked, s.Acceptor.Accept, verdictOf)
 }
 
 // Confirm carries the message to a voter.
-func (s *Seat) Confirm(ctx scope.Scope, address ids.Address, asked register.ConfirmAsk) (register.AcceptTold, error) {
+func (s *Seat) Confirm(ctx scope.Scope, address ids.Address, asked register.ConfirmRequest) (register.AcceptResponse, error) {
 	return carry(s, ctx, address, "confirm", asked, s.Acceptor.Confirm, verdictOf)
 }
 
-func verdictOf(told register.AcceptTold) (register.Verdict, int64) {
+func verdictOf(told register.AcceptResponse) (register.Verdict, int64) {
 	return told.Verdict, told.Generation
 }
 
@@ -47,37 +47,37 @@
 
 // mend repairs whichever side knows only older voters.
 func (s *Seat) mend(ctx scope.Scope, address ids.Address, verdict register.Verdict, theirs int64, err error) {
-	if err == nil && verdict == register.Misfenced {
-		s.joiner.Mend(ctx, address, theirs)
+	if err == nil && verdict == register.Fenced {
+		s.joiner.ReconcileVoters(ctx, address, theirs)
 	}
 }
 
 // Copy asks a controller for what it holds.
-func (s *Seat) Copy(ctx scope.Scope, address ids.Address, asked register.CopyAsk) (register.CopyTold, error) {
-	return transport.Send[register.CopyTold](ctx, s.options.Messenger, address, "copy", asked)
+func (s *Seat) Copy(ctx scope.Scope, address ids.Address, asked register.FetchRequest) (register.FetchResponse, error) {
+	return transport.Send[register.FetchResponse](ctx, s.options.Messenger, address, "copy", asked)
 }
 
 // Held asks a controller how all keys stand on its disk. Where they stand there
 // as here, as in calm they do, only that is told.
-func (s *Seat) Held(ctx scope.Scope, address ids.Address) (register.HeldTold, error) {
-	own := s.Acceptor.Held()
+func (s *Seat) Held(ctx scope.Scope, address ids.Address) (register.DigestResponse, error) {
+	own := s.Acceptor.Digest()
 	begin := ctx.Now()
-	told, err := transport.Send[register.HeldTold](ctx, s.options.Messenger, address, "held", register.HeldAsk{Sum: own.Sum()})
+	told, err := transport.Send[register.DigestResponse](ctx, s.options.Messenger, address, "held", register.DigestRequest{Hash: own.Hash()})
 	if err == nil {
 		s.options.Contact.Heard(address, begin)
 	}
-	if err == nil && told.Same {
+	if err == nil && told.Unchanged {
 		told.Keys = own.Keys
 	}
 	return told, err
 }
 
 // tellHeld answers such a question.
-func (s *Seat) tellHeld(asked register.HeldAsk) register.HeldTold {
-	told := s.Acceptor.Held()
-	told.Away = s.away()
-	if told.Sum() == asked.Sum {
-		told.Same, told.Keys = true, nil
+func (s *Seat) tellHeld(asked register.DigestRequest) register.DigestResponse {
+	told := s.Acceptor.Digest()
+	told.Unreachable = s.away()
+	if told.Hash() == asked.Hash {
+		told.Unchanged, told.Keys = true, nil
 	}
 	return told
 }
@@ -136,7 +136,7 @@
 			add(member.Address)
 		}
 	}
-	for _, voter := range s.Acceptor.Voters().Seats {
+	for _, voter := range s.Acceptor.Voters().Members {
 		if !s.isGone(voter.Address) {
 			add(voter.Address)
 		}
--- a/control/state/voter/missing.go
+++ b/control/state/voter/missing.go
@@ -22,18 +22,18 @@
 func (s *Seat) stirred(now clock.Instant) bool {
 	voters := s.Acceptor.Voters()
 	s.watch(now, voters)
-	seen := sight{mark: voters.Mark(), calm: voters.Generation > 0}
-	for _, voter := range voters.Seats {
-		if voter.Learning || s.doubted(voter.Address) {
+	seen := sight{mark: voters.Fingerprint(), calm: voters.Generation > 0}
+	for _, voter := range voters.Members {
+		if voter.Learner || s.doubted(voter.Address) {
 			seen.silent += string(voter.Address) + " "
 		}
 	}
 	voting := s.Voting()
-	seen.calm = seen.calm && seen.silent == "" && (voting || !s.joiner.Hopeful())
+	seen.calm = seen.calm && seen.silent == "" && (voting || !s.joiner.HasVacancy())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if voting {
-		seen.calm = seen.calm && s.redundancy.Votes == s.redundancy.Seats && !s.survey.Lags()
+		seen.calm = seen.calm && s.redundancy.CurrentVotes == s.redundancy.Voters && !s.survey.HasLagging()
 	}
 	seen.since = s.seen.since
 	if seen != s.seen {
@@ -45,11 +45,11 @@
 }
 
 // watch notes since when each voter has been one.
-func (s *Seat) watch(now clock.Instant, voters register.Voters) {
+func (s *Seat) watch(now clock.Instant, voters register.VoterSet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	watched := map[ids.Address]clock.Instant{}
-	for _, voter := range voters.Seats {
+	for _, voter := range voters.Members {
 		since, known := s.watched[voter.Address]
 		if !known {
 			since = now
@@ -109,7 +109,7 @@
 		}
 	}
 	s.mu.Unlock()
-	for _, voter := range s.Acceptor.Voters().Seats {
+	for _, voter := range s.Acceptor.Voters().Members {
 		if !slices.Contains(found, voter.Address) && s.silent(voter.Address, s.options.Pace.Missed) {
 			found = append(found, voter.Address)
 		}
--- a/control/state/voter/missing_test.go
+++ b/control/state/voter/missing_test.go
@@ -26,7 +26,7 @@
 		Address: subject.options.Address, Voters: subject.Acceptor.Voters, Fresh: 500 * clock.Millisecond,
 	})
 	return func() {
-		for _, voter := range subject.Acceptor.Voters().Seats {
+		for _, voter := range subject.Acceptor.Voters().Members {
 			if voter.Address != subject.options.Address && !silent[voter.Address] {
 				subject.options.Contact.Heard(voter.Address, s.clock.Now())
 			}
@@ -75,18 +75,18 @@
 	}
 	silent[other] = false
 	ask()
-	learner := register.Seat{Address: lost, Incarnation: 7, Learning: true}
-	seats := slices.Clone(subject.Acceptor.Voters().Seats)
+	learner := register.Member{Address: lost, Incarnation: 7, Learner: true}
+	seats := slices.Clone(subject.Acceptor.Voters().Members)
 	for index := range seats {
 		if seats[index].Address == lost {
 			seats[index] = learner
 		}
 	}
-	body, err := transport.Pack(register.Voters{Generation: 2, Seats: seats})
+	body, err := transport.Pack(register.VoterSet{Generation: 2, Members: seats})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := subject.Acceptor.Learn([]register.Slot{{Key: register.CohortKey, Accepted: register.Accepted{Epoch: ids.Epoch{Number: 5}, Sequence: 1, Value: body}}}); err != nil {
+	if err := subject.Acceptor.Learn([]register.Slot{{Key: register.VotersKey, Accepted: register.Proposal{Epoch: ids.Epoch{Number: 5}, Sequence: 1, Value: body}}}); err != nil {
 		t.Fatal(err)
 	}
 	ask()
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -14,13 +14,13 @@
 
 // Seek names the keeper through which a seat is asked for and what lags is
 // repaired.
-func (s *Seat) Seek(keeper *register.Keeper) {
+func (s *Seat) Seek(keeper *register.Proposer) {
 	s.joiner = &register.Joiner{
-		Address: s.options.Address, Acceptor: s.Acceptor, Keeper: keeper,
-		Reach: s, Others: s.controllers, Gone: s.isGone,
-		Wanted: s.options.Seats, Fits: s.fits, Doubt: s.doubted, Answer: s.options.Pace.Answer,
+		Address: s.options.Address, Acceptor: s.Acceptor, Proposer: keeper,
+		Replicas: s, Peers: s.controllers, Replaceable: s.isGone,
+		TargetVoters: s.options.Seats, PlacementAllowed: s.fits, Suspected: s.doubted, RequestTimeout: s.options.Pace.Answer,
 	}
-	s.survey = &register.Survey{Joiner: s.joiner}
+	s.survey = &register.Repairer{Joiner: s.joiner}
 }
 
 // standBys is how many calm looks one that finds no free seat lets pass before it
@@ -65,10 +65,10 @@
 	defer release()
 	err := s.joiner.Join(short)
 	ctx.Log.Info().Str("part", "seat").Err(err).Msg("asked for a seat")
-	if !errors.Is(err, register.ErrNoSeat) {
+	if !errors.Is(err, register.ErrNoVacancy) {
 		return 0
 	}
-	s.survey.Follow(short)
+	s.survey.CatchUp(short)
 	return standBys
 }
 
@@ -85,10 +85,10 @@
 	if line == s.redundancy.String() && line != s.logged {
 		s.logged = line
 		whole := s.options.Contact.Status(ctx.Now()).WholeAgeMS
-		ctx.Log.Info().Str("part", "seat").Bool("whole", state.Whole).Int64("whole_contact_age_ms", whole).Msg(line)
+		ctx.Log.Info().Str("part", "seat").Bool("whole", state.Complete).Int64("whole_contact_age_ms", whole).Msg(line)
 	}
 	s.redundancy = state
-	s.miss(begin, state.Away)
+	s.miss(begin, state.Unreachable)
 }
 
 // Redundancy tells how much more the control state bears, as last seen from
@@ -115,10 +115,10 @@
 func (s *Seat) HandOn(ctx scope.Scope) {
 	short, release := ctx.WithLimit(settings.Seconds(ctx.Boot.Bounds.GraceS) / 4)
 	defer release()
-	leaving := &register.Survey{Joiner: s.joiner, Copies: Copies(ctx.Boot)}
-	done := leaving.HandOn(short)
+	leaving := &register.Repairer{Joiner: s.joiner, MinCopies: Copies(ctx.Boot)}
+	done := leaving.HandOff(short)
 	for (!done || s.awaited()) && short.Wait(s.options.Patience/10) {
-		done = leaving.HandOn(short)
+		done = leaving.HandOff(short)
 	}
 	ctx.Log.Info().Str("part", "seat").Bool("enough", done).Bool("seated", s.Voting()).Msg("what is held here is held by others")
 }
@@ -132,7 +132,7 @@
 		return false
 	}
 	seated := map[ids.Address]bool{}
-	for _, voter := range s.Acceptor.Voters().Seats {
+	for _, voter := range s.Acceptor.Voters().Members {
 		seated[voter.Address] = true
 	}
 	self := s.options.Table.Self()
--- a/control/state/voter/seat.go
+++ b/control/state/voter/seat.go
@@ -25,7 +25,7 @@
 // Options are what a seat is opened with.
 type Options struct {
 	Address   ids.Address
-	Disk      wal.Disk
+	Disk      wal.FS
 	First     bool
 	Seeds     []ids.Address
 	Table     *membership.Table
@@ -48,10 +48,10 @@
 	Acceptor *register.Acceptor
 	Granter  *lease.Granter
 	options  Options
-	opened   *wal.Journal
+	opened   *wal.Log
 	now      func() clock.Instant
 	joiner   *register.Joiner
-	survey   *register.Survey
+	survey   *register.Repairer
 
 	mu         sync.Mutex
 	redundancy register.Redundancy
@@ -90,22 +90,22 @@
 	for {
 		made := &Seat{options: options, now: top.Now, unknown: map[ids.Address]clock.Instant{}}
 		opened, records, err := wal.Open(wal.Options{
-			Disk: options.Disk, Name: "registers", Limit: limit(top.Boot),
-			Whole: func() [][]byte { return made.Acceptor.Whole() },
+			FS: options.Disk, Name: "registers", MaxBytes: limit(top.Boot),
+			Snapshot: func() [][]byte { return made.Acceptor.Snapshot() },
 		})
-		if errors.Is(err, wal.ErrVersion) {
+		if errors.Is(err, wal.ErrUnsupportedVersion) {
 			return nil, err
 		}
 		if err == nil {
-			made.opened, damaged = opened, damaged || opened.Damage != nil
-			warn(top, opened.Damage)
+			made.opened, damaged = opened, damaged || opened.Corruption != nil
+			warn(top, opened.Corruption)
 			if made.Acceptor, err = register.NewAcceptor(options.Address, records); err != nil {
 				opened.Close()
 				return nil, err
 			}
 			made.Acceptor.Attach(opened)
 			made.Granter = lease.NewGranter(top.Clock, options.HoldSpan, func() (bool, int64) {
-				return made.Voting(), made.Acceptor.Voters().Mark()
+				return made.Voting(), made.Acceptor.Voters().Fingerprint()
 			})
 			if err = made.begin(damaged); err == nil {
 				return made, nil
@@ -123,9 +123,9 @@
 // was set aside, and for other files.
 func limit(settings *settings.Boot) int64 { return settings.Limits.DiskMB << 20 / 4 }
 
-func warn(top scope.Scope, damage *wal.Damage) {
+func warn(top scope.Scope, damage *wal.Corruption) {
 	if damage != nil {
-		top.Log.Warn().Str("part", "seat").Str("file", damage.File).Str("aside", damage.Aside).
+		top.Log.Warn().Str("part", "seat").Str("file", damage.File).Str("aside", damage.QuarantinedAs).
 			Int64("offset", damage.Offset).Int64("bytes", damage.Bytes).Str("reason", damage.Reason).
 			Msg("the journal is damaged; this disk starts blank")
 	}
@@ -139,17 +139,17 @@
 	if !s.options.First || damaged {
 		return s.Acceptor.Identify(ids.Incarnation(random.Int63(1<<62) + 1))
 	}
-	voters := register.Voters{Generation: 1}
+	voters := register.VoterSet{Generation: 1}
 	member := false
 	for _, address := range s.options.Seeds {
-		voters.Seats = append(voters.Seats, register.Seat{Address: address})
+		voters.Members = append(voters.Members, register.Member{Address: address})
 		member = member || address == s.options.Address
 	}
-	sort.Slice(voters.Seats, func(left, right int) bool { return voters.Seats[left].Address < voters.Seats[right].Address })
+	sort.Slice(voters.Members, func(left, right int) bool { return voters.Members[left].Address < voters.Members[right].Address })
 	if !member {
 		return s.Acceptor.Identify(ids.Incarnation(random.Int63(1<<62) + 1))
 	}
-	return s.Acceptor.Form(voters)
+	return s.Acceptor.Bootstrap(voters)
 }
 
 // Voting tells whether this disk votes now.
@@ -160,19 +160,19 @@
 
 // Serve adds the voter's messages to a table of calls.
 func (s *Seat) Serve(calls *httpcall.Table) {
-	transport.Handle(calls, "promise", func(_ scope.Scope, asked register.PromiseAsk) (register.PromiseTold, error) {
-		return s.Acceptor.Promise(asked), nil
+	transport.Handle(calls, "promise", func(_ scope.Scope, asked register.PrepareRequest) (register.PrepareResponse, error) {
+		return s.Acceptor.Prepare(asked), nil
 	})
-	transport.Handle(calls, "accept", func(_ scope.Scope, asked register.AcceptAsk) (register.AcceptTold, error) {
+	transport.Handle(calls, "accept", func(_ scope.Scope, asked register.AcceptRequest) (register.AcceptResponse, error) {
 		return s.Acceptor.Accept(asked), nil
 	})
-	transport.Handle(calls, "confirm", func(_ scope.Scope, asked register.ConfirmAsk) (register.AcceptTold, error) {
+	transport.Handle(calls, "confirm", func(_ scope.Scope, asked register.ConfirmRequest) (register.AcceptResponse, error) {
 		return s.Acceptor.Confirm(asked), nil
 	})
-	transport.Handle(calls, "copy", func(_ scope.Scope, asked register.CopyAsk) (register.CopyTold, error) {
-		return s.Acceptor.Copy(asked), nil
+	transport.Handle(calls, "copy", func(_ scope.Scope, asked register.FetchRequest) (register.FetchResponse, error) {
+		return s.Acceptor.Fetch(asked), nil
 	})
-	transport.Handle(calls, "held", func(_ scope.Scope, asked register.HeldAsk) (register.HeldTold, error) {
+	transport.Handle(calls, "held", func(_ scope.Scope, asked register.DigestRequest) (register.DigestResponse, error) {
 		return s.tellHeld(asked), nil
 	})
 	transport.Handle(calls, "learn", func(_ scope.Scope, asked LearnAsk) (LearnTold, error) {
@@ -190,8 +190,8 @@
 // The own voter is asked first: while it refuses, the others are left in peace.
 func (s *Seat) AskHold(ctx scope.Scope, asked lease.Ask) lease.Grants {
 	voters := s.Acceptor.Voters()
-	seats := voters.Seats
-	asked.Voters = voters.Mark()
+	seats := voters.Members
+	asked.Voters = voters.Fingerprint()
 	granted := 0
 	if s.Granter.Grant(asked).Granted {
 		granted = 1
@@ -233,7 +233,7 @@
 		s.options.Contact.Heard(address, begin)
 	}
 	if told.Misfenced {
-		s.mend(message, address, register.Misfenced, told.Generation, err)
+		s.mend(message, address, register.Fenced, told.Generation, err)
 	}
 	return err == nil && told.Granted
 }
--- a/control/state/voter/seat_test.go
+++ b/control/state/voter/seat_test.go
@@ -22,7 +22,7 @@
 	clock *clock.Fake
 	top   scope.Scope
 	seats []*Seat
-	keeps []*register.Keeper
+	keeps []*register.Proposer
 	doors []*httptest.Server
 }
 
@@ -49,7 +49,7 @@
 			}
 		}
 		opened, err := Open(made.top, Options{
-			Address: address, Disk: wal.Folder(t.TempDir()), First: index < 3, Seeds: addresses[:3], Table: known,
+			Address: address, Disk: wal.Dir(t.TempDir()), First: index < 3, Seeds: addresses[:3], Table: known,
 			Messenger: transport.New(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}),
 			Patience:  clock.Second, Limit: 100 * clock.Second, HoldSpan: clock.Second, Seats: 3,
 		})
@@ -58,9 +58,9 @@
 		}
 		t.Cleanup(opened.Close)
 		opened.Serve(tables[index])
-		keeper := register.NewKeeper(register.Options{
-			Address: address, Line: opened, Voters: opened.Acceptor.Voters, MessageLimit: 100 * clock.Second, Copies: 2,
-			Seen: func(key string) int64 { return opened.Acceptor.Slot(key).Promised.Number },
+		keeper := register.NewProposer(register.ProposerOptions{
+			Address: address, Client: opened, Voters: opened.Acceptor.Voters, MessageTimeout: 100 * clock.Second, MinCopies: 2,
+			HighestEpoch: func(key string) int64 { return opened.Acceptor.Slot(key).Promised.Number },
 		})
 		opened.Seek(keeper)
 		made.seats, made.keeps = append(made.seats, opened), append(made.keeps, keeper)
@@ -71,7 +71,7 @@
 func (s *site) change(index int, value string) {
 	s.t.Helper()
 	step := func([]byte) ([]byte, error) { return []byte(value), nil }
-	if _, err := s.keeps[index].Change(s.top, "spec", step); err != nil {
+	if _, err := s.keeps[index].Update(s.top, "spec", step); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -91,23 +91,23 @@
 func TestReplacedInOneRun(t *testing.T) {
 	site := newSite(t, 4)
 	standBy := site.seats[3]
-	if idle := standBy.strive(site.top); idle != standBys || standBy.joiner.Hopeful() {
+	if idle := standBy.strive(site.top); idle != standBys || standBy.joiner.HasVacancy() {
 		t.Fatalf("idle for %d though no seat is free", idle)
 	}
 	site.change(0, "one")
-	standBy.survey.Follow(site.top)
-	standBy.survey.Follow(site.top)
+	standBy.survey.CatchUp(site.top)
+	standBy.survey.CatchUp(site.top)
 	if held := standBy.Acceptor.Slot("spec"); string(held.Accepted.Value) != "one" || held.Promised.Number != 0 {
 		t.Fatalf("the stand-by holds %+v", held)
 	}
 	// One without a seat shows what a voter does.
-	for !site.seats[0].Redundancy().Whole {
+	for !site.seats[0].Redundancy().Complete {
 		site.seats[0].look(site.top)
 	}
 	alike := func() {
 		t.Helper()
 		seen, own := standBy.RedundancyNow(site.top), site.seats[0].RedundancyNow(site.top)
-		if seen.String() != own.String() || seen.Whole != own.Whole || len(seen.Keys) != len(own.Keys) || own.Seats != 3 {
+		if seen.String() != own.String() || seen.Complete != own.Complete || len(seen.Keys) != len(own.Keys) || own.Voters != 3 {
 			t.Fatalf("a voter sees %s, the stand-by %s", own, seen)
 		}
 	}
@@ -115,10 +115,10 @@
 	site.lose(2)
 	site.seats[0].look(site.top)
 	alike()
-	if state := site.seats[0].Redundancy(); state.Bears != 0 || len(state.Away) != 1 {
+	if state := site.seats[0].Redundancy(); state.TolerableLosses != 0 || len(state.Unreachable) != 1 {
 		t.Fatalf("with one lost: %s", state)
 	}
-	if !standBy.joiner.Hopeful() {
+	if !standBy.joiner.HasVacancy() {
 		t.Fatal("the free seat isn't seen")
 	}
 	standBy.strive(site.top)
@@ -129,7 +129,7 @@
 		site.seats[0].look(site.top)
 		standBy.look(site.top)
 	}
-	if state := site.seats[0].Redundancy(); !state.Whole || state.Bears != 1 {
+	if state := site.seats[0].Redundancy(); !state.Complete || state.TolerableLosses != 1 {
 		t.Fatalf("after the replacement: %s", state)
 	}
 	site.change(3, "two")
@@ -158,7 +158,7 @@
 	site := newSite(t, 3)
 	site.change(0, "one")
 	// A change is answered before its last message is: two looks see to that.
-	for !site.seats[0].Redundancy().Whole {
+	for !site.seats[0].Redundancy().Complete {
 		site.seats[0].look(site.top)
 	}
 	site.seats[0].HandOn(site.top)
--- a/control/state/wal/sizes_test.go
+++ b/control/state/wal/bench_test.go
@@ -43,7 +43,7 @@
 	return body
 }
 
-func processor() time.Duration {
+func cpuTime() time.Duration {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
@@ -57,14 +57,14 @@
 		for _, changes := range []int{10, 100, 1000} {
 			b.Run(fmt.Sprintf("routes=%d/changes=%d", routes, changes), func(b *testing.B) {
 				for range b.N {
-					measure(b, routes, changes)
+					benchmarkChanges(b, routes, changes)
 				}
 			})
 		}
 	}
 }
 
-func measure(b *testing.B, routes int, changes int) {
+func benchmarkChanges(b *testing.B, routes int, changes int) {
 	source := rand.New(rand.NewPCG(1, 2))
 	// The disk's own time: 120 MB/s and 5 ms a sync, 30 times slower.
 	busy := time.Duration(0)
@@ -75,9 +75,9 @@
 		}
 		return nil
 	}})
-	open := func() (*register.Acceptor, *wal.Journal) {
+	open := func() (*register.Acceptor, *wal.Log) {
 		var voter *register.Acceptor
-		opened, records, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "registers", Limit: 16 << 20, Whole: func() [][]byte { return voter.Whole() }})
+		opened, records, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "registers", MaxBytes: 16 << 20, Snapshot: func() [][]byte { return voter.Snapshot() }})
 		if err == nil {
 			voter, err = register.NewAcceptor("a", records)
 		}
@@ -88,7 +88,7 @@
 		return voter, opened
 	}
 	voter, opened := open()
-	if err := voter.Form(register.Voters{Generation: 1, Seats: []register.Seat{{Address: "a"}}}); err != nil {
+	if err := voter.Bootstrap(register.VoterSet{Generation: 1, Members: []register.Member{{Address: "a"}}}); err != nil {
 		b.Fatal(err)
 	}
 	text := document(source, routes)
@@ -96,25 +96,25 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	fence, epoch := register.Fence{Generation: 1, Mark: voter.Voters().Mark()}, ids.Epoch{Number: 1, Owner: "a"}
+	fence, epoch := register.FencingToken{Generation: 1, Fingerprint: voter.Voters().Fingerprint()}, ids.Epoch{Number: 1, Owner: "a"}
 	var stepped, saved, worst time.Duration
 	written, start := simulated.Written(), busy
 	for index := range changes {
 		patch, _ := json.Marshal(map[string]any{"config_version": index + 2, "changes": map[string]any{
 			"routes": []any{route(source, source.IntN(routes), max(2, routes/10))}}})
-		before := processor()
+		before := cpuTime()
 		next, err := store.Change{Match: ids.Serial(index + 1), Body: patch}.Step(value)
 		if err != nil {
 			b.Fatal(err)
 		}
 		value = next
-		between, idle := processor(), busy
-		told := voter.Accept(register.AcceptAsk{Fence: fence, Key: "spec", Accepted: register.Accepted{Epoch: epoch, Sequence: int64(index + 1), Value: value}})
+		between, idle := cpuTime(), busy
+		told := voter.Accept(register.AcceptRequest{Fence: fence, Key: "spec", Proposal: register.Proposal{Epoch: epoch, Sequence: int64(index + 1), Value: value}})
 		if told.Verdict != register.Granted {
 			b.Fatalf("%+v", told)
 		}
 		worst = max(worst, busy-idle)
-		stepped, saved = stepped+between-before, saved+processor()-between
+		stepped, saved = stepped+between-before, saved+cpuTime()-between
 	}
 	written, busy = simulated.Written()-written, busy-start
 	b.ReportMetric(float64(busy.Microseconds())/1000/float64(changes), "slow-disk-ms/change")
--- a/control/state/wal/disk.go
+++ b/control/state/wal/fs.go
@@ -16,9 +16,9 @@
 	Close() error
 }
 
-// Disk is the folder that the journal lives in. A name that was made, renamed
+// FS is the folder that the journal lives in. A name that was made, renamed
 // or removed lasts only once SyncFolder has returned, and bytes once Sync has.
-type Disk interface {
+type FS interface {
 	// Read gives a whole file; a missing one is empty.
 	Read(name string) ([]byte, error)
 	// Create opens an empty file; one that is there is emptied.
@@ -33,12 +33,12 @@
 	SyncFolder() error
 }
 
-// Folder is a disk in a folder of the file system.
-type Folder string
+// Dir is a disk in a folder of the file system.
+type Dir string
 
 // Read gives a whole file; a missing one is empty.
-func (f Folder) Read(name string) ([]byte, error) {
-	content, err := os.ReadFile(filepath.Join(string(f), name))
+func (d Dir) Read(name string) ([]byte, error) {
+	content, err := os.ReadFile(filepath.Join(string(d), name))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
@@ -46,34 +46,34 @@
 }
 
 // Create opens an empty file, making the folder where it is missing.
-func (f Folder) Create(name string) (File, error) {
-	if err := makeFolder(string(f)); err != nil {
+func (d Dir) Create(name string) (File, error) {
+	if err := mkdirAllSynced(string(d)); err != nil {
 		return nil, err
 	}
-	return os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
+	return os.OpenFile(filepath.Join(string(d), name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 }
 
-// makeFolder makes a folder and those above it; each that it makes is synced
+// mkdirAllSynced makes a folder and those above it; each that it makes is synced
 // into the one above.
-func makeFolder(path string) error {
+func mkdirAllSynced(path string) error {
 	if found, err := os.Stat(path); err == nil && found.IsDir() {
 		return nil
 	}
 	above := filepath.Dir(path)
 	if above != path {
-		if err := makeFolder(above); err != nil {
+		if err := mkdirAllSynced(above); err != nil {
 			return err
 		}
 	}
 	if err := os.Mkdir(path, 0o755); err != nil && !os.IsExist(err) {
 		return err
 	}
-	return Folder(above).SyncFolder()
+	return Dir(above).SyncFolder()
 }
 
 // Append opens a file and cuts it to the length.
-func (f Folder) Append(name string, length int64) (File, error) {
-	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_WRONLY, 0o644)
+func (d Dir) Append(name string, length int64) (File, error) {
+	file, err := os.OpenFile(filepath.Join(string(d), name), os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
@@ -88,13 +88,13 @@
 }
 
 // Rename gives a file another name.
-func (f Folder) Rename(from string, to string) error {
-	return os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to))
+func (d Dir) Rename(from string, to string) error {
+	return os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to))
 }
 
 // Remove takes a file away; a missing one is no fault.
-func (f Folder) Remove(name string) error {
-	err := os.Remove(filepath.Join(string(f), name))
+func (d Dir) Remove(name string) error {
+	err := os.Remove(filepath.Join(string(d), name))
 	if os.IsNotExist(err) {
 		return nil
 	}
@@ -102,8 +102,8 @@
 }
 
 // SyncFolder makes the names of all files last.
-func (f Folder) SyncFolder() error {
-	opened, err := os.Open(string(f))
+func (d Dir) SyncFolder() error {
+	opened, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
--- a/control/state/wal/journal_test.go
+++ b/control/state/wal/log_test.go
@@ -12,11 +12,11 @@
 
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
-// TestDamageBlanksTheDisk spoils a file before its last record.
-func TestDamageBlanksTheDisk(t *testing.T) {
+// TestOpen_corruptFileCountsAsBlank spoils a file before its last record.
+func TestOpen_corruptFileCountsAsBlank(t *testing.T) {
 	simulated := simdisk.New(simdisk.Options{Draw: func(int) bool { return false }})
-	open := func() (*wal.Journal, [][]byte) {
-		opened, records, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return nil }})
+	open := func() (*wal.Log, [][]byte) {
+		opened, records, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "j", Snapshot: func() [][]byte { return nil }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +28,7 @@
 			t.Fatalf("%q", records)
 		}
 		for number := range 3 {
-			if err := opened.Save(record(0, number)); err != nil {
+			if err := opened.Save(counterRecord(0, number)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -37,25 +37,25 @@
 		at := simulated.Spoil("j")
 		simulated.Kill()
 		opened, records = open()
-		found := opened.Damage
-		if found == nil || len(records) != 0 || found.File != "j" || found.Aside != "j.damaged" || found.Bytes != size || found.Offset > at {
+		found := opened.Corruption
+		if found == nil || len(records) != 0 || found.File != "j" || found.QuarantinedAs != "j.damaged" || found.Bytes != size || found.Offset > at {
 			t.Fatalf("%+v, %d records", found, len(records))
 		}
-		if simulated.Bytes(found.Aside) != size {
+		if simulated.Bytes(found.QuarantinedAs) != size {
 			t.Fatal("the file is not kept")
 		}
 		opened.Close()
 		simulated.Kill()
-		if opened, _ = open(); opened.Damage != nil {
-			t.Fatalf("damage is told twice: %+v", opened.Damage)
+		if opened, _ = open(); opened.Corruption != nil {
+			t.Fatalf("damage is told twice: %+v", opened.Corruption)
 		}
 		opened.Close()
 	}
 }
 
-// TestWhatOpenGaveLasts kills the process between a write and its sync: what the
+// TestOpen_recordsAreDurable kills the process between a write and its sync: what the
 // next process reads must not go with the power after that.
-func TestWhatOpenGaveLasts(t *testing.T) {
+func TestOpen_recordsAreDurable(t *testing.T) {
 	var simulated *simdisk.Disk
 	deadly := false
 	simulated = simdisk.New(simdisk.Options{Draw: func(odds int) bool { return odds == 4 }, Pause: func(act string, _ int) error {
@@ -66,22 +66,22 @@
 	}})
 	for life, want := range []int{0, 1, 1} {
 		deadly = false
-		opened, records, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j"})
+		opened, records, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "j"})
 		if err != nil || len(records) != want {
 			t.Fatalf("life %d: %q %v", life, records, err)
 		}
 		if deadly = life == 0; !deadly {
 			simulated.LosePower()
-		} else if err := opened.Save(record(0, 1)); !errors.Is(err, simdisk.ErrDead) {
+		} else if err := opened.Save(counterRecord(0, 1)); !errors.Is(err, simdisk.ErrDead) {
 			t.Fatal(err)
 		}
 		opened.Close()
 	}
 }
 
-// TestFullDiskRecovers fills a disk: nothing is acknowledged without room, what
+// TestSave_recoversFromFullDisk fills a disk: nothing is acknowledged without room, what
 // has no room beside the file goes into it, and room brings the journal back.
-func TestFullDiskRecovers(t *testing.T) {
+func TestSave_recoversFromFullDisk(t *testing.T) {
 	refused := ""
 	simulated := simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
 		if act == refused {
@@ -90,7 +90,7 @@
 		return nil
 	}})
 	state := bytes.Repeat([]byte("s"), 1000)
-	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return [][]byte{state} }, Shortest: 4000})
+	opened, _, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "j", Snapshot: func() [][]byte { return [][]byte{state} }, MinCompactBytes: 4000})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestStalledDiskAcknowledgesNothing holds up a sync.
-func TestStalledDiskAcknowledgesNothing(t *testing.T) {
+// TestSave_awaitsSync holds up a sync.
+func TestSave_awaitsSync(t *testing.T) {
 	stalls, reached, over := false, make(chan bool), make(chan bool)
 	simulated := simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
 		if stalls && act == simdisk.ActSync {
@@ -113,14 +113,14 @@
 		}
 		return nil
 	}})
-	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j"})
+	opened, _, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "j"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer opened.Close()
 	stalls = true
 	told := make(chan error, 1)
-	go func() { told <- opened.Save(record(0, 1)) }()
+	go func() { told <- opened.Save(counterRecord(0, 1)) }()
 	select {
 	case <-reached:
 	case err := <-told:
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestLimitIsNeverPassed lets a state grow up to the limit, where none is
+// TestSave_keepsWithinMaxBytes lets a state grow up to the limit, where none is
 // refused, beyond it, and shrink again.
-func TestLimitIsNeverPassed(t *testing.T) {
+func TestSave_keepsWithinMaxBytes(t *testing.T) {
 	const limit = 10_000
 	var simulated *simdisk.Disk
 	simulated = simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
@@ -149,8 +149,8 @@
 		return nil
 	}})
 	size := 10
-	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Shortest: 1000, Limit: limit,
-		Whole: func() [][]byte { return [][]byte{make([]byte, size)} }})
+	opened, _, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "j", MinCompactBytes: 1000, MaxBytes: limit,
+		Snapshot: func() [][]byte { return [][]byte{make([]byte, size)} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 		size += 350
 		err := opened.Save(make([]byte, size))
 		refused = refused || err != nil
-		if err != nil && (!errors.Is(err, wal.ErrRoom) || size < limit-100) {
+		if err != nil && (!errors.Is(err, wal.ErrNoSpace) || size < limit-100) {
 			t.Fatalf("%d bytes: %v", size, err)
 		}
 	}
@@ -181,15 +181,15 @@
 			t.Fatalf("a state of %d bytes: %v", size, err)
 		}
 	}
-	if err := opened.Save(nil); !errors.Is(err, wal.ErrLength) {
+	if err := opened.Save(nil); !errors.Is(err, wal.ErrRecordSize) {
 		t.Fatal(err)
 	}
 }
 
-func TestLongFileIsWrittenAnew(t *testing.T) {
+func TestSave_compactsLongFile(t *testing.T) {
 	simulated := simdisk.New(simdisk.Options{})
 	state := bytes.Repeat([]byte("s"), 1000)
-	opened, _, err := wal.Open(wal.Options{Disk: simulated.Mount(), Name: "j", Whole: func() [][]byte { return [][]byte{state} }})
+	opened, _, err := wal.Open(wal.Options{FS: simulated.Mount(), Name: "j", Snapshot: func() [][]byte { return [][]byte{state} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -205,10 +205,10 @@
 	}
 }
 
-func TestFolderKeepsRecords(t *testing.T) {
-	folder := wal.Folder(t.TempDir() + "/new/deep")
+func TestDir_keepsRecords(t *testing.T) {
+	folder := wal.Dir(t.TempDir() + "/new/deep")
 	for round := range 3 {
-		opened, records, err := wal.Open(wal.Options{Disk: folder, Name: "j", Whole: func() [][]byte { return nil }})
+		opened, records, err := wal.Open(wal.Options{FS: folder, Name: "j", Snapshot: func() [][]byte { return nil }})
 		if err != nil || len(records) != round {
 			t.Fatalf("round %d: %d records, %v", round, len(records), err)
 		}
--- a/simulation/drill.go
+++ b/simulation/drill.go
@@ -118,7 +118,7 @@
 func (w *World) endWaits() {
 	drill := &w.drill
 	whole, missing := w.sound()
-	for _, seat := range w.voters().Seats {
+	for _, seat := range w.voters().Members {
 		machine := w.hosts[hostOf(seat.Address)]
 		if whole && (machine == nil || machine.leaves || machine.gone) {
 			whole, missing = false, fmt.Sprintf("%s has a seat and leaves", seat.Address)
@@ -183,7 +183,7 @@
 // seated are the machines that vote and are there.
 func (w *World) seated() []*Machine {
 	var found []*Machine
-	for _, seat := range w.voters().Seats {
+	for _, seat := range w.voters().Members {
 		machine := w.hosts[hostOf(seat.Address)]
 		if machine != nil && machine.life != nil && machine.life.control != nil && !machine.gone && !machine.leaves {
 			found = append(found, machine)
--- a/simulation/lasting.go
+++ b/simulation/lasting.go
@@ -29,20 +29,20 @@
 
 // losesDisk notes that the disk is lost.
 func (m *Machine) losesDisk() {
-	voters, err := transport.Unpack[register.Voters](m.lasting.slots[register.CohortKey].Accepted.Value)
+	voters, err := transport.Unpack[register.VoterSet](m.lasting.slots[register.VotersKey].Accepted.Value)
 	m.lasting.slots = nil
 	if seat, found := seatOf(voters, m); err == nil && found {
 		m.lasting.lost, m.lasting.identity = true, seat.Incarnation
 	}
 }
 
-func seatOf(voters register.Voters, machine *Machine) (register.Seat, bool) {
-	for _, seat := range voters.Seats {
+func seatOf(voters register.VoterSet, machine *Machine) (register.Member, bool) {
+	for _, seat := range voters.Members {
 		if hostOf(seat.Address) == machine.ip {
 			return seat, true
 		}
 	}
-	return register.Seat{}, false
+	return register.Member{}, false
 }
 
 // begins checks that what a process promised and accepted outlasted it.
--- a/simulation/plant.go
+++ b/simulation/plant.go
@@ -19,7 +19,7 @@
 	// Begin meddles with what a controller's process finds on its disk.
 	Begin func(inner scope.Scope, life *life)
 	// Disk stands between a controller and its disk.
-	Disk func(disk wal.Disk) wal.Disk
+	Disk func(disk wal.FS) wal.FS
 	// Wiped is told of a disk that was lost.
 	Wiped func(machine *Machine)
 	// Heard may change an item of news before a router takes it in.
@@ -45,7 +45,7 @@
 }
 
 // mount gives a controller its disk.
-func (l *life) mount(ctx scope.Scope) wal.Disk {
+func (l *life) mount(ctx scope.Scope) wal.FS {
 	planted := l.machine.world.options.plant
 	if planted.Begin != nil {
 		planted.Begin(ctx, l)
--- a/simulation/plants_disks_test.go
+++ b/simulation/plants_disks_test.go
@@ -15,12 +15,12 @@
 // countBlank counts the votes of disks that don't vote.
 func countBlank() plant {
 	verdict := func(told *register.Verdict) {
-		if *told == register.Misfenced {
+		if *told == register.Fenced {
 			*told = register.Granted
 		}
 	}
-	accept := answers("/accept", func(_ *World, _ *Machine, _ *message, told *register.AcceptTold) { verdict(&told.Verdict) })
-	promise := answers("/promise", func(_ *World, _ *Machine, _ *message, told *register.PromiseTold) { verdict(&told.Verdict) })
+	accept := answers("/accept", func(_ *World, _ *Machine, _ *message, told *register.AcceptResponse) { verdict(&told.Verdict) })
+	promise := answers("/promise", func(_ *World, _ *Machine, _ *message, told *register.PrepareResponse) { verdict(&told.Verdict) })
 	return plant{Answer: func(world *World, target *Machine, sent *message, got answered) answered {
 		return promise.Answer(world, target, sent, accept.Answer(world, target, sent, got))
 	}}
@@ -32,7 +32,7 @@
 	known := map[*Machine]ids.Incarnation{}
 	return plant{
 		Wiped: func(machine *Machine) {
-			for _, seat := range machine.world.voters().Seats {
+			for _, seat := range machine.world.voters().Members {
 				if hostOf(seat.Address) == machine.ip {
 					lock.Lock()
 					known[machine] = seat.Incarnation
@@ -55,7 +55,7 @@
 // rewrite has a disk hold something else than it does.
 func rewrite(life *life, change func(was *register.Acceptor) (ids.Incarnation, []register.Slot)) {
 	disk := life.machine.disk.Mount()
-	opened, records, err := wal.Open(wal.Options{Disk: disk, Name: "registers", Whole: func() [][]byte { return nil }})
+	opened, records, err := wal.Open(wal.Options{FS: disk, Name: "registers", Snapshot: func() [][]byte { return nil }})
 	if err != nil {
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 	_ = disk.Remove("registers")
 	made, _ := register.NewAcceptor("", nil)
-	opened, _, err = wal.Open(wal.Options{Disk: disk, Name: "registers", Whole: made.Whole})
+	opened, _, err = wal.Open(wal.Options{FS: disk, Name: "registers", Snapshot: made.Snapshot})
 	if err != nil {
 		return
 	}
@@ -85,17 +85,17 @@
 			return
 		}
 		rewrite(life, func(was *register.Acceptor) (ids.Incarnation, []register.Slot) {
-			return was.Incarnation(), []register.Slot{was.Slot(register.CohortKey)}
+			return was.Incarnation(), []register.Slot{was.Slot(register.VotersKey)}
 		})
 	}}
 }
 
 // learnLittle has a newcomer learn the voters and nothing else.
 func learnLittle() plant {
-	return answers("/held", func(_ *World, _ *Machine, _ *message, told *register.HeldTold) {
+	return answers("/held", func(_ *World, _ *Machine, _ *message, told *register.DigestResponse) {
 		kept := told.Keys[:0]
 		for _, held := range told.Keys {
-			if held.Key == register.CohortKey {
+			if held.Key == register.VotersKey {
 				kept = append(kept, held)
 			}
 		}
@@ -106,32 +106,32 @@
 // fillNoSeat has voters refuse every change of the voters.
 func fillNoSeat() plant {
 	return messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		asked, _ := transport.Unpack[register.AcceptAsk](sent.body[markLength:])
-		return say(register.AcceptTold{Verdict: register.Outbid}), asked.Key == register.CohortKey
+		asked, _ := transport.Unpack[register.AcceptRequest](sent.body[markLength:])
+		return say(register.AcceptResponse{Verdict: register.Superseded}), asked.Key == register.VotersKey
 	})
 }
 
 // learnFromOne has all answers to a newcomer tell what one voter holds: the one
 // that holds least.
 func learnFromOne() plant {
-	return answers("/held", func(world *World, _ *Machine, sent *message, told *register.HeldTold) {
+	return answers("/held", func(world *World, _ *Machine, sent *message, told *register.DigestResponse) {
 		if votes(world.named[sent.from]) {
 			return
 		}
 		least := int64(math.MaxInt64)
-		for _, seat := range world.voters().Seats {
+		for _, seat := range world.voters().Members {
 			one := world.hosts[hostOf(seat.Address)]
 			if one.name == sent.from || !votes(one) {
 				continue
 			}
-			var keys []register.Held
+			var keys []register.KeyDigest
 			sum := int64(0)
 			for _, slot := range one.life.control.Slots() {
 				sum += slot.Accepted.Sequence
-				keys = append(keys, register.Held{Key: slot.Key, Promised: slot.Promised, Epoch: slot.Accepted.Epoch, Sequence: slot.Accepted.Sequence})
+				keys = append(keys, register.KeyDigest{Key: slot.Key, Promised: slot.Promised, Epoch: slot.Accepted.Epoch, Sequence: slot.Accepted.Sequence})
 			}
 			if sum < least {
-				least, told.Same, told.Keys = sum, false, keys
+				least, told.Unchanged, told.Keys = sum, false, keys
 			}
 		}
 	})
@@ -143,15 +143,15 @@
 
 // noRepair has voters see no difference between what they hold.
 func noRepair() plant {
-	return answers("/held", func(world *World, _ *Machine, sent *message, told *register.HeldTold) {
+	return answers("/held", func(world *World, _ *Machine, sent *message, told *register.DigestResponse) {
 		if votes(world.named[sent.from]) {
-			told.Same, told.Keys = true, nil
+			told.Unchanged, told.Keys = true, nil
 		}
 	})
 }
 
 type meddled struct {
-	wal.Disk
+	wal.FS
 	noSync, noFolder bool
 }
 
@@ -167,50 +167,50 @@
 }
 
 func (m meddled) Create(name string) (wal.File, error) {
-	return m.file(m.Disk.Create(name))
+	return m.file(m.FS.Create(name))
 }
 
 func (m meddled) Append(name string, length int64) (wal.File, error) {
-	return m.file(m.Disk.Append(name, length))
+	return m.file(m.FS.Append(name, length))
 }
 
 func (m meddled) SyncFolder() error {
 	if m.noFolder {
 		return nil
 	}
-	return m.Disk.SyncFolder()
+	return m.FS.SyncFolder()
 }
 
 // readTorn reads a damaged journal up to the damage, as if its tail were torn.
-type readTorn struct{ wal.Disk }
+type readTorn struct{ wal.FS }
 
 func (r readTorn) Read(name string) ([]byte, error) {
-	content, err := r.Disk.Read(name)
+	content, err := r.FS.Read(name)
 	if err != nil || name != "registers" {
 		return content, err
 	}
 	trial := simdisk.New(simdisk.Options{}).Mount()
 	file, _ := trial.Create(name)
 	_, _ = file.Write(content)
-	opened, _, err := wal.Open(wal.Options{Disk: trial, Name: name, Whole: func() [][]byte { return nil }})
+	opened, _, err := wal.Open(wal.Options{FS: trial, Name: name, Snapshot: func() [][]byte { return nil }})
 	if err != nil {
 		return content, nil
 	}
 	opened.Close()
-	if opened.Damage != nil {
-		return content[:opened.Damage.Offset], nil
+	if opened.Corruption != nil {
+		return content[:opened.Corruption.Offset], nil
 	}
 	return content, nil
 }
 
 func damageIsTorn() plant {
-	return plant{Disk: func(disk wal.Disk) wal.Disk { return readTorn{disk} }}
+	return plant{Disk: func(disk wal.FS) wal.FS { return readTorn{disk} }}
 }
 
 func noSync() plant {
-	return plant{Disk: func(disk wal.Disk) wal.Disk { return meddled{Disk: disk, noSync: true} }}
+	return plant{Disk: func(disk wal.FS) wal.FS { return meddled{FS: disk, noSync: true} }}
 }
 
 func noFolderSync() plant {
-	return plant{Disk: func(disk wal.Disk) wal.Disk { return meddled{Disk: disk, noFolder: true} }}
+	return plant{Disk: func(disk wal.FS) wal.FS { return meddled{FS: disk, noFolder: true} }}
 }
--- a/simulation/plants_orders_test.go
+++ b/simulation/plants_orders_test.go
@@ -16,11 +16,11 @@
 
 func forgetRepeats() plant {
 	return messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		reread(sent, func(asked *register.AcceptAsk) {
+		reread(sent, func(asked *register.AcceptRequest) {
 			if asked.Key == config.Key {
-				kept, _ := store.Travelling(asked.Accepted.Value)
+				kept, _ := store.Travelling(asked.Proposal.Value)
 				kept.Memory = store.Memory{Base: kept.Serial}
-				asked.Accepted.Value, _ = transport.Pack(kept)
+				asked.Proposal.Value, _ = transport.Pack(kept)
 			}
 		})
 		return answered{}, false
@@ -40,17 +40,17 @@
 
 func countUnwritten() plant {
 	return messages("/accept", func(world *World, sent *message) (answered, bool) {
-		return say(register.AcceptTold{Verdict: register.Granted}), world.once("unwritten "+sent.from+string(sent.to), 2)
+		return say(register.AcceptResponse{Verdict: register.Granted}), world.once("unwritten "+sent.from+string(sent.to), 2)
 	})
 }
 
 // emptyPromise has voters tell what they hold without keeping the promise.
 func emptyPromise() plant {
 	return messages("/promise", func(world *World, sent *message) (answered, bool) {
-		reread(sent, func(asked *register.PromiseAsk) { asked.Epoch.Number = 0 })
+		reread(sent, func(asked *register.PrepareRequest) { asked.Epoch.Number = 0 })
 		return answered{}, false
-	}).and(answers("/promise", func(_ *World, _ *Machine, _ *message, told *register.PromiseTold) {
-		if told.Verdict == register.Outbid {
+	}).and(answers("/promise", func(_ *World, _ *Machine, _ *message, told *register.PrepareResponse) {
+		if told.Verdict == register.Superseded {
 			told.Verdict = register.Granted
 		}
 	}))
@@ -89,8 +89,8 @@
 func countCopies() plant {
 	const copied = "Copied"
 	made := messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		asked, _ := transport.Unpack[register.AcceptAsk](sent.body[markLength:])
-		body, _ := transport.Pack(voter.LearnAsk{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Accepted}}})
+		asked, _ := transport.Unpack[register.AcceptRequest](sent.body[markLength:])
+		body, _ := transport.Pack(voter.LearnAsk{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Proposal}}})
 		sent.body = append(sent.body[:markLength:markLength], body...)
 		sent.request = sent.request.Clone(sent.request.Context())
 		sent.request.URL.Path, sent.path = "/learn", copied
@@ -100,7 +100,7 @@
 		if sent.path != copied || got.status != http.StatusOK {
 			return got
 		}
-		return say(register.AcceptTold{Verdict: register.Granted})
+		return say(register.AcceptResponse{Verdict: register.Granted})
 	}
 	return made
 }
--- a/simulation/plants_test.go
+++ b/simulation/plants_test.go
@@ -64,8 +64,8 @@
 	}}
 }
 
-func grantOutbid(_ *World, _ *Machine, _ *message, told *register.AcceptTold) {
-	if told.Verdict == register.Outbid {
+func grantOutbid(_ *World, _ *Machine, _ *message, told *register.AcceptResponse) {
+	if told.Verdict == register.Superseded {
 		told.Verdict = register.Granted
 	}
 }
@@ -85,7 +85,7 @@
 
 func skipConfirmation() plant {
 	return messages("/confirm", func(*World, *message) (answered, bool) {
-		return say(register.AcceptTold{Verdict: register.Granted}), true
+		return say(register.AcceptResponse{Verdict: register.Granted}), true
 	})
 }
 
--- a/simulation/simdisk/disk.go
+++ b/simulation/simdisk/disk.go
@@ -75,7 +75,7 @@
 // Mount gives a process its view of the disk, which dies with the process: all
 // its acts, and those of the files it opened, return ErrDead after a Kill,
 // LosePower or Wipe, also those that were under way.
-func (d *Disk) Mount() wal.Disk {
+func (d *Disk) Mount() wal.FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &mount{disk: d, life: d.life}
--- a/simulation/simdisk/disk_test.go
+++ b/simulation/simdisk/disk_test.go
@@ -119,4 +119,4 @@
 	}
 }
 
-var _ wal.Disk = (*mount)(nil)
+var _ wal.FS = (*mount)(nil)
--- a/simulation/watch.go
+++ b/simulation/watch.go
@@ -79,8 +79,8 @@
 }
 
 // voters gives the newest voters that any disk knows.
-func (w *World) voters() register.Voters {
-	var newest register.Voters
+func (w *World) voters() register.VoterSet {
+	var newest register.VoterSet
 	for _, machine := range w.machines {
 		if machine.life != nil && machine.life.control != nil {
 			if known := machine.life.control.Voters(); known.Generation > newest.Generation {
@@ -97,11 +97,11 @@
 func (w *World) sound() (bool, string) {
 	voters := w.voters()
 	wanted := min(max(3, 2*w.options.Site.Losses+1), len(w.controllers()))
-	if len(voters.Seats) < wanted {
-		return false, fmt.Sprintf("%d seats of %d", len(voters.Seats), wanted)
+	if len(voters.Members) < wanted {
+		return false, fmt.Sprintf("%d seats of %d", len(voters.Members), wanted)
 	}
-	newest, holders := map[string]register.Accepted{}, map[string]int{}
-	for _, seat := range voters.Seats {
+	newest, holders := map[string]register.Proposal{}, map[string]int{}
+	for _, seat := range voters.Members {
 		machine := w.hosts[hostOf(seat.Address)]
 		if machine == nil || machine.life == nil || machine.life.control == nil || machine.frozen || !machine.life.control.Voting() {
 			return false, fmt.Sprintf("the seat of %s does not vote", seat.Address)
@@ -119,8 +119,8 @@
 		}
 	}
 	for _, key := range sortedKeys(newest) {
-		if newest[key].Sequence > 0 && holders[key] < len(voters.Seats) {
-			return false, fmt.Sprintf("%s stands on %d of %d disks", key, holders[key], len(voters.Seats))
+		if newest[key].Sequence > 0 && holders[key] < len(voters.Members) {
+			return false, fmt.Sprintf("%s stands on %d of %d disks", key, holders[key], len(voters.Members))
 		}
 	}
 	return true, ""
