--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -40,10 +40,10 @@
 type Controller struct {
 	common *daemon.Daemon
 	pace   daemon.Pace
-	own    *voter.Seat
+	own    *voter.Voter
 	keeper *register.Proposer
 	front  *command.Desk
-	reach  *quorum.Contact
+	reach  *quorum.Tracker
 	scaler *autoscaler.Scaler
 	view   *discovery.View
 	duties []*lease.Holder
@@ -69,10 +69,10 @@
 			c.own.Leave()
 			c.common.Leave(leaving)
 			for _, duty := range c.duties {
-				go duty.Leave(leaving)
+				go duty.Resign(leaving)
 			}
 			leaving.Wait(c.pace.Order)
-			c.own.HandOn(leaving)
+			c.own.HandOver(leaving)
 			return nil
 		}
 	}
@@ -98,35 +98,35 @@
 	}
 	made.common.Part("members", func(ctx scope.Scope) error { members.Run(ctx, made.pace.Hold); return nil })
 	made.reach = quorum.New(quorum.Options{
-		Address: made.common.Address, Messenger: made.common.Messenger, Fresh: made.pace.Pass,
+		Address: made.common.Address, Transport: made.common.Messenger, MaxAge: made.pace.Pass,
 		Voters: func() register.VoterSet { return made.own.Acceptor.Voters() },
 	})
 	made.own, err = voter.Open(top, voter.Options{
-		Address: made.common.Address, Disk: disk, First: top.Boot.FirstStart,
-		Seeds: top.Boot.SeedAddresses(), Table: made.common.Table, Messenger: made.common.Messenger, Contact: made.reach,
-		Patience: made.pace.Hold, Limit: 3 * made.pace.Order, HoldSpan: made.pace.Hold,
-		Seats: voter.Wanted(top.Boot), Zones: top.Boot.Zones, Pace: voter.PaceOf(top.Boot, made.pace.Hold, made.pace.Pass),
+		Address: made.common.Address, Disk: disk, FirstStart: top.Boot.FirstStart,
+		Seeds: top.Boot.SeedAddresses(), Membership: made.common.Table, Transport: made.common.Messenger, Quorum: made.reach,
+		ReplaceAfter: made.pace.Hold, Timeout: 3 * made.pace.Order, LeaseTTL: made.pace.Hold,
+		TargetCount: voter.TargetCount(top.Boot), Zones: top.Boot.Zones, Timing: voter.TimingOf(top.Boot, made.pace.Hold, made.pace.Pass),
 	})
 	if err != nil {
 		return nil, err
 	}
 	made.own.Acceptor.Monitor = made.common.Monitor
-	made.own.Serve(made.common.Calls)
+	made.own.RegisterHandlers(made.common.Calls)
 	made.keeper = register.NewProposer(register.ProposerOptions{
 		Address: made.common.Address, Client: made.own, Voters: made.own.Acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return made.own.Acceptor.Slot(key).Promised.Number },
 		OnCommit:       func(key string, accepted register.Proposal) { made.front.Chosen(key, accepted) },
-		MessageTimeout: made.pace.Silence, BatchTimeout: made.pace.Order, MinCopies: voter.Copies(top.Boot),
+		MessageTimeout: made.pace.Silence, BatchTimeout: made.pace.Order, MinCopies: voter.RequiredCopies(top.Boot),
 	})
-	made.own.Seek(made.keeper)
+	made.own.Attach(made.keeper)
 	made.front = command.New(command.Options{
 		Address: made.common.Address, Keeper: made.keeper, Acceptor: made.own.Acceptor,
 		Table: made.common.Table, News: made.common.News, Messenger: made.common.Messenger,
 		Pass: made.pace.Pass, Limit: made.pace.Order, Contact: made.reach,
 	})
 	made.front.Serve(made.common.Calls)
-	made.reach.Serve(made.common.Calls)
-	readindex.NewReader(made.front.Newest).Serve(made.common.Calls)
+	made.reach.RegisterHandlers(made.common.Calls)
+	readindex.NewReader(made.front.Newest).RegisterHandlers(made.common.Calls)
 	made.common.Part("contact", func(ctx scope.Scope) error { made.reach.Run(ctx); return nil })
 	made.parts(top)
 	return made, nil
@@ -142,7 +142,7 @@
 	c.duty("census", func(holder *lease.Holder) func(ctx scope.Scope) {
 		reader := &discovery.Reader{
 			Platform: common.Platform(), News: common.News, Held: holder.Held,
-			Resign: func(ctx scope.Scope) { holder.Rest(ctx, pace.Hold) },
+			Resign: func(ctx scope.Scope) { holder.StandDown(ctx, pace.Hold) },
 			Every:  pace.Census, Beat: 2 * pace.Census,
 		}
 		return reader.Run
@@ -171,8 +171,8 @@
 // duty adds what one controller does at a time.
 func (c *Controller) duty(name string, work func(holder *lease.Holder) func(ctx scope.Scope)) {
 	holder := lease.NewHolder(lease.Options{
-		Duty: name, Address: c.common.Address, Span: c.pace.Hold,
-		Ask: c.own.AskHold, Epoch: c.front.Epoch, Monitor: c.common.Monitor,
+		Name: name, Address: c.common.Address, TTL: c.pace.Hold,
+		RequestGrant: c.own.RequestLease, NextEpoch: c.front.Epoch, Monitor: c.common.Monitor,
 	})
 	c.duties = append(c.duties, holder)
 	run := work(holder)
--- a/control/controller/look.go
+++ b/control/controller/look.go
@@ -9,7 +9,7 @@
 // Held tells whether this controller does a duty now, and under which epoch.
 func (c *Controller) Held(duty string) (int64, bool) {
 	for _, holder := range c.duties {
-		if holder.Duty() == duty {
+		if holder.Name() == duty {
 			return holder.Held(c.common.Scope.Now())
 		}
 	}
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -68,7 +68,7 @@
 	told := status{
 		Address: common.Address, Regions: common.Zones.Regions(), Voters: c.own.Acceptor.Voters().Members,
 		Contact:    c.reach.Status(ctx.Now()),
-		Redundancy: c.own.RedundancyNow(ctx),
+		Redundancy: c.own.QueryRedundancy(ctx),
 		Owners:     map[string]string{}, Duties: map[string]bool{}, News: map[string]int64{},
 		Pushed: common.Spreader.Counts.Pushed.Load(), Failed: common.Spreader.Counts.Failed.Load(),
 		Relayed: common.Spreader.Counts.Relayed.Load(), Sent: common.Traffic.Messages.Load(),
@@ -81,7 +81,7 @@
 		}
 	}
 	for _, duty := range c.duties {
-		_, told.Duties[duty.Duty()] = duty.Held(ctx.Now())
+		_, told.Duties[duty.Name()] = duty.Held(ctx.Now())
 	}
 	for _, mark := range common.News.Marks(membership.Member{Core: true, Zone: ctx.Boot.Zone}) {
 		told.News[mark.Key] = int64(mark.Serial)
--- a/control/daemon/confirm.go
+++ b/control/daemon/confirm.go
@@ -12,11 +12,11 @@
 // its start, the version that it acts on.
 func (d *Daemon) ReadIndex(first <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
-		First: first, Serial: serial, Fetch: d.Spreader.Exchange, Controllers: d.controllers,
-		Ask: func(ctx scope.Scope, address ids.Address) (readindex.Told, error) {
-			return transport.Send[readindex.Told](ctx, d.Messenger, address, readindex.Message, readindex.Ask{From: d.Address})
+		Applied: first, AppliedSerial: serial, Fetch: d.Spreader.Exchange, Controllers: d.controllers,
+		Query: func(ctx scope.Scope, address ids.Address) (readindex.Response, error) {
+			return transport.Send[readindex.Response](ctx, d.Messenger, address, readindex.MessageName, readindex.Request{From: d.Address})
 		},
-		Bound: 2 * PaceOf(d.Scope.Boot).Pass,
+		MaxWait: 2 * PaceOf(d.Scope.Boot).Pass,
 	})
 }
 
--- a/control/state/command/desk.go
+++ b/control/state/command/desk.go
@@ -40,7 +40,7 @@
 	Messenger *transport.Courier
 	// Contact tells whether a majority of the voters hears this controller; by
 	// default one is made.
-	Contact *quorum.Contact
+	Contact *quorum.Tracker
 	// Pass is how long an owner may take before it counts as silent.
 	Pass clock.Span
 	// Limit is how long an order may take in all.
@@ -74,7 +74,7 @@
 	}
 	if options.Contact == nil {
 		options.Contact = quorum.New(quorum.Options{
-			Address: options.Address, Voters: options.Acceptor.Voters, Messenger: options.Messenger, Fresh: options.Pass,
+			Address: options.Address, Voters: options.Acceptor.Voters, Transport: options.Messenger, MaxAge: options.Pass,
 		})
 	}
 	return &Desk{options: options, silent: map[ids.Address]clock.Instant{}, busy: map[ids.Address]int{}}
@@ -92,7 +92,7 @@
 func (d *Desk) Passed(ctx scope.Scope, order Order) ([]byte, error) {
 	short, release := ctx.WithLimit(d.options.Limit)
 	defer release()
-	if order.Until == (quorum.Stamp{}) {
+	if order.Until == (quorum.Deadline{}) {
 		return nil, errkind.Of(errkind.Unsettled, "an order that was passed on without an end")
 	}
 	if err := d.open(short, order); err != nil {
@@ -102,7 +102,7 @@
 		order.Forwarded = false
 		return d.Do(short, order)
 	}
-	guarded, end, err := d.options.Contact.Guard(short)
+	guarded, end, err := d.options.Contact.WithQuorum(short)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	if ctx.Err() != nil {
 		return errkind.Of(errkind.Unsettled, "the caller is gone, or out of time")
 	}
-	if order.Until != (quorum.Stamp{}) && !d.options.Contact.Open(order.Until, ctx.Now()) {
+	if order.Until != (quorum.Deadline{}) && !d.options.Contact.WithinDeadline(order.Until, ctx.Now()) {
 		return errkind.Of(errkind.Unsettled, "the order came too late")
 	}
 	return nil
@@ -125,7 +125,7 @@
 func (d *Desk) Do(ctx scope.Scope, order Order) ([]byte, error) {
 	limited, release := ctx.WithLimit(d.options.Limit)
 	defer release()
-	short, end, err := d.options.Contact.Guard(limited)
+	short, end, err := d.options.Contact.WithQuorum(limited)
 	if err != nil {
 		return nil, err
 	}
--- a/control/state/command/desk_test.go
+++ b/control/state/command/desk_test.go
@@ -35,7 +35,7 @@
 			}
 			world.cutOff("a", false)
 			world.top.Wait(clock.Second)
-			if err := world.nodes["a"].contact.Sure(world.top); err != nil {
+			if err := world.nodes["a"].contact.EnsureQuorum(world.top); err != nil {
 				t.Fatal(err)
 			}
 			world.cutOff("a", true)
@@ -110,7 +110,7 @@
 				world.must("b", zone(VerbEmpty))
 				world.must("b", zone(VerbRefill))
 				for _, node := range world.nodes {
-					if err := node.contact.Sure(world.top); err != nil {
+					if err := node.contact.EnsureQuorum(world.top); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -152,7 +152,7 @@
 		owner := world.nodes["b"]
 		stamp := func(span clock.Span) Order {
 			order := zone(VerbRefill)
-			until, err := world.nodes["a"].contact.Stamp(world.top, "b", world.top.Now().Add(span))
+			until, err := world.nodes["a"].contact.RemoteDeadline(world.top, "b", world.top.Now().Add(span))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -218,7 +218,7 @@
 // TestOrderTravelsWithItsEnd packs an order as it goes between controllers.
 func TestOrderTravelsWithItsEnd(t *testing.T) {
 	sent := put(3, 4)
-	sent.Until = quorum.Stamp{Life: -7, End: 1 << 50}
+	sent.Until = quorum.Deadline{Incarnation: -7, End: 1 << 50}
 	body, err := transport.Pack(sent)
 	if err != nil {
 		t.Fatal(err)
--- a/control/state/command/house_test.go
+++ b/control/state/command/house_test.go
@@ -104,8 +104,8 @@
 		}
 		made.desks[name] = New(Options{
 			// The registers' messages get lost; contact is always had.
-			Contact: quorum.New(quorum.Options{Address: name, Voters: voter.Voters, Fresh: clock.Second, Ask: func(scope.Scope, ids.Address) (quorum.Told, error) {
-				return quorum.Told{Life: 1}, nil
+			Contact: quorum.New(quorum.Options{Address: name, Voters: voter.Voters, MaxAge: clock.Second, Heartbeat: func(scope.Scope, ids.Address) (quorum.HeartbeatResponse, error) {
+				return quorum.HeartbeatResponse{Incarnation: 1}, nil
 			}}),
 
 			Address: name, Keeper: keeper, Acceptor: voter, Table: table, News: gossip.NewNews(nil),
--- a/control/state/command/order.go
+++ b/control/state/command/order.go
@@ -21,7 +21,7 @@
 	// 0 where it was not looked for.
 	Past ids.Serial `avro:"Past"`
 	// Until is when one that was passed on may not be begun any more.
-	Until quorum.Stamp `avro:"Until"`
+	Until quorum.Deadline `avro:"Until"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
--- a/control/state/command/pass.go
+++ b/control/state/command/pass.go
@@ -35,13 +35,13 @@
 // pass sends an order on, with its end in the receiver's own clock: no later
 // than it is given up here, or would have to be begun by here.
 func (d *Desk) pass(ctx scope.Scope, receiver ids.Address, order Order, span clock.Span) (Outcome, error) {
-	if order.Until != (quorum.Stamp{}) {
+	if order.Until != (quorum.Deadline{}) {
 		span = min(span, clock.Instant(order.Until.End).Since(ctx.Now()))
 	}
 	giveUp := ctx.Now().Add(span)
 	brief, release := ctx.WithLimit(span)
 	defer release()
-	until, err := d.options.Contact.Stamp(brief, receiver, giveUp)
+	until, err := d.options.Contact.RemoteDeadline(brief, receiver, giveUp)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -71,7 +71,7 @@
 // suspect notes that an owner left an order unanswered, and tells whether it is
 // only busy: it answered some question that was sent meanwhile.
 func (d *Desk) suspect(owner ids.Address, begin clock.Instant, now clock.Instant) (busy bool) {
-	answered := d.options.Contact.Answered(owner) > begin
+	answered := d.options.Contact.LastContact(owner) > begin
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.busy[owner]++
--- a/control/state/command/world_test.go
+++ b/control/state/command/world_test.go
@@ -48,7 +48,7 @@
 	voter   *register.Acceptor
 	keeper  *register.Proposer
 	desk    *Desk
-	contact *quorum.Contact
+	contact *quorum.Tracker
 }
 
 // Save takes as long as the world's disks do.
@@ -77,8 +77,8 @@
 	if err := made.voter.Bootstrap(voters); err != nil {
 		w.t.Fatal(err)
 	}
-	made.contact = quorum.New(quorum.Options{Address: address, Voters: made.voter.Voters, Fresh: pass, Ask: func(ctx scope.Scope, to ids.Address) (quorum.Told, error) {
-		return deliver(made, ctx, to, func(other *node) quorum.Told { return other.contact.Tell(ctx.Now()) })
+	made.contact = quorum.New(quorum.Options{Address: address, Voters: made.voter.Voters, MaxAge: pass, Heartbeat: func(ctx scope.Scope, to ids.Address) (quorum.HeartbeatResponse, error) {
+		return deliver(made, ctx, to, func(other *node) quorum.HeartbeatResponse { return other.contact.Respond(ctx.Now()) })
 	}})
 	made.keeper = register.NewProposer(register.ProposerOptions{
 		Address: address, Client: made, Voters: made.voter.Voters, MessageTimeout: 2 * clock.Second,
--- a/control/state/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -12,21 +12,21 @@
 	machine := clock.NewFake()
 	top := scope.New(scope.Options{Clock: machine})
 	// One voter, for the sake of the example.
-	voter := lease.NewGranter(machine, 3*clock.Second, func() (bool, int64) { return true, 1 })
+	voter := lease.NewLessor(machine, 3*clock.Second, func() (bool, int64) { return true, 1 })
 	machine.Move(3 * clock.Second)
 	epoch := int64(0)
 	holder := lease.NewHolder(lease.Options{
-		Duty: "census", Address: "10.0.0.1:7721", Span: 3 * clock.Second,
-		Ask: func(_ scope.Scope, asked lease.Ask) lease.Grants {
-			asked.Voters = 1
+		Name: "census", Address: "10.0.0.1:7721", TTL: 3 * clock.Second,
+		RequestGrant: func(_ scope.Scope, asked lease.Request) lease.Outcome {
+			asked.VotersMark = 1
 			if voter.Grant(asked).Granted {
-				return lease.Majority
+				return lease.MajorityGranted
 			}
-			return lease.Nobody
+			return lease.NoneGranted
 		},
-		Epoch: func(scope.Scope, string) (int64, error) { epoch++; return epoch, nil },
+		NextEpoch: func(scope.Scope, string) (int64, error) { epoch++; return epoch, nil },
 	})
-	holder.Strive(top)
+	holder.TryAcquireOrRenew(top)
 	fmt.Println(holder.Held(machine.Now()))
 	machine.Move(3 * clock.Second)
 	fmt.Println(holder.Held(machine.Now()))
--- a/control/state/lease/planted_test.go
+++ b/control/state/lease/planted_test.go
@@ -8,12 +8,12 @@
 	"onyxwell/base/scope"
 )
 
-func TestPlantedEpochThatDoesNotRiseIsCounted(t *testing.T) {
+func TestHolder_plantedNonRisingEpochIsCounted(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
-	holder := NewHolder(Options{Duty: "census", Monitor: monitor})
+	holder := NewHolder(Options{Name: "census", Monitor: monitor})
 	top := scope.New(scope.Options{Clock: clock.NewFake()})
 	for number, epoch := range []int64{4, 5, 5} {
-		holder.gain(top, int64(number+1), epoch, clock.Instant(clock.Second))
+		holder.recordGrant(top, int64(number+1), epoch, clock.Instant(clock.Second))
 	}
 	if got := monitor.Count(invariant.EpochRises); got != 1 {
 		t.Errorf("counted %d", got)
--- a/control/state/quorum/forms_test.go
+++ b/control/state/quorum/forms_test.go
@@ -9,7 +9,7 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[Ask](t, "ask")
-	transporttest.Golden[Stamp](t, "stamp")
-	transporttest.Golden[Told](t, "told")
+	transporttest.Golden[HeartbeatRequest](t, "ask")
+	transporttest.Golden[Deadline](t, "stamp")
+	transporttest.Golden[HeartbeatResponse](t, "told")
 }
--- a/control/state/quorum/silence_test.go
+++ b/control/state/quorum/silence_test.go
@@ -12,53 +12,55 @@
 	"onyxwell/base/scope"
 )
 
-// line is a contact of the first of three on a bound of 375 ms; a question takes
+// testLink is a contact of the first of three on a bound of 375 ms; a question takes
 // what the line's delay says, or is never answered.
-type line struct {
-	contact *Contact
-	cut     atomic.Bool
-	asked   atomic.Int64
-	delay   func(number int64) clock.Span
+type testLink struct {
+	tracker     *Tracker
+	partitioned atomic.Bool
+	heartbeats  atomic.Int64
+	delay       func(number int64) clock.Span
 }
 
-func newLine(delay func(number int64) clock.Span) *line {
-	made := &line{delay: delay}
-	made.contact = New(Options{Address: "0", Voters: voters(3), Fresh: 375 * clock.Millisecond, Ask: func(ctx scope.Scope, address ids.Address) (Told, error) {
+func newTestLink(delay func(number int64) clock.Span) *testLink {
+	made := &testLink{delay: delay}
+	made.tracker = New(Options{Address: "0", Voters: testVoters(3), MaxAge: 375 * clock.Millisecond, Heartbeat: func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error) {
 		if address == "2" {
 			<-ctx.Done()
-			return Told{}, ctx.Err()
+			return HeartbeatResponse{}, ctx.Err()
 		}
-		if cut := made.cut.Load(); cut || !ctx.Wait(made.delay(made.asked.Add(1))) || made.cut.Load() {
+		if cut := made.partitioned.Load(); cut || !ctx.Wait(made.delay(made.heartbeats.Add(1))) || made.partitioned.Load() {
 			<-ctx.Done()
-			return Told{}, ctx.Err()
+			return HeartbeatResponse{}, ctx.Err()
 		}
-		return Told{Life: 7, Reading: int64(ctx.Now())}, nil
+		return HeartbeatResponse{Incarnation: 7, Reading: int64(ctx.Now())}, nil
 	}})
 	return made
 }
 
-func always(span clock.Span) func(int64) clock.Span { return func(int64) clock.Span { return span } }
+func constantDelay(span clock.Span) func(int64) clock.Span {
+	return func(int64) clock.Span { return span }
+}
 
-// TestOrderEndsAQuarterOfASecondAfterTheCut cuts the line before an order that
+// TestTracker_guardedContextEndsSoonAfterPartition cuts the line before an order that
 // is begun on contact still fresh, with it, and at any moment of it.
-func TestOrderEndsAQuarterOfASecondAfterTheCut(t *testing.T) {
+func TestTracker_guardedContextEndsSoonAfterPartition(t *testing.T) {
 	for _, trip := range []clock.Span{clock.Millisecond, 35 * clock.Millisecond, 70 * clock.Millisecond, 80 * clock.Millisecond} {
 		for before := -200 * clock.Millisecond; before < 600*clock.Millisecond; before += 37 * clock.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				top, end := scope.New(scope.Options{}).WithEnd()
-				line := newLine(always(trip))
-				go line.contact.Run(top)
+				line := newTestLink(constantDelay(trip))
+				go line.tracker.Run(top)
 				top.Wait(clock.Second)
-				line.cut.Store(before < 0)
+				line.partitioned.Store(before < 0)
 				top.Wait(max(0, -before))
 				begin := top.Now()
-				guarded, release, err := line.contact.Guard(top)
+				guarded, release, err := line.tracker.WithQuorum(top)
 				if err == nil {
 					guarded.Wait(max(0, before))
 					if guarded.Err() != nil {
 						t.Errorf("trip %v: an order ended before the cut", trip)
 					}
-					line.cut.Store(true)
+					line.partitioned.Store(true)
 					begin = max(begin, top.Now())
 					<-guarded.Done()
 				}
@@ -66,30 +68,30 @@
 					t.Errorf("trip %v, cut %v after the beginning: ended after %v", trip, before, took)
 				}
 				for range 2 {
-					if _, _, err := line.contact.Guard(top); errkind.KindOf(err) != errkind.Unsettled || line.contact.Status(top.Now()).Majority {
+					if _, _, err := line.tracker.WithQuorum(top); errkind.KindOf(err) != errkind.Unsettled || line.tracker.Status(top.Now()).Majority {
 						t.Errorf("begun on contact that fell silent: %v", err)
 					}
 				}
 				release()
 				end()
-				settle()
+				drainPending()
 			})
 		}
 	}
 }
 
-// TestLossAndLongWaysEndNoOrder has orders go on for two seconds each on lines
+// TestTracker_packetLossAndHighLatencyKeepQuorum has orders go on for two seconds each on lines
 // that lose packets, which come 200 ms and more late, that are far, and that
 // are choked for good.
-func TestLossAndLongWaysEndNoOrder(t *testing.T) {
+func TestTracker_packetLossAndHighLatencyKeepQuorum(t *testing.T) {
 	const trip = 70 * clock.Millisecond
 	cases := map[string]func(int64) clock.Span{
 		"each second lost": func(number int64) clock.Span { return trip + 270*clock.Millisecond*clock.Span(number%2) },
 		"two of three lost": func(number int64) clock.Span {
 			return trip + 270*clock.Millisecond*clock.Span(min(1, number%3))
 		},
-		"far":     always(180 * clock.Millisecond),
-		"further": always(300 * clock.Millisecond),
+		"far":     constantDelay(180 * clock.Millisecond),
+		"further": constantDelay(300 * clock.Millisecond),
 		"choked from then on": func(number int64) clock.Span {
 			return trip + min(150*clock.Millisecond, clock.Span(max(0, number-8))*10*clock.Millisecond)
 		},
@@ -99,44 +101,44 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				top, end := scope.New(scope.Options{}).WithEnd()
-				line := newLine(delay)
-				go line.contact.Run(top)
+				line := newTestLink(delay)
+				go line.tracker.Run(top)
 				top.Wait(2 * clock.Second)
 				for order := range 5 {
-					guarded, release, err := line.contact.Guard(top)
+					guarded, release, err := line.tracker.WithQuorum(top)
 					if err != nil {
 						t.Fatal(err)
 					}
 					if begin := top.Now(); !guarded.Wait(2 * clock.Second) {
-						t.Errorf("order %d ended after %v, at a round trip of %v", order, top.Now().Since(begin), line.contact.roundTrip())
+						t.Errorf("order %d ended after %v, at a round trip of %v", order, top.Now().Since(begin), line.tracker.majorityRTT())
 					}
 					release()
 					top.Wait(300 * clock.Millisecond)
 				}
 				end()
-				settle()
+				drainPending()
 			})
 		})
 	}
 }
 
-// TestNobodyIsAskedMoreWithoutOrders counts questions: the pace is kept by all
+// TestTracker_heartbeatRateIsBounded counts questions: the pace is kept by all
 // orders together, and ends with them.
-func TestNobodyIsAskedMoreWithoutOrders(t *testing.T) {
+func TestTracker_heartbeatRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		top, end := scope.New(scope.Options{}).WithEnd()
-		line := newLine(always(70 * clock.Millisecond))
-		go line.contact.Run(top)
+		line := newTestLink(constantDelay(70 * clock.Millisecond))
+		go line.tracker.Run(top)
 		count := func() int64 {
-			before := line.asked.Load()
+			before := line.heartbeats.Load()
 			top.Wait(6 * clock.Second)
-			return line.asked.Load() - before
+			return line.heartbeats.Load() - before
 		}
 		top.Wait(clock.Second)
 		calm := count()
 		var releases []func()
 		for range 40 {
-			_, release, _ := line.contact.Guard(top)
+			_, release, _ := line.tracker.WithQuorum(top)
 			releases = append(releases, release)
 		}
 		busy := count()
@@ -150,51 +152,51 @@
 			t.Errorf("%d in calm, %d under orders, %d after", calm, busy, after)
 		}
 		end()
-		settle()
+		drainPending()
 	})
 }
 
-// jumping is a clock that can leap ahead, as all seem to that a process which
+// jumpingClock is a clock that can leap ahead, as all seem to that a process which
 // stood still looks at.
-type jumping struct {
+type jumpingClock struct {
 	clock.Clock
-	mu    sync.Mutex
-	leapt clock.Span
+	mu     sync.Mutex
+	offset clock.Span
 }
 
 // Now is ahead by what was leapt.
-func (j *jumping) Now() clock.Instant {
+func (j *jumpingClock) Now() clock.Instant {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.Clock.Now().Add(j.leapt)
+	return j.Clock.Now().Add(j.offset)
 }
 
-// TestProcessThatStoodStillLooksFirst has a process stand still in an order:
+// TestTracker_stalledProcessReadsPendingAnswersFirst has a process stand still in an order:
 // contact is as old as that, but whoever answers still shows it.
-func TestProcessThatStoodStillLooksFirst(t *testing.T) {
+func TestTracker_stalledProcessReadsPendingAnswersFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := &jumping{Clock: scope.New(scope.Options{}).Clock}
+		machine := &jumpingClock{Clock: scope.New(scope.Options{}).Clock}
 		top := scope.New(scope.Options{Clock: machine})
-		line := newLine(always(70 * clock.Millisecond))
-		guarded, release, err := line.contact.Guard(top)
+		line := newTestLink(constantDelay(70 * clock.Millisecond))
+		guarded, release, err := line.tracker.WithQuorum(top)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
 			guarded.Wait(500 * clock.Millisecond)
 			machine.mu.Lock()
-			machine.leapt += clock.Second
+			machine.offset += clock.Second
 			machine.mu.Unlock()
 		}
 		if !guarded.Wait(clock.Second) {
 			t.Error("an order ended though its process alone stood still")
 		}
-		line.cut.Store(true)
+		line.partitioned.Store(true)
 		begin := top.Now()
 		if <-guarded.Done(); top.Now().Since(begin) > 250*clock.Millisecond {
 			t.Errorf("ended %v after a cut", top.Now().Since(begin))
 		}
 		release()
-		settle()
+		drainPending()
 	})
 }
--- a/control/state/quorum/contact_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -21,11 +21,11 @@
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
 const (
-	fresh = 400 * clock.Millisecond
-	wait  = 200 * clock.Millisecond
+	testMaxAge       = 400 * clock.Millisecond
+	testRoundTimeout = 200 * clock.Millisecond
 )
 
-func voters(count int) func() register.VoterSet {
+func testVoters(count int) func() register.VoterSet {
 	made := register.VoterSet{Generation: 1}
 	for index := range count {
 		made.Members = append(made.Members, register.Member{Address: ids.Address(fmt.Sprint(index))})
@@ -33,61 +33,61 @@
 	return func() register.VoterSet { return made }
 }
 
-// scripted is a contact of the first of some voters; the others answer after a
+// newTestTracker is a contact of the first of some voters; the others answer after a
 // delay each, or never.
-func scripted(count int, delays *sync.Map) *Contact {
-	return New(Options{Address: "0", Voters: voters(count), Fresh: fresh, Ask: func(ctx scope.Scope, address ids.Address) (Told, error) {
+func newTestTracker(count int, delays *sync.Map) *Tracker {
+	return New(Options{Address: "0", Voters: testVoters(count), MaxAge: testMaxAge, Heartbeat: func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error) {
 		delay, answers := delays.Load(address)
 		if !answers {
 			<-ctx.Done()
-			return Told{}, ctx.Err()
+			return HeartbeatResponse{}, ctx.Err()
 		}
 		if !ctx.Wait(delay.(clock.Span)) {
-			return Told{}, ctx.Err()
+			return HeartbeatResponse{}, ctx.Err()
 		}
-		return Told{Life: 7, Reading: int64(ctx.Now())}, nil
+		return HeartbeatResponse{Incarnation: 7, Reading: int64(ctx.Now())}, nil
 	}})
 }
 
-// settle lets messages that nobody answers run out.
-func settle() { scope.New(scope.Options{}).Wait(4 * fresh) }
+// drainPending lets messages that nobody answers run out.
+func drainPending() { scope.New(scope.Options{}).Wait(4 * testMaxAge) }
 
-func TestAgeIsOfTheMajoritysOldest(t *testing.T) {
-	made := New(Options{Address: "0", Voters: voters(5), Fresh: fresh})
+func TestTracker_majorityAgeIsOldestOfNewestMajority(t *testing.T) {
+	made := New(Options{Address: "0", Voters: testVoters(5), MaxAge: testMaxAge})
 	now := clock.Instant(10 * clock.Second)
-	made.Heard("1", now.Add(-100*clock.Millisecond))
-	if _, known := made.Age(now); known {
+	made.RecordContact("1", now.Add(-100*clock.Millisecond))
+	if _, known := made.MajorityAge(now); known {
 		t.Fatal("two of five count as a majority")
 	}
-	made.Heard("2", now.Add(-300*clock.Millisecond))
-	made.Heard("3", now.Add(-900*clock.Millisecond))
-	if age, known := made.Age(now); !known || age != 300*clock.Millisecond {
+	made.RecordContact("2", now.Add(-300*clock.Millisecond))
+	made.RecordContact("3", now.Add(-900*clock.Millisecond))
+	if age, known := made.MajorityAge(now); !known || age != 300*clock.Millisecond {
 		t.Fatalf("%v %v", age, known)
 	}
-	made.Heard("2", now.Add(-800*clock.Millisecond))
-	if age, _ := made.Age(now); age != 300*clock.Millisecond {
+	made.RecordContact("2", now.Add(-800*clock.Millisecond))
+	if age, _ := made.MajorityAge(now); age != 300*clock.Millisecond {
 		t.Fatal("an older question made contact older")
 	}
-	learning := voters(3)()
+	learning := testVoters(3)()
 	learning.Members[1].Learner = true
-	made = New(Options{Address: "0", Voters: func() register.VoterSet { return learning }, Fresh: fresh})
-	made.Heard("1", now)
-	if _, known := made.Age(now); known {
+	made = New(Options{Address: "0", Voters: func() register.VoterSet { return learning }, MaxAge: testMaxAge})
+	made.RecordContact("1", now)
+	if _, known := made.MajorityAge(now); known {
 		t.Fatal("a seat that is learning counts")
 	}
 }
 
-func TestOneCutOffKnowsSoon(t *testing.T) {
+func TestTracker_partitionedControllerDetectsLossInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &bytes.Buffer{}
 		top := scope.New(scope.Options{Log: scope.Logger("info", log)})
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		made := scripted(3, delays)
-		if err := made.Sure(top); err != nil {
+		made := newTestTracker(3, delays)
+		if err := made.EnsureQuorum(top); err != nil {
 			t.Fatal(err)
 		}
-		guarded, end, err := made.Guard(top)
+		guarded, end, err := made.WithQuorum(top)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,15 +100,15 @@
 		}
 		begin := top.Now()
 		for range 3 {
-			if err := made.Sure(top); errkind.KindOf(err) != errkind.Unsettled {
+			if err := made.EnsureQuorum(top); errkind.KindOf(err) != errkind.Unsettled {
 				t.Errorf("cut off: %v", err)
 			}
 		}
-		if took := top.Now().Since(begin); took > 3*wait {
+		if took := top.Now().Since(begin); took > 3*testRoundTimeout {
 			t.Errorf("three refusals took %v", took)
 		}
 		delays.Store(ids.Address("2"), 70*clock.Millisecond)
-		if err := made.Sure(top); err != nil {
+		if err := made.EnsureQuorum(top); err != nil {
 			t.Error(err)
 		}
 		if told := made.Status(top.Now()); !told.Majority || told.AgeMS != 70 {
@@ -118,42 +118,42 @@
 			t.Errorf("%d lines for one loss and one return:\n%s", lines, log)
 		}
 		end()
-		settle()
+		drainPending()
 	})
 }
 
-func TestCalmKeepsContactFresh(t *testing.T) {
+func TestTracker_runKeepsQuorumWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		top, end := scope.New(scope.Options{}).WithEnd()
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		made := scripted(3, delays)
+		made := newTestTracker(3, delays)
 		go made.Run(top)
 		top.Wait(clock.Second)
 		for range 50 {
-			if top.Wait(61 * clock.Millisecond); !made.Fresh(top.Now()) {
-				age, _ := made.Age(top.Now())
+			if top.Wait(61 * clock.Millisecond); !made.HasQuorum(top.Now()) {
+				age, _ := made.MajorityAge(top.Now())
 				t.Fatalf("contact is %v old", age)
 			}
 		}
 		end()
-		settle()
+		drainPending()
 	})
 }
 
-// TestOrderOfOneThatStoodStillWaitsForItsCaller has a process stand still: a
+// TestTracker_stalledProcessNoticesGoneCallerFirst has a process stand still: a
 // caller that went in the meantime is noticed before its order is begun.
-func TestOrderOfOneThatStoodStillWaitsForItsCaller(t *testing.T) {
+func TestTracker_stalledProcessNoticesGoneCallerFirst(t *testing.T) {
 	machine := clock.NewFake()
 	top := scope.New(scope.Options{Clock: machine})
-	made := New(Options{Address: "0", Voters: voters(1), Fresh: fresh})
-	made.beat = machine.Now()
+	made := New(Options{Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
+	made.lastTick = machine.Now()
 	guard := func(goes bool) error {
 		caller, gone := top.WithEnd()
 		defer gone()
 		told := make(chan error)
 		go func() {
-			_, end, err := made.Guard(caller)
+			_, end, err := made.WithQuorum(caller)
 			end()
 			told <- err
 		}()
@@ -172,8 +172,8 @@
 	if err := guard(false); err != nil {
 		t.Fatal(err)
 	}
-	machine.Move(2 * fresh)
-	if !made.woken(machine.Now()) {
+	machine.Move(2 * testMaxAge)
+	if !made.recentlyStalled(machine.Now()) {
 		t.Fatal("not found to have stood still")
 	}
 	if err := guard(true); errkind.KindOf(err) != errkind.Unsettled {
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestNoOrderOutlivesItsPasser has clocks differ by anything and run a little
+// TestTracker_remoteDeadlineNeverOutlivesForwarder has clocks differ by anything and run a little
 // apart, answers and orders take any time: whoever gets the order late finds
 // it closed, and one that was quick finds it open.
-func TestNoOrderOutlivesItsPasser(t *testing.T) {
+func TestTracker_remoteDeadlineNeverOutlivesForwarder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offset := clock.Span(rapid.IntRange(0, 1<<40).Draw(t, "offset"))
 		pace := rapid.IntRange(995, 1000).Draw(t, "receiver's pace in thousandths")
@@ -196,29 +196,29 @@
 		theirs := func() clock.Instant {
 			return clock.Instant(offset) + machine.Now()*clock.Instant(pace)/1000
 		}
-		receiver := New(Options{Address: "1", Voters: voters(3), Fresh: fresh})
+		receiver := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge})
 		there, back := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
-		passer := New(Options{Address: "0", Voters: voters(3), Fresh: fresh, Ask: func(scope.Scope, ids.Address) (Told, error) {
+		passer := New(Options{Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(scope.Scope, ids.Address) (HeartbeatResponse, error) {
 			machine.Move(clock.Span(there) * clock.Millisecond)
-			told := receiver.Tell(theirs())
+			told := receiver.Respond(theirs())
 			machine.Move(clock.Span(back) * clock.Millisecond)
 			return told, nil
 		}})
-		_ = passer.ask(top, "1")
+		_ = passer.heartbeat(top, "1")
 		machine.Move(clock.Span(rapid.IntRange(0, 3000).Draw(t, "age")) * clock.Millisecond)
-		giveUp := machine.Now().Add(fresh + clock.Span(there+back)*clock.Millisecond)
-		stamp, err := passer.Stamp(top, "1", giveUp)
+		giveUp := machine.Now().Add(testMaxAge + clock.Span(there+back)*clock.Millisecond)
+		stamp, err := passer.RemoteDeadline(top, "1", giveUp)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if quick := machine.Now().Since(giveUp) < -clock.Span(back)*clock.Millisecond-100*clock.Millisecond; quick && !receiver.Open(stamp, theirs()) {
+		if quick := machine.Now().Since(giveUp) < -clock.Span(back)*clock.Millisecond-100*clock.Millisecond; quick && !receiver.WithinDeadline(stamp, theirs()) {
 			t.Fatal("a quick order finds itself closed")
 		}
 		machine.Move(giveUp.Since(machine.Now()))
-		if receiver.Open(stamp, theirs()) {
+		if receiver.WithinDeadline(stamp, theirs()) {
 			t.Fatal("open after its passer gave up")
 		}
-		if again := New(Options{Address: "1", Voters: voters(3), Fresh: fresh}); again.Open(stamp, 0) {
+		if again := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge}); again.WithinDeadline(stamp, 0) {
 			t.Fatal("open in another life")
 		}
 	})
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -22,15 +22,15 @@
 type Options struct {
 	// Controllers gives the inner addresses of those that can be asked now.
 	Controllers func() []ids.Address
-	// Ask asks one of them.
-	Ask func(inner scope.Scope, address ids.Address) (Told, error)
-	// First is closed once some version is acted on here, Serial gives which.
-	First  <-chan struct{}
-	Serial func() ids.Serial
+	// Query asks one of them.
+	Query func(inner scope.Scope, address ids.Address) (Response, error)
+	// Applied is closed once some version is acted on here, Serial gives which.
+	Applied       <-chan struct{}
+	AppliedSerial func() ids.Serial
 	// Fetch gets news from a controller that told of a newer version.
 	Fetch func(inner scope.Scope, address ids.Address)
-	// Bound is how long the gate stays closed without any confirmation.
-	Bound clock.Span
+	// MaxWait is how long the gate stays closed without any confirmation.
+	MaxWait clock.Span
 	// Jitter gives a random part of a span, so that those who start together
 	// don't ask together.
 	Jitter func(span clock.Span) clock.Span
@@ -38,18 +38,18 @@
 
 // Gate holds a router back until its version is confirmed.
 type Gate struct {
-	options Options
-	ready   chan struct{}
-	state   atomic.Value
-	queue   []ids.Address
-	// target is the read index; known says that there is one.
-	target ids.Serial
-	known  bool
-	// from told it last.
-	from ids.Address
-	// since is when the wait for a confirmation began.
-	since clock.Instant
-	had   bool
+	options    Options
+	ready      chan struct{}
+	state      atomic.Value
+	candidates []ids.Address
+	// readIndex is the read index; known says that there is one.
+	readIndex    ids.Serial
+	hasReadIndex bool
+	// source told it last.
+	source ids.Address
+	// waitingSince is when the wait for a confirmation began.
+	waitingSince clock.Instant
+	wasApplied   bool
 }
 
 // NewGate makes a closed gate.
@@ -68,87 +68,87 @@
 // State tells how it stands with the confirmation.
 func (g *Gate) State() string { return g.state.Load().(string) }
 
-type answer struct {
-	from ids.Address
-	told Told
-	err  error
+type queryResult struct {
+	from     ids.Address
+	response Response
+	err      error
 }
 
 const (
-	// looks is how many looks at the own version are in the bound.
-	looks = 32
-	// firstPause is the part of the bound between the first two questions; later
-	// ones are half as long again apart each time, up to longestPause bounds.
-	firstPause   = 6
-	longestPause = 4
+	// checksPerMaxWait is how many looks at the own version are in the bound.
+	checksPerMaxWait = 32
+	// firstIntervalDivisor is the part of the bound between the first two questions; later
+	// ones are half as long again apart each time, up to maxIntervalFactor bounds.
+	firstIntervalDivisor = 6
+	maxIntervalFactor    = 4
 )
 
 // Run asks until the version is confirmed, then waits for the scope's end: a
 // part that ends is started again.
 func (g *Gate) Run(ctx scope.Scope) {
-	bound := g.options.Bound
-	answers := make(chan answer, 64)
-	pause := bound / firstPause
+	bound := g.options.MaxWait
+	answers := make(chan queryResult, 64)
+	pause := bound / firstIntervalDivisor
 	next := ctx.Now()
-	g.since = next
-	for ctx.Err() == nil && !g.judge(ctx) {
-		if now := ctx.Now(); !now.Before(next) && (!g.known || g.behind()) {
-			g.ask(ctx, answers)
+	g.waitingSince = next
+	for ctx.Err() == nil && !g.evaluate(ctx) {
+		if now := ctx.Now(); !now.Before(next) && (!g.hasReadIndex || g.behind()) {
+			g.queryNext(ctx, answers)
 			next = now.Add(g.options.Jitter(pause))
-			pause = min(pause*3/2, longestPause*bound)
+			pause = min(pause*3/2, maxIntervalFactor*bound)
 		}
 		select {
 		case heard := <-answers:
-			g.take(ctx, heard)
-		case <-ctx.Clock.After(bound / looks):
+			g.handleResult(ctx, heard)
+		case <-ctx.Clock.After(bound / checksPerMaxWait):
 		case <-ctx.Done():
 		}
 	}
 	<-ctx.Done()
 }
 
-// ask asks the next controller: each once, in random order, then all again.
-func (g *Gate) ask(ctx scope.Scope, answers chan<- answer) {
-	if len(g.queue) == 0 {
-		g.queue = append(g.queue, g.options.Controllers()...)
-		random.Shuffle(g.queue)
+// queryNext asks the next controller: each once, in random order, then all again.
+func (g *Gate) queryNext(ctx scope.Scope, answers chan<- queryResult) {
+	if len(g.candidates) == 0 {
+		g.candidates = append(g.candidates, g.options.Controllers()...)
+		random.Shuffle(g.candidates)
 	}
-	if len(g.queue) == 0 {
+	if len(g.candidates) == 0 {
 		return
 	}
-	address := g.queue[0]
-	g.queue = g.queue[1:]
+	address := g.candidates[0]
+	g.candidates = g.candidates[1:]
 	go func() {
-		short, release := ctx.WithLimit(g.options.Bound)
+		short, release := ctx.WithLimit(g.options.MaxWait)
 		defer release()
-		told, err := g.options.Ask(short, address)
+		told, err := g.options.Query(short, address)
 		select {
-		case answers <- answer{from: address, told: told, err: err}:
+		case answers <- queryResult{from: address, response: told, err: err}:
 		default:
 		}
 	}()
 }
 
-func (g *Gate) take(ctx scope.Scope, heard answer) {
+func (g *Gate) handleResult(ctx scope.Scope, heard queryResult) {
 	if heard.err != nil {
 		return
 	}
-	g.known, g.target, g.since = true, max(g.target, heard.told.Serial), ctx.Now()
-	g.from = heard.from
-	g.fetch(ctx)
+	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, heard.response.Serial), ctx.Now()
+	g.source = heard.from
+	g.fetchIfBehind(ctx)
 }
 
-// fetch asks whoever told of a newer version for its news.
-func (g *Gate) fetch(ctx scope.Scope) {
+// fetchIfBehind asks whoever told of a newer version for its news.
+func (g *Gate) fetchIfBehind(ctx scope.Scope) {
 	if g.behind() {
-		go g.options.Fetch(ctx, g.from)
+		go g.options.Fetch(ctx, g.source)
 	}
 }
 
-// first tells whether some version is acted on.
-func (g *Gate) first() bool {
+// applied tells whether some version is acted on.
+func (g *Gate) applied() bool {
 	select {
-	case <-g.options.First:
+	case <-g.options.Applied:
 		return true
 	default:
 		return false
@@ -157,45 +157,45 @@
 
 // behind tells whether an older version than the read index is acted on.
 func (g *Gate) behind() bool {
-	return g.known && g.first() && g.options.Serial() < g.target
+	return g.hasReadIndex && g.applied() && g.options.AppliedSerial() < g.readIndex
 }
 
-// judge opens the gate where that is due; it tells whether all is confirmed.
-func (g *Gate) judge(ctx scope.Scope) bool {
-	if !g.first() {
+// evaluate opens the gate where that is due; it tells whether all is confirmed.
+func (g *Gate) evaluate(ctx scope.Scope) bool {
+	if !g.applied() {
 		return false
 	}
-	if !g.had && g.known {
+	if !g.wasApplied && g.hasReadIndex {
 		// The wait for a version that is behind begins when it is there.
-		g.since = ctx.Now()
-		g.fetch(ctx)
+		g.waitingSince = ctx.Now()
+		g.fetchIfBehind(ctx)
 	}
-	g.had = true
-	if g.known && !g.behind() {
-		g.open(ctx, Confirmed)
+	g.wasApplied = true
+	if g.hasReadIndex && !g.behind() {
+		g.setState(ctx, Confirmed)
 		return true
 	}
-	if ctx.Now().Since(g.since) > g.options.Bound {
-		g.open(ctx, Unconfirmed)
+	if ctx.Now().Since(g.waitingSince) > g.options.MaxWait {
+		g.setState(ctx, Unconfirmed)
 	}
 	return false
 }
 
-var tidings = map[string]string{
+var stateMessages = map[string]string{
 	Unconfirmed: "ready, though no majority confirmed the version within the bound",
 	Confirmed:   "a majority confirmed the version",
 }
 
-// open changes the state, and logs what is not as usual.
-func (g *Gate) open(ctx scope.Scope, state string) {
+// setState changes the state, and logs what is not as usual.
+func (g *Gate) setState(ctx scope.Scope, state string) {
 	before := g.State()
 	if before == state {
 		return
 	}
 	g.state.Store(state)
 	if state == Unconfirmed || before == Unconfirmed {
-		ctx.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.Serial())).
-			Msg(tidings[state])
+		ctx.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.AppliedSerial())).
+			Msg(stateMessages[state])
 	}
 	select {
 	case <-g.ready:
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -13,36 +13,36 @@
 	"onyxwell/control/transport"
 )
 
-// Message names the question between daemons.
-const Message = "readindex"
+// MessageName names the question between daemons.
+const MessageName = "readindex"
 
-// Ask asks a controller for the read index.
-type Ask struct {
+// Request asks a controller for the read index.
+type Request struct {
 	From ids.Address `avro:"From"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (Ask) SchemaName() string { return "Ask_26" }
+func (Request) SchemaName() string { return "Ask_26" }
 
-// Told answers it: the serial of the newest version, 0 where none was taken.
-type Told struct {
+// Response answers it: the serial of the newest version, 0 where none was taken.
+type Response struct {
 	Serial ids.Serial `avro:"Serial"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (Told) SchemaName() string { return "Told_26" }
+func (Response) SchemaName() string { return "Told_26" }
 
 // Reader answers with reads that a majority confirms. Questions that wait
 // together share the next read, which begins after all of them came in.
 type Reader struct {
 	read    func(inner scope.Scope) (ids.Serial, error)
 	mu      sync.Mutex
-	busy    bool
-	waiting *shared
+	reading bool
+	pending *sharedRead
 }
 
-// shared is a read that some questions wait for.
-type shared struct {
+// sharedRead is a read that some questions wait for.
+type sharedRead struct {
 	done   chan struct{}
 	serial ids.Serial
 	err    error
@@ -51,25 +51,25 @@
 // NewReader makes a reader; read is one read that a majority confirms.
 func NewReader(read func(ctx scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
 
-// Serve adds the reader's message to a table of calls.
-func (r *Reader) Serve(calls *httpcall.Table) {
-	transport.Handle(calls, Message, func(ctx scope.Scope, _ Ask) (Told, error) {
-		serial, err := r.Newest(ctx)
-		return Told{Serial: serial}, err
+// RegisterHandlers adds the reader's message to a table of calls.
+func (r *Reader) RegisterHandlers(calls *httpcall.Table) {
+	transport.Handle(calls, MessageName, func(ctx scope.Scope, _ Request) (Response, error) {
+		serial, err := r.ReadIndex(ctx)
+		return Response{Serial: serial}, err
 	})
 }
 
-// Newest gives the serial that a majority confirmed after the question came.
-func (r *Reader) Newest(ctx scope.Scope) (ids.Serial, error) {
+// ReadIndex gives the serial that a majority confirmed after the question came.
+func (r *Reader) ReadIndex(ctx scope.Scope) (ids.Serial, error) {
 	r.mu.Lock()
-	mine := r.waiting
+	mine := r.pending
 	if mine == nil {
-		mine = &shared{done: make(chan struct{})}
-		r.waiting = mine
+		mine = &sharedRead{done: make(chan struct{})}
+		r.pending = mine
 	}
-	if !r.busy {
-		r.busy = true
-		go r.work(ctx.Detached())
+	if !r.reading {
+		r.reading = true
+		go r.readLoop(ctx.Detached())
 	}
 	r.mu.Unlock()
 	select {
@@ -80,12 +80,12 @@
 	}
 }
 
-// work reads for those who wait until nobody does.
-func (r *Reader) work(ctx scope.Scope) {
+// readLoop reads for those who wait until nobody does.
+func (r *Reader) readLoop(ctx scope.Scope) {
 	for {
 		r.mu.Lock()
-		turn := r.waiting
-		r.waiting, r.busy = nil, turn != nil
+		turn := r.pending
+		r.pending, r.reading = nil, turn != nil
 		r.mu.Unlock()
 		if turn == nil {
 			return
--- a/control/state/voter/forms_test.go
+++ b/control/state/voter/forms_test.go
@@ -9,6 +9,6 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[LearnAsk](t, "learn_ask")
-	transporttest.Golden[LearnTold](t, "learn_told")
+	transporttest.Golden[LearnRequest](t, "learn_ask")
+	transporttest.Golden[LearnResponse](t, "learn_told")
 }
--- a/control/state/voter/damage_test.go
+++ b/control/state/voter/open_test.go
@@ -13,10 +13,10 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// TestDamagedDiskIsANewOne spoils a voter's journal: the votes of before are
+// TestOpen_damagedWALGetsNewIncarnation spoils a voter's journal: the votes of before are
 // gone, and the disk must not count as the one that gave them. On each start
 // the disk refuses an act, another each time.
-func TestDamagedDiskIsANewOne(t *testing.T) {
+func TestOpen_damagedWALGetsNewIncarnation(t *testing.T) {
 	machine, acts, refused := clock.NewFake(), 0, 0
 	simulated := simdisk.New(simdisk.Options{Pause: func(string, int) error {
 		if acts++; acts == refused {
@@ -24,12 +24,12 @@
 		}
 		return nil
 	}})
-	open := func(first bool) *Seat {
+	open := func(first bool) *Voter {
 		acts, refused = 0, refused+1
 		top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{}})
-		opened := make(chan *Seat)
+		opened := make(chan *Voter)
 		go func() {
-			own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), First: first, Seeds: []ids.Address{"a"}, Limit: clock.Second})
+			own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), FirstStart: first, Seeds: []ids.Address{"a"}, Timeout: clock.Second})
 			if err != nil {
 				t.Error(err)
 			}
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestDiskThatRefusedIsAskedSoon has a disk refuse for a second: the seat is open
+// TestOpen_retriesRefusingDiskSoon has a disk refuse for a second: the seat is open
 // a part of the time to catch up later, however long an order may take.
-func TestDiskThatRefusedIsAskedSoon(t *testing.T) {
+func TestOpen_retriesRefusingDiskSoon(t *testing.T) {
 	machine := clock.NewFake()
 	well := machine.Now().Add(clock.Second)
 	simulated := simdisk.New(simdisk.Options{Pause: func(string, int) error {
@@ -81,7 +81,7 @@
 	opened := make(chan error)
 	go func() {
 		top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{}})
-		own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), First: true, Seeds: []ids.Address{"a"}, Limit: 10 * clock.Second, Pace: pace})
+		own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), FirstStart: true, Seeds: []ids.Address{"a"}, Timeout: 10 * clock.Second, Timing: testTiming})
 		if err == nil {
 			own.Close()
 		}
@@ -90,7 +90,7 @@
 	for {
 		select {
 		case err := <-opened:
-			if late := machine.Now().Since(well); err != nil || late < 0 || late > pace.Doubt {
+			if late := machine.Now().Since(well); err != nil || late < 0 || late > testTiming.SuspectAfter {
 				t.Fatalf("open %v after the disk was well: %v", late, err)
 			}
 			return
--- a/control/state/voter/spread.go
+++ b/control/state/voter/placement.go
@@ -5,31 +5,31 @@
 	"onyxwell/base/settings"
 )
 
-// Wanted is how many voters bear the loss of so many machines at one time: one
+// TargetCount is how many voters bear the loss of so many machines at one time: one
 // more than twice as many, and never fewer than three.
-func Wanted(settings *settings.Boot) int { return max(3, 2*settings.Tolerate.Machines+1) }
+func TargetCount(settings *settings.Boot) int { return max(3, 2*settings.Tolerate.Machines+1) }
 
-// Copies is how many disks must hold an order before it is answered: one more
+// RequiredCopies is how many disks must hold an order before it is answered: one more
 // than may be lost at one time. Where fewer controllers than seeds are usual
 // are named, there are no more than these.
-func Copies(settings *settings.Boot) int {
+func RequiredCopies(settings *settings.Boot) int {
 	if seeds := len(settings.Seeds); seeds < 3 {
 		return min(seeds, settings.Tolerate.Machines+1)
 	}
 	return settings.Tolerate.Machines + 1
 }
 
-// fits tells whether a voter here beside the others leaves every zone and
+// fitsPlacement tells whether a voter here beside the others leaves every zone and
 // region with no more than its even share of the seats.
-func (s *Seat) fits(others []ids.Address) bool {
-	self := s.options.Table.Self()
+func (v *Voter) fitsPlacement(others []ids.Address) bool {
+	self := v.options.Membership.Self()
 	regions := map[ids.Region]bool{}
-	for _, region := range s.options.Zones {
+	for _, region := range v.options.Zones {
 		regions[region] = true
 	}
 	inZone, inRegion := 1, 1
 	for _, address := range others {
-		member, known := s.options.Table.Find(address)
+		member, known := v.options.Membership.Find(address)
 		if known && member.Zone == self.Zone {
 			inZone++
 		}
@@ -37,7 +37,7 @@
 			inRegion++
 		}
 	}
-	return inZone <= evenShare(s.options.Seats, len(s.options.Zones)) && inRegion <= evenShare(s.options.Seats, len(regions))
+	return inZone <= evenShare(v.options.TargetCount, len(v.options.Zones)) && inRegion <= evenShare(v.options.TargetCount, len(regions))
 }
 
 func evenShare(seats int, places int) int { return (seats + max(1, places) - 1) / max(1, places) }
--- a/control/state/voter/gone_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -8,10 +8,10 @@
 	"onyxwell/control/membership"
 )
 
-// TestOneThatAnswersIsNotGone has a voter that no daemon told of, or that was
+// TestVoter_responsivePeerIsNotReplaceable has a voter that no daemon told of, or that was
 // removed: while it answers it is not gone, and once it falls silent it is. One
 // that leaves gives its seat also while it answers.
-func TestOneThatAnswersIsNotGone(t *testing.T) {
+func TestVoter_responsivePeerIsNotReplaceable(t *testing.T) {
 	for _, example := range []struct {
 		text   string
 		state  membership.State
@@ -22,28 +22,28 @@
 		{text: "left", state: membership.Left, leaves: true},
 	} {
 		t.Run(example.text, func(t *testing.T) {
-			site := newSite(t, 3)
+			site := newCluster(t, 3)
 			silent := map[ids.Address]bool{}
-			ask, subject, other := site.listen(0, silent), site.seats[0], site.seats[1].options.Address
+			ask, subject, other := site.attachTracker(0, silent), site.voters[0], site.voters[1].options.Address
 			members := []membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, Core: true, State: example.state}}
 			if example.state < 0 {
-				subject.options.Table = membership.NewTable(site.clock, membership.Member{Address: subject.options.Address, Role: "fleet-controller"})
+				subject.options.Membership = membership.NewTable(site.clock, membership.Member{Address: subject.options.Address, Role: "fleet-controller"})
 			} else {
-				subject.options.Table.Merge(members)
+				subject.options.Membership.Merge(members)
 			}
 			for range 20 {
 				ask()
-				if gone := subject.isGone(other); gone != example.leaves {
+				if gone := subject.isReplaceable(other); gone != example.leaves {
 					t.Fatalf("answers, and is gone: %v", gone)
 				}
-				site.clock.Move(pace.Tick)
+				site.clock.Move(testTiming.Tick)
 			}
 			silent[other] = true
 			gone := false
-			for span := clock.Span(0); span < 4*subject.options.Patience; span += pace.Tick {
+			for span := clock.Span(0); span < 4*subject.options.ReplaceAfter; span += testTiming.Tick {
 				ask()
-				site.clock.Move(pace.Tick)
-				gone = subject.isGone(other)
+				site.clock.Move(testTiming.Tick)
+				gone = subject.isReplaceable(other)
 			}
 			if !gone {
 				t.Fatal("silent, and not gone")
--- a/simulation/plants_orders_test.go
+++ b/simulation/plants_orders_test.go
@@ -90,7 +90,7 @@
 	const copied = "Copied"
 	made := messages("/accept", func(_ *World, sent *message) (answered, bool) {
 		asked, _ := transport.Unpack[register.AcceptRequest](sent.body[markLength:])
-		body, _ := transport.Pack(voter.LearnAsk{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Proposal}}})
+		body, _ := transport.Pack(voter.LearnRequest{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Proposal}}})
 		sent.body = append(sent.body[:markLength:markLength], body...)
 		sent.request = sent.request.Clone(sent.request.Context())
 		sent.request.URL.Path, sent.path = "/learn", copied
--- a/simulation/plants_test.go
+++ b/simulation/plants_test.go
@@ -109,7 +109,7 @@
 }
 
 func grantToAll() plant {
-	return answers("/hold", func(_ *World, _ *Machine, _ *message, told *lease.Told) { told.Granted = true })
+	return answers("/hold", func(_ *World, _ *Machine, _ *message, told *lease.Response) { told.Granted = true })
 }
 
 // slowHolder has a machine's clock run at a quarter of its pace.
@@ -125,10 +125,10 @@
 // tellOwnIndex answers a starting router without asking the voters.
 func tellOwnIndex() plant {
 	return plant{Answer: func(_ *World, target *Machine, sent *message, got answered) answered {
-		if sent.path != "/"+readindex.Message {
+		if sent.path != "/"+readindex.MessageName {
 			return got
 		}
-		return say(readindex.Told{Serial: own(target).Serial})
+		return say(readindex.Response{Serial: own(target).Serial})
 	}}
 }
 
