--- a/control/admin/refusal_test.go
+++ b/control/admin/invalid_request_test.go
@@ -15,26 +15,26 @@
 	"onyxwell/base/response"
 )
 
-// cut is a body that ends before its announced length.
-type cut struct{ io.Reader }
+// truncatedBody is a body that ends before its announced length.
+type truncatedBody struct{ io.Reader }
 
-func (c cut) Read(buffer []byte) (int, error) {
-	size, err := c.Reader.Read(buffer)
+func (t truncatedBody) Read(buffer []byte) (int, error) {
+	size, err := t.Reader.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return size, err
 }
 
-// TestOddOrdersAreRefusedByField sends what no operator should: each gets its
+// TestServe_rejectsInvalidRequests sends what no operator should: each gets its
 // 4xx with the field named, and nothing changes.
-func TestOddOrdersAreRefusedByField(t *testing.T) {
-	office := newOffice(t)
-	if status, text := office.ask("PUT", "/settings", "0", good); status != 200 {
+func TestServe_rejectsInvalidRequests(t *testing.T) {
+	office := newTestServer(t)
+	if status, text := office.do("PUT", "/settings", "0", validConfig); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
-	before, _ := office.news.Get("spec")
-	next := strings.Replace(good, ":5", ":6", 1)
+	before, _ := office.updates.Get("spec")
+	next := strings.Replace(validConfig, ":5", ":6", 1)
 	patch := `{"config_version":6,"remove":{"routes":["r"]}}`
 	cases := []struct {
 		name, method, path string
@@ -83,74 +83,74 @@
 		}
 	}
 	for _, example := range cases {
-		status, text := office.send(example.method, example.path, http.Header{"If-Match": example.match, "Content-Type": example.types}, strings.NewReader(example.body))
+		status, text := office.serveDirect(example.method, example.path, http.Header{"If-Match": example.match, "Content-Type": example.types}, strings.NewReader(example.body))
 		if status != example.status || !strings.Contains(text, example.says) {
 			t.Errorf("%s, %s: %d %s", example.method, example.name, status, text)
 		}
 	}
-	if status, text := office.send("PUT", "/settings", http.Header{"If-Match": {"5"}}, cut{strings.NewReader(next)}); status != 400 || !strings.Contains(text, "body") {
+	if status, text := office.serveDirect("PUT", "/settings", http.Header{"If-Match": {"5"}}, truncatedBody{strings.NewReader(next)}); status != 400 || !strings.Contains(text, "body") {
 		t.Errorf("a body that ends early: %d %s", status, text)
 	}
-	after, _ := office.news.Get("spec")
-	_, emptied := office.news.Get("evacuation/hall")
-	if status, text := office.ask("GET", "/settings", "", ""); status != 200 || text != good || after.Serial != before.Serial || emptied {
+	after, _ := office.updates.Get("spec")
+	_, emptied := office.updates.Get("evacuation/hall")
+	if status, text := office.do("GET", "/settings", "", ""); status != 200 || text != validConfig || after.Serial != before.Serial || emptied {
 		t.Fatalf("something changed: %d %s, news %d, emptied %v", status, text, after.Serial, emptied)
 	}
-	if status, text := office.ask("PUT", "/settings", `"5"`, next); status != 200 {
+	if status, text := office.do("PUT", "/settings", `"5"`, next); status != 200 {
 		t.Fatalf("a good one after them: %d %s", status, text)
 	}
 }
 
-// TestOddEvacuationsChangeNothing asks for zones that there are not, by names
+// TestServe_rejectsInvalidZones asks for zones that there are not, by names
 // close to one that there is, and with bodies that are too long or not whole. A
 // short body says nothing, whatever it holds.
-func TestOddEvacuationsChangeNothing(t *testing.T) {
-	office := newOffice(t)
+func TestServe_rejectsInvalidZones(t *testing.T) {
+	office := newTestServer(t)
 	names := []string{
 		"hal", "halll", "Hall", "hall%20", "%20hall", "hall%00", "%00", "hall%0A", "hall%0D%0Ax", "hall.", ".", "%2e%2e", "*", "%25", "h%C3%A4ll",
 		"%EF%BD%88all", "hall%2Fhall", "hall;x=1", "hall,hall", "%22hall%22", "evacuation%2Fhall", strings.Repeat("hall", 500),
 	}
 	for _, name := range names {
 		for _, method := range []string{"POST", "DELETE"} {
-			if status, text := office.send(method, "/empty/"+name, nil, nil); status != 404 || len(text) > 5000 {
+			if status, text := office.serveDirect(method, "/empty/"+name, nil, nil); status != 404 || len(text) > 5000 {
 				t.Errorf("%s %s: %d %s", method, name, status, text)
 			}
 		}
 	}
 	for _, method := range []string{"POST", "DELETE"} {
-		if status, text := office.send(method, "/empty/hall", nil, strings.NewReader(strings.Repeat(" ", 4001))); status != 413 || !strings.Contains(text, "body: over 4000 bytes") {
+		if status, text := office.serveDirect(method, "/empty/hall", nil, strings.NewReader(strings.Repeat(" ", 4001))); status != 413 || !strings.Contains(text, "body: over 4000 bytes") {
 			t.Errorf("%s, over the limit: %d %s", method, status, text)
 		}
-		if status, text := office.send(method, "/empty/hall", nil, cut{strings.NewReader("{}")}); status != 400 || !strings.Contains(text, "body: it is not whole") {
+		if status, text := office.serveDirect(method, "/empty/hall", nil, truncatedBody{strings.NewReader("{}")}); status != 400 || !strings.Contains(text, "body: it is not whole") {
 			t.Errorf("%s, torn: %d %s", method, status, text)
 		}
 	}
 	for _, method := range []string{"GET", "PUT", "PATCH", "HEAD", "post"} {
-		if status, text := office.send(method, "/empty/hall", nil, nil); status != 404 {
+		if status, text := office.serveDirect(method, "/empty/hall", nil, nil); status != 404 {
 			t.Errorf("%s: %d %s", method, status, text)
 		}
 	}
-	if item, told := office.news.Get("evacuation/hall"); told {
+	if item, told := office.updates.Get("evacuation/hall"); told {
 		t.Fatalf("something changed: %+v", item)
 	}
 	for _, body := range []string{"", "{}", "x", `{"zone":"other"}`} {
-		before, _ := office.news.Get("evacuation/hall")
+		before, _ := office.updates.Get("evacuation/hall")
 		for _, method := range []string{"POST", "DELETE"} {
-			if status, text := office.send(method, "/empty/hall", nil, strings.NewReader(body)); status != 200 {
+			if status, text := office.serveDirect(method, "/empty/hall", nil, strings.NewReader(body)); status != 200 {
 				t.Errorf("%s with %q: %d %s", method, body, status, text)
 			}
 		}
-		if after, _ := office.news.Get("evacuation/hall"); after.Serial != before.Serial+2 {
+		if after, _ := office.updates.Get("evacuation/hall"); after.Serial != before.Serial+2 {
 			t.Errorf("with %q: from %d to %d", body, before.Serial, after.Serial)
 		}
 	}
 }
 
-// TestHeadsThatSayTwoThingsChangeNothing sends heads that contradict themselves
+// TestServe_rejectsContradictoryHeaders sends heads that contradict themselves
 // over a connection.
-func TestHeadsThatSayTwoThingsChangeNothing(t *testing.T) {
-	office := newOffice(t)
-	length := fmt.Sprintf("Content-Length: %d\r\n", len(good))
+func TestServe_rejectsContradictoryHeaders(t *testing.T) {
+	office := newTestServer(t)
+	length := fmt.Sprintf("Content-Length: %d\r\n", len(validConfig))
 	heads := map[string]string{
 		"two lengths":            length + "Content-Length: 7\r\nIf-Match: 0\r\n",
 		"no number for a length": "Content-Length: x\r\nIf-Match: 0\r\n",
@@ -166,23 +166,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = fmt.Fprintf(link, "PUT /settings HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%s\r\n%s", head, good)
+		_, _ = fmt.Fprintf(link, "PUT /settings HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%s\r\n%s", head, validConfig)
 		told, err := http.ReadResponse(bufio.NewReader(link), nil)
 		if err != nil || told.StatusCode/100 != 4 && told.StatusCode != http.StatusNotImplemented {
 			t.Errorf("%s: %+v %v", name, told, err)
 		}
 		_ = link.Close()
 	}
-	if item, told := office.news.Get("spec"); told {
+	if item, told := office.updates.Get("spec"); told {
 		t.Fatalf("something changed: %+v", item)
 	}
-	if status, text := office.ask("PUT", "/settings", "0", good); status != 200 {
+	if status, text := office.do("PUT", "/settings", "0", validConfig); status != 200 {
 		t.Fatalf("a good one after them: %d %s", status, text)
 	}
 }
 
-// send asks without a network between; the path is taken as it is.
-func (o *office) send(method string, path string, header http.Header, body io.Reader) (int, string) {
+// serveDirect asks without a network between; the path is taken as it is.
+func (t *testServer) serveDirect(method string, path string, header http.Header, body io.Reader) (int, string) {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(method, path, body)
 	for name, values := range header {
@@ -190,28 +190,28 @@
 			request.Header[name] = values
 		}
 	}
-	o.calls.ServeHTTP(recorder, request)
+	t.calls.ServeHTTP(recorder, request)
 	return recorder.Code, recorder.Body.String()
 }
 
-// TestRepeatsAreToldTheirOwnVersion repeats orders after others came into
+// TestServe_repeatsReturnOwnVersion repeats orders after others came into
 // force, and invalid as they would be by now.
-func TestRepeatsAreToldTheirOwnVersion(t *testing.T) {
-	office := newOffice(t)
+func TestServe_repeatsReturnOwnVersion(t *testing.T) {
+	office := newTestServer(t)
 	orders := []struct{ method, match, body, says string }{
-		{"PUT", "0", good, `{"config_version":5}`},
+		{"PUT", "0", validConfig, `{"config_version":5}`},
 		{"PATCH", "5", `{"config_version":8,"remove":{"routes":["r"]}}`, `{"config_version":8}`},
-		{"PUT", "8", strings.Replace(good, ":5", ":9", 1), `{"config_version":9}`},
+		{"PUT", "8", strings.Replace(validConfig, ":5", ":9", 1), `{"config_version":9}`},
 	}
 	for round := range 2 {
 		for _, order := range orders {
-			status, text := office.ask(order.method, "/settings", order.match, order.body)
+			status, text := office.do(order.method, "/settings", order.match, order.body)
 			if status != 200 || text != order.says {
 				t.Errorf("round %d, %s on %s: %d %s", round, order.method, order.match, status, text)
 			}
 		}
 	}
-	if told, _ := office.news.Get("spec"); told.Serial != 9 {
+	if told, _ := office.updates.Get("spec"); told.Serial != 9 {
 		t.Errorf("the news are at %d", told.Serial)
 	}
 	recorder := httptest.NewRecorder()
--- a/control/config/evacuation/forms_test.go
+++ b/control/config/evacuation/forms_test.go
@@ -9,5 +9,5 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[Kept](t, "kept")
+	transporttest.Golden[State](t, "kept")
 }
--- a/control/config/store/revision_test.go
+++ b/control/config/store/change_test.go
@@ -10,13 +10,13 @@
 	"onyxwell/control/config"
 )
 
-const good = `{"config_version":7,"extra":{"kept":1},"routes":[
+const validConfig = `{"config_version":7,"extra":{"kept":1},"routes":[
  {"name":"a","hostname":"Shop.example","path_prefix":"/a/","type":"safe","give_up_ms":100,"service":"s"},
  {"name":"b","hostname":"shop.example","path_prefix":"/a/b/","type":"streaming","resumable":true,"give_up_ms":100,"shares":[{"service":"s","weight":1},{"service":"t","weight":0}]}],
  "services":[{"name":"s"},{"name":"t","cold_per_s":2.5}],"limits":{"max_body_bytes":10}}`
 
-func TestLongestPrefixWins(t *testing.T) {
-	read, err := Check([]byte(good))
+func TestMatch_longestPrefixWins(t *testing.T) {
+	read, err := Validate([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,10 +32,10 @@
 	}
 }
 
-func TestInvalidSpecsAreRefusedByField(t *testing.T) {
+func TestValidate_namesInvalidField(t *testing.T) {
 	cases := []struct{ name, from, to, field string }{
-		{"cut short", good, good[:200], "not JSON"},
-		{"two documents", good, good + good, "not JSON"},
+		{"cut short", validConfig, validConfig[:200], "not JSON"},
+		{"two documents", validConfig, validConfig + validConfig, "not JSON"},
 		{"unknown service", `"give_up_ms":100,"service":"s"`, `"give_up_ms":100,"service":"x"`, "routes[0].service"},
 		{"unknown share", `{"service":"s","weight":1}`, `{"service":"x","weight":1}`, "routes[1].shares[0].service"},
 		{"same place", `"/a/b/"`, `"/a/"`, "routes[1].path_prefix"},
@@ -49,48 +49,48 @@
 		{"unknown type", `"type":"safe"`, `"type":"odd"`, "type"},
 	}
 	for _, example := range cases {
-		text := strings.Replace(good, example.from, example.to, 1)
-		if text == good {
+		text := strings.Replace(validConfig, example.from, example.to, 1)
+		if text == validConfig {
 			t.Fatalf("%s: the case changes nothing", example.name)
 		}
-		_, err := Check([]byte(text))
+		_, err := Validate([]byte(text))
 		if errkind.KindOf(err) != errkind.BadSpec || !strings.Contains(err.Error(), example.field) {
 			t.Errorf("%s: %v", example.name, err)
 		}
 	}
 }
 
-func step(t *testing.T, current []byte, change Change, want errkind.Kind) []byte {
+func mustApply(t *testing.T, current []byte, change Change, want errkind.Kind) []byte {
 	t.Helper()
-	next, err := change.Step(current)
+	next, err := change.Apply(current)
 	if errkind.KindOf(err) != want {
 		t.Fatalf("%v, not %v", err, want)
 	}
 	return next
 }
 
-func TestChangesBuildOnOneSerial(t *testing.T) {
-	first := Change{Whole: true, Match: 0, Body: []byte(good)}
-	value := step(t, nil, first, errkind.None)
-	if again := step(t, value, first, errkind.None); again != nil {
+func TestApply_requiresBaseVersion(t *testing.T) {
+	first := Change{Full: true, BaseVersion: 0, Body: []byte(validConfig)}
+	value := mustApply(t, nil, first, errkind.None)
+	if again := mustApply(t, value, first, errkind.None); again != nil {
 		t.Fatal("a repeat changed the value")
 	}
-	rival := Change{Whole: true, Match: 0, Body: []byte(strings.Replace(good, ":7", ":8", 1))}
-	step(t, value, rival, errkind.StaleSpec)
-	step(t, value, Change{Whole: true, Match: 7, Body: []byte(strings.Replace(good, ":7", ":6", 1))}, errkind.BadSpec)
-	step(t, value, Change{Whole: true, Match: 7, Body: []byte("{")}, errkind.BadSpec)
-	patch := Change{Match: 7, Body: []byte(`{"config_version":9,"changes":{"routes":[
+	rival := Change{Full: true, BaseVersion: 0, Body: []byte(strings.Replace(validConfig, ":7", ":8", 1))}
+	mustApply(t, value, rival, errkind.StaleSpec)
+	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte(strings.Replace(validConfig, ":7", ":6", 1))}, errkind.BadSpec)
+	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte("{")}, errkind.BadSpec)
+	patch := Change{BaseVersion: 7, Body: []byte(`{"config_version":9,"changes":{"routes":[
 	 {"name":"a","hostname":"shop.example","path_prefix":"/a/","type":"safe","give_up_ms":200,"service":"t"},
 	 {"name":"c","hostname":"shop.example","path_prefix":"/c/","type":"safe","give_up_ms":1,"service":"t"}]},
 	 "remove":{"routes":["b","unknown"]}}`)}
-	newer := step(t, value, patch, errkind.None)
+	newer := mustApply(t, value, patch, errkind.None)
 	// A repeat of the older change is still known, whatever is in force.
-	if again := step(t, newer, first, errkind.None); again != nil {
+	if again := mustApply(t, newer, first, errkind.None); again != nil {
 		t.Fatal("a late repeat changed the value")
 	}
-	kept, err := ReadKept(newer)
-	if err != nil || kept.Serial != 9 {
-		t.Fatalf("%+v, %v", kept.Serial, err)
+	kept, err := Decode(newer)
+	if err != nil || kept.Version != 9 {
+		t.Fatalf("%+v, %v", kept.Version, err)
 	}
 	var whole struct {
 		Serial ids.Serial        `json:"config_version"`
@@ -108,13 +108,13 @@
 	}
 }
 
-func TestPatchThatLeavesAnInvalidSpecIsRefused(t *testing.T) {
-	value := step(t, nil, Change{Whole: true, Body: []byte(good)}, errkind.None)
+func TestApply_rejectsInvalidPatch(t *testing.T) {
+	value := mustApply(t, nil, Change{Full: true, Body: []byte(validConfig)}, errkind.None)
 	bodies := []string{
 		`{"config_version":9,"remove":{"services":["t"]}}`, `{"config_version":7}`, `{"config_version":9,"changes":{"routes":[{"hostname":"x"}]}}`,
 		`{"config_version":9,"changes":{"routes":7}}`, `[]`,
 	}
 	for _, body := range bodies {
-		step(t, value, Change{Match: 7, Body: []byte(body)}, errkind.BadSpec)
+		mustApply(t, value, Change{BaseVersion: 7, Body: []byte(body)}, errkind.BadSpec)
 	}
 }
--- a/control/config/store/forms_test.go
+++ b/control/config/store/forms_test.go
@@ -10,7 +10,7 @@
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Change](t, "change")
-	transporttest.Golden[Kept](t, "kept")
-	transporttest.Golden[Memory](t, "memory")
-	transporttest.Golden[Page](t, "page")
+	transporttest.Golden[Record](t, "kept")
+	transporttest.Golden[History](t, "memory")
+	transporttest.Golden[Chunk](t, "page")
 }
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -6,9 +6,9 @@
 	"onyxwell/base/errkind"
 )
 
-// Patch makes a whole document from one in force and the changes to it. Items
+// ApplyPatch makes a whole document from one in force and the changes to it. Items
 // that are not changed keep their bytes.
-func Patch(document []byte, change []byte) ([]byte, error) {
+func ApplyPatch(document []byte, change []byte) ([]byte, error) {
 	var asked patch
 	if err := json.Unmarshal(change, &asked); err != nil {
 		return nil, errkind.Of(errkind.BadSpec, "not a change: %v", err)
@@ -34,7 +34,7 @@
 			return nil, err
 		}
 	}
-	serial, _ := json.Marshal(asked.Serial)
+	serial, _ := json.Marshal(asked.Version)
 	whole["config_version"] = serial
 	return json.Marshal(whole)
 }
@@ -51,7 +51,7 @@
 	dropped := map[string]bool{}
 	var added []string
 	for index, item := range items {
-		name, err := nameOf(item)
+		name, err := itemName(item)
 		if err != nil {
 			return errkind.Of(errkind.BadSpec, "changes.%s[%d].name: missing", key, index)
 		}
@@ -66,7 +66,7 @@
 	}
 	result := []json.RawMessage{}
 	for _, item := range kept {
-		name, _ := nameOf(item)
+		name, _ := itemName(item)
 		if dropped[name] {
 			continue
 		}
@@ -86,8 +86,8 @@
 	return err
 }
 
-func nameOf(item json.RawMessage) (string, error) {
-	var read named
+func itemName(item json.RawMessage) (string, error) {
+	var read namedItem
 	if err := json.Unmarshal(item, &read); err != nil {
 		return "", err
 	}
--- a/control/config/store/check.go
+++ b/control/config/store/validate.go
@@ -17,10 +17,10 @@
 )
 
 //go:embed schema.json
-var schemaText []byte
+var schemaJSON []byte
 
-var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
-	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
+var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
 		return nil, err
 	}
@@ -32,23 +32,23 @@
 })
 
 // Schema gives the JSON schema of a whole configuration.
-func Schema() []byte { return schemaText }
+func Schema() []byte { return schemaJSON }
 
-// Check reads a whole document and refuses an invalid one with a BadSpec
+// Validate reads a whole document and refuses an invalid one with a BadSpec
 // failure that names the field.
-func Check(document []byte) (*config.Spec, error) {
+func Validate(document []byte) (*config.Config, error) {
 	loose, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
 		return nil, errkind.Of(errkind.BadSpec, "not JSON: %v", err)
 	}
-	schema, err := compiled()
+	schema, err := compiledSchema()
 	if err != nil {
 		return nil, errkind.Of(errkind.Internal, "schema: %v", err)
 	}
 	if err := schema.Validate(loose); err != nil {
 		return nil, errkind.Of(errkind.BadSpec, "%v", err)
 	}
-	read, err := config.Read(document)
+	read, err := config.Parse(document)
 	if err != nil {
 		return nil, errkind.Of(errkind.BadSpec, "%v", err)
 	}
@@ -61,9 +61,9 @@
 }
 
 // rules are what the schema can't say.
-var rules = []func(*config.Spec) error{namesOnce, placesOnce, servicesKnown, weightsAboveNothing}
+var rules = []func(*config.Config) error{uniqueNames, uniquePaths, knownServices, positiveWeights}
 
-func namesOnce(version *config.Spec) error {
+func uniqueNames(version *config.Config) error {
 	routes := map[string]bool{}
 	for index, route := range version.Routes {
 		if routes[route.Name] {
@@ -81,27 +81,27 @@
 	return nil
 }
 
-func placesOnce(version *config.Spec) error {
+func uniquePaths(version *config.Config) error {
 	places := map[[2]string]bool{}
 	for index, route := range version.Routes {
-		place := [2]string{config.HostOnly(route.Host), route.Prefix}
+		place := [2]string{config.NormalizeHost(route.Host), route.PathPrefix}
 		if places[place] {
-			return errkind.Of(errkind.BadSpec, "routes[%d].path_prefix: %q stands twice for this host", index, route.Prefix)
+			return errkind.Of(errkind.BadSpec, "routes[%d].path_prefix: %q stands twice for this host", index, route.PathPrefix)
 		}
 		places[place] = true
 	}
 	return nil
 }
 
-func servicesKnown(version *config.Spec) error {
+func knownServices(version *config.Config) error {
 	for index, route := range version.Routes {
-		if route.Service == "" && len(route.Shares) == 0 {
+		if route.Service == "" && len(route.Services) == 0 {
 			return errkind.Of(errkind.BadSpec, "routes[%d].service: missing", index)
 		}
 		if route.Service != "" && version.Service(route.Service) == nil {
 			return errkind.Of(errkind.BadSpec, "routes[%d].service: %q is not known", index, route.Service)
 		}
-		for part, share := range route.Shares {
+		for part, share := range route.Services {
 			if version.Service(share.Service) == nil {
 				return errkind.Of(errkind.BadSpec, "routes[%d].shares[%d].service: %q is not known", index, part, share.Service)
 			}
@@ -110,10 +110,10 @@
 	return nil
 }
 
-func weightsAboveNothing(version *config.Spec) error {
+func positiveWeights(version *config.Config) error {
 	for index, route := range version.Routes {
 		total := 0.0
-		for _, part := range route.Parts() {
+		for _, part := range route.WeightedServices() {
 			total += part.Weight
 		}
 		if total <= 0 {
@@ -124,11 +124,11 @@
 }
 
 type patch struct {
-	Serial  ids.Serial                 `json:"config_version"`
+	Version ids.Serial                 `json:"config_version"`
 	Changes map[string]json.RawMessage `json:"changes"`
 	Remove  map[string][]string        `json:"remove"`
 }
 
-type named struct {
+type namedItem struct {
 	Name string `json:"name"`
 }
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -42,7 +42,7 @@
 	pace   daemon.Pace
 	own    *voter.Voter
 	keeper *register.Proposer
-	front  *command.Desk
+	front  *command.Dispatcher
 	reach  *quorum.Tracker
 	scaler *autoscaler.Scaler
 	view   *discovery.View
@@ -115,18 +115,18 @@
 	made.keeper = register.NewProposer(register.ProposerOptions{
 		Address: made.common.Address, Client: made.own, Voters: made.own.Acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return made.own.Acceptor.Slot(key).Promised.Number },
-		OnCommit:       func(key string, accepted register.Proposal) { made.front.Chosen(key, accepted) },
+		OnCommit:       func(key string, accepted register.Proposal) { made.front.Publish(key, accepted) },
 		MessageTimeout: made.pace.Silence, BatchTimeout: made.pace.Order, MinCopies: voter.RequiredCopies(top.Boot),
 	})
 	made.own.Attach(made.keeper)
 	made.front = command.New(command.Options{
-		Address: made.common.Address, Keeper: made.keeper, Acceptor: made.own.Acceptor,
-		Table: made.common.Table, News: made.common.News, Messenger: made.common.Messenger,
-		Pass: made.pace.Pass, Limit: made.pace.Order, Contact: made.reach,
+		Address: made.common.Address, Proposer: made.keeper, Acceptor: made.own.Acceptor,
+		Membership: made.common.Table, Updates: made.common.News, Transport: made.common.Messenger,
+		ForwardTimeout: made.pace.Pass, CommandTimeout: made.pace.Order, Quorum: made.reach,
 	})
 	made.front.Serve(made.common.Calls)
 	made.reach.RegisterHandlers(made.common.Calls)
-	readindex.NewReader(made.front.Newest).RegisterHandlers(made.common.Calls)
+	readindex.NewReader(made.front.LatestVersion).RegisterHandlers(made.common.Calls)
 	made.common.Part("contact", func(ctx scope.Scope) error { made.reach.Run(ctx); return nil })
 	made.parts(top)
 	return made, nil
@@ -151,7 +151,7 @@
 	orders := httpcall.NewTable(top, top.Boot.Limits.MemoryMB<<20/16)
 	orders.Metrics, orders.Bodies = common.Metrics, common.Bodies
 	admin.Serve(orders, c.front)
-	admin.ServeRoom(orders, common.News)
+	admin.ServeHeadroom(orders, common.News)
 	c.serveStatus(orders)
 	common.Part("control", func(ctx scope.Scope) error {
 		return common.ServeHTTP(ctx, top.Boot.Listen["control"], orders)
@@ -172,7 +172,7 @@
 func (c *Controller) duty(name string, work func(holder *lease.Holder) func(ctx scope.Scope)) {
 	holder := lease.NewHolder(lease.Options{
 		Name: name, Address: c.common.Address, TTL: c.pace.Hold,
-		RequestGrant: c.own.RequestLease, NextEpoch: c.front.Epoch, Monitor: c.common.Monitor,
+		RequestGrant: c.own.RequestLease, NextEpoch: c.front.NextEpoch, Monitor: c.common.Monitor,
 	})
 	c.duties = append(c.duties, holder)
 	run := work(holder)
--- a/control/controller/look.go
+++ b/control/controller/look.go
@@ -29,5 +29,5 @@
 
 // Read reads a key as an order of the operator does: confirmed by a majority.
 func (c *Controller) Read(ctx scope.Scope, key string) ([]byte, error) {
-	return c.front.Do(ctx, command.Order{Key: key, Verb: command.VerbRead})
+	return c.front.Dispatch(ctx, command.Command{Key: key, Verb: command.VerbRead})
 }
--- a/control/controller/room.go
+++ b/control/controller/room.go
@@ -43,7 +43,7 @@
 	if !found {
 		return headroom.Seen{}, false
 	}
-	version, err := config.Read(item.Body)
+	version, err := config.Parse(item.Body)
 	if err != nil {
 		return headroom.Seen{}, false
 	}
@@ -81,8 +81,8 @@
 	if !found {
 		return false
 	}
-	kept, err := evacuation.Read(item.Body)
-	return err == nil && kept.Empty
+	kept, err := evacuation.Decode(item.Body)
+	return err == nil && kept.Drained
 }
 
 func (c *Controller) resting() map[ids.RunnerID]bool {
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -58,7 +58,7 @@
 
 // serveStatus adds the call to the operator's table.
 func (c *Controller) serveStatus(orders *httpcall.Table) {
-	httpcall.Handle(orders, http.MethodGet, "/status", func(ctx scope.Scope, _ admin.Nothing) (status, error) {
+	httpcall.Handle(orders, http.MethodGet, "/status", func(ctx scope.Scope, _ admin.EmptyRequest) (status, error) {
 		return c.status(ctx), nil
 	})
 }
@@ -76,7 +76,7 @@
 		Refused: common.Messenger.Gate.Totals(),
 	}
 	for _, slot := range c.own.Acceptor.Fetch(register.FetchRequest{}).Slots {
-		if !strings.HasPrefix(slot.Key, store.PagePrefix) {
+		if !strings.HasPrefix(slot.Key, store.ChunkKeyPrefix) {
 			told.Owners[slot.Key] = string(slot.Promised.Owner)
 		}
 	}
--- a/control/planning/headroom/estimate.go
+++ b/control/planning/headroom/estimate.go
@@ -71,7 +71,7 @@
 // seconds.
 type Seen struct {
 	Seconds  float64
-	Spec     *config.Spec
+	Spec     *config.Config
 	Runners  []Runner
 	Readings []Reading
 	Routers  []Routers
@@ -112,9 +112,9 @@
 		load := loadOf(seen, service.Name, route, reading, readings, pace)
 		first := reading.FirstMS / reading.Count
 		plain := pace.StartMS + pace.UnitMS*reading.Units/reading.Count
-		found := Route{Name: route.Name, GoalMS: route.GoalMS, FirstMS: first, PerS: reading.Count / seen.Seconds}
-		found.Alone = Factor(load, route.GoalMS-plain, false)
-		found.Together = Factor(load, route.GoalMS-plain, true)
+		found := Route{Name: route.Name, GoalMS: route.LatencyTargetMS, FirstMS: first, PerS: reading.Count / seen.Seconds}
+		found.Alone = Factor(load, route.LatencyTargetMS-plain, false)
+		found.Together = Factor(load, route.LatencyTargetMS-plain, true)
 		made.Together = min(made.Together, found.Together)
 		made.Used = max(made.Used, load.Used)
 		made.Routes = append(made.Routes, found)
@@ -145,7 +145,7 @@
 	return Pace{StartMS: first, UnitMS: first / (slots / count)}, true
 }
 
-func routeOf(version *config.Spec, name string) *config.Route {
+func routeOf(version *config.Config, name string) *config.Route {
 	for index := range version.Routes {
 		if version.Routes[index].Name == name {
 			return &version.Routes[index]
@@ -196,7 +196,7 @@
 		if runner.Service != service {
 			continue
 		}
-		if !route.AtHome(runner.Region) {
+		if !route.AllowsRegion(runner.Region) {
 			continue
 		}
 		units += runner.UnitsPerS
--- a/control/planning/headroom/room_test.go
+++ b/control/planning/headroom/room_test.go
@@ -78,10 +78,10 @@
 
 func seen(standings ...string) Seen {
 	pace := Pace{StartMS: 40, UnitMS: 0.01}
-	made := Seen{Seconds: 10, Spec: &config.Spec{
+	made := Seen{Seconds: 10, Spec: &config.Config{
 		Services: []config.Service{{Name: "s", Engine: &config.Engine{}}, {Name: "plain"}},
 		Routes: []config.Route{
-			{Name: "long", Service: "s", GoalMS: 800}, {Name: "short", Service: "s", GoalMS: 1000, Homes: []ids.Region{"r0"}},
+			{Name: "long", Service: "s", LatencyTargetMS: 800}, {Name: "short", Service: "s", LatencyTargetMS: 1000, HomeRegions: []ids.Region{"r0"}},
 		},
 	}}
 	made.Readings = []Reading{reads("long", 200, 12000, pace), reads("short", 400, 2000, pace)}
--- a/control/state/command/forms_test.go
+++ b/control/state/command/forms_test.go
@@ -9,7 +9,7 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[EpochKept](t, "epoch_kept")
-	transporttest.Golden[Order](t, "order")
-	transporttest.Golden[Outcome](t, "outcome")
+	transporttest.Golden[EpochRecord](t, "epoch_kept")
+	transporttest.Golden[Command](t, "order")
+	transporttest.Golden[Result](t, "outcome")
 }
--- a/control/state/wal/bench_test.go
+++ b/control/state/wal/bench_test.go
@@ -92,7 +92,7 @@
 		b.Fatal(err)
 	}
 	text := document(source, routes)
-	value, err := store.Change{Whole: true, Body: text}.Step(nil)
+	value, err := store.Change{Full: true, Body: text}.Apply(nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 		patch, _ := json.Marshal(map[string]any{"config_version": index + 2, "changes": map[string]any{
 			"routes": []any{route(source, source.IntN(routes), max(2, routes/10))}}})
 		before := cpuTime()
-		next, err := store.Change{Match: ids.Serial(index + 1), Body: patch}.Step(value)
+		next, err := store.Change{BaseVersion: ids.Serial(index + 1), Body: patch}.Apply(value)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/data/balancer/admit_test.go
+++ b/data/balancer/admit_test.go
@@ -124,7 +124,7 @@
 func TestNobodyIsLetInToBeLate(t *testing.T) {
 	machine, board := clock.NewFake(), runnerstats.NewBoard()
 	gate := NewGate(Options{Board: board})
-	route := &config.Route{GoalMS: 1000, Urgency: 1}
+	route := &config.Route{LatencyTargetMS: 1000, Priority: 1}
 	found := some(1, 1, 1)
 	send := func(id ids.RunnerID, number uint64, urgency int) {
 		board.Sent(id, runnerstats.Sending{Number: number, Urgency: urgency}, machine.Now())
--- a/data/balancer/choose.go
+++ b/data/balancer/choose.go
@@ -57,7 +57,7 @@
 	soon := clock.Span(0)
 	route := decision.asking.Route
 	share := g.connections(service)
-	patience := max(route.Goal()/2, 50*clock.Millisecond)
+	patience := max(route.LatencyTarget()/2, 50*clock.Millisecond)
 	decision.left = LeftOut{}
 	for _, runner := range seen.Runners[decision.service] {
 		if decision.tried[runner.ID] {
@@ -68,7 +68,7 @@
 			decision.left.Closed++
 			continue
 		}
-		if !route.AtHome(runner.Region) {
+		if !route.AllowsRegion(runner.Region) {
 			decision.left.Away++
 			continue
 		}
@@ -122,13 +122,13 @@
 // waited so long that another would miss its goal. Where that is all of them,
 // what is let in would only make everybody late.
 func (g *Gate) timely(route *config.Route, found []candidate, now clock.Instant) []candidate {
-	if route.GoalMS <= 0 {
+	if route.LatencyTargetMS <= 0 {
 		return found
 	}
-	limit := clock.Span(timelyPart * float64(route.Goal()))
+	limit := clock.Span(timelyPart * float64(route.LatencyTarget()))
 	kept := found[:0:0]
 	for _, able := range found {
-		if count, oldest := g.options.Board.Queue(able.runner.ID, route.Urgency, now); count < fewestWaiting || oldest <= limit {
+		if count, oldest := g.options.Board.Queue(able.runner.ID, route.Priority, now); count < fewestWaiting || oldest <= limit {
 			kept = append(kept, able)
 		}
 	}
--- a/data/balancer/decision.go
+++ b/data/balancer/decision.go
@@ -54,16 +54,16 @@
 		return d.finally(errkind.LimitBeforeRun, errkind.LimitReached)
 	}
 	route := d.asking.Route
-	if d.ran && !route.Repeatable() {
+	if d.ran && !route.Idempotent() {
 		return d.finally(errkind.RunnerLost, errkind.RunnerLost)
 	}
-	if d.sends >= max(1, route.Tries) {
+	if d.sends >= max(1, route.MaxAttempts) {
 		return d.finally(errkind.Crowded, errkind.RunnerLost)
 	}
 	runner, pause := d.gate.choose(d, now)
 	if runner == nil {
 		// A short wait is no refusal that comes late.
-		if pause > 0 && now.Add(pause).Since(d.asking.Since) < route.Goal()/4 {
+		if pause > 0 && now.Add(pause).Since(d.asking.Since) < route.LatencyTarget()/4 {
 			return Order{Act: Wait, Span: pause}
 		}
 		promise := errkind.NoRunner
--- a/data/balancer/gate.go
+++ b/data/balancer/gate.go
@@ -104,7 +104,7 @@
 
 // service picks one of the route's services by their weights.
 func (g *Gate) service(route *config.Route) ids.Service {
-	parts := route.Parts()
+	parts := route.WeightedServices()
 	total := 0.0
 	for _, part := range parts {
 		total += part.Weight
@@ -120,7 +120,7 @@
 
 func homesKey(route *config.Route) string {
 	key := ""
-	for _, home := range route.Homes {
+	for _, home := range route.HomeRegions {
 		key += string(home) + ","
 	}
 	return key
@@ -134,5 +134,5 @@
 	if service == nil {
 		return slowstart.Bound{}
 	}
-	return slowstart.Bound{PerS: service.ColdPerS, Sharers: g.options.Sharers(zone)}
+	return slowstart.Bound{PerS: service.WarmupRatePerSecond, Sharers: g.options.Sharers(zone)}
 }
--- a/data/proxy/carry.go
+++ b/data/proxy/carry.go
@@ -59,8 +59,8 @@
 	}
 	trip := upstream.Trip{
 		Request: v.sent, Runner: runner.ID, Address: runner.Address,
-		Left: v.limit.Since(begin), Urgency: v.route.Urgency,
-		Service: decision.Service(), Once: !v.route.Repeatable(),
+		Left: v.limit.Since(begin), Urgency: v.route.Priority,
+		Service: decision.Service(), Once: !v.route.Idempotent(),
 	}
 	resumed := v.known
 	if resumed {
@@ -69,8 +69,8 @@
 	v.checkSending(runner, trip.Left, begin)
 	number := v.front.number.Add(1)
 	options.Board.Sent(runner.ID, runnerstats.Sending{
-		Service: decision.Service(), Number: number, Tokens: v.asking.Tokens, Urgency: v.route.Urgency,
-		Goal: v.route.Goal(),
+		Service: decision.Service(), Number: number, Tokens: v.asking.Tokens, Urgency: v.route.Priority,
+		Goal: v.route.LatencyTarget(),
 	}, begin)
 	ending := runnerstats.Ending{Number: number, Tokens: v.asking.Tokens}
 	result := options.Sender.Send(ctx, trip)
@@ -79,7 +79,7 @@
 	if result.Fate == upstream.Answered {
 		ending.Began = true
 		first := ctx.Now()
-		if first.Since(v.since) > v.route.Goal()/slowPart {
+		if first.Since(v.since) > v.route.LatencyTarget()/slowPart {
 			slow = 1
 		}
 		options.Board.Began(runner.ID, number, v.asking.Tokens, first)
@@ -160,7 +160,7 @@
 		return result.Response.StatusCode == http.StatusMisdirectedRequest
 	}
 	if late {
-		return !ending.Began && ending.Spent > route.Goal()
+		return !ending.Began && ending.Spent > route.LatencyTarget()
 	}
 	return true
 }
--- a/data/proxy/front.go
+++ b/data/proxy/front.go
@@ -147,7 +147,7 @@
 	v.outcome, v.reason = kind.String(), detail
 	made := response.Of(kind, detail)
 	if kind.Answer().Status == http.StatusServiceUnavailable && v.route != nil {
-		made = made.After(max(comeBack(kind, v.route.Goal()), 20*clock.Millisecond))
+		made = made.After(max(comeBack(kind, v.route.LatencyTarget()), 20*clock.Millisecond))
 	}
 	if v.closes() {
 		made = made.Close()
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -105,7 +105,7 @@
 }
 
 func (h *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
-	body, err := transport.Pack(evacuation.Kept{Serial: serial, Empty: empty})
+	body, err := transport.Pack(evacuation.State{Version: serial, Drained: empty})
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/data/proxy/limits.go
+++ b/data/proxy/limits.go
@@ -100,7 +100,7 @@
 func (t *timing) until() time.Time {
 	limits := t.limits()
 	span := map[phase]clock.Span{
-		readingHead: settings.Milliseconds(limits.HeaderWaitMS), resting: settings.Milliseconds(limits.IdleMS),
+		readingHead: settings.Milliseconds(limits.HeaderTimeoutMS), resting: settings.Milliseconds(limits.IdleTimeoutMS),
 	}[t.phase]
 	if span <= 0 {
 		return time.Time{}
--- a/data/proxy/pass.go
+++ b/data/proxy/pass.go
@@ -19,7 +19,7 @@
 // and whether the visit is over.
 func (v *visit) pass(ctx scope.Scope, runner *snapshot.Runner, response *http.Response) (upstream.Fate, bool) {
 	defer response.Body.Close()
-	if v.route.Kind == config.Streaming && response.StatusCode == http.StatusOK {
+	if v.route.Type == config.Streaming && response.StatusCode == http.StatusOK {
 		return v.passEvents(response)
 	}
 	if v.begun {
--- a/data/proxy/planted_test.go
+++ b/data/proxy/planted_test.go
@@ -39,16 +39,16 @@
 		act    func(visit *visit)
 		broken int64
 	}{
-		{invariant.RunOnce, config.Route{Kind: config.Unsafe, Tries: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
-		{invariant.RunOnce, config.Route{Kind: config.Safe, Tries: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 0},
-		{invariant.Tries, config.Route{Kind: config.Safe, Tries: 1}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
-		{invariant.Home, config.Route{Kind: config.Safe, Homes: []ids.Region{"south"}}, nil, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
-		{invariant.TimeLeft, config.Route{Kind: config.Safe}, nil, func(visit *visit) {
+		{invariant.RunOnce, config.Route{Type: config.Unsafe, MaxAttempts: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
+		{invariant.RunOnce, config.Route{Type: config.Safe, MaxAttempts: 3}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 0},
+		{invariant.Tries, config.Route{Type: config.Safe, MaxAttempts: 1}, ran, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
+		{invariant.Home, config.Route{Type: config.Safe, HomeRegions: []ids.Region{"south"}}, nil, func(visit *visit) { visit.checkSending(runner, 0, 0) }, 1},
+		{invariant.TimeLeft, config.Route{Type: config.Safe}, nil, func(visit *visit) {
 			visit.clientLeft = clock.Second
 			visit.checkSending(runner, 2*clock.Second, 0)
 		}, 1},
-		{invariant.PromiseNotRun, config.Route{Kind: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.Crowded, "") }, 1},
-		{invariant.PromiseNotRun, config.Route{Kind: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.RunnerLost, "") }, 0},
+		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.Crowded, "") }, 1},
+		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.RunnerLost, "") }, 0},
 		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("other", "s"), 0) }, 1},
 		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", ""), 0) }, 1},
 		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", "s"), 0) }, 0},
--- a/data/proxy/read.go
+++ b/data/proxy/read.go
@@ -72,7 +72,7 @@
 	if v.request.ContentLength == 0 {
 		return nil, nil
 	}
-	response.ReadWithin(v.writer, settings.Milliseconds(limits.IdleMS))
+	response.ReadWithin(v.writer, settings.Milliseconds(limits.IdleTimeoutMS))
 	err := v.held.Read(http.MaxBytesReader(v.writer, v.request.Body, most), v.request.ContentLength, most)
 	response.ReadWithin(v.writer, 0)
 	if err == nil {
@@ -94,7 +94,7 @@
 
 // time works out until when the request may take.
 func (v *visit) time() {
-	span := settings.Milliseconds(v.route.GiveUpMS)
+	span := settings.Milliseconds(v.route.TimeoutMS)
 	if left, err := strconv.ParseFloat(v.request.Header.Get(upstream.LeftHeader), 64); err == nil && left > 0 {
 		v.clientLeft = settings.Milliseconds(left)
 		span = min(span, v.clientLeft)
--- a/data/proxy/record.go
+++ b/data/proxy/record.go
@@ -42,7 +42,7 @@
 		entry = entry.Str("reason", v.reason)
 	}
 	if v.seen != nil && v.seen.Spec != nil {
-		entry = entry.Int64("version", int64(v.seen.Spec.Serial))
+		entry = entry.Int64("version", int64(v.seen.Spec.Version))
 	}
 	if len(v.sends) > 0 {
 		var sendings []string
--- a/data/proxy/trace.go
+++ b/data/proxy/trace.go
@@ -60,13 +60,13 @@
 			arrivals++
 		}
 	}
-	if !route.Repeatable() && v.mayHaveRun() {
+	if !route.Idempotent() && v.mayHaveRun() {
 		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", v.sent.Attempt, route.Name, runner.ID, v.sends)
 	}
-	if arrivals >= max(1, route.Tries) {
-		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", v.sent.Attempt, route.Name, runner.ID, arrivals, route.Tries)
+	if arrivals >= max(1, route.MaxAttempts) {
+		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", v.sent.Attempt, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
-	if !route.AtHome(runner.Region) {
+	if !route.AllowsRegion(runner.Region) {
 		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", v.sent.Attempt, route.Name, runner.ID, runner.Region)
 	}
 	if told := v.clientLeft; told > 0 && now.Add(left).Since(v.since) > told {
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -105,7 +105,7 @@
 	}
 	wanted := map[ids.Service]bool{}
 	for index := range seen.Spec.Routes {
-		for _, part := range seen.Spec.Routes[index].Parts() {
+		for _, part := range seen.Spec.Routes[index].WeightedServices() {
 			wanted[part.Service] = wanted[part.Service] || part.Weight > 0
 		}
 	}
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -130,7 +130,7 @@
 		for name, runners := range seen.Runners {
 			warmup := clock.Span(0)
 			if seen.Spec != nil && seen.Spec.Service(name) != nil {
-				warmup = settings.Seconds(seen.Spec.Service(name).WarmupS)
+				warmup = settings.Seconds(seen.Spec.Service(name).WarmupSeconds)
 			}
 			for _, runner := range runners {
 				entries = append(entries, slowstart.Entry{
--- a/data/snapshot/planted_test.go
+++ b/data/snapshot/planted_test.go
@@ -14,7 +14,7 @@
 	frame := NewFrame(Options{Clock: clock.NewFake(), Monitor: monitor})
 	for _, serial := range []ids.Serial{4, 5, 3} {
 		frame.swap(func(next *Snapshot) bool {
-			next.Spec = &config.Spec{Serial: serial}
+			next.Spec = &config.Config{Version: serial}
 			return true
 		})
 	}
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -29,7 +29,7 @@
 
 // Snapshot is the state of everything at one moment; it is never changed.
 type Snapshot struct {
-	Spec     *config.Spec
+	Spec     *config.Config
 	Runners  map[ids.Service][]*Runner
 	Empty    map[ids.Zone]bool
 	Refilled map[ids.Zone]clock.Instant
@@ -115,7 +115,7 @@
 		f.swap(func(next *Snapshot) bool { return absorbLost(next, item.Body) })
 		return
 	}
-	if zone, found := evacuation.ZoneOf(item.Key); found {
+	if zone, found := evacuation.ZoneFromKey(item.Key); found {
 		f.swap(func(next *Snapshot) bool { return f.absorbZone(next, zone, item.Body) })
 	}
 }
@@ -128,8 +128,8 @@
 
 var absorbers = map[string]func(*Frame, *Snapshot, gossip.Item) bool{
 	config.Key: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
-		read, err := config.Read(item.Body)
-		if err != nil || (next.Spec != nil && read.Serial <= next.Spec.Serial) {
+		read, err := config.Parse(item.Body)
+		if err != nil || (next.Spec != nil && read.Version <= next.Spec.Version) {
 			return false
 		}
 		next.Spec = read
@@ -184,7 +184,7 @@
 }
 
 func (f *Frame) absorbZone(next *Snapshot, zone ids.Zone, body []byte) bool {
-	kept, err := evacuation.Read(body)
+	kept, err := evacuation.Decode(body)
 	if err != nil {
 		return false
 	}
@@ -195,10 +195,10 @@
 	for name, when := range next.Refilled {
 		refilled[name] = when
 	}
-	if empty[zone] && !kept.Empty {
+	if empty[zone] && !kept.Drained {
 		refilled[zone] = f.options.Clock.Now()
 	}
-	empty[zone] = kept.Empty
+	empty[zone] = kept.Drained
 	next.Empty, next.Refilled = empty, refilled
 	return true
 }
@@ -210,8 +210,8 @@
 	if !change(&next) {
 		return
 	}
-	if before := f.now.Load().Spec; before != nil && next.Spec.Serial < before.Serial {
-		f.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Spec.Serial, before.Serial)
+	if before := f.now.Load().Spec; before != nil && next.Spec.Version < before.Version {
+		f.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Spec.Version, before.Version)
 	}
 	f.now.Store(&next)
 	if next.Spec != nil && next.Runners != nil {
--- a/data/snapshot/snapshot_test.go
+++ b/data/snapshot/snapshot_test.go
@@ -33,7 +33,7 @@
 				news.Put(gossip.Item{Key: "spec", Serial: serial, Body: []byte(fmt.Sprintf(`{"config_version":%d}`, serial))})
 				newest = max(newest, serial)
 			} else {
-				body, _ := transport.Pack(evacuation.Kept{Serial: serial, Empty: serial%2 == 1})
+				body, _ := transport.Pack(evacuation.State{Version: serial, Drained: serial%2 == 1})
 				news.Put(gossip.Item{Key: evacuation.Key("hall"), Serial: serial, Body: body})
 				zone = max(zone, serial)
 			}
@@ -41,8 +41,8 @@
 				t.Fatal("a snapshot was changed after it was taken")
 			}
 			seen := frame.Now()
-			if newest > 0 && seen.Spec.Serial != newest {
-				t.Fatalf("the spec is at %d, not %d", seen.Spec.Serial, newest)
+			if newest > 0 && seen.Spec.Version != newest {
+				t.Fatalf("the spec is at %d, not %d", seen.Spec.Version, newest)
 			}
 			if seen.Empty["hall"] != (zone%2 == 1) {
 				t.Fatalf("the zone is not as change %d left it", zone)
--- a/simulation/operators.go
+++ b/simulation/operators.go
@@ -188,11 +188,11 @@
 	value, err := target.life.control.Read(limited, evacuation.Key(zone))
 	did.end = w.now()
 	if err == nil {
-		kept, err := evacuation.Read(value)
+		kept, err := evacuation.Decode(value)
 		if err != nil {
 			w.violate("the value of %s can't be read: %v", zone, err)
 		}
-		did.empty, did.outcome = kept.Empty, taken
+		did.empty, did.outcome = kept.Drained, taken
 	}
 	w.record(did)
 }
--- a/simulation/plants_orders_test.go
+++ b/simulation/plants_orders_test.go
@@ -18,8 +18,8 @@
 	return messages("/accept", func(_ *World, sent *message) (answered, bool) {
 		reread(sent, func(asked *register.AcceptRequest) {
 			if asked.Key == config.Key {
-				kept, _ := store.Travelling(asked.Proposal.Value)
-				kept.Memory = store.Memory{Base: kept.Serial}
+				kept, _ := store.DecodeCompressed(asked.Proposal.Value)
+				kept.History = store.History{BaseVersion: kept.Version}
 				asked.Proposal.Value, _ = transport.Pack(kept)
 			}
 		})
@@ -73,10 +73,10 @@
 	return messages("/order", func(world *World, sent *message) (answered, bool) {
 		late := &message{from: sent.from, to: sent.to, path: sent.path, request: sent.request.Clone(context.Background()), answer: make(chan answered, 1)}
 		late.body = append(late.body, sent.body...)
-		reread(late, func(asked *command.Order) {
-			asked.Until.End += int64(20 * clock.Second)
-			asked.Past = 0
-			if _, zone := evacuation.ZoneOf(asked.Key); zone && asked.Verb != command.VerbRead {
+		reread(late, func(asked *command.Command) {
+			asked.Deadline.End += int64(20 * clock.Second)
+			asked.ZoneVersion = 0
+			if _, zone := evacuation.ZoneFromKey(asked.Key); zone && asked.Verb != command.VerbRead {
 				world.after(5*clock.Second, func() { world.arrive(late) })
 			}
 		})
--- a/simulation/plants_test.go
+++ b/simulation/plants_test.go
@@ -70,17 +70,17 @@
 	}
 }
 
-func own(target *Machine) store.Kept {
+func own(target *Machine) store.Record {
 	if target.life == nil || target.life.control == nil {
-		return store.Kept{}
+		return store.Record{}
 	}
 	for _, slot := range target.life.control.Slots() {
 		if slot.Key == config.Key {
-			kept, _ := store.ReadKept(slot.Accepted.Value)
+			kept, _ := store.Decode(slot.Accepted.Value)
 			return kept
 		}
 	}
-	return store.Kept{}
+	return store.Record{}
 }
 
 func skipConfirmation() plant {
@@ -91,7 +91,7 @@
 
 func readOwnCopy() plant {
 	return plant{Answer: func(_ *World, target *Machine, sent *message, got answered) answered {
-		if kept := own(target); sent.path == "/settings" && sent.request.Method == http.MethodGet && kept.Serial > 0 {
+		if kept := own(target); sent.path == "/settings" && sent.request.Method == http.MethodGet && kept.Version > 0 {
 			return answered{status: http.StatusOK, header: http.Header{}, body: kept.Document}
 		}
 		return got
@@ -101,7 +101,7 @@
 func refuseAlone() plant {
 	return plant{Answer: func(_ *World, target *Machine, sent *message, got answered) answered {
 		match := sent.request.Header.Get("If-Match")
-		if sent.path == "/settings" && match != "" && got.status >= 500 && fmt.Sprint(own(target).Serial) != match {
+		if sent.path == "/settings" && match != "" && got.status >= 500 && fmt.Sprint(own(target).Version) != match {
 			return answered{status: http.StatusPreconditionFailed, header: http.Header{}}
 		}
 		return got
@@ -128,7 +128,7 @@
 		if sent.path != "/"+readindex.MessageName {
 			return got
 		}
-		return say(readindex.Response{Serial: own(target).Serial})
+		return say(readindex.Response{Serial: own(target).Version})
 	}}
 }
 
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -62,7 +62,7 @@
 // serial is the version that the router acts on.
 func (r *router) serial() ids.Serial {
 	if seen := r.frame.Now(); seen.Spec != nil {
-		return seen.Spec.Serial
+		return seen.Spec.Version
 	}
 	return 0
 }
@@ -85,10 +85,10 @@
 // rises checks that no part of a router's snapshot goes back.
 func (w *World) rises(life *life, made *router, before *snapshot.Snapshot, item gossip.Item) {
 	after := made.frame.Now()
-	if before.Spec != nil && (after.Spec == nil || after.Spec.Serial < before.Spec.Serial) {
-		w.violate("the router of %s went back from version %d", life.machine.name, before.Spec.Serial)
+	if before.Spec != nil && (after.Spec == nil || after.Spec.Version < before.Spec.Version) {
+		w.violate("the router of %s went back from version %d", life.machine.name, before.Spec.Version)
 	}
-	if zone, found := evacuation.ZoneOf(item.Key); found {
+	if zone, found := evacuation.ZoneFromKey(item.Key); found {
 		w.count("evacuations heard")
 		if item.Serial < made.newest[item.Key] {
 			w.violate("the router of %s went back on %s to %d", life.machine.name, zone, item.Serial)
