--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -102,7 +102,7 @@
 }
 
 // ServeHeadroom adds the call that tells the room of every model family.
-func ServeHeadroom(calls *httpcall.Table, news *gossip.News) {
+func ServeHeadroom(calls *httpcall.Table, news *gossip.Store) {
 	httpcall.Handle(calls, http.MethodGet, "/room", func(scope.Scope, EmptyRequest) (HeadroomResponse, error) {
 		item, found := news.Get(headroom.Key)
 		if !found {
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -47,13 +47,13 @@
 	t       *testing.T
 	server  *httptest.Server
 	calls   *httpcall.Table
-	updates *gossip.News
+	updates *gossip.Store
 	disk    *fakeDisk
 }
 
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
-	made := &testServer{t: t, updates: gossip.NewNews(nil), disk: &fakeDisk{}}
+	made := &testServer{t: t, updates: gossip.NewStore(nil), disk: &fakeDisk{}}
 	machine := clock.NewFake()
 	top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{Zones: map[ids.Zone]ids.Region{"hall": "north"}}})
 	voter, err := register.NewAcceptor("a", nil)
@@ -71,7 +71,7 @@
 	})
 	front = command.New(command.Options{
 		Address: "a", Proposer: keeper, Acceptor: voter, Membership: membership.NewTable(machine, membership.Member{Address: "a"}),
-		Updates: made.updates, Transport: transport.New(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}), ForwardTimeout: 4, CommandTimeout: clock.Second,
+		Updates: made.updates, Transport: transport.NewClient(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}), ForwardTimeout: 4, CommandTimeout: clock.Second,
 		TakeoverBackoff: func() clock.Span { return 0 },
 	})
 	calls := httpcall.NewTable(top, 4000)
@@ -134,8 +134,8 @@
 	}
 	spec, _ := office.updates.Get("spec")
 	emptied, _ := office.updates.Get("evacuation/hall")
-	if spec.Serial != 8 || emptied.Serial != 2 {
-		t.Errorf("the news are at %d and %d", spec.Serial, emptied.Serial)
+	if spec.Version != 8 || emptied.Version != 2 {
+		t.Errorf("the news are at %d and %d", spec.Version, emptied.Version)
 	}
 }
 
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -93,8 +93,8 @@
 	}
 	after, _ := office.updates.Get("spec")
 	_, emptied := office.updates.Get("evacuation/hall")
-	if status, text := office.do("GET", "/settings", "", ""); status != 200 || text != validConfig || after.Serial != before.Serial || emptied {
-		t.Fatalf("something changed: %d %s, news %d, emptied %v", status, text, after.Serial, emptied)
+	if status, text := office.do("GET", "/settings", "", ""); status != 200 || text != validConfig || after.Version != before.Version || emptied {
+		t.Fatalf("something changed: %d %s, news %d, emptied %v", status, text, after.Version, emptied)
 	}
 	if status, text := office.do("PUT", "/settings", `"5"`, next); status != 200 {
 		t.Fatalf("a good one after them: %d %s", status, text)
@@ -140,8 +140,8 @@
 				t.Errorf("%s with %q: %d %s", method, body, status, text)
 			}
 		}
-		if after, _ := office.updates.Get("evacuation/hall"); after.Serial != before.Serial+2 {
-			t.Errorf("with %q: from %d to %d", body, before.Serial, after.Serial)
+		if after, _ := office.updates.Get("evacuation/hall"); after.Version != before.Version+2 {
+			t.Errorf("with %q: from %d to %d", body, before.Version, after.Version)
 		}
 	}
 }
@@ -211,8 +211,8 @@
 			}
 		}
 	}
-	if told, _ := office.updates.Get("spec"); told.Serial != 9 {
-		t.Errorf("the news are at %d", told.Serial)
+	if told, _ := office.updates.Get("spec"); told.Version != 9 {
+		t.Errorf("the news are at %d", told.Version)
 	}
 	recorder := httptest.NewRecorder()
 	response.Of(errkind.Forgotten, "").Send(recorder)
--- a/control/config/evacuation/evacuation.go
+++ b/control/config/evacuation/evacuation.go
@@ -43,7 +43,7 @@
 		if turned || (kept.Drained == empty && kept.Version > 0) {
 			return nil, nil
 		}
-		return transport.Pack(State{Version: kept.Version + 1, Drained: empty})
+		return transport.Marshal(State{Version: kept.Version + 1, Drained: empty})
 	}
 }
 
@@ -52,5 +52,5 @@
 	if len(value) == 0 {
 		return State{}, nil
 	}
-	return transport.Unpack[State](value)
+	return transport.Unmarshal[State](value)
 }
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -100,7 +100,7 @@
 	kept.Document, kept.Compressed = compress.Pack(document)
 	kept.History.append(checked.Version-c.BaseVersion, digest)
 	kept.History.truncate(sealed)
-	return transport.Pack(kept)
+	return transport.Marshal(kept)
 }
 
 // Decode reads the register's value with its document as text.
@@ -119,5 +119,5 @@
 	if len(value) == 0 {
 		return Record{}, nil
 	}
-	return transport.Unpack[Record](value)
+	return transport.Unmarshal[Record](value)
 }
--- a/control/config/store/change_log_test.go
+++ b/control/config/store/change_log_test.go
@@ -57,7 +57,7 @@
 		kept.History.truncate(c.sealed)
 		c.changes = append(c.changes, change)
 	}
-	if c.value, _ = transport.Pack(kept); err != nil {
+	if c.value, _ = transport.Marshal(kept); err != nil {
 		c.t.Fatalf("%v", err)
 	}
 	for range min(count, 2) {
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -32,7 +32,7 @@
 // followed by a newer one, stays.
 func (c Chunk) Apply(current []byte) ([]byte, error) {
 	if len(current) > 0 {
-		present, err := transport.Unpack[Chunk](current)
+		present, err := transport.Unmarshal[Chunk](current)
 		if err != nil {
 			return nil, errkind.Of(errkind.Internal, "kept page: %v", err)
 		}
@@ -40,7 +40,7 @@
 			return nil, nil
 		}
 	}
-	return transport.Pack(c)
+	return transport.Marshal(c)
 }
 
 // ArchivedError is told of an order on a version older than what stands beside the
@@ -69,7 +69,7 @@
 	if len(value) == 0 {
 		return a
 	}
-	page, err := transport.Unpack[Chunk](value)
+	page, err := transport.Unmarshal[Chunk](value)
 	if err != nil {
 		return errkind.Of(errkind.Internal, "kept page: %v", err)
 	}
--- a/control/config/store/history_test.go
+++ b/control/config/store/history_test.go
@@ -144,7 +144,7 @@
 
 // TestDecode_rejectsOtherSchema reads what an older build kept.
 func TestDecode_rejectsOtherSchema(t *testing.T) {
-	old, err := transport.Pack(olderKept{Serial: 7, Document: []byte(validConfig)})
+	old, err := transport.Marshal(olderKept{Serial: 7, Document: []byte(validConfig)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -56,7 +56,7 @@
 	defer end()
 	ended := make(chan error, 1)
 	go func() { ended <- c.common.Run(running) }()
-	c.common.Table.Announce(func(self *membership.Member) { self.Ready = true })
+	c.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 	for {
 		select {
 		case fresh := <-reread:
@@ -92,7 +92,7 @@
 	if disk == nil {
 		disk = wal.Dir(top.Boot.DataFolder)
 	}
-	members := &membership.Keeper{Table: made.common.Table, Disk: disk, Name: "members", Sizes: made.common.Zones.Sizes, Sized: made.common.Zones.Learn}
+	members := &membership.Store{Table: made.common.Table, Disk: disk, Name: "members", ZoneSizes: made.common.Zones.Sizes, RestoreZoneSizes: made.common.Zones.MergeSizes}
 	if err := members.Load(); err != nil {
 		top.Log.Warn().Str("part", "members").Err(err).Msg("the members of before can't be read")
 	}
@@ -159,7 +159,7 @@
 	lookups := httpcall.NewTable(top, 1<<16)
 	lookups.Metrics, lookups.Bodies = common.Metrics, common.Bodies
 	front := &directory.Directory{
-		Table: common.Table, Elsewhere: common.Zones.Elsewhere, Zones: top.Boot.Zones,
+		Table: common.Table, Elsewhere: common.Zones.RemoteEndpoints, Zones: top.Boot.Zones,
 		Patience: max(settings.Seconds(top.Boot.Bounds.RecoveryS), pace.Hold), Metrics: common.Metrics, Monitor: common.Monitor,
 	}
 	front.Serve(lookups)
--- a/control/controller/room.go
+++ b/control/controller/room.go
@@ -32,7 +32,7 @@
 		if now, held := holder.Held(ctx.Now()); err != nil || !held || now != epoch {
 			continue
 		}
-		c.common.News.Put(gossip.Item{Key: headroom.Key, Serial: discovery.SerialOf(epoch, counter), Body: body})
+		c.common.News.Put(gossip.Item{Key: headroom.Key, Version: discovery.SerialOf(epoch, counter), Body: body})
 		ctx.Log.Info().Str("part", "room").RawJSON("report", body).Msg("estimated")
 	}
 }
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -19,11 +19,11 @@
 
 // status is what GET /status tells: how this controller sees the system.
 type status struct {
-	Address ids.Address          `json:"address"`
-	Zones   []zoneStatus         `json:"zones"`
-	Regions []zonesummary.Region `json:"regions"`
-	Contact quorum.Status        `json:"contact"`
-	Voters  []register.Member    `json:"voters"`
+	Address ids.Address                 `json:"address"`
+	Zones   []zoneStatus                `json:"zones"`
+	Regions []zonesummary.RegionSummary `json:"regions"`
+	Contact quorum.Status               `json:"contact"`
+	Voters  []register.Member           `json:"voters"`
 	// Redundancy is what the control state still bears, as seen from here.
 	Redundancy register.Redundancy `json:"redundancy"`
 	Owners     map[string]string   `json:"owners"`
@@ -70,10 +70,10 @@
 		Contact:    c.reach.Status(ctx.Now()),
 		Redundancy: c.own.QueryRedundancy(ctx),
 		Owners:     map[string]string{}, Duties: map[string]bool{}, News: map[string]int64{},
-		Pushed: common.Spreader.Counts.Pushed.Load(), Failed: common.Spreader.Counts.Failed.Load(),
-		Relayed: common.Spreader.Counts.Relayed.Load(), Sent: common.Traffic.Messages.Load(),
+		Pushed: common.Spreader.Stats.Pushed.Load(), Failed: common.Spreader.Stats.Failed.Load(),
+		Relayed: common.Spreader.Stats.Relayed.Load(), Sent: common.Traffic.Messages.Load(),
 		Out: common.Traffic.BytesOut.Load(), In: common.Traffic.BytesIn.Load(),
-		Refused: common.Messenger.Gate.Totals(),
+		Refused: common.Messenger.Guard.Totals(),
 	}
 	for _, slot := range c.own.Acceptor.Fetch(register.FetchRequest{}).Slots {
 		if !strings.HasPrefix(slot.Key, store.ChunkKeyPrefix) {
@@ -83,8 +83,8 @@
 	for _, duty := range c.duties {
 		_, told.Duties[duty.Name()] = duty.Held(ctx.Now())
 	}
-	for _, mark := range common.News.Marks(membership.Member{Core: true, Zone: ctx.Boot.Zone}) {
-		told.News[mark.Key] = int64(mark.Serial)
+	for _, mark := range common.News.Versions(membership.Member{ServesControl: true, Zone: ctx.Boot.Zone}) {
+		told.News[mark.Key] = int64(mark.Version)
 	}
 	told.Zones = c.zones(ctx)
 	return told
--- a/control/daemon/confirm.go
+++ b/control/daemon/confirm.go
@@ -24,7 +24,7 @@
 func (d *Daemon) controllers() []ids.Address {
 	var found []ids.Address
 	for _, member := range d.Table.Members() {
-		if member.Core && member.State == membership.Alive {
+		if member.ServesControl && member.State == membership.Alive {
 			found = append(found, member.Address)
 		}
 	}
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -34,11 +34,11 @@
 	Network   Network
 	Address   ids.Address
 	Table     *membership.Table
-	News      *gossip.News
-	Messenger *transport.Courier
+	News      *gossip.Store
+	Messenger *transport.Client
 	Calls     *httpcall.Table
-	Spreader  *gossip.Spreader
-	Zones     *zonesummary.Watcher
+	Spreader  *gossip.Gossiper
+	Zones     *zonesummary.Manager
 	// Metrics are this daemon's figures, Monitor counts the promises that it broke.
 	Metrics *telemetry.Metrics
 	Monitor *invariant.Monitor
@@ -89,34 +89,34 @@
 	made.Metrics = telemetry.New(made.Monitor)
 	made.Table = membership.NewTable(top.Clock, membership.Member{
 		Address: made.Address, Role: role, Zone: settings.Zone, Region: settings.Region,
-		Front: settings.Listen["front"], Core: settings.Listen["control"] != "" && role != Carrier,
+		ClientAddress: settings.Listen["front"], ServesControl: settings.Listen["control"] != "" && role != Carrier,
 		LinkMbps: int64(settings.Limits.LinkMbps),
 	})
-	made.Zones = &zonesummary.Watcher{Table: made.Table, Zones: settings.Zones, Role: Carrier}
-	made.News = gossip.NewNews(func(item gossip.Item) {
-		made.Zones.Absorb(item)
+	made.Zones = &zonesummary.Manager{Table: made.Table, Zones: settings.Zones, RouterRole: Carrier}
+	made.News = gossip.NewStore(func(item gossip.Item) {
+		made.Zones.HandleItem(item)
 		options.Fresh(item)
 	})
-	made.Zones.News = made.News
-	made.Messenger = transport.Over(made.Network, httpcall.Dialing{Limit: pace.Connect, Silence: pace.Silence, Count: &made.Traffic})
-	made.Messenger.Gate, made.Messenger.Tally = transport.NewGate(settings.Zones), &transport.Tally{}
+	made.Zones.Store = made.News
+	made.Messenger = transport.NewClientOnNetwork(made.Network, httpcall.Dialing{Limit: pace.Connect, Silence: pace.Silence, Count: &made.Traffic})
+	made.Messenger.Guard, made.Messenger.Stats = transport.NewGuard(settings.Zones), &transport.MessageStats{}
 	made.Calls = httpcall.NewTable(top, settings.Limits.MemoryMB<<20/8)
-	made.Calls.Gate = made.Messenger.Gate
+	made.Calls.Gate = made.Messenger.Guard
 	made.Calls.Metrics = made.Metrics
 	made.Bodies = memquota.New(settings.Limits.MemoryMB<<20/bodiesPart, made.Monitor)
 	made.Calls.Bodies = made.Bodies
-	made.Spreader = &gossip.Spreader{
-		News: made.News, Table: made.Table, Messenger: made.Messenger,
-		Seeds: settings.SeedAddresses(), Every: pace.Exchange, Limit: pace.Silence,
-		Hurry: !settings.FirstStart,
-		Zones: settings.Zones, Relays: pace.Relays, Fanout: pace.Fanout,
+	made.Spreader = &gossip.Gossiper{
+		Store: made.News, Table: made.Table, Client: made.Messenger,
+		Seeds: settings.SeedAddresses(), Interval: pace.Exchange, Timeout: pace.Silence,
+		Rejoining: !settings.FirstStart,
+		Zones:     settings.Zones, RelaysPerZone: pace.Relays, Fanout: pace.Fanout,
 	}
-	made.Spreader.Serve(made.Calls)
+	made.Spreader.RegisterHandlers(made.Calls)
 	var err error
 	if made.socket, err = made.Network.Datagrams(made.Address); err != nil {
 		return nil, err
 	}
-	made.prober = &membership.Prober{Table: made.Table, Pace: pace.Probe, Send: made.send, Gate: made.Messenger.Gate}
+	made.prober = &membership.Prober{Table: made.Table, Config: pace.Probe, Send: made.send, Guard: made.Messenger.Guard}
 	made.tree = suture.New(role, suture.Spec{
 		FailureBackoff: pace.Exchange, Timeout: pace.Connect,
 		EventHook: func(event suture.Event) { top.Log.Warn().Str("part", "tree").Msg(event.String()) },
@@ -131,8 +131,8 @@
 	}
 	made.Part("relays", func(ctx scope.Scope) error {
 		for ctx.Wait(pace.View) {
-			made.Table.Elect(pace.Relays, pace.Probe.Suspicion)
-			made.Zones.Look()
+			made.Table.UpdateRelayRole(pace.Relays, pace.Probe.SuspicionTimeout)
+			made.Zones.Refresh()
 		}
 		return nil
 	})
@@ -181,7 +181,7 @@
 func (d *Daemon) send(to ids.Address, body []byte) {
 	d.Traffic.Messages.Add(1)
 	d.Traffic.BytesOut.Add(int64(len(body)))
-	d.Messenger.Tally.Add("datagram", len(body), 0)
+	d.Messenger.Stats.Add("datagram", len(body), 0)
 	d.socket.Send(to, body)
 }
 
@@ -195,22 +195,22 @@
 			return err
 		}
 		d.Traffic.BytesIn.Add(int64(size))
-		d.prober.Take(ctx, sender, buffer[:size])
+		d.prober.Receive(ctx, sender, buffer[:size])
 	}
 }
 
 // Leave tells a few others that this daemon goes.
 func (d *Daemon) Leave(ctx scope.Scope) {
-	d.Table.Announce(func(self *membership.Member) { self.State, self.Ready = membership.Left, false })
+	d.Table.UpdateSelf(func(self *membership.Member) { self.State, self.Ready = membership.Left, false })
 	d.Tell(ctx)
 }
 
 // Tell exchanges with several others at once.
 func (d *Daemon) Tell(ctx scope.Scope) {
-	for _, address := range d.Spreader.Several() {
+	for _, address := range d.Spreader.AnnounceTargets() {
 		go d.Spreader.Exchange(ctx, address)
 	}
 }
 
 // Reread replaces the boot file's values after it changed.
-func (d *Daemon) Reread(fresh *settings.Boot) { d.Spreader.Reseed(fresh.SeedAddresses()) }
+func (d *Daemon) Reread(fresh *settings.Boot) { d.Spreader.SetSeeds(fresh.SeedAddresses()) }
--- a/control/daemon/figures.go
+++ b/control/daemon/figures.go
@@ -20,11 +20,11 @@
 // logVolumes logs what was sent to other daemons, by message, since the start.
 func (d *Daemon) logVolumes(ctx scope.Scope) error {
 	for ctx.Wait(volumesEvery) {
-		volumes := d.Messenger.Tally.Volumes()
+		volumes := d.Messenger.Stats.Snapshot()
 		for _, name := range slices.Sorted(maps.Keys(volumes)) {
 			volume := volumes[name]
 			ctx.Log.Debug().Str("part", "volumes").Str("message", name).Int64("messages", volume.Messages).
-				Int64("asked_bytes", volume.Asked).Int64("told_bytes", volume.Told).Msg("sent since the start")
+				Int64("asked_bytes", volume.RequestBytes).Int64("told_bytes", volume.ResponseBytes).Msg("sent since the start")
 		}
 	}
 	return nil
@@ -36,9 +36,9 @@
 	metrics, where := d.Metrics, d.Scope.Boot.Metrics
 	metrics.Total("messages_sent_total", "Messages and datagrams sent to other daemons.", nil, func() float64 { return float64(d.Traffic.Messages.Load()) })
 	metrics.Gauge("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(d.Table.Members())) })
-	for flaw, name := range transport.FlawNames() {
+	for flaw, name := range transport.RejectReasonNames() {
 		metrics.Total("messages_refused_total", "Messages of other daemons that were dropped, by their flaw.",
-			map[string]string{"flaw": name}, func() float64 { return float64(d.Messenger.Gate.Counts[flaw].Load()) })
+			map[string]string{"flaw": name}, func() float64 { return float64(d.Messenger.Guard.Counts[flaw].Load()) })
 	}
 	if d.Scope.Log.Level <= log.DebugLevel {
 		d.Part("volumes", d.logVolumes)
--- a/control/daemon/list.go
+++ b/control/daemon/list.go
@@ -34,8 +34,8 @@
 func (d *Daemon) followList(view *discovery.View) {
 	fallback := &discovery.Fallback{
 		Platform: d.Platform(), View: view, News: d.News, Table: d.Table,
-		Routers: d.Zones.Routers, Every: PaceOf(d.Scope.Boot).Census, Hurry: !d.Scope.Boot.FirstStart,
+		Routers: d.Zones.RouterCount, Every: PaceOf(d.Scope.Boot).Census, Hurry: !d.Scope.Boot.FirstStart,
 	}
-	d.Spreader.Lacks = func() bool { return !view.Whole() }
+	d.Spreader.MissingData = func() bool { return !view.Whole() }
 	d.Part("list", func(ctx scope.Scope) error { fallback.Run(ctx); return nil })
 }
--- a/control/daemon/pace.go
+++ b/control/daemon/pace.go
@@ -25,7 +25,7 @@
 	Pass clock.Span
 	// Order is how long an operator's order may take in all.
 	Order clock.Span
-	Probe membership.Pace
+	Probe membership.ProbeConfig
 	// View is the time between two looks at who relays and what a zone looks like.
 	View clock.Span
 	// Relays is how many daemons of a zone pass news on, Fanout to how many others
@@ -59,6 +59,6 @@
 		Sweep:    apply / 6,
 		Pass:     apply / 8,
 		Order:    apply * 3 / 10,
-		Probe:    membership.Pace{Every: touch / 8, Answer: touch / 20, Suspicion: touch / 3, Seconds: 2},
+		Probe:    membership.ProbeConfig{Interval: touch / 8, AckTimeout: touch / 20, SuspicionTimeout: touch / 3, IndirectProbes: 2},
 	}
 }
--- a/control/daemon/sums.go
+++ b/control/daemon/sums.go
@@ -48,8 +48,8 @@
 	if !changed {
 		return
 	}
-	if body, err := transport.Pack(rests); err == nil {
-		d.News.Write(outlier.Key(d.Table.Self().Zone), d.Address, body)
+	if body, err := transport.Marshal(rests); err == nil {
+		d.News.PutNext(outlier.Key(d.Table.Self().Zone), d.Address, body)
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 func (d *Daemon) carry(ctx scope.Scope, to ids.Address, name string, report autoscaler.ReportAsk) error {
-	short, release := ctx.WithLimit(d.Spreader.Limit)
+	short, release := ctx.WithLimit(d.Spreader.Timeout)
 	defer release()
 	message, err := report.Message()
 	if err == nil {
@@ -97,9 +97,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if item.Serial != d.planned {
+	if item.Version != d.planned {
 		if routing, err := autoscaler.ReadRouting(item.Body); err == nil {
-			d.planned, d.holder = item.Serial, routing.Holder
+			d.planned, d.holder = item.Version, routing.Holder
 		}
 	}
 	return d.holder
--- a/control/directory/away_test.go
+++ b/control/directory/away_test.go
@@ -20,25 +20,25 @@
 	starting.Ready = false
 	leaving.State, leaving.Ready = membership.Left, false
 	suspect, unable := router("a", "z1"), router("a", "z1")
-	suspect.State, unable.Unable = membership.Suspect, true
+	suspect.State, unable.Degraded = membership.Suspect, true
 	cases := []struct {
 		name    string
 		members []membership.Member
-		own     zonesummary.Fronts
+		own     zonesummary.RouterEndpoints
 		want    []ids.Address
 	}{
-		{"nothing was heard of the region yet", nil, zonesummary.Fronts{}, nil},
-		{"its routers start", []membership.Member{starting}, zonesummary.Fronts{}, nil},
-		{"its routers leave in order", []membership.Member{leaving}, zonesummary.Fronts{}, nil},
-		{"another zone of the region has none that is ready", []membership.Member{leaving, relay("r2", "z2")}, zonesummary.Fronts{Zone: "z2"}, nil},
-		{"another zone of the region has one", []membership.Member{leaving, relay("r2", "z2")}, zonesummary.Fronts{Zone: "z2", Able: []ids.Address{"fd"}}, []ids.Address{"fd"}},
-		{"its router answers no more", []membership.Member{suspect}, zonesummary.Fronts{}, []ids.Address{"fe"}},
-		{"its routers reach no runners", []membership.Member{unable}, zonesummary.Fronts{}, []ids.Address{"fe"}},
+		{"nothing was heard of the region yet", nil, zonesummary.RouterEndpoints{}, nil},
+		{"its routers start", []membership.Member{starting}, zonesummary.RouterEndpoints{}, nil},
+		{"its routers leave in order", []membership.Member{leaving}, zonesummary.RouterEndpoints{}, nil},
+		{"another zone of the region has none that is ready", []membership.Member{leaving, relay("r2", "z2")}, zonesummary.RouterEndpoints{Zone: "z2"}, nil},
+		{"another zone of the region has one", []membership.Member{leaving, relay("r2", "z2")}, zonesummary.RouterEndpoints{Zone: "z2", Ready: []ids.Address{"fd"}}, []ids.Address{"fd"}},
+		{"its router answers no more", []membership.Member{suspect}, zonesummary.RouterEndpoints{}, []ids.Address{"fe"}},
+		{"its routers reach no runners", []membership.Member{unable}, zonesummary.RouterEndpoints{}, []ids.Address{"fe"}},
 	}
 	for _, example := range cases {
 		directory, news := directoryIn("z1")
 		directory.Table.Merge(append(example.members, relay("r3", "z3")))
-		tell(t, news, 1, zonesummary.Fronts{Zone: "z3", Able: []ids.Address{"fe"}})
+		tell(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
 		if example.own.Zone != "" {
 			tell(t, news, 1, example.own)
 		}
@@ -61,9 +61,9 @@
 		}
 	}
 	directory.Table.Merge([]membership.Member{router("a", "z1"), relay("r3", "z3")})
-	tell(t, news, 1, zonesummary.Fronts{Zone: "z3", Able: []ids.Address{"fe"}})
+	tell(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
 	expect("all is well", "fa")
-	directory.Table.Judge("a", membership.Suspect)
+	directory.Table.AdvanceState("a", membership.Suspect)
 	expect("its router answers no more", "fe")
 	back := router("a", "z1")
 	back.Incarnation, back.Ready = 2, false
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -53,7 +53,7 @@
 	Table *membership.Table
 	// Elsewhere gives the routers of the other zones that are in reach, and the
 	// zones that are not.
-	Elsewhere func() (reached []zonesummary.Fronts, cut []ids.Zone)
+	Elsewhere func() (reached []zonesummary.RouterEndpoints, cut []ids.Zone)
 	Zones     map[ids.Zone]ids.Region
 	// Patience is how long a region may be without any able router, for no reason
 	// that is known, before it counts as lost.
@@ -155,8 +155,8 @@
 	}
 	reached, gone := d.Elsewhere()
 	for _, fronts := range reached {
-		able = append(able, d.places(fronts.Zone, fronts.Able)...)
-		unable = append(unable, d.places(fronts.Zone, fronts.Unable)...)
+		able = append(able, d.places(fronts.Zone, fronts.Ready)...)
+		unable = append(unable, d.places(fronts.Zone, fronts.Degraded)...)
 	}
 	return able, unable, cut || len(gone) > 0
 }
@@ -166,12 +166,12 @@
 func (d *Directory) own() (able []place, unable []place, cut bool) {
 	zone := d.Table.Self().Zone
 	for _, member := range d.Table.Members() {
-		if member.Zone != zone || member.Front == "" {
+		if member.Zone != zone || member.ClientAddress == "" {
 			continue
 		}
-		found := place{front: member.Front, zone: member.Zone, region: member.Region}
+		found := place{front: member.ClientAddress, zone: member.Zone, region: member.Region}
 		serving := member.State == membership.Alive && member.Ready
-		if serving && member.Unable {
+		if serving && member.Degraded {
 			unable = append(unable, found)
 		} else if serving {
 			able = append(able, found)
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -71,7 +71,7 @@
 // having left in order.
 func (d *Directory) silent(name ids.Region) bool {
 	for _, member := range d.Table.Members() {
-		gone := member.State == membership.Removed && d.Table.Since(member.Address) <= d.Patience
+		gone := member.State == membership.Removed && d.Table.StateAge(member.Address) <= d.Patience
 		if member.Region == name && (member.State == membership.Suspect || gone) {
 			return true
 		}
--- a/control/discovery/duty_test.go
+++ b/control/discovery/duty_test.go
@@ -72,7 +72,7 @@
 	if list, serial := partOf(t, reader.News, "a"); serial>>32 != 3 || list.Runners[0].Draining {
 		t.Fatalf("a frozen holder's list of epoch %d stands: %+v", serial>>32, list)
 	}
-	if beat, _ := reader.News.Get(BeatKey); beat.Serial>>32 != 3 {
-		t.Fatalf("a frozen holder's beat of epoch %d stands", beat.Serial>>32)
+	if beat, _ := reader.News.Get(BeatKey); beat.Version>>32 != 3 {
+		t.Fatalf("a frozen holder's beat of epoch %d stands", beat.Version>>32)
 	}
 }
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -25,7 +25,7 @@
 type Fallback struct {
 	Platform *Platform
 	View     *View
-	News     *gossip.News
+	News     *gossip.Store
 	Table    *membership.Table
 	// Routers is how many routers there could be.
 	Routers func() int
@@ -85,7 +85,7 @@
 	self := f.Table.Self()
 	relays := f.Table.Relays(self.Zone, relaysFirst)
 	// A router that knows nobody yet is no relay: somebody will tell it the list.
-	alone := len(relays) == 1 && !self.Core
+	alone := len(relays) == 1 && !self.ServesControl
 	for place, relay := range relays {
 		if relay.Address == self.Address && !alone {
 			return clock.Span(place) * f.Every
@@ -111,7 +111,7 @@
 		list.Runners = append(list.Runners, parts[zone].Runners...)
 	}
 	self := f.Table.Self()
-	if body, err := transport.Pack(list); err == nil {
-		f.News.Write(LocalKey(self.Zone), self.Address, body)
+	if body, err := transport.Marshal(list); err == nil {
+		f.News.PutNext(LocalKey(self.Zone), self.Address, body)
 	}
 }
--- a/control/discovery/reader.go
+++ b/control/discovery/reader.go
@@ -28,7 +28,7 @@
 // the zones whose part changed.
 type Reader struct {
 	Platform *Platform
-	News     *gossip.News
+	News     *gossip.Store
 	// Held tells whether the duty is held, and under which epoch.
 	Held func(now clock.Instant) (int64, bool)
 	// Resign gives the duty back; it may be left out.
@@ -125,7 +125,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(parts)) {
 		last, told := r.parts[zone]
 		known, _ := r.News.Get(PartKey(zone))
-		if told && known.Serial == last.serial && parts[zone].sameAs(last.list) {
+		if told && known.Version == last.serial && parts[zone].sameAs(last.list) {
 			continue
 		}
 		changed = true
@@ -144,7 +144,7 @@
 // addGone adds zones that others told of and the platform names no more, without
 // any runners.
 func (r *Reader) addGone(parts map[ids.Zone]List) {
-	for _, item := range r.News.Under(PartPrefix) {
+	for _, item := range r.News.WithPrefix(PartPrefix) {
 		zone, _ := zoneOf(item.Key)
 		if _, listed := parts[zone]; !listed {
 			parts[zone] = List{}
@@ -164,8 +164,8 @@
 func put[Message any](r *Reader, key string, message Message) ids.Serial {
 	r.counter++
 	serial := SerialOf(r.epoch, r.counter)
-	if body, err := transport.Pack(message); err == nil {
-		r.News.Put(gossip.Item{Key: key, Serial: serial, Body: body})
+	if body, err := transport.Marshal(message); err == nil {
+		r.News.Put(gossip.Item{Key: key, Version: serial, Body: body})
 	}
 	return serial
 }
--- a/control/discovery/reader_test.go
+++ b/control/discovery/reader_test.go
@@ -82,20 +82,20 @@
 	settings := &settings.Boot{Platform: settings.Platform{Address: address, RatePerS: 100}}
 	reader := &Reader{
 		Platform: &Platform{Client: server.Client(), Address: address, Zones: []ids.Zone{"a", "b", "c"}, Every: clock.Second},
-		News:     gossip.NewNews(nil), Every: clock.Second, Beat: 2 * clock.Second,
+		News:     gossip.NewStore(nil), Every: clock.Second, Beat: 2 * clock.Second,
 		Held: func(clock.Instant) (int64, bool) { return 3, true },
 	}
 	return reader, played, scope.New(scope.Options{Clock: machine, Boot: settings}), machine
 }
 
-func partOf(t *testing.T, news *gossip.News, zone ids.Zone) (List, ids.Serial) {
+func partOf(t *testing.T, news *gossip.Store, zone ids.Zone) (List, ids.Serial) {
 	t.Helper()
 	item, found := news.Get(PartKey(zone))
-	list, err := transport.Unpack[List](item.Body)
+	list, err := transport.Unmarshal[List](item.Body)
 	if !found || err != nil {
 		t.Fatalf("part of %s: %v %v", zone, found, err)
 	}
-	return list, item.Serial
+	return list, item.Version
 }
 
 func TestReaderTellsEachZonesPart(t *testing.T) {
@@ -172,7 +172,7 @@
 
 func TestOnlyWhatChangedIsNews(t *testing.T) {
 	reader, played, top, machine := newReader(t)
-	beat := func() ids.Serial { item, _ := reader.News.Get(BeatKey); return item.Serial }
+	beat := func() ids.Serial { item, _ := reader.News.Get(BeatKey); return item.Version }
 	reader.Read(top)
 	_, first := partOf(t, reader.News, "a")
 	still := beat()
@@ -203,13 +203,13 @@
 
 func TestAnothersPartIsOverridden(t *testing.T) {
 	reader, _, top, _ := newReader(t)
-	reader.News.Put(gossip.Item{Key: PartKey("gone"), Serial: SerialOf(2, 7), Body: []byte("another's")})
+	reader.News.Put(gossip.Item{Key: PartKey("gone"), Version: SerialOf(2, 7), Body: []byte("another's")})
 	reader.Read(top)
 	if list, _ := partOf(t, reader.News, "gone"); len(list.Runners) != 0 {
 		t.Fatal("a zone that the platform names no more keeps its runners")
 	}
 	_, first := partOf(t, reader.News, "a")
-	reader.News.Put(gossip.Item{Key: PartKey("a"), Serial: SerialOf(3, 9), Body: []byte("another's")})
+	reader.News.Put(gossip.Item{Key: PartKey("a"), Version: SerialOf(3, 9), Body: []byte("another's")})
 	reader.counter = 20
 	reader.Read(top)
 	if list, last := partOf(t, reader.News, "a"); last <= first || len(list.Runners) != 2 {
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -68,7 +68,7 @@
 }
 
 func (v *View) absorbPart(zone ids.Zone, item gossip.Item) bool {
-	list, err := transport.Unpack[List](item.Body)
+	list, err := transport.Unmarshal[List](item.Body)
 	if err != nil {
 		return false
 	}
@@ -78,8 +78,8 @@
 	if old := v.told[zone]; old != nil {
 		v.digest ^= partDigest(zone, old.serial)
 	}
-	v.digest ^= partDigest(zone, item.Serial)
-	v.told[zone] = &Section{Runners: list.Runners, serial: item.Serial}
+	v.digest ^= partDigest(zone, item.Version)
+	v.told[zone] = &Section{Runners: list.Runners, serial: item.Version}
 	if !v.whole() {
 		return false
 	}
@@ -94,7 +94,7 @@
 }
 
 func (v *View) absorbBeat(item gossip.Item) bool {
-	beat, err := transport.Unpack[Beat](item.Body)
+	beat, err := transport.Unmarshal[Beat](item.Body)
 	if err != nil {
 		return false
 	}
@@ -126,7 +126,7 @@
 // absorbLocal takes a list that was read for this zone, unless the parts are
 // known to hold.
 func (v *View) absorbLocal(item gossip.Item) bool {
-	list, err := transport.Unpack[List](item.Body)
+	list, err := transport.Unmarshal[List](item.Body)
 	if err != nil || v.Fresh() {
 		return false
 	}
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -34,8 +34,8 @@
 }
 
 func item[Message any](key string, serial ids.Serial, message Message) gossip.Item {
-	body, _ := transport.Pack(message)
-	return gossip.Item{Key: key, Serial: serial, Body: body}
+	body, _ := transport.Marshal(message)
+	return gossip.Item{Key: key, Version: serial, Body: body}
 }
 
 func listOf(zone ids.Zone, names ...ids.RunnerID) List {
@@ -127,7 +127,7 @@
 func TestOrderOfItemsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := NewView(ViewOptions{Clock: clock.NewFake(), Zones: []ids.Zone{"a", "b"}, Patience: patience})
-		news := gossip.NewNews(func(item gossip.Item) { view.Absorb(item) })
+		news := gossip.NewStore(func(item gossip.Item) { view.Absorb(item) })
 		digest := partDigest("a", 3) ^ partDigest("b", 2)
 		items := []gossip.Item{
 			item(PartKey("a"), 1, listOf("a", "old")), item(PartKey("a"), 3, listOf("a", "i")),
@@ -146,7 +146,7 @@
 func TestFallbackLeavesItToTheRelays(t *testing.T) {
 	machine := clock.NewFake()
 	member := func(address ids.Address, core bool) membership.Member {
-		return membership.Member{Address: address, Zone: "a", Region: "r", Core: core, Incarnation: 1}
+		return membership.Member{Address: address, Zone: "a", Region: "r", ServesControl: core, Incarnation: 1}
 	}
 	top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{Platform: settings.Platform{RatePerS: 100}}})
 	made := func(self membership.Member, others ...membership.Member) *Fallback {
--- a/control/gossip/example_test.go
+++ b/control/gossip/example_test.go
@@ -7,11 +7,11 @@
 	"onyxwell/control/membership"
 )
 
-func ExampleNews() {
-	news := gossip.NewNews(func(item gossip.Item) { fmt.Println("fresh:", item.Key, item.Serial) })
-	news.Put(gossip.Item{Key: "spec", Serial: 7})
-	news.Put(gossip.Item{Key: "spec", Serial: 5})
-	items, wanted := news.Compare([]gossip.Mark{{Key: "spec", Serial: 6}, {Key: "plan", Serial: 1}}, membership.Member{})
+func ExampleStore() {
+	news := gossip.NewStore(func(item gossip.Item) { fmt.Println("fresh:", item.Key, item.Version) })
+	news.Put(gossip.Item{Key: "spec", Version: 7})
+	news.Put(gossip.Item{Key: "spec", Version: 5})
+	items, wanted := news.Diff([]gossip.ItemVersion{{Key: "spec", Version: 6}, {Key: "plan", Version: 1}}, membership.Member{})
 	fmt.Println("newer here:", len(items), "wanted:", wanted)
 	// Output:
 	// fresh: spec 7
--- a/control/gossip/exchange.go
+++ b/control/gossip/exchange.go
@@ -11,121 +11,121 @@
 	"onyxwell/control/transport"
 )
 
-// ExchangeAsk opens a comparison: by the digest of what both should hold alone,
+// ExchangeRequest opens a comparison: by the digest of what both should hold alone,
 // or, once the digests were found to differ, by the marks of all of it.
-type ExchangeAsk struct {
-	From   membership.Member `avro:"From"`
-	Sums   membership.Sums   `avro:"Sums"`
-	Digest int64             `avro:"Digest"`
-	Listed bool              `avro:"Listed"`
-	Marks  []Mark            `avro:"Marks"`
+type ExchangeRequest struct {
+	From             membership.Member `avro:"From"`
+	MembershipDigest membership.Digest `avro:"Sums"`
+	ItemDigest       int64             `avro:"Digest"`
+	HasVersions      bool              `avro:"Listed"`
+	Versions         []ItemVersion     `avro:"Marks"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (ExchangeAsk) SchemaName() string { return "ExchangeAsk_23" }
+func (ExchangeRequest) SchemaName() string { return "ExchangeAsk_23" }
 
-// ExchangeTold answers with what is newer and what is wanted; or, where the asker
+// ExchangeResponse answers with what is newer and what is wanted; or, where the asker
 // listed no marks, with whether its digest differs.
-type ExchangeTold struct {
-	From    membership.Member   `avro:"From"`
-	Sums    membership.Sums     `avro:"Sums"`
-	Members []membership.Member `avro:"Members"`
-	Differs bool                `avro:"Differs"`
-	Items   []Item              `avro:"Items"`
-	Wanted  []string            `avro:"Wanted"`
+type ExchangeResponse struct {
+	From             membership.Member   `avro:"From"`
+	MembershipDigest membership.Digest   `avro:"Sums"`
+	Members          []membership.Member `avro:"Members"`
+	Differs          bool                `avro:"Differs"`
+	Items            []Item              `avro:"Items"`
+	WantedKeys       []string            `avro:"Wanted"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (ExchangeTold) SchemaName() string { return "ExchangeTold_23" }
+func (ExchangeResponse) SchemaName() string { return "ExchangeTold_23" }
 
-// GiveAsk carries the items that were wanted, and the members where the tables
+// GiveRequest carries the items that were wanted, and the members where the tables
 // still differ.
-type GiveAsk struct {
+type GiveRequest struct {
 	Items   []Item              `avro:"Items"`
 	Members []membership.Member `avro:"Members"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (GiveAsk) SchemaName() string { return "GiveAsk_23" }
+func (GiveRequest) SchemaName() string { return "GiveAsk_23" }
 
-// GiveTold answers it.
-type GiveTold struct {
-	Taken int64 `avro:"Taken"`
+// GiveResponse answers it.
+type GiveResponse struct {
+	Accepted int64 `avro:"Taken"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (GiveTold) SchemaName() string { return "GiveTold_23" }
+func (GiveResponse) SchemaName() string { return "GiveTold_23" }
 
-// Spreader passes news on: what was made here goes down the tier of relays at
+// Gossiper passes news on: what was made here goes down the tier of relays at
 // once, and digests are compared with others now and then.
-type Spreader struct {
-	News      *News
-	Table     *membership.Table
-	Messenger *transport.Courier
+type Gossiper struct {
+	Store  *Store
+	Table  *membership.Table
+	Client *transport.Client
 	// Seeds are asked while no other member is known, and rarely after that.
-	Seeds []ids.Address
-	Every clock.Span
-	Limit clock.Span
-	// Hurry says that others should know news already: not at a first start.
-	Hurry bool
-	// Lacks tells whether this daemon can't do its work yet for want of news: it then
+	Seeds    []ids.Address
+	Interval clock.Span
+	Timeout  clock.Span
+	// Rejoining says that others should know news already: not at a first start.
+	Rejoining bool
+	// MissingData tells whether this daemon can't do its work yet for want of news: it then
 	// asks the relays of its zone, and often. It may be left out.
-	Lacks func() bool
+	MissingData func() bool
 	// Zones gives all zones with their regions, Relays is how many daemons of
 	// each pass news on.
-	Zones  map[ids.Zone]ids.Region
-	Relays int
+	Zones         map[ids.Zone]ids.Region
+	RelaysPerZone int
 	// Fanout is how many others a daemon pushes to at most.
 	Fanout int
-	// Carry sends a push to a daemon; by default the messenger does. Tests carry
+	// SendPush sends a push to a daemon; by default the messenger does. Tests carry
 	// it without a network.
-	Carry func(inner scope.Scope, taker ids.Address, asked PushAsk) error
-	// Compare sends a question to a daemon; by default the messenger does.
-	Compare func(inner scope.Scope, address ids.Address, asked ExchangeAsk) (ExchangeTold, error)
+	SendPush func(inner scope.Scope, taker ids.Address, asked PushRequest) error
+	// SendExchange sends a question to a daemon; by default the messenger does.
+	SendExchange func(inner scope.Scope, address ids.Address, asked ExchangeRequest) (ExchangeResponse, error)
 	// Spawn runs what goes on beside; tests run it in place.
-	Spawn func(act func())
-	fresh atomic.Pointer[[]ids.Address]
-	// emptyTries counts the exchanges that were left to those nearby in vain.
-	emptyTries atomic.Int64
-	// Counts are what was pushed, for the operator.
-	Counts Counts
+	Spawn         func(act func())
+	reloadedSeeds atomic.Pointer[[]ids.Address]
+	// emptyExchanges counts the exchanges that were left to those nearby in vain.
+	emptyExchanges atomic.Int64
+	// Stats are what was pushed, for the operator.
+	Stats PushStats
 }
 
-// Serve adds the spreader's messages to a table of calls.
-func (s *Spreader) Serve(calls *httpcall.Table) {
-	transport.Handle(calls, "exchange", func(_ scope.Scope, asked ExchangeAsk) (ExchangeTold, error) {
-		return s.compared(asked), nil
+// RegisterHandlers adds the spreader's messages to a table of calls.
+func (g *Gossiper) RegisterHandlers(calls *httpcall.Table) {
+	transport.Handle(calls, "exchange", func(_ scope.Scope, asked ExchangeRequest) (ExchangeResponse, error) {
+		return g.handleExchange(asked), nil
 	})
-	transport.Handle(calls, "give", func(_ scope.Scope, asked GiveAsk) (GiveTold, error) {
-		s.Table.Merge(asked.Members)
-		return GiveTold{Taken: s.take(asked.Items)}, nil
+	transport.Handle(calls, "give", func(_ scope.Scope, asked GiveRequest) (GiveResponse, error) {
+		g.Table.Merge(asked.Members)
+		return GiveResponse{Accepted: g.receiveAll(asked.Items)}, nil
 	})
-	transport.Handle(calls, "push", func(ctx scope.Scope, asked PushAsk) (PushTold, error) {
-		return s.pushed(ctx, asked), nil
+	transport.Handle(calls, "push", func(ctx scope.Scope, asked PushRequest) (PushResponse, error) {
+		return g.handlePush(ctx, asked), nil
 	})
 }
 
-// compared answers a question of another daemon.
-func (s *Spreader) compared(asked ExchangeAsk) ExchangeTold {
-	s.Table.Merge([]membership.Member{asked.From})
-	told := ExchangeTold{From: s.Table.Self(), Sums: s.Table.Sums()}
-	shared := s.shared(asked.From)
-	if asked.Listed {
-		told.Items, told.Wanted = s.News.Compare(asked.Marks, shared)
+// handleExchange answers a question of another daemon.
+func (g *Gossiper) handleExchange(asked ExchangeRequest) ExchangeResponse {
+	g.Table.Merge([]membership.Member{asked.From})
+	told := ExchangeResponse{From: g.Table.Self(), MembershipDigest: g.Table.Digest()}
+	shared := g.commonScope(asked.From)
+	if asked.HasVersions {
+		told.Items, told.WantedKeys = g.Store.Diff(asked.Versions, shared)
 	} else {
-		told.Differs = asked.Digest != s.News.Digest(shared)
+		told.Differs = asked.ItemDigest != g.Store.Digest(shared)
 	}
-	if s.Table.Differs(asked.From.Zone, asked.Sums) {
-		told.Members = s.Table.Told(asked.From.Zone)
+	if g.Table.Differs(asked.From.Zone, asked.MembershipDigest) {
+		told.Members = g.Table.MembersFor(asked.From.Zone)
 	}
 	return told
 }
 
-// shared describes whoever would hold just what this daemon and the other both
+// commonScope describes whoever would hold just what this daemon and the other both
 // should: of the backbone if both are, of a zone if it is the same.
-func (s *Spreader) shared(other membership.Member) membership.Member {
-	self := s.Table.Self()
-	both := membership.Member{Core: self.Backbone() && other.Backbone()}
+func (g *Gossiper) commonScope(other membership.Member) membership.Member {
+	self := g.Table.Self()
+	both := membership.Member{ServesControl: self.Backbone() && other.Backbone()}
 	if self.Zone == other.Zone {
 		both.Zone = self.Zone
 	}
@@ -133,74 +133,74 @@
 }
 
 // Run exchanges with a partner now and then, and pushes whatever is new.
-func (s *Spreader) Run(ctx scope.Scope) {
+func (g *Gossiper) Run(ctx scope.Scope) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.News.own:
-			items := s.News.gather(s.News.own)
-			go s.Push(ctx, items, s.everywhere())
-		case <-s.News.heard:
-			s.passOn(ctx, s.News.gather(s.News.heard))
-		case <-ctx.Clock.After(s.pause()):
-			if address, found := s.partner(); found {
-				go s.Exchange(ctx, address)
+		case <-g.Store.localUpdates:
+			items := g.Store.takePending(g.Store.localUpdates)
+			go g.Push(ctx, items, g.allTargets())
+		case <-g.Store.remoteUpdates:
+			g.forward(ctx, g.Store.takePending(g.Store.remoteUpdates))
+		case <-ctx.Clock.After(g.nextDelay()):
+			if address, found := g.choosePartner(); found {
+				go g.Exchange(ctx, address)
 			}
 		}
 	}
 }
 
 // Exchange compares news and members with one other daemon.
-func (s *Spreader) Exchange(ctx scope.Scope, address ids.Address) {
-	short, release := ctx.WithLimit(s.Limit)
+func (g *Gossiper) Exchange(ctx scope.Scope, address ids.Address) {
+	short, release := ctx.WithLimit(g.Timeout)
 	defer release()
-	told, err := s.ask(short, address, false)
+	told, err := g.requestExchange(short, address, false)
 	if err == nil && told.Differs {
-		if s.fromNearer(ctx, address, told) {
+		if g.fetchFromNearer(ctx, address, told) {
 			return
 		}
-		told, err = s.ask(short, address, true)
+		told, err = g.requestExchange(short, address, true)
 	}
 	if err != nil {
 		return
 	}
-	s.Table.Merge(append(told.Members, told.From))
-	s.take(told.Items)
-	give := GiveAsk{}
-	for _, key := range told.Wanted {
-		if item, found := s.News.travelling(key); found {
+	g.Table.Merge(append(told.Members, told.From))
+	g.receiveAll(told.Items)
+	give := GiveRequest{}
+	for _, key := range told.WantedKeys {
+		if item, found := g.Store.wireItem(key); found {
 			give.Items = append(give.Items, item)
 		}
 	}
-	if s.Table.Differs(told.From.Zone, told.Sums) {
-		give.Members = s.Table.Told(told.From.Zone)
+	if g.Table.Differs(told.From.Zone, told.MembershipDigest) {
+		give.Members = g.Table.MembersFor(told.From.Zone)
 	}
 	if len(give.Items)+len(give.Members) > 0 {
-		_, _ = transport.Send[GiveTold](short, s.Messenger, address, "give", give)
+		_, _ = transport.Send[GiveResponse](short, g.Client, address, "give", give)
 	}
 }
 
-// ask sends one question: with all marks, or with their digest alone.
-func (s *Spreader) ask(ctx scope.Scope, address ids.Address, listed bool) (ExchangeTold, error) {
-	partner, _ := s.Table.Find(address)
-	shared := s.shared(partner)
-	asked := ExchangeAsk{From: s.Table.Self(), Sums: s.Table.Sums(), Listed: listed}
+// requestExchange sends one question: with all marks, or with their digest alone.
+func (g *Gossiper) requestExchange(ctx scope.Scope, address ids.Address, listed bool) (ExchangeResponse, error) {
+	partner, _ := g.Table.Find(address)
+	shared := g.commonScope(partner)
+	asked := ExchangeRequest{From: g.Table.Self(), MembershipDigest: g.Table.Digest(), HasVersions: listed}
 	if listed {
-		asked.Marks = s.News.Marks(shared)
+		asked.Versions = g.Store.Versions(shared)
 	} else {
-		asked.Digest = s.News.Digest(shared)
+		asked.ItemDigest = g.Store.Digest(shared)
 	}
-	if s.Compare != nil {
-		return s.Compare(ctx, address, asked)
+	if g.SendExchange != nil {
+		return g.SendExchange(ctx, address, asked)
 	}
-	return transport.Send[ExchangeTold](ctx, s.Messenger, address, "exchange", asked)
+	return transport.Send[ExchangeResponse](ctx, g.Client, address, "exchange", asked)
 }
 
-func (s *Spreader) take(items []Item) int64 {
+func (g *Gossiper) receiveAll(items []Item) int64 {
 	taken := int64(0)
 	for _, item := range items {
-		if s.News.hear(item, s.News.heard) {
+		if g.Store.receive(item, g.Store.remoteUpdates) {
 			taken++
 		}
 	}
--- a/control/gossip/forms_test.go
+++ b/control/gossip/forms_test.go
@@ -9,13 +9,13 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[Duty](t, "duty")
-	transporttest.Golden[ExchangeAsk](t, "exchange_ask")
-	transporttest.Golden[ExchangeTold](t, "exchange_told")
-	transporttest.Golden[GiveAsk](t, "give_ask")
-	transporttest.Golden[GiveTold](t, "give_told")
+	transporttest.Golden[Targets](t, "duty")
+	transporttest.Golden[ExchangeRequest](t, "exchange_ask")
+	transporttest.Golden[ExchangeResponse](t, "exchange_told")
+	transporttest.Golden[GiveRequest](t, "give_ask")
+	transporttest.Golden[GiveResponse](t, "give_told")
 	transporttest.Golden[Item](t, "item")
-	transporttest.Golden[Mark](t, "mark")
-	transporttest.Golden[PushAsk](t, "push_ask")
-	transporttest.Golden[PushTold](t, "push_told")
+	transporttest.Golden[ItemVersion](t, "mark")
+	transporttest.Golden[PushRequest](t, "push_ask")
+	transporttest.Golden[PushResponse](t, "push_told")
 }
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -7,53 +7,53 @@
 	"onyxwell/control/membership"
 )
 
-// fromNearerTries is how often a daemon that knows nothing asks those nearby alone,
+// maxNearerAttempts is how often a daemon that knows nothing asks those nearby alone,
 // before it takes all news from far away.
-const fromNearerTries = 3
+const maxNearerAttempts = 3
 
-// nearerPart is the part, one in so many, of the time between two exchanges that one
+// nearerTimeoutDivisor is the part, one in so many, of the time between two exchanges that one
 // nearby has for its answer: it may be down as well.
-const nearerPart = 4
+const nearerTimeoutDivisor = 4
 
-// fromNearer has a daemon that knows nothing take the news, which may be long, from
+// fetchFromNearer has a daemon that knows nothing take the news, which may be long, from
 // a daemon that is nearer than the one that it asked first, mostly a seed. It tells
 // whether that was done, or is to be tried again: the mates may know nothing yet
 // either, and the first relay of a zone is the one to bring it there.
-func (s *Spreader) fromNearer(ctx scope.Scope, asked ids.Address, told ExchangeTold) bool {
-	if !s.News.Empty() {
+func (g *Gossiper) fetchFromNearer(ctx scope.Scope, asked ids.Address, told ExchangeResponse) bool {
+	if !g.Store.Empty() {
 		return false
 	}
-	s.Table.Merge(append(told.Members, told.From))
-	nearer, found := s.nearer(asked)
+	g.Table.Merge(append(told.Members, told.From))
+	nearer, found := g.nearerBackbone(asked)
 	if !found {
 		return false
 	}
-	short, release := ctx.WithLimit(s.Every / nearerPart)
-	s.Exchange(short, nearer)
+	short, release := ctx.WithLimit(g.Interval / nearerTimeoutDivisor)
+	g.Exchange(short, nearer)
 	release()
-	if !s.News.Empty() {
+	if !g.Store.Empty() {
 		return true
 	}
-	self := s.Table.Self()
-	first := s.Table.Relays(self.Zone, 1)
+	self := g.Table.Self()
+	first := g.Table.Relays(self.Zone, 1)
 	brings := len(first) > 0 && first[0].Address == self.Address
-	return !brings && s.emptyTries.Add(1) <= fromNearerTries
+	return !brings && g.emptyExchanges.Add(1) <= maxNearerAttempts
 }
 
-// nearer gives a relay or controller that is nearer than a daemon: of the own zone,
+// nearerBackbone gives a relay or controller that is nearer than a daemon: of the own zone,
 // or of the own region where the other is of neither.
-func (s *Spreader) nearer(than ids.Address) (ids.Address, bool) {
-	other, _ := s.Table.Find(than)
+func (g *Gossiper) nearerBackbone(than ids.Address) (ids.Address, bool) {
+	other, _ := g.Table.Find(than)
 	var best []membership.Member
-	for _, member := range s.Table.Members() {
-		usable := member.State == membership.Alive && member.Backbone() && member.Address != s.Table.Self().Address
-		if !usable || s.distance(member) >= s.distance(other) {
+	for _, member := range g.Table.Members() {
+		usable := member.State == membership.Alive && member.Backbone() && member.Address != g.Table.Self().Address
+		if !usable || g.distance(member) >= g.distance(other) {
 			continue
 		}
-		if len(best) > 0 && s.distance(member) < s.distance(best[0]) {
+		if len(best) > 0 && g.distance(member) < g.distance(best[0]) {
 			best = nil
 		}
-		if len(best) == 0 || s.distance(member) == s.distance(best[0]) {
+		if len(best) == 0 || g.distance(member) == g.distance(best[0]) {
 			best = append(best, member)
 		}
 	}
@@ -64,8 +64,8 @@
 }
 
 // distance is 0 in the own zone, 1 in the own region, 2 elsewhere.
-func (s *Spreader) distance(member membership.Member) int {
-	self := s.Table.Self()
+func (g *Gossiper) distance(member membership.Member) int {
+	self := g.Table.Self()
 	switch {
 	case member.Zone == self.Zone:
 		return 0
--- a/control/gossip/nearer_test.go
+++ b/control/gossip/nearer_test.go
@@ -11,54 +11,54 @@
 	"onyxwell/control/membership"
 )
 
-// place is a daemon that starts and knows a seed alone; mates are the others.
-type place struct {
-	top     scope.Scope
-	starter *Spreader
-	mates   map[ids.Address]*Spreader
-	// items counts what each mate told.
-	items map[ids.Address]int
+// bootstrapPeers is a daemon that starts and knows a seed alone; mates are the others.
+type bootstrapPeers struct {
+	scope  scope.Scope
+	joiner *Gossiper
+	peers  map[ids.Address]*Gossiper
+	// itemsFrom counts what each mate told.
+	itemsFrom map[ids.Address]int
 }
 
-func newPlace(self membership.Member, mates ...membership.Member) *place {
+func newBootstrapPeers(self membership.Member, mates ...membership.Member) *bootstrapPeers {
 	machine := clock.NewFake()
-	made := &place{
-		top: scope.New(scope.Options{Clock: machine}), mates: map[ids.Address]*Spreader{}, items: map[ids.Address]int{},
+	made := &bootstrapPeers{
+		scope: scope.New(scope.Options{Clock: machine}), peers: map[ids.Address]*Gossiper{}, itemsFrom: map[ids.Address]int{},
 	}
-	spreader := func(self membership.Member) *Spreader {
-		return &Spreader{News: NewNews(nil), Table: membership.NewTable(machine, self), Every: clock.Second, Limit: clock.Second, Relays: 2}
+	spreader := func(self membership.Member) *Gossiper {
+		return &Gossiper{Store: NewStore(nil), Table: membership.NewTable(machine, self), Interval: clock.Second, Timeout: clock.Second, RelaysPerZone: 2}
 	}
-	made.starter = spreader(self)
+	made.joiner = spreader(self)
 	for _, mate := range mates {
-		made.mates[mate.Address] = spreader(mate)
-		made.mates[mate.Address].Table.Merge(mates)
+		made.peers[mate.Address] = spreader(mate)
+		made.peers[mate.Address].Table.Merge(mates)
 	}
-	made.starter.Compare = func(_ scope.Scope, address ids.Address, asked ExchangeAsk) (ExchangeTold, error) {
-		mate := made.mates[address]
+	made.joiner.SendExchange = func(_ scope.Scope, address ids.Address, asked ExchangeRequest) (ExchangeResponse, error) {
+		mate := made.peers[address]
 		if mate == nil {
-			return ExchangeTold{}, errors.New("place: nobody there")
+			return ExchangeResponse{}, errors.New("place: nobody there")
 		}
-		told := mate.compared(asked)
-		made.items[address] += len(told.Items)
+		told := mate.handleExchange(asked)
+		made.itemsFrom[address] += len(told.Items)
 		return told, nil
 	}
 	return made
 }
 
-func (p *place) tell(addresses ...ids.Address) {
+func (b *bootstrapPeers) fill(addresses ...ids.Address) {
 	for _, address := range addresses {
 		for index := range 5 {
-			p.mates[address].News.Put(Item{Key: fmt.Sprint("k", index), Serial: 1, Body: []byte("long")})
+			b.peers[address].Store.Put(Item{Key: fmt.Sprint("k", index), Version: 1, Body: []byte("long")})
 		}
 	}
 }
 
-func member(address ids.Address, zone ids.Zone, region ids.Region, core bool) membership.Member {
-	return membership.Member{Address: address, Zone: zone, Region: region, Core: core, Incarnation: 1}
+func newMember(address ids.Address, zone ids.Zone, region ids.Region, core bool) membership.Member {
+	return membership.Member{Address: address, Zone: zone, Region: region, ServesControl: core, Incarnation: 1}
 }
 
-func TestNewsComesFromTheNearest(t *testing.T) {
-	seed, sister, near := member("seed:1", "x", "far", true), member("sister:1", "b", "home", true), member("near:1", "a", "home", true)
+func TestExchange_fetchesFromNearestPeer(t *testing.T) {
+	seed, sister, near := newMember("seed:1", "x", "far", true), newMember("sister:1", "b", "home", true), newMember("near:1", "a", "home", true)
 	for _, example := range []struct {
 		name  string
 		mates []membership.Member
@@ -68,38 +68,38 @@
 		{"own region", []membership.Member{seed, sister}, "sister:1"},
 		{"nobody nearby", []membership.Member{seed}, "seed:1"},
 	} {
-		place := newPlace(member("self:1", "a", "home", false), example.mates...)
+		place := newBootstrapPeers(newMember("self:1", "a", "home", false), example.mates...)
 		for _, mate := range example.mates {
-			place.tell(mate.Address)
+			place.fill(mate.Address)
 		}
-		place.starter.Exchange(place.top, "seed:1")
+		place.joiner.Exchange(place.scope, "seed:1")
 		total := 0
-		for _, count := range place.items {
+		for _, count := range place.itemsFrom {
 			total += count
 		}
-		if place.items[example.from] != 5 || total != 5 {
-			t.Errorf("%s: items came from %v", example.name, place.items)
+		if place.itemsFrom[example.from] != 5 || total != 5 {
+			t.Errorf("%s: items came from %v", example.name, place.itemsFrom)
 		}
 	}
 }
 
-// TestNewsComesFromFarWhereNobodyNearHasIt has a whole zone start at once: its first
+// TestExchange_fetchesFromSeedWhenNearPeersAreEmpty has a whole zone start at once: its first
 // relay takes the news from the seed, the others wait a few exchanges for it.
-func TestNewsComesFromFarWhereNobodyNearHasIt(t *testing.T) {
-	seed, near := member("seed:1", "x", "far", true), member("near:1", "a", "home", true)
-	router := newPlace(member("self:1", "a", "home", false), seed, near)
-	router.tell("seed:1")
-	for try := range fromNearerTries {
-		if router.starter.Exchange(router.top, "seed:1"); !router.starter.News.Empty() {
+func TestExchange_fetchesFromSeedWhenNearPeersAreEmpty(t *testing.T) {
+	seed, near := newMember("seed:1", "x", "far", true), newMember("near:1", "a", "home", true)
+	router := newBootstrapPeers(newMember("self:1", "a", "home", false), seed, near)
+	router.fill("seed:1")
+	for try := range maxNearerAttempts {
+		if router.joiner.Exchange(router.scope, "seed:1"); !router.joiner.Store.Empty() {
 			t.Fatalf("at exchange %d all came from far away", try)
 		}
 	}
-	if router.starter.Exchange(router.top, "seed:1"); router.starter.News.Empty() {
+	if router.joiner.Exchange(router.scope, "seed:1"); router.joiner.Store.Empty() {
 		t.Fatal("a router whose mates know nothing never learns anything")
 	}
-	relay := newPlace(member("relay:1", "a", "home", true), seed, member("other:1", "a", "home", false))
-	relay.tell("seed:1")
-	if relay.starter.Exchange(relay.top, "seed:1"); relay.starter.News.Empty() {
+	relay := newBootstrapPeers(newMember("relay:1", "a", "home", true), seed, newMember("other:1", "a", "home", false))
+	relay.fill("seed:1")
+	if relay.joiner.Exchange(relay.scope, "seed:1"); relay.joiner.Store.Empty() {
 		t.Fatal("the first relay of a zone waits for others")
 	}
 }
--- a/control/gossip/push.go
+++ b/control/gossip/push.go
@@ -11,46 +11,46 @@
 	"onyxwell/control/transport"
 )
 
-// Duty is what a daemon is asked to reach with the news that it is handed:
+// Targets is what a daemon is asked to reach with the news that it is handed:
 // regions by one relay in each, zones likewise, and members itself. Each daemon
 // splits its duty over a few others, so nobody sends to more than the fan-out.
-type Duty struct {
+type Targets struct {
 	Regions []ids.Region  `avro:"Regions"`
 	Zones   []ids.Zone    `avro:"Zones"`
 	Members []ids.Address `avro:"Members"`
-	// Backbone says that of a zone's members only the backbone wants the news.
-	Backbone bool `avro:"Backbone"`
+	// BackboneOnly says that of a zone's members only the backbone wants the news.
+	BackboneOnly bool `avro:"Backbone"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (Duty) SchemaName() string { return "Duty_23" }
+func (Targets) SchemaName() string { return "Duty_23" }
 
-// PushAsk hands news down the tier.
-type PushAsk struct {
-	From  ids.Address `avro:"From"`
-	Items []Item      `avro:"Items"`
-	Duty  Duty        `avro:"Duty"`
+// PushRequest hands news down the tier.
+type PushRequest struct {
+	From    ids.Address `avro:"From"`
+	Items   []Item      `avro:"Items"`
+	Targets Targets     `avro:"Duty"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (PushAsk) SchemaName() string { return "PushAsk_23" }
+func (PushRequest) SchemaName() string { return "PushAsk_23" }
 
-// PushTold answers it: how many of the items were new.
-type PushTold struct {
-	Taken int64 `avro:"Taken"`
+// PushResponse answers it: how many of the items were new.
+type PushResponse struct {
+	Accepted int64 `avro:"Taken"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (PushTold) SchemaName() string { return "PushTold_23" }
+func (PushResponse) SchemaName() string { return "PushTold_23" }
 
-// Counts are what went through the tier here.
-type Counts struct{ Pushed, Failed, Relayed atomic.Int64 }
+// PushStats are what went through the tier here.
+type PushStats struct{ Pushed, Failed, Relayed atomic.Int64 }
 
-// everywhere is the duty of the daemon that made an item.
-func (s *Spreader) everywhere() Duty {
+// allTargets is the duty of the daemon that made an item.
+func (g *Gossiper) allTargets() Targets {
 	regions := map[ids.Region]bool{}
-	duty := Duty{}
-	for _, region := range s.Zones {
+	duty := Targets{}
+	for _, region := range g.Zones {
 		if !regions[region] {
 			regions[region] = true
 			duty.Regions = append(duty.Regions, region)
@@ -60,67 +60,67 @@
 	return duty
 }
 
-// passOn hands what came by comparing digests to the zone: a relay pushes it to
+// forward hands what came by comparing digests to the zone: a relay pushes it to
 // the members, any other daemon has a relay compare with it.
-func (s *Spreader) passOn(ctx scope.Scope, items []Item) {
-	self := s.Table.Self()
+func (g *Gossiper) forward(ctx scope.Scope, items []Item) {
+	self := g.Table.Self()
 	if self.Relay {
-		s.spawn(func() { s.Push(ctx, items, Duty{Zones: []ids.Zone{self.Zone}}) })
+		g.spawn(func() { g.Push(ctx, items, Targets{Zones: []ids.Zone{self.Zone}}) })
 		return
 	}
-	for _, relay := range s.Table.Relays(self.Zone, 1) {
-		go s.Exchange(ctx, relay.Address)
+	for _, relay := range g.Table.Relays(self.Zone, 1) {
+		go g.Exchange(ctx, relay.Address)
 	}
 }
 
-// pushed takes news that was handed down and goes on with the duty at once,
+// handlePush takes news that was handed down and goes on with the duty at once,
 // before the answer is sent: the sender need not wait for it.
-func (s *Spreader) pushed(ctx scope.Scope, asked PushAsk) PushTold {
-	told := PushTold{}
+func (g *Gossiper) handlePush(ctx scope.Scope, asked PushRequest) PushResponse {
+	told := PushResponse{}
 	for _, item := range asked.Items {
-		if s.News.hear(item, nil) {
-			told.Taken++
+		if g.Store.receive(item, nil) {
+			told.Accepted++
 		}
 	}
-	if len(asked.Duty.Regions)+len(asked.Duty.Zones)+len(asked.Duty.Members) > 0 {
-		s.Counts.Relayed.Add(1)
-		s.spawn(func() { s.Push(ctx.Detached(), asked.Items, s.without(asked)) })
+	if len(asked.Targets.Regions)+len(asked.Targets.Zones)+len(asked.Targets.Members) > 0 {
+		g.Stats.Relayed.Add(1)
+		g.spawn(func() { g.Push(ctx.Detached(), asked.Items, g.withoutSender(asked)) })
 	}
 	return told
 }
 
-// without leaves the sender out of a duty: it has the news.
-func (s *Spreader) without(asked PushAsk) Duty {
-	duty := asked.Duty
+// withoutSender leaves the sender out of a duty: it has the news.
+func (g *Gossiper) withoutSender(asked PushRequest) Targets {
+	duty := asked.Targets
 	duty.Members = slices.DeleteFunc(slices.Clone(duty.Members), func(member ids.Address) bool { return member == asked.From })
 	return duty
 }
 
 // Push brings items to all that the duty names, and returns when each part was
 // handed on or given up: what is given up is mended by comparing digests.
-func (s *Spreader) Push(ctx scope.Scope, items []Item, duty Duty) {
-	for narrowed, some := range s.scopes(items) {
-		s.pushScope(ctx, some, narrowed.apply(s, duty))
+func (g *Gossiper) Push(ctx scope.Scope, items []Item, duty Targets) {
+	for narrowed, some := range g.groupByFilter(items) {
+		g.pushGroup(ctx, some, narrowed.apply(g, duty))
 	}
 }
 
-func (s *Spreader) pushScope(ctx scope.Scope, items []Item, duty Duty) {
+func (g *Gossiper) pushGroup(ctx scope.Scope, items []Item, duty Targets) {
 	var group sync.WaitGroup
-	for _, part := range s.split(duty) {
+	for _, part := range g.splitTargets(duty) {
 		group.Add(1)
-		s.spawn(func() {
+		g.spawn(func() {
 			defer group.Done()
-			s.handOver(ctx, items, part)
+			g.deliver(ctx, items, part)
 		})
 	}
 	group.Wait()
 }
 
-// scopes sorts items by who should hold them; each scope narrows a duty to these.
-func (s *Spreader) scopes(items []Item) map[*narrowing][]Item {
-	sorted := map[*narrowing][]Item{}
+// groupByFilter sorts items by who should hold them; each scope narrows a duty to these.
+func (g *Gossiper) groupByFilter(items []Item) map[*targetFilter][]Item {
+	sorted := map[*targetFilter][]Item{}
 	for _, item := range items {
-		for _, scope := range narrowings {
+		for _, scope := range targetFilters {
 			if strings.HasPrefix(item.Key, scope.prefix) {
 				sorted[scope] = append(sorted[scope], item)
 				break
@@ -130,65 +130,65 @@
 	return sorted
 }
 
-// narrowing narrows the duty of items whose keys begin with the prefix.
-type narrowing struct {
+// targetFilter narrows the duty of items whose keys begin with the prefix.
+type targetFilter struct {
 	prefix string
-	apply  func(spreader *Spreader, duty Duty) Duty
+	apply  func(spreader *Gossiper, duty Targets) Targets
 }
 
 // ownZoneOnly narrows a duty to the zone of this daemon.
-func ownZoneOnly(spreader *Spreader, duty Duty) Duty {
+func ownZoneOnly(spreader *Gossiper, duty Targets) Targets {
 	if len(duty.Regions)+len(duty.Zones) == 0 {
 		return duty
 	}
-	return Duty{Zones: []ids.Zone{spreader.Table.Self().Zone}}
+	return Targets{Zones: []ids.Zone{spreader.Table.Self().Zone}}
 }
 
-// narrowings are tried in this order; the last fits every key.
-var narrowings = allNarrowings()
+// targetFilters are tried in this order; the last fits every key.
+var targetFilters = newTargetFilters()
 
-func allNarrowings() []*narrowing {
-	all := []*narrowing{{BackbonePrefix, func(_ *Spreader, duty Duty) Duty { duty.Backbone = true; return duty }}}
+func newTargetFilters() []*targetFilter {
+	all := []*targetFilter{{BackbonePrefix, func(_ *Gossiper, duty Targets) Targets { duty.BackboneOnly = true; return duty }}}
 	for _, prefix := range zonePrefixes {
-		all = append(all, &narrowing{prefix, ownZoneOnly})
+		all = append(all, &targetFilter{prefix, ownZoneOnly})
 	}
-	return append(all, &narrowing{"", func(_ *Spreader, duty Duty) Duty { return duty }})
+	return append(all, &targetFilter{"", func(_ *Gossiper, duty Targets) Targets { return duty }})
 }
 
-// handOver sends one part to the first taker that answers soon; where none does,
+// deliver sends one part to the first taker that answers soon; where none does,
 // the rest of the duty is split anew.
-func (s *Spreader) handOver(ctx scope.Scope, items []Item, piece part) {
-	for _, taker := range piece.takers[:min(mostTakers, len(piece.takers))] {
-		short, release := ctx.WithLimit(s.Every)
-		asked := PushAsk{From: s.Table.Self().Address, Items: items, Duty: piece.duty(taker)}
-		err := s.send(short, taker, asked)
+func (g *Gossiper) deliver(ctx scope.Scope, items []Item, piece delivery) {
+	for _, taker := range piece.candidates[:min(maxDeliveryAttempts, len(piece.candidates))] {
+		short, release := ctx.WithLimit(g.Interval)
+		asked := PushRequest{From: g.Table.Self().Address, Items: items, Targets: piece.targets(taker)}
+		err := g.sendPush(short, taker, asked)
 		release()
 		if err == nil {
-			s.Counts.Pushed.Add(1)
+			g.Stats.Pushed.Add(1)
 			return
 		}
-		s.Counts.Failed.Add(1)
+		g.Stats.Failed.Add(1)
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	if len(piece.rest.Regions)+len(piece.rest.Zones)+len(piece.rest.Members) > 0 {
-		s.Push(ctx, items, piece.rest)
+	if len(piece.remainder.Regions)+len(piece.remainder.Zones)+len(piece.remainder.Members) > 0 {
+		g.Push(ctx, items, piece.remainder)
 	}
 }
 
-func (s *Spreader) spawn(act func()) {
-	if s.Spawn != nil {
-		s.Spawn(act)
+func (g *Gossiper) spawn(act func()) {
+	if g.Spawn != nil {
+		g.Spawn(act)
 		return
 	}
 	go act()
 }
 
-func (s *Spreader) send(ctx scope.Scope, taker ids.Address, asked PushAsk) error {
-	if s.Carry != nil {
-		return s.Carry(ctx, taker, asked)
+func (g *Gossiper) sendPush(ctx scope.Scope, taker ids.Address, asked PushRequest) error {
+	if g.SendPush != nil {
+		return g.SendPush(ctx, taker, asked)
 	}
-	_, err := transport.Send[PushTold](ctx, s.Messenger, taker, "push", asked)
+	_, err := transport.Send[PushResponse](ctx, g.Client, taker, "push", asked)
 	return err
 }
--- a/control/membership/scope_test.go
+++ b/control/membership/backbone_test.go
@@ -7,46 +7,46 @@
 	"onyxwell/base/ids"
 )
 
-func inZone(machine clock.Clock, address ids.Address, zone ids.Zone) *Table {
+func newZoneTable(machine clock.Clock, address ids.Address, zone ids.Zone) *Table {
 	return NewTable(machine, Member{Address: address, Zone: zone, Role: "router"})
 }
 
-func TestOtherZonesAreKnownByTheirBackbone(t *testing.T) {
+func TestTable_tracksOnlyBackboneOfOtherZones(t *testing.T) {
 	machine := clock.NewFake()
-	known := inZone(machine, "a:1", "east")
+	known := newZoneTable(machine, "a:1", "east")
 	known.Merge([]Member{
 		{Address: "b:1", Zone: "east", Incarnation: 1},
 		{Address: "c:1", Zone: "west", Incarnation: 1},
 		{Address: "d:1", Zone: "west", Incarnation: 1, Relay: true},
-		{Address: "e:1", Zone: "west", Incarnation: 1, Core: true},
+		{Address: "e:1", Zone: "west", Incarnation: 1, ServesControl: true},
 	})
 	if count := len(known.Members()); count != 4 {
 		t.Fatalf("%d members: %v", count, known.Members())
 	}
-	if told := known.Told("west"); len(told) != 3 {
+	if told := known.MembersFor("west"); len(told) != 3 {
 		t.Fatalf("another zone is told of %v", told)
 	}
-	if told := known.Told("east"); len(told) != 4 {
+	if told := known.MembersFor("east"); len(told) != 4 {
 		t.Fatalf("the own zone is told of %v", told)
 	}
 }
 
-// TestFormerRelayStaysForgotten has a relay of another zone cease to be one: an
+// TestTable_formerRelayIsNotRevived has a relay of another zone cease to be one: an
 // older report must not bring it back, and sums of both zones agree again.
-func TestFormerRelayStaysForgotten(t *testing.T) {
+func TestTable_formerRelayIsNotRevived(t *testing.T) {
 	machine := clock.NewFake()
-	east, west := inZone(machine, "a:1", "east"), inZone(machine, "d:1", "west")
+	east, west := newZoneTable(machine, "a:1", "east"), newZoneTable(machine, "d:1", "west")
 	relay := Member{Address: "f:1", Zone: "west", Incarnation: 1, Relay: true}
 	east.Merge([]Member{relay})
 	west.Merge([]Member{relay})
 	former := relay
 	former.Relay, former.Incarnation = false, 2
 	west.Merge([]Member{former})
-	if !east.Differs("west", west.Sums()) {
+	if !east.Differs("west", west.Digest()) {
 		t.Fatal("the sums don't show the change")
 	}
-	east.Merge(west.Told("east"))
-	if east.Differs("west", west.Sums()) {
+	east.Merge(west.MembersFor("east"))
+	if east.Differs("west", west.Digest()) {
 		// What differs now is only that east itself and west's routers are unknown.
 		t.Fatal("the sums differ though both know the same backbone")
 	}
@@ -56,17 +56,17 @@
 			t.Fatalf("an older report brought it back: %+v", member)
 		}
 	}
-	machine.Move(2 * strangerStays)
-	east.Forget()
+	machine.Move(2 * formerBackboneRetention)
+	east.Prune()
 	if _, found := east.Find("f:1"); found {
 		t.Fatal("it is remembered for ever")
 	}
 }
 
-func TestRelaysStandOnTwoMachines(t *testing.T) {
+func TestTableRelays_useDistinctHosts(t *testing.T) {
 	machine := clock.NewFake()
 	members := []Member{
-		{Address: "10.0.0.1:1", Zone: "east", Incarnation: 1, LinkMbps: 100, Core: true},
+		{Address: "10.0.0.1:1", Zone: "east", Incarnation: 1, LinkMbps: 100, ServesControl: true},
 		{Address: "10.0.0.1:2", Zone: "east", Incarnation: 1, LinkMbps: 100},
 		{Address: "10.0.0.2:2", Zone: "east", Incarnation: 1, LinkMbps: 10},
 		{Address: "10.0.0.3:2", Zone: "east", Incarnation: 1, LinkMbps: 10},
@@ -84,7 +84,7 @@
 		if len(relays) != 2 || relays[0].Address != "10.0.0.1:1" || relays[1].LinkMbps != 10 {
 			t.Fatalf("%v", relays)
 		}
-		view.Elect(2, clock.Second)
+		view.UpdateRelayRole(2, clock.Second)
 		if view.Self().Relay {
 			chosen++
 		}
@@ -93,58 +93,58 @@
 		t.Fatalf("%d daemons say that they relay", chosen)
 	}
 	// The first dies: the next in order takes its place with everybody.
-	views[3].Judge("10.0.0.1:1", Suspect)
+	views[3].AdvanceState("10.0.0.1:1", Suspect)
 	if relays := views[3].Relays("east", 2); relays[0].Address != "10.0.0.1:2" {
 		t.Fatalf("%v", relays)
 	}
 }
 
-func TestLongGoneMembersAreForgotten(t *testing.T) {
+func TestTablePrune_dropsLongGoneMembers(t *testing.T) {
 	machine := clock.NewFake()
-	known := inZone(machine, "a:1", "east")
+	known := newZoneTable(machine, "a:1", "east")
 	known.Merge([]Member{{Address: "b:1", Zone: "east", Incarnation: 1}, {Address: "c:1", Zone: "east", Incarnation: 1}})
-	known.Judge("b:1", Left)
-	known.Judge("c:1", Removed)
-	machine.Move(2 * leftStays)
-	known.Forget()
+	known.AdvanceState("b:1", Left)
+	known.AdvanceState("c:1", Removed)
+	machine.Move(2 * leftRetention)
+	known.Prune()
 	if _, found := known.Find("b:1"); found {
 		t.Fatal("one that said it leaves counts for ever")
 	}
 	if _, found := known.Find("c:1"); !found {
 		t.Fatal("one that may be behind a cut is forgotten soon")
 	}
-	machine.Move(2 * removedStays)
-	known.Forget()
+	machine.Move(2 * removedRetention)
+	known.Prune()
 	if len(known.Members()) != 1 {
 		t.Fatalf("%v", known.Members())
 	}
 }
 
-// TestLostZoneIsFoundOutAsAWhole suspects one relay of another zone: its mates
+// TestProber_probesPeersOfSuspectedZoneFirst suspects one relay of another zone: its mates
 // are probed next, whatever the turn was.
-func TestLostZoneIsFoundOutAsAWhole(t *testing.T) {
+func TestProber_probesPeersOfSuspectedZoneFirst(t *testing.T) {
 	machine := clock.NewFake()
 	table := NewTable(machine, Member{Address: "a:1", Zone: "east", Relay: true})
 	table.Merge([]Member{
 		{Address: "b:1", Zone: "east", Incarnation: 1}, {Address: "c:1", Zone: "west", Incarnation: 1, Relay: true},
-		{Address: "d:1", Zone: "west", Incarnation: 1, Relay: true}, {Address: "e:1", Zone: "north", Incarnation: 1, Core: true},
-		{Address: "f:1", Zone: "south", Incarnation: 1, Core: true},
+		{Address: "d:1", Zone: "west", Incarnation: 1, Relay: true}, {Address: "e:1", Zone: "north", Incarnation: 1, ServesControl: true},
+		{Address: "f:1", Zone: "south", Incarnation: 1, ServesControl: true},
 	})
 	prober := &Prober{Table: table, Shuffle: func([]Member) {}}
-	if first, _ := prober.next(nearCircle); first.Address != "b:1" {
+	if first, _ := prober.nextTarget(localGroup); first.Address != "b:1" {
 		t.Fatalf("%v", first)
 	}
-	first, _ := prober.next(farCircle)
-	table.Judge(first.Address, Suspect)
-	second, _ := prober.next(farCircle)
-	prober.next(farCircle)
-	prober.hurry(Member{Address: "c:1", Zone: "west"})
-	if mate, _ := prober.next(farCircle); mate.Address != "d:1" {
+	first, _ := prober.nextTarget(remoteGroup)
+	table.AdvanceState(first.Address, Suspect)
+	second, _ := prober.nextTarget(remoteGroup)
+	prober.nextTarget(remoteGroup)
+	prober.prioritizeZone(Member{Address: "c:1", Zone: "west"})
+	if mate, _ := prober.nextTarget(remoteGroup); mate.Address != "d:1" {
 		t.Fatalf("after %v and %v comes %v", first, second, mate)
 	}
-	table.Announce(func(self *Member) { self.Relay = false })
-	prober.turns = nil
-	if _, found := prober.next(farCircle); found {
+	table.UpdateSelf(func(self *Member) { self.Relay = false })
+	prober.rotation = nil
+	if _, found := prober.nextTarget(remoteGroup); found {
 		t.Fatal("one that is not of the backbone probes over zones")
 	}
 }
--- a/control/membership/forms_test.go
+++ b/control/membership/forms_test.go
@@ -11,7 +11,7 @@
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Datagram](t, "datagram")
 	transporttest.Golden[Member](t, "member")
-	transporttest.Golden[Size](t, "size")
-	transporttest.Golden[Sums](t, "sums")
-	transporttest.Golden[kept](t, "kept")
+	transporttest.Golden[ZoneSize](t, "size")
+	transporttest.Golden[Digest](t, "sums")
+	transporttest.Golden[storedMembers](t, "kept")
 }
--- a/control/membership/member.go
+++ b/control/membership/member.go
@@ -15,18 +15,18 @@
 
 // Member is one daemon as the others know it.
 type Member struct {
-	Address ids.Address `avro:"Address"`
-	Role    string      `avro:"Role"`
-	Zone    ids.Zone    `avro:"Zone"`
-	Region  ids.Region  `avro:"Region"`
-	Front   ids.Address `avro:"Front"`
-	Ready   bool        `avro:"Ready"`
-	// Unable says that a router reaches no runner for some of its routes.
-	Unable bool `avro:"Unable"`
-	// Core says that the daemon serves control; Relay that it passes news on for
+	Address       ids.Address `avro:"Address"`
+	Role          string      `avro:"Role"`
+	Zone          ids.Zone    `avro:"Zone"`
+	Region        ids.Region  `avro:"Region"`
+	ClientAddress ids.Address `avro:"Front"`
+	Ready         bool        `avro:"Ready"`
+	// Degraded says that a router reaches no runner for some of its routes.
+	Degraded bool `avro:"Unable"`
+	// ServesControl says that the daemon serves control; Relay that it passes news on for
 	// its zone. Both are known everywhere, others only in their own zone.
-	Core  bool `avro:"Core"`
-	Relay bool `avro:"Relay"`
+	ServesControl bool `avro:"Core"`
+	Relay         bool `avro:"Relay"`
 	// LinkMbps is how much the daemon's machine can carry.
 	LinkMbps    int64           `avro:"LinkMbps"`
 	Incarnation ids.Incarnation `avro:"Incarnation"`
@@ -40,10 +40,10 @@
 func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
 // Backbone tells whether the member is known in all zones.
-func (m Member) Backbone() bool { return m.Core || m.Relay }
+func (m Member) Backbone() bool { return m.ServesControl || m.Relay }
 
-// newer tells whether this report overrides the other.
-func (m Member) newer(other Member) bool {
+// supersedes tells whether this report overrides the other.
+func (m Member) supersedes(other Member) bool {
 	if m.Incarnation != other.Incarnation {
 		return m.Incarnation > other.Incarnation
 	}
--- a/control/membership/cohort_test.go
+++ b/control/membership/membership_test.go
@@ -11,12 +11,12 @@
 	"onyxwell/control/transport"
 )
 
-func table(machine clock.Clock, address ids.Address) *Table {
+func newTestTable(machine clock.Clock, address ids.Address) *Table {
 	return NewTable(machine, Member{Address: address, Role: "router"})
 }
 
-func TestNewerReportsCount(t *testing.T) {
-	known := table(clock.NewFake(), "a")
+func TestTableMerge_prefersNewerReports(t *testing.T) {
+	known := newTestTable(clock.NewFake(), "a")
 	known.Merge([]Member{{Address: "b", Incarnation: 2}})
 	known.Merge([]Member{{Address: "b", Incarnation: 1, State: Removed}})
 	if member, _ := known.Find("b"); member.State != Alive {
@@ -32,13 +32,13 @@
 	}
 }
 
-func TestSuspicionIsRefuted(t *testing.T) {
-	known := table(clock.NewFake(), "a")
+func TestTableMerge_refutesSuspicion(t *testing.T) {
+	known := newTestTable(clock.NewFake(), "a")
 	known.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Suspect}})
 	if self := known.Self(); self.State != Alive || self.Incarnation != 2 {
 		t.Fatalf("%+v", self)
 	}
-	other := table(clock.NewFake(), "b")
+	other := newTestTable(clock.NewFake(), "b")
 	other.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Removed}})
 	other.Merge([]Member{known.Self()})
 	if member, _ := other.Find("a"); member.State != Alive {
@@ -46,10 +46,10 @@
 	}
 }
 
-func TestSecondLifeOverridesTheFirst(t *testing.T) {
-	other := table(clock.NewFake(), "b")
+func TestTableMerge_restartSupersedesOldIncarnation(t *testing.T) {
+	other := newTestTable(clock.NewFake(), "b")
 	other.Merge([]Member{{Address: "a", Role: "router", Ready: true, Incarnation: 7}})
-	reborn := table(clock.NewFake(), "a")
+	reborn := newTestTable(clock.NewFake(), "a")
 	reborn.Merge(other.Members())
 	other.Merge([]Member{reborn.Self()})
 	if member, _ := other.Find("a"); member.Ready || member.Incarnation != 8 {
@@ -57,45 +57,45 @@
 	}
 }
 
-func TestEqualTablesHaveEqualSums(t *testing.T) {
-	first, second := table(clock.NewFake(), "a"), table(clock.NewFake(), "b")
+func TestTableDigest_equalForEqualTables(t *testing.T) {
+	first, second := newTestTable(clock.NewFake(), "a"), newTestTable(clock.NewFake(), "b")
 	first.Merge([]Member{second.Self()})
-	if first.Sums() == second.Sums() {
+	if first.Digest() == second.Digest() {
 		t.Fatal("tables that differ have one sum")
 	}
 	second.Merge(first.Members())
-	if first.Sums() != second.Sums() {
+	if first.Digest() != second.Digest() {
 		t.Fatal("equal tables differ in their sums")
 	}
 }
 
-// stranger is a sender as it is logged.
-type stranger ids.Address
+// senderAddress is a sender as it is logged.
+type senderAddress ids.Address
 
 // String gives its address.
-func (s stranger) String() string { return string(s) }
+func (s senderAddress) String() string { return string(s) }
 
-// net joins probers without any network; members in dead answer nothing, and
+// fakeNetwork joins probers without any network; members in dead answer nothing, and
 // pairs in cut don't reach each other.
-type net struct {
-	clock   *clock.Fake
-	scope   scope.Scope
-	probers map[ids.Address]*Prober
-	dead    map[ids.Address]bool
-	cut     map[[2]ids.Address]bool
+type fakeNetwork struct {
+	clock       *clock.Fake
+	scope       scope.Scope
+	probers     map[ids.Address]*Prober
+	dead        map[ids.Address]bool
+	partitioned map[[2]ids.Address]bool
 }
 
-func newNet(addresses ...ids.Address) *net {
-	made := &net{clock: clock.NewFake(), probers: map[ids.Address]*Prober{}, dead: map[ids.Address]bool{}, cut: map[[2]ids.Address]bool{}}
+func newFakeNetwork(addresses ...ids.Address) *fakeNetwork {
+	made := &fakeNetwork{clock: clock.NewFake(), probers: map[ids.Address]*Prober{}, dead: map[ids.Address]bool{}, partitioned: map[[2]ids.Address]bool{}}
 	made.scope = scope.New(scope.Options{Clock: made.clock})
 	for _, address := range addresses {
 		made.probers[address] = &Prober{
-			Table: table(made.clock, address),
-			Spawn: func(ask func()) { ask() },
-			Pace:  Pace{Every: clock.Second, Answer: 100 * clock.Millisecond, Suspicion: 2 * clock.Second, Seconds: 2},
+			Table:  newTestTable(made.clock, address),
+			Spawn:  func(ask func()) { ask() },
+			Config: ProbeConfig{Interval: clock.Second, AckTimeout: 100 * clock.Millisecond, SuspicionTimeout: 2 * clock.Second, IndirectProbes: 2},
 			Send: func(to ids.Address, body []byte) {
-				if target := made.probers[to]; target != nil && !made.dead[to] && !made.dead[address] && !made.cut[[2]ids.Address{address, to}] {
-					target.Take(made.scope, stranger(address), body)
+				if target := made.probers[to]; target != nil && !made.dead[to] && !made.dead[address] && !made.partitioned[[2]ids.Address{address, to}] {
+					target.Receive(made.scope, senderAddress(address), body)
 				}
 			},
 		}
@@ -108,71 +108,71 @@
 	return made
 }
 
-// probe runs one probe, letting time pass while it waits.
-func (n *net) probe(from ids.Address, to ids.Address) {
-	target, _ := n.probers[from].Table.Find(to)
+// runProbe runs one probe, letting time pass while it waits.
+func (f *fakeNetwork) runProbe(from ids.Address, to ids.Address) {
+	target, _ := f.probers[from].Table.Find(to)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.probers[from].Probe(n.scope, target)
+		f.probers[from].Probe(f.scope, target)
 	}()
 	for {
 		select {
 		case <-done:
 			return
 		default:
-			n.clock.Next()
+			f.clock.Next()
 			runtime.Gosched()
 		}
 	}
 }
 
-func (n *net) state(at ids.Address, of ids.Address) State {
-	member, _ := n.probers[at].Table.Find(of)
+func (f *fakeNetwork) state(at ids.Address, of ids.Address) State {
+	member, _ := f.probers[at].Table.Find(of)
 	return member.State
 }
 
-func TestSilentMemberIsSuspectedThenRemoved(t *testing.T) {
-	net := newNet("a", "b", "c")
-	net.probe("a", "b")
+func TestProber_suspectsThenRemovesSilentMember(t *testing.T) {
+	net := newFakeNetwork("a", "b", "c")
+	net.runProbe("a", "b")
 	if net.state("a", "b") != Alive {
 		t.Fatal("a member that answers is suspected")
 	}
 	net.dead["b"] = true
-	net.probe("a", "b")
+	net.runProbe("a", "b")
 	if net.state("a", "b") != Suspect {
 		t.Fatalf("state %d of a silent member", net.state("a", "b"))
 	}
-	net.probers["a"].expire(true)
+	net.probers["a"].removeExpiredSuspects(true)
 	net.clock.Move(3 * clock.Second)
-	net.probers["a"].expire(true)
+	net.probers["a"].removeExpiredSuspects(true)
 	if net.state("a", "b") != Suspect {
 		t.Fatal("a daemon that was frozen itself removed another")
 	}
-	net.probers["a"].expire(false)
+	net.probers["a"].removeExpiredSuspects(false)
 	if net.state("a", "b") != Removed {
 		t.Fatal("the suspicion never ends")
 	}
 }
 
-func TestThirdPartyVouches(t *testing.T) {
-	net := newNet("a", "b", "c")
-	net.cut[[2]ids.Address{"a", "b"}] = true
-	net.probe("a", "b")
+func TestProber_indirectProbeClearsMember(t *testing.T) {
+	net := newFakeNetwork("a", "b", "c")
+	net.partitioned[[2]ids.Address{"a", "b"}] = true
+	net.runProbe("a", "b")
 	if net.state("a", "b") != Alive {
 		t.Fatal("a member that others reach is suspected")
 	}
 }
 
-func TestMembersOutliveTheirDaemon(t *testing.T) {
+func TestStore_restoresMembersAsRemoved(t *testing.T) {
 	disk := wal.Dir(t.TempDir())
-	first := table(clock.NewFake(), "a")
+	first := newTestTable(clock.NewFake(), "a")
 	first.Merge([]Member{{Address: "b", Role: "router", Ready: true, Incarnation: 9}})
-	if err := (&Keeper{Table: first, Disk: disk, Name: "members"}).Save(); err != nil {
+	if err := (&Store{Table: first, Disk: disk, Name: "members"}).Save(); err != nil {
 		t.Fatal(err)
 	}
-	second := table(clock.NewFake(), "a")
-	if err := (&Keeper{Table: second, Disk: disk, Name: "members"}).Load(); err != nil {
+	second := newTestTable(clock.NewFake(), "a")
+	if err := (&Store{Table: second, Disk: disk, Name: "members"}).Load(); err != nil {
 		t.Fatal(err)
 	}
 	if member, known := second.Find("b"); !known || member.Present() || member.Ready {
@@ -187,29 +187,29 @@
 	}
 }
 
-func TestBrokenAndForeignDatagramsAreCountedAndDropped(t *testing.T) {
-	net := newNet("a", "b")
+func TestProberReceive_countsAndDropsRejectedDatagrams(t *testing.T) {
+	net := newFakeNetwork("a", "b")
 	prober := net.probers["a"]
-	prober.Gate = transport.NewGate(map[ids.Zone]ids.Region{"hall": "north"})
+	prober.Guard = transport.NewGuard(map[ids.Zone]ids.Region{"hall": "north"})
 	heard := 0
 	prober.Send = func(ids.Address, []byte) { heard++ }
-	news := Datagram{Kind: kindProbe, Number: 1, From: "b", Reports: []Member{{Address: "odd", Incarnation: 3}}}
-	whole, _ := transport.Enclose(prober.Gate, news)
-	foreign, _ := transport.Enclose(transport.NewGate(nil), news)
-	version, _ := transport.Enclose(prober.Gate, news.Reports[0])
+	news := Datagram{Kind: kindPing, Sequence: 1, From: "b", Reports: []Member{{Address: "odd", Incarnation: 3}}}
+	whole, _ := transport.Seal(prober.Guard, news)
+	foreign, _ := transport.Seal(transport.NewGuard(nil), news)
+	version, _ := transport.Seal(prober.Guard, news.Reports[0])
 	news.Kind = 77
-	unknown, _ := transport.Enclose(prober.Gate, news)
+	unknown, _ := transport.Seal(prober.Guard, news)
 	for _, body := range [][]byte{whole[:len(whole)-1], whole[:3], nil, foreign, version, unknown} {
-		prober.Take(net.scope, stranger("c"), body)
+		prober.Receive(net.scope, senderAddress("c"), body)
 	}
-	totals := prober.Gate.Totals()
+	totals := prober.Guard.Totals()
 	if totals["torn"] != 3 || totals["deployment"] != 1 || totals["version"] != 1 || totals["unknown"] != 1 {
 		t.Errorf("%v", totals)
 	}
 	if _, known := prober.Table.Find("odd"); known || heard != 0 {
 		t.Errorf("a refused datagram was heard: known %v, %d answers", known, heard)
 	}
-	prober.Take(net.scope, stranger("b"), whole)
+	prober.Receive(net.scope, senderAddress("b"), whole)
 	if _, known := prober.Table.Find("odd"); !known || heard != 1 {
 		t.Errorf("a good datagram was not heard: known %v, %d answers", known, heard)
 	}
--- a/control/membership/relays.go
+++ b/control/membership/relays.go
@@ -21,42 +21,42 @@
 			able = append(able, member)
 		}
 	}
-	rank(able)
-	return pickMachines(able, count)
+	rankRelays(able)
+	return pickDistinctHosts(able, count)
 }
 
-// Elect has the daemon say of itself whether it relays for its zone; one that
+// UpdateRelayRole has the daemon say of itself whether it relays for its zone; one that
 // has only just begun, and may know nobody yet, waits.
-func (t *Table) Elect(count int, patience clock.Span) {
+func (t *Table) UpdateRelayRole(count int, patience clock.Span) {
 	self := t.Self()
-	if t.clock.Now().Since(t.born) < patience || !self.Present() {
+	if t.clock.Now().Since(t.startedAt) < patience || !self.Present() {
 		return
 	}
 	chosen := false
 	for _, relay := range t.Relays(self.Zone, count) {
 		chosen = chosen || relay.Address == self.Address
 	}
-	t.Announce(func(self *Member) { self.Relay = chosen })
+	t.UpdateSelf(func(self *Member) { self.Relay = chosen })
 }
 
-// rank orders members by how well they relay: machines with more link first,
+// rankRelays orders members by how well they relay: machines with more link first,
 // then those that already serve control and so carry no requests, then by a
 // hash that spreads the work over zones.
-func rank(members []Member) {
+func rankRelays(members []Member) {
 	sort.Slice(members, func(left, right int) bool {
 		one, other := members[left], members[right]
 		if one.LinkMbps != other.LinkMbps {
 			return one.LinkMbps > other.LinkMbps
 		}
-		if one.Core != other.Core {
-			return one.Core
+		if one.ServesControl != other.ServesControl {
+			return one.ServesControl
 		}
-		return hashOf(one.Address) < hashOf(other.Address)
+		return addressHash(one.Address) < addressHash(other.Address)
 	})
 }
 
-// pickMachines takes the first so many members that stand on different machines.
-func pickMachines(members []Member, count int) []Member {
+// pickDistinctHosts takes the first so many members that stand on different machines.
+func pickDistinctHosts(members []Member, count int) []Member {
 	taken := map[string]bool{}
 	var chosen []Member
 	for _, member := range members {
@@ -69,7 +69,7 @@
 	return chosen
 }
 
-func hashOf(address ids.Address) uint64 {
+func addressHash(address ids.Address) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(address))
 	return digest.Sum64()
--- a/control/membership/table.go
+++ b/control/membership/table.go
@@ -14,42 +14,42 @@
 	"onyxwell/control/transport"
 )
 
-type seen struct {
+type entry struct {
 	Member
-	since clock.Instant
-	told  int
-	mark  int64
-	// left is when a member ceased to be of the backbone: other zones are told so
+	stateSince clock.Instant
+	transmits  int
+	hash       int64
+	// leftBackboneAt is when a member ceased to be of the backbone: other zones are told so
 	// for a while, so that older reports don't bring it back there.
-	left   clock.Instant
-	former bool
+	leftBackboneAt clock.Instant
+	formerBackbone bool
 }
 
 // Table holds the members that a daemon knows, itself included.
 type Table struct {
-	mu       sync.Mutex
-	clock    clock.Clock
-	born     clock.Instant
-	self     Member
-	members  map[ids.Address]*seen
-	sums     Sums
-	snapshot []Member
+	mu        sync.Mutex
+	clock     clock.Clock
+	startedAt clock.Instant
+	self      Member
+	members   map[ids.Address]*entry
+	digest    Digest
+	snapshot  []Member
 }
 
-// Sums are digests of the members that are present: equal sums mean equal
+// Digest are digests of the members that are present: equal sums mean equal
 // tables. Daemons of one zone compare both, others only that of the backbone.
-type Sums struct {
+type Digest struct {
 	Zone     int64 `avro:"Zone"`
 	Backbone int64 `avro:"Backbone"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (Sums) SchemaName() string { return "Sums_23" }
+func (Digest) SchemaName() string { return "Sums_23" }
 
 // NewTable makes a table that knows only its own daemon.
 func NewTable(machine clock.Clock, self Member) *Table {
 	self.Incarnation = max(self.Incarnation, 1)
-	table := &Table{clock: machine, born: machine.Now(), self: self, members: map[ids.Address]*seen{}}
+	table := &Table{clock: machine, startedAt: machine.Now(), self: self, members: map[ids.Address]*entry{}}
 	table.put(self)
 	return table
 }
@@ -61,8 +61,8 @@
 	return t.self
 }
 
-// Announce changes what the daemon says of itself.
-func (t *Table) Announce(change func(self *Member)) {
+// UpdateSelf changes what the daemon says of itself.
+func (t *Table) UpdateSelf(change func(self *Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.self
@@ -85,10 +85,10 @@
 			continue
 		}
 		known := t.members[report.Address]
-		if known == nil && !t.kept(report) {
+		if known == nil && !t.tracks(report) {
 			continue
 		}
-		if known == nil || report.newer(known.Member) {
+		if known == nil || report.supersedes(known.Member) {
 			t.put(report)
 			news = true
 		}
@@ -96,13 +96,13 @@
 	return news
 }
 
-// kept tells whether a member belongs into this table.
-func (t *Table) kept(member Member) bool {
+// tracks tells whether a member belongs into this table.
+func (t *Table) tracks(member Member) bool {
 	return member.Zone == t.self.Zone || member.Backbone()
 }
 
 func (t *Table) refute(report Member) bool {
-	if !report.newer(t.self) && report == t.self {
+	if !report.supersedes(t.self) && report == t.self {
 		return false
 	}
 	if report.Incarnation < t.self.Incarnation {
@@ -113,8 +113,8 @@
 	return true
 }
 
-// Judge moves a member to a state on this daemon's own evidence.
-func (t *Table) Judge(address ids.Address, state State) {
+// AdvanceState moves a member to a state on this daemon's own evidence.
+func (t *Table) AdvanceState(address ids.Address, state State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.members[address]
@@ -136,7 +136,7 @@
 	}
 	members := make([]Member, 0, len(t.members))
 	for _, known := range t.members {
-		if t.kept(known.Member) {
+		if t.tracks(known.Member) {
 			members = append(members, known.Member)
 		}
 	}
@@ -156,22 +156,22 @@
 	return known.Member, true
 }
 
-// Since tells for how long a member has been in its state.
-func (t *Table) Since(address ids.Address) clock.Span {
+// StateAge tells for how long a member has been in its state.
+func (t *Table) StateAge(address ids.Address) clock.Span {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.members[address]
 	if known == nil {
 		return 0
 	}
-	return t.clock.Now().Since(known.since)
+	return t.clock.Now().Since(known.stateSince)
 }
 
-// Sums gives the digests of the table.
-func (t *Table) Sums() Sums {
+// Digest gives the digests of the table.
+func (t *Table) Digest() Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sums
+	return t.digest
 }
 
 // put replaces what is known of a member; the sums change by that member alone.
@@ -179,38 +179,38 @@
 	t.snapshot = nil
 	known := t.members[member.Address]
 	if known == nil {
-		known = &seen{}
+		known = &entry{}
 		t.members[member.Address] = known
 	} else {
-		t.add(known)
+		t.toggleDigest(known)
 	}
 	if known.State != member.State || known.Incarnation == 0 {
-		known.since = t.clock.Now()
+		known.stateSince = t.clock.Now()
 	}
 	if known.Backbone() && !member.Backbone() {
-		known.former, known.left = true, t.clock.Now()
+		known.formerBackbone, known.leftBackboneAt = true, t.clock.Now()
 	}
-	known.Member, known.told, known.mark = member, 0, markOf(member)
-	t.add(known)
+	known.Member, known.transmits, known.hash = member, 0, memberHash(member)
+	t.toggleDigest(known)
 }
 
-// add puts a member's mark into the sums, or takes it out again: marks are
+// toggleDigest puts a member's mark into the sums, or takes it out again: marks are
 // joined by exclusive or.
-func (t *Table) add(known *seen) {
+func (t *Table) toggleDigest(known *entry) {
 	if !known.Present() {
 		return
 	}
 	if known.Zone == t.self.Zone {
-		t.sums.Zone ^= known.mark
+		t.digest.Zone ^= known.hash
 	}
 	if known.Backbone() {
-		t.sums.Backbone ^= known.mark
+		t.digest.Backbone ^= known.hash
 	}
 }
 
-func markOf(member Member) int64 {
+func memberHash(member Member) int64 {
 	digest := fnv.New64a()
-	body, _ := transport.Pack(member)
+	body, _ := transport.Marshal(member)
 	_, _ = digest.Write(body)
 	return int64(digest.Sum64())
 }
--- a/control/membership/zonesummary/forms_test.go
+++ b/control/membership/zonesummary/forms_test.go
@@ -9,6 +9,6 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[Fronts](t, "fronts")
-	transporttest.Golden[Lost](t, "lost")
+	transporttest.Golden[RouterEndpoints](t, "fronts")
+	transporttest.Golden[LostZones](t, "lost")
 }
--- a/control/membership/zonesummary/lost.go
+++ b/control/membership/zonesummary/lost.go
@@ -9,36 +9,36 @@
 	"onyxwell/control/transport"
 )
 
-// Lost is the news of one zone on others: those whose backbone answered before and
+// LostZones is the news of one zone on others: those whose backbone answered before and
 // does not now. Their runners are gone too, most likely; routers of the zone need
 // not find that out one request at a time.
-type Lost struct {
+type LostZones struct {
 	Zones []ids.Zone `avro:"Zones"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (Lost) SchemaName() string { return "Lost_25" }
+func (LostZones) SchemaName() string { return "Lost_25" }
 
-// LostKey is the news key of what a zone's daemons are told of lost zones.
-func LostKey(zone ids.Zone) string { return gossip.LostPrefix + string(zone) }
+// LostZonesKey is the news key of what a zone's daemons are told of lost zones.
+func LostZonesKey(zone ids.Zone) string { return gossip.LostPrefix + string(zone) }
 
-// ReadLost reads the body of the news item.
-func ReadLost(body []byte) (Lost, error) { return transport.Unpack[Lost](body) }
+// UnmarshalLostZones reads the body of the news item.
+func UnmarshalLostZones(body []byte) (LostZones, error) { return transport.Unmarshal[LostZones](body) }
 
-// lost gives the zones of whose backbone nobody answers, though somebody did in
+// findLostZones gives the zones of whose backbone nobody answers, though somebody did in
 // this daemon's life. A zone whose daemons all left in order is not lost.
-func (w *Watcher) lost() Lost {
-	alive, silent := w.backbones()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.answered == nil {
-		w.answered = map[ids.Zone]bool{}
+func (m *Manager) findLostZones() LostZones {
+	alive, silent := m.backboneHealth()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.seenAlive == nil {
+		m.seenAlive = map[ids.Zone]bool{}
 	}
-	var found Lost
-	for zone := range w.Zones {
+	var found LostZones
+	for zone := range m.Zones {
 		if alive[zone] {
-			w.answered[zone] = true
-		} else if silent[zone] && w.answered[zone] && zone != w.Table.Self().Zone {
+			m.seenAlive[zone] = true
+		} else if silent[zone] && m.seenAlive[zone] && zone != m.Table.Self().Zone {
 			found.Zones = append(found.Zones, zone)
 		}
 	}
@@ -46,11 +46,11 @@
 	return found
 }
 
-// backbones tells of each zone whether anybody of its backbone answers, and whether
+// backboneHealth tells of each zone whether anybody of its backbone answers, and whether
 // anybody of it does not.
-func (w *Watcher) backbones() (answers map[ids.Zone]bool, silent map[ids.Zone]bool) {
+func (m *Manager) backboneHealth() (answers map[ids.Zone]bool, silent map[ids.Zone]bool) {
 	answers, silent = map[ids.Zone]bool{}, map[ids.Zone]bool{}
-	for _, member := range w.Table.Members() {
+	for _, member := range m.Table.Members() {
 		if member.Backbone() {
 			answers[member.Zone] = answers[member.Zone] || member.State == membership.Alive
 			silent[member.Zone] = silent[member.Zone] || member.State == membership.Suspect || member.State == membership.Removed
--- a/control/outlier/eject.go
+++ b/control/outlier/eject.go
@@ -174,4 +174,4 @@
 func Key(zone ids.Zone) string { return gossip.ZonePrefix + string(zone) }
 
 // Read reads the body of the news item.
-func Read(body []byte) (Rests, error) { return transport.Unpack[Rests](body) }
+func Read(body []byte) (Rests, error) { return transport.Unmarshal[Rests](body) }
--- a/control/planning/autoscaler/plan.go
+++ b/control/planning/autoscaler/plan.go
@@ -135,4 +135,4 @@
 func (ReportTold) SchemaName() string { return "ReportTold_23" }
 
 // ReadPlan reads the body of the news item that has the whole plan.
-func ReadPlan(body []byte) (Plan, error) { return transport.Unpack[Plan](body) }
+func ReadPlan(body []byte) (Plan, error) { return transport.Unmarshal[Plan](body) }
--- a/control/planning/autoscaler/publish.go
+++ b/control/planning/autoscaler/publish.go
@@ -29,7 +29,7 @@
 
 func (s *Scaler) publish(plan Plan, runners []Listed) {
 	s.made = plan
-	body, err := transport.Pack(s.routing(plan, runners))
+	body, err := transport.Marshal(s.routing(plan, runners))
 	if err != nil {
 		return
 	}
@@ -37,7 +37,7 @@
 		s.told = body
 	}
 	if s.plans%wholePace == 0 {
-		if body, err = transport.Pack(plan); err == nil {
+		if body, err = transport.Marshal(plan); err == nil {
 			s.tell(WholeKey, body)
 		}
 	}
@@ -53,5 +53,5 @@
 		}
 	}
 	s.counter++
-	return s.options.News.Put(gossip.Item{Key: key, Serial: s.options.Serial(s.epoch, s.counter), Body: body})
+	return s.options.News.Put(gossip.Item{Key: key, Version: s.options.Serial(s.epoch, s.counter), Body: body})
 }
--- a/control/planning/autoscaler/routing.go
+++ b/control/planning/autoscaler/routing.go
@@ -56,7 +56,7 @@
 func (RunnerWeight) SchemaName() string { return "RunnerWeight_23" }
 
 // ReadRouting reads the body of the news item.
-func ReadRouting(body []byte) (Routing, error) { return transport.Unpack[Routing](body) }
+func ReadRouting(body []byte) (Routing, error) { return transport.Unmarshal[Routing](body) }
 
 // routing takes out of a plan what routers need.
 func (s *Scaler) routing(plan Plan, runners []Listed) Routing {
--- a/control/planning/autoscaler/routing_test.go
+++ b/control/planning/autoscaler/routing_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("%+v %v", routing, err)
 	}
 	bench.pass(20, rates, 15.3)
-	if again, _ := bench.news.Get(Key); again.Serial != item.Serial {
+	if again, _ := bench.news.Get(Key); again.Version != item.Version {
 		t.Fatal("a plan that says the same is told again")
 	}
 	bench = newBench()
--- a/control/planning/autoscaler/scaler.go
+++ b/control/planning/autoscaler/scaler.go
@@ -26,7 +26,7 @@
 // Options are what a scaler is made from.
 type Options struct {
 	Address ids.Address
-	News    *gossip.News
+	News    *gossip.Store
 	// Held tells whether this daemon has the duty, and under which epoch.
 	Held func(now clock.Instant) (int64, bool)
 	// Now gives the present, for a look at the duty right before a plan is told;
--- a/control/planning/autoscaler/scaler_test.go
+++ b/control/planning/autoscaler/scaler_test.go
@@ -13,7 +13,7 @@
 // bench plays routers that report to a scaler on a fake clock.
 type bench struct {
 	clock   *clock.Fake
-	news    *gossip.News
+	news    *gossip.Store
 	scaler  *Scaler
 	runners []Listed
 	epoch   int64
@@ -21,7 +21,7 @@
 }
 
 func newBench() *bench {
-	made := &bench{clock: clock.NewFake(), news: gossip.NewNews(nil), epoch: 1, held: true}
+	made := &bench{clock: clock.NewFake(), news: gossip.NewStore(nil), epoch: 1, held: true}
 	for index := range 4 {
 		region := ids.Region("north")
 		if index == 3 {
@@ -173,13 +173,13 @@
 	bench.clock.Move(clock.Second)
 	bench.scaler.Look(bench.clock.Now(), clock.Second)
 	second, _ := bench.news.Get(Key)
-	if second.Serial <= first.Serial || bench.plan(t).of("i0").Limit != before {
-		t.Fatalf("%d then %d, ceiling %v", first.Serial, second.Serial, bench.plan(t).of("i0").Limit)
+	if second.Version <= first.Version || bench.plan(t).of("i0").Limit != before {
+		t.Fatalf("%d then %d, ceiling %v", first.Version, second.Version, bench.plan(t).of("i0").Limit)
 	}
 	bench.held = false
 	bench.clock.Move(clock.Second)
 	bench.scaler.Look(bench.clock.Now(), clock.Second)
-	if third, _ := bench.news.Get(Key); third.Serial != second.Serial {
+	if third, _ := bench.news.Get(Key); third.Version != second.Version {
 		t.Fatal("a daemon without the duty planned")
 	}
 }
@@ -229,7 +229,7 @@
 	}
 	bench.runners = bench.runners[:2]
 	frozen.Look(bench.clock.Now(), clock.Second)
-	if item, _ := bench.news.Get(Key); looks != 2 || item.Serial>>32 != 2 {
-		t.Fatalf("after %d looks a plan of epoch %d stands", looks, item.Serial>>32)
+	if item, _ := bench.news.Get(Key); looks != 2 || item.Version>>32 != 2 {
+		t.Fatalf("after %d looks a plan of epoch %d stands", looks, item.Version>>32)
 	}
 }
--- a/control/planning/autoscaler/sum_test.go
+++ b/control/planning/autoscaler/sum_test.go
@@ -64,8 +64,8 @@
 		t.Fatal(err)
 	}
 	read, err := message.Report()
-	plain, _ := transport.Pack(report)
-	if again, _ := transport.Pack(read); err != nil || !bytes.Equal(again, plain) {
+	plain, _ := transport.Marshal(report)
+	if again, _ := transport.Marshal(read); err != nil || !bytes.Equal(again, plain) {
 		t.Fatalf("%v: %+v", err, read)
 	}
 	if 5*len(message.Body) > len(plain) {
--- a/control/planning/autoscaler/wire.go
+++ b/control/planning/autoscaler/wire.go
@@ -80,7 +80,7 @@
 			Memory: whole(thousandths * sample.Memory), Busy: whole(thousandths * sample.Busy),
 		})
 	}
-	body, err := transport.Pack(compact)
+	body, err := transport.Marshal(compact)
 	if err != nil {
 		return ReportMessage{}, err
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return ReportAsk{}, err
 	}
-	compact, err := transport.Unpack[compactReport](body)
+	compact, err := transport.Unmarshal[compactReport](body)
 	if err != nil {
 		return ReportAsk{}, err
 	}
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -87,7 +87,7 @@
 	made.dispatcher = New(Options{
 		Address: address, Proposer: made.proposer, Acceptor: made.acceptor, Quorum: made.quorum,
 		Membership: membership.NewTable(c.ctx.Clock, membership.Member{Address: address}),
-		Updates:    gossip.NewNews(nil), ForwardTimeout: forwardTimeout, CommandTimeout: commandTimeout, TakeoverBackoff: func() clock.Span { return 0 }, Send: made.send,
+		Updates:    gossip.NewStore(nil), ForwardTimeout: forwardTimeout, CommandTimeout: commandTimeout, TakeoverBackoff: func() clock.Span { return 0 }, Send: made.send,
 	})
 }
 
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -36,8 +36,8 @@
 	Proposer   *register.Proposer
 	Acceptor   *register.Acceptor
 	Membership *membership.Table
-	Updates    *gossip.News
-	Transport  *transport.Courier
+	Updates    *gossip.Store
+	Transport  *transport.Client
 	// Quorum tells whether a majority of the voters hears this controller; by
 	// default one is made.
 	Quorum *quorum.Tracker
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -219,11 +219,11 @@
 func TestCommand_encodingKeepsDeadline(t *testing.T) {
 	sent := putCommand(3, 4)
 	sent.Deadline = quorum.Deadline{Incarnation: -7, End: 1 << 50}
-	body, err := transport.Pack(sent)
+	body, err := transport.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if came, err := transport.Unpack[Command](body); err != nil || came.Deadline != sent.Deadline || came.Change.BaseVersion != 3 {
+	if came, err := transport.Unmarshal[Command](body); err != nil || came.Deadline != sent.Deadline || came.Change.BaseVersion != 3 {
 		t.Errorf("%+v: %v", came, err)
 	}
 }
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -108,7 +108,7 @@
 				return quorum.HeartbeatResponse{Incarnation: 1}, nil
 			}}),
 
-			Address: name, Proposer: keeper, Acceptor: voter, Membership: table, Updates: gossip.NewNews(nil),
+			Address: name, Proposer: keeper, Acceptor: voter, Membership: table, Updates: gossip.NewStore(nil),
 			ForwardTimeout: 4, CommandTimeout: clock.Second, TakeoverBackoff: func() clock.Span { return 0 },
 		})
 	}
--- a/control/state/command/publish.go
+++ b/control/state/command/publish.go
@@ -26,16 +26,16 @@
 	}
 	item, err := read(value)
 	item.Key = key
-	return item, err == nil && item.Serial > 0
+	return item, err == nil && item.Version > 0
 }
 
 var gossipDecoders = map[string]func([]byte) (gossip.Item, error){
 	config.Key: func(value []byte) (gossip.Item, error) {
 		kept, err := store.DecodeCompressed(value)
-		return gossip.Item{Serial: kept.Version, Body: kept.Document, Packed: kept.Compressed}, err
+		return gossip.Item{Version: kept.Version, Body: kept.Document, Compressed: kept.Compressed}, err
 	},
 	"evacuation": func(value []byte) (gossip.Item, error) {
 		kept, err := evacuation.Decode(value)
-		return gossip.Item{Serial: kept.Version, Body: value}, err
+		return gossip.Item{Version: kept.Version, Body: value}, err
 	},
 }
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -22,13 +22,13 @@
 func nextEpoch(current []byte) ([]byte, error) {
 	kept := EpochRecord{}
 	if len(current) > 0 {
-		read, err := transport.Unpack[EpochRecord](current)
+		read, err := transport.Unmarshal[EpochRecord](current)
 		if err != nil {
 			return nil, errkind.Of(errkind.Internal, "kept epoch: %v", err)
 		}
 		kept = read
 	}
-	return transport.Pack(EpochRecord{Number: kept.Number + 1})
+	return transport.Marshal(EpochRecord{Number: kept.Number + 1})
 }
 
 // NextEpoch writes a new epoch for a duty.
@@ -37,7 +37,7 @@
 	if err != nil {
 		return 0, err
 	}
-	kept, err := transport.Unpack[EpochRecord](value)
+	kept, err := transport.Unmarshal[EpochRecord](value)
 	return kept.Number, err
 }
 
@@ -63,7 +63,7 @@
 		if !found {
 			continue
 		}
-		if known, told := d.options.Updates.Get(slot.Key); told && known.Serial >= item.Serial {
+		if known, told := d.options.Updates.Get(slot.Key); told && known.Version >= item.Version {
 			continue
 		}
 		value, err := d.Dispatch(ctx, Command{Key: slot.Key, Verb: VerbRead})
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -50,7 +50,7 @@
 	Address ids.Address
 	// Voters gives the newest voters known here.
 	Voters    func() register.VoterSet
-	Transport *transport.Courier
+	Transport *transport.Client
 	// MaxAge is how old contact may be for an order to be begun on it.
 	MaxAge clock.Span
 	// RoundTimeout is how long one round of questions may take; by default half of
--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -44,7 +44,7 @@
 func NewAcceptor(address ids.Address, records [][]byte) (*Acceptor, error) {
 	made := &Acceptor{address: address, slots: map[string]Slot{}, durable: map[string]Slot{}}
 	for _, body := range records {
-		kept, err := transport.Unpack[record](body)
+		kept, err := transport.Unmarshal[record](body)
 		if err != nil {
 			return nil, err
 		}
--- a/control/state/register/broadcast.go
+++ b/control/state/register/broadcast.go
@@ -80,7 +80,7 @@
 		if key != VotersKey {
 			return found, nil
 		}
-		voters, err := transport.Unpack[VoterSet](found.Value)
+		voters, err := transport.Unmarshal[VoterSet](found.Value)
 		if err != nil || voters.Generation <= state.voters.Generation {
 			return found, nil
 		}
--- a/control/state/register/learn.go
+++ b/control/state/register/learn.go
@@ -7,7 +7,7 @@
 
 // encode can't fail: the types are this package's own, and a test packs each.
 func encode[Message any](message Message) []byte {
-	body, _ := transport.Pack(message)
+	body, _ := transport.Marshal(message)
 	return body
 }
 
@@ -22,7 +22,7 @@
 	if len(slot.Accepted.Value) == 0 {
 		return VoterSet{}, false
 	}
-	voters, err := transport.Unpack[VoterSet](slot.Accepted.Value)
+	voters, err := transport.Unmarshal[VoterSet](slot.Accepted.Value)
 	return voters, err == nil
 }
 
--- a/control/state/register/messages_test.go
+++ b/control/state/register/messages_test.go
@@ -10,11 +10,11 @@
 
 func requireRoundTrip[Message any](t *testing.T, message Message) {
 	t.Helper()
-	body, err := transport.Pack(message)
+	body, err := transport.Marshal(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := transport.Unpack[Message](body); err != nil || !reflect.DeepEqual(read, message) {
+	if read, err := transport.Unmarshal[Message](body); err != nil || !reflect.DeepEqual(read, message) {
 		t.Fatalf("%+v came as %+v, %v", message, read, err)
 	}
 }
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -97,7 +97,7 @@
 	if key == VotersKey {
 		// A seat must be filled also while too few disks are there for orders.
 		copies = 0
-		voters, err := transport.Unpack[VoterSet](value)
+		voters, err := transport.Unmarshal[VoterSet](value)
 		if err != nil {
 			return errkind.Of(errkind.Internal, "voters: %v", err)
 		}
--- a/control/state/register/vacancy.go
+++ b/control/state/register/vacancy.go
@@ -14,7 +14,7 @@
 // replaced is back: this is asked last of all, right before the change is sent.
 func (j *Joiner) replaceMember(known VoterSet, index int, own Member) UpdateFunc {
 	return func(current []byte) ([]byte, error) {
-		voters, err := transport.Unpack[VoterSet](current)
+		voters, err := transport.Unmarshal[VoterSet](current)
 		if err != nil || voters.Fingerprint() != known.Fingerprint() {
 			return nil, errkind.Of(errkind.Unsettled, "the voters changed")
 		}
@@ -30,7 +30,7 @@
 			next.Members = append(next.Members, own)
 		}
 		next.Members[index] = own
-		return transport.Pack(next)
+		return transport.Marshal(next)
 	}
 }
 
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -82,7 +82,7 @@
 			seats[index] = learner
 		}
 	}
-	body, err := transport.Pack(register.VoterSet{Generation: 2, Members: seats})
+	body, err := transport.Marshal(register.VoterSet{Generation: 2, Members: seats})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/state/voter/replaceable_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -25,7 +25,7 @@
 			site := newCluster(t, 3)
 			silent := map[ids.Address]bool{}
 			ask, subject, other := site.attachTracker(0, silent), site.voters[0], site.voters[1].options.Address
-			members := []membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, Core: true, State: example.state}}
+			members := []membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, ServesControl: true, State: example.state}}
 			if example.state < 0 {
 				subject.options.Membership = membership.NewTable(site.clock, membership.Member{Address: subject.options.Address, Role: "fleet-controller"})
 			} else {
--- a/control/state/voter/transport.go
+++ b/control/state/voter/transport.go
@@ -109,7 +109,7 @@
 		} else if member.Incarnation > 0 {
 			patience /= 2
 		}
-		return !member.Present() && v.options.Membership.Since(address) >= patience
+		return !member.Present() && v.options.Membership.StateAge(address) >= patience
 	}
 	now := v.now()
 	v.mu.Lock()
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -29,7 +29,7 @@
 	FirstStart bool
 	Seeds      []ids.Address
 	Membership *membership.Table
-	Transport  *transport.Courier
+	Transport  *transport.Client
 	// Quorum is told whenever a voter answers; it may be missing.
 	Quorum *quorum.Tracker
 	// ReplaceAfter is how long a voter must be gone before another takes its seat.
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -45,12 +45,12 @@
 		known := membership.NewTable(made.clock, membership.Member{Address: address, Role: "fleet-controller"})
 		for _, other := range addresses {
 			if other != address {
-				known.Merge([]membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 1, Core: true}})
+				known.Merge([]membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 1, ServesControl: true}})
 			}
 		}
 		opened, err := Open(made.ctx, Options{
 			Address: address, Disk: wal.Dir(t.TempDir()), FirstStart: index < 3, Seeds: addresses[:3], Membership: known,
-			Transport:    transport.New(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}),
+			Transport:    transport.NewClient(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}),
 			ReplaceAfter: clock.Second, Timeout: 100 * clock.Second, LeaseTTL: clock.Second, TargetCount: 3,
 		})
 		if err != nil {
@@ -80,7 +80,7 @@
 func (c *cluster) removeVoter(index int) {
 	c.servers[index].Close()
 	for _, seat := range c.voters {
-		seat.options.Membership.Judge(c.voters[index].options.Address, membership.Removed)
+		seat.options.Membership.AdvanceState(c.voters[index].options.Address, membership.Removed)
 	}
 	c.clock.Move(2 * clock.Second)
 }
@@ -141,7 +141,7 @@
 	site.removeVoter(2)
 	site.clock.Move(2 * 60 * 60 * clock.Second)
 	for _, seat := range site.voters {
-		seat.options.Membership.Forget()
+		seat.options.Membership.Prune()
 	}
 	for range 2 {
 		site.voters[3].tryJoin(site.ctx)
--- a/control/transport/schema.go
+++ b/control/transport/schema.go
@@ -18,54 +18,54 @@
 // for each other once in four thousand million times.
 const fingerprintLength = 4
 
-// form is a message type's schema and the head that tells it.
-type form struct {
+// messageSchema is a message type's schema and the head that tells it.
+type messageSchema struct {
 	schema      avro.Schema
 	fingerprint [fingerprintLength]byte
 }
 
-// forms are the known ones; the map is swapped whole when one is added.
+// schemas are the known ones; the map is swapped whole when one is added.
 var (
-	forms    atomic.Pointer[map[reflect.Type]form]
-	addition sync.Mutex
+	schemas   atomic.Pointer[map[reflect.Type]messageSchema]
+	schemasMu sync.Mutex
 )
 
-// formOf gives the form of a message type. The schema is made of the type's
+// schemaFor gives the form of a message type. The schema is made of the type's
 // SchemaName and of the fields' avro tags and types, in the fields' order.
-func formOf(kind reflect.Type) (form, error) {
-	if known := forms.Load(); known != nil {
+func schemaFor(kind reflect.Type) (messageSchema, error) {
+	if known := schemas.Load(); known != nil {
 		if found, has := (*known)[kind]; has {
 			return found, nil
 		}
 	}
-	made, err := derive(kind)
+	made, err := deriveSchema(kind)
 	if err != nil {
-		return form{}, err
+		return messageSchema{}, err
 	}
-	addition.Lock()
-	defer addition.Unlock()
-	grown := map[reflect.Type]form{kind: made}
-	if known := forms.Load(); known != nil {
+	schemasMu.Lock()
+	defer schemasMu.Unlock()
+	grown := map[reflect.Type]messageSchema{kind: made}
+	if known := schemas.Load(); known != nil {
 		maps.Copy(grown, *known)
 	}
-	forms.Store(&grown)
+	schemas.Store(&grown)
 	return made, nil
 }
 
-func derive(kind reflect.Type) (form, error) {
-	shape, err := shapeOf(kind, map[reflect.Type]bool{})
+func deriveSchema(kind reflect.Type) (messageSchema, error) {
+	shape, err := schemaDefinition(kind, map[reflect.Type]bool{})
 	if err != nil {
-		return form{}, err
+		return messageSchema{}, err
 	}
 	text, err := json.Marshal(shape)
 	if err != nil {
-		return form{}, err
+		return messageSchema{}, err
 	}
 	schema, err := avro.ParseWithCache(string(text), "", &avro.SchemaCache{})
 	if err != nil {
-		return form{}, err
+		return messageSchema{}, err
 	}
-	made := form{schema: schema}
+	made := messageSchema{schema: schema}
 	whole := schema.Fingerprint()
 	copy(made.fingerprint[:], whole[:])
 	return made, nil
@@ -87,20 +87,20 @@
 	return named.SchemaName(), nil
 }
 
-var plain = map[reflect.Kind]string{
+var primitiveTypes = map[reflect.Kind]string{
 	reflect.String: "string", reflect.Int64: "long", reflect.Int: "long",
 	reflect.Bool: "boolean", reflect.Float64: "double",
 }
 
-func shapeOf(kind reflect.Type, named map[reflect.Type]bool) (any, error) {
-	if name, simple := plain[kind.Kind()]; simple {
+func schemaDefinition(kind reflect.Type, named map[reflect.Type]bool) (any, error) {
+	if name, simple := primitiveTypes[kind.Kind()]; simple {
 		return name, nil
 	}
 	if kind.Kind() == reflect.Slice && kind.Elem().Kind() == reflect.Uint8 {
 		return "bytes", nil
 	}
 	if kind.Kind() == reflect.Slice {
-		items, err := shapeOf(kind.Elem(), named)
+		items, err := schemaDefinition(kind.Elem(), named)
 		return map[string]any{"type": "array", "items": items}, err
 	}
 	if kind.Kind() != reflect.Struct {
@@ -121,7 +121,7 @@
 		if !tagged {
 			return nil, fmt.Errorf("courier: %s.%s has no avro tag", kind, field.Name)
 		}
-		shape, err := shapeOf(field.Type, named)
+		shape, err := schemaDefinition(field.Type, named)
 		if err != nil {
 			return nil, err
 		}
--- a/control/transport/transporttest/golden.go
+++ b/control/transport/transporttest/golden.go
@@ -27,7 +27,7 @@
 		var value Form
 		filler := &filler{}
 		filler.fill(reflect.ValueOf(&value).Elem())
-		packed, err := transport.Pack(value)
+		packed, err := transport.Marshal(value)
 		if err != nil {
 			t.Fatalf("pack: %v", err)
 		}
@@ -39,14 +39,14 @@
 		if string(packed) != string(golden) {
 			t.Errorf("packs to\n%x, not to\n%x", packed, golden)
 		}
-		unpacked, err := transport.Unpack[Form](golden)
+		unpacked, err := transport.Unmarshal[Form](golden)
 		if err != nil {
 			t.Fatalf("unpack: %v", err)
 		}
 		if !reflect.DeepEqual(unpacked, value) {
 			t.Errorf("unpacks to\n%+v, not to\n%+v", unpacked, value)
 		}
-		again, err := transport.Pack(unpacked)
+		again, err := transport.Marshal(unpacked)
 		if err != nil || string(again) != string(golden) {
 			t.Errorf("packs again to %x, %v", again, err)
 		}
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -41,7 +41,7 @@
 	t      testing.TB
 	clock  *clock.Fake
 	frame  *snapshot.Frame
-	news   *gossip.News
+	news   *gossip.Store
 	board  *runnerstats.Board
 	front  *Front
 	server *httptest.Server
@@ -62,7 +62,7 @@
 	made := &house{t: t, clock: machine, board: runnerstats.NewBoard(), log: &bytes.Buffer{}}
 	top := scope.New(scope.Options{Clock: machine, Boot: settings, Log: scope.Logger("warn", made.log)})
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	made.news = gossip.NewNews(made.frame.Absorb)
+	made.news = gossip.NewStore(made.frame.Absorb)
 	one := func() int { return 1 }
 	cold := slowstart.New(func() float64 { return 0 })
 	gate := balancer.NewGate(balancer.Options{
@@ -92,24 +92,24 @@
 }
 
 func (h *house) spec(serial int, text string) {
-	h.news.Put(gossip.Item{Key: "spec", Serial: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
+	h.news.Put(gossip.Item{Key: "spec", Version: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
 }
 
 func (h *house) list() {
 	h.serial++
-	body, err := transport.Pack(discovery.List{Runners: h.listed})
+	body, err := transport.Marshal(discovery.List{Runners: h.listed})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.news.Put(gossip.Item{Key: discovery.PartKey("all"), Serial: h.serial, Body: body})
+	h.news.Put(gossip.Item{Key: discovery.PartKey("all"), Version: h.serial, Body: body})
 }
 
 func (h *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
-	body, err := transport.Pack(evacuation.State{Version: serial, Drained: empty})
+	body, err := transport.Marshal(evacuation.State{Version: serial, Drained: empty})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.news.Put(gossip.Item{Key: evacuation.Key(zone), Serial: serial, Body: body})
+	h.news.Put(gossip.Item{Key: evacuation.Key(zone), Version: serial, Body: body})
 }
 
 type told struct {
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -63,7 +63,7 @@
 			unable++
 		}
 		// A moment without runners is no reason to send visitors away.
-		r.common.Table.Announce(func(self *membership.Member) { self.Unable = unable > looksAtDoubt/2 })
+		r.common.Table.UpdateSelf(func(self *membership.Member) { self.Degraded = unable > looksAtDoubt/2 })
 	}
 	return nil
 }
--- a/data/router/doubt_test.go
+++ b/data/router/doubt_test.go
@@ -29,12 +29,12 @@
 	r := &Router{board: runnerstats.NewBoard(), warmth: slowstart.New(chance), pace: daemon.Pace{Connect: clock.Second}}
 	r.common = &daemon.Daemon{Table: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
 	r.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	r.frame.Absorb(gossip.Item{Key: "spec", Serial: 1, Body: []byte(document)})
-	body, err := transport.Pack(discovery.List{Runners: runners})
+	r.frame.Absorb(gossip.Item{Key: "spec", Version: 1, Body: []byte(document)})
+	body, err := transport.Marshal(discovery.List{Runners: runners})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.frame.Absorb(gossip.Item{Key: discovery.PartKey("all"), Serial: 1, Body: body})
+	r.frame.Absorb(gossip.Item{Key: discovery.PartKey("all"), Version: 1, Body: body})
 	return r, machine
 }
 
--- a/data/router/leave.go
+++ b/data/router/leave.go
@@ -28,7 +28,7 @@
 		return
 	}
 	r.entrance = opened
-	r.common.Table.Announce(func(self *membership.Member) { self.Ready = true })
+	r.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 }
 
 // leaves tells whether the router leaves.
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
-	r.common.Table.Announce(func(self *membership.Member) { self.Ready = false })
+	r.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = false })
 	return r.entrance
 }
 
@@ -80,5 +80,5 @@
 		_ = opened.server.Close()
 	}
 	r.common.Leave(top)
-	top.Wait(r.pace.Probe.Answer)
+	top.Wait(r.pace.Probe.AckTimeout)
 }
--- a/data/router/lost_test.go
+++ b/data/router/lost_test.go
@@ -21,8 +21,8 @@
 
 // tell has the router be told which zones are lost.
 func tell(r *Router, serial ids.Serial, zones ...ids.Zone) {
-	body, _ := transport.Pack(zonesummary.Lost{Zones: zones})
-	r.frame.Absorb(gossip.Item{Key: zonesummary.LostKey("n"), Serial: serial, Body: body})
+	body, _ := transport.Marshal(zonesummary.LostZones{Zones: zones})
+	r.frame.Absorb(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: serial, Body: body})
 }
 
 func TestLostZoneIsLeftAloneUntilARunnerAnswers(t *testing.T) {
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -120,7 +120,7 @@
 }
 
 // sharers is how many routers there could be.
-func (r *Router) sharers() int { return r.common.Zones.Routers() }
+func (r *Router) sharers() int { return r.common.Zones.RouterCount() }
 
 // listed keeps the warmth of runners up with each new list.
 func (r *Router) listed(top scope.Scope) func(*snapshot.Snapshot) {
--- a/data/snapshot/rests.go
+++ b/data/snapshot/rests.go
@@ -23,7 +23,7 @@
 
 // absorbLost takes over which zones do not answer this router's.
 func absorbLost(next *Snapshot, body []byte) bool {
-	lost, err := zonesummary.ReadLost(body)
+	lost, err := zonesummary.UnmarshalLostZones(body)
 	if err != nil {
 		return false
 	}
--- a/data/snapshot/rests_test.go
+++ b/data/snapshot/rests_test.go
@@ -13,8 +13,8 @@
 func TestRestsEndByThemselves(t *testing.T) {
 	machine := clock.NewFake()
 	frame := NewFrame(Options{Clock: machine})
-	body, _ := transport.Pack(outlier.Rests{Runners: []outlier.Rest{{Runner: "i", LeftMS: 1000}}})
-	frame.Absorb(gossip.Item{Key: outlier.Key("z"), Serial: 1, Body: body})
+	body, _ := transport.Marshal(outlier.Rests{Runners: []outlier.Rest{{Runner: "i", LeftMS: 1000}}})
+	frame.Absorb(gossip.Item{Key: outlier.Key("z"), Version: 1, Body: body})
 	if !frame.Now().Rests("i", machine.Now()) || frame.Now().Rests("j", machine.Now()) {
 		t.Fatal("not the one that was told rests")
 	}
@@ -22,12 +22,12 @@
 	if frame.Now().Rests("i", machine.Now()) {
 		t.Fatal("a rest outlives its time though its relay is silent")
 	}
-	plan, _ := transport.Pack(autoscaler.Routing{Runners: []autoscaler.RunnerWeight{{Runner: "k", Resting: true}}})
-	frame.Absorb(gossip.Item{Key: autoscaler.Key, Serial: 1, Body: plan})
+	plan, _ := transport.Marshal(autoscaler.Routing{Runners: []autoscaler.RunnerWeight{{Runner: "k", Resting: true}}})
+	frame.Absorb(gossip.Item{Key: autoscaler.Key, Version: 1, Body: plan})
 	if !frame.Now().Rests("k", machine.Now()) {
 		t.Fatal("the plan's rest does not count")
 	}
-	frame.Absorb(gossip.Item{Key: outlier.Key("z"), Serial: 2, Body: []byte("broken")})
+	frame.Absorb(gossip.Item{Key: outlier.Key("z"), Version: 2, Body: []byte("broken")})
 	if !frame.Now().Rests("k", machine.Now()) {
 		t.Fatal("a broken item changed something")
 	}
--- a/data/snapshot/snapshot_test.go
+++ b/data/snapshot/snapshot_test.go
@@ -23,18 +23,18 @@
 func TestPictureNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		frame := NewFrame(Options{Clock: clock.NewFake()})
-		news := gossip.NewNews(frame.Absorb)
+		news := gossip.NewStore(frame.Absorb)
 		newest, zone := ids.Serial(0), ids.Serial(0)
 		for range rapid.IntRange(1, 40).Draw(t, "items") {
 			before := frame.Now()
 			held := *before
 			serial := ids.Serial(rapid.IntRange(1, 30).Draw(t, "serial"))
 			if rapid.Bool().Draw(t, "spec") {
-				news.Put(gossip.Item{Key: "spec", Serial: serial, Body: []byte(fmt.Sprintf(`{"config_version":%d}`, serial))})
+				news.Put(gossip.Item{Key: "spec", Version: serial, Body: []byte(fmt.Sprintf(`{"config_version":%d}`, serial))})
 				newest = max(newest, serial)
 			} else {
-				body, _ := transport.Pack(evacuation.State{Version: serial, Drained: serial%2 == 1})
-				news.Put(gossip.Item{Key: evacuation.Key("hall"), Serial: serial, Body: body})
+				body, _ := transport.Marshal(evacuation.State{Version: serial, Drained: serial%2 == 1})
+				news.Put(gossip.Item{Key: evacuation.Key("hall"), Version: serial, Body: body})
 				zone = max(zone, serial)
 			}
 			if before.Spec != held.Spec || before.Empty["hall"] != held.Empty["hall"] {
@@ -61,7 +61,7 @@
 			return false
 		}
 	}
-	frame.Absorb(gossip.Item{Key: "spec", Serial: 1, Body: []byte(`{"config_version":1}`)})
+	frame.Absorb(gossip.Item{Key: "spec", Version: 1, Body: []byte(`{"config_version":1}`)})
 	if ready() {
 		t.Fatal("ready without a list of runners")
 	}
@@ -80,8 +80,8 @@
 		for _, name := range names {
 			list.Runners = append(list.Runners, discovery.Runner{ID: name, Service: "s", Zone: ids.Zone(zone)})
 		}
-		body, _ := transport.Pack(list)
-		frame.Absorb(gossip.Item{Key: discovery.PartKey(ids.Zone(zone)), Serial: serial, Body: body})
+		body, _ := transport.Marshal(list)
+		frame.Absorb(gossip.Item{Key: discovery.PartKey(ids.Zone(zone)), Version: serial, Body: body})
 	}
 	tell("a", 1, "i", "j")
 	tell("b", 1, "k")
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -73,7 +73,7 @@
 func Real(top scope.Scope, document []byte, options Options) Router {
 	made := &real{board: runnerstats.NewBoard(), warmth: slowstart.New(rand.Float64)}
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: map[ids.Zone]ids.Region{"zone": "region"}, Region: "region", Listed: made.listed(top)})
-	made.frame.Absorb(gossip.Item{Key: config.Key, Serial: 1, Body: document})
+	made.frame.Absorb(gossip.Item{Key: config.Key, Version: 1, Body: document})
 	one := func() int { return 1 }
 	gate := balancer.NewGate(balancer.Options{
 		Scope: top, Frame: made.frame, Board: made.board, Warmth: made.warmth, Region: "region", Routers: one,
@@ -93,7 +93,7 @@
 	serial := ids.Serial(1)
 	reread := func() {
 		serial++
-		made.frame.Absorb(gossip.Item{Key: config.Key, Serial: serial, Body: document})
+		made.frame.Absorb(gossip.Item{Key: config.Key, Version: serial, Body: document})
 	}
 	return Router{
 		Handler: front, List: made.list, Leave: func() { front.Leave(top.Now().Add(3 * clock.Second)) }, Reread: reread,
--- a/simulation/lasting.go
+++ b/simulation/lasting.go
@@ -29,7 +29,7 @@
 
 // losesDisk notes that the disk is lost.
 func (m *Machine) losesDisk() {
-	voters, err := transport.Unpack[register.VoterSet](m.lasting.slots[register.VotersKey].Accepted.Value)
+	voters, err := transport.Unmarshal[register.VoterSet](m.lasting.slots[register.VotersKey].Accepted.Value)
 	m.lasting.slots = nil
 	if seat, found := seatOf(voters, m); err == nil && found {
 		m.lasting.lost, m.lasting.identity = true, seat.Incarnation
--- a/simulation/plants_disks_test.go
+++ b/simulation/plants_disks_test.go
@@ -106,7 +106,7 @@
 // fillNoSeat has voters refuse every change of the voters.
 func fillNoSeat() plant {
 	return messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		asked, _ := transport.Unpack[register.AcceptRequest](sent.body[markLength:])
+		asked, _ := transport.Unmarshal[register.AcceptRequest](sent.body[markLength:])
 		return say(register.AcceptResponse{Verdict: register.Superseded}), asked.Key == register.VotersKey
 	})
 }
--- a/simulation/plants_orders_test.go
+++ b/simulation/plants_orders_test.go
@@ -20,7 +20,7 @@
 			if asked.Key == config.Key {
 				kept, _ := store.DecodeCompressed(asked.Proposal.Value)
 				kept.History = store.History{BaseVersion: kept.Version}
-				asked.Proposal.Value, _ = transport.Pack(kept)
+				asked.Proposal.Value, _ = transport.Marshal(kept)
 			}
 		})
 		return answered{}, false
@@ -89,8 +89,8 @@
 func countCopies() plant {
 	const copied = "Copied"
 	made := messages("/accept", func(_ *World, sent *message) (answered, bool) {
-		asked, _ := transport.Unpack[register.AcceptRequest](sent.body[markLength:])
-		body, _ := transport.Pack(voter.LearnRequest{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Proposal}}})
+		asked, _ := transport.Unmarshal[register.AcceptRequest](sent.body[markLength:])
+		body, _ := transport.Marshal(voter.LearnRequest{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Proposal}}})
 		sent.body = append(sent.body[:markLength:markLength], body...)
 		sent.request = sent.request.Clone(sent.request.Context())
 		sent.request.URL.Path, sent.path = "/learn", copied
--- a/simulation/plants_test.go
+++ b/simulation/plants_test.go
@@ -19,28 +19,28 @@
 
 // reread changes a message on its way.
 func reread[Asked any](sent *message, change func(*Asked)) {
-	asked, err := transport.Unpack[Asked](sent.body[markLength:])
+	asked, err := transport.Unmarshal[Asked](sent.body[markLength:])
 	if err != nil {
 		panic(err)
 	}
 	change(&asked)
-	body, _ := transport.Pack(asked)
+	body, _ := transport.Marshal(asked)
 	sent.body = append(sent.body[:markLength:markLength], body...)
 }
 
 // retell changes an answer on its way back.
 func retell[Told any](got answered, change func(*Told)) answered {
-	told, err := transport.Unpack[Told](got.body)
+	told, err := transport.Unmarshal[Told](got.body)
 	if got.status != http.StatusOK || err != nil {
 		return got
 	}
 	change(&told)
-	got.body, _ = transport.Pack(told)
+	got.body, _ = transport.Marshal(told)
 	return got
 }
 
 func say[Told any](told Told) answered {
-	body, _ := transport.Pack(told)
+	body, _ := transport.Marshal(told)
 	return answered{status: http.StatusOK, header: http.Header{}, body: body}
 }
 
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -49,7 +49,7 @@
 	made.common.Part("ready", func(ctx scope.Scope) error {
 		select {
 		case <-made.gate.Ready():
-			made.common.Table.Announce(func(self *membership.Member) { self.Ready = true })
+			made.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 			world.becameReady(l, made)
 		case <-ctx.Done():
 		}
@@ -90,10 +90,10 @@
 	}
 	if zone, found := evacuation.ZoneFromKey(item.Key); found {
 		w.count("evacuations heard")
-		if item.Serial < made.newest[item.Key] {
-			w.violate("the router of %s went back on %s to %d", life.machine.name, zone, item.Serial)
+		if item.Version < made.newest[item.Key] {
+			w.violate("the router of %s went back on %s to %d", life.machine.name, zone, item.Version)
 		}
-		made.newest[item.Key] = item.Serial
+		made.newest[item.Key] = item.Version
 	}
 }
 
