--- a/simulation/loop.go
+++ b/simulation/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	"runtime"
 	"strconv"
 	"sync"
 	"testing/synctest"
@@ -25,7 +24,6 @@
 	asleep bool
 	wake   chan struct{}
 	timer  *time.Timer
-	askers map[callers]string
 }
 
 // event is an act at an instant; index is its place in the queue, below 0 once
@@ -65,7 +63,7 @@
 }
 
 func newLoop(seed uint64) *loop {
-	made := &loop{seed: seed, begin: time.Now(), wake: make(chan struct{}, 1), timer: time.NewTimer(0), askers: map[callers]string{}}
+	made := &loop{seed: seed, begin: time.Now(), wake: make(chan struct{}, 1), timer: time.NewTimer(0)}
 	made.timer.Stop()
 	return made
 }
@@ -163,36 +161,14 @@
 	return sum
 }
 
-// callers are the places in the program that led to a draw.
-type callers [6]uintptr
-
-// chance draws for the daemons' own jitter: by the names of the functions that
-// ask, so that a change elsewhere in the program leaves a seed's run as it was.
+// chance draws for the daemons' own jitter. The draw follows from its bound, and
+// from no name in the program: a seed's run is the same after a rename or after a
+// function was split.
 func (l *loop) chance(bound int64) int64 {
-	var asking callers
-	count := runtime.Callers(3, asking[:])
-	l.mu.Lock()
-	name, found := l.askers[asking]
-	if !found {
-		name = nameOf(asking[:count])
-		l.askers[asking] = name
-	}
-	l.mu.Unlock()
+	name := "jitter " + strconv.FormatInt(bound, 10)
 	return int64(l.draw(name) % uint64(bound))
 }
 
-// nameOf sums up the names of the functions that ask.
-func nameOf(asking []uintptr) string {
-	var names []string
-	frames := runtime.CallersFrames(asking)
-	for more := true; more; {
-		var frame runtime.Frame
-		frame, more = frames.Next()
-		names = append(names, frame.Function)
-	}
-	return strconv.FormatUint(digest(names...), 36)
-}
-
 // mix is the finalizer of splitmix64.
 func mix(word uint64) uint64 {
 	word += 0x9e3779b97f4a7c15
