--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -38,41 +38,41 @@
 
 // Controller is the daemon put together.
 type Controller struct {
-	common *daemon.Daemon
-	pace   daemon.Pace
-	own    *voter.Voter
-	keeper *register.Proposer
-	front  *command.Dispatcher
-	reach  *quorum.Tracker
-	scaler *autoscaler.Scaler
-	view   *discovery.View
-	duties []*lease.Holder
+	daemon     *daemon.Daemon
+	timing     daemon.Timing
+	voter      *voter.Voter
+	proposer   *register.Proposer
+	commands   *command.Dispatcher
+	quorum     *quorum.Tracker
+	autoscaler *autoscaler.Scaler
+	view       *discovery.View
+	leases     []*lease.Holder
 }
 
 // Run runs the controller until the scope ends, then leaves in order.
 func (c *Controller) Run(top scope.Scope, reread <-chan *settings.Boot) error {
-	defer c.own.Close()
+	defer c.voter.Close()
 	running, end := context.WithCancel(context.Background())
 	defer end()
 	ended := make(chan error, 1)
-	go func() { ended <- c.common.Run(running) }()
-	c.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = true })
+	go func() { ended <- c.daemon.Run(running) }()
+	c.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 	for {
 		select {
 		case fresh := <-reread:
-			c.common.Reread(fresh)
+			c.daemon.Reload(fresh)
 		case err := <-ended:
 			return err
 		case <-top.Done():
 			// Calls that run are answered; others find another controller.
 			leaving := top.Detached()
-			c.own.Leave()
-			c.common.Leave(leaving)
-			for _, duty := range c.duties {
+			c.voter.Leave()
+			c.daemon.Leave(leaving)
+			for _, duty := range c.leases {
 				go duty.Resign(leaving)
 			}
-			leaving.Wait(c.pace.Order)
-			c.own.HandOver(leaving)
+			leaving.Wait(c.timing.CommandTimeout)
+			c.voter.HandOver(leaving)
 			return nil
 		}
 	}
@@ -80,10 +80,10 @@
 
 // New puts a controller together.
 func New(top scope.Scope, options Options) (*Controller, error) {
-	made := &Controller{pace: daemon.PaceOf(top.Boot), view: daemon.NewView(top)}
+	made := &Controller{timing: daemon.TimingOf(top.Boot), view: daemon.NewView(top)}
 	var err error
-	made.common, err = daemon.New(top, daemon.Options{
-		Role: Role, Fresh: func(item gossip.Item) { made.view.Absorb(item) }, View: made.view, Network: options.Network,
+	made.daemon, err = daemon.New(top, daemon.Options{
+		Role: Role, OnUpdate: func(item gossip.Item) { made.view.Apply(item) }, View: made.view, Network: options.Network,
 	})
 	if err != nil {
 		return nil, err
@@ -92,90 +92,90 @@
 	if disk == nil {
 		disk = wal.Dir(top.Boot.DataFolder)
 	}
-	members := &membership.Store{Table: made.common.Table, Disk: disk, Name: "members", ZoneSizes: made.common.Zones.Sizes, RestoreZoneSizes: made.common.Zones.MergeSizes}
+	members := &membership.Store{Table: made.daemon.Membership, Disk: disk, Name: "members", ZoneSizes: made.daemon.Zones.Sizes, RestoreZoneSizes: made.daemon.Zones.MergeSizes}
 	if err := members.Load(); err != nil {
 		top.Log.Warn().Str("part", "members").Err(err).Msg("the members of before can't be read")
 	}
-	made.common.Part("members", func(ctx scope.Scope) error { members.Run(ctx, made.pace.Hold); return nil })
-	made.reach = quorum.New(quorum.Options{
-		Address: made.common.Address, Transport: made.common.Messenger, MaxAge: made.pace.Pass,
-		Voters: func() register.VoterSet { return made.own.Acceptor.Voters() },
+	made.daemon.AddService("members", func(ctx scope.Scope) error { members.Run(ctx, made.timing.LeaseDuration); return nil })
+	made.quorum = quorum.New(quorum.Options{
+		Address: made.daemon.Address, Transport: made.daemon.Transport, MaxAge: made.timing.ForwardTimeout,
+		Voters: func() register.VoterSet { return made.voter.Acceptor.Voters() },
 	})
-	made.own, err = voter.Open(top, voter.Options{
-		Address: made.common.Address, Disk: disk, FirstStart: top.Boot.FirstStart,
-		Seeds: top.Boot.SeedAddresses(), Membership: made.common.Table, Transport: made.common.Messenger, Quorum: made.reach,
-		ReplaceAfter: made.pace.Hold, Timeout: 3 * made.pace.Order, LeaseTTL: made.pace.Hold,
-		TargetCount: voter.TargetCount(top.Boot), Zones: top.Boot.Zones, Timing: voter.TimingOf(top.Boot, made.pace.Hold, made.pace.Pass),
+	made.voter, err = voter.Open(top, voter.Options{
+		Address: made.daemon.Address, Disk: disk, FirstStart: top.Boot.FirstStart,
+		Seeds: top.Boot.SeedAddresses(), Membership: made.daemon.Membership, Transport: made.daemon.Transport, Quorum: made.quorum,
+		ReplaceAfter: made.timing.LeaseDuration, Timeout: 3 * made.timing.CommandTimeout, LeaseTTL: made.timing.LeaseDuration,
+		TargetCount: voter.TargetCount(top.Boot), Zones: top.Boot.Zones, Timing: voter.TimingOf(top.Boot, made.timing.LeaseDuration, made.timing.ForwardTimeout),
 	})
 	if err != nil {
 		return nil, err
 	}
-	made.own.Acceptor.Monitor = made.common.Monitor
-	made.own.RegisterHandlers(made.common.Calls)
-	made.keeper = register.NewProposer(register.ProposerOptions{
-		Address: made.common.Address, Client: made.own, Voters: made.own.Acceptor.Voters,
-		HighestEpoch:   func(key string) int64 { return made.own.Acceptor.Slot(key).Promised.Number },
-		OnCommit:       func(key string, accepted register.Proposal) { made.front.Publish(key, accepted) },
-		MessageTimeout: made.pace.Silence, BatchTimeout: made.pace.Order, MinCopies: voter.RequiredCopies(top.Boot),
+	made.voter.Acceptor.Monitor = made.daemon.Monitor
+	made.voter.RegisterHandlers(made.daemon.Calls)
+	made.proposer = register.NewProposer(register.ProposerOptions{
+		Address: made.daemon.Address, Client: made.voter, Voters: made.voter.Acceptor.Voters,
+		HighestEpoch:   func(key string) int64 { return made.voter.Acceptor.Slot(key).Promised.Number },
+		OnCommit:       func(key string, accepted register.Proposal) { made.commands.Publish(key, accepted) },
+		MessageTimeout: made.timing.PeerTimeout, BatchTimeout: made.timing.CommandTimeout, MinCopies: voter.RequiredCopies(top.Boot),
 	})
-	made.own.Attach(made.keeper)
-	made.front = command.New(command.Options{
-		Address: made.common.Address, Proposer: made.keeper, Acceptor: made.own.Acceptor,
-		Membership: made.common.Table, Updates: made.common.News, Transport: made.common.Messenger,
-		ForwardTimeout: made.pace.Pass, CommandTimeout: made.pace.Order, Quorum: made.reach,
+	made.voter.Attach(made.proposer)
+	made.commands = command.New(command.Options{
+		Address: made.daemon.Address, Proposer: made.proposer, Acceptor: made.voter.Acceptor,
+		Membership: made.daemon.Membership, Updates: made.daemon.Updates, Transport: made.daemon.Transport,
+		ForwardTimeout: made.timing.ForwardTimeout, CommandTimeout: made.timing.CommandTimeout, Quorum: made.quorum,
 	})
-	made.front.Serve(made.common.Calls)
-	made.reach.RegisterHandlers(made.common.Calls)
-	readindex.NewReader(made.front.LatestVersion).RegisterHandlers(made.common.Calls)
-	made.common.Part("contact", func(ctx scope.Scope) error { made.reach.Run(ctx); return nil })
-	made.parts(top)
+	made.commands.Serve(made.daemon.Calls)
+	made.quorum.RegisterHandlers(made.daemon.Calls)
+	readindex.NewReader(made.commands.LatestVersion).RegisterHandlers(made.daemon.Calls)
+	made.daemon.AddService("contact", func(ctx scope.Scope) error { made.quorum.Run(ctx); return nil })
+	made.addServices(top)
 	return made, nil
 }
 
-func (c *Controller) parts(top scope.Scope) {
-	common, pace := c.common, c.pace
-	common.Part("seat", func(ctx scope.Scope) error {
-		c.own.Run(ctx, pace.Exchange)
+func (c *Controller) addServices(top scope.Scope) {
+	common, pace := c.daemon, c.timing
+	common.AddService("seat", func(ctx scope.Scope) error {
+		c.voter.Run(ctx, pace.GossipInterval)
 		return nil
 	})
-	common.Part("sweep", func(ctx scope.Scope) error { c.front.Run(ctx, pace.Sweep); return nil })
-	c.duty("census", func(holder *lease.Holder) func(ctx scope.Scope) {
-		reader := &discovery.Reader{
-			Platform: common.Platform(), News: common.News, Held: holder.Held,
-			Resign: func(ctx scope.Scope) { holder.StandDown(ctx, pace.Hold) },
-			Every:  pace.Census, Beat: 2 * pace.Census,
+	common.AddService("sweep", func(ctx scope.Scope) error { c.commands.Run(ctx, pace.SweepInterval); return nil })
+	c.addSingleton("census", func(holder *lease.Holder) func(ctx scope.Scope) {
+		reader := &discovery.Publisher{
+			Platform: common.NewPlatformClient(), Updates: common.Updates, Held: holder.Held,
+			Resign:   func(ctx scope.Scope) { holder.StandDown(ctx, pace.LeaseDuration) },
+			Interval: pace.DiscoveryInterval, HeartbeatInterval: 2 * pace.DiscoveryInterval,
 		}
 		return reader.Run
 	})
-	c.duty("plan", c.planner(top))
+	c.addSingleton("plan", c.newAutoscaler(top))
 	orders := httpcall.NewTable(top, top.Boot.Limits.MemoryMB<<20/16)
-	orders.Metrics, orders.Bodies = common.Metrics, common.Bodies
-	admin.Serve(orders, c.front)
-	admin.ServeHeadroom(orders, common.News)
+	orders.Metrics, orders.Bodies = common.Metrics, common.BodyQuota
+	admin.Serve(orders, c.commands)
+	admin.ServeHeadroom(orders, common.Updates)
 	c.serveStatus(orders)
-	common.Part("control", func(ctx scope.Scope) error {
+	common.AddService("control", func(ctx scope.Scope) error {
 		return common.ServeHTTP(ctx, top.Boot.Listen["control"], orders)
 	})
 	lookups := httpcall.NewTable(top, 1<<16)
-	lookups.Metrics, lookups.Bodies = common.Metrics, common.Bodies
+	lookups.Metrics, lookups.Bodies = common.Metrics, common.BodyQuota
 	front := &directory.Directory{
-		Table: common.Table, Elsewhere: common.Zones.RemoteEndpoints, Zones: top.Boot.Zones,
-		Patience: max(settings.Seconds(top.Boot.Bounds.RecoveryS), pace.Hold), Metrics: common.Metrics, Monitor: common.Monitor,
+		Membership: common.Membership, OtherZones: common.Zones.RemoteEndpoints, Zones: top.Boot.Zones,
+		LossTimeout: max(settings.Seconds(top.Boot.Bounds.RecoveryS), pace.LeaseDuration), Metrics: common.Metrics, Monitor: common.Monitor,
 	}
 	front.Serve(lookups)
-	common.Part("directory", func(ctx scope.Scope) error {
+	common.AddService("directory", func(ctx scope.Scope) error {
 		return common.ServeHTTP(ctx, top.Boot.Listen["directory"], lookups)
 	})
 }
 
-// duty adds what one controller does at a time.
-func (c *Controller) duty(name string, work func(holder *lease.Holder) func(ctx scope.Scope)) {
+// addSingleton adds what one controller does at a time.
+func (c *Controller) addSingleton(name string, work func(holder *lease.Holder) func(ctx scope.Scope)) {
 	holder := lease.NewHolder(lease.Options{
-		Name: name, Address: c.common.Address, TTL: c.pace.Hold,
-		RequestGrant: c.own.RequestLease, NextEpoch: c.front.NextEpoch, Monitor: c.common.Monitor,
+		Name: name, Address: c.daemon.Address, TTL: c.timing.LeaseDuration,
+		RequestGrant: c.voter.RequestLease, NextEpoch: c.commands.NextEpoch, Monitor: c.daemon.Monitor,
 	})
-	c.duties = append(c.duties, holder)
+	c.leases = append(c.leases, holder)
 	run := work(holder)
-	c.common.Part("hold "+name, func(ctx scope.Scope) error { holder.Run(ctx); return nil })
-	c.common.Part(name, func(ctx scope.Scope) error { run(ctx); return nil })
+	c.daemon.AddService("hold "+name, func(ctx scope.Scope) error { holder.Run(ctx); return nil })
+	c.daemon.AddService(name, func(ctx scope.Scope) error { run(ctx); return nil })
 }
--- a/control/controller/room.go
+++ b/control/controller/headroom.go
@@ -14,17 +14,17 @@
 	"onyxwell/control/state/lease"
 )
 
-// roomPace is how many looks at the metrics pass between two estimates.
-const roomPace = 5
+// headroomSteps is how many looks at the metrics pass between two estimates.
+const headroomSteps = 5
 
-// estimate tells the room of every family while this controller plans.
-func (c *Controller) estimate(ctx scope.Scope, holder *lease.Holder) {
-	for counter := int64(1); ctx.Wait(roomPace * metricStep); counter++ {
+// publishHeadroom tells the room of every family while this controller plans.
+func (c *Controller) publishHeadroom(ctx scope.Scope, holder *lease.Holder) {
+	for counter := int64(1); ctx.Wait(headroomSteps * metricStep); counter++ {
 		epoch, held := holder.Held(ctx.Now())
 		if !held {
 			continue
 		}
-		seen, known := c.seen(ctx)
+		seen, known := c.headroomInput(ctx)
 		if !known {
 			continue
 		}
@@ -32,14 +32,14 @@
 		if now, held := holder.Held(ctx.Now()); err != nil || !held || now != epoch {
 			continue
 		}
-		c.common.News.Put(gossip.Item{Key: headroom.Key, Version: discovery.SerialOf(epoch, counter), Body: body})
+		c.daemon.Updates.Put(gossip.Item{Key: headroom.Key, Version: discovery.FencedSerial(epoch, counter), Body: body})
 		ctx.Log.Info().Str("part", "room").RawJSON("report", body).Msg("estimated")
 	}
 }
 
-// seen gathers what the estimate needs: every runner on the list, as it stands.
-func (c *Controller) seen(ctx scope.Scope) (headroom.Seen, bool) {
-	item, found := c.common.News.Get(config.Key)
+// headroomInput gathers what the estimate needs: every runner on the list, as it stands.
+func (c *Controller) headroomInput(ctx scope.Scope) (headroom.Seen, bool) {
+	item, found := c.daemon.Updates.Get(config.Key)
 	if !found {
 		return headroom.Seen{}, false
 	}
@@ -49,25 +49,25 @@
 	}
 	seen := headroom.Seen{Spec: version}
 	var units map[ids.RunnerID]float64
-	seen.Readings, units, seen.Seconds = c.scaler.Work()
-	resting := c.resting()
+	seen.Readings, units, seen.Seconds = c.autoscaler.Work()
+	resting := c.standbyRunners()
 	for _, runner := range c.view.Runners() {
-		standing := standingOf(runner, c.emptied(runner.Zone), resting[runner.ID])
+		standing := runnerCondition(runner, c.zoneEvacuated(runner.Zone), resting[runner.ID])
 		seen.Runners = append(seen.Runners, headroom.Runner{
 			ID: runner.ID, Service: runner.Service, Region: ctx.Boot.Zones[runner.Zone], Slots: float64(runner.Capacity),
 			Standing: standing, UnitsPerS: units[runner.ID],
 		})
 	}
-	seen.Routers = c.routers()
+	seen.Routers = c.routerCounts()
 	return seen, true
 }
 
 // standings are asked in this order; the first that holds is the runner's.
-func standingOf(runner discovery.Runner, emptied bool, resting bool) string {
+func runnerCondition(runner discovery.Runner, emptied bool, resting bool) string {
 	standings := []struct {
 		holds bool
 		name  string
-	}{{runner.Draining, "draining"}, {emptied, "emptied"}, {resting, "resting"}, {runner.ColdLeftMS > 0, "cold"}}
+	}{{runner.Draining, "draining"}, {emptied, "emptied"}, {resting, "resting"}, {runner.WarmupLeftMS > 0, "cold"}}
 	for _, standing := range standings {
 		if standing.holds {
 			return standing.name
@@ -76,8 +76,8 @@
 	return headroom.Ready
 }
 
-func (c *Controller) emptied(zone ids.Zone) bool {
-	item, found := c.common.News.Get(evacuation.Key(zone))
+func (c *Controller) zoneEvacuated(zone ids.Zone) bool {
+	item, found := c.daemon.Updates.Get(evacuation.Key(zone))
 	if !found {
 		return false
 	}
@@ -85,9 +85,9 @@
 	return err == nil && kept.Drained
 }
 
-func (c *Controller) resting() map[ids.RunnerID]bool {
+func (c *Controller) standbyRunners() map[ids.RunnerID]bool {
 	resting := map[ids.RunnerID]bool{}
-	item, _ := c.common.News.Get(autoscaler.Key)
+	item, _ := c.daemon.Updates.Get(autoscaler.Key)
 	if routing, err := autoscaler.ReadRouting(item.Body); err == nil {
 		for _, planned := range routing.Runners {
 			resting[planned.Runner] = planned.Resting
@@ -96,10 +96,10 @@
 	return resting
 }
 
-// routers counts the routers of each region, those that are gone too.
-func (c *Controller) routers() []headroom.Routers {
+// routerCounts counts the routers of each region, those that are gone too.
+func (c *Controller) routerCounts() []headroom.Routers {
 	var counted []headroom.Routers
-	for _, region := range c.common.Zones.Regions() {
+	for _, region := range c.daemon.Zones.Regions() {
 		counted = append(counted, headroom.Routers{Region: region.Name, Known: region.Known, Ready: region.Ready})
 	}
 	return counted
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -25,42 +25,42 @@
 	"onyxwell/control/transport"
 )
 
-// Carrier is the role that carries requests.
-const Carrier = "router"
+// RouterRole is the role that carries requests.
+const RouterRole = "router"
 
 // Daemon is the common part of a router and a fleet-controller.
 type Daemon struct {
-	Scope     scope.Scope
-	Network   Network
-	Address   ids.Address
-	Table     *membership.Table
-	News      *gossip.Store
-	Messenger *transport.Client
-	Calls     *httpcall.Table
-	Spreader  *gossip.Gossiper
-	Zones     *zonesummary.Manager
+	Scope      scope.Scope
+	Network    Network
+	Address    ids.Address
+	Membership *membership.Table
+	Updates    *gossip.Store
+	Transport  *transport.Client
+	Calls      *httpcall.Table
+	Gossiper   *gossip.Gossiper
+	Zones      *zonesummary.Manager
 	// Metrics are this daemon's figures, Monitor counts the promises that it broke.
 	Metrics *telemetry.Metrics
 	Monitor *invariant.Monitor
-	// Bodies bounds what the bodies of all calls take together.
-	Bodies *memquota.Quota
+	// BodyQuota bounds what the bodies of all calls take together.
+	BodyQuota *memquota.Quota
 	// Traffic counts what the daemon says to others of its kind.
-	Traffic httpcall.Traffic
-	prober  *membership.Prober
-	tree    *suture.Supervisor
-	socket  Socket
-	sum     autoscaler.Sum
-	judge   outlier.Judge
-	mu      sync.Mutex
-	planned ids.Serial
-	holder  ids.Address
+	Traffic    httpcall.Traffic
+	prober     *membership.Prober
+	supervisor *suture.Supervisor
+	socket     Socket
+	reports    autoscaler.Sum
+	outliers   outlier.Detector
+	mu         sync.Mutex
+	planSerial ids.Serial
+	planOwner  ids.Address
 }
 
 // Options are what the common part is made from.
 type Options struct {
 	Role string
-	// Fresh is told each item of news.
-	Fresh func(gossip.Item)
+	// OnUpdate is told each item of news.
+	OnUpdate func(gossip.Item)
 	// View is the list of runners that Fresh keeps up to date; where there is one,
 	// this daemon reads the list itself when no news of it comes.
 	View *discovery.View
@@ -70,16 +70,16 @@
 	Monitor *invariant.Monitor
 }
 
-// bodiesPart is the part of the memory, one in so many, that the bodies of calls
+// bodyMemoryDivisor is the part of the memory, one in so many, that the bodies of calls
 // may take together: each is read and kept in further forms while it is acted on.
-const bodiesPart = 4
+const bodyMemoryDivisor = 4
 
 // New makes the common part for a role.
 func New(top scope.Scope, options Options) (*Daemon, error) {
 	settings, role := top.Boot, options.Role
-	pace := PaceOf(settings)
+	pace := TimingOf(settings)
 	if options.Network == nil {
-		options.Network = Sockets{}
+		options.Network = HostNetwork{}
 	}
 	made := &Daemon{Scope: top, Network: options.Network, Address: settings.InnerAddress(settings.IP, role)}
 	made.Monitor = options.Monitor
@@ -87,79 +87,79 @@
 		made.Monitor = &invariant.Monitor{Log: top.Log}
 	}
 	made.Metrics = telemetry.New(made.Monitor)
-	made.Table = membership.NewTable(top.Clock, membership.Member{
+	made.Membership = membership.NewTable(top.Clock, membership.Member{
 		Address: made.Address, Role: role, Zone: settings.Zone, Region: settings.Region,
-		ClientAddress: settings.Listen["front"], ServesControl: settings.Listen["control"] != "" && role != Carrier,
+		ClientAddress: settings.Listen["front"], ServesControl: settings.Listen["control"] != "" && role != RouterRole,
 		LinkMbps: int64(settings.Limits.LinkMbps),
 	})
-	made.Zones = &zonesummary.Manager{Table: made.Table, Zones: settings.Zones, RouterRole: Carrier}
-	made.News = gossip.NewStore(func(item gossip.Item) {
+	made.Zones = &zonesummary.Manager{Table: made.Membership, Zones: settings.Zones, RouterRole: RouterRole}
+	made.Updates = gossip.NewStore(func(item gossip.Item) {
 		made.Zones.HandleItem(item)
-		options.Fresh(item)
+		options.OnUpdate(item)
 	})
-	made.Zones.Store = made.News
-	made.Messenger = transport.NewClientOnNetwork(made.Network, httpcall.Dialing{Limit: pace.Connect, Silence: pace.Silence, Count: &made.Traffic})
-	made.Messenger.Guard, made.Messenger.Stats = transport.NewGuard(settings.Zones), &transport.MessageStats{}
+	made.Zones.Store = made.Updates
+	made.Transport = transport.NewClientOnNetwork(made.Network, httpcall.Dialing{Limit: pace.ConnectTimeout, Silence: pace.PeerTimeout, Count: &made.Traffic})
+	made.Transport.Guard, made.Transport.Stats = transport.NewGuard(settings.Zones), &transport.MessageStats{}
 	made.Calls = httpcall.NewTable(top, settings.Limits.MemoryMB<<20/8)
-	made.Calls.Gate = made.Messenger.Guard
+	made.Calls.Gate = made.Transport.Guard
 	made.Calls.Metrics = made.Metrics
-	made.Bodies = memquota.New(settings.Limits.MemoryMB<<20/bodiesPart, made.Monitor)
-	made.Calls.Bodies = made.Bodies
-	made.Spreader = &gossip.Gossiper{
-		Store: made.News, Table: made.Table, Client: made.Messenger,
-		Seeds: settings.SeedAddresses(), Interval: pace.Exchange, Timeout: pace.Silence,
+	made.BodyQuota = memquota.New(settings.Limits.MemoryMB<<20/bodyMemoryDivisor, made.Monitor)
+	made.Calls.Bodies = made.BodyQuota
+	made.Gossiper = &gossip.Gossiper{
+		Store: made.Updates, Table: made.Membership, Client: made.Transport,
+		Seeds: settings.SeedAddresses(), Interval: pace.GossipInterval, Timeout: pace.PeerTimeout,
 		Rejoining: !settings.FirstStart,
-		Zones:     settings.Zones, RelaysPerZone: pace.Relays, Fanout: pace.Fanout,
+		Zones:     settings.Zones, RelaysPerZone: pace.RelaysPerZone, Fanout: pace.Fanout,
 	}
-	made.Spreader.RegisterHandlers(made.Calls)
+	made.Gossiper.RegisterHandlers(made.Calls)
 	var err error
 	if made.socket, err = made.Network.Datagrams(made.Address); err != nil {
 		return nil, err
 	}
-	made.prober = &membership.Prober{Table: made.Table, Config: pace.Probe, Send: made.send, Guard: made.Messenger.Guard}
-	made.tree = suture.New(role, suture.Spec{
-		FailureBackoff: pace.Exchange, Timeout: pace.Connect,
+	made.prober = &membership.Prober{Table: made.Membership, Config: pace.Probe, Send: made.sendDatagram, Guard: made.Transport.Guard}
+	made.supervisor = suture.New(role, suture.Spec{
+		FailureBackoff: pace.GossipInterval, Timeout: pace.ConnectTimeout,
 		EventHook: func(event suture.Event) { top.Log.Warn().Str("part", "tree").Msg(event.String()) },
 	})
-	made.Part("inner", func(ctx scope.Scope) error { return made.serveInner(ctx) })
-	made.Part("probe", func(ctx scope.Scope) error { made.prober.Run(ctx); return nil })
-	made.Part("datagrams", made.receive)
-	made.serveSums()
+	made.AddService("inner", func(ctx scope.Scope) error { return made.servePeers(ctx) })
+	made.AddService("probe", func(ctx scope.Scope) error { made.prober.Run(ctx); return nil })
+	made.AddService("datagrams", made.receiveDatagrams)
+	made.serveReports()
 	made.serveMetrics()
 	if options.View != nil {
-		made.followList(options.View)
+		made.addListFallback(options.View)
 	}
-	made.Part("relays", func(ctx scope.Scope) error {
-		for ctx.Wait(pace.View) {
-			made.Table.UpdateRelayRole(pace.Relays, pace.Probe.SuspicionTimeout)
+	made.AddService("relays", func(ctx scope.Scope) error {
+		for ctx.Wait(pace.ZoneSummaryInterval) {
+			made.Membership.UpdateRelayRole(pace.RelaysPerZone, pace.Probe.SuspicionTimeout)
 			made.Zones.Refresh()
 		}
 		return nil
 	})
-	made.Part("spread", func(ctx scope.Scope) error { made.Spreader.Run(ctx); return nil })
+	made.AddService("spread", func(ctx scope.Scope) error { made.Gossiper.Run(ctx); return nil })
 	return made, nil
 }
 
-type part struct {
-	name string
-	top  scope.Scope
-	run  func(inner scope.Scope) error
+type service struct {
+	name  string
+	scope scope.Scope
+	run   func(inner scope.Scope) error
 }
 
 // Serve runs the part under suture.
-func (p part) Serve(ctx context.Context) error { return p.run(p.top.Under(ctx)) }
+func (s service) Serve(ctx context.Context) error { return s.run(s.scope.Under(ctx)) }
 
 // String names the part in logs.
-func (p part) String() string { return p.name }
+func (s service) String() string { return s.name }
 
-// Part adds a part that the supervisor keeps running.
-func (d *Daemon) Part(name string, run func(ctx scope.Scope) error) {
-	d.tree.Add(part{name: name, top: d.Scope, run: run})
+// AddService adds a part that the supervisor keeps running.
+func (d *Daemon) AddService(name string, run func(ctx scope.Scope) error) {
+	d.supervisor.Add(service{name: name, scope: d.Scope, run: run})
 }
 
-// Once adds a part that comes to an end of its own, and is not run again.
-func (d *Daemon) Once(name string, run func(ctx scope.Scope)) {
-	d.Part(name, func(ctx scope.Scope) error {
+// AddOneShot adds a part that comes to an end of its own, and is not run again.
+func (d *Daemon) AddOneShot(name string, run func(ctx scope.Scope)) {
+	d.AddService(name, func(ctx scope.Scope) error {
 		run(ctx)
 		<-ctx.Done()
 		return nil
@@ -167,25 +167,25 @@
 }
 
 // Run runs all parts until the context ends.
-func (d *Daemon) Run(ctx context.Context) error { return d.tree.Serve(ctx) }
+func (d *Daemon) Run(ctx context.Context) error { return d.supervisor.Serve(ctx) }
 
 // ServeHTTP serves a handler at an address until the scope ends.
 func (d *Daemon) ServeHTTP(ctx scope.Scope, address ids.Address, handler http.Handler) error {
 	return d.Network.Serve(ctx, address, handler, nil)
 }
 
-func (d *Daemon) serveInner(ctx scope.Scope) error {
+func (d *Daemon) servePeers(ctx scope.Scope) error {
 	return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic)
 }
 
-func (d *Daemon) send(to ids.Address, body []byte) {
+func (d *Daemon) sendDatagram(to ids.Address, body []byte) {
 	d.Traffic.Messages.Add(1)
 	d.Traffic.BytesOut.Add(int64(len(body)))
-	d.Messenger.Stats.Add("datagram", len(body), 0)
+	d.Transport.Stats.Add("datagram", len(body), 0)
 	d.socket.Send(to, body)
 }
 
-func (d *Daemon) receive(ctx scope.Scope) error {
+func (d *Daemon) receiveDatagrams(ctx scope.Scope) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.socket.Close() })
 	defer stop()
 	buffer := make([]byte, 64<<10)
@@ -201,16 +201,16 @@
 
 // Leave tells a few others that this daemon goes.
 func (d *Daemon) Leave(ctx scope.Scope) {
-	d.Table.UpdateSelf(func(self *membership.Member) { self.State, self.Ready = membership.Left, false })
-	d.Tell(ctx)
+	d.Membership.UpdateSelf(func(self *membership.Member) { self.State, self.Ready = membership.Left, false })
+	d.GossipNow(ctx)
 }
 
-// Tell exchanges with several others at once.
-func (d *Daemon) Tell(ctx scope.Scope) {
-	for _, address := range d.Spreader.AnnounceTargets() {
-		go d.Spreader.Exchange(ctx, address)
+// GossipNow exchanges with several others at once.
+func (d *Daemon) GossipNow(ctx scope.Scope) {
+	for _, address := range d.Gossiper.AnnounceTargets() {
+		go d.Gossiper.Exchange(ctx, address)
 	}
 }
 
-// Reread replaces the boot file's values after it changed.
-func (d *Daemon) Reread(fresh *settings.Boot) { d.Spreader.SetSeeds(fresh.SeedAddresses()) }
+// Reload replaces the boot file's values after it changed.
+func (d *Daemon) Reload(fresh *settings.Boot) { d.Gossiper.SetSeeds(fresh.SeedAddresses()) }
--- a/control/daemon/figures.go
+++ b/control/daemon/metrics.go
@@ -14,13 +14,13 @@
 	"onyxwell/control/transport"
 )
 
-// volumesEvery is the time between two debug lines on what was sent.
-const volumesEvery = 10 * clock.Second
+// trafficLogInterval is the time between two debug lines on what was sent.
+const trafficLogInterval = 10 * clock.Second
 
-// logVolumes logs what was sent to other daemons, by message, since the start.
-func (d *Daemon) logVolumes(ctx scope.Scope) error {
-	for ctx.Wait(volumesEvery) {
-		volumes := d.Messenger.Stats.Snapshot()
+// logTraffic logs what was sent to other daemons, by message, since the start.
+func (d *Daemon) logTraffic(ctx scope.Scope) error {
+	for ctx.Wait(trafficLogInterval) {
+		volumes := d.Transport.Stats.Snapshot()
 		for _, name := range slices.Sorted(maps.Keys(volumes)) {
 			volume := volumes[name]
 			ctx.Log.Debug().Str("part", "volumes").Str("message", name).Int64("messages", volume.Messages).
@@ -35,13 +35,13 @@
 func (d *Daemon) serveMetrics() {
 	metrics, where := d.Metrics, d.Scope.Boot.Metrics
 	metrics.Total("messages_sent_total", "Messages and datagrams sent to other daemons.", nil, func() float64 { return float64(d.Traffic.Messages.Load()) })
-	metrics.Gauge("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(d.Table.Members())) })
+	metrics.Gauge("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(d.Membership.Members())) })
 	for flaw, name := range transport.RejectReasonNames() {
 		metrics.Total("messages_refused_total", "Messages of other daemons that were dropped, by their flaw.",
-			map[string]string{"flaw": name}, func() float64 { return float64(d.Messenger.Guard.Counts[flaw].Load()) })
+			map[string]string{"flaw": name}, func() float64 { return float64(d.Transport.Guard.Counts[flaw].Load()) })
 	}
 	if d.Scope.Log.Level <= log.DebugLevel {
-		d.Part("volumes", d.logVolumes)
+		d.AddService("volumes", d.logTraffic)
 	}
 	if where.Port == 0 {
 		return
@@ -51,7 +51,7 @@
 		return
 	}
 	address := ids.Address(net.JoinHostPort(d.Scope.Boot.IP, strconv.Itoa(where.Port)))
-	d.Part("metrics", func(ctx scope.Scope) error {
+	d.AddService("metrics", func(ctx scope.Scope) error {
 		return d.ServeHTTP(ctx, address, metrics.Handler(where.Path))
 	})
 }
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -33,11 +33,11 @@
 	Close() error
 }
 
-// Sockets is the network of the machine.
-type Sockets struct{}
+// HostNetwork is the network of the machine.
+type HostNetwork struct{}
 
 // Serve listens at the address and answers calls there.
-func (Sockets) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error {
+func (HostNetwork) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
@@ -52,10 +52,10 @@
 }
 
 // Client makes a client over TCP.
-func (Sockets) Client(pooling httpcall.Pooling) *http.Client { return httpcall.Client(pooling) }
+func (HostNetwork) Client(pooling httpcall.Pooling) *http.Client { return httpcall.Client(pooling) }
 
 // Datagrams opens a UDP socket.
-func (Sockets) Datagrams(address ids.Address) (Socket, error) {
+func (HostNetwork) Datagrams(address ids.Address) (Socket, error) {
 	place, err := net.ResolveUDPAddr("udp", string(address))
 	if err != nil {
 		return nil, err
@@ -64,19 +64,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return socket{opened}, nil
+	return udpSocket{opened}, nil
 }
 
-type socket struct{ opened *net.UDPConn }
+type udpSocket struct{ conn *net.UDPConn }
 
-func (s socket) Send(to ids.Address, body []byte) {
+func (u udpSocket) Send(to ids.Address, body []byte) {
 	if address, err := net.ResolveUDPAddr("udp", string(to)); err == nil {
-		_, _ = s.opened.WriteToUDP(body, address)
+		_, _ = u.conn.WriteToUDP(body, address)
 	}
 }
 
-func (s socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
-	return s.opened.ReadFromUDP(buffer)
+func (u udpSocket) Receive(buffer []byte) (int, fmt.Stringer, error) {
+	return u.conn.ReadFromUDP(buffer)
 }
 
-func (s socket) Close() error { return s.opened.Close() }
+func (u udpSocket) Close() error { return u.conn.Close() }
--- a/control/directory/away_test.go
+++ b/control/directory/redirect_test.go
@@ -11,11 +11,11 @@
 	"onyxwell/control/membership/zonesummary"
 )
 
-// TestClientsAreNotLedAwayWithoutALoss fixes the order in which a directory
+// TestChoose_keepsClientsInRegionUnlessLost fixes the order in which a directory
 // hears of routers: other regions' are able while those of the client's are
 // not, but nothing says that the client's region is lost.
-func TestClientsAreNotLedAwayWithoutALoss(t *testing.T) {
-	asked := Lookup{Zone: "z1", Region: "r1"}
+func TestChoose_keepsClientsInRegionUnlessLost(t *testing.T) {
+	asked := LookupRequest{Zone: "z1", Region: "r1"}
 	starting, leaving := router("a", "z1"), router("a", "z1")
 	starting.Ready = false
 	leaving.State, leaving.Ready = membership.Left, false
@@ -36,11 +36,11 @@
 		{"its routers reach no runners", []membership.Member{unable}, zonesummary.RouterEndpoints{}, []ids.Address{"fe"}},
 	}
 	for _, example := range cases {
-		directory, news := directoryIn("z1")
-		directory.Table.Merge(append(example.members, relay("r3", "z3")))
-		tell(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
+		directory, news := newDirectory("z1")
+		directory.Membership.Merge(append(example.members, relay("r3", "z3")))
+		publishFronts(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
 		if example.own.Zone != "" {
-			tell(t, news, 1, example.own)
+			publishFronts(t, news, 1, example.own)
 		}
 		if got := directory.Choose(asked); !slices.Equal(got, example.want) {
 			t.Errorf("%s: %v, not %v", example.name, got, example.want)
@@ -48,44 +48,44 @@
 	}
 }
 
-// TestRegionStaysLostUntilItHasAnAbleRouter walks a region through a loss and
+// TestChoose_regionLostUntilRouterIsAble walks a region through a loss and
 // its return, and through an absence for no known reason.
-func TestRegionStaysLostUntilItHasAnAbleRouter(t *testing.T) {
+func TestChoose_regionLostUntilRouterIsAble(t *testing.T) {
 	machine := clock.NewFake()
-	directory, news := directoryOn(machine, "z1")
-	asked := Lookup{Zone: "z1", Region: "r1"}
+	directory, news := newDirectoryWithClock(machine, "z1")
+	asked := LookupRequest{Zone: "z1", Region: "r1"}
 	expect := func(what string, want ...ids.Address) {
 		t.Helper()
 		if got := directory.Choose(asked); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, not %v", what, got, want)
 		}
 	}
-	directory.Table.Merge([]membership.Member{router("a", "z1"), relay("r3", "z3")})
-	tell(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
+	directory.Membership.Merge([]membership.Member{router("a", "z1"), relay("r3", "z3")})
+	publishFronts(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
 	expect("all is well", "fa")
-	directory.Table.AdvanceState("a", membership.Suspect)
+	directory.Membership.AdvanceState("a", membership.Suspect)
 	expect("its router answers no more", "fe")
 	back := router("a", "z1")
 	back.Incarnation, back.Ready = 2, false
-	directory.Table.Merge([]membership.Member{back})
+	directory.Membership.Merge([]membership.Member{back})
 	expect("it is back and not ready", "fe")
 	back.Incarnation, back.Ready = 3, true
-	directory.Table.Merge([]membership.Member{back})
+	directory.Membership.Merge([]membership.Member{back})
 	expect("it is ready", "fa")
 	back.Incarnation, back.Ready = 4, false
-	directory.Table.Merge([]membership.Member{back})
+	directory.Membership.Merge([]membership.Member{back})
 	expect("it leaves in order")
-	machine.Move(patience)
+	machine.Move(lossTimeout)
 	expect("it stays away for as long as that may be")
 	machine.Move(clock.Millisecond)
 	expect("it stays away for longer", "fe")
 }
 
-func TestPlantedWayOutOfARegionIsCounted(t *testing.T) {
-	directory, _ := directoryIn("z1")
+func TestDirectory_countsUnjustifiedRedirects(t *testing.T) {
+	directory, _ := newDirectory("z1")
 	directory.Monitor = &invariant.Monitor{Tolerant: true}
-	directory.watch(Lookup{Zone: "z1", Region: "r1"}, []ids.Address{"fe"}, 0)
-	directory.watch(Lookup{Zone: "z9", Region: "r9"}, []ids.Address{"fe"}, 0)
+	directory.checkRedirect(LookupRequest{Zone: "z1", Region: "r1"}, []ids.Address{"fe"}, 0)
+	directory.checkRedirect(LookupRequest{Zone: "z9", Region: "r9"}, []ids.Address{"fe"}, 0)
 	if got := directory.Monitor.Count(invariant.LedAway); got != 1 {
 		t.Errorf("counted %d", got)
 	}
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -9,56 +9,56 @@
 	"onyxwell/control/membership"
 )
 
-// regions remembers of each region when it last had an able router, and whether
+// regionTracker remembers of each region when it last had an able router, and whether
 // it was lost since. The zero value is ready.
-type regions struct {
-	mu   sync.Mutex
-	seen map[ids.Region]*region
+type regionTracker struct {
+	mu     sync.Mutex
+	states map[ids.Region]*regionState
 }
 
-type region struct {
-	// since is when it last had an able router, or was first asked for.
-	since clock.Instant
-	lost  bool
+type regionState struct {
+	// ableAt is when it last had an able router, or was first asked for.
+	ableAt clock.Instant
+	lost   bool
 }
 
-func (r *regions) of(name ids.Region, now clock.Instant) *region {
-	if r.seen == nil {
-		r.seen = map[ids.Region]*region{}
+func (r *regionTracker) state(name ids.Region, now clock.Instant) *regionState {
+	if r.states == nil {
+		r.states = map[ids.Region]*regionState{}
 	}
-	if r.seen[name] == nil {
-		r.seen[name] = &region{since: now}
+	if r.states[name] == nil {
+		r.states[name] = &regionState{ableAt: now}
 	}
-	return r.seen[name]
+	return r.states[name]
 }
 
-// able notes that a region has an able router now.
-func (r *regions) able(name ids.Region, now clock.Instant) {
+// markAble notes that a region has an able router now.
+func (r *regionTracker) markAble(name ids.Region, now clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.of(name, now)
-	known.since, known.lost = now, false
+	known := r.state(name, now)
+	known.ableAt, known.lost = now, false
 }
 
-// lost tells whether a region without able routers is known to be lost: some of
+// isLost tells whether a region without able routers is known to be lost: some of
 // its daemons answer no more, its routers reach no runners, or it has had no
 // able router for longer than the patience. That stands until it has one again.
 // A place that is no region of the deployment is as good as lost.
-func (d *Directory) lost(name ids.Region, unable []place, now clock.Instant) bool {
-	if !d.served(name) {
+func (d *Directory) isLost(name ids.Region, unable []endpoint, now clock.Instant) bool {
+	if !d.isDeployed(name) {
 		return true
 	}
 	d.regions.mu.Lock()
 	defer d.regions.mu.Unlock()
-	known := d.regions.of(name, now)
-	if now.Since(known.since) > d.Patience || d.silent(name) || in(name, unable) {
+	known := d.regions.state(name, now)
+	if now.Since(known.ableAt) > d.LossTimeout || d.hasSilentDaemon(name) || anyInRegion(name, unable) {
 		known.lost = true
 	}
 	return known.lost
 }
 
-// served tells whether a region is one of the deployment's.
-func (d *Directory) served(name ids.Region) bool {
+// isDeployed tells whether a region is one of the deployment's.
+func (d *Directory) isDeployed(name ids.Region) bool {
 	for _, known := range d.Zones {
 		if known == name {
 			return true
@@ -67,11 +67,11 @@
 	return false
 }
 
-// silent tells whether a daemon of a region ceased to answer lately, without
+// hasSilentDaemon tells whether a daemon of a region ceased to answer lately, without
 // having left in order.
-func (d *Directory) silent(name ids.Region) bool {
-	for _, member := range d.Table.Members() {
-		gone := member.State == membership.Removed && d.Table.StateAge(member.Address) <= d.Patience
+func (d *Directory) hasSilentDaemon(name ids.Region) bool {
+	for _, member := range d.Membership.Members() {
+		gone := member.State == membership.Removed && d.Membership.StateAge(member.Address) <= d.LossTimeout
 		if member.Region == name && (member.State == membership.Suspect || gone) {
 			return true
 		}
@@ -79,7 +79,7 @@
 	return false
 }
 
-func in(name ids.Region, places []place) bool {
+func anyInRegion(name ids.Region, places []endpoint) bool {
 	for _, found := range places {
 		if found.region == name {
 			return true
@@ -88,12 +88,12 @@
 	return false
 }
 
-// watch counts an answer that leads clients out of a region that was not lost.
-func (d *Directory) watch(asked Lookup, chosen []ids.Address, now clock.Instant) {
+// checkRedirect counts an answer that leads clients out of a region that was not lost.
+func (d *Directory) checkRedirect(asked LookupRequest, chosen []ids.Address, now clock.Instant) {
 	d.regions.mu.Lock()
-	lost := d.regions.of(asked.Region, now).lost
+	lost := d.regions.state(asked.Region, now).lost
 	d.regions.mu.Unlock()
-	if len(chosen) > 0 && !lost && d.served(asked.Region) {
+	if len(chosen) > 0 && !lost && d.isDeployed(asked.Region) {
 		d.Monitor.Violated(invariant.LedAway, "clients of %s in %s are led to %v", asked.Zone, asked.Region, chosen)
 	}
 }
--- a/control/discovery/forms_test.go
+++ b/control/discovery/forms_test.go
@@ -9,7 +9,7 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[Beat](t, "beat")
+	transporttest.Golden[Heartbeat](t, "beat")
 	transporttest.Golden[List](t, "list")
 	transporttest.Golden[Runner](t, "runner")
 }
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -13,14 +13,14 @@
 	"onyxwell/base/scope"
 )
 
-// PageAsk asks for one page of the list; without a zone, of all zones.
-type PageAsk struct {
+// PageRequest asks for one page of the list; without a zone, of all zones.
+type PageRequest struct {
 	Zone  ids.Zone
 	Token string
 }
 
 // Outgoing makes the call.
-func (p PageAsk) Outgoing() httpcall.Outgoing {
+func (p PageRequest) Outgoing() httpcall.Outgoing {
 	query := url.Values{}
 	if p.Zone != "" {
 		query.Set("zone", string(p.Zone))
@@ -42,22 +42,22 @@
 }
 
 type entry struct {
-	ID         ids.RunnerID    `json:"id"`
-	Service    ids.Service     `json:"service"`
-	Address    ids.Address     `json:"address"`
-	Zone       ids.Zone        `json:"zone"`
-	Version    json.RawMessage `json:"config_version"`
-	Capacity   int64           `json:"capacity"`
-	Condition  string          `json:"condition"`
-	ColdLeftMS float64         `json:"cold_left_ms"`
-	TimeLeftMS float64         `json:"time_left_ms"`
+	ID           ids.RunnerID    `json:"id"`
+	Service      ids.Service     `json:"service"`
+	Address      ids.Address     `json:"address"`
+	Zone         ids.Zone        `json:"zone"`
+	Version      json.RawMessage `json:"config_version"`
+	Capacity     int64           `json:"capacity"`
+	Condition    string          `json:"condition"`
+	WarmupLeftMS float64         `json:"cold_left_ms"`
+	TimeLeftMS   float64         `json:"time_left_ms"`
 }
 
 func (e entry) runner() Runner {
 	return Runner{
 		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone,
 		Version: string(e.Version), Capacity: e.Capacity, Draining: e.Condition != "ready",
-		ColdLeftMS: int64(e.ColdLeftMS), TimeLeftMS: int64(e.TimeLeftMS),
+		WarmupLeftMS: int64(e.WarmupLeftMS), TimeLeftMS: int64(e.TimeLeftMS),
 	}
 }
 
@@ -70,74 +70,74 @@
 }
 
 const (
-	// pageLimit ends a list whose pages never end.
-	pageLimit = 200
-	// ReadersAtOnce is how many zones are read at the same time.
-	ReadersAtOnce = 8
-	// fewestPages is how many pages a list must have for it to be read by zone:
+	// maxPages ends a list whose pages never end.
+	maxPages = 200
+	// MaxConcurrentReads is how many zones are read at the same time.
+	MaxConcurrentReads = 8
+	// minPagesByZone is how many pages a list must have for it to be read by zone:
 	// a short one is read with fewer calls as a whole.
-	fewestPages = 4
+	minPagesByZone = 4
 )
 
-// Platform reads the platform's list. A short list is read page after page. One
+// PlatformClient reads the platform's list. A short list is read page after page. One
 // whose pages together take too long is read zone by zone, several zones at the
 // same time, so that the time for it grows with the largest zone and not with the
 // whole.
-type Platform struct {
-	Client  *http.Client
+type PlatformClient struct {
+	HTTP    *http.Client
 	Address ids.Address
 	// Zones are those that the settings name; zones in which runners were listed
 	// are read as well.
 	Zones []ids.Zone
-	// Every is the time between two readings: a whole reading may take half of it,
+	// Interval is the time between two readings: a whole reading may take half of it,
 	// before the list is read by zone, and one page may take all of it.
-	Every clock.Span
+	Interval clock.Span
 
-	apart bool
-	found map[ids.Zone]bool
-	// Calls is how many pages the last reading asked for.
-	Calls int
+	byZone      bool
+	listedZones map[ids.Zone]bool
+	// LastPages is how many pages the last reading asked for.
+	LastPages int
 }
 
-// Read reads the whole list, by zone. It is not to be called by two at once.
-func (p *Platform) Read(ctx scope.Scope) (map[ids.Zone]List, error) {
-	if p.apart {
-		return p.readApart(ctx)
+// List reads the whole list, by zone. It is not to be called by two at once.
+func (p *PlatformClient) List(ctx scope.Scope) (map[ids.Zone]List, error) {
+	if p.byZone {
+		return p.listByZone(ctx)
 	}
 	begin := ctx.Now()
-	short, release := ctx.WithLimit(p.Every)
+	short, release := ctx.WithLimit(p.Interval)
 	defer release()
-	list, pages, err := p.chain(short, "")
-	p.Calls = pages
-	if pages >= fewestPages && ctx.Now().Since(begin) > p.Every/2 {
-		p.apart = true
+	list, pages, err := p.listPages(short, "")
+	p.LastPages = pages
+	if pages >= minPagesByZone && ctx.Now().Since(begin) > p.Interval/2 {
+		p.byZone = true
 	}
 	if err != nil {
-		if p.apart {
-			return p.readApart(ctx)
+		if p.byZone {
+			return p.listByZone(ctx)
 		}
 		return nil, err
 	}
-	if p.found == nil {
-		p.found = map[ids.Zone]bool{}
+	if p.listedZones == nil {
+		p.listedZones = map[ids.Zone]bool{}
 	}
 	for _, runner := range list.Runners {
-		p.found[runner.Zone] = true
+		p.listedZones[runner.Zone] = true
 	}
-	return byZone(list.Runners, p.zones()), nil
+	return groupByZone(list.Runners, p.zones()), nil
 }
 
 // ByZone tells whether the list is so long that it is read by zone.
-func (p *Platform) ByZone() bool { return p.apart }
+func (p *PlatformClient) ByZone() bool { return p.byZone }
 
 // zones are those of the settings and those in which runners were seen.
-func (p *Platform) zones() []ids.Zone {
+func (p *PlatformClient) zones() []ids.Zone {
 	zones := append([]ids.Zone(nil), p.Zones...)
 	named := map[ids.Zone]bool{}
 	for _, zone := range zones {
 		named[zone] = true
 	}
-	for zone := range p.found {
+	for zone := range p.listedZones {
 		if !named[zone] {
 			zones = append(zones, zone)
 		}
@@ -145,22 +145,22 @@
 	return zones
 }
 
-// readApart reads each zone's list. A zone that can't be read fails the reading:
+// listByZone reads each zone's list. A zone that can't be read fails the reading:
 // a list with a hole says of the runners in it that they are gone.
-func (p *Platform) readApart(ctx scope.Scope) (map[ids.Zone]List, error) {
-	short, release := ctx.WithLimit(4 * p.Every)
+func (p *PlatformClient) listByZone(ctx scope.Scope) (map[ids.Zone]List, error) {
+	short, release := ctx.WithLimit(4 * p.Interval)
 	defer release()
 	var lock sync.Mutex
 	var group sync.WaitGroup
 	var failed error
 	parts, calls := map[ids.Zone]List{}, 0
-	places := make(chan struct{}, ReadersAtOnce)
+	places := make(chan struct{}, MaxConcurrentReads)
 	for _, zone := range p.zones() {
 		places <- struct{}{}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			list, pages, err := p.chain(short, zone)
+			list, pages, err := p.listPages(short, zone)
 			lock.Lock()
 			defer lock.Unlock()
 			calls += pages
@@ -172,18 +172,18 @@
 		}()
 	}
 	group.Wait()
-	p.Calls = calls
+	p.LastPages = calls
 	if failed != nil {
 		return nil, failed
 	}
 	return parts, nil
 }
 
-// chain reads one page after another; it tells how many were asked for.
-func (p *Platform) chain(ctx scope.Scope, zone ids.Zone) (List, int, error) {
+// listPages reads one page after another; it tells how many were asked for.
+func (p *PlatformClient) listPages(ctx scope.Scope, zone ids.Zone) (List, int, error) {
 	list, token := List{}, ""
-	for pages := 1; pages <= pageLimit; pages++ {
-		page, err := p.page(ctx, PageAsk{Zone: zone, Token: token})
+	for pages := 1; pages <= maxPages; pages++ {
+		page, err := p.fetchPage(ctx, PageRequest{Zone: zone, Token: token})
 		if err != nil {
 			return List{}, pages, err
 		}
@@ -195,11 +195,11 @@
 		}
 		token = *page.Next
 	}
-	return List{}, pageLimit, errkind.Of(errkind.Internal, "the platform's list has no end")
+	return List{}, maxPages, errkind.Of(errkind.Internal, "the platform's list has no end")
 }
 
-func (p *Platform) page(ctx scope.Scope, ask PageAsk) (Page, error) {
-	short, release := ctx.WithLimit(p.Every)
+func (p *PlatformClient) fetchPage(ctx scope.Scope, ask PageRequest) (Page, error) {
+	short, release := ctx.WithLimit(p.Interval)
 	defer release()
-	return httpcall.Ask[Page](short, p.Client, p.Address, ask)
+	return httpcall.Ask[Page](short, p.HTTP, p.Address, ask)
 }
--- a/control/discovery/runner.go
+++ b/control/discovery/runner.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// PartPrefix begins the news keys of the list's parts; the zone follows.
-	PartPrefix = "runners/"
-	// BeatKey is the news key of the word that the parts still hold.
-	BeatKey = "runners-beat"
+	// ZoneKeyPrefix begins the news keys of the list's parts; the zone follows.
+	ZoneKeyPrefix = "runners/"
+	// HeartbeatKey is the news key of the word that the parts still hold.
+	HeartbeatKey = "runners-beat"
 )
 
-// PartKey is the news key of a zone's part of the list.
-func PartKey(zone ids.Zone) string { return PartPrefix + string(zone) }
+// ZoneKey is the news key of a zone's part of the list.
+func ZoneKey(zone ids.Zone) string { return ZoneKeyPrefix + string(zone) }
 
 // LocalKey is the news key of a list that was read for one zone alone.
 func LocalKey(zone ids.Zone) string { return gossip.LocalPrefix + string(zone) }
 
 // Runner is one runner as the platform lists it. Times are in milliseconds.
 type Runner struct {
-	ID         ids.RunnerID `avro:"ID"`
-	Service    ids.Service  `avro:"Service"`
-	Address    ids.Address  `avro:"Address"`
-	Zone       ids.Zone     `avro:"Zone"`
-	Version    string       `avro:"Version"`
-	Capacity   int64        `avro:"Capacity"`
-	Draining   bool         `avro:"Draining"`
-	ColdLeftMS int64        `avro:"ColdLeftMS"`
-	TimeLeftMS int64        `avro:"TimeLeftMS"`
+	ID           ids.RunnerID `avro:"ID"`
+	Service      ids.Service  `avro:"Service"`
+	Address      ids.Address  `avro:"Address"`
+	Zone         ids.Zone     `avro:"Zone"`
+	Version      string       `avro:"Version"`
+	Capacity     int64        `avro:"Capacity"`
+	Draining     bool         `avro:"Draining"`
+	WarmupLeftMS int64        `avro:"ColdLeftMS"`
+	TimeLeftMS   int64        `avro:"TimeLeftMS"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -51,29 +51,29 @@
 // SchemaName names the stored and sent form; it must never change.
 func (List) SchemaName() string { return "List_26" }
 
-// Beat says that the parts with this digest were still the platform's lately.
-type Beat struct {
+// Heartbeat says that the parts with this digest were still the platform's lately.
+type Heartbeat struct {
 	Digest int64 `avro:"Digest"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (Beat) SchemaName() string { return "Beat_26" }
+func (Heartbeat) SchemaName() string { return "Beat_26" }
 
-// sameAs tells whether two lists say the same but for times that run down.
-func (l List) sameAs(other List) bool {
+// equivalent tells whether two lists say the same but for times that run down.
+func (l List) equivalent(other List) bool {
 	return slices.EqualFunc(l.Runners, other.Runners, func(runner, old Runner) bool {
-		if (runner.ColdLeftMS > 0) != (old.ColdLeftMS > 0) || runner.ColdLeftMS > old.ColdLeftMS {
+		if (runner.WarmupLeftMS > 0) != (old.WarmupLeftMS > 0) || runner.WarmupLeftMS > old.WarmupLeftMS {
 			return false
 		}
-		runner.ColdLeftMS, old.ColdLeftMS = 0, 0
+		runner.WarmupLeftMS, old.WarmupLeftMS = 0, 0
 		runner.TimeLeftMS, old.TimeLeftMS = 0, 0
 		return runner == old
 	})
 }
 
-// byZone sorts runners into the zones given and those in which further runners
+// groupByZone sorts runners into the zones given and those in which further runners
 // stand; a zone without runners has an empty list.
-func byZone(runners []Runner, zones []ids.Zone) map[ids.Zone]List {
+func groupByZone(runners []Runner, zones []ids.Zone) map[ids.Zone]List {
 	parts := map[ids.Zone]List{}
 	for _, zone := range zones {
 		parts[zone] = List{}
@@ -86,19 +86,19 @@
 	return parts
 }
 
-// partDigest is a part's share of a digest: digests are these joined by xor, so
+// zoneDigest is a part's share of a digest: digests are these joined by xor, so
 // the order of the parts does not matter.
-func partDigest(zone ids.Zone, serial ids.Serial) int64 {
+func zoneDigest(zone ids.Zone, serial ids.Serial) int64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(string(zone) + "@" + strconv.FormatInt(int64(serial), 10)))
 	return int64(digest.Sum64())
 }
 
-// zoneOf gives the zone that a part's key names.
-func zoneOf(key string) (ids.Zone, bool) {
-	zone, found := strings.CutPrefix(key, PartPrefix)
+// zoneOfKey gives the zone that a part's key names.
+func zoneOfKey(key string) (ids.Zone, bool) {
+	zone, found := strings.CutPrefix(key, ZoneKeyPrefix)
 	return ids.Zone(zone), found
 }
 
-// SerialOf joins a duty's epoch and a count of its acts to one rising serial.
-func SerialOf(epoch int64, counter int64) ids.Serial { return ids.Serial(epoch<<32 | counter) }
+// FencedSerial joins a duty's epoch and a count of its acts to one rising serial.
+func FencedSerial(epoch int64, counter int64) ids.Serial { return ids.Serial(epoch<<32 | counter) }
--- a/control/outlier/forms_test.go
+++ b/control/outlier/forms_test.go
@@ -9,6 +9,6 @@
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
-	transporttest.Golden[Rest](t, "rest")
-	transporttest.Golden[Rests](t, "rests")
+	transporttest.Golden[Ejection](t, "rest")
+	transporttest.Golden[Ejections](t, "rests")
 }
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.news.Put(gossip.Item{Key: discovery.PartKey("all"), Version: h.serial, Body: body})
+	h.news.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: h.serial, Body: body})
 }
 
 func (h *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -48,12 +48,12 @@
 // doubts tests runners that broke down until they are well again, and tells
 // the directory when this router reaches no runner for some route.
 func (r *Router) doubts(ctx scope.Scope) error {
-	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence}, Idle: r.pace.Connect, PerHost: 1})
+	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: r.pace.ConnectTimeout, Silence: r.pace.PeerTimeout}, Idle: r.pace.ConnectTimeout, PerHost: 1})
 	unable, reached := 0, false
-	for ctx.Wait(r.pace.Connect / looksAtDoubt) {
+	for ctx.Wait(r.pace.ConnectTimeout / looksAtDoubt) {
 		now := ctx.Now()
 		r.testLost(ctx, client)
-		for _, id := range r.board.Due(now, r.pace.Connect/4) {
+		for _, id := range r.board.Due(now, r.pace.ConnectTimeout/4) {
 			go r.test(ctx, client, id)
 		}
 		if r.reaches(now) {
@@ -63,14 +63,14 @@
 			unable++
 		}
 		// A moment without runners is no reason to send visitors away.
-		r.common.Table.UpdateSelf(func(self *membership.Member) { self.Degraded = unable > looksAtDoubt/2 })
+		r.common.Membership.UpdateSelf(func(self *membership.Member) { self.Degraded = unable > looksAtDoubt/2 })
 	}
 	return nil
 }
 
 // ask asks a runner of a configured service whether it is well.
 func (r *Router) ask(ctx scope.Scope, client *http.Client, seen *snapshot.Snapshot, runner *snapshot.Runner) (condition, error) {
-	short, release := ctx.WithLimit(r.pace.Connect)
+	short, release := ctx.WithLimit(r.pace.ConnectTimeout)
 	defer release()
 	return httpcall.Ask[condition](short, client, runner.Address, health{path: seen.Spec.Service(runner.Service).HealthPath})
 }
@@ -119,7 +119,7 @@
 
 func (r *Router) reachesOne(seen *snapshot.Snapshot, service ids.Service, now clock.Instant) bool {
 	for _, runner := range seen.Runners[service] {
-		if seen.Open(runner) && !r.lost.has(runner.Zone) && !r.board.Look(runner.ID).Doubted && r.board.Silence(runner.ID, now) < r.pace.Connect {
+		if seen.Open(runner) && !r.lost.has(runner.Zone) && !r.board.Look(runner.ID).Doubted && r.board.Silence(runner.ID, now) < r.pace.ConnectTimeout {
 			return true
 		}
 	}
--- a/data/router/doubt_test.go
+++ b/data/router/doubt_test.go
@@ -26,15 +26,15 @@
 func newRouter(t *testing.T, runners ...discovery.Runner) (*Router, *clock.Fake) {
 	t.Helper()
 	machine := clock.NewFake()
-	r := &Router{board: runnerstats.NewBoard(), warmth: slowstart.New(chance), pace: daemon.Pace{Connect: clock.Second}}
-	r.common = &daemon.Daemon{Table: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
+	r := &Router{board: runnerstats.NewBoard(), warmth: slowstart.New(chance), pace: daemon.Timing{ConnectTimeout: clock.Second}}
+	r.common = &daemon.Daemon{Membership: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
 	r.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
 	r.frame.Absorb(gossip.Item{Key: "spec", Version: 1, Body: []byte(document)})
 	body, err := transport.Marshal(discovery.List{Runners: runners})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.frame.Absorb(gossip.Item{Key: discovery.PartKey("all"), Version: 1, Body: body})
+	r.frame.Absorb(gossip.Item{Key: discovery.ZoneKey("all"), Version: 1, Body: body})
 	return r, machine
 }
 
@@ -111,12 +111,12 @@
 		t.Error("there is a server before there is a door")
 	}
 	r.open(&entrance{})
-	if r.common.Table.Self().Ready || r.entrance != nil {
+	if r.common.Membership.Self().Ready || r.entrance != nil {
 		t.Error("a leaving router is ready")
 	}
 	r, _ = newRouter(t)
 	r.open(&entrance{})
-	if !r.common.Table.Self().Ready || r.withdraw() == nil || r.common.Table.Self().Ready {
+	if !r.common.Membership.Self().Ready || r.withdraw() == nil || r.common.Membership.Self().Ready {
 		t.Error("a router does not become ready, or stays so")
 	}
 }
--- a/data/router/leave.go
+++ b/data/router/leave.go
@@ -28,7 +28,7 @@
 		return
 	}
 	r.entrance = opened
-	r.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = true })
+	r.common.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 }
 
 // leaves tells whether the router leaves.
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
-	r.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = false })
+	r.common.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = false })
 	return r.entrance
 }
 
@@ -65,7 +65,7 @@
 	grace := settings.Seconds(top.Boot.Bounds.GraceS)
 	begin := top.Now()
 	opened := r.withdraw()
-	r.common.Tell(top)
+	r.common.GossipNow(top)
 	r.front.Leave(begin.Add(lastRequest))
 	r.front.Rest()
 	// Clients hold an answer of the directory for up to three times its time.
--- a/data/router/lost.go
+++ b/data/router/lost.go
@@ -94,7 +94,7 @@
 func (r *Router) testLost(ctx scope.Scope, client *http.Client) {
 	seen, now := r.frame.Now(), ctx.Now()
 	r.lost.update(seen.Lost, now)
-	for _, zone := range r.lost.tests(now, r.pace.Connect/4) {
+	for _, zone := range r.lost.tests(now, r.pace.ConnectTimeout/4) {
 		for _, runner := range samples(seen, zone) {
 			go r.testZone(ctx, client, runner)
 		}
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -39,7 +39,7 @@
 // Router is the daemon put together.
 type Router struct {
 	common *daemon.Daemon
-	pace   daemon.Pace
+	pace   daemon.Timing
 	frame  *snapshot.Frame
 	board  *runnerstats.Board
 	warmth *slowstart.Warmth
@@ -62,7 +62,7 @@
 	for {
 		select {
 		case fresh := <-reread:
-			r.common.Reread(fresh)
+			r.common.Reload(fresh)
 		case err := <-ended:
 			return err
 		case <-top.Done():
@@ -75,13 +75,13 @@
 // New puts a router together.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
-	r := &Router{pace: daemon.PaceOf(top.Boot), board: runnerstats.NewBoard(), warmth: slowstart.New(chance)}
+	r := &Router{pace: daemon.TimingOf(top.Boot), board: runnerstats.NewBoard(), warmth: slowstart.New(chance)}
 	view := daemon.NewView(top)
 	r.frame = snapshot.NewFrame(snapshot.Options{
 		Clock: top.Clock, Zones: top.Boot.Zones, Region: top.Boot.Region, View: view, Listed: r.listed(top), Monitor: monitor,
 	})
 	var err error
-	r.common, err = daemon.New(top, daemon.Options{Role: Role, Fresh: r.frame.Absorb, View: view, Network: options.Network, Monitor: monitor})
+	r.common, err = daemon.New(top, daemon.Options{Role: Role, OnUpdate: r.frame.Absorb, View: view, Network: options.Network, Monitor: monitor})
 	if err != nil {
 		return nil, err
 	}
@@ -91,14 +91,14 @@
 		Region: top.Boot.Region, Sharers: r.common.Zones.Sharers, Routers: r.sharers, Lost: r.lost.has, Chance: chance,
 	})
 	sender := upstream.NewSender(upstream.Options{
-		Clock: top.Clock, Dialing: httpcall.Dialing{Limit: r.pace.Connect, Silence: r.pace.Silence},
-		Idle: 8 * r.pace.Silence, PerHost: top.Boot.Limits.OpenFiles / 64,
+		Clock: top.Clock, Dialing: httpcall.Dialing{Limit: r.pace.ConnectTimeout, Silence: r.pace.PeerTimeout},
+		Idle: 8 * r.pace.PeerTimeout, PerHost: top.Boot.Limits.OpenFiles / 64,
 	})
 	r.front = proxy.NewFront(proxy.Options{
 		Scope: top, Frame: r.frame, Gate: gate, Board: r.board, Warmth: r.warmth, Sender: sender,
 		Metrics: r.common.Metrics, Monitor: r.common.Monitor,
 	})
-	r.gate = r.common.ReadIndex(r.frame.Ready(), r.serial)
+	r.gate = r.common.NewReadIndexGate(r.frame.Ready(), r.serial)
 	r.common.Metrics.Gauge("config_version", "Version of the configuration that this router acts on.", nil, func() float64 { return float64(r.serial()) })
 	r.common.Metrics.Gauge("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.front.Running()) })
 	r.parts(top)
@@ -134,7 +134,7 @@
 			}
 			for _, runner := range runners {
 				entries = append(entries, slowstart.Entry{
-					ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.ColdLeftMS)), Warmup: warmup,
+					ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.WarmupLeftMS)), Warmup: warmup,
 				})
 			}
 		}
@@ -144,13 +144,13 @@
 
 func (r *Router) parts(top scope.Scope) {
 	common := r.common
-	common.Part("readiness", func(ctx scope.Scope) error {
+	common.AddService("readiness", func(ctx scope.Scope) error {
 		return common.ServeHTTP(ctx, top.Boot.Listen["readiness"], http.HandlerFunc(r.readiness))
 	})
-	common.Once("readindex", r.gate.Run)
-	common.Part("front", r.serveFront)
-	common.Part("report", r.report)
-	common.Part("doubts", r.doubts)
+	common.AddOneShot("readindex", r.gate.Run)
+	common.AddService("front", r.serveFront)
+	common.AddService("report", r.report)
+	common.AddService("doubts", r.doubts)
 }
 
 func (r *Router) readiness(writer http.ResponseWriter, request *http.Request) {
@@ -158,7 +158,7 @@
 		response.Of(errkind.UnknownCall, request.URL.Path).Send(writer)
 		return
 	}
-	if !r.common.Table.Self().Ready {
+	if !r.common.Membership.Self().Ready {
 		response.Of(errkind.Unready, "the version is "+r.gate.State()).Send(writer)
 		return
 	}
@@ -184,7 +184,7 @@
 	case <-ctx.Done():
 		return nil
 	case <-r.gate.Ready():
-	case <-ctx.Clock.After(r.pace.Connect):
+	case <-ctx.Clock.After(r.pace.ConnectTimeout):
 		_ = listener.Close()
 		select {
 		case <-ctx.Done():
@@ -200,7 +200,7 @@
 	defer stop()
 	door := proxy.Door(r.front, listener)
 	r.open(&entrance{listener: door, server: server})
-	r.common.Tell(ctx)
+	r.common.GossipNow(ctx)
 	if err := server.Serve(door); !errors.Is(err, http.ErrServerClosed) && !r.leaves() {
 		return err
 	}
--- a/data/snapshot/rests.go
+++ b/data/snapshot/rests.go
@@ -9,7 +9,7 @@
 
 // absorbRests takes over who rests; the news comes to the own zone only.
 func (f *Frame) absorbRests(next *Snapshot, body []byte) bool {
-	rests, err := outlier.Read(body)
+	rests, err := outlier.Decode(body)
 	if err != nil {
 		return false
 	}
--- a/data/snapshot/rests_test.go
+++ b/data/snapshot/rests_test.go
@@ -13,7 +13,7 @@
 func TestRestsEndByThemselves(t *testing.T) {
 	machine := clock.NewFake()
 	frame := NewFrame(Options{Clock: machine})
-	body, _ := transport.Marshal(outlier.Rests{Runners: []outlier.Rest{{Runner: "i", LeftMS: 1000}}})
+	body, _ := transport.Marshal(outlier.Ejections{Runners: []outlier.Ejection{{Runner: "i", LeftMS: 1000}}})
 	frame.Absorb(gossip.Item{Key: outlier.Key("z"), Version: 1, Body: body})
 	if !frame.Now().Rests("i", machine.Now()) || frame.Now().Rests("j", machine.Now()) {
 		t.Fatal("not the one that was told rests")
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -73,7 +73,7 @@
 
 // standing is what was made of one section of the list.
 type standing struct {
-	section *discovery.Section
+	section *discovery.ZoneList
 	runners []*Runner
 }
 
@@ -99,7 +99,7 @@
 // Absorb takes an item of news; the news store calls it in rising order of
 // serials.
 func (f *Frame) Absorb(item gossip.Item) {
-	if f.options.View.Absorb(item) {
+	if f.options.View.Apply(item) {
 		f.swap(f.relist)
 		return
 	}
@@ -122,7 +122,7 @@
 
 // Take takes a list that was not told as news.
 func (f *Frame) Take(list discovery.List) {
-	f.options.View.Take(list)
+	f.options.View.SetLocal(list)
 	f.swap(f.relist)
 }
 
@@ -154,7 +154,7 @@
 // relist takes the runners over from the view; those of a zone whose section is
 // the same stay the same.
 func (f *Frame) relist(next *Snapshot) bool {
-	sections := f.options.View.Sections()
+	sections := f.options.View.Zones()
 	if sections == nil {
 		return false
 	}
@@ -175,7 +175,7 @@
 	return true
 }
 
-func (f *Frame) stand(section *discovery.Section) standing {
+func (f *Frame) stand(section *discovery.ZoneList) standing {
 	made := standing{section: section}
 	for _, listed := range section.Runners {
 		made.runners = append(made.runners, &Runner{Runner: listed, Region: f.options.Zones[listed.Zone]})
--- a/data/snapshot/snapshot_test.go
+++ b/data/snapshot/snapshot_test.go
@@ -81,7 +81,7 @@
 			list.Runners = append(list.Runners, discovery.Runner{ID: name, Service: "s", Zone: ids.Zone(zone)})
 		}
 		body, _ := transport.Marshal(list)
-		frame.Absorb(gossip.Item{Key: discovery.PartKey(ids.Zone(zone)), Version: serial, Body: body})
+		frame.Absorb(gossip.Item{Key: discovery.ZoneKey(ids.Zone(zone)), Version: serial, Body: body})
 	}
 	tell("a", 1, "i", "j")
 	tell("b", 1, "k")
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -114,7 +114,7 @@
 		var entries []slowstart.Entry
 		for _, runners := range seen.Runners {
 			for _, runner := range runners {
-				entries = append(entries, slowstart.Entry{ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.ColdLeftMS))})
+				entries = append(entries, slowstart.Entry{ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.WarmupLeftMS))})
 			}
 		}
 		r.warmth.List(entries, 0, top.Now())
--- a/emulator/links/network.go
+++ b/emulator/links/network.go
@@ -148,7 +148,7 @@
 
 // Datagrams opens an address for datagrams.
 func (n Network) Datagrams(address ids.Address) (daemon.Socket, error) {
-	opened, err := daemon.Sockets{}.Datagrams(address)
+	opened, err := daemon.HostNetwork{}.Datagrams(address)
 	if err != nil {
 		return nil, err
 	}
--- a/simulation/lasting.go
+++ b/simulation/lasting.go
@@ -65,7 +65,7 @@
 
 // votes checks that a disk that was lost votes as another.
 func (m *Machine) votes() {
-	if !m.lasting.lost || !m.life.control.Voting() {
+	if !m.lasting.lost || !m.life.control.IsVoter() {
 		return
 	}
 	if seat, found := seatOf(m.life.control.Voters(), m); found && seat.Incarnation == m.lasting.identity {
--- a/simulation/plants_disks_test.go
+++ b/simulation/plants_disks_test.go
@@ -138,7 +138,7 @@
 }
 
 func votes(machine *Machine) bool {
-	return machine.life != nil && machine.life.control != nil && machine.life.control.Voting()
+	return machine.life != nil && machine.life.control != nil && machine.life.control.IsVoter()
 }
 
 // noRepair has voters see no difference between what they hold.
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -39,17 +39,17 @@
 		world.rises(l, made, before, item)
 	}
 	var err error
-	made.common, err = daemon.New(top, daemon.Options{Role: daemon.Carrier, Fresh: absorb, Network: l})
+	made.common, err = daemon.New(top, daemon.Options{Role: daemon.RouterRole, OnUpdate: absorb, Network: l})
 	if err != nil {
 		return err
 	}
-	made.gate = made.common.ReadIndex(made.frame.Ready(), made.serial)
-	made.common.Once("readindex", made.gate.Run)
+	made.gate = made.common.NewReadIndexGate(made.frame.Ready(), made.serial)
+	made.common.AddOneShot("readindex", made.gate.Run)
 	world.after(0, func() { l.router = made })
-	made.common.Part("ready", func(ctx scope.Scope) error {
+	made.common.AddService("ready", func(ctx scope.Scope) error {
 		select {
 		case <-made.gate.Ready():
-			made.common.Table.UpdateSelf(func(self *membership.Member) { self.Ready = true })
+			made.common.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 			world.becameReady(l, made)
 		case <-ctx.Done():
 		}
--- a/simulation/watch.go
+++ b/simulation/watch.go
@@ -61,7 +61,7 @@
 			if machine.life == nil || machine.frozen || machine.life.control == nil {
 				continue
 			}
-			epoch, held := machine.life.control.Held(duty)
+			epoch, held := machine.life.control.HoldsLease(duty)
 			if !held {
 				continue
 			}
@@ -103,7 +103,7 @@
 	newest, holders := map[string]register.Proposal{}, map[string]int{}
 	for _, seat := range voters.Members {
 		machine := w.hosts[hostOf(seat.Address)]
-		if machine == nil || machine.life == nil || machine.life.control == nil || machine.frozen || !machine.life.control.Voting() {
+		if machine == nil || machine.life == nil || machine.life.control == nil || machine.frozen || !machine.life.control.IsVoter() {
 			return false, fmt.Sprintf("the seat of %s does not vote", seat.Address)
 		}
 		for _, slot := range machine.life.control.Slots() {
