--- a/base/clock/clock.go
+++ b/base/clock/clock.go
@@ -35,31 +35,31 @@
 	Now() Instant
 	// After gives a channel that is closed once the span has passed.
 	After(span Span) <-chan struct{}
-	// WithLimit gives a context that ends when the span has passed.
-	WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc)
+	// WithTimeout gives a context that ends when the span has passed.
+	WithTimeout(parent context.Context, span Span) (context.Context, context.CancelFunc)
 }
 
-type steady struct{ begin time.Time }
+type monotonic struct{ begin time.Time }
 
-// Steady gives the clock of the machine.
-func Steady() Clock { return steady{begin: time.Now().Add(-time.Second)} }
+// NewMonotonic gives the clock of the machine.
+func NewMonotonic() Clock { return monotonic{begin: time.Now().Add(-time.Second)} }
 
-func (s steady) Now() Instant { return Instant(time.Since(s.begin)) }
+func (m monotonic) Now() Instant { return Instant(time.Since(m.begin)) }
 
-func (s steady) After(span Span) <-chan struct{} {
+func (m monotonic) After(span Span) <-chan struct{} {
 	done := make(chan struct{})
 	time.AfterFunc(span, func() { close(done) })
 	return done
 }
 
-func (s steady) WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc) {
+func (m monotonic) WithTimeout(parent context.Context, span Span) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(parent, span)
 }
 
 // Wait blocks for the span or until the context ends; it tells whether the
 // span passed whole.
 func Wait(ctx context.Context, source Clock, span Span) bool {
-	if machine, real := source.(steady); real {
+	if machine, real := source.(monotonic); real {
 		return machine.wait(ctx, span)
 	}
 	select {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s steady) wait(ctx context.Context, span Span) bool {
+func (m monotonic) wait(ctx context.Context, span Span) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/base/clock/fake.go
+++ b/base/clock/fake.go
@@ -9,10 +9,10 @@
 type Fake struct {
 	mu      sync.Mutex
 	now     Instant
-	waiting []sleeper
+	waiters []waiter
 }
 
-type sleeper struct {
+type waiter struct {
 	until Instant
 	wake  func()
 }
@@ -30,59 +30,59 @@
 // After gives a channel that is closed once the clock was moved by the span.
 func (f *Fake) After(span Span) <-chan struct{} {
 	done := make(chan struct{})
-	f.at(span, func() { close(done) })
+	f.schedule(span, func() { close(done) })
 	return done
 }
 
-// WithLimit gives a context that ends once the clock was moved by the span.
-func (f *Fake) WithLimit(parent context.Context, span Span) (context.Context, context.CancelFunc) {
+// WithTimeout gives a context that ends once the clock was moved by the span.
+func (f *Fake) WithTimeout(parent context.Context, span Span) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	f.at(span, func() { cancel(context.DeadlineExceeded) })
+	f.schedule(span, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() { cancel(context.Canceled) }
 }
 
-// Move lets the span pass and wakes all whose time has come.
-func (f *Fake) Move(span Span) {
+// Advance lets the span pass and wakes all whose time has come.
+func (f *Fake) Advance(span Span) {
 	f.mu.Lock()
 	f.now = f.now.Add(span)
-	var due []sleeper
-	var rest []sleeper
-	for _, waiting := range f.waiting {
+	var due []waiter
+	var rest []waiter
+	for _, waiting := range f.waiters {
 		if f.now.Before(waiting.until) {
 			rest = append(rest, waiting)
 		} else {
 			due = append(due, waiting)
 		}
 	}
-	f.waiting = rest
+	f.waiters = rest
 	f.mu.Unlock()
 	for _, waiting := range due {
 		waiting.wake()
 	}
 }
 
-// Next moves the clock to the first instant that somebody waits for; false
+// AdvanceToNext moves the clock to the first instant that somebody waits for; false
 // says that nobody waits.
-func (f *Fake) Next() bool {
+func (f *Fake) AdvanceToNext() bool {
 	f.mu.Lock()
-	if len(f.waiting) == 0 {
+	if len(f.waiters) == 0 {
 		f.mu.Unlock()
 		return false
 	}
-	first := f.waiting[0].until
-	for _, waiting := range f.waiting {
+	first := f.waiters[0].until
+	for _, waiting := range f.waiters {
 		first = min(first, waiting.until)
 	}
 	span := first.Since(f.now)
 	f.mu.Unlock()
-	f.Move(span)
+	f.Advance(span)
 	return true
 }
 
-func (f *Fake) at(span Span, wake func()) {
+func (f *Fake) schedule(span Span, wake func()) {
 	f.mu.Lock()
 	if span > 0 {
-		f.waiting = append(f.waiting, sleeper{until: f.now.Add(span), wake: wake})
+		f.waiters = append(f.waiters, waiter{until: f.now.Add(span), wake: wake})
 		f.mu.Unlock()
 		return
 	}
--- a/base/compress/pack.go
+++ b/base/compress/compress.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// worth is the length from which a body is packed; below it the time costs
+	// minSize is the length from which a body is packed; below it the time costs
 	// more than the bytes.
-	worth = 1 << 10
-	// limit bounds what a body may unpack to.
-	limit = 64 << 20
+	minSize = 1 << 10
+	// maxDecodedSize bounds what a body may unpack to.
+	maxDecodedSize = 64 << 20
 )
 
-// Pack gives a body as it travels; false says that it stays as it is.
-func Pack(body []byte) ([]byte, bool) {
-	if len(body) < worth {
+// Encode gives a body as it travels; false says that it stays as it is.
+func Encode(body []byte) ([]byte, bool) {
+	if len(body) < minSize {
 		return body, false
 	}
 	var small bytes.Buffer
@@ -35,12 +35,12 @@
 	return small.Bytes(), true
 }
 
-// Unpack gives a body as it was; one that is not packed stays as it is.
-func Unpack(body []byte, packed bool) ([]byte, error) {
+// Decode gives a body as it was; one that is not packed stays as it is.
+func Decode(body []byte, packed bool) ([]byte, error) {
 	if !packed {
 		return body, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(body))
 	defer reader.Close()
-	return io.ReadAll(io.LimitReader(reader, limit))
+	return io.ReadAll(io.LimitReader(reader, maxDecodedSize))
 }
--- a/base/httpcall/ask.go
+++ b/base/httpcall/client.go
@@ -18,28 +18,28 @@
 	Body   []byte
 }
 
-// Asking is a question that can be sent.
-type Asking interface{ Outgoing() Outgoing }
+// Requester is a question that can be sent.
+type Requester interface{ Outgoing() Outgoing }
 
-// Heard is the raw answer to a question.
-type Heard struct {
+// RawResponse is the raw answer to a question.
+type RawResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Hearing is an answer that can be read.
-type Hearing interface{ Hear(heard Heard) error }
+// ResponseReader is an answer that can be read.
+type ResponseReader interface{ Hear(heard RawResponse) error }
 
-// answerLimit bounds what is read of an answer to one of our own questions.
-const answerLimit = 64 << 20
+// maxResponseBytes bounds what is read of an answer to one of our own questions.
+const maxResponseBytes = 64 << 20
 
-// presized is the most room that a length told ahead claims.
-const presized = 64 << 10
+// maxPresizedBytes is the most room that a length told ahead claims.
+const maxPresizedBytes = 64 << 10
 
-// readWhole reads to the end, into room for the length that was told.
-func readWhole(from io.Reader, told int64) ([]byte, error) {
-	whole := make([]byte, 0, min(max(told, 0), presized)+1)
+// readAll reads to the end, into room for the length that was told.
+func readAll(from io.Reader, told int64) ([]byte, error) {
+	whole := make([]byte, 0, min(max(told, 0), maxPresizedBytes)+1)
 	for {
 		size, err := from.Read(whole[len(whole):cap(whole)])
 		whole = whole[:len(whole)+size]
@@ -55,12 +55,12 @@
 	}
 }
 
-// Ask sends a question and reads its answer: the client's side of the one
+// Do sends a question and reads its answer: the client's side of the one
 // generic handler.
-func Ask[Told any, Pointer interface {
+func Do[Told any, Pointer interface {
 	*Told
-	Hearing
-}](ctx scope.Scope, client *http.Client, address ids.Address, asking Asking) (Told, error) {
+	ResponseReader
+}](ctx scope.Scope, client *http.Client, address ids.Address, asking Requester) (Told, error) {
 	var told Told
 	outgoing := asking.Outgoing()
 	request, err := http.NewRequestWithContext(ctx, outgoing.Method, "http://"+string(address)+outgoing.Path, bytes.NewReader(outgoing.Body))
@@ -76,9 +76,9 @@
 		return told, err
 	}
 	defer response.Body.Close()
-	body, err := readWhole(io.LimitReader(response.Body, answerLimit), response.ContentLength)
+	body, err := readAll(io.LimitReader(response.Body, maxResponseBytes), response.ContentLength)
 	if err != nil {
 		return told, err
 	}
-	return told, Pointer(&told).Hear(Heard{Status: response.StatusCode, Header: response.Header, Body: body})
+	return told, Pointer(&told).Hear(RawResponse{Status: response.StatusCode, Header: response.Header, Body: body})
 }
--- a/base/httpcall/wait_test.go
+++ b/base/httpcall/deadline_test.go
@@ -12,42 +12,42 @@
 	"onyxwell/base/scope"
 )
 
-// recorded is a connection that tells each read deadline that is set.
-type recorded struct {
+// deadlineListener is a connection that tells each read deadline that is set.
+type deadlineListener struct {
 	net.Listener
-	set chan time.Duration
+	deadlines chan time.Duration
 }
 
-type recordedConn struct {
+type deadlineConn struct {
 	net.Conn
-	set chan time.Duration
+	deadlines chan time.Duration
 }
 
-func (r recorded) Accept() (net.Conn, error) {
-	conn, err := r.Listener.Accept()
-	return recordedConn{Conn: conn, set: r.set}, err
+func (d deadlineListener) Accept() (net.Conn, error) {
+	conn, err := d.Listener.Accept()
+	return deadlineConn{Conn: conn, deadlines: d.deadlines}, err
 }
 
-func (r recordedConn) SetReadDeadline(until time.Time) error {
+func (d deadlineConn) SetReadDeadline(until time.Time) error {
 	left := time.Duration(0)
 	if !until.IsZero() {
 		left = time.Until(until)
 	}
-	r.set <- left
-	return r.Conn.SetReadDeadline(until)
+	d.deadlines <- left
+	return d.Conn.SetReadDeadline(until)
 }
 
-// TestBodyIsNotWaitedForForEver sends a head and one byte: once the head is
+// TestMux_bodyHasReadDeadline sends a head and one byte: once the head is
 // read, there is a time by which the body must be there.
-func TestBodyIsNotWaitedForForEver(t *testing.T) {
+func TestMux_bodyHasReadDeadline(t *testing.T) {
 	set := make(chan time.Duration, 16)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := NewTable(scope.New(scope.Options{}), 1<<20)
-	Handle(table, http.MethodPut, "/settings", func(scope.Scope, nothing) (nothing, error) { return nothing{}, nil })
-	server := &httptest.Server{Listener: recorded{Listener: plain, set: set}, Config: Server(table, 5*time.Second, 60*time.Second)}
+	table := NewMux(scope.New(scope.Options{}), 1<<20)
+	Handle(table, http.MethodPut, "/settings", func(scope.Scope, empty) (empty, error) { return empty{}, nil })
+	server := &httptest.Server{Listener: deadlineListener{Listener: plain, deadlines: set}, Config: NewServer(table, 5*time.Second, 60*time.Second)}
 	server.Start()
 	t.Cleanup(server.Close)
 	conn, err := net.Dial("tcp", plain.Addr().String())
--- a/base/httpcall/dial.go
+++ b/base/httpcall/dial.go
@@ -15,26 +15,26 @@
 // userTimeout is the number of TCP_USER_TIMEOUT on Linux.
 const userTimeout = 18
 
-// Dialing is how connections are made.
-type Dialing struct {
-	// Limit is how long a connection may take to come up.
-	Limit clock.Span
-	// Silence is how long sent bytes may stay unconfirmed.
-	Silence clock.Span
-	// Count counts the bytes, where it is there.
-	Count *Traffic
+// Dialer is how connections are made.
+type Dialer struct {
+	// Timeout is how long a connection may take to come up.
+	Timeout clock.Span
+	// UserTimeout is how long sent bytes may stay unconfirmed.
+	UserTimeout clock.Span
+	// Traffic counts the bytes, where it is there.
+	Traffic *Traffic
 }
 
 // Dial opens a connection that a dead or cut-off machine can't hold for ever.
-func (d Dialing) Dial(ctx context.Context, network string, address string) (net.Conn, error) {
+func (d Dialer) Dial(ctx context.Context, network string, address string) (net.Conn, error) {
 	dialer := net.Dialer{
-		Timeout: d.Limit,
+		Timeout: d.Timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: max(d.Silence/2, clock.Second), Interval: clock.Second, Count: 3,
+			Enable: true, Idle: max(d.UserTimeout/2, clock.Second), Interval: clock.Second, Count: 3,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(descriptor uintptr) {
-				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(d.Silence.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, userTimeout, int(d.UserTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -42,25 +42,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return Counting(link, d.Count), nil
+	return CountConn(link, d.Traffic), nil
 }
 
-// Pooling says how many connections a client keeps.
-type Pooling struct {
-	Dialing Dialing
-	Idle    clock.Span
-	PerHost int
+// ClientOptions says how many connections a client keeps.
+type ClientOptions struct {
+	Dialer         Dialer
+	IdleTimeout    clock.Span
+	MaxIdlePerHost int
 }
 
-// Client makes an HTTP client with a pool of its own that adds nothing to what
+// NewClient makes an HTTP client with a pool of its own that adds nothing to what
 // is sent.
-func Client(pooling Pooling) *http.Client {
+func NewClient(pooling ClientOptions) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:         pooling.Dialing.Dial,
+			DialContext:         pooling.Dialer.Dial,
 			DisableCompression:  true,
-			IdleConnTimeout:     pooling.Idle,
-			MaxIdleConnsPerHost: pooling.PerHost,
+			IdleConnTimeout:     pooling.IdleTimeout,
+			MaxIdleConnsPerHost: pooling.MaxIdlePerHost,
 			ReadBufferSize:      4096,
 			WriteBufferSize:     4096,
 		},
--- a/base/httpcall/harness_test.go
+++ b/base/httpcall/harness_test.go
@@ -2,8 +2,8 @@
 
 import "onyxwell/base/response"
 
-// nothing is a question and an answer without parts.
-type nothing struct{}
+// empty is a question and an answer without parts.
+type empty struct{}
 
-func (*nothing) Read(Incoming) error  { return nil }
-func (nothing) Reply() response.Reply { return response.Empty(200) }
+func (*empty) Read(Incoming) error     { return nil }
+func (empty) Reply() response.Response { return response.Empty(200) }
--- a/base/httpcall/traffic.go
+++ b/base/httpcall/traffic.go
@@ -8,32 +8,32 @@
 // Traffic counts what a daemon's own calls and datagrams carry, heads included.
 type Traffic struct{ Messages, BytesIn, BytesOut atomic.Int64 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countedConn is a connection whose bytes are counted.
+type countedConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
 // Read counts what comes in.
-func (c counted) Read(buffer []byte) (int, error) {
+func (c countedConn) Read(buffer []byte) (int, error) {
 	size, err := c.Conn.Read(buffer)
 	c.traffic.BytesIn.Add(int64(size))
 	return size, err
 }
 
 // Write counts what goes out.
-func (c counted) Write(buffer []byte) (int, error) {
+func (c countedConn) Write(buffer []byte) (int, error) {
 	size, err := c.Conn.Write(buffer)
 	c.traffic.BytesOut.Add(int64(size))
 	return size, err
 }
 
-// Counting counts the bytes of a connection; without a count it stays as it is.
-func Counting(link net.Conn, traffic *Traffic) net.Conn {
+// CountConn counts the bytes of a connection; without a count it stays as it is.
+func CountConn(link net.Conn, traffic *Traffic) net.Conn {
 	if traffic == nil {
 		return link
 	}
-	return counted{Conn: link, traffic: traffic}
+	return countedConn{Conn: link, traffic: traffic}
 }
 
 type countedListener struct {
@@ -47,11 +47,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return Counting(link, c.traffic), nil
+	return CountConn(link, c.traffic), nil
 }
 
-// CountingListener counts the bytes of all connections that it accepts.
-func CountingListener(listener net.Listener, traffic *Traffic) net.Listener {
+// CountListener counts the bytes of all connections that it accepts.
+func CountListener(listener net.Listener, traffic *Traffic) net.Listener {
 	if traffic == nil {
 		return listener
 	}
--- a/base/invariant/invariant.go
+++ b/base/invariant/invariant.go
@@ -48,8 +48,8 @@
 	AnswerSeal, RunOnce, PromiseNotRun, Tries, TimeLeft, Home, EventOrder, VersionRises, EpochRises, PromiseRises, LedAway, MemoryReserved,
 }
 
-// loggedMost is how many violations of a promise are logged with their facts.
-const loggedMost = 5
+// maxLogged is how many violations of a promise are logged with their facts.
+const maxLogged = 5
 
 // Monitor counts violations. The zero value is ready; a nil one is that of the
 // process.
@@ -61,20 +61,20 @@
 	counts   [16]atomic.Int64
 }
 
-// process is the monitor of code that was given none.
-var process Monitor
+// defaultMonitor is the monitor of code that was given none.
+var defaultMonitor Monitor
 
 // Violated counts a violation of a promise, told with the facts in the manner
 // of fmt.
 func (m *Monitor) Violated(name Name, format string, facts ...any) {
 	if m == nil {
-		m = &process
+		m = &defaultMonitor
 	}
 	count := m.counts[indexOf(name)].Add(1)
 	if testing.Testing() && !m.Tolerant {
 		panic(fmt.Sprintf("invariant %s is violated: "+format, append([]any{name}, facts...)...))
 	}
-	if m.Log != nil && count <= loggedMost {
+	if m.Log != nil && count <= maxLogged {
 		m.Log.Error().Str("part", "invariant").Str("invariant", string(name)).Int64("count", count).
 			Msg(fmt.Sprintf(format, facts...))
 	}
@@ -83,7 +83,7 @@
 // Count gives how often a promise was violated.
 func (m *Monitor) Count(name Name) int64 {
 	if m == nil {
-		m = &process
+		m = &defaultMonitor
 	}
 	return m.counts[indexOf(name)].Load()
 }
--- a/base/invariant/invariant_test.go
+++ b/base/invariant/invariant_test.go
@@ -8,21 +8,21 @@
 	"github.com/phuslu/log"
 )
 
-func TestViolationsAreCountedAndTheFirstAreLogged(t *testing.T) {
+func TestMonitor_countsAllLogsFirst(t *testing.T) {
 	var text bytes.Buffer
 	monitor := &Monitor{Tolerant: true, Log: &log.Logger{Writer: &log.IOWriter{Writer: &text}}}
-	for range loggedMost + 3 {
+	for range maxLogged + 3 {
 		monitor.Violated(RunOnce, "attempt %s", "a1")
 	}
-	if got := monitor.Count(RunOnce); got != loggedMost+3 || monitor.Count(Home) != 0 {
+	if got := monitor.Count(RunOnce); got != maxLogged+3 || monitor.Count(Home) != 0 {
 		t.Errorf("%d violations counted, and %d of a promise that was kept", got, monitor.Count(Home))
 	}
-	if lines := strings.Count(text.String(), `"invariant":"run-once"`); lines != loggedMost || !strings.Contains(text.String(), "attempt a1") {
+	if lines := strings.Count(text.String(), `"invariant":"run-once"`); lines != maxLogged || !strings.Contains(text.String(), "attempt a1") {
 		t.Errorf("%d lines: %s", lines, text.String())
 	}
 }
 
-func TestViolationFailsATest(t *testing.T) {
+func TestMonitor_violationPanicsInTests(t *testing.T) {
 	defer func() {
 		if recover() == nil {
 			t.Error("a test goes on after a violation")
--- a/base/memquota/quota.go
+++ b/base/memquota/memquota.go
@@ -15,53 +15,53 @@
 var ErrFull = errors.New("quota: no room is left for the body")
 
 const (
-	// first is how many bytes a body gets before it has sent any: a caller that
+	// initialSize is how many bytes a body gets before it has sent any: a caller that
 	// only says that it will send much reserves no more.
-	first = 64 << 10
-	// smallShare is the part of the room, one in so many, that only the first
+	initialSize = 64 << 10
+	// smallPoolFraction is the part of the room, one in so many, that only the first
 	// bytes of bodies may take: small bodies pass beside large ones that are slow.
-	smallShare = 4
+	smallPoolFraction = 4
 )
 
 // Quota is room for bodies, in bytes. A nil one has room for everything.
 type Quota struct {
 	monitor *invariant.Monitor
-	small   room
-	large   room
+	small   pool
+	large   pool
 }
 
-type room struct {
-	limit int64
-	taken atomic.Int64
+type pool struct {
+	limit    int64
+	reserved atomic.Int64
 }
 
-func (r *room) take(size int64) bool {
-	if r.taken.Add(size) <= r.limit {
+func (p *pool) reserve(size int64) bool {
+	if p.reserved.Add(size) <= p.limit {
 		return true
 	}
-	r.taken.Add(-size)
+	p.reserved.Add(-size)
 	return false
 }
 
 // New makes a quota of so many bytes; the monitor may be nil.
 func New(limit int64, monitor *invariant.Monitor) *Quota {
 	made := &Quota{monitor: monitor}
-	made.small.limit = max(first, limit/smallShare)
+	made.small.limit = max(initialSize, limit/smallPoolFraction)
 	made.large.limit = max(0, limit-made.small.limit)
 	return made
 }
 
-// Taken is how many bytes are reserved now.
-func (q *Quota) Taken() int64 {
+// Reserved is how many bytes are reserved now.
+func (q *Quota) Reserved() int64 {
 	if q == nil {
 		return 0
 	}
-	return q.small.taken.Load() + q.large.taken.Load()
+	return q.small.reserved.Load() + q.large.reserved.Load()
 }
 
-// give gives reserved bytes back.
-func (q *Quota) give(room *room, size int64) {
-	if left := room.taken.Add(-size); left < 0 {
+// release gives reserved bytes back.
+func (q *Quota) release(room *pool, size int64) {
+	if left := room.reserved.Add(-size); left < 0 {
 		q.monitor.Violated(invariant.MemoryReserved, "%d bytes are given back, %d more than were taken", size, -left)
 	}
 }
@@ -69,21 +69,21 @@
 // Body is a body that is held in memory, in part or whole.
 type Body struct {
 	// Bytes are those that were read.
-	Bytes []byte
-	quota *Quota
-	room  *room
-	taken int64
+	Bytes    []byte
+	quota    *Quota
+	pool     *pool
+	reserved int64
 }
 
-// Hold makes an empty body that is to be read.
-func (q *Quota) Hold() *Body { return &Body{quota: q} }
+// NewBody makes an empty body that is to be read.
+func (q *Quota) NewBody() *Body { return &Body{quota: q} }
 
 // Release gives the body's room back; it may be called more than once.
 func (b *Body) Release() {
-	if b.quota != nil && b.room != nil {
-		b.quota.give(b.room, b.taken)
+	if b.quota != nil && b.pool != nil {
+		b.quota.release(b.pool, b.reserved)
 	}
-	b.room, b.taken = nil, 0
+	b.pool, b.reserved = nil, 0
 }
 
 // grow makes room for so many bytes in all.
@@ -101,32 +101,32 @@
 // had is the collector's.
 func (b *Body) reserve(size int64) bool {
 	room, already := &b.quota.large, int64(0)
-	if size <= first {
+	if size <= initialSize {
 		room = &b.quota.small
 	}
-	if room == b.room {
-		already = b.taken
+	if room == b.pool {
+		already = b.reserved
 	}
-	if !room.take(size - already) {
+	if !room.reserve(size - already) {
 		return false
 	}
-	if room != b.room {
+	if room != b.pool {
 		b.Release()
 	}
-	b.room, b.taken = room, size
+	b.pool, b.reserved = room, size
 	return true
 }
 
-// next is the room that a body wants which fills what it has: all that was told
+// nextSize is the room that a body wants which fills what it has: all that was told
 // once the first bytes have come, else twice as much, but no more than the most.
-func (b *Body) next(told int64, most int64) int64 { return min(b.wanted(told)-1, most) + 1 }
+func (b *Body) nextSize(told int64, most int64) int64 { return min(b.growTarget(told)-1, most) + 1 }
 
-func (b *Body) wanted(told int64) int64 {
+func (b *Body) growTarget(told int64) int64 {
 	have := int64(cap(b.Bytes))
 	if have == 0 {
 		if told >= 0 {
 			// One byte more shows the end without another step.
-			return min(told+1, first)
+			return min(told+1, initialSize)
 		}
 		return 512
 	}
@@ -139,7 +139,7 @@
 func (b *Body) Read(from io.Reader, told int64, most int64) error {
 	for {
 		if len(b.Bytes) == cap(b.Bytes) {
-			if err := b.grow(b.next(told, most)); err != nil {
+			if err := b.grow(b.nextSize(told, most)); err != nil {
 				return err
 			}
 		}
--- a/base/memquota/quota_test.go
+++ b/base/memquota/memquota_test.go
@@ -15,16 +15,16 @@
 
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
-// TestBodiesAreReadWholeOrRefused reads bodies of all sizes, told or not, in
+// TestBody_readCompleteOrRejected reads bodies of all sizes, told or not, in
 // pieces or not, beside what others hold: what is read is what was sent, room
 // is never overdrawn, and all of it comes back.
-func TestBodiesAreReadWholeOrRefused(t *testing.T) {
+func TestBody_readCompleteOrRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := int64(rapid.IntRange(first, 20*first).Draw(t, "limit"))
+		limit := int64(rapid.IntRange(initialSize, 20*initialSize).Draw(t, "limit"))
 		bodies := New(limit, nil)
 		var held []*Body
 		for range rapid.IntRange(1, 12).Draw(t, "bodies") {
-			text := bytes.Repeat([]byte("abc"), rapid.IntRange(0, 2*first/3).Draw(t, "size"))
+			text := bytes.Repeat([]byte("abc"), rapid.IntRange(0, 2*initialSize/3).Draw(t, "size"))
 			from := io.Reader(bytes.NewReader(text))
 			if rapid.Bool().Draw(t, "in pieces") {
 				from = iotest.HalfReader(from)
@@ -33,8 +33,8 @@
 			if rapid.Bool().Draw(t, "not told") {
 				told = -1
 			}
-			body := bodies.Hold()
-			err := body.Read(from, told, 2*first+3)
+			body := bodies.NewBody()
+			err := body.Read(from, told, 2*initialSize+3)
 			if err != nil && !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -45,8 +45,8 @@
 			if !bytes.Equal(body.Bytes, text) {
 				t.Fatalf("%d bytes of %d", len(body.Bytes), len(text))
 			}
-			if bodies.Taken() > max(limit, first) {
-				t.Fatalf("%d bytes are taken of %d", bodies.Taken(), limit)
+			if bodies.Reserved() > max(limit, initialSize) {
+				t.Fatalf("%d bytes are taken of %d", bodies.Reserved(), limit)
 			}
 			held = append(held, body)
 		}
@@ -54,35 +54,35 @@
 			body.Release()
 			body.Release()
 		}
-		if bodies.Taken() != 0 {
-			t.Fatalf("%d bytes are still taken", bodies.Taken())
+		if bodies.Reserved() != 0 {
+			t.Fatalf("%d bytes are still taken", bodies.Reserved())
 		}
 	})
 }
 
-// TestSmallBodiesPassBesideLargeOnes fills the room with a large body.
-func TestSmallBodiesPassBesideLargeOnes(t *testing.T) {
-	bodies := New(8*first, nil)
-	large, small := bodies.Hold(), bodies.Hold()
-	if err := large.Read(bytes.NewReader(make([]byte, 5*first)), 5*first, 5*first); err != nil {
+// TestQuota_smallBodiesNotBlockedByLarge fills the room with a large body.
+func TestQuota_smallBodiesNotBlockedByLarge(t *testing.T) {
+	bodies := New(8*initialSize, nil)
+	large, small := bodies.NewBody(), bodies.NewBody()
+	if err := large.Read(bytes.NewReader(make([]byte, 5*initialSize)), 5*initialSize, 5*initialSize); err != nil {
 		t.Fatal(err)
 	}
-	if err := bodies.Hold().Read(bytes.NewReader(make([]byte, 5*first)), 5*first, 5*first); !errors.Is(err, ErrFull) {
+	if err := bodies.NewBody().Read(bytes.NewReader(make([]byte, 5*initialSize)), 5*initialSize, 5*initialSize); !errors.Is(err, ErrFull) {
 		t.Errorf("a second large body: %v", err)
 	}
-	if err := small.Read(bytes.NewReader(make([]byte, 100)), 100, 5*first); err != nil {
+	if err := small.Read(bytes.NewReader(make([]byte, 100)), 100, 5*initialSize); err != nil {
 		t.Errorf("a small body: %v", err)
 	}
 	var none *Quota
-	if err := none.Hold().Read(bytes.NewReader(make([]byte, 100)), -1, 5*first); err != nil || none.Taken() != 0 {
+	if err := none.NewBody().Read(bytes.NewReader(make([]byte, 100)), -1, 5*initialSize); err != nil || none.Reserved() != 0 {
 		t.Errorf("without a quota: %v", err)
 	}
 }
 
-func TestPlantedReturnOfMoreIsCounted(t *testing.T) {
+func TestQuota_overReleaseIsCounted(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
-	bodies := New(first, monitor)
-	bodies.give(&bodies.small, 1)
+	bodies := New(initialSize, monitor)
+	bodies.release(&bodies.small, 1)
 	if got := monitor.Count(invariant.MemoryReserved); got != 1 {
 		t.Errorf("counted %d", got)
 	}
--- a/base/program/start_test.go
+++ b/base/program/hangup_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// startVariable has this test binary stop in the middle of its start.
-const startVariable = "ONYXWELL_TEST_START"
+// haltVariable has this test binary stop in the middle of its start.
+const haltVariable = "ONYXWELL_TEST_START"
 
 // This runs before main, while packages are being initialized.
 var _ = func() bool {
-	if os.Getenv(startVariable) != "" {
+	if os.Getenv(haltVariable) != "" {
 		fmt.Println("starting")
 		_, _ = bufio.NewReader(os.Stdin).ReadString('\n')
 		os.Exit(0)
@@ -22,15 +22,15 @@
 	return true
 }()
 
-// TestHangupBeforeMainEndsNothing sends a SIGHUP to a program that has not come
+// TestHangup_ignoredBeforeMain sends a SIGHUP to a program that has not come
 // to its main function.
-func TestHangupBeforeMainEndsNothing(t *testing.T) {
+func TestHangup_ignoredBeforeMain(t *testing.T) {
 	own, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	command := exec.Command(own)
-	command.Env = append(os.Environ(), startVariable+"=1")
+	command.Env = append(os.Environ(), haltVariable+"=1")
 	in, inErr := command.StdinPipe()
 	out, outErr := command.StdoutPipe()
 	if inErr != nil || outErr != nil {
--- a/base/program/watch.go
+++ b/base/program/watch.go
@@ -7,31 +7,31 @@
 	"onyxwell/base/settings"
 )
 
-// File is a settings file as it was read last.
-type File struct {
+// SettingsFile is a settings file as it was read last.
+type SettingsFile struct {
 	path string
-	// last is the stamp from before it was read: a change that comes while it is
+	// lastStamp is the stamp from before it was read: a change that comes while it is
 	// read is seen as one.
-	last stamp
+	lastStamp fileStamp
 }
 
-// Open reads a settings file for the first time.
-func Open(path string) (*File, *settings.Boot, error) {
-	file := &File{path: path, last: stampOf(path)}
+// OpenSettings reads a settings file for the first time.
+func OpenSettings(path string) (*SettingsFile, *settings.Settings, error) {
+	file := &SettingsFile{path: path, lastStamp: statFile(path)}
 	settings, err := settings.Read(path)
 	return file, settings, err
 }
 
 // Watch reads the settings file again on each SIGHUP, and when the file changes
 // without any signal, and gives each new one.
-func (f *File) Watch(top scope.Scope, hangups <-chan os.Signal) <-chan *settings.Boot {
-	reread := make(chan *settings.Boot, 1)
-	go f.watch(top, hangups, reread)
+func (s *SettingsFile) Watch(top scope.Scope, hangups <-chan os.Signal) <-chan *settings.Settings {
+	reread := make(chan *settings.Settings, 1)
+	go s.watch(top, hangups, reread)
 	return reread
 }
 
-func (f *File) watch(top scope.Scope, hangups <-chan os.Signal, reread chan<- *settings.Boot) {
-	pause := max(settings.Seconds(top.Boot.Bounds.SeedLagS), settings.Milliseconds(top.Boot.Bounds.ApplyWithinMS))
+func (s *SettingsFile) watch(top scope.Scope, hangups <-chan os.Signal, reread chan<- *settings.Settings) {
+	pause := max(settings.Seconds(top.Settings.Bounds.SeedLagS), settings.Milliseconds(top.Settings.Bounds.ApplyWithinMS))
 	for {
 		// A SIGHUP says that the file changed, whatever its size and time say.
 		changed := false
@@ -42,16 +42,16 @@
 			changed = true
 		case <-top.Clock.After(pause):
 		}
-		stamp := stampOf(f.path)
-		if stamp == f.last && !changed {
+		stamp := statFile(s.path)
+		if stamp == s.lastStamp && !changed {
 			continue
 		}
-		fresh, err := settings.Read(f.path)
+		fresh, err := settings.Read(s.path)
 		if err != nil {
 			top.Log.Error().Str("part", "boot").Err(err).Msg("the changed boot file is not taken")
 			continue
 		}
-		f.last = stamp
+		s.lastStamp = stamp
 		select {
 		case reread <- fresh:
 		case <-top.Done():
@@ -59,15 +59,15 @@
 	}
 }
 
-type stamp struct {
-	size  int64
-	moved int64
+type fileStamp struct {
+	size     int64
+	modified int64
 }
 
-func stampOf(path string) stamp {
+func statFile(path string) fileStamp {
 	found, err := os.Stat(path)
 	if err != nil {
-		return stamp{}
+		return fileStamp{}
 	}
-	return stamp{size: found.Size(), moved: found.ModTime().UnixNano()}
+	return fileStamp{size: found.Size(), modified: found.ModTime().UnixNano()}
 }
--- a/base/program/watch_test.go
+++ b/base/program/watch_test.go
@@ -13,7 +13,7 @@
 	"onyxwell/base/settings"
 )
 
-const bootText = `
+const settingsText = `
 node_name = "%s"
 ip = "127.0.0.1"
 zone = "zone"
@@ -32,32 +32,32 @@
 rate_per_s = 42.0
 `
 
-// settingsAt is a settings file of a test.
-type settingsAt string
+// settingsFile is a settings file of a test.
+type settingsFile string
 
-func (s settingsAt) write(t *testing.T, name string) {
+func (s settingsFile) write(t *testing.T, name string) {
 	t.Helper()
-	if err := os.WriteFile(string(s), fmt.Appendf(nil, bootText, name), 0o600); err != nil {
+	if err := os.WriteFile(string(s), fmt.Appendf(nil, settingsText, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// read reads the file for the first time; what it gives begins to watch it, on a
+// open reads the file for the first time; what it gives begins to watch it, on a
 // clock that stands still.
-func (s settingsAt) read(t *testing.T) (watch func() <-chan *settings.Boot) {
+func (s settingsFile) open(t *testing.T) (watch func() <-chan *settings.Settings) {
 	t.Helper()
-	hangups := Hangups()
-	file, node, err := Open(string(s))
+	hangups := NotifyHangup()
+	file, node, err := OpenSettings(string(s))
 	if err != nil {
 		t.Fatal(err)
 	}
-	top, end := scope.New(scope.Options{Clock: clock.NewFake(), Boot: node}).WithEnd()
+	top, end := scope.New(scope.Options{Clock: clock.NewFake(), Settings: node}).WithCancel()
 	t.Cleanup(end)
-	return func() <-chan *settings.Boot { return file.Watch(top, hangups) }
+	return func() <-chan *settings.Settings { return file.Watch(top, hangups) }
 }
 
 // hangUp sends this process a SIGHUP and wants the settings of that name.
-func hangUp(t *testing.T, reread <-chan *settings.Boot, name string) {
+func hangUp(t *testing.T, reread <-chan *settings.Settings, name string) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -72,32 +72,32 @@
 	}
 }
 
-// TestHangupRereads sends this process a SIGHUP at once after Hangups: it lives,
+// TestHangup_reloadsSettings sends this process a SIGHUP at once after NotifyHangup: it lives,
 // and the changed file is there though no time passes.
-func TestHangupRereads(t *testing.T) {
-	path := settingsAt(filepath.Join(t.TempDir(), "boot.toml"))
+func TestHangup_reloadsSettings(t *testing.T) {
+	path := settingsFile(filepath.Join(t.TempDir(), "boot.toml"))
 	path.write(t, "one")
-	reread := path.read(t)()
+	reread := path.open(t)()
 	for _, name := range []string{"the second", "the third one"} {
 		path.write(t, name)
 		hangUp(t, reread, name)
 	}
 }
 
-// TestChangeDuringTheFirstReadIsSeen has the settings file change after it was
+// TestWatch_changeBeforeWatchIsSeen has the settings file change after it was
 // read and before anybody watches it.
-func TestChangeDuringTheFirstReadIsSeen(t *testing.T) {
-	path := settingsAt(filepath.Join(t.TempDir(), "boot.toml"))
+func TestWatch_changeBeforeWatchIsSeen(t *testing.T) {
+	path := settingsFile(filepath.Join(t.TempDir(), "boot.toml"))
 	path.write(t, "one")
-	watch := path.read(t)
+	watch := path.open(t)
 	path.write(t, "the second")
 	hangUp(t, watch(), "the second")
 }
 
-// TestHangupRereadsWhateverTheStampSays has the file change without its size and
+// TestHangup_reloadsDespiteUnchangedStamp has the file change without its size and
 // time showing it.
-func TestHangupRereadsWhateverTheStampSays(t *testing.T) {
-	path := settingsAt(filepath.Join(t.TempDir(), "boot.toml"))
+func TestHangup_reloadsDespiteUnchangedStamp(t *testing.T) {
+	path := settingsFile(filepath.Join(t.TempDir(), "boot.toml"))
 	write := func(name string) {
 		path.write(t, name)
 		if err := os.Chtimes(string(path), time.Time{}, time.Unix(1_000_000, 0)); err != nil {
@@ -105,7 +105,7 @@
 		}
 	}
 	write("one")
-	reread := path.read(t)()
+	reread := path.open(t)()
 	write("two")
 	hangUp(t, reread, "two")
 }
--- a/base/response/reply.go
+++ b/base/response/response.go
@@ -18,69 +18,69 @@
 	NotRunHeader = "Onyxwell-Not-Run"
 )
 
-// Reply is an answer ready to be sent.
-type Reply struct {
-	Status  int
-	Header  http.Header
-	Body    []byte
-	Closing bool
+// Response is an answer ready to be sent.
+type Response struct {
+	Status          int
+	Header          http.Header
+	Body            []byte
+	CloseConnection bool
 }
 
-type trouble struct {
+type errorBody struct {
 	Error  string `json:"error"`
 	Text   string `json:"text"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Of makes the answer for a kind of failure.
-func Of(kind errkind.Kind, detail string) Reply {
-	told := kind.Answer()
-	made := JSON(told.Status, trouble{Error: told.Name, Text: told.Text, Detail: detail})
+// FromKind makes the answer for a kind of failure.
+func FromKind(kind errkind.Kind, detail string) Response {
+	told := kind.Response()
+	made := JSON(told.Status, errorBody{Error: told.Name, Text: told.Text, Detail: detail})
 	made.Header.Set(KindHeader, strconv.Itoa(int(kind)))
-	made.Closing = told.Closing
+	made.CloseConnection = told.CloseConnection
 	return made
 }
 
-// Failure makes the answer for an error.
-func Failure(err error) Reply {
-	return Of(errkind.KindOf(err), errkind.DetailOf(err))
+// FromError makes the answer for an error.
+func FromError(err error) Response {
+	return FromKind(errkind.KindOf(err), errkind.DetailOf(err))
 }
 
 // JSON makes an answer with a JSON body.
-func JSON(status int, value any) Reply {
+func JSON(status int, value any) Response {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return Of(errkind.Internal, "")
+		return FromKind(errkind.Internal, "")
 	}
 	return Raw(status, "application/json", body)
 }
 
 // Raw makes an answer from bytes as they are.
-func Raw(status int, contentType string, body []byte) Reply {
+func Raw(status int, contentType string, body []byte) Response {
 	header := http.Header{}
 	if contentType != "" {
 		header.Set("Content-Type", contentType)
 	}
-	return Reply{Status: status, Header: header, Body: body}
+	return Response{Status: status, Header: header, Body: body}
 }
 
 // Empty makes an answer without a body.
-func Empty(status int) Reply { return Reply{Status: status, Header: http.Header{}} }
+func Empty(status int) Response { return Response{Status: status, Header: http.Header{}} }
 
-// After asks the caller to come back no sooner than the span from now.
-func (r Reply) After(span clock.Span) Reply {
+// WithRetryAfter asks the caller to come back no sooner than the span from now.
+func (r Response) WithRetryAfter(span clock.Span) Response {
 	r.Header.Set("Retry-After", strconv.FormatFloat(span.Seconds(), 'f', 3, 64))
 	return r
 }
 
-// Close asks that the connection end with this answer.
-func (r Reply) Close() Reply {
-	r.Closing = true
+// WithClose asks that the connection end with this answer.
+func (r Response) WithClose() Response {
+	r.CloseConnection = true
 	return r
 }
 
 // Send writes the answer.
-func (r Reply) Send(writer http.ResponseWriter) {
+func (r Response) Send(writer http.ResponseWriter) {
 	header := writer.Header()
 	for name, values := range r.Header {
 		header[name] = values
@@ -89,16 +89,16 @@
 		header["Content-Type"] = nil
 	}
 	header.Set("Content-Length", strconv.Itoa(len(r.Body)))
-	if r.Closing {
+	if r.CloseConnection {
 		header.Set("Connection", "close")
 	}
 	writer.WriteHeader(r.Status)
 	_, _ = writer.Write(r.Body)
 }
 
-// Begin writes the head of an answer whose body follows piece by piece; the
+// WriteHeader writes the head of an answer whose body follows piece by piece; the
 // head's values are passed on as they are. A length below 0 is unknown.
-func Begin(writer http.ResponseWriter, status int, heads http.Header, length int64, closing bool) {
+func WriteHeader(writer http.ResponseWriter, status int, heads http.Header, length int64, closing bool) {
 	header := writer.Header()
 	for name, values := range heads {
 		header[name] = values
@@ -118,9 +118,9 @@
 	writer.WriteHeader(status)
 }
 
-// ReadWithin bounds how long the rest of a request may take to arrive; 0 is no
+// SetReadTimeout bounds how long the rest of a request may take to arrive; 0 is no
 // bound.
-func ReadWithin(writer http.ResponseWriter, span clock.Span) {
+func SetReadTimeout(writer http.ResponseWriter, span clock.Span) {
 	until := time.Time{}
 	if span > 0 {
 		until = time.Now().Add(span)
--- a/base/scope/scope.go
+++ b/base/scope/scope.go
@@ -16,56 +16,56 @@
 // Scope is handed down every call that waits, logs or needs the boot file.
 type Scope struct {
 	context.Context
-	Clock clock.Clock
-	Log   *log.Logger
-	Boot  *settings.Boot
+	Clock    clock.Clock
+	Log      *log.Logger
+	Settings *settings.Settings
 }
 
 // Options are what a scope is made from.
 type Options struct {
-	Clock clock.Clock
-	Log   *log.Logger
-	Boot  *settings.Boot
+	Clock    clock.Clock
+	Log      *log.Logger
+	Settings *settings.Settings
 }
 
 // New makes the outermost scope; what the options leave out is filled in.
 func New(options Options) Scope {
 	if options.Clock == nil {
-		options.Clock = clock.Steady()
+		options.Clock = clock.NewMonotonic()
 	}
 	if options.Log == nil {
-		options.Log = Logger("error", io.Discard)
+		options.Log = NewLogger("error", io.Discard)
 	}
-	if options.Boot == nil {
-		options.Boot = &settings.Boot{}
+	if options.Settings == nil {
+		options.Settings = &settings.Settings{}
 	}
-	return Scope{Context: context.Background(), Clock: options.Clock, Log: options.Log, Boot: options.Boot}
+	return Scope{Context: context.Background(), Clock: options.Clock, Log: options.Log, Settings: options.Settings}
 }
 
-// Under gives the same scope below another context.
-func (s Scope) Under(parent context.Context) Scope {
+// WithContext gives the same scope below another context.
+func (s Scope) WithContext(parent context.Context) Scope {
 	s.Context = parent
 	return s
 }
 
-// WithLimit gives the same scope with an end after the span.
-func (s Scope) WithLimit(span clock.Span) (Scope, func()) {
-	limited, cancel := s.Clock.WithLimit(s.Context, span)
-	return s.Under(limited), cancel
+// WithTimeout gives the same scope with an end after the span.
+func (s Scope) WithTimeout(span clock.Span) (Scope, func()) {
+	limited, cancel := s.Clock.WithTimeout(s.Context, span)
+	return s.WithContext(limited), cancel
 }
 
-// WithEnd gives the same scope and a function that ends it.
-func (s Scope) WithEnd() (Scope, func()) {
+// WithCancel gives the same scope and a function that ends it.
+func (s Scope) WithCancel() (Scope, func()) {
 	inner, cancel := context.WithCancel(s.Context)
-	return s.Under(inner), cancel
+	return s.WithContext(inner), cancel
 }
 
-// OnEnd has something done once the scope has ended; the function it gives back
+// AfterFunc has something done once the scope has ended; the function it gives back
 // calls that off.
-func (s Scope) OnEnd(act func()) (stop func() bool) { return context.AfterFunc(s.Context, act) }
+func (s Scope) AfterFunc(act func()) (stop func() bool) { return context.AfterFunc(s.Context, act) }
 
-// Detached gives the same scope without the end of its parent.
-func (s Scope) Detached() Scope { return s.Under(context.WithoutCancel(s.Context)) }
+// WithoutCancel gives the same scope without the end of its parent.
+func (s Scope) WithoutCancel() Scope { return s.WithContext(context.WithoutCancel(s.Context)) }
 
 // Wait blocks for the span; false says that the scope ended first.
 func (s Scope) Wait(span clock.Span) bool { return clock.Wait(s.Context, s.Clock, span) }
@@ -73,7 +73,7 @@
 // Now gives the present instant.
 func (s Scope) Now() clock.Instant { return s.Clock.Now() }
 
-// Logger makes a logger of JSON lines at a level: debug, info, warn or error.
-func Logger(level string, writer io.Writer) *log.Logger {
+// NewLogger makes a logger of JSON lines at a level: debug, info, warn or error.
+func NewLogger(level string, writer io.Writer) *log.Logger {
 	return &log.Logger{Level: log.ParseLevel(level), TimeFormat: "15:04:05.000", Writer: &log.IOWriter{Writer: writer}}
 }
--- a/base/settings/boot.go
+++ b/base/settings/settings.go
@@ -16,48 +16,48 @@
 	"onyxwell/base/ids"
 )
 
-// Variable names the environment variable that holds the boot file's path.
-const Variable = "ONYXWELL_NODE_FILE"
-
-// Fallback is the path used where the variable is not set.
-const Fallback = "/etc/onyxwell/boot.toml"
-
-// Boot is the boot file as read. Fields that are not known are ignored.
-type Boot struct {
-	NodeName    string                  `toml:"node_name"`
-	Role        string                  `toml:"role"`
-	Class       string                  `toml:"machine_class"`
-	Serves      []string                `toml:"serves"`
-	IP          string                  `toml:"ip"`
-	Zone        ids.Zone                `toml:"zone"`
-	Region      ids.Region              `toml:"region"`
-	PortRange   []int                   `toml:"port_range"`
-	Seeds       []ids.Address           `toml:"seed_nodes"`
-	FirstStart  bool                    `toml:"first_start"`
-	Counted     bool                    `toml:"counted"`
-	DataFolder  string                  `toml:"data_dir"`
-	BeatEveryMS int                     `toml:"beat_every_ms"`
-	Rules       []string                `toml:"rules_in_force"`
-	Zones       map[ids.Zone]ids.Region `toml:"zones"`
-	Listen      map[string]ids.Address  `toml:"listen"`
-	Limits      Limits                  `toml:"limits"`
-	Tolerate    Tolerate                `toml:"tolerate"`
-	Bounds      Bounds                  `toml:"bounds"`
-	Platform    Platform                `toml:"cloud_api"`
+// PathVariable names the environment variable that holds the boot file's path.
+const PathVariable = "ONYXWELL_NODE_FILE"
+
+// DefaultPath is the path used where the variable is not set.
+const DefaultPath = "/etc/onyxwell/boot.toml"
+
+// Settings is the boot file as read. Fields that are not known are ignored.
+type Settings struct {
+	NodeName     string                  `toml:"node_name"`
+	Role         string                  `toml:"role"`
+	MachineClass string                  `toml:"machine_class"`
+	Serves       []string                `toml:"serves"`
+	IP           string                  `toml:"ip"`
+	Zone         ids.Zone                `toml:"zone"`
+	Region       ids.Region              `toml:"region"`
+	PortRange    []int                   `toml:"port_range"`
+	Seeds        []ids.Address           `toml:"seed_nodes"`
+	FirstStart   bool                    `toml:"first_start"`
+	Counted      bool                    `toml:"counted"`
+	DataDir      string                  `toml:"data_dir"`
+	HeartbeatMS  int                     `toml:"beat_every_ms"`
+	Rules        []string                `toml:"rules_in_force"`
+	Zones        map[ids.Zone]ids.Region `toml:"zones"`
+	Listen       map[string]ids.Address  `toml:"listen"`
+	Limits       Limits                  `toml:"limits"`
+	Tolerate     Tolerance               `toml:"tolerate"`
+	Bounds       Bounds                  `toml:"bounds"`
+	Platform     Platform                `toml:"cloud_api"`
 	// Grouping is of the command line.
 	Grouping bool `toml:"-"`
 	// Metrics is where the daemon's figures are served; it is of the command line.
-	Metrics MetricsPlace `toml:"-"`
+	Metrics MetricsEndpoint `toml:"-"`
 }
 
-// MetricsPlace is a port and a path; port 0 is nowhere.
-type MetricsPlace struct {
+// MetricsEndpoint is a port and a path; port 0 is nowhere.
+type MetricsEndpoint struct {
 	Port int
 	Path string
 }
 
 // UnmarshalText reads PORT/PATH, as in 19464/metrics; kong calls it.
-func (m *MetricsPlace) UnmarshalText(text []byte) error {
+func (m *MetricsEndpoint) UnmarshalText(text []byte) error {
 	port, path, found := strings.Cut(string(text), "/")
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 || !found || path == "" || strings.ContainsAny(path, " {}") {
@@ -69,16 +69,16 @@
 
 // Limits are what the machine allows the process.
 type Limits struct {
-	ProcessorShare float64 `toml:"cpu_share"`
-	Cores          float64 `toml:"cores"`
-	MemoryMB       int64   `toml:"memory_mb"`
-	OpenFiles      int     `toml:"open_files"`
-	LinkMbps       float64 `toml:"link_mbps"`
-	DiskMB         int64   `toml:"disk_mb"`
+	CPUShare  float64 `toml:"cpu_share"`
+	Cores     float64 `toml:"cores"`
+	MemoryMB  int64   `toml:"memory_mb"`
+	OpenFiles int     `toml:"open_files"`
+	LinkMbps  float64 `toml:"link_mbps"`
+	DiskMB    int64   `toml:"disk_mb"`
 }
 
-// Tolerate is how much may be lost at one time.
-type Tolerate struct {
+// Tolerance is how much may be lost at one time.
+type Tolerance struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
@@ -117,14 +117,14 @@
 
 // Path tells where the boot file is.
 func Path() string {
-	if path := os.Getenv(Variable); path != "" {
+	if path := os.Getenv(PathVariable); path != "" {
 		return path
 	}
-	return Fallback
+	return DefaultPath
 }
 
 // Read reads and checks a boot file.
-func Read(path string) (*Boot, error) {
+func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("boot file: %w", err)
@@ -133,12 +133,12 @@
 }
 
 // Parse checks the text of a boot file.
-func Parse(text string) (*Boot, error) {
-	settings := &Boot{}
+func Parse(text string) (*Settings, error) {
+	settings := &Settings{}
 	if _, err := toml.Decode(text, settings); err != nil {
 		return nil, fmt.Errorf("boot file: %w", err)
 	}
-	if err := errors.Join(settings.problems()...); err != nil {
+	if err := errors.Join(settings.validate()...); err != nil {
 		return nil, fmt.Errorf("boot file: %w", err)
 	}
 	return settings, nil
--- a/base/settings/boot_test.go
+++ b/base/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"onyxwell/base/ids"
 )
 
-const good = `
+const validSettings = `
 node_name = "edge-1"
 ip = "10.1.0.13"
 zone = "a"
@@ -30,20 +30,20 @@
 rate_per_s = 42.0
 `
 
-func TestGoodFileIsTaken(t *testing.T) {
-	settings, err := Parse(good)
+func TestParse_validFile(t *testing.T) {
+	settings, err := Parse(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if settings.InnerAddress("10.9.9.9", "fleet-controller") != "10.9.9.9:7721" || settings.SeedAddresses()[1] != "10.2.0.30:7721" {
-		t.Fatalf("%v %v", settings.InnerAddress("10.9.9.9", "fleet-controller"), settings.SeedAddresses())
+	if settings.InternalAddress("10.9.9.9", "fleet-controller") != "10.9.9.9:7721" || settings.SeedAddresses()[1] != "10.2.0.30:7721" {
+		t.Fatalf("%v %v", settings.InternalAddress("10.9.9.9", "fleet-controller"), settings.SeedAddresses())
 	}
-	if settings.Require("front") != nil || settings.Require("front", "control") == nil {
+	if settings.RequireListeners("front") != nil || settings.RequireListeners("front", "control") == nil {
 		t.Fatal("the listening addresses are not looked at")
 	}
 }
 
-func TestBrokenFileIsNamed(t *testing.T) {
+func TestParse_invalidFileNamesField(t *testing.T) {
 	cases := map[string][2]string{
 		"node_name":              {`node_name = "edge-1"`, ``},
 		"ip is":                  {`"10.1.0.13"`, `"host"`},
@@ -59,7 +59,7 @@
 		"boot file":              {`zone = "a"`, `zone = `},
 	}
 	for name, change := range cases {
-		text := strings.Replace(good, change[0], change[1], 1)
+		text := strings.Replace(validSettings, change[0], change[1], 1)
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -69,19 +69,19 @@
 	}
 }
 
-func TestInnerAddressOfBothFamilies(t *testing.T) {
-	settings := &Boot{PortRange: []int{7720, 7735}}
+func TestInternalAddress_ipv4AndIPv6(t *testing.T) {
+	settings := &Settings{PortRange: []int{7720, 7735}}
 	for ip, want := range map[string]ids.Address{"10.1.0.13": "10.1.0.13:7721", "fd00::13": "[fd00::13]:7721"} {
-		if got := settings.InnerAddress(ip, "fleet-controller"); got != want {
+		if got := settings.InternalAddress(ip, "fleet-controller"); got != want {
 			t.Errorf("%s: %s, not %s", ip, got, want)
 		}
 	}
 }
 
-func TestPortsThatAreGivenAway(t *testing.T) {
-	settings := &Boot{PortRange: []int{7720, 7735}, Seeds: []ids.Address{"10.1.0.13:8166"}, Listen: map[string]ids.Address{"front": "10.1.0.13:8161"}}
+func TestUsesPort_allPortsOfSettings(t *testing.T) {
+	settings := &Settings{PortRange: []int{7720, 7735}, Seeds: []ids.Address{"10.1.0.13:8166"}, Listen: map[string]ids.Address{"front": "10.1.0.13:8161"}}
 	for port, want := range map[int]bool{7720: true, 7735: true, 8166: true, 8161: true, 19464: false} {
-		if settings.Uses(port) != want {
+		if settings.UsesPort(port) != want {
 			t.Errorf("%d: not %v", port, want)
 		}
 	}
--- a/base/telemetry/telemetry_test.go
+++ b/base/telemetry/telemetry_test.go
@@ -10,10 +10,10 @@
 	"onyxwell/base/invariant"
 )
 
-func TestFiguresAsText(t *testing.T) {
+func TestMetrics_exposition(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
 	metrics := New(monitor)
-	for index := range routesMost + 2 {
+	for index := range maxRoutes + 2 {
 		metrics.Request(fmt.Sprintf("r-%d", index), "answered", 20*clock.Millisecond)
 	}
 	metrics.Request("", "no-route", 0)
@@ -41,5 +41,5 @@
 	}
 	var none *Metrics
 	none.Request("r", "answered", 0)
-	none.Gauge("g", "", nil, nil)
+	none.GaugeFunc("g", "", nil, nil)
 }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -130,7 +130,7 @@
 			"run": func() (int, error) { return line.Run.play(stopped, out) },
 			"router": func() (int, error) {
 				log.SetOutput(io.Discard)
-				return 0, experiment.Serve(scope.New(scope.Options{}).Under(stopped), os.Stdin, out)
+				return 0, experiment.Serve(scope.New(scope.Options{}).WithContext(stopped), os.Stdin, out)
 			},
 			"experiment": func() (int, error) { return line.Experiment.play(stopped, out, errors) },
 		}
@@ -161,9 +161,9 @@
 		}
 		program = []string{own, "router"}
 	}
-	top := scope.New(scope.Options{}).Under(stopped)
+	top := scope.New(scope.Options{}).WithContext(stopped)
 	if e.Limit > 0 {
-		limited, release := top.WithLimit(e.Limit)
+		limited, release := top.WithTimeout(e.Limit)
 		defer release()
 		top = limited
 	}
--- a/cmd/fleet-controller/main.go
+++ b/cmd/fleet-controller/main.go
@@ -13,14 +13,14 @@
 
 func main() {
 	os.Exit(program.Main(program.Daemon{
-		Name:  controller.Role,
-		Text:  "Keeps onyxwell's control state, answers its operator and directory, and plans.",
-		Needs: []string{"control", "directory"},
-		Serve: serve,
+		Name:              controller.Role,
+		Description:       "Keeps onyxwell's control state, answers its operator and directory, and plans.",
+		RequiredListeners: []string{"control", "directory"},
+		Serve:             serve,
 	}, os.Args[1:]))
 }
 
-func serve(top scope.Scope, reread <-chan *settings.Boot) error {
+func serve(top scope.Scope, reread <-chan *settings.Settings) error {
 	made, err := controller.New(top, controller.Options{})
 	if err != nil {
 		return err
--- a/cmd/room/main.go
+++ b/cmd/room/main.go
@@ -40,9 +40,9 @@
 }
 
 // Hear reads the report.
-func (h *heard) Hear(told httpcall.Heard) error {
+func (h *heard) Hear(told httpcall.RawResponse) error {
 	if told.Status != 200 {
-		return errkind.Of(errkind.Unready, "the controller answered %d: %s", told.Status, told.Body)
+		return errkind.Errorf(errkind.NotReady, "the controller answered %d: %s", told.Status, told.Body)
 	}
 	h.body = told.Body
 	return json.Unmarshal(told.Body, &h.report)
@@ -89,11 +89,11 @@
 }
 
 func ask(line commandLine) (heard, error) {
-	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: line.Limit, Silence: line.Limit}, Idle: line.Limit, PerHost: 1})
+	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: line.Limit, UserTimeout: line.Limit}, IdleTimeout: line.Limit, MaxIdlePerHost: 1})
 	var last error
 	for _, address := range line.Controller {
-		short, release := scope.New(scope.Options{}).WithLimit(line.Limit)
-		answer, err := httpcall.Ask[heard](short, client, address, asking{})
+		short, release := scope.New(scope.Options{}).WithTimeout(line.Limit)
+		answer, err := httpcall.Do[heard](short, client, address, asking{})
 		release()
 		if err == nil {
 			return answer, nil
@@ -105,18 +105,18 @@
 
 func show(out io.Writer, report headroom.Report) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	for _, family := range report.Families {
-		if !family.Enough {
+	for _, family := range report.Services {
+		if !family.HasData {
 			fmt.Fprintf(table, "%s\ttoo few answers seen for an estimate\n", family.Service)
 			continue
 		}
-		fmt.Fprintf(table, "%s\tload %.1f/s\tused %.0f%%\troom for %.1f times the load\n", family.Service, family.PerS, 100*family.Used, family.Together)
+		fmt.Fprintf(table, "%s\tload %.1f/s\tused %.0f%%\troom for %.1f times the load\n", family.Service, family.LoadPerS, 100*family.Utilization, family.GrowthTogether)
 		for _, route := range family.Routes {
 			fmt.Fprintf(table, "  %s\tload %.1f/s\tfirst %.0f of %.0f ms\talone %.1f times, with all others %.1f times\n",
-				route.Name, route.PerS, route.FirstMS, route.GoalMS, route.Alone, route.Together)
+				route.Name, route.LoadPerS, route.FirstTokenMS, route.TargetMS, route.GrowthAlone, route.GrowthTogether)
 		}
 		for _, region := range family.Regions {
-			fmt.Fprintf(table, "  in %s\t%d ready\t%d not\tused %.0f%%\n", region.Region, region.Ready, region.Other, 100*region.Used)
+			fmt.Fprintf(table, "  in %s\t%d ready\t%d not\tused %.0f%%\n", region.Region, region.Ready, region.NotReady, 100*region.Utilization)
 		}
 	}
 	for _, routers := range report.Routers {
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -12,14 +12,14 @@
 
 func main() {
 	os.Exit(program.Main(program.Daemon{
-		Name:  router.Role,
-		Text:  "Carries visitors' requests to the model runners that the plan chooses.",
-		Needs: []string{"front", "readiness"},
-		Serve: serve,
+		Name:              router.Role,
+		Description:       "Carries visitors' requests to the model runners that the plan chooses.",
+		RequiredListeners: []string{"front", "readiness"},
+		Serve:             serve,
 	}, os.Args[1:]))
 }
 
-func serve(top scope.Scope, reread <-chan *settings.Boot) error {
+func serve(top scope.Scope, reread <-chan *settings.Settings) error {
 	r, err := router.New(top, router.Options{})
 	if err != nil {
 		return err
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -109,7 +109,7 @@
 	}
 	stopped, release := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer release()
-	top := scope.New(scope.Options{}).Under(stopped)
+	top := scope.New(scope.Options{}).WithContext(stopped)
 	seeds := make(chan uint64)
 	go func() {
 		defer close(seeds)
--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -35,18 +35,18 @@
 func (c *ConfigChangeRequest) Read(incoming httpcall.Incoming) error {
 	matches := incoming.Request.Header.Values("If-Match")
 	if len(matches) != 1 {
-		return errkind.Of(errkind.BadRequest, "If-Match: stands %d times, not once", len(matches))
+		return errkind.Errorf(errkind.BadRequest, "If-Match: stands %d times, not once", len(matches))
 	}
 	if types := incoming.Request.Header.Values("Content-Type"); len(types) > 1 {
-		return errkind.Of(errkind.BadRequest, "Content-Type: stands %d times", len(types))
+		return errkind.Errorf(errkind.BadRequest, "Content-Type: stands %d times", len(types))
 	}
 	found := versionPattern.FindStringSubmatch(matches[0])
 	if found == nil {
-		return errkind.Of(errkind.BadRequest, "If-Match: %q is no version", matches[0])
+		return errkind.Errorf(errkind.BadRequest, "If-Match: %q is no version", matches[0])
 	}
 	match, err := strconv.ParseInt(found[1]+found[2], 10, 64)
 	if err != nil {
-		return errkind.Of(errkind.BadRequest, "If-Match: %s is above any version", matches[0])
+		return errkind.Errorf(errkind.BadRequest, "If-Match: %s is above any version", matches[0])
 	}
 	c.Change = store.Change{
 		Full: incoming.Request.Method == http.MethodPut, BaseVersion: ids.Serial(match), Body: incoming.Body,
@@ -60,7 +60,7 @@
 // Reply tells the version that the change made. A repeat is told its own one
 // again, whatever came into force since: it acknowledges that order and no
 // other.
-func (c ConfigChangeResponse) Reply() response.Reply {
+func (c ConfigChangeResponse) Reply() response.Response {
 	return response.JSON(http.StatusOK, map[string]any{"config_version": c.Version})
 }
 
@@ -74,7 +74,7 @@
 type ConfigResponse struct{ Document []byte }
 
 // Reply gives the document as it was sent.
-func (c ConfigResponse) Reply() response.Reply {
+func (c ConfigResponse) Reply() response.Response {
 	return response.Raw(http.StatusOK, "application/json", c.Document)
 }
 
@@ -97,16 +97,16 @@
 type HeadroomResponse struct{ Report []byte }
 
 // Reply gives the report.
-func (h HeadroomResponse) Reply() response.Reply {
+func (h HeadroomResponse) Reply() response.Response {
 	return response.Raw(http.StatusOK, "application/json", h.Report)
 }
 
 // ServeHeadroom adds the call that tells the room of every model family.
-func ServeHeadroom(calls *httpcall.Table, news *gossip.Store) {
+func ServeHeadroom(calls *httpcall.Mux, news *gossip.Store) {
 	httpcall.Handle(calls, http.MethodGet, "/room", func(scope.Scope, EmptyRequest) (HeadroomResponse, error) {
 		item, found := news.Get(headroom.Key)
 		if !found {
-			return HeadroomResponse{}, errkind.Of(errkind.Unready, "no estimate was made yet")
+			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no estimate was made yet")
 		}
 		return HeadroomResponse{Report: item.Body}, nil
 	})
@@ -116,10 +116,10 @@
 type EmptyResponse struct{}
 
 // Reply is empty.
-func (EmptyResponse) Reply() response.Reply { return response.Empty(http.StatusOK) }
+func (EmptyResponse) Reply() response.Response { return response.Empty(http.StatusOK) }
 
 // Serve adds the operator's calls to a table.
-func Serve(calls *httpcall.Table, front Dispatcher) {
+func Serve(calls *httpcall.Mux, front Dispatcher) {
 	change := func(ctx scope.Scope, asked ConfigChangeRequest) (ConfigChangeResponse, error) {
 		_, err := front.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbChange, Change: asked.Change})
 		return ConfigChangeResponse{Version: asked.Change.Version()}, err
@@ -133,13 +133,13 @@
 		}
 		kept, err := store.Decode(value)
 		if err == nil && kept.Version == 0 {
-			err = errkind.Of(errkind.Unready, "no spec was taken yet")
+			err = errkind.Errorf(errkind.NotReady, "no spec was taken yet")
 		}
 		return ConfigResponse{Document: kept.Document}, err
 	})
 	empty := func(ctx scope.Scope, asked ZoneRequest) (EmptyResponse, error) {
-		if _, known := ctx.Boot.Zones[asked.Zone]; !known {
-			return EmptyResponse{}, errkind.Of(errkind.UnknownZone, "%q", asked.Zone)
+		if _, known := ctx.Settings.Zones[asked.Zone]; !known {
+			return EmptyResponse{}, errkind.Errorf(errkind.UnknownZone, "%q", asked.Zone)
 		}
 		_, err := front.Dispatch(ctx, command.Command{Key: evacuation.Key(asked.Zone), Verb: asked.Verb})
 		return EmptyResponse{}, err
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -46,7 +46,7 @@
 type testServer struct {
 	t       *testing.T
 	server  *httptest.Server
-	calls   *httpcall.Table
+	calls   *httpcall.Mux
 	updates *gossip.Store
 	disk    *fakeDisk
 }
@@ -55,7 +55,7 @@
 	t.Helper()
 	made := &testServer{t: t, updates: gossip.NewStore(nil), disk: &fakeDisk{}}
 	machine := clock.NewFake()
-	top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{Zones: map[ids.Zone]ids.Region{"hall": "north"}}})
+	top := scope.New(scope.Options{Clock: machine, Settings: &settings.Settings{Zones: map[ids.Zone]ids.Region{"hall": "north"}}})
 	voter, err := register.NewAcceptor("a", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -71,10 +71,10 @@
 	})
 	front = command.New(command.Options{
 		Address: "a", Proposer: keeper, Acceptor: voter, Membership: membership.NewTable(machine, membership.Member{Address: "a"}),
-		Updates: made.updates, Transport: transport.NewClient(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}), ForwardTimeout: 4, CommandTimeout: clock.Second,
+		Updates: made.updates, Transport: transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}), ForwardTimeout: 4, CommandTimeout: clock.Second,
 		TakeoverBackoff: func() clock.Span { return 0 },
 	})
-	calls := httpcall.NewTable(top, 4000)
+	calls := httpcall.NewMux(top, 4000)
 	Serve(calls, front)
 	made.calls = calls
 	made.server = httptest.NewServer(calls)
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -215,7 +215,7 @@
 		t.Errorf("the news are at %d", told.Version)
 	}
 	recorder := httptest.NewRecorder()
-	response.Of(errkind.Forgotten, "").Send(recorder)
+	response.FromKind(errkind.OutcomeExpired, "").Send(recorder)
 	if recorder.Code != 503 {
 		t.Errorf("%d for what is forgotten", recorder.Code)
 	}
--- a/control/config/evacuation/evacuation.go
+++ b/control/config/evacuation/evacuation.go
@@ -37,7 +37,7 @@
 	return func(current []byte) ([]byte, error) {
 		kept, err := Decode(current)
 		if err != nil {
-			return nil, errkind.Of(errkind.Internal, "kept evacuation: %v", err)
+			return nil, errkind.Errorf(errkind.Internal, "kept evacuation: %v", err)
 		}
 		turned := past > 0 && kept.Version > past
 		if turned || (kept.Drained == empty && kept.Version > 0) {
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -39,7 +39,7 @@
 // Compress gives the change as it travels between controllers.
 func (c Change) Compress() Change {
 	if !c.Compressed {
-		c.Body, c.Compressed = compress.Pack(c.Body)
+		c.Body, c.Compressed = compress.Encode(c.Body)
 	}
 	return c
 }
@@ -72,10 +72,10 @@
 func (c Change) apply(current []byte, sealed int64) ([]byte, error) {
 	kept, err := Decode(current)
 	if err != nil {
-		return nil, errkind.Of(errkind.Internal, "kept spec: %v", err)
+		return nil, errkind.Errorf(errkind.Internal, "kept spec: %v", err)
 	}
-	if c.Body, err = compress.Unpack(c.Body, c.Compressed); err != nil {
-		return nil, errkind.Of(errkind.BadRequest, "packed change: %v", err)
+	if c.Body, err = compress.Decode(c.Body, c.Compressed); err != nil {
+		return nil, errkind.Errorf(errkind.BadRequest, "packed change: %v", err)
 	}
 	digest := c.digest()
 	if c.BaseVersion != kept.Version {
@@ -94,10 +94,10 @@
 		return nil, err
 	}
 	if checked.Version <= kept.Version {
-		return nil, errkind.Of(errkind.BadSpec, "config_version: %d is not above %d", checked.Version, kept.Version)
+		return nil, errkind.Errorf(errkind.InvalidConfig, "config_version: %d is not above %d", checked.Version, kept.Version)
 	}
 	kept.Version = checked.Version
-	kept.Document, kept.Compressed = compress.Pack(document)
+	kept.Document, kept.Compressed = compress.Encode(document)
 	kept.History.append(checked.Version-c.BaseVersion, digest)
 	kept.History.truncate(sealed)
 	return transport.Marshal(kept)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	kept.Document, err = compress.Unpack(kept.Document, kept.Compressed)
+	kept.Document, err = compress.Decode(kept.Document, kept.Compressed)
 	kept.Compressed = false
 	return kept, err
 }
--- a/control/config/store/change_test.go
+++ b/control/config/store/change_test.go
@@ -54,7 +54,7 @@
 			t.Fatalf("%s: the case changes nothing", example.name)
 		}
 		_, err := Validate([]byte(text))
-		if errkind.KindOf(err) != errkind.BadSpec || !strings.Contains(err.Error(), example.field) {
+		if errkind.KindOf(err) != errkind.InvalidConfig || !strings.Contains(err.Error(), example.field) {
 			t.Errorf("%s: %v", example.name, err)
 		}
 	}
@@ -76,9 +76,9 @@
 		t.Fatal("a repeat changed the value")
 	}
 	rival := Change{Full: true, BaseVersion: 0, Body: []byte(strings.Replace(validConfig, ":7", ":8", 1))}
-	mustApply(t, value, rival, errkind.StaleSpec)
-	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte(strings.Replace(validConfig, ":7", ":6", 1))}, errkind.BadSpec)
-	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte("{")}, errkind.BadSpec)
+	mustApply(t, value, rival, errkind.VersionConflict)
+	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte(strings.Replace(validConfig, ":7", ":6", 1))}, errkind.InvalidConfig)
+	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte("{")}, errkind.InvalidConfig)
 	patch := Change{BaseVersion: 7, Body: []byte(`{"config_version":9,"changes":{"routes":[
 	 {"name":"a","hostname":"shop.example","path_prefix":"/a/","type":"safe","give_up_ms":200,"service":"t"},
 	 {"name":"c","hostname":"shop.example","path_prefix":"/c/","type":"safe","give_up_ms":1,"service":"t"}]},
@@ -115,6 +115,6 @@
 		`{"config_version":9,"changes":{"routes":7}}`, `[]`,
 	}
 	for _, body := range bodies {
-		mustApply(t, value, Change{BaseVersion: 7, Body: []byte(body)}, errkind.BadSpec)
+		mustApply(t, value, Change{BaseVersion: 7, Body: []byte(body)}, errkind.InvalidConfig)
 	}
 }
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -34,7 +34,7 @@
 	if len(current) > 0 {
 		present, err := transport.Unmarshal[Chunk](current)
 		if err != nil {
-			return nil, errkind.Of(errkind.Internal, "kept page: %v", err)
+			return nil, errkind.Errorf(errkind.Internal, "kept page: %v", err)
 		}
 		if present.Index >= c.Index {
 			return nil, nil
@@ -57,7 +57,7 @@
 
 // Unwrap gives the failure that this is where nobody looks further.
 func (a *ArchivedError) Unwrap() error {
-	return errkind.Of(errkind.Forgotten, "If-Match: what was taken on %d is not remembered any more", a.baseVersion)
+	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more", a.baseVersion)
 }
 
 // Key is the register's key of the page that knows.
@@ -71,7 +71,7 @@
 	}
 	page, err := transport.Unmarshal[Chunk](value)
 	if err != nil {
-		return errkind.Of(errkind.Internal, "kept page: %v", err)
+		return errkind.Errorf(errkind.Internal, "kept page: %v", err)
 	}
 	if page.Index != a.index {
 		return a
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -89,7 +89,7 @@
 	if again {
 		return nil
 	}
-	return errkind.Of(errkind.StaleSpec, "If-Match: %d is not in place, %s", match, current)
+	return errkind.Errorf(errkind.VersionConflict, "If-Match: %d is not in place, %s", match, current)
 }
 
 // takeEntries cuts so many entries off the front: their bytes and the rise over
@@ -183,5 +183,5 @@
 		// All that was ever taken is remembered, and nothing on this version.
 		return matchEntry(base, nil, match, digest, current)
 	}
-	return errkind.Of(errkind.Forgotten, "If-Match: what was taken on %d is not remembered any more, %s in place", match, current)
+	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more, %s in place", match, current)
 }
--- a/control/config/store/history_test.go
+++ b/control/config/store/history_test.go
@@ -33,17 +33,17 @@
 				t.Fatalf("the repeat of change %d of %d on version %d: %v", index, len(chain.changes), change.BaseVersion, kind)
 			}
 			rival := patchChange(change.BaseVersion, change.Version(), 1)
-			if kind := chain.lookup(rival); kind != errkind.StaleSpec {
+			if kind := chain.lookup(rival); kind != errkind.VersionConflict {
 				t.Fatalf("a rival of change %d of %d: %v", index, len(chain.changes), kind)
 			}
 			if between := change.BaseVersion + 1; between < change.Version() {
-				if kind := chain.lookup(patchChange(between, between+1, 0)); kind != errkind.StaleSpec {
+				if kind := chain.lookup(patchChange(between, between+1, 0)); kind != errkind.VersionConflict {
 					t.Fatalf("version %d never was: %v", between, kind)
 				}
 			}
 		}
 		kept, _ := DecodeCompressed(chain.value)
-		if kind := chain.lookup(patchChange(kept.Version+1, kept.Version+2, 0)); kind != errkind.StaleSpec {
+		if kind := chain.lookup(patchChange(kept.Version+1, kept.Version+2, 0)); kind != errkind.VersionConflict {
 			t.Fatalf("a version that is yet to come: %v", kind)
 		}
 	})
@@ -68,7 +68,7 @@
 		}
 		counts[kind]++
 	}
-	if counts[errkind.None] < (chunkCount-1)*chunkLength+minRecent || counts[errkind.Forgotten] != first {
+	if counts[errkind.None] < (chunkCount-1)*chunkLength+minRecent || counts[errkind.OutcomeExpired] != first {
 		t.Fatalf("%v", counts)
 	}
 	size, beside := 0, 0
@@ -82,7 +82,7 @@
 		size += len(page)
 	}
 	t.Logf("%d changes known of %d; %d bytes a write on the average; %d pages of %d bytes in all",
-		counts[errkind.None], counts[errkind.None]+counts[errkind.Forgotten], beside/chunkLength, len(chain.chunks), size)
+		counts[errkind.None], counts[errkind.None]+counts[errkind.OutcomeExpired], beside/chunkLength, len(chain.chunks), size)
 }
 
 // TestHistory_missingChunkIsUndecided has pages missing, and overtaken.
@@ -101,7 +101,7 @@
 	}
 	for _, value := range [][]byte{nil, next} {
 		chain.chunks[chunkKey(0)] = value
-		if kind := chain.lookup(chain.changes[3]); kind != errkind.Forgotten {
+		if kind := chain.lookup(chain.changes[3]); kind != errkind.OutcomeExpired {
 			t.Fatalf("%v", kind)
 		}
 	}
@@ -124,7 +124,7 @@
 	if err != nil || len(kept.History.Recent) > maxRecent*(digestLength+1) {
 		t.Fatalf("%d bytes, %v", len(kept.History.Recent), err)
 	}
-	if kind := chain.lookup(chain.changes[0]); kind != errkind.Forgotten {
+	if kind := chain.lookup(chain.changes[0]); kind != errkind.OutcomeExpired {
 		t.Fatalf("%v", kind)
 	}
 	chain.seal()
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -11,12 +11,12 @@
 func ApplyPatch(document []byte, change []byte) ([]byte, error) {
 	var asked patch
 	if err := json.Unmarshal(change, &asked); err != nil {
-		return nil, errkind.Of(errkind.BadSpec, "not a change: %v", err)
+		return nil, errkind.Errorf(errkind.InvalidConfig, "not a change: %v", err)
 	}
 	whole := map[string]json.RawMessage{}
 	if len(document) > 0 {
 		if err := json.Unmarshal(document, &whole); err != nil {
-			return nil, errkind.Of(errkind.Internal, "kept document: %v", err)
+			return nil, errkind.Errorf(errkind.Internal, "kept document: %v", err)
 		}
 	}
 	for key, names := range asked.Remove {
@@ -44,7 +44,7 @@
 	var kept []json.RawMessage
 	if present := whole[key]; len(present) > 0 {
 		if err := json.Unmarshal(present, &kept); err != nil {
-			return errkind.Of(errkind.BadSpec, "%s: is no list", key)
+			return errkind.Errorf(errkind.InvalidConfig, "%s: is no list", key)
 		}
 	}
 	replaced := map[string]json.RawMessage{}
@@ -53,10 +53,10 @@
 	for index, item := range items {
 		name, err := itemName(item)
 		if err != nil {
-			return errkind.Of(errkind.BadSpec, "changes.%s[%d].name: missing", key, index)
+			return errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: missing", key, index)
 		}
 		if _, twice := replaced[name]; twice {
-			return errkind.Of(errkind.BadSpec, "changes.%s[%d].name: %q stands twice", key, index, name)
+			return errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: %q stands twice", key, index, name)
 		}
 		replaced[name] = item
 		added = append(added, name)
@@ -92,7 +92,7 @@
 		return "", err
 	}
 	if read.Name == "" {
-		return "", errkind.Of(errkind.BadSpec, "name: missing")
+		return "", errkind.Errorf(errkind.InvalidConfig, "name: missing")
 	}
 	return read.Name, nil
 }
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -39,18 +39,18 @@
 func Validate(document []byte) (*config.Config, error) {
 	loose, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
-		return nil, errkind.Of(errkind.BadSpec, "not JSON: %v", err)
+		return nil, errkind.Errorf(errkind.InvalidConfig, "not JSON: %v", err)
 	}
 	schema, err := compiledSchema()
 	if err != nil {
-		return nil, errkind.Of(errkind.Internal, "schema: %v", err)
+		return nil, errkind.Errorf(errkind.Internal, "schema: %v", err)
 	}
 	if err := schema.Validate(loose); err != nil {
-		return nil, errkind.Of(errkind.BadSpec, "%v", err)
+		return nil, errkind.Errorf(errkind.InvalidConfig, "%v", err)
 	}
 	read, err := config.Parse(document)
 	if err != nil {
-		return nil, errkind.Of(errkind.BadSpec, "%v", err)
+		return nil, errkind.Errorf(errkind.InvalidConfig, "%v", err)
 	}
 	for _, rule := range rules {
 		if err := rule(read); err != nil {
@@ -67,14 +67,14 @@
 	routes := map[string]bool{}
 	for index, route := range version.Routes {
 		if routes[route.Name] {
-			return errkind.Of(errkind.BadSpec, "routes[%d].name: %q stands twice", index, route.Name)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].name: %q stands twice", index, route.Name)
 		}
 		routes[route.Name] = true
 	}
 	services := map[ids.Service]bool{}
 	for index, service := range version.Services {
 		if services[service.Name] {
-			return errkind.Of(errkind.BadSpec, "services[%d].name: %q stands twice", index, service.Name)
+			return errkind.Errorf(errkind.InvalidConfig, "services[%d].name: %q stands twice", index, service.Name)
 		}
 		services[service.Name] = true
 	}
@@ -86,7 +86,7 @@
 	for index, route := range version.Routes {
 		place := [2]string{config.NormalizeHost(route.Host), route.PathPrefix}
 		if places[place] {
-			return errkind.Of(errkind.BadSpec, "routes[%d].path_prefix: %q stands twice for this host", index, route.PathPrefix)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].path_prefix: %q stands twice for this host", index, route.PathPrefix)
 		}
 		places[place] = true
 	}
@@ -96,14 +96,14 @@
 func knownServices(version *config.Config) error {
 	for index, route := range version.Routes {
 		if route.Service == "" && len(route.Services) == 0 {
-			return errkind.Of(errkind.BadSpec, "routes[%d].service: missing", index)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: missing", index)
 		}
 		if route.Service != "" && version.Service(route.Service) == nil {
-			return errkind.Of(errkind.BadSpec, "routes[%d].service: %q is not known", index, route.Service)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: %q is not known", index, route.Service)
 		}
 		for part, share := range route.Services {
 			if version.Service(share.Service) == nil {
-				return errkind.Of(errkind.BadSpec, "routes[%d].shares[%d].service: %q is not known", index, part, share.Service)
+				return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares[%d].service: %q is not known", index, part, share.Service)
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 			total += part.Weight
 		}
 		if total <= 0 {
-			return errkind.Of(errkind.BadSpec, "routes[%d].shares: the weights add up to 0", index)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares: the weights add up to 0", index)
 		}
 	}
 	return nil
--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -21,23 +21,23 @@
 func (c *Controller) newAutoscaler(top scope.Scope) func(*lease.Holder) func(scope.Scope) {
 	return func(holder *lease.Holder) func(scope.Scope) {
 		c.autoscaler = autoscaler.New(autoscaler.Options{
-			Address: c.daemon.Address, News: c.daemon.Updates, Held: holder.Held, Now: top.Now,
-			Runners: func() []autoscaler.Listed { return c.listRunners(top) }, Serial: discovery.FencedSerial,
-			Window: metricWindow, Step: metricStep, Pace: planSteps, Grouping: top.Boot.Grouping,
+			Address: c.daemon.Address, Gossip: c.daemon.Updates, Lease: holder.Held, Now: top.Now,
+			Runners: func() []autoscaler.Runner { return c.listRunners(top) }, NewSerial: discovery.FencedSerial,
+			Window: metricWindow, Interval: metricStep, PlanEvery: planSteps, GroupByLength: top.Settings.Grouping,
 		})
-		c.autoscaler.Serve(c.daemon.Calls)
+		c.autoscaler.RegisterHandlers(c.daemon.Calls)
 		c.daemon.AddService("room", func(ctx scope.Scope) error { c.publishHeadroom(ctx, holder); return nil })
 		return c.autoscaler.Run
 	}
 }
 
 // listRunners reads the newest list.
-func (c *Controller) listRunners(top scope.Scope) []autoscaler.Listed {
-	var listed []autoscaler.Listed
+func (c *Controller) listRunners(top scope.Scope) []autoscaler.Runner {
+	var listed []autoscaler.Runner
 	for _, runner := range c.view.Runners() {
-		listed = append(listed, autoscaler.Listed{
-			ID: runner.ID, Service: runner.Service, Version: runner.Version, Region: top.Boot.Zones[runner.Zone],
-			Ready: !runner.Draining, Cold: runner.WarmupLeftMS > 0,
+		listed = append(listed, autoscaler.Runner{
+			ID: runner.ID, Service: runner.Service, Version: runner.Version, Region: top.Settings.Zones[runner.Zone],
+			Ready: !runner.Draining, WarmingUp: runner.WarmupLeftMS > 0,
 		})
 	}
 	return listed
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -44,13 +44,13 @@
 	proposer   *register.Proposer
 	commands   *command.Dispatcher
 	quorum     *quorum.Tracker
-	autoscaler *autoscaler.Scaler
+	autoscaler *autoscaler.Planner
 	view       *discovery.View
 	leases     []*lease.Holder
 }
 
 // Run runs the controller until the scope ends, then leaves in order.
-func (c *Controller) Run(top scope.Scope, reread <-chan *settings.Boot) error {
+func (c *Controller) Run(top scope.Scope, reread <-chan *settings.Settings) error {
 	defer c.voter.Close()
 	running, end := context.WithCancel(context.Background())
 	defer end()
@@ -65,7 +65,7 @@
 			return err
 		case <-top.Done():
 			// Calls that run are answered; others find another controller.
-			leaving := top.Detached()
+			leaving := top.WithoutCancel()
 			c.voter.Leave()
 			c.daemon.Leave(leaving)
 			for _, duty := range c.leases {
@@ -80,7 +80,7 @@
 
 // New puts a controller together.
 func New(top scope.Scope, options Options) (*Controller, error) {
-	made := &Controller{timing: daemon.TimingOf(top.Boot), view: daemon.NewView(top)}
+	made := &Controller{timing: daemon.TimingOf(top.Settings), view: daemon.NewView(top)}
 	var err error
 	made.daemon, err = daemon.New(top, daemon.Options{
 		Role: Role, OnUpdate: func(item gossip.Item) { made.view.Apply(item) }, View: made.view, Network: options.Network,
@@ -90,7 +90,7 @@
 	}
 	disk := options.Disk
 	if disk == nil {
-		disk = wal.Dir(top.Boot.DataFolder)
+		disk = wal.Dir(top.Settings.DataDir)
 	}
 	members := &membership.Store{Table: made.daemon.Membership, Disk: disk, Name: "members", ZoneSizes: made.daemon.Zones.Sizes, RestoreZoneSizes: made.daemon.Zones.MergeSizes}
 	if err := members.Load(); err != nil {
@@ -102,10 +102,10 @@
 		Voters: func() register.VoterSet { return made.voter.Acceptor.Voters() },
 	})
 	made.voter, err = voter.Open(top, voter.Options{
-		Address: made.daemon.Address, Disk: disk, FirstStart: top.Boot.FirstStart,
-		Seeds: top.Boot.SeedAddresses(), Membership: made.daemon.Membership, Transport: made.daemon.Transport, Quorum: made.quorum,
+		Address: made.daemon.Address, Disk: disk, FirstStart: top.Settings.FirstStart,
+		Seeds: top.Settings.SeedAddresses(), Membership: made.daemon.Membership, Transport: made.daemon.Transport, Quorum: made.quorum,
 		ReplaceAfter: made.timing.LeaseDuration, Timeout: 3 * made.timing.CommandTimeout, LeaseTTL: made.timing.LeaseDuration,
-		TargetCount: voter.TargetCount(top.Boot), Zones: top.Boot.Zones, Timing: voter.TimingOf(top.Boot, made.timing.LeaseDuration, made.timing.ForwardTimeout),
+		TargetCount: voter.TargetCount(top.Settings), Zones: top.Settings.Zones, Timing: voter.TimingOf(top.Settings, made.timing.LeaseDuration, made.timing.ForwardTimeout),
 	})
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 		Address: made.daemon.Address, Client: made.voter, Voters: made.voter.Acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return made.voter.Acceptor.Slot(key).Promised.Number },
 		OnCommit:       func(key string, accepted register.Proposal) { made.commands.Publish(key, accepted) },
-		MessageTimeout: made.timing.PeerTimeout, BatchTimeout: made.timing.CommandTimeout, MinCopies: voter.RequiredCopies(top.Boot),
+		MessageTimeout: made.timing.PeerTimeout, BatchTimeout: made.timing.CommandTimeout, MinCopies: voter.RequiredCopies(top.Settings),
 	})
 	made.voter.Attach(made.proposer)
 	made.commands = command.New(command.Options{
@@ -148,23 +148,23 @@
 		return reader.Run
 	})
 	c.addSingleton("plan", c.newAutoscaler(top))
-	orders := httpcall.NewTable(top, top.Boot.Limits.MemoryMB<<20/16)
+	orders := httpcall.NewMux(top, top.Settings.Limits.MemoryMB<<20/16)
 	orders.Metrics, orders.Bodies = common.Metrics, common.BodyQuota
 	admin.Serve(orders, c.commands)
 	admin.ServeHeadroom(orders, common.Updates)
 	c.serveStatus(orders)
 	common.AddService("control", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Boot.Listen["control"], orders)
+		return common.ServeHTTP(ctx, top.Settings.Listen["control"], orders)
 	})
-	lookups := httpcall.NewTable(top, 1<<16)
+	lookups := httpcall.NewMux(top, 1<<16)
 	lookups.Metrics, lookups.Bodies = common.Metrics, common.BodyQuota
 	front := &directory.Directory{
-		Membership: common.Membership, OtherZones: common.Zones.RemoteEndpoints, Zones: top.Boot.Zones,
-		LossTimeout: max(settings.Seconds(top.Boot.Bounds.RecoveryS), pace.LeaseDuration), Metrics: common.Metrics, Monitor: common.Monitor,
+		Membership: common.Membership, OtherZones: common.Zones.RemoteEndpoints, Zones: top.Settings.Zones,
+		LossTimeout: max(settings.Seconds(top.Settings.Bounds.RecoveryS), pace.LeaseDuration), Metrics: common.Metrics, Monitor: common.Monitor,
 	}
 	front.Serve(lookups)
 	common.AddService("directory", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Boot.Listen["directory"], lookups)
+		return common.ServeHTTP(ctx, top.Settings.Listen["directory"], lookups)
 	})
 }
 
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -38,24 +38,24 @@
 }
 
 // headroomInput gathers what the estimate needs: every runner on the list, as it stands.
-func (c *Controller) headroomInput(ctx scope.Scope) (headroom.Seen, bool) {
+func (c *Controller) headroomInput(ctx scope.Scope) (headroom.Input, bool) {
 	item, found := c.daemon.Updates.Get(config.Key)
 	if !found {
-		return headroom.Seen{}, false
+		return headroom.Input{}, false
 	}
 	version, err := config.Parse(item.Body)
 	if err != nil {
-		return headroom.Seen{}, false
+		return headroom.Input{}, false
 	}
-	seen := headroom.Seen{Spec: version}
+	seen := headroom.Input{Config: version}
 	var units map[ids.RunnerID]float64
-	seen.Readings, units, seen.Seconds = c.autoscaler.Work()
+	seen.Readings, units, seen.Seconds = c.autoscaler.RecentWork()
 	resting := c.standbyRunners()
 	for _, runner := range c.view.Runners() {
 		standing := runnerCondition(runner, c.zoneEvacuated(runner.Zone), resting[runner.ID])
 		seen.Runners = append(seen.Runners, headroom.Runner{
-			ID: runner.ID, Service: runner.Service, Region: ctx.Boot.Zones[runner.Zone], Slots: float64(runner.Capacity),
-			Standing: standing, UnitsPerS: units[runner.ID],
+			ID: runner.ID, Service: runner.Service, Region: ctx.Settings.Zones[runner.Zone], Slots: float64(runner.Capacity),
+			State: standing, UnitsPerS: units[runner.ID],
 		})
 	}
 	seen.Routers = c.routerCounts()
@@ -87,10 +87,10 @@
 
 func (c *Controller) standbyRunners() map[ids.RunnerID]bool {
 	resting := map[ids.RunnerID]bool{}
-	item, _ := c.daemon.Updates.Get(autoscaler.Key)
+	item, _ := c.daemon.Updates.Get(autoscaler.RoutingKey)
 	if routing, err := autoscaler.ReadRouting(item.Body); err == nil {
 		for _, planned := range routing.Runners {
-			resting[planned.Runner] = planned.Resting
+			resting[planned.Runner] = planned.Quarantined
 		}
 	}
 	return resting
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -48,16 +48,16 @@
 }
 
 // Reply gives the status as JSON.
-func (s status) Reply() response.Reply {
+func (s status) Reply() response.Response {
 	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
-		return response.Failure(err)
+		return response.FromError(err)
 	}
 	return response.Raw(http.StatusOK, "application/json", append(body, '\n'))
 }
 
 // serveStatus adds the call to the operator's table.
-func (c *Controller) serveStatus(orders *httpcall.Table) {
+func (c *Controller) serveStatus(orders *httpcall.Mux) {
 	httpcall.Handle(orders, http.MethodGet, "/status", func(ctx scope.Scope, _ admin.EmptyRequest) (status, error) {
 		return c.status(ctx), nil
 	})
@@ -83,7 +83,7 @@
 	for _, duty := range c.leases {
 		_, told.Leases[duty.Name()] = duty.Held(ctx.Now())
 	}
-	for _, mark := range common.Updates.Versions(membership.Member{ServesControl: true, Zone: ctx.Boot.Zone}) {
+	for _, mark := range common.Updates.Versions(membership.Member{ServesControl: true, Zone: ctx.Settings.Zone}) {
 		told.Serials[mark.Key] = int64(mark.Version)
 	}
 	told.Zones = c.zoneStatuses(ctx)
@@ -94,8 +94,8 @@
 func (c *Controller) zoneStatuses(ctx scope.Scope) []zoneStatus {
 	var found []zoneStatus
 	members := c.daemon.Membership.Members()
-	for _, name := range ctx.Boot.ZoneNames() {
-		one := zoneStatus{Zone: name, Region: ctx.Boot.Zones[name]}
+	for _, name := range ctx.Settings.ZoneNames() {
+		one := zoneStatus{Zone: name, Region: ctx.Settings.Zones[name]}
 		for _, member := range members {
 			alive := member.Zone == name && member.State == membership.Alive
 			one.Reachable = one.Reachable || alive
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -36,7 +36,7 @@
 	Membership *membership.Table
 	Updates    *gossip.Store
 	Transport  *transport.Client
-	Calls      *httpcall.Table
+	Calls      *httpcall.Mux
 	Gossiper   *gossip.Gossiper
 	Zones      *zonesummary.Manager
 	// Metrics are this daemon's figures, Monitor counts the promises that it broke.
@@ -49,7 +49,7 @@
 	prober     *membership.Prober
 	supervisor *suture.Supervisor
 	socket     Socket
-	reports    autoscaler.Sum
+	reports    autoscaler.Aggregator
 	outliers   outlier.Detector
 	mu         sync.Mutex
 	planSerial ids.Serial
@@ -76,12 +76,12 @@
 
 // New makes the common part for a role.
 func New(top scope.Scope, options Options) (*Daemon, error) {
-	settings, role := top.Boot, options.Role
+	settings, role := top.Settings, options.Role
 	pace := TimingOf(settings)
 	if options.Network == nil {
 		options.Network = HostNetwork{}
 	}
-	made := &Daemon{Scope: top, Network: options.Network, Address: settings.InnerAddress(settings.IP, role)}
+	made := &Daemon{Scope: top, Network: options.Network, Address: settings.InternalAddress(settings.IP, role)}
 	made.Monitor = options.Monitor
 	if made.Monitor == nil {
 		made.Monitor = &invariant.Monitor{Log: top.Log}
@@ -98,9 +98,9 @@
 		options.OnUpdate(item)
 	})
 	made.Zones.Store = made.Updates
-	made.Transport = transport.NewClientOnNetwork(made.Network, httpcall.Dialing{Limit: pace.ConnectTimeout, Silence: pace.PeerTimeout, Count: &made.Traffic})
+	made.Transport = transport.NewClientOnNetwork(made.Network, httpcall.Dialer{Timeout: pace.ConnectTimeout, UserTimeout: pace.PeerTimeout, Traffic: &made.Traffic})
 	made.Transport.Guard, made.Transport.Stats = transport.NewGuard(settings.Zones), &transport.MessageStats{}
-	made.Calls = httpcall.NewTable(top, settings.Limits.MemoryMB<<20/8)
+	made.Calls = httpcall.NewMux(top, settings.Limits.MemoryMB<<20/8)
 	made.Calls.Gate = made.Transport.Guard
 	made.Calls.Metrics = made.Metrics
 	made.BodyQuota = memquota.New(settings.Limits.MemoryMB<<20/bodyMemoryDivisor, made.Monitor)
@@ -147,7 +147,7 @@
 }
 
 // Serve runs the part under suture.
-func (s service) Serve(ctx context.Context) error { return s.run(s.scope.Under(ctx)) }
+func (s service) Serve(ctx context.Context) error { return s.run(s.scope.WithContext(ctx)) }
 
 // String names the part in logs.
 func (s service) String() string { return s.name }
@@ -213,4 +213,4 @@
 }
 
 // Reload replaces the boot file's values after it changed.
-func (d *Daemon) Reload(fresh *settings.Boot) { d.Gossiper.SetSeeds(fresh.SeedAddresses()) }
+func (d *Daemon) Reload(fresh *settings.Settings) { d.Gossiper.SetSeeds(fresh.SeedAddresses()) }
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -14,17 +14,17 @@
 // acts on.
 func NewView(top scope.Scope) *discovery.View {
 	return discovery.NewView(discovery.ViewOptions{
-		Clock: top.Clock, Zones: top.Boot.ZoneNames(),
-		MaxAge: maxMissedPolls * TimingOf(top.Boot).DiscoveryInterval,
+		Clock: top.Clock, Zones: top.Settings.ZoneNames(),
+		MaxAge: maxMissedPolls * TimingOf(top.Settings).DiscoveryInterval,
 	})
 }
 
 // NewPlatformClient makes a reader of the platform's list, with connections of its own.
 func (d *Daemon) NewPlatformClient() *discovery.PlatformClient {
-	settings, pace := d.Scope.Boot, TimingOf(d.Scope.Boot)
+	settings, pace := d.Scope.Settings, TimingOf(d.Scope.Settings)
 	return &discovery.PlatformClient{
-		HTTP: d.Network.Client(httpcall.Pooling{
-			Dialing: httpcall.Dialing{Limit: pace.ConnectTimeout, Silence: pace.PeerTimeout}, Idle: 4 * pace.PeerTimeout, PerHost: discovery.MaxConcurrentReads,
+		HTTP: d.Network.Client(httpcall.ClientOptions{
+			Dialer: httpcall.Dialer{Timeout: pace.ConnectTimeout, UserTimeout: pace.PeerTimeout}, IdleTimeout: 4 * pace.PeerTimeout, MaxIdlePerHost: discovery.MaxConcurrentReads,
 		}),
 		Address: settings.Platform.Address, Zones: settings.ZoneNames(), Interval: pace.DiscoveryInterval,
 	}
@@ -34,7 +34,7 @@
 func (d *Daemon) addListFallback(view *discovery.View) {
 	fallback := &discovery.Fallback{
 		Platform: d.NewPlatformClient(), View: view, Updates: d.Updates, Membership: d.Membership,
-		RouterCount: d.Zones.RouterCount, Interval: TimingOf(d.Scope.Boot).DiscoveryInterval, Restart: !d.Scope.Boot.FirstStart,
+		RouterCount: d.Zones.RouterCount, Interval: TimingOf(d.Scope.Settings).DiscoveryInterval, Restart: !d.Scope.Settings.FirstStart,
 	}
 	d.Gossiper.MissingData = func() bool { return !view.Complete() }
 	d.AddService("list", func(ctx scope.Scope) error { fallback.Run(ctx); return nil })
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -33,11 +33,11 @@
 // serveMetrics serves the daemon's figures where the command line names a port
 // and a path.
 func (d *Daemon) serveMetrics() {
-	metrics, where := d.Metrics, d.Scope.Boot.Metrics
-	metrics.Total("messages_sent_total", "Messages and datagrams sent to other daemons.", nil, func() float64 { return float64(d.Traffic.Messages.Load()) })
-	metrics.Gauge("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(d.Membership.Members())) })
+	metrics, where := d.Metrics, d.Scope.Settings.Metrics
+	metrics.CounterFunc("messages_sent_total", "Messages and datagrams sent to other daemons.", nil, func() float64 { return float64(d.Traffic.Messages.Load()) })
+	metrics.GaugeFunc("members", "Daemons that this one knows, itself included.", nil, func() float64 { return float64(len(d.Membership.Members())) })
 	for flaw, name := range transport.RejectReasonNames() {
-		metrics.Total("messages_refused_total", "Messages of other daemons that were dropped, by their flaw.",
+		metrics.CounterFunc("messages_refused_total", "Messages of other daemons that were dropped, by their flaw.",
 			map[string]string{"flaw": name}, func() float64 { return float64(d.Transport.Guard.Counts[flaw].Load()) })
 	}
 	if d.Scope.Log.Level <= log.DebugLevel {
@@ -46,11 +46,11 @@
 	if where.Port == 0 {
 		return
 	}
-	if d.Scope.Boot.Uses(where.Port) {
+	if d.Scope.Settings.UsesPort(where.Port) {
 		d.Scope.Log.Error().Str("part", "metrics").Int("port", where.Port).Msg("the port is one that the settings give away: figures are not served")
 		return
 	}
-	address := ids.Address(net.JoinHostPort(d.Scope.Boot.IP, strconv.Itoa(where.Port)))
+	address := ids.Address(net.JoinHostPort(d.Scope.Settings.IP, strconv.Itoa(where.Port)))
 	d.AddService("metrics", func(ctx scope.Scope) error {
 		return d.ServeHTTP(ctx, address, metrics.Handler(where.Path))
 	})
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -20,7 +20,7 @@
 	// counted where there is a count.
 	Serve(inner scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error
 	// Client makes a client with connections of its own.
-	Client(pooling httpcall.Pooling) *http.Client
+	Client(pooling httpcall.ClientOptions) *http.Client
 	// Datagrams opens an address for datagrams.
 	Datagrams(address ids.Address) (Socket, error)
 }
@@ -42,17 +42,19 @@
 	if err != nil {
 		return err
 	}
-	server := httpcall.Server(handler, 5*clock.Second, 60*clock.Second)
+	server := httpcall.NewServer(handler, 5*clock.Second, 60*clock.Second)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	if err := server.Serve(httpcall.CountingListener(listener, count)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(httpcall.CountListener(listener, count)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
 // Client makes a client over TCP.
-func (HostNetwork) Client(pooling httpcall.Pooling) *http.Client { return httpcall.Client(pooling) }
+func (HostNetwork) Client(pooling httpcall.ClientOptions) *http.Client {
+	return httpcall.NewClient(pooling)
+}
 
 // Datagrams opens a UDP socket.
 func (HostNetwork) Datagrams(address ids.Address) (Socket, error) {
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -16,7 +16,7 @@
 		Query: func(ctx scope.Scope, address ids.Address) (readindex.Response, error) {
 			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.MessageName, readindex.Request{From: d.Address})
 		},
-		MaxWait: 2 * TimingOf(d.Scope.Boot).ForwardTimeout,
+		MaxWait: 2 * TimingOf(d.Scope.Settings).ForwardTimeout,
 	})
 }
 
@@ -29,7 +29,7 @@
 		}
 	}
 	if len(found) == 0 {
-		return d.Scope.Boot.SeedAddresses()
+		return d.Scope.Settings.SeedAddresses()
 	}
 	return found
 }
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -19,12 +19,12 @@
 // serveReports takes the reports of the zone's routers, judges by them which
 // runners the zone should leave alone, and sends their sum to the planner.
 func (d *Daemon) serveReports() {
-	transport.Handle(d.Calls, "sum", func(ctx scope.Scope, message autoscaler.ReportMessage) (autoscaler.ReportTold, error) {
-		report, err := message.Report()
+	transport.Handle(d.Calls, "sum", func(ctx scope.Scope, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
+		report, err := message.Decode()
 		if err == nil {
 			d.addReport(report, ctx.Now())
 		}
-		return autoscaler.ReportTold{Holding: true}, err
+		return autoscaler.ReportResponse{Owner: true}, err
 	})
 	d.AddService("sums", func(ctx scope.Scope) error {
 		for turn := 1; ctx.Wait(detectionInterval); turn++ {
@@ -37,7 +37,7 @@
 	})
 }
 
-func (d *Daemon) addReport(report autoscaler.ReportAsk, now clock.Instant) {
+func (d *Daemon) addReport(report autoscaler.ReportRequest, now clock.Instant) {
 	d.reports.Add(report)
 	d.outliers.Add(report, now)
 }
@@ -54,7 +54,7 @@
 }
 
 func (d *Daemon) forwardReports(ctx scope.Scope) {
-	report, any := d.reports.Take()
+	report, any := d.reports.Flush()
 	if holder := d.plannerAddress(); any && holder != "" {
 		report.From = d.Address
 		go func() { _ = d.sendReport(ctx, holder, "report", report) }()
@@ -63,8 +63,8 @@
 
 // Report sends a router's report up: to the first relay of its zone that
 // answers, or straight to the planner where none does.
-func (d *Daemon) Report(ctx scope.Scope, report autoscaler.ReportAsk) {
-	pace := TimingOf(d.Scope.Boot)
+func (d *Daemon) Report(ctx scope.Scope, report autoscaler.ReportRequest) {
+	pace := TimingOf(d.Scope.Settings)
 	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, pace.RelaysPerZone) {
 		if relay.Address == d.Address {
 			d.addReport(report, ctx.Now())
@@ -79,19 +79,19 @@
 	}
 }
 
-func (d *Daemon) sendReport(ctx scope.Scope, to ids.Address, name string, report autoscaler.ReportAsk) error {
-	short, release := ctx.WithLimit(d.Gossiper.Timeout)
+func (d *Daemon) sendReport(ctx scope.Scope, to ids.Address, name string, report autoscaler.ReportRequest) error {
+	short, release := ctx.WithTimeout(d.Gossiper.Timeout)
 	defer release()
-	message, err := report.Message()
+	message, err := report.Encode()
 	if err == nil {
-		_, err = transport.Send[autoscaler.ReportTold](short, d.Transport, to, name, message)
+		_, err = transport.Send[autoscaler.ReportResponse](short, d.Transport, to, name, message)
 	}
 	return err
 }
 
 // plannerAddress tells who made the newest plan; the plan is read once a version.
 func (d *Daemon) plannerAddress() ids.Address {
-	item, found := d.Updates.Get(autoscaler.Key)
+	item, found := d.Updates.Get(autoscaler.RoutingKey)
 	if !found {
 		return ""
 	}
@@ -99,7 +99,7 @@
 	defer d.mu.Unlock()
 	if item.Version != d.planSerial {
 		if routing, err := autoscaler.ReadRouting(item.Body); err == nil {
-			d.planSerial, d.planOwner = item.Version, routing.Holder
+			d.planSerial, d.planOwner = item.Version, routing.Owner
 		}
 	}
 	return d.planOwner
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -37,7 +37,7 @@
 // TimingOf works the paces out from the bounds: news must be everywhere well
 // inside the time for applying a spec, orders be answered well inside the time
 // for acknowledging them.
-func TimingOf(node *settings.Boot) Timing {
+func TimingOf(node *settings.Settings) Timing {
 	apply := settings.Milliseconds(node.Bounds.ApplyWithinMS)
 	touch := settings.Milliseconds(node.Bounds.InTouchMS)
 	drain := settings.Milliseconds(node.Bounds.DrainMS)
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -39,7 +39,7 @@
 }
 
 // Reply tells the addresses; an empty list is no answer.
-func (l LookupResponse) Reply() response.Reply {
+func (l LookupResponse) Reply() response.Response {
 	if len(l.Addresses) == 0 {
 		return response.Empty(http.StatusServiceUnavailable)
 	}
@@ -72,9 +72,9 @@
 }
 
 // Serve adds the directory's call to a table.
-func (d *Directory) Serve(calls *httpcall.Table) {
+func (d *Directory) Serve(calls *httpcall.Mux) {
 	httpcall.Handle(calls, http.MethodGet, "/lookup", func(ctx scope.Scope, asked LookupRequest) (LookupResponse, error) {
-		return LookupResponse{Addresses: d.Choose(asked), TTLS: min(1, ctx.Boot.Bounds.TTLMaxS)}, nil
+		return LookupResponse{Addresses: d.Choose(asked), TTLS: min(1, ctx.Settings.Bounds.TTLMaxS)}, nil
 	})
 }
 
--- a/control/directory/redirect_test.go
+++ b/control/directory/redirect_test.go
@@ -75,9 +75,9 @@
 	back.Incarnation, back.Ready = 4, false
 	directory.Membership.Merge([]membership.Member{back})
 	expect("it leaves in order")
-	machine.Move(lossTimeout)
+	machine.Advance(lossTimeout)
 	expect("it stays away for as long as that may be")
-	machine.Move(clock.Millisecond)
+	machine.Advance(clock.Millisecond)
 	expect("it stays away for longer", "fe")
 }
 
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -91,11 +91,11 @@
 			return clock.Span(place) * f.Interval
 		}
 	}
-	crowd := settings.Seconds(rateDivisor * float64(max(1, f.RouterCount())) / max(1, ctx.Boot.Platform.RatePerS))
+	crowd := settings.Seconds(rateDivisor * float64(max(1, f.RouterCount())) / max(1, ctx.Settings.Platform.RatePerS))
 	if f.restarting() {
-		return f.Interval/restartDelayDivisor + random.Part(crowd)
+		return f.Interval/restartDelayDivisor + random.Duration(crowd)
 	}
-	return relayReaders*f.Interval + random.Part(crowd)
+	return relayReaders*f.Interval + random.Duration(crowd)
 }
 
 // Poll reads the list once and tells it to the zone.
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -62,9 +62,9 @@
 }
 
 // Hear reads the page.
-func (p *Page) Hear(heard httpcall.Heard) error {
+func (p *Page) Hear(heard httpcall.RawResponse) error {
 	if heard.Status != http.StatusOK {
-		return errkind.Of(errkind.Unready, "the platform answered %d", heard.Status)
+		return errkind.Errorf(errkind.NotReady, "the platform answered %d", heard.Status)
 	}
 	return json.Unmarshal(heard.Body, p)
 }
@@ -105,7 +105,7 @@
 		return p.listByZone(ctx)
 	}
 	begin := ctx.Now()
-	short, release := ctx.WithLimit(p.Interval)
+	short, release := ctx.WithTimeout(p.Interval)
 	defer release()
 	list, pages, err := p.listPages(short, "")
 	p.LastPages = pages
@@ -148,7 +148,7 @@
 // listByZone reads each zone's list. A zone that can't be read fails the reading:
 // a list with a hole says of the runners in it that they are gone.
 func (p *PlatformClient) listByZone(ctx scope.Scope) (map[ids.Zone]List, error) {
-	short, release := ctx.WithLimit(4 * p.Interval)
+	short, release := ctx.WithTimeout(4 * p.Interval)
 	defer release()
 	var lock sync.Mutex
 	var group sync.WaitGroup
@@ -195,11 +195,11 @@
 		}
 		token = *page.Next
 	}
-	return List{}, maxPages, errkind.Of(errkind.Internal, "the platform's list has no end")
+	return List{}, maxPages, errkind.Errorf(errkind.Internal, "the platform's list has no end")
 }
 
 func (p *PlatformClient) fetchPage(ctx scope.Scope, ask PageRequest) (Page, error) {
-	short, release := ctx.WithLimit(p.Interval)
+	short, release := ctx.WithTimeout(p.Interval)
 	defer release()
-	return httpcall.Ask[Page](short, p.HTTP, p.Address, ask)
+	return httpcall.Do[Page](short, p.HTTP, p.Address, ask)
 }
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -76,7 +76,7 @@
 	if p.unchanged >= unchangedThreshold && !p.Platform.ByZone() {
 		every *= unchangedBackoff
 	}
-	rate := ctx.Boot.Platform.RatePerS
+	rate := ctx.Settings.Platform.RatePerS
 	if rate <= 0 {
 		return every
 	}
--- a/control/discovery/publisher_lease_test.go
+++ b/control/discovery/publisher_lease_test.go
@@ -62,7 +62,7 @@
 			// Its last look was in time; all this goes by before it acts on it.
 			epoch, held = 3, true
 			played.condition = "ready"
-			machine.Move(10 * clock.Second)
+			machine.Advance(10 * clock.Second)
 			reader.Poll(top)
 		}
 		return 2, true
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -39,7 +39,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, request.URL.RequestURI())
-	f.clock.Move(f.pageDelay)
+	f.clock.Advance(f.pageDelay)
 	if f.down {
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return
@@ -79,13 +79,13 @@
 	server := httptest.NewServer(played)
 	t.Cleanup(server.Close)
 	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
-	settings := &settings.Boot{Platform: settings.Platform{Address: address, RatePerS: 100}}
+	settings := &settings.Settings{Platform: settings.Platform{Address: address, RatePerS: 100}}
 	reader := &Publisher{
 		Platform: &PlatformClient{HTTP: server.Client(), Address: address, Zones: []ids.Zone{"a", "b", "c"}, Interval: clock.Second},
 		Updates:  gossip.NewStore(nil), Interval: clock.Second, HeartbeatInterval: 2 * clock.Second,
 		Held: func(clock.Instant) (int64, bool) { return 3, true },
 	}
-	return reader, played, scope.New(scope.Options{Clock: machine, Boot: settings}), machine
+	return reader, played, scope.New(scope.Options{Clock: machine, Settings: settings}), machine
 }
 
 func publishedList(t *testing.T, news *gossip.Store, zone ids.Zone) (List, ids.Serial) {
@@ -180,7 +180,7 @@
 	if _, again := publishedList(t, reader.Updates, "a"); again != first || beat() != still {
 		t.Fatal("the same list is news at once")
 	}
-	machine.Move(2 * clock.Second)
+	machine.Advance(2 * clock.Second)
 	reader.Poll(top)
 	if _, again := publishedList(t, reader.Updates, "a"); again != first || beat() <= still {
 		t.Fatal("the beat is not told")
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -80,14 +80,14 @@
 		t.Fatal("not whole with both")
 	}
 	told.expect("both", "i", "j")
-	told.clock.Move(maxAge)
+	told.clock.Advance(maxAge)
 	if told.view.Fresh() {
 		t.Fatal("fresh for ever")
 	}
 	if told.applyHeartbeat(5); !told.view.Fresh() {
 		t.Fatal("a beat of these parts does not confirm them")
 	}
-	told.clock.Move(maxAge)
+	told.clock.Advance(maxAge)
 	told.serials["a"] = 9
 	if told.applyHeartbeat(6); told.view.Fresh() {
 		t.Fatal("a beat of other parts confirms these")
@@ -111,12 +111,12 @@
 		t.Fatal("not fresh")
 	}
 	told.expect("a local list while the told one is fresh", "i", "j")
-	told.clock.Move(maxAge)
+	told.clock.Advance(maxAge)
 	if !told.view.Apply(local) || !told.view.Fresh() {
 		t.Fatal("a local list does not count where the told one is old")
 	}
 	told.expect("cut off", "x")
-	told.clock.Move(maxAge)
+	told.clock.Advance(maxAge)
 	if !told.applyHeartbeat(7) || !told.view.Fresh() {
 		t.Fatal("the beat does not bring the told parts back")
 	}
@@ -148,7 +148,7 @@
 	member := func(address ids.Address, core bool) membership.Member {
 		return membership.Member{Address: address, Zone: "a", Region: "r", ServesControl: core, Incarnation: 1}
 	}
-	top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{Platform: settings.Platform{RatePerS: 100}}})
+	top := scope.New(scope.Options{Clock: machine, Settings: &settings.Settings{Platform: settings.Platform{RatePerS: 100}}})
 	made := func(self membership.Member, others ...membership.Member) *Fallback {
 		table := membership.NewTable(machine, self)
 		table.Merge(others)
@@ -180,7 +180,7 @@
 	if fallback.due(machine.Now()) {
 		t.Error("a start is no time to ask at once")
 	}
-	machine.Move(clock.Second / restartDivisor)
+	machine.Advance(clock.Second / restartDivisor)
 	if !fallback.due(machine.Now()) {
 		t.Error("after all were down nobody asks")
 	}
--- a/control/gossip/exchange.go
+++ b/control/gossip/exchange.go
@@ -92,7 +92,7 @@
 }
 
 // RegisterHandlers adds the spreader's messages to a table of calls.
-func (g *Gossiper) RegisterHandlers(calls *httpcall.Table) {
+func (g *Gossiper) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, "exchange", func(_ scope.Scope, asked ExchangeRequest) (ExchangeResponse, error) {
 		return g.handleExchange(asked), nil
 	})
@@ -153,7 +153,7 @@
 
 // Exchange compares news and members with one other daemon.
 func (g *Gossiper) Exchange(ctx scope.Scope, address ids.Address) {
-	short, release := ctx.WithLimit(g.Timeout)
+	short, release := ctx.WithTimeout(g.Timeout)
 	defer release()
 	told, err := g.requestExchange(short, address, false)
 	if err == nil && told.Differs {
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -28,7 +28,7 @@
 	if !found {
 		return false
 	}
-	short, release := ctx.WithLimit(g.Interval / nearerTimeoutDivisor)
+	short, release := ctx.WithTimeout(g.Interval / nearerTimeoutDivisor)
 	g.Exchange(short, nearer)
 	release()
 	if !g.Store.Empty() {
@@ -60,7 +60,7 @@
 	if len(best) == 0 {
 		return "", false
 	}
-	return best[random.Below(len(best))].Address, true
+	return best[random.IntN(len(best))].Address, true
 }
 
 // distance is 0 in the own zone, 1 in the own region, 2 elsewhere.
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -29,7 +29,7 @@
 	if g.missingData() {
 		return g.Interval / missingDataIntervalDivisor
 	}
-	return g.Interval*3/4 + random.Part(g.Interval/2)
+	return g.Interval*3/4 + random.Duration(g.Interval/2)
 }
 
 // Odds of whom a daemon exchanges with: one exchange of so many.
@@ -47,29 +47,29 @@
 // goes on where there are no relays.
 func (g *Gossiper) choosePartner() (ids.Address, bool) {
 	near, far, gone := g.classifyMembers()
-	if g.missingData() && random.Below(oddsRelay) == 0 {
+	if g.missingData() && random.IntN(oddsRelay) == 0 {
 		if relay, found := g.chooseRelay(); found {
 			return relay, true
 		}
 	}
-	if len(gone) > 0 && random.Below(oddsRemoved) == 0 {
-		return gone[random.Below(len(gone))].Address, true
+	if len(gone) > 0 && random.IntN(oddsRemoved) == 0 {
+		return gone[random.IntN(len(gone))].Address, true
 	}
-	if seeds := g.seeds(); len(seeds) > 0 && (len(near)+len(far) == 0 || random.Below(oddsSeed) == 0) {
-		return seeds[random.Below(len(seeds))], true
+	if seeds := g.seeds(); len(seeds) > 0 && (len(near)+len(far) == 0 || random.IntN(oddsSeed) == 0) {
+		return seeds[random.IntN(len(seeds))], true
 	}
 	odds := oddsFarOtherwise
 	if g.Table.Self().Backbone() {
 		odds = oddsFarBackbone
 	}
 	pool := near
-	if len(near) == 0 || (len(far) > 0 && (random.Below(odds) == 0 || g.Store.Empty())) {
+	if len(near) == 0 || (len(far) > 0 && (random.IntN(odds) == 0 || g.Store.Empty())) {
 		pool = far
 	}
 	if len(pool) == 0 {
 		return "", false
 	}
-	return pool[random.Below(len(pool))].Address, true
+	return pool[random.IntN(len(pool))].Address, true
 }
 
 // chooseRelay picks one of the other daemons that relay for the own zone.
@@ -80,7 +80,7 @@
 	if len(relays) == 0 {
 		return "", false
 	}
-	return relays[random.Below(len(relays))].Address, true
+	return relays[random.IntN(len(relays))].Address, true
 }
 
 // AnnounceTargets picks those who are told at once of a change in this daemon itself:
@@ -100,10 +100,10 @@
 	}
 	near, far, _ := g.classifyMembers()
 	if len(near) > 0 {
-		add(near[random.Below(len(near))])
+		add(near[random.IntN(len(near))])
 	}
 	if len(far) > 0 && self.Backbone() {
-		add(far[random.Below(len(far))])
+		add(far[random.IntN(len(far))])
 	}
 	return chosen
 }
--- a/control/gossip/push.go
+++ b/control/gossip/push.go
@@ -84,7 +84,7 @@
 	}
 	if len(asked.Targets.Regions)+len(asked.Targets.Zones)+len(asked.Targets.Members) > 0 {
 		g.Stats.Relayed.Add(1)
-		g.spawn(func() { g.Push(ctx.Detached(), asked.Items, g.withoutSender(asked)) })
+		g.spawn(func() { g.Push(ctx.WithoutCancel(), asked.Items, g.withoutSender(asked)) })
 	}
 	return told
 }
@@ -159,7 +159,7 @@
 // the rest of the duty is split anew.
 func (g *Gossiper) deliver(ctx scope.Scope, items []Item, piece delivery) {
 	for _, taker := range piece.candidates[:min(maxDeliveryAttempts, len(piece.candidates))] {
-		short, release := ctx.WithLimit(g.Interval)
+		short, release := ctx.WithTimeout(g.Interval)
 		asked := PushRequest{From: g.Table.Self().Address, Items: items, Targets: piece.targets(taker)}
 		err := g.sendPush(short, taker, asked)
 		release()
--- a/control/gossip/push_test.go
+++ b/control/gossip/push_test.go
@@ -86,7 +86,7 @@
 	for _, spreader := range c.gossipers {
 		spreader.Table.Merge(all)
 	}
-	c.clock.Move(clock.Second)
+	c.clock.Advance(clock.Second)
 	all = nil
 	for _, address := range c.addresses {
 		c.gossipers[address].Table.UpdateRelayRole(relaysPerZone, 0)
--- a/control/gossip/store.go
+++ b/control/gossip/store.go
@@ -73,7 +73,7 @@
 		return s.receive(item, s.localUpdates)
 	}
 	wire := item
-	wire.Body, wire.Compressed = compress.Pack(item.Body)
+	wire.Body, wire.Compressed = compress.Encode(item.Body)
 	return s.apply(entry{Item: item, wire: wire}, s.localUpdates)
 }
 
@@ -85,7 +85,7 @@
 		return false
 	}
 	plain := item
-	body, err := compress.Unpack(item.Body, item.Compressed)
+	body, err := compress.Decode(item.Body, item.Compressed)
 	if err != nil {
 		return false
 	}
--- a/control/membership/backbone_test.go
+++ b/control/membership/backbone_test.go
@@ -56,7 +56,7 @@
 			t.Fatalf("an older report brought it back: %+v", member)
 		}
 	}
-	machine.Move(2 * formerBackboneRetention)
+	machine.Advance(2 * formerBackboneRetention)
 	east.Prune()
 	if _, found := east.Find("f:1"); found {
 		t.Fatal("it is remembered for ever")
@@ -77,7 +77,7 @@
 		table.Merge(members)
 		views = append(views, table)
 	}
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	chosen := 0
 	for _, view := range views {
 		relays := view.Relays("east", 2)
@@ -105,7 +105,7 @@
 	known.Merge([]Member{{Address: "b:1", Zone: "east", Incarnation: 1}, {Address: "c:1", Zone: "east", Incarnation: 1}})
 	known.AdvanceState("b:1", Left)
 	known.AdvanceState("c:1", Removed)
-	machine.Move(2 * leftRetention)
+	machine.Advance(2 * leftRetention)
 	known.Prune()
 	if _, found := known.Find("b:1"); found {
 		t.Fatal("one that said it leaves counts for ever")
@@ -113,7 +113,7 @@
 	if _, found := known.Find("c:1"); !found {
 		t.Fatal("one that may be behind a cut is forgotten soon")
 	}
-	machine.Move(2 * removedRetention)
+	machine.Advance(2 * removedRetention)
 	known.Prune()
 	if len(known.Members()) != 1 {
 		t.Fatalf("%v", known.Members())
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -121,7 +121,7 @@
 		case <-done:
 			return
 		default:
-			f.clock.Next()
+			f.clock.AdvanceToNext()
 			runtime.Gosched()
 		}
 	}
@@ -144,7 +144,7 @@
 		t.Fatalf("state %d of a silent member", net.state("a", "b"))
 	}
 	net.probers["a"].removeExpiredSuspects(true)
-	net.clock.Move(3 * clock.Second)
+	net.clock.Advance(3 * clock.Second)
 	net.probers["a"].removeExpiredSuspects(true)
 	if net.state("a", "b") != Suspect {
 		t.Fatal("a daemon that was frozen itself removed another")
--- a/control/membership/prober.go
+++ b/control/membership/prober.go
@@ -104,12 +104,12 @@
 func (p *Prober) Receive(ctx scope.Scope, sender fmt.Stringer, body []byte) {
 	datagram, err := transport.Open[Datagram](p.Guard, body)
 	if err != nil {
-		p.Guard.Refused(ctx, sender.String(), err)
+		p.Guard.Rejected(ctx, sender.String(), err)
 		return
 	}
 	handle := datagramHandlers[datagram.Kind]
 	if handle == nil {
-		p.Guard.Refused(ctx, sender.String(), errkind.Of(errkind.UnknownCall, "datagram of kind %d", datagram.Kind))
+		p.Guard.Rejected(ctx, sender.String(), errkind.Errorf(errkind.UnknownCall, "datagram of kind %d", datagram.Kind))
 		return
 	}
 	p.Table.Merge(datagram.Reports)
--- a/control/membership/zonesummary/zonesummary_test.go
+++ b/control/membership/zonesummary/zonesummary_test.go
@@ -39,7 +39,7 @@
 	if len(watcher.Store.WithPrefix(EndpointsPrefix)) != 0 {
 		t.Fatal("one that does not relay told of its zone")
 	}
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	watcher.Table.UpdateRelayRole(4, 0)
 	watcher.Refresh()
 	first := watcher.Table.Relays("east", 1)[0].Address
@@ -114,14 +114,14 @@
 	machine := clock.NewFake()
 	watcher := newTestManager(machine, "a:1", "east")
 	watcher.MergeSizes([]membership.ZoneSize{{Zone: "east", Routers: 9}})
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	watcher.Table.UpdateRelayRole(2, 0)
 	watcher.Refresh()
 	size, err := transport.Unmarshal[membership.ZoneSize](watcher.Store.WithPrefix(SizePrefix)[0].Body)
 	if err != nil || size.Routers != 9 {
 		t.Fatalf("%+v %v", size, err)
 	}
-	machine.Move(2 * 60 * 60 * clock.Second)
+	machine.Advance(2 * 60 * 60 * clock.Second)
 	watcher.Refresh()
 	if size, _ = transport.Unmarshal[membership.ZoneSize](watcher.Store.WithPrefix(SizePrefix)[0].Body); size.Routers != 1 {
 		t.Fatalf("%+v long after the others are gone", size)
@@ -139,7 +139,7 @@
 	gone := backbone("z:1", 1)
 	gone.Zone, gone.State = "south", membership.Removed
 	watcher.Table.Merge([]membership.Member{backbone("x:1", 1), backbone("y:1", 1), gone})
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	watcher.Table.UpdateRelayRole(2, 0)
 	told := func() []ids.Zone {
 		watcher.Refresh()
--- a/control/outlier/outlier.go
+++ b/control/outlier/outlier.go
@@ -73,7 +73,7 @@
 }
 
 // Add adds a report of a router of the zone.
-func (d *Detector) Add(report autoscaler.ReportAsk, now clock.Instant) {
+func (d *Detector) Add(report autoscaler.ReportRequest, now clock.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.runners == nil {
--- a/control/outlier/outlier_test.go
+++ b/control/outlier/outlier_test.go
@@ -10,8 +10,8 @@
 )
 
 // newReport makes a report of ten runners, of which some fail a part of ten requests.
-func newReport(failing map[int]float64) autoscaler.ReportAsk {
-	var report autoscaler.ReportAsk
+func newReport(failing map[int]float64) autoscaler.ReportRequest {
+	var report autoscaler.ReportRequest
 	for index := range 10 {
 		report.Samples = append(report.Samples, autoscaler.Sample{
 			Runner: ids.RunnerID(fmt.Sprint("i", index)), Service: "s", Finished: 10 - failing[index], Failed: failing[index],
@@ -60,12 +60,12 @@
 			t.Fatalf("rest %d lasts %d ms after one of %d", fall, left, lasted)
 		}
 		lasted = left
-		machine.Move(clock.Span(left+1) * clock.Millisecond)
+		machine.Advance(clock.Span(left+1) * clock.Millisecond)
 		if rests, changed := judge.Evaluate(machine.Now()); len(rests.Runners) != 0 || !changed {
 			t.Fatal("a rest has no end")
 		}
 	}
-	machine.Move(5 * backoffDecay)
+	machine.Advance(5 * backoffDecay)
 	for range 6 {
 		judge.Evaluate(machine.Now())
 	}
--- a/control/planning/autoscaler/group.go
+++ b/control/planning/autoscaler/group.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// fewestGrouped is how many runners a region must have to be grouped.
-	fewestGrouped = 4
+	// minGroupedRunners is how many runners a region must have to be grouped.
+	minGroupedRunners = 4
 	// shortClassMargin is by how much more than its part of the work the short class gets:
 	// it is the one that must not wait.
 	shortClassMargin = 1.2
 )
 
-// learnLengths adds a report's answers to what is known of its region.
-func (s *Scaler) learnLengths(report ReportAsk) {
-	known := s.lengths[report.Region]
+// recordLengths adds a report's answers to what is known of its region.
+func (p *Planner) recordLengths(report ReportRequest) {
+	known := p.lengths[report.Region]
 	if known == nil {
 		known = &lengthstats.Estimator{}
-		s.lengths[report.Region] = known
+		p.lengths[report.Region] = known
 	}
-	known.Take(report.Lengths)
+	known.Add(report.Lengths)
 }
 
-// group cuts each region's answers into short and long ones and gives each class
+// groupByLength cuts each region's answers into short and long ones and gives each class
 // a part of the runners whose weights are its part of the work. Weights stay as
 // they are: within a class requests are shared out by the ceilings.
-func (s *Scaler) group(plan *Plan, listed []Listed) {
-	if !s.options.Grouping {
+func (p *Planner) groupByLength(plan *Plan, listed []Runner) {
+	if !p.options.GroupByLength {
 		return
 	}
-	places := map[ids.RunnerID]Listed{}
+	places := map[ids.RunnerID]Runner{}
 	for _, runner := range listed {
 		places[runner.ID] = runner
 	}
-	for _, region := range sortedKeys(s.lengths) {
-		known := s.lengths[region]
-		told := RegionLengths{Region: region, Expected: known.Expect()}
+	for _, region := range sortedKeys(p.lengths) {
+		known := p.lengths[region]
+		told := RegionLengths{Region: region, Expected: known.Expectations()}
 		pools := map[ids.Service][]*RunnerPlan{}
 		for index := range plan.Runners {
 			planned := &plan.Runners[index]
@@ -50,20 +50,20 @@
 		}
 		for _, service := range sortedKeys(pools) {
 			split, apart := known.Split(service)
-			if apart && len(pools[service]) >= fewestGrouped {
+			if apart && len(pools[service]) >= minGroupedRunners {
 				told.Splits = append(told.Splits, split)
-				assign(pools[service], min(0.8, shortClassMargin*split.ShortPart))
+				assignClasses(pools[service], min(0.8, shortClassMargin*split.ShortWorkShare))
 			}
 		}
 		plan.Lengths = append(plan.Lengths, told)
 	}
 }
 
-// assign gives the first runners, in an order that does not change, to the short
+// assignClasses gives the first runners, in an order that does not change, to the short
 // class until their weights are its part; each class has at least one.
-func assign(pool []*RunnerPlan, part float64) {
+func assignClasses(pool []*RunnerPlan, part float64) {
 	slices.SortFunc(pool, func(left, right *RunnerPlan) int {
-		if order := int64(placeOf(left.Runner)>>1) - int64(placeOf(right.Runner)>>1); order != 0 {
+		if order := int64(hashRunner(left.Runner)>>1) - int64(hashRunner(right.Runner)>>1); order != 0 {
 			return map[bool]int{true: 1, false: -1}[order > 0]
 		}
 		return strings.Compare(string(left.Runner), string(right.Runner))
@@ -81,7 +81,7 @@
 	}
 }
 
-func placeOf(id ids.RunnerID) uint64 {
+func hashRunner(id ids.RunnerID) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(id))
 	return digest.Sum64()
--- a/control/planning/autoscaler/plan.go
+++ b/control/planning/autoscaler/plan.go
@@ -12,7 +12,7 @@
 
 // Plan says how routers share requests out among runners, and why.
 type Plan struct {
-	Holder   ids.Address  `avro:"Holder"`
+	Owner    ids.Address  `avro:"Holder"`
 	Runners  []RunnerPlan `avro:"Runners"`
 	Flows    []Flow       `avro:"Flows"`
 	Replicas []Replicas   `avro:"Replicas"`
@@ -36,19 +36,19 @@
 // RunnerPlan is the plan for one runner.
 type RunnerPlan struct {
 	Runner ids.RunnerID `avro:"Runner"`
-	// Limit is n_limit, the most requests that it can finish in a second.
-	Limit float64 `avro:"Limit"`
-	// Cap is max_num_seqs, how many requests it should have running at most.
-	Cap float64 `avro:"Cap"`
-	// Memory is the part of its memory that it needs at the cap.
-	Memory float64 `avro:"Memory"`
+	// RateLimit is n_limit, the most requests that it can finish in a second.
+	RateLimit float64 `avro:"Limit"`
+	// ConcurrencyLimit is max_num_seqs, how many requests it should have running at most.
+	ConcurrencyLimit float64 `avro:"Cap"`
+	// MemoryUtilization is the part of its memory that it needs at the cap.
+	MemoryUtilization float64 `avro:"Memory"`
 	// Weight is its share in routing.
 	Weight float64 `avro:"Weight"`
 	// Group is the class of requests that it takes first, if its region's are
 	// grouped by length.
 	Group lengthstats.Class `avro:"Group"`
-	// Resting takes it out of rotation while it is looked at.
-	Resting bool `avro:"Resting"`
+	// Quarantined takes it out of rotation while it is looked at.
+	Quarantined bool `avro:"Resting"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -56,11 +56,11 @@
 
 // Flow is the share of an origin's requests that a region's runners take.
 type Flow struct {
-	Service ids.Service `avro:"Service"`
-	Homes   string      `avro:"Homes"`
-	Origin  ids.Region  `avro:"Origin"`
-	Target  ids.Region  `avro:"Target"`
-	Share   float64     `avro:"Share"`
+	Service     ids.Service `avro:"Service"`
+	HomeRegions string      `avro:"Homes"`
+	Origin      ids.Region  `avro:"Origin"`
+	Target      ids.Region  `avro:"Target"`
+	Share       float64     `avro:"Share"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -68,12 +68,12 @@
 
 // Replicas is how many runners of a type the load needs.
 type Replicas struct {
-	Service ids.Service `avro:"Service"`
-	Region  ids.Region  `avro:"Region"`
-	Needed  float64     `avro:"Needed"`
-	Ready   int64       `avro:"Ready"`
-	Load    float64     `avro:"Load"`
-	Ceiling float64     `avro:"Ceiling"`
+	Service   ids.Service `avro:"Service"`
+	Region    ids.Region  `avro:"Region"`
+	Needed    float64     `avro:"Needed"`
+	Ready     int64       `avro:"Ready"`
+	Load      float64     `avro:"Load"`
+	RateLimit float64     `avro:"Ceiling"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -89,11 +89,11 @@
 	Running  float64      `avro:"Running"`
 	Pending  float64      `avro:"Pending"`
 	Failed   float64      `avro:"Failed"`
-	// SpentMS is the execution time summed over the finished requests.
-	SpentMS float64 `avro:"SpentMS"`
-	// Memory and Busy are utilisations, from 0 to 1, as far as they are known.
-	Memory float64 `avro:"Memory"`
-	Busy   float64 `avro:"Busy"`
+	// ExecutionMS is the execution time summed over the finished requests.
+	ExecutionMS float64 `avro:"SpentMS"`
+	// MemoryUtilization and Busy are utilisations, from 0 to 1, as far as they are known.
+	MemoryUtilization float64 `avro:"Memory"`
+	Utilization       float64 `avro:"Busy"`
 	// Units is the work sent: prompt tokens, or one a request without any.
 	Units float64 `avro:"Units"`
 }
@@ -103,16 +103,16 @@
 
 // Demand is what visitors of a region asked of a service.
 type Demand struct {
-	Service ids.Service `avro:"Service"`
-	Homes   string      `avro:"Homes"`
-	Arrived float64     `avro:"Arrived"`
+	Service     ids.Service `avro:"Service"`
+	HomeRegions string      `avro:"Homes"`
+	Arrived     float64     `avro:"Arrived"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
 func (Demand) SchemaName() string { return "Demand_23" }
 
-// ReportAsk carries a router's samples to the holder of the plan.
-type ReportAsk struct {
+// ReportRequest carries a router's samples to the holder of the plan.
+type ReportRequest struct {
 	From    ids.Address `avro:"From"`
 	Region  ids.Region  `avro:"Region"`
 	Samples []Sample    `avro:"Samples"`
@@ -120,19 +120,19 @@
 	// Readings are how long first answers took.
 	Readings []headroom.Reading `avro:"Readings"`
 	// Lengths are how long whole answers took, by kind.
-	Lengths []lengthstats.Sum `avro:"Lengths"`
+	Lengths []lengthstats.Totals `avro:"Lengths"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (ReportAsk) SchemaName() string { return "ReportAsk_23" }
+func (ReportRequest) SchemaName() string { return "ReportAsk_23" }
 
-// ReportTold answers it.
-type ReportTold struct {
-	Holding bool `avro:"Holding"`
+// ReportResponse answers it.
+type ReportResponse struct {
+	Owner bool `avro:"Holding"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
-func (ReportTold) SchemaName() string { return "ReportTold_23" }
+func (ReportResponse) SchemaName() string { return "ReportTold_23" }
 
 // ReadPlan reads the body of the news item that has the whole plan.
 func ReadPlan(body []byte) (Plan, error) { return transport.Unmarshal[Plan](body) }
--- a/control/planning/autoscaler/detector.go
+++ b/control/planning/autoscaler/profile.go
@@ -7,23 +7,23 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Direction is where a detected runner pulls the plan.
-type Direction int
+// Anomaly is where a detected runner pulls the plan.
+type Anomaly int
 
 // The directions: up where it is overloaded, down where it is idle.
 const (
-	Steady Direction = iota
-	Up
-	Down
+	NoAnomaly Anomaly = iota
+	Overload
+	Underload
 )
 
 const (
-	// kept is how many components stand in for the hidden variable.
-	kept = 2
-	// fewestNormal is how many looks a profile must rest on.
-	fewestNormal = 24
-	// peak is by how many deviations a miss must stand out to count.
-	peak = 6.0
+	// latentDimensions is how many components stand in for the hidden variable.
+	latentDimensions = 2
+	// minProfileSamples is how many looks a profile must rest on.
+	minProfileSamples = 24
+	// anomalyThreshold is by how many deviations a miss must stand out to count.
+	anomalyThreshold = 6.0
 )
 
 // Profile is what is normal for a type of runners: the mean and spread of each
@@ -32,29 +32,29 @@
 // what it was in normal looks, as the paper's prior holds it. So an overloaded
 // runner is reconstructed as a normal one, and the difference has a sign.
 type Profile struct {
-	mean   []float64
-	spread []float64
-	base   *mat.Dense
-	reach  []float64
-	miss   float64
-	around float64
+	mean           []float64
+	deviation      []float64
+	basis          *mat.Dense
+	latentBound    []float64
+	errorMean      float64
+	errorDeviation float64
 }
 
-// Learn makes a profile from metric vectors; too few give none.
-func Learn(vectors [][]float64) *Profile {
-	if len(vectors) < fewestNormal {
+// FitProfile makes a profile from metric vectors; too few give none.
+func FitProfile(vectors [][]float64) *Profile {
+	if len(vectors) < minProfileSamples {
 		return nil
 	}
 	width := len(vectors[0])
-	made := &Profile{mean: make([]float64, width), spread: make([]float64, width)}
+	made := &Profile{mean: make([]float64, width), deviation: make([]float64, width)}
 	column := make([]float64, len(vectors))
 	for metric := range width {
 		for index, vector := range vectors {
 			column[index] = vector[metric]
 		}
-		made.mean[metric], made.spread[metric] = stat.MeanStdDev(column, nil)
-		if made.spread[metric] < 1e-9 {
-			made.spread[metric] = math.Max(1e-3, math.Abs(made.mean[metric]))
+		made.mean[metric], made.deviation[metric] = stat.MeanStdDev(column, nil)
+		if made.deviation[metric] < 1e-9 {
+			made.deviation[metric] = math.Max(1e-3, math.Abs(made.mean[metric]))
 		}
 	}
 	table := mat.NewDense(len(vectors), width, nil)
@@ -67,27 +67,27 @@
 	}
 	var directions mat.Dense
 	parts.VTo(&directions)
-	made.base = mat.DenseCopyOf(directions.Slice(0, width, 0, min(kept, width)))
-	made.reach = make([]float64, min(kept, width))
+	made.basis = mat.DenseCopyOf(directions.Slice(0, width, 0, min(latentDimensions, width)))
+	made.latentBound = make([]float64, min(latentDimensions, width))
 	for _, vector := range vectors {
 		var hidden mat.VecDense
-		hidden.MulVec(made.base.T(), mat.NewVecDense(width, made.normalise(vector)))
-		for part := range made.reach {
-			made.reach[part] = math.Max(made.reach[part], math.Abs(hidden.AtVec(part)))
+		hidden.MulVec(made.basis.T(), mat.NewVecDense(width, made.normalise(vector)))
+		for part := range made.latentBound {
+			made.latentBound[part] = math.Max(made.latentBound[part], math.Abs(hidden.AtVec(part)))
 		}
 	}
 	misses := make([]float64, len(vectors))
 	for index, vector := range vectors {
 		misses[index], _ = made.reconstruct(vector)
 	}
-	made.miss, made.around = stat.MeanStdDev(misses, nil)
+	made.errorMean, made.errorDeviation = stat.MeanStdDev(misses, nil)
 	return made
 }
 
 func (p *Profile) normalise(vector []float64) []float64 {
 	normal := make([]float64, len(vector))
 	for metric, value := range vector {
-		normal[metric] = (value - p.mean[metric]) / p.spread[metric]
+		normal[metric] = (value - p.mean[metric]) / p.deviation[metric]
 	}
 	return normal
 }
@@ -97,11 +97,11 @@
 func (p *Profile) reconstruct(vector []float64) (float64, float64) {
 	input := mat.NewVecDense(len(vector), p.normalise(vector))
 	var hidden, output mat.VecDense
-	hidden.MulVec(p.base.T(), input)
-	for part, reach := range p.reach {
+	hidden.MulVec(p.basis.T(), input)
+	for part, reach := range p.latentBound {
 		hidden.SetVec(part, math.Min(reach, math.Max(-reach, hidden.AtVec(part))))
 	}
-	output.MulVec(p.base, &hidden)
+	output.MulVec(p.basis, &hidden)
 	miss, difference := 0.0, 0.0
 	for metric := range vector {
 		gap := input.AtVec(metric) - output.AtVec(metric)
@@ -113,16 +113,16 @@
 
 // Detect tells whether a vector stands out from the profile, and by the sign
 // of the mean reconstruction difference, in which direction.
-func (p *Profile) Detect(vector []float64) Direction {
+func (p *Profile) Detect(vector []float64) Anomaly {
 	if p == nil {
-		return Steady
+		return NoAnomaly
 	}
 	miss, difference := p.reconstruct(vector)
-	if miss <= p.miss+peak*math.Max(p.around, 0.1*p.miss) {
-		return Steady
+	if miss <= p.errorMean+anomalyThreshold*math.Max(p.errorDeviation, 0.1*p.errorMean) {
+		return NoAnomaly
 	}
 	if difference > 0 {
-		return Up
+		return Overload
 	}
-	return Down
+	return Underload
 }
--- a/control/planning/autoscaler/replicas.go
+++ b/control/planning/autoscaler/replicas.go
@@ -7,27 +7,27 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Type is one kind of replica to the linear program: the runners of a service
+// ReplicaType is one kind of replica to the linear program: the runners of a service
 // in a region.
-type Type struct {
-	// Score is the cost of one replica: how badly its memory fits the need.
-	Score float64
-	// Limit is n_limit of one replica.
-	Limit float64
-	// Most is how many there are.
-	Most float64
+type ReplicaType struct {
+	// Cost is the cost of one replica: how badly its memory fits the need.
+	Cost float64
+	// RateLimit is n_limit of one replica.
+	RateLimit float64
+	// Max is how many there are.
+	Max float64
 }
 
-// Solve finds how many replicas of each type bear the load at the least cost:
+// SolveReplicas finds how many replicas of each type bear the load at the least cost:
 // the paper's program (8), with the sign of the first constraint turned, so
 // that the replicas cover the load. Where all replicas together don't, it
 // gives all of them.
-func Solve(types []Type, load float64) []float64 {
+func SolveReplicas(types []ReplicaType, load float64) []float64 {
 	needed := make([]float64, len(types))
 	able := 0.0
 	for index, kind := range types {
-		needed[index] = kind.Most
-		able += kind.Most * kind.Limit
+		needed[index] = kind.Max
+		able += kind.Max * kind.RateLimit
 	}
 	if len(types) == 0 || able <= load {
 		return needed
@@ -36,10 +36,10 @@
 	limits := mat.NewDense(2*len(types)+1, len(types), nil)
 	bounds := make([]float64, 2*len(types)+1)
 	for index, kind := range types {
-		costs[index] = kind.Score
-		limits.Set(0, index, -kind.Limit)
+		costs[index] = kind.Cost
+		limits.Set(0, index, -kind.RateLimit)
 		limits.Set(index+1, index, 1)
-		bounds[index+1] = kind.Most
+		bounds[index+1] = kind.Max
 		// Convert takes variables that may be negative: none may be here.
 		limits.Set(len(types)+index+1, index, -1)
 	}
@@ -56,7 +56,7 @@
 	return needed
 }
 
-// scoreOf is the paper's matching score: the gap between the memory that a
+// memoryMismatchCost is the paper's matching score: the gap between the memory that a
 // replica needs and what its type has; a small part for each replica keeps
 // fewer of them better than more.
-func scoreOf(memory float64) float64 { return 0.1 + math.Abs(1-memory) }
+func memoryMismatchCost(memory float64) float64 { return 0.1 + math.Abs(1-memory) }
--- a/control/planning/headroom/estimate.go
+++ b/control/planning/headroom/estimate.go
@@ -13,9 +13,9 @@
 	Service ids.Service
 	Region  ids.Region
 	Slots   float64
-	// Standing is ready, cold, draining, emptied or resting; only ready runners
+	// State is ready, cold, draining, emptied or resting; only ready runners
 	// count for room.
-	Standing string
+	State string
 	// UnitsPerS is the work that routers sent it lately.
 	UnitsPerS float64
 }
@@ -30,64 +30,64 @@
 	Ready  int64      `json:"ready"`
 }
 
-// Family is the room of one service over all regions.
-type Family struct {
-	Service  ids.Service `json:"service"`
-	Enough   bool        `json:"enough_seen"`
-	PerS     float64     `json:"load_per_s"`
-	Used     float64     `json:"used"`
-	Together float64     `json:"room_together"`
-	Routes   []Route     `json:"routes"`
-	Regions  []Region    `json:"regions"`
+// Service is the room of one service over all regions.
+type Service struct {
+	Service        ids.Service `json:"service"`
+	HasData        bool        `json:"enough_seen"`
+	LoadPerS       float64     `json:"load_per_s"`
+	Utilization    float64     `json:"used"`
+	GrowthTogether float64     `json:"room_together"`
+	Routes         []Route     `json:"routes"`
+	Regions        []Region    `json:"regions"`
 }
 
 // Route is the room of one route: by how much it alone may grow, and by how
 // much all routes of the family may grow together before this one runs late.
 type Route struct {
-	Name     string  `json:"name"`
-	GoalMS   float64 `json:"goal_ms"`
-	FirstMS  float64 `json:"first_ms"`
-	PerS     float64 `json:"load_per_s"`
-	Alone    float64 `json:"room_alone"`
-	Together float64 `json:"room_together"`
+	Name           string  `json:"name"`
+	TargetMS       float64 `json:"goal_ms"`
+	FirstTokenMS   float64 `json:"first_ms"`
+	LoadPerS       float64 `json:"load_per_s"`
+	GrowthAlone    float64 `json:"room_alone"`
+	GrowthTogether float64 `json:"room_together"`
 }
 
 // Region is what a family has in one region, quiet ones too.
 type Region struct {
-	Region    ids.Region `json:"region"`
-	Ready     int64      `json:"ready"`
-	Other     int64      `json:"other"`
-	Used      float64    `json:"used"`
-	UnitsPerS float64    `json:"units_per_s"`
+	Region      ids.Region `json:"region"`
+	Ready       int64      `json:"ready"`
+	NotReady    int64      `json:"other"`
+	Utilization float64    `json:"used"`
+	UnitsPerS   float64    `json:"units_per_s"`
 }
 
 // Report is the newest estimate, and on what it rests.
 type Report struct {
-	Families []Family  `json:"families"`
+	Services []Service `json:"families"`
 	Routers  []Routers `json:"routers"`
 }
 
-// Seen is all that an estimate is made from. Readings are sums over so many
+// Input is all that an estimate is made from. Readings are sums over so many
 // seconds.
-type Seen struct {
+type Input struct {
 	Seconds  float64
-	Spec     *config.Config
+	Config   *config.Config
 	Runners  []Runner
 	Readings []Reading
 	Routers  []Routers
 }
 
 // Estimate works the room of every family out.
-func Estimate(seen Seen) Report {
+func Estimate(seen Input) Report {
 	report := Report{Routers: seen.Routers}
-	for _, service := range seen.Spec.Services {
-		report.Families = append(report.Families, family(seen, service))
+	for _, service := range seen.Config.Services {
+		report.Services = append(report.Services, estimateService(seen, service))
 	}
 	return report
 }
 
-func family(seen Seen, service config.Service) Family {
-	made := Family{Service: service.Name, Together: most}
+func estimateService(seen Input, service config.Service) Service {
+	made := Service{Service: service.Name, GrowthTogether: growthCap}
 	var readings []Reading
 	for _, reading := range seen.Readings {
 		if reading.Service == service.Name && reading.Count > 0 {
@@ -95,42 +95,42 @@
 		}
 	}
 	sort.Slice(readings, func(left, right int) bool { return readings[left].Route < readings[right].Route })
-	pace, enough := paceOf(seen, service, readings)
-	made.Enough = enough
+	pace, enough := fitModel(seen, service, readings)
+	made.HasData = enough
 	if !enough {
-		made.Together = 0
+		made.GrowthTogether = 0
 	}
-	made.Regions = regions(seen, service.Name, pace)
+	made.Regions = estimateRegions(seen, service.Name, pace)
 	for _, reading := range readings {
-		made.PerS += reading.Count / seen.Seconds
+		made.LoadPerS += reading.Count / seen.Seconds
 	}
 	for _, reading := range readings {
-		route := routeOf(seen.Spec, reading.Route)
+		route := findRoute(seen.Config, reading.Route)
 		if route == nil || !enough {
 			continue
 		}
-		load := loadOf(seen, service.Name, route, reading, readings, pace)
-		first := reading.FirstMS / reading.Count
-		plain := pace.StartMS + pace.UnitMS*reading.Units/reading.Count
-		found := Route{Name: route.Name, GoalMS: route.LatencyTargetMS, FirstMS: first, PerS: reading.Count / seen.Seconds}
-		found.Alone = Factor(load, route.LatencyTargetMS-plain, false)
-		found.Together = Factor(load, route.LatencyTargetMS-plain, true)
-		made.Together = min(made.Together, found.Together)
-		made.Used = max(made.Used, load.Used)
+		load := routeLoad(seen, service.Name, route, reading, readings, pace)
+		first := reading.FirstTokenMS / reading.Count
+		plain := pace.BaseMS + pace.PerUnitMS*reading.Units/reading.Count
+		found := Route{Name: route.Name, TargetMS: route.LatencyTargetMS, FirstTokenMS: first, LoadPerS: reading.Count / seen.Seconds}
+		found.GrowthAlone = MaxGrowth(load, route.LatencyTargetMS-plain, false)
+		found.GrowthTogether = MaxGrowth(load, route.LatencyTargetMS-plain, true)
+		made.GrowthTogether = min(made.GrowthTogether, found.GrowthTogether)
+		made.Utilization = max(made.Utilization, load.Utilization)
 		made.Routes = append(made.Routes, found)
 	}
 	return made
 }
 
-// paceOf fits the family's pace; one whose requests have no sizes is paced by
+// fitModel fits the family's pace; one whose requests have no sizes is paced by
 // how long its slots are taken.
-func paceOf(seen Seen, service config.Service, readings []Reading) (Pace, bool) {
+func fitModel(seen Input, service config.Service, readings []Reading) (LatencyModel, bool) {
 	if service.Engine != nil {
-		return FitPace(readings)
+		return FitLatencyModel(readings)
 	}
 	total, slots, count := Reading{}, 0.0, 0.0
 	for _, reading := range readings {
-		total = total.Plus(reading)
+		total = total.Add(reading)
 	}
 	for _, runner := range seen.Runners {
 		if runner.Service == service.Name {
@@ -139,13 +139,13 @@
 		}
 	}
 	if total.Count == 0 || slots == 0 {
-		return Pace{}, false
+		return LatencyModel{}, false
 	}
-	first := total.FirstMS / total.Count
-	return Pace{StartMS: first, UnitMS: first / (slots / count)}, true
+	first := total.FirstTokenMS / total.Count
+	return LatencyModel{BaseMS: first, PerUnitMS: first / (slots / count)}, true
 }
 
-func routeOf(version *config.Config, name string) *config.Route {
+func findRoute(version *config.Config, name string) *config.Route {
 	for index := range version.Routes {
 		if version.Routes[index].Name == name {
 			return &version.Routes[index]
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func regions(seen Seen, service ids.Service, pace Pace) []Region {
+func estimateRegions(seen Input, service ids.Service, pace LatencyModel) []Region {
 	found := map[ids.Region]*Region{}
 	for _, runner := range seen.Runners {
 		if runner.Service != service {
@@ -165,32 +165,32 @@
 		}
 		region := found[runner.Region]
 		region.UnitsPerS += runner.UnitsPerS
-		if runner.Standing == Ready {
+		if runner.State == Ready {
 			region.Ready++
 		} else {
-			region.Other++
+			region.NotReady++
 		}
 	}
 	var listed []Region
 	for _, region := range found {
-		region.Used = used(region.UnitsPerS, float64(region.Ready), pace)
+		region.Utilization = utilization(region.UnitsPerS, float64(region.Ready), pace)
 		listed = append(listed, *region)
 	}
 	sort.Slice(listed, func(left, right int) bool { return listed[left].Region < listed[right].Region })
 	return listed
 }
 
-func used(unitsPerS float64, runners float64, pace Pace) float64 {
+func utilization(unitsPerS float64, runners float64, pace LatencyModel) float64 {
 	if runners == 0 {
 		return 0
 	}
-	return unitsPerS * pace.UnitMS / 1000 / runners
+	return unitsPerS * pace.PerUnitMS / 1000 / runners
 }
 
-// loadOf is the load of the runners that a route may use: all that stand ready
+// routeLoad is the load of the runners that a route may use: all that stand ready
 // where it is at home, whatever they were sent lately. Work that went to
 // runners which stand no more has to be borne by the others.
-func loadOf(seen Seen, service ids.Service, route *config.Route, own Reading, all []Reading, pace Pace) Load {
+func routeLoad(seen Input, service ids.Service, route *config.Route, own Reading, all []Reading, pace LatencyModel) Load {
 	ready, units := 0.0, 0.0
 	for _, runner := range seen.Runners {
 		if runner.Service != service {
@@ -200,20 +200,20 @@
 			continue
 		}
 		units += runner.UnitsPerS
-		if runner.Standing == Ready {
+		if runner.State == Ready {
 			ready++
 		}
 	}
-	load := Load{Used: used(units, ready, pace), Own: used(own.Units/seen.Seconds, ready, pace)}
+	load := Load{Utilization: utilization(units, ready, pace), RouteUtilization: utilization(own.Units/seen.Seconds, ready, pace)}
 	if ready == 0 {
-		load.Used, load.Own = 1, 1
+		load.Utilization, load.RouteUtilization = 1, 1
 	}
 	total := Reading{}
 	for _, reading := range all {
-		total = total.Plus(reading)
+		total = total.Add(reading)
 	}
 	if total.Units > 0 {
-		load.RestMS = pace.UnitMS * total.UnitsSquared / total.Units / 2
+		load.ResidualMS = pace.PerUnitMS * total.UnitsSquared / total.Units / 2
 	}
 	return load
 }
--- a/control/planning/lengthstats/forms_test.go
+++ b/control/planning/lengthstats/forms_test.go
@@ -10,7 +10,7 @@
 // sent: the golden files were written by the build before its forms had names.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Expected](t, "expected")
-	transporttest.Golden[Kind](t, "kind")
+	transporttest.Golden[Key](t, "kind")
 	transporttest.Golden[Split](t, "split")
-	transporttest.Golden[Sum](t, "sum")
+	transporttest.Golden[Totals](t, "sum")
 }
--- a/control/planning/lengthstats/table.go
+++ b/control/planning/lengthstats/table.go
@@ -5,22 +5,22 @@
 // Table looks expectations up: it is what the planner told back, as a router
 // reads it.
 type Table struct {
-	exact map[Kind]float64
-	// loose stands for kinds that were not seen: the mean of their service's
+	exact map[Key]float64
+	// byBucket stands for kinds that were not seen: the mean of their service's
 	// prompts of that length.
-	loose  map[Kind]mean
-	splits map[ids.Service]Split
+	byBucket map[Key]mean
+	splits   map[ids.Service]Split
 }
 
 type mean struct{ sum, count float64 }
 
 // NewTable makes a table of a region's expectations.
 func NewTable(told []Expected, splits []Split) *Table {
-	made := &Table{exact: map[Kind]float64{}, loose: map[Kind]mean{}, splits: map[ids.Service]Split{}}
+	made := &Table{exact: map[Key]float64{}, byBucket: map[Key]mean{}, splits: map[ids.Service]Split{}}
 	for _, expected := range told {
-		made.exact[expected.Kind] = expected.MS
-		any := Kind{Service: expected.Kind.Service, Bucket: expected.Kind.Bucket}
-		made.loose[any] = mean{sum: made.loose[any].sum + expected.MS, count: made.loose[any].count + 1}
+		made.exact[expected.Key] = expected.DurationMS
+		any := Key{Service: expected.Key.Service, Bucket: expected.Key.Bucket}
+		made.byBucket[any] = mean{sum: made.byBucket[any].sum + expected.DurationMS, count: made.byBucket[any].count + 1}
 	}
 	for _, split := range splits {
 		made.splits[split.Service] = split
@@ -40,19 +40,19 @@
 
 // Expect tells how long a kind of answer is expected to take: by its own past,
 // else by that of other routes of the service with prompts as long.
-func (t *Table) Expect(kind Kind) (float64, bool) {
+func (t *Table) Expect(kind Key) (float64, bool) {
 	if t == nil || kind.Bucket == 0 {
 		return 0, false
 	}
 	if exact, found := t.exact[kind]; found {
 		return exact, true
 	}
-	loose, found := t.loose[Kind{Service: kind.Service, Bucket: kind.Bucket}]
+	loose, found := t.byBucket[Key{Service: kind.Service, Bucket: kind.Bucket}]
 	return loose.sum / max(1, loose.count), found
 }
 
 // Class gives the class of a kind of request.
-func (t *Table) Class(kind Kind) Class {
+func (t *Table) Class(kind Key) Class {
 	expected, known := t.Expect(kind)
 	if !known {
 		return Unknown
@@ -61,7 +61,7 @@
 	if !apart {
 		return Unknown
 	}
-	if expected >= split.CutMS {
+	if expected >= split.ThresholdMS {
 		return Long
 	}
 	return Short
--- a/control/state/command/chunks.go
+++ b/control/state/command/chunks.go
@@ -38,7 +38,7 @@
 		return value, err
 	}
 	page, err := d.options.Proposer.Read(ctx, beyond.Key())
-	if errkind.KindOf(err) == errkind.Unsettled && ctx.Err() == nil {
+	if errkind.KindOf(err) == errkind.NoQuorum && ctx.Err() == nil {
 		// The page may have had another owner since this one read it last.
 		page, err = d.options.Proposer.Read(ctx, beyond.Key())
 	}
@@ -87,7 +87,7 @@
 // sealNextChunk writes one page out of the spec that a majority confirms, and gives
 // how many changes are sealed by then.
 func (d *Dispatcher) sealNextChunk(ctx scope.Scope, sealed int64) (int64, error) {
-	short, release := ctx.WithLimit(d.options.CommandTimeout)
+	short, release := ctx.WithTimeout(d.options.CommandTimeout)
 	defer release()
 	value, err := d.options.Proposer.Read(short, config.Key)
 	if err != nil {
--- a/control/state/command/chunks_test.go
+++ b/control/state/command/chunks_test.go
@@ -73,7 +73,7 @@
 // check holds an answer against all that was told before.
 func (p *propertyRun) check(index int, kind errkind.Kind) {
 	p.resultCounts[kind]++
-	if kind == errkind.Unsettled {
+	if kind == errkind.NoQuorum {
 		return
 	}
 	change := p.sent[index]
@@ -110,13 +110,13 @@
 	if dropped < 30 {
 		t.Error("too few cases had pages")
 	}
-	for _, kind := range []errkind.Kind{errkind.None, errkind.StaleSpec, errkind.Unsettled} {
+	for _, kind := range []errkind.Kind{errkind.None, errkind.VersionConflict, errkind.NoQuorum} {
 		if told[kind] < 100 {
 			t.Errorf("only %d answers were %v", told[kind], kind)
 		}
 	}
-	if told[errkind.Forgotten] > 0 {
-		t.Errorf("%d orders were forgotten", told[errkind.Forgotten])
+	if told[errkind.OutcomeExpired] > 0 {
+		t.Errorf("%d orders were forgotten", told[errkind.OutcomeExpired])
 	}
 }
 
@@ -155,7 +155,7 @@
 			if kind := house.dispatchUntilDecided(name, taken[index]); kind != errkind.None {
 				t.Errorf("the repeat of %d at %s: %v", index, name, kind)
 			}
-			if kind := house.dispatchUntilDecided(name, patchChange(taken[index].BaseVersion, newest+9, "rival")); kind != errkind.StaleSpec {
+			if kind := house.dispatchUntilDecided(name, patchChange(taken[index].BaseVersion, newest+9, "rival")); kind != errkind.VersionConflict {
 				t.Errorf("the rival of %d at %s: %v", index, name, kind)
 			}
 		}
@@ -179,12 +179,12 @@
 	// The spec is confirmed with three messages; all after them are lost.
 	left := 2 * len(names)
 	house.dropMessage = func() bool { left--; return left < 0 }
-	if kind := house.dispatchChange("a", taken[3]); kind != errkind.Unsettled {
+	if kind := house.dispatchChange("a", taken[3]); kind != errkind.NoQuorum {
 		t.Fatalf("%v", kind)
 	}
 	house.dropMessage = func() bool { return true }
 	for _, change := range []store.Change{taken[3], taken[800], patchChange(3, newest+9, "rival")} {
-		if kind := house.dispatchChange("a", change); kind != errkind.Unsettled {
+		if kind := house.dispatchChange("a", change); kind != errkind.NoQuorum {
 			t.Fatalf("%v", kind)
 		}
 	}
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -154,7 +154,7 @@
 		return outcome, err
 	}
 	meddle()
-	return resultOf(nil, errkind.Of(errkind.Unsettled, "too many voters refused")), nil
+	return resultOf(nil, errkind.Errorf(errkind.NoQuorum, "too many voters refused")), nil
 }
 
 // intercept has the network keep the orders to a controller from now on; it gives
--- a/control/state/command/command.go
+++ b/control/state/command/command.go
@@ -63,7 +63,7 @@
 
 func (r Result) err() error {
 	if kind := errkind.Kind(r.Kind); kind != errkind.None {
-		return errkind.Of(kind, "%s", r.Detail)
+		return errkind.Errorf(kind, "%s", r.Detail)
 	}
 	return nil
 }
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -65,7 +65,7 @@
 // New makes a desk.
 func New(options Options) *Dispatcher {
 	if options.TakeoverBackoff == nil {
-		options.TakeoverBackoff = func() clock.Span { return random.Part(options.ForwardTimeout / 4) }
+		options.TakeoverBackoff = func() clock.Span { return random.Duration(options.ForwardTimeout / 4) }
 	}
 	if options.Send == nil {
 		options.Send = func(ctx scope.Scope, address ids.Address, order Command) (Result, error) {
@@ -81,7 +81,7 @@
 }
 
 // Serve adds the desk's message to a table of calls.
-func (d *Dispatcher) Serve(calls *httpcall.Table) {
+func (d *Dispatcher) Serve(calls *httpcall.Mux) {
 	transport.Handle(calls, "order", func(ctx scope.Scope, order Command) (Result, error) {
 		return resultOf(d.HandleForwarded(ctx, order)), nil
 	})
@@ -90,10 +90,10 @@
 // HandleForwarded takes an order that another controller passed on: one to the owner of
 // its key is acted on only if the key is owned here.
 func (d *Dispatcher) HandleForwarded(ctx scope.Scope, order Command) ([]byte, error) {
-	short, release := ctx.WithLimit(d.options.CommandTimeout)
+	short, release := ctx.WithTimeout(d.options.CommandTimeout)
 	defer release()
 	if order.Deadline == (quorum.Deadline{}) {
-		return nil, errkind.Of(errkind.Unsettled, "an order that was passed on without an end")
+		return nil, errkind.Errorf(errkind.NoQuorum, "an order that was passed on without an end")
 	}
 	if err := d.checkDeadline(short, order); err != nil {
 		return nil, err
@@ -113,17 +113,17 @@
 // checkDeadline tells whether an order may still be begun.
 func (d *Dispatcher) checkDeadline(ctx scope.Scope, order Command) error {
 	if ctx.Err() != nil {
-		return errkind.Of(errkind.Unsettled, "the caller is gone, or out of time")
+		return errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
 	}
 	if order.Deadline != (quorum.Deadline{}) && !d.options.Quorum.WithinDeadline(order.Deadline, ctx.Now()) {
-		return errkind.Of(errkind.Unsettled, "the order came too late")
+		return errkind.Errorf(errkind.NoQuorum, "the order came too late")
 	}
 	return nil
 }
 
 // Dispatch brings an order to the owner of its key and gives the register's value.
 func (d *Dispatcher) Dispatch(ctx scope.Scope, order Command) ([]byte, error) {
-	limited, release := ctx.WithLimit(d.options.CommandTimeout)
+	limited, release := ctx.WithTimeout(d.options.CommandTimeout)
 	defer release()
 	short, end, err := d.options.Quorum.WithQuorum(limited)
 	if err != nil {
@@ -138,7 +138,7 @@
 func (d *Dispatcher) routeWithRetries(short scope.Scope, order Command) ([]byte, error) {
 	for tries := 1; ; tries++ {
 		value, err := d.route(short, order, tries)
-		settled := errkind.KindOf(err) != errkind.Unsettled
+		settled := errkind.KindOf(err) != errkind.NoQuorum
 		if settled || short.Err() != nil || tries == maxAttempts || !d.preempted(order.Key) {
 			return value, err
 		}
@@ -172,20 +172,20 @@
 		begin := short.Now()
 		outcome, err := d.forwardTo(short, owner, order, d.options.ForwardTimeout)
 		kind := errkind.Kind(outcome.Kind)
-		if err == nil && kind != errkind.Unsettled && kind != errkind.Internal {
+		if err == nil && kind != errkind.NoQuorum && kind != errkind.Internal {
 			d.recordAnswer(owner)
 			return outcome.Value, outcome.err()
 		}
 		if err != nil && short.Err() == nil && d.recordUnanswered(owner, begin, short.Now()) {
-			return nil, errkind.Of(errkind.Unsettled, "the owner of %s is busy", order.Key)
+			return nil, errkind.Errorf(errkind.NoQuorum, "the owner of %s is busy", order.Key)
 		}
 	}
 	before := d.options.Acceptor.Slot(order.Key).Promised
 	if !short.Wait(clock.Span(min(tries, maxBackoffFactor)) * d.options.TakeoverBackoff()) {
-		return nil, errkind.Of(errkind.Unsettled, "out of time")
+		return nil, errkind.Errorf(errkind.NoQuorum, "out of time")
 	}
 	if d.preempted(order.Key) && d.options.Acceptor.Slot(order.Key).Promised != before {
-		return nil, errkind.Of(errkind.Unsettled, "another took %s meanwhile", order.Key)
+		return nil, errkind.Errorf(errkind.NoQuorum, "another took %s meanwhile", order.Key)
 	}
 	return d.execute(short, order, d.options.Proposer.Update)
 }
@@ -197,7 +197,7 @@
 func (d *Dispatcher) execute(ctx scope.Scope, order Command, change func(scope.Scope, string, register.UpdateFunc) ([]byte, error)) ([]byte, error) {
 	verb := stepsByVerb[order.Verb]
 	if verb == nil {
-		return nil, errkind.Of(errkind.UnknownCall, "verb %q", order.Verb)
+		return nil, errkind.Errorf(errkind.UnknownCall, "verb %q", order.Verb)
 	}
 	// That the order may still be begun is looked at under the key's turn.
 	carry := func(step register.UpdateFunc) ([]byte, error) {
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -30,7 +30,7 @@
 		for name, order := range orders {
 			// At first contact looks fresh yet.
 			kind, value, took := world.dispatch("a", order)
-			if kind != errkind.Unsettled || value != nil || took > 250*clock.Millisecond {
+			if kind != errkind.NoQuorum || value != nil || took > 250*clock.Millisecond {
 				t.Errorf("%s, cut off just now: %v after %v", name, kind, took)
 			}
 			world.setPartitioned("a", false)
@@ -43,13 +43,13 @@
 		world.ctx.Wait(clock.Second)
 		for name, order := range orders {
 			kind, value, took := world.dispatch("a", order)
-			if kind != errkind.Unsettled || value != nil || took > 250*clock.Millisecond {
+			if kind != errkind.NoQuorum || value != nil || took > 250*clock.Millisecond {
 				t.Errorf("%s, cut off long ago: %v after %v", name, kind, took)
 			}
 		}
 		world.mustDispatch("b", putCommand(2, 4))
 		world.setPartitioned("a", false)
-		if kind, _, _ := world.dispatch("a", putCommand(2, 5)); kind != errkind.StaleSpec {
+		if kind, _, _ := world.dispatch("a", putCommand(2, 5)); kind != errkind.VersionConflict {
 			t.Errorf("joined again: %v", kind)
 		}
 	})
@@ -80,7 +80,7 @@
 			// The owner answers other questions: some orders find it busy before
 			// it counts as silent, and are sent again.
 			for range maxUnanswered {
-				if kind, _, _ := world.dispatch("a", zoneCommand(VerbDrain)); kind != errkind.Unsettled && kind != errkind.None {
+				if kind, _, _ := world.dispatch("a", zoneCommand(VerbDrain)); kind != errkind.NoQuorum && kind != errkind.None {
 					world.t.Errorf("a busy owner: %v", kind)
 				}
 			}
@@ -129,7 +129,7 @@
 				world.mustDispatch("c", zoneCommand(VerbUndrain))
 				for _, ghost := range kept {
 					for range 2 {
-						if _, err := world.nodes["b"].dispatcher.HandleForwarded(world.ctx, ghost); errkind.KindOf(err) != errkind.Unsettled {
+						if _, err := world.nodes["b"].dispatcher.HandleForwarded(world.ctx, ghost); errkind.KindOf(err) != errkind.NoQuorum {
 							t.Errorf("a late order: %v", err)
 						}
 					}
@@ -160,7 +160,7 @@
 			return order
 		}
 		for name, order := range map[string]Command{"of another": stamp(forwardTimeout), "without an end": zoneCommand(VerbUndrain)} {
-			if _, err := owner.dispatcher.HandleForwarded(world.ctx, order); errkind.KindOf(err) != errkind.Unsettled {
+			if _, err := owner.dispatcher.HandleForwarded(world.ctx, order); errkind.KindOf(err) != errkind.NoQuorum {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -180,7 +180,7 @@
 		go func() { _, err := owner.dispatcher.HandleForwarded(world.ctx, late); waited <- err }()
 		world.ctx.Wait(300 * clock.Millisecond)
 		close(turn)
-		if err := <-waited; errkind.KindOf(err) != errkind.Unsettled || !world.drained("b") {
+		if err := <-waited; errkind.KindOf(err) != errkind.NoQuorum || !world.drained("b") {
 			t.Errorf("begun after its end: %v", err)
 		}
 	})
@@ -196,9 +196,9 @@
 		var waited sync.WaitGroup
 		for _, span := range []clock.Span{100 * clock.Millisecond, 300 * clock.Millisecond} {
 			waited.Go(func() {
-				short, release := world.ctx.WithLimit(span)
+				short, release := world.ctx.WithTimeout(span)
 				defer release()
-				if _, err := world.nodes["a"].proposer.Read(short, zoneCommand("").Key); errkind.KindOf(err) != errkind.Unsettled {
+				if _, err := world.nodes["a"].proposer.Read(short, zoneCommand("").Key); errkind.KindOf(err) != errkind.NoQuorum {
 					t.Errorf("cut off: %v", err)
 				}
 			})
--- a/control/state/command/forward.go
+++ b/control/state/command/forward.go
@@ -25,11 +25,11 @@
 			continue
 		}
 		outcome, err := d.forwardTo(ctx, seat.Address, order, 2*d.options.ForwardTimeout)
-		if kind := errkind.Kind(outcome.Kind); err == nil && kind != errkind.Unsettled && kind != errkind.Internal {
+		if kind := errkind.Kind(outcome.Kind); err == nil && kind != errkind.NoQuorum && kind != errkind.Internal {
 			return outcome.Value, outcome.err()
 		}
 	}
-	return nil, errkind.Of(errkind.Unsettled, "no voter answered")
+	return nil, errkind.Errorf(errkind.NoQuorum, "no voter answered")
 }
 
 // forwardTo sends an order on, with its end in the receiver's own clock: no later
@@ -39,7 +39,7 @@
 		span = min(span, clock.Instant(order.Deadline.End).Since(ctx.Now()))
 	}
 	giveUp := ctx.Now().Add(span)
-	brief, release := ctx.WithLimit(span)
+	brief, release := ctx.WithTimeout(span)
 	defer release()
 	until, err := d.options.Quorum.RemoteDeadline(brief, receiver, giveUp)
 	if err != nil {
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -26,7 +26,7 @@
 	}
 	kept, err := evacuation.Decode(value)
 	if err != nil {
-		return nil, errkind.Of(errkind.Internal, "kept evacuation: %v", err)
+		return nil, errkind.Errorf(errkind.Internal, "kept evacuation: %v", err)
 	}
 	if kept.Version > 0 && kept.Drained == wanted {
 		return value, nil
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -156,8 +156,8 @@
 // dispatchUntilDecided sends an order again while there is no clear answer: one who was the
 // owner of a key finds out at its first confirmation that it isn't any more.
 func (l *lossyCluster) dispatchUntilDecided(name ids.Address, change store.Change) errkind.Kind {
-	kind := errkind.Unsettled
-	for try := 0; try < 3 && kind == errkind.Unsettled; try++ {
+	kind := errkind.NoQuorum
+	for try := 0; try < 3 && kind == errkind.NoQuorum; try++ {
 		kind = l.dispatchChange(name, change)
 	}
 	return kind
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -24,7 +24,7 @@
 	if len(current) > 0 {
 		read, err := transport.Unmarshal[EpochRecord](current)
 		if err != nil {
-			return nil, errkind.Of(errkind.Internal, "kept epoch: %v", err)
+			return nil, errkind.Errorf(errkind.Internal, "kept epoch: %v", err)
 		}
 		kept = read
 	}
--- a/control/state/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -13,7 +13,7 @@
 	top := scope.New(scope.Options{Clock: machine})
 	// One voter, for the sake of the example.
 	voter := lease.NewLessor(machine, 3*clock.Second, func() (bool, int64) { return true, 1 })
-	machine.Move(3 * clock.Second)
+	machine.Advance(3 * clock.Second)
 	epoch := int64(0)
 	holder := lease.NewHolder(lease.Options{
 		Name: "census", Address: "10.0.0.1:7721", TTL: 3 * clock.Second,
@@ -28,7 +28,7 @@
 	})
 	holder.TryAcquireOrRenew(top)
 	fmt.Println(holder.Held(machine.Now()))
-	machine.Move(3 * clock.Second)
+	machine.Advance(3 * clock.Second)
 	fmt.Println(holder.Held(machine.Now()))
 	// Output:
 	// 1 true
--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -101,7 +101,7 @@
 // NewHolder makes a holder that does not hold yet.
 func NewHolder(options Options) *Holder {
 	for options.Incarnation == 0 {
-		options.Incarnation = random.Int63(1 << 62)
+		options.Incarnation = random.Int64N(1 << 62)
 	}
 	return &Holder{options: options}
 }
@@ -126,7 +126,7 @@
 		pause := h.options.TTL / 3
 		if !h.TryAcquireOrRenew(ctx) {
 			// Askers that split the votes must not meet again.
-			pause = pause/2 + random.Part(h.options.TTL/3)
+			pause = pause/2 + random.Duration(h.options.TTL/3)
 		}
 		if !ctx.Wait(pause) {
 			return
@@ -192,7 +192,7 @@
 // TryAcquireOrRenew asks once for the duty, or renews it; it tells whether a majority
 // granted it.
 func (h *Holder) TryAcquireOrRenew(ctx scope.Scope) bool {
-	short, release := ctx.WithLimit(h.options.TTL / 3)
+	short, release := ctx.WithTimeout(h.options.TTL / 3)
 	defer release()
 	begin := ctx.Now()
 	number, renew, rests := h.beginAttempt(begin)
--- a/control/state/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -89,7 +89,7 @@
 			events := []func(){
 				func() { world.holders[index].TryAcquireOrRenew(world.ctx) },
 				func() { world.holders[index].TryAcquireOrRenew(world.ctx) },
-				func() { world.clock.Move(clock.Span(rapid.IntRange(1, 1500).Draw(t, "ms")) * clock.Millisecond) },
+				func() { world.clock.Advance(clock.Span(rapid.IntRange(1, 1500).Draw(t, "ms")) * clock.Millisecond) },
 				func() { world.partitioned[[2]int{index, voter}] = rapid.Bool().Draw(t, "cut") },
 				func() { world.lessors[voter] = world.newLessor() },
 				func() { world.holders[index].Release(world.ctx) },
@@ -116,7 +116,7 @@
 // granted must be given back, or nobody ever gains the duty.
 func TestLease_splitVotesResolve(t *testing.T) {
 	world := newCluster()
-	world.clock.Move(testTTL)
+	world.clock.Advance(testTTL)
 	for index, granter := range world.lessors {
 		if !granter.Grant(Request{Name: "census", Holder: ids.Address(fmt.Sprint(index)), Incarnation: 1, Sequence: 1, VotersMark: 1}).Granted {
 			t.Fatal("a voter did not grant itself")
@@ -129,7 +129,7 @@
 		if len(world.holding()) == 1 {
 			return
 		}
-		world.clock.Move(testTTL / 3)
+		world.clock.Advance(testTTL / 3)
 	}
 	t.Fatal("nobody holds the duty")
 }
@@ -139,11 +139,11 @@
 	if world.holders[0].TryAcquireOrRenew(world.ctx) {
 		t.Fatal("a voter that may have granted before granted again")
 	}
-	world.clock.Move(testTTL)
+	world.clock.Advance(testTTL)
 	if !world.holders[0].TryAcquireOrRenew(world.ctx) {
 		t.Fatal("not granted after a whole span")
 	}
-	world.clock.Move(testTTL * 95 / 100)
+	world.clock.Advance(testTTL * 95 / 100)
 	if len(world.holding()) != 0 {
 		t.Fatal("the holder did not stop before the end")
 	}
@@ -153,7 +153,7 @@
 // another gains it at once, and the one that rests does not ask before its time.
 func TestHolder_standDownLeavesLeaseToOthers(t *testing.T) {
 	world := newCluster()
-	world.clock.Move(testTTL)
+	world.clock.Advance(testTTL)
 	if !world.holders[0].TryAcquireOrRenew(world.ctx) {
 		t.Fatal("nobody holds")
 	}
@@ -165,7 +165,7 @@
 		t.Fatal("the duty is not free")
 	}
 	world.holders[1].Release(world.ctx)
-	world.clock.Move(testTTL)
+	world.clock.Advance(testTTL)
 	if !world.holders[0].TryAcquireOrRenew(world.ctx) {
 		t.Fatal("a rest has no end")
 	}
--- a/control/state/lease/lessor_test.go
+++ b/control/state/lease/lessor_test.go
@@ -11,7 +11,7 @@
 func newReadyLessor() (*Lessor, *clock.Fake, *int64) {
 	machine, voters := clock.NewFake(), int64(1)
 	granter := NewLessor(machine, testTTL, func() (bool, int64) { return true, voters })
-	machine.Move(testTTL)
+	machine.Advance(testTTL)
 	return granter, machine, &voters
 }
 
@@ -60,7 +60,7 @@
 	if !granter.Grant(testRequest(4)).Granted || !granter.Grant(asRenewal(testRequest(5))).Granted {
 		t.Fatal("not granted in order")
 	}
-	machine.Move(testTTL)
+	machine.Advance(testTTL)
 	if granter.Grant(asRenewal(testRequest(5))).Granted {
 		t.Fatal("a question that came twice is granted twice")
 	}
@@ -89,7 +89,7 @@
 	if granter.Grant(newcomer).Granted {
 		t.Fatal("granted right after the voters changed")
 	}
-	machine.Move(testTTL)
+	machine.Advance(testTTL)
 	newcomer.Sequence = 2
 	if !granter.Grant(newcomer).Granted {
 		t.Fatal("not granted a span after the voters changed")
@@ -106,7 +106,7 @@
 		Name: "plan", Address: "a", TTL: testTTL,
 		RequestGrant: func(scope.Scope, Request) Outcome {
 			if slow {
-				machine.Move(testTTL * 9 / 10)
+				machine.Advance(testTTL * 9 / 10)
 				epoch++
 			}
 			return MajorityGranted
@@ -114,13 +114,13 @@
 		NextEpoch: func(scope.Scope, string) (int64, error) { epoch++; return epoch, nil },
 	})
 	holder.TryAcquireOrRenew(top)
-	machine.Move(testTTL / 3)
+	machine.Advance(testTTL / 3)
 	holder.TryAcquireOrRenew(top)
 	if now, held := holder.Held(machine.Now()); !held || now != 1 {
 		t.Fatalf("a renewal in time: epoch %d, held %v", now, held)
 	}
 	slow = true
-	machine.Move(testTTL / 3)
+	machine.Advance(testTTL / 3)
 	holder.TryAcquireOrRenew(top)
 	if now, _ := holder.Held(machine.Now()); now != 3 {
 		t.Fatalf("epoch %d after another had 2", now)
--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -12,7 +12,7 @@
 	if t.HasQuorum(ctx.Now()) {
 		return callerGone(ctx)
 	}
-	short, release := ctx.WithLimit(t.options.RoundTimeout)
+	short, release := ctx.WithTimeout(t.options.RoundTimeout)
 	defer release()
 	for short.Err() == nil {
 		t.mu.Lock()
@@ -36,7 +36,7 @@
 		return err
 	}
 	t.logTransition(ctx, false)
-	return errkind.Of(errkind.Unsettled, "no contact with a majority of the voters")
+	return errkind.Errorf(errkind.NoQuorum, "no contact with a majority of the voters")
 }
 
 // callerGone is the failure of one whose caller is gone.
@@ -44,7 +44,7 @@
 	if ctx.Err() == nil {
 		return nil
 	}
-	return errkind.Of(errkind.Unsettled, "the caller is gone, or out of time")
+	return errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
 }
 
 // WithQuorum makes sure of contact and gives a scope that ends when it is lost: a
@@ -58,7 +58,7 @@
 	if err := t.EnsureQuorum(ctx); err != nil {
 		return ctx, func() {}, err
 	}
-	guarded, end := ctx.WithEnd()
+	guarded, end := ctx.WithCancel()
 	t.options.Spawn(func() {
 		defer end()
 		t.watch(guarded)
--- a/control/state/quorum/heartbeat.go
+++ b/control/state/quorum/heartbeat.go
@@ -33,7 +33,7 @@
 		if seat.Address != t.options.Address {
 			t.options.Spawn(func() {
 				// A late answer still shows contact as of its question.
-				message, release := ctx.Detached().WithLimit(2 * t.options.MaxAge)
+				message, release := ctx.WithoutCancel().WithTimeout(2 * t.options.MaxAge)
 				defer release()
 				_ = t.heartbeat(message, seat.Address)
 			})
@@ -80,7 +80,7 @@
 			return Deadline{}, err
 		}
 		if known, found = t.peerReading(address); !found {
-			return Deadline{}, errkind.Of(errkind.Unsettled, "%s tells no reading of its clock", address)
+			return Deadline{}, errkind.Errorf(errkind.NoQuorum, "%s tells no reading of its clock", address)
 		}
 	}
 	left := giveUp.Since(known.readingAt)
--- a/control/state/quorum/silence_test.go
+++ b/control/state/quorum/silence_test.go
@@ -47,7 +47,7 @@
 	for _, trip := range []clock.Span{clock.Millisecond, 35 * clock.Millisecond, 70 * clock.Millisecond, 80 * clock.Millisecond} {
 		for before := -200 * clock.Millisecond; before < 600*clock.Millisecond; before += 37 * clock.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
-				top, end := scope.New(scope.Options{}).WithEnd()
+				top, end := scope.New(scope.Options{}).WithCancel()
 				line := newTestLink(constantDelay(trip))
 				go line.tracker.Run(top)
 				top.Wait(clock.Second)
@@ -68,7 +68,7 @@
 					t.Errorf("trip %v, cut %v after the beginning: ended after %v", trip, before, took)
 				}
 				for range 2 {
-					if _, _, err := line.tracker.WithQuorum(top); errkind.KindOf(err) != errkind.Unsettled || line.tracker.Status(top.Now()).Majority {
+					if _, _, err := line.tracker.WithQuorum(top); errkind.KindOf(err) != errkind.NoQuorum || line.tracker.Status(top.Now()).Majority {
 						t.Errorf("begun on contact that fell silent: %v", err)
 					}
 				}
@@ -100,7 +100,7 @@
 	for name, delay := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				top, end := scope.New(scope.Options{}).WithEnd()
+				top, end := scope.New(scope.Options{}).WithCancel()
 				line := newTestLink(delay)
 				go line.tracker.Run(top)
 				top.Wait(2 * clock.Second)
@@ -126,7 +126,7 @@
 // orders together, and ends with them.
 func TestTracker_heartbeatRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		top, end := scope.New(scope.Options{}).WithEnd()
+		top, end := scope.New(scope.Options{}).WithCancel()
 		line := newTestLink(constantDelay(70 * clock.Millisecond))
 		go line.tracker.Run(top)
 		count := func() int64 {
--- a/control/state/quorum/status_test.go
+++ b/control/state/quorum/status_test.go
@@ -15,7 +15,7 @@
 // another take its place.
 func TestTracker_allVotersAgeCoversEveryVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		top, end := scope.New(scope.Options{}).WithEnd()
+		top, end := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
 		made := newTestTracker(3, delays)
 		lock, known := sync.Mutex{}, testVoters(3)()
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -122,13 +122,13 @@
 		options.Spawn = func(act func()) { go act() }
 	}
 	for options.Incarnation == 0 {
-		options.Incarnation = random.Int63(1 << 62)
+		options.Incarnation = random.Int64N(1 << 62)
 	}
 	return &Tracker{options: options, peers: map[ids.Address]peer{}, changed: make(chan struct{})}
 }
 
 // RegisterHandlers adds the contact's message to a table of calls.
-func (t *Tracker) RegisterHandlers(calls *httpcall.Table) {
+func (t *Tracker) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, "contact", func(ctx scope.Scope, _ HeartbeatRequest) (HeartbeatResponse, error) {
 		return t.Respond(ctx.Now()), nil
 	})
--- a/control/state/quorum/tracker_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -80,7 +80,7 @@
 func TestTracker_partitionedControllerDetectsLossInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &bytes.Buffer{}
-		top := scope.New(scope.Options{Log: scope.Logger("info", log)})
+		top := scope.New(scope.Options{Log: scope.NewLogger("info", log)})
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
 		made := newTestTracker(3, delays)
@@ -100,7 +100,7 @@
 		}
 		begin := top.Now()
 		for range 3 {
-			if err := made.EnsureQuorum(top); errkind.KindOf(err) != errkind.Unsettled {
+			if err := made.EnsureQuorum(top); errkind.KindOf(err) != errkind.NoQuorum {
 				t.Errorf("cut off: %v", err)
 			}
 		}
@@ -124,7 +124,7 @@
 
 func TestTracker_runKeepsQuorumWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		top, end := scope.New(scope.Options{}).WithEnd()
+		top, end := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
 		made := newTestTracker(3, delays)
@@ -149,7 +149,7 @@
 	made := New(Options{Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
 	made.lastTick = machine.Now()
 	guard := func(goes bool) error {
-		caller, gone := top.WithEnd()
+		caller, gone := top.WithCancel()
 		defer gone()
 		told := make(chan error)
 		go func() {
@@ -165,18 +165,18 @@
 			case err := <-told:
 				return err
 			default:
-				machine.Next()
+				machine.AdvanceToNext()
 			}
 		}
 	}
 	if err := guard(false); err != nil {
 		t.Fatal(err)
 	}
-	machine.Move(2 * testMaxAge)
+	machine.Advance(2 * testMaxAge)
 	if !made.recentlyStalled(machine.Now()) {
 		t.Fatal("not found to have stood still")
 	}
-	if err := guard(true); errkind.KindOf(err) != errkind.Unsettled {
+	if err := guard(true); errkind.KindOf(err) != errkind.NoQuorum {
 		t.Fatalf("begun for a caller that is gone: %v", err)
 	}
 	if err := guard(false); err != nil {
@@ -199,13 +199,13 @@
 		receiver := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge})
 		there, back := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
 		passer := New(Options{Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(scope.Scope, ids.Address) (HeartbeatResponse, error) {
-			machine.Move(clock.Span(there) * clock.Millisecond)
+			machine.Advance(clock.Span(there) * clock.Millisecond)
 			told := receiver.Respond(theirs())
-			machine.Move(clock.Span(back) * clock.Millisecond)
+			machine.Advance(clock.Span(back) * clock.Millisecond)
 			return told, nil
 		}})
 		_ = passer.heartbeat(top, "1")
-		machine.Move(clock.Span(rapid.IntRange(0, 3000).Draw(t, "age")) * clock.Millisecond)
+		machine.Advance(clock.Span(rapid.IntRange(0, 3000).Draw(t, "age")) * clock.Millisecond)
 		giveUp := machine.Now().Add(testMaxAge + clock.Span(there+back)*clock.Millisecond)
 		stamp, err := passer.RemoteDeadline(top, "1", giveUp)
 		if err != nil {
@@ -214,7 +214,7 @@
 		if quick := machine.Now().Since(giveUp) < -clock.Span(back)*clock.Millisecond-100*clock.Millisecond; quick && !receiver.WithinDeadline(stamp, theirs()) {
 			t.Fatal("a quick order finds itself closed")
 		}
-		machine.Move(giveUp.Since(machine.Now()))
+		machine.Advance(giveUp.Since(machine.Now()))
 		if receiver.WithinDeadline(stamp, theirs()) {
 			t.Fatal("open after its passer gave up")
 		}
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -55,7 +55,7 @@
 // NewGate makes a closed gate.
 func NewGate(options Options) *Gate {
 	if options.Jitter == nil {
-		options.Jitter = func(span clock.Span) clock.Span { return span/2 + random.Part(span) }
+		options.Jitter = func(span clock.Span) clock.Span { return span/2 + random.Duration(span) }
 	}
 	made := &Gate{options: options, ready: make(chan struct{})}
 	made.state.Store(Waiting)
@@ -119,7 +119,7 @@
 	address := g.candidates[0]
 	g.candidates = g.candidates[1:]
 	go func() {
-		short, release := ctx.WithLimit(g.options.MaxWait)
+		short, release := ctx.WithTimeout(g.options.MaxWait)
 		defer release()
 		told, err := g.options.Query(short, address)
 		select {
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -66,8 +66,8 @@
 
 func newTestGate(t *testing.T) *testGate {
 	made := &testGate{log: &bytes.Buffer{}, applied: make(chan struct{})}
-	made.ctx = scope.New(scope.Options{Log: scope.Logger("info", made.log)})
-	top, end := made.ctx.WithEnd()
+	made.ctx = scope.New(scope.Options{Log: scope.NewLogger("info", made.log)})
+	top, end := made.ctx.WithCancel()
 	made.ctx = top
 	t.Cleanup(func() { end(); scope.New(scope.Options{}).Wait(testMaxWait) })
 	made.gate = NewGate(Options{
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -52,7 +52,7 @@
 func NewReader(read func(ctx scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
 
 // RegisterHandlers adds the reader's message to a table of calls.
-func (r *Reader) RegisterHandlers(calls *httpcall.Table) {
+func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, MessageName, func(ctx scope.Scope, _ Request) (Response, error) {
 		serial, err := r.ReadIndex(ctx)
 		return Response{Serial: serial}, err
@@ -69,7 +69,7 @@
 	}
 	if !r.reading {
 		r.reading = true
-		go r.readLoop(ctx.Detached())
+		go r.readLoop(ctx.WithoutCancel())
 	}
 	r.mu.Unlock()
 	select {
--- a/control/state/register/batch.go
+++ b/control/state/register/batch.go
@@ -76,7 +76,7 @@
 	state.writerActive = true
 	p.mu.Unlock()
 	if begin {
-		p.options.Spawn(func() { p.processQueue(mine.ctx.Detached(), state, key) })
+		p.options.Spawn(func() { p.processQueue(mine.ctx.WithoutCancel(), state, key) })
 	}
 	select {
 	case <-mine.done:
@@ -87,7 +87,7 @@
 	case <-mine.done:
 		return mine.value, mine.err
 	case <-mine.ctx.Done():
-		return nil, errkind.Of(errkind.Unsettled, "%s: no majority answered in time", key)
+		return nil, errkind.Errorf(errkind.NoQuorum, "%s: no majority answered in time", key)
 	}
 }
 
@@ -115,7 +115,7 @@
 
 func (p *Proposer) commitWithTimeout(ctx scope.Scope, state *keyState, key string, together []*pendingUpdate) error {
 	if p.options.BatchTimeout > 0 {
-		limited, release := ctx.WithLimit(p.options.BatchTimeout)
+		limited, release := ctx.WithTimeout(p.options.BatchTimeout)
 		defer release()
 		ctx = limited
 	}
@@ -144,7 +144,7 @@
 		}
 		state.queue = state.queue[1:]
 		if next.ctx.Err() != nil {
-			next.err = errkind.Of(errkind.Unsettled, "out of time before it was begun")
+			next.err = errkind.Errorf(errkind.NoQuorum, "out of time before it was begun")
 			close(next.done)
 			continue
 		}
@@ -196,12 +196,12 @@
 // middle of its bid would else keep what it is asked after its return waiting
 // behind it. A write goes on: it may have reached a voter.
 func untilAbandoned(ctx scope.Scope, together []*pendingUpdate) (scope.Scope, func()) {
-	wanted, end := ctx.WithEnd()
+	wanted, end := ctx.WithCancel()
 	left := atomic.Int64{}
 	left.Store(int64(len(together)))
 	var stops []func() bool
 	for _, one := range together {
-		stops = append(stops, one.ctx.OnEnd(func() {
+		stops = append(stops, one.ctx.AfterFunc(func() {
 			if left.Add(-1) == 0 {
 				end()
 			}
--- a/control/state/register/broadcast.go
+++ b/control/state/register/broadcast.go
@@ -23,7 +23,7 @@
 	votes := make(chan vote, len(seats))
 	for _, seat := range seats {
 		p.options.Spawn(func() {
-			message, release := ctx.Detached().WithLimit(p.options.MessageTimeout)
+			message, release := ctx.WithoutCancel().WithTimeout(p.options.MessageTimeout)
 			defer release()
 			verdict, number := send(message, seat)
 			votes <- vote{member: seat, verdict: verdict, epochNumber: number}
@@ -41,16 +41,16 @@
 				refused[cast.member.Address] = true
 			}
 		case <-ctx.Done():
-			return errkind.Of(errkind.Unsettled, "the voters did not answer in time")
+			return errkind.Errorf(errkind.NoQuorum, "the voters did not answer in time")
 		}
 		if allQuorums(sets, granted, copies) {
 			return nil
 		}
 		if quorumImpossible(sets, refused, copies) {
-			return errkind.Of(errkind.Unsettled, "too many voters refused")
+			return errkind.Errorf(errkind.NoQuorum, "too many voters refused")
 		}
 	}
-	return errkind.Of(errkind.Unsettled, "no majority")
+	return errkind.Errorf(errkind.NoQuorum, "no majority")
 }
 
 // prepare asks the voters for the key under the state's epoch and gives the
--- a/control/state/register/conditional.go
+++ b/control/state/register/conditional.go
@@ -21,7 +21,7 @@
 	var rest []*pendingUpdate
 	for _, one := range together {
 		if one.onlyIfOwned {
-			one.err = errkind.Of(errkind.Unsettled, "%s is not owned here", key)
+			one.err = errkind.Errorf(errkind.NoQuorum, "%s is not owned here", key)
 		} else {
 			rest = append(rest, one)
 		}
--- a/control/state/register/discovery.go
+++ b/control/state/register/discovery.go
@@ -36,7 +36,7 @@
 	for range maxDiscoveryRounds {
 		voters := j.Acceptor.Voters()
 		heard, contended := j.pollVoters(ctx, voters)
-		if contended && j.RequestTimeout > 0 && ctx.Wait(j.RequestTimeout/2+random.Part(j.RequestTimeout)) {
+		if contended && j.RequestTimeout > 0 && ctx.Wait(j.RequestTimeout/2+random.Duration(j.RequestTimeout)) {
 			continue
 		}
 		if heard {
--- a/control/state/register/gather_test.go
+++ b/control/state/register/gather_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(example.text, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &settings.Boot{}})
+				top := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 				asker := &Joiner{Suspected: func(address ids.Address) bool { return example.doubt && address == "c" }}
 				begin, taken := top.Now(), 0
 				gather(asker, []ids.Address{"a", "b", "c"}, asker.suspected, func() bool { return taken >= example.wanted }, func(address ids.Address) (int, bool) {
@@ -60,7 +60,7 @@
 		synctest.Test(t, func(*testing.T) {
 			standBy := world.nodes[3].joiner
 			standBy.RequestTimeout = 300 * clock.Millisecond
-			top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &settings.Boot{}})
+			top := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			spans := []clock.Span{}
 			for range 2 {
 				begin := top.Now()
@@ -139,7 +139,7 @@
 		world.faultFree = true
 		synctest.Test(t, func(*testing.T) {
 			newcomer := world.nodes[3].joiner
-			top := scope.New(scope.Options{Clock: clock.Steady(), Boot: &settings.Boot{}})
+			top := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", token: &sync.Mutex{}}
 			newcomer.Replicas, newcomer.RequestTimeout = network, 300*clock.Millisecond
 			newcomer.Spawn = func(ask func()) {
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -82,7 +82,7 @@
 	for range maxMembershipChanges {
 		voters := j.Acceptor.Voters()
 		if voters.Generation == 0 {
-			return errkind.Of(errkind.Unsettled, "no voters are known")
+			return errkind.Errorf(errkind.NoQuorum, "no voters are known")
 		}
 		if j.Acceptor.Voting() {
 			return nil
@@ -121,7 +121,7 @@
 			return j.joinStep(ctx, voters)
 		}
 		if found < max(learnQuorum(size), quorum(size)) {
-			return errkind.Of(errkind.Unsettled, "too few others to take a seat")
+			return errkind.Errorf(errkind.NoQuorum, "too few others to take a seat")
 		}
 	}
 	if !j.learnFromVoters(ctx, voters, learnQuorum(size)) {
@@ -134,7 +134,7 @@
 		if err := j.Proposer.Reacquire(ctx, VotersKey); err != nil {
 			return err
 		}
-		return errkind.Of(errkind.Unsettled, "too few others to learn from")
+		return errkind.Errorf(errkind.NoQuorum, "too few others to learn from")
 	}
 	if seated == own {
 		own.Learner = false
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -99,7 +99,7 @@
 		copies = 0
 		voters, err := transport.Unmarshal[VoterSet](value)
 		if err != nil {
-			return errkind.Of(errkind.Internal, "voters: %v", err)
+			return errkind.Errorf(errkind.Internal, "voters: %v", err)
 		}
 		sets = append(sets, voters.Members)
 	}
--- a/control/state/register/vacancy.go
+++ b/control/state/register/vacancy.go
@@ -16,12 +16,12 @@
 	return func(current []byte) ([]byte, error) {
 		voters, err := transport.Unmarshal[VoterSet](current)
 		if err != nil || voters.Fingerprint() != known.Fingerprint() {
-			return nil, errkind.Of(errkind.Unsettled, "the voters changed")
+			return nil, errkind.Errorf(errkind.NoQuorum, "the voters changed")
 		}
 		if index < len(voters.Members) {
 			seated := voters.Members[index]
 			if seated.Address != j.Address && !seated.Learner && !j.replaceable(seated.Address) {
-				return nil, errkind.Of(errkind.Unsettled, "%s is back", seated.Address)
+				return nil, errkind.Errorf(errkind.NoQuorum, "%s is back", seated.Address)
 			}
 		}
 		next := VoterSet{Generation: voters.Generation + 1}
@@ -106,7 +106,7 @@
 	if j.RequestTimeout == 0 {
 		return ctx, func() {}
 	}
-	short, release := ctx.WithLimit(j.RequestTimeout)
+	short, release := ctx.WithTimeout(j.RequestTimeout)
 	return short, func() { release() }
 }
 
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -46,7 +46,7 @@
 	lost, other := site.voters[1].options.Address, site.voters[2].options.Address
 	pass := func(span clock.Span) {
 		for ; span > 0; span -= testTiming.Tick {
-			site.clock.Move(testTiming.Tick)
+			site.clock.Advance(testTiming.Tick)
 			ask()
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	pass := func(span clock.Span) (stirred int) {
 		for ; span > 0; span -= testTiming.Tick {
-			site.clock.Move(testTiming.Tick)
+			site.clock.Advance(testTiming.Tick)
 			ask()
 			if subject.checkDue(site.clock.Now()) {
 				stirred++
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -26,7 +26,7 @@
 	}})
 	open := func(first bool) *Voter {
 		acts, refused = 0, refused+1
-		top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{}})
+		top := scope.New(scope.Options{Clock: machine, Settings: &settings.Settings{}})
 		opened := make(chan *Voter)
 		go func() {
 			own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), FirstStart: first, Seeds: []ids.Address{"a"}, Timeout: clock.Second})
@@ -40,7 +40,7 @@
 			case own := <-opened:
 				return own
 			default:
-				machine.Next()
+				machine.AdvanceToNext()
 				runtime.Gosched()
 			}
 		}
@@ -80,7 +80,7 @@
 	}})
 	opened := make(chan error)
 	go func() {
-		top := scope.New(scope.Options{Clock: machine, Boot: &settings.Boot{}})
+		top := scope.New(scope.Options{Clock: machine, Settings: &settings.Settings{}})
 		own, err := Open(top, Options{Address: "a", Disk: simulated.Mount(), FirstStart: true, Seeds: []ids.Address{"a"}, Timeout: 10 * clock.Second, Timing: testTiming})
 		if err == nil {
 			own.Close()
@@ -95,7 +95,7 @@
 			}
 			return
 		default:
-			machine.Next()
+			machine.AdvanceToNext()
 			runtime.Gosched()
 		}
 	}
--- a/control/state/voter/placement.go
+++ b/control/state/voter/placement.go
@@ -7,12 +7,12 @@
 
 // TargetCount is how many voters bear the loss of so many machines at one time: one
 // more than twice as many, and never fewer than three.
-func TargetCount(settings *settings.Boot) int { return max(3, 2*settings.Tolerate.Machines+1) }
+func TargetCount(settings *settings.Settings) int { return max(3, 2*settings.Tolerate.Machines+1) }
 
 // RequiredCopies is how many disks must hold an order before it is answered: one more
 // than may be lost at one time. Where fewer controllers than seeds are usual
 // are named, there are no more than these.
-func RequiredCopies(settings *settings.Boot) int {
+func RequiredCopies(settings *settings.Settings) int {
 	if seeds := len(settings.Seeds); seeds < 3 {
 		return min(seeds, settings.Tolerate.Machines+1)
 	}
--- a/control/state/voter/replaceable_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -36,13 +36,13 @@
 				if gone := subject.isReplaceable(other); gone != example.leaves {
 					t.Fatalf("answers, and is gone: %v", gone)
 				}
-				site.clock.Move(testTiming.Tick)
+				site.clock.Advance(testTiming.Tick)
 			}
 			silent[other] = true
 			gone := false
 			for span := clock.Span(0); span < 4*subject.options.ReplaceAfter; span += testTiming.Tick {
 				ask()
-				site.clock.Move(testTiming.Tick)
+				site.clock.Advance(testTiming.Tick)
 				gone = subject.isReplaceable(other)
 			}
 			if !gone {
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -42,7 +42,7 @@
 			next = ctx.Now().Add(v.step(ctx, every))
 		}
 		// Newcomers that met each other on the way to a seat part here.
-		if !ctx.Wait(tick - random.Part(tick/2)) {
+		if !ctx.Wait(tick - random.Duration(tick/2)) {
 			return
 		}
 	}
@@ -61,7 +61,7 @@
 // tryJoin asks for a seat, or follows the voters while there is none, and gives
 // for how many looks to be idle.
 func (v *Voter) tryJoin(ctx scope.Scope) int {
-	short, release := ctx.WithLimit(v.options.Timeout)
+	short, release := ctx.WithTimeout(v.options.Timeout)
 	defer release()
 	err := v.joiner.Join(short)
 	ctx.Log.Info().Str("part", "seat").Err(err).Msg("asked for a seat")
@@ -75,7 +75,7 @@
 // surveyOnce has one round of questions and repairs, and logs what changed; what the
 // next look finds otherwise again was only a change on its way.
 func (v *Voter) surveyOnce(ctx scope.Scope) {
-	short, release := ctx.WithLimit(v.options.Timeout)
+	short, release := ctx.WithTimeout(v.options.Timeout)
 	defer release()
 	begin := ctx.Now()
 	state := v.survey.Round(short)
@@ -113,9 +113,9 @@
 // that stands by. Where nobody does it keeps its seat: one that leaves can't tell
 // whether it will be started again.
 func (v *Voter) HandOver(ctx scope.Scope) {
-	short, release := ctx.WithLimit(settings.Seconds(ctx.Boot.Bounds.GraceS) / 4)
+	short, release := ctx.WithTimeout(settings.Seconds(ctx.Settings.Bounds.GraceS) / 4)
 	defer release()
-	leaving := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(ctx.Boot)}
+	leaving := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(ctx.Settings)}
 	done := leaving.HandOff(short)
 	for (!done || v.hasStandby()) && short.Wait(v.options.ReplaceAfter/10) {
 		done = leaving.HandOff(short)
--- a/control/state/voter/timing.go
+++ b/control/state/voter/timing.go
@@ -23,7 +23,7 @@
 // TimingOf gives each stage its part of the time to catch up, from how long a duty is
 // held and an order passed on. Contact is asked for each two thirds of the latter:
 // one that answers is never silent for twice as long.
-func TimingOf(node *settings.Boot, hold clock.Span, pass clock.Span) Timing {
+func TimingOf(node *settings.Settings, hold clock.Span, pass clock.Span) Timing {
 	whole := settings.Seconds(node.Bounds.CatchUpS)
 	if whole == 0 {
 		whole = 3 * hold
--- a/control/state/voter/timing_test.go
+++ b/control/state/voter/timing_test.go
@@ -19,8 +19,8 @@
 		{CatchUpS: 60, InTouchMS: 5000, ApplyWithinMS: 5000},
 		{CatchUpS: 0, InTouchMS: 4000, ApplyWithinMS: 3000},
 	} {
-		all := daemon.TimingOf(&settings.Boot{Bounds: bounds})
-		pace, pass := TimingOf(&settings.Boot{Bounds: bounds}, all.LeaseDuration, all.ForwardTimeout), all.ForwardTimeout
+		all := daemon.TimingOf(&settings.Settings{Bounds: bounds})
+		pace, pass := TimingOf(&settings.Settings{Bounds: bounds}, all.LeaseDuration, all.ForwardTimeout), all.ForwardTimeout
 		whole := settings.Seconds(bounds.CatchUpS)
 		if bounds.CatchUpS == 0 {
 			whole = settings.Milliseconds(bounds.InTouchMS)
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -90,7 +90,7 @@
 	for {
 		made := &Voter{options: options, now: top.Now, unknownSince: map[ids.Address]clock.Instant{}}
 		opened, records, err := wal.Open(wal.Options{
-			FS: options.Disk, Name: "registers", MaxBytes: walSizeLimit(top.Boot),
+			FS: options.Disk, Name: "registers", MaxBytes: walSizeLimit(top.Settings),
 			Snapshot: func() [][]byte { return made.Acceptor.Snapshot() },
 		})
 		if errors.Is(err, wal.ErrUnsupportedVersion) {
@@ -121,7 +121,7 @@
 
 // walSizeLimit leaves room for the file that renews the journal, for a damaged one that
 // was set aside, and for other files.
-func walSizeLimit(settings *settings.Boot) int64 { return settings.Limits.DiskMB << 20 / 4 }
+func walSizeLimit(settings *settings.Settings) int64 { return settings.Limits.DiskMB << 20 / 4 }
 
 func logDamage(top scope.Scope, damage *wal.Corruption) {
 	if damage != nil {
@@ -137,7 +137,7 @@
 		return nil
 	}
 	if !v.options.FirstStart || damaged {
-		return v.Acceptor.Identify(ids.Incarnation(random.Int63(1<<62) + 1))
+		return v.Acceptor.Identify(ids.Incarnation(random.Int64N(1<<62) + 1))
 	}
 	voters := register.VoterSet{Generation: 1}
 	member := false
@@ -147,7 +147,7 @@
 	}
 	sort.Slice(voters.Members, func(left, right int) bool { return voters.Members[left].Address < voters.Members[right].Address })
 	if !member {
-		return v.Acceptor.Identify(ids.Incarnation(random.Int63(1<<62) + 1))
+		return v.Acceptor.Identify(ids.Incarnation(random.Int64N(1<<62) + 1))
 	}
 	return v.Acceptor.Bootstrap(voters)
 }
@@ -159,7 +159,7 @@
 func (v *Voter) Close() { v.wal.Close() }
 
 // RegisterHandlers adds the voter's messages to a table of calls.
-func (v *Voter) RegisterHandlers(calls *httpcall.Table) {
+func (v *Voter) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, "promise", func(_ scope.Scope, asked register.PrepareRequest) (register.PrepareResponse, error) {
 		return v.Acceptor.Prepare(asked), nil
 	})
@@ -225,7 +225,7 @@
 	if address == v.options.Address {
 		return false
 	}
-	message, release := ctx.Detached().WithLimit(v.options.LeaseTTL / 3)
+	message, release := ctx.WithoutCancel().WithTimeout(v.options.LeaseTTL / 3)
 	defer release()
 	begin := message.Now()
 	told, err := transport.Send[lease.Response](message, v.options.Transport, address, "hold", asked)
