--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -29,13 +29,13 @@
 func newCluster(t *testing.T, count int) *cluster {
 	t.Helper()
 	made := &cluster{t: t, clock: clock.NewFake()}
-	settings := &settings.Boot{Seeds: []ids.Address{"a", "b", "c"}}
+	settings := &settings.Settings{Seeds: []ids.Address{"a", "b", "c"}}
 	settings.Tolerate.Machines, settings.Bounds.GraceS = 1, 8
-	made.ctx = scope.New(scope.Options{Clock: made.clock, Boot: settings})
-	var tables []*httpcall.Table
+	made.ctx = scope.New(scope.Options{Clock: made.clock, Settings: settings})
+	var tables []*httpcall.Mux
 	var addresses []ids.Address
 	for range count {
-		table := httpcall.NewTable(made.ctx, 1<<20)
+		table := httpcall.NewMux(made.ctx, 1<<20)
 		door := httptest.NewServer(table)
 		t.Cleanup(door.Close)
 		tables, made.servers = append(tables, table), append(made.servers, door)
@@ -50,7 +50,7 @@
 		}
 		opened, err := Open(made.ctx, Options{
 			Address: address, Disk: wal.Dir(t.TempDir()), FirstStart: index < 3, Seeds: addresses[:3], Membership: known,
-			Transport:    transport.NewClient(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}),
+			Transport:    transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
 			ReplaceAfter: clock.Second, Timeout: 100 * clock.Second, LeaseTTL: clock.Second, TargetCount: 3,
 		})
 		if err != nil {
@@ -82,7 +82,7 @@
 	for _, seat := range c.voters {
 		seat.options.Membership.AdvanceState(c.voters[index].options.Address, membership.Removed)
 	}
-	c.clock.Move(2 * clock.Second)
+	c.clock.Advance(2 * clock.Second)
 }
 
 // TestVoter_standbyReplacesLostVoterInOneRun loses a voter: the one that stood by has followed the
@@ -139,13 +139,13 @@
 func TestVoter_forgottenVoterIsReplaced(t *testing.T) {
 	site := newCluster(t, 4)
 	site.removeVoter(2)
-	site.clock.Move(2 * 60 * 60 * clock.Second)
+	site.clock.Advance(2 * 60 * 60 * clock.Second)
 	for _, seat := range site.voters {
 		seat.options.Membership.Prune()
 	}
 	for range 2 {
 		site.voters[3].tryJoin(site.ctx)
-		site.clock.Move(3 * clock.Second)
+		site.clock.Advance(3 * clock.Second)
 	}
 	if !site.voters[3].Voting() {
 		t.Fatalf("the seat of a forgotten voter stays empty: %+v", site.voters[3].Acceptor.Voters())
@@ -164,7 +164,7 @@
 	site.voters[0].HandOver(site.ctx)
 	site.removeVoter(1)
 	site.removeVoter(2)
-	ended, end := site.ctx.WithEnd()
+	ended, end := site.ctx.WithCancel()
 	end()
 	site.voters[0].HandOver(ended)
 }
--- a/control/transport/client.go
+++ b/control/transport/client.go
@@ -23,21 +23,23 @@
 
 // NewClient makes a courier: how long a connection may take to come up, and how long
 // a silent one is kept, is in the dialing.
-func NewClient(dialing httpcall.Dialing) *Client { return NewClientOnNetwork(systemNetwork{}, dialing) }
+func NewClient(dialing httpcall.Dialer) *Client { return NewClientOnNetwork(systemNetwork{}, dialing) }
 
 // Network makes the clients that messages go through.
 type Network interface {
-	Client(pooling httpcall.Pooling) *http.Client
+	Client(pooling httpcall.ClientOptions) *http.Client
 }
 
 type systemNetwork struct{}
 
-func (systemNetwork) Client(pooling httpcall.Pooling) *http.Client { return httpcall.Client(pooling) }
+func (systemNetwork) Client(pooling httpcall.ClientOptions) *http.Client {
+	return httpcall.NewClient(pooling)
+}
 
 // NewClientOnNetwork makes a courier whose messages go over a network that isn't the
 // machine's own.
-func NewClientOnNetwork(network Network, dialing httpcall.Dialing) *Client {
-	return &Client{traffic: dialing.Count, httpClient: network.Client(httpcall.Pooling{Dialing: dialing, Idle: 10 * dialing.Silence, PerHost: 4})}
+func NewClientOnNetwork(network Network, dialing httpcall.Dialer) *Client {
+	return &Client{traffic: dialing.Traffic, httpClient: network.Client(httpcall.ClientOptions{Dialer: dialing, IdleTimeout: 10 * dialing.UserTimeout, MaxIdlePerHost: 4})}
 }
 
 type outgoingRequest struct {
@@ -54,7 +56,7 @@
 type incomingResponse struct{ body []byte }
 
 // Hear reads the answer or the failure that the other daemon told.
-func (i *incomingResponse) Hear(heard httpcall.Heard) error {
+func (i *incomingResponse) Hear(heard httpcall.RawResponse) error {
 	if heard.Status == http.StatusOK {
 		i.body = heard.Body
 		return nil
@@ -64,7 +66,7 @@
 	if kind == errkind.None {
 		kind = errkind.Internal
 	}
-	return errkind.Of(kind, "told by another daemon")
+	return errkind.Errorf(kind, "told by another daemon")
 }
 
 // Send asks another daemon and waits for its answer.
@@ -77,14 +79,14 @@
 	if messenger.traffic != nil {
 		messenger.traffic.Messages.Add(1)
 	}
-	answer, err := httpcall.Ask[incomingResponse](ctx, messenger.httpClient, address, outgoingRequest{name: name, body: body})
+	answer, err := httpcall.Do[incomingResponse](ctx, messenger.httpClient, address, outgoingRequest{name: name, body: body})
 	if err != nil {
 		return nothing, err
 	}
 	messenger.Stats.Add(name, len(body), len(answer.body))
 	told, err := Unmarshal[Told](answer.body)
 	if err != nil {
-		messenger.Guard.Refused(ctx, string(address), err)
+		messenger.Guard.Rejected(ctx, string(address), err)
 	}
 	return told, err
 }
@@ -101,16 +103,16 @@
 type outgoingResponse[Told any] struct{ message Told }
 
 // Reply packs the answer.
-func (o outgoingResponse[Told]) Reply() response.Reply {
+func (o outgoingResponse[Told]) Reply() response.Response {
 	body, err := Marshal(o.message)
 	if err != nil {
-		return response.Of(errkind.Internal, err.Error())
+		return response.FromKind(errkind.Internal, err.Error())
 	}
 	return response.Raw(http.StatusOK, "avro/binary", body)
 }
 
 // Handle serves a message of that name.
-func Handle[Asked, Told any](table *httpcall.Table, name string, serve func(scope.Scope, Asked) (Told, error)) {
+func Handle[Asked, Told any](table *httpcall.Mux, name string, serve func(scope.Scope, Asked) (Told, error)) {
 	httpcall.Handle(table, "POST", "/"+name, func(ctx scope.Scope, question incomingRequest[Asked]) (outgoingResponse[Told], error) {
 		answer, err := serve(ctx, question.message)
 		return outgoingResponse[Told]{message: answer}, err
--- a/control/transport/guard.go
+++ b/control/transport/guard.go
@@ -48,7 +48,7 @@
 func (r *rejectError) Unwrap() error { return r.err }
 
 func rejectf(flaw RejectReason, format string, values ...any) error {
-	return &rejectError{reason: flaw, err: errkind.Of(errkind.BadRequest, "%s: %s", flaw, fmt.Sprintf(format, values...))}
+	return &rejectError{reason: flaw, err: errkind.Errorf(errkind.BadRequest, "%s: %s", flaw, fmt.Sprintf(format, values...))}
 }
 
 // RejectReasonOf finds what is wrong with a message by the error that refused it.
@@ -112,9 +112,9 @@
 	return body[deploymentTagLength:], nil
 }
 
-// Refused counts a message that was refused, and logs the first of its flaw
+// Rejected counts a message that was refused, and logs the first of its flaw
 // from that sender.
-func (g *Guard) Refused(ctx scope.Scope, sender string, err error) {
+func (g *Guard) Rejected(ctx scope.Scope, sender string, err error) {
 	if g == nil {
 		return
 	}
--- a/control/transport/transport_test.go
+++ b/control/transport/transport_test.go
@@ -94,7 +94,7 @@
 }
 
 // postMessage sends bytes to a table and gives the status and the kind told.
-func postMessage(calls *httpcall.Table, name string, body []byte) (int, errkind.Kind) {
+func postMessage(calls *httpcall.Mux, name string, body []byte) (int, errkind.Kind) {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/"+name, bytes.NewReader(body))
 	request.RemoteAddr = "10.0.0.7:4444"
@@ -105,8 +105,8 @@
 
 func TestGuard_countsRejectionsAndLogsOnce(t *testing.T) {
 	written := &bytes.Buffer{}
-	top := scope.New(scope.Options{Log: scope.Logger("warn", written)})
-	calls, served := httpcall.NewTable(top, 100), 0
+	top := scope.New(scope.Options{Log: scope.NewLogger("warn", written)})
+	calls, served := httpcall.NewMux(top, 100), 0
 	gate := newTestGuard()
 	calls.Gate = gate
 	Handle(calls, "sum", func(scope.Scope, sampleMessage) (sampleReply, error) { served++; return sampleReply{Sum: 1}, nil })
@@ -144,7 +144,7 @@
 		t.Errorf("%d lines:\n%s", lines, written)
 	}
 	for sender := range 2 * maxLoggedRejections {
-		gate.Refused(top, fmt.Sprint(sender), errkind.Of(errkind.BadRequest, "odd"))
+		gate.Rejected(top, fmt.Sprint(sender), errkind.Errorf(errkind.BadRequest, "odd"))
 	}
 	if lines := strings.Count(written.String(), "\n"); lines != maxLoggedRejections {
 		t.Errorf("%d lines after many senders", lines)
@@ -153,12 +153,12 @@
 
 func TestSend_countsResponseOfOtherSchema(t *testing.T) {
 	top := scope.New(scope.Options{})
-	calls := httpcall.NewTable(top, 100)
+	calls := httpcall.NewMux(top, 100)
 	calls.Gate = newTestGuard()
 	Handle(calls, "sum", func(scope.Scope, sampleMessage) (olderMessage, error) { return olderMessage{Number: 9}, nil })
 	server := httptest.NewServer(calls)
 	defer server.Close()
-	messenger := NewClient(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second})
+	messenger := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
 	messenger.Guard = newTestGuard()
 	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
 	if told, err := Send[sampleReply](top, messenger, address, "sum", sampleRequest); err == nil || RejectReasonOf(err) != SchemaMismatch {
@@ -170,7 +170,7 @@
 	if totals := messenger.Guard.Totals(); totals["version"] != 1 || totals["torn"] != 0 {
 		t.Fatalf("%v", totals)
 	}
-	stranger := NewClient(httpcall.Dialing{Limit: clock.Second, Silence: clock.Second})
+	stranger := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
 	stranger.Guard = NewGuard(nil)
 	if _, err := Send[olderMessage](top, stranger, address, "sum", sampleRequest); errkind.KindOf(err) != errkind.BadRequest {
 		t.Fatalf("a foreign message: %v", err)
--- a/data/balancer/admit_test.go
+++ b/data/balancer/admit_test.go
@@ -137,7 +137,7 @@
 	if kept := gate.timely(route, found, machine.Now()); len(kept) != 3 {
 		t.Fatalf("%d of 3 before anybody waited", len(kept))
 	}
-	machine.Move(700 * clock.Millisecond)
+	machine.Advance(700 * clock.Millisecond)
 	kept := gate.timely(route, found, machine.Now())
 	if len(kept) != 2 || kept[0].runner.ID != "i1" || kept[1].runner.ID != "i2" {
 		t.Fatalf("%d kept", len(kept))
--- a/data/balancer/choose.go
+++ b/data/balancer/choose.go
@@ -149,14 +149,14 @@
 	total := 0.0
 	shares := map[ids.Region]float64{}
 	for _, flow := range seen.Flows {
-		if flow.Service == decision.service && flow.Homes == homes && flow.Origin == g.options.Region && regions[flow.Target] != nil {
+		if flow.Service == decision.service && flow.HomeRegions == homes && flow.Origin == g.options.Region && regions[flow.Target] != nil {
 			shares[flow.Target] += flow.Share
 			total += flow.Share
 		}
 	}
 	aim := g.options.Chance() * total
 	for _, flow := range seen.Flows {
-		if share := shares[flow.Target]; share > 0 && flow.Service == decision.service && flow.Homes == homes && flow.Origin == g.options.Region {
+		if share := shares[flow.Target]; share > 0 && flow.Service == decision.service && flow.HomeRegions == homes && flow.Origin == g.options.Region {
 			if aim -= share; aim < 0 {
 				return regions[flow.Target]
 			}
--- a/data/balancer/decision.go
+++ b/data/balancer/decision.go
@@ -51,14 +51,14 @@
 // Ask tells what to do next.
 func (d *Decision) Ask(now clock.Instant) Order {
 	if !now.Before(d.asking.Limit) {
-		return d.finally(errkind.LimitBeforeRun, errkind.LimitReached)
+		return d.finally(errkind.DeadlineBeforeRun, errkind.DeadlineExceeded)
 	}
 	route := d.asking.Route
 	if d.ran && !route.Idempotent() {
 		return d.finally(errkind.RunnerLost, errkind.RunnerLost)
 	}
 	if d.sends >= max(1, route.MaxAttempts) {
-		return d.finally(errkind.Crowded, errkind.RunnerLost)
+		return d.finally(errkind.Overloaded, errkind.RunnerLost)
 	}
 	runner, pause := d.gate.choose(d, now)
 	if runner == nil {
@@ -68,12 +68,12 @@
 		}
 		promise := errkind.NoRunner
 		if d.crowded {
-			promise = errkind.Crowded
+			promise = errkind.Overloaded
 		}
 		return d.finally(promise, errkind.RunnerLost)
 	}
 	if d.arrived && !d.gate.options.Budget.Spend(d.service, now) {
-		return d.finally(errkind.BudgetSpent, errkind.RunnerLost)
+		return d.finally(errkind.RetryBudgetExhausted, errkind.RunnerLost)
 	}
 	return Order{Act: Send, Runner: runner}
 }
@@ -84,7 +84,7 @@
 		return Order{Act: Answer, Kind: promise}
 	}
 	if d.garbled && broken == errkind.RunnerLost {
-		broken = errkind.RunnerGarbled
+		broken = errkind.BadRunnerResponse
 	}
 	return Order{Act: Answer, Kind: broken}
 }
--- a/data/balancer/gate.go
+++ b/data/balancer/gate.go
@@ -86,8 +86,8 @@
 }
 
 // Kind is what the request is told apart by before it runs.
-func (d *Decision) Kind() lengthstats.Kind {
-	return lengthstats.Kind{
+func (d *Decision) Kind() lengthstats.Key {
+	return lengthstats.Key{
 		Service: d.service, Route: d.asking.Route.Name, Bucket: lengthstats.BucketOf(d.asking.Length),
 	}
 }
--- a/data/balancer/group_test.go
+++ b/data/balancer/group_test.go
@@ -21,11 +21,11 @@
 }
 
 func lengthsKnown() *snapshot.Snapshot {
-	check := lengthstats.Kind{Service: "s", Route: "check", Bucket: lengthstats.BucketOf(1800)}
-	manifest := lengthstats.Kind{Service: "s", Route: "manifest", Bucket: lengthstats.BucketOf(6600)}
+	check := lengthstats.Key{Service: "s", Route: "check", Bucket: lengthstats.BucketOf(1800)}
+	manifest := lengthstats.Key{Service: "s", Route: "manifest", Bucket: lengthstats.BucketOf(6600)}
 	return &snapshot.Snapshot{Lengths: lengthstats.NewTable(
-		[]lengthstats.Expected{{Kind: check, MS: 120}, {Kind: manifest, MS: 1600}},
-		[]lengthstats.Split{{Service: "s", CutMS: 400, ShortPart: 0.5}},
+		[]lengthstats.Expected{{Key: check, DurationMS: 120}, {Key: manifest, DurationMS: 1600}},
+		[]lengthstats.Split{{Service: "s", ThresholdMS: 400, ShortWorkShare: 0.5}},
 	)}
 }
 
--- a/data/proxy/answer_test.go
+++ b/data/proxy/answer_test.go
@@ -142,12 +142,12 @@
 func TestOldConnectionDoubtsNobody(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
-	house.clock.Move(clock.Second)
+	house.clock.Advance(clock.Second)
 	for range 3 {
 		if got := house.ask("/once/x", "x"); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		house.clock.Move(3 * clock.Second)
+		house.clock.Advance(3 * clock.Second)
 	}
 	ledger := house.board.Look("i-1")
 	if arrivals(runner) != 3 || ledger.Doubted || len(house.board.Due(house.clock.Now(), clock.Second)) != 0 {
@@ -164,7 +164,7 @@
 	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.front.Leave(house.clock.Now().Add(clock.Second))
-	house.clock.Move(clock.Second + clock.Millisecond)
+	house.clock.Advance(clock.Second + clock.Millisecond)
 	got := house.ask("/once/x", "")
 	if got.status != 503 || !got.closing || got.header.Get("Retry-After") == "" || arrivals(runner) != 0 {
 		t.Errorf("%+v, %d arrivals", got, arrivals(runner))
--- a/data/proxy/carry.go
+++ b/data/proxy/carry.go
@@ -31,8 +31,8 @@
 
 // carry asks the decision and obeys until the visit is over.
 func (v *visit) carry() {
-	top := v.front.options.Scope.Under(v.request.Context())
-	ctx, release := top.WithLimit(v.limit.Since(v.since))
+	top := v.front.options.Scope.WithContext(v.request.Context())
+	ctx, release := top.WithTimeout(v.limit.Since(v.since))
 	defer release()
 	decision := v.front.options.Gate.Begin(v.asking)
 	for {
@@ -141,10 +141,10 @@
 const slowPart = 4
 
 // answered is what the length of answers is learnt from.
-func (v *visit) answered(decision *balancer.Decision, spent clock.Span, slow float64) lengthstats.Sum {
-	return lengthstats.Sum{
-		Kind: decision.Kind(), Count: 1, SpentMS: float64(spent) / float64(clock.Millisecond),
-		Tokens: max(0, v.asking.Tokens-v.asking.Shared), Slow: slow,
+func (v *visit) answered(decision *balancer.Decision, spent clock.Span, slow float64) lengthstats.Totals {
+	return lengthstats.Totals{
+		Key: decision.Kind(), Count: 1, DurationMS: float64(spent) / float64(clock.Millisecond),
+		Tokens: max(0, v.asking.Tokens-v.asking.Shared), SlowFirstTokens: slow,
 	}
 }
 
--- a/data/proxy/door.go
+++ b/data/proxy/door.go
@@ -18,7 +18,7 @@
 // closed connection; nothing is answered past the front. How long heads and
 // rests may take is up to the configuration in force.
 func NewServer(front *Front) *http.Server {
-	server := httpcall.Server(front, asTheConnectionSays, asTheConnectionSays)
+	server := httpcall.NewServer(front, asTheConnectionSays, asTheConnectionSays)
 	server.ConnState = func(link net.Conn, state http.ConnState) {
 		if watched, known := link.(*watched); known {
 			rests(watched, state)
@@ -39,7 +39,7 @@
 // of where a body ends, which net/http mends without a word, and held to the
 // limits in force.
 func Door(front *Front, listener net.Listener) net.Listener {
-	return door{Listener: listener, front: front, places: placesOf(front.options.Scope.Boot.Limits.OpenFiles)}
+	return door{Listener: listener, front: front, places: placesOf(front.options.Scope.Settings.Limits.OpenFiles)}
 }
 
 type door struct {
@@ -190,7 +190,7 @@
 // odd tells what is wrong with a request's head, beyond what net/http refuses.
 func odd(request *http.Request) error {
 	if reason := oddTarget(request); reason != "" {
-		return errkind.Of(errkind.BadRequest, "%s", reason)
+		return errkind.Errorf(errkind.BadRequest, "%s", reason)
 	}
 	link, known := request.Context().Value(watchedKey{}).(*watched)
 	if !known {
@@ -198,11 +198,11 @@
 	}
 	torn, seen := link.torn()
 	if torn {
-		return errkind.Of(errkind.BadRequest, "the body's length is told twice")
+		return errkind.Errorf(errkind.BadRequest, "the body's length is told twice")
 	}
 	if !seen && len(request.TransferEncoding) > 0 {
 		// Beside the chunks there may have been a length. By itself it is proper.
-		return errkind.Of(errkind.SentAhead, "")
+		return errkind.Errorf(errkind.EarlyRequest, "")
 	}
 	return nil
 }
--- a/data/proxy/fate_test.go
+++ b/data/proxy/fate_test.go
@@ -33,7 +33,7 @@
 				over = true
 			default:
 				if status == 503 || arrivals(one) > 0 && house.board.Look("i-1").Running == 0 {
-					house.clock.Next()
+					house.clock.AdvanceToNext()
 				}
 				runtime.Gosched()
 			}
@@ -51,7 +51,7 @@
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/again/x"} {
 		for _, step := range []upstreamtest.Step{upstreamtest.Plain(200, "s", "id: 1\n\n"), upstreamtest.Hangup(), upstreamtest.Reset("H")} {
 			var house *house
-			asleep := func() { house.clock.Move(6 * clock.Second) }
+			asleep := func() { house.clock.Advance(6 * clock.Second) }
 			one, two := upstreamtest.Start(t, upstreamtest.After(func() { asleep() }, step)), upstreamtest.Start(t, upstreamtest.After(func() { asleep() }, step))
 			house = newHouse(t, 10, one, two)
 			got := house.ask(path, "x")
@@ -68,7 +68,7 @@
 func TestTimeEndsInTheMiddleOfAResend(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x"} {
 		var made *house
-		made, one, two := pair(t, 10, upstreamtest.Refuse(503), upstreamtest.After(func() { made.clock.Move(6 * clock.Second) }, upstreamtest.Hangup()))
+		made, one, two := pair(t, 10, upstreamtest.Refuse(503), upstreamtest.After(func() { made.clock.Advance(6 * clock.Second) }, upstreamtest.Hangup()))
 		if got := made.ask(path, "x"); got.status != 504 && got.status != 502 || arrivals(one) != 1 || arrivals(two) != 1 {
 			t.Errorf("%s: %+v after %d and %d arrivals", path, got, arrivals(one), arrivals(two))
 		}
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -162,7 +162,7 @@
 
 // TestEndlessAnswerIsGarbled has a runner send more than a router may hold.
 func TestEndlessAnswerIsGarbled(t *testing.T) {
-	top := scope.New(scope.Options{Boot: &settings.Boot{Limits: settings.Limits{MemoryMB: 8}}})
+	top := scope.New(scope.Options{Settings: &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}})
 	visit := &visit{front: NewFront(Options{Scope: top}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
 		if fate, over := visit.pass(top, nil, &http.Response{StatusCode: 200, Body: endless{}, ContentLength: length}); fate != upstream.Garbled || over {
--- a/data/proxy/front.go
+++ b/data/proxy/front.go
@@ -52,9 +52,9 @@
 // NewFront makes a front.
 func NewFront(options Options) *Front {
 	front := &Front{options: options}
-	if memory := options.Scope.Boot.Limits.MemoryMB << 20; memory > 0 {
+	if memory := options.Scope.Settings.Limits.MemoryMB << 20; memory > 0 {
 		front.bodies = memquota.New(memory/bodiesPart, options.Monitor)
-		options.Metrics.Gauge("body_bytes", "Bytes reserved for the bodies of requests and answers.", nil, func() float64 { return float64(front.bodies.Taken()) })
+		options.Metrics.GaugeFunc("body_bytes", "Bytes reserved for the bodies of requests and answers.", nil, func() float64 { return float64(front.bodies.Reserved()) })
 	}
 	return front
 }
@@ -89,7 +89,7 @@
 		// It was closed as the request arrived: nobody would get the answer.
 		response.Abort()
 	}
-	visit := &visit{front: f, writer: writer, request: request, since: f.options.Scope.Now(), held: f.bodies.Hold()}
+	visit := &visit{front: f, writer: writer, request: request, since: f.options.Scope.Now(), held: f.bodies.NewBody()}
 	defer visit.record()
 	defer visit.held.Release()
 	if err := visit.read(); err != nil {
@@ -141,16 +141,16 @@
 	if v.begun {
 		v.abort()
 	}
-	if kind.Answer().NotRun && v.mayHaveRun() {
+	if kind.Response().NotRun && v.mayHaveRun() {
 		v.front.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", v.sent.Attempt, kind, v.sends)
 	}
 	v.outcome, v.reason = kind.String(), detail
-	made := response.Of(kind, detail)
-	if kind.Answer().Status == http.StatusServiceUnavailable && v.route != nil {
-		made = made.After(max(comeBack(kind, v.route.LatencyTarget()), 20*clock.Millisecond))
+	made := response.FromKind(kind, detail)
+	if kind.Response().Status == http.StatusServiceUnavailable && v.route != nil {
+		made = made.WithRetryAfter(max(comeBack(kind, v.route.LatencyTarget()), 20*clock.Millisecond))
 	}
 	if v.closes() {
-		made = made.Close()
+		made = made.WithClose()
 	}
 	v.refused = true
 	made.Send(v.writer)
@@ -166,7 +166,7 @@
 // comeBack is when a visitor may find things better: soon where a runner is
 // missing, later where there are too many requests.
 func comeBack(kind errkind.Kind, goal clock.Span) clock.Span {
-	if kind == errkind.Crowded {
+	if kind == errkind.Overloaded {
 		return goal / 2
 	}
 	return goal / 8
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -52,15 +52,15 @@
 
 func newHouse(t testing.TB, extra float64, runners ...*upstreamtest.Runner) *house {
 	t.Helper()
-	return newHouseOn(t, &settings.Boot{}, extra, runners...)
+	return newHouseOn(t, &settings.Settings{}, extra, runners...)
 }
 
 // newHouseOn makes a house on a machine of those settings.
-func newHouseOn(t testing.TB, settings *settings.Boot, extra float64, runners ...*upstreamtest.Runner) *house {
+func newHouseOn(t testing.TB, settings *settings.Settings, extra float64, runners ...*upstreamtest.Runner) *house {
 	t.Helper()
 	machine := clock.NewFake()
 	made := &house{t: t, clock: machine, board: runnerstats.NewBoard(), log: &bytes.Buffer{}}
-	top := scope.New(scope.Options{Clock: machine, Boot: settings, Log: scope.Logger("warn", made.log)})
+	top := scope.New(scope.Options{Clock: machine, Settings: settings, Log: scope.NewLogger("warn", made.log)})
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
 	made.news = gossip.NewStore(made.frame.Absorb)
 	one := func() int { return 1 }
@@ -72,7 +72,7 @@
 		Budget:  retrybudget.New(retrybudget.Options{Ratio: 0, Extra: extra, Window: 10 * clock.Second, Sharers: one}),
 	})
 	sender := upstream.NewSender(upstream.Options{
-		Clock: machine, Dialing: httpcall.Dialing{Limit: 5 * clock.Second, Silence: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
+		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
 	})
 	made.front = NewFront(Options{Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: cold, Sender: sender})
 	made.server = httptest.NewUnstartedServer(made.front)
--- a/data/proxy/pass.go
+++ b/data/proxy/pass.go
@@ -31,7 +31,7 @@
 		return upstream.Garbled, false
 	}
 	source := &io.LimitedReader{R: response.Body, N: most}
-	body := v.front.bodies.Hold()
+	body := v.front.bodies.NewBody()
 	defer body.Release()
 	err := body.Read(source, response.ContentLength, most)
 	if errors.Is(err, memquota.ErrFull) {
@@ -85,7 +85,7 @@
 // answerMost is the size that no answer has: one that does not end must not take
 // the memory of all.
 func (v *visit) answerMost() int64 {
-	if most := v.front.options.Scope.Boot.Limits.MemoryMB << 20 / 8; most > 0 {
+	if most := v.front.options.Scope.Settings.Limits.MemoryMB << 20 / 8; most > 0 {
 		return most
 	}
 	return math.MaxInt64
@@ -125,7 +125,7 @@
 			header["Content-Length"] = told[:1]
 		}
 	}
-	response.Begin(v.writer, resp.StatusCode, header, length, v.closes())
+	response.WriteHeader(v.writer, resp.StatusCode, header, length, v.closes())
 	v.begun = true
 }
 
--- a/data/proxy/planted_test.go
+++ b/data/proxy/planted_test.go
@@ -47,7 +47,7 @@
 			visit.clientLeft = clock.Second
 			visit.checkSending(runner, 2*clock.Second, 0)
 		}, 1},
-		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.Crowded, "") }, 1},
+		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.Overloaded, "") }, 1},
 		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(visit *visit) { visit.refuse(errkind.RunnerLost, "") }, 0},
 		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("other", "s"), 0) }, 1},
 		{invariant.AnswerSeal, config.Route{}, nil, func(visit *visit) { visit.begin(stamped("a", ""), 0) }, 1},
--- a/data/proxy/read.go
+++ b/data/proxy/read.go
@@ -20,11 +20,11 @@
 func (v *visit) read() error {
 	v.seen = v.front.options.Frame.Now()
 	if v.seen.Spec == nil {
-		return errkind.Of(errkind.Unready, "")
+		return errkind.Errorf(errkind.NotReady, "")
 	}
 	limits := v.seen.Spec.Limits
 	if limits.MaxHeaderBytes > 0 && headBytes(v.request) > limits.MaxHeaderBytes {
-		return errkind.Of(errkind.HeadTooLarge, "over %d bytes", limits.MaxHeaderBytes)
+		return errkind.Errorf(errkind.HeaderTooLarge, "over %d bytes", limits.MaxHeaderBytes)
 	}
 	if err := odd(v.request); err != nil {
 		return err
@@ -32,13 +32,13 @@
 	path, _, _ := strings.Cut(v.request.RequestURI, "?")
 	v.route = v.seen.Spec.Match(v.request.Host, path)
 	if v.route == nil {
-		return errkind.Of(errkind.NoRoute, "")
+		return errkind.Errorf(errkind.NoRoute, "")
 	}
 	if v.front.leaving.Load() && v.since > clock.Instant(v.front.last.Load()) {
-		return errkind.Of(errkind.Leaving, "")
+		return errkind.Errorf(errkind.Draining, "")
 	}
 	if told := v.request.Header[upstream.AttemptHeader]; len(told) != 1 || told[0] == "" {
-		return errkind.Of(errkind.BadRequest, "there must be one "+upstream.AttemptHeader)
+		return errkind.Errorf(errkind.BadRequest, "there must be one "+upstream.AttemptHeader)
 	}
 	body, err := v.body(limits)
 	if err != nil {
@@ -63,33 +63,33 @@
 
 func (v *visit) body(limits config.Limits) ([]byte, error) {
 	if limits.MaxBodyBytes > 0 && v.request.ContentLength > limits.MaxBodyBytes {
-		return nil, errkind.Of(errkind.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
+		return nil, errkind.Errorf(errkind.BodyTooLarge, "over %d bytes", limits.MaxBodyBytes)
 	}
 	most := limits.MaxBodyBytes
 	if most <= 0 {
-		most = v.front.options.Scope.Boot.Limits.MemoryMB << 20 / 64
+		most = v.front.options.Scope.Settings.Limits.MemoryMB << 20 / 64
 	}
 	if v.request.ContentLength == 0 {
 		return nil, nil
 	}
-	response.ReadWithin(v.writer, settings.Milliseconds(limits.IdleTimeoutMS))
+	response.SetReadTimeout(v.writer, settings.Milliseconds(limits.IdleTimeoutMS))
 	err := v.held.Read(http.MaxBytesReader(v.writer, v.request.Body, most), v.request.ContentLength, most)
-	response.ReadWithin(v.writer, 0)
+	response.SetReadTimeout(v.writer, 0)
 	if err == nil {
 		return v.held.Bytes, nil
 	}
 	if errors.Is(err, memquota.ErrFull) {
-		return nil, errkind.Of(errkind.NoMemory, "")
+		return nil, errkind.Errorf(errkind.OutOfMemory, "")
 	}
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, errkind.Of(errkind.BodyTooLarge, "over %d bytes", most)
+		return nil, errkind.Errorf(errkind.BodyTooLarge, "over %d bytes", most)
 	}
 	var slow interface{ Timeout() bool }
 	if errors.As(err, &slow) && slow.Timeout() {
-		return nil, errkind.Of(errkind.TooSlow, "")
+		return nil, errkind.Errorf(errkind.RequestTimeout, "")
 	}
-	return nil, errkind.Of(errkind.BadRequest, "the body is not whole")
+	return nil, errkind.Errorf(errkind.BadRequest, "the body is not whole")
 }
 
 // time works out until when the request may take.
--- a/data/retrybudget/budget_test.go
+++ b/data/retrybudget/budget_test.go
@@ -35,7 +35,7 @@
 		var events []event
 		for range rapid.IntRange(20, 200).Draw(t, "length") {
 			router := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
-			machine.Move(clock.Span(rapid.IntRange(0, 700).Draw(t, "ms")) * clock.Millisecond)
+			machine.Advance(clock.Span(rapid.IntRange(0, 700).Draw(t, "ms")) * clock.Millisecond)
 			now := machine.Now()
 			if rapid.Bool().Draw(t, "request") {
 				router.Request("s", now)
@@ -77,7 +77,7 @@
 	if !tries.Spend("a", machine.Now()) || tries.Spend("a", machine.Now()) || !tries.Spend("b", machine.Now()) {
 		t.Fatal("the extra is not one a service")
 	}
-	machine.Move(length + clock.Second)
+	machine.Advance(length + clock.Second)
 	if !tries.Spend("a", machine.Now()) {
 		t.Fatal("the window does not slide")
 	}
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -31,7 +31,7 @@
 }
 
 // Hear takes a well runner, or one that is only full, for alive.
-func (c *condition) Hear(heard httpcall.Heard) error {
+func (c *condition) Hear(heard httpcall.RawResponse) error {
 	full := heard.Status == http.StatusServiceUnavailable && heard.Header.Get(response.NotRunHeader) != ""
 	c.ill = heard.Status != http.StatusOK && !full
 	c.id = ids.RunnerID(heard.Header.Get(upstream.RunnerHeader))
@@ -48,7 +48,7 @@
 // doubts tests runners that broke down until they are well again, and tells
 // the directory when this router reaches no runner for some route.
 func (r *Router) doubts(ctx scope.Scope) error {
-	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: r.pace.ConnectTimeout, Silence: r.pace.PeerTimeout}, Idle: r.pace.ConnectTimeout, PerHost: 1})
+	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: r.pace.ConnectTimeout, UserTimeout: r.pace.PeerTimeout}, IdleTimeout: r.pace.ConnectTimeout, MaxIdlePerHost: 1})
 	unable, reached := 0, false
 	for ctx.Wait(r.pace.ConnectTimeout / looksAtDoubt) {
 		now := ctx.Now()
@@ -70,9 +70,9 @@
 
 // ask asks a runner of a configured service whether it is well.
 func (r *Router) ask(ctx scope.Scope, client *http.Client, seen *snapshot.Snapshot, runner *snapshot.Runner) (condition, error) {
-	short, release := ctx.WithLimit(r.pace.ConnectTimeout)
+	short, release := ctx.WithTimeout(r.pace.ConnectTimeout)
 	defer release()
-	return httpcall.Ask[condition](short, client, runner.Address, health{path: seen.Spec.Service(runner.Service).HealthPath})
+	return httpcall.Do[condition](short, client, runner.Address, health{path: seen.Spec.Service(runner.Service).HealthPath})
 }
 
 func (r *Router) test(ctx scope.Scope, client *http.Client, id ids.RunnerID) {
--- a/data/router/doubt_test.go
+++ b/data/router/doubt_test.go
@@ -54,7 +54,7 @@
 	}
 	r.lost.found("n")
 	r.board.Sent("one", runnerstats.Sending{Service: "s", Number: 1, Tokens: 0}, machine.Now())
-	machine.Move(2 * clock.Second)
+	machine.Advance(2 * clock.Second)
 	if r.reaches(machine.Now()) {
 		t.Fatal("a silent runner is reach enough")
 	}
@@ -88,7 +88,7 @@
 		r, machine := newRouter(t, discovery.Runner{ID: "i", Service: "s", Zone: "n", Address: address})
 		r.warmth.List([]slowstart.Entry{{ID: "i"}}, 0, machine.Now())
 		r.board.Doubt("i", machine.Now())
-		client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}, PerHost: 1})
+		client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
 		r.test(scope.New(scope.Options{Clock: machine}), client, "i")
 		if well := !r.board.Look("i").Doubted; well != example.well || r.warmth.Cold("i", machine.Now()) != example.cold {
 			t.Errorf("%s: well %v, cold %v", example.name, well, r.warmth.Cold("i", machine.Now()))
--- a/data/router/leave.go
+++ b/data/router/leave.go
@@ -62,18 +62,18 @@
 // leave goes in order: out of the directory at once, the door open until
 // clients have moved, then closed, and what runs is finished.
 func (r *Router) leave(top scope.Scope) {
-	grace := settings.Seconds(top.Boot.Bounds.GraceS)
+	grace := settings.Seconds(top.Settings.Bounds.GraceS)
 	begin := top.Now()
 	opened := r.withdraw()
 	r.common.GossipNow(top)
 	r.front.Leave(begin.Add(lastRequest))
 	r.front.Rest()
 	// Clients hold an answer of the directory for up to three times its time.
-	moving := min(4*settings.Seconds(min(1, top.Boot.Bounds.TTLMaxS)), grace*movingPart/100)
+	moving := min(4*settings.Seconds(min(1, top.Settings.Bounds.TTLMaxS)), grace*movingPart/100)
 	top.Wait(moving)
 	if opened != nil {
 		_ = opened.listener.Close()
-		closing, release := top.WithLimit(grace*closingPart/100 - top.Now().Since(begin))
+		closing, release := top.WithTimeout(grace*closingPart/100 - top.Now().Since(begin))
 		r.front.Rest()
 		r.front.Finish(closing)
 		release()
--- a/data/router/lost_test.go
+++ b/data/router/lost_test.go
@@ -41,7 +41,7 @@
 		discovery.Runner{ID: "far", Service: "s", Zone: "s", Address: address},
 		discovery.Runner{ID: "mate", Service: "s", Zone: "s", Address: address})
 	r.warmth.List([]slowstart.Entry{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
-	client := httpcall.Client(httpcall.Pooling{Dialing: httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}, PerHost: 1})
+	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
 	top := scope.New(scope.Options{Clock: machine})
 	test := func() {
 		r.lost.update(r.frame.Now().Lost, machine.Now())
@@ -60,7 +60,7 @@
 	if test(); !r.lost.has("s") {
 		t.Fatal("tested again at once")
 	}
-	machine.Move(4 * clock.Second)
+	machine.Advance(4 * clock.Second)
 	if test(); r.lost.has("s") {
 		t.Fatal("a zone whose runners answer is left alone for ever")
 	}
@@ -83,7 +83,7 @@
 	if test(); !r.lost.has("s") {
 		t.Fatal("a zone is used before anything there answered")
 	}
-	machine.Move(releasedPatience + 1)
+	machine.Advance(releasedPatience + 1)
 	if test(); r.lost.has("s") {
 		t.Fatal("a zone that is told as lost no more is left alone for ever")
 	}
@@ -101,7 +101,7 @@
 		for range r.lost.tests(machine.Now(), clock.Second) {
 			tests = append(tests, len(samples(r.frame.Now(), "s")))
 		}
-		machine.Move(2 * clock.Second)
+		machine.Advance(2 * clock.Second)
 	}
 	if !slices.Equal(tests, []int{1, 1, 1}) {
 		t.Fatalf("runners tested: %v", tests)
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -54,7 +54,7 @@
 }
 
 // Run runs the router until the scope ends, then leaves in order.
-func (r *Router) Run(top scope.Scope, reread <-chan *settings.Boot) error {
+func (r *Router) Run(top scope.Scope, reread <-chan *settings.Settings) error {
 	running, end := context.WithCancel(context.Background())
 	defer end()
 	ended := make(chan error, 1)
@@ -66,7 +66,7 @@
 		case err := <-ended:
 			return err
 		case <-top.Done():
-			r.leave(top.Detached())
+			r.leave(top.WithoutCancel())
 			return nil
 		}
 	}
@@ -75,10 +75,10 @@
 // New puts a router together.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
-	r := &Router{pace: daemon.TimingOf(top.Boot), board: runnerstats.NewBoard(), warmth: slowstart.New(chance)}
+	r := &Router{pace: daemon.TimingOf(top.Settings), board: runnerstats.NewBoard(), warmth: slowstart.New(chance)}
 	view := daemon.NewView(top)
 	r.frame = snapshot.NewFrame(snapshot.Options{
-		Clock: top.Clock, Zones: top.Boot.Zones, Region: top.Boot.Region, View: view, Listed: r.listed(top), Monitor: monitor,
+		Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region, View: view, Listed: r.listed(top), Monitor: monitor,
 	})
 	var err error
 	r.common, err = daemon.New(top, daemon.Options{Role: Role, OnUpdate: r.frame.Absorb, View: view, Network: options.Network, Monitor: monitor})
@@ -88,19 +88,19 @@
 	tries := retrybudget.New(r.budget(top))
 	gate := balancer.NewGate(balancer.Options{
 		Scope: top, Frame: r.frame, Board: r.board, Budget: tries, Warmth: r.warmth,
-		Region: top.Boot.Region, Sharers: r.common.Zones.Sharers, Routers: r.sharers, Lost: r.lost.has, Chance: chance,
+		Region: top.Settings.Region, Sharers: r.common.Zones.Sharers, Routers: r.sharers, Lost: r.lost.has, Chance: chance,
 	})
 	sender := upstream.NewSender(upstream.Options{
-		Clock: top.Clock, Dialing: httpcall.Dialing{Limit: r.pace.ConnectTimeout, Silence: r.pace.PeerTimeout},
-		Idle: 8 * r.pace.PeerTimeout, PerHost: top.Boot.Limits.OpenFiles / 64,
+		Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: r.pace.ConnectTimeout, UserTimeout: r.pace.PeerTimeout},
+		Idle: 8 * r.pace.PeerTimeout, PerHost: top.Settings.Limits.OpenFiles / 64,
 	})
 	r.front = proxy.NewFront(proxy.Options{
 		Scope: top, Frame: r.frame, Gate: gate, Board: r.board, Warmth: r.warmth, Sender: sender,
 		Metrics: r.common.Metrics, Monitor: r.common.Monitor,
 	})
 	r.gate = r.common.NewReadIndexGate(r.frame.Ready(), r.serial)
-	r.common.Metrics.Gauge("config_version", "Version of the configuration that this router acts on.", nil, func() float64 { return float64(r.serial()) })
-	r.common.Metrics.Gauge("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.front.Running()) })
+	r.common.Metrics.GaugeFunc("config_version", "Version of the configuration that this router acts on.", nil, func() float64 { return float64(r.serial()) })
+	r.common.Metrics.GaugeFunc("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.front.Running()) })
 	r.parts(top)
 	return r, nil
 }
@@ -109,11 +109,11 @@
 // one may have spent its part of the extra just now, unless all starts for the
 // first time.
 func (r *Router) budget(top scope.Scope) retrybudget.Options {
-	bounds := top.Boot.Bounds
+	bounds := top.Settings.Bounds
 	options := retrybudget.Options{
 		Ratio: bounds.RetryRatio, Extra: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Sharers: r.sharers,
 	}
-	if !top.Boot.FirstStart {
+	if !top.Settings.FirstStart {
 		options.ExtraFrom = top.Now().Add(options.Window)
 	}
 	return options
@@ -124,7 +124,7 @@
 
 // listed keeps the warmth of runners up with each new list.
 func (r *Router) listed(top scope.Scope) func(*snapshot.Snapshot) {
-	lag := settings.Milliseconds(top.Boot.Platform.MaxLagMS)
+	lag := settings.Milliseconds(top.Settings.Platform.MaxLagMS)
 	return func(seen *snapshot.Snapshot) {
 		var entries []slowstart.Entry
 		for name, runners := range seen.Runners {
@@ -145,7 +145,7 @@
 func (r *Router) parts(top scope.Scope) {
 	common := r.common
 	common.AddService("readiness", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Boot.Listen["readiness"], http.HandlerFunc(r.readiness))
+		return common.ServeHTTP(ctx, top.Settings.Listen["readiness"], http.HandlerFunc(r.readiness))
 	})
 	common.AddOneShot("readindex", r.gate.Run)
 	common.AddService("front", r.serveFront)
@@ -155,11 +155,11 @@
 
 func (r *Router) readiness(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/ready" {
-		response.Of(errkind.UnknownCall, request.URL.Path).Send(writer)
+		response.FromKind(errkind.UnknownCall, request.URL.Path).Send(writer)
 		return
 	}
 	if !r.common.Membership.Self().Ready {
-		response.Of(errkind.Unready, "the version is "+r.gate.State()).Send(writer)
+		response.FromKind(errkind.NotReady, "the version is "+r.gate.State()).Send(writer)
 		return
 	}
 	if state := r.gate.State(); state != readindex.Confirmed {
@@ -174,7 +174,7 @@
 // opens a little earlier: those who come while these are on their way wait in
 // the listener's queue rather than being turned off.
 func (r *Router) serveFront(ctx scope.Scope) error {
-	address := string(ctx.Boot.Listen["front"])
+	address := string(ctx.Settings.Listen["front"])
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
--- a/data/router/tasks.go
+++ b/data/router/tasks.go
@@ -22,8 +22,8 @@
 		}
 		now := ctx.Now()
 		asked := r.board.Collect(now, now.Since(last))
-		asked.From, asked.Region = r.common.Address, ctx.Boot.Region
-		if !ctx.Boot.Grouping {
+		asked.From, asked.Region = r.common.Address, ctx.Settings.Region
+		if !ctx.Settings.Grouping {
 			// Only grouping by length needs them.
 			asked.Lengths = nil
 		}
--- a/data/runnerstats/board.go
+++ b/data/runnerstats/board.go
@@ -66,7 +66,7 @@
 	demand shard
 	wanted map[demandKey]float64
 	read   map[readingKey]headroom.Reading
-	took   map[lengthstats.Kind]lengthstats.Sum
+	took   map[lengthstats.Key]lengthstats.Totals
 }
 
 type readingKey struct {
@@ -86,7 +86,7 @@
 
 // NewBoard makes an empty board.
 func NewBoard() *Board {
-	board := &Board{seed: maphash.MakeSeed(), wanted: map[demandKey]float64{}, read: map[readingKey]headroom.Reading{}, took: map[lengthstats.Kind]lengthstats.Sum{}}
+	board := &Board{seed: maphash.MakeSeed(), wanted: map[demandKey]float64{}, read: map[readingKey]headroom.Reading{}, took: map[lengthstats.Key]lengthstats.Totals{}}
 	for index := range board.shards {
 		board.shards[index].ledgers = map[ids.RunnerID]*Ledger{}
 	}
@@ -126,9 +126,9 @@
 	b.demand.mu.Lock()
 	defer b.demand.mu.Unlock()
 	key := readingKey{service: service, route: route}
-	b.read[key] = b.read[key].Plus(headroom.Reading{
+	b.read[key] = b.read[key].Add(headroom.Reading{
 		Service: service, Route: route, Count: 1, Units: units, UnitsSquared: units * units,
-		FirstMS: milliseconds, Crossed: units * milliseconds,
+		FirstTokenMS: milliseconds, UnitsFirstTokenMS: units * milliseconds,
 	})
 }
 
--- a/data/runnerstats/collect.go
+++ b/data/runnerstats/collect.go
@@ -9,8 +9,8 @@
 )
 
 // Collect gives what was seen since the last time, and begins anew.
-func (b *Board) Collect(now clock.Instant, spent clock.Span) autoscaler.ReportAsk {
-	var report autoscaler.ReportAsk
+func (b *Board) Collect(now clock.Instant, spent clock.Span) autoscaler.ReportRequest {
+	var report autoscaler.ReportRequest
 	for index := range b.shards {
 		part := &b.shards[index]
 		part.mu.Lock()
@@ -26,7 +26,7 @@
 	b.demand.mu.Lock()
 	defer b.demand.mu.Unlock()
 	for key, arrived := range b.wanted {
-		report.Demands = append(report.Demands, autoscaler.Demand{Service: key.service, Homes: key.homes, Arrived: arrived})
+		report.Demands = append(report.Demands, autoscaler.Demand{Service: key.service, HomeRegions: key.homes, Arrived: arrived})
 	}
 	for _, reading := range b.read {
 		report.Readings = append(report.Readings, reading)
@@ -35,16 +35,16 @@
 		report.Lengths = append(report.Lengths, sum)
 	}
 	b.wanted, b.read = map[demandKey]float64{}, map[readingKey]headroom.Reading{}
-	b.took = map[lengthstats.Kind]lengthstats.Sum{}
+	b.took = map[lengthstats.Key]lengthstats.Totals{}
 	return report
 }
 
 // Took notes a whole answer: its kind, how long it took, how many tokens had to
 // be read for it, and whether it began slowly.
-func (b *Board) Took(answer lengthstats.Sum) {
+func (b *Board) Took(answer lengthstats.Totals) {
 	b.demand.mu.Lock()
 	defer b.demand.mu.Unlock()
-	b.took[answer.Kind] = answer.Plus(b.took[answer.Kind])
+	b.took[answer.Key] = answer.Add(b.took[answer.Key])
 }
 
 func (l *Ledger) collect(id ids.RunnerID, now clock.Instant, seconds float64) (autoscaler.Sample, bool) {
@@ -52,12 +52,12 @@
 	part := seconds / max(1, l.looks)
 	sample := autoscaler.Sample{
 		Runner: id, Service: l.Service, Arrived: l.arrived, Finished: l.finished, Failed: l.failed,
-		Units:   l.units,
-		SpentMS: l.spentMS, Running: l.runningSum * part, Pending: l.pendingSum * part,
+		Units:       l.units,
+		ExecutionMS: l.spentMS, Running: l.runningSum * part, Pending: l.pendingSum * part,
 	}
 	if l.Load.Slots > 0 {
-		sample.Busy = l.Load.Running / l.Load.Slots
-		sample.Memory = sample.Busy
+		sample.Utilization = l.Load.Running / l.Load.Slots
+		sample.MemoryUtilization = sample.Utilization
 	}
 	any := l.arrived+l.finished+l.failed > 0 || l.Running > 0
 	l.arrived, l.finished, l.failed, l.spentMS, l.units = 0, 0, 0, 0, 0
--- a/data/runnerstats/doubt_test.go
+++ b/data/runnerstats/doubt_test.go
@@ -15,13 +15,13 @@
 // failure: every fall makes it rest longer before it is asked again.
 func TestLyingRunnerRestsLonger(t *testing.T) {
 	machine, board := clock.NewFake(), NewBoard()
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	last := clock.Span(-1)
 	for fall := range 4 {
 		fail(board, machine)
 		rest := clock.Span(0)
 		for len(board.Due(machine.Now(), clock.Second)) == 0 {
-			machine.Move(10 * clock.Millisecond)
+			machine.Advance(10 * clock.Millisecond)
 			rest += 10 * clock.Millisecond
 		}
 		if rest <= last {
@@ -30,7 +30,7 @@
 		last = rest
 		board.Vouch("i", machine.Now())
 	}
-	machine.Move(2 * relapse)
+	machine.Advance(2 * relapse)
 	fail(board, machine)
 	if len(board.Due(machine.Now(), clock.Second)) != 1 {
 		t.Fatal("falls of long ago still count")
@@ -58,7 +58,7 @@
 	machine, board := clock.NewFake(), NewBoard()
 	board.Sent("i", Sending{Service: "s", Number: 1, Goal: 300 * clock.Millisecond}, machine.Now())
 	board.Sent("i", Sending{Service: "s", Number: 2}, machine.Now())
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	if sample := board.Collect(machine.Now(), clock.Second).Samples[0]; sample.Failed != 1 {
 		t.Fatalf("%+v", sample)
 	}
--- a/data/runnerstats/metrics_test.go
+++ b/data/runnerstats/metrics_test.go
@@ -26,14 +26,14 @@
 	}
 	report := board.Collect(machine.Now(), clock.Second)
 	samples, demands := report.Samples, report.Demands
-	if len(samples) != 1 || len(demands) != 1 || demands[0].Homes != "north," || demands[0].Arrived != 1 {
+	if len(samples) != 1 || len(demands) != 1 || demands[0].HomeRegions != "north," || demands[0].Arrived != 1 {
 		t.Fatalf("%+v %+v", samples, demands)
 	}
-	if read := report.Readings[0]; read.Count != 2 || read.Units != 150 || read.UnitsSquared != 12500 || read.FirstMS != 60 || read.Crossed != 5000 {
+	if read := report.Readings[0]; read.Count != 2 || read.Units != 150 || read.UnitsSquared != 12500 || read.FirstTokenMS != 60 || read.UnitsFirstTokenMS != 5000 {
 		t.Fatalf("%+v", read)
 	}
 	sample := samples[0]
-	if sample.Arrived != 2 || sample.Finished != 1 || sample.Failed != 1 || sample.SpentMS != 200 || sample.Running != 2 || sample.Pending != 1.5 || sample.Busy != 3.0/8 || sample.Units != 150 {
+	if sample.Arrived != 2 || sample.Finished != 1 || sample.Failed != 1 || sample.ExecutionMS != 200 || sample.Running != 2 || sample.Pending != 1.5 || sample.Utilization != 3.0/8 || sample.Units != 150 {
 		t.Fatalf("%+v", sample)
 	}
 	if again := board.Collect(machine.Now(), clock.Second); len(again.Samples)+len(again.Demands)+len(again.Readings) != 0 {
@@ -44,14 +44,14 @@
 func TestSilenceIsOfTheOldestThatWaits(t *testing.T) {
 	machine, board := clock.NewFake(), NewBoard()
 	board.Sent("i", Sending{Service: "s", Number: 1, Tokens: 0}, machine.Now())
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	board.Sent("i", Sending{Service: "s", Number: 2, Tokens: 0}, machine.Now())
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	if silence := board.Silence("i", machine.Now()); silence != 2*clock.Second {
 		t.Fatalf("%v", silence)
 	}
 	board.Began("i", 2, 0, machine.Now())
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	if silence := board.Silence("i", machine.Now()); silence != clock.Second {
 		t.Fatalf("a sign of life does not count: %v", silence)
 	}
@@ -75,11 +75,11 @@
 	if due := board.Due(machine.Now(), clock.Second); len(due) != 0 {
 		t.Fatalf("another failure hurries the tests: %v", due)
 	}
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	if due := board.Due(machine.Now(), clock.Second); len(due) != 1 {
 		t.Fatalf("%v", due)
 	}
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	if due := board.Due(machine.Now(), clock.Second); len(due) != 0 {
 		t.Fatalf("the pause does not grow: %v", due)
 	}
--- a/data/slowstart/warmth_test.go
+++ b/data/slowstart/warmth_test.go
@@ -27,7 +27,7 @@
 		}
 		var taken []clock.Instant
 		for range 300 {
-			machine.Move(clock.Span(rapid.IntRange(0, 30).Draw(t, "ms")) * clock.Millisecond)
+			machine.Advance(clock.Span(rapid.IntRange(0, 30).Draw(t, "ms")) * clock.Millisecond)
 			router := all[rapid.IntRange(0, routers-1).Draw(t, "router")]
 			for router.Take("i", bound, machine.Now()) {
 				taken = append(taken, machine.Now())
@@ -58,7 +58,7 @@
 	if made.Cold("old", machine.Now()) || !made.Cold("new", machine.Now()) {
 		t.Fatal("a runner that was not there before counts as cold")
 	}
-	machine.Move(2 * clock.Second)
+	machine.Advance(2 * clock.Second)
 	if made.Cold("cold", machine.Now()) {
 		t.Fatal("still cold after its time and the list's lag")
 	}
@@ -94,7 +94,7 @@
 					count++
 				}
 			}
-			machine.Move(50 * clock.Millisecond)
+			machine.Advance(50 * clock.Millisecond)
 		}
 		if count > rate+1 {
 			t.Fatalf("%d requests in second %d", count, second)
--- a/data/snapshot/rests.go
+++ b/data/snapshot/rests.go
@@ -37,5 +37,5 @@
 // Rests tells whether a runner is to be left alone where others are there.
 func (s *Snapshot) Rests(id ids.RunnerID, now clock.Instant) bool {
 	until, found := s.Resting[id]
-	return s.Planned[id].Resting || (found && now.Before(until))
+	return s.Planned[id].Quarantined || (found && now.Before(until))
 }
--- a/data/snapshot/rests_test.go
+++ b/data/snapshot/rests_test.go
@@ -18,12 +18,12 @@
 	if !frame.Now().Rests("i", machine.Now()) || frame.Now().Rests("j", machine.Now()) {
 		t.Fatal("not the one that was told rests")
 	}
-	machine.Move(1001 * clock.Millisecond)
+	machine.Advance(1001 * clock.Millisecond)
 	if frame.Now().Rests("i", machine.Now()) {
 		t.Fatal("a rest outlives its time though its relay is silent")
 	}
-	plan, _ := transport.Marshal(autoscaler.Routing{Runners: []autoscaler.RunnerWeight{{Runner: "k", Resting: true}}})
-	frame.Absorb(gossip.Item{Key: autoscaler.Key, Version: 1, Body: plan})
+	plan, _ := transport.Marshal(autoscaler.Routing{Runners: []autoscaler.RunnerWeight{{Runner: "k", Quarantined: true}}})
+	frame.Absorb(gossip.Item{Key: autoscaler.RoutingKey, Version: 1, Body: plan})
 	if !frame.Now().Rests("k", machine.Now()) {
 		t.Fatal("the plan's rest does not count")
 	}
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -135,7 +135,7 @@
 		next.Spec = read
 		return true
 	},
-	autoscaler.Key: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
+	autoscaler.RoutingKey: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
 		routing, err := autoscaler.ReadRouting(item.Body)
 		if err != nil {
 			return false
--- a/data/upstream/frame_test.go
+++ b/data/upstream/frame_test.go
@@ -58,7 +58,7 @@
 	machine, one := clock.NewFake(), &wire{acts: []act{{takes: all, answer: sealed}}}
 	sender := newSender(machine)
 	sender.dial = func(context.Context, string, string) (net.Conn, error) {
-		machine.Move(700 * clock.Millisecond)
+		machine.Advance(700 * clock.Millisecond)
 		return one, nil
 	}
 	if result := send(sender, tripTo("r:1", "POST", "x")); result.Fate != Answered || !strings.Contains(one.wrote.String(), LeftHeader+": 800\r\n") {
--- a/data/upstream/peer_test.go
+++ b/data/upstream/peer_test.go
@@ -151,7 +151,7 @@
 		t.Fatal("the connection is not kept")
 	}
 	for host.clear(begin, 100*clock.Second) > 0 {
-		machine.Next()
+		machine.AdvanceToNext()
 		runtime.Gosched()
 	}
 	if spent := machine.Now().Since(begin); spent < 60*clock.Second || spent > 75*clock.Second {
--- a/data/upstream/relay_test.go
+++ b/data/upstream/relay_test.go
@@ -14,7 +14,7 @@
 
 func newSender(machine clock.Clock) *Sender {
 	return NewSender(Options{
-		Clock: machine, Dialing: httpcall.Dialing{Limit: 5 * clock.Second, Silence: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
+		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
 	})
 }
 
@@ -106,7 +106,7 @@
 	sender := newSender(machine)
 	first := send(sender, tripTo(runner.Address, "POST", "x"))
 	Discard(first.Response)
-	machine.Move(4500 * clock.Millisecond)
+	machine.Advance(4500 * clock.Millisecond)
 	if second := send(sender, tripTo(runner.Address, "POST", "x")); second.Fate != Unsent {
 		t.Fatalf("fate %v", second.Fate)
 	}
--- a/data/upstream/sender.go
+++ b/data/upstream/sender.go
@@ -73,7 +73,7 @@
 // Options are what a sender is made from.
 type Options struct {
 	Clock   clock.Clock
-	Dialing httpcall.Dialing
+	Dialing httpcall.Dialer
 	// Idle is how long a connection is kept where the runner does not say.
 	Idle    clock.Span
 	PerHost int
--- a/data/upstream/starved_test.go
+++ b/data/upstream/starved_test.go
@@ -16,7 +16,7 @@
 // of this machine's own.
 func TestWantOfDescriptorsIsNotTheRunners(t *testing.T) {
 	top := scope.New(scope.Options{Clock: clock.NewFake()})
-	sender := NewSender(Options{Clock: top.Clock, Dialing: httpcall.Dialing{Limit: clock.Second, Silence: clock.Second}, Idle: clock.Second, PerHost: 1})
+	sender := NewSender(Options{Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, Idle: clock.Second, PerHost: 1})
 	for _, example := range []struct {
 		err  error
 		want string
--- a/data/upstream/trust_test.go
+++ b/data/upstream/trust_test.go
@@ -12,13 +12,13 @@
 // and what may run only once never goes on an age that was not seen to work.
 func TestForgottenConnectionsAreLearnt(t *testing.T) {
 	machine := clock.NewFake()
-	machine.Move(clock.Second)
+	machine.Advance(clock.Second)
 	sender := newSender(machine)
 	forgetful := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", ""), upstreamtest.Hangup())
 	trip := tripTo(forgetful.Address, "POST", "x")
 	trip.Service = "s"
 	Discard(send(sender, trip).Response)
-	machine.Move(4 * clock.Second)
+	machine.Advance(4 * clock.Second)
 	once := next(trip, "a2")
 	once.Once = true
 	if result := send(sender, once); result.Fate != Unsent || !result.Stale {
@@ -28,7 +28,7 @@
 	other := upstreamtest.Start(t, upstreamtest.Plain(200, "seal", ""))
 	trip.Address = other.Address
 	Discard(send(sender, trip).Response)
-	machine.Move(400 * clock.Millisecond)
+	machine.Advance(400 * clock.Millisecond)
 	if result := send(sender, next(trip, "a4")); result.Fate != Answered || other.Links() != 1 {
 		t.Fatalf("a young connection is not used: %+v", result)
 	} else {
--- a/deployment/process.go
+++ b/deployment/process.go
@@ -80,7 +80,7 @@
 	for _, process := range all {
 		process.Signal(syscall.SIGTERM)
 	}
-	over := clock.Steady().After(span)
+	over := clock.NewMonotonic().After(span)
 	for _, process := range all {
 		select {
 		case <-process.ended:
--- a/emulator/client/client.go
+++ b/emulator/client/client.go
@@ -160,7 +160,7 @@
 			return got
 		}
 	}
-	limited, release := top.WithLimit(request.left + c.Patience)
+	limited, release := top.WithTimeout(request.left + c.Patience)
 	defer release()
 	if c.conn == nil {
 		opened, err := (&net.Dialer{}).DialContext(limited, "tcp", c.Front(request.Router))
@@ -174,7 +174,7 @@
 	// The earlier of its times ends the connection, whatever has come by then.
 	ends := limited
 	if request.Leaves {
-		leaves, release := limited.WithLimit(request.left / 100)
+		leaves, release := limited.WithTimeout(request.left / 100)
 		defer release()
 		ends = leaves
 	}
--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -51,7 +51,7 @@
 	}
 	made := &experiment{options: options, clock: top.Clock, report: newReport(options)}
 	// What was begun is finished also when the scope ends.
-	ctx, end := top.Detached().WithEnd()
+	ctx, end := top.WithoutCancel().WithCancel()
 	defer end()
 	known := &lister{made: made}
 	if err := made.start(ctx, known); err != nil {
--- a/emulator/experiment/experiment_test.go
+++ b/emulator/experiment/experiment_test.go
@@ -192,7 +192,7 @@
 		defer end()
 		return inside(top, document, options)
 	}
-	report, err := Run(scope.New(scope.Options{}).Under(ended), options)
+	report, err := Run(scope.New(scope.Options{}).WithContext(ended), options)
 	if err != nil || report.Requests >= options.Requests || len(report.Verdicts) > 0 {
 		t.Fatalf("%v %+v", err, report)
 	}
--- a/emulator/experiment/process.go
+++ b/emulator/experiment/process.go
@@ -42,13 +42,13 @@
 	if err != nil {
 		return err
 	}
-	hangups := program.Hangups()
-	file, settings, err := program.Open(first.Boot)
+	hangups := program.NotifyHangup()
+	file, settings, err := program.OpenSettings(first.Boot)
 	if err != nil {
 		return err
 	}
-	reread := file.Watch(scope.New(scope.Options{Clock: top.Clock, Boot: settings}).Under(top), hangups)
-	ctx, end := top.Detached().WithEnd()
+	reread := file.Watch(scope.New(scope.Options{Clock: top.Clock, Settings: settings}).WithContext(top), hangups)
+	ctx, end := top.WithoutCancel().WithCancel()
 	defer end()
 	router := Real(ctx, first.Document, Options{Forgive: first.Forgive})
 	router.List(first.List)
--- a/emulator/experiment/restart.go
+++ b/emulator/experiment/restart.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	own, end := ctx.WithEnd()
+	own, end := ctx.WithCancel()
 	build := e.options.Build
 	if build == nil {
 		build = Real
@@ -55,7 +55,7 @@
 			d.router.Leave()
 		}
 		d.server.SetKeepAlivesEnabled(false)
-		closing, release := ctx.WithLimit(3 * clock.Second)
+		closing, release := ctx.WithTimeout(3 * clock.Second)
 		defer release()
 		_ = d.server.Shutdown(context.Context(closing))
 	}
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -43,7 +43,7 @@
 func (r Router) serve(listener net.Listener, around func(http.Handler) http.Handler) *http.Server {
 	server := r.Server
 	if server == nil {
-		server = httpcall.Server(r.Handler, 3*clock.Second, 15*clock.Second)
+		server = httpcall.NewServer(r.Handler, 3*clock.Second, 15*clock.Second)
 	}
 	server.Handler = around(server.Handler)
 	if r.Door != nil {
@@ -80,12 +80,12 @@
 		Sharers: func(ids.Zone) int { return 1 }, Chance: rand.Float64,
 		Budget: retrybudget.New(retrybudget.Options{Ratio: 4, Extra: 1000, Window: 10 * clock.Second, Sharers: one}),
 	})
-	dialing := httpcall.Dialing{Limit: routerSilence, Silence: routerSilence}
+	dialing := httpcall.Dialer{Timeout: routerSilence, UserTimeout: routerSilence}
 	sender := upstream.NewSender(upstream.Options{Clock: top.Clock, Dialing: dialing, Idle: 8 * routerSilence, PerHost: 64})
 	front := proxy.NewFront(proxy.Options{
 		Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: made.warmth, Sender: sender,
 	})
-	client := httpcall.Client(httpcall.Pooling{Dialing: dialing, Idle: routerSilence, PerHost: 1})
+	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: dialing, IdleTimeout: routerSilence, MaxIdlePerHost: 1})
 	go made.doubts(top, client)
 	if options.Forgive > 0 {
 		go made.forgive(top, options.Forgive)
@@ -150,7 +150,7 @@
 }
 
 // Hear reads the answer.
-func (c *condition) Hear(heard httpcall.Heard) error {
+func (c *condition) Hear(heard httpcall.RawResponse) error {
 	c.id, c.well = ids.RunnerID(heard.Header.Get(upstream.RunnerHeader)), heard.Status == http.StatusOK
 	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.ColdHeader), 64); err == nil {
 		c.cold = settings.Milliseconds(left)
@@ -173,9 +173,9 @@
 		r.board.Drop(id)
 		return
 	}
-	short, release := top.WithLimit(routerSilence)
+	short, release := top.WithTimeout(routerSilence)
 	defer release()
-	told, err := httpcall.Ask[condition](short, client, runner.Address, health{})
+	told, err := httpcall.Do[condition](short, client, runner.Address, health{})
 	if err != nil || told.id != id || !told.well {
 		return
 	}
--- a/emulator/links/links.go
+++ b/emulator/links/links.go
@@ -93,7 +93,7 @@
 func (l *Links) pass(way direction, peer string, closed <-chan struct{}, limit clock.Span) error {
 	var over <-chan struct{}
 	if limit > 0 {
-		over = clock.Steady().After(limit)
+		over = clock.NewMonotonic().After(limit)
 	}
 	for {
 		order, changed := l.now()
@@ -115,7 +115,7 @@
 		return nil
 	}
 	select {
-	case <-clock.Steady().After(clock.Span(order.LateMS) * clock.Millisecond):
+	case <-clock.NewMonotonic().After(clock.Span(order.LateMS) * clock.Millisecond):
 		return nil
 	case <-closed:
 		return errClosed
--- a/emulator/links/network.go
+++ b/emulator/links/network.go
@@ -92,10 +92,10 @@
 		}
 		handler.ServeHTTP(writer, request)
 	})
-	server := httpcall.Server(losing, 5*clock.Second, 60*clock.Second)
+	server := httpcall.NewServer(losing, 5*clock.Second, 60*clock.Second)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err = server.Serve(httpcall.CountingListener(listener{Listener: opened, network: n}, count))
+	err = server.Serve(httpcall.CountListener(listener{Listener: opened, network: n}, count))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -115,15 +115,15 @@
 func (u *unheard) WriteHeader(int) {}
 
 // Client makes a client with connections of its own.
-func (n Network) Client(pooling httpcall.Pooling) *http.Client {
-	client := httpcall.Client(pooling)
-	dialing := pooling.Dialing
+func (n Network) Client(pooling httpcall.ClientOptions) *http.Client {
+	client := httpcall.NewClient(pooling)
+	dialing := pooling.Dialer
 	client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network string, address string) (net.Conn, error) {
 		peer, _, err := net.SplitHostPort(address)
 		if err != nil {
 			return nil, err
 		}
-		limited, release := context.WithTimeout(ctx, dialing.Limit)
+		limited, release := context.WithTimeout(ctx, dialing.Timeout)
 		defer release()
 		for _, way := range []direction{outward, inward} {
 			if err := n.Links.pass(way, peer, limited.Done(), 0); err != nil {
@@ -135,7 +135,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return httpcall.Counting(n.conn(opened, dialing.Silence), dialing.Count), nil
+		return httpcall.CountConn(n.conn(opened, dialing.UserTimeout), dialing.Traffic), nil
 	}
 	return client
 }
--- a/emulator/runner/health.go
+++ b/emulator/runner/health.go
@@ -12,7 +12,7 @@
 // health waits for a place as a request does, and tells how the runner is, or
 // something else.
 func (r *Runner) health(request *http.Request) ([]byte, error) {
-	limited, release := r.options.Scope.WithLimit(timeLeft(request))
+	limited, release := r.options.Scope.WithTimeout(timeLeft(request))
 	defer release()
 	if !r.slots.take(limited, 0) {
 		return own(http.StatusServiceUnavailable, map[string]string{"Onyxwell-Not-Run": "1"}, ""), nil
--- a/emulator/runner/link.go
+++ b/emulator/runner/link.go
@@ -35,7 +35,7 @@
 
 // drain reads what comes and heeds none of it, until the caller closes.
 func (l *link) drain(span clock.Span) {
-	limited, release := l.runner.options.Scope.WithLimit(span)
+	limited, release := l.runner.options.Scope.WithTimeout(span)
 	defer release()
 	stop := context.AfterFunc(limited, func() { _ = l.conn.Close() })
 	defer stop()
@@ -52,7 +52,7 @@
 		_, _ = l.conn.Write(l.idle)
 		l.idle = nil
 	}
-	limited, release := l.runner.options.Scope.WithLimit(l.runner.settings.KeepIdle)
+	limited, release := l.runner.options.Scope.WithTimeout(l.runner.settings.KeepIdle)
 	defer release()
 	stop := context.AfterFunc(limited, func() { _ = l.conn.Close() })
 	_, err := l.reader.Peek(1)
--- a/emulator/runner/play.go
+++ b/emulator/runner/play.go
@@ -66,7 +66,7 @@
 // the connection goes on.
 func (l *link) play(asked asking, early bool) bool {
 	runner := l.runner
-	limited, release := runner.options.Scope.WithLimit(asked.limit)
+	limited, release := runner.options.Scope.WithTimeout(asked.limit)
 	defer release()
 	status := runner.turnAway(asked, runner.Life())
 	if status != 0 {
--- a/replay/player.go
+++ b/replay/player.go
@@ -81,7 +81,7 @@
 
 // send sends one request; the status is 0 where no head came.
 func send(ctx scope.Scope, record Record, options Options) (int, clock.Span, error) {
-	short, release := ctx.WithLimit(options.Limit)
+	short, release := ctx.WithTimeout(options.Limit)
 	defer release()
 	router := options.Routers[rand.IntN(len(options.Routers))]
 	request, err := http.NewRequestWithContext(short, record.Method, "http://"+string(router)+"/", strings.NewReader(record.Body))
--- a/simulation/clock.go
+++ b/simulation/clock.go
@@ -29,8 +29,8 @@
 	return done
 }
 
-// WithLimit gives a context that ends when the span has passed.
-func (s steady) WithLimit(parent context.Context, span clock.Span) (context.Context, context.CancelFunc) {
+// WithTimeout gives a context that ends when the span has passed.
+func (s steady) WithTimeout(parent context.Context, span clock.Span) (context.Context, context.CancelFunc) {
 	deepen(0)
 	ctx, cancel := context.WithCancelCause(parent)
 	limit := s.machine.timer(s.stretched(span), func() { cancel(context.DeadlineExceeded) })
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -90,9 +90,9 @@
 	m.life = born
 	settings := m.world.settings(m, first)
 	top := scope.New(scope.Options{
-		Clock: steady{machine: m, offset: m.world.between("boot "+m.name, clock.Second, 1000*clock.Second) - m.world.now()},
-		Boot:  settings, Log: m.world.log(m),
-	}).Under(ctx)
+		Clock:    steady{machine: m, offset: m.world.between("boot "+m.name, clock.Second, 1000*clock.Second) - m.world.now()},
+		Settings: settings, Log: m.world.log(m),
+	}).WithContext(ctx)
 	m.world.note("start", m, "life", born.number, "first", first)
 	run := born.controller
 	if m.carries {
@@ -115,7 +115,7 @@
 			l.machine.begins()
 		}
 	})
-	return made.Run(top, make(chan *settings.Boot))
+	return made.Run(top, make(chan *settings.Settings))
 }
 
 // ended starts a process again that ended by itself.
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -56,9 +56,9 @@
 }
 
 // Client makes a client whose calls go over the simulated links.
-func (l *life) Client(pooling httpcall.Pooling) *http.Client {
+func (l *life) Client(pooling httpcall.ClientOptions) *http.Client {
 	return &http.Client{
-		Transport:     dialer{life: l, dialing: pooling.Dialing},
+		Transport:     dialer{life: l, dialing: pooling.Dialer},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -66,7 +66,7 @@
 // dialer gives up on what is silent as connections do.
 type dialer struct {
 	life    *life
-	dialing httpcall.Dialing
+	dialing httpcall.Dialer
 }
 
 // RoundTrip carries a call and its answer.
@@ -74,11 +74,11 @@
 	life, world := d.life, d.life.machine.world
 	reset := make(chan struct{}, 2)
 	end := func() { reset <- struct{}{} }
-	silence := life.machine.timer(d.dialing.Silence, end)
+	silence := life.machine.timer(d.dialing.UserTimeout, end)
 	defer world.forget(silence)
 	world.quietly(0, func() {
 		if target, _ := world.at(ids.Address(request.URL.Host)); target != nil && (target.dark || target.gone) {
-			life.machine.timer(d.dialing.Limit, end)
+			life.machine.timer(d.dialing.Timeout, end)
 		}
 	})
 	return world.carry(life, life.machine.name, request, reset)
--- a/simulation/operators.go
+++ b/simulation/operators.go
@@ -183,7 +183,7 @@
 	}
 	did := act{order: w.number(), key: "evacuation/" + string(zone), verb: "look", begin: w.now()}
 	ctx := scope.New(scope.Options{Clock: steady{machine: target}})
-	limited, release := ctx.WithLimit(clock.Second)
+	limited, release := ctx.WithTimeout(clock.Second)
 	defer release()
 	value, err := target.life.control.Read(limited, evacuation.Key(zone))
 	did.end = w.now()
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -29,7 +29,7 @@
 func (l *life) carry(top scope.Scope) error {
 	world := l.machine.world
 	made := &router{newest: map[string]ids.Serial{}}
-	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: top.Boot.Zones, Region: top.Boot.Region})
+	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region})
 	absorb := func(item gossip.Item) {
 		if heard := world.options.plant.Heard; heard != nil {
 			item = heard(item)
--- a/simulation/run.go
+++ b/simulation/run.go
@@ -18,8 +18,8 @@
 	var world *World
 	synctest.Test(t, func(*testing.T) {
 		world = newWorld(options)
-		random.Replace(world.chance)
-		defer random.Replace(nil)
+		random.SetSource(world.chance)
+		defer random.SetSource(nil)
 		world.play()
 	})
 	wrong, unknown := world.history.check()
--- a/simulation/site.go
+++ b/simulation/site.go
@@ -71,13 +71,13 @@
 const platformAddress ids.Address = "10.255.0.1:80"
 
 // settings is the boot file of a machine's next process.
-func (w *World) settings(machine *Machine, first bool) *settings.Boot {
+func (w *World) settings(machine *Machine, first bool) *settings.Settings {
 	listen := func(port int) ids.Address { return ids.Address(machine.ip + ":" + strconv.Itoa(port)) }
-	made := &settings.Boot{
+	made := &settings.Settings{
 		NodeName: machine.name, IP: machine.ip, Zone: machine.zone, Region: machine.region, PortRange: []int{innerPort, innerPort + 9},
-		FirstStart: first, Counted: !machine.carries, DataFolder: "/data", Zones: map[ids.Zone]ids.Region{},
+		FirstStart: first, Counted: !machine.carries, DataDir: "/data", Zones: map[ids.Zone]ids.Region{},
 		Limits:   settings.Limits{MemoryMB: 184, OpenFiles: 4100, LinkMbps: 100, DiskMB: 64},
-		Tolerate: settings.Tolerate{Machines: w.options.Site.Losses, Zones: 1, Regions: 1}, Bounds: w.options.Site.Bounds,
+		Tolerate: settings.Tolerance{Machines: w.options.Site.Losses, Zones: 1, Regions: 1}, Bounds: w.options.Site.Bounds,
 		Platform: settings.Platform{Address: platformAddress, RatePerS: 42, MaxLagMS: 800},
 	}
 	for _, place := range w.options.Site.Places {
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -99,7 +99,7 @@
 	made.watch = newWatch()
 	made.hurry = options.Hurry
 	if options.Trace != nil {
-		made.logger = scope.Logger("info", options.Trace)
+		made.logger = scope.NewLogger("info", options.Trace)
 	}
 	for _, place := range options.Site.Places {
 		made.add(place, false)
@@ -183,9 +183,9 @@
 // log is the logger of a machine's process.
 func (w *World) log(machine *Machine) *log.Logger {
 	if w.options.Trace == nil {
-		return scope.Logger("fatal", io.Discard)
+		return scope.NewLogger("fatal", io.Discard)
 	}
-	made := scope.Logger("info", w.options.Trace)
+	made := scope.NewLogger("info", w.options.Trace)
 	made.Context = log.NewContext(nil).Str("machine", machine.name).Value()
 	return made
 }
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -21,11 +21,11 @@
 		broken.Obey(orders)
 		os.Exit(0)
 	}()
-	network := func(top scope.Scope) links.Network { return links.Network{Links: broken, IP: top.Boot.IP} }
+	network := func(top scope.Scope) links.Network { return links.Network{Links: broken, IP: top.Settings.IP} }
 	daemons := map[string]program.Daemon{
 		router.Role: {
-			Name: router.Role, Text: "A router of a soak.", Needs: []string{"front", "readiness"},
-			Serve: func(top scope.Scope, reread <-chan *settings.Boot) error {
+			Name: router.Role, Description: "A router of a soak.", RequiredListeners: []string{"front", "readiness"},
+			Serve: func(top scope.Scope, reread <-chan *settings.Settings) error {
 				r, err := router.New(top, router.Options{Network: network(top)})
 				if err != nil {
 					return err
@@ -34,8 +34,8 @@
 			},
 		},
 		controller.Role: {
-			Name: controller.Role, Text: "A controller of a soak.", Needs: []string{"control", "directory"},
-			Serve: func(top scope.Scope, reread <-chan *settings.Boot) error {
+			Name: controller.Role, Description: "A controller of a soak.", RequiredListeners: []string{"control", "directory"},
+			Serve: func(top scope.Scope, reread <-chan *settings.Settings) error {
 				c, err := controller.New(top, controller.Options{Network: network(top)})
 				if err != nil {
 					return err
--- a/soak/run.go
+++ b/soak/run.go
@@ -40,7 +40,7 @@
 	if err := options.Check(); err != nil {
 		return Report{}, err
 	}
-	ctx, end := top.WithEnd()
+	ctx, end := top.WithCancel()
 	e, err := newEstate(ctx, options)
 	defer func() {
 		end()
@@ -86,7 +86,7 @@
 
 // busy has clients, operators and troubles go on together until the length is over.
 func (e *estate) busy(ctx scope.Scope, report *Report) {
-	working, rest := ctx.WithEnd()
+	working, rest := ctx.WithCancel()
 	var workers, troubles sync.WaitGroup
 	for index := range e.options.Clients {
 		workers.Add(1)
@@ -148,7 +148,7 @@
 	draw := client.Draw{
 		Seed: e.options.Seed, Routers: len(routers), Services: services, Patience: 2 * clock.Second, Rude: e.options.Rude,
 	}
-	finish := ctx.Detached()
+	finish := ctx.WithoutCancel()
 	for ctx.Wait(4 * clock.Millisecond) {
 		asked := draw.Request(int(e.requests.Add(1)))
 		begin := ctx.Now()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -24,7 +24,7 @@
 	options.Folder, options.Subnet = t.TempDir(), 180
 	limited, release := context.WithTimeout(context.Background(), 90*clock.Second)
 	defer release()
-	report, err := Run(scope.New(scope.Options{}).Under(limited), options)
+	report, err := Run(scope.New(scope.Options{}).WithContext(limited), options)
 	if err != nil {
 		t.Fatal(err)
 	}
