--- a/data/balancer/group.go
+++ b/data/balancer/lengthclass.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// shortBorrows is by how much fuller its own group must be before a short
+	// shortSpillMargin is by how much fuller its own group must be before a short
 	// request goes to a runner of the long one; a long request borrows only where
-	// its own group is longBorrows times as full, and by longSlack.
-	shortBorrows = 0.1
-	longBorrows  = 2.0
-	longSlack    = 0.25
+	// its own group is longSpillFactor times as full, and by longSpillMargin.
+	shortSpillMargin = 0.1
+	longSpillFactor  = 2.0
+	longSpillMargin  = 0.25
 )
 
-// group narrows the choice to the runners that take requests of this length
+// filterLengthClass narrows the choice to the runners that take requests of this length
 // first. Where these are much fuller than the others, or none is left, all are
 // there to choose from: grouping never makes a runner stand idle beside a queue,
 // and never refuses.
-func (g *Gate) group(seen *snapshot.Snapshot, decision *Decision, found []candidate) []candidate {
-	class := seen.Lengths.Class(decision.Kind())
+func (b *Balancer) filterLengthClass(seen *snapshot.Snapshot, decision *Admission, found []candidate) []candidate {
+	class := seen.Lengths.Class(decision.LengthKind())
 	if class == lengthstats.Unknown {
 		return found
 	}
 	var own, others []candidate
 	for _, able := range found {
-		if able.group == lengthstats.Unknown || able.group == class {
+		if able.lengthClass == lengthstats.Unknown || able.lengthClass == class {
 			own = append(own, able)
 		} else {
 			others = append(others, able)
@@ -34,10 +34,10 @@
 	if len(own) == 0 || len(others) == 0 {
 		return found
 	}
-	here, there := leastLoad(own), leastLoad(others)
+	here, there := minLoad(own), minLoad(others)
 	borrows := map[lengthstats.Class]bool{
-		lengthstats.Short: here > there+shortBorrows,
-		lengthstats.Long:  here > longBorrows*there+longSlack,
+		lengthstats.Short: here > there+shortSpillMargin,
+		lengthstats.Long:  here > longSpillFactor*there+longSpillMargin,
 	}
 	if borrows[class] {
 		return found
@@ -45,7 +45,7 @@
 	return own
 }
 
-func leastLoad(found []candidate) float64 {
+func minLoad(found []candidate) float64 {
 	least := found[0].load
 	for _, able := range found {
 		least = min(least, able.load)
--- a/data/balancer/admit_test.go
+++ b/data/balancer/selection_test.go
@@ -13,7 +13,7 @@
 	"onyxwell/data/snapshot"
 )
 
-func some(weights ...float64) []candidate {
+func newCandidates(weights ...float64) []candidate {
 	var found []candidate
 	for index, weight := range weights {
 		runner := &snapshot.Runner{Runner: discovery.Runner{ID: ids.RunnerID(fmt.Sprint("i", index))}, Region: "north"}
@@ -22,14 +22,16 @@
 	return found
 }
 
-// pick is the runner for a prompt of one shared part.
-func pick(found []candidate, key string) candidate { return keyed(&Decision{}, found, key) }
+// pickForPart is the runner for a prompt of one shared part.
+func pickForPart(found []candidate, key string) candidate {
+	return pickByAffinity(&Admission{}, found, key)
+}
 
-func TestSharesFollowTheWeights(t *testing.T) {
-	found := some(1, 2, 5)
+func TestPickByAffinity_sharesFollowWeights(t *testing.T) {
+	found := newCandidates(1, 2, 5)
 	counts := map[ids.RunnerID]int{}
 	for key := range 8000 {
-		counts[pick(found, fmt.Sprint("part", key)).runner.ID]++
+		counts[pickForPart(found, fmt.Sprint("part", key)).runner.ID]++
 	}
 	for id, want := range map[ids.RunnerID]int{"i0": 1000, "i1": 2000, "i2": 5000} {
 		if got := counts[id]; got < want*9/10 || got > want*11/10 {
@@ -38,13 +40,13 @@
 	}
 }
 
-func TestPartsStayWhereTheyWereRead(t *testing.T) {
-	before, after := some(1, 1, 1, 1), some(1, 1, 1)
+func TestPickByAffinity_stableWhenRunnerLeaves(t *testing.T) {
+	before, after := newCandidates(1, 1, 1, 1), newCandidates(1, 1, 1)
 	moved := 0
 	for key := range 1000 {
 		name := fmt.Sprint("part", key)
-		first := pick(before, name).runner.ID
-		if first != "i3" && pick(after, name).runner.ID != first {
+		first := pickForPart(before, name).runner.ID
+		if first != "i3" && pickForPart(after, name).runner.ID != first {
 			moved++
 		}
 	}
@@ -53,39 +55,39 @@
 	}
 }
 
-func TestFullRunnerIsPassedOver(t *testing.T) {
-	found := some(1, 1, 1)
-	home := pick(found, "part")
+func TestPickByAffinity_skipsOverloadedRunner(t *testing.T) {
+	found := newCandidates(1, 1, 1)
+	home := pickForPart(found, "part")
 	for index := range found {
 		if found[index].runner.ID == home.runner.ID {
 			found[index].load = 2
 		}
 	}
-	if pick(found, "part").runner.ID == home.runner.ID {
+	if pickForPart(found, "part").runner.ID == home.runner.ID {
 		t.Fatal("a full runner still gets the request")
 	}
 }
 
-func TestAffinityIsOfTheLastSharedPart(t *testing.T) {
-	if key, keyed := affinity([]string{"a", "b", "own"}); !keyed || key != "b" {
+func TestAffinityKey_lastSharedPart(t *testing.T) {
+	if key, keyed := affinityKey([]string{"a", "b", "own"}); !keyed || key != "b" {
 		t.Fatalf("%q %v", key, keyed)
 	}
-	if _, keyed := affinity([]string{"own"}); keyed {
+	if _, keyed := affinityKey([]string{"own"}); keyed {
 		t.Fatal("a prompt that shares nothing has an affinity")
 	}
 }
 
-// TestPlanDecidesTheRegion has the plan's flows pick the region, and without
+// TestFilterRegion_followsPlan has the plan's flows pick the region, and without
 // any flow the own region.
-func TestPlanDecidesTheRegion(t *testing.T) {
-	found := some(1, 1)
+func TestFilterRegion_followsPlan(t *testing.T) {
+	found := newCandidates(1, 1)
 	found[1].runner.Region = "south"
-	decision := &Decision{service: "s", asking: Asking{Route: &config.Route{}}}
+	decision := &Admission{service: "s", request: Request{Route: &config.Route{}}}
 	count := func(seen *snapshot.Snapshot) int {
 		north := 0
 		for step := range 100 {
-			gate := NewGate(Options{Region: "north", Chance: func() float64 { return float64(step) / 100 }})
-			if gate.region(seen, decision, found)[0].runner.Region == "north" {
+			gate := New(Options{Region: "north", Random: func() float64 { return float64(step) / 100 }})
+			if gate.filterRegion(seen, decision, found)[0].runner.Region == "north" {
 				north++
 			}
 		}
@@ -103,46 +105,46 @@
 	}
 }
 
-// TestPromptsThatShareMuchTravel has a prompt of many shared tokens in a short
+// TestWorthCrossRegion_bySharedTokens has a prompt of many shared tokens in a short
 // body go to where its parts were read, and one that shares little stay.
-func TestPromptsThatShareMuchTravel(t *testing.T) {
-	var long, short Asking
-	long.Prompt("a:500,b:5000,own:6000")
-	long.Bytes = 12000
-	short.Prompt("a:300, b:200, own:1800")
-	short.Bytes = 2400
-	if long.Shared != 5500 || long.Tokens != 11500 || len(long.Parts) != 3 || !travels(long) {
+func TestWorthCrossRegion_bySharedTokens(t *testing.T) {
+	var long, short Request
+	long.ParsePromptParts("a:500,b:5000,own:6000")
+	long.BodyBytes = 12000
+	short.ParsePromptParts("a:300, b:200, own:1800")
+	short.BodyBytes = 2400
+	if long.SharedTokens != 5500 || long.PartTokens != 11500 || len(long.PromptParts) != 3 || !worthCrossRegion(long) {
 		t.Errorf("%+v", long)
 	}
-	if short.Shared != 500 || travels(short) {
+	if short.SharedTokens != 500 || worthCrossRegion(short) {
 		t.Errorf("%+v", short)
 	}
 }
 
-// TestNobodyIsLetInToBeLate has requests wait at runners for ever longer: those
+// TestFilterTimely_excludesSlowQueues has requests wait at runners for ever longer: those
 // where the next would be late are left out, one that waits alone is no sign.
-func TestNobodyIsLetInToBeLate(t *testing.T) {
-	machine, board := clock.NewFake(), runnerstats.NewBoard()
-	gate := NewGate(Options{Board: board})
+func TestFilterTimely_excludesSlowQueues(t *testing.T) {
+	machine, board := clock.NewFake(), runnerstats.New()
+	gate := New(Options{Stats: board})
 	route := &config.Route{LatencyTargetMS: 1000, Priority: 1}
-	found := some(1, 1, 1)
+	found := newCandidates(1, 1, 1)
 	send := func(id ids.RunnerID, number uint64, urgency int) {
-		board.Sent(id, runnerstats.Sending{Number: number, Urgency: urgency}, machine.Now())
+		board.RequestSent(id, runnerstats.SentRequest{Number: number, Urgency: urgency}, machine.Now())
 	}
 	send("i0", 1, 1)
 	send("i0", 2, 1)
 	send("i1", 3, 1)
 	send("i2", 4, 0)
 	send("i2", 5, 0)
-	if kept := gate.timely(route, found, machine.Now()); len(kept) != 3 {
+	if kept := gate.filterTimely(route, found, machine.Now()); len(kept) != 3 {
 		t.Fatalf("%d of 3 before anybody waited", len(kept))
 	}
 	machine.Advance(700 * clock.Millisecond)
-	kept := gate.timely(route, found, machine.Now())
+	kept := gate.filterTimely(route, found, machine.Now())
 	if len(kept) != 2 || kept[0].runner.ID != "i1" || kept[1].runner.ID != "i2" {
 		t.Fatalf("%d kept", len(kept))
 	}
-	if kept := gate.timely(&config.Route{}, found, machine.Now()); len(kept) != 3 {
+	if kept := gate.filterTimely(&config.Route{}, found, machine.Now()); len(kept) != 3 {
 		t.Fatal("a route without a goal is held to one")
 	}
 }
--- a/data/proxy/answer_test.go
+++ b/data/proxy/answer_test.go
@@ -9,18 +9,18 @@
 )
 
 func TestPlainAnswerIsTheRunners(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "seal-1", "whole"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal-1", "whole"))
 	got := newHouse(t, 10, runner).ask("/safe/x?y=1", "body")
 	if got.status != 200 || got.body != "whole" || got.header.Get("Onyxwell-Server-Seal") != "seal-1" || got.header.Get("Onyxwell-Attempt-Id") != "v1" {
 		t.Fatalf("%+v", got)
 	}
-	if seen := runner.Seen()[0]; seen.Target != "/safe/x?y=1" || seen.Body != "body" || seen.Header.Get("Onyxwell-Target-Server") != "i-1" {
+	if seen := runner.Requests()[0]; seen.Target != "/safe/x?y=1" || seen.Body != "body" || seen.Header.Get("Onyxwell-Target-Server") != "i-1" {
 		t.Fatalf("%+v", seen)
 	}
 }
 
 func TestBadInputIsNamed(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	cases := []struct {
 		path, body, head string
@@ -51,17 +51,17 @@
 		status int
 		second bool
 	}{
-		{"full, plain", "/safe/x", upstreamtest.Refuse(503), 200, true},
-		{"full, once", "/once/x", upstreamtest.Refuse(503), 200, true},
-		{"another life, once", "/once/x", upstreamtest.Refuse(421), 200, true},
-		{"hangs up, plain", "/safe/x", upstreamtest.Hangup(), 200, true},
-		{"hangs up, once", "/once/x", upstreamtest.Hangup(), 502, false},
-		{"no promise, once", "/once/x", upstreamtest.Plain(503, "s", "x"), 502, false},
+		{"full, plain", "/safe/x", upstreamtest.Reject(503), 200, true},
+		{"full, once", "/once/x", upstreamtest.Reject(503), 200, true},
+		{"another life, once", "/once/x", upstreamtest.Reject(421), 200, true},
+		{"hangs up, plain", "/safe/x", upstreamtest.HangUp(), 200, true},
+		{"hangs up, once", "/once/x", upstreamtest.HangUp(), 502, false},
+		{"no promise, once", "/once/x", upstreamtest.Respond(503, "s", "x"), 502, false},
 		{"garbage, once", "/once/x", upstreamtest.Raw("nonsense\r\n\r\n", false), 502, false},
 		{"another's answer, once", "/once/x", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), 502, false},
 		{"short body, plain", "/safe/x", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false), 200, true},
 		{"short body, once", "/once/x", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf", false), 502, false},
-		{"own failure, once", "/once/x", upstreamtest.Plain(500, "s", "broken"), 500, false},
+		{"own failure, once", "/once/x", upstreamtest.Respond(500, "s", "broken"), 500, false},
 		{"reset at no byte, once", "/once/x", upstreamtest.Reset(""), 502, false},
 		{"reset at one byte, once", "/once/x", upstreamtest.Reset("H"), 502, false},
 		{"reset at one byte, plain", "/safe/x", upstreamtest.Reset("H"), 200, true},
@@ -72,37 +72,37 @@
 		{"ends with the connection, stream", "/stream/x", upstreamtest.Raw(sealedHead+"\r\nid: 1\n\n", false), 200, false},
 		{"ends before an event, stream", "/stream/x", upstreamtest.Raw(sealedHead+"\r\nid: 1\n", false), 502, false},
 		{"ends with a reset, stream", "/stream/x", upstreamtest.Reset(sealedHead + "\r\nid: 1\n"), 502, false},
-		{"stream not begun", "/stream/x", upstreamtest.Hangup(), 502, false},
-		{"stream full", "/stream/x", upstreamtest.Refuse(503), 200, true},
+		{"stream not begun", "/stream/x", upstreamtest.HangUp(), 502, false},
+		{"stream full", "/stream/x", upstreamtest.Reject(503), 200, true},
 	}
 	for _, example := range cases {
-		finish := upstreamtest.Plain(200, "good", "good")
+		finish := upstreamtest.Respond(200, "good", "good")
 		if strings.HasPrefix(example.path, "/stream/") {
-			finish = upstreamtest.Events("good", 1, 2, true)
+			finish = upstreamtest.EventStream("good", 1, 2, true)
 		}
 		house, bad, good := pair(t, 10, example.step, finish)
 		got := house.ask(example.path, "x")
-		if got.status != example.status || (len(good.Seen()) == 1) != example.second || arrivals(bad) != 1 {
+		if got.status != example.status || (len(good.Requests()) == 1) != example.second || arrivals(bad) != 1 {
 			t.Errorf("%s: %d, %d and %d arrivals", example.name, got.status, arrivals(bad), arrivals(good))
 		}
 	}
 }
 
 func TestBudgetIsOneForAll(t *testing.T) {
-	bad := []*upstreamtest.Runner{upstreamtest.Start(t, upstreamtest.Hangup()), upstreamtest.Start(t, upstreamtest.Hangup())}
+	bad := []*upstreamtest.Runner{upstreamtest.Start(t, upstreamtest.HangUp()), upstreamtest.Start(t, upstreamtest.HangUp())}
 	house := newHouse(t, 1, bad...)
 	if got := house.ask("/safe/x", "x"); got.status != 502 || arrivals(bad...) != 2 {
 		t.Fatalf("%d after %d arrivals", got.status, arrivals(bad...))
 	}
-	house.board.Vouch("i-1", house.clock.Now())
-	house.board.Vouch("i-2", house.clock.Now())
+	house.board.ClearSuspicion("i-1", house.clock.Now())
+	house.board.ClearSuspicion("i-2", house.clock.Now())
 	if got := house.ask("/safe/x", "x"); got.status != 502 || arrivals(bad...) != 3 {
 		t.Fatalf("%d after %d arrivals: a further try without budget", got.status, arrivals(bad...))
 	}
 }
 
 func TestHomesBind(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	if got := house.ask("/home/x", "x"); got.status != 503 || arrivals(runner) != 0 {
 		t.Fatalf("%d: a runner away from home got the request", got.status)
@@ -115,7 +115,7 @@
 }
 
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.empty("n", 1, true)
 	if got := house.ask("/safe/x", "x"); got.status != 503 || got.header.Get("Retry-After") == "" || arrivals(runner) != 0 {
@@ -128,7 +128,7 @@
 }
 
 func TestLeavingClosesAfterTheAnswer(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.front.Leave(house.clock.Now())
 	if got := house.ask("/safe/x", "x"); got.status != 200 || !got.closing {
@@ -140,7 +140,7 @@
 // connection of an age that nobody tried: it goes to the same runner on a new
 // one, and the runner stands as well as before.
 func TestOldConnectionDoubtsNobody(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.clock.Advance(clock.Second)
 	for range 3 {
@@ -149,11 +149,11 @@
 		}
 		house.clock.Advance(3 * clock.Second)
 	}
-	ledger := house.board.Look("i-1")
-	if arrivals(runner) != 3 || ledger.Doubted || len(house.board.Due(house.clock.Now(), clock.Second)) != 0 {
+	ledger := house.board.State("i-1")
+	if arrivals(runner) != 3 || ledger.Suspect || len(house.board.DueProbes(house.clock.Now(), clock.Second)) != 0 {
 		t.Fatalf("%d arrivals, %+v", arrivals(runner), ledger)
 	}
-	if sample := house.board.Collect(house.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
+	if sample := house.board.TakeReport(house.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
 		t.Fatalf("%+v", sample)
 	}
 }
@@ -161,7 +161,7 @@
 // TestLeavingFrontTakesNoLateRequest turns away, with a promise, what comes too
 // late to be finished before the process ends.
 func TestLeavingFrontTakesNoLateRequest(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.front.Leave(house.clock.Now().Add(clock.Second))
 	house.clock.Advance(clock.Second + clock.Millisecond)
--- a/data/proxy/bench_test.go
+++ b/data/proxy/bench_test.go
@@ -67,7 +67,7 @@
 // bench has a router with one quick runner; what it gives must be used by
 // parallel visitors, whose processor time counts with the router's.
 func bench(b *testing.B, visitor func(house *house, each *testing.PB) error) {
-	house := newHouse(b, 10, upstreamtest.Start(b, upstreamtest.Hangup()))
+	house := newHouse(b, 10, upstreamtest.Start(b, upstreamtest.HangUp()))
 	house.listed[0] = discovery.Runner{ID: "i-1", Service: "desk", Address: quick(b), Zone: "n", Capacity: 1000}
 	house.list()
 	before := processor()
--- a/data/proxy/carry.go
+++ b/data/proxy/carry.go
@@ -16,15 +16,15 @@
 )
 
 // acts are what the executor can do; each tells whether the visit is over.
-var acts = map[balancer.Act]func(*visit, scope.Scope, *balancer.Decision, balancer.Order) bool{
+var acts = map[balancer.Action]func(*visit, scope.Scope, *balancer.Admission, balancer.Decision) bool{
 	balancer.Send: (*visit).send,
-	balancer.Wait: func(visit *visit, inner scope.Scope, _ *balancer.Decision, order balancer.Order) bool {
-		inner.Wait(order.Span)
+	balancer.Wait: func(visit *visit, inner scope.Scope, _ *balancer.Admission, order balancer.Decision) bool {
+		inner.Wait(order.Delay)
 		return false
 	},
-	balancer.Answer: func(visit *visit, _ scope.Scope, decision *balancer.Decision, order balancer.Order) bool {
+	balancer.Fail: func(visit *visit, _ scope.Scope, decision *balancer.Admission, order balancer.Decision) bool {
 		visit.refuse(order.Kind, "")
-		visit.reason = "left out: " + decision.LeftOut().String()
+		visit.reason = "left out: " + decision.Exclusions().String()
 		return true
 	},
 }
@@ -34,81 +34,81 @@
 	top := v.front.options.Scope.WithContext(v.request.Context())
 	ctx, release := top.WithTimeout(v.limit.Since(v.since))
 	defer release()
-	decision := v.front.options.Gate.Begin(v.asking)
+	decision := v.front.options.Gate.Admit(v.asking)
 	for {
 		if top.Err() != nil {
 			v.abort()
 		}
-		order := decision.Ask(top.Now())
-		if acts[order.Act](v, ctx, decision, order) {
+		order := decision.Next(top.Now())
+		if acts[order.Action](v, ctx, decision, order) {
 			return
 		}
 	}
 }
 
 // send takes the request to a runner and its answer to the visitor.
-func (v *visit) send(ctx scope.Scope, decision *balancer.Decision, order balancer.Order) bool {
+func (v *visit) send(ctx scope.Scope, decision *balancer.Admission, order balancer.Decision) bool {
 	if v.begun && !v.known {
 		// What was passed on had no ids, so that no other run can go on after it.
 		v.abort()
 	}
 	options, runner := v.front.options, order.Runner
 	begin := ctx.Now()
-	if !decision.Holds(runner, begin) {
+	if !decision.Confirm(runner, begin) {
 		return false
 	}
-	trip := upstream.Trip{
-		Request: v.sent, Runner: runner.ID, Address: runner.Address,
-		Left: v.limit.Since(begin), Urgency: v.route.Priority,
-		Service: decision.Service(), Once: !v.route.Idempotent(),
+	trip := upstream.Attempt{
+		Request: v.sent, RunnerID: runner.ID, Address: runner.Address,
+		TimeLeft: v.limit.Since(begin), Urgency: v.route.Priority,
+		Service: decision.Service(), AtMostOnce: !v.route.Idempotent(),
 	}
 	resumed := v.known
 	if resumed {
-		trip.LastEvent = strconv.FormatInt(v.last, 10)
+		trip.LastEventID = strconv.FormatInt(v.last, 10)
 	}
-	v.checkSending(runner, trip.Left, begin)
+	v.checkSending(runner, trip.TimeLeft, begin)
 	number := v.front.number.Add(1)
-	options.Board.Sent(runner.ID, runnerstats.Sending{
-		Service: decision.Service(), Number: number, Tokens: v.asking.Tokens, Urgency: v.route.Priority,
+	options.Board.RequestSent(runner.ID, runnerstats.SentRequest{
+		Service: decision.Service(), Number: number, Tokens: v.asking.PartTokens, Urgency: v.route.Priority,
 		Goal: v.route.LatencyTarget(),
 	}, begin)
-	ending := runnerstats.Ending{Number: number, Tokens: v.asking.Tokens}
+	ending := runnerstats.EndedRequest{Number: number, Tokens: v.asking.PartTokens}
 	result := options.Sender.Send(ctx, trip)
 	v.hear(runner, result.Response)
-	fate, over, slow := result.Fate, false, 0.0
-	if result.Fate == upstream.Answered {
+	fate, over, slow := result.Outcome, false, 0.0
+	if result.Outcome == upstream.Answered {
 		ending.Began = true
 		first := ctx.Now()
 		if first.Since(v.since) > v.route.LatencyTarget()/slowPart {
 			slow = 1
 		}
-		options.Board.Began(runner.ID, number, v.asking.Tokens, first)
-		if v.asking.Tokens > 0 && !v.known {
-			options.Board.Read(decision.Service(), v.route.Name, v.asking.Tokens, first.Since(begin))
+		options.Board.ResponseBegan(runner.ID, number, v.asking.PartTokens, first)
+		if v.asking.PartTokens > 0 && !v.known {
+			options.Board.ObserveFirstEvent(decision.Service(), v.route.Name, v.asking.PartTokens, first.Since(begin))
 		}
 		fate, over = v.pass(ctx, runner, result.Response)
 	} else {
 		discard(ctx, result.Response)
 	}
 	now := ctx.Now()
-	ending.Finished = fate == upstream.Answered
-	ending.Spent = now.Since(begin)
+	ending.Completed = fate == upstream.Answered
+	ending.Duration = now.Since(begin)
 	cause := result.Cause
-	if result.Fate != fate {
+	if result.Outcome != fate {
 		cause = "body"
 	}
-	v.sentTo(runner, fate, cause, ending.Spent)
-	if ending.Finished && v.asking.Tokens == 0 {
-		options.Board.Read(decision.Service(), v.route.Name, 1, ending.Spent)
+	v.sentTo(runner, fate, cause, ending.Duration)
+	if ending.Completed && v.asking.PartTokens == 0 {
+		options.Board.ObserveFirstEvent(decision.Service(), v.route.Name, 1, ending.Duration)
 	}
-	if ending.Finished && !resumed {
-		options.Board.Took(v.answered(decision, ending.Spent, slow))
+	if ending.Completed && !resumed {
+		options.Board.ObserveCompletion(v.answered(decision, ending.Duration, slow))
 	}
 	late := v.gone || v.request.Context().Err() != nil || !now.Before(v.limit)
-	ending.Broken = fate != upstream.Answered && broken(result, late, ending, v.route)
-	options.Board.Ended(runner.ID, ending, now)
-	if !result.Stale {
-		decision.Tell(runner, fate)
+	ending.RunnerFailed = fate != upstream.Answered && broken(result, late, ending, v.route)
+	options.Board.RequestEnded(runner.ID, ending, now)
+	if !result.StaleConn {
+		decision.RecordOutcome(runner, fate)
 	}
 	if v.gone {
 		v.abort()
@@ -129,7 +129,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		upstream.Discard(response)
+		upstream.DrainAndClose(response)
 	}()
 	select {
 	case <-done:
@@ -141,10 +141,10 @@
 const slowPart = 4
 
 // answered is what the length of answers is learnt from.
-func (v *visit) answered(decision *balancer.Decision, spent clock.Span, slow float64) lengthstats.Totals {
+func (v *visit) answered(decision *balancer.Admission, spent clock.Span, slow float64) lengthstats.Totals {
 	return lengthstats.Totals{
-		Key: decision.Kind(), Count: 1, DurationMS: float64(spent) / float64(clock.Millisecond),
-		Tokens: max(0, v.asking.Tokens-v.asking.Shared), SlowFirstTokens: slow,
+		Key: decision.LengthKind(), Count: 1, DurationMS: float64(spent) / float64(clock.Millisecond),
+		Tokens: max(0, v.asking.PartTokens-v.asking.SharedTokens), SlowFirstTokens: slow,
 	}
 }
 
@@ -152,15 +152,15 @@
 // a request away is well; one that was silent for longer than an answer's goal
 // is not. Nothing was sent on a kept connection that was too old, or for want of
 // this machine's own descriptors: that says nothing of the runner.
-func broken(result upstream.Result, late bool, ending runnerstats.Ending, route *config.Route) bool {
-	if result.Stale || result.Local {
+func broken(result upstream.Result, late bool, ending runnerstats.EndedRequest, route *config.Route) bool {
+	if result.StaleConn || result.LocalExhaustion {
 		return false
 	}
-	if result.Fate == upstream.Refused {
+	if result.Outcome == upstream.Rejected {
 		return result.Response.StatusCode == http.StatusMisdirectedRequest
 	}
 	if late {
-		return !ending.Began && ending.Spent > route.LatencyTarget()
+		return !ending.Began && ending.Duration > route.LatencyTarget()
 	}
 	return true
 }
@@ -172,9 +172,9 @@
 	}
 	now := v.front.options.Scope.Now()
 	if load := response.Header.Get(upstream.LoadHeader); load != "" {
-		v.front.options.Board.Told(runner.ID, load, now)
+		v.front.options.Board.ObserveLoad(runner.ID, load, now)
 	}
-	if left, err := strconv.ParseFloat(response.Header.Get(upstream.ColdHeader), 64); err == nil && left > 0 {
-		v.front.options.Warmth.Chill(runner.ID, now.Add(settings.Milliseconds(left)), now)
+	if left, err := strconv.ParseFloat(response.Header.Get(upstream.WarmupHeader), 64); err == nil && left > 0 {
+		v.front.options.Warmth.Extend(runner.ID, now.Add(settings.Milliseconds(left)), now)
 	}
 }
--- a/data/proxy/descriptors_test.go
+++ b/data/proxy/descriptors_test.go
@@ -16,7 +16,7 @@
 // descriptors for: some are kept waiting, none takes those that requests to
 // runners need, and connections are not kept while it is crowded.
 func TestClientsLeaveDescriptorsForRunners(t *testing.T) {
-	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{OpenFiles: 208}}, 0, upstreamtest.Start(t, upstreamtest.Plain(200, "s", "ok")))
+	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{OpenFiles: 208}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
 	const most, clients = 4, 7
 	type got struct {
 		closing bool
--- a/data/proxy/fate_test.go
+++ b/data/proxy/fate_test.go
@@ -18,11 +18,11 @@
 // gets a promise that holds, and a stream that was begun looks broken.
 func TestTimeEndsInAWait(t *testing.T) {
 	for path, status := range map[string]int{"/safe/x": 503, "/again/x": 200} {
-		one, two := upstreamtest.Start(t, upstreamtest.Events("s", 1, 2, false)), upstreamtest.Start(t, upstreamtest.Hangup())
+		one, two := upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)), upstreamtest.Start(t, upstreamtest.HangUp())
 		house := newHouse(t, 10, one, two)
-		house.board.Doubt("i-2", house.clock.Now())
+		house.board.Suspect("i-2", house.clock.Now())
 		if status == 503 {
-			house.board.Doubt("i-1", house.clock.Now())
+			house.board.Suspect("i-1", house.clock.Now())
 		}
 		done := make(chan told)
 		go func() { done <- house.ask(path, "x", "Onyxwell-Time-Left-Ms", "50") }()
@@ -32,7 +32,7 @@
 			case got = <-done:
 				over = true
 			default:
-				if status == 503 || arrivals(one) > 0 && house.board.Look("i-1").Running == 0 {
+				if status == 503 || arrivals(one) > 0 && house.board.State("i-1").InFlight == 0 {
 					house.clock.AdvanceToNext()
 				}
 				runtime.Gosched()
@@ -49,10 +49,10 @@
 // have run is sent again, and nothing is promised.
 func TestWokenAfterItsTime(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/again/x"} {
-		for _, step := range []upstreamtest.Step{upstreamtest.Plain(200, "s", "id: 1\n\n"), upstreamtest.Hangup(), upstreamtest.Reset("H")} {
+		for _, step := range []upstreamtest.Step{upstreamtest.Respond(200, "s", "id: 1\n\n"), upstreamtest.HangUp(), upstreamtest.Reset("H")} {
 			var house *house
 			asleep := func() { house.clock.Advance(6 * clock.Second) }
-			one, two := upstreamtest.Start(t, upstreamtest.After(func() { asleep() }, step)), upstreamtest.Start(t, upstreamtest.After(func() { asleep() }, step))
+			one, two := upstreamtest.Start(t, upstreamtest.Before(func() { asleep() }, step)), upstreamtest.Start(t, upstreamtest.Before(func() { asleep() }, step))
 			house = newHouse(t, 10, one, two)
 			got := house.ask(path, "x")
 			whole := got.status == 200 && got.header.Get("Onyxwell-Server-Seal") == "s" && (got.body == "id: 1\n\n" || got.err != nil)
@@ -68,7 +68,7 @@
 func TestTimeEndsInTheMiddleOfAResend(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x"} {
 		var made *house
-		made, one, two := pair(t, 10, upstreamtest.Refuse(503), upstreamtest.After(func() { made.clock.Advance(6 * clock.Second) }, upstreamtest.Hangup()))
+		made, one, two := pair(t, 10, upstreamtest.Reject(503), upstreamtest.Before(func() { made.clock.Advance(6 * clock.Second) }, upstreamtest.HangUp()))
 		if got := made.ask(path, "x"); got.status != 504 && got.status != 502 || arrivals(one) != 1 || arrivals(two) != 1 {
 			t.Errorf("%s: %+v after %d and %d arrivals", path, got, arrivals(one), arrivals(two))
 		}
@@ -80,16 +80,16 @@
 func TestFirstRunnerTalksOn(t *testing.T) {
 	var first io.Writer
 	head, _, _ := strings.Cut(gapped, "\r\n\r\n")
-	started := func(seen upstreamtest.Seen, writer io.Writer) bool {
+	started := func(seen upstreamtest.Request, writer io.Writer) bool {
 		first = writer
 		return upstreamtest.Raw(head+"\r\n\r\n15\r\nid: 1\ndata: token 1\n\n\r\n15\r\nid: 9\ndata: token 9\n\n\r\n", true)(seen, writer)
 	}
-	talks := upstreamtest.After(func() {
+	talks := upstreamtest.Before(func() {
 		_, _ = io.WriteString(first, "15\r\nid: 2\ndata: another\n\n\r\n0\r\n\r\n")
-	}, upstreamtest.Events("seal-2", 2, 4, true))
+	}, upstreamtest.EventStream("seal-2", 2, 4, true))
 	house, _, two := pair(t, 10, started, talks)
 	got := house.ask("/again/x", "x")
-	if got.err != nil || got.body != events(1, 4) || two.Seen()[0].Header.Get("Last-Event-Id") != "1" {
+	if got.err != nil || got.body != events(1, 4) || two.Requests()[0].Header.Get("Last-Event-Id") != "1" {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -99,8 +99,8 @@
 func TestVisitorGoesAway(t *testing.T) {
 	var house *house
 	var leave func()
-	one := upstreamtest.Start(t, upstreamtest.After(func() { leave() }, upstreamtest.Refuse(503)))
-	two := upstreamtest.Start(t, upstreamtest.After(func() { leave() }, upstreamtest.Refuse(503)))
+	one := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
+	two := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
 	house = newHouse(t, 10, one, two)
 	link := house.dial()
 	leave = func() {
@@ -123,12 +123,12 @@
 func TestLeavingAndNewsInTheMiddle(t *testing.T) {
 	for _, path := range []string{"/once/x", "/stream/x"} {
 		var house *house
-		trouble := func(seen upstreamtest.Seen, writer io.Writer) bool {
+		trouble := func(seen upstreamtest.Request, writer io.Writer) bool {
 			house.front.Leave(house.clock.Now())
 			house.server.Config.SetKeepAlivesEnabled(false)
 			go func() { _ = house.server.Config.Shutdown(context.Background()) }()
 			house.spec(2, strings.ReplaceAll(document, path[:len(path)-1], "/other/"))
-			return upstreamtest.Events("s", 1, 5, true)(seen, writer)
+			return upstreamtest.EventStream("s", 1, 5, true)(seen, writer)
 		}
 		house = newHouse(t, 10, upstreamtest.Start(t, trouble))
 		if got := house.ask(path, "x"); got.status != http.StatusOK || got.err != nil || got.body != events(1, 5) || !got.closing {
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -35,7 +35,7 @@
 	house, _, two := pair(t, 10, upstreamtest.Raw(sealedHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
 		upstreamtest.Raw(sealedHead+"Content-Length: 18\r\n\r\ndata: a\n\ndata: b\n\n", true))
 	if got := house.ask("/again/x", "x"); got.err == nil || strings.Count(got.body, "data: a") > 1 {
-		t.Fatalf("%+v after %d further runs", got, len(two.Seen()))
+		t.Fatalf("%+v after %d further runs", got, len(two.Requests()))
 	}
 }
 
@@ -51,11 +51,11 @@
 // HTTP/1.0, to whom the connection's end is the stream's: it must be a reset.
 func TestBrokenStreamToAnOldClient(t *testing.T) {
 	text := "POST /stream/x HTTP/1.0\r\n" + hostLine + badLine + "Content-Length: 1\r\n\r\nx"
-	whole := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.Events("s", 1, 2, true)))
+	whole := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, true)))
 	if got, err := whole.raw(text); err != nil || !strings.HasSuffix(got, events(1, 2)) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	broken := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.Events("s", 1, 2, false)))
+	broken := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)))
 	if got, err := broken.raw(text); err == nil {
 		t.Fatalf("looks whole: %q", got)
 	}
@@ -92,7 +92,7 @@
 		}
 		_, _ = io.Copy(io.Discard, answer.Body)
 	}
-	for _, seen := range runner.Seen() {
+	for _, seen := range runner.Requests() {
 		if seen.Header.Get("Expect") != "" {
 			t.Errorf("%+v", seen)
 		}
@@ -103,7 +103,7 @@
 // what stands in the body is no request, and the one behind it is answered.
 func TestUnreadBodyIsNotARequest(t *testing.T) {
 	for _, expects := range []string{"", "Expect: 100-continue\r\n"} {
-		runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 		link := newHouse(t, 10, runner).dial()
 		reader := bufio.NewReader(link)
 		_, _ = io.WriteString(link, "POST /nowhere HTTP/1.1\r\n"+hostLine+badLine+expects+fmt.Sprintf("Content-Length: %d\r\n\r\n", len(inner)))
@@ -119,8 +119,8 @@
 			continue
 		}
 		answer, err = http.ReadResponse(reader, nil)
-		if err != nil || answer.StatusCode != 200 || arrivals(runner) != 1 || runner.Seen()[0].Attempt != "good" {
-			t.Fatalf("%+v, %v, %+v", answer, err, runner.Seen())
+		if err != nil || answer.StatusCode != 200 || arrivals(runner) != 1 || runner.Requests()[0].AttemptID != "good" {
+			t.Fatalf("%+v, %v, %+v", answer, err, runner.Requests())
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		status int
 	}{{good, 200}, {fmt.Sprintf(chunks, ""), 503}, {fmt.Sprintf(chunks, "Content-Length: 5\r\n"), 503}}
 	for _, example := range cases {
-		runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 		link := newHouse(t, 10, runner).dial()
 		_, _ = io.WriteString(link, good+example.second+good)
 		reader := bufio.NewReader(link)
--- a/data/proxy/front.go
+++ b/data/proxy/front.go
@@ -25,10 +25,10 @@
 type Options struct {
 	Scope  scope.Scope
 	Frame  *snapshot.Frame
-	Gate   *balancer.Gate
-	Board  *runnerstats.Board
-	Warmth *slowstart.Warmth
-	Sender *upstream.Sender
+	Gate   *balancer.Balancer
+	Board  *runnerstats.Collector
+	Warmth *slowstart.Tracker
+	Sender *upstream.Client
 	// Metrics and Monitor may be left out.
 	Metrics *telemetry.Metrics
 	Monitor *invariant.Monitor
@@ -113,7 +113,7 @@
 	seen    *snapshot.Snapshot
 	route   *config.Route
 	sent    *upstream.Request
-	asking  balancer.Asking
+	asking  balancer.Request
 	// begun says that the head of an answer is with the visitor, refused that one
 	// of our own is, last is the id
 	// of the last event passed on, gone that the visitor takes no more.
@@ -142,7 +142,7 @@
 		v.abort()
 	}
 	if kind.Response().NotRun && v.mayHaveRun() {
-		v.front.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", v.sent.Attempt, kind, v.sends)
+		v.front.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", v.sent.AttemptID, kind, v.sends)
 	}
 	v.outcome, v.reason = kind.String(), detail
 	made := response.FromKind(kind, detail)
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -42,7 +42,7 @@
 	clock  *clock.Fake
 	frame  *snapshot.Frame
 	news   *gossip.Store
-	board  *runnerstats.Board
+	board  *runnerstats.Collector
 	front  *Front
 	server *httptest.Server
 	log    *bytes.Buffer
@@ -59,20 +59,20 @@
 func newHouseOn(t testing.TB, settings *settings.Settings, extra float64, runners ...*upstreamtest.Runner) *house {
 	t.Helper()
 	machine := clock.NewFake()
-	made := &house{t: t, clock: machine, board: runnerstats.NewBoard(), log: &bytes.Buffer{}}
+	made := &house{t: t, clock: machine, board: runnerstats.New(), log: &bytes.Buffer{}}
 	top := scope.New(scope.Options{Clock: machine, Settings: settings, Log: scope.NewLogger("warn", made.log)})
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
 	made.news = gossip.NewStore(made.frame.Absorb)
 	one := func() int { return 1 }
 	cold := slowstart.New(func() float64 { return 0 })
-	gate := balancer.NewGate(balancer.Options{
-		Scope: top, Frame: made.frame, Board: made.board, Warmth: cold, Region: "north", Routers: one,
-		Sharers: func(ids.Zone) int { return 1 },
-		Chance:  func() float64 { return 0 },
-		Budget:  retrybudget.New(retrybudget.Options{Ratio: 0, Extra: extra, Window: 10 * clock.Second, Sharers: one}),
+	gate := balancer.New(balancer.Options{
+		Scope: top, Snapshots: made.frame, Stats: made.board, SlowStart: cold, Region: "north", RouterCount: one,
+		SlowStartSharers: func(ids.Zone) int { return 1 },
+		Random:           func() float64 { return 0 },
+		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: extra, Window: 10 * clock.Second, Routers: one}),
 	})
-	sender := upstream.NewSender(upstream.Options{
-		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, Idle: 60 * clock.Second, PerHost: 4,
+	sender := upstream.NewClient(upstream.Options{
+		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
 	made.front = NewFront(Options{Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: cold, Sender: sender})
 	made.server = httptest.NewUnstartedServer(made.front)
@@ -145,7 +145,7 @@
 func arrivals(runners ...*upstreamtest.Runner) int {
 	count := 0
 	for _, runner := range runners {
-		count += len(runner.Seen())
+		count += len(runner.Requests())
 	}
 	return count
 }
--- a/data/proxy/hostile_test.go
+++ b/data/proxy/hostile_test.go
@@ -67,7 +67,7 @@
 // TestHostileRequests sends each bad request, alone and with a good one right
 // behind it, and a good one after it: none but the good ones reach the runner.
 func TestHostileRequests(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.spec(2, strings.Replace(document, `"idle_ms":15000`, `"idle_ms":2000`, 1))
 	for _, example := range hostile {
@@ -90,7 +90,7 @@
 		}
 	}
 	if got := house.ask("/once/x", "x"); got.status != 200 || arrivals(runner) != 1 {
-		t.Fatalf("%+v after %d arrivals: %+v", got, arrivals(runner), runner.Seen())
+		t.Fatalf("%+v after %d arrivals: %+v", got, arrivals(runner), runner.Requests())
 	}
 }
 
@@ -105,7 +105,7 @@
 		{"a head named by Connection", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Connection: Content-Length, Onyxwell-Attempt-Id\r\nContent-Length: 2\r\n\r\nab", "ab"},
 	}
 	for _, example := range cases {
-		runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 		link := newHouse(t, 10, runner).dial()
 		reader := bufio.NewReader(link)
 		for index, text := range []string{example.text, good} {
@@ -116,8 +116,8 @@
 			}
 			_, _ = io.Copy(io.Discard, answer.Body)
 		}
-		seen := runner.Seen()
-		if len(seen) != 2 || seen[0].Body != example.body || seen[0].Attempt != "bad" || seen[1].Body != "ok" || seen[1].Attempt != "good" {
+		seen := runner.Requests()
+		if len(seen) != 2 || seen[0].Body != example.body || seen[0].AttemptID != "bad" || seen[1].Body != "ok" || seen[1].AttemptID != "good" {
 			t.Errorf("%s: %+v", example.name, seen)
 		}
 	}
@@ -125,7 +125,7 @@
 
 // TestEndlessHeadIsRefused writes a head until the router has enough.
 func TestEndlessHeadIsRefused(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	link := newHouse(t, 10, runner).dial()
 	go func() {
 		_, err := io.WriteString(link, "GET /once/x HTTP/1.1\r\n"+hostLine+badLine)
--- a/data/proxy/leave_test.go
+++ b/data/proxy/leave_test.go
@@ -65,7 +65,7 @@
 // reaches no runner.
 func TestRequestThatCrossesTheCloseIsNotPassedOn(t *testing.T) {
 	link := crossed{bytes: "/once/second", over: make(chan struct{}), once: &sync.Once{}}
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"), upstreamtest.After(link.end, upstreamtest.Plain(200, "s", "x")))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"), upstreamtest.Before(link.end, upstreamtest.Respond(200, "s", "x")))
 	house := newHouse(t, 0, runner)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/data/proxy/limits_test.go
+++ b/data/proxy/limits_test.go
@@ -46,7 +46,7 @@
 // TestLimitsOfANewVersionBind has a configuration with longer limits come into
 // force after the server was made: heads and rests get the time that it allows.
 func TestLimitsOfANewVersionBind(t *testing.T) {
-	house := newHouse(t, 0, upstreamtest.Start(t, upstreamtest.Plain(200, "s", "ok")))
+	house := newHouse(t, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
 	house.spec(2, limitsDocument(1000, 1500))
 	set := make(chan time.Duration, 64)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +85,7 @@
 // TestBodiesAreBoundedTogether has clients hold back the ends of bodies that are
 // each inside the limits and together more than the router's memory.
 func TestBodiesAreBoundedTogether(t *testing.T) {
-	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Plain(200, "s", "ok")))
+	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
 	house.spec(2, strings.Replace(document, `"max_body_bytes":100`, `"max_body_bytes":4194304`, 1))
 	const size, clients = 1 << 20, 24
 	answers := make(chan string, clients)
@@ -120,7 +120,7 @@
 // is left: they go to their clients whole, without being held first.
 func TestAnswerBeyondTheMemoryIsPassedOn(t *testing.T) {
 	text := strings.Repeat("y", 200<<10)
-	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Plain(200, "s", text), upstreamtest.Plain(200, "s", text)))
+	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", text), upstreamtest.Respond(200, "s", text)))
 	full := house.front.bodies.NewBody()
 	defer full.Release()
 	if err := full.Read(strings.NewReader(strings.Repeat("z", 1500<<10)), 1500<<10, 1500<<10); err != nil {
--- a/data/proxy/pass.go
+++ b/data/proxy/pass.go
@@ -17,7 +17,7 @@
 
 // pass takes a runner's answer to the visitor. It gives the fate of the run
 // and whether the visit is over.
-func (v *visit) pass(ctx scope.Scope, runner *snapshot.Runner, response *http.Response) (upstream.Fate, bool) {
+func (v *visit) pass(ctx scope.Scope, runner *snapshot.Runner, response *http.Response) (upstream.Outcome, bool) {
 	defer response.Body.Close()
 	if v.route.Type == config.Streaming && response.StatusCode == http.StatusOK {
 		return v.passEvents(response)
@@ -38,7 +38,7 @@
 		return v.passUnheld(response, body, source)
 	}
 	if err != nil {
-		return upstream.Doubtful, false
+		return upstream.Indeterminate, false
 	}
 	if int64(len(body.Bytes)) == most {
 		return upstream.Garbled, false
@@ -50,7 +50,7 @@
 
 // passUnheld passes on as it comes what the memory has no room for: after a
 // break it cannot be asked for again, and looks broken.
-func (v *visit) passUnheld(response *http.Response, body *memquota.Body, rest *io.LimitedReader) (upstream.Fate, bool) {
+func (v *visit) passUnheld(response *http.Response, body *memquota.Body, rest *io.LimitedReader) (upstream.Outcome, bool) {
 	v.begin(response, max(unknown, response.ContentLength))
 	_, err := v.writer.Write(body.Bytes)
 	body.Release()
@@ -59,7 +59,7 @@
 	}
 	source := &read{from: rest}
 	if _, err = io.Copy(v.writer, source); source.err != nil {
-		return upstream.Doubtful, false
+		return upstream.Indeterminate, false
 	}
 	if rest.N <= 0 {
 		return upstream.Garbled, false
@@ -92,10 +92,10 @@
 }
 
 // took notes whether the visitor took the last bytes.
-func (v *visit) took(err error) (upstream.Fate, bool) {
+func (v *visit) took(err error) (upstream.Outcome, bool) {
 	if err != nil {
 		v.gone = true
-		return upstream.Doubtful, true
+		return upstream.Indeterminate, true
 	}
 	v.outcome = outcomeAnswered
 	if v.status >= http.StatusInternalServerError {
@@ -107,16 +107,16 @@
 // begin writes the head. Asked for a head alone, a runner's length is that of the
 // body that it doesn't send.
 func (v *visit) begin(response *http.Response, length int64) {
-	told, sealed := response.Header.Get(upstream.AttemptHeader), response.Header.Get(upstream.SealHeader) != ""
-	if told != v.sent.Attempt || (response.StatusCode/100 == 2 && !sealed) {
-		v.front.options.Monitor.Violated(invariant.AnswerSeal, "attempt %s gets an answer of %q, status %d, sealed %v", v.sent.Attempt, told, response.StatusCode, sealed)
+	told, sealed := response.Header.Get(upstream.AttemptIDHeader), response.Header.Get(upstream.SealHeader) != ""
+	if told != v.sent.AttemptID || (response.StatusCode/100 == 2 && !sealed) {
+		v.front.options.Monitor.Violated(invariant.AnswerSeal, "attempt %s gets an answer of %q, status %d, sealed %v", v.sent.AttemptID, told, response.StatusCode, sealed)
 	}
 	v.status = response.StatusCode
 	v.beginHead(response, length)
 }
 
 func (v *visit) beginHead(resp *http.Response, length int64) {
-	header := upstream.PassedOn(resp.Header)
+	header := upstream.EndToEndHeader(resp.Header)
 	told := header["Content-Length"]
 	delete(header, "Content-Length")
 	if v.request.Method == http.MethodHead {
@@ -152,12 +152,12 @@
 
 // passEvents passes whole events on as they come. Where the runner breaks off,
 // the visit goes on after the last event that was passed.
-func (v *visit) passEvents(response *http.Response) (upstream.Fate, bool) {
+func (v *visit) passEvents(response *http.Response) (upstream.Outcome, bool) {
 	after := ""
 	if v.known {
-		after = response.Request.Header.Get(upstream.LastEventField)
+		after = response.Request.Header.Get(upstream.LastEventIDHeader)
 	}
-	events := upstream.NewEvents(response.Body, after)
+	events := upstream.NewEventReader(response.Body, after)
 	flusher := http.NewResponseController(v.writer)
 	for {
 		event, err := events.Next()
@@ -177,15 +177,15 @@
 		if wrote != nil {
 			return v.took(wrote)
 		}
-		if v.known && events.Known && events.Last != v.last && events.Last != v.last+1 {
-			v.front.options.Monitor.Violated(invariant.EventOrder, "attempt %s gets event %d after %d", v.sent.Attempt, events.Last, v.last)
+		if v.known && events.HasLastID && events.LastID != v.last && events.LastID != v.last+1 {
+			v.front.options.Monitor.Violated(invariant.EventOrder, "attempt %s gets event %d after %d", v.sent.AttemptID, events.LastID, v.last)
 		}
-		v.last, v.known = events.Last, events.Known
+		v.last, v.known = events.LastID, events.HasLastID
 	}
 }
 
 // endEvents ends a stream that came whole.
-func (v *visit) endEvents(response *http.Response, rest []byte) (upstream.Fate, bool) {
+func (v *visit) endEvents(response *http.Response, rest []byte) (upstream.Outcome, bool) {
 	if !v.begun {
 		v.begin(response, v.lengthOf(response))
 	}
@@ -193,9 +193,9 @@
 	return v.took(err)
 }
 
-func fateOf(err error) upstream.Fate {
-	if errors.Is(err, upstream.ErrOrder) {
+func fateOf(err error) upstream.Outcome {
+	if errors.Is(err, upstream.ErrEventOrder) {
 		return upstream.Garbled
 	}
-	return upstream.Doubtful
+	return upstream.Indeterminate
 }
--- a/data/proxy/planted_test.go
+++ b/data/proxy/planted_test.go
@@ -23,9 +23,9 @@
 // from, and wants each counted.
 func TestInvariantsCountPlantedViolations(t *testing.T) {
 	runner := &snapshot.Runner{Runner: discovery.Runner{ID: "i"}, Region: "north"}
-	ran := []sending{{runner: "i", fate: upstream.Doubtful}}
+	ran := []sending{{runner: "i", fate: upstream.Indeterminate}}
 	stamped := func(attempt string, seal string) *http.Response {
-		return &http.Response{StatusCode: 200, Header: http.Header{upstream.AttemptHeader: {attempt}, upstream.SealHeader: {seal}}}
+		return &http.Response{StatusCode: 200, Header: http.Header{upstream.AttemptIDHeader: {attempt}, upstream.SealHeader: {seal}}}
 	}
 	// A run that goes on, though it was asked for its beginning.
 	events := func(first int) *http.Response {
@@ -60,7 +60,7 @@
 		front := NewFront(Options{Scope: scope.New(scope.Options{Clock: clock.NewFake()}), Monitor: monitor})
 		planted := &visit{
 			front: front, writer: httptest.NewRecorder(), request: httptest.NewRequest("GET", "/", nil),
-			route: &example.route, sent: &upstream.Request{Attempt: "a"}, sends: example.sends,
+			route: &example.route, sent: &upstream.Request{AttemptID: "a"}, sends: example.sends,
 		}
 		example.act(planted)
 		if got := monitor.Count(example.name); got != example.broken {
--- a/data/proxy/read.go
+++ b/data/proxy/read.go
@@ -37,8 +37,8 @@
 	if v.front.leaving.Load() && v.since > clock.Instant(v.front.last.Load()) {
 		return errkind.Errorf(errkind.Draining, "")
 	}
-	if told := v.request.Header[upstream.AttemptHeader]; len(told) != 1 || told[0] == "" {
-		return errkind.Errorf(errkind.BadRequest, "there must be one "+upstream.AttemptHeader)
+	if told := v.request.Header[upstream.AttemptIDHeader]; len(told) != 1 || told[0] == "" {
+		return errkind.Errorf(errkind.BadRequest, "there must be one "+upstream.AttemptIDHeader)
 	}
 	body, err := v.body(limits)
 	if err != nil {
@@ -46,15 +46,15 @@
 	}
 	v.sent = &upstream.Request{
 		Method: v.request.Method, Target: v.request.RequestURI, Host: v.request.Host,
-		Header: upstream.PassedOn(v.request.Header), Body: body,
-		Attempt: v.request.Header.Get(upstream.AttemptHeader),
+		Header: upstream.EndToEndHeader(v.request.Header), Body: body,
+		AttemptID: v.request.Header.Get(upstream.AttemptIDHeader),
 	}
 	v.time()
-	v.asking = balancer.Asking{Route: v.route, Since: v.since, Limit: v.limit}
-	v.asking.Bytes = len(body)
-	v.asking.Prompt(v.request.Header.Get(upstream.PrefixHeader))
-	v.asking.Counted(v.request.Header.Get(upstream.CountHeader))
-	if after := v.request.Header.Get(upstream.LastEventField); after != "" {
+	v.asking = balancer.Request{Route: v.route, ArrivedAt: v.since, Deadline: v.limit}
+	v.asking.BodyBytes = len(body)
+	v.asking.ParsePromptParts(v.request.Header.Get(upstream.PromptPrefixHeader))
+	v.asking.ParseTokenCount(v.request.Header.Get(upstream.TokenCountHeader))
+	if after := v.request.Header.Get(upstream.LastEventIDHeader); after != "" {
 		v.last, err = strconv.ParseInt(after, 10, 64)
 		v.known = err == nil
 	}
@@ -95,7 +95,7 @@
 // time works out until when the request may take.
 func (v *visit) time() {
 	span := settings.Milliseconds(v.route.TimeoutMS)
-	if left, err := strconv.ParseFloat(v.request.Header.Get(upstream.LeftHeader), 64); err == nil && left > 0 {
+	if left, err := strconv.ParseFloat(v.request.Header.Get(upstream.TimeLeftHeader), 64); err == nil && left > 0 {
 		v.clientLeft = settings.Milliseconds(left)
 		span = min(span, v.clientLeft)
 	}
--- a/data/proxy/record.go
+++ b/data/proxy/record.go
@@ -36,8 +36,8 @@
 // came of each sending.
 func (v *visit) log(outcome string, route string, spent clock.Span, suppressed int64) {
 	entry := v.front.options.Scope.Log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
-		Str("attempt", v.request.Header.Get(upstream.AttemptHeader)).
-		Dur("spent", spent).Int("body_bytes", v.asking.Bytes).Int64("running", v.front.Running()).Int64("suppressed", suppressed)
+		Str("attempt", v.request.Header.Get(upstream.AttemptIDHeader)).
+		Dur("spent", spent).Int("body_bytes", v.asking.BodyBytes).Int64("running", v.front.Running()).Int64("suppressed", suppressed)
 	if v.reason != "" {
 		entry = entry.Str("reason", v.reason)
 	}
--- a/data/proxy/record_test.go
+++ b/data/proxy/record_test.go
@@ -24,7 +24,7 @@
 			[]string{`"outcome":"no-runner"`, `"reason":"left out: away 1"`}},
 	}
 	for _, example := range cases {
-		house := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.Hangup()))
+		house := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.HangUp()))
 		house.ask(example.path, "", example.heads...)
 		house.server.Close()
 		for _, want := range example.want {
--- a/data/proxy/slow_test.go
+++ b/data/proxy/slow_test.go
@@ -14,7 +14,7 @@
 // TestBodyThatNeverComesIsTooSlow sends a head and no body: the visitor is told
 // so once the spec's time is over, and no runner hears of it.
 func TestBodyThatNeverComesIsTooSlow(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	house.spec(2, strings.Replace(document, `"idle_ms":15000`, `"idle_ms":1`, 1))
 	link, err := net.Dial("tcp", house.server.Listener.Addr().String())
@@ -35,7 +35,7 @@
 
 // TestCutBodyReachesNobody breaks off in the middle of a body.
 func TestCutBodyReachesNobody(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Plain(200, "s", "x"))
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	house := newHouse(t, 10, runner)
 	link, err := net.Dial("tcp", house.server.Listener.Addr().String())
 	if err != nil {
--- a/data/proxy/stream_test.go
+++ b/data/proxy/stream_test.go
@@ -17,7 +17,7 @@
 		made.listed[1].Draining = false
 		made.list()
 	}
-	one := upstreamtest.Start(t, upstreamtest.After(open, first))
+	one := upstreamtest.Start(t, upstreamtest.Before(open, first))
 	two := upstreamtest.Start(t, second)
 	made = newHouse(t, extra, one, two)
 	made.listed[1].Draining = true
@@ -34,7 +34,7 @@
 }
 
 func TestStreamIsPassedOn(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Events("seal", 1, 5, true))
+	runner := upstreamtest.Start(t, upstreamtest.EventStream("seal", 1, 5, true))
 	got := newHouse(t, 10, runner).ask("/stream/x", "x")
 	if got.status != 200 || got.err != nil || got.body != events(1, 5) || got.header.Get("Onyxwell-Server-Seal") != "seal" {
 		t.Fatalf("%+v", got)
@@ -44,12 +44,12 @@
 // TestBrokenStreamGoesOn has one runner break off after three events: another
 // goes on after the third, under the first one's head.
 func TestBrokenStreamGoesOn(t *testing.T) {
-	house, _, second := pair(t, 10, upstreamtest.Events("seal-1", 1, 3, false), upstreamtest.Events("seal-2", 4, 6, true))
+	house, _, second := pair(t, 10, upstreamtest.EventStream("seal-1", 1, 3, false), upstreamtest.EventStream("seal-2", 4, 6, true))
 	got := house.ask("/again/x", "x")
 	if got.err != nil || got.body != events(1, 6) || got.header.Get("Onyxwell-Server-Seal") != "seal-1" {
 		t.Fatalf("%+v", got)
 	}
-	if after := second.Seen()[0].Header.Get("Last-Event-Id"); after != "3" {
+	if after := second.Requests()[0].Header.Get("Last-Event-Id"); after != "3" {
 		t.Fatalf("the second run was asked to go on after %q", after)
 	}
 }
@@ -62,11 +62,11 @@
 		path          string
 		first, second upstreamtest.Step
 	}{
-		{"not resumable", "/stream/x", upstreamtest.Events("s", 1, 3, false), upstreamtest.Events("s", 4, 6, true)},
-		{"a gap", "/stream/x", upstreamtest.Raw(gapped, true), upstreamtest.Events("s", 2, 6, true)},
-		{"a reset where nothing tells the length", "/stream/x", upstreamtest.Reset(sealedHead + "\r\n" + events(1, 3)), upstreamtest.Events("s", 4, 6, true)},
-		{"an end inside an event", "/stream/x", upstreamtest.Raw(sealedHead+"\r\n"+events(1, 2)+"id: 3\n", false), upstreamtest.Events("s", 3, 6, true)},
-		{"goes on wrongly", "/again/x", upstreamtest.Events("s", 1, 3, false), upstreamtest.Events("s", 1, 6, true)},
+		{"not resumable", "/stream/x", upstreamtest.EventStream("s", 1, 3, false), upstreamtest.EventStream("s", 4, 6, true)},
+		{"a gap", "/stream/x", upstreamtest.Raw(gapped, true), upstreamtest.EventStream("s", 2, 6, true)},
+		{"a reset where nothing tells the length", "/stream/x", upstreamtest.Reset(sealedHead + "\r\n" + events(1, 3)), upstreamtest.EventStream("s", 4, 6, true)},
+		{"an end inside an event", "/stream/x", upstreamtest.Raw(sealedHead+"\r\n"+events(1, 2)+"id: 3\n", false), upstreamtest.EventStream("s", 3, 6, true)},
+		{"goes on wrongly", "/again/x", upstreamtest.EventStream("s", 1, 3, false), upstreamtest.EventStream("s", 1, 6, true)},
 	}
 	for _, example := range cases {
 		house, _, _ := pair(t, 10, example.first, example.second)
@@ -84,9 +84,9 @@
 	"15\r\nid: 1\ndata: token 1\n\n\r\n15\r\nid: 3\ndata: token 3\n\n\r\n0\r\n\r\n"
 
 func TestVisitorsResumedStream(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Events("s", 8, 9, true))
+	runner := upstreamtest.Start(t, upstreamtest.EventStream("s", 8, 9, true))
 	got := newHouse(t, 10, runner).ask("/again/x", "x", "Last-Event-Id", "7")
-	if got.err != nil || got.body != events(8, 9) || runner.Seen()[0].Header.Get("Last-Event-Id") != "7" {
+	if got.err != nil || got.body != events(8, 9) || runner.Requests()[0].Header.Get("Last-Event-Id") != "7" {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/data/proxy/trace.go
+++ b/data/proxy/trace.go
@@ -11,14 +11,14 @@
 // sending is one sending of a request, as it is told afterwards.
 type sending struct {
 	runner ids.RunnerID
-	fate   upstream.Fate
+	fate   upstream.Outcome
 	cause  string
 	spent  clock.Span
 }
 
 // mayHaveRun tells whether the runner may have begun to work.
 func (s sending) mayHaveRun() bool {
-	return s.fate != upstream.Unsent && s.fate != upstream.Refused
+	return s.fate != upstream.Unsent && s.fate != upstream.Rejected
 }
 
 // arrived tells whether the runner counts it as an arrival.
@@ -61,21 +61,21 @@
 		}
 	}
 	if !route.Idempotent() && v.mayHaveRun() {
-		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", v.sent.Attempt, route.Name, runner.ID, v.sends)
+		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", v.sent.AttemptID, route.Name, runner.ID, v.sends)
 	}
 	if arrivals >= max(1, route.MaxAttempts) {
-		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", v.sent.Attempt, route.Name, runner.ID, arrivals, route.MaxAttempts)
+		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", v.sent.AttemptID, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
 	if !route.AllowsRegion(runner.Region) {
-		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", v.sent.Attempt, route.Name, runner.ID, runner.Region)
+		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", v.sent.AttemptID, route.Name, runner.ID, runner.Region)
 	}
 	if told := v.clientLeft; told > 0 && now.Add(left).Since(v.since) > told {
-		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", v.sent.Attempt, left, told)
+		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", v.sent.AttemptID, left, told)
 	}
 }
 
 // sentTo notes what came of a sending, and counts it.
-func (v *visit) sentTo(runner *snapshot.Runner, fate upstream.Fate, cause string, spent clock.Span) {
+func (v *visit) sentTo(runner *snapshot.Runner, fate upstream.Outcome, cause string, spent clock.Span) {
 	v.sends = append(v.sends, sending{runner: runner.ID, fate: fate, cause: cause, spent: spent})
 	v.front.options.Metrics.Send(fate.String(), cause)
 }
--- a/data/router/doubt.go
+++ b/data/router/doubt.go
@@ -34,8 +34,8 @@
 func (c *condition) Hear(heard httpcall.RawResponse) error {
 	full := heard.Status == http.StatusServiceUnavailable && heard.Header.Get(response.NotRunHeader) != ""
 	c.ill = heard.Status != http.StatusOK && !full
-	c.id = ids.RunnerID(heard.Header.Get(upstream.RunnerHeader))
-	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.ColdHeader), 64); err == nil {
+	c.id = ids.RunnerID(heard.Header.Get(upstream.RunnerIDHeader))
+	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.WarmupHeader), 64); err == nil {
 		c.cold = settings.Milliseconds(left)
 	}
 	return nil
@@ -53,7 +53,7 @@
 	for ctx.Wait(r.pace.ConnectTimeout / looksAtDoubt) {
 		now := ctx.Now()
 		r.testLost(ctx, client)
-		for _, id := range r.board.Due(now, r.pace.ConnectTimeout/4) {
+		for _, id := range r.board.DueProbes(now, r.pace.ConnectTimeout/4) {
 			go r.test(ctx, client, id)
 		}
 		if r.reaches(now) {
@@ -79,21 +79,21 @@
 	seen := r.frame.Now()
 	runner := seen.Find(id)
 	if runner == nil || seen.Spec == nil || seen.Spec.Service(runner.Service) == nil {
-		r.board.Drop(id)
+		r.board.Unlist(id)
 		return
 	}
 	told, err := r.ask(ctx, client, seen, runner)
 	if err != nil || (told.id != "" && told.id != id) {
 		return
 	}
-	if told.ill && (told.id != id || !r.board.SaysIll(id)) {
+	if told.ill && (told.id != id || !r.board.RecordUnhealthy(id)) {
 		return
 	}
 	now := ctx.Now()
 	if told.cold > 0 {
-		r.warmth.Chill(id, now.Add(told.cold), now)
+		r.warmth.Extend(id, now.Add(told.cold), now)
 	}
-	r.board.Vouch(id, now)
+	r.board.ClearSuspicion(id, now)
 }
 
 // reaches tells whether every service that has routes has a runner that can be
@@ -119,7 +119,7 @@
 
 func (r *Router) reachesOne(seen *snapshot.Snapshot, service ids.Service, now clock.Instant) bool {
 	for _, runner := range seen.Runners[service] {
-		if seen.Open(runner) && !r.lost.has(runner.Zone) && !r.board.Look(runner.ID).Doubted && r.board.Silence(runner.ID, now) < r.pace.ConnectTimeout {
+		if seen.Open(runner) && !r.lost.has(runner.Zone) && !r.board.State(runner.ID).Suspect && r.board.SilentFor(runner.ID, now) < r.pace.ConnectTimeout {
 			return true
 		}
 	}
--- a/data/router/doubt_test.go
+++ b/data/router/doubt_test.go
@@ -26,7 +26,7 @@
 func newRouter(t *testing.T, runners ...discovery.Runner) (*Router, *clock.Fake) {
 	t.Helper()
 	machine := clock.NewFake()
-	r := &Router{board: runnerstats.NewBoard(), warmth: slowstart.New(chance), pace: daemon.Timing{ConnectTimeout: clock.Second}}
+	r := &Router{board: runnerstats.New(), warmth: slowstart.New(chance), pace: daemon.Timing{ConnectTimeout: clock.Second}}
 	r.common = &daemon.Daemon{Membership: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
 	r.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
 	r.frame.Absorb(gossip.Item{Key: "spec", Version: 1, Body: []byte(document)})
@@ -43,17 +43,17 @@
 	if !r.reaches(machine.Now()) {
 		t.Fatal("a service without routes counts, or a ready runner does not")
 	}
-	r.board.Doubt("one", machine.Now())
+	r.board.Suspect("one", machine.Now())
 	if r.reaches(machine.Now()) {
 		t.Fatal("a doubted and a draining runner are reach enough")
 	}
-	r.board.Vouch("one", machine.Now())
+	r.board.ClearSuspicion("one", machine.Now())
 	r.lost.update(map[ids.Zone]bool{"n": true}, machine.Now())
 	if r.reaches(machine.Now()) {
 		t.Fatal("a runner of a lost zone is reach enough")
 	}
 	r.lost.found("n")
-	r.board.Sent("one", runnerstats.Sending{Service: "s", Number: 1, Tokens: 0}, machine.Now())
+	r.board.RequestSent("one", runnerstats.SentRequest{Service: "s", Number: 1, Tokens: 0}, machine.Now())
 	machine.Advance(2 * clock.Second)
 	if r.reaches(machine.Now()) {
 		t.Fatal("a silent runner is reach enough")
@@ -86,19 +86,19 @@
 		}))
 		address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
 		r, machine := newRouter(t, discovery.Runner{ID: "i", Service: "s", Zone: "n", Address: address})
-		r.warmth.List([]slowstart.Entry{{ID: "i"}}, 0, machine.Now())
-		r.board.Doubt("i", machine.Now())
+		r.warmth.Update([]slowstart.Runner{{ID: "i"}}, 0, machine.Now())
+		r.board.Suspect("i", machine.Now())
 		client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
 		r.test(scope.New(scope.Options{Clock: machine}), client, "i")
-		if well := !r.board.Look("i").Doubted; well != example.well || r.warmth.Cold("i", machine.Now()) != example.cold {
-			t.Errorf("%s: well %v, cold %v", example.name, well, r.warmth.Cold("i", machine.Now()))
+		if well := !r.board.State("i").Suspect; well != example.well || r.warmth.Active("i", machine.Now()) != example.cold {
+			t.Errorf("%s: well %v, cold %v", example.name, well, r.warmth.Active("i", machine.Now()))
 		}
 		server.Close()
 	}
 	r, machine := newRouter(t)
-	r.board.Doubt("gone", machine.Now())
+	r.board.Suspect("gone", machine.Now())
 	r.test(scope.New(scope.Options{Clock: machine}), http.DefaultClient, "gone")
-	if len(r.board.Due(machine.Now(), clock.Second)) != 0 {
+	if len(r.board.DueProbes(machine.Now(), clock.Second)) != 0 {
 		t.Error("a runner that is listed no more is tested for ever")
 	}
 }
--- a/data/router/lost.go
+++ b/data/router/lost.go
@@ -132,7 +132,7 @@
 	now := ctx.Now()
 	for _, mate := range seen.Runners[runner.Service] {
 		if mate.Zone == runner.Zone && told.cold > 0 {
-			r.warmth.Chill(mate.ID, now.Add(told.cold), now)
+			r.warmth.Extend(mate.ID, now.Add(told.cold), now)
 		}
 	}
 	r.lost.found(runner.Zone)
--- a/data/router/lost_test.go
+++ b/data/router/lost_test.go
@@ -40,7 +40,7 @@
 		discovery.Runner{ID: "near", Service: "s", Zone: "n", Address: address},
 		discovery.Runner{ID: "far", Service: "s", Zone: "s", Address: address},
 		discovery.Runner{ID: "mate", Service: "s", Zone: "s", Address: address})
-	r.warmth.List([]slowstart.Entry{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
+	r.warmth.Update([]slowstart.Runner{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
 	top := scope.New(scope.Options{Clock: machine})
 	test := func() {
@@ -65,7 +65,7 @@
 		t.Fatal("a zone whose runners answer is left alone for ever")
 	}
 	for id, want := range map[ids.RunnerID]bool{"far": true, "mate": true, "near": false} {
-		if cold := r.warmth.Cold(id, machine.Now()); cold != want {
+		if cold := r.warmth.Active(id, machine.Now()); cold != want {
 			t.Errorf("%s: cold %v", id, cold)
 		}
 	}
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -41,8 +41,8 @@
 	common *daemon.Daemon
 	pace   daemon.Timing
 	frame  *snapshot.Frame
-	board  *runnerstats.Board
-	warmth *slowstart.Warmth
+	board  *runnerstats.Collector
+	warmth *slowstart.Tracker
 	lost   lostZones
 	gate   *readindex.Gate
 	front  *proxy.Front
@@ -75,7 +75,7 @@
 // New puts a router together.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
-	r := &Router{pace: daemon.TimingOf(top.Settings), board: runnerstats.NewBoard(), warmth: slowstart.New(chance)}
+	r := &Router{pace: daemon.TimingOf(top.Settings), board: runnerstats.New(), warmth: slowstart.New(chance)}
 	view := daemon.NewView(top)
 	r.frame = snapshot.NewFrame(snapshot.Options{
 		Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region, View: view, Listed: r.listed(top), Monitor: monitor,
@@ -86,13 +86,13 @@
 		return nil, err
 	}
 	tries := retrybudget.New(r.budget(top))
-	gate := balancer.NewGate(balancer.Options{
-		Scope: top, Frame: r.frame, Board: r.board, Budget: tries, Warmth: r.warmth,
-		Region: top.Settings.Region, Sharers: r.common.Zones.Sharers, Routers: r.sharers, Lost: r.lost.has, Chance: chance,
+	gate := balancer.New(balancer.Options{
+		Scope: top, Snapshots: r.frame, Stats: r.board, RetryBudget: tries, SlowStart: r.warmth,
+		Region: top.Settings.Region, SlowStartSharers: r.common.Zones.Sharers, RouterCount: r.sharers, ZoneLost: r.lost.has, Random: chance,
 	})
-	sender := upstream.NewSender(upstream.Options{
+	sender := upstream.NewClient(upstream.Options{
 		Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: r.pace.ConnectTimeout, UserTimeout: r.pace.PeerTimeout},
-		Idle: 8 * r.pace.PeerTimeout, PerHost: top.Settings.Limits.OpenFiles / 64,
+		IdleTimeout: 8 * r.pace.PeerTimeout, MaxIdlePerHost: top.Settings.Limits.OpenFiles / 64,
 	})
 	r.front = proxy.NewFront(proxy.Options{
 		Scope: top, Frame: r.frame, Gate: gate, Board: r.board, Warmth: r.warmth, Sender: sender,
@@ -111,10 +111,10 @@
 func (r *Router) budget(top scope.Scope) retrybudget.Options {
 	bounds := top.Settings.Bounds
 	options := retrybudget.Options{
-		Ratio: bounds.RetryRatio, Extra: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Sharers: r.sharers,
+		Ratio: bounds.RetryRatio, Reserve: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Routers: r.sharers,
 	}
 	if !top.Settings.FirstStart {
-		options.ExtraFrom = top.Now().Add(options.Window)
+		options.ReserveFrom = top.Now().Add(options.Window)
 	}
 	return options
 }
@@ -126,19 +126,19 @@
 func (r *Router) listed(top scope.Scope) func(*snapshot.Snapshot) {
 	lag := settings.Milliseconds(top.Settings.Platform.MaxLagMS)
 	return func(seen *snapshot.Snapshot) {
-		var entries []slowstart.Entry
+		var entries []slowstart.Runner
 		for name, runners := range seen.Runners {
 			warmup := clock.Span(0)
 			if seen.Spec != nil && seen.Spec.Service(name) != nil {
 				warmup = settings.Seconds(seen.Spec.Service(name).WarmupSeconds)
 			}
 			for _, runner := range runners {
-				entries = append(entries, slowstart.Entry{
-					ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.WarmupLeftMS)), Warmup: warmup,
+				entries = append(entries, slowstart.Runner{
+					ID: runner.ID, Remaining: settings.Milliseconds(float64(runner.WarmupLeftMS)), Warmup: warmup,
 				})
 			}
 		}
-		r.warmth.List(entries, lag, top.Now())
+		r.warmth.Update(entries, lag, top.Now())
 	}
 }
 
--- a/data/router/tasks.go
+++ b/data/router/tasks.go
@@ -16,12 +16,12 @@
 func (r *Router) report(ctx scope.Scope) error {
 	last := ctx.Now()
 	for turn := 1; ctx.Wait(reportSpan / looks); turn++ {
-		r.board.Sample()
+		r.board.SampleInFlight()
 		if turn%looks != 0 {
 			continue
 		}
 		now := ctx.Now()
-		asked := r.board.Collect(now, now.Since(last))
+		asked := r.board.TakeReport(now, now.Since(last))
 		asked.From, asked.Region = r.common.Address, ctx.Settings.Region
 		if !ctx.Settings.Grouping {
 			// Only grouping by length needs them.
--- a/data/runnerstats/told.go
+++ b/data/runnerstats/load.go
@@ -8,8 +8,8 @@
 	"onyxwell/base/ids"
 )
 
-// Told notes the load that a runner put in an answer: running, waiting, slots.
-func (b *Board) Told(id ids.RunnerID, text string, now clock.Instant) {
+// ObserveLoad notes the load that a runner put in an answer: running, waiting, slots.
+func (c *Collector) ObserveLoad(id ids.RunnerID, text string, now clock.Instant) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
 		return
@@ -22,7 +22,7 @@
 		}
 		figures[index] = figure
 	}
-	b.with(id, func(ledger *Ledger) {
-		ledger.Load = Load{Running: figures[0], Waiting: figures[1], Slots: figures[2], At: now}
+	c.update(id, func(ledger *State) {
+		ledger.Load = Load{Running: figures[0], Waiting: figures[1], Slots: figures[2], ReportedAt: now}
 	})
 }
--- a/data/slowstart/warmth_test.go
+++ b/data/slowstart/slowstart_test.go
@@ -11,25 +11,25 @@
 
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
-// TestColdRunnersStayUnderTheirRate has several routers send a cold runner all
+// TestTracker_sumOverRoutersIsBounded has several routers send a cold runner all
 // they may: in no second does the sum go over its rate by more than one each.
-func TestColdRunnersStayUnderTheirRate(t *testing.T) {
+func TestTracker_sumOverRoutersIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 10).Draw(t, "routers")
 		rate := float64(rapid.IntRange(5, 40).Draw(t, "rate"))
-		bound := Bound{PerS: rate, Sharers: routers}
+		bound := Limit{RequestsPerSecond: rate, Routers: routers}
 		machine := clock.NewFake()
-		var all []*Warmth
+		var all []*Tracker
 		for range routers {
 			made := New(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
-			made.List([]Entry{{ID: "i", ColdLeft: 60 * clock.Second}}, 0, machine.Now())
+			made.Update([]Runner{{ID: "i", Remaining: 60 * clock.Second}}, 0, machine.Now())
 			all = append(all, made)
 		}
 		var taken []clock.Instant
 		for range 300 {
 			machine.Advance(clock.Span(rapid.IntRange(0, 30).Draw(t, "ms")) * clock.Millisecond)
 			router := all[rapid.IntRange(0, routers-1).Draw(t, "router")]
-			for router.Take("i", bound, machine.Now()) {
+			for router.Admit("i", bound, machine.Now()) {
 				taken = append(taken, machine.Now())
 			}
 		}
@@ -47,50 +47,50 @@
 	})
 }
 
-func TestWhoIsCold(t *testing.T) {
+func TestTracker_whichRunnersAreInSlowStart(t *testing.T) {
 	machine := clock.NewFake()
 	made := New(func() float64 { return 0 })
-	made.List([]Entry{{ID: "old", Warmup: 3 * clock.Second}, {ID: "cold", ColdLeft: clock.Second, Warmup: 3 * clock.Second}}, clock.Second, machine.Now())
-	if made.Cold("old", machine.Now()) || !made.Cold("cold", machine.Now()) {
+	made.Update([]Runner{{ID: "old", Warmup: 3 * clock.Second}, {ID: "cold", Remaining: clock.Second, Warmup: 3 * clock.Second}}, clock.Second, machine.Now())
+	if made.Active("old", machine.Now()) || !made.Active("cold", machine.Now()) {
 		t.Fatal("on the first list the list's own word counts")
 	}
-	made.List([]Entry{{ID: "old"}, {ID: "cold"}, {ID: "new", Warmup: 3 * clock.Second}}, clock.Second, machine.Now())
-	if made.Cold("old", machine.Now()) || !made.Cold("new", machine.Now()) {
+	made.Update([]Runner{{ID: "old"}, {ID: "cold"}, {ID: "new", Warmup: 3 * clock.Second}}, clock.Second, machine.Now())
+	if made.Active("old", machine.Now()) || !made.Active("new", machine.Now()) {
 		t.Fatal("a runner that was not there before counts as cold")
 	}
 	machine.Advance(2 * clock.Second)
-	if made.Cold("cold", machine.Now()) {
+	if made.Active("cold", machine.Now()) {
 		t.Fatal("still cold after its time and the list's lag")
 	}
-	made.Chill("old", machine.Now().Add(clock.Second), machine.Now())
-	if !made.Cold("old", machine.Now()) {
+	made.Extend("old", machine.Now().Add(clock.Second), machine.Now())
+	if !made.Active("old", machine.Now()) {
 		t.Fatal("not cold after word of it")
 	}
-	if made.Take("old", Bound{PerS: 20}, machine.Now()) {
+	if made.Admit("old", Limit{RequestsPerSecond: 20}, machine.Now()) {
 		t.Fatal("a cold runner that is not this router's was taken")
 	}
-	if !made.Take("old", Bound{}, machine.Now()) || !made.Take("unknown", Bound{PerS: 1}, machine.Now()) {
+	if !made.Admit("old", Limit{}, machine.Now()) || !made.Admit("unknown", Limit{RequestsPerSecond: 1}, machine.Now()) {
 		t.Fatal("a service without a rate, or a runner without a standing, is bounded")
 	}
 }
 
-// TestManyRoutersDoNotBeginAtOnce has far more routers than a second's rate all
+// TestTracker_routersSpreadTheirFirstRequest has far more routers than a second's rate all
 // learn of a cold runner at one moment, and all want it at once.
-func TestManyRoutersDoNotBeginAtOnce(t *testing.T) {
+func TestTracker_routersSpreadTheirFirstRequest(t *testing.T) {
 	const routers, rate = 72, 20.0
-	bound := Bound{PerS: rate, Sharers: routers}
+	bound := Limit{RequestsPerSecond: rate, Routers: routers}
 	machine := clock.NewFake()
-	var all []*Warmth
+	var all []*Tracker
 	for index := range routers {
 		made := New(func() float64 { return float64(index) / routers })
-		made.List([]Entry{{ID: "i", ColdLeft: 60 * clock.Second}}, 0, machine.Now())
+		made.Update([]Runner{{ID: "i", Remaining: 60 * clock.Second}}, 0, machine.Now())
 		all = append(all, made)
 	}
 	for second := range 10 {
 		count := 0
 		for range 20 {
 			for _, router := range all {
-				if router.Take("i", bound, machine.Now()) {
+				if router.Admit("i", bound, machine.Now()) {
 					count++
 				}
 			}
--- a/data/upstream/events_test.go
+++ b/data/upstream/eventreader_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func readAll(events *Events) ([]string, error) {
+func readEvents(events *EventReader) ([]string, error) {
 	var found []string
 	for {
 		event, err := events.Next()
@@ -18,23 +18,23 @@
 	}
 }
 
-func TestEventsComeWhole(t *testing.T) {
+func TestEventReader_returnsWholeEvents(t *testing.T) {
 	text := "id: 1\ndata: a\n\nonyxwell-weight-versions: 2\nid: 2\r\ndata: b\r\n\r\n"
-	found, err := readAll(NewEvents(strings.NewReader(text), ""))
+	found, err := readEvents(NewEventReader(strings.NewReader(text), ""))
 	if !errors.Is(err, io.EOF) || len(found) != 2 || strings.Join(found, "") != text {
 		t.Fatalf("%q, %v", found, err)
 	}
 }
 
-func TestLongEventIsWhole(t *testing.T) {
+func TestEventReader_eventLargerThanBuffer(t *testing.T) {
 	text := "id: 1\ndata: " + strings.Repeat("x", 20000) + "\n\n"
-	found, _ := readAll(NewEvents(strings.NewReader(text), ""))
+	found, _ := readEvents(NewEventReader(strings.NewReader(text), ""))
 	if len(found) != 1 || found[0] != text {
 		t.Fatalf("%d events", len(found))
 	}
 }
 
-func TestEventsMustRiseByOne(t *testing.T) {
+func TestEventReader_idsRiseByOne(t *testing.T) {
 	cases := []struct {
 		name  string
 		after string
@@ -52,28 +52,28 @@
 		{"no id", "4", ": still there\n\nid: 5\n\n", 2, false},
 	}
 	for _, example := range cases {
-		found, err := readAll(NewEvents(strings.NewReader(example.text), example.after))
-		if len(found) != example.good || errors.Is(err, ErrOrder) != example.order {
+		found, err := readEvents(NewEventReader(strings.NewReader(example.text), example.after))
+		if len(found) != example.good || errors.Is(err, ErrEventOrder) != example.order {
 			t.Errorf("%s: %d events, %v", example.name, len(found), err)
 		}
 	}
 }
 
-func TestTornEventIsNoEvent(t *testing.T) {
-	found, err := readAll(NewEvents(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), ""))
+func TestEventReader_truncatedEvent(t *testing.T) {
+	found, err := readEvents(NewEventReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), ""))
 	if len(found) != 1 || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatalf("%q, %v", found, err)
 	}
 }
 
-// TestEventWithoutAnEnd has a runner send one event for ever.
-func TestEventWithoutAnEnd(t *testing.T) {
-	endless := io.MultiReader(strings.NewReader("id: 1\ndata: "), io.LimitReader(zeros{}, 64<<20))
-	if found, err := readAll(NewEvents(endless, "")); !errors.Is(err, errEndless) || len(found) > 0 {
+// TestEventReader_endlessEvent has a runner send one event for ever.
+func TestEventReader_endlessEvent(t *testing.T) {
+	endless := io.MultiReader(strings.NewReader("id: 1\ndata: "), io.LimitReader(zeroReader{}, 64<<20))
+	if found, err := readEvents(NewEventReader(endless, "")); !errors.Is(err, errEventTooLarge) || len(found) > 0 {
 		t.Fatalf("%d events, %v", len(found), err)
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(buffer []byte) (int, error) { return len(buffer), nil }
+func (zeroReader) Read(buffer []byte) (int, error) { return len(buffer), nil }
--- a/data/upstream/fuzz_test.go
+++ b/data/upstream/fuzz_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// reference reads an answer with net/http: its head and body, whether the body
+// referenceResponse reads an answer with net/http: its head and body, whether the body
 // is whole, and how many bytes stand behind it.
-func reference(method string, answer string) (*http.Response, string, bool, int) {
+func referenceResponse(method string, answer string) (*http.Response, string, bool, int) {
 	source := strings.NewReader(answer)
 	reader := bufio.NewReader(source)
 	for {
@@ -29,29 +29,29 @@
 	}
 }
 
-// check sends a request over a wire that gives these bytes, and has what comes
+// checkAgainstReference sends a request over a wire that gives these bytes, and has what comes
 // of it stand up to the reference.
-func check(t *testing.T, method string, answer string, most int) {
-	one := &wire{acts: []act{{takes: all, answer: answer, err: io.EOF}}, most: most}
-	sender := wired(one)
-	result := send(sender, tripTo("r:1", method, "x"))
-	head, text, whole, rest := reference(method, answer)
+func checkAgainstReference(t *testing.T, method string, answer string, most int) {
+	one := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: answer, err: io.EOF}}, maxRead: most}
+	sender := clientWith(one)
+	result := send(sender, attemptTo("r:1", method, "x"))
+	head, text, whole, rest := referenceResponse(method, answer)
 	if result.Response == nil {
-		if result.Fate != Doubtful && result.Fate != Garbled || !one.closed {
-			t.Fatalf("fate %v, closed %v", result.Fate, one.closed)
+		if result.Outcome != Indeterminate && result.Outcome != Garbled || !one.closed {
+			t.Fatalf("fate %v, closed %v", result.Outcome, one.closed)
 		}
 		return
 	}
 	got, err := io.ReadAll(result.Response.Body)
 	_ = result.Response.Body.Close()
-	if head == nil || head.StatusCode != result.Response.StatusCode || len(head.Header[AttemptHeader]) != 1 || head.Header.Get(AttemptHeader) != "a1" {
-		t.Fatalf("fate %v of no answer to the request: %q", result.Fate, answer)
+	if head == nil || head.StatusCode != result.Response.StatusCode || len(head.Header[AttemptIDHeader]) != 1 || head.Header.Get(AttemptIDHeader) != "a1" {
+		t.Fatalf("fate %v of no answer to the request: %q", result.Outcome, answer)
 	}
 	refusal := head.Header.Get("Onyxwell-Not-Run") != "" || head.StatusCode == http.StatusMisdirectedRequest
-	if refusal != (result.Fate == Refused) {
-		t.Fatalf("fate %v, though refused is %v", result.Fate, refusal)
+	if refusal != (result.Outcome == Rejected) {
+		t.Fatalf("fate %v, though refused is %v", result.Outcome, refusal)
 	}
-	if result.Fate == Answered && (promises[head.StatusCode] || head.StatusCode/100 == 2 && head.Header.Get(SealHeader) == "") {
+	if result.Outcome == Answered && (notRunStatuses[head.StatusCode] || head.StatusCode/100 == 2 && head.Header.Get(SealHeader) == "") {
 		t.Fatalf("%d is an answer", head.StatusCode)
 	}
 	if err == nil && (!whole || string(got) != text) {
@@ -68,7 +68,7 @@
 
 func FuzzAnswer(f *testing.F) {
 	for _, answer := range []string{
-		strings.ReplaceAll(sealed, "{id}", "a1"), foreignEmpty, "HTTP/1.1 100 C\r\n\r\n" + strings.ReplaceAll(sealed, "{id}", "a1") + "rest",
+		strings.ReplaceAll(sealedResponse, "{id}", "a1"), foreignResponse, "HTTP/1.1 100 C\r\n\r\n" + strings.ReplaceAll(sealedResponse, "{id}", "a1") + "rest",
 		"HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.0 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\n\r\nto the end",
 		"HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: a1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab",
@@ -78,7 +78,7 @@
 		f.Add(byte(2), byte(1), answer)
 	}
 	f.Fuzz(func(t *testing.T, method byte, most byte, answer string) {
-		check(t, methods[int(method)%len(methods)], answer, int(most))
+		checkAgainstReference(t, methods[int(method)%len(methods)], answer, int(most))
 	})
 }
 
@@ -88,7 +88,7 @@
 		f.Add(byte(1), body)
 	}
 	head := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
-	f.Fuzz(func(t *testing.T, most byte, body string) { check(t, "POST", head+body, int(most)) })
+	f.Fuzz(func(t *testing.T, most byte, body string) { checkAgainstReference(t, "POST", head+body, int(most)) })
 }
 
 // FuzzEvents has what is passed on of a stream be its own bytes, in their order,
@@ -99,8 +99,8 @@
 		f.Add("4", text)
 	}
 	f.Fuzz(func(t *testing.T, after string, text string) {
-		events := NewEvents(strings.NewReader(text), after)
-		last, known := events.Last, events.Known
+		events := NewEventReader(strings.NewReader(text), after)
+		last, known := events.LastID, events.HasLastID
 		passed := ""
 		for {
 			event, err := events.Next()
@@ -122,8 +122,8 @@
 					last, known = number, true
 				}
 			}
-			if !strings.HasPrefix(text, passed) || known != events.Known || last != events.Last {
-				t.Fatalf("%q, %d", passed, events.Last)
+			if !strings.HasPrefix(text, passed) || known != events.HasLastID || last != events.LastID {
+				t.Fatalf("%q, %d", passed, events.LastID)
 			}
 		}
 	})
--- a/data/upstream/head.go
+++ b/data/upstream/response.go
@@ -12,13 +12,13 @@
 )
 
 var (
-	errHead    = errors.New("forward: the bytes are no answer's head")
-	errFraming = errors.New("forward: the answer's head does not say where its body ends")
+	errMalformedHead = errors.New("forward: the bytes are no answer's head")
+	errFraming       = errors.New("forward: the answer's head does not say where its body ends")
 )
 
-// readAnswer reads the head of the answer; interim ones are passed over.
-func (c *connection) readAnswer(method string) (*http.Response, error) {
-	c.left = headLimit
+// readResponse reads the head of the answer; interim ones are passed over.
+func (c *conn) readResponse(method string) (*http.Response, error) {
+	c.headBytesLeft = maxHeadBytes
 	for {
 		response, err := readHead(c.reader)
 		if err != nil {
@@ -27,8 +27,8 @@
 		if response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		c.left = unbounded
-		source, length, err := c.frame(method, response)
+		c.headBytesLeft = noHeadLimit
+		source, length, err := c.openBody(method, response)
 		if err != nil {
 			return nil, err
 		}
@@ -42,26 +42,26 @@
 	text := textproto.NewReader(reader)
 	line, err := text.ReadLine()
 	if err != nil {
-		return nil, whole(err)
+		return nil, unexpectedEOF(err)
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	number, _, _ := strings.Cut(rest, " ")
 	major, minor, known := http.ParseHTTPVersion(version)
 	code, err := strconv.ParseUint(number, 10, 16)
 	if !known || major != 1 || err != nil || len(number) != 3 || code < 100 {
-		return nil, errHead
+		return nil, errMalformedHead
 	}
 	header, err := text.ReadMIMEHeader()
 	if err != nil {
-		return nil, whole(err)
+		return nil, unexpectedEOF(err)
 	}
 	for name, values := range header {
-		if strings.IndexFunc(name, outside) >= 0 {
-			return nil, errHead
+		if strings.IndexFunc(name, isInvalidInName) >= 0 {
+			return nil, errMalformedHead
 		}
 		for _, value := range values {
-			if strings.IndexFunc(value, control) >= 0 {
-				return nil, errHead
+			if strings.IndexFunc(value, isControl) >= 0 {
+				return nil, errMalformedHead
 			}
 		}
 	}
@@ -71,15 +71,15 @@
 	}, nil
 }
 
-func control(letter rune) bool { return letter < ' ' && letter != '\t' || letter == 0x7f }
+func isControl(letter rune) bool { return letter < ' ' && letter != '\t' || letter == 0x7f }
 
-// outside tells that a letter can't be part of a head's name.
-func outside(letter rune) bool {
+// isInvalidInName tells that a letter can't be part of a head's name.
+func isInvalidInName(letter rune) bool {
 	return letter <= ' ' || letter >= 0x7f || strings.ContainsRune("\"(),/:;<=>?@[\\]{}", letter)
 }
 
-// whole has an end inside of something that is not whole look like one.
-func whole(err error) error {
+// unexpectedEOF has an end inside of something that is not whole look like one.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -97,15 +97,15 @@
 	return false
 }
 
-// ends is the length of a body that ends with the connection, in order or not
+// lengthUntilClose is the length of a body that ends with the connection, in order or not
 // at all: a reset is no end. chunks is that of one whose pieces say where it ends.
-const ends, chunks = -2, -1
+const lengthUntilClose, lengthChunked = -2, -1
 
-// frame gives the body that follows a head, and its length. A head that says
+// openBody gives the body that follows a head, and its length. A head that says
 // two different things of it is none.
-func (c *connection) frame(method string, response *http.Response) (io.Reader, int64, error) {
+func (c *conn) openBody(method string, response *http.Response) (io.Reader, int64, error) {
 	lengths, coded := response.Header["Content-Length"], response.Header["Transfer-Encoding"]
-	length := int64(ends)
+	length := int64(lengthUntilClose)
 	for _, text := range lengths {
 		told, err := strconv.ParseUint(strings.TrimSpace(text), 10, 62)
 		if err != nil || length >= 0 && length != int64(told) {
@@ -117,67 +117,67 @@
 		if len(coded) != 1 || !strings.EqualFold(coded[0], "chunked") || len(lengths) > 0 || response.ProtoMinor == 0 {
 			return nil, 0, errFraming
 		}
-		length = chunks
+		length = lengthChunked
 	}
-	if response.StatusCode == http.StatusNoContent && (length > 0 || length == chunks) {
+	if response.StatusCode == http.StatusNoContent && (length > 0 || length == lengthChunked) {
 		// The body that can't be may come yet.
 		response.Close = true
 	}
 	if method == http.MethodHead || response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified {
 		return http.NoBody, 0, nil
 	}
-	if length == chunks {
-		return &chunked{link: c, data: httputil.NewChunkedReader(c.reader)}, length, nil
+	if length == lengthChunked {
+		return &chunkedReader{conn: c, chunks: httputil.NewChunkedReader(c.reader)}, length, nil
 	}
-	if length == ends {
+	if length == lengthUntilClose {
 		return c.reader, length, nil
 	}
-	return &counted{reader: c.reader, left: length}, length, nil
+	return &lengthReader{reader: c.reader, remaining: length}, length, nil
 }
 
-// counted reads a body of a known length.
-type counted struct {
-	reader io.Reader
-	left   int64
+// lengthReader reads a body of a known length.
+type lengthReader struct {
+	reader    io.Reader
+	remaining int64
 }
 
-func (c *counted) Read(buffer []byte) (int, error) {
-	if c.left == 0 {
+func (l *lengthReader) Read(buffer []byte) (int, error) {
+	if l.remaining == 0 {
 		return 0, io.EOF
 	}
-	if int64(len(buffer)) > c.left {
-		buffer = buffer[:c.left]
+	if int64(len(buffer)) > l.remaining {
+		buffer = buffer[:l.remaining]
 	}
-	size, err := c.reader.Read(buffer)
-	if c.left -= int64(size); c.left == 0 {
+	size, err := l.reader.Read(buffer)
+	if l.remaining -= int64(size); l.remaining == 0 {
 		return size, io.EOF
 	}
-	return size, whole(err)
+	return size, unexpectedEOF(err)
 }
 
-// chunked reads a body in chunks, with the trailer that ends it.
-type chunked struct {
-	link *connection
-	data io.Reader
+// chunkedReader reads a body in chunks, with the trailer that ends it.
+type chunkedReader struct {
+	conn   *conn
+	chunks io.Reader
 }
 
-func (c *chunked) Read(buffer []byte) (int, error) {
-	size, err := c.data.Read(buffer)
+func (c *chunkedReader) Read(buffer []byte) (int, error) {
+	size, err := c.chunks.Read(buffer)
 	if !errors.Is(err, io.EOF) {
 		return size, err
 	}
-	if torn := trailer(c.link.reader); torn != nil {
-		return size, whole(torn)
+	if torn := readTrailer(c.conn.reader); torn != nil {
+		return size, unexpectedEOF(torn)
 	}
 	return size, io.EOF
 }
 
-// trailerLimit bounds the bytes of what follows the last chunk.
-const trailerLimit = 4096
+// maxTrailerBytes bounds the bytes of what follows the last chunk.
+const maxTrailerBytes = 4096
 
-// trailer reads what follows the last chunk, to the empty line.
-func trailer(reader *bufio.Reader) error {
-	for total := 0; total < trailerLimit; {
+// readTrailer reads what follows the last chunk, to the empty line.
+func readTrailer(reader *bufio.Reader) error {
+	for total := 0; total < maxTrailerBytes; {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			return err
@@ -188,7 +188,7 @@
 			return nil
 		}
 		name, value, named := strings.Cut(text, ":")
-		if !ended || !named || name == "" || strings.IndexFunc(name, outside) >= 0 || strings.IndexFunc(value, control) >= 0 {
+		if !ended || !named || name == "" || strings.IndexFunc(name, isInvalidInName) >= 0 || strings.IndexFunc(value, isControl) >= 0 {
 			return errFraming
 		}
 	}
--- a/data/upstreamtest/script.go
+++ b/data/upstreamtest/runner.go
@@ -15,27 +15,27 @@
 	"onyxwell/base/ids"
 )
 
-// Seen is a request as the runner got it.
-type Seen struct {
-	Method  string
-	Target  string
-	Host    string
-	Header  http.Header
-	Body    string
-	Attempt string
+// Request is a request as the runner got it.
+type Request struct {
+	Method    string
+	Target    string
+	Host      string
+	Header    http.Header
+	Body      string
+	AttemptID string
 }
 
 // Step answers one request: it writes bytes and tells whether the connection
 // stays open.
-type Step func(seen Seen, writer io.Writer) (open bool)
+type Step func(seen Request, writer io.Writer) (open bool)
 
 // Runner is a scripted runner.
 type Runner struct {
-	Address ids.Address
-	mu      sync.Mutex
-	steps   []Step
-	seen    []Seen
-	links   int
+	Address   ids.Address
+	mu        sync.Mutex
+	steps     []Step
+	requests  []Request
+	connCount int
 }
 
 // Start starts a runner on the loopback that answers the first request with
@@ -60,24 +60,24 @@
 	return made
 }
 
-// Seen gives the requests that arrived, in their order.
-func (r *Runner) Seen() []Seen {
+// Requests gives the requests that arrived, in their order.
+func (r *Runner) Requests() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Seen(nil), r.seen...)
+	return append([]Request(nil), r.requests...)
 }
 
-// Links tells how many connections were made to the runner.
-func (r *Runner) Links() int {
+// ConnCount tells how many connections were made to the runner.
+func (r *Runner) ConnCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.links
+	return r.connCount
 }
 
 func (r *Runner) serve(link net.Conn) {
 	defer link.Close()
 	r.mu.Lock()
-	r.links++
+	r.connCount++
 	r.mu.Unlock()
 	reader := bufio.NewReader(link)
 	for {
@@ -89,53 +89,53 @@
 		if err != nil {
 			return
 		}
-		seen := Seen{
+		seen := Request{
 			Method: request.Method, Target: request.RequestURI, Host: request.Host, Header: request.Header,
-			Body: string(body), Attempt: request.Header.Get("Onyxwell-Attempt-Id"),
+			Body: string(body), AttemptID: request.Header.Get("Onyxwell-Attempt-Id"),
 		}
-		if !r.next(seen)(seen, link) {
+		if !r.nextStep(seen)(seen, link) {
 			return
 		}
 	}
 }
 
-func (r *Runner) next(seen Seen) Step {
+func (r *Runner) nextStep(seen Request) Step {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = append(r.seen, seen)
-	return r.steps[min(len(r.seen), len(r.steps))-1]
+	r.requests = append(r.requests, seen)
+	return r.steps[min(len(r.requests), len(r.steps))-1]
 }
 
 // Raw writes text in which {id} stands for the request's attempt id.
 func Raw(text string, open bool) Step {
-	return func(seen Seen, writer io.Writer) bool {
-		_, _ = io.WriteString(writer, strings.ReplaceAll(text, "{id}", seen.Attempt))
+	return func(seen Request, writer io.Writer) bool {
+		_, _ = io.WriteString(writer, strings.ReplaceAll(text, "{id}", seen.AttemptID))
 		return open
 	}
 }
 
-// Plain answers with a status, a seal and a body.
-func Plain(status int, seal string, body string) Step {
+// Respond answers with a status, a seal and a body.
+func Respond(status int, seal string, body string) Step {
 	return Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: %s\r\nContent-Length: %d\r\n\r\n%s",
 		status, seal, len(body), body), true)
 }
 
-// After does something once the request is there, before it is answered.
-func After(act func(), step Step) Step {
-	return func(seen Seen, writer io.Writer) bool {
+// Before does something once the request is there, before it is answered.
+func Before(act func(), step Step) Step {
+	return func(seen Request, writer io.Writer) bool {
 		act()
 		return step(seen, writer)
 	}
 }
 
-// Refuse turns a request away without running it.
-func Refuse(status int) Step {
+// Reject turns a request away without running it.
+func Reject(status int) Step {
 	return Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", status), true)
 }
 
-// Events answers with a stream of events from one id to another; a stream that
+// EventStream answers with a stream of events from one id to another; a stream that
 // is not whole breaks off after the last.
-func Events(seal string, first int, last int, whole bool) Step {
+func EventStream(seal string, first int, last int, whole bool) Step {
 	text := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: " + seal +
 		"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for number := first; number <= last; number++ {
@@ -148,12 +148,12 @@
 	return Raw(text, whole)
 }
 
-// Hangup closes the connection without an answer.
-func Hangup() Step { return Raw("", false) }
+// HangUp closes the connection without an answer.
+func HangUp() Step { return Raw("", false) }
 
 // Reset writes text as Raw does and resets the connection.
 func Reset(text string) Step {
-	return func(seen Seen, writer io.Writer) bool {
+	return func(seen Request, writer io.Writer) bool {
 		Raw(text, false)(seen, writer)
 		if link, known := writer.(*net.TCPConn); known {
 			_ = link.SetLinger(0)
--- a/emulator/client/client.go
+++ b/emulator/client/client.go
@@ -113,10 +113,10 @@
 	var text strings.Builder
 	asked := r.Asked
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", asked.Call.Method, asked.Call.Target, Host,
-		upstream.AttemptHeader, asked.Attempt, upstream.LeftHeader, r.left.Milliseconds())
-	fmt.Fprintf(&text, "Onyxwell-Model: m\r\n%s: 150,20\r\n%s: %s\r\n", upstream.CountHeader, upstream.PrefixHeader, r.parts)
+		upstream.AttemptIDHeader, asked.Attempt, upstream.TimeLeftHeader, r.left.Milliseconds())
+	fmt.Fprintf(&text, "Onyxwell-Model: m\r\n%s: 150,20\r\n%s: %s\r\n", upstream.TokenCountHeader, upstream.PromptPrefixHeader, r.parts)
 	if asked.After > 0 {
-		fmt.Fprintf(&text, "%s: %d\r\n", upstream.LastEventField, asked.After)
+		fmt.Fprintf(&text, "%s: %d\r\n", upstream.LastEventIDHeader, asked.After)
 	}
 	if r.expects && r.body != "" {
 		text.WriteString("Expect: 100-continue\r\n")
@@ -205,7 +205,7 @@
 			return
 		}
 	}
-	got.Status, got.Echo, got.Seal = response.StatusCode, response.Header.Get(upstream.AttemptHeader), response.Header.Get(upstream.SealHeader)
+	got.Status, got.Echo, got.Seal = response.StatusCode, response.Header.Get(upstream.AttemptIDHeader), response.Header.Get(upstream.SealHeader)
 	body, err := io.ReadAll(response.Body)
 	got.Body, got.Whole = string(body), err == nil
 	if err != nil {
--- a/emulator/client/rude.go
+++ b/emulator/client/rude.go
@@ -75,7 +75,7 @@
 
 func (r Request) head(method string, target string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", method, target, Host,
-		upstream.AttemptHeader, r.Asked.Attempt, upstream.LeftHeader, r.left.Milliseconds())
+		upstream.AttemptIDHeader, r.Asked.Attempt, upstream.TimeLeftHeader, r.left.Milliseconds())
 }
 
 // offend makes a request a rude one. Those whose end the router waits for close
--- a/emulator/experiment/naive_test.go
+++ b/emulator/experiment/naive_test.go
@@ -96,7 +96,7 @@
 }
 
 func (n *naive) pass(writer http.ResponseWriter, response *http.Response, text []byte) {
-	for _, name := range []string{upstream.AttemptHeader, upstream.SealHeader} {
+	for _, name := range []string{upstream.AttemptIDHeader, upstream.SealHeader} {
 		if value := response.Header.Get(name); value != "" && !(n.errs.noSeal && name == upstream.SealHeader) {
 			writer.Header().Set(name, value)
 		}
@@ -183,16 +183,16 @@
 }
 
 func (n *naive) exchange(conn *keptConn, request *http.Request, id string, body []byte) (*http.Response, []byte, error) {
-	target, attempt := request.RequestURI, request.Header.Get(upstream.AttemptHeader)
+	target, attempt := request.RequestURI, request.Header.Get(upstream.AttemptIDHeader)
 	if n.errs.otherPath {
 		target = strings.Replace(target, "?of=", "?for=", 1)
 	}
-	heads := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", request.Method, target, request.Host, upstream.AttemptHeader, attempt)
+	heads := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", request.Method, target, request.Host, upstream.AttemptIDHeader, attempt)
 	if !n.errs.noTarget {
 		heads += fmt.Sprintf("%s: %s\r\n", upstream.TargetHeader, id)
 	}
-	if after := request.Header.Get(upstream.LastEventField); after != "" {
-		heads += fmt.Sprintf("%s: %s\r\n", upstream.LastEventField, after)
+	if after := request.Header.Get(upstream.LastEventIDHeader); after != "" {
+		heads += fmt.Sprintf("%s: %s\r\n", upstream.LastEventIDHeader, after)
 	}
 	if err := n.write(conn, fmt.Sprintf("%sContent-Length: %d\r\n\r\n", heads, len(body)), body); err != nil {
 		return nil, nil, err
@@ -205,7 +205,7 @@
 		return nil, nil, err
 	}
 	text, err := io.ReadAll(response.Body)
-	wrong := !n.errs.byOrder && !n.errs.dirty && response.Header.Get(upstream.AttemptHeader) != attempt
+	wrong := !n.errs.byOrder && !n.errs.dirty && response.Header.Get(upstream.AttemptIDHeader) != attempt
 	refused := response.Header.Get("Onyxwell-Not-Run") != ""
 	lies := response.StatusCode == 429 || response.StatusCode == 503 || response.StatusCode == 408
 	bare := response.StatusCode == 200 && (response.Header.Get(upstream.SealHeader) == "" || response.Header.Get("Content-Encoding") != "")
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -59,8 +59,8 @@
 // real is a router's data plane, put together as its program does.
 type real struct {
 	frame  *snapshot.Frame
-	board  *runnerstats.Board
-	warmth *slowstart.Warmth
+	board  *runnerstats.Collector
+	warmth *slowstart.Tracker
 	mu     sync.Mutex
 	runner []discovery.Runner
 }
@@ -71,17 +71,17 @@
 // Real makes the real router's data plane: only the news that feed it and the
 // rate at which doubts end are the experiment's.
 func Real(top scope.Scope, document []byte, options Options) Router {
-	made := &real{board: runnerstats.NewBoard(), warmth: slowstart.New(rand.Float64)}
+	made := &real{board: runnerstats.New(), warmth: slowstart.New(rand.Float64)}
 	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: map[ids.Zone]ids.Region{"zone": "region"}, Region: "region", Listed: made.listed(top)})
 	made.frame.Absorb(gossip.Item{Key: config.Key, Version: 1, Body: document})
 	one := func() int { return 1 }
-	gate := balancer.NewGate(balancer.Options{
-		Scope: top, Frame: made.frame, Board: made.board, Warmth: made.warmth, Region: "region", Routers: one,
-		Sharers: func(ids.Zone) int { return 1 }, Chance: rand.Float64,
-		Budget: retrybudget.New(retrybudget.Options{Ratio: 4, Extra: 1000, Window: 10 * clock.Second, Sharers: one}),
+	gate := balancer.New(balancer.Options{
+		Scope: top, Snapshots: made.frame, Stats: made.board, SlowStart: made.warmth, Region: "region", RouterCount: one,
+		SlowStartSharers: func(ids.Zone) int { return 1 }, Random: rand.Float64,
+		RetryBudget: retrybudget.New(retrybudget.Options{Ratio: 4, Reserve: 1000, Window: 10 * clock.Second, Routers: one}),
 	})
 	dialing := httpcall.Dialer{Timeout: routerSilence, UserTimeout: routerSilence}
-	sender := upstream.NewSender(upstream.Options{Clock: top.Clock, Dialing: dialing, Idle: 8 * routerSilence, PerHost: 64})
+	sender := upstream.NewClient(upstream.Options{Clock: top.Clock, Dialing: dialing, IdleTimeout: 8 * routerSilence, MaxIdlePerHost: 64})
 	front := proxy.NewFront(proxy.Options{
 		Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: made.warmth, Sender: sender,
 	})
@@ -111,13 +111,13 @@
 
 func (r *real) listed(top scope.Scope) func(*snapshot.Snapshot) {
 	return func(seen *snapshot.Snapshot) {
-		var entries []slowstart.Entry
+		var entries []slowstart.Runner
 		for _, runners := range seen.Runners {
 			for _, runner := range runners {
-				entries = append(entries, slowstart.Entry{ID: runner.ID, ColdLeft: settings.Milliseconds(float64(runner.WarmupLeftMS))})
+				entries = append(entries, slowstart.Runner{ID: runner.ID, Remaining: settings.Milliseconds(float64(runner.WarmupLeftMS))})
 			}
 		}
-		r.warmth.List(entries, 0, top.Now())
+		r.warmth.Update(entries, 0, top.Now())
 	}
 }
 
@@ -128,8 +128,8 @@
 		runners := r.runner
 		r.mu.Unlock()
 		for _, runner := range runners {
-			if r.board.Look(runner.ID).Doubted {
-				r.board.Vouch(runner.ID, top.Now())
+			if r.board.State(runner.ID).Suspect {
+				r.board.ClearSuspicion(runner.ID, top.Now())
 			}
 		}
 	}
@@ -151,8 +151,8 @@
 
 // Hear reads the answer.
 func (c *condition) Hear(heard httpcall.RawResponse) error {
-	c.id, c.well = ids.RunnerID(heard.Header.Get(upstream.RunnerHeader)), heard.Status == http.StatusOK
-	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.ColdHeader), 64); err == nil {
+	c.id, c.well = ids.RunnerID(heard.Header.Get(upstream.RunnerIDHeader)), heard.Status == http.StatusOK
+	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.WarmupHeader), 64); err == nil {
 		c.cold = settings.Milliseconds(left)
 	}
 	return nil
@@ -161,7 +161,7 @@
 // doubts tests the runners that broke down.
 func (r *real) doubts(top scope.Scope, client *http.Client) {
 	for top.Wait(routerSilence / 50) {
-		for _, id := range r.board.Due(top.Now(), routerSilence/50) {
+		for _, id := range r.board.DueProbes(top.Now(), routerSilence/50) {
 			go r.test(top, client, id)
 		}
 	}
@@ -170,7 +170,7 @@
 func (r *real) test(top scope.Scope, client *http.Client, id ids.RunnerID) {
 	runner := r.frame.Now().Find(id)
 	if runner == nil {
-		r.board.Drop(id)
+		r.board.Unlist(id)
 		return
 	}
 	short, release := top.WithTimeout(routerSilence)
@@ -181,7 +181,7 @@
 	}
 	now := top.Now()
 	if told.cold > 0 {
-		r.warmth.Chill(id, now.Add(told.cold), now)
+		r.warmth.Extend(id, now.Add(told.cold), now)
 	}
-	r.board.Vouch(id, now)
+	r.board.ClearSuspicion(id, now)
 }
--- a/emulator/runner/health.go
+++ b/emulator/runner/health.go
@@ -25,18 +25,18 @@
 	life, well := r.life, !r.fallen
 	r.mu.Unlock()
 	heads := map[string]string{
-		upstream.RunnerHeader: life.ID,
-		upstream.LoadHeader:   fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity),
+		upstream.RunnerIDHeader: life.ID,
+		upstream.LoadHeader:     fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity),
 	}
 	if left := r.coldLeft(); left > 0 {
-		heads[upstream.ColdHeader] = strconv.FormatInt(left.Milliseconds(), 10)
+		heads[upstream.WarmupHeader] = strconv.FormatInt(left.Milliseconds(), 10)
 	}
 	if drawn.met[LyingHealth] {
 		r.count([]string{LyingHealth})
 		lies := []func(){
 			func() { well = !well },
-			func() { heads[upstream.RunnerHeader] = r.settings.ID + ".other" },
-			func() { heads[upstream.ColdHeader] = "250" },
+			func() { heads[upstream.RunnerIDHeader] = r.settings.ID + ".other" },
+			func() { heads[upstream.WarmupHeader] = "250" },
 		}
 		lies[drawn.IntN(len(lies))]()
 	}
--- a/emulator/runner/link.go
+++ b/emulator/runner/link.go
@@ -75,7 +75,7 @@
 
 // answer serves one request and tells whether the connection goes on.
 func (l *link) answer(request *http.Request) bool {
-	attempt := request.Header.Get(upstream.AttemptHeader)
+	attempt := request.Header.Get(upstream.AttemptIDHeader)
 	own := map[string]func(*http.Request) ([]byte, error){
 		l.runner.settings.Health: l.runner.health,
 		"/report":                l.runner.report,
@@ -116,7 +116,7 @@
 
 // timeLeft is how long the client waits; what says nothing waits for a minute.
 func timeLeft(request *http.Request) clock.Span {
-	left, err := strconv.ParseFloat(request.Header.Get(upstream.LeftHeader), 64)
+	left, err := strconv.ParseFloat(request.Header.Get(upstream.TimeLeftHeader), 64)
 	if err != nil || left <= 0 {
 		return 60 * clock.Second
 	}
--- a/emulator/runner/play.go
+++ b/emulator/runner/play.go
@@ -23,7 +23,7 @@
 
 // after is the event after which the client wants to go on.
 func (a asking) after() int {
-	number, err := strconv.Atoi(a.request.Header.Get(upstream.LastEventField))
+	number, err := strconv.Atoi(a.request.Header.Get(upstream.LastEventIDHeader))
 	if err != nil {
 		return 0
 	}
@@ -106,7 +106,7 @@
 
 func (l *link) run(limited scope.Scope, asked asking, early bool, seal string, life Life) bool {
 	runner := l.runner
-	unread := runner.cache.read(asked.request.Header.Get("Onyxwell-Model"), asked.request.Header.Get(upstream.PrefixHeader))
+	unread := runner.cache.read(asked.request.Header.Get("Onyxwell-Model"), asked.request.Header.Get(upstream.PromptPrefixHeader))
 	work := runner.settings.Work + clock.Span(unread*float64(runner.settings.ReadToken))
 	if runner.coldLeft() > 0 {
 		work *= 4
@@ -155,12 +155,12 @@
 	running, waiting, _ := r.slots.load()
 	made := &answer{status: status, cut: -1, chunked: asked.drawn.IntN(4) == 0}
 	made.heads = [][2]string{
-		{upstream.AttemptHeader, asked.attempt},
+		{upstream.AttemptIDHeader, asked.attempt},
 		{upstream.LoadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity)},
 		{"Keep-Alive", fmt.Sprintf("timeout=%d", max(1, int(r.settings.KeepIdle/clock.Second)))},
 	}
 	if left := r.coldLeft(); left > 0 {
-		made.heads = append(made.heads, [2]string{upstream.ColdHeader, strconv.FormatInt(left.Milliseconds(), 10)})
+		made.heads = append(made.heads, [2]string{upstream.WarmupHeader, strconv.FormatInt(left.Milliseconds(), 10)})
 	}
 	if seal == "" {
 		return made
--- a/emulator/runner/shape.go
+++ b/emulator/runner/shape.go
@@ -18,7 +18,7 @@
 
 	NoSeal: func(told *answer, _ *link, _ asking) bool { return told.drop(upstream.SealHeader) },
 	OtherAttempt: func(told *answer, link *link, asked asking) bool {
-		return told.drop(upstream.AttemptHeader) && told.add(upstream.AttemptHeader, link.runner.swapForeign(asked.attempt))
+		return told.drop(upstream.AttemptIDHeader) && told.add(upstream.AttemptIDHeader, link.runner.swapForeign(asked.attempt))
 	},
 	Encoded: func(told *answer, _ *link, asked asking) bool {
 		if told.status != 200 {
@@ -37,7 +37,7 @@
 	Interim: func(told *answer, _ *link, asked asking) bool {
 		for range 1 + asked.drawn.IntN(3) {
 			status := []int{100, 102, 103, 199}[asked.drawn.IntN(4)]
-			told.before += fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n\r\n", status, upstream.AttemptHeader, asked.attempt)
+			told.before += fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n\r\n", status, upstream.AttemptIDHeader, asked.attempt)
 		}
 		return true
 	},
@@ -223,7 +223,7 @@
 	attempt := link.runner.swapForeign(asked.attempt)
 	source := piece.Source{Attempt: attempt, Service: link.runner.Life().Service, Seal: "extra." + fmt.Sprint(asked.drawn.IntN(1000))}
 	extra := &answer{status: 200, cut: -1, chunked: asked.drawn.IntN(2) == 0, body: []string{source.Plain()}}
-	extra.add(upstream.AttemptHeader, attempt)
+	extra.add(upstream.AttemptIDHeader, attempt)
 	kinds := []func(){
 		func() { extra.add(upstream.SealHeader, source.Seal) },
 		func() {
