--- a/data/balancer/admission.go
+++ b/data/balancer/admission.go
@@ -93,11 +93,11 @@
 // still be sent to; it takes the request's place at a cold one.
 func (a *Admission) Confirm(runner *snapshot.Runner, now clock.Instant) bool {
 	options := a.balancer.options
-	seen := options.Snapshots.Now()
-	if seen.Spec == nil || !seen.Usable(a.service, runner.ID) {
+	seen := options.Snapshots.Current()
+	if seen.Config == nil || !seen.AvailableByID(a.service, runner.ID) {
 		return false
 	}
-	return options.SlowStart.Admit(runner.ID, a.balancer.slowStartLimit(seen.Spec.Service(a.service), runner.Zone), now)
+	return options.SlowStart.Admit(runner.ID, a.balancer.slowStartLimit(seen.Config.Service(a.service), runner.Zone), now)
 }
 
 // RecordOutcome notes the fate of a sending.
--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -20,7 +20,7 @@
 // Options are what a gate is made from.
 type Options struct {
 	Scope       scope.Scope
-	Snapshots   *snapshot.Frame
+	Snapshots   *snapshot.Store
 	Stats       *runnerstats.Collector
 	RetryBudget *retrybudget.Budget
 	SlowStart   *slowstart.Tracker
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -22,11 +22,11 @@
 // selectRunner picks the runner for the next sending. Where none is open now but one
 // soon will be, it tells how long that takes.
 func (b *Balancer) selectRunner(decision *Admission, now clock.Instant) (*snapshot.Runner, clock.Span) {
-	seen := b.options.Snapshots.Now()
-	if seen.Spec == nil {
+	seen := b.options.Snapshots.Current()
+	if seen.Config == nil {
 		return nil, 0
 	}
-	service := seen.Spec.Service(decision.service)
+	service := seen.Config.Service(decision.service)
 	found, soon := b.candidates(seen, service, decision, now)
 	if len(found) == 0 {
 		return nil, soon
@@ -64,7 +64,7 @@
 			decision.exclusions.Tried++
 			continue
 		}
-		if !seen.Open(runner) {
+		if !seen.Available(runner) {
 			decision.exclusions.Draining++
 			continue
 		}
@@ -90,8 +90,8 @@
 		}
 		slots := math.Max(1, float64(runner.Capacity))
 		told := ledger.Load.Running + ledger.Load.Waiting
-		able := candidate{runner: runner, weight: seen.Weight(runner), load: math.Max(told+ledger.Load.SentSince, ledger.InFlight) / slots, lengthClass: seen.Planned[runner.ID].Group}
-		if seen.Rests(runner.ID, now) || b.zoneLost(runner.Zone) {
+		able := candidate{runner: runner, weight: seen.Weight(runner), load: math.Max(told+ledger.Load.SentSince, ledger.InFlight) / slots, lengthClass: seen.RunnerWeights[runner.ID].Group}
+		if seen.Ejected(runner.ID, now) || b.zoneLost(runner.Zone) {
 			resting = append(resting, able)
 		} else {
 			found = append(found, able)
--- a/data/proxy/bench_test.go
+++ b/data/proxy/bench_test.go
@@ -17,11 +17,11 @@
 	"onyxwell/data/upstreamtest"
 )
 
-const marker = "END!"
+const bodyEnd = "END!"
 
-// quick is a runner that does next to nothing: it answers on kept connections
+// startEchoRunner is a runner that does next to nothing: it answers on kept connections
 // what it finds the id of.
-func quick(b *testing.B) ids.Address {
+func startEchoRunner(b *testing.B) ids.Address {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -33,13 +33,13 @@
 			if err != nil {
 				return
 			}
-			go echo(link)
+			go serveEcho(link)
 		}
 	}()
 	return ids.Address(listener.Addr().String())
 }
 
-func echo(link net.Conn) {
+func serveEcho(link net.Conn) {
 	defer link.Close()
 	buffer, filled, name := make([]byte, 16<<10), 0, []byte("Onyxwell-Attempt-Id: ")
 	body := strings.Repeat("x", 500)
@@ -48,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		if filled += size; !bytes.HasSuffix(buffer[:filled], []byte(marker)) {
+		if filled += size; !bytes.HasSuffix(buffer[:filled], []byte(bodyEnd)) {
 			continue
 		}
 		at := bytes.Index(buffer[:filled], name) + len(name)
@@ -58,7 +58,7 @@
 	}
 }
 
-func processor() float64 {
+func cpuTime() float64 {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return float64(used.Utime.Nano() + used.Stime.Nano())
@@ -66,11 +66,11 @@
 
 // bench has a router with one quick runner; what it gives must be used by
 // parallel visitors, whose processor time counts with the router's.
-func bench(b *testing.B, visitor func(house *house, each *testing.PB) error) {
-	house := newHouse(b, 10, upstreamtest.Start(b, upstreamtest.HangUp()))
-	house.listed[0] = discovery.Runner{ID: "i-1", Service: "desk", Address: quick(b), Zone: "n", Capacity: 1000}
-	house.list()
-	before := processor()
+func bench(b *testing.B, visitor func(house *testProxy, each *testing.PB) error) {
+	house := newTestProxy(b, 10, upstreamtest.Start(b, upstreamtest.HangUp()))
+	house.runners[0] = discovery.Runner{ID: "i-1", Service: "desk", Address: startEchoRunner(b), Zone: "n", Capacity: 1000}
+	house.publishRunners()
+	before := cpuTime()
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(each *testing.PB) {
@@ -79,22 +79,22 @@
 		}
 	})
 	b.StopTimer()
-	b.ReportMetric((processor()-before)/float64(b.N), "processor-ns/op")
+	b.ReportMetric((cpuTime()-before)/float64(b.N), "processor-ns/op")
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-var benchBody = strings.Repeat("b", 80) + marker
+var benchBody = strings.Repeat("b", 80) + bodyEnd
 
 // BenchmarkRouter takes requests from the front's handler to a runner and back.
 func BenchmarkRouter(b *testing.B) {
-	bench(b, func(house *house, each *testing.PB) error {
+	bench(b, func(house *testProxy, each *testing.PB) error {
 		for number := 0; each.Next(); number++ {
 			request := httptest.NewRequest("POST", "/once/x", strings.NewReader(benchBody))
 			request.Host = "shop.example"
 			request.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%x-%p", number, each))
 			request.Header.Set("Onyxwell-Time-Left-Ms", "4000")
 			answer := httptest.NewRecorder()
-			house.front.ServeHTTP(answer, request)
+			house.proxy.ServeHTTP(answer, request)
 			if size, _ := io.Copy(io.Discard, answer.Body); answer.Code != http.StatusOK || size != 500 {
 				return fmt.Errorf("%d, %d bytes", answer.Code, size)
 			}
@@ -103,9 +103,9 @@
 	})
 }
 
-// BenchmarkDoor takes them from visitors' kept connections.
-func BenchmarkDoor(b *testing.B) {
-	bench(b, func(house *house, each *testing.PB) error {
+// BenchmarkListener takes them from visitors' kept connections.
+func BenchmarkListener(b *testing.B) {
+	bench(b, func(house *testProxy, each *testing.PB) error {
 		link, err := net.Dial("tcp", house.server.Listener.Addr().String())
 		if err != nil {
 			return err
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -15,58 +15,58 @@
 	"onyxwell/data/upstreamtest"
 )
 
-const sealedHead = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n"
+const sealedResponseHead = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n"
 
-// TestStreamWithALengthGoesOnElsewhere has the rest of a stream come from a run
+// TestStream_resumesOverShorterContentLength has the rest of a stream come from a run
 // whose events are longer: the first one's length must not end it early.
-func TestStreamWithALengthGoesOnElsewhere(t *testing.T) {
-	first := upstreamtest.Raw(sealedHead+"Content-Length: 63\r\n\r\n"+events(1, 1), false)
+func TestStream_resumesOverShorterContentLength(t *testing.T) {
+	first := upstreamtest.Raw(sealedResponseHead+"Content-Length: 63\r\n\r\n"+eventText(1, 1), false)
 	longer := "id: 2\ndata: token 2 token 2 token 2 token\n\n"
-	second := upstreamtest.Raw(sealedHead+"Content-Length: 64\r\n\r\n"+longer+events(3, 3), true)
-	house, _, _ := pair(t, 10, first, second)
-	if got := house.ask("/again/x", "x"); got.err != nil || got.body != events(1, 1)+longer+events(3, 3) {
+	second := upstreamtest.Raw(sealedResponseHead+"Content-Length: 64\r\n\r\n"+longer+eventText(3, 3), true)
+	house, _, _ := newTestProxyWithPair(t, 10, first, second)
+	if got := house.do("/again/x", "x"); got.err != nil || got.body != eventText(1, 1)+longer+eventText(3, 3) {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestStreamWithoutIdsDoesNotGoOn has a runner break off after events that have
+// TestStream_withoutIDsIsNotResumed has a runner break off after events that have
 // no id: another run would say them again.
-func TestStreamWithoutIdsDoesNotGoOn(t *testing.T) {
-	house, _, two := pair(t, 10, upstreamtest.Raw(sealedHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
-		upstreamtest.Raw(sealedHead+"Content-Length: 18\r\n\r\ndata: a\n\ndata: b\n\n", true))
-	if got := house.ask("/again/x", "x"); got.err == nil || strings.Count(got.body, "data: a") > 1 {
+func TestStream_withoutIDsIsNotResumed(t *testing.T) {
+	house, _, two := newTestProxyWithPair(t, 10, upstreamtest.Raw(sealedResponseHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
+		upstreamtest.Raw(sealedResponseHead+"Content-Length: 18\r\n\r\ndata: a\n\ndata: b\n\n", true))
+	if got := house.do("/again/x", "x"); got.err == nil || strings.Count(got.body, "data: a") > 1 {
 		t.Fatalf("%+v after %d further runs", got, len(two.Requests()))
 	}
 }
 
-// raw sends bytes and gives all that comes back, and how it ended.
-func (h *house) raw(text string) (string, error) {
-	link := h.dial()
+// doRaw sends bytes and gives all that comes back, and how it ended.
+func (t *testProxy) doRaw(text string) (string, error) {
+	link := t.dial()
 	_, _ = io.WriteString(link, text)
 	got, err := io.ReadAll(link)
 	return string(got), err
 }
 
-// TestBrokenStreamToAnOldClient has a stream break off towards a client of
+// TestStream_brokenResetsHTTP10Client has a stream break off towards a client of
 // HTTP/1.0, to whom the connection's end is the stream's: it must be a reset.
-func TestBrokenStreamToAnOldClient(t *testing.T) {
-	text := "POST /stream/x HTTP/1.0\r\n" + hostLine + badLine + "Content-Length: 1\r\n\r\nx"
-	whole := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, true)))
-	if got, err := whole.raw(text); err != nil || !strings.HasSuffix(got, events(1, 2)) {
+func TestStream_brokenResetsHTTP10Client(t *testing.T) {
+	text := "POST /stream/x HTTP/1.0\r\n" + hostLine + badAttemptLine + "Content-Length: 1\r\n\r\nx"
+	whole := newTestProxy(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, true)))
+	if got, err := whole.doRaw(text); err != nil || !strings.HasSuffix(got, eventText(1, 2)) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	broken := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)))
-	if got, err := broken.raw(text); err == nil {
+	broken := newTestProxy(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)))
+	if got, err := broken.doRaw(text); err == nil {
 		t.Fatalf("looks whole: %q", got)
 	}
 }
 
-// TestHeadTellsTheRunnersLength asks for a head alone.
-func TestHeadTellsTheRunnersLength(t *testing.T) {
+// TestProxy_headKeepsContentLength asks for a head alone.
+func TestProxy_headKeepsContentLength(t *testing.T) {
 	for path, frame := range map[string]string{"/safe/x": "Content-Length: 7\r\n", "/stream/x": "Content-Length: 7\r\n", "/once/x": ""} {
-		runner := upstreamtest.Start(t, upstreamtest.Raw(sealedHead+frame+"\r\n", true))
-		link := newHouse(t, 10, runner).dial()
-		_, _ = io.WriteString(link, "HEAD "+path+" HTTP/1.1\r\n"+hostLine+badLine+"\r\n")
+		runner := upstreamtest.Start(t, upstreamtest.Raw(sealedResponseHead+frame+"\r\n", true))
+		link := newTestProxy(t, 10, runner).dial()
+		_, _ = io.WriteString(link, "HEAD "+path+" HTTP/1.1\r\n"+hostLine+badAttemptLine+"\r\n")
 		answer, err := http.ReadResponse(bufio.NewReader(link), &http.Request{Method: "HEAD"})
 		if err != nil || answer.StatusCode != 200 || "Content-Length: "+answer.Header.Get("Content-Length")+"\r\n" != frame && frame != "" || frame == "" && answer.ContentLength >= 0 {
 			t.Errorf("%s: %+v, %v", path, answer, err)
@@ -74,14 +74,14 @@
 	}
 }
 
-// TestExpectationIsMetHere has a client wait for the word that its body is
+// TestProxy_answersExpectContinue has a client wait for the word that its body is
 // wanted: the router gives it, and no runner is asked for it again.
-func TestExpectationIsMetHere(t *testing.T) {
-	runner := upstreamtest.Start(t, upstreamtest.Raw("HTTP/1.1 103 Early Hints\r\n\r\n"+sealedHead+"Content-Length: 2\r\n\r\nok", true))
-	link := newHouse(t, 10, runner).dial()
+func TestProxy_answersExpectContinue(t *testing.T) {
+	runner := upstreamtest.Start(t, upstreamtest.Raw("HTTP/1.1 103 Early Hints\r\n\r\n"+sealedResponseHead+"Content-Length: 2\r\n\r\nok", true))
+	link := newTestProxy(t, 10, runner).dial()
 	reader := bufio.NewReader(link)
 	for _, body := range []string{"content-length: 1\ncontent-length: 2\n\n", "ok"} {
-		_, _ = io.WriteString(link, "POST /once/x HTTP/1.1\r\n"+hostLine+badLine+"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
+		_, _ = io.WriteString(link, "POST /once/x HTTP/1.1\r\n"+hostLine+badAttemptLine+"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
 		if answer, err := http.ReadResponse(reader, nil); err != nil || answer.StatusCode != http.StatusContinue {
 			t.Fatalf("%+v, %v", answer, err)
 		}
@@ -99,16 +99,16 @@
 	}
 }
 
-// TestUnreadBodyIsNotARequest has a request be refused before its body was read:
+// TestProxy_unreadBodyIsNotARequest has a request be refused before its body was read:
 // what stands in the body is no request, and the one behind it is answered.
-func TestUnreadBodyIsNotARequest(t *testing.T) {
+func TestProxy_unreadBodyIsNotARequest(t *testing.T) {
 	for _, expects := range []string{"", "Expect: 100-continue\r\n"} {
 		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-		link := newHouse(t, 10, runner).dial()
+		link := newTestProxy(t, 10, runner).dial()
 		reader := bufio.NewReader(link)
-		_, _ = io.WriteString(link, "POST /nowhere HTTP/1.1\r\n"+hostLine+badLine+expects+fmt.Sprintf("Content-Length: %d\r\n\r\n", len(inner)))
+		_, _ = io.WriteString(link, "POST /nowhere HTTP/1.1\r\n"+hostLine+badAttemptLine+expects+fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)))
 		if expects == "" {
-			_, _ = io.WriteString(link, inner+good)
+			_, _ = io.WriteString(link, smuggledRequest+goodRequest)
 		}
 		answer, err := http.ReadResponse(reader, nil)
 		if err != nil || answer.StatusCode != 404 || answer.Close != (expects != "") {
@@ -119,24 +119,24 @@
 			continue
 		}
 		answer, err = http.ReadResponse(reader, nil)
-		if err != nil || answer.StatusCode != 200 || arrivals(runner) != 1 || runner.Requests()[0].AttemptID != "good" {
+		if err != nil || answer.StatusCode != 200 || countRequests(runner) != 1 || runner.Requests()[0].AttemptID != "good" {
 			t.Fatalf("%+v, %v, %+v", answer, err, runner.Requests())
 		}
 	}
 }
 
-// TestRequestsSentAhead sends a request before the answer to the one before it is
+// TestProxy_pipelinedRequests sends a request before the answer to the one before it is
 // there: one whose frame was not looked at reaches no runner, with a promise.
-func TestRequestsSentAhead(t *testing.T) {
-	chunks := "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Transfer-Encoding: chunked\r\n%s\r\n2\r\nab\r\n0\r\n\r\n"
+func TestProxy_pipelinedRequests(t *testing.T) {
+	chunks := "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: chunked\r\n%s\r\n2\r\nab\r\n0\r\n\r\n"
 	cases := []struct {
 		second string
 		status int
-	}{{good, 200}, {fmt.Sprintf(chunks, ""), 503}, {fmt.Sprintf(chunks, "Content-Length: 5\r\n"), 503}}
+	}{{goodRequest, 200}, {fmt.Sprintf(chunks, ""), 503}, {fmt.Sprintf(chunks, "Content-Length: 5\r\n"), 503}}
 	for _, example := range cases {
 		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-		link := newHouse(t, 10, runner).dial()
-		_, _ = io.WriteString(link, good+example.second+good)
+		link := newTestProxy(t, 10, runner).dial()
+		_, _ = io.WriteString(link, goodRequest+example.second+goodRequest)
 		reader := bufio.NewReader(link)
 		for index, status := range []int{200, example.status} {
 			answer, err := http.ReadResponse(reader, nil)
@@ -148,24 +148,24 @@
 		if example.status == 200 {
 			continue
 		}
-		if rest, _ := io.ReadAll(reader); len(rest) > 0 || arrivals(runner) != 1 {
-			t.Errorf("%q: %q behind it, %d arrivals", example.second, rest, arrivals(runner))
+		if rest, _ := io.ReadAll(reader); len(rest) > 0 || countRequests(runner) != 1 {
+			t.Errorf("%q: %q behind it, %d arrivals", example.second, rest, countRequests(runner))
 		}
 	}
 }
 
-// endless is an answer without an end.
-type endless struct{}
+// endlessBody is an answer without an end.
+type endlessBody struct{}
 
-func (endless) Read(buffer []byte) (int, error) { return len(buffer), nil }
-func (endless) Close() error                    { return nil }
+func (endlessBody) Read(buffer []byte) (int, error) { return len(buffer), nil }
+func (endlessBody) Close() error                    { return nil }
 
-// TestEndlessAnswerIsGarbled has a runner send more than a router may hold.
-func TestEndlessAnswerIsGarbled(t *testing.T) {
+// TestRelay_endlessResponseIsGarbled has a runner send more than a router may hold.
+func TestRelay_endlessResponseIsGarbled(t *testing.T) {
 	top := scope.New(scope.Options{Settings: &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}})
-	visit := &visit{front: NewFront(Options{Scope: top}), route: &config.Route{}}
+	visit := &exchange{proxy: New(Options{Scope: top}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
-		if fate, over := visit.pass(top, nil, &http.Response{StatusCode: 200, Body: endless{}, ContentLength: length}); fate != upstream.Garbled || over {
+		if fate, over := visit.relay(top, nil, &http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); fate != upstream.Garbled || over {
 			t.Errorf("length %d: %v, %v", length, fate, over)
 		}
 	}
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -27,7 +27,7 @@
 	"onyxwell/data/upstreamtest"
 )
 
-const document = `{"config_version":%d,"routes":[
+const configDocument = `{"config_version":%d,"routes":[
  {"name":"plain","hostname":"shop.example","path_prefix":"/safe/","type":"safe","give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
  {"name":"once","hostname":"shop.example","path_prefix":"/once/","type":"unsafe","give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
  {"name":"again","hostname":"shop.example","path_prefix":"/again/","type":"streaming","resumable":true,"sticky":true,"give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
@@ -36,37 +36,37 @@
  "services":[{"name":"desk","health_path":"/health","max_conns":100,"warmup_s":3,"cold_per_s":10}],
  "limits":{"max_header_bytes":2000,"max_body_bytes":100,"header_wait_ms":3000,"idle_ms":15000}}`
 
-// house is a router's data plane between scripted runners and a visitor.
-type house struct {
-	t      testing.TB
-	clock  *clock.Fake
-	frame  *snapshot.Frame
-	news   *gossip.Store
-	board  *runnerstats.Collector
-	front  *Front
-	server *httptest.Server
-	log    *bytes.Buffer
-	listed []discovery.Runner
-	serial ids.Serial
+// testProxy is a router's data plane between scripted runners and a visitor.
+type testProxy struct {
+	t          testing.TB
+	clock      *clock.Fake
+	snapshots  *snapshot.Store
+	updates    *gossip.Store
+	stats      *runnerstats.Collector
+	proxy      *Proxy
+	server     *httptest.Server
+	log        *bytes.Buffer
+	runners    []discovery.Runner
+	listSerial ids.Serial
 }
 
-func newHouse(t testing.TB, extra float64, runners ...*upstreamtest.Runner) *house {
+func newTestProxy(t testing.TB, extra float64, runners ...*upstreamtest.Runner) *testProxy {
 	t.Helper()
-	return newHouseOn(t, &settings.Settings{}, extra, runners...)
+	return newTestProxyWithSettings(t, &settings.Settings{}, extra, runners...)
 }
 
-// newHouseOn makes a house on a machine of those settings.
-func newHouseOn(t testing.TB, settings *settings.Settings, extra float64, runners ...*upstreamtest.Runner) *house {
+// newTestProxyWithSettings makes a house on a machine of those settings.
+func newTestProxyWithSettings(t testing.TB, settings *settings.Settings, extra float64, runners ...*upstreamtest.Runner) *testProxy {
 	t.Helper()
 	machine := clock.NewFake()
-	made := &house{t: t, clock: machine, board: runnerstats.New(), log: &bytes.Buffer{}}
+	made := &testProxy{t: t, clock: machine, stats: runnerstats.New(), log: &bytes.Buffer{}}
 	top := scope.New(scope.Options{Clock: machine, Settings: settings, Log: scope.NewLogger("warn", made.log)})
-	made.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	made.news = gossip.NewStore(made.frame.Absorb)
+	made.snapshots = snapshot.NewStore(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
+	made.updates = gossip.NewStore(made.snapshots.Apply)
 	one := func() int { return 1 }
 	cold := slowstart.New(func() float64 { return 0 })
 	gate := balancer.New(balancer.Options{
-		Scope: top, Snapshots: made.frame, Stats: made.board, SlowStart: cold, Region: "north", RouterCount: one,
+		Scope: top, Snapshots: made.snapshots, Stats: made.stats, SlowStart: cold, Region: "north", RouterCount: one,
 		SlowStartSharers: func(ids.Zone) int { return 1 },
 		Random:           func() float64 { return 0 },
 		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: extra, Window: 10 * clock.Second, Routers: one}),
@@ -74,58 +74,58 @@
 	sender := upstream.NewClient(upstream.Options{
 		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
-	made.front = NewFront(Options{Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: cold, Sender: sender})
-	made.server = httptest.NewUnstartedServer(made.front)
-	made.server.Listener = Door(made.front, made.server.Listener)
-	made.server.Config = NewServer(made.front)
+	made.proxy = New(Options{Scope: top, Snapshots: made.snapshots, Balancer: gate, Stats: made.stats, SlowStart: cold, Upstream: sender})
+	made.server = httptest.NewUnstartedServer(made.proxy)
+	made.server.Listener = NewListener(made.proxy, made.server.Listener)
+	made.server.Config = NewServer(made.proxy)
 	made.server.Start()
 	t.Cleanup(made.server.Close)
-	made.spec(1, document)
+	made.setConfig(1, configDocument)
 	for index, runner := range runners {
 		zone := ids.Zone("n")
-		made.listed = append(made.listed, discovery.Runner{
+		made.runners = append(made.runners, discovery.Runner{
 			ID: ids.RunnerID(fmt.Sprintf("i-%d", index+1)), Service: "desk", Address: runner.Address, Zone: zone, Capacity: 4,
 		})
 	}
-	made.list()
+	made.publishRunners()
 	return made
 }
 
-func (h *house) spec(serial int, text string) {
-	h.news.Put(gossip.Item{Key: "spec", Version: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
+func (t *testProxy) setConfig(serial int, text string) {
+	t.updates.Put(gossip.Item{Key: "spec", Version: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
 }
 
-func (h *house) list() {
-	h.serial++
-	body, err := transport.Marshal(discovery.List{Runners: h.listed})
+func (t *testProxy) publishRunners() {
+	t.listSerial++
+	body, err := transport.Marshal(discovery.List{Runners: t.runners})
 	if err != nil {
-		h.t.Fatal(err)
+		t.t.Fatal(err)
 	}
-	h.news.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: h.serial, Body: body})
+	t.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: t.listSerial, Body: body})
 }
 
-func (h *house) empty(zone ids.Zone, serial ids.Serial, empty bool) {
+func (t *testProxy) setEvacuated(zone ids.Zone, serial ids.Serial, empty bool) {
 	body, err := transport.Marshal(evacuation.State{Version: serial, Drained: empty})
 	if err != nil {
-		h.t.Fatal(err)
+		t.t.Fatal(err)
 	}
-	h.news.Put(gossip.Item{Key: evacuation.Key(zone), Version: serial, Body: body})
+	t.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: serial, Body: body})
 }
 
-type told struct {
-	status  int
-	closing bool
-	header  http.Header
-	body    string
-	err     error
+type clientResponse struct {
+	status int
+	closes bool
+	header http.Header
+	body   string
+	err    error
 }
 
-// ask sends a visitor's request and reads the answer to its end.
-func (h *house) ask(path string, body string, heads ...string) told {
-	h.t.Helper()
-	request, err := http.NewRequest("POST", h.server.URL+path, strings.NewReader(body))
+// do sends a visitor's request and reads the answer to its end.
+func (t *testProxy) do(path string, body string, heads ...string) clientResponse {
+	t.t.Helper()
+	request, err := http.NewRequest("POST", t.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		h.t.Fatal(err)
+		t.t.Fatal(err)
 	}
 	request.Host = "shop.example"
 	request.Header.Set("Onyxwell-Attempt-Id", "v1")
@@ -135,14 +135,14 @@
 	}
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
-		return told{err: err}
+		return clientResponse{err: err}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	return told{status: response.StatusCode, closing: response.Close, header: response.Header, body: string(text), err: err}
+	return clientResponse{status: response.StatusCode, closes: response.Close, header: response.Header, body: string(text), err: err}
 }
 
-func arrivals(runners ...*upstreamtest.Runner) int {
+func countRequests(runners ...*upstreamtest.Runner) int {
 	count := 0
 	for _, runner := range runners {
 		count += len(runner.Requests())
--- a/data/proxy/hostile_test.go
+++ b/data/proxy/hostile_test.go
@@ -13,65 +13,65 @@
 )
 
 const (
-	hostLine = "Host: shop.example\r\n"
-	badLine  = "Onyxwell-Attempt-Id: bad\r\n"
-	inner    = "POST /once/inner HTTP/1.1\r\n" + hostLine + "Onyxwell-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
-	good     = "POST /once/good HTTP/1.1\r\n" + hostLine + "Onyxwell-Attempt-Id: good\r\nContent-Length: 2\r\n\r\nok"
+	hostLine        = "Host: shop.example\r\n"
+	badAttemptLine  = "Onyxwell-Attempt-Id: bad\r\n"
+	smuggledRequest = "POST /once/inner HTTP/1.1\r\n" + hostLine + "Onyxwell-Attempt-Id: inner\r\nContent-Length: 0\r\n\r\n"
+	goodRequest     = "POST /once/good HTTP/1.1\r\n" + hostLine + "Onyxwell-Attempt-Id: good\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// hostile are requests that no runner may hear of, with their statuses.
-var hostile = []struct {
+// hostileRequests are requests that no runner may hear of, with their statuses.
+var hostileRequests = []struct {
 	name, text string
 	status     int
 }{
-	{"two lengths", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
-	{"the same length twice", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab", 400},
-	{"two lengths in a line", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length: 2, 2\r\n\r\nab", 400},
-	{"a signed length", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length: +2\r\n\r\nab", 400},
-	{"a length, then chunks", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner, 400},
-	{"chunks, then a length", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "transfer-encoding: chunked\r\nCONTENT-LENGTH: 4\r\n\r\n5c\r\n" + inner, 400},
-	{"a space before the colon", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length : 2\r\n\r\n" + inner, 400},
-	{"another coding", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Transfer-Encoding: gzip, chunked\r\n\r\n" + inner, 501},
-	{"two codings", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + inner, 501},
-	{"a folded head", "POST /once/x HTTP/1.1\r\n Content-Length: 2\r\n" + hostLine + badLine + "\r\nab", 400},
-	{"an absolute target", "GET http://shop.example/once/x HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"an asterisk", "OPTIONS * HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"an authority", "CONNECT shop.example:80 HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"a control byte", "GET /once/\x01 HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"a space in the target", "GET /once/a b HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"an empty authority", "GET //once/x HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"steps up", "GET /safe/../once/x HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"hidden steps up", "GET /safe/%2e%2E/once/x HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"a fragment", "GET /once/x#/safe/ HTTP/1.1\r\n" + hostLine + badLine + "\r\n", 400},
-	{"no host", "GET /once/x HTTP/1.1\r\n" + badLine + "\r\n", 400},
-	{"two hosts", "GET /once/x HTTP/1.1\r\n" + hostLine + "Host: other\r\n" + badLine + "\r\n", 400},
+	{"two lengths", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
+	{"the same length twice", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab", 400},
+	{"two lengths in a line", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length: 2, 2\r\n\r\nab", 400},
+	{"a signed length", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length: +2\r\n\r\nab", 400},
+	{"a length, then chunks", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggledRequest, 400},
+	{"chunks, then a length", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "transfer-encoding: chunked\r\nCONTENT-LENGTH: 4\r\n\r\n5c\r\n" + smuggledRequest, 400},
+	{"a space before the colon", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length : 2\r\n\r\n" + smuggledRequest, 400},
+	{"another coding", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: gzip, chunked\r\n\r\n" + smuggledRequest, 501},
+	{"two codings", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + smuggledRequest, 501},
+	{"a folded head", "POST /once/x HTTP/1.1\r\n Content-Length: 2\r\n" + hostLine + badAttemptLine + "\r\nab", 400},
+	{"an absolute target", "GET http://shop.example/once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"an asterisk", "OPTIONS * HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"an authority", "CONNECT shop.example:80 HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"a control byte", "GET /once/\x01 HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"a space in the target", "GET /once/a b HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"an empty authority", "GET //once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"steps up", "GET /safe/../once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"hidden steps up", "GET /safe/%2e%2E/once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"a fragment", "GET /once/x#/safe/ HTTP/1.1\r\n" + hostLine + badAttemptLine + "\r\n", 400},
+	{"no host", "GET /once/x HTTP/1.1\r\n" + badAttemptLine + "\r\n", 400},
+	{"two hosts", "GET /once/x HTTP/1.1\r\n" + hostLine + "Host: other\r\n" + badAttemptLine + "\r\n", 400},
 	{"no id", "GET /once/x HTTP/1.1\r\n" + hostLine + "\r\n", 400},
-	{"two ids", "GET /once/x HTTP/1.1\r\n" + hostLine + badLine + badLine + "\r\n", 400},
-	{"a long body", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length: 101\r\n\r\n" + strings.Repeat("x", 101), 413},
-	{"a long body in chunks", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Transfer-Encoding: chunked\r\n\r\n65\r\n" + strings.Repeat("x", 101) + "\r\n0\r\n\r\n", 413},
-	{"a long head", "GET /once/x HTTP/1.1\r\n" + hostLine + badLine + "X: " + strings.Repeat("x", 2000) + "\r\n\r\n", 431},
-	{"a chunk without its end", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Transfer-Encoding: chunked\r\n\r\n2\r\nabXX" + inner, 400},
-	{"a chunk's size that is none", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n0\r\n\r\n", 400},
+	{"two ids", "GET /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + badAttemptLine + "\r\n", 400},
+	{"a long body", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length: 101\r\n\r\n" + strings.Repeat("x", 101), 413},
+	{"a long body in chunks", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: chunked\r\n\r\n65\r\n" + strings.Repeat("x", 101) + "\r\n0\r\n\r\n", 413},
+	{"a long head", "GET /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "X: " + strings.Repeat("x", 2000) + "\r\n\r\n", 431},
+	{"a chunk without its end", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: chunked\r\n\r\n2\r\nabXX" + smuggledRequest, 400},
+	{"a chunk's size that is none", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n0\r\n\r\n", 400},
 	{"no request at all", "\x16\x03\x01 hello\r\n\r\n", 400},
 }
 
-func (h *house) dial() net.Conn {
-	link, err := net.Dial("tcp", h.server.Listener.Addr().String())
+func (t *testProxy) dial() net.Conn {
+	link, err := net.Dial("tcp", t.server.Listener.Addr().String())
 	if err != nil {
-		h.t.Fatal(err)
+		t.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { _ = link.Close() })
+	t.t.Cleanup(func() { _ = link.Close() })
 	return link
 }
 
-// TestHostileRequests sends each bad request, alone and with a good one right
+// TestProxy_hostileRequests sends each bad request, alone and with a good one right
 // behind it, and a good one after it: none but the good ones reach the runner.
-func TestHostileRequests(t *testing.T) {
+func TestProxy_hostileRequests(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
-	house.spec(2, strings.Replace(document, `"idle_ms":15000`, `"idle_ms":2000`, 1))
-	for _, example := range hostile {
-		for _, behind := range []string{"", good} {
+	house := newTestProxy(t, 10, runner)
+	house.setConfig(2, strings.Replace(configDocument, `"idle_ms":15000`, `"idle_ms":2000`, 1))
+	for _, example := range hostileRequests {
+		for _, behind := range []string{"", goodRequest} {
 			link := house.dial()
 			_, _ = io.WriteString(link, example.text+behind)
 			reader := bufio.NewReader(link)
@@ -89,26 +89,26 @@
 			}
 		}
 	}
-	if got := house.ask("/once/x", "x"); got.status != 200 || arrivals(runner) != 1 {
-		t.Fatalf("%+v after %d arrivals: %+v", got, arrivals(runner), runner.Requests())
+	if got := house.do("/once/x", "x"); got.status != 200 || countRequests(runner) != 1 {
+		t.Fatalf("%+v after %d arrivals: %+v", got, countRequests(runner), runner.Requests())
 	}
 }
 
-// TestSmuggledRequestsStayInside has forms that some servers read otherwise, and
+// TestProxy_smuggledRequestsStayInBody has forms that some servers read otherwise, and
 // which are proper here: each arrives as the one request that it is.
-func TestSmuggledRequestsStayInside(t *testing.T) {
+func TestProxy_smuggledRequestsStayInBody(t *testing.T) {
 	cases := []struct{ name, text, body string }{
-		{"a request in a body", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(inner)) + inner, inner},
-		{"a request in chunks", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(inner)) + inner + "\r\n0\r\nX: y\r\n\r\n", inner},
-		{"line feeds alone", "POST /once/x HTTP/1.1\n" + strings.ReplaceAll(hostLine+badLine, "\r", "") + "Content-Length: 2\n\nab", "ab"},
-		{"a folded value", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Content-Length:\r\n 2\r\n\r\nab", "ab"},
-		{"a head named by Connection", "POST /once/x HTTP/1.1\r\n" + hostLine + badLine + "Connection: Content-Length, Onyxwell-Attempt-Id\r\nContent-Length: 2\r\n\r\nab", "ab"},
+		{"a request in a body", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)) + smuggledRequest, smuggledRequest},
+		{"a request in chunks", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n", len(smuggledRequest)) + smuggledRequest + "\r\n0\r\nX: y\r\n\r\n", smuggledRequest},
+		{"line feeds alone", "POST /once/x HTTP/1.1\n" + strings.ReplaceAll(hostLine+badAttemptLine, "\r", "") + "Content-Length: 2\n\nab", "ab"},
+		{"a folded value", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length:\r\n 2\r\n\r\nab", "ab"},
+		{"a head named by Connection", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Connection: Content-Length, Onyxwell-Attempt-Id\r\nContent-Length: 2\r\n\r\nab", "ab"},
 	}
 	for _, example := range cases {
 		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-		link := newHouse(t, 10, runner).dial()
+		link := newTestProxy(t, 10, runner).dial()
 		reader := bufio.NewReader(link)
-		for index, text := range []string{example.text, good} {
+		for index, text := range []string{example.text, goodRequest} {
 			_, _ = io.WriteString(link, text)
 			answer, err := http.ReadResponse(reader, nil)
 			if err != nil || answer.StatusCode != 200 {
@@ -123,18 +123,18 @@
 	}
 }
 
-// TestEndlessHeadIsRefused writes a head until the router has enough.
-func TestEndlessHeadIsRefused(t *testing.T) {
+// TestProxy_rejectsEndlessHead writes a head until the router has enough.
+func TestProxy_rejectsEndlessHead(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	link := newHouse(t, 10, runner).dial()
+	link := newTestProxy(t, 10, runner).dial()
 	go func() {
-		_, err := io.WriteString(link, "GET /once/x HTTP/1.1\r\n"+hostLine+badLine)
+		_, err := io.WriteString(link, "GET /once/x HTTP/1.1\r\n"+hostLine+badAttemptLine)
 		for err == nil {
 			_, err = io.WriteString(link, "X-More: "+strings.Repeat("x", 1000)+"\r\n")
 		}
 	}()
 	answer, err := http.ReadResponse(bufio.NewReader(link), nil)
-	if err == nil && (answer.StatusCode != 431 || !answer.Close) || arrivals(runner) != 0 {
+	if err == nil && (answer.StatusCode != 431 || !answer.Close) || countRequests(runner) != 0 {
 		t.Fatalf("%+v, %v", answer, err)
 	}
 }
--- a/data/proxy/limits_test.go
+++ b/data/proxy/limits_test.go
@@ -15,48 +15,48 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// deadlines is a listener whose connections tell the deadlines that are set.
-type deadlines struct {
+// deadlineListener is a listener whose connections tell the deadlines that are set.
+type deadlineListener struct {
 	net.Listener
 	set chan time.Duration
 }
 
-func (d deadlines) Accept() (net.Conn, error) {
+func (d deadlineListener) Accept() (net.Conn, error) {
 	conn, err := d.Listener.Accept()
-	return watchedDeadlines{Conn: conn, set: d.set}, err
+	return deadlineConn{Conn: conn, set: d.set}, err
 }
 
-type watchedDeadlines struct {
+type deadlineConn struct {
 	net.Conn
 	set chan time.Duration
 }
 
-func (w watchedDeadlines) SetReadDeadline(until time.Time) error {
+func (d deadlineConn) SetReadDeadline(until time.Time) error {
 	if !until.IsZero() {
-		w.set <- time.Until(until)
+		d.set <- time.Until(until)
 	}
-	return w.Conn.SetReadDeadline(until)
+	return d.Conn.SetReadDeadline(until)
 }
 
-func limitsDocument(headWaitMS int, idleMS int) string {
+func configWithLimits(headWaitMS int, idleMS int) string {
 	return strings.NewReplacer(`"header_wait_ms":3000`, fmt.Sprintf(`"header_wait_ms":%d`, headWaitMS),
-		`"idle_ms":15000`, fmt.Sprintf(`"idle_ms":%d`, idleMS)).Replace(document)
+		`"idle_ms":15000`, fmt.Sprintf(`"idle_ms":%d`, idleMS)).Replace(configDocument)
 }
 
-// TestLimitsOfANewVersionBind has a configuration with longer limits come into
+// TestConnDeadlines_followNewConfig has a configuration with longer limits come into
 // force after the server was made: heads and rests get the time that it allows.
-func TestLimitsOfANewVersionBind(t *testing.T) {
-	house := newHouse(t, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
-	house.spec(2, limitsDocument(1000, 1500))
+func TestConnDeadlines_followNewConfig(t *testing.T) {
+	house := newTestProxy(t, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
+	house.setConfig(2, configWithLimits(1000, 1500))
 	set := make(chan time.Duration, 64)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &httptest.Server{Listener: Door(house.front, deadlines{Listener: plain, set: set}), Config: NewServer(house.front)}
+	server := &httptest.Server{Listener: NewListener(house.proxy, deadlineListener{Listener: plain, set: set}), Config: NewServer(house.proxy)}
 	server.Start()
 	t.Cleanup(server.Close)
-	house.spec(3, limitsDocument(60000, 90000))
+	house.setConfig(3, configWithLimits(60000, 90000))
 	conn, err := net.Dial("tcp", plain.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -82,11 +82,11 @@
 	}
 }
 
-// TestBodiesAreBoundedTogether has clients hold back the ends of bodies that are
+// TestBodyQuota_boundsBodiesTogether has clients hold back the ends of bodies that are
 // each inside the limits and together more than the router's memory.
-func TestBodiesAreBoundedTogether(t *testing.T) {
-	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
-	house.spec(2, strings.Replace(document, `"max_body_bytes":100`, `"max_body_bytes":4194304`, 1))
+func TestBodyQuota_boundsBodiesTogether(t *testing.T) {
+	house := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
+	house.setConfig(2, strings.Replace(configDocument, `"max_body_bytes":100`, `"max_body_bytes":4194304`, 1))
 	const size, clients = 1 << 20, 24
 	answers := make(chan string, clients)
 	for range clients {
@@ -111,22 +111,22 @@
 	if got := <-answers; !strings.HasPrefix(got, "503 Service Unavailable 0.") {
 		t.Errorf("the first that is too much gets %q", got)
 	}
-	if got := house.ask("/safe/2", "small"); got.status != 200 {
+	if got := house.do("/safe/2", "small"); got.status != 200 {
 		t.Errorf("a small request beside them gets %d %v", got.status, got.err)
 	}
 }
 
-// TestAnswerBeyondTheMemoryIsPassedOn has answers be larger than the room that
+// TestBodyQuota_relaysLargeResponseUnbuffered has answers be larger than the room that
 // is left: they go to their clients whole, without being held first.
-func TestAnswerBeyondTheMemoryIsPassedOn(t *testing.T) {
+func TestBodyQuota_relaysLargeResponseUnbuffered(t *testing.T) {
 	text := strings.Repeat("y", 200<<10)
-	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", text), upstreamtest.Respond(200, "s", text)))
-	full := house.front.bodies.NewBody()
+	house := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", text), upstreamtest.Respond(200, "s", text)))
+	full := house.proxy.bodyQuota.NewBody()
 	defer full.Release()
 	if err := full.Read(strings.NewReader(strings.Repeat("z", 1500<<10)), 1500<<10, 1500<<10); err != nil {
 		t.Fatal(err)
 	}
-	if got := house.ask("/safe/1", ""); got.status != 200 || got.body != text || got.err != nil {
+	if got := house.do("/safe/1", ""); got.status != 200 || got.body != text || got.err != nil {
 		t.Errorf("%d, %d bytes, %v", got.status, len(got.body), got.err)
 	}
 }
--- a/data/proxy/record_test.go
+++ b/data/proxy/outcome_test.go
@@ -8,9 +8,9 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestFailedRequestTellsWhy has requests fail in different ways: each line names
+// TestFailureLog_namesReasonAndAttempts has requests fail in different ways: each line names
 // the client's attempt, the reason, and every sending.
-func TestFailedRequestTellsWhy(t *testing.T) {
+func TestFailureLog_namesReasonAndAttempts(t *testing.T) {
 	cases := []struct {
 		name, path string
 		heads      []string
@@ -24,8 +24,8 @@
 			[]string{`"outcome":"no-runner"`, `"reason":"left out: away 1"`}},
 	}
 	for _, example := range cases {
-		house := newHouse(t, 10, upstreamtest.Start(t, upstreamtest.HangUp()))
-		house.ask(example.path, "", example.heads...)
+		house := newTestProxy(t, 10, upstreamtest.Start(t, upstreamtest.HangUp()))
+		house.do(example.path, "", example.heads...)
 		house.server.Close()
 		for _, want := range example.want {
 			if text := house.log.String(); !strings.Contains(text, want) {
@@ -35,18 +35,18 @@
 	}
 }
 
-func TestNoOutcomeHidesAnother(t *testing.T) {
-	kept, now := &lines{}, clock.Instant(clock.Second)
+func TestLineLimiter_outcomesAreIndependent(t *testing.T) {
+	kept, now := &lineLimiter{}, clock.Instant(clock.Second)
 	for range 40 {
-		kept.take("bad-request", now)
+		kept.allow("bad-request", now)
 	}
-	if told, _ := kept.take("runner-lost", now); !told {
+	if told, _ := kept.allow("runner-lost", now); !told {
 		t.Error("bad requests hide a lost runner")
 	}
-	if told, _ := kept.take("bad-request", now); told {
+	if told, _ := kept.allow("bad-request", now); told {
 		t.Error("lines of one outcome are not rationed")
 	}
-	if told, suppressed := kept.take("bad-request", now.Add(clock.Second)); !told || suppressed != 41-linesPerSecond {
+	if told, suppressed := kept.allow("bad-request", now.Add(clock.Second)); !told || suppressed != 41-failureLinesPerSecond {
 		t.Errorf("told %v, %d suppressed", told, suppressed)
 	}
 }
--- a/data/proxy/answer_test.go
+++ b/data/proxy/proxy_test.go
@@ -8,9 +8,9 @@
 	"onyxwell/data/upstreamtest"
 )
 
-func TestPlainAnswerIsTheRunners(t *testing.T) {
+func TestProxy_passesPlainResponseThrough(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal-1", "whole"))
-	got := newHouse(t, 10, runner).ask("/safe/x?y=1", "body")
+	got := newTestProxy(t, 10, runner).do("/safe/x?y=1", "body")
 	if got.status != 200 || got.body != "whole" || got.header.Get("Onyxwell-Server-Seal") != "seal-1" || got.header.Get("Onyxwell-Attempt-Id") != "v1" {
 		t.Fatalf("%+v", got)
 	}
@@ -19,9 +19,9 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestProxy_rejectsBadInput(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
+	house := newTestProxy(t, 10, runner)
 	cases := []struct {
 		path, body, head string
 		status           int
@@ -31,19 +31,19 @@
 		{"/safe/x", "", strings.Repeat("h", 2001), 431},
 	}
 	for _, example := range cases {
-		if got := house.ask(example.path, example.body, "X-Long", example.head); got.status != example.status {
+		if got := house.do(example.path, example.body, "X-Long", example.head); got.status != example.status {
 			t.Errorf("%s: %d, not %d", example.path, got.status, example.status)
 		}
 	}
-	if arrivals(runner) != 0 {
+	if countRequests(runner) != 0 {
 		t.Error("a refused request reached a runner")
 	}
 }
 
-// TestFates takes each way a runner can fail on a request, and what becomes of
+// TestProxy_runnerFailureByRouteType takes each way a runner can fail on a request, and what becomes of
 // it on each kind of route: only what surely did not run, or may run again, is
 // tried elsewhere, and only what did not run gets a promise.
-func TestFates(t *testing.T) {
+func TestProxy_runnerFailureByRouteType(t *testing.T) {
 	cases := []struct {
 		name   string
 		path   string
@@ -65,13 +65,13 @@
 		{"reset at no byte, once", "/once/x", upstreamtest.Reset(""), 502, false},
 		{"reset at one byte, once", "/once/x", upstreamtest.Reset("H"), 502, false},
 		{"reset at one byte, plain", "/safe/x", upstreamtest.Reset("H"), 200, true},
-		{"ends with the connection, plain", "/safe/x", upstreamtest.Raw(sealedHead+"\r\nwhole", false), 200, false},
-		{"ends with the connection, once", "/once/x", upstreamtest.Raw(sealedHead+"\r\nwhole", false), 200, false},
-		{"ends with a reset, plain", "/safe/x", upstreamtest.Reset(sealedHead + "\r\nha"), 200, true},
-		{"ends with a reset, once", "/once/x", upstreamtest.Reset(sealedHead + "\r\nha"), 502, false},
-		{"ends with the connection, stream", "/stream/x", upstreamtest.Raw(sealedHead+"\r\nid: 1\n\n", false), 200, false},
-		{"ends before an event, stream", "/stream/x", upstreamtest.Raw(sealedHead+"\r\nid: 1\n", false), 502, false},
-		{"ends with a reset, stream", "/stream/x", upstreamtest.Reset(sealedHead + "\r\nid: 1\n"), 502, false},
+		{"ends with the connection, plain", "/safe/x", upstreamtest.Raw(sealedResponseHead+"\r\nwhole", false), 200, false},
+		{"ends with the connection, once", "/once/x", upstreamtest.Raw(sealedResponseHead+"\r\nwhole", false), 200, false},
+		{"ends with a reset, plain", "/safe/x", upstreamtest.Reset(sealedResponseHead + "\r\nha"), 200, true},
+		{"ends with a reset, once", "/once/x", upstreamtest.Reset(sealedResponseHead + "\r\nha"), 502, false},
+		{"ends with the connection, stream", "/stream/x", upstreamtest.Raw(sealedResponseHead+"\r\nid: 1\n\n", false), 200, false},
+		{"ends before an event, stream", "/stream/x", upstreamtest.Raw(sealedResponseHead+"\r\nid: 1\n", false), 502, false},
+		{"ends with a reset, stream", "/stream/x", upstreamtest.Reset(sealedResponseHead + "\r\nid: 1\n"), 502, false},
 		{"stream not begun", "/stream/x", upstreamtest.HangUp(), 502, false},
 		{"stream full", "/stream/x", upstreamtest.Reject(503), 200, true},
 	}
@@ -80,93 +80,93 @@
 		if strings.HasPrefix(example.path, "/stream/") {
 			finish = upstreamtest.EventStream("good", 1, 2, true)
 		}
-		house, bad, good := pair(t, 10, example.step, finish)
-		got := house.ask(example.path, "x")
-		if got.status != example.status || (len(good.Requests()) == 1) != example.second || arrivals(bad) != 1 {
-			t.Errorf("%s: %d, %d and %d arrivals", example.name, got.status, arrivals(bad), arrivals(good))
+		house, bad, good := newTestProxyWithPair(t, 10, example.step, finish)
+		got := house.do(example.path, "x")
+		if got.status != example.status || (len(good.Requests()) == 1) != example.second || countRequests(bad) != 1 {
+			t.Errorf("%s: %d, %d and %d arrivals", example.name, got.status, countRequests(bad), countRequests(good))
 		}
 	}
 }
 
-func TestBudgetIsOneForAll(t *testing.T) {
+func TestProxy_retryBudgetIsShared(t *testing.T) {
 	bad := []*upstreamtest.Runner{upstreamtest.Start(t, upstreamtest.HangUp()), upstreamtest.Start(t, upstreamtest.HangUp())}
-	house := newHouse(t, 1, bad...)
-	if got := house.ask("/safe/x", "x"); got.status != 502 || arrivals(bad...) != 2 {
-		t.Fatalf("%d after %d arrivals", got.status, arrivals(bad...))
+	house := newTestProxy(t, 1, bad...)
+	if got := house.do("/safe/x", "x"); got.status != 502 || countRequests(bad...) != 2 {
+		t.Fatalf("%d after %d arrivals", got.status, countRequests(bad...))
 	}
-	house.board.ClearSuspicion("i-1", house.clock.Now())
-	house.board.ClearSuspicion("i-2", house.clock.Now())
-	if got := house.ask("/safe/x", "x"); got.status != 502 || arrivals(bad...) != 3 {
-		t.Fatalf("%d after %d arrivals: a further try without budget", got.status, arrivals(bad...))
+	house.stats.ClearSuspicion("i-1", house.clock.Now())
+	house.stats.ClearSuspicion("i-2", house.clock.Now())
+	if got := house.do("/safe/x", "x"); got.status != 502 || countRequests(bad...) != 3 {
+		t.Fatalf("%d after %d arrivals: a further try without budget", got.status, countRequests(bad...))
 	}
 }
 
-func TestHomesBind(t *testing.T) {
+func TestProxy_homeRegionsBind(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
-	if got := house.ask("/home/x", "x"); got.status != 503 || arrivals(runner) != 0 {
+	house := newTestProxy(t, 10, runner)
+	if got := house.do("/home/x", "x"); got.status != 503 || countRequests(runner) != 0 {
 		t.Fatalf("%d: a runner away from home got the request", got.status)
 	}
-	house.listed[0].Zone = "s"
-	house.list()
-	if got := house.ask("/home/x", "x"); got.status != 200 {
+	house.runners[0].Zone = "s"
+	house.publishRunners()
+	if got := house.do("/home/x", "x"); got.status != 200 {
 		t.Fatalf("%d from a runner at home", got.status)
 	}
 }
 
-func TestEvacuatedZoneGetsNothing(t *testing.T) {
+func TestProxy_evacuatedZoneGetsNoRequests(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
-	house.empty("n", 1, true)
-	if got := house.ask("/safe/x", "x"); got.status != 503 || got.header.Get("Retry-After") == "" || arrivals(runner) != 0 {
+	house := newTestProxy(t, 10, runner)
+	house.setEvacuated("n", 1, true)
+	if got := house.do("/safe/x", "x"); got.status != 503 || got.header.Get("Retry-After") == "" || countRequests(runner) != 0 {
 		t.Fatalf("%+v", got)
 	}
-	house.empty("n", 2, false)
-	if got := house.ask("/safe/x", "x"); got.status != 200 {
+	house.setEvacuated("n", 2, false)
+	if got := house.do("/safe/x", "x"); got.status != 200 {
 		t.Fatalf("%+v", got)
 	}
 }
 
-func TestLeavingClosesAfterTheAnswer(t *testing.T) {
+func TestDrain_closesConnAfterResponse(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
-	house.front.Leave(house.clock.Now())
-	if got := house.ask("/safe/x", "x"); got.status != 200 || !got.closing {
+	house := newTestProxy(t, 10, runner)
+	house.proxy.Drain(house.clock.Now())
+	if got := house.do("/safe/x", "x"); got.status != 200 || !got.closes {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestOldConnectionDoubtsNobody has a request that may run only once meet a kept
+// TestProxy_staleConnSuspectsNoRunner has a request that may run only once meet a kept
 // connection of an age that nobody tried: it goes to the same runner on a new
 // one, and the runner stands as well as before.
-func TestOldConnectionDoubtsNobody(t *testing.T) {
+func TestProxy_staleConnSuspectsNoRunner(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
+	house := newTestProxy(t, 10, runner)
 	house.clock.Advance(clock.Second)
 	for range 3 {
-		if got := house.ask("/once/x", "x"); got.status != 200 {
+		if got := house.do("/once/x", "x"); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 		house.clock.Advance(3 * clock.Second)
 	}
-	ledger := house.board.State("i-1")
-	if arrivals(runner) != 3 || ledger.Suspect || len(house.board.DueProbes(house.clock.Now(), clock.Second)) != 0 {
-		t.Fatalf("%d arrivals, %+v", arrivals(runner), ledger)
+	ledger := house.stats.State("i-1")
+	if countRequests(runner) != 3 || ledger.Suspect || len(house.stats.DueProbes(house.clock.Now(), clock.Second)) != 0 {
+		t.Fatalf("%d arrivals, %+v", countRequests(runner), ledger)
 	}
-	if sample := house.board.TakeReport(house.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
+	if sample := house.stats.TakeReport(house.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
 		t.Fatalf("%+v", sample)
 	}
 }
 
-// TestLeavingFrontTakesNoLateRequest turns away, with a promise, what comes too
+// TestDrain_rejectsLateRequest turns away, with a promise, what comes too
 // late to be finished before the process ends.
-func TestLeavingFrontTakesNoLateRequest(t *testing.T) {
+func TestDrain_rejectsLateRequest(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
-	house.front.Leave(house.clock.Now().Add(clock.Second))
+	house := newTestProxy(t, 10, runner)
+	house.proxy.Drain(house.clock.Now().Add(clock.Second))
 	house.clock.Advance(clock.Second + clock.Millisecond)
-	got := house.ask("/once/x", "")
-	if got.status != 503 || !got.closing || got.header.Get("Retry-After") == "" || arrivals(runner) != 0 {
-		t.Errorf("%+v, %d arrivals", got, arrivals(runner))
+	got := house.do("/once/x", "")
+	if got.status != 503 || !got.closes || got.header.Get("Retry-After") == "" || countRequests(runner) != 0 {
+		t.Errorf("%+v, %d arrivals", got, countRequests(runner))
 	}
 }
--- a/data/proxy/descriptors_test.go
+++ b/data/proxy/slots_test.go
@@ -12,11 +12,11 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestClientsLeaveDescriptorsForRunners has more clients come than a router has
+// TestConnSlots_leaveDescriptorsForRunners has more clients come than a router has
 // descriptors for: some are kept waiting, none takes those that requests to
 // runners need, and connections are not kept while it is crowded.
-func TestClientsLeaveDescriptorsForRunners(t *testing.T) {
-	house := newHouseOn(t, &settings.Settings{Limits: settings.Limits{OpenFiles: 208}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
+func TestConnSlots_leaveDescriptorsForRunners(t *testing.T) {
+	house := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{OpenFiles: 208}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
 	const most, clients = 4, 7
 	type got struct {
 		closing bool
--- a/data/proxy/slow_test.go
+++ b/data/proxy/slow_body_test.go
@@ -11,12 +11,12 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestBodyThatNeverComesIsTooSlow sends a head and no body: the visitor is told
+// TestProxy_slowBodyTimesOut sends a head and no body: the visitor is told
 // so once the spec's time is over, and no runner hears of it.
-func TestBodyThatNeverComesIsTooSlow(t *testing.T) {
+func TestProxy_slowBodyTimesOut(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
-	house.spec(2, strings.Replace(document, `"idle_ms":15000`, `"idle_ms":1`, 1))
+	house := newTestProxy(t, 10, runner)
+	house.setConfig(2, strings.Replace(configDocument, `"idle_ms":15000`, `"idle_ms":1`, 1))
 	link, err := net.Dial("tcp", house.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	if response.StatusCode != http.StatusRequestTimeout || !response.Close || arrivals(runner) != 0 {
-		t.Fatalf("%d, %d arrivals", response.StatusCode, arrivals(runner))
+	if response.StatusCode != http.StatusRequestTimeout || !response.Close || countRequests(runner) != 0 {
+		t.Fatalf("%d, %d arrivals", response.StatusCode, countRequests(runner))
 	}
 }
 
-// TestCutBodyReachesNobody breaks off in the middle of a body.
-func TestCutBodyReachesNobody(t *testing.T) {
+// TestProxy_truncatedBodyReachesNoRunner breaks off in the middle of a body.
+func TestProxy_truncatedBodyReachesNoRunner(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newHouse(t, 10, runner)
+	house := newTestProxy(t, 10, runner)
 	link, err := net.Dial("tcp", house.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	}
 	defer link.Close()
 	defer response.Body.Close()
-	if response.StatusCode != http.StatusBadRequest || arrivals(runner) != 0 {
-		t.Fatalf("%d, %d arrivals", response.StatusCode, arrivals(runner))
+	if response.StatusCode != http.StatusBadRequest || countRequests(runner) != 0 {
+		t.Fatalf("%d, %d arrivals", response.StatusCode, countRequests(runner))
 	}
 }
--- a/data/proxy/stream_test.go
+++ b/data/proxy/stream_test.go
@@ -8,24 +8,24 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// pair starts two runners; the second is ready only once the first has a
+// newTestProxyWithPair starts two runners; the second is ready only once the first has a
 // request, so that the first is asked first.
-func pair(t *testing.T, extra float64, first upstreamtest.Step, second upstreamtest.Step) (*house, *upstreamtest.Runner, *upstreamtest.Runner) {
+func newTestProxyWithPair(t *testing.T, extra float64, first upstreamtest.Step, second upstreamtest.Step) (*testProxy, *upstreamtest.Runner, *upstreamtest.Runner) {
 	t.Helper()
-	var made *house
+	var made *testProxy
 	open := func() {
-		made.listed[1].Draining = false
-		made.list()
+		made.runners[1].Draining = false
+		made.publishRunners()
 	}
 	one := upstreamtest.Start(t, upstreamtest.Before(open, first))
 	two := upstreamtest.Start(t, second)
-	made = newHouse(t, extra, one, two)
-	made.listed[1].Draining = true
-	made.list()
+	made = newTestProxy(t, extra, one, two)
+	made.runners[1].Draining = true
+	made.publishRunners()
 	return made, one, two
 }
 
-func events(first int, last int) string {
+func eventText(first int, last int) string {
 	text := ""
 	for number := first; number <= last; number++ {
 		text += fmt.Sprintf("id: %d\ndata: token %d\n\n", number, number)
@@ -33,20 +33,20 @@
 	return text
 }
 
-func TestStreamIsPassedOn(t *testing.T) {
+func TestStream_isRelayed(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.EventStream("seal", 1, 5, true))
-	got := newHouse(t, 10, runner).ask("/stream/x", "x")
-	if got.status != 200 || got.err != nil || got.body != events(1, 5) || got.header.Get("Onyxwell-Server-Seal") != "seal" {
+	got := newTestProxy(t, 10, runner).do("/stream/x", "x")
+	if got.status != 200 || got.err != nil || got.body != eventText(1, 5) || got.header.Get("Onyxwell-Server-Seal") != "seal" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestBrokenStreamGoesOn has one runner break off after three events: another
+// TestStream_brokenIsResumed has one runner break off after three events: another
 // goes on after the third, under the first one's head.
-func TestBrokenStreamGoesOn(t *testing.T) {
-	house, _, second := pair(t, 10, upstreamtest.EventStream("seal-1", 1, 3, false), upstreamtest.EventStream("seal-2", 4, 6, true))
-	got := house.ask("/again/x", "x")
-	if got.err != nil || got.body != events(1, 6) || got.header.Get("Onyxwell-Server-Seal") != "seal-1" {
+func TestStream_brokenIsResumed(t *testing.T) {
+	house, _, second := newTestProxyWithPair(t, 10, upstreamtest.EventStream("seal-1", 1, 3, false), upstreamtest.EventStream("seal-2", 4, 6, true))
+	got := house.do("/again/x", "x")
+	if got.err != nil || got.body != eventText(1, 6) || got.header.Get("Onyxwell-Server-Seal") != "seal-1" {
 		t.Fatalf("%+v", got)
 	}
 	if after := second.Requests()[0].Header.Get("Last-Event-Id"); after != "3" {
@@ -54,39 +54,39 @@
 	}
 }
 
-// TestStreamThatMayNotGoOnLooksBroken breaks streams off in ways that can't be
+// TestStream_unresumableLooksBroken breaks streams off in ways that can't be
 // mended; the visitor must see that they are not whole.
-func TestStreamThatMayNotGoOnLooksBroken(t *testing.T) {
+func TestStream_unresumableLooksBroken(t *testing.T) {
 	cases := []struct {
 		name          string
 		path          string
 		first, second upstreamtest.Step
 	}{
 		{"not resumable", "/stream/x", upstreamtest.EventStream("s", 1, 3, false), upstreamtest.EventStream("s", 4, 6, true)},
-		{"a gap", "/stream/x", upstreamtest.Raw(gapped, true), upstreamtest.EventStream("s", 2, 6, true)},
-		{"a reset where nothing tells the length", "/stream/x", upstreamtest.Reset(sealedHead + "\r\n" + events(1, 3)), upstreamtest.EventStream("s", 4, 6, true)},
-		{"an end inside an event", "/stream/x", upstreamtest.Raw(sealedHead+"\r\n"+events(1, 2)+"id: 3\n", false), upstreamtest.EventStream("s", 3, 6, true)},
+		{"a gap", "/stream/x", upstreamtest.Raw(gappedStream, true), upstreamtest.EventStream("s", 2, 6, true)},
+		{"a reset where nothing tells the length", "/stream/x", upstreamtest.Reset(sealedResponseHead + "\r\n" + eventText(1, 3)), upstreamtest.EventStream("s", 4, 6, true)},
+		{"an end inside an event", "/stream/x", upstreamtest.Raw(sealedResponseHead+"\r\n"+eventText(1, 2)+"id: 3\n", false), upstreamtest.EventStream("s", 3, 6, true)},
 		{"goes on wrongly", "/again/x", upstreamtest.EventStream("s", 1, 3, false), upstreamtest.EventStream("s", 1, 6, true)},
 	}
 	for _, example := range cases {
-		house, _, _ := pair(t, 10, example.first, example.second)
-		got := house.ask(example.path, "x")
+		house, _, _ := newTestProxyWithPair(t, 10, example.first, example.second)
+		got := house.do(example.path, "x")
 		if got.err == nil {
 			t.Errorf("%s: the answer looks whole: %q", example.name, got.body)
 		}
-		if !strings.HasPrefix(events(1, 3), got.body) {
+		if !strings.HasPrefix(eventText(1, 3), got.body) {
 			t.Errorf("%s: %q was passed on", example.name, got.body)
 		}
 	}
 }
 
-const gapped = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" +
+const gappedStream = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" +
 	"15\r\nid: 1\ndata: token 1\n\n\r\n15\r\nid: 3\ndata: token 3\n\n\r\n0\r\n\r\n"
 
-func TestVisitorsResumedStream(t *testing.T) {
+func TestStream_resumedByClient(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.EventStream("s", 8, 9, true))
-	got := newHouse(t, 10, runner).ask("/again/x", "x", "Last-Event-Id", "7")
-	if got.err != nil || got.body != events(8, 9) || runner.Requests()[0].Header.Get("Last-Event-Id") != "7" {
+	got := newTestProxy(t, 10, runner).do("/again/x", "x", "Last-Event-Id", "7")
+	if got.err != nil || got.body != eventText(8, 9) || runner.Requests()[0].Header.Get("Last-Event-Id") != "7" {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/data/router/confirm.go
+++ b/data/router/confirm.go
@@ -2,10 +2,10 @@
 
 import "onyxwell/base/ids"
 
-// serial is the version that this router acts on.
-func (r *Router) serial() ids.Serial {
-	if seen := r.frame.Now(); seen.Spec != nil {
-		return seen.Spec.Version
+// configVersion is the version that this router acts on.
+func (r *Router) configVersion() ids.Serial {
+	if seen := r.snapshots.Current(); seen.Config != nil {
+		return seen.Config.Version
 	}
 	return 0
 }
--- a/data/router/doubt_test.go
+++ b/data/router/health_test.go
@@ -20,47 +20,47 @@
 	"onyxwell/data/snapshot"
 )
 
-const document = `{"config_version":1,"routes":[{"name":"a","hostname":"h","path_prefix":"/","give_up_ms":100,"service":"s"}],
+const configDocument = `{"config_version":1,"routes":[{"name":"a","hostname":"h","path_prefix":"/","give_up_ms":100,"service":"s"}],
  "services":[{"name":"s","health_path":"/well"},{"name":"unused"}]}`
 
 func newRouter(t *testing.T, runners ...discovery.Runner) (*Router, *clock.Fake) {
 	t.Helper()
 	machine := clock.NewFake()
-	r := &Router{board: runnerstats.New(), warmth: slowstart.New(chance), pace: daemon.Timing{ConnectTimeout: clock.Second}}
-	r.common = &daemon.Daemon{Membership: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
-	r.frame = snapshot.NewFrame(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	r.frame.Absorb(gossip.Item{Key: "spec", Version: 1, Body: []byte(document)})
+	r := &Router{stats: runnerstats.New(), slowStart: slowstart.New(randomFloat), timing: daemon.Timing{ConnectTimeout: clock.Second}}
+	r.daemon = &daemon.Daemon{Membership: membership.NewTable(machine, membership.Member{Address: "self", Role: Role, Region: "north"})}
+	r.snapshots = snapshot.NewStore(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
+	r.snapshots.Apply(gossip.Item{Key: "spec", Version: 1, Body: []byte(configDocument)})
 	body, err := transport.Marshal(discovery.List{Runners: runners})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.frame.Absorb(gossip.Item{Key: discovery.ZoneKey("all"), Version: 1, Body: body})
+	r.snapshots.Apply(gossip.Item{Key: discovery.ZoneKey("all"), Version: 1, Body: body})
 	return r, machine
 }
 
-func TestReachIsOfEveryRoutedService(t *testing.T) {
+func TestReachesAllServices_everyRoutedService(t *testing.T) {
 	r, machine := newRouter(t, discovery.Runner{ID: "one", Service: "s", Zone: "n"}, discovery.Runner{ID: "two", Service: "s", Zone: "s", Draining: true})
-	if !r.reaches(machine.Now()) {
+	if !r.reachesAllServices(machine.Now()) {
 		t.Fatal("a service without routes counts, or a ready runner does not")
 	}
-	r.board.Suspect("one", machine.Now())
-	if r.reaches(machine.Now()) {
+	r.stats.Suspect("one", machine.Now())
+	if r.reachesAllServices(machine.Now()) {
 		t.Fatal("a doubted and a draining runner are reach enough")
 	}
-	r.board.ClearSuspicion("one", machine.Now())
-	r.lost.update(map[ids.Zone]bool{"n": true}, machine.Now())
-	if r.reaches(machine.Now()) {
+	r.stats.ClearSuspicion("one", machine.Now())
+	r.lostZones.update(map[ids.Zone]bool{"n": true}, machine.Now())
+	if r.reachesAllServices(machine.Now()) {
 		t.Fatal("a runner of a lost zone is reach enough")
 	}
-	r.lost.found("n")
-	r.board.RequestSent("one", runnerstats.SentRequest{Service: "s", Number: 1, Tokens: 0}, machine.Now())
+	r.lostZones.remove("n")
+	r.stats.RequestSent("one", runnerstats.SentRequest{Service: "s", Number: 1, Tokens: 0}, machine.Now())
 	machine.Advance(2 * clock.Second)
-	if r.reaches(machine.Now()) {
+	if r.reachesAllServices(machine.Now()) {
 		t.Fatal("a silent runner is reach enough")
 	}
 }
 
-func TestHealthEndsDoubt(t *testing.T) {
+func TestProbeSuspect_healthyRunnerIsCleared(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -86,37 +86,37 @@
 		}))
 		address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
 		r, machine := newRouter(t, discovery.Runner{ID: "i", Service: "s", Zone: "n", Address: address})
-		r.warmth.Update([]slowstart.Runner{{ID: "i"}}, 0, machine.Now())
-		r.board.Suspect("i", machine.Now())
+		r.slowStart.Update([]slowstart.Runner{{ID: "i"}}, 0, machine.Now())
+		r.stats.Suspect("i", machine.Now())
 		client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
-		r.test(scope.New(scope.Options{Clock: machine}), client, "i")
-		if well := !r.board.State("i").Suspect; well != example.well || r.warmth.Active("i", machine.Now()) != example.cold {
-			t.Errorf("%s: well %v, cold %v", example.name, well, r.warmth.Active("i", machine.Now()))
+		r.probeSuspect(scope.New(scope.Options{Clock: machine}), client, "i")
+		if well := !r.stats.State("i").Suspect; well != example.well || r.slowStart.Active("i", machine.Now()) != example.cold {
+			t.Errorf("%s: well %v, cold %v", example.name, well, r.slowStart.Active("i", machine.Now()))
 		}
 		server.Close()
 	}
 	r, machine := newRouter(t)
-	r.board.Suspect("gone", machine.Now())
-	r.test(scope.New(scope.Options{Clock: machine}), http.DefaultClient, "gone")
-	if len(r.board.DueProbes(machine.Now(), clock.Second)) != 0 {
+	r.stats.Suspect("gone", machine.Now())
+	r.probeSuspect(scope.New(scope.Options{Clock: machine}), http.DefaultClient, "gone")
+	if len(r.stats.DueProbes(machine.Now(), clock.Second)) != 0 {
 		t.Error("a runner that is listed no more is tested for ever")
 	}
 }
 
-// TestLeavingRouterIsNeverReadyAgain has the door of a router open while it
+// TestBecomeReady_notWhileDraining has the door of a router open while it
 // leaves already, as after a SIGTERM during its start.
-func TestLeavingRouterIsNeverReadyAgain(t *testing.T) {
+func TestBecomeReady_notWhileDraining(t *testing.T) {
 	r, _ := newRouter(t)
-	if r.withdraw() != nil {
+	if r.startDraining() != nil {
 		t.Error("there is a server before there is a door")
 	}
-	r.open(&entrance{})
-	if r.common.Membership.Self().Ready || r.entrance != nil {
+	r.becomeReady(&clientEndpoint{})
+	if r.daemon.Membership.Self().Ready || r.endpoint != nil {
 		t.Error("a leaving router is ready")
 	}
 	r, _ = newRouter(t)
-	r.open(&entrance{})
-	if !r.common.Membership.Self().Ready || r.withdraw() == nil || r.common.Membership.Self().Ready {
+	r.becomeReady(&clientEndpoint{})
+	if !r.daemon.Membership.Self().Ready || r.startDraining() == nil || r.daemon.Membership.Self().Ready {
 		t.Error("a router does not become ready, or stays so")
 	}
 }
--- a/data/router/lost_test.go
+++ b/data/router/lostzones_test.go
@@ -19,13 +19,13 @@
 	"onyxwell/data/slowstart"
 )
 
-// tell has the router be told which zones are lost.
-func tell(r *Router, serial ids.Serial, zones ...ids.Zone) {
+// reportLostZones has the router be told which zones are lost.
+func reportLostZones(r *Router, serial ids.Serial, zones ...ids.Zone) {
 	body, _ := transport.Marshal(zonesummary.LostZones{Zones: zones})
-	r.frame.Absorb(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: serial, Body: body})
+	r.snapshots.Apply(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: serial, Body: body})
 }
 
-func TestLostZoneIsLeftAloneUntilARunnerAnswers(t *testing.T) {
+func TestLostZones_avoidedUntilRunnerAnswers(t *testing.T) {
 	var down atomic.Bool
 	down.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -40,66 +40,66 @@
 		discovery.Runner{ID: "near", Service: "s", Zone: "n", Address: address},
 		discovery.Runner{ID: "far", Service: "s", Zone: "s", Address: address},
 		discovery.Runner{ID: "mate", Service: "s", Zone: "s", Address: address})
-	r.warmth.Update([]slowstart.Runner{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
+	r.slowStart.Update([]slowstart.Runner{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
 	top := scope.New(scope.Options{Clock: machine})
 	test := func() {
-		r.lost.update(r.frame.Now().Lost, machine.Now())
-		for _, zone := range r.lost.tests(machine.Now(), clock.Second) {
-			for _, runner := range samples(r.frame.Now(), zone) {
-				r.testZone(top, client, runner)
+		r.lostZones.update(r.snapshots.Current().LostZones, machine.Now())
+		for _, zone := range r.lostZones.dueProbes(machine.Now(), clock.Second) {
+			for _, runner := range sampleRunners(r.snapshots.Current(), zone) {
+				r.probeZone(top, client, runner)
 			}
 		}
 	}
 	test()
-	tell(r, 1, "s")
-	if test(); !r.lost.has("s") || r.lost.has("n") {
+	reportLostZones(r, 1, "s")
+	if test(); !r.lostZones.contains("s") || r.lostZones.contains("n") {
 		t.Fatal("not the lost zone is left alone")
 	}
 	down.Store(false)
-	if test(); !r.lost.has("s") {
+	if test(); !r.lostZones.contains("s") {
 		t.Fatal("tested again at once")
 	}
 	machine.Advance(4 * clock.Second)
-	if test(); r.lost.has("s") {
+	if test(); r.lostZones.contains("s") {
 		t.Fatal("a zone whose runners answer is left alone for ever")
 	}
 	for id, want := range map[ids.RunnerID]bool{"far": true, "mate": true, "near": false} {
-		if cold := r.warmth.Active(id, machine.Now()); cold != want {
+		if cold := r.slowStart.Active(id, machine.Now()); cold != want {
 			t.Errorf("%s: cold %v", id, cold)
 		}
 	}
-	if test(); r.lost.has("s") {
+	if test(); r.lostZones.contains("s") {
 		t.Fatal("a zone that was found is lost again, though it was not told anew")
 	}
-	tell(r, 2)
+	reportLostZones(r, 2)
 	test()
 	down.Store(true)
-	tell(r, 3, "s")
-	if test(); !r.lost.has("s") {
+	reportLostZones(r, 3, "s")
+	if test(); !r.lostZones.contains("s") {
 		t.Fatal("a second loss does not count")
 	}
-	tell(r, 4)
-	if test(); !r.lost.has("s") {
+	reportLostZones(r, 4)
+	if test(); !r.lostZones.contains("s") {
 		t.Fatal("a zone is used before anything there answered")
 	}
-	machine.Advance(releasedPatience + 1)
-	if test(); r.lost.has("s") {
+	machine.Advance(recoveryTimeout + 1)
+	if test(); r.lostZones.contains("s") {
 		t.Fatal("a zone that is told as lost no more is left alone for ever")
 	}
 }
 
-func TestTestsOfALostZoneDoNotGrowWithItsRunners(t *testing.T) {
+func TestLostZones_probesDoNotGrowWithRunners(t *testing.T) {
 	var runners []discovery.Runner
 	for _, id := range []ids.RunnerID{"a", "b", "c", "d"} {
 		runners = append(runners, discovery.Runner{ID: id, Service: "s", Zone: "s"})
 	}
 	r, machine := newRouter(t, runners...)
-	r.lost.update(map[ids.Zone]bool{"s": true}, machine.Now())
+	r.lostZones.update(map[ids.Zone]bool{"s": true}, machine.Now())
 	var tests []int
 	for range 4 {
-		for range r.lost.tests(machine.Now(), clock.Second) {
-			tests = append(tests, len(samples(r.frame.Now(), "s")))
+		for range r.lostZones.dueProbes(machine.Now(), clock.Second) {
+			tests = append(tests, len(sampleRunners(r.snapshots.Current(), "s")))
 		}
 		machine.Advance(2 * clock.Second)
 	}
--- a/data/router/serve.go
+++ b/data/router/router.go
@@ -38,19 +38,19 @@
 
 // Router is the daemon put together.
 type Router struct {
-	common *daemon.Daemon
-	pace   daemon.Timing
-	frame  *snapshot.Frame
-	board  *runnerstats.Collector
-	warmth *slowstart.Tracker
-	lost   lostZones
-	gate   *readindex.Gate
-	front  *proxy.Front
-	mu     sync.Mutex
-	// entrance is what clients come through, once there is one; leaving says that
+	daemon    *daemon.Daemon
+	timing    daemon.Timing
+	snapshots *snapshot.Store
+	stats     *runnerstats.Collector
+	slowStart *slowstart.Tracker
+	lostZones lostZoneTracker
+	readIndex *readindex.Gate
+	proxy     *proxy.Proxy
+	mu        sync.Mutex
+	// endpoint is what clients come through, once there is one; leaving says that
 	// the router leaves.
-	entrance *entrance
-	leaving  bool
+	endpoint *clientEndpoint
+	draining bool
 }
 
 // Run runs the router until the scope ends, then leaves in order.
@@ -58,15 +58,15 @@
 	running, end := context.WithCancel(context.Background())
 	defer end()
 	ended := make(chan error, 1)
-	go func() { ended <- r.common.Run(running) }()
+	go func() { ended <- r.daemon.Run(running) }()
 	for {
 		select {
 		case fresh := <-reread:
-			r.common.Reload(fresh)
+			r.daemon.Reload(fresh)
 		case err := <-ended:
 			return err
 		case <-top.Done():
-			r.leave(top.WithoutCancel())
+			r.drain(top.WithoutCancel())
 			return nil
 		}
 	}
@@ -75,43 +75,43 @@
 // New puts a router together.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
-	r := &Router{pace: daemon.TimingOf(top.Settings), board: runnerstats.New(), warmth: slowstart.New(chance)}
+	r := &Router{timing: daemon.TimingOf(top.Settings), stats: runnerstats.New(), slowStart: slowstart.New(randomFloat)}
 	view := daemon.NewView(top)
-	r.frame = snapshot.NewFrame(snapshot.Options{
-		Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region, View: view, Listed: r.listed(top), Monitor: monitor,
+	r.snapshots = snapshot.NewStore(snapshot.Options{
+		Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region, View: view, OnRunners: r.updateSlowStart(top), Monitor: monitor,
 	})
 	var err error
-	r.common, err = daemon.New(top, daemon.Options{Role: Role, OnUpdate: r.frame.Absorb, View: view, Network: options.Network, Monitor: monitor})
+	r.daemon, err = daemon.New(top, daemon.Options{Role: Role, OnUpdate: r.snapshots.Apply, View: view, Network: options.Network, Monitor: monitor})
 	if err != nil {
 		return nil, err
 	}
-	tries := retrybudget.New(r.budget(top))
+	tries := retrybudget.New(r.retryBudgetOptions(top))
 	gate := balancer.New(balancer.Options{
-		Scope: top, Snapshots: r.frame, Stats: r.board, RetryBudget: tries, SlowStart: r.warmth,
-		Region: top.Settings.Region, SlowStartSharers: r.common.Zones.Sharers, RouterCount: r.sharers, ZoneLost: r.lost.has, Random: chance,
+		Scope: top, Snapshots: r.snapshots, Stats: r.stats, RetryBudget: tries, SlowStart: r.slowStart,
+		Region: top.Settings.Region, SlowStartSharers: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: randomFloat,
 	})
 	sender := upstream.NewClient(upstream.Options{
-		Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: r.pace.ConnectTimeout, UserTimeout: r.pace.PeerTimeout},
-		IdleTimeout: 8 * r.pace.PeerTimeout, MaxIdlePerHost: top.Settings.Limits.OpenFiles / 64,
+		Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: r.timing.ConnectTimeout, UserTimeout: r.timing.PeerTimeout},
+		IdleTimeout: 8 * r.timing.PeerTimeout, MaxIdlePerHost: top.Settings.Limits.OpenFiles / 64,
 	})
-	r.front = proxy.NewFront(proxy.Options{
-		Scope: top, Frame: r.frame, Gate: gate, Board: r.board, Warmth: r.warmth, Sender: sender,
-		Metrics: r.common.Metrics, Monitor: r.common.Monitor,
+	r.proxy = proxy.New(proxy.Options{
+		Scope: top, Snapshots: r.snapshots, Balancer: gate, Stats: r.stats, SlowStart: r.slowStart, Upstream: sender,
+		Metrics: r.daemon.Metrics, Monitor: r.daemon.Monitor,
 	})
-	r.gate = r.common.NewReadIndexGate(r.frame.Ready(), r.serial)
-	r.common.Metrics.GaugeFunc("config_version", "Version of the configuration that this router acts on.", nil, func() float64 { return float64(r.serial()) })
-	r.common.Metrics.GaugeFunc("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.front.Running()) })
-	r.parts(top)
+	r.readIndex = r.daemon.NewReadIndexGate(r.snapshots.Ready(), r.configVersion)
+	r.daemon.Metrics.GaugeFunc("config_version", "Version of the configuration that this router acts on.", nil, func() float64 { return float64(r.configVersion()) })
+	r.daemon.Metrics.GaugeFunc("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.proxy.InFlight()) })
+	r.addServices(top)
 	return r, nil
 }
 
-// budget is what this router may spend on further tries. A process before this
+// retryBudgetOptions is what this router may spend on further tries. A process before this
 // one may have spent its part of the extra just now, unless all starts for the
 // first time.
-func (r *Router) budget(top scope.Scope) retrybudget.Options {
+func (r *Router) retryBudgetOptions(top scope.Scope) retrybudget.Options {
 	bounds := top.Settings.Bounds
 	options := retrybudget.Options{
-		Ratio: bounds.RetryRatio, Reserve: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Routers: r.sharers,
+		Ratio: bounds.RetryRatio, Reserve: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Routers: r.routerCount,
 	}
 	if !top.Settings.FirstStart {
 		options.ReserveFrom = top.Now().Add(options.Window)
@@ -119,18 +119,18 @@
 	return options
 }
 
-// sharers is how many routers there could be.
-func (r *Router) sharers() int { return r.common.Zones.RouterCount() }
+// routerCount is how many routers there could be.
+func (r *Router) routerCount() int { return r.daemon.Zones.RouterCount() }
 
-// listed keeps the warmth of runners up with each new list.
-func (r *Router) listed(top scope.Scope) func(*snapshot.Snapshot) {
+// updateSlowStart keeps the warmth of runners up with each new list.
+func (r *Router) updateSlowStart(top scope.Scope) func(*snapshot.Snapshot) {
 	lag := settings.Milliseconds(top.Settings.Platform.MaxLagMS)
 	return func(seen *snapshot.Snapshot) {
 		var entries []slowstart.Runner
 		for name, runners := range seen.Runners {
 			warmup := clock.Span(0)
-			if seen.Spec != nil && seen.Spec.Service(name) != nil {
-				warmup = settings.Seconds(seen.Spec.Service(name).WarmupSeconds)
+			if seen.Config != nil && seen.Config.Service(name) != nil {
+				warmup = settings.Seconds(seen.Config.Service(name).WarmupSeconds)
 			}
 			for _, runner := range runners {
 				entries = append(entries, slowstart.Runner{
@@ -138,42 +138,42 @@
 				})
 			}
 		}
-		r.warmth.Update(entries, lag, top.Now())
+		r.slowStart.Update(entries, lag, top.Now())
 	}
 }
 
-func (r *Router) parts(top scope.Scope) {
-	common := r.common
+func (r *Router) addServices(top scope.Scope) {
+	common := r.daemon
 	common.AddService("readiness", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Settings.Listen["readiness"], http.HandlerFunc(r.readiness))
+		return common.ServeHTTP(ctx, top.Settings.Listen["readiness"], http.HandlerFunc(r.handleReadiness))
 	})
-	common.AddOneShot("readindex", r.gate.Run)
-	common.AddService("front", r.serveFront)
-	common.AddService("report", r.report)
-	common.AddService("doubts", r.doubts)
+	common.AddOneShot("readindex", r.readIndex.Run)
+	common.AddService("front", r.serveClients)
+	common.AddService("report", r.sendReports)
+	common.AddService("doubts", r.probeSuspects)
 }
 
-func (r *Router) readiness(writer http.ResponseWriter, request *http.Request) {
+func (r *Router) handleReadiness(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/ready" {
 		response.FromKind(errkind.UnknownCall, request.URL.Path).Send(writer)
 		return
 	}
-	if !r.common.Membership.Self().Ready {
-		response.FromKind(errkind.NotReady, "the version is "+r.gate.State()).Send(writer)
+	if !r.daemon.Membership.Self().Ready {
+		response.FromKind(errkind.NotReady, "the version is "+r.readIndex.State()).Send(writer)
 		return
 	}
-	if state := r.gate.State(); state != readindex.Confirmed {
+	if state := r.readIndex.State(); state != readindex.Confirmed {
 		response.Raw(http.StatusOK, "text/plain", []byte(state+"\n")).Send(writer)
 		return
 	}
 	response.Empty(http.StatusOK).Send(writer)
 }
 
-// serveFront takes visitors in once a spec and the runners are known, and the
+// serveClients takes visitors in once a spec and the runners are known, and the
 // spec is confirmed as the newest. The door
 // opens a little earlier: those who come while these are on their way wait in
 // the listener's queue rather than being turned off.
-func (r *Router) serveFront(ctx scope.Scope) error {
+func (r *Router) serveClients(ctx scope.Scope) error {
 	address := string(ctx.Settings.Listen["front"])
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -183,25 +183,25 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-r.gate.Ready():
-	case <-ctx.Clock.After(r.pace.ConnectTimeout):
+	case <-r.readIndex.Ready():
+	case <-ctx.Clock.After(r.timing.ConnectTimeout):
 		_ = listener.Close()
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.gate.Ready():
+		case <-r.readIndex.Ready():
 		}
 		if listener, err = net.Listen("tcp", address); err != nil {
 			return err
 		}
 	}
-	server := proxy.NewServer(r.front)
+	server := proxy.NewServer(r.proxy)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	door := proxy.Door(r.front, listener)
-	r.open(&entrance{listener: door, server: server})
-	r.common.GossipNow(ctx)
-	if err := server.Serve(door); !errors.Is(err, http.ErrServerClosed) && !r.leaves() {
+	door := proxy.NewListener(r.proxy, listener)
+	r.becomeReady(&clientEndpoint{listener: door, server: server})
+	r.daemon.GossipNow(ctx)
+	if err := server.Serve(door); !errors.Is(err, http.ErrServerClosed) && !r.isDraining() {
 		return err
 	}
 	<-ctx.Done()
--- a/data/snapshot/planted_test.go
+++ b/data/snapshot/invariant_test.go
@@ -9,12 +9,12 @@
 	"onyxwell/control/config"
 )
 
-func TestPlantedOlderVersionIsCounted(t *testing.T) {
+func TestInvariants_countOlderVersion(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
-	frame := NewFrame(Options{Clock: clock.NewFake(), Monitor: monitor})
+	frame := NewStore(Options{Clock: clock.NewFake(), Monitor: monitor})
 	for _, serial := range []ids.Serial{4, 5, 3} {
-		frame.swap(func(next *Snapshot) bool {
-			next.Spec = &config.Config{Version: serial}
+		frame.update(func(next *Snapshot) bool {
+			next.Config = &config.Config{Version: serial}
 			return true
 		})
 	}
--- a/data/snapshot/query.go
+++ b/data/snapshot/query.go
@@ -17,20 +17,20 @@
 	return nil
 }
 
-// Usable tells whether a runner may be sent requests now: listed, ready, and
+// AvailableByID tells whether a runner may be sent requests now: listed, ready, and
 // in a zone that is not being emptied.
-func (s *Snapshot) Usable(service ids.Service, id ids.RunnerID) bool {
+func (s *Snapshot) AvailableByID(service ids.Service, id ids.RunnerID) bool {
 	for _, runner := range s.Runners[service] {
 		if runner.ID == id {
-			return s.Open(runner)
+			return s.Available(runner)
 		}
 	}
 	return false
 }
 
-// Open tells the same of a runner of this snapshot.
-func (s *Snapshot) Open(runner *Runner) bool {
-	return !runner.Draining && !s.Empty[runner.Zone]
+// Available tells the same of a runner of this snapshot.
+func (s *Snapshot) Available(runner *Runner) bool {
+	return !runner.Draining && !s.Evacuated[runner.Zone]
 }
 
 // runnerType tells runners apart by what the plan weighs them by.
@@ -39,26 +39,26 @@
 	version string
 }
 
-// plan takes over what a plan says of runners and regions.
-func (s *Snapshot) plan(routing autoscaler.Routing) {
+// applyPlan takes over what a plan says of runners and regions.
+func (s *Snapshot) applyPlan(routing autoscaler.Routing) {
 	s.Flows = routing.Flows
-	s.types = map[runnerType]float64{}
+	s.typeWeights = map[runnerType]float64{}
 	for _, known := range routing.Types {
-		s.types[runnerType{service: known.Service, version: known.Version}] = known.Weight
+		s.typeWeights[runnerType{service: known.Service, version: known.Version}] = known.Weight
 	}
-	s.Planned = map[ids.RunnerID]autoscaler.RunnerWeight{}
+	s.RunnerWeights = map[ids.RunnerID]autoscaler.RunnerWeight{}
 	for _, planned := range routing.Runners {
-		s.Planned[planned.Runner] = planned
+		s.RunnerWeights[planned.Runner] = planned
 	}
 }
 
 // Weight is a runner's share in routing: its own in the plan, else its type's,
 // else, without a plan, its capacity.
 func (s *Snapshot) Weight(runner *Runner) float64 {
-	if planned := s.Planned[runner.ID]; planned.Weight > 0 {
+	if planned := s.RunnerWeights[runner.ID]; planned.Weight > 0 {
 		return planned.Weight
 	}
-	if weight := s.types[runnerType{service: runner.Service, version: runner.Version}]; weight > 0 {
+	if weight := s.typeWeights[runnerType{service: runner.Service, version: runner.Version}]; weight > 0 {
 		return weight
 	}
 	return float64(max(1, runner.Capacity))
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -29,19 +29,19 @@
 
 // Snapshot is the state of everything at one moment; it is never changed.
 type Snapshot struct {
-	Spec     *config.Config
-	Runners  map[ids.Service][]*Runner
-	Empty    map[ids.Zone]bool
-	Refilled map[ids.Zone]clock.Instant
+	Config     *config.Config
+	Runners    map[ids.Service][]*Runner
+	Evacuated  map[ids.Zone]bool
+	ReopenedAt map[ids.Zone]clock.Instant
 	// Flows are the plan's shares of regions; Planned are the runners that the plan
 	// tells apart from their type.
-	Flows   []autoscaler.Flow
-	Planned map[ids.RunnerID]autoscaler.RunnerWeight
-	types   map[runnerType]float64
-	// Resting are runners that failed the zone's requests, each until when.
-	Resting map[ids.RunnerID]clock.Instant
-	// Lost are the zones that do not answer this router's zone.
-	Lost map[ids.Zone]bool
+	Flows         []autoscaler.Flow
+	RunnerWeights map[ids.RunnerID]autoscaler.RunnerWeight
+	typeWeights   map[runnerType]float64
+	// EjectedUntil are runners that failed the zone's requests, each until when.
+	EjectedUntil map[ids.RunnerID]clock.Instant
+	// LostZones are the zones that do not answer this router's zone.
+	LostZones map[ids.Zone]bool
 	// Lengths are how long answers take in this region.
 	Lengths *lengthstats.Table
 }
@@ -54,93 +54,93 @@
 	Region ids.Region
 	// View keeps the list of runners; one is made where none is given.
 	View *discovery.View
-	// Listed is told each new list, before it is acted on.
-	Listed func(seen *Snapshot)
+	// OnRunners is told each new list, before it is acted on.
+	OnRunners func(seen *Snapshot)
 	// Monitor may be left out.
 	Monitor *invariant.Monitor
 }
 
-// Frame holds the snapshot of now.
-type Frame struct {
-	options Options
-	mu      sync.Mutex
-	now     atomic.Pointer[Snapshot]
-	ready   chan struct{}
-	once    sync.Once
-	// standing are the runners of each zone, made from the section named.
-	standing map[ids.Zone]standing
+// Store holds the snapshot of now.
+type Store struct {
+	options   Options
+	mu        sync.Mutex
+	current   atomic.Pointer[Snapshot]
+	ready     chan struct{}
+	readyOnce sync.Once
+	// zones are the runners of each zone, made from the section named.
+	zones map[ids.Zone]zoneRunners
 }
 
-// standing is what was made of one section of the list.
-type standing struct {
+// zoneRunners is what was made of one section of the list.
+type zoneRunners struct {
 	section *discovery.ZoneList
 	runners []*Runner
 }
 
-// NewFrame makes a frame with an empty snapshot.
-func NewFrame(options Options) *Frame {
-	if options.Listed == nil {
-		options.Listed = func(*Snapshot) {}
+// NewStore makes a frame with an empty snapshot.
+func NewStore(options Options) *Store {
+	if options.OnRunners == nil {
+		options.OnRunners = func(*Snapshot) {}
 	}
 	if options.View == nil {
 		options.View = discovery.NewView(discovery.ViewOptions{Clock: options.Clock})
 	}
-	frame := &Frame{options: options, ready: make(chan struct{}), standing: map[ids.Zone]standing{}}
-	frame.now.Store(&Snapshot{})
+	frame := &Store{options: options, ready: make(chan struct{}), zones: map[ids.Zone]zoneRunners{}}
+	frame.current.Store(&Snapshot{})
 	return frame
 }
 
-// Now gives the snapshot of now.
-func (f *Frame) Now() *Snapshot { return f.now.Load() }
+// Current gives the snapshot of now.
+func (s *Store) Current() *Snapshot { return s.current.Load() }
 
 // Ready is closed once a spec and a list of runners are known.
-func (f *Frame) Ready() <-chan struct{} { return f.ready }
+func (s *Store) Ready() <-chan struct{} { return s.ready }
 
-// Absorb takes an item of news; the news store calls it in rising order of
+// Apply takes an item of news; the news store calls it in rising order of
 // serials.
-func (f *Frame) Absorb(item gossip.Item) {
-	if f.options.View.Apply(item) {
-		f.swap(f.relist)
+func (s *Store) Apply(item gossip.Item) {
+	if s.options.View.Apply(item) {
+		s.update(s.rebuildRunners)
 		return
 	}
-	if absorb := absorbers[item.Key]; absorb != nil {
-		f.swap(func(next *Snapshot) bool { return absorb(f, next, item) })
+	if absorb := appliers[item.Key]; absorb != nil {
+		s.update(func(next *Snapshot) bool { return absorb(s, next, item) })
 		return
 	}
 	if strings.HasPrefix(item.Key, gossip.ZonePrefix) {
-		f.swap(func(next *Snapshot) bool { return f.absorbRests(next, item.Body) })
+		s.update(func(next *Snapshot) bool { return s.applyEjections(next, item.Body) })
 		return
 	}
 	if strings.HasPrefix(item.Key, gossip.LostPrefix) {
-		f.swap(func(next *Snapshot) bool { return absorbLost(next, item.Body) })
+		s.update(func(next *Snapshot) bool { return applyLostZones(next, item.Body) })
 		return
 	}
 	if zone, found := evacuation.ZoneFromKey(item.Key); found {
-		f.swap(func(next *Snapshot) bool { return f.absorbZone(next, zone, item.Body) })
+		s.update(func(next *Snapshot) bool { return s.applyEvacuation(next, zone, item.Body) })
 	}
 }
 
-// Take takes a list that was not told as news.
-func (f *Frame) Take(list discovery.List) {
-	f.options.View.SetLocal(list)
-	f.swap(f.relist)
+// ApplyRunners takes a list that was not told as news.
+func (s *Store) ApplyRunners(list discovery.List) {
+	s.options.View.SetLocal(list)
+	s.update(s.rebuildRunners)
 }
 
-var absorbers = map[string]func(*Frame, *Snapshot, gossip.Item) bool{
-	config.Key: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
+var appliers = map[string]func(*Store, *Snapshot, gossip.Item) bool{
+	config.Key: func(frame *Store, next *Snapshot, item gossip.Item) bool {
 		read, err := config.Parse(item.Body)
-		if err != nil || (next.Spec != nil && read.Version <= next.Spec.Version) {
+		if err != nil || (next.Config != nil && read.Version <= next.Config.Version) {
 			return false
 		}
-		next.Spec = read
+		next.Config = read
 		return true
 	},
-	autoscaler.RoutingKey: func(frame *Frame, next *Snapshot, item gossip.Item) bool {
+	autoscaler.RoutingKey: func(frame *Store, next *Snapshot, item gossip.Item) bool {
 		routing, err := autoscaler.ReadRouting(item.Body)
 		if err != nil {
 			return false
 		}
-		next.plan(routing)
+		next.applyPlan(routing)
 		next.Lengths = nil
 		for _, learnt := range routing.Lengths {
 			if learnt.Region == frame.options.Region {
@@ -151,70 +151,70 @@
 	},
 }
 
-// relist takes the runners over from the view; those of a zone whose section is
+// rebuildRunners takes the runners over from the view; those of a zone whose section is
 // the same stay the same.
-func (f *Frame) relist(next *Snapshot) bool {
-	sections := f.options.View.Zones()
+func (s *Store) rebuildRunners(next *Snapshot) bool {
+	sections := s.options.View.Zones()
 	if sections == nil {
 		return false
 	}
-	standings := map[ids.Zone]standing{}
+	standings := map[ids.Zone]zoneRunners{}
 	next.Runners = map[ids.Service][]*Runner{}
 	for _, zone := range slices.Sorted(maps.Keys(sections)) {
-		known := f.standing[zone]
+		known := s.zones[zone]
 		if known.section != sections[zone] {
-			known = f.stand(sections[zone])
+			known = s.newZoneRunners(sections[zone])
 		}
 		standings[zone] = known
 		for _, runner := range known.runners {
 			next.Runners[runner.Service] = append(next.Runners[runner.Service], runner)
 		}
 	}
-	f.standing = standings
-	f.options.Listed(next)
+	s.zones = standings
+	s.options.OnRunners(next)
 	return true
 }
 
-func (f *Frame) stand(section *discovery.ZoneList) standing {
-	made := standing{section: section}
+func (s *Store) newZoneRunners(section *discovery.ZoneList) zoneRunners {
+	made := zoneRunners{section: section}
 	for _, listed := range section.Runners {
-		made.runners = append(made.runners, &Runner{Runner: listed, Region: f.options.Zones[listed.Zone]})
+		made.runners = append(made.runners, &Runner{Runner: listed, Region: s.options.Zones[listed.Zone]})
 	}
 	return made
 }
 
-func (f *Frame) absorbZone(next *Snapshot, zone ids.Zone, body []byte) bool {
+func (s *Store) applyEvacuation(next *Snapshot, zone ids.Zone, body []byte) bool {
 	kept, err := evacuation.Decode(body)
 	if err != nil {
 		return false
 	}
 	empty, refilled := map[ids.Zone]bool{}, map[ids.Zone]clock.Instant{}
-	for name, value := range next.Empty {
+	for name, value := range next.Evacuated {
 		empty[name] = value
 	}
-	for name, when := range next.Refilled {
+	for name, when := range next.ReopenedAt {
 		refilled[name] = when
 	}
 	if empty[zone] && !kept.Drained {
-		refilled[zone] = f.options.Clock.Now()
+		refilled[zone] = s.options.Clock.Now()
 	}
 	empty[zone] = kept.Drained
-	next.Empty, next.Refilled = empty, refilled
+	next.Evacuated, next.ReopenedAt = empty, refilled
 	return true
 }
 
-func (f *Frame) swap(change func(next *Snapshot) bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	next := *f.now.Load()
+func (s *Store) update(change func(next *Snapshot) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	next := *s.current.Load()
 	if !change(&next) {
 		return
 	}
-	if before := f.now.Load().Spec; before != nil && next.Spec.Version < before.Version {
-		f.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Spec.Version, before.Version)
+	if before := s.current.Load().Config; before != nil && next.Config.Version < before.Version {
+		s.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Config.Version, before.Version)
 	}
-	f.now.Store(&next)
-	if next.Spec != nil && next.Runners != nil {
-		f.once.Do(func() { close(f.ready) })
+	s.current.Store(&next)
+	if next.Config != nil && next.Runners != nil {
+		s.readyOnce.Do(func() { close(s.ready) })
 	}
 }
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -58,7 +58,7 @@
 
 // real is a router's data plane, put together as its program does.
 type real struct {
-	frame  *snapshot.Frame
+	frame  *snapshot.Store
 	board  *runnerstats.Collector
 	warmth *slowstart.Tracker
 	mu     sync.Mutex
@@ -72,8 +72,8 @@
 // rate at which doubts end are the experiment's.
 func Real(top scope.Scope, document []byte, options Options) Router {
 	made := &real{board: runnerstats.New(), warmth: slowstart.New(rand.Float64)}
-	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: map[ids.Zone]ids.Region{"zone": "region"}, Region: "region", Listed: made.listed(top)})
-	made.frame.Absorb(gossip.Item{Key: config.Key, Version: 1, Body: document})
+	made.frame = snapshot.NewStore(snapshot.Options{Clock: top.Clock, Zones: map[ids.Zone]ids.Region{"zone": "region"}, Region: "region", OnRunners: made.listed(top)})
+	made.frame.Apply(gossip.Item{Key: config.Key, Version: 1, Body: document})
 	one := func() int { return 1 }
 	gate := balancer.New(balancer.Options{
 		Scope: top, Snapshots: made.frame, Stats: made.board, SlowStart: made.warmth, Region: "region", RouterCount: one,
@@ -82,8 +82,8 @@
 	})
 	dialing := httpcall.Dialer{Timeout: routerSilence, UserTimeout: routerSilence}
 	sender := upstream.NewClient(upstream.Options{Clock: top.Clock, Dialing: dialing, IdleTimeout: 8 * routerSilence, MaxIdlePerHost: 64})
-	front := proxy.NewFront(proxy.Options{
-		Scope: top, Frame: made.frame, Gate: gate, Board: made.board, Warmth: made.warmth, Sender: sender,
+	front := proxy.New(proxy.Options{
+		Scope: top, Snapshots: made.frame, Balancer: gate, Stats: made.board, SlowStart: made.warmth, Upstream: sender,
 	})
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: dialing, IdleTimeout: routerSilence, MaxIdlePerHost: 1})
 	go made.doubts(top, client)
@@ -93,12 +93,12 @@
 	serial := ids.Serial(1)
 	reread := func() {
 		serial++
-		made.frame.Absorb(gossip.Item{Key: config.Key, Version: serial, Body: document})
+		made.frame.Apply(gossip.Item{Key: config.Key, Version: serial, Body: document})
 	}
 	return Router{
-		Handler: front, List: made.list, Leave: func() { front.Leave(top.Now().Add(3 * clock.Second)) }, Reread: reread,
+		Handler: front, List: made.list, Leave: func() { front.Drain(top.Now().Add(3 * clock.Second)) }, Reread: reread,
 		Server: proxy.NewServer(front),
-		Door:   func(listener net.Listener) net.Listener { return proxy.Door(front, listener) },
+		Door:   func(listener net.Listener) net.Listener { return proxy.NewListener(front, listener) },
 	}
 }
 
@@ -106,7 +106,7 @@
 	r.mu.Lock()
 	r.runner = list.Runners
 	r.mu.Unlock()
-	r.frame.Take(list)
+	r.frame.ApplyRunners(list)
 }
 
 func (r *real) listed(top scope.Scope) func(*snapshot.Snapshot) {
@@ -168,7 +168,7 @@
 }
 
 func (r *real) test(top scope.Scope, client *http.Client, id ids.RunnerID) {
-	runner := r.frame.Now().Find(id)
+	runner := r.frame.Current().Find(id)
 	if runner == nil {
 		r.board.Unlist(id)
 		return
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -19,7 +19,7 @@
 // requests would be served by.
 type router struct {
 	common *daemon.Daemon
-	frame  *snapshot.Frame
+	frame  *snapshot.Store
 	gate   *readindex.Gate
 	// newest is the highest serial that each key of news had here.
 	newest map[string]ids.Serial
@@ -29,13 +29,13 @@
 func (l *life) carry(top scope.Scope) error {
 	world := l.machine.world
 	made := &router{newest: map[string]ids.Serial{}}
-	made.frame = snapshot.NewFrame(snapshot.Options{Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region})
+	made.frame = snapshot.NewStore(snapshot.Options{Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region})
 	absorb := func(item gossip.Item) {
 		if heard := world.options.plant.Heard; heard != nil {
 			item = heard(item)
 		}
-		before := made.frame.Now()
-		made.frame.Absorb(item)
+		before := made.frame.Current()
+		made.frame.Apply(item)
 		world.rises(l, made, before, item)
 	}
 	var err error
@@ -61,8 +61,8 @@
 
 // serial is the version that the router acts on.
 func (r *router) serial() ids.Serial {
-	if seen := r.frame.Now(); seen.Spec != nil {
-		return seen.Spec.Version
+	if seen := r.frame.Current(); seen.Config != nil {
+		return seen.Config.Version
 	}
 	return 0
 }
@@ -84,9 +84,9 @@
 
 // rises checks that no part of a router's snapshot goes back.
 func (w *World) rises(life *life, made *router, before *snapshot.Snapshot, item gossip.Item) {
-	after := made.frame.Now()
-	if before.Spec != nil && (after.Spec == nil || after.Spec.Version < before.Spec.Version) {
-		w.violate("the router of %s went back from version %d", life.machine.name, before.Spec.Version)
+	after := made.frame.Current()
+	if before.Config != nil && (after.Config == nil || after.Config.Version < before.Config.Version) {
+		w.violate("the router of %s went back from version %d", life.machine.name, before.Config.Version)
 	}
 	if zone, found := evacuation.ZoneFromKey(item.Key); found {
 		w.count("evacuations heard")
