--- a/control/directory/redirect_test.go
+++ b/control/directory/redirect_test.go
@@ -21,6 +21,9 @@
 	leaving.State, leaving.Ready = membership.Left, false
 	suspect, unable := router("a", "z1"), router("a", "z1")
 	suspect.State, unable.Degraded = membership.Suspect, true
+	removed, restored := router("a", "z1"), router("a", "z1")
+	removed.State, removed.Ready = membership.Removed, false
+	restored.State, restored.Ready, restored.Incarnation = membership.Removed, false, 0
 	cases := []struct {
 		name    string
 		members []membership.Member
@@ -33,6 +36,8 @@
 		{"another zone of the region has none that is ready", []membership.Member{leaving, relay("r2", "z2")}, zonesummary.RouterEndpoints{Zone: "z2"}, nil},
 		{"another zone of the region has one", []membership.Member{leaving, relay("r2", "z2")}, zonesummary.RouterEndpoints{Zone: "z2", Ready: []ids.Address{"fd"}}, []ids.Address{"fd"}},
 		{"its router answers no more", []membership.Member{suspect}, zonesummary.RouterEndpoints{}, []ids.Address{"fe"}},
+		{"its router was removed", []membership.Member{removed}, zonesummary.RouterEndpoints{}, []ids.Address{"fe"}},
+		{"its routers are known from the disk of a restarted daemon", []membership.Member{restored}, zonesummary.RouterEndpoints{}, nil},
 		{"its routers reach no runners", []membership.Member{unable}, zonesummary.RouterEndpoints{}, []ids.Address{"fe"}},
 	}
 	for _, example := range cases {
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -68,9 +68,13 @@
 }
 
 // hasSilentDaemon tells whether a daemon of a region ceased to answer lately, without
-// having left in order.
+// having left in order. Members that a restarted daemon knows from its disk alone
+// did not cease to answer: they were not asked yet.
 func (d *Directory) hasSilentDaemon(name ids.Region) bool {
 	for _, member := range d.Membership.Members() {
+		if member.Restored() {
+			continue
+		}
 		gone := member.State == membership.Removed && d.Membership.StateAge(member.Address) <= d.LossTimeout
 		if member.Region == name && (member.State == membership.Suspect || gone) {
 			return true
--- a/control/membership/member.go
+++ b/control/membership/member.go
@@ -39,6 +39,10 @@
 // Present tells whether the member may be spoken to.
 func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
+// Restored tells whether the member is known from the disk alone: nothing was
+// heard of it since the daemon started, so its state says nothing of it.
+func (m Member) Restored() bool { return m.Incarnation == 0 }
+
 // Backbone tells whether the member is known in all zones.
 func (m Member) Backbone() bool { return m.ServesControl || m.Relay }
 
