--- a/control/state/command/chunks.go
+++ b/control/state/command/chunks.go
@@ -1,7 +1,6 @@
 package command
 
 import (
-	"errors"
 	"sync"
 
 	"onyxwell/base/errkind"
@@ -12,104 +11,110 @@
 	"onyxwell/control/state/register"
 )
 
-// chunkProgress is what a desk knows of the memory of changes that were taken: how many
-// of them stand in pages that a majority holds, and at which write of the spec
-// it looked last whether a further page is due.
+// chunkProgress is how far the history of changes is sealed in chunks.
 type chunkProgress struct {
-	mu       sync.Mutex
-	sealed   int64
+	mu sync.Mutex
+	// sealed counts the oldest changes that are in chunks held by a majority.
+	sealed int64
+	// epoch and sequence are the write of the configuration after which no chunk
+	// was left to be sealed.
 	epoch    ids.Epoch
 	sequence int64
 }
 
-// commit carries a step out. A change of the spec may have been taken before:
-// the spec itself tells of the newest changes; for an older one the page that
-// knows is read, as any key is: confirmed by a majority.
-func (d *Dispatcher) commit(ctx scope.Scope, order Command, carry func(register.UpdateFunc) ([]byte, error), step register.UpdateFunc) ([]byte, error) {
-	if order.Verb != VerbChange {
-		return carry(step)
-	}
-	d.chunks.mu.Lock()
-	sealed := d.chunks.sealed
-	d.chunks.mu.Unlock()
-	value, err := carry(order.Change.ApplyTruncating(sealed))
-	var beyond *store.ArchivedError
-	if !errors.As(err, &beyond) {
-		return value, err
-	}
-	page, err := d.options.Proposer.Read(ctx, beyond.Key())
+func (c *chunkProgress) sealedCount() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.sealed
+}
+
+// advance notes that so many changes are sealed.
+func (c *chunkProgress) advance(sealed int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sealed = max(c.sealed, sealed)
+}
+
+// checked tells whether no chunk was left to be sealed after a write.
+func (c *chunkProgress) checked(write register.Proposal) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return write.Epoch == c.epoch && write.Sequence == c.sequence
+}
+
+func (c *chunkProgress) setChecked(write register.Proposal) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.epoch, c.sequence = write.Epoch, write.Sequence
+}
+
+// resolveArchived decides by its chunk whether a change was applied before; nil
+// means that it was. The chunk is read as any key is: confirmed by a majority.
+func (d *Dispatcher) resolveArchived(ctx scope.Scope, archived *store.ArchivedError) error {
+	chunk, err := d.options.Proposer.Read(ctx, archived.Key())
 	if errkind.KindOf(err) == errkind.NoQuorum && ctx.Err() == nil {
-		// The page may have had another owner since this one read it last.
-		page, err = d.options.Proposer.Read(ctx, beyond.Key())
+		// Another controller may own the chunk's key by now: the failed
+		// confirmation ended the ownership, and this read takes it over again.
+		chunk, err = d.options.Proposer.Read(ctx, archived.Key())
 	}
 	if err != nil {
-		return nil, err
-	}
-	if err := beyond.Resolve(page); err != nil {
-		return nil, err
+		return err
 	}
-	return value, nil
+	return archived.Resolve(chunk)
 }
 
-// sealChunks writes the pages of the memory that are due. Only a page that a majority
-// holds counts as sealed; the next change of the spec leaves out what it holds.
-// What is here when the owner falls is done again by the next one, and comes
-// out the same.
+// sealChunks writes the chunks of the configuration's history that are due. Only
+// a chunk that a majority holds counts as sealed; the next change truncates the
+// history by it. It is idempotent: the next owner seals the same chunks again.
 func (d *Dispatcher) sealChunks(ctx scope.Scope) {
 	if !d.options.Proposer.Owns(config.Key) {
 		return
 	}
-	d.chunks.mu.Lock()
-	sealed := d.chunks.sealed
-	held := d.options.Acceptor.Slot(config.Key).Accepted
-	looked := held.Epoch == d.chunks.epoch && held.Sequence == d.chunks.sequence
-	d.chunks.mu.Unlock()
-	if looked {
+	sealed := d.chunks.sealedCount()
+	accepted := d.options.Acceptor.Slot(config.Key).Accepted
+	if d.chunks.checked(accepted) {
 		return
 	}
 	for {
-		// What the own voter holds may never come into force; but it tells
-		// whether it is worth asking.
-		if _, due := nextChunk(held.Value, sealed); !due {
+		// The local acceptor's value may never be committed: it only tells whether
+		// a confirmed read is worth its messages.
+		if _, due := nextChunk(accepted.Value, sealed); !due {
 			break
 		}
-		written, err := d.sealNextChunk(ctx, sealed)
-		if err != nil || written <= sealed {
+		advanced, err := d.sealNextChunk(ctx, sealed)
+		if err != nil || advanced <= sealed {
 			return
 		}
-		sealed = written
+		sealed = advanced
 	}
-	d.chunks.mu.Lock()
-	defer d.chunks.mu.Unlock()
-	d.chunks.epoch, d.chunks.sequence = held.Epoch, held.Sequence
+	d.chunks.setChecked(accepted)
 }
 
-// sealNextChunk writes one page out of the spec that a majority confirms, and gives
-// how many changes are sealed by then.
+// sealNextChunk writes one chunk of the history that a majority confirms, and
+// gives how many changes are sealed then.
 func (d *Dispatcher) sealNextChunk(ctx scope.Scope, sealed int64) (int64, error) {
-	short, release := ctx.WithTimeout(d.options.CommandTimeout)
-	defer release()
-	value, err := d.options.Proposer.Read(short, config.Key)
+	ctx, cancel := ctx.WithTimeout(d.options.CommandTimeout)
+	defer cancel()
+	value, err := d.options.Proposer.Read(ctx, config.Key)
 	if err != nil {
 		return sealed, err
 	}
-	page, due := nextChunk(value, sealed)
+	chunk, due := nextChunk(value, sealed)
 	if !due {
 		return sealed, nil
 	}
-	if _, err := d.options.Proposer.Update(short, page.Key(), page.Apply); err != nil {
+	if _, err := d.options.Proposer.Update(ctx, chunk.Key(), chunk.Apply); err != nil {
 		return sealed, err
 	}
-	d.chunks.mu.Lock()
-	defer d.chunks.mu.Unlock()
-	d.chunks.sealed = max(d.chunks.sealed, page.Sealed())
-	return page.Sealed(), nil
+	d.chunks.advance(chunk.Sealed())
+	return chunk.Sealed(), nil
 }
 
+// nextChunk gives the chunk that is due by the configuration's value.
 func nextChunk(value []byte, sealed int64) (store.Chunk, bool) {
-	kept, err := store.DecodeCompressed(value)
+	record, err := store.DecodeCompressed(value)
 	if err != nil {
 		return store.Chunk{}, false
 	}
-	return kept.History.NextChunk(sealed)
+	return record.History.NextChunk(sealed)
 }
--- a/control/state/command/chunks_test.go
+++ b/control/state/command/chunks_test.go
@@ -12,11 +12,13 @@
 	"onyxwell/control/config/store"
 )
 
-// propertyRun is a house with all that was sent to it and what was told.
+// propertyRun is a lossy cluster with all changes sent to it and their results.
 type propertyRun struct {
 	*lossyCluster
-	t            *rapid.T
-	sent         []store.Change
+	t    *rapid.T
+	sent []store.Change
+	// decided holds the result of a sent change, by its index; acknowledged the
+	// index of the change that was acknowledged on a base version.
 	decided      map[int]errkind.Kind
 	acknowledged map[ids.Serial]int
 	latest       ids.Serial
@@ -24,27 +26,27 @@
 	busy         map[ids.Address]bool
 }
 
-func newPropertyRun(t *rapid.T, told map[errkind.Kind]int) *propertyRun {
-	made := &propertyRun{
+func newPropertyRun(t *rapid.T, resultCounts map[errkind.Kind]int) *propertyRun {
+	p := &propertyRun{
 		lossyCluster: newLossyCluster(t), t: t, decided: map[int]errkind.Kind{}, acknowledged: map[ids.Serial]int{},
-		resultCounts: told, busy: map[ids.Address]bool{},
+		resultCounts: resultCounts, busy: map[ids.Address]bool{},
 	}
-	made.sent = append(made.sent, made.seedHistory()...)
-	for index, change := range made.sent {
-		made.decided[index], made.acknowledged[change.BaseVersion] = errkind.None, index
+	p.sent = append(p.sent, p.seedHistory()...)
+	for index, change := range p.sent {
+		p.decided[index], p.acknowledged[change.BaseVersion] = errkind.None, index
 	}
-	made.latest = made.sent[len(made.sent)-1].Version()
-	made.dropMessage = func() bool { return rapid.IntRange(0, 15).Draw(t, "loss") == 0 }
-	made.inTransit = func() {
-		if len(made.busy) == 1 && rapid.IntRange(0, 9).Draw(t, "meanwhile") == 0 {
-			made.step()
+	p.latest = p.sent[len(p.sent)-1].Version()
+	p.dropMessage = func() bool { return rapid.IntRange(0, 15).Draw(t, "loss") == 0 }
+	p.inTransit = func() {
+		if len(p.busy) == 1 && rapid.IntRange(0, 9).Draw(t, "meanwhile") == 0 {
+			p.step()
 		}
 	}
-	return made
+	return p
 }
 
-// step has one controller, which is not at work yet, sweep or get an order: a
-// new one, a rival on any version, or a repeat of one that may be under way.
+// step has one idle controller reconcile or dispatch a change: a new one, a rival
+// on any base version, or a repeat of one that may be in flight.
 func (p *propertyRun) step() {
 	name := rapid.SampledFrom(names).Draw(p.t, "controller")
 	if p.busy[name] {
@@ -60,8 +62,8 @@
 	case 1:
 		p.sent = append(p.sent, patchChange(p.latest, p.latest+3, fmt.Sprint(index)))
 	case 2:
-		rivalled := rapid.SampledFrom(p.sent).Draw(p.t, "rival").BaseVersion
-		p.sent = append(p.sent, patchChange(rivalled, p.latest+5, fmt.Sprint(index)))
+		base := rapid.SampledFrom(p.sent).Draw(p.t, "rival").BaseVersion
+		p.sent = append(p.sent, patchChange(base, p.latest+5, fmt.Sprint(index)))
 	case 3:
 		index = rapid.IntRange(max(0, index-5), index-1).Draw(p.t, "repeat")
 	default:
@@ -70,7 +72,7 @@
 	p.check(index, p.dispatchChange(name, p.sent[index]))
 }
 
-// check holds an answer against all that was told before.
+// check compares a result with all results before it.
 func (p *propertyRun) check(index int, kind errkind.Kind) {
 	p.resultCounts[kind]++
 	if kind == errkind.NoQuorum {
@@ -78,113 +80,115 @@
 	}
 	change := p.sent[index]
 	if before, decided := p.decided[index]; decided && before != kind {
-		p.t.Fatalf("order %d on version %d: %v, and before %v", index, change.BaseVersion, kind, before)
+		p.t.Fatalf("change %d on version %d: %v, and before %v", index, change.BaseVersion, kind, before)
 	}
 	p.decided[index] = kind
 	if kind != errkind.None {
 		return
 	}
-	if other, taken := p.acknowledged[change.BaseVersion]; taken && other != index {
-		p.t.Fatalf("orders %d and %d were both acknowledged on version %d", other, index, change.BaseVersion)
+	if other, changes := p.acknowledged[change.BaseVersion]; changes && other != index {
+		p.t.Fatalf("changes %d and %d were both acknowledged on version %d", other, index, change.BaseVersion)
 	}
 	p.acknowledged[change.BaseVersion] = index
 	p.latest = max(p.latest, change.Version())
 }
 
-// TestDispatch_repeatsAtAnyController has three controllers take the spec over from each
-// other, with messages and answers lost, and orders that arrive at one while
-// another is at work on the same: what was acknowledged is never refused when it
-// comes again, old or new, and no two are acknowledged on one version.
+// TestDispatch_repeatsAtAnyController has three controllers take the
+// configuration over from each other while requests and responses are lost, and
+// changes that arrive at one while another executes them: what was acknowledged
+// is never refused when it is repeated, old or new, and no two changes are
+// acknowledged on one base version.
 func TestDispatch_repeatsAtAnyController(t *testing.T) {
-	told, dropped := map[errkind.Kind]int{}, 0
+	results, truncated := map[errkind.Kind]int{}, 0
 	rapid.Check(t, func(t *rapid.T) {
-		trial := newPropertyRun(t, told)
+		run := newPropertyRun(t, results)
 		for range 60 {
-			trial.step()
+			run.step()
 		}
-		if kept, _ := store.DecodeCompressed(trial.acceptors["a"].Slot(config.Key).Accepted.Value); kept.History.Offset > 0 {
-			dropped++
+		if record, _ := store.DecodeCompressed(run.acceptors["a"].Slot(config.Key).Accepted.Value); record.History.Offset > 0 {
+			truncated++
 		}
 	})
-	t.Logf("answers: %v; in %d cases changes had gone to pages", told, dropped)
-	if dropped < 30 {
-		t.Error("too few cases had pages")
+	t.Logf("results: %v; in %d runs the history was truncated to chunks", results, truncated)
+	if truncated < 30 {
+		t.Error("too few runs had chunks")
 	}
 	for _, kind := range []errkind.Kind{errkind.None, errkind.VersionConflict, errkind.NoQuorum} {
-		if told[kind] < 100 {
-			t.Errorf("only %d answers were %v", told[kind], kind)
+		if results[kind] < 100 {
+			t.Errorf("only %d results were %v", results[kind], kind)
 		}
 	}
-	if told[errkind.OutcomeExpired] > 0 {
-		t.Errorf("%d orders were forgotten", told[errkind.OutcomeExpired])
+	if results[errkind.OutcomeExpired] > 0 {
+		t.Errorf("%d outcomes expired", results[errkind.OutcomeExpired])
 	}
 }
 
-// TestReconcile_ownerSealsChunks has one owner write the pages, and the
-// next one drop what they hold; an old repeat costs one more key to read.
+// TestReconcile_ownerSealsChunks has one owner write the chunks, and the next one
+// truncate the history by them; an old repeat costs one more key to read.
 func TestReconcile_ownerSealsChunks(t *testing.T) {
-	house := newLossyCluster(t)
-	taken := house.seedHistory()
-	newest := taken[len(taken)-1].Version()
-	if kind := house.dispatchChange("a", patchChange(newest, newest+1, "x")); kind != errkind.None {
+	c := newLossyCluster(t)
+	changes := c.seedHistory()
+	newest := changes[len(changes)-1].Version()
+	if kind := c.dispatchChange("a", patchChange(newest, newest+1, "x")); kind != errkind.None {
 		t.Fatal(kind)
 	}
-	house.dispatchers["b"].sealChunks(house.ctx)
-	if pages := house.countChunks("c"); pages != 0 {
-		t.Fatalf("%d pages were written by one who does not own the spec", pages)
+	c.dispatchers["b"].sealChunks(c.ctx)
+	if chunks := c.countChunks("c"); chunks != 0 {
+		t.Fatalf("%d chunks were written by a controller that does not own the configuration", chunks)
 	}
-	house.dispatchers["a"].sealChunks(house.ctx)
-	size := len(house.acceptors["c"].Slot(config.Key).Accepted.Value)
-	if pages := house.countChunks("c"); pages != 2 {
-		t.Fatalf("%d pages", pages)
+	c.dispatchers["a"].sealChunks(c.ctx)
+	size := len(c.acceptors["c"].Slot(config.Key).Accepted.Value)
+	if chunks := c.countChunks("c"); chunks != 2 {
+		t.Fatalf("%d chunks", chunks)
 	}
-	// The next owner seals the same again, and finds it done.
-	if kind := house.dispatchChange("b", patchChange(newest+1, newest+2, "y")); kind != errkind.None {
+	// The next owner seals the same chunks again and finds them written.
+	if kind := c.dispatchChange("b", patchChange(newest+1, newest+2, "y")); kind != errkind.None {
 		t.Fatal(kind)
 	}
-	house.dispatchers["b"].sealChunks(house.ctx)
-	if kind := house.dispatchChange("b", patchChange(newest+2, newest+3, "z")); kind != errkind.None {
+	c.dispatchers["b"].sealChunks(c.ctx)
+	if kind := c.dispatchChange("b", patchChange(newest+2, newest+3, "z")); kind != errkind.None {
 		t.Fatal(kind)
 	}
-	after := len(house.acceptors["c"].Slot(config.Key).Accepted.Value)
+	after := len(c.acceptors["c"].Slot(config.Key).Accepted.Value)
 	if after > size-2*256*8 {
-		t.Fatalf("the spec's value takes %d bytes, and took %d before its pages were sealed", after, size)
+		t.Fatalf("the record takes %d bytes, and took %d before its chunks were sealed", after, size)
 	}
 	for _, name := range names {
 		for _, index := range []int{0, 3, 255, 256, 511, 512, 700, 800} {
-			if kind := house.dispatchUntilDecided(name, taken[index]); kind != errkind.None {
-				t.Errorf("the repeat of %d at %s: %v", index, name, kind)
+			if kind := c.dispatchUntilDecided(name, changes[index]); kind != errkind.None {
+				t.Errorf("repeat of %d at %s: %v", index, name, kind)
 			}
-			if kind := house.dispatchUntilDecided(name, patchChange(taken[index].BaseVersion, newest+9, "rival")); kind != errkind.VersionConflict {
-				t.Errorf("the rival of %d at %s: %v", index, name, kind)
+			if kind := c.dispatchUntilDecided(name, patchChange(changes[index].BaseVersion, newest+9, "rival")); kind != errkind.VersionConflict {
+				t.Errorf("rival of %d at %s: %v", index, name, kind)
 			}
 		}
 	}
-	house.messages = 0
-	house.dispatchChange("c", taken[800])
-	recent := house.messages
-	house.messages = 0
-	house.dispatchChange("c", taken[3])
-	t.Logf("bytes of the value: %d, then %d; a look-up takes %d messages, an old one %d", size, after, recent, house.messages)
+	c.messages = 0
+	c.dispatchChange("c", changes[800])
+	recent := c.messages
+	c.messages = 0
+	c.dispatchChange("c", changes[3])
+	t.Logf("record bytes: %d, then %d; messages of a recent repeat: %d, of an old one: %d", size, after, recent, c.messages)
 }
 
-// TestDispatch_oldRepeatNeedsMajority has a page that can't be read.
+// TestDispatch_oldRepeatNeedsMajority has a chunk that can't be read.
 func TestDispatch_oldRepeatNeedsMajority(t *testing.T) {
-	house := newLossyCluster(t)
-	taken := house.seedHistory()
-	newest := taken[len(taken)-1].Version()
-	house.dispatchChange("a", patchChange(newest, newest+1, "x"))
-	house.dispatchers["a"].Reconcile(house.ctx)
-	house.dispatchChange("a", patchChange(newest+1, newest+2, "y"))
-	// The spec is confirmed with three messages; all after them are lost.
+	c := newLossyCluster(t)
+	changes := c.seedHistory()
+	newest := changes[len(changes)-1].Version()
+	c.dispatchChange("a", patchChange(newest, newest+1, "x"))
+	c.dispatchers["a"].Reconcile(c.ctx)
+	c.dispatchChange("a", patchChange(newest+1, newest+2, "y"))
+	// The configuration is confirmed with three messages and their responses; all
+	// later messages are lost.
 	left := 2 * len(names)
-	house.dropMessage = func() bool { left--; return left < 0 }
-	if kind := house.dispatchChange("a", taken[3]); kind != errkind.NoQuorum {
+	c.dropMessage = func() bool { left--; return left < 0 }
+	if kind := c.dispatchChange("a", changes[3]); kind != errkind.NoQuorum {
 		t.Fatalf("%v", kind)
 	}
-	house.dropMessage = func() bool { return true }
-	for _, change := range []store.Change{taken[3], taken[800], patchChange(3, newest+9, "rival")} {
-		if kind := house.dispatchChange("a", change); kind != errkind.NoQuorum {
+	c.dropMessage = func() bool { return true }
+	for _, change := range []store.Change{changes[3], changes[800], patchChange(3, newest+9, "rival")} {
+		if kind := c.dispatchChange("a", change); kind != errkind.NoQuorum {
 			t.Fatalf("%v", kind)
 		}
 	}
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -19,15 +19,15 @@
 	"onyxwell/control/state/register"
 )
 
-func TestMain(tests *testing.M) { proptest.Run(tests) }
+func TestMain(m *testing.M) { proptest.Run(m) }
 
 const (
 	forwardTimeout = 375 * clock.Millisecond
 	commandTimeout = 900 * clock.Millisecond
 )
 
-// cluster is three controllers on links of 35 ms and slow disks; it runs in a
-// bubble of synctest, whose time is not real.
+// cluster is three controllers on links of 35 ms and slow disks. It runs in a
+// synctest bubble, whose time is simulated.
 type cluster struct {
 	t           *testing.T
 	ctx         scope.Scope
@@ -35,10 +35,11 @@
 	mu          sync.Mutex
 	partitioned map[ids.Address]bool
 	diskDelay   clock.Span
-	// intercepted has orders to a controller kept by the network.
+	// intercepted collects the commands forwarded to a controller instead of
+	// delivering them.
 	intercepted map[ids.Address]*[]Command
-	// afterForward is done once an order that was passed on has been acted on; its
-	// answer is that it is unsettled then.
+	// afterForward is called once a forwarded command was executed; its forwarder
+	// gets an open outcome then.
 	afterForward func()
 }
 
@@ -51,43 +52,53 @@
 	quorum     *quorum.Tracker
 }
 
-// Save takes as long as the world's disks do.
+// Save takes the cluster's disk delay.
 func (n *node) Save([]byte) error { <-n.cluster.ctx.Clock.After(n.cluster.diskDelay); return nil }
 
-func newCluster(t *testing.T, disk clock.Span) *cluster {
-	made := &cluster{t: t, ctx: scope.New(scope.Options{}), nodes: map[ids.Address]*node{}, partitioned: map[ids.Address]bool{}, intercepted: map[ids.Address]*[]Command{}}
+func newCluster(t *testing.T, diskDelay clock.Span) *cluster {
+	t.Helper()
+	c := &cluster{
+		t: t, ctx: scope.New(scope.Options{}), nodes: map[ids.Address]*node{},
+		partitioned: map[ids.Address]bool{}, intercepted: map[ids.Address]*[]Command{},
+	}
 	voters := register.VoterSet{Generation: 1, Members: []register.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}}
-	for _, seat := range voters.Members {
-		made.addNode(seat.Address, voters)
+	for _, voter := range voters.Members {
+		c.addNode(voter.Address, voters)
 	}
-	made.diskDelay = disk
-	// Messages that nobody answers run out before the bubble ends.
-	t.Cleanup(func() { made.ctx.Wait(10 * clock.Second) })
-	return made
+	// Bootstrapping took no disk time.
+	c.diskDelay = diskDelay
+	// Unanswered messages time out before the bubble ends.
+	t.Cleanup(func() { c.ctx.Wait(10 * clock.Second) })
+	return c
 }
 
 func (c *cluster) addNode(address ids.Address, voters register.VoterSet) {
-	made := &node{cluster: c, address: address}
-	c.nodes[address] = made
+	c.t.Helper()
+	n := &node{cluster: c, address: address}
+	c.nodes[address] = n
 	var err error
-	if made.acceptor, err = register.NewAcceptor(address, nil); err != nil {
+	if n.acceptor, err = register.NewAcceptor(address, nil); err != nil {
 		c.t.Fatal(err)
 	}
-	made.acceptor.Attach(made)
-	if err := made.acceptor.Bootstrap(voters); err != nil {
+	n.acceptor.Attach(n)
+	if err := n.acceptor.Bootstrap(voters); err != nil {
 		c.t.Fatal(err)
 	}
-	made.quorum = quorum.New(quorum.Options{Address: address, Voters: made.acceptor.Voters, MaxAge: forwardTimeout, Heartbeat: func(ctx scope.Scope, to ids.Address) (quorum.HeartbeatResponse, error) {
-		return deliver(made, ctx, to, func(other *node) quorum.HeartbeatResponse { return other.quorum.Respond(ctx.Now()) })
-	}})
-	made.proposer = register.NewProposer(register.ProposerOptions{
-		Address: address, Client: made, Voters: made.acceptor.Voters, MessageTimeout: 2 * clock.Second,
-		HighestEpoch: func(key string) int64 { return made.acceptor.Slot(key).Promised.Number },
+	n.quorum = quorum.New(quorum.Options{
+		Address: address, Voters: n.acceptor.Voters, MaxAge: forwardTimeout,
+		Heartbeat: func(ctx scope.Scope, to ids.Address) (quorum.HeartbeatResponse, error) {
+			return deliver(n, ctx, to, func(other *node) quorum.HeartbeatResponse { return other.quorum.Respond(ctx.Now()) })
+		},
+	})
+	n.proposer = register.NewProposer(register.ProposerOptions{
+		Address: address, Client: n, Voters: n.acceptor.Voters, MessageTimeout: 2 * clock.Second,
+		HighestEpoch: func(key string) int64 { return n.acceptor.Slot(key).Promised.Number },
 	})
-	made.dispatcher = New(Options{
-		Address: address, Proposer: made.proposer, Acceptor: made.acceptor, Quorum: made.quorum,
+	n.dispatcher = New(Options{
+		Address: address, Proposer: n.proposer, Acceptor: n.acceptor, Quorum: n.quorum,
 		Membership: membership.NewTable(c.ctx.Clock, membership.Member{Address: address}),
-		Updates:    gossip.NewStore(nil), ForwardTimeout: forwardTimeout, CommandTimeout: commandTimeout, TakeoverBackoff: func() clock.Span { return 0 }, Send: made.send,
+		Updates:    gossip.NewStore(nil), ForwardTimeout: forwardTimeout, CommandTimeout: commandTimeout,
+		TakeoverBackoff: func() clock.Span { return 0 }, Peers: n,
 	})
 }
 
@@ -97,104 +108,104 @@
 	return c.partitioned[from] == c.partitioned[to]
 }
 
-// setPartitioned cuts a controller off from the others, or joins it again.
-func (c *cluster) setPartitioned(address ids.Address, off bool) {
+// setPartitioned partitions a controller from the others, or heals the partition.
+func (c *cluster) setPartitioned(address ids.Address, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partitioned[address] = off
+	c.partitioned[address] = partitioned
 }
 
-// deliver brings a message there and its answer back; over a cut link neither
-// comes, nor any word of it.
-func deliver[Told any](from *node, ctx scope.Scope, to ids.Address, serve func(*node) Told) (Told, error) {
-	const link = 35 * clock.Millisecond
-	var told Told
+// deliver delivers a message and its response. Across a partition the message or
+// the response is lost, and the sender waits until its context ends.
+func deliver[Response any](from *node, ctx scope.Scope, to ids.Address, serve func(*node) Response) (Response, error) {
+	const linkDelay = 35 * clock.Millisecond
+	var resp Response
 	if from.address == to {
 		return serve(from), nil
 	}
-	if from.cluster.connected(from.address, to) && ctx.Wait(link) {
-		told = serve(from.cluster.nodes[to])
-		if from.cluster.connected(from.address, to) && ctx.Wait(link) {
-			return told, nil
+	if from.cluster.connected(from.address, to) && ctx.Wait(linkDelay) {
+		resp = serve(from.cluster.nodes[to])
+		if from.cluster.connected(from.address, to) && ctx.Wait(linkDelay) {
+			return resp, nil
 		}
 	}
 	<-ctx.Done()
-	return told, ctx.Err()
+	return resp, ctx.Err()
 }
 
-func (n *node) Promise(ctx scope.Scope, to ids.Address, asked register.PrepareRequest) (register.PrepareResponse, error) {
-	return deliver(n, ctx, to, func(other *node) register.PrepareResponse { return other.acceptor.Prepare(asked) })
+func (n *node) Promise(ctx scope.Scope, to ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+	return deliver(n, ctx, to, func(other *node) register.PrepareResponse { return other.acceptor.Prepare(req) })
 }
 
-func (n *node) Accept(ctx scope.Scope, to ids.Address, asked register.AcceptRequest) (register.AcceptResponse, error) {
-	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Accept(asked) })
+func (n *node) Accept(ctx scope.Scope, to ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Accept(req) })
 }
 
-func (n *node) Confirm(ctx scope.Scope, to ids.Address, asked register.ConfirmRequest) (register.AcceptResponse, error) {
-	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Confirm(asked) })
+func (n *node) Confirm(ctx scope.Scope, to ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Confirm(req) })
 }
 
-// send passes an order on, unless the network keeps those to the receiver.
-func (n *node) send(ctx scope.Scope, to ids.Address, order Command) (Result, error) {
+// Forward delivers a command, unless those to the receiver are intercepted.
+func (n *node) Forward(ctx scope.Scope, to ids.Address, cmd Command) (Result, error) {
 	n.cluster.mu.Lock()
-	kept := n.cluster.intercepted[to]
-	if kept != nil {
-		*kept = append(*kept, order)
+	intercepted := n.cluster.intercepted[to]
+	if intercepted != nil {
+		*intercepted = append(*intercepted, cmd)
 	}
 	n.cluster.mu.Unlock()
-	if kept != nil {
+	if intercepted != nil {
 		<-ctx.Done()
 		return Result{}, ctx.Err()
 	}
-	outcome, err := deliver(n, ctx, to, func(other *node) Result { return resultOf(other.dispatcher.HandleForwarded(ctx, order)) })
+	result, err := deliver(n, ctx, to, func(other *node) Result { return resultOf(other.dispatcher.HandleForwarded(ctx, cmd)) })
 	n.cluster.mu.Lock()
-	meddle := n.cluster.afterForward
+	afterForward := n.cluster.afterForward
 	n.cluster.mu.Unlock()
-	if meddle == nil || order.Verb == VerbRead || err != nil {
-		return outcome, err
+	if afterForward == nil || cmd.Verb == VerbRead || err != nil {
+		return result, err
 	}
-	meddle()
+	afterForward()
 	return resultOf(nil, errkind.Errorf(errkind.NoQuorum, "too many voters refused")), nil
 }
 
-// intercept has the network keep the orders to a controller from now on; it gives
-// what was kept.
-func (c *cluster) intercept(to ids.Address, kept *[]Command) {
+// intercept collects the commands forwarded to a controller from now on; with
+// nil they are delivered again.
+func (c *cluster) intercept(to ids.Address, collected *[]Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.intercepted[to] = kept
+	c.intercepted[to] = collected
 }
 
-// dispatch gives an order to a controller.
-func (c *cluster) dispatch(to ids.Address, order Command) (errkind.Kind, []byte, clock.Span) {
-	begin := c.ctx.Now()
-	value, err := c.nodes[to].dispatcher.Dispatch(c.ctx, order)
-	return errkind.KindOf(err), value, c.ctx.Now().Since(begin)
+// dispatch dispatches a command at a controller and measures how long it takes.
+func (c *cluster) dispatch(at ids.Address, cmd Command) (kind errkind.Kind, value []byte, elapsed clock.Span) {
+	start := c.ctx.Now()
+	value, err := c.nodes[at].dispatcher.Dispatch(c.ctx, cmd)
+	return errkind.KindOf(err), value, c.ctx.Now().Since(start)
 }
 
-// mustDispatch gives an order that has to be acknowledged.
-func (c *cluster) mustDispatch(to ids.Address, order Command) []byte {
+// mustDispatch dispatches a command that has to be acknowledged.
+func (c *cluster) mustDispatch(at ids.Address, cmd Command) []byte {
 	c.t.Helper()
-	kind, value, _ := c.dispatch(to, order)
+	kind, value, _ := c.dispatch(at, cmd)
 	if kind != errkind.None {
-		c.t.Fatalf("%s %s at %s: %v", order.Verb, order.Key, to, kind)
+		c.t.Fatalf("%s %s at %s: %v", cmd.Verb, cmd.Key, at, kind)
 	}
 	return value
 }
 
-// drained tells whether the zone is being emptied.
+// drained tells whether the zone is drained, as read at a controller.
 func (c *cluster) drained(at ids.Address) bool {
 	c.t.Helper()
-	kept, err := evacuation.Decode(c.mustDispatch(at, zoneCommand(VerbRead)))
+	state, err := evacuation.Decode(c.mustDispatch(at, zoneCommand(VerbRead)))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return kept.Drained
+	return state.Drained
 }
 
 func zoneCommand(verb string) Command { return Command{Key: evacuation.Key("hall"), Verb: verb} }
 
-func putCommand(match ids.Serial, serial int) Command {
-	body := fmt.Sprintf(`{"config_version":%d,"routes":[],"services":[{"name":"s"}]}`, serial)
-	return Command{Key: config.Key, Verb: VerbChange, Change: store.Change{Full: true, BaseVersion: match, Body: []byte(body)}}
+func putCommand(base ids.Serial, version int) Command {
+	body := fmt.Sprintf(`{"config_version":%d,"routes":[],"services":[{"name":"s"}]}`, version)
+	return Command{Key: config.Key, Verb: VerbChange, Change: store.Change{Full: true, BaseVersion: base, Body: []byte(body)}}
 }
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -1,21 +1,21 @@
-// Package command takes the operator's orders: the owner of a key acts on them,
-// everybody else passes them on, and takes the key over when its owner is
-// silent.
+// Package command leads a command to the controller that owns its key. The
+// owner executes it; every other controller forwards it to the owner, and takes
+// the key over when the owner does not answer.
 //
-// An order is begun only in contact with a majority of the voters, and ends
-// when contact is lost. One that was passed on never comes back as a ghost,
-// after its passer gave it up and others went on:
-//   - whoever is passed an order acts on it only if it owns the key, and takes
-//     no key over for it;
-//   - it is not begun after its end, looked at under the key's turn. So it is
-//     begun before the passer gives up, if ever. From then on, whatever is done
-//     by the same owner waits for its turn to end, and whatever is done by
-//     another was preceded by a takeover, whose higher epoch the voters hold
-//     against what the earlier owner still sends.
+// A command is started only while a majority of the voters is reachable, and
+// its context ends when that majority is lost. A forwarded command never
+// executes after its forwarder gave up and others went on:
+//   - the receiver executes it only if it owns the key, and takes no key over
+//     for it;
+//   - its deadline is checked in the key's turn at the proposer, so it starts
+//     before the forwarder gives up or not at all. Later commands executed by
+//     the same owner wait for that turn to end; those of another controller
+//     follow a takeover, whose higher epoch makes the voters refuse what the
+//     former owner still sends.
 package command
 
 import (
-	"sync"
+	"errors"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -23,6 +23,8 @@
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
 	"onyxwell/base/scope"
+	"onyxwell/control/config/evacuation"
+	"onyxwell/control/config/store"
 	"onyxwell/control/gossip"
 	"onyxwell/control/membership"
 	"onyxwell/control/state/quorum"
@@ -30,183 +32,212 @@
 	"onyxwell/control/transport"
 )
 
-// Options are what a desk is made from.
+const (
+	// maxAttempts is how often a command is routed while other controllers take
+	// its key over.
+	maxAttempts = 8
+	// maxBackoffFactor bounds the linear growth of the backoff before a takeover.
+	maxBackoffFactor = 3
+)
+
+// PeerClient sends a command to another controller's HandleForwarded.
+type PeerClient interface {
+	Forward(ctx scope.Scope, to ids.Address, cmd Command) (Result, error)
+}
+
+// Options are the dependencies and settings of a Dispatcher.
 type Options struct {
+	// Address is this controller's own.
 	Address    ids.Address
 	Proposer   *register.Proposer
 	Acceptor   *register.Acceptor
 	Membership *membership.Table
-	Updates    *gossip.Store
-	Transport  *transport.Client
-	// Quorum tells whether a majority of the voters hears this controller; by
-	// default one is made.
+	// Updates receives the values that Publish and Reconcile find committed.
+	Updates   *gossip.Store
+	Transport *transport.Client
+	// Quorum tracks whether a majority of the voters is reachable; by default a
+	// Tracker over Transport.
 	Quorum *quorum.Tracker
-	// ForwardTimeout is how long an owner may take before it counts as silent.
+	// Peers forwards commands; by default over Transport.
+	Peers PeerClient
+	// ForwardTimeout bounds one forwarded attempt; an owner that exceeds it is
+	// suspected.
 	ForwardTimeout clock.Span
-	// CommandTimeout is how long an order may take in all.
+	// CommandTimeout bounds a command as a whole, with all its attempts.
 	CommandTimeout clock.Span
-	// Send sends an order on; by default the messenger does.
-	Send func(inner scope.Scope, address ids.Address, order Command) (Result, error)
-	// TakeoverBackoff is how long a taker waits first; by default a random part of Pass.
+	// TakeoverBackoff gives the delay before a takeover, multiplied by the
+	// attempt up to maxBackoffFactor; by default a random part of
+	// ForwardTimeout/4.
 	TakeoverBackoff func() clock.Span
 }
 
-// Dispatcher acts on orders or passes them on.
+// Dispatcher executes commands or forwards them. It is safe for concurrent use.
 type Dispatcher struct {
 	options Options
-	mu      sync.Mutex
-	// suspectedUntil says until when an owner counts as such, busy how many orders in a
-	// row it left unanswered.
-	suspectedUntil map[ids.Address]clock.Instant
-	unanswered     map[ids.Address]int
-	chunks         chunkProgress
+	owners  *ownerHealth
+	chunks  chunkProgress
 }
 
-// New makes a desk.
+// New makes a dispatcher.
 func New(options Options) *Dispatcher {
 	if options.TakeoverBackoff == nil {
 		options.TakeoverBackoff = func() clock.Span { return random.Duration(options.ForwardTimeout / 4) }
 	}
-	if options.Send == nil {
-		options.Send = func(ctx scope.Scope, address ids.Address, order Command) (Result, error) {
-			return transport.Send[Result](ctx, options.Transport, address, "order", order)
-		}
+	if options.Peers == nil {
+		options.Peers = transportPeers{client: options.Transport}
 	}
 	if options.Quorum == nil {
 		options.Quorum = quorum.New(quorum.Options{
 			Address: options.Address, Voters: options.Acceptor.Voters, Transport: options.Transport, MaxAge: options.ForwardTimeout,
 		})
 	}
-	return &Dispatcher{options: options, suspectedUntil: map[ids.Address]clock.Instant{}, unanswered: map[ids.Address]int{}}
+	return &Dispatcher{options: options, owners: newOwnerHealth(4 * options.ForwardTimeout)}
 }
 
-// Serve adds the desk's message to a table of calls.
+// Serve registers the handler of forwarded commands.
 func (d *Dispatcher) Serve(calls *httpcall.Mux) {
-	transport.Handle(calls, "order", func(ctx scope.Scope, order Command) (Result, error) {
-		return resultOf(d.HandleForwarded(ctx, order)), nil
+	transport.Handle(calls, forwardMessage, func(ctx scope.Scope, cmd Command) (Result, error) {
+		return resultOf(d.HandleForwarded(ctx, cmd)), nil
 	})
 }
 
-// HandleForwarded takes an order that another controller passed on: one to the owner of
-// its key is acted on only if the key is owned here.
-func (d *Dispatcher) HandleForwarded(ctx scope.Scope, order Command) ([]byte, error) {
-	short, release := ctx.WithTimeout(d.options.CommandTimeout)
+// Dispatch leads a command to the owner of its key and returns the register's
+// value after it. An errkind.NoQuorum error leaves open whether the command was
+// executed: the caller may send it again, which executes it at most once.
+func (d *Dispatcher) Dispatch(ctx scope.Scope, cmd Command) ([]byte, error) {
+	ctx, cancel := ctx.WithTimeout(d.options.CommandTimeout)
+	defer cancel()
+	ctx, release, err := d.options.Quorum.WithQuorum(ctx)
+	if err != nil {
+		return nil, err
+	}
 	defer release()
-	if order.Deadline == (quorum.Deadline{}) {
+	return d.dispatchOnce(ctx, cmd)
+}
+
+// HandleForwarded executes a command that another controller forwarded, if its
+// key is owned here. One from a controller without a vote is dispatched instead.
+func (d *Dispatcher) HandleForwarded(ctx scope.Scope, cmd Command) ([]byte, error) {
+	ctx, cancel := ctx.WithTimeout(d.options.CommandTimeout)
+	defer cancel()
+	if !cmd.hasDeadline() {
 		return nil, errkind.Errorf(errkind.NoQuorum, "an order that was passed on without an end")
 	}
-	if err := d.checkDeadline(short, order); err != nil {
+	if err := d.checkDeadline(ctx, cmd); err != nil {
 		return nil, err
 	}
-	if order.FromNonVoter {
-		order.FromNonVoter = false
-		return d.Dispatch(short, order)
+	if cmd.FromNonVoter {
+		cmd.FromNonVoter = false
+		return d.Dispatch(ctx, cmd)
 	}
-	guarded, end, err := d.options.Quorum.WithQuorum(short)
+	ctx, release, err := d.options.Quorum.WithQuorum(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
-	return d.execute(guarded, order, d.options.Proposer.UpdateIfOwned)
+	defer release()
+	return d.execute(ctx, cmd, d.options.Proposer.UpdateIfOwned)
 }
 
-// checkDeadline tells whether an order may still be begun.
-func (d *Dispatcher) checkDeadline(ctx scope.Scope, order Command) error {
+// checkDeadline refuses a command that may not be started any more.
+func (d *Dispatcher) checkDeadline(ctx scope.Scope, cmd Command) error {
 	if ctx.Err() != nil {
 		return errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
 	}
-	if order.Deadline != (quorum.Deadline{}) && !d.options.Quorum.WithinDeadline(order.Deadline, ctx.Now()) {
+	if cmd.hasDeadline() && !d.options.Quorum.WithinDeadline(cmd.Deadline, ctx.Now()) {
 		return errkind.Errorf(errkind.NoQuorum, "the order came too late")
 	}
 	return nil
 }
 
-// Dispatch brings an order to the owner of its key and gives the register's value.
-func (d *Dispatcher) Dispatch(ctx scope.Scope, order Command) ([]byte, error) {
-	limited, release := ctx.WithTimeout(d.options.CommandTimeout)
-	defer release()
-	short, end, err := d.options.Quorum.WithQuorum(limited)
-	if err != nil {
-		return nil, err
-	}
-	defer end()
-	return d.dispatchOnce(short, order)
-}
-
-// routeWithRetries brings an order to the owner of its key as often as others take it
-// over meanwhile.
-func (d *Dispatcher) routeWithRetries(short scope.Scope, order Command) ([]byte, error) {
-	for tries := 1; ; tries++ {
-		value, err := d.route(short, order, tries)
-		settled := errkind.KindOf(err) != errkind.NoQuorum
-		if settled || short.Err() != nil || tries == maxAttempts || !d.preempted(order.Key) {
+// routeWithRetries routes a command again while the outcome is open and another
+// controller took the key over meanwhile.
+func (d *Dispatcher) routeWithRetries(ctx scope.Scope, cmd Command) ([]byte, error) {
+	for attempt := 1; ; attempt++ {
+		value, err := d.route(ctx, cmd, attempt)
+		decided := errkind.KindOf(err) != errkind.NoQuorum
+		if decided || ctx.Err() != nil || attempt == maxAttempts || !d.preempted(cmd.Key) {
 			return value, err
 		}
 	}
 }
 
-// maxAttempts is how often an order is brought to the owner of its key while
-// others take the key over.
-const maxAttempts = 8
-
-// preempted tells whether the own voter promised the key to another last.
+// preempted tells whether the local acceptor last promised the key to another
+// controller.
 func (d *Dispatcher) preempted(key string) bool {
 	owner := d.options.Acceptor.Slot(key).Promised.Owner
 	return owner != "" && owner != d.options.Address
 }
 
-// route acts on an order where its key is owned here or has no owner that
-// answers, and passes it to the owner otherwise.
-//
-// Takers hold each other up, and all of them the key's orders. So an owner that
-// is only busy is left alone, a taker waits a random while first, longer with
-// each try, and whoever finds then that another took the key goes to that one.
-func (d *Dispatcher) route(short scope.Scope, order Command, tries int) ([]byte, error) {
-	if d.options.Proposer.Owns(order.Key) {
-		return d.execute(short, order, d.options.Proposer.Update)
+// route executes a command if its key is owned here, and forwards it otherwise;
+// the key is taken over if its owner does not answer.
+func (d *Dispatcher) route(ctx scope.Scope, cmd Command, attempt int) ([]byte, error) {
+	if d.options.Proposer.Owns(cmd.Key) {
+		return d.execute(ctx, cmd, d.options.Proposer.Update)
 	}
 	if !d.options.Acceptor.Voting() {
-		return d.forwardToVoter(short, order)
-	}
-	if owner, found := d.reachableOwner(short, order.Key); found {
-		begin := short.Now()
-		outcome, err := d.forwardTo(short, owner, order, d.options.ForwardTimeout)
-		kind := errkind.Kind(outcome.Kind)
-		if err == nil && kind != errkind.NoQuorum && kind != errkind.Internal {
-			d.recordAnswer(owner)
-			return outcome.Value, outcome.err()
-		}
-		if err != nil && short.Err() == nil && d.recordUnanswered(owner, begin, short.Now()) {
-			return nil, errkind.Errorf(errkind.NoQuorum, "the owner of %s is busy", order.Key)
+		return d.forwardToVoter(ctx, cmd)
+	}
+	if owner, ok := d.reachableOwner(ctx, cmd.Key); ok {
+		if value, ok, err := d.forwardToOwner(ctx, owner, cmd); ok {
+			return value, err
 		}
 	}
-	before := d.options.Acceptor.Slot(order.Key).Promised
-	if !short.Wait(clock.Span(min(tries, maxBackoffFactor)) * d.options.TakeoverBackoff()) {
+	return d.takeOver(ctx, cmd, attempt)
+}
+
+// takeOver executes a command here and so takes its key over. Concurrent
+// takeovers preempt each other and delay all commands for the key; so it backs
+// off first, and leaves the key to a controller that took it meanwhile.
+func (d *Dispatcher) takeOver(ctx scope.Scope, cmd Command, attempt int) ([]byte, error) {
+	before := d.options.Acceptor.Slot(cmd.Key).Promised
+	if !ctx.Wait(clock.Span(min(attempt, maxBackoffFactor)) * d.options.TakeoverBackoff()) {
 		return nil, errkind.Errorf(errkind.NoQuorum, "out of time")
 	}
-	if d.preempted(order.Key) && d.options.Acceptor.Slot(order.Key).Promised != before {
-		return nil, errkind.Errorf(errkind.NoQuorum, "another took %s meanwhile", order.Key)
+	if d.preempted(cmd.Key) && d.options.Acceptor.Slot(cmd.Key).Promised != before {
+		return nil, errkind.Errorf(errkind.NoQuorum, "another took %s meanwhile", cmd.Key)
 	}
-	return d.execute(short, order, d.options.Proposer.Update)
+	return d.execute(ctx, cmd, d.options.Proposer.Update)
 }
 
-// maxBackoffFactor is by how much a taker's pause grows at most.
-const maxBackoffFactor = 3
-
-// execute carries an order out here, taking the key over where needed.
-func (d *Dispatcher) execute(ctx scope.Scope, order Command, change func(scope.Scope, string, register.UpdateFunc) ([]byte, error)) ([]byte, error) {
-	verb := stepsByVerb[order.Verb]
-	if verb == nil {
-		return nil, errkind.Errorf(errkind.UnknownCall, "verb %q", order.Verb)
-	}
-	// That the order may still be begun is looked at under the key's turn.
-	carry := func(step register.UpdateFunc) ([]byte, error) {
-		return change(ctx, order.Key, func(current []byte) ([]byte, error) {
-			if err := d.checkDeadline(ctx, order); err != nil {
-				return nil, err
-			}
-			return step(current)
-		})
+// writeFunc is the proposer's Update, which takes the key over where needed, or
+// its UpdateIfOwned.
+type writeFunc func(ctx scope.Scope, key string, update register.UpdateFunc) ([]byte, error)
+
+// execute carries a command out at the local proposer.
+func (d *Dispatcher) execute(ctx scope.Scope, cmd Command, write writeFunc) ([]byte, error) {
+	update, err := d.updateFor(cmd)
+	if err != nil {
+		return nil, err
+	}
+	value, err := write(ctx, cmd.Key, func(current []byte) ([]byte, error) {
+		// In the key's turn: the command may have waited for it past its deadline.
+		if err := d.checkDeadline(ctx, cmd); err != nil {
+			return nil, err
+		}
+		return update(current)
+	})
+	var archived *store.ArchivedError
+	if !errors.As(err, &archived) {
+		return value, err
+	}
+	if err := d.resolveArchived(ctx, archived); err != nil {
+		return nil, err
+	}
+	return value, nil
+}
+
+// updateFor gives the update of the register's value that a command stands for.
+func (d *Dispatcher) updateFor(cmd Command) (register.UpdateFunc, error) {
+	switch cmd.Verb {
+	case VerbRead:
+		return func([]byte) ([]byte, error) { return nil, nil }, nil
+	case VerbChange:
+		return cmd.Change.ApplyTruncating(d.chunks.sealedCount()), nil
+	case VerbDrain, VerbUndrain:
+		return evacuation.Update(drainVerbs[cmd.Verb], cmd.ZoneVersion), nil
+	case VerbEpoch:
+		return nextEpoch, nil
+	default:
+		return nil, errkind.Errorf(errkind.UnknownCall, "verb %q", cmd.Verb)
 	}
-	return d.commit(ctx, order, carry, verb(order))
 }
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -13,209 +13,210 @@
 	"onyxwell/control/transport"
 )
 
-// TestDispatch_partitionedOwnerStaysUndecided has the owner of the keys cut off: all
-// that it could answer by what it holds alone stays without a clear answer,
-// and soon.
+// TestDispatch_partitionedOwnerStaysUndecided partitions the owner of the keys:
+// whatever it could answer from local state alone stays undecided, and fails
+// soon.
 func TestDispatch_partitionedOwnerStaysUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newCluster(t, 5*clock.Millisecond)
-		world.mustDispatch("a", putCommand(0, 1))
-		world.mustDispatch("a", putCommand(1, 2))
-		world.mustDispatch("a", zoneCommand(VerbDrain))
-		orders := map[string]Command{
+		c := newCluster(t, 5*clock.Millisecond)
+		c.mustDispatch("a", putCommand(0, 1))
+		c.mustDispatch("a", putCommand(1, 2))
+		c.mustDispatch("a", zoneCommand(VerbDrain))
+		commands := map[string]Command{
 			"read": {Key: config.Key, Verb: VerbRead}, "repeat": putCommand(1, 2), "stale": putCommand(0, 9), "next": putCommand(2, 3),
-			"invalid": putCommand(2, 1), "emptied already": zoneCommand(VerbDrain), "refilled": zoneCommand(VerbUndrain), "epoch": {Key: "hold/plan", Verb: VerbEpoch},
+			"invalid": putCommand(2, 1), "already drained": zoneCommand(VerbDrain), "undrain": zoneCommand(VerbUndrain), "epoch": {Key: "hold/plan", Verb: VerbEpoch},
 		}
-		world.setPartitioned("a", true)
-		for name, order := range orders {
-			// At first contact looks fresh yet.
-			kind, value, took := world.dispatch("a", order)
-			if kind != errkind.NoQuorum || value != nil || took > 250*clock.Millisecond {
-				t.Errorf("%s, cut off just now: %v after %v", name, kind, took)
+		c.setPartitioned("a", true)
+		for name, cmd := range commands {
+			// At first the last contact still counts as quorum.
+			kind, value, elapsed := c.dispatch("a", cmd)
+			if kind != errkind.NoQuorum || value != nil || elapsed > 250*clock.Millisecond {
+				t.Errorf("%s, just partitioned: %v after %v", name, kind, elapsed)
 			}
-			world.setPartitioned("a", false)
-			world.ctx.Wait(clock.Second)
-			if err := world.nodes["a"].quorum.EnsureQuorum(world.ctx); err != nil {
+			c.setPartitioned("a", false)
+			c.ctx.Wait(clock.Second)
+			if err := c.nodes["a"].quorum.EnsureQuorum(c.ctx); err != nil {
 				t.Fatal(err)
 			}
-			world.setPartitioned("a", true)
+			c.setPartitioned("a", true)
 		}
-		world.ctx.Wait(clock.Second)
-		for name, order := range orders {
-			kind, value, took := world.dispatch("a", order)
-			if kind != errkind.NoQuorum || value != nil || took > 250*clock.Millisecond {
-				t.Errorf("%s, cut off long ago: %v after %v", name, kind, took)
+		c.ctx.Wait(clock.Second)
+		for name, cmd := range commands {
+			kind, value, elapsed := c.dispatch("a", cmd)
+			if kind != errkind.NoQuorum || value != nil || elapsed > 250*clock.Millisecond {
+				t.Errorf("%s, long partitioned: %v after %v", name, kind, elapsed)
 			}
 		}
-		world.mustDispatch("b", putCommand(2, 4))
-		world.setPartitioned("a", false)
-		if kind, _, _ := world.dispatch("a", putCommand(2, 5)); kind != errkind.VersionConflict {
-			t.Errorf("joined again: %v", kind)
+		c.mustDispatch("b", putCommand(2, 4))
+		c.setPartitioned("a", false)
+		if kind, _, _ := c.dispatch("a", putCommand(2, 5)); kind != errkind.VersionConflict {
+			t.Errorf("after the partition: %v", kind)
 		}
 	})
 }
 
 // TestDispatch_slowDisksKeepQuorum has disks thirty times slower than usual, on
-// links of 35 ms: orders are taken.
+// links of 35 ms: commands are acknowledged.
 func TestDispatch_slowDisksKeepQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newCluster(t, 150*clock.Millisecond)
-		for serial := range 4 {
-			if kind, _, took := world.dispatch("a", putCommand(ids.Serial(serial), serial+1)); kind != errkind.None {
-				t.Errorf("order %d: %v after %v", serial, kind, took)
+		c := newCluster(t, 150*clock.Millisecond)
+		for version := range 4 {
+			if kind, _, elapsed := c.dispatch("a", putCommand(ids.Serial(version), version+1)); kind != errkind.None {
+				t.Errorf("command %d: %v after %v", version, kind, elapsed)
 			}
 		}
-		if kind, _, took := world.dispatch("b", putCommand(4, 5)); kind != errkind.None {
-			t.Errorf("passed on: %v after %v", kind, took)
+		if kind, _, elapsed := c.dispatch("b", putCommand(4, 5)); kind != errkind.None {
+			t.Errorf("forwarded: %v after %v", kind, elapsed)
 		}
 	})
 }
 
-// TestHandleForwarded_abandonedCommandNeverRuns keeps an order on its way to the owner until it was
-// given up, sent again, acknowledged and taken back.
+// TestHandleForwarded_abandonedCommandNeverRuns delays a forwarded command until
+// it was given up, sent again, acknowledged and undone.
 func TestHandleForwarded_abandonedCommandNeverRuns(t *testing.T) {
-	cases := map[string]func(world *cluster){
-		// The passer took the key over.
-		"taken over": func(world *cluster) {
-			// The owner answers other questions: some orders find it busy before
-			// it counts as silent, and are sent again.
+	cases := map[string]func(*testing.T, *cluster){
+		// The forwarder takes the key over.
+		"taken over": func(t *testing.T, c *cluster) {
+			// The owner answers other messages: some commands find it busy before
+			// it is suspected, and are sent again.
 			for range maxUnanswered {
-				if kind, _, _ := world.dispatch("a", zoneCommand(VerbDrain)); kind != errkind.NoQuorum && kind != errkind.None {
-					world.t.Errorf("a busy owner: %v", kind)
+				if kind, _, _ := c.dispatch("a", zoneCommand(VerbDrain)); kind != errkind.NoQuorum && kind != errkind.None {
+					t.Errorf("busy owner: %v", kind)
 				}
 			}
-			if world.nodes["b"].proposer.Owns(zoneCommand("").Key) && !world.nodes["a"].proposer.Owns(zoneCommand("").Key) {
-				world.t.Error("an owner that leaves all orders unanswered is never taken over")
+			if c.nodes["b"].proposer.Owns(zoneCommand("").Key) && !c.nodes["a"].proposer.Owns(zoneCommand("").Key) {
+				t.Error("an owner that leaves all commands unanswered is never taken over")
 			}
-			world.mustDispatch("a", zoneCommand(VerbDrain))
-			world.mustDispatch("a", zoneCommand(VerbUndrain))
+			c.mustDispatch("a", zoneCommand(VerbDrain))
+			c.mustDispatch("a", zoneCommand(VerbUndrain))
 		},
-		// The passer was cut off; others went on through the same owner.
-		"same owner": func(world *cluster) {
-			world.setPartitioned("a", true)
-			world.ctx.Wait(clock.Second)
-			world.setPartitioned("a", false)
-			world.intercept("b", nil)
-			world.mustDispatch("c", zoneCommand(VerbDrain))
-			world.mustDispatch("c", zoneCommand(VerbUndrain))
-			if !world.nodes["b"].proposer.Owns(zoneCommand("").Key) {
-				world.t.Error("the owner lost its key")
+		// The forwarder is partitioned; others go on through the same owner.
+		"same owner": func(t *testing.T, c *cluster) {
+			c.setPartitioned("a", true)
+			c.ctx.Wait(clock.Second)
+			c.setPartitioned("a", false)
+			c.intercept("b", nil)
+			c.mustDispatch("c", zoneCommand(VerbDrain))
+			c.mustDispatch("c", zoneCommand(VerbUndrain))
+			if !c.nodes["b"].proposer.Owns(zoneCommand("").Key) {
+				t.Error("the owner lost its key")
 			}
 		},
 	}
-	for name, goOn := range cases {
+	for name, proceed := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := newCluster(t, 5*clock.Millisecond)
-				world.mustDispatch("b", zoneCommand(VerbDrain))
-				world.mustDispatch("b", zoneCommand(VerbUndrain))
-				for _, node := range world.nodes {
-					if err := node.quorum.EnsureQuorum(world.ctx); err != nil {
+				c := newCluster(t, 5*clock.Millisecond)
+				c.mustDispatch("b", zoneCommand(VerbDrain))
+				c.mustDispatch("b", zoneCommand(VerbUndrain))
+				for _, node := range c.nodes {
+					if err := node.quorum.EnsureQuorum(c.ctx); err != nil {
 						t.Fatal(err)
 					}
 				}
-				world.ctx.Wait(50 * clock.Millisecond)
-				var kept []Command
-				world.intercept("b", &kept)
-				first := make(chan struct{})
-				go func() { world.dispatch("a", zoneCommand(VerbDrain)); close(first) }()
-				world.ctx.Wait(clock.Millisecond)
-				goOn(world)
-				<-first
-				if len(kept) == 0 {
-					t.Fatal("no order was kept on its way")
+				c.ctx.Wait(50 * clock.Millisecond)
+				var delayed []Command
+				c.intercept("b", &delayed)
+				abandoned := make(chan struct{})
+				go func() { c.dispatch("a", zoneCommand(VerbDrain)); close(abandoned) }()
+				c.ctx.Wait(clock.Millisecond)
+				proceed(t, c)
+				<-abandoned
+				if len(delayed) == 0 {
+					t.Fatal("no command was intercepted")
 				}
-				world.intercept("b", nil)
-				world.mustDispatch("c", zoneCommand(VerbUndrain))
-				for _, ghost := range kept {
+				c.intercept("b", nil)
+				c.mustDispatch("c", zoneCommand(VerbUndrain))
+				for _, cmd := range delayed {
 					for range 2 {
-						if _, err := world.nodes["b"].dispatcher.HandleForwarded(world.ctx, ghost); errkind.KindOf(err) != errkind.NoQuorum {
-							t.Errorf("a late order: %v", err)
+						if _, err := c.nodes["b"].dispatcher.HandleForwarded(c.ctx, cmd); errkind.KindOf(err) != errkind.NoQuorum {
+							t.Errorf("late command: %v", err)
 						}
 					}
 				}
-				if world.drained("c") || world.drained("a") {
-					t.Error("the zone is emptied again")
+				if c.drained("c") || c.drained("a") {
+					t.Error("the zone is drained again")
 				}
 			})
 		})
 	}
 }
 
-// TestHandleForwarded_takesNoKeyOver has an order come in time to one that owns
-// the key no more, one without an end, and one that waits for its turn until
-// it is too late.
+// TestHandleForwarded_takesNoKeyOver has a command arrive in time at a controller
+// that does not own the key any more, one without a deadline, and one that waits
+// for its turn past its deadline.
 func TestHandleForwarded_takesNoKeyOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newCluster(t, 5*clock.Millisecond)
-		world.mustDispatch("a", zoneCommand(VerbDrain))
-		owner := world.nodes["b"]
-		stamp := func(span clock.Span) Command {
-			order := zoneCommand(VerbUndrain)
-			until, err := world.nodes["a"].quorum.RemoteDeadline(world.ctx, "b", world.ctx.Now().Add(span))
-			if err != nil {
+		c := newCluster(t, 5*clock.Millisecond)
+		c.mustDispatch("a", zoneCommand(VerbDrain))
+		owner := c.nodes["b"]
+		withDeadline := func(timeout clock.Span) Command {
+			t.Helper()
+			cmd := zoneCommand(VerbUndrain)
+			var err error
+			if cmd.Deadline, err = c.nodes["a"].quorum.RemoteDeadline(c.ctx, "b", c.ctx.Now().Add(timeout)); err != nil {
 				t.Fatal(err)
 			}
-			order.Deadline = until
-			return order
+			return cmd
 		}
-		for name, order := range map[string]Command{"of another": stamp(forwardTimeout), "without an end": zoneCommand(VerbUndrain)} {
-			if _, err := owner.dispatcher.HandleForwarded(world.ctx, order); errkind.KindOf(err) != errkind.NoQuorum {
+		for name, cmd := range map[string]Command{"not owned": withDeadline(forwardTimeout), "without deadline": zoneCommand(VerbUndrain)} {
+			if _, err := owner.dispatcher.HandleForwarded(c.ctx, cmd); errkind.KindOf(err) != errkind.NoQuorum {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		if !world.nodes["a"].proposer.Owns(zoneCommand("").Key) || world.drained("a") != true {
-			t.Error("the order took the key over")
+		if !c.nodes["a"].proposer.Owns(zoneCommand("").Key) || !c.drained("a") {
+			t.Error("the command took the key over")
 		}
-		if err := owner.proposer.Reacquire(world.ctx, zoneCommand("").Key); err != nil {
+		if err := owner.proposer.Reacquire(c.ctx, zoneCommand("").Key); err != nil {
 			t.Fatal(err)
 		}
-		late := stamp(200 * clock.Millisecond)
-		turn, begun := make(chan struct{}), make(chan struct{})
+		late := withDeadline(200 * clock.Millisecond)
+		turn, started := make(chan struct{}), make(chan struct{})
 		go func() {
-			_, _ = owner.proposer.Update(world.ctx, late.Key, func([]byte) ([]byte, error) { close(begun); <-turn; return nil, nil })
+			_, _ = owner.proposer.Update(c.ctx, late.Key, func([]byte) ([]byte, error) { close(started); <-turn; return nil, nil })
 		}()
-		<-begun
-		waited := make(chan error)
-		go func() { _, err := owner.dispatcher.HandleForwarded(world.ctx, late); waited <- err }()
-		world.ctx.Wait(300 * clock.Millisecond)
+		<-started
+		result := make(chan error)
+		go func() { _, err := owner.dispatcher.HandleForwarded(c.ctx, late); result <- err }()
+		c.ctx.Wait(300 * clock.Millisecond)
 		close(turn)
-		if err := <-waited; errkind.KindOf(err) != errkind.NoQuorum || !world.drained("b") {
-			t.Errorf("begun after its end: %v", err)
+		if err := <-result; errkind.KindOf(err) != errkind.NoQuorum || !c.drained("b") {
+			t.Errorf("started after its deadline: %v", err)
 		}
 	})
 }
 
-// TestProposer_abandonedPrepareIsCancelled has a controller bid for a key while it is
-// cut off: what it is asked after its return does not wait behind that bid.
+// TestProposer_abandonedPrepareIsCancelled has a partitioned controller prepare a
+// key: after the partition, commands do not wait behind that attempt.
 func TestProposer_abandonedPrepareIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newCluster(t, 5*clock.Millisecond)
-		world.mustDispatch("b", zoneCommand(VerbDrain))
-		world.setPartitioned("a", true)
-		var waited sync.WaitGroup
-		for _, span := range []clock.Span{100 * clock.Millisecond, 300 * clock.Millisecond} {
-			waited.Go(func() {
-				short, release := world.ctx.WithTimeout(span)
-				defer release()
-				if _, err := world.nodes["a"].proposer.Read(short, zoneCommand("").Key); errkind.KindOf(err) != errkind.NoQuorum {
-					t.Errorf("cut off: %v", err)
+		c := newCluster(t, 5*clock.Millisecond)
+		c.mustDispatch("b", zoneCommand(VerbDrain))
+		c.setPartitioned("a", true)
+		var reads sync.WaitGroup
+		for _, timeout := range []clock.Span{100 * clock.Millisecond, 300 * clock.Millisecond} {
+			reads.Go(func() {
+				ctx, cancel := c.ctx.WithTimeout(timeout)
+				defer cancel()
+				if _, err := c.nodes["a"].proposer.Read(ctx, zoneCommand("").Key); errkind.KindOf(err) != errkind.NoQuorum {
+					t.Errorf("partitioned: %v", err)
 				}
 			})
 		}
-		waited.Wait()
-		world.setPartitioned("a", false)
-		begin := world.ctx.Now()
-		if _, err := world.nodes["a"].proposer.Read(world.ctx, zoneCommand("").Key); err != nil {
+		reads.Wait()
+		c.setPartitioned("a", false)
+		start := c.ctx.Now()
+		if _, err := c.nodes["a"].proposer.Read(c.ctx, zoneCommand("").Key); err != nil {
 			t.Error(err)
 		}
-		if took := world.ctx.Now().Since(begin); took > 300*clock.Millisecond {
-			t.Errorf("answered %v after the return", took)
+		if elapsed := c.ctx.Now().Since(start); elapsed > 300*clock.Millisecond {
+			t.Errorf("answered %v after the partition", elapsed)
 		}
 	})
 }
 
-// TestCommand_encodingKeepsDeadline packs an order as it goes between controllers.
+// TestCommand_encodingKeepsDeadline encodes a command as it is sent between
+// controllers.
 func TestCommand_encodingKeepsDeadline(t *testing.T) {
 	sent := putCommand(3, 4)
 	sent.Deadline = quorum.Deadline{Incarnation: -7, End: 1 << 50}
@@ -223,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if came, err := transport.Unmarshal[Command](body); err != nil || came.Deadline != sent.Deadline || came.Change.BaseVersion != 3 {
-		t.Errorf("%+v: %v", came, err)
+	if received, err := transport.Unmarshal[Command](body); err != nil || received.Deadline != sent.Deadline || received.Change.BaseVersion != 3 {
+		t.Errorf("%+v: %v", received, err)
 	}
 }
--- /dev/null
+++ b/control/state/command/epoch.go
@@ -0,0 +1,41 @@
+package command
+
+import (
+	"onyxwell/base/errkind"
+	"onyxwell/base/scope"
+	"onyxwell/control/transport"
+)
+
+// leaseKeyPrefix begins the keys of the leases' epochs; it must never change.
+const leaseKeyPrefix = "hold/"
+
+// EpochRecord is the register's value of a lease's key: how often the lease was
+// gained. It is stored.
+type EpochRecord struct {
+	Number int64 `avro:"Number"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (EpochRecord) SchemaName() string { return "EpochKept_21" }
+
+// NextEpoch increments the epoch of the named lease and returns it.
+func (d *Dispatcher) NextEpoch(ctx scope.Scope, lease string) (int64, error) {
+	value, err := d.Dispatch(ctx, Command{Key: leaseKeyPrefix + lease, Verb: VerbEpoch})
+	if err != nil {
+		return 0, err
+	}
+	record, err := transport.Unmarshal[EpochRecord](value)
+	return record.Number, err
+}
+
+// nextEpoch is the update of an EpochRecord.
+func nextEpoch(current []byte) ([]byte, error) {
+	var record EpochRecord
+	if len(current) > 0 {
+		var err error
+		if record, err = transport.Unmarshal[EpochRecord](current); err != nil {
+			return nil, errkind.Errorf(errkind.Internal, "kept epoch: %v", err)
+		}
+	}
+	return transport.Marshal(EpochRecord{Number: record.Number + 1})
+}
--- a/control/state/command/forward.go
+++ b/control/state/command/forward.go
@@ -9,47 +9,79 @@
 	"onyxwell/base/random"
 	"onyxwell/base/scope"
 	"onyxwell/control/membership"
-	"onyxwell/control/state/quorum"
+	"onyxwell/control/transport"
 )
 
-// forwardToVoter brings an order to a voter: one without a vote does not know who owns
-// a key, and would take it over for each call. While voters give no clear
-// answer, the next is asked.
-func (d *Dispatcher) forwardToVoter(ctx scope.Scope, order Command) ([]byte, error) {
-	order.FromNonVoter = true
-	seats := slices.Clone(d.options.Acceptor.Voters().Members)
-	random.Shuffle(seats)
-	for _, seat := range seats {
-		member, known := d.options.Membership.Find(seat.Address)
+// forwardMessage names the message on the wire; it must never change.
+const forwardMessage = "order"
+
+// transportPeers is the PeerClient over the transport between daemons.
+type transportPeers struct{ client *transport.Client }
+
+// Forward sends the command to the controller at the address.
+func (t transportPeers) Forward(ctx scope.Scope, to ids.Address, cmd Command) (Result, error) {
+	return transport.Send[Result](ctx, t.client, to, forwardMessage, cmd)
+}
+
+// forwardToVoter forwards a command to one voter after another, in random order,
+// until one decides it. A controller without a vote does not know who owns a
+// key, and would take it over for each command.
+func (d *Dispatcher) forwardToVoter(ctx scope.Scope, cmd Command) ([]byte, error) {
+	cmd.FromNonVoter = true
+	voters := slices.Clone(d.options.Acceptor.Voters().Members)
+	random.Shuffle(voters)
+	for _, voter := range voters {
+		member, known := d.options.Membership.Find(voter.Address)
 		if ctx.Err() != nil || (known && member.State != membership.Alive) {
 			continue
 		}
-		outcome, err := d.forwardTo(ctx, seat.Address, order, 2*d.options.ForwardTimeout)
-		if kind := errkind.Kind(outcome.Kind); err == nil && kind != errkind.NoQuorum && kind != errkind.Internal {
-			return outcome.Value, outcome.err()
+		result, err := d.forward(ctx, voter.Address, cmd, 2*d.options.ForwardTimeout)
+		if err == nil && result.decided() {
+			return result.Value, result.err()
 		}
 	}
 	return nil, errkind.Errorf(errkind.NoQuorum, "no voter answered")
 }
 
-// forwardTo sends an order on, with its end in the receiver's own clock: no later
-// than it is given up here, or would have to be begun by here.
-func (d *Dispatcher) forwardTo(ctx scope.Scope, receiver ids.Address, order Command, span clock.Span) (Result, error) {
-	if order.Deadline != (quorum.Deadline{}) {
-		span = min(span, clock.Instant(order.Deadline.End).Since(ctx.Now()))
+// forwardToOwner forwards a command to the owner of its key. It is not ok if the
+// outcome is open and the key may be taken over; an owner that is only busy
+// keeps its key.
+func (d *Dispatcher) forwardToOwner(ctx scope.Scope, owner ids.Address, cmd Command) (value []byte, ok bool, err error) {
+	sentAt := ctx.Now()
+	result, err := d.forward(ctx, owner, cmd, d.options.ForwardTimeout)
+	if err == nil && result.decided() {
+		d.owners.recordAnswer(owner)
+		return result.Value, true, result.err()
 	}
-	giveUp := ctx.Now().Add(span)
-	brief, release := ctx.WithTimeout(span)
-	defer release()
-	until, err := d.options.Quorum.RemoteDeadline(brief, receiver, giveUp)
+	if err == nil || ctx.Err() != nil {
+		return nil, false, nil
+	}
+	answeredOther := d.options.Quorum.LastContact(owner) > sentAt
+	if d.owners.recordUnanswered(owner, answeredOther, ctx.Now()) {
+		return nil, true, errkind.Errorf(errkind.NoQuorum, "the owner of %s is busy", cmd.Key)
+	}
+	return nil, false, nil
+}
+
+// forward sends a command on. Its deadline, in the receiver's clock, is neither
+// later than this call's timeout nor than the deadline that it came with.
+func (d *Dispatcher) forward(ctx scope.Scope, to ids.Address, cmd Command, timeout clock.Span) (Result, error) {
+	if cmd.hasDeadline() {
+		timeout = min(timeout, clock.Instant(cmd.Deadline.End).Since(ctx.Now()))
+	}
+	giveUpAt := ctx.Now().Add(timeout)
+	ctx, cancel := ctx.WithTimeout(timeout)
+	defer cancel()
+	deadline, err := d.options.Quorum.RemoteDeadline(ctx, to, giveUpAt)
 	if err != nil {
 		return Result{}, err
 	}
-	order.Deadline, order.Change = until, order.Change.Compress()
-	return d.options.Send(brief, receiver, order)
+	cmd.Deadline, cmd.Change = deadline, cmd.Change.Compress()
+	return d.options.Peers.Forward(ctx, to, cmd)
 }
 
-// reachableOwner finds who owns a key by what the own voter promised last.
+// reachableOwner gives the owner of a key, as the local acceptor promised it
+// last, unless that is this controller, or not alive, or suspected.
 func (d *Dispatcher) reachableOwner(ctx scope.Scope, key string) (ids.Address, bool) {
 	owner := d.options.Acceptor.Slot(key).Promised.Owner
 	if owner == "" || owner == d.options.Address {
@@ -58,34 +90,5 @@
 	if member, known := d.options.Membership.Find(owner); known && member.State != membership.Alive {
 		return "", false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	until, quiet := d.suspectedUntil[owner]
-	return owner, !quiet || !ctx.Now().Before(until)
-}
-
-// maxUnanswered is how many orders in a row an owner may leave unanswered while it
-// answers other questions.
-const maxUnanswered = 3
-
-// recordUnanswered notes that an owner left an order unanswered, and tells whether it is
-// only busy: it answered some question that was sent meanwhile.
-func (d *Dispatcher) recordUnanswered(owner ids.Address, begin clock.Instant, now clock.Instant) (busy bool) {
-	answered := d.options.Quorum.LastContact(owner) > begin
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.unanswered[owner]++
-	if answered && d.unanswered[owner] <= maxUnanswered {
-		return true
-	}
-	delete(d.unanswered, owner)
-	d.suspectedUntil[owner] = now.Add(4 * d.options.ForwardTimeout)
-	return false
-}
-
-// recordAnswer notes that an owner answered an order.
-func (d *Dispatcher) recordAnswer(owner ids.Address) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.unanswered, owner)
+	return owner, !d.owners.suspected(owner, ctx.Now())
 }
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -6,32 +6,34 @@
 	"onyxwell/control/config/evacuation"
 )
 
-// drainVerbs are the verbs that have a zone be in one of two states.
+// drainVerbs gives the drained state that a verb on a zone asks for.
 var drainVerbs = map[string]bool{VerbDrain: true, VerbUndrain: false}
 
-// dispatchOnce brings an order to the owner of its key so that it acts once. One whose
-// answer was lost or unsettled is brought again, and may have acted before: the
-// memory of a change of the spec tells, and a zone's serial. So the zone is read
-// first. Each write turns it over: where its serial is higher by then, it was as
-// wanted since the order came, and nothing is left to be done, though others may
-// have turned it back.
-func (d *Dispatcher) dispatchOnce(short scope.Scope, order Command) ([]byte, error) {
-	wanted, wishing := drainVerbs[order.Verb]
-	if !wishing || order.ZoneVersion > 0 {
-		return d.routeWithRetries(short, order)
+// dispatchOnce routes a command so that it acts at most once, also when it is
+// routed again because its outcome was open. For a change of the configuration
+// the history of changes decides whether it acted before. A zone's state has
+// none: it is read first, and the update applies to that version alone. Every
+// write of a zone toggles it, so a higher version means that the zone was in the
+// wanted state at some time since the command arrived, and nothing is left to be
+// done, though others may have toggled it back.
+func (d *Dispatcher) dispatchOnce(ctx scope.Scope, cmd Command) ([]byte, error) {
+	drained, ok := drainVerbs[cmd.Verb]
+	if !ok || cmd.ZoneVersion > 0 {
+		return d.routeWithRetries(ctx, cmd)
 	}
-	value, err := d.routeWithRetries(short, Command{Key: order.Key, Verb: VerbRead, Deadline: order.Deadline})
+	value, err := d.routeWithRetries(ctx, Command{Key: cmd.Key, Verb: VerbRead, Deadline: cmd.Deadline})
 	if err != nil {
 		return nil, err
 	}
-	kept, err := evacuation.Decode(value)
+	state, err := evacuation.Decode(value)
 	if err != nil {
 		return nil, errkind.Errorf(errkind.Internal, "kept evacuation: %v", err)
 	}
-	if kept.Version > 0 && kept.Drained == wanted {
+	if state.Version > 0 && state.Drained == drained {
 		return value, nil
 	}
-	// The first write of all may leave the zone as it was.
-	order.ZoneVersion = max(kept.Version, 1)
-	return d.routeWithRetries(short, order)
+	// Version 1 is the one write that may not toggle: a zone that was never
+	// drained may be undrained first.
+	cmd.ZoneVersion = max(state.Version, 1)
+	return d.routeWithRetries(ctx, cmd)
 }
--- a/control/state/command/idempotent_test.go
+++ b/control/state/command/idempotent_test.go
@@ -8,40 +8,40 @@
 	"onyxwell/control/config/evacuation"
 )
 
-// TestDispatch_zoneCommandActsOnce has the owner act on an order on a zone and answer that it
-// is unsettled. Before the order is brought again, others see what it did and
-// take it back: it must not act a second time.
+// TestDispatch_zoneCommandActsOnce has the owner execute a command on a zone and
+// leave its outcome open. Before the command is routed again, others see its
+// effect and undo it: it must not act a second time.
 func TestDispatch_zoneCommandActsOnce(t *testing.T) {
-	cases := map[string]struct{ before, order, back string }{
-		"emptied":             {before: VerbUndrain, order: VerbDrain, back: VerbUndrain},
-		"refilled":            {before: VerbDrain, order: VerbUndrain, back: VerbDrain},
-		"emptied, never been": {order: VerbDrain, back: VerbUndrain},
+	cases := map[string]struct{ before, verb, undo string }{
+		"drained":              {before: VerbUndrain, verb: VerbDrain, undo: VerbUndrain},
+		"undrained":            {before: VerbDrain, verb: VerbUndrain, undo: VerbDrain},
+		"drained, first write": {verb: VerbDrain, undo: VerbUndrain},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := newCluster(t, clock.Millisecond)
-				if one.before != "" {
-					world.mustDispatch("a", zoneCommand(one.before))
+				c := newCluster(t, clock.Millisecond)
+				if test.before != "" {
+					c.mustDispatch("a", zoneCommand(test.before))
 				} else {
-					world.mustDispatch("a", zoneCommand(VerbRead))
+					c.mustDispatch("a", zoneCommand(VerbRead))
 				}
-				seen := 0
-				world.afterForward = func() {
-					world.afterForward = nil
-					seen++
-					// Two of three disks hold it by now: whoever reads it sees it.
-					kept, err := evacuation.Decode(world.nodes["c"].acceptor.Slot(zoneCommand("").Key).Accepted.Value)
-					if err != nil || kept.Drained != (one.order == VerbDrain) {
-						t.Errorf("the owner has not acted: %+v, %v", kept, err)
+				forwarded := 0
+				c.afterForward = func() {
+					c.afterForward = nil
+					forwarded++
+					// Two of three disks hold the effect by now: every read sees it.
+					state, err := evacuation.Decode(c.nodes["c"].acceptor.Slot(zoneCommand("").Key).Accepted.Value)
+					if err != nil || state.Drained != (test.verb == VerbDrain) {
+						t.Errorf("the owner did not act: %+v, %v", state, err)
 					}
-					world.mustDispatch("a", zoneCommand(one.back))
+					c.mustDispatch("a", zoneCommand(test.undo))
 				}
-				world.mustDispatch("b", zoneCommand(one.order))
-				if seen != 1 {
-					t.Fatalf("%d orders left unsettled", seen)
+				c.mustDispatch("b", zoneCommand(test.verb))
+				if forwarded != 1 {
+					t.Fatalf("%d commands were left undecided", forwarded)
 				}
-				if world.drained("c") != (one.back == VerbDrain) {
+				if c.drained("c") != (test.undo == VerbDrain) {
 					t.Error("acted a second time")
 				}
 			})
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -18,13 +18,13 @@
 	"onyxwell/control/state/register"
 )
 
-// discardDisk takes every record.
+// discardDisk saves nothing.
 type discardDisk struct{}
 
 func (discardDisk) Save([]byte) error { return nil }
 
-// lossyCluster is three voters with a desk each, and a line between them that loses
-// messages and answers as it is told.
+// lossyCluster is three voters with a dispatcher each. Messages are delivered
+// synchronously, and lost where dropMessage says so.
 type lossyCluster struct {
 	t           testingT
 	ctx         scope.Scope
@@ -32,138 +32,148 @@
 	acceptors   map[ids.Address]*register.Acceptor
 	dispatchers map[ids.Address]*Dispatcher
 	dropMessage func() bool
-	// inTransit may do something else while a message is on its way.
+	// inTransit is called while a message is on its way.
 	inTransit func()
-	messages  int
+	// messages counts those that were sent.
+	messages int
 }
 
+// testingT is what *testing.T and *rapid.T have in common.
 type testingT interface {
+	Helper()
 	Fatalf(format string, values ...any)
 }
 
 var errLost = errors.New("the message was lost")
 
-func deliverLossy[Told any](house *lossyCluster, address ids.Address, act func(*register.Acceptor) Told) (Told, error) {
-	var nothing Told
-	house.messages++
-	house.inTransit()
-	if house.dropMessage() {
-		return nothing, errLost
+// deliverLossy delivers a message and its response, unless either is lost.
+func deliverLossy[Response any](c *lossyCluster, to ids.Address, serve func(*register.Acceptor) Response) (Response, error) {
+	var none Response
+	c.messages++
+	c.inTransit()
+	if c.dropMessage() {
+		return none, errLost
 	}
-	told := act(house.acceptors[address])
-	if house.dropMessage() {
-		return nothing, errLost
+	resp := serve(c.acceptors[to])
+	if c.dropMessage() {
+		return none, errLost
 	}
-	return told, nil
+	return resp, nil
 }
 
-func (l *lossyCluster) Promise(_ scope.Scope, address ids.Address, asked register.PrepareRequest) (register.PrepareResponse, error) {
-	return deliverLossy(l, address, func(voter *register.Acceptor) register.PrepareResponse { return voter.Prepare(asked) })
+func (l *lossyCluster) Promise(_ scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.PrepareResponse { return acceptor.Prepare(req) })
 }
 
-func (l *lossyCluster) Accept(_ scope.Scope, address ids.Address, asked register.AcceptRequest) (register.AcceptResponse, error) {
-	return deliverLossy(l, address, func(voter *register.Acceptor) register.AcceptResponse { return voter.Accept(asked) })
+func (l *lossyCluster) Accept(_ scope.Scope, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.AcceptResponse { return acceptor.Accept(req) })
 }
 
-func (l *lossyCluster) Confirm(_ scope.Scope, address ids.Address, asked register.ConfirmRequest) (register.AcceptResponse, error) {
-	return deliverLossy(l, address, func(voter *register.Acceptor) register.AcceptResponse { return voter.Confirm(asked) })
+func (l *lossyCluster) Confirm(_ scope.Scope, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.AcceptResponse { return acceptor.Confirm(req) })
 }
 
 var names = []ids.Address{"a", "b", "c"}
 
 func newLossyCluster(t testingT) *lossyCluster {
-	made := &lossyCluster{
+	t.Helper()
+	c := &lossyCluster{
 		t: t, ctx: scope.New(scope.Options{Clock: clock.NewFake()}), dropMessage: func() bool { return false }, inTransit: func() {},
 		acceptors: map[ids.Address]*register.Acceptor{}, dispatchers: map[ids.Address]*Dispatcher{},
 	}
-	made.voters = register.VoterSet{Generation: 1}
+	c.voters = register.VoterSet{Generation: 1}
 	for _, name := range names {
-		made.voters.Members = append(made.voters.Members, register.Member{Address: name})
+		c.voters.Members = append(c.voters.Members, register.Member{Address: name})
 	}
 	for _, name := range names {
-		voter, err := register.NewAcceptor(name, nil)
+		acceptor, err := register.NewAcceptor(name, nil)
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		voter.Attach(discardDisk{})
-		if err := voter.Bootstrap(made.voters); err != nil {
+		acceptor.Attach(discardDisk{})
+		if err := acceptor.Bootstrap(c.voters); err != nil {
 			t.Fatalf("%v", err)
 		}
-		made.acceptors[name] = voter
-		keeper := register.NewProposer(register.ProposerOptions{
-			Address: name, Client: made, Voters: voter.Voters, MessageTimeout: clock.Second,
-			HighestEpoch: func(key string) int64 { return voter.Slot(key).Promised.Number },
+		c.acceptors[name] = acceptor
+		proposer := register.NewProposer(register.ProposerOptions{
+			Address: name, Client: c, Voters: acceptor.Voters, MessageTimeout: clock.Second,
+			HighestEpoch: func(key string) int64 { return acceptor.Slot(key).Promised.Number },
 			Spawn:        func(send func()) { send() },
 		})
-		table := membership.NewTable(made.ctx.Clock, membership.Member{Address: name})
+		table := membership.NewTable(c.ctx.Clock, membership.Member{Address: name})
 		for _, other := range names {
 			if other != name {
-				// Owners are never asked: whoever gets an order takes the key over.
+				// No owner is ever forwarded to: the dispatching controller takes the
+				// key over.
 				table.Merge([]membership.Member{{Address: other, State: membership.Removed, Incarnation: 1}})
 			}
 		}
-		made.dispatchers[name] = New(Options{
-			// The registers' messages get lost; contact is always had.
-			Quorum: quorum.New(quorum.Options{Address: name, Voters: voter.Voters, MaxAge: clock.Second, Heartbeat: func(scope.Scope, ids.Address) (quorum.HeartbeatResponse, error) {
-				return quorum.HeartbeatResponse{Incarnation: 1}, nil
-			}}),
-
-			Address: name, Proposer: keeper, Acceptor: voter, Membership: table, Updates: gossip.NewStore(nil),
+		c.dispatchers[name] = New(Options{
+			// Only the register's messages get lost, never heartbeats.
+			Quorum: quorum.New(quorum.Options{
+				Address: name, Voters: acceptor.Voters, MaxAge: clock.Second,
+				Heartbeat: func(scope.Scope, ids.Address) (quorum.HeartbeatResponse, error) {
+					return quorum.HeartbeatResponse{Incarnation: 1}, nil
+				},
+			}),
+			Address: name, Proposer: proposer, Acceptor: acceptor, Membership: table, Updates: gossip.NewStore(nil),
 			ForwardTimeout: 4, CommandTimeout: clock.Second, TakeoverBackoff: func() clock.Span { return 0 },
 		})
 	}
-	return made
+	return c
 }
 
-// initialConfig is the configuration that all changes here build on.
+// initialConfig is the configuration that all changes build on.
 const initialConfig = `{"config_version":1,"routes":[],"services":[{"name":"s"}]}`
 
-func patchChange(match ids.Serial, serial ids.Serial, mark string) store.Change {
-	return store.Change{BaseVersion: match, Body: fmt.Appendf(nil, `{"config_version":%d,"changes":{"mark":%q}}`, serial, mark)}
+// patchChange is a change that sets a version and a mark.
+func patchChange(base ids.Serial, version ids.Serial, mark string) store.Change {
+	return store.Change{BaseVersion: base, Body: fmt.Appendf(nil, `{"config_version":%d,"changes":{"mark":%q}}`, version, mark)}
 }
 
-// longHistory is a spec after many changes, none of them sealed.
-var longHistory = sync.OnceValue(func() (made struct {
-	value []byte
-	taken []store.Change
+// longHistory is a configuration record after many changes, none of them sealed.
+var longHistory = sync.OnceValue(func() (history struct {
+	value   []byte
+	changes []store.Change
 }) {
-	made.taken = []store.Change{{Full: true, Body: []byte(initialConfig)}}
-	for serial := range ids.Serial(800) {
-		made.taken = append(made.taken, patchChange(serial+1, serial+2, ""))
+	history.changes = []store.Change{{Full: true, Body: []byte(initialConfig)}}
+	for version := range ids.Serial(800) {
+		history.changes = append(history.changes, patchChange(version+1, version+2, ""))
 	}
-	for _, change := range made.taken {
-		made.value, _ = change.Apply(made.value)
+	for _, change := range history.changes {
+		history.value, _ = change.Apply(history.value)
 	}
-	return made
+	return history
 })
 
-// seedHistory gives the voters the grown spec, as one that a majority holds.
+// seedHistory has all voters accept the long history, and gives its changes.
 func (l *lossyCluster) seedHistory() []store.Change {
-	for _, seat := range l.voters.Members {
-		l.acceptors[seat.Address].Accept(register.AcceptRequest{
-			Fence: l.voters.FencingToken(seat), Key: config.Key,
+	for _, voter := range l.voters.Members {
+		l.acceptors[voter.Address].Accept(register.AcceptRequest{
+			Fence: l.voters.FencingToken(voter), Key: config.Key,
 			Proposal: register.Proposal{Epoch: ids.Epoch{Number: 1, Owner: "a"}, Sequence: 1, Value: longHistory().value},
 		})
 	}
-	return longHistory().taken
+	return longHistory().changes
 }
 
+// dispatchChange dispatches a change of the configuration at a controller.
 func (l *lossyCluster) dispatchChange(name ids.Address, change store.Change) errkind.Kind {
 	_, err := l.dispatchers[name].Dispatch(l.ctx, Command{Key: config.Key, Verb: VerbChange, Change: change})
 	return errkind.KindOf(err)
 }
 
-// dispatchUntilDecided sends an order again while there is no clear answer: one who was the
-// owner of a key finds out at its first confirmation that it isn't any more.
+// dispatchUntilDecided repeats a change while its outcome is open: a former owner
+// of the key learns of the takeover by its first confirmation.
 func (l *lossyCluster) dispatchUntilDecided(name ids.Address, change store.Change) errkind.Kind {
 	kind := errkind.NoQuorum
-	for try := 0; try < 3 && kind == errkind.NoQuorum; try++ {
+	for attempt := 0; attempt < 3 && kind == errkind.NoQuorum; attempt++ {
 		kind = l.dispatchChange(name, change)
 	}
 	return kind
 }
 
-// countChunks counts the pages that a voter holds.
+// countChunks counts the chunks that a voter holds.
 func (l *lossyCluster) countChunks(name ids.Address) int {
 	count := 0
 	for _, slot := range l.acceptors[name].Fetch(register.FetchRequest{}).Slots {
--- a/control/state/command/publish.go
+++ b/control/state/command/publish.go
@@ -10,32 +10,35 @@
 	"onyxwell/control/state/register"
 )
 
-// Publish publishes a value that a majority holds.
-func (d *Dispatcher) Publish(key string, accepted register.Proposal) {
-	if item, found := gossipItem(key, accepted.Value); found {
+// Publish hands a committed value to gossip, if its key is one that is gossiped.
+// The proposer calls it with each proposal that a majority accepted.
+func (d *Dispatcher) Publish(key string, committed register.Proposal) {
+	if item, ok := gossipItem(key, committed.Value); ok {
 		d.options.Updates.Put(item)
 	}
 }
 
-// gossipItem makes the news item of a register's value.
+// gossipItem makes the gossip item of a register's value; it is not ok for a key
+// that is not gossiped and for a value that was never written.
 func gossipItem(key string, value []byte) (gossip.Item, bool) {
 	kind, _, _ := strings.Cut(key, "/")
-	read := gossipDecoders[kind]
-	if read == nil || len(value) == 0 {
+	decode := gossipDecoders[kind]
+	if decode == nil || len(value) == 0 {
 		return gossip.Item{}, false
 	}
-	item, err := read(value)
+	item, err := decode(value)
 	item.Key = key
 	return item, err == nil && item.Version > 0
 }
 
-var gossipDecoders = map[string]func([]byte) (gossip.Item, error){
+// gossipDecoders holds the keys that are gossiped, by what precedes a slash.
+var gossipDecoders = map[string]func(value []byte) (gossip.Item, error){
 	config.Key: func(value []byte) (gossip.Item, error) {
-		kept, err := store.DecodeCompressed(value)
-		return gossip.Item{Version: kept.Version, Body: kept.Document, Compressed: kept.Compressed}, err
+		record, err := store.DecodeCompressed(value)
+		return gossip.Item{Version: record.Version, Body: record.Document, Compressed: record.Compressed}, err
 	},
-	"evacuation": func(value []byte) (gossip.Item, error) {
-		kept, err := evacuation.Decode(value)
-		return gossip.Item{Version: kept.Version, Body: value}, err
+	strings.TrimSuffix(evacuation.KeyPrefix, "/"): func(value []byte) (gossip.Item, error) {
+		state, err := evacuation.Decode(value)
+		return gossip.Item{Version: state.Version, Body: value}, err
 	},
 }
