--- a/control/config/config.go
+++ b/control/config/config.go
@@ -58,7 +58,7 @@
 	// Admission, suspicion of silent runners, Retry-After and headroom are
 	// derived from it. By default 0: no target, and no rejection for long queues.
 	LatencyTargetMS float64 `json:"goal_ms"`
-	// Priority is sent to runners, bounded to 0 to 9; the lower is served first.
+	// Priority is sent to runners, bounded to 0 to 9; they serve the lower first.
 	// By default 0.
 	Priority int `json:"urgency"`
 	// Service gets all requests, unless Services is set; one of the two is
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -11,32 +11,23 @@
 	"onyxwell/control/transport"
 )
 
-// Record is the value of the register: the document in force, and which changes
-// were taken.
-type Record struct {
-	Version ids.Serial `avro:"Serial"`
-	// Document is the text, or what it packs to.
-	Document   []byte  `avro:"Document"`
-	Compressed bool    `avro:"Packed"`
-	History    History `avro:"Memory"`
-}
-
-// SchemaName names the stored and sent form; it must never change.
-func (Record) SchemaName() string { return "Kept_25" }
-
-// Change is what an operator sends.
+// Change is an operator's change of the configuration. It is sent between
+// controllers.
 type Change struct {
-	Full        bool       `avro:"Whole"`
+	// Full says that the body is a whole document, and no patch of the one in
+	// force.
+	Full bool `avro:"Whole"`
+	// BaseVersion is the version that has to be in force; 0 for the first.
 	BaseVersion ids.Serial `avro:"Match"`
-	Body        []byte     `avro:"Body"`
-	// Compressed says that the body is as it travels between controllers.
-	Compressed bool `avro:"Packed"`
+	// Body is JSON text, compressed if Compressed is set.
+	Body       []byte `avro:"Body"`
+	Compressed bool   `avro:"Packed"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
 func (Change) SchemaName() string { return "Change_25" }
 
-// Compress gives the change as it travels between controllers.
+// Compress gives the change with a compressed body, as it is sent.
 func (c Change) Compress() Change {
 	if !c.Compressed {
 		c.Body, c.Compressed = compress.Encode(c.Body)
@@ -44,13 +35,16 @@
 	return c
 }
 
-// Version is the version that the change makes, by its body.
+// Version is the version that the change leads to, as its uncompressed body says;
+// 0 if that can't be read.
 func (c Change) Version() ids.Serial {
-	var read patch
-	_ = json.Unmarshal(c.Body, &read)
-	return read.Version
+	var p patch
+	_ = json.Unmarshal(c.Body, &p)
+	return p.Version
 }
 
+// digest identifies the change among the others on the same base version, by its
+// uncompressed body.
 func (c Change) digest() []byte {
 	hash := sha256.New()
 	_, _ = fmt.Fprintln(hash, c.Full, c.BaseVersion)
@@ -58,19 +52,20 @@
 	return hash.Sum(nil)[:digestLength]
 }
 
-// Apply makes the register's next value from a change. A change that was taken
-// before leaves the value as it is, whatever is in force by now; whether one on
-// an old version was, a Beyond failure tells where to look up.
+// Apply is the update of the register's value by the change. One that was applied
+// before leaves the value as it is, whatever is in force by now. Other errors
+// than *VersionConflictError and *ArchivedError, which says where to look the
+// change up, have the kinds InvalidConfig, BadRequest, OutcomeExpired or Internal.
 func (c Change) Apply(current []byte) ([]byte, error) { return c.apply(current, 0) }
 
-// ApplyTruncating is Step where so many of the oldest changes are known to be sealed in
-// pages that a majority holds: they leave the value.
-func (c Change) ApplyTruncating(sealed int64) func([]byte) ([]byte, error) {
+// ApplyTruncating is Apply where the oldest changes, so many as sealed says, are
+// in chunks that a majority holds: they leave the record.
+func (c Change) ApplyTruncating(sealed int64) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) { return c.apply(current, sealed) }
 }
 
 func (c Change) apply(current []byte, sealed int64) ([]byte, error) {
-	kept, err := Decode(current)
+	record, err := Decode(current)
 	if err != nil {
 		return nil, errkind.Errorf(errkind.Internal, "kept spec: %v", err)
 	}
@@ -78,46 +73,36 @@
 		return nil, errkind.Errorf(errkind.BadRequest, "packed change: %v", err)
 	}
 	digest := c.digest()
-	if c.BaseVersion != kept.Version {
-		return nil, kept.History.lookup(c.BaseVersion, digest, kept.Version)
-	}
-	document := c.Body
-	if !c.Full {
-		patched, err := ApplyPatch(kept.Document, c.Body)
-		if err != nil {
-			return nil, err
-		}
-		document = patched
+	if c.BaseVersion != record.Version {
+		return nil, record.History.lookup(c.BaseVersion, digest, record.Version)
 	}
-	checked, err := Validate(document)
+	document, version, err := c.nextDocument(record)
 	if err != nil {
 		return nil, err
 	}
-	if checked.Version <= kept.Version {
-		return nil, errkind.Errorf(errkind.InvalidConfig, "config_version: %d is not above %d", checked.Version, kept.Version)
-	}
-	kept.Version = checked.Version
-	kept.Document, kept.Compressed = compress.Encode(document)
-	kept.History.append(checked.Version-c.BaseVersion, digest)
-	kept.History.truncate(sealed)
-	return transport.Marshal(kept)
+	record.Version = version
+	record.Document, record.Compressed = compress.Encode(document)
+	record.History.append(version-c.BaseVersion, digest)
+	record.History.truncate(sealed)
+	return transport.Marshal(record)
 }
 
-// Decode reads the register's value with its document as text.
-func Decode(value []byte) (Record, error) {
-	kept, err := DecodeCompressed(value)
+// nextDocument gives the valid document that the change leads to, with its
+// version.
+func (c Change) nextDocument(record Record) ([]byte, ids.Serial, error) {
+	document := c.Body
+	if !c.Full {
+		var err error
+		if document, err = ApplyPatch(record.Document, c.Body); err != nil {
+			return nil, 0, err
+		}
+	}
+	cfg, err := Validate(document)
 	if err != nil {
-		return Record{}, err
+		return nil, 0, err
 	}
-	kept.Document, err = compress.Decode(kept.Document, kept.Compressed)
-	kept.Compressed = false
-	return kept, err
-}
-
-// DecodeCompressed reads the register's value and leaves its document as it is kept.
-func DecodeCompressed(value []byte) (Record, error) {
-	if len(value) == 0 {
-		return Record{}, nil
+	if cfg.Version <= record.Version {
+		return nil, 0, errkind.Errorf(errkind.InvalidConfig, "config_version: %d is not above %d", cfg.Version, record.Version)
 	}
-	return transport.Unmarshal[Record](value)
+	return document, cfg.Version, nil
 }
--- a/control/config/store/change_test.go
+++ b/control/config/store/change_test.go
@@ -16,7 +16,7 @@
  "services":[{"name":"s"},{"name":"t","cold_per_s":2.5}],"limits":{"max_body_bytes":10}}`
 
 func TestMatch_longestPrefixWins(t *testing.T) {
-	read, err := Validate([]byte(validConfig))
+	cfg, err := Validate([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,42 +24,46 @@
 		{"shop.example", "/a/x"}: "a", {"SHOP.example:80", "/a/b/x"}: "b", {"shop.example", "/a/bx"}: "a",
 		{"shop.example", "/b/"}: "", {"other.example", "/a/x"}: "", {"shop.example", "/a"}: "",
 	}
-	for place, name := range cases {
-		route := read.Match(place[0], place[1])
+	for target, name := range cases {
+		route := cfg.Match(target[0], target[1])
 		if (route == nil) != (name == "") || (route != nil && route.Name != name) {
-			t.Errorf("%v: %+v", place, route)
+			t.Errorf("%v: %+v", target, route)
 		}
 	}
 }
 
 func TestValidate_namesInvalidField(t *testing.T) {
 	cases := []struct{ name, from, to, field string }{
-		{"cut short", validConfig, validConfig[:200], "not JSON"},
+		{"truncated", validConfig, validConfig[:200], "not JSON"},
 		{"two documents", validConfig, validConfig + validConfig, "not JSON"},
 		{"unknown service", `"give_up_ms":100,"service":"s"`, `"give_up_ms":100,"service":"x"`, "routes[0].service"},
-		{"unknown share", `{"service":"s","weight":1}`, `{"service":"x","weight":1}`, "routes[1].shares[0].service"},
-		{"same place", `"/a/b/"`, `"/a/"`, "routes[1].path_prefix"},
+		{"unknown weighted service", `{"service":"s","weight":1}`, `{"service":"x","weight":1}`, "routes[1].shares[0].service"},
+		{"same path", `"/a/b/"`, `"/a/"`, "routes[1].path_prefix"},
 		{"no weight", `"weight":1`, `"weight":0`, "routes[1].shares"},
-		{"no time", `"give_up_ms":100,"service"`, `"give_up_ms":0,"service"`, "give_up_ms"},
-		{"name twice", `"name":"b"`, `"name":"a"`, "routes[1].name"},
-		{"service twice", `{"name":"t"`, `{"name":"s"`, "services[1].name"},
+		{"no timeout", `"give_up_ms":100,"service"`, `"give_up_ms":0,"service"`, "give_up_ms"},
+		{"duplicate route", `"name":"b"`, `"name":"a"`, "routes[1].name"},
+		{"duplicate service", `{"name":"t"`, `{"name":"s"`, "services[1].name"},
 		{"no service", `,"service":"s"`, ``, "routes[0].service"},
 		{"no version", `"config_version":7,`, ``, "config_version"},
 		{"version as text", `"config_version":7`, `"config_version":"7"`, "config_version"},
 		{"unknown type", `"type":"safe"`, `"type":"odd"`, "type"},
 	}
-	for _, example := range cases {
-		text := strings.Replace(validConfig, example.from, example.to, 1)
-		if text == validConfig {
-			t.Fatalf("%s: the case changes nothing", example.name)
-		}
-		_, err := Validate([]byte(text))
-		if errkind.KindOf(err) != errkind.InvalidConfig || !strings.Contains(err.Error(), example.field) {
-			t.Errorf("%s: %v", example.name, err)
-		}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			document := strings.Replace(validConfig, test.from, test.to, 1)
+			if document == validConfig {
+				t.Fatal("the case changes nothing")
+			}
+			_, err := Validate([]byte(document))
+			if errkind.KindOf(err) != errkind.InvalidConfig || !strings.Contains(err.Error(), test.field) {
+				t.Error(err)
+			}
+		})
 	}
 }
 
+// mustApply applies a change, whose result must be of a kind, and returns the next
+// value.
 func mustApply(t *testing.T, current []byte, change Change, want errkind.Kind) []byte {
 	t.Helper()
 	next, err := change.Apply(current)
@@ -72,11 +76,11 @@
 func TestApply_requiresBaseVersion(t *testing.T) {
 	first := Change{Full: true, BaseVersion: 0, Body: []byte(validConfig)}
 	value := mustApply(t, nil, first, errkind.None)
-	if again := mustApply(t, value, first, errkind.None); again != nil {
+	if next := mustApply(t, value, first, errkind.None); next != nil {
 		t.Fatal("a repeat changed the value")
 	}
-	rival := Change{Full: true, BaseVersion: 0, Body: []byte(strings.Replace(validConfig, ":7", ":8", 1))}
-	mustApply(t, value, rival, errkind.VersionConflict)
+	conflicting := Change{Full: true, BaseVersion: 0, Body: []byte(strings.Replace(validConfig, ":7", ":8", 1))}
+	mustApply(t, value, conflicting, errkind.VersionConflict)
 	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte(strings.Replace(validConfig, ":7", ":6", 1))}, errkind.InvalidConfig)
 	mustApply(t, value, Change{Full: true, BaseVersion: 7, Body: []byte("{")}, errkind.InvalidConfig)
 	patch := Change{BaseVersion: 7, Body: []byte(`{"config_version":9,"changes":{"routes":[
@@ -84,27 +88,27 @@
 	 {"name":"c","hostname":"shop.example","path_prefix":"/c/","type":"safe","give_up_ms":1,"service":"t"}]},
 	 "remove":{"routes":["b","unknown"]}}`)}
 	newer := mustApply(t, value, patch, errkind.None)
-	// A repeat of the older change is still known, whatever is in force.
-	if again := mustApply(t, newer, first, errkind.None); again != nil {
+	// A repeat of an older change is acknowledged, whatever is in force.
+	if next := mustApply(t, newer, first, errkind.None); next != nil {
 		t.Fatal("a late repeat changed the value")
 	}
-	kept, err := Decode(newer)
-	if err != nil || kept.Version != 9 {
-		t.Fatalf("%+v, %v", kept.Version, err)
+	record, err := Decode(newer)
+	if err != nil || record.Version != 9 {
+		t.Fatalf("%+v, %v", record.Version, err)
 	}
-	var whole struct {
-		Serial ids.Serial        `json:"config_version"`
-		Routes []config.Route    `json:"routes"`
-		Extra  map[string]int    `json:"extra"`
-		Limits map[string]int    `json:"limits"`
-		Rest   []json.RawMessage `json:"services"`
+	var document struct {
+		Version ids.Serial        `json:"config_version"`
+		Routes  []config.Route    `json:"routes"`
+		Extra   map[string]int    `json:"extra"`
+		Limits  map[string]int    `json:"limits"`
+		Rest    []json.RawMessage `json:"services"`
 	}
-	if err := json.Unmarshal(kept.Document, &whole); err != nil {
+	if err := json.Unmarshal(record.Document, &document); err != nil {
 		t.Fatal(err)
 	}
-	if whole.Serial != 9 || len(whole.Routes) != 2 || whole.Routes[0].Service != "t" || whole.Routes[1].Name != "c" ||
-		whole.Extra["kept"] != 1 || whole.Limits["max_body_bytes"] != 10 || len(whole.Rest) != 2 {
-		t.Fatalf("%s", kept.Document)
+	if document.Version != 9 || len(document.Routes) != 2 || document.Routes[0].Service != "t" || document.Routes[1].Name != "c" ||
+		document.Extra["kept"] != 1 || document.Limits["max_body_bytes"] != 10 || len(document.Rest) != 2 {
+		t.Fatalf("%s", record.Document)
 	}
 }
 
@@ -118,3 +122,24 @@
 		mustApply(t, value, Change{BaseVersion: 7, Body: []byte(body)}, errkind.InvalidConfig)
 	}
 }
+
+// TestErrors_keepKindAndText has the texts that operators see.
+func TestErrors_keepKindAndText(t *testing.T) {
+	archived := &ArchivedError{baseVersion: 3, index: 1}
+	cases := []struct {
+		err  error
+		kind errkind.Kind
+		text string
+	}{
+		{History{}.lookup(3, nil, 7), errkind.VersionConflict, "stale-spec: If-Match: 3 is not in place, version 7 is"},
+		{&VersionConflictError{BaseVersion: 3}, errkind.VersionConflict, "stale-spec: If-Match: 3 is not in place, a newer version is"},
+		{archived, errkind.OutcomeExpired, "forgotten: If-Match: what was taken on 3 is not remembered any more"},
+		{archived.Resolve(nil), errkind.OutcomeExpired, "forgotten: If-Match: what was taken on 3 is not remembered any more"},
+		{History{Offset: chunkLength, BaseVersion: 5}.lookup(3, nil, 7), errkind.OutcomeExpired, "forgotten: If-Match: what was taken on 3 is not remembered any more, version 7 is in place"},
+	}
+	for _, test := range cases {
+		if errkind.KindOf(test.err) != test.kind || test.err.Error() != test.text {
+			t.Errorf("%v, not %s", test.err, test.text)
+		}
+	}
+}
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"fmt"
 	"slices"
 
 	"onyxwell/base/errkind"
@@ -11,177 +10,180 @@
 )
 
 const (
-	// digestLength is how many bytes of a change's SHA-256 are remembered. Only
-	// two changes on top of one version are ever compared, so one that was not
-	// taken is acknowledged by mistake once in 2^64 (1.8e19) late rivals.
+	// digestLength is how many bytes of a change's SHA-256 are kept. Only two
+	// changes on one base version are ever compared, so a change that was never
+	// applied is acknowledged by mistake once in 2^64 (1.8e19) late rivals.
 	digestLength = 8
-	// chunkLength is how many changes a page of the memory holds.
+	// chunkLength is how many changes a chunk holds.
 	chunkLength = 256
-	// minRecent is how many of the newest changes stay beside the document when
-	// the ones before them go to a page: most repeats come soon.
+	// minRecent is how many of the newest changes stay in the record when those
+	// before them go to a chunk: most repeats come soon.
 	minRecent = 64
-	// maxRecent bounds the changes beside the document while no page can be
-	// written; above it the oldest are forgotten.
+	// maxRecent bounds the changes in the record while no chunk can be written;
+	// above it the oldest are dropped.
 	maxRecent = 4096
-	// chunkCount is how many pages there are: a change is remembered for at least
-	// 143 pages and 64 changes, two days at 18,000 a day.
+	// chunkCount is how many chunks there are. A change is kept for at least
+	// chunkCount-1 chunks and minRecent changes: two days at 18,000 changes a day.
 	chunkCount = 144
 )
 
-// ChunkKeyPrefix begins the register's keys of the memory's pages.
-const ChunkKeyPrefix = "taken/"
-
-// History is which change was taken on top of which version. At most one change
-// is ever taken on a version, so the chain of versions with the digest of each
-// change decides whether an order was taken, as far back as it reaches.
+// History tells which change was applied on which version. At most one change is
+// ever applied on a version; so the chain of versions, with the digest of each
+// change, decides whether a change was applied, as far back as it reaches.
 type History struct {
-	// Offset is how many changes were taken before those in Recent: it counts
-	// whole pages.
+	// Offset is how many changes precede those in Recent, a multiple of
+	// chunkLength.
 	Offset int64 `avro:"First"`
-	// BaseVersion is the version that the first of Recent was taken on.
+	// BaseVersion is the version that the first of Recent was applied on.
 	BaseVersion ids.Serial `avro:"Base"`
-	// Recent holds the changes since then, each as the rise of the version and
-	// the change's digest.
+	// Recent holds the entries since then: for each change the increase of the
+	// version as a varint, and the digest.
 	Recent []byte `avro:"Recent"`
-	// ChunkDeltas holds the rise of the version over each page that is still there,
-	// the oldest first; the last ends at Base.
+	// ChunkDeltas holds as varints the increase of the version over each chunk
+	// that is still kept, the oldest first; the last ends at BaseVersion.
 	ChunkDeltas []byte `avro:"Spans"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
 func (History) SchemaName() string { return "Memory_25" }
 
-// entry is one remembered change: the version that it was taken on, the rise of
-// the version and the digest.
+// entry is one change of the history.
 type entry struct {
 	baseVersion ids.Serial
-	delta       ids.Serial
-	digest      []byte
+	// delta is the increase of the version by the change.
+	delta  ids.Serial
+	digest []byte
 }
 
-// walkEntries goes over entries until the visit says that it is enough, and gives the
-// length of those before that.
-func walkEntries(base ids.Serial, entries []byte, visit func(entry) bool) int {
-	left := entries
-	for len(left) > 0 {
-		rise, width := binary.Uvarint(left)
-		if width <= 0 || len(left) < width+digestLength {
+// walkEntries visits encoded entries, the first of them applied on the base
+// version, until visit returns false. It returns the encoded length of the
+// entries before that one.
+func walkEntries(baseVersion ids.Serial, entries []byte, visit func(entry) bool) int {
+	rest := entries
+	for len(rest) > 0 {
+		delta, width := binary.Uvarint(rest)
+		if width <= 0 || len(rest) < width+digestLength {
 			break
 		}
-		seen := entry{baseVersion: base, delta: ids.Serial(rise), digest: left[width : width+digestLength]}
-		if !visit(seen) {
+		e := entry{baseVersion: baseVersion, delta: ids.Serial(delta), digest: rest[width : width+digestLength]}
+		if !visit(e) {
 			break
 		}
-		base += seen.delta
-		left = left[width+digestLength:]
+		baseVersion += e.delta
+		rest = rest[width+digestLength:]
 	}
-	return len(entries) - len(left)
+	return len(entries) - len(rest)
 }
 
-// matchEntry looks among entries for the change that was taken on a version: it is
-// this one, or the order is refused.
-func matchEntry(base ids.Serial, entries []byte, match ids.Serial, digest []byte, current string) error {
-	again := false
-	walkEntries(base, entries, func(seen entry) bool {
-		again = seen.baseVersion == match && bytes.Equal(seen.digest, digest)
-		return seen.baseVersion < match
+// hasEntry tells whether the change of a digest is the one that was applied on a
+// version. The first of the encoded entries was applied on the version first.
+func hasEntry(first ids.Serial, entries []byte, baseVersion ids.Serial, digest []byte) bool {
+	applied := false
+	walkEntries(first, entries, func(e entry) bool {
+		applied = e.baseVersion == baseVersion && bytes.Equal(e.digest, digest)
+		return e.baseVersion < baseVersion
 	})
-	if again {
-		return nil
-	}
-	return errkind.Errorf(errkind.VersionConflict, "If-Match: %d is not in place, %s", match, current)
+	return applied
 }
 
-// takeEntries cuts so many entries off the front: their bytes and the rise over
-// them. There are none where fewer are left.
-func takeEntries(entries []byte, count int) ([]byte, ids.Serial) {
-	rise, seen := ids.Serial(0), 0
-	length := walkEntries(0, entries, func(next entry) bool {
-		if seen == count {
+// takeEntries gives the first count of encoded entries, and the increase of the
+// version over them; none if there are fewer.
+func takeEntries(entries []byte, count int) (taken []byte, delta ids.Serial) {
+	visited := 0
+	length := walkEntries(0, entries, func(e entry) bool {
+		if visited == count {
 			return false
 		}
-		seen++
-		rise += next.delta
+		visited++
+		delta += e.delta
 		return true
 	})
-	if seen < count {
+	if visited < count {
 		return nil, 0
 	}
-	return entries[:length], rise
+	return entries[:length], delta
 }
 
-// append remembers a change. What was read off a message may share its room with
-// other values: nothing is added in place.
-func (h *History) append(rise ids.Serial, digest []byte) {
-	h.Recent = append(binary.AppendUvarint(slices.Clip(h.Recent), uint64(rise)), digest...)
+// append adds a change. Recent may be a part of a decoded message's buffer, so
+// that nothing is appended in place.
+func (h *History) append(delta ids.Serial, digest []byte) {
+	h.Recent = append(binary.AppendUvarint(slices.Clip(h.Recent), uint64(delta)), digest...)
 }
 
-// truncate takes pages off the recent changes: those before the count that is known
-// to be sealed, and the oldest where there are too many.
+// truncate drops whole chunks from Recent: those among the first sealed changes,
+// and the oldest while there are more than maxRecent.
 func (h *History) truncate(sealed int64) {
 	for {
-		page, rise := takeEntries(h.Recent, chunkLength)
-		over := len(h.Recent) > maxRecent*(digestLength+1)
-		if page == nil || (h.Offset+chunkLength > sealed && !over) {
+		chunk, delta := takeEntries(h.Recent, chunkLength)
+		// A version's increase takes a byte at least.
+		overflow := len(h.Recent) > maxRecent*(digestLength+1)
+		if chunk == nil || (h.Offset+chunkLength > sealed && !overflow) {
 			break
 		}
-		h.Offset, h.BaseVersion = h.Offset+chunkLength, h.BaseVersion+rise
-		h.Recent = h.Recent[len(page):]
-		h.ChunkDeltas = binary.AppendUvarint(slices.Clip(h.ChunkDeltas), uint64(rise))
+		h.Offset, h.BaseVersion = h.Offset+chunkLength, h.BaseVersion+delta
+		h.Recent = h.Recent[len(chunk):]
+		h.ChunkDeltas = binary.AppendUvarint(slices.Clip(h.ChunkDeltas), uint64(delta))
 	}
-	spans := h.chunkDeltas()
-	for surplus := len(spans) - chunkCount; surplus > 0; surplus-- {
+	for surplus := len(h.chunkDeltas()) - chunkCount; surplus > 0; surplus-- {
 		_, width := binary.Uvarint(h.ChunkDeltas)
 		h.ChunkDeltas = h.ChunkDeltas[width:]
 	}
 }
 
+// chunkDeltas decodes ChunkDeltas.
 func (h *History) chunkDeltas() []ids.Serial {
-	var spans []ids.Serial
-	for left := h.ChunkDeltas; len(left) > 0; {
-		rise, width := binary.Uvarint(left)
+	var deltas []ids.Serial
+	for rest := h.ChunkDeltas; len(rest) > 0; {
+		delta, width := binary.Uvarint(rest)
 		if width <= 0 {
 			break
 		}
-		spans, left = append(spans, ids.Serial(rise)), left[width:]
+		deltas, rest = append(deltas, ids.Serial(delta)), rest[width:]
 	}
-	return spans
+	return deltas
 }
 
-// NextChunk gives the next page to seal, where so many changes are known to be sealed
-// already.
-func (h History) NextChunk(sealed int64) (Chunk, bool) {
-	first, base, left := h.Offset, h.BaseVersion, h.Recent
+// NextChunk gives the next chunk to write, given how many changes are sealed; it
+// is not due before minRecent changes follow it.
+func (h History) NextChunk(sealed int64) (chunk Chunk, due bool) {
+	offset, baseVersion, rest := h.Offset, h.BaseVersion, h.Recent
 	for {
-		entries, rise := takeEntries(left, chunkLength)
+		entries, delta := takeEntries(rest, chunkLength)
 		if entries == nil {
 			return Chunk{}, false
 		}
-		rest := left[len(entries):]
-		if first >= sealed {
-			spare, _ := takeEntries(rest, minRecent)
-			return Chunk{Index: first / chunkLength, BaseVersion: base, Entries: entries}, spare != nil
+		rest = rest[len(entries):]
+		if offset >= sealed {
+			following, _ := takeEntries(rest, minRecent)
+			return Chunk{Index: offset / chunkLength, BaseVersion: baseVersion, Entries: entries}, following != nil
 		}
-		first, base, left = first+chunkLength, base+rise, rest
+		offset, baseVersion = offset+chunkLength, baseVersion+delta
 	}
 }
 
-// lookup tells whether the order was taken: no error says that it was.
-func (h History) lookup(match ids.Serial, digest []byte, serial ids.Serial) error {
-	current := fmt.Sprintf("version %d is", serial)
-	if match >= h.BaseVersion {
-		return matchEntry(h.BaseVersion, h.Recent, match, digest, current)
+// lookup decides whether a change on an earlier version was applied: nil means
+// that it was. Current is the version in force.
+func (h History) lookup(baseVersion ids.Serial, digest []byte, current ids.Serial) error {
+	conflict := func() error {
+		return &VersionConflictError{BaseVersion: baseVersion, Current: current, CurrentKnown: true}
+	}
+	if baseVersion >= h.BaseVersion {
+		if hasEntry(h.BaseVersion, h.Recent, baseVersion, digest) {
+			return nil
+		}
+		return conflict()
 	}
-	index, base, spans := h.Offset/chunkLength, h.BaseVersion, h.chunkDeltas()
-	for position := len(spans) - 1; position >= 0; position-- {
-		index, base = index-1, base-spans[position]
-		if match >= base {
-			return &ArchivedError{baseVersion: match, digest: digest, index: index}
+	index, first, deltas := h.Offset/chunkLength, h.BaseVersion, h.chunkDeltas()
+	for _, delta := range slices.Backward(deltas) {
+		index, first = index-1, first-delta
+		if baseVersion >= first {
+			return &ArchivedError{baseVersion: baseVersion, digest: digest, index: index}
 		}
 	}
 	if index == 0 {
-		// All that was ever taken is remembered, and nothing on this version.
-		return matchEntry(base, nil, match, digest, current)
+		// The history reaches back to the first change, and none was applied on
+		// this version.
+		return conflict()
 	}
-	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more, %s in place", match, current)
+	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more, version %d is in place", baseVersion, current)
 }
--- a/control/config/store/history_test.go
+++ b/control/config/store/history_test.go
@@ -12,145 +12,145 @@
 	"onyxwell/control/transport"
 )
 
-func TestMain(tests *testing.M) { proptest.Run(tests) }
+func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestHistory_decidesEveryChange goes over pages, some sealed late: each repeat is
-// known, each rival on the same version and each order on a version that never
-// was is refused.
+// TestHistory_decidesEveryChange goes over chunks, some of them sealed late: every
+// repeat is acknowledged; every rival on the same version, and every change on a
+// version that never was, conflicts.
 func TestHistory_decidesEveryChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		chain := newChangeLog(t)
+		log := newChangeLog(t)
 		for range rapid.IntRange(1, 6).Draw(t, "stretches") {
-			chain.grow(rapid.IntRange(1, 400).Draw(t, "changes"))
+			log.grow(rapid.IntRange(1, 400).Draw(t, "changes"))
 			if rapid.Bool().Draw(t, "sealing") {
-				chain.seal()
+				log.seal()
 			}
 		}
 		for range 40 {
-			index := rapid.IntRange(0, len(chain.changes)-1).Draw(t, "repeat")
-			change := chain.changes[index]
-			if kind := chain.lookup(change); kind != errkind.None {
-				t.Fatalf("the repeat of change %d of %d on version %d: %v", index, len(chain.changes), change.BaseVersion, kind)
+			index := rapid.IntRange(0, len(log.changes)-1).Draw(t, "repeat")
+			change := log.changes[index]
+			if kind := log.lookup(change); kind != errkind.None {
+				t.Fatalf("repeat of change %d of %d on version %d: %v", index, len(log.changes), change.BaseVersion, kind)
 			}
 			rival := patchChange(change.BaseVersion, change.Version(), 1)
-			if kind := chain.lookup(rival); kind != errkind.VersionConflict {
-				t.Fatalf("a rival of change %d of %d: %v", index, len(chain.changes), kind)
+			if kind := log.lookup(rival); kind != errkind.VersionConflict {
+				t.Fatalf("rival of change %d of %d: %v", index, len(log.changes), kind)
 			}
 			if between := change.BaseVersion + 1; between < change.Version() {
-				if kind := chain.lookup(patchChange(between, between+1, 0)); kind != errkind.VersionConflict {
-					t.Fatalf("version %d never was: %v", between, kind)
+				if kind := log.lookup(patchChange(between, between+1, 0)); kind != errkind.VersionConflict {
+					t.Fatalf("version %d, which never was: %v", between, kind)
 				}
 			}
 		}
-		kept, _ := DecodeCompressed(chain.value)
-		if kind := chain.lookup(patchChange(kept.Version+1, kept.Version+2, 0)); kind != errkind.VersionConflict {
-			t.Fatalf("a version that is yet to come: %v", kind)
+		record, _ := DecodeCompressed(log.value)
+		if kind := log.lookup(patchChange(record.Version+1, record.Version+2, 0)); kind != errkind.VersionConflict {
+			t.Fatalf("a future version: %v", kind)
 		}
 	})
 }
 
-// TestHistory_dropsOldestChunks goes once round the ring of pages.
+// TestHistory_dropsOldestChunks goes once round the ring of chunks.
 func TestHistory_dropsOldestChunks(t *testing.T) {
-	chain := newChangeLog(t)
+	log := newChangeLog(t)
 	for range chunkCount + 3 {
-		chain.grow(chunkLength)
-		chain.seal()
+		log.grow(chunkLength)
+		log.seal()
 	}
 	counts := map[errkind.Kind]int{}
-	first := -1
-	for index, change := range chain.changes {
-		kind := chain.lookup(change)
-		if kind == errkind.None && first < 0 {
-			first = index
+	oldestKnown := -1
+	for index, change := range log.changes {
+		kind := log.lookup(change)
+		if kind == errkind.None && oldestKnown < 0 {
+			oldestKnown = index
 		}
-		if first >= 0 && kind != errkind.None {
-			t.Fatalf("change %d of %d: %v, though an older one was known", index, len(chain.changes), kind)
+		if oldestKnown >= 0 && kind != errkind.None {
+			t.Fatalf("change %d of %d: %v, though an older one was known", index, len(log.changes), kind)
 		}
 		counts[kind]++
 	}
-	if counts[errkind.None] < (chunkCount-1)*chunkLength+minRecent || counts[errkind.OutcomeExpired] != first {
+	if counts[errkind.None] < (chunkCount-1)*chunkLength+minRecent || counts[errkind.OutcomeExpired] != oldestKnown {
 		t.Fatalf("%v", counts)
 	}
-	size, beside := 0, 0
+	chunkBytes, historyBytes := 0, 0
 	for range chunkLength {
-		chain.grow(1)
-		chain.seal()
-		kept, _ := DecodeCompressed(chain.value)
-		beside += len(kept.History.Recent) + len(kept.History.ChunkDeltas)
+		log.grow(1)
+		log.seal()
+		record, _ := DecodeCompressed(log.value)
+		historyBytes += len(record.History.Recent) + len(record.History.ChunkDeltas)
 	}
-	for _, page := range chain.chunks {
-		size += len(page)
+	for _, chunk := range log.chunks {
+		chunkBytes += len(chunk)
 	}
-	t.Logf("%d changes known of %d; %d bytes a write on the average; %d pages of %d bytes in all",
-		counts[errkind.None], counts[errkind.None]+counts[errkind.OutcomeExpired], beside/chunkLength, len(chain.chunks), size)
+	t.Logf("%d of %d changes known; %d bytes of history in an average write; %d chunks of %d bytes in all",
+		counts[errkind.None], counts[errkind.None]+counts[errkind.OutcomeExpired], historyBytes/chunkLength, len(log.chunks), chunkBytes)
 }
 
-// TestHistory_missingChunkIsUndecided has pages missing, and overtaken.
+// TestHistory_missingChunkIsUndecided has a chunk missing, overwritten and torn.
 func TestHistory_missingChunkIsUndecided(t *testing.T) {
-	chain := newChangeLog(t)
-	chain.grow(2 * chunkLength)
-	chain.seal()
-	chain.grow(1)
-	page := chain.chunks[chunkKey(0)]
-	next, err := Chunk{Index: chunkCount}.Apply(page)
+	log := newChangeLog(t)
+	log.grow(2 * chunkLength)
+	log.seal()
+	log.grow(1)
+	chunk := log.chunks[chunkKey(0)]
+	next, err := Chunk{Index: chunkCount}.Apply(chunk)
 	if err != nil || next == nil {
 		t.Fatal(err)
 	}
-	if back, err := (Chunk{Index: 0}).Apply(next); back != nil || err != nil {
-		t.Fatalf("an older page replaced a newer one: %v", err)
+	if older, err := (Chunk{Index: 0}).Apply(next); older != nil || err != nil {
+		t.Fatalf("an older chunk replaced a newer one: %v", err)
 	}
 	for _, value := range [][]byte{nil, next} {
-		chain.chunks[chunkKey(0)] = value
-		if kind := chain.lookup(chain.changes[3]); kind != errkind.OutcomeExpired {
+		log.chunks[chunkKey(0)] = value
+		if kind := log.lookup(log.changes[3]); kind != errkind.OutcomeExpired {
 			t.Fatalf("%v", kind)
 		}
 	}
-	chain.chunks[chunkKey(0)] = page[:len(page)-1]
-	if kind := chain.lookup(chain.changes[3]); kind != errkind.Internal {
-		t.Fatalf("a torn page: %v", kind)
+	log.chunks[chunkKey(0)] = chunk[:len(chunk)-1]
+	if kind := log.lookup(log.changes[3]); kind != errkind.Internal {
+		t.Fatalf("torn chunk: %v", kind)
 	}
-	if kind := chain.lookup(chain.changes[len(chain.changes)-1]); kind != errkind.None {
-		t.Fatalf("the newest needs no page: %v", kind)
+	if kind := log.lookup(log.changes[len(log.changes)-1]); kind != errkind.None {
+		t.Fatalf("the newest change needs no chunk: %v", kind)
 	}
 }
 
-// TestHistory_boundedWithoutChunks has no page ever written.
+// TestHistory_boundedWithoutChunks has no chunk ever written.
 func TestHistory_boundedWithoutChunks(t *testing.T) {
-	chain := newChangeLog(t)
+	log := newChangeLog(t)
 	for range maxRecent/chunkLength + 3 {
-		chain.grow(chunkLength)
+		log.grow(chunkLength)
 	}
-	kept, err := DecodeCompressed(chain.value)
-	if err != nil || len(kept.History.Recent) > maxRecent*(digestLength+1) {
-		t.Fatalf("%d bytes, %v", len(kept.History.Recent), err)
+	record, err := DecodeCompressed(log.value)
+	if err != nil || len(record.History.Recent) > maxRecent*(digestLength+1) {
+		t.Fatalf("%d bytes, %v", len(record.History.Recent), err)
 	}
-	if kind := chain.lookup(chain.changes[0]); kind != errkind.OutcomeExpired {
+	if kind := log.lookup(log.changes[0]); kind != errkind.OutcomeExpired {
 		t.Fatalf("%v", kind)
 	}
-	chain.seal()
-	if kind := chain.lookup(chain.changes[len(chain.changes)/2]); kind != errkind.None {
+	log.seal()
+	if kind := log.lookup(log.changes[len(log.changes)/2]); kind != errkind.None {
 		t.Fatalf("%v", kind)
 	}
 }
 
-// olderKept is Kept as an older build wrote it: the same name, other fields.
-type olderKept struct {
+// olderRecord is Record as an older build stored it: the same name, other fields.
+type olderRecord struct {
 	Serial   ids.Serial `avro:"Serial"`
 	Document []byte     `avro:"Document"`
 }
 
-// SchemaName is that of Kept.
-func (olderKept) SchemaName() string { return Record{}.SchemaName() }
+// SchemaName is that of Record.
+func (olderRecord) SchemaName() string { return Record{}.SchemaName() }
 
-// TestDecode_rejectsOtherSchema reads what an older build kept.
+// TestDecode_rejectsOtherSchema decodes what an older build stored.
 func TestDecode_rejectsOtherSchema(t *testing.T) {
-	old, err := transport.Marshal(olderKept{Serial: 7, Document: []byte(validConfig)})
+	value, err := transport.Marshal(olderRecord{Serial: 7, Document: []byte(validConfig)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, value := range [][]byte{old, old[4:], []byte("odd")} {
+	for _, value := range [][]byte{value, value[4:], []byte("odd")} {
 		if _, err := Decode(value); err == nil {
-			t.Fatal("it was read")
+			t.Fatal("decoded")
 		}
 		if _, err := (Change{BaseVersion: 7, Body: []byte(validConfig)}).Apply(value); errkind.KindOf(err) != errkind.Internal {
 			t.Fatalf("%v", err)
@@ -158,27 +158,27 @@
 	}
 }
 
-// BenchmarkHistoryLookup prints what one look at the memory costs, without the
-// register's reads, and how many bytes of a write are the memory's.
+// BenchmarkHistoryLookup measures one lookup in the history, without the
+// register's reads, and how many bytes of a write are the history's.
 func BenchmarkHistoryLookup(b *testing.B) {
-	for _, pages := range []int{0, 1, 10, chunkCount} {
-		chain := newChangeLog(b)
-		chain.grow(minRecent)
-		for range pages {
-			chain.grow(chunkLength)
-			chain.seal()
+	for _, chunks := range []int{0, 1, 10, chunkCount} {
+		log := newChangeLog(b)
+		log.grow(minRecent)
+		for range chunks {
+			log.grow(chunkLength)
+			log.seal()
 		}
-		chain.grow(2)
-		kept, _ := DecodeCompressed(chain.value)
-		for name, index := range map[string]int{"newest": len(chain.changes) - 1, "oldest": max(0, len(chain.changes)-pages*chunkLength-minRecent)} {
-			b.Run(fmt.Sprintf("%dpages/%s", pages, name), func(b *testing.B) {
+		log.grow(2)
+		record, _ := DecodeCompressed(log.value)
+		for name, index := range map[string]int{"newest": len(log.changes) - 1, "oldest": max(0, len(log.changes)-chunks*chunkLength-minRecent)} {
+			b.Run(fmt.Sprintf("%dchunks/%s", chunks, name), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					if kind := chain.lookup(chain.changes[index]); kind != errkind.None {
+					if kind := log.lookup(log.changes[index]); kind != errkind.None {
 						b.Fatal(kind)
 					}
 				}
-				b.ReportMetric(float64(len(kept.History.Recent)+len(kept.History.ChunkDeltas)), "memory-bytes/write")
+				b.ReportMetric(float64(len(record.History.Recent)+len(record.History.ChunkDeltas)), "history-bytes/write")
 			})
 		}
 	}
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -4,95 +4,119 @@
 	"encoding/json"
 
 	"onyxwell/base/errkind"
+	"onyxwell/base/ids"
 )
 
-// ApplyPatch makes a whole document from one in force and the changes to it. Items
-// that are not changed keep their bytes.
-func ApplyPatch(document []byte, change []byte) ([]byte, error) {
-	var asked patch
-	if err := json.Unmarshal(change, &asked); err != nil {
+// patch is the body of a change that is not full.
+type patch struct {
+	Version ids.Serial `json:"config_version"`
+	// Changes maps a key of the document to its new value; of a list, to the items
+	// to be replaced or added, by their names.
+	Changes map[string]json.RawMessage `json:"changes"`
+	// Remove maps a list of the document to the names of the items to be removed.
+	Remove map[string][]string `json:"remove"`
+}
+
+// namedItem is an item of a list in the document.
+type namedItem struct {
+	Name string `json:"name"`
+}
+
+// ApplyPatch makes a whole document of the one in force and a patch of it. What
+// is not changed keeps its bytes. The result is not validated.
+func ApplyPatch(document []byte, body []byte) ([]byte, error) {
+	var p patch
+	if err := json.Unmarshal(body, &p); err != nil {
 		return nil, errkind.Errorf(errkind.InvalidConfig, "not a change: %v", err)
 	}
-	whole := map[string]json.RawMessage{}
+	fields := map[string]json.RawMessage{}
 	if len(document) > 0 {
-		if err := json.Unmarshal(document, &whole); err != nil {
+		if err := json.Unmarshal(document, &fields); err != nil {
 			return nil, errkind.Errorf(errkind.Internal, "kept document: %v", err)
 		}
 	}
-	for key, names := range asked.Remove {
-		if err := editList(whole, key, nil, names); err != nil {
+	for key, names := range p.Remove {
+		if err := editList(fields, key, nil, names); err != nil {
 			return nil, err
 		}
 	}
-	for key, value := range asked.Changes {
+	for key, value := range p.Changes {
 		var items []json.RawMessage
 		if json.Unmarshal(value, &items) != nil {
-			whole[key] = value
+			fields[key] = value
 			continue
 		}
-		if err := editList(whole, key, items, nil); err != nil {
+		if err := editList(fields, key, items, nil); err != nil {
 			return nil, err
 		}
 	}
-	serial, _ := json.Marshal(asked.Version)
-	whole["config_version"] = serial
-	return json.Marshal(whole)
+	version, _ := json.Marshal(p.Version)
+	fields["config_version"] = version
+	return json.Marshal(fields)
 }
 
-// editList replaces or adds items by their names and drops others.
-func editList(whole map[string]json.RawMessage, key string, items []json.RawMessage, without []string) error {
-	var kept []json.RawMessage
-	if present := whole[key]; len(present) > 0 {
-		if err := json.Unmarshal(present, &kept); err != nil {
+// editList removes items of a list by their names, and replaces or appends
+// others.
+func editList(fields map[string]json.RawMessage, key string, items []json.RawMessage, remove []string) error {
+	var current []json.RawMessage
+	if value := fields[key]; len(value) > 0 {
+		if err := json.Unmarshal(value, &current); err != nil {
 			return errkind.Errorf(errkind.InvalidConfig, "%s: is no list", key)
 		}
 	}
-	replaced := map[string]json.RawMessage{}
-	dropped := map[string]bool{}
-	var added []string
-	for index, item := range items {
-		name, err := itemName(item)
-		if err != nil {
-			return errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: missing", key, index)
-		}
-		if _, twice := replaced[name]; twice {
-			return errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: %q stands twice", key, index, name)
-		}
-		replaced[name] = item
-		added = append(added, name)
+	replacements, names, err := indexItems(key, items)
+	if err != nil {
+		return err
 	}
-	for _, name := range without {
-		dropped[name] = true
+	removed := map[string]bool{}
+	for _, name := range remove {
+		removed[name] = true
 	}
-	result := []json.RawMessage{}
-	for _, item := range kept {
+	edited := []json.RawMessage{}
+	for _, item := range current {
 		name, _ := itemName(item)
-		if dropped[name] {
+		if removed[name] {
 			continue
 		}
-		if fresh, found := replaced[name]; found {
-			item = fresh
-			delete(replaced, name)
+		if replacement, ok := replacements[name]; ok {
+			item = replacement
+			delete(replacements, name)
 		}
-		result = append(result, item)
+		edited = append(edited, item)
 	}
-	for _, name := range added {
-		if item, left := replaced[name]; left {
-			result = append(result, item)
+	for _, name := range names {
+		if item, ok := replacements[name]; ok {
+			edited = append(edited, item)
 		}
 	}
-	body, err := json.Marshal(result)
-	whole[key] = body
+	fields[key], err = json.Marshal(edited)
 	return err
 }
 
+// indexItems gives the items of a patch by their names, and the names in order.
+func indexItems(key string, items []json.RawMessage) (byName map[string]json.RawMessage, names []string, err error) {
+	byName = map[string]json.RawMessage{}
+	for index, item := range items {
+		name, err := itemName(item)
+		if err != nil {
+			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: missing", key, index)
+		}
+		if _, ok := byName[name]; ok {
+			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: %q stands twice", key, index, name)
+		}
+		byName[name] = item
+		names = append(names, name)
+	}
+	return byName, names, nil
+}
+
 func itemName(item json.RawMessage) (string, error) {
-	var read namedItem
-	if err := json.Unmarshal(item, &read); err != nil {
+	var named namedItem
+	if err := json.Unmarshal(item, &named); err != nil {
 		return "", err
 	}
-	if read.Name == "" {
+	if named.Name == "" {
 		return "", errkind.Errorf(errkind.InvalidConfig, "name: missing")
 	}
-	return read.Name, nil
+	return named.Name, nil
 }
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -1,12 +1,8 @@
-// Package store checks the operator's changes to the spec and keeps the spec
-// in force. It stands apart from package spec, which routers need too: they read
-// what was checked before.
 package store
 
 import (
 	"bytes"
 	_ "embed"
-	"encoding/json"
 	"sync"
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -19,6 +15,8 @@
 //go:embed schema.json
 var schemaJSON []byte
 
+// compiledSchema compiles the schema once. The resource's name is part of its
+// errors, which operators see.
 var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
@@ -31,13 +29,13 @@
 	return compiler.Compile("spec.json")
 })
 
-// Schema gives the JSON schema of a whole configuration.
+// Schema gives the JSON schema of a whole document.
 func Schema() []byte { return schemaJSON }
 
-// Validate reads a whole document and refuses an invalid one with a BadSpec
-// failure that names the field.
+// Validate parses a whole document. An invalid one is refused with an error of
+// the kind errkind.InvalidConfig that names the field.
 func Validate(document []byte) (*config.Config, error) {
-	loose, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
+	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
 		return nil, errkind.Errorf(errkind.InvalidConfig, "not JSON: %v", err)
 	}
@@ -45,34 +43,34 @@
 	if err != nil {
 		return nil, errkind.Errorf(errkind.Internal, "schema: %v", err)
 	}
-	if err := schema.Validate(loose); err != nil {
+	if err := schema.Validate(value); err != nil {
 		return nil, errkind.Errorf(errkind.InvalidConfig, "%v", err)
 	}
-	read, err := config.Parse(document)
+	cfg, err := config.Parse(document)
 	if err != nil {
 		return nil, errkind.Errorf(errkind.InvalidConfig, "%v", err)
 	}
 	for _, rule := range rules {
-		if err := rule(read); err != nil {
+		if err := rule(cfg); err != nil {
 			return nil, err
 		}
 	}
-	return read, nil
+	return cfg, nil
 }
 
-// rules are what the schema can't say.
+// rules are what a JSON schema can't express.
 var rules = []func(*config.Config) error{uniqueNames, uniquePaths, knownServices, positiveWeights}
 
-func uniqueNames(version *config.Config) error {
+func uniqueNames(cfg *config.Config) error {
 	routes := map[string]bool{}
-	for index, route := range version.Routes {
+	for index, route := range cfg.Routes {
 		if routes[route.Name] {
 			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].name: %q stands twice", index, route.Name)
 		}
 		routes[route.Name] = true
 	}
 	services := map[ids.Service]bool{}
-	for index, service := range version.Services {
+	for index, service := range cfg.Services {
 		if services[service.Name] {
 			return errkind.Errorf(errkind.InvalidConfig, "services[%d].name: %q stands twice", index, service.Name)
 		}
@@ -81,40 +79,41 @@
 	return nil
 }
 
-func uniquePaths(version *config.Config) error {
-	places := map[[2]string]bool{}
-	for index, route := range version.Routes {
-		place := [2]string{config.NormalizeHost(route.Host), route.PathPrefix}
-		if places[place] {
+func uniquePaths(cfg *config.Config) error {
+	type path struct{ host, prefix string }
+	paths := map[path]bool{}
+	for index, route := range cfg.Routes {
+		p := path{host: config.NormalizeHost(route.Host), prefix: route.PathPrefix}
+		if paths[p] {
 			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].path_prefix: %q stands twice for this host", index, route.PathPrefix)
 		}
-		places[place] = true
+		paths[p] = true
 	}
 	return nil
 }
 
-func knownServices(version *config.Config) error {
-	for index, route := range version.Routes {
+func knownServices(cfg *config.Config) error {
+	for index, route := range cfg.Routes {
 		if route.Service == "" && len(route.Services) == 0 {
 			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: missing", index)
 		}
-		if route.Service != "" && version.Service(route.Service) == nil {
+		if route.Service != "" && cfg.Service(route.Service) == nil {
 			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: %q is not known", index, route.Service)
 		}
-		for part, share := range route.Services {
-			if version.Service(share.Service) == nil {
-				return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares[%d].service: %q is not known", index, part, share.Service)
+		for position, weighted := range route.Services {
+			if cfg.Service(weighted.Service) == nil {
+				return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares[%d].service: %q is not known", index, position, weighted.Service)
 			}
 		}
 	}
 	return nil
 }
 
-func positiveWeights(version *config.Config) error {
-	for index, route := range version.Routes {
+func positiveWeights(cfg *config.Config) error {
+	for index, route := range cfg.Routes {
 		total := 0.0
-		for _, part := range route.WeightedServices() {
-			total += part.Weight
+		for _, weighted := range route.WeightedServices() {
+			total += weighted.Weight
 		}
 		if total <= 0 {
 			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares: the weights add up to 0", index)
@@ -122,13 +121,3 @@
 	}
 	return nil
 }
-
-type patch struct {
-	Version ids.Serial                 `json:"config_version"`
-	Changes map[string]json.RawMessage `json:"changes"`
-	Remove  map[string][]string        `json:"remove"`
-}
-
-type namedItem struct {
-	Name string `json:"name"`
-}
