--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -1,5 +1,7 @@
-// Package admin serves the operator's calls: pairs of question and answer
-// that end in an order at the desk.
+// Package admin is the operators' HTTP API of a controller: configuration,
+// drained zones and headroom. Each handler is a request that reads the call, one
+// command to the dispatcher, and a response; errors are answered by their kind
+// with the table of package errkind. Nothing is kept here.
 package admin
 
 import (
@@ -20,57 +22,109 @@
 	"onyxwell/control/state/command"
 )
 
-// Dispatcher takes orders.
+// Paths of the API; a path that ends with a slash takes a name after it.
+const (
+	configPath   = "/settings"
+	zonePath     = "/empty/"
+	headroomPath = "/room"
+)
+
+// Dispatcher leads commands to the owners of their keys.
 type Dispatcher interface {
-	Dispatch(inner scope.Scope, order command.Command) ([]byte, error)
+	// Dispatch returns the register's value after the command.
+	Dispatch(ctx scope.Scope, cmd command.Command) ([]byte, error)
+}
+
+// Serve registers the calls for the configuration and for drained zones.
+func Serve(calls *httpcall.Mux, dispatcher Dispatcher) {
+	a := api{dispatcher: dispatcher}
+	httpcall.Handle(calls, http.MethodPut, configPath, a.changeConfig)
+	httpcall.Handle(calls, http.MethodPatch, configPath, a.changeConfig)
+	httpcall.Handle(calls, http.MethodGet, configPath, a.readConfig)
+	httpcall.Handle(calls, http.MethodPost, zonePath, a.setZone)
+	httpcall.Handle(calls, http.MethodDelete, zonePath, a.setZone)
+}
+
+// ServeHeadroom registers the call for the newest headroom report that reached
+// gossip.
+func ServeHeadroom(calls *httpcall.Mux, updates *gossip.Store) {
+	httpcall.Handle(calls, http.MethodGet, headroomPath, func(scope.Scope, EmptyRequest) (HeadroomResponse, error) {
+		item, ok := updates.Get(headroom.Key)
+		if !ok {
+			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no estimate was made yet")
+		}
+		return HeadroomResponse{Report: item.Body}, nil
+	})
+}
+
+// api holds what the handlers stand on.
+type api struct{ dispatcher Dispatcher }
+
+func (a api) changeConfig(ctx scope.Scope, req ConfigChangeRequest) (ConfigChangeResponse, error) {
+	_, err := a.dispatcher.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbChange, Change: req.Change})
+	return ConfigChangeResponse{Version: req.Change.Version()}, err
+}
+
+func (a api) readConfig(ctx scope.Scope, _ EmptyRequest) (ConfigResponse, error) {
+	value, err := a.dispatcher.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbRead})
+	if err != nil {
+		return ConfigResponse{}, err
+	}
+	record, err := store.Decode(value)
+	if err == nil && record.Version == 0 {
+		err = errkind.Errorf(errkind.NotReady, "no spec was taken yet")
+	}
+	return ConfigResponse{Document: record.Document}, err
+}
+
+func (a api) setZone(ctx scope.Scope, req ZoneRequest) (EmptyResponse, error) {
+	if _, ok := ctx.Settings.Zones[req.Zone]; !ok {
+		return EmptyResponse{}, errkind.Errorf(errkind.UnknownZone, "%q", req.Zone)
+	}
+	_, err := a.dispatcher.Dispatch(ctx, command.Command{Key: evacuation.Key(req.Zone), Verb: req.Verb})
+	return EmptyResponse{}, err
 }
 
-// ConfigChangeRequest is PUT or PATCH /settings.
+// ConfigChangeRequest is PUT /settings with a whole document, or PATCH /settings
+// with a patch, on the version that If-Match names.
 type ConfigChangeRequest struct{ Change store.Change }
 
-// versionPattern is what an If-Match may say: one version, with or without quotes.
+// versionPattern matches an If-Match header: one version, with or without quotes.
 var versionPattern = regexp.MustCompile(`^(?:(0|[1-9][0-9]*)|"(0|[1-9][0-9]*)")$`)
 
-// Read takes the version that the change builds on and the body.
+// Read takes the base version off the header, and the body.
 func (c *ConfigChangeRequest) Read(incoming httpcall.Incoming) error {
-	matches := incoming.Request.Header.Values("If-Match")
-	if len(matches) != 1 {
-		return errkind.Errorf(errkind.BadRequest, "If-Match: stands %d times, not once", len(matches))
+	ifMatch := incoming.Request.Header.Values("If-Match")
+	if len(ifMatch) != 1 {
+		return errkind.Errorf(errkind.BadRequest, "If-Match: stands %d times, not once", len(ifMatch))
 	}
 	if types := incoming.Request.Header.Values("Content-Type"); len(types) > 1 {
 		return errkind.Errorf(errkind.BadRequest, "Content-Type: stands %d times", len(types))
 	}
-	found := versionPattern.FindStringSubmatch(matches[0])
-	if found == nil {
-		return errkind.Errorf(errkind.BadRequest, "If-Match: %q is no version", matches[0])
+	groups := versionPattern.FindStringSubmatch(ifMatch[0])
+	if groups == nil {
+		return errkind.Errorf(errkind.BadRequest, "If-Match: %q is no version", ifMatch[0])
 	}
-	match, err := strconv.ParseInt(found[1]+found[2], 10, 64)
+	version, err := strconv.ParseInt(groups[1]+groups[2], 10, 64)
 	if err != nil {
-		return errkind.Errorf(errkind.BadRequest, "If-Match: %s is above any version", matches[0])
+		return errkind.Errorf(errkind.BadRequest, "If-Match: %s is above any version", ifMatch[0])
 	}
 	c.Change = store.Change{
-		Full: incoming.Request.Method == http.MethodPut, BaseVersion: ids.Serial(match), Body: incoming.Body,
+		Full: incoming.Request.Method == http.MethodPut, BaseVersion: ids.Serial(version), Body: incoming.Body,
 	}
 	return nil
 }
 
-// ConfigChangeResponse acknowledges a change.
+// ConfigChangeResponse acknowledges a change by the version that it led to. A
+// repeated change gets its own version again, whatever came into force since.
 type ConfigChangeResponse struct{ Version ids.Serial }
 
-// Reply tells the version that the change made. A repeat is told its own one
-// again, whatever came into force since: it acknowledges that order and no
-// other.
+// Reply gives the version as JSON.
 func (c ConfigChangeResponse) Reply() response.Response {
 	return response.JSON(http.StatusOK, map[string]any{"config_version": c.Version})
 }
 
-// EmptyRequest is a question that has no parts.
-type EmptyRequest struct{}
-
-// Read has nothing to read.
-func (e *EmptyRequest) Read(httpcall.Incoming) error { return nil }
-
-// ConfigResponse is the configuration in force.
+// ConfigResponse is the document in force.
 type ConfigResponse struct{ Document []byte }
 
 // Reply gives the document as it was sent.
@@ -78,7 +132,8 @@
 	return response.Raw(http.StatusOK, "application/json", c.Document)
 }
 
-// ZoneRequest is POST or DELETE /empty/ZONE.
+// ZoneRequest is POST /empty/ZONE, which drains the zone, or DELETE /empty/ZONE,
+// which undrains it.
 type ZoneRequest struct {
 	Zone ids.Zone
 	Verb string
@@ -86,14 +141,14 @@
 
 var zoneVerbs = map[string]string{http.MethodPost: command.VerbDrain, http.MethodDelete: command.VerbUndrain}
 
-// Read takes the zone off the path.
+// Read takes the zone off the path, and the verb off the method.
 func (z *ZoneRequest) Read(incoming httpcall.Incoming) error {
 	z.Zone = ids.Zone(incoming.Tail)
 	z.Verb = zoneVerbs[incoming.Request.Method]
 	return nil
 }
 
-// HeadroomResponse is the newest estimate of how much room there is.
+// HeadroomResponse is a headroom report as JSON.
 type HeadroomResponse struct{ Report []byte }
 
 // Reply gives the report.
@@ -101,49 +156,14 @@
 	return response.Raw(http.StatusOK, "application/json", h.Report)
 }
 
-// ServeHeadroom adds the call that tells the room of every model family.
-func ServeHeadroom(calls *httpcall.Mux, news *gossip.Store) {
-	httpcall.Handle(calls, http.MethodGet, "/room", func(scope.Scope, EmptyRequest) (HeadroomResponse, error) {
-		item, found := news.Get(headroom.Key)
-		if !found {
-			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no estimate was made yet")
-		}
-		return HeadroomResponse{Report: item.Body}, nil
-	})
-}
+// EmptyRequest is a request without parameters.
+type EmptyRequest struct{}
 
-// EmptyResponse acknowledges an order.
+// Read reads nothing.
+func (e *EmptyRequest) Read(httpcall.Incoming) error { return nil }
+
+// EmptyResponse acknowledges a command without a result.
 type EmptyResponse struct{}
 
 // Reply is empty.
 func (EmptyResponse) Reply() response.Response { return response.Empty(http.StatusOK) }
-
-// Serve adds the operator's calls to a table.
-func Serve(calls *httpcall.Mux, front Dispatcher) {
-	change := func(ctx scope.Scope, asked ConfigChangeRequest) (ConfigChangeResponse, error) {
-		_, err := front.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbChange, Change: asked.Change})
-		return ConfigChangeResponse{Version: asked.Change.Version()}, err
-	}
-	httpcall.Handle(calls, http.MethodPut, "/settings", change)
-	httpcall.Handle(calls, http.MethodPatch, "/settings", change)
-	httpcall.Handle(calls, http.MethodGet, "/settings", func(ctx scope.Scope, _ EmptyRequest) (ConfigResponse, error) {
-		value, err := front.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbRead})
-		if err != nil {
-			return ConfigResponse{}, err
-		}
-		kept, err := store.Decode(value)
-		if err == nil && kept.Version == 0 {
-			err = errkind.Errorf(errkind.NotReady, "no spec was taken yet")
-		}
-		return ConfigResponse{Document: kept.Document}, err
-	})
-	empty := func(ctx scope.Scope, asked ZoneRequest) (EmptyResponse, error) {
-		if _, known := ctx.Settings.Zones[asked.Zone]; !known {
-			return EmptyResponse{}, errkind.Errorf(errkind.UnknownZone, "%q", asked.Zone)
-		}
-		_, err := front.Dispatch(ctx, command.Command{Key: evacuation.Key(asked.Zone), Verb: asked.Verb})
-		return EmptyResponse{}, err
-	}
-	httpcall.Handle(calls, http.MethodPost, "/empty/", empty)
-	httpcall.Handle(calls, http.MethodDelete, "/empty/", empty)
-}
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -15,25 +15,25 @@
 	"onyxwell/base/response"
 )
 
-// truncatedBody is a body that ends before its announced length.
+// truncatedBody is a body that ends before its Content-Length.
 type truncatedBody struct{ io.Reader }
 
 func (t truncatedBody) Read(buffer []byte) (int, error) {
-	size, err := t.Reader.Read(buffer)
+	n, err := t.Reader.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
-	return size, err
+	return n, err
 }
 
-// TestServe_rejectsInvalidRequests sends what no operator should: each gets its
-// 4xx with the field named, and nothing changes.
+// TestServe_rejectsInvalidRequests sends what no operator should: each request
+// gets its 4xx with the field named, and nothing changes.
 func TestServe_rejectsInvalidRequests(t *testing.T) {
-	office := newTestServer(t)
-	if status, text := office.do("PUT", "/settings", "0", validConfig); status != 200 {
+	s := newTestServer(t)
+	if status, text := s.do("PUT", "/settings", "0", validConfig); status != 200 {
 		t.Fatalf("%d %s", status, text)
 	}
-	before, _ := office.updates.Get("spec")
+	before, _ := s.updates.Get("spec")
 	next := strings.Replace(validConfig, ":5", ":6", 1)
 	patch := `{"config_version":6,"remove":{"routes":["r"]}}`
 	cases := []struct {
@@ -41,7 +41,7 @@
 		match, types       []string
 		body               string
 		status             int
-		says               string
+		wantText           string
 	}{
 		{"no If-Match", "PUT", "/settings", nil, nil, next, 400, "If-Match"},
 		{"no If-Match", "PATCH", "/settings", nil, nil, patch, 400, "If-Match"},
@@ -49,20 +49,20 @@
 		{"duplicate type", "PUT", "/settings", []string{"5"}, []string{"application/json", "application/json"}, next, 400, "Content-Type: stands 2 times"},
 		{"over the limit", "PUT", "/settings", []string{"5"}, nil, strings.Repeat(" ", 4001), 413, "body: over 4000 bytes"},
 		{"over the limit", "PATCH", "/settings", []string{"5"}, nil, strings.Repeat(" ", 4001), 413, "body: over 4000 bytes"},
-		{"torn", "PUT", "/settings", []string{"5"}, nil, next[:60], 400, "not JSON"},
-		{"torn", "PATCH", "/settings", []string{"5"}, nil, patch[:30], 400, "not a change"},
+		{"truncated", "PUT", "/settings", []string{"5"}, nil, next[:60], 400, "not JSON"},
+		{"truncated", "PATCH", "/settings", []string{"5"}, nil, patch[:30], 400, "not a change"},
 		{"empty", "PUT", "/settings", []string{"5"}, nil, "", 400, "not JSON"},
 		{"empty", "PATCH", "/settings", []string{"5"}, nil, "", 400, "not a change"},
 		{"null", "PATCH", "/settings", []string{"5"}, nil, "null", 400, "config_version"},
-		{"a list", "PUT", "/settings", []string{"5"}, nil, "[]", 400, "array"},
+		{"list for an object", "PUT", "/settings", []string{"5"}, nil, "[]", 400, "array"},
 		{"trailing", "PUT", "/settings", []string{"5"}, nil, next + "{}", 400, "not JSON"},
 		{"trailing", "PATCH", "/settings", []string{"5"}, nil, patch + "x", 400, "not a change"},
-		{"text for a number", "PUT", "/settings", []string{"5"}, nil, strings.Replace(next, ":6", `:"6"`, 1), 400, "config_version"},
-		{"text for a number", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":"6"}`, 400, "config_version"},
-		{"too large a number", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":9223372036854775808}`, 400, "config_version"},
-		{"no number", "PATCH", "/settings", []string{"5"}, nil, `{"changes":{}}`, 400, "config_version"},
-		{"an object for a list", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":{}}}`, 400, "routes"},
-		{"an item without a name", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":[{}]}}`, 400, "changes.routes[0].name"},
+		{"string for a number", "PUT", "/settings", []string{"5"}, nil, strings.Replace(next, ":6", `:"6"`, 1), 400, "config_version"},
+		{"string for a number", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":"6"}`, 400, "config_version"},
+		{"number out of range", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":9223372036854775808}`, 400, "config_version"},
+		{"number missing", "PATCH", "/settings", []string{"5"}, nil, `{"changes":{}}`, 400, "config_version"},
+		{"object for a list", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":{}}}`, 400, "routes"},
+		{"item without a name", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":[{}]}}`, 400, "changes.routes[0].name"},
 		{"removed by number", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"remove":{"routes":[7]}}`, 400, "remove"},
 		{"unknown zone", "POST", "/empty/nowhere", nil, nil, "", 404, "nowhere"},
 		{"unknown zone", "DELETE", "/empty/HALL", nil, nil, "", 404, "HALL"},
@@ -76,82 +76,81 @@
 		{"another method", "PUT", "/empty/hall", nil, nil, "", 404, "PUT /empty/hall"},
 	}
 	for _, match := range []string{"abc", "-1", "+5", "05", "5,6", "5 6", "0x5", "5.0", "*", `W/"5"`, `"5`, `5"`, `""5""`, `"5","6"`, `""`, "", "5\u00a0", "9223372036854775808"} {
-		said := "If-Match: "
 		cases = append(cases, cases[0], cases[1])
 		for index := len(cases) - 2; index < len(cases); index++ {
-			cases[index].name, cases[index].match, cases[index].says = "If-Match "+match, []string{match}, said
+			cases[index].name, cases[index].match, cases[index].wantText = "If-Match "+match, []string{match}, "If-Match: "
 		}
 	}
-	for _, example := range cases {
-		status, text := office.serveDirect(example.method, example.path, http.Header{"If-Match": example.match, "Content-Type": example.types}, strings.NewReader(example.body))
-		if status != example.status || !strings.Contains(text, example.says) {
-			t.Errorf("%s, %s: %d %s", example.method, example.name, status, text)
+	for _, test := range cases {
+		status, text := s.serveDirect(test.method, test.path, http.Header{"If-Match": test.match, "Content-Type": test.types}, strings.NewReader(test.body))
+		if status != test.status || !strings.Contains(text, test.wantText) {
+			t.Errorf("%s, %s: %d %s", test.method, test.name, status, text)
 		}
 	}
-	if status, text := office.serveDirect("PUT", "/settings", http.Header{"If-Match": {"5"}}, truncatedBody{strings.NewReader(next)}); status != 400 || !strings.Contains(text, "body") {
-		t.Errorf("a body that ends early: %d %s", status, text)
+	if status, text := s.serveDirect("PUT", "/settings", http.Header{"If-Match": {"5"}}, truncatedBody{strings.NewReader(next)}); status != 400 || !strings.Contains(text, "body") {
+		t.Errorf("truncated body: %d %s", status, text)
 	}
-	after, _ := office.updates.Get("spec")
-	_, emptied := office.updates.Get("evacuation/hall")
-	if status, text := office.do("GET", "/settings", "", ""); status != 200 || text != validConfig || after.Version != before.Version || emptied {
-		t.Fatalf("something changed: %d %s, news %d, emptied %v", status, text, after.Version, emptied)
+	after, _ := s.updates.Get("spec")
+	_, drained := s.updates.Get("evacuation/hall")
+	if status, text := s.do("GET", "/settings", "", ""); status != 200 || text != validConfig || after.Version != before.Version || drained {
+		t.Fatalf("something changed: %d %s, version %d, drained %v", status, text, after.Version, drained)
 	}
-	if status, text := office.do("PUT", "/settings", `"5"`, next); status != 200 {
-		t.Fatalf("a good one after them: %d %s", status, text)
+	if status, text := s.do("PUT", "/settings", `"5"`, next); status != 200 {
+		t.Fatalf("a valid request after them: %d %s", status, text)
 	}
 }
 
-// TestServe_rejectsInvalidZones asks for zones that there are not, by names
-// close to one that there is, and with bodies that are too long or not whole. A
-// short body says nothing, whatever it holds.
+// TestServe_rejectsInvalidZones names zones that do not exist, by names close to
+// one that does, and sends bodies that are too long or truncated. A short body is
+// ignored, whatever it holds.
 func TestServe_rejectsInvalidZones(t *testing.T) {
-	office := newTestServer(t)
+	s := newTestServer(t)
 	names := []string{
 		"hal", "halll", "Hall", "hall%20", "%20hall", "hall%00", "%00", "hall%0A", "hall%0D%0Ax", "hall.", ".", "%2e%2e", "*", "%25", "h%C3%A4ll",
 		"%EF%BD%88all", "hall%2Fhall", "hall;x=1", "hall,hall", "%22hall%22", "evacuation%2Fhall", strings.Repeat("hall", 500),
 	}
 	for _, name := range names {
 		for _, method := range []string{"POST", "DELETE"} {
-			if status, text := office.serveDirect(method, "/empty/"+name, nil, nil); status != 404 || len(text) > 5000 {
+			if status, text := s.serveDirect(method, "/empty/"+name, nil, nil); status != 404 || len(text) > 5000 {
 				t.Errorf("%s %s: %d %s", method, name, status, text)
 			}
 		}
 	}
 	for _, method := range []string{"POST", "DELETE"} {
-		if status, text := office.serveDirect(method, "/empty/hall", nil, strings.NewReader(strings.Repeat(" ", 4001))); status != 413 || !strings.Contains(text, "body: over 4000 bytes") {
+		if status, text := s.serveDirect(method, "/empty/hall", nil, strings.NewReader(strings.Repeat(" ", 4001))); status != 413 || !strings.Contains(text, "body: over 4000 bytes") {
 			t.Errorf("%s, over the limit: %d %s", method, status, text)
 		}
-		if status, text := office.serveDirect(method, "/empty/hall", nil, truncatedBody{strings.NewReader("{}")}); status != 400 || !strings.Contains(text, "body: it is not whole") {
-			t.Errorf("%s, torn: %d %s", method, status, text)
+		if status, text := s.serveDirect(method, "/empty/hall", nil, truncatedBody{strings.NewReader("{}")}); status != 400 || !strings.Contains(text, "body: it is not whole") {
+			t.Errorf("%s, truncated: %d %s", method, status, text)
 		}
 	}
 	for _, method := range []string{"GET", "PUT", "PATCH", "HEAD", "post"} {
-		if status, text := office.serveDirect(method, "/empty/hall", nil, nil); status != 404 {
+		if status, text := s.serveDirect(method, "/empty/hall", nil, nil); status != 404 {
 			t.Errorf("%s: %d %s", method, status, text)
 		}
 	}
-	if item, told := office.updates.Get("evacuation/hall"); told {
+	if item, ok := s.updates.Get("evacuation/hall"); ok {
 		t.Fatalf("something changed: %+v", item)
 	}
 	for _, body := range []string{"", "{}", "x", `{"zone":"other"}`} {
-		before, _ := office.updates.Get("evacuation/hall")
+		before, _ := s.updates.Get("evacuation/hall")
 		for _, method := range []string{"POST", "DELETE"} {
-			if status, text := office.serveDirect(method, "/empty/hall", nil, strings.NewReader(body)); status != 200 {
+			if status, text := s.serveDirect(method, "/empty/hall", nil, strings.NewReader(body)); status != 200 {
 				t.Errorf("%s with %q: %d %s", method, body, status, text)
 			}
 		}
-		if after, _ := office.updates.Get("evacuation/hall"); after.Version != before.Version+2 {
+		if after, _ := s.updates.Get("evacuation/hall"); after.Version != before.Version+2 {
 			t.Errorf("with %q: from %d to %d", body, before.Version, after.Version)
 		}
 	}
 }
 
-// TestServe_rejectsContradictoryHeaders sends heads that contradict themselves
-// over a connection.
+// TestServe_rejectsContradictoryHeaders sends contradictory headers over a raw
+// connection.
 func TestServe_rejectsContradictoryHeaders(t *testing.T) {
-	office := newTestServer(t)
+	s := newTestServer(t)
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(validConfig))
-	heads := map[string]string{
+	headers := map[string]string{
 		"two lengths":            length + "Content-Length: 7\r\nIf-Match: 0\r\n",
 		"no number for a length": "Content-Length: x\r\nIf-Match: 0\r\n",
 		"an odd coding":          "Transfer-Encoding: odd\r\nIf-Match: 0\r\n",
@@ -161,62 +160,62 @@
 		"a space in a name":      length + "If-Match : 0\r\n",
 		"a folded version":       length + "If-Match: 0\r\n 1\r\n",
 	}
-	for name, head := range heads {
-		link, err := net.Dial("tcp", office.server.Listener.Addr().String())
+	for name, header := range headers {
+		conn, err := net.Dial("tcp", s.server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = fmt.Fprintf(link, "PUT /settings HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%s\r\n%s", head, validConfig)
-		told, err := http.ReadResponse(bufio.NewReader(link), nil)
-		if err != nil || told.StatusCode/100 != 4 && told.StatusCode != http.StatusNotImplemented {
-			t.Errorf("%s: %+v %v", name, told, err)
+		_, _ = fmt.Fprintf(conn, "PUT /settings HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%s\r\n%s", header, validConfig)
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || resp.StatusCode/100 != 4 && resp.StatusCode != http.StatusNotImplemented {
+			t.Errorf("%s: %+v %v", name, resp, err)
 		}
-		_ = link.Close()
+		_ = conn.Close()
 	}
-	if item, told := office.updates.Get("spec"); told {
+	if item, ok := s.updates.Get("spec"); ok {
 		t.Fatalf("something changed: %+v", item)
 	}
-	if status, text := office.do("PUT", "/settings", "0", validConfig); status != 200 {
-		t.Fatalf("a good one after them: %d %s", status, text)
+	if status, text := s.do("PUT", "/settings", "0", validConfig); status != 200 {
+		t.Fatalf("a valid request after them: %d %s", status, text)
 	}
 }
 
-// serveDirect asks without a network between; the path is taken as it is.
-func (t *testServer) serveDirect(method string, path string, header http.Header, body io.Reader) (int, string) {
+// serveDirect serves a request without a network; the path is taken as it is.
+func (s *testServer) serveDirect(method string, path string, header http.Header, body io.Reader) (int, string) {
 	recorder := httptest.NewRecorder()
-	request := httptest.NewRequest(method, path, body)
+	req := httptest.NewRequest(method, path, body)
 	for name, values := range header {
 		if values != nil {
-			request.Header[name] = values
+			req.Header[name] = values
 		}
 	}
-	t.calls.ServeHTTP(recorder, request)
+	s.calls.ServeHTTP(recorder, req)
 	return recorder.Code, recorder.Body.String()
 }
 
-// TestServe_repeatsReturnOwnVersion repeats orders after others came into
-// force, and invalid as they would be by now.
+// TestServe_repeatsReturnOwnVersion repeats changes after others came into force,
+// on which they would be invalid by now.
 func TestServe_repeatsReturnOwnVersion(t *testing.T) {
-	office := newTestServer(t)
-	orders := []struct{ method, match, body, says string }{
+	s := newTestServer(t)
+	changes := []struct{ method, match, body, wantText string }{
 		{"PUT", "0", validConfig, `{"config_version":5}`},
 		{"PATCH", "5", `{"config_version":8,"remove":{"routes":["r"]}}`, `{"config_version":8}`},
 		{"PUT", "8", strings.Replace(validConfig, ":5", ":9", 1), `{"config_version":9}`},
 	}
 	for round := range 2 {
-		for _, order := range orders {
-			status, text := office.do(order.method, "/settings", order.match, order.body)
-			if status != 200 || text != order.says {
-				t.Errorf("round %d, %s on %s: %d %s", round, order.method, order.match, status, text)
+		for _, change := range changes {
+			status, text := s.do(change.method, "/settings", change.match, change.body)
+			if status != 200 || text != change.wantText {
+				t.Errorf("round %d, %s on %s: %d %s", round, change.method, change.match, status, text)
 			}
 		}
 	}
-	if told, _ := office.updates.Get("spec"); told.Version != 9 {
-		t.Errorf("the news are at %d", told.Version)
+	if item, _ := s.updates.Get("spec"); item.Version != 9 {
+		t.Errorf("gossip has version %d", item.Version)
 	}
 	recorder := httptest.NewRecorder()
 	response.FromKind(errkind.OutcomeExpired, "").Send(recorder)
 	if recorder.Code != 503 {
-		t.Errorf("%d for what is forgotten", recorder.Code)
+		t.Errorf("%d for an expired outcome", recorder.Code)
 	}
 }
