--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -142,10 +142,11 @@
 	c.addSingleton("census", func(holder *lease.Holder) func(ctx scope.Scope) {
 		reader := &discovery.Publisher{
 			Platform: common.NewPlatformClient(), Updates: common.Updates, Held: holder.Held,
-			Resign:   func(ctx scope.Scope) { holder.StandDown(ctx, pace.LeaseDuration) },
+			Clock: top.Clock, Log: top.Log, RatePerS: top.Settings.Platform.RatePerS,
+			Resign:   func(ctx context.Context) { holder.StandDown(top.WithContext(ctx), pace.LeaseDuration) },
 			Interval: pace.DiscoveryInterval, HeartbeatInterval: 2 * pace.DiscoveryInterval,
 		}
-		return reader.Run
+		return func(ctx scope.Scope) { reader.Run(ctx) }
 	})
 	c.addSingleton("plan", c.newAutoscaler(top))
 	orders := httpcall.NewMux(top, top.Settings.Limits.MemoryMB<<20/16)
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -26,7 +26,7 @@
 		HTTP: d.Network.Client(httpcall.ClientOptions{
 			Dialer: httpcall.Dialer{Timeout: pace.ConnectTimeout, UserTimeout: pace.PeerTimeout}, IdleTimeout: 4 * pace.PeerTimeout, MaxIdlePerHost: discovery.MaxConcurrentReads,
 		}),
-		Address: settings.Platform.Address, Zones: settings.ZoneNames(), Interval: pace.DiscoveryInterval,
+		Address: settings.Platform.Address, Zones: settings.ZoneNames(), Interval: pace.DiscoveryInterval, Clock: d.Scope.Clock,
 	}
 }
 
@@ -34,6 +34,7 @@
 func (d *Daemon) addListFallback(view *discovery.View) {
 	fallback := &discovery.Fallback{
 		Platform: d.NewPlatformClient(), View: view, Updates: d.Updates, Membership: d.Membership,
+		Clock: d.Scope.Clock, Log: d.Scope.Log, RatePerS: d.Scope.Settings.Platform.RatePerS,
 		RouterCount: d.Zones.RouterCount, Interval: TimingOf(d.Scope.Settings).DiscoveryInterval, Restart: !d.Scope.Settings.FirstStart,
 	}
 	d.Gossiper.MissingData = func() bool { return !view.Complete() }
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -1,66 +1,89 @@
 package discovery
 
 import (
+	"context"
 	"maps"
 	"slices"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/gossip"
 	"onyxwell/control/membership"
 	"onyxwell/control/transport"
 )
 
-// relayReaders is how many daemons of a zone read the list before any other does.
-const relayReaders = 2
+const (
+	// relayReaders is how many relays of a zone may poll before any other daemon.
+	relayReaders = 2
+	// checksPerInterval is how often in an interval the view's age is checked.
+	checksPerInterval = 4
+	// restartDivisor is the part of the interval, one in so many, after which a
+	// restarted daemon without a list considers polling.
+	restartDivisor = 16
+	// restartDelayDivisor is the part of the interval that a restarted daemon which
+	// is no relay leaves to others first.
+	restartDelayDivisor = 8
+)
 
-// Fallback reads the platform's list for its zone where no news of it comes:
-// because the zone is cut off from the holder of the duty, or because all daemons
-// were down. The zone's first relay reads at once and tells its zone; the second
-// waits for it, and all others wait for both, and then for a random while that
-// keeps them under the platform's rate together. After a start without any news
-// nobody can be waited for long, and the random while is all there is.
+// Fallback polls the platform for its own zone while the view is stale: the zone
+// is cut off from the lease's holder, or the whole fleet was down. The zone's
+// first relay polls at once and gossips the list within the zone; the second
+// leaves it an interval to do so, and all other daemons wait for both and then
+// for a random time that keeps them together within the platform's rate limit.
+// After a restart without a list only the random time is left.
 type Fallback struct {
 	Platform   *PlatformClient
 	View       *View
 	Updates    *gossip.Store
 	Membership *membership.Table
-	// RouterCount is how many routers there could be.
+	Clock      clock.Clock
+	Log        *log.Logger
+	// RatePerS is the platform's rate limit in calls a second; below 1 counts as 1.
+	RatePerS float64
+	// RouterCount estimates the routers of the whole fleet.
 	RouterCount func() int
-	// Interval is the time between two readings by the holder of the duty.
+	// Interval is the time between two polls by the lease's holder.
 	Interval clock.Span
-	// Restart says that others should have the list already: at a first start, the
-	// holder is waited for.
+	// Restart says that the fleet ran before, so that a list should exist already.
+	// At a first start the lease's holder is waited for.
 	Restart bool
 }
 
-// checksPerInterval is how many looks there are in the time between two readings.
-const checksPerInterval = 4
-
-// Run looks after the list until the scope ends.
-func (f *Fallback) Run(ctx scope.Scope) {
-	for ctx.Wait(f.checkInterval()) {
-		if !f.due(ctx.Now()) || !ctx.Wait(f.startDelay(ctx)) || f.View.Fresh() {
+// Run keeps the view from going stale until ctx ends.
+func (f *Fallback) Run(ctx context.Context) {
+	for clock.Wait(ctx, f.Clock, f.checkInterval()) {
+		if !f.due(f.Clock.Now()) || !clock.Wait(ctx, f.Clock, f.startDelay()) || f.View.Fresh() {
 			continue
 		}
 		f.Poll(ctx)
 	}
 }
 
-const (
-	// restartDivisor is the part, one in so many, of the time between two readings that
-	// passes before a daemon which starts anew thinks of reading the list itself.
-	restartDivisor = 16
-	// restartDelayDivisor is the part that one which is no relay waits for others then.
-	restartDelayDivisor = 8
-)
+// Poll reads the list once and gossips it within the zone.
+func (f *Fallback) Poll(ctx context.Context) {
+	f.Log.Info().Str("part", logPart).Msg("endpoint list stale, polling platform for own zone")
+	lists, err := f.Platform.List(ctx)
+	if err != nil {
+		f.Log.Warn().Str("part", logPart).Err(err).Msg("platform poll failed")
+		return
+	}
+	var list List
+	for _, zone := range slices.Sorted(maps.Keys(lists)) {
+		list.Runners = append(list.Runners, lists[zone].Runners...)
+	}
+	self := f.Membership.Self()
+	if body, err := transport.Marshal(list); err == nil {
+		f.Updates.PutNext(LocalKey(self.Zone), self.Address, body)
+	}
+}
 
-// restarting tells whether this daemon starts anew and has no list yet.
+// restarting reports whether this daemon was restarted and has no list yet.
 func (f *Fallback) restarting() bool { return f.Restart && !f.View.Complete() }
 
-// checkInterval is the time until the next look at the list.
+// checkInterval is the time until the view's age is checked again.
 func (f *Fallback) checkInterval() clock.Span {
 	if f.restarting() {
 		return f.Interval / restartDivisor
@@ -68,50 +91,33 @@
 	return f.Interval / checksPerInterval
 }
 
-// due tells whether the list is missing or too old.
+// due reports whether the list is missing or stale.
 func (f *Fallback) due(now clock.Instant) bool {
 	if f.View.Fresh() {
 		return false
 	}
-	patience := f.View.options.MaxAge
+	maxAge := f.View.options.MaxAge
 	if f.restarting() {
-		patience = f.Interval / restartDivisor
+		maxAge = f.Interval / restartDivisor
 	}
-	return now.Since(f.View.ConfirmedAt()) >= patience
+	return now.Since(f.View.ConfirmedAt()) >= maxAge
 }
 
-// startDelay is how long this daemon leaves the reading to others of its zone.
-func (f *Fallback) startDelay(ctx scope.Scope) clock.Span {
+// startDelay is how long this daemon leaves the poll to others of its zone.
+func (f *Fallback) startDelay() clock.Span {
 	self := f.Membership.Self()
 	relays := f.Membership.Relays(self.Zone, relayReaders)
-	// A router that knows nobody yet is no relay: somebody will tell it the list.
-	alone := len(relays) == 1 && !self.ServesControl
-	for place, relay := range relays {
-		if relay.Address == self.Address && !alone {
-			return clock.Span(place) * f.Interval
+	// A router that is its zone's only relay has most likely met nobody yet;
+	// once it does, it is told the list.
+	isolated := len(relays) == 1 && !self.ServesControl
+	for rank, relay := range relays {
+		if relay.Address == self.Address && !isolated {
+			return clock.Span(rank) * f.Interval
 		}
 	}
-	crowd := settings.Seconds(rateDivisor * float64(max(1, f.RouterCount())) / max(1, ctx.Settings.Platform.RatePerS))
+	jitter := random.Duration(settings.Seconds(rateDivisor * float64(max(1, f.RouterCount())) / max(1, f.RatePerS)))
 	if f.restarting() {
-		return f.Interval/restartDelayDivisor + random.Duration(crowd)
-	}
-	return relayReaders*f.Interval + random.Duration(crowd)
-}
-
-// Poll reads the list once and tells it to the zone.
-func (f *Fallback) Poll(ctx scope.Scope) {
-	ctx.Log.Info().Str("part", "census").Msg("no news of it: the platform is asked from here")
-	parts, err := f.Platform.List(ctx)
-	if err != nil {
-		ctx.Log.Warn().Str("part", "census").Err(err).Msg("the platform did not answer")
-		return
-	}
-	var list List
-	for _, zone := range slices.Sorted(maps.Keys(parts)) {
-		list.Runners = append(list.Runners, parts[zone].Runners...)
-	}
-	self := f.Membership.Self()
-	if body, err := transport.Marshal(list); err == nil {
-		f.Updates.PutNext(LocalKey(self.Zone), self.Address, body)
+		return f.Interval/restartDelayDivisor + jitter
 	}
+	return relayReaders*f.Interval + jitter
 }
--- /dev/null
+++ b/control/discovery/fallback_test.go
@@ -0,0 +1,65 @@
+package discovery
+
+import (
+	"testing"
+
+	"onyxwell/base/clock"
+	"onyxwell/base/ids"
+	"onyxwell/control/membership"
+)
+
+func newMember(address ids.Address, servesControl bool) membership.Member {
+	return membership.Member{Address: address, Zone: "a", Region: "r", ServesControl: servesControl, Incarnation: 1}
+}
+
+// newFallback makes the fallback of a daemon that knows the others of its zone, in
+// a fleet of 50 routers and a platform that takes 100 calls a second.
+func newFallback(fake *clock.Fake, self membership.Member, others ...membership.Member) *Fallback {
+	table := membership.NewTable(fake, self)
+	table.Merge(others)
+	return &Fallback{
+		Membership: table, View: NewView(ViewOptions{Clock: fake, MaxAge: maxAge}), Clock: fake,
+		Interval: clock.Second, RatePerS: 100, RouterCount: func() int { return 50 },
+	}
+}
+
+func TestFallback_relaysReadFirst(t *testing.T) {
+	fake := clock.NewFake()
+	controller, first, second := newMember("1:1", true), newMember("2:1", false), newMember("3:1", false)
+	if delay := newFallback(fake, controller, first, second).startDelay(); delay != 0 {
+		t.Errorf("the first relay waits %v", delay)
+	}
+	relays := newFallback(fake, first, controller, second).Membership.Relays("a", relayReaders)
+	for _, self := range []membership.Member{first, second} {
+		delay := newFallback(fake, self, controller, first, second).startDelay()
+		isRelay := self.Address == relays[1].Address
+		if (isRelay && delay != clock.Second) || (!isRelay && (delay < 2*clock.Second || delay > 3*clock.Second)) {
+			t.Errorf("%s waits %v", self.Address, delay)
+		}
+	}
+	if delay := newFallback(fake, first).startDelay(); delay < 2*clock.Second {
+		t.Errorf("an isolated router waits %v", delay)
+	}
+	fallback := newFallback(fake, first)
+	fallback.Restart = true
+	if delay := fallback.startDelay(); delay < clock.Second/restartDelayDivisor || delay > clock.Second/restartDelayDivisor+clock.Second {
+		t.Errorf("a restarted router waits %v", delay)
+	}
+}
+
+func TestFallback_dueSoonAfterRestart(t *testing.T) {
+	fake := clock.NewFake()
+	fallback := newFallback(fake, newMember("1:1", true))
+	fallback.Restart = true
+	if fallback.due(fake.Now()) {
+		t.Error("due right at the restart")
+	}
+	fake.Advance(clock.Second / restartDivisor)
+	if !fallback.due(fake.Now()) {
+		t.Error("not due after a restart of the whole fleet")
+	}
+	fallback.Restart = false
+	if fallback.due(fake.Now()) {
+		t.Error("due at a first start, where the lease's holder is waited for")
+	}
+}
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -1,9 +1,11 @@
 package discovery
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"net/url"
+	"slices"
 	"sync"
 
 	"onyxwell/base/clock"
@@ -13,13 +15,28 @@
 	"onyxwell/base/scope"
 )
 
-// PageRequest asks for one page of the list; without a zone, of all zones.
+const (
+	// MaxConcurrentReads is how many zones are read at the same time.
+	MaxConcurrentReads = 8
+	// maxPages bounds a list whose pages never end.
+	maxPages = 200
+	// minPagesByZone is how many pages a list must have to be read by zone: a
+	// shorter one takes fewer calls as a whole.
+	minPagesByZone = 4
+	// byZoneTimeoutIntervals is how many intervals a read by zone may take.
+	byZoneTimeoutIntervals = 4
+	// conditionReady is the platform's word for a runner that takes requests.
+	conditionReady = "ready"
+)
+
+// PageRequest asks for one page of the list of a zone, or of all zones where
+// Zone is empty. Token continues after an earlier page.
 type PageRequest struct {
 	Zone  ids.Zone
 	Token string
 }
 
-// Outgoing makes the call.
+// Outgoing implements httpcall.Requester.
 func (p PageRequest) Outgoing() httpcall.Outgoing {
 	query := url.Values{}
 	if p.Zone != "" {
@@ -35,12 +52,22 @@
 	return httpcall.Outgoing{Method: http.MethodGet, Path: path}
 }
 
-// Page is one page of the list.
+// Page is one page of the list; Next is the token of the next one, if any.
 type Page struct {
 	Servers []entry `json:"servers"`
 	Next    *string `json:"next_token"`
 }
 
+// Hear implements httpcall.ResponseReader. Any status but 200 is an error of
+// kind errkind.NotReady.
+func (p *Page) Hear(resp httpcall.RawResponse) error {
+	if resp.Status != http.StatusOK {
+		return errkind.Errorf(errkind.NotReady, "the platform answered %d", resp.Status)
+	}
+	return json.Unmarshal(resp.Body, p)
+}
+
+// entry is a runner as the platform describes it.
 type entry struct {
 	ID           ids.RunnerID    `json:"id"`
 	Service      ids.Service     `json:"service"`
@@ -56,66 +83,48 @@
 func (e entry) runner() Runner {
 	return Runner{
 		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone,
-		Version: string(e.Version), Capacity: e.Capacity, Draining: e.Condition != "ready",
+		Version: string(e.Version), Capacity: e.Capacity, Draining: e.Condition != conditionReady,
 		WarmupLeftMS: int64(e.WarmupLeftMS), TimeLeftMS: int64(e.TimeLeftMS),
 	}
 }
 
-// Hear reads the page.
-func (p *Page) Hear(heard httpcall.RawResponse) error {
-	if heard.Status != http.StatusOK {
-		return errkind.Errorf(errkind.NotReady, "the platform answered %d", heard.Status)
-	}
-	return json.Unmarshal(heard.Body, p)
-}
-
-const (
-	// maxPages ends a list whose pages never end.
-	maxPages = 200
-	// MaxConcurrentReads is how many zones are read at the same time.
-	MaxConcurrentReads = 8
-	// minPagesByZone is how many pages a list must have for it to be read by zone:
-	// a short one is read with fewer calls as a whole.
-	minPagesByZone = 4
-)
-
-// PlatformClient reads the platform's list. A short list is read page after page. One
-// whose pages together take too long is read zone by zone, several zones at the
-// same time, so that the time for it grows with the largest zone and not with the
-// whole.
+// PlatformClient reads the platform's list of runners. A short list is read page
+// after page. One whose pages together take more than half an interval is read
+// by zone from then on, several zones at a time, so that the time grows with the
+// largest zone and not with the fleet. It is not safe for concurrent use.
 type PlatformClient struct {
 	HTTP    *http.Client
 	Address ids.Address
-	// Zones are those that the settings name; zones in which runners were listed
-	// are read as well.
+	Clock   clock.Clock
+	// Zones are the zones to read by; those in which runners were listed before
+	// are added to them.
 	Zones []ids.Zone
-	// Interval is the time between two readings: a whole reading may take half of it,
-	// before the list is read by zone, and one page may take all of it.
+	// Interval is the time between two polls. It is also the timeout of one page,
+	// and of a list that is read as a whole.
 	Interval clock.Span
 
 	byZone      bool
 	listedZones map[ids.Zone]bool
-	// LastPages is how many pages the last reading asked for.
+	// LastPages is how many pages the last call of List fetched.
 	LastPages int
 }
 
-// List reads the whole list, by zone. It is not to be called by two at once.
-func (p *PlatformClient) List(ctx scope.Scope) (map[ids.Zone]List, error) {
+// List reads the complete list, grouped by zone. It gives a complete list or an
+// error: a list with a hole would declare the runners in it gone.
+func (p *PlatformClient) List(ctx context.Context) (map[ids.Zone]List, error) {
 	if p.byZone {
 		return p.listByZone(ctx)
 	}
-	begin := ctx.Now()
-	short, release := ctx.WithTimeout(p.Interval)
-	defer release()
-	list, pages, err := p.listPages(short, "")
+	started := p.Clock.Now()
+	limited, cancel := p.Clock.WithTimeout(ctx, p.Interval)
+	defer cancel()
+	list, pages, err := p.listPages(limited, "")
 	p.LastPages = pages
-	if pages >= minPagesByZone && ctx.Now().Since(begin) > p.Interval/2 {
-		p.byZone = true
+	p.byZone = pages >= minPagesByZone && p.Clock.Now().Since(started) > p.Interval/2
+	if err != nil && p.byZone {
+		return p.listByZone(ctx)
 	}
 	if err != nil {
-		if p.byZone {
-			return p.listByZone(ctx)
-		}
 		return nil, err
 	}
 	if p.listedZones == nil {
@@ -127,79 +136,80 @@
 	return groupByZone(list.Runners, p.zones()), nil
 }
 
-// ByZone tells whether the list is so long that it is read by zone.
+// ByZone reports whether the list is long enough to be read by zone.
 func (p *PlatformClient) ByZone() bool { return p.byZone }
 
-// zones are those of the settings and those in which runners were seen.
+// zones gives the configured zones and those in which runners were listed.
 func (p *PlatformClient) zones() []ids.Zone {
-	zones := append([]ids.Zone(nil), p.Zones...)
-	named := map[ids.Zone]bool{}
+	zones := slices.Clone(p.Zones)
+	configured := map[ids.Zone]bool{}
 	for _, zone := range zones {
-		named[zone] = true
+		configured[zone] = true
 	}
 	for zone := range p.listedZones {
-		if !named[zone] {
+		if !configured[zone] {
 			zones = append(zones, zone)
 		}
 	}
 	return zones
 }
 
-// listByZone reads each zone's list. A zone that can't be read fails the reading:
-// a list with a hole says of the runners in it that they are gone.
-func (p *PlatformClient) listByZone(ctx scope.Scope) (map[ids.Zone]List, error) {
-	short, release := ctx.WithTimeout(4 * p.Interval)
-	defer release()
-	var lock sync.Mutex
-	var group sync.WaitGroup
-	var failed error
-	parts, calls := map[ids.Zone]List{}, 0
-	places := make(chan struct{}, MaxConcurrentReads)
+// listByZone reads the zones' lists concurrently. One zone that fails fails all.
+func (p *PlatformClient) listByZone(ctx context.Context) (map[ids.Zone]List, error) {
+	ctx, cancel := p.Clock.WithTimeout(ctx, byZoneTimeoutIntervals*p.Interval)
+	defer cancel()
+	var (
+		mu      sync.Mutex
+		wg      sync.WaitGroup
+		lists   = map[ids.Zone]List{}
+		fetched int
+		failed  error
+	)
+	slots := make(chan struct{}, MaxConcurrentReads)
 	for _, zone := range p.zones() {
-		places <- struct{}{}
-		group.Add(1)
-		go func() {
-			defer group.Done()
-			list, pages, err := p.listPages(short, zone)
-			lock.Lock()
-			defer lock.Unlock()
-			calls += pages
-			parts[zone] = list
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			list, pages, err := p.listPages(ctx, zone)
+			mu.Lock()
+			defer mu.Unlock()
+			fetched += pages
+			lists[zone] = list
 			if err != nil {
 				failed = err
 			}
-			<-places
-		}()
+		})
 	}
-	group.Wait()
-	p.LastPages = calls
+	wg.Wait()
+	p.LastPages = fetched
 	if failed != nil {
 		return nil, failed
 	}
-	return parts, nil
+	return lists, nil
 }
 
-// listPages reads one page after another; it tells how many were asked for.
-func (p *PlatformClient) listPages(ctx scope.Scope, zone ids.Zone) (List, int, error) {
-	list, token := List{}, ""
-	for pages := 1; pages <= maxPages; pages++ {
-		page, err := p.fetchPage(ctx, PageRequest{Zone: zone, Token: token})
+// listPages reads one page after another. The number of pages counts those that
+// failed, too.
+func (p *PlatformClient) listPages(ctx context.Context, zone ids.Zone) (list List, pages int, err error) {
+	req := PageRequest{Zone: zone}
+	for pages = 1; pages <= maxPages; pages++ {
+		page, err := p.fetchPage(ctx, req)
 		if err != nil {
 			return List{}, pages, err
 		}
-		for _, listed := range page.Servers {
-			list.Runners = append(list.Runners, listed.runner())
+		for _, server := range page.Servers {
+			list.Runners = append(list.Runners, server.runner())
 		}
 		if page.Next == nil || *page.Next == "" {
 			return list, pages, nil
 		}
-		token = *page.Next
+		req.Token = *page.Next
 	}
 	return List{}, maxPages, errkind.Errorf(errkind.Internal, "the platform's list has no end")
 }
 
-func (p *PlatformClient) fetchPage(ctx scope.Scope, ask PageRequest) (Page, error) {
-	short, release := ctx.WithTimeout(p.Interval)
-	defer release()
-	return httpcall.Do[Page](short, p.HTTP, p.Address, ask)
+func (p *PlatformClient) fetchPage(ctx context.Context, req PageRequest) (Page, error) {
+	limited, cancel := p.Clock.WithTimeout(ctx, p.Interval)
+	defer cancel()
+	return httpcall.Do[Page](scope.Scope{Context: limited}, p.HTTP, p.Address, req)
 }
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -1,135 +1,142 @@
 package discovery
 
 import (
+	"context"
 	"maps"
 	"slices"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/gossip"
 	"onyxwell/control/transport"
 )
 
 const (
-	// maxFailures is how many readings in a row may fail before the duty is
-	// given back: another controller may reach the platform.
+	// maxFailures is how many polls in a row may fail before the lease is
+	// resigned: another controller may reach the platform.
 	maxFailures = 2
-	// unchangedThreshold is after how many readings in a row that found nothing new the
-	// list is read half as often.
+	// unchangedThreshold is after how many polls in a row without a change the
+	// interval grows by unchangedBackoff.
 	unchangedThreshold = 6
 	unchangedBackoff   = 2
-	// rateDivisor is the part, one in so many, of the platform's rate that the holder
-	// of the duty uses at most.
+	// rateDivisor is the part, one in so many, of the platform's rate limit that
+	// polls may use.
 	rateDivisor = 2
+	// minDelayDivisor is the part of the interval, one in so many, that passes at
+	// least between the end of a poll and the next.
+	minDelayDivisor = 4
 )
 
-// Publisher reads the platform's list while it holds the duty, and makes news of
-// the zones whose part changed.
+// Publisher polls the platform's list while it holds the discovery lease, and
+// publishes by gossip the lists of the zones that changed. Every item's version
+// carries the lease's epoch, so that an item of a holder that was superseded
+// never replaces one of its successor. Run is the only caller of Poll.
 type Publisher struct {
 	Platform *PlatformClient
 	Updates  *gossip.Store
-	// Held tells whether the duty is held, and under which epoch.
-	Held func(now clock.Instant) (int64, bool)
-	// Resign gives the duty back; it may be left out.
-	Resign func(inner scope.Scope)
-	// Interval is the time from one reading to the next; for a list that is read as a
-	// whole it is twice as long while nothing changes.
+	Clock    clock.Clock
+	Log      *log.Logger
+	// RatePerS is the platform's rate limit in calls a second; 0 for none.
+	RatePerS float64
+	// Held reports whether the lease is held at an instant, and its epoch.
+	Held func(now clock.Instant) (epoch int64, held bool)
+	// Resign gives the lease up; it may be nil.
+	Resign func(ctx context.Context)
+	// Interval is the time from one poll to the next. It doubles while nothing
+	// changes, unless the list is read by zone.
 	Interval clock.Span
-	// HeartbeatInterval is how often it is told that nothing changed, so that all know that the
-	// list is fresh.
+	// HeartbeatInterval is the time between two heartbeats of an unchanged list.
 	HeartbeatInterval clock.Span
 
+	// epoch is the one under which the lists in published were published.
+	epoch     int64
+	published map[ids.Zone]publishedZone
+	// sequence numbers the published items; a new epoch does not restart it.
 	sequence      int64
 	lastHeartbeat clock.Instant
-	published     map[ids.Zone]publishedZone
-	// epoch is the one under which the parts were told.
-	epoch    int64
-	failures int
-	// unchanged counts the readings in a row that found nothing new.
+	// failures and unchanged count polls in a row.
+	failures  int
 	unchanged int
 }
 
-// publishedZone is a zone's part as it was last told.
+// publishedZone is a zone's list as last published.
 type publishedZone struct {
 	list   List
 	serial ids.Serial
 }
 
-// Run reads the list until the scope ends.
-func (p *Publisher) Run(ctx scope.Scope) {
-	for spent := clock.Span(0); ctx.Wait(max(p.delay(ctx)-spent, p.Interval/minDelayDivisor)); {
-		begin := ctx.Now()
+// Run polls until ctx ends. The interval includes the time that a poll takes.
+func (p *Publisher) Run(ctx context.Context) {
+	elapsed := clock.Span(0)
+	for clock.Wait(ctx, p.Clock, max(p.delay()-elapsed, p.Interval/minDelayDivisor)) {
+		started := p.Clock.Now()
 		p.Poll(ctx)
-		spent = ctx.Now().Since(begin)
+		elapsed = p.Clock.Now().Since(started)
 	}
 }
 
-// minDelayDivisor is the part, one in so many, of the time for a reading that there is at
-// least between two.
-const minDelayDivisor = 4
-
-// delay is the time from one reading to the next: longer where nothing changes, and
-// where the pages of one are so many that the platform's rate would be passed.
-func (p *Publisher) delay(ctx scope.Scope) clock.Span {
-	every := p.Interval
+// delay is the time from one poll to the next: the interval with its backoff, or
+// as much as the pages of one poll need under the platform's rate limit.
+func (p *Publisher) delay() clock.Span {
+	delay := p.Interval
 	if p.unchanged >= unchangedThreshold && !p.Platform.ByZone() {
-		every *= unchangedBackoff
+		delay *= unchangedBackoff
 	}
-	rate := ctx.Settings.Platform.RatePerS
-	if rate <= 0 {
-		return every
+	if p.RatePerS <= 0 {
+		return delay
 	}
-	return max(every, clock.Span(float64(rateDivisor*p.Platform.LastPages)/rate*float64(clock.Second)))
+	return max(delay, clock.Span(float64(rateDivisor*p.Platform.LastPages)/p.RatePerS*float64(clock.Second)))
 }
 
-// Poll reads the list once and makes news of what changed.
-func (p *Publisher) Poll(ctx scope.Scope) {
-	before, held := p.Held(ctx.Now())
+// Poll reads the list once and publishes what changed. A list that was read
+// under an earlier epoch is discarded: another holder may have published a newer
+// one in between.
+func (p *Publisher) Poll(ctx context.Context) {
+	before, held := p.Held(p.Clock.Now())
 	if !held {
 		p.failures, p.unchanged = 0, 0
 		return
 	}
-	parts, err := p.Platform.List(ctx)
+	lists, err := p.Platform.List(ctx)
 	if err != nil {
-		ctx.Log.Warn().Str("part", "census").Err(err).Msg("the platform did not answer")
+		p.Log.Warn().Str("part", logPart).Err(err).Msg("platform poll failed")
 		p.recordFailure(ctx)
 		return
 	}
 	p.failures = 0
-	now := ctx.Now()
+	now := p.Clock.Now()
 	epoch, held := p.Held(now)
 	if !held || epoch != before {
 		return
 	}
-	p.publish(epoch, parts, now)
+	p.publish(epoch, lists, now)
 }
 
-func (p *Publisher) recordFailure(ctx scope.Scope) {
+func (p *Publisher) recordFailure(ctx context.Context) {
 	if p.failures++; p.failures >= maxFailures && p.Resign != nil {
 		p.failures = 0
-		ctx.Log.Info().Str("part", "census").Msg("the duty is given back: the platform is not reached from here")
+		p.Log.Info().Str("part", logPart).Msg("discovery lease resigned: platform unreachable")
 		p.Resign(ctx)
 	}
 }
 
-// publish makes news of the parts that changed, and now and then of the beat.
-// Another may have told newer parts between two holds, or asked for them and be
-// frozen since: so a hold begins with all parts under its own epoch.
-func (p *Publisher) publish(epoch int64, parts map[ids.Zone]List, now clock.Instant) {
+// publish publishes the lists that changed, and a heartbeat with each change and
+// once an interval. Under a new epoch every list is published: another holder may
+// have published newer ones, or read some before it froze.
+func (p *Publisher) publish(epoch int64, lists map[ids.Zone]List, now clock.Instant) {
 	if epoch != p.epoch {
 		p.epoch, p.published = epoch, map[ids.Zone]publishedZone{}
-		p.addRemovedZones(parts)
+		p.addRemovedZones(lists)
 	}
 	changed := false
-	for _, zone := range slices.Sorted(maps.Keys(parts)) {
-		last, told := p.published[zone]
-		known, _ := p.Updates.Get(ZoneKey(zone))
-		if told && known.Version == last.serial && parts[zone].equivalent(last.list) {
+	for _, zone := range slices.Sorted(maps.Keys(lists)) {
+		if p.upToDate(zone, lists[zone]) {
 			continue
 		}
 		changed = true
-		p.published[zone] = publishedZone{list: parts[zone], serial: publishItem(p, ZoneKey(zone), parts[zone])}
+		p.published[zone] = publishedZone{list: lists[zone], serial: publishItem(p, ZoneKey(zone), lists[zone])}
 	}
 	p.unchanged++
 	if changed {
@@ -141,31 +148,40 @@
 	}
 }
 
-// addRemovedZones adds zones that others told of and the platform names no more, without
-// any runners.
-func (p *Publisher) addRemovedZones(parts map[ids.Zone]List) {
+// upToDate reports whether the zone's list is what this publisher published last
+// and the gossip store still holds.
+func (p *Publisher) upToDate(zone ids.Zone, list List) bool {
+	last, ok := p.published[zone]
+	current, _ := p.Updates.Get(ZoneKey(zone))
+	return ok && current.Version == last.serial && list.equivalent(last.list)
+}
+
+// addRemovedZones adds an empty list for each published zone that the platform
+// no longer names.
+func (p *Publisher) addRemovedZones(lists map[ids.Zone]List) {
 	for _, item := range p.Updates.WithPrefix(ZoneKeyPrefix) {
 		zone, _ := zoneOfKey(item.Key)
-		if _, listed := parts[zone]; !listed {
-			parts[zone] = List{}
+		if _, listed := lists[zone]; !listed {
+			lists[zone] = List{}
 		}
 	}
 }
 
+// digest combines the digests of all published zones.
 func (p *Publisher) digest() int64 {
 	digest := int64(0)
-	for zone, part := range p.published {
-		digest ^= zoneDigest(zone, part.serial)
+	for zone, published := range p.published {
+		digest ^= zoneDigest(zone, published.serial)
 	}
 	return digest
 }
 
-// publishItem makes news of a message under the next serial.
-func publishItem[Message any](r *Publisher, key string, message Message) ids.Serial {
-	r.sequence++
-	serial := FencedSerial(r.epoch, r.sequence)
+// publishItem puts a message into the gossip store under the next serial.
+func publishItem[Message any](p *Publisher, key string, message Message) ids.Serial {
+	p.sequence++
+	serial := FencedSerial(p.epoch, p.sequence)
 	if body, err := transport.Marshal(message); err == nil {
-		r.Updates.Put(gossip.Item{Key: key, Version: serial, Body: body})
+		p.Updates.Put(gossip.Item{Key: key, Version: serial, Body: body})
 	}
 	return serial
 }
--- a/control/discovery/publisher_lease_test.go
+++ b/control/discovery/publisher_lease_test.go
@@ -1,78 +1,80 @@
 package discovery
 
 import (
+	"context"
 	"testing"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 )
 
 func TestPublisher_withoutLeaseDoesNotPoll(t *testing.T) {
-	reader, played, top, _ := newPublisher(t)
-	reader.Held = func(clock.Instant) (int64, bool) { return 3, false }
-	reader.Poll(top)
-	if asked := played.takeCalls(); len(asked) != 0 {
-		t.Fatalf("%v", asked)
+	f := newPublisherFixture(t)
+	f.Held = func(clock.Instant) (int64, bool) { return 3, false }
+	f.poll()
+	if calls := f.platform.takeCalls(); len(calls) != 0 {
+		t.Fatalf("%v", calls)
 	}
 }
 
 func TestPublisher_resignsWhenPlatformUnreachable(t *testing.T) {
-	reader, played, top, _ := newPublisher(t)
+	f := newPublisherFixture(t)
 	resigned := 0
-	reader.Resign = func(scope.Scope) { resigned++ }
-	played.down = true
+	f.Resign = func(context.Context) { resigned++ }
+	f.platform.down = true
 	for range maxFailures {
 		if resigned != 0 {
-			t.Fatal("given back too soon")
+			t.Fatal("resigned too soon")
 		}
-		reader.Poll(top)
+		f.poll()
 	}
 	if resigned != 1 {
-		t.Fatalf("given back %d times", resigned)
+		t.Fatalf("resigned %d times", resigned)
 	}
 }
 
-// TestPublisher_discardsListReadUnderEarlierEpoch has the duty end and come back under a new
-// epoch while the platform is asked: what was heard may be older than what
-// another told in between.
+// TestPublisher_discardsListReadUnderEarlierEpoch has the lease end and be granted
+// again under a new epoch during a poll: the list may be older than what another
+// holder published in between.
 func TestPublisher_discardsListReadUnderEarlierEpoch(t *testing.T) {
-	reader, played, top, _ := newPublisher(t)
+	f := newPublisherFixture(t)
 	epoch := int64(2)
-	reader.Held = func(clock.Instant) (int64, bool) { epoch++; return epoch, true }
-	reader.Poll(top)
-	if _, told := reader.Updates.Get(ZoneKey("a")); told || len(played.takeCalls()) == 0 {
-		t.Fatal("a list from before the hold is told under its epoch")
+	f.Held = func(clock.Instant) (int64, bool) { epoch++; return epoch, true }
+	f.poll()
+	if _, ok := f.Updates.Get(ZoneKey("a")); ok || len(f.platform.takeCalls()) == 0 {
+		t.Fatal("a list from before the grant was published under its epoch")
 	}
 }
 
-// TestPublisher_staleHolderOverridesNothing has a holder freeze right before it tells its
-// list, and wake long after its lease ended: whatever the holder of then has
-// told stays, also where it had nothing to say but that its list of before still
-// holds.
+// TestPublisher_staleHolderOverridesNothing has a holder freeze right before it
+// publishes, and wake long after its lease ended: whatever its successor published
+// stays, even if that was no more than a heartbeat of an unchanged list.
 func TestPublisher_staleHolderOverridesNothing(t *testing.T) {
-	reader, played, top, machine := newPublisher(t)
+	f := newPublisherFixture(t)
 	epoch, held := int64(1), true
-	reader.Held = func(clock.Instant) (int64, bool) { return epoch, held }
-	reader.Poll(top)
+	f.Held = func(clock.Instant) (int64, bool) { return epoch, held }
+	f.poll()
 	held = false
-	looks := 0
-	frozen := &Publisher{Platform: reader.Platform, Updates: reader.Updates, Interval: reader.Interval, HeartbeatInterval: reader.HeartbeatInterval}
+	checks := 0
+	frozen := &Publisher{
+		Platform: f.Platform, Updates: f.Updates, Clock: f.clock, Log: f.Log,
+		Interval: f.Interval, HeartbeatInterval: f.HeartbeatInterval,
+	}
 	frozen.Held = func(clock.Instant) (int64, bool) {
-		if looks++; looks == 2 {
-			// Its last look was in time; all this goes by before it acts on it.
+		if checks++; checks == 2 {
+			// The check was in time; all this happens before it is acted on.
 			epoch, held = 3, true
-			played.condition = "ready"
-			machine.Advance(10 * clock.Second)
-			reader.Poll(top)
+			f.platform.condition = "ready"
+			f.clock.Advance(10 * clock.Second)
+			f.poll()
 		}
 		return 2, true
 	}
-	played.condition = "draining"
-	frozen.Poll(top)
-	if list, serial := publishedList(t, reader.Updates, "a"); serial>>32 != 3 || list.Runners[0].Draining {
-		t.Fatalf("a frozen holder's list of epoch %d stands: %+v", serial>>32, list)
+	f.platform.condition = "draining"
+	frozen.Poll(context.Background())
+	if list, serial := f.publishedList(t, "a"); serial>>32 != 3 || list.Runners[0].Draining {
+		t.Fatalf("frozen holder's list of epoch %d stands: %+v", serial>>32, list)
 	}
-	if beat, _ := reader.Updates.Get(HeartbeatKey); beat.Version>>32 != 3 {
-		t.Fatalf("a frozen holder's beat of epoch %d stands", beat.Version>>32)
+	if serial := f.heartbeatSerial(); serial>>32 != 3 {
+		t.Fatalf("frozen holder's heartbeat of epoch %d stands", serial>>32)
 	}
 }
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"context"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -13,206 +14,216 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/base/settings"
 	"onyxwell/control/gossip"
 	"onyxwell/control/transport"
 )
 
 const serverJSON = `{"service":"s","address":"10.0.0.%d:80","zone":"%s","config_version":"v1","capacity":8,"condition":"%s","cold_left_ms":%d,"id":"i-%d"}`
 
-// fakePlatform is a scripted platform with one runner a page: two in zone a, one in
-// zone b.
+// fakePlatform serves a list with one runner a page.
 type fakePlatform struct {
-	mu           sync.Mutex
+	mu    sync.Mutex
+	clock *clock.Fake
+	// zones gives the zone of each runner.
+	zones        []string
 	condition    string
 	warmupLeftMS int
-	down         bool
-	calls        []string
+	// down has each call rejected.
+	down bool
 	// pageDelay is how long a page takes on the clock.
 	pageDelay clock.Span
-	clock     *clock.Fake
+	calls     []string
 }
 
-var runnerZones = []string{"a", "a", "b"}
-
-func (f *fakePlatform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (f *fakePlatform) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.calls = append(f.calls, request.URL.RequestURI())
+	f.calls = append(f.calls, req.URL.RequestURI())
 	f.clock.Advance(f.pageDelay)
 	if f.down {
-		writer.WriteHeader(http.StatusTooManyRequests)
+		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	zone := request.URL.Query().Get("zone")
-	var found []int
-	for number, place := range runnerZones {
-		if zone == "" || zone == place {
-			found = append(found, number)
+	zone := req.URL.Query().Get("zone")
+	var runners []int
+	for number, runnerZone := range f.zones {
+		if zone == "" || zone == runnerZone {
+			runners = append(runners, number)
 		}
 	}
-	first, _ := strconv.Atoi(strings.TrimPrefix(request.URL.Query().Get("page_token"), "p "))
-	if first >= len(found) {
-		fmt.Fprint(writer, `{"servers":[],"next_token":null}`)
+	first, _ := strconv.Atoi(strings.TrimPrefix(req.URL.Query().Get("page_token"), "p "))
+	if first >= len(runners) {
+		fmt.Fprint(w, `{"servers":[],"next_token":null}`)
 		return
 	}
-	next, number := "null", found[first]
-	if first+1 < len(found) {
+	next, number := "null", runners[first]
+	if first+1 < len(runners) {
 		next = fmt.Sprintf("%q", fmt.Sprint("p ", first+1))
 	}
-	fmt.Fprintf(writer, `{"servers":[`+serverJSON+`],"next_token":%s}`, number, runnerZones[number], f.condition, f.warmupLeftMS, number, next)
+	fmt.Fprintf(w, `{"servers":[`+serverJSON+`],"next_token":%s}`, number, f.zones[number], f.condition, f.warmupLeftMS, number, next)
 }
 
+// takeCalls gives the sorted calls since the last takeCalls.
 func (f *fakePlatform) takeCalls() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	asked := f.calls
+	calls := f.calls
 	f.calls = nil
-	slices.Sort(asked)
-	return asked
+	slices.Sort(calls)
+	return calls
+}
+
+// publisherFixture is a publisher that holds the lease under epoch 3, with a
+// platform that lists two runners in zone a and one in zone b.
+type publisherFixture struct {
+	*Publisher
+	platform *fakePlatform
+	clock    *clock.Fake
 }
 
-func newPublisher(t *testing.T) (*Publisher, *fakePlatform, scope.Scope, *clock.Fake) {
+func newPublisherFixture(t *testing.T) *publisherFixture {
 	t.Helper()
-	machine := clock.NewFake()
-	played := &fakePlatform{condition: "ready", clock: machine}
-	server := httptest.NewServer(played)
+	fake := clock.NewFake()
+	platform := &fakePlatform{clock: fake, zones: []string{"a", "a", "b"}, condition: "ready"}
+	server := httptest.NewServer(platform)
 	t.Cleanup(server.Close)
-	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
-	settings := &settings.Settings{Platform: settings.Platform{Address: address, RatePerS: 100}}
-	reader := &Publisher{
-		Platform: &PlatformClient{HTTP: server.Client(), Address: address, Zones: []ids.Zone{"a", "b", "c"}, Interval: clock.Second},
-		Updates:  gossip.NewStore(nil), Interval: clock.Second, HeartbeatInterval: 2 * clock.Second,
-		Held: func(clock.Instant) (int64, bool) { return 3, true },
-	}
-	return reader, played, scope.New(scope.Options{Clock: machine, Settings: settings}), machine
+	publisher := &Publisher{
+		Platform: &PlatformClient{
+			HTTP: server.Client(), Address: ids.Address(strings.TrimPrefix(server.URL, "http://")), Clock: fake,
+			Zones: []ids.Zone{"a", "b", "c"}, Interval: clock.Second,
+		},
+		Updates: gossip.NewStore(nil), Clock: fake, Log: scope.New(scope.Options{}).Log, RatePerS: 100,
+		Held:     func(clock.Instant) (int64, bool) { return 3, true },
+		Interval: clock.Second, HeartbeatInterval: 2 * clock.Second,
+	}
+	return &publisherFixture{Publisher: publisher, platform: platform, clock: fake}
 }
 
-func publishedList(t *testing.T, news *gossip.Store, zone ids.Zone) (List, ids.Serial) {
+func (f *publisherFixture) poll() { f.Poll(context.Background()) }
+
+// publishedList gives a zone's list as published, and its serial.
+func (f *publisherFixture) publishedList(t *testing.T, zone ids.Zone) (List, ids.Serial) {
 	t.Helper()
-	item, found := news.Get(ZoneKey(zone))
+	item, ok := f.Updates.Get(ZoneKey(zone))
 	list, err := transport.Unmarshal[List](item.Body)
-	if !found || err != nil {
-		t.Fatalf("part of %s: %v %v", zone, found, err)
+	if !ok || err != nil {
+		t.Fatalf("list of %s: published %v, %v", zone, ok, err)
 	}
 	return list, item.Version
 }
 
+func (f *publisherFixture) heartbeatSerial() ids.Serial {
+	item, _ := f.Updates.Get(HeartbeatKey)
+	return item.Version
+}
+
+func (f *publisherFixture) expectDelay(t *testing.T, moment string, want clock.Span) {
+	t.Helper()
+	if delay := f.delay(); delay != want {
+		t.Fatalf("%s: delay %v, want %v", moment, delay, want)
+	}
+}
+
 func TestPublisher_publishesListPerZone(t *testing.T) {
-	reader, played, top, _ := newPublisher(t)
-	reader.Poll(top)
+	f := newPublisherFixture(t)
+	f.poll()
 	for zone, want := range map[ids.Zone]int{"a": 2, "b": 1, "c": 0} {
-		if list, _ := publishedList(t, reader.Updates, zone); len(list.Runners) != want {
+		if list, _ := f.publishedList(t, zone); len(list.Runners) != want {
 			t.Errorf("zone %s: %+v", zone, list)
 		}
 	}
-	if list, _ := publishedList(t, reader.Updates, "a"); list.Runners[1].ID != "i-1" || list.Runners[1].Draining || list.Runners[0].Capacity != 8 {
+	if list, _ := f.publishedList(t, "a"); list.Runners[1].ID != "i-1" || list.Runners[1].Draining || list.Runners[0].Capacity != 8 {
 		t.Errorf("%+v", list)
 	}
-	if asked := played.takeCalls(); len(asked) != 3 {
-		t.Errorf("a short list is read as a whole: %v", asked)
+	if calls := f.platform.takeCalls(); len(calls) != 3 {
+		t.Errorf("short list not read as a whole: %v", calls)
 	}
 }
 
-// TestPublisher_readsLongListByZone has pages take so long that a whole reading takes more
-// than half of the time for one.
+// TestPublisher_readsLongListByZone has pages take so long that a read of the
+// whole takes more than half of the interval.
 func TestPublisher_readsLongListByZone(t *testing.T) {
-	reader, played, top, _ := newPublisher(t)
-	long := runnerZones
-	defer func() { runnerZones = long }()
-	runnerZones = []string{"a", "a", "b", "b", "d"}
-	played.pageDelay = 150 * clock.Millisecond
-	reader.Poll(top)
-	before, serial := publishedList(t, reader.Updates, "a")
-	played.takeCalls()
-	reader.Poll(top)
+	f := newPublisherFixture(t)
+	f.platform.zones = []string{"a", "a", "b", "b", "d"}
+	f.platform.pageDelay = 150 * clock.Millisecond
+	f.poll()
+	before, serial := f.publishedList(t, "a")
+	f.platform.takeCalls()
+	f.poll()
 	want := []string{"/servers?page_token=p+1&zone=a", "/servers?page_token=p+1&zone=b",
 		"/servers?zone=a", "/servers?zone=b", "/servers?zone=c", "/servers?zone=d"}
-	if asked := played.takeCalls(); !slices.Equal(asked, want) {
-		t.Fatalf("%v", asked)
-	}
-	if after, again := publishedList(t, reader.Updates, "a"); again != serial || !after.equivalent(before) {
-		t.Fatal("the same part is news because it was read by zone")
-	}
-	if pause := reader.delay(top); pause != clock.Second {
-		t.Fatalf("a pause of %v", pause)
+	if calls := f.platform.takeCalls(); !slices.Equal(calls, want) {
+		t.Fatalf("%v", calls)
 	}
-	reader.Platform.LastPages = 100
-	if pause := reader.delay(top); pause != 2*clock.Second {
-		t.Fatalf("100 calls at 100 a second: a pause of %v", pause)
+	if after, again := f.publishedList(t, "a"); again != serial || !after.equivalent(before) {
+		t.Fatal("an unchanged list was published again because it was read by zone")
 	}
+	f.expectDelay(t, "first read by zone", clock.Second)
+	f.Platform.LastPages = 100
+	f.expectDelay(t, "100 pages at 100 calls a second", 2*clock.Second)
 	for range unchangedThreshold {
-		reader.Poll(top)
+		f.poll()
 	}
-	reader.Platform.LastPages = 6
-	if pause := reader.delay(top); pause != clock.Second {
-		t.Fatalf("a long list is read each %v while nothing changes", pause)
-	}
-	played.down = true
-	reader.Poll(top)
-	if _, again := publishedList(t, reader.Updates, "a"); again != serial {
-		t.Fatal("a reading that failed is told")
+	f.Platform.LastPages = 6
+	f.expectDelay(t, "long list without a change", clock.Second)
+	f.platform.down = true
+	f.poll()
+	if _, again := f.publishedList(t, "a"); again != serial {
+		t.Fatal("a failed poll was published")
 	}
 }
 
-// TestPublisher_continuesTimedOutReadByZone has the whole reading run out of time:
-// the same reading goes on by zone.
+// TestPublisher_continuesTimedOutReadByZone has a read of the whole run out of
+// time: the same poll goes on by zone.
 func TestPublisher_continuesTimedOutReadByZone(t *testing.T) {
-	reader, played, top, machine := newPublisher(t)
-	long := runnerZones
-	defer func() { runnerZones = long }()
-	runnerZones = []string{"a", "a", "a", "b", "b", "b", "c"}
-	played.pageDelay = 150 * clock.Millisecond
-	begin := machine.Now()
-	reader.Poll(top)
-	if list, _ := publishedList(t, reader.Updates, "a"); len(list.Runners) != 3 || !reader.Platform.ByZone() {
-		t.Fatalf("after %v: %+v", machine.Now().Since(begin), list)
+	f := newPublisherFixture(t)
+	f.platform.zones = []string{"a", "a", "a", "b", "b", "b", "c"}
+	f.platform.pageDelay = 150 * clock.Millisecond
+	started := f.clock.Now()
+	f.poll()
+	if list, _ := f.publishedList(t, "a"); len(list.Runners) != 3 || !f.Platform.ByZone() {
+		t.Fatalf("after %v: %+v", f.clock.Now().Since(started), list)
 	}
 }
 
 func TestPublisher_publishesOnlyChanges(t *testing.T) {
-	reader, played, top, machine := newPublisher(t)
-	beat := func() ids.Serial { item, _ := reader.Updates.Get(HeartbeatKey); return item.Version }
-	reader.Poll(top)
-	_, first := publishedList(t, reader.Updates, "a")
-	still := beat()
-	reader.Poll(top)
-	if _, again := publishedList(t, reader.Updates, "a"); again != first || beat() != still {
-		t.Fatal("the same list is news at once")
-	}
-	machine.Advance(2 * clock.Second)
-	reader.Poll(top)
-	if _, again := publishedList(t, reader.Updates, "a"); again != first || beat() <= still {
-		t.Fatal("the beat is not told")
-	}
-	played.condition = "draining"
-	reader.Poll(top)
-	if _, changed := publishedList(t, reader.Updates, "a"); changed <= first {
-		t.Fatal("a runner that leaves is not told at once")
+	f := newPublisherFixture(t)
+	f.poll()
+	_, first := f.publishedList(t, "a")
+	heartbeat := f.heartbeatSerial()
+	f.poll()
+	if _, again := f.publishedList(t, "a"); again != first || f.heartbeatSerial() != heartbeat {
+		t.Fatal("an unchanged list was published at once")
+	}
+	f.clock.Advance(2 * clock.Second)
+	f.poll()
+	if _, again := f.publishedList(t, "a"); again != first || f.heartbeatSerial() <= heartbeat {
+		t.Fatal("no heartbeat after its interval")
+	}
+	f.platform.condition = "draining"
+	f.poll()
+	if _, changed := f.publishedList(t, "a"); changed <= first {
+		t.Fatal("a draining runner was not published at once")
 	}
 	for range unchangedThreshold {
-		if pause := reader.delay(top); pause != clock.Second {
-			t.Fatalf("a pause of %v", pause)
-		}
-		reader.Poll(top)
-	}
-	if pause := reader.delay(top); pause != unchangedBackoff*clock.Second {
-		t.Fatalf("a pause of %v while nothing changes", pause)
+		f.expectDelay(t, "few polls without a change", clock.Second)
+		f.poll()
 	}
+	f.expectDelay(t, "many polls without a change", unchangedBackoff*clock.Second)
 }
 
 func TestPublisher_overridesPreviousHolder(t *testing.T) {
-	reader, _, top, _ := newPublisher(t)
-	reader.Updates.Put(gossip.Item{Key: ZoneKey("gone"), Version: FencedSerial(2, 7), Body: []byte("another's")})
-	reader.Poll(top)
-	if list, _ := publishedList(t, reader.Updates, "gone"); len(list.Runners) != 0 {
-		t.Fatal("a zone that the platform names no more keeps its runners")
-	}
-	_, first := publishedList(t, reader.Updates, "a")
-	reader.Updates.Put(gossip.Item{Key: ZoneKey("a"), Version: FencedSerial(3, 9), Body: []byte("another's")})
-	reader.sequence = 20
-	reader.Poll(top)
-	if list, last := publishedList(t, reader.Updates, "a"); last <= first || len(list.Runners) != 2 {
-		t.Fatalf("another's part stays: %+v", list)
+	f := newPublisherFixture(t)
+	f.Updates.Put(gossip.Item{Key: ZoneKey("gone"), Version: FencedSerial(2, 7), Body: []byte("another's")})
+	f.poll()
+	if list, _ := f.publishedList(t, "gone"); len(list.Runners) != 0 {
+		t.Fatal("a zone that the platform no longer names keeps its runners")
+	}
+	_, first := f.publishedList(t, "a")
+	f.Updates.Put(gossip.Item{Key: ZoneKey("a"), Version: FencedSerial(3, 9), Body: []byte("another's")})
+	f.sequence = 20
+	f.poll()
+	if list, last := f.publishedList(t, "a"); last <= first || len(list.Runners) != 2 {
+		t.Fatalf("another holder's list stays: %+v", list)
 	}
 }
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -12,50 +12,58 @@
 	"onyxwell/control/transport"
 )
 
-// ViewOptions are what a view is made from.
+// ViewOptions are the dependencies and settings of a View.
 type ViewOptions struct {
 	Clock clock.Clock
-	// Zones are those of which a part must have come before the list is whole.
+	// Zones are those whose lists make the view complete. Where there are none, any
+	// zone's list does.
 	Zones []ids.Zone
-	// MaxAge is how long the list counts as fresh after the last word that it
-	// holds.
+	// MaxAge is how long the list is fresh after it was last confirmed.
 	MaxAge clock.Span
 }
 
-// View is the list of runners as a daemon knows it. It is put together from the
-// parts that the holder of the duty tells. While nothing is heard of these, a list
-// that was read for this zone stands in their place, until a beat confirms them.
+// View is a daemon's copy of the list of runners. It is assembled from the lists
+// that the lease's holder publishes zone by zone; items may be applied in any
+// order. While these are stale, a list that was read for this zone alone takes
+// their place, until a heartbeat confirms them again. It is safe for concurrent
+// use.
 type View struct {
-	options ViewOptions
-	mu      sync.Mutex
-	// published are the parts as they were told, digest is theirs, and beat the digest
-	// that was last confirmed.
-	published       map[ids.Zone]*ZoneList
-	digest          int64
+	options   ViewOptions
+	createdAt clock.Instant
+
+	mu sync.Mutex
+	// published holds the lists as published, and digest combines their digests.
+	published map[ids.Zone]*ZoneList
+	digest    int64
+	// heartbeatDigest is the digest of the last heartbeat, once one was seen.
 	heartbeatDigest int64
-	// active are what is acted on; local says that they were read for this zone.
-	active        map[ids.Zone]*ZoneList
-	local         bool
-	heartbeatSeen bool
-	confirmedAt   clock.Instant
-	createdAt     clock.Instant
+	heartbeatSeen   bool
+	// active holds the lists in use; it is replaced, never changed. local says that
+	// they were read for this zone.
+	active      map[ids.Zone]*ZoneList
+	local       bool
+	confirmedAt clock.Instant
 }
 
-// ZoneList is the part of the list that stands in one zone. It is never changed:
-// another pointer says that the part may be another one.
+// ZoneList is the list of one zone. It is immutable: callers may compare
+// pointers to find the zones that may have changed.
 type ZoneList struct {
 	Runners []Runner
 	serial  ids.Serial
 }
 
-// NewView makes a view that knows nothing yet.
+// NewView makes an empty view, which is neither complete nor fresh.
 func NewView(options ViewOptions) *View {
-	return &View{options: options, published: map[ids.Zone]*ZoneList{}, active: map[ids.Zone]*ZoneList{}, createdAt: options.Clock.Now()}
+	return &View{
+		options: options, createdAt: options.Clock.Now(),
+		published: map[ids.Zone]*ZoneList{}, active: map[ids.Zone]*ZoneList{},
+	}
 }
 
-// Apply takes an item of news; it tells whether the list may be another one now.
-func (v *View) Apply(item gossip.Item) bool {
-	if zone, found := zoneOfKey(item.Key); found {
+// Apply takes a gossip item and reports whether the list in use may have changed.
+// Items of other kinds, and those that can't be decoded, are ignored.
+func (v *View) Apply(item gossip.Item) (changed bool) {
+	if zone, ok := zoneOfKey(item.Key); ok {
 		return v.applyZone(zone, item)
 	}
 	switch {
@@ -74,16 +82,16 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	before := v.complete()
-	if old := v.published[zone]; old != nil {
-		v.digest ^= zoneDigest(zone, old.serial)
+	wasComplete := v.complete()
+	if replaced := v.published[zone]; replaced != nil {
+		v.digest ^= zoneDigest(zone, replaced.serial)
 	}
 	v.digest ^= zoneDigest(zone, item.Version)
 	v.published[zone] = &ZoneList{Runners: list.Runners, serial: item.Version}
 	if !v.complete() {
 		return false
 	}
-	if !before {
+	if !wasComplete {
 		v.confirmedAt = v.options.Clock.Now()
 		v.usePublished()
 	}
@@ -94,37 +102,18 @@
 }
 
 func (v *View) applyHeartbeat(item gossip.Item) bool {
-	beat, err := transport.Unmarshal[Heartbeat](item.Body)
+	heartbeat, err := transport.Unmarshal[Heartbeat](item.Body)
 	if err != nil {
 		return false
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.heartbeatSeen, v.heartbeatDigest = true, beat.Digest
+	v.heartbeatSeen, v.heartbeatDigest = true, heartbeat.Digest
 	return v.confirm()
 }
 
-// confirm compares the parts with the last beat; where they agree, the list is
-// fresh, and the parts stand in place of a local list. It tells whether they do
-// so only now.
-func (v *View) confirm() bool {
-	if !v.heartbeatSeen || v.heartbeatDigest != v.digest || !v.complete() {
-		return false
-	}
-	v.confirmedAt = v.options.Clock.Now()
-	was := v.local
-	if was {
-		v.usePublished()
-	}
-	return was
-}
-
-func (v *View) usePublished() {
-	v.active, v.local = maps.Clone(v.published), false
-}
-
-// applyLocal takes a list that was read for this zone, unless the parts are
-// known to hold.
+// applyLocal takes a list that was read for this zone, unless the list in use is
+// fresh.
 func (v *View) applyLocal(item gossip.Item) bool {
 	list, err := transport.Unmarshal[List](item.Body)
 	if err != nil || v.Fresh() {
@@ -134,7 +123,8 @@
 	return true
 }
 
-// SetLocal has a list stand in place of the parts that were told.
+// SetLocal uses a list in place of the published ones, until a heartbeat confirms
+// these. The list counts as confirmed now.
 func (v *View) SetLocal(list List) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -145,7 +135,27 @@
 	v.confirmedAt = v.options.Clock.Now()
 }
 
-// complete tells whether a part of every zone was told.
+// confirm marks the list as fresh and ends the use of a local one, if the
+// published lists are complete and match the last heartbeat. It reports whether a
+// local list was replaced. v.mu must be held.
+func (v *View) confirm() (replaced bool) {
+	if !v.heartbeatSeen || v.heartbeatDigest != v.digest || !v.complete() {
+		return false
+	}
+	v.confirmedAt = v.options.Clock.Now()
+	replaced = v.local
+	if replaced {
+		v.usePublished()
+	}
+	return replaced
+}
+
+// usePublished puts the published lists to use. v.mu must be held.
+func (v *View) usePublished() {
+	v.active, v.local = maps.Clone(v.published), false
+}
+
+// complete reports whether every zone's list was published. v.mu must be held.
 func (v *View) complete() bool {
 	for _, zone := range v.options.Zones {
 		if v.published[zone] == nil {
@@ -155,47 +165,52 @@
 	return len(v.published) > 0
 }
 
-// Complete tells whether the list can be acted on.
+// usable reports whether there is a list to use. v.mu must be held.
+func (v *View) usable() bool { return v.local || v.complete() }
+
+// Complete reports whether there is a complete list, published or local.
 func (v *View) Complete() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.local || v.complete()
+	return v.usable()
 }
 
-// Fresh tells whether the list was confirmed, or read, within the patience.
+// Fresh reports whether there is a complete list that was confirmed less than
+// MaxAge ago.
 func (v *View) Fresh() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return (v.local || v.complete()) && v.options.Clock.Now().Since(v.confirmedAt) < v.options.MaxAge
+	return v.usable() && v.options.Clock.Now().Since(v.confirmedAt) < v.options.MaxAge
 }
 
-// ConfirmedAt is when the list was last confirmed or read; before that, when the
-// view was made.
+// ConfirmedAt gives when the list was last confirmed or read; before there is a
+// list, when the view was made.
 func (v *View) ConfirmedAt() clock.Instant {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.local || v.complete() {
+	if v.usable() {
 		return v.confirmedAt
 	}
 	return v.createdAt
 }
 
-// Zones gives the parts that are to be acted on; nobody changes them.
+// Zones gives the lists in use, or nil while there is no complete list. The
+// caller must not change them.
 func (v *View) Zones() map[ids.Zone]*ZoneList {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.local && !v.complete() {
+	if !v.usable() {
 		return nil
 	}
 	return v.active
 }
 
-// Runners gives all runners, in the order of their zones.
+// Runners gives the runners of all lists in use, ordered by zone.
 func (v *View) Runners() []Runner {
-	sections := v.Zones()
+	lists := v.Zones()
 	var runners []Runner
-	for _, zone := range slices.Sorted(maps.Keys(sections)) {
-		runners = append(runners, sections[zone].Runners...)
+	for _, zone := range slices.Sorted(maps.Keys(lists)) {
+		runners = append(runners, lists[zone].Runners...)
 	}
 	return runners
 }
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -8,29 +8,27 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/proptest"
-	"onyxwell/base/scope"
-	"onyxwell/base/settings"
 	"onyxwell/control/gossip"
-	"onyxwell/control/membership"
 	"onyxwell/control/transport"
 )
 
-func TestMain(tests *testing.M) { proptest.Run(tests) }
+func TestMain(m *testing.M) { proptest.Run(m) }
 
 const maxAge = 3 * clock.Second
 
-// viewFixture is a view with the items that bring it its list.
+// viewFixture is a view of zones a and b, with the serials of the lists that its
+// publisher published.
 type viewFixture struct {
+	*View
 	t       testing.TB
-	view    *View
 	clock   *clock.Fake
 	serials map[ids.Zone]ids.Serial
 }
 
 func newViewFixture(t testing.TB) *viewFixture {
-	machine := clock.NewFake()
-	view := NewView(ViewOptions{Clock: machine, Zones: []ids.Zone{"a", "b"}, MaxAge: maxAge})
-	return &viewFixture{t: t, view: view, clock: machine, serials: map[ids.Zone]ids.Serial{}}
+	fake := clock.NewFake()
+	view := NewView(ViewOptions{Clock: fake, Zones: []ids.Zone{"a", "b"}, MaxAge: maxAge})
+	return &viewFixture{View: view, t: t, clock: fake, serials: map[ids.Zone]ids.Serial{}}
 }
 
 func newItem[Message any](key string, serial ids.Serial, message Message) gossip.Item {
@@ -46,95 +44,98 @@
 	return list
 }
 
-func (v *viewFixture) applyZone(zone ids.Zone, serial ids.Serial, names ...ids.RunnerID) bool {
-	v.serials[zone] = serial
-	return v.view.Apply(newItem(ZoneKey(zone), serial, newList(zone, names...)))
+// publish publishes a zone's list and reports whether the view may have changed.
+func (f *viewFixture) publish(zone ids.Zone, serial ids.Serial, names ...ids.RunnerID) (changed bool) {
+	f.serials[zone] = serial
+	return f.Apply(newItem(ZoneKey(zone), serial, newList(zone, names...)))
 }
 
-func (v *viewFixture) applyHeartbeat(serial ids.Serial) bool {
+// heartbeat publishes a heartbeat that confirms the serials.
+func (f *viewFixture) heartbeat(serial ids.Serial) (changed bool) {
 	digest := int64(0)
-	for zone, serial := range v.serials {
-		digest ^= zoneDigest(zone, serial)
+	for zone, published := range f.serials {
+		digest ^= zoneDigest(zone, published)
 	}
-	return v.view.Apply(newItem(HeartbeatKey, serial, Heartbeat{Digest: digest}))
+	return f.Apply(newItem(HeartbeatKey, serial, Heartbeat{Digest: digest}))
 }
 
-func (v *viewFixture) expect(moment string, names ...ids.RunnerID) {
-	v.t.Helper()
-	found := v.view.Runners()
-	same := len(found) == len(names)
-	for index := range found {
-		same = same && found[index].ID == names[index]
+func (f *viewFixture) expect(moment string, names ...ids.RunnerID) {
+	f.t.Helper()
+	runners := f.Runners()
+	same := len(runners) == len(names)
+	for index := range runners {
+		same = same && runners[index].ID == names[index]
 	}
 	if !same {
-		v.t.Errorf("%s: %+v, not %v", moment, found, names)
+		f.t.Errorf("%s: %+v, want %v", moment, runners, names)
 	}
 }
 
 func TestView_completeOnceEveryZoneIsPublished(t *testing.T) {
-	told := newViewFixture(t)
-	if told.applyZone("a", 1, "i"); told.view.Complete() || told.view.Zones() != nil {
-		t.Fatal("whole with a part of one zone")
+	f := newViewFixture(t)
+	if f.publish("a", 1, "i"); f.Complete() || f.Zones() != nil {
+		t.Fatal("complete with the list of one zone")
 	}
-	if !told.applyZone("b", 1, "j") || !told.view.Complete() || !told.view.Fresh() {
-		t.Fatal("not whole with both")
+	if !f.publish("b", 1, "j") || !f.Complete() || !f.Fresh() {
+		t.Fatal("not complete with both")
 	}
-	told.expect("both", "i", "j")
-	told.clock.Advance(maxAge)
-	if told.view.Fresh() {
+	f.expect("both", "i", "j")
+	f.clock.Advance(maxAge)
+	if f.Fresh() {
 		t.Fatal("fresh for ever")
 	}
-	if told.applyHeartbeat(5); !told.view.Fresh() {
-		t.Fatal("a beat of these parts does not confirm them")
+	if f.heartbeat(5); !f.Fresh() {
+		t.Fatal("a matching heartbeat does not confirm the lists")
 	}
-	told.clock.Advance(maxAge)
-	told.serials["a"] = 9
-	if told.applyHeartbeat(6); told.view.Fresh() {
-		t.Fatal("a beat of other parts confirms these")
+	f.clock.Advance(maxAge)
+	f.serials["a"] = 9
+	if f.heartbeat(6); f.Fresh() {
+		t.Fatal("a heartbeat of other lists confirms these")
 	}
-	// The beat came before the part that it speaks of.
-	if told.applyZone("a", 9, "k"); !told.view.Fresh() {
-		t.Fatal("the part that was missing does not confirm the list")
+	// The heartbeat came before the list that it confirms.
+	if f.publish("a", 9, "k"); !f.Fresh() {
+		t.Fatal("the missing list does not confirm the view")
 	}
-	told.expect("after the change", "k", "j")
+	f.expect("after the change", "k", "j")
 }
 
-// TestView_heartbeatReplacesLocalList is of a zone that was cut off: its own list
-// stands in place of the told one, and the same told parts count again as soon as
-// the holder's beat is heard, though none of them changed meanwhile.
+// TestView_heartbeatReplacesLocalList has a zone partitioned: its own list replaces
+// the published ones, and these count again with the next heartbeat of the lease's
+// holder, though none of them changed meanwhile.
 func TestView_heartbeatReplacesLocalList(t *testing.T) {
-	told := newViewFixture(t)
-	told.applyZone("a", 1, "i")
-	told.applyZone("b", 1, "j")
+	f := newViewFixture(t)
+	f.publish("a", 1, "i")
+	f.publish("b", 1, "j")
 	local := newItem(LocalKey("a"), 1, newList("a", "x"))
-	if told.view.Apply(local); !told.view.Fresh() {
+	if f.Apply(local); !f.Fresh() {
 		t.Fatal("not fresh")
 	}
-	told.expect("a local list while the told one is fresh", "i", "j")
-	told.clock.Advance(maxAge)
-	if !told.view.Apply(local) || !told.view.Fresh() {
-		t.Fatal("a local list does not count where the told one is old")
+	f.expect("local list while the published ones are fresh", "i", "j")
+	f.clock.Advance(maxAge)
+	if !f.Apply(local) || !f.Fresh() {
+		t.Fatal("a local list is ignored though the published ones are stale")
 	}
-	told.expect("cut off", "x")
-	told.clock.Advance(maxAge)
-	if !told.applyHeartbeat(7) || !told.view.Fresh() {
-		t.Fatal("the beat does not bring the told parts back")
+	f.expect("partitioned", "x")
+	f.clock.Advance(maxAge)
+	if !f.heartbeat(7) || !f.Fresh() {
+		t.Fatal("the heartbeat does not bring the published lists back")
 	}
-	told.expect("joined again", "i", "j")
+	f.expect("healed", "i", "j")
 }
 
-// TestView_itemOrderDoesNotMatter brings the newest parts and the beat in any order.
+// TestView_itemOrderDoesNotMatter applies the newest lists and the heartbeat in any
+// order.
 func TestView_itemOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := NewView(ViewOptions{Clock: clock.NewFake(), Zones: []ids.Zone{"a", "b"}, MaxAge: maxAge})
-		news := gossip.NewStore(func(item gossip.Item) { view.Apply(item) })
+		updates := gossip.NewStore(func(item gossip.Item) { view.Apply(item) })
 		digest := zoneDigest("a", 3) ^ zoneDigest("b", 2)
 		items := []gossip.Item{
 			newItem(ZoneKey("a"), 1, newList("a", "old")), newItem(ZoneKey("a"), 3, newList("a", "i")),
 			newItem(ZoneKey("b"), 2, newList("b", "j")), newItem(HeartbeatKey, 4, Heartbeat{Digest: digest}),
 		}
 		for _, item := range rapid.Permutation(items).Draw(t, "order") {
-			news.Put(item)
+			updates.Put(item)
 		}
 		runners := view.Runners()
 		if len(runners) != 2 || runners[0].ID != "i" || runners[1].ID != "j" || view.heartbeatDigest != view.digest {
@@ -142,50 +143,3 @@
 		}
 	})
 }
-
-func TestFallback_relaysReadFirst(t *testing.T) {
-	machine := clock.NewFake()
-	member := func(address ids.Address, core bool) membership.Member {
-		return membership.Member{Address: address, Zone: "a", Region: "r", ServesControl: core, Incarnation: 1}
-	}
-	top := scope.New(scope.Options{Clock: machine, Settings: &settings.Settings{Platform: settings.Platform{RatePerS: 100}}})
-	made := func(self membership.Member, others ...membership.Member) *Fallback {
-		table := membership.NewTable(machine, self)
-		table.Merge(others)
-		view := NewView(ViewOptions{Clock: machine, MaxAge: maxAge})
-		return &Fallback{Membership: table, View: view, Interval: clock.Second, RouterCount: func() int { return 50 }}
-	}
-	core, first, second := member("1:1", true), member("2:1", false), member("3:1", false)
-	if wait := made(core, first, second).startDelay(top); wait != 0 {
-		t.Errorf("the first relay waits %v", wait)
-	}
-	relays := made(first, core, second).Membership.Relays("a", relayReaders)
-	for _, self := range []membership.Member{first, second} {
-		others := []membership.Member{core, first, second}
-		wait, relayed := made(self, others...).startDelay(top), self.Address == relays[1].Address
-		if (relayed && wait != clock.Second) || (!relayed && (wait < 2*clock.Second || wait > 3*clock.Second)) {
-			t.Errorf("%s waits %v", self.Address, wait)
-		}
-	}
-	if wait := made(first).startDelay(top); wait < 2*clock.Second {
-		t.Errorf("a router that knows nobody waits %v", wait)
-	}
-	fallback := made(first)
-	fallback.Restart = true
-	if wait := fallback.startDelay(top); wait < clock.Second/restartDelayDivisor || wait > clock.Second/restartDelayDivisor+clock.Second {
-		t.Errorf("after all were down a router waits %v", wait)
-	}
-	fallback = made(core)
-	fallback.Restart = true
-	if fallback.due(machine.Now()) {
-		t.Error("a start is no time to ask at once")
-	}
-	machine.Advance(clock.Second / restartDivisor)
-	if !fallback.due(machine.Now()) {
-		t.Error("after all were down nobody asks")
-	}
-	fallback.Restart = false
-	if fallback.due(machine.Now()) {
-		t.Error("at a first start the holder is not waited for")
-	}
-}
