--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -1,5 +1,8 @@
-// Package daemon puts together what every onyxwell daemon has: the members it
-// knows, the news it passes on, and the calls between daemons.
+// Package daemon is what a router and a fleet-controller have in common: the
+// membership and its probes, the gossip store, the transport and the handlers
+// for calls of other daemons, discovery's fallback, outlier detection for the
+// zone, metrics, and the supervisor that restarts services which fail. It owns
+// the daemon's datagram socket and its internal listener.
 package daemon
 
 import (
@@ -25,139 +28,185 @@
 	"onyxwell/control/transport"
 )
 
-// RouterRole is the role that carries requests.
+// RouterRole is the routers' role in the deploy file and in the membership.
 const RouterRole = "router"
 
-// Daemon is the common part of a router and a fleet-controller.
+const (
+	// bodyMemoryDivisor is the part of the memory limit, one in so many, that the
+	// bodies of all calls may take together: each is decoded into further copies
+	// while it is served.
+	bodyMemoryDivisor = 4
+	// callBodyDivisor is the part that the body of one call of another daemon may
+	// take.
+	callBodyDivisor = 8
+	// maxDatagram is the size of the receive buffer in bytes.
+	maxDatagram = 64 << 10
+)
+
+// Daemon is the common part of a router and a fleet-controller. Its exported
+// fields are set by New and must not be changed.
 type Daemon struct {
-	Scope      scope.Scope
-	Network    Network
+	// Scope holds the clock, the log and the settings.
+	Scope   scope.Scope
+	Network Network
+	// Address is where other daemons reach this one.
 	Address    ids.Address
 	Membership *membership.Table
-	Updates    *gossip.Store
-	Transport  *transport.Client
-	Calls      *httpcall.Mux
-	Gossiper   *gossip.Gossiper
-	Zones      *zonesummary.Manager
-	// Metrics are this daemon's figures, Monitor counts the promises that it broke.
-	Metrics *telemetry.Metrics
+	// Updates is the gossip store.
+	Updates   *gossip.Store
+	Transport *transport.Client
+	// Calls has the handlers for calls of other daemons.
+	Calls    *httpcall.Mux
+	Gossiper *gossip.Gossiper
+	Zones    *zonesummary.Manager
+	Metrics  *telemetry.Metrics
+	// Monitor counts violated invariants.
 	Monitor *invariant.Monitor
-	// BodyQuota bounds what the bodies of all calls take together.
+	// BodyQuota bounds the memory of the bodies of all calls together.
 	BodyQuota *memquota.Quota
-	// Traffic counts what the daemon says to others of its kind.
-	Traffic    httpcall.Traffic
+	// Traffic counts messages and bytes to and from other daemons.
+	Traffic httpcall.Traffic
+
+	timing     Timing
 	prober     *membership.Prober
 	supervisor *suture.Supervisor
 	socket     Socket
 	reports    autoscaler.Aggregator
 	outliers   outlier.Detector
-	mu         sync.Mutex
+
+	mu sync.Mutex
+	// planSerial is the version of the routing plan that planOwner was read from.
 	planSerial ids.Serial
 	planOwner  ids.Address
 }
 
-// Options are what the common part is made from.
+// Options are what a role brings to the common part.
 type Options struct {
+	// Role is the daemon's role in the deploy file and in the membership.
 	Role string
-	// OnUpdate is told each item of news.
+	// OnUpdate is called with each new gossip item, in the order of its versions.
 	OnUpdate func(gossip.Item)
-	// View is the list of runners that Fresh keeps up to date; where there is one,
-	// this daemon reads the list itself when no news of it comes.
+	// View is the list of runners that OnUpdate keeps up to date. With one, the
+	// daemon polls the platform itself while the list is stale; it may be nil.
 	View *discovery.View
-	// Network is the machine's own where none is given.
+	// Network defaults to HostNetwork.
 	Network Network
-	// Monitor counts broken promises; one is made where none is given.
+	// Monitor defaults to a new one that logs.
 	Monitor *invariant.Monitor
 }
 
-// bodyMemoryDivisor is the part of the memory, one in so many, that the bodies of calls
-// may take together: each is read and kept in further forms while it is acted on.
-const bodyMemoryDivisor = 4
-
-// New makes the common part for a role.
-func New(top scope.Scope, options Options) (*Daemon, error) {
-	settings, role := top.Settings, options.Role
-	pace := TimingOf(settings)
-	if options.Network == nil {
-		options.Network = HostNetwork{}
+// New assembles the common part for a role and opens its datagram socket.
+// Everything else starts with Run.
+func New(env scope.Scope, options Options) (*Daemon, error) {
+	d := &Daemon{
+		Scope: env, Network: options.Network, Monitor: options.Monitor,
+		Address: env.Settings.InternalAddress(env.Settings.IP, options.Role),
+		timing:  TimingOf(env.Settings),
 	}
-	made := &Daemon{Scope: top, Network: options.Network, Address: settings.InternalAddress(settings.IP, role)}
-	made.Monitor = options.Monitor
-	if made.Monitor == nil {
-		made.Monitor = &invariant.Monitor{Log: top.Log}
+	if d.Network == nil {
+		d.Network = HostNetwork{}
 	}
-	made.Metrics = telemetry.New(made.Monitor)
-	made.Membership = membership.NewTable(top.Clock, membership.Member{
-		Address: made.Address, Role: role, Zone: settings.Zone, Region: settings.Region,
-		ClientAddress: settings.Listen["front"], ServesControl: settings.Listen["control"] != "" && role != RouterRole,
-		LinkMbps: int64(settings.Limits.LinkMbps),
-	})
-	made.Zones = &zonesummary.Manager{Table: made.Membership, Zones: settings.Zones, RouterRole: RouterRole}
-	made.Updates = gossip.NewStore(func(item gossip.Item) {
-		made.Zones.HandleItem(item)
-		options.OnUpdate(item)
-	})
-	made.Zones.Store = made.Updates
-	made.Transport = transport.NewClientOnNetwork(made.Network, httpcall.Dialer{Timeout: pace.ConnectTimeout, UserTimeout: pace.PeerTimeout, Traffic: &made.Traffic})
-	made.Transport.Guard, made.Transport.Stats = transport.NewGuard(settings.Zones), &transport.MessageStats{}
-	made.Calls = httpcall.NewMux(top, settings.Limits.MemoryMB<<20/8)
-	made.Calls.Gate = made.Transport.Guard
-	made.Calls.Metrics = made.Metrics
-	made.BodyQuota = memquota.New(settings.Limits.MemoryMB<<20/bodyMemoryDivisor, made.Monitor)
-	made.Calls.Bodies = made.BodyQuota
-	made.Gossiper = &gossip.Gossiper{
-		Store: made.Updates, Table: made.Membership, Client: made.Transport,
-		Seeds: settings.SeedAddresses(), Interval: pace.GossipInterval, Timeout: pace.PeerTimeout,
-		Rejoining: !settings.FirstStart,
-		Zones:     settings.Zones, RelaysPerZone: pace.RelaysPerZone, Fanout: pace.Fanout,
+	if d.Monitor == nil {
+		d.Monitor = &invariant.Monitor{Log: env.Log}
 	}
-	made.Gossiper.RegisterHandlers(made.Calls)
+	d.Metrics = telemetry.New(d.Monitor)
+	d.initMembership(options)
+	d.initTransport()
+	d.initGossip()
 	var err error
-	if made.socket, err = made.Network.Datagrams(made.Address); err != nil {
+	if d.socket, err = d.Network.Datagrams(d.Address); err != nil {
 		return nil, err
 	}
-	made.prober = &membership.Prober{Table: made.Membership, Config: pace.Probe, Send: made.sendDatagram, Guard: made.Transport.Guard}
-	made.supervisor = suture.New(role, suture.Spec{
-		FailureBackoff: pace.GossipInterval, Timeout: pace.ConnectTimeout,
-		EventHook: func(event suture.Event) { top.Log.Warn().Str("part", "tree").Msg(event.String()) },
+	d.prober = &membership.Prober{Table: d.Membership, Config: d.timing.Probe, Send: d.sendDatagram, Guard: d.Transport.Guard}
+	d.supervisor = suture.New(options.Role, suture.Spec{
+		FailureBackoff: d.timing.GossipInterval, Timeout: d.timing.ConnectTimeout,
+		EventHook: func(event suture.Event) { env.Log.Warn().Str("part", "supervisor").Msg(event.String()) },
+	})
+	d.addServices(options.View)
+	return d, nil
+}
+
+// initMembership makes the membership table, the zones' summaries and the gossip
+// store that feeds them.
+func (d *Daemon) initMembership(options Options) {
+	node := d.Scope.Settings
+	d.Membership = membership.NewTable(d.Scope.Clock, membership.Member{
+		Address: d.Address, Role: options.Role, Zone: node.Zone, Region: node.Region,
+		ClientAddress: node.Listen["front"], ServesControl: node.Listen["control"] != "" && options.Role != RouterRole,
+		LinkMbps: int64(node.Limits.LinkMbps),
 	})
-	made.AddService("inner", func(ctx scope.Scope) error { return made.servePeers(ctx) })
-	made.AddService("probe", func(ctx scope.Scope) error { made.prober.Run(ctx); return nil })
-	made.AddService("datagrams", made.receiveDatagrams)
-	made.serveReports()
-	made.serveMetrics()
-	if options.View != nil {
-		made.addListFallback(options.View)
+	d.Zones = &zonesummary.Manager{Table: d.Membership, Zones: node.Zones, RouterRole: RouterRole}
+	d.Updates = gossip.NewStore(func(item gossip.Item) {
+		d.Zones.HandleItem(item)
+		options.OnUpdate(item)
+	})
+	d.Zones.Store = d.Updates
+}
+
+// initTransport makes the client for calls to other daemons and the handlers for
+// theirs; one guard drops what is not of this fleet in both directions.
+func (d *Daemon) initTransport() {
+	memory := d.Scope.Settings.Limits.MemoryMB << 20
+	d.Transport = transport.NewClientOnNetwork(d.Network, httpcall.Dialer{
+		Timeout: d.timing.ConnectTimeout, UserTimeout: d.timing.PeerTimeout, Traffic: &d.Traffic,
+	})
+	d.Transport.Guard, d.Transport.Stats = transport.NewGuard(d.Scope.Settings.Zones), &transport.MessageStats{}
+	d.BodyQuota = memquota.New(memory/bodyMemoryDivisor, d.Monitor)
+	d.Calls = httpcall.NewMux(d.Scope, memory/callBodyDivisor)
+	d.Calls.Gate, d.Calls.Metrics, d.Calls.Bodies = d.Transport.Guard, d.Metrics, d.BodyQuota
+}
+
+func (d *Daemon) initGossip() {
+	node := d.Scope.Settings
+	d.Gossiper = &gossip.Gossiper{
+		Store: d.Updates, Table: d.Membership, Client: d.Transport,
+		Seeds: node.SeedAddresses(), Interval: d.timing.GossipInterval, Timeout: d.timing.PeerTimeout,
+		Rejoining: !node.FirstStart,
+		Zones:     node.Zones, RelaysPerZone: d.timing.RelaysPerZone, Fanout: d.timing.Fanout,
+	}
+	d.Gossiper.RegisterHandlers(d.Calls)
+}
+
+// addServices adds the services that the supervisor starts, in this order.
+func (d *Daemon) addServices(view *discovery.View) {
+	d.AddService("calls", func(ctx scope.Scope) error { return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic) })
+	d.AddService("probe", func(ctx scope.Scope) error { d.prober.Run(ctx); return nil })
+	d.AddService("datagrams", d.receiveDatagrams)
+	d.addReports()
+	d.addMetrics()
+	if view != nil {
+		d.addListFallback(view)
 	}
-	made.AddService("relays", func(ctx scope.Scope) error {
-		for ctx.Wait(pace.ZoneSummaryInterval) {
-			made.Membership.UpdateRelayRole(pace.RelaysPerZone, pace.Probe.SuspicionTimeout)
-			made.Zones.Refresh()
+	d.AddService("relays", func(ctx scope.Scope) error {
+		for ctx.Wait(d.timing.ZoneSummaryInterval) {
+			d.Membership.UpdateRelayRole(d.timing.RelaysPerZone, d.timing.Probe.SuspicionTimeout)
+			d.Zones.Refresh()
 		}
 		return nil
 	})
-	made.AddService("spread", func(ctx scope.Scope) error { made.Gossiper.Run(ctx); return nil })
-	return made, nil
+	d.AddService("gossip", func(ctx scope.Scope) error { d.Gossiper.Run(ctx); return nil })
 }
 
+// service is a suture.Service that runs in the daemon's scope.
 type service struct {
 	name  string
 	scope scope.Scope
-	run   func(inner scope.Scope) error
+	run   func(ctx scope.Scope) error
 }
 
-// Serve runs the part under suture.
+// Serve implements suture.Service.
 func (s service) Serve(ctx context.Context) error { return s.run(s.scope.WithContext(ctx)) }
 
-// String names the part in logs.
+// String names the service in the supervisor's log lines.
 func (s service) String() string { return s.name }
 
-// AddService adds a part that the supervisor keeps running.
+// AddService adds a service that the supervisor starts, and starts again whenever
+// run returns before its ctx ends. It must not be called once Run was.
 func (d *Daemon) AddService(name string, run func(ctx scope.Scope) error) {
 	d.supervisor.Add(service{name: name, scope: d.Scope, run: run})
 }
 
-// AddOneShot adds a part that comes to an end of its own, and is not run again.
+// AddOneShot adds a service that is not started again after run returns.
 func (d *Daemon) AddOneShot(name string, run func(ctx scope.Scope)) {
 	d.AddService(name, func(ctx scope.Scope) error {
 		run(ctx)
@@ -166,16 +215,13 @@
 	})
 }
 
-// Run runs all parts until the context ends.
+// Run runs all services until ctx ends.
 func (d *Daemon) Run(ctx context.Context) error { return d.supervisor.Serve(ctx) }
 
-// ServeHTTP serves a handler at an address until the scope ends.
-func (d *Daemon) ServeHTTP(ctx scope.Scope, address ids.Address, handler http.Handler) error {
-	return d.Network.Serve(ctx, address, handler, nil)
-}
-
-func (d *Daemon) servePeers(ctx scope.Scope) error {
-	return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic)
+// ServeHTTP serves a handler at an address until ctx ends. It does not count the
+// traffic, which is that of other daemons alone.
+func (d *Daemon) ServeHTTP(ctx context.Context, address ids.Address, handler http.Handler) error {
+	return d.Network.Serve(d.Scope.WithContext(ctx), address, handler, nil)
 }
 
 func (d *Daemon) sendDatagram(to ids.Address, body []byte) {
@@ -185,10 +231,12 @@
 	d.socket.Send(to, body)
 }
 
+// receiveDatagrams passes datagrams to the prober until ctx ends, which closes the
+// socket.
 func (d *Daemon) receiveDatagrams(ctx scope.Scope) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.socket.Close() })
 	defer stop()
-	buffer := make([]byte, 64<<10)
+	buffer := make([]byte, maxDatagram)
 	for {
 		size, sender, err := d.socket.Receive(buffer)
 		if err != nil {
@@ -199,18 +247,20 @@
 	}
 }
 
-// Leave tells a few others that this daemon goes.
-func (d *Daemon) Leave(ctx scope.Scope) {
+// Leave marks this daemon as having left and announces it. It does not wait for
+// the announcement to arrive.
+func (d *Daemon) Leave(ctx context.Context) {
 	d.Membership.UpdateSelf(func(self *membership.Member) { self.State, self.Ready = membership.Left, false })
 	d.GossipNow(ctx)
 }
 
-// GossipNow exchanges with several others at once.
-func (d *Daemon) GossipNow(ctx scope.Scope) {
+// GossipNow starts exchanges with several members at once and does not wait for
+// them; each ends with ctx or the gossiper's time-out.
+func (d *Daemon) GossipNow(ctx context.Context) {
 	for _, address := range d.Gossiper.AnnounceTargets() {
-		go d.Gossiper.Exchange(ctx, address)
+		go d.Gossiper.Exchange(d.Scope.WithContext(ctx), address)
 	}
 }
 
-// Reload replaces the boot file's values after it changed.
-func (d *Daemon) Reload(fresh *settings.Settings) { d.Gossiper.SetSeeds(fresh.SeedAddresses()) }
+// Reload applies reloaded settings. Only the seeds take effect without a restart.
+func (d *Daemon) Reload(reloaded *settings.Settings) { d.Gossiper.SetSeeds(reloaded.SeedAddresses()) }
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -13,67 +13,75 @@
 	"onyxwell/base/scope"
 )
 
-// Network is how a daemon reaches others and is reached by them. The machine's
-// own is the default; a simulation gives another.
+// Time-outs of HostNetwork's servers.
+const (
+	readHeaderTimeout = 5 * clock.Second
+	idleTimeout       = 60 * clock.Second
+)
+
+// Network is how a daemon reaches others and is reached by them. HostNetwork is
+// the machine's own; simulations and fault injection bring others.
 type Network interface {
-	// Serve answers calls at an address until the scope ends; what is carried is
-	// counted where there is a count.
-	Serve(inner scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error
+	// Serve answers calls at an address until ctx ends, and counts the bytes where
+	// traffic is not nil.
+	Serve(ctx scope.Scope, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error
 	// Client makes a client with connections of its own.
-	Client(pooling httpcall.ClientOptions) *http.Client
-	// Datagrams opens an address for datagrams.
+	Client(options httpcall.ClientOptions) *http.Client
+	// Datagrams opens a socket at an address.
 	Datagrams(address ids.Address) (Socket, error)
 }
 
-// Socket sends and receives datagrams; what is lost is lost.
+// Socket sends and receives datagrams. It may lose, repeat and reorder them.
 type Socket interface {
+	// Send sends a datagram; there is no error, since it may be lost in any case.
 	Send(to ids.Address, body []byte)
-	// Receive waits for the next datagram and gives its length and its sender.
+	// Receive blocks for the next datagram and gives its length and its sender. It
+	// fails once the socket is closed.
 	Receive(buffer []byte) (int, fmt.Stringer, error)
 	Close() error
 }
 
-// HostNetwork is the network of the machine.
+// HostNetwork is the machine's network: HTTP over TCP, and UDP.
 type HostNetwork struct{}
 
-// Serve listens at the address and answers calls there.
-func (HostNetwork) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error {
+// Serve implements Network.
+func (HostNetwork) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
 	}
-	server := httpcall.NewServer(handler, 5*clock.Second, 60*clock.Second)
+	server := httpcall.NewServer(handler, readHeaderTimeout, idleTimeout)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	if err := server.Serve(httpcall.CountListener(listener, count)); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(httpcall.CountListener(listener, traffic)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Client makes a client over TCP.
-func (HostNetwork) Client(pooling httpcall.ClientOptions) *http.Client {
-	return httpcall.NewClient(pooling)
+// Client implements Network.
+func (HostNetwork) Client(options httpcall.ClientOptions) *http.Client {
+	return httpcall.NewClient(options)
 }
 
-// Datagrams opens a UDP socket.
+// Datagrams implements Network.
 func (HostNetwork) Datagrams(address ids.Address) (Socket, error) {
-	place, err := net.ResolveUDPAddr("udp", string(address))
+	local, err := net.ResolveUDPAddr("udp", string(address))
 	if err != nil {
 		return nil, err
 	}
-	opened, err := net.ListenUDP("udp", place)
+	conn, err := net.ListenUDP("udp", local)
 	if err != nil {
 		return nil, err
 	}
-	return udpSocket{opened}, nil
+	return udpSocket{conn}, nil
 }
 
 type udpSocket struct{ conn *net.UDPConn }
 
 func (u udpSocket) Send(to ids.Address, body []byte) {
-	if address, err := net.ResolveUDPAddr("udp", string(to)); err == nil {
-		_, _ = u.conn.WriteToUDP(body, address)
+	if remote, err := net.ResolveUDPAddr("udp", string(to)); err == nil {
+		_, _ = u.conn.WriteToUDP(body, remote)
 	}
 }
 
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -8,28 +8,35 @@
 	"onyxwell/control/transport"
 )
 
-// NewReadIndexGate makes what holds a daemon back until a majority confirmed, after
-// its start, the version that it acts on.
-func (d *Daemon) NewReadIndexGate(first <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
+// readIndexForwardTimeouts is how many forward time-outs a starting daemon waits
+// for a read index before it goes on without.
+const readIndexForwardTimeouts = 2
+
+// NewReadIndexGate makes a gate that holds a starting daemon back until the
+// configuration version it applied is no older than one that a majority of the
+// voters confirmed after the start. applied is closed once there is a version,
+// and serial gives it.
+func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
-		Applied: first, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
+		Applied: applied, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
 		Query: func(ctx scope.Scope, address ids.Address) (readindex.Response, error) {
 			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.MessageName, readindex.Request{From: d.Address})
 		},
-		MaxWait: 2 * TimingOf(d.Scope.Settings).ForwardTimeout,
+		MaxWait: readIndexForwardTimeouts * d.timing.ForwardTimeout,
 	})
 }
 
-// controllers gives the controllers that answer; the seeds where none is known.
+// controllers gives the controllers that are alive, or the seeds where none is
+// known.
 func (d *Daemon) controllers() []ids.Address {
-	var found []ids.Address
+	var addresses []ids.Address
 	for _, member := range d.Membership.Members() {
 		if member.ServesControl && member.State == membership.Alive {
-			found = append(found, member.Address)
+			addresses = append(addresses, member.Address)
 		}
 	}
-	if len(found) == 0 {
+	if len(addresses) == 0 {
 		return d.Scope.Settings.SeedAddresses()
 	}
-	return found
+	return addresses
 }
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -1,6 +1,8 @@
 package daemon
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
@@ -10,26 +12,35 @@
 )
 
 const (
-	// detectionInterval is the time between two looks at what the zone's requests met.
+	// detectionInterval is the time between two evaluations of the zone's runners.
 	detectionInterval = clock.Second / 2
-	// detectionsPerReport is how many such looks pass between two sums sent on.
+	// detectionsPerReport is how many evaluations pass between two reports to the
+	// planner.
 	detectionsPerReport = 2
 )
 
-// serveReports takes the reports of the zone's routers, judges by them which
-// runners the zone should leave alone, and sends their sum to the planner.
-func (d *Daemon) serveReports() {
-	transport.Handle(d.Calls, "sum", func(ctx scope.Scope, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
+// Names of the messages that carry a report. They are sent; they never change.
+const (
+	// relayReport goes from a router to its zone's relay, which aggregates it.
+	relayReport = "sum"
+	// plannerReport goes to the planner.
+	plannerReport = "report"
+)
+
+// addReports takes the reports of the zone's routers, ejects outliers from the
+// zone by them, and forwards their aggregate to the planner.
+func (d *Daemon) addReports() {
+	transport.Handle(d.Calls, relayReport, func(ctx scope.Scope, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
 		report, err := message.Decode()
 		if err == nil {
 			d.addReport(report, ctx.Now())
 		}
 		return autoscaler.ReportResponse{Owner: true}, err
 	})
-	d.AddService("sums", func(ctx scope.Scope) error {
-		for turn := 1; ctx.Wait(detectionInterval); turn++ {
+	d.AddService("reports", func(ctx scope.Scope) error {
+		for evaluation := 1; ctx.Wait(detectionInterval); evaluation++ {
 			d.detectOutliers(ctx.Now())
-			if turn%detectionsPerReport == 0 {
+			if evaluation%detectionsPerReport == 0 {
 				d.forwardReports(ctx)
 			}
 		}
@@ -42,57 +53,61 @@
 	d.outliers.Add(report, now)
 }
 
-// detectOutliers tells the zone who is to rest, where that changed.
+// detectOutliers gossips the zone's ejections where they changed.
 func (d *Daemon) detectOutliers(now clock.Instant) {
-	rests, changed := d.outliers.Evaluate(now)
+	ejections, changed := d.outliers.Evaluate(now)
 	if !changed {
 		return
 	}
-	if body, err := transport.Marshal(rests); err == nil {
+	if body, err := transport.Marshal(ejections); err == nil {
 		d.Updates.PutNext(outlier.Key(d.Membership.Self().Zone), d.Address, body)
 	}
 }
 
-func (d *Daemon) forwardReports(ctx scope.Scope) {
-	report, any := d.reports.Flush()
-	if holder := d.plannerAddress(); any && holder != "" {
+// forwardReports sends the aggregate to the planner without waiting for it: a
+// planner that does not answer must not hold up the detection. The send ends with
+// ctx or the gossiper's time-out.
+func (d *Daemon) forwardReports(ctx context.Context) {
+	report, ok := d.reports.Flush()
+	if planner := d.plannerAddress(); ok && planner != "" {
 		report.From = d.Address
-		go func() { _ = d.sendReport(ctx, holder, "report", report) }()
+		go func() { _ = d.sendReport(ctx, planner, plannerReport, report) }()
 	}
 }
 
-// Report sends a router's report up: to the first relay of its zone that
-// answers, or straight to the planner where none does.
-func (d *Daemon) Report(ctx scope.Scope, report autoscaler.ReportRequest) {
-	pace := TimingOf(d.Scope.Settings)
-	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, pace.RelaysPerZone) {
+// Report sends a router's report to the first of its zone's relays that answers,
+// or to the planner where none does. A report that nobody takes is lost.
+func (d *Daemon) Report(ctx context.Context, report autoscaler.ReportRequest) {
+	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, d.timing.RelaysPerZone) {
 		if relay.Address == d.Address {
-			d.addReport(report, ctx.Now())
+			d.addReport(report, d.Scope.Now())
 			return
 		}
-		if d.sendReport(ctx, relay.Address, "sum", report) == nil {
+		if d.sendReport(ctx, relay.Address, relayReport, report) == nil {
 			return
 		}
 	}
-	if holder := d.plannerAddress(); holder != "" {
-		_ = d.sendReport(ctx, holder, "report", report)
+	if planner := d.plannerAddress(); planner != "" {
+		_ = d.sendReport(ctx, planner, plannerReport, report)
 	}
 }
 
-func (d *Daemon) sendReport(ctx scope.Scope, to ids.Address, name string, report autoscaler.ReportRequest) error {
-	short, release := ctx.WithTimeout(d.Gossiper.Timeout)
-	defer release()
+func (d *Daemon) sendReport(ctx context.Context, to ids.Address, name string, report autoscaler.ReportRequest) error {
+	limited, cancel := d.Scope.WithContext(ctx).WithTimeout(d.Gossiper.Timeout)
+	defer cancel()
 	message, err := report.Encode()
-	if err == nil {
-		_, err = transport.Send[autoscaler.ReportResponse](short, d.Transport, to, name, message)
+	if err != nil {
+		return err
 	}
+	_, err = transport.Send[autoscaler.ReportResponse](limited, d.Transport, to, name, message)
 	return err
 }
 
-// plannerAddress tells who made the newest plan; the plan is read once a version.
+// plannerAddress gives the owner of the current routing plan, or "" while there is
+// none. A plan is decoded once a version.
 func (d *Daemon) plannerAddress() ids.Address {
-	item, found := d.Updates.Get(autoscaler.RoutingKey)
-	if !found {
+	item, ok := d.Updates.Get(autoscaler.RoutingKey)
+	if !ok {
 		return ""
 	}
 	d.mu.Lock()
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -6,59 +6,65 @@
 	"onyxwell/control/membership"
 )
 
-// Timing holds how often a daemon does things; all of it follows from the
-// bounds of the boot file.
+// Timing holds a daemon's intervals and time-outs. All follow from the bounds in
+// the settings, so that every daemon of a fleet agrees on them.
 type Timing struct {
-	// ConnectTimeout is how long a connection to another daemon may take to come up.
+	// ConnectTimeout bounds connecting to another daemon.
 	ConnectTimeout clock.Span
-	// PeerTimeout is how long a daemon may be silent before its connections go.
+	// PeerTimeout is how long a peer may leave data unacknowledged before its
+	// connections are closed, and the time-out of a message.
 	PeerTimeout clock.Span
-	// GossipInterval is the time between two comparisons of news.
+	// GossipInterval is the time between two anti-entropy exchanges.
 	GossipInterval clock.Span
-	// DiscoveryInterval is the time between two questions to the platform.
+	// DiscoveryInterval is the time between two polls of the platform.
 	DiscoveryInterval clock.Span
-	// LeaseDuration is how long a duty is granted for.
+	// LeaseDuration is the time to live of a lease.
 	LeaseDuration clock.Span
-	// SweepInterval is the time between two looks for values that never became news.
+	// SweepInterval is the time between two sweeps for committed values that were
+	// never gossiped.
 	SweepInterval clock.Span
-	// ForwardTimeout is how long the owner of a key may take to answer.
+	// ForwardTimeout bounds the answer of a key's owner to a forwarded command.
 	ForwardTimeout clock.Span
-	// CommandTimeout is how long an operator's order may take in all.
+	// CommandTimeout bounds an operator's command in all.
 	CommandTimeout clock.Span
-	Probe          membership.ProbeConfig
-	// ZoneSummaryInterval is the time between two looks at who relays and what a zone looks like.
+	// Probe configures the membership's probes.
+	Probe membership.ProbeConfig
+	// ZoneSummaryInterval is the time between two relay elections and zone summaries.
 	ZoneSummaryInterval clock.Span
-	// RelaysPerZone is how many daemons of a zone pass news on, Fanout to how many others
-	// each does at most.
+	// RelaysPerZone is how many daemons of a zone relay gossip.
 	RelaysPerZone int
-	Fanout        int
+	// Fanout is how many others a relay pushes to at most.
+	Fanout int
 }
 
-// TimingOf works the paces out from the bounds: news must be everywhere well
-// inside the time for applying a spec, orders be answered well inside the time
-// for acknowledging them.
+// TimingOf derives the timing from the settings' bounds: gossip must reach every
+// daemon well within apply_within_ms, and commands be answered well within the
+// time for acknowledging them. A missing drain_ms or in_touch_ms counts as
+// apply_within_ms.
 func TimingOf(node *settings.Settings) Timing {
 	apply := settings.Milliseconds(node.Bounds.ApplyWithinMS)
-	touch := settings.Milliseconds(node.Bounds.InTouchMS)
+	inTouch := settings.Milliseconds(node.Bounds.InTouchMS)
 	drain := settings.Milliseconds(node.Bounds.DrainMS)
 	if drain == 0 {
 		drain = apply
 	}
-	if touch == 0 {
-		touch = apply
+	if inTouch == 0 {
+		inTouch = apply
 	}
 	return Timing{
+		ConnectTimeout:    apply / 6,
+		PeerTimeout:       inTouch / 2,
+		GossipInterval:    apply / 6,
+		DiscoveryInterval: drain / 6,
+		LeaseDuration:     inTouch / 3,
+		SweepInterval:     apply / 6,
+		ForwardTimeout:    apply / 8,
+		CommandTimeout:    apply * 3 / 10,
+		Probe: membership.ProbeConfig{
+			Interval: inTouch / 8, AckTimeout: inTouch / 20, SuspicionTimeout: inTouch / 3, IndirectProbes: 2,
+		},
 		ZoneSummaryInterval: apply / 12,
 		RelaysPerZone:       2,
 		Fanout:              8,
-		ConnectTimeout:      apply / 6,
-		PeerTimeout:         touch / 2,
-		GossipInterval:      apply / 6,
-		DiscoveryInterval:   drain / 6,
-		LeaseDuration:       touch / 3,
-		SweepInterval:       apply / 6,
-		ForwardTimeout:      apply / 8,
-		CommandTimeout:      apply * 3 / 10,
-		Probe:               membership.ProbeConfig{Interval: touch / 8, AckTimeout: touch / 20, SuspicionTimeout: touch / 3, IndirectProbes: 2},
 	}
 }
