--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -1,17 +1,20 @@
-// Package controller puts a fleet-controller together from the control
-// libraries: the seat and the register, the desk and the operator's calls, the
-// duties, the directory. It runs on the machine, or in a simulation.
+// Package controller assembles a fleet-controller from the control packages:
+// the voter and the registers, the command dispatcher with its admin API, the
+// singletons that a lease keeps to one controller at a time, and the client
+// directory. It owns the order in which these are built, started and stopped,
+// and no state of its own. It runs on the machine's network and disk, or on
+// those of a simulation.
 package controller
 
 import (
 	"context"
 
-	"onyxwell/base/httpcall"
+	"github.com/phuslu/log"
+
+	"onyxwell/base/clock"
 	"onyxwell/base/scope"
 	"onyxwell/base/settings"
-	"onyxwell/control/admin"
 	"onyxwell/control/daemon"
-	"onyxwell/control/directory"
 	"onyxwell/control/discovery"
 	"onyxwell/control/gossip"
 	"onyxwell/control/membership"
@@ -25,21 +28,33 @@
 	"onyxwell/control/state/wal"
 )
 
-// Role is the controllers' name in the deploy file and among members.
+// Role is the controllers' role in the deploy file and in the membership.
 const Role = "fleet-controller"
 
-// Options are what a controller stands on.
+// membersFile is the file in the data directory that keeps the membership
+// across restarts.
+const membersFile = "members"
+
+// voterTimeoutCommands is how many command timeouts a change of the voter set
+// may take.
+const voterTimeoutCommands = 3
+
+// Options replace what a controller takes from the machine by default.
 type Options struct {
-	// Network is the machine's own where none is given.
+	// Network defaults to the machine's own.
 	Network daemon.Network
-	// Disk is the folder that the boot file names where none is given.
+	// Disk defaults to the settings' data directory.
 	Disk wal.FS
 }
 
-// Controller is the daemon put together.
+// Controller is an assembled fleet-controller.
 type Controller struct {
+	clock    clock.Clock
+	log      *log.Logger
+	settings *settings.Settings
+	timing   daemon.Timing
+
 	daemon     *daemon.Daemon
-	timing     daemon.Timing
 	voter      *voter.Voter
 	proposer   *register.Proposer
 	commands   *command.Dispatcher
@@ -49,134 +64,123 @@
 	leases     []*lease.Holder
 }
 
-// Run runs the controller until the scope ends, then leaves in order.
-func (c *Controller) Run(top scope.Scope, reread <-chan *settings.Settings) error {
+// New assembles a controller and loads its state from the disk. It opens the
+// datagram socket; everything else is opened by Run.
+func New(env scope.Scope, options Options) (*Controller, error) {
+	c := &Controller{
+		clock: env.Clock, log: env.Log, settings: env.Settings,
+		timing: daemon.TimingOf(env.Settings), view: daemon.NewView(env),
+	}
+	var err error
+	c.daemon, err = daemon.New(env, daemon.Options{
+		Role: Role, OnUpdate: func(item gossip.Item) { c.view.Apply(item) }, View: c.view, Network: options.Network,
+	})
+	if err != nil {
+		return nil, err
+	}
+	disk := options.Disk
+	if disk == nil {
+		disk = wal.Dir(c.settings.DataDir)
+	}
+	c.restoreMembership(disk)
+	if err := c.openVoter(env, disk); err != nil {
+		return nil, err
+	}
+	c.addCommands()
+	c.addServices(env)
+	return c, nil
+}
+
+// Run runs the controller until ctx ends, then shuts down gracefully: it
+// announces its departure, resigns its leases and hands its vote over, all
+// within the command timeout so that commands in flight are answered. Reloaded
+// settings arrive on reloads. An error is that of the supervisor.
+func (c *Controller) Run(ctx context.Context, reloads <-chan *settings.Settings) error {
 	defer c.voter.Close()
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	services, stop := context.WithCancel(context.Background())
+	defer stop()
 	ended := make(chan error, 1)
-	go func() { ended <- c.daemon.Run(running) }()
+	go func() { ended <- c.daemon.Run(services) }()
 	c.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 	for {
 		select {
-		case fresh := <-reread:
-			c.daemon.Reload(fresh)
+		case reloaded := <-reloads:
+			c.daemon.Reload(reloaded)
 		case err := <-ended:
 			return err
-		case <-top.Done():
-			// Calls that run are answered; others find another controller.
-			leaving := top.WithoutCancel()
-			c.voter.Leave()
-			c.daemon.Leave(leaving)
-			for _, duty := range c.leases {
-				go duty.Resign(leaving)
-			}
-			leaving.Wait(c.timing.CommandTimeout)
-			c.voter.HandOver(leaving)
+		case <-ctx.Done():
+			c.shutDown(c.daemon.Scope.WithContext(context.WithoutCancel(ctx)))
 			return nil
 		}
 	}
 }
 
-// New puts a controller together.
-func New(top scope.Scope, options Options) (*Controller, error) {
-	made := &Controller{timing: daemon.TimingOf(top.Settings), view: daemon.NewView(top)}
-	var err error
-	made.daemon, err = daemon.New(top, daemon.Options{
-		Role: Role, OnUpdate: func(item gossip.Item) { made.view.Apply(item) }, View: made.view, Network: options.Network,
-	})
-	if err != nil {
-		return nil, err
+// shutDown leaves the fleet. Resignations are not awaited one by one: each is a
+// message to voters that may be unreachable, and the command timeout bounds all.
+func (c *Controller) shutDown(ctx scope.Scope) {
+	c.voter.Leave()
+	c.daemon.Leave(ctx)
+	for _, holder := range c.leases {
+		go holder.Resign(ctx)
 	}
-	disk := options.Disk
-	if disk == nil {
-		disk = wal.Dir(top.Settings.DataDir)
+	ctx.Wait(c.timing.CommandTimeout)
+	c.voter.HandOver(ctx)
+}
+
+// restoreMembership loads the members known before the restart and keeps the
+// file up to date. Without them the seeds have to answer.
+func (c *Controller) restoreMembership(disk wal.FS) {
+	members := &membership.Store{
+		Table: c.daemon.Membership, Disk: disk, Name: membersFile,
+		ZoneSizes: c.daemon.Zones.Sizes, RestoreZoneSizes: c.daemon.Zones.MergeSizes,
 	}
-	members := &membership.Store{Table: made.daemon.Membership, Disk: disk, Name: "members", ZoneSizes: made.daemon.Zones.Sizes, RestoreZoneSizes: made.daemon.Zones.MergeSizes}
 	if err := members.Load(); err != nil {
-		top.Log.Warn().Str("part", "members").Err(err).Msg("the members of before can't be read")
+		c.log.Warn().Str("part", "members").Err(err).Msg("members file unreadable")
 	}
-	made.daemon.AddService("members", func(ctx scope.Scope) error { members.Run(ctx, made.timing.LeaseDuration); return nil })
-	made.quorum = quorum.New(quorum.Options{
-		Address: made.daemon.Address, Transport: made.daemon.Transport, MaxAge: made.timing.ForwardTimeout,
-		Voters: func() register.VoterSet { return made.voter.Acceptor.Voters() },
-	})
-	made.voter, err = voter.Open(top, voter.Options{
-		Address: made.daemon.Address, Disk: disk, FirstStart: top.Settings.FirstStart,
-		Seeds: top.Settings.SeedAddresses(), Membership: made.daemon.Membership, Transport: made.daemon.Transport, Quorum: made.quorum,
-		ReplaceAfter: made.timing.LeaseDuration, Timeout: 3 * made.timing.CommandTimeout, LeaseTTL: made.timing.LeaseDuration,
-		TargetCount: voter.TargetCount(top.Settings), Zones: top.Settings.Zones, Timing: voter.TimingOf(top.Settings, made.timing.LeaseDuration, made.timing.ForwardTimeout),
-	})
-	if err != nil {
-		return nil, err
-	}
-	made.voter.Acceptor.Monitor = made.daemon.Monitor
-	made.voter.RegisterHandlers(made.daemon.Calls)
-	made.proposer = register.NewProposer(register.ProposerOptions{
-		Address: made.daemon.Address, Client: made.voter, Voters: made.voter.Acceptor.Voters,
-		HighestEpoch:   func(key string) int64 { return made.voter.Acceptor.Slot(key).Promised.Number },
-		OnCommit:       func(key string, accepted register.Proposal) { made.commands.Publish(key, accepted) },
-		MessageTimeout: made.timing.PeerTimeout, BatchTimeout: made.timing.CommandTimeout, MinCopies: voter.RequiredCopies(top.Settings),
-	})
-	made.voter.Attach(made.proposer)
-	made.commands = command.New(command.Options{
-		Address: made.daemon.Address, Proposer: made.proposer, Acceptor: made.voter.Acceptor,
-		Membership: made.daemon.Membership, Updates: made.daemon.Updates, Transport: made.daemon.Transport,
-		ForwardTimeout: made.timing.ForwardTimeout, CommandTimeout: made.timing.CommandTimeout, Quorum: made.quorum,
-	})
-	made.commands.Serve(made.daemon.Calls)
-	made.quorum.RegisterHandlers(made.daemon.Calls)
-	readindex.NewReader(made.commands.LatestVersion).RegisterHandlers(made.daemon.Calls)
-	made.daemon.AddService("contact", func(ctx scope.Scope) error { made.quorum.Run(ctx); return nil })
-	made.addServices(top)
-	return made, nil
+	c.daemon.AddService("members", func(ctx scope.Scope) error { members.Run(ctx, c.timing.LeaseDuration); return nil })
 }
 
-func (c *Controller) addServices(top scope.Scope) {
-	common, pace := c.daemon, c.timing
-	common.AddService("seat", func(ctx scope.Scope) error {
-		c.voter.Run(ctx, pace.GossipInterval)
-		return nil
-	})
-	common.AddService("sweep", func(ctx scope.Scope) error { c.commands.Run(ctx, pace.SweepInterval); return nil })
-	c.addSingleton("census", func(holder *lease.Holder) func(ctx scope.Scope) {
-		reader := &discovery.Publisher{
-			Platform: common.NewPlatformClient(), Updates: common.Updates, Held: holder.Held,
-			Clock: top.Clock, Log: top.Log, RatePerS: top.Settings.Platform.RatePerS,
-			Resign:   func(ctx context.Context) { holder.StandDown(top.WithContext(ctx), pace.LeaseDuration) },
-			Interval: pace.DiscoveryInterval, HeartbeatInterval: 2 * pace.DiscoveryInterval,
-		}
-		return func(ctx scope.Scope) { reader.Run(ctx) }
+// openVoter opens the disk's vote and the quorum tracker that it reports to.
+func (c *Controller) openVoter(env scope.Scope, disk wal.FS) error {
+	c.quorum = quorum.New(quorum.Options{
+		Address: c.daemon.Address, Transport: c.daemon.Transport, MaxAge: c.timing.ForwardTimeout,
+		Voters: c.Voters,
 	})
-	c.addSingleton("plan", c.newAutoscaler(top))
-	orders := httpcall.NewMux(top, top.Settings.Limits.MemoryMB<<20/16)
-	orders.Metrics, orders.Bodies = common.Metrics, common.BodyQuota
-	admin.Serve(orders, c.commands)
-	admin.ServeHeadroom(orders, common.Updates)
-	c.serveStatus(orders)
-	common.AddService("control", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Settings.Listen["control"], orders)
+	var err error
+	c.voter, err = voter.Open(env, voter.Options{
+		Address: c.daemon.Address, Disk: disk, FirstStart: c.settings.FirstStart,
+		Seeds: c.settings.SeedAddresses(), Zones: c.settings.Zones,
+		Membership: c.daemon.Membership, Transport: c.daemon.Transport, Quorum: c.quorum,
+		ReplaceAfter: c.timing.LeaseDuration, LeaseTTL: c.timing.LeaseDuration,
+		Timeout:     voterTimeoutCommands * c.timing.CommandTimeout,
+		TargetCount: voter.TargetCount(c.settings),
+		Timing:      voter.TimingOf(c.settings, c.timing.LeaseDuration, c.timing.ForwardTimeout),
 	})
-	lookups := httpcall.NewMux(top, 1<<16)
-	lookups.Metrics, lookups.Bodies = common.Metrics, common.BodyQuota
-	front := &directory.Directory{
-		Membership: common.Membership, OtherZones: common.Zones.RemoteEndpoints, Zones: top.Settings.Zones,
-		LossTimeout: max(settings.Seconds(top.Settings.Bounds.RecoveryS), pace.LeaseDuration), Metrics: common.Metrics, Monitor: common.Monitor,
+	if err != nil {
+		return err
 	}
-	front.Serve(lookups)
-	common.AddService("directory", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Settings.Listen["directory"], lookups)
-	})
+	c.voter.Acceptor.Monitor = c.daemon.Monitor
+	c.voter.RegisterHandlers(c.daemon.Calls)
+	return nil
 }
 
-// addSingleton adds what one controller does at a time.
-func (c *Controller) addSingleton(name string, work func(holder *lease.Holder) func(ctx scope.Scope)) {
-	holder := lease.NewHolder(lease.Options{
-		Name: name, Address: c.daemon.Address, TTL: c.timing.LeaseDuration,
-		RequestGrant: c.voter.RequestLease, NextEpoch: c.commands.NextEpoch, Monitor: c.daemon.Monitor,
+// addCommands builds the proposer on the voter, the dispatcher on the proposer,
+// and registers what they answer to other daemons.
+func (c *Controller) addCommands() {
+	c.proposer = register.NewProposer(register.ProposerOptions{
+		Address: c.daemon.Address, Client: c.voter, Voters: c.voter.Acceptor.Voters,
+		HighestEpoch:   func(key string) int64 { return c.voter.Acceptor.Slot(key).Promised.Number },
+		OnCommit:       func(key string, accepted register.Proposal) { c.commands.Publish(key, accepted) },
+		MessageTimeout: c.timing.PeerTimeout, BatchTimeout: c.timing.CommandTimeout,
+		MinCopies: voter.RequiredCopies(c.settings),
+	})
+	c.voter.Attach(c.proposer)
+	c.commands = command.New(command.Options{
+		Address: c.daemon.Address, Proposer: c.proposer, Acceptor: c.voter.Acceptor,
+		Membership: c.daemon.Membership, Updates: c.daemon.Updates, Transport: c.daemon.Transport, Quorum: c.quorum,
+		ForwardTimeout: c.timing.ForwardTimeout, CommandTimeout: c.timing.CommandTimeout,
 	})
-	c.leases = append(c.leases, holder)
-	run := work(holder)
-	c.daemon.AddService("hold "+name, func(ctx scope.Scope) error { holder.Run(ctx); return nil })
-	c.daemon.AddService(name, func(ctx scope.Scope) error { run(ctx); return nil })
+	c.commands.Serve(c.daemon.Calls)
+	c.quorum.RegisterHandlers(c.daemon.Calls)
+	readindex.NewReader(c.commands.LatestVersion).RegisterHandlers(c.daemon.Calls)
 }
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -1,10 +1,11 @@
 package controller
 
 import (
+	"context"
 	"encoding/json"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/config"
 	"onyxwell/control/config/evacuation"
 	"onyxwell/control/discovery"
@@ -14,93 +15,108 @@
 	"onyxwell/control/state/lease"
 )
 
-// headroomSteps is how many looks at the metrics pass between two estimates.
+// headroomSteps is how many steps of the metrics pass between two estimates.
 const headroomSteps = 5
 
-// publishHeadroom tells the room of every family while this controller plans.
-func (c *Controller) publishHeadroom(ctx scope.Scope, holder *lease.Holder) {
-	for counter := int64(1); ctx.Wait(headroomSteps * metricStep); counter++ {
-		epoch, held := holder.Held(ctx.Now())
+// Conditions of a runner that keep its capacity out of the estimate; only
+// headroom.Ready counts. They are part of the published report.
+const (
+	conditionDraining    = "draining"
+	conditionEvacuated   = "emptied"
+	conditionQuarantined = "resting"
+	conditionWarmingUp   = "cold"
+)
+
+// publishHeadroom publishes the headroom of every model family while this
+// controller holds the planning lease. An estimate that outlived the epoch it
+// was begun under is dropped.
+func (c *Controller) publishHeadroom(ctx context.Context, holder *lease.Holder) {
+	for sequence := int64(1); clock.Wait(ctx, c.clock, headroomSteps*metricStep); sequence++ {
+		epoch, held := holder.Held(c.clock.Now())
 		if !held {
 			continue
 		}
-		seen, known := c.headroomInput(ctx)
-		if !known {
+		input, ok := c.headroomInput()
+		if !ok {
 			continue
 		}
-		body, err := json.Marshal(headroom.Estimate(seen))
-		if now, held := holder.Held(ctx.Now()); err != nil || !held || now != epoch {
+		body, err := json.Marshal(headroom.Estimate(input))
+		if now, held := holder.Held(c.clock.Now()); err != nil || !held || now != epoch {
 			continue
 		}
-		c.daemon.Updates.Put(gossip.Item{Key: headroom.Key, Version: discovery.FencedSerial(epoch, counter), Body: body})
-		ctx.Log.Info().Str("part", "room").RawJSON("report", body).Msg("estimated")
+		c.daemon.Updates.Put(gossip.Item{Key: headroom.Key, Version: discovery.FencedSerial(epoch, sequence), Body: body})
+		c.log.Info().Str("part", "headroom").RawJSON("report", body).Msg("headroom estimated")
 	}
 }
 
-// headroomInput gathers what the estimate needs: every runner on the list, as it stands.
-func (c *Controller) headroomInput(ctx scope.Scope) (headroom.Input, bool) {
-	item, found := c.daemon.Updates.Get(config.Key)
-	if !found {
+// headroomInput gathers the configuration, the recent work and every listed
+// runner; ok is false until there is a configuration that can be read.
+func (c *Controller) headroomInput() (input headroom.Input, ok bool) {
+	item, ok := c.daemon.Updates.Get(config.Key)
+	if !ok {
 		return headroom.Input{}, false
 	}
-	version, err := config.Parse(item.Body)
+	current, err := config.Parse(item.Body)
 	if err != nil {
 		return headroom.Input{}, false
 	}
-	seen := headroom.Input{Config: version}
-	var units map[ids.RunnerID]float64
-	seen.Readings, units, seen.Seconds = c.autoscaler.RecentWork()
-	resting := c.standbyRunners()
+	input.Config = current
+	var unitsPerS map[ids.RunnerID]float64
+	input.Readings, unitsPerS, input.Seconds = c.autoscaler.RecentWork()
+	quarantined := c.quarantinedRunners()
 	for _, runner := range c.view.Runners() {
-		standing := runnerCondition(runner, c.zoneEvacuated(runner.Zone), resting[runner.ID])
-		seen.Runners = append(seen.Runners, headroom.Runner{
-			ID: runner.ID, Service: runner.Service, Region: ctx.Settings.Zones[runner.Zone], Slots: float64(runner.Capacity),
-			State: standing, UnitsPerS: units[runner.ID],
+		input.Runners = append(input.Runners, headroom.Runner{
+			ID: runner.ID, Service: runner.Service, Region: c.settings.Zones[runner.Zone], Slots: float64(runner.Capacity),
+			State:     runnerCondition(runner, c.zoneEvacuated(runner.Zone), quarantined[runner.ID]),
+			UnitsPerS: unitsPerS[runner.ID],
 		})
 	}
-	seen.Routers = c.routerCounts()
-	return seen, true
+	input.Routers = c.routerCounts()
+	return input, true
 }
 
-// standings are asked in this order; the first that holds is the runner's.
-func runnerCondition(runner discovery.Runner, emptied bool, resting bool) string {
-	standings := []struct {
-		holds bool
-		name  string
-	}{{runner.Draining, "draining"}, {emptied, "emptied"}, {resting, "resting"}, {runner.WarmupLeftMS > 0, "cold"}}
-	for _, standing := range standings {
-		if standing.holds {
-			return standing.name
-		}
+// runnerCondition gives the first condition that holds, in this order.
+func runnerCondition(runner discovery.Runner, evacuated bool, quarantined bool) string {
+	switch {
+	case runner.Draining:
+		return conditionDraining
+	case evacuated:
+		return conditionEvacuated
+	case quarantined:
+		return conditionQuarantined
+	case runner.WarmupLeftMS > 0:
+		return conditionWarmingUp
 	}
 	return headroom.Ready
 }
 
+// zoneEvacuated reports whether the operator has drained the zone.
 func (c *Controller) zoneEvacuated(zone ids.Zone) bool {
-	item, found := c.daemon.Updates.Get(evacuation.Key(zone))
-	if !found {
+	item, ok := c.daemon.Updates.Get(evacuation.Key(zone))
+	if !ok {
 		return false
 	}
-	kept, err := evacuation.Decode(item.Body)
-	return err == nil && kept.Drained
+	state, err := evacuation.Decode(item.Body)
+	return err == nil && state.Drained
 }
 
-func (c *Controller) standbyRunners() map[ids.RunnerID]bool {
-	resting := map[ids.RunnerID]bool{}
+// quarantinedRunners gives the runners that the current plan takes out of use.
+func (c *Controller) quarantinedRunners() map[ids.RunnerID]bool {
+	quarantined := map[ids.RunnerID]bool{}
 	item, _ := c.daemon.Updates.Get(autoscaler.RoutingKey)
 	if routing, err := autoscaler.ReadRouting(item.Body); err == nil {
 		for _, planned := range routing.Runners {
-			resting[planned.Runner] = planned.Quarantined
+			quarantined[planned.Runner] = planned.Quarantined
 		}
 	}
-	return resting
+	return quarantined
 }
 
-// routerCounts counts the routers of each region, those that are gone too.
+// routerCounts counts the routers of each region, lost ones included.
 func (c *Controller) routerCounts() []headroom.Routers {
-	var counted []headroom.Routers
+	var counts []headroom.Routers
 	for _, region := range c.daemon.Zones.Regions() {
-		counted = append(counted, headroom.Routers{Region: region.Name, Known: region.Known, Ready: region.Ready})
+		counts = append(counts, headroom.Routers{Region: region.Name, Known: region.Known, Ready: region.Ready})
 	}
-	return counted
+	return counts
 }
--- a/control/controller/inspect.go
+++ b/control/controller/inspect.go
@@ -6,28 +6,30 @@
 	"onyxwell/control/state/register"
 )
 
-// HoldsLease tells whether this controller does a duty now, and under which epoch.
-func (c *Controller) HoldsLease(duty string) (int64, bool) {
+// HoldsLease reports whether this controller holds the lease of that name now,
+// and the epoch of its last grant.
+func (c *Controller) HoldsLease(name string) (epoch int64, held bool) {
 	for _, holder := range c.leases {
-		if holder.Name() == duty {
-			return holder.Held(c.daemon.Scope.Now())
+		if holder.Name() == name {
+			return holder.Held(c.clock.Now())
 		}
 	}
 	return 0, false
 }
 
-// Voters gives the voters as this controller knows them.
+// Voters gives the voter set as this controller knows it.
 func (c *Controller) Voters() register.VoterSet { return c.voter.Acceptor.Voters() }
 
-// IsVoter tells whether this controller's disk votes.
+// IsVoter reports whether this controller's disk votes.
 func (c *Controller) IsVoter() bool { return c.voter.Voting() }
 
-// Slots gives all that this controller's disk holds.
+// Slots gives a copy of every slot on this controller's disk.
 func (c *Controller) Slots() []register.Slot {
 	return c.voter.Acceptor.Fetch(register.FetchRequest{}).Slots
 }
 
-// Read reads a key as an order of the operator does: confirmed by a majority.
+// Read reads a key linearizably, as an operator's read does: the value is
+// confirmed by a majority of the voters.
 func (c *Controller) Read(ctx scope.Scope, key string) ([]byte, error) {
 	return c.commands.Dispatch(ctx, command.Command{Key: key, Verb: command.VerbRead})
 }
--- /dev/null
+++ b/control/controller/services.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"context"
+
+	"onyxwell/base/httpcall"
+	"onyxwell/base/scope"
+	"onyxwell/base/settings"
+	"onyxwell/control/admin"
+	"onyxwell/control/directory"
+	"onyxwell/control/discovery"
+	"onyxwell/control/state/lease"
+)
+
+// Names of the singletons' leases. They are stored and sent; they never change.
+const (
+	discoveryLease = "census"
+	planningLease  = "plan"
+)
+
+const (
+	// adminBodyDivisor is the part of the memory limit, one in so many, that the
+	// body of an admin call may take.
+	adminBodyDivisor = 16
+	// lookupBodyLimit bounds the body of a directory look-up, in bytes.
+	lookupBodyLimit = 1 << 16
+	// heartbeatPolls is how many polls of the platform pass between two
+	// heartbeats of an unchanged endpoint list.
+	heartbeatPolls = 2
+)
+
+// addServices adds the services that the supervisor starts, in this order.
+func (c *Controller) addServices(env scope.Scope) {
+	c.daemon.AddService("quorum", func(ctx scope.Scope) error { c.quorum.Run(ctx); return nil })
+	c.daemon.AddService("voter", func(ctx scope.Scope) error { c.voter.Run(ctx, c.timing.GossipInterval); return nil })
+	c.daemon.AddService("sweep", func(ctx scope.Scope) error { c.commands.Run(ctx, c.timing.SweepInterval); return nil })
+	c.addSingleton(discoveryLease, c.newPublisher)
+	c.addSingleton(planningLease, c.newAutoscaler)
+	c.addAdminAPI(env)
+	c.addDirectory(env)
+}
+
+// addSingleton adds a service that acts only while this controller holds the
+// lease of that name. newService is called once, before the supervisor starts.
+func (c *Controller) addSingleton(name string, newService func(*lease.Holder) func(scope.Scope)) {
+	holder := lease.NewHolder(lease.Options{
+		Name: name, Address: c.daemon.Address, TTL: c.timing.LeaseDuration,
+		RequestGrant: c.voter.RequestLease, NextEpoch: c.commands.NextEpoch, Monitor: c.daemon.Monitor,
+	})
+	c.leases = append(c.leases, holder)
+	run := newService(holder)
+	c.daemon.AddService("lease "+name, func(ctx scope.Scope) error { holder.Run(ctx); return nil })
+	c.daemon.AddService(name, func(ctx scope.Scope) error { run(ctx); return nil })
+}
+
+// newPublisher makes the singleton that polls the platform's endpoint list.
+func (c *Controller) newPublisher(holder *lease.Holder) func(scope.Scope) {
+	publisher := &discovery.Publisher{
+		Platform: c.daemon.NewPlatformClient(), Updates: c.daemon.Updates, Held: holder.Held,
+		Resign: func(ctx context.Context) {
+			holder.StandDown(c.daemon.Scope.WithContext(ctx), c.timing.LeaseDuration)
+		},
+		Interval: c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
+		Clock: c.clock, Log: c.log, RatePerS: c.settings.Platform.RatePerS,
+	}
+	return func(ctx scope.Scope) { publisher.Run(ctx) }
+}
+
+// addAdminAPI serves the operator's calls.
+func (c *Controller) addAdminAPI(env scope.Scope) {
+	mux := c.newMux(env, c.settings.Limits.MemoryMB<<20/adminBodyDivisor)
+	admin.Serve(mux, c.commands)
+	admin.ServeHeadroom(mux, c.daemon.Updates)
+	c.serveStatus(mux)
+	c.addListener("control", mux)
+}
+
+// addDirectory serves clients' look-ups.
+func (c *Controller) addDirectory(env scope.Scope) {
+	mux := c.newMux(env, lookupBodyLimit)
+	clients := &directory.Directory{
+		Membership: c.daemon.Membership, OtherZones: c.daemon.Zones.RemoteEndpoints, Zones: c.settings.Zones,
+		LossTimeout: max(settings.Seconds(c.settings.Bounds.RecoveryS), c.timing.LeaseDuration),
+		Metrics:     c.daemon.Metrics, Monitor: c.daemon.Monitor,
+	}
+	clients.Serve(mux)
+	c.addListener("directory", mux)
+}
+
+// newMux makes a mux that shares the daemon's metrics and its quota for bodies.
+func (c *Controller) newMux(env scope.Scope, bodyLimit int64) *httpcall.Mux {
+	mux := httpcall.NewMux(env, bodyLimit)
+	mux.Metrics, mux.Bodies = c.daemon.Metrics, c.daemon.BodyQuota
+	return mux
+}
+
+// addListener serves a mux at the address that the settings list under name.
+func (c *Controller) addListener(name string, mux *httpcall.Mux) {
+	c.daemon.AddService(name, func(ctx scope.Scope) error {
+		return c.daemon.ServeHTTP(ctx, c.settings.Listen[name], mux)
+	})
+}
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -17,29 +17,33 @@
 	"onyxwell/control/state/register"
 )
 
-// status is what GET /status tells: how this controller sees the system.
+// status is the response to GET /status: the fleet as seen from this controller.
+// The JSON names are the operators'.
 type status struct {
 	Address ids.Address                 `json:"address"`
 	Zones   []zoneStatus                `json:"zones"`
 	Regions []zonesummary.RegionSummary `json:"regions"`
 	Quorum  quorum.Status               `json:"contact"`
 	Voters  []register.Member           `json:"voters"`
-	// Redundancy is what the control state still bears, as seen from here.
-	Redundancy   register.Redundancy `json:"redundancy"`
-	Owners       map[string]string   `json:"owners"`
-	Leases       map[string]bool     `json:"duties_held_here"`
-	Serials      map[string]int64    `json:"news"`
-	Pushed       int64               `json:"pushed"`
-	PushesFailed int64               `json:"pushes_failed"`
-	Relayed      int64               `json:"relayed"`
-	MessagesSent int64               `json:"messages_sent"`
-	BytesOut     int64               `json:"bytes_out"`
-	BytesIn      int64               `json:"bytes_in"`
-	// MessagesRejected counts messages of other daemons that were dropped, by their flaw.
+	// Redundancy is how many further losses the control state survives.
+	Redundancy register.Redundancy `json:"redundancy"`
+	// Owners gives the owner of each register's key.
+	Owners map[string]string `json:"owners"`
+	// Leases gives, by name, whether this controller holds the lease.
+	Leases map[string]bool `json:"duties_held_here"`
+	// Serials gives the version of each gossip item.
+	Serials      map[string]int64 `json:"news"`
+	Pushed       int64            `json:"pushed"`
+	PushesFailed int64            `json:"pushes_failed"`
+	Relayed      int64            `json:"relayed"`
+	MessagesSent int64            `json:"messages_sent"`
+	BytesOut     int64            `json:"bytes_out"`
+	BytesIn      int64            `json:"bytes_in"`
+	// MessagesRejected counts messages of other daemons that were dropped, by reason.
 	MessagesRejected map[string]int64 `json:"messages_refused"`
 }
 
-// zoneStatus tells who relays for a zone, as far as it is seen from here.
+// zoneStatus gives the relays of a zone, and whether any of its daemons is alive.
 type zoneStatus struct {
 	Zone      ids.Zone      `json:"zone"`
 	Region    ids.Region    `json:"region"`
@@ -47,7 +51,7 @@
 	Reachable bool          `json:"reached"`
 }
 
-// Reply gives the status as JSON.
+// Reply encodes the status as indented JSON.
 func (s status) Reply() response.Response {
 	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -56,54 +60,67 @@
 	return response.Raw(http.StatusOK, "application/json", append(body, '\n'))
 }
 
-// serveStatus adds the call to the operator's table.
-func (c *Controller) serveStatus(orders *httpcall.Mux) {
-	httpcall.Handle(orders, http.MethodGet, "/status", func(ctx scope.Scope, _ admin.EmptyRequest) (status, error) {
+// serveStatus adds GET /status to the admin API.
+func (c *Controller) serveStatus(mux *httpcall.Mux) {
+	httpcall.Handle(mux, http.MethodGet, "/status", func(ctx scope.Scope, _ admin.EmptyRequest) (status, error) {
 		return c.status(ctx), nil
 	})
 }
 
+// status queries the voters for the redundancy; all else is this controller's own.
 func (c *Controller) status(ctx scope.Scope) status {
-	common := c.daemon
-	told := status{
-		Address: common.Address, Regions: common.Zones.Regions(), Voters: c.voter.Acceptor.Voters().Members,
-		Quorum:     c.quorum.Status(ctx.Now()),
-		Redundancy: c.voter.QueryRedundancy(ctx),
-		Owners:     map[string]string{}, Leases: map[string]bool{}, Serials: map[string]int64{},
-		Pushed: common.Gossiper.Stats.Pushed.Load(), PushesFailed: common.Gossiper.Stats.Failed.Load(),
-		Relayed: common.Gossiper.Stats.Relayed.Load(), MessagesSent: common.Traffic.Messages.Load(),
-		BytesOut: common.Traffic.BytesOut.Load(), BytesIn: common.Traffic.BytesIn.Load(),
-		MessagesRejected: common.Transport.Guard.Totals(),
+	gossiped, traffic := &c.daemon.Gossiper.Stats, &c.daemon.Traffic
+	return status{
+		Address: c.daemon.Address, Regions: c.daemon.Zones.Regions(), Voters: c.Voters().Members,
+		Quorum: c.quorum.Status(c.clock.Now()), Redundancy: c.voter.QueryRedundancy(ctx),
+		Pushed: gossiped.Pushed.Load(), PushesFailed: gossiped.Failed.Load(), Relayed: gossiped.Relayed.Load(),
+		MessagesSent: traffic.Messages.Load(), BytesOut: traffic.BytesOut.Load(), BytesIn: traffic.BytesIn.Load(),
+		MessagesRejected: c.daemon.Transport.Guard.Totals(),
+		Owners:           c.owners(), Leases: c.heldLeases(), Serials: c.serials(), Zones: c.zoneStatuses(),
 	}
-	for _, slot := range c.voter.Acceptor.Fetch(register.FetchRequest{}).Slots {
+}
+
+// owners gives the owner of each key, without the chunks of stored configurations.
+func (c *Controller) owners() map[string]string {
+	owners := map[string]string{}
+	for _, slot := range c.Slots() {
 		if !strings.HasPrefix(slot.Key, store.ChunkKeyPrefix) {
-			told.Owners[slot.Key] = string(slot.Promised.Owner)
+			owners[slot.Key] = string(slot.Promised.Owner)
 		}
 	}
-	for _, duty := range c.leases {
-		_, told.Leases[duty.Name()] = duty.Held(ctx.Now())
+	return owners
+}
+
+func (c *Controller) heldLeases() map[string]bool {
+	leases, now := map[string]bool{}, c.clock.Now()
+	for _, holder := range c.leases {
+		_, leases[holder.Name()] = holder.Held(now)
 	}
-	for _, mark := range common.Updates.Versions(membership.Member{ServesControl: true, Zone: ctx.Settings.Zone}) {
-		told.Serials[mark.Key] = int64(mark.Version)
+	return leases
+}
+
+// serials gives the versions of the items that any controller of this zone keeps.
+func (c *Controller) serials() map[string]int64 {
+	serials := map[string]int64{}
+	for _, item := range c.daemon.Updates.Versions(membership.Member{ServesControl: true, Zone: c.settings.Zone}) {
+		serials[item.Key] = int64(item.Version)
 	}
-	told.Zones = c.zoneStatuses(ctx)
-	return told
+	return serials
 }
 
-// zoneStatuses lists who relays for each zone.
-func (c *Controller) zoneStatuses(ctx scope.Scope) []zoneStatus {
-	var found []zoneStatus
+func (c *Controller) zoneStatuses() []zoneStatus {
+	var statuses []zoneStatus
 	members := c.daemon.Membership.Members()
-	for _, name := range ctx.Settings.ZoneNames() {
-		one := zoneStatus{Zone: name, Region: ctx.Settings.Zones[name]}
+	for _, name := range c.settings.ZoneNames() {
+		zone := zoneStatus{Zone: name, Region: c.settings.Zones[name]}
 		for _, member := range members {
 			alive := member.Zone == name && member.State == membership.Alive
-			one.Reachable = one.Reachable || alive
+			zone.Reachable = zone.Reachable || alive
 			if alive && member.Relay {
-				one.Relays = append(one.Relays, member.Address)
+				zone.Relays = append(zone.Relays, member.Address)
 			}
 		}
-		found = append(found, one)
+		statuses = append(statuses, zone)
 	}
-	return found
+	return statuses
 }
