--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -81,6 +81,7 @@
 	clients := &directory.Directory{
 		Membership: c.daemon.Membership, OtherZones: c.daemon.Zones.RemoteEndpoints, Zones: c.settings.Zones,
 		LossTimeout: max(settings.Seconds(c.settings.Bounds.RecoveryS), c.timing.LeaseDuration),
+		TTLMaxS:     c.settings.Bounds.TTLMaxS,
 		Metrics:     c.daemon.Metrics, Monitor: c.daemon.Monitor,
 	}
 	clients.Serve(mux)
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -1,5 +1,7 @@
-// Package directory tells clients which routers to go to: those of their own
-// zone where there are any, then those of their region, then all others.
+// Package directory answers a client's look-up with the routers to connect to:
+// those of its own zone where there are any, else those of its region. Clients
+// are redirected out of their region only while it is known to be lost, as
+// regionTracker keeps it.
 package directory
 
 import (
@@ -16,29 +18,35 @@
 	"onyxwell/control/membership/zonesummary"
 )
 
-// maxAddresses is how many addresses a client reads.
-const maxAddresses = 64
+const (
+	// maxAddresses is how many addresses a client reads.
+	maxAddresses = 64
+	// maxTTLS bounds how long a client may keep a response, in seconds.
+	maxTTLS = 1
+)
 
-// LookupRequest is GET /lookup.
+// LookupRequest is GET /lookup: where the client is.
 type LookupRequest struct {
 	Region ids.Region
 	Zone   ids.Zone
 }
 
-// Read takes where the client is.
+// Read implements httpcall.RequestReader.
 func (l *LookupRequest) Read(incoming httpcall.Incoming) error {
 	query := incoming.Request.URL.Query()
 	l.Region, l.Zone = ids.Region(query.Get("region")), ids.Zone(query.Get("zone"))
 	return nil
 }
 
-// LookupResponse is the answer to a lookup.
+// LookupResponse gives the client addresses of routers, and for how many seconds
+// they hold.
 type LookupResponse struct {
 	Addresses []ids.Address `json:"addresses"`
 	TTLS      float64       `json:"ttl_s"`
 }
 
-// Reply tells the addresses; an empty list is no answer.
+// Reply encodes the response; without addresses it is a 503, so that the client
+// asks another directory or stays with what it has.
 func (l LookupResponse) Reply() response.Response {
 	if len(l.Addresses) == 0 {
 		return response.Empty(http.StatusServiceUnavailable)
@@ -46,145 +54,108 @@
 	return response.JSON(http.StatusOK, l)
 }
 
-// Directory answers from the members of its own zone that this daemon knows,
-// and from what the relays of the other zones tell of theirs. It leads clients
-// out of their region only where that is known to be lost (regions.go).
+// Directory answers look-ups from the members of its own zone and from the router
+// endpoints that the relays of the other zones publish. It is safe for concurrent
+// use once its fields are set.
 type Directory struct {
 	Membership *membership.Table
-	// OtherZones gives the routers of the other zones that are in reach, and the
-	// zones that are not.
-	OtherZones func() (reached []zonesummary.RouterEndpoints, cut []ids.Zone)
-	Zones      map[ids.Zone]ids.Region
-	// LossTimeout is how long a region may be without any able router, for no reason
-	// that is known, before it counts as lost.
+	// OtherZones gives the routers of the other zones that are reachable, and the
+	// zones that are not; it may be nil.
+	OtherZones func() (reachable []zonesummary.RouterEndpoints, unreachable []ids.Zone)
+	// Zones gives the region of each zone of the deployment.
+	Zones map[ids.Zone]ids.Region
+	// LossTimeout is how long a region may be without a ready router, for no known
+	// reason, before it counts as lost.
 	LossTimeout clock.Span
-	// Metrics and Monitor may be left out.
+	// TTLMaxS is the settings' bound on a response's lifetime in seconds; the
+	// shorter of it and maxTTLS is answered.
+	TTLMaxS float64
+	// Metrics and Monitor may be nil.
 	Metrics *telemetry.Metrics
 	Monitor *invariant.Monitor
-	regions regionTracker
-}
 
-// endpoint is a router that a client may go to.
-type endpoint struct {
-	front  ids.Address
-	zone   ids.Zone
-	region ids.Region
+	regions regionTracker
 }
 
-// Serve adds the directory's call to a table.
-func (d *Directory) Serve(calls *httpcall.Mux) {
-	httpcall.Handle(calls, http.MethodGet, "/lookup", func(ctx scope.Scope, asked LookupRequest) (LookupResponse, error) {
-		return LookupResponse{Addresses: d.Choose(asked), TTLS: min(1, ctx.Settings.Bounds.TTLMaxS)}, nil
+// Serve adds GET /lookup to a mux.
+func (d *Directory) Serve(mux *httpcall.Mux) {
+	httpcall.Handle(mux, http.MethodGet, "/lookup", func(_ scope.Scope, req LookupRequest) (LookupResponse, error) {
+		return LookupResponse{Addresses: d.Choose(req), TTLS: min(maxTTLS, d.TTLMaxS)}, nil
 	})
 }
 
-// locality is a set of routers around a client.
+// locality is a set of routers by where they stand relative to a client. Its name
+// is the label of the look-ups' metric.
 type locality struct {
 	name     string
 	contains func(endpoint, LookupRequest) bool
 }
 
-// localities are the circles that a client needs no reason for, the closest first.
-var localities = []locality{
-	{"zone", func(router endpoint, asked LookupRequest) bool { return router.zone == asked.Zone }},
-	{"region", func(router endpoint, asked LookupRequest) bool { return router.region == asked.Region }},
-}
-
-// anywhere is the circle of all routers.
-var anywhere = locality{"away", func(endpoint, LookupRequest) bool { return true }}
+var (
+	// localities are those that need no reason, the nearest first.
+	localities = []locality{
+		{"zone", func(router endpoint, req LookupRequest) bool { return router.zone == req.Zone }},
+		{"region", func(router endpoint, req LookupRequest) bool { return router.region == req.Region }},
+	}
+	// anywhere holds all routers; only clients of a lost region are sent there.
+	anywhere = locality{"away", func(endpoint, LookupRequest) bool { return true }}
+)
 
-// noLocality is told of look-ups that get no answer.
+// noLocality is the metric's label of look-ups without an answer.
 const noLocality = "none"
 
-// Choose picks the routers of the closest circle that has any. Those that reach
-// no runners are passed over, unless there are no others. Where nobody near is
-// able there is no answer, so that the client asks another directory or stays
-// with what it has, unless its region is known to be lost: one whose routers
-// start, leave in order or were not heard of yet is not.
-func (d *Directory) Choose(asked LookupRequest) []ids.Address {
-	able, unable, cut := d.endpoints()
-	now := d.Membership.Now()
-	for _, circle := range localities {
-		if chosen := circle.choose(able, asked); len(chosen) > 0 {
-			d.regions.markAble(asked.Region, now)
-			return d.countLookup(circle, chosen)
-		}
+// Choose gives the client addresses of the routers of the nearest locality that
+// has any ready one. Degraded routers, which reach no runners, are chosen only
+// where no router is ready and none is unreachable. It gives none where the
+// client's own region has no ready router and is not known to be lost: one whose
+// routers start, leave gracefully or were not heard of yet is not.
+func (d *Directory) Choose(req LookupRequest) []ids.Address {
+	known, now := d.endpoints(), d.Membership.Now()
+	if name, addresses := nearest(known.ready, req); len(addresses) > 0 {
+		d.regions.markReady(req.Region, now)
+		return d.countLookup(name, addresses)
 	}
-	if len(able) == 0 && !cut {
-		// All are in reach, and none is better than those nearby.
-		for _, circle := range localities {
-			if chosen := circle.choose(unable, asked); len(chosen) > 0 {
-				return d.countLookup(circle, chosen)
-			}
+	candidates := known.ready
+	if len(known.ready) == 0 && known.complete {
+		// No router anywhere is better than the degraded ones nearby.
+		if name, addresses := nearest(known.degraded, req); len(addresses) > 0 {
+			return d.countLookup(name, addresses)
 		}
-		able = unable
+		candidates = known.degraded
 	}
-	if !d.isLost(asked.Region, unable, now) {
-		return d.countLookup(locality{name: noLocality}, nil)
+	if !d.isLost(req.Region, known.degraded, now) {
+		return d.countLookup(noLocality, nil)
 	}
-	chosen := anywhere.choose(able, asked)
-	d.checkRedirect(asked, chosen, now)
-	if len(chosen) == 0 {
-		return d.countLookup(locality{name: noLocality}, nil)
+	addresses := anywhere.choose(candidates, req)
+	d.checkRedirect(req, addresses)
+	if len(addresses) == 0 {
+		return d.countLookup(noLocality, nil)
 	}
-	return d.countLookup(anywhere, chosen)
+	return d.countLookup(anywhere.name, addresses)
 }
 
-func (d *Directory) countLookup(circle locality, chosen []ids.Address) []ids.Address {
-	d.Metrics.Lookup(circle.name)
-	return chosen
-}
-
-// choose gives the fronts of the routers in the circle, as many as a client reads.
-func (l locality) choose(routers []endpoint, asked LookupRequest) []ids.Address {
-	var chosen []ids.Address
-	for _, router := range routers {
-		if l.contains(router, asked) && len(chosen) < maxAddresses {
-			chosen = append(chosen, router.front)
+// nearest chooses from the first of the localities that has any of the routers.
+func nearest(routers []endpoint, req LookupRequest) (name string, addresses []ids.Address) {
+	for _, near := range localities {
+		if addresses := near.choose(routers, req); len(addresses) > 0 {
+			return near.name, addresses
 		}
 	}
-	return chosen
+	return noLocality, nil
 }
 
-// endpoints gives the routers everywhere: those that serve, those that reach no
-// runners, and whether some are out of reach.
-func (d *Directory) endpoints() (able []endpoint, unable []endpoint, cut bool) {
-	able, unable, cut = d.ownZoneEndpoints()
-	if d.OtherZones == nil {
-		return able, unable, cut
-	}
-	reached, gone := d.OtherZones()
-	for _, fronts := range reached {
-		able = append(able, d.zoneEndpoints(fronts.Zone, fronts.Ready)...)
-		unable = append(unable, d.zoneEndpoints(fronts.Zone, fronts.Degraded)...)
-	}
-	return able, unable, cut || len(gone) > 0
-}
-
-// ownZoneEndpoints gives the routers of the directory's zone: those that serve, those that
-// reach no runners, and whether some are out of reach.
-func (d *Directory) ownZoneEndpoints() (able []endpoint, unable []endpoint, cut bool) {
-	zone := d.Membership.Self().Zone
-	for _, member := range d.Membership.Members() {
-		if member.Zone != zone || member.ClientAddress == "" {
-			continue
-		}
-		found := endpoint{front: member.ClientAddress, zone: member.Zone, region: member.Region}
-		serving := member.State == membership.Alive && member.Ready
-		if serving && member.Degraded {
-			unable = append(unable, found)
-		} else if serving {
-			able = append(able, found)
+// choose gives the client addresses of up to maxAddresses routers of the locality.
+func (l locality) choose(routers []endpoint, req LookupRequest) []ids.Address {
+	var addresses []ids.Address
+	for _, router := range routers {
+		if l.contains(router, req) && len(addresses) < maxAddresses {
+			addresses = append(addresses, router.address)
 		}
-		cut = cut || member.State == membership.Removed || member.State == membership.Suspect
 	}
-	return able, unable, cut
+	return addresses
 }
 
-func (d *Directory) zoneEndpoints(zone ids.Zone, fronts []ids.Address) []endpoint {
-	var found []endpoint
-	for _, front := range fronts {
-		found = append(found, endpoint{front: front, zone: zone, region: d.Zones[zone]})
-	}
-	return found
+func (d *Directory) countLookup(name string, addresses []ids.Address) []ids.Address {
+	d.Metrics.Lookup(name)
+	return addresses
 }
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -1,6 +1,7 @@
 package directory
 
 import (
+	"net/http"
 	"slices"
 	"testing"
 
@@ -12,102 +13,110 @@
 	"onyxwell/control/transport"
 )
 
+const lossTimeout = 12 * clock.Second
+
 var zoneRegions = map[ids.Zone]ids.Region{"z1": "r1", "z2": "r1", "z3": "r2"}
 
-func router(address ids.Address, zone ids.Zone) membership.Member {
+// newRouter makes a ready router; its client address is that of the member after
+// an f.
+func newRouter(address ids.Address, zone ids.Zone) membership.Member {
 	return membership.Member{Address: address, Role: "router", Zone: zone, Region: zoneRegions[zone], ClientAddress: "f" + address, Ready: true, Incarnation: 1}
 }
 
-func relay(address ids.Address, zone ids.Zone) membership.Member {
+func newRelay(address ids.Address, zone ids.Zone) membership.Member {
 	return membership.Member{Address: address, Zone: zone, Region: zoneRegions[zone], Relay: true, Incarnation: 1}
 }
 
-// lossTimeout is the directories' own.
-const lossTimeout = 12 * clock.Second
-
-// newDirectory makes a directory in a zone that hears news of the others.
-func newDirectory(zone ids.Zone) (*Directory, *gossip.Store) {
-	return newDirectoryWithClock(clock.NewFake(), zone)
+// fixture is the directory of a controller in zone z1, and what it hears.
+type fixture struct {
+	*Directory
+	t       testing.TB
+	updates *gossip.Store
+	clock   *clock.Fake
 }
 
-func newDirectoryWithClock(machine *clock.Fake, zone ids.Zone) (*Directory, *gossip.Store) {
-	self := membership.Member{Address: "c", Role: "fleet-controller", Zone: zone, Region: zoneRegions[zone], Ready: true, ServesControl: true}
-	table, news := membership.NewTable(machine, self), gossip.NewStore(nil)
-	watcher := &zonesummary.Manager{Table: table, Store: news, Zones: zoneRegions, RouterRole: "router"}
-	return &Directory{Membership: table, OtherZones: watcher.RemoteEndpoints, Zones: zoneRegions, LossTimeout: lossTimeout}, news
+func newFixture(t testing.TB) *fixture {
+	fake := clock.NewFake()
+	self := membership.Member{Address: "c", Role: "fleet-controller", Zone: "z1", Region: zoneRegions["z1"], Ready: true, ServesControl: true}
+	table, updates := membership.NewTable(fake, self), gossip.NewStore(nil)
+	summaries := &zonesummary.Manager{Table: table, Store: updates, Zones: zoneRegions, RouterRole: "router"}
+	return &fixture{
+		Directory: &Directory{Membership: table, OtherZones: summaries.RemoteEndpoints, Zones: zoneRegions, LossTimeout: lossTimeout},
+		t:         t, updates: updates, clock: fake,
+	}
 }
 
-func publishFronts(t *testing.T, news *gossip.Store, serial ids.Serial, fronts zonesummary.RouterEndpoints) {
-	t.Helper()
-	body, err := transport.Marshal(fronts)
+func (f *fixture) merge(members ...membership.Member) { f.Membership.Merge(members) }
+
+// publish publishes the routers of another zone.
+func (f *fixture) publish(serial ids.Serial, routers zonesummary.RouterEndpoints) {
+	f.t.Helper()
+	body, err := transport.Marshal(routers)
 	if err != nil {
-		t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	news.Put(gossip.Item{Key: zonesummary.EndpointsPrefix + string(fronts.Zone), Version: serial, Body: body})
+	f.updates.Put(gossip.Item{Key: zonesummary.EndpointsPrefix + string(routers.Zone), Version: serial, Body: body})
 }
 
-func TestChoose_prefersNearestRouters(t *testing.T) {
-	directory, news := newDirectory("z1")
-	directory.Membership.Merge([]membership.Member{router("a", "z1"), router("b", "z1"), relay("r2", "z2"), relay("r3", "z3")})
-	publishFronts(t, news, 1, zonesummary.RouterEndpoints{Zone: "z2", Ready: []ids.Address{"fd"}})
-	publishFronts(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
-	expect := func(asked LookupRequest, want ...ids.Address) {
-		t.Helper()
-		if got := directory.Choose(asked); !slices.Equal(got, want) {
-			t.Errorf("%v: %v, not %v", asked, got, want)
-		}
+// expect checks what a client of a zone and region is answered.
+func (f *fixture) expect(moment string, req LookupRequest, want ...ids.Address) {
+	f.t.Helper()
+	if got := f.Choose(req); !slices.Equal(got, want) {
+		f.t.Errorf("%s: %v: %v, want %v", moment, req, got, want)
 	}
-	expect(LookupRequest{Zone: "z1", Region: "r1"}, "fa", "fb")
-	expect(LookupRequest{Zone: "z2", Region: "r1"}, "fd")
-	expect(LookupRequest{Zone: "z9", Region: "r1"}, "fa", "fb", "fd")
-	expect(LookupRequest{Zone: "z9", Region: "r9"}, "fa", "fb", "fd", "fe")
-	for _, gone := range []func(*membership.Member){
-		func(member *membership.Member) { member.State = membership.Suspect },
-		func(member *membership.Member) { member.Ready = false; member.Incarnation = 2 },
+}
+
+func TestChoose_prefersNearestRouters(t *testing.T) {
+	f := newFixture(t)
+	f.merge(newRouter("a", "z1"), newRouter("b", "z1"), newRelay("r2", "z2"), newRelay("r3", "z3"))
+	f.publish(1, zonesummary.RouterEndpoints{Zone: "z2", Ready: []ids.Address{"fd"}})
+	f.publish(1, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
+	f.expect("own zone", LookupRequest{Zone: "z1", Region: "r1"}, "fa", "fb")
+	f.expect("another zone", LookupRequest{Zone: "z2", Region: "r1"}, "fd")
+	f.expect("unknown zone", LookupRequest{Zone: "z9", Region: "r1"}, "fa", "fb", "fd")
+	f.expect("unknown region", LookupRequest{Zone: "z9", Region: "r9"}, "fa", "fb", "fd", "fe")
+	for _, change := range []struct {
+		name  string
+		apply func(*membership.Member)
+	}{
+		{"suspect", func(member *membership.Member) { member.State = membership.Suspect }},
+		{"not ready", func(member *membership.Member) { member.Ready = false; member.Incarnation = 2 }},
 	} {
-		member := router("a", "z1")
-		gone(&member)
-		directory.Membership.Merge([]membership.Member{member})
-		expect(LookupRequest{Zone: "z1", Region: "r1"}, "fb")
+		member := newRouter("a", "z1")
+		change.apply(&member)
+		f.merge(member)
+		f.expect(change.name, LookupRequest{Zone: "z1", Region: "r1"}, "fb")
 	}
-	directory.Membership.AdvanceState("b", membership.Removed)
-	expect(LookupRequest{Zone: "z1", Region: "r1"}, "fd")
-	// A zone whose relays are gone is not gone to, whatever was told of it.
-	directory.Membership.AdvanceState("r2", membership.Suspect)
-	expect(LookupRequest{Zone: "z2", Region: "r1"}, "fe")
+	f.Membership.AdvanceState("b", membership.Removed)
+	f.expect("own zone without routers", LookupRequest{Zone: "z1", Region: "r1"}, "fd")
+	// Routers of a zone whose relays are gone are left out, whatever was published.
+	f.Membership.AdvanceState("r2", membership.Suspect)
+	f.expect("zone without relays", LookupRequest{Zone: "z2", Region: "r1"}, "fe")
 }
 
 func TestLookupResponse_emptyIsUnavailable(t *testing.T) {
-	directory, _ := newDirectory("z1")
-	found := LookupResponse{Addresses: directory.Choose(LookupRequest{})}
-	if reply := found.Reply(); reply.Status != 503 {
+	f := newFixture(t)
+	resp := LookupResponse{Addresses: f.Choose(LookupRequest{})}
+	if reply := resp.Reply(); reply.Status != http.StatusServiceUnavailable {
 		t.Fatalf("%+v", reply)
 	}
 }
 
-// TestChoose_regionWithoutReachableRunners has the routers of a region reach no runners:
-// clients are sent to others; where these are out of this directory's reach,
-// it gives no answer, and only where there are no others does it list them.
+// TestChoose_regionWithoutReachableRunners has the routers of a region reach no
+// runners: clients are redirected to others; where these are unreachable there is
+// no answer, and only where there are no others are the degraded ones chosen.
 func TestChoose_regionWithoutReachableRunners(t *testing.T) {
-	directory, news := newDirectory("z1")
-	unable := router("a", "z1")
-	unable.Degraded = true
-	directory.Membership.Merge([]membership.Member{unable})
-	asked := LookupRequest{Zone: "z1", Region: "r1"}
-	if got := directory.Choose(asked); !slices.Equal(got, []ids.Address{"fa"}) {
-		t.Fatalf("%v, though there is nobody else", got)
-	}
-	directory.Membership.Merge([]membership.Member{relay("r3", "z3")})
-	publishFronts(t, news, 1, zonesummary.RouterEndpoints{Zone: "z3", Degraded: []ids.Address{"fu"}})
-	if got := directory.Choose(asked); !slices.Equal(got, []ids.Address{"fa"}) {
-		t.Fatalf("%v, though there is nobody better", got)
-	}
-	publishFronts(t, news, 2, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
-	if got := directory.Choose(asked); !slices.Equal(got, []ids.Address{"fe"}) {
-		t.Fatalf("%v, not the router that reaches runners", got)
-	}
-	directory.Membership.AdvanceState("r3", membership.Removed)
-	if got := directory.Choose(asked); len(got) != 0 {
-		t.Fatalf("%v, though others may do better", got)
-	}
+	f := newFixture(t)
+	degraded := newRouter("a", "z1")
+	degraded.Degraded = true
+	f.merge(degraded)
+	req := LookupRequest{Zone: "z1", Region: "r1"}
+	f.expect("no other router", req, "fa")
+	f.merge(newRelay("r3", "z3"))
+	f.publish(1, zonesummary.RouterEndpoints{Zone: "z3", Degraded: []ids.Address{"fu"}})
+	f.expect("no better router", req, "fa")
+	f.publish(2, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
+	f.expect("a router that reaches runners", req, "fe")
+	f.Membership.AdvanceState("r3", membership.Removed)
+	f.expect("others may be better, but are unreachable", req)
 }
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -9,95 +9,101 @@
 	"onyxwell/control/membership"
 )
 
-// regionTracker remembers of each region when it last had an able router, and whether
-// it was lost since. The zero value is ready.
+// regionTracker keeps which regions are lost. A region becomes lost on evidence,
+// or after too long without a ready router, and stays so until it has one again.
+// The zero value is ready, and safe for concurrent use.
 type regionTracker struct {
 	mu     sync.Mutex
 	states map[ids.Region]*regionState
 }
 
 type regionState struct {
-	// ableAt is when it last had an able router, or was first asked for.
-	ableAt clock.Instant
-	lost   bool
+	// readyAt is when the region last had a ready router, or was first looked up.
+	readyAt clock.Instant
+	lost    bool
 }
 
-func (r *regionTracker) state(name ids.Region, now clock.Instant) *regionState {
+// state gives a region's state, and begins it where there is none. r.mu must be
+// held.
+func (r *regionTracker) state(region ids.Region, now clock.Instant) *regionState {
 	if r.states == nil {
 		r.states = map[ids.Region]*regionState{}
 	}
-	if r.states[name] == nil {
-		r.states[name] = &regionState{ableAt: now}
+	if r.states[region] == nil {
+		r.states[region] = &regionState{readyAt: now}
 	}
-	return r.states[name]
+	return r.states[region]
 }
 
-// markAble notes that a region has an able router now.
-func (r *regionTracker) markAble(name ids.Region, now clock.Instant) {
+// markReady records that a region has a ready router now.
+func (r *regionTracker) markReady(region ids.Region, now clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.state(name, now)
-	known.ableAt, known.lost = now, false
+	state := r.state(region, now)
+	state.readyAt, state.lost = now, false
 }
 
-// isLost tells whether a region without able routers is known to be lost: some of
-// its daemons answer no more, its routers reach no runners, or it has had no
-// able router for longer than the patience. That stands until it has one again.
-// A place that is no region of the deployment is as good as lost.
-func (d *Directory) isLost(name ids.Region, unable []endpoint, now clock.Instant) bool {
-	if !d.isDeployed(name) {
-		return true
+// markUnready records that a region has no ready router now, and reports whether
+// it is lost: on evidence, or for having had none for longer than timeout.
+func (r *regionTracker) markUnready(region ids.Region, now clock.Instant, evidence bool, timeout clock.Span) (lost bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.state(region, now)
+	if evidence || now.Since(state.readyAt) > timeout {
+		state.lost = true
 	}
-	d.regions.mu.Lock()
-	defer d.regions.mu.Unlock()
-	known := d.regions.state(name, now)
-	if now.Since(known.ableAt) > d.LossTimeout || d.hasSilentDaemon(name) || anyInRegion(name, unable) {
-		known.lost = true
+	return state.lost
+}
+
+// isLost reports whether a region was lost when it was last marked.
+func (r *regionTracker) isLost(region ids.Region) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	state := r.states[region]
+	return state != nil && state.lost
+}
+
+// isLost reports whether a region without a ready router is lost. Evidence is a
+// daemon there that stopped answering, or a router that reaches no runners. A
+// region that is not deployed is as good as lost.
+func (d *Directory) isLost(region ids.Region, degraded []endpoint, now clock.Instant) bool {
+	if !d.isDeployed(region) {
+		return true
 	}
-	return known.lost
+	evidence := d.hasSilentDaemon(region) || anyInRegion(region, degraded)
+	return d.regions.markUnready(region, now, evidence, d.LossTimeout)
 }
 
-// isDeployed tells whether a region is one of the deployment's.
-func (d *Directory) isDeployed(name ids.Region) bool {
-	for _, known := range d.Zones {
-		if known == name {
+// isDeployed reports whether any zone of the deployment is in the region.
+func (d *Directory) isDeployed(region ids.Region) bool {
+	for _, deployed := range d.Zones {
+		if deployed == region {
 			return true
 		}
 	}
 	return false
 }
 
-// hasSilentDaemon tells whether a daemon of a region ceased to answer lately, without
-// having left in order. Members that a restarted daemon knows from its disk alone
-// did not cease to answer: they were not asked yet.
-func (d *Directory) hasSilentDaemon(name ids.Region) bool {
+// hasSilentDaemon reports whether a daemon of the region stopped answering no
+// longer than LossTimeout ago without having left gracefully. A member that a
+// restarted daemon restored from its disk is no evidence: it was not probed yet.
+func (d *Directory) hasSilentDaemon(region ids.Region) bool {
 	for _, member := range d.Membership.Members() {
 		if member.Restored() {
 			continue
 		}
-		gone := member.State == membership.Removed && d.Membership.StateAge(member.Address) <= d.LossTimeout
-		if member.Region == name && (member.State == membership.Suspect || gone) {
-			return true
-		}
-	}
-	return false
-}
-
-func anyInRegion(name ids.Region, places []endpoint) bool {
-	for _, found := range places {
-		if found.region == name {
+		removed := member.State == membership.Removed && d.Membership.StateAge(member.Address) <= d.LossTimeout
+		if member.Region == region && (member.State == membership.Suspect || removed) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkRedirect counts an answer that leads clients out of a region that was not lost.
-func (d *Directory) checkRedirect(asked LookupRequest, chosen []ids.Address, now clock.Instant) {
-	d.regions.mu.Lock()
-	lost := d.regions.state(asked.Region, now).lost
-	d.regions.mu.Unlock()
-	if len(chosen) > 0 && !lost && d.isDeployed(asked.Region) {
-		d.Monitor.Violated(invariant.LedAway, "clients of %s in %s are led to %v", asked.Zone, asked.Region, chosen)
+// checkRedirect counts a redirect out of a region that is not lost as a violated
+// invariant.
+func (d *Directory) checkRedirect(req LookupRequest, addresses []ids.Address) {
+	if len(addresses) > 0 && d.isDeployed(req.Region) && !d.regions.isLost(req.Region) {
+		d.Monitor.Violated(invariant.LedAway, "clients of %s in %s are led to %v", req.Zone, req.Region, addresses)
 	}
 }
