--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -1,6 +1,7 @@
 package register
 
 import (
+	"fmt"
 	"slices"
 	"strings"
 	"sync"
@@ -10,10 +11,11 @@
 	"onyxwell/control/transport"
 )
 
-// Store makes a record last; it returns once the disk has it.
+// Store is the durable storage of an acceptor. Save returns once the record is
+// on the disk; after an error the record may or may not be there.
 type Store interface{ Save(record []byte) error }
 
-// record is what the journal holds: a slot, or the identity of the disk.
+// record is what the store holds: a slot, or the identity of the disk.
 type record struct {
 	Identity    bool            `avro:"Identity"`
 	Incarnation ids.Incarnation `avro:"Incarnation"`
@@ -23,50 +25,70 @@
 // SchemaName names the stored and sent form; it must never change.
 func (record) SchemaName() string { return "record_25" }
 
-// Acceptor is one voter: what it promised and accepted for each key.
+// RecordError reports a stored record that this build can't decode. Err names
+// the form expected and the one found; the file is the one that the records were
+// read from.
+type RecordError struct {
+	// Index counts the records from 0, of Count.
+	Index, Count int
+	Err          error
+}
+
+// Error says which record it is, what is wrong with it and what to do.
+func (e *RecordError) Error() string {
+	return fmt.Sprintf("register: stored record %d of %d: %v: start the build that wrote the file", e.Index+1, e.Count, e.Err)
+}
+
+// Unwrap returns the decoder's error.
+func (e *RecordError) Unwrap() error { return e.Err }
+
+// Acceptor is one voter: what it promised and accepted for each key. Its methods
+// may be called from any goroutine.
 type Acceptor struct {
-	// Monitor may be left out; it is set before the first call.
-	Monitor     *invariant.Monitor
+	// Monitor may be nil; it is set before the first call.
+	Monitor *invariant.Monitor
+
 	mu          sync.Mutex
 	store       Store
 	address     ids.Address
 	incarnation ids.Incarnation
 	identified  bool
-	// slots is what memory holds, kept what of it the disk is known to have.
+	// slots is the state in memory, durable what of it the store is known to have.
 	slots   map[string]Slot
 	durable map[string]Slot
 	voters  VoterSet
-	// leaving says that the voter gives its seat away.
 	leaving bool
 }
 
-// NewAcceptor makes a voter from the records of its journal.
+// NewAcceptor returns the acceptor that the records of its store stand for. The
+// error is a *RecordError.
 func NewAcceptor(address ids.Address, records [][]byte) (*Acceptor, error) {
-	made := &Acceptor{address: address, slots: map[string]Slot{}, durable: map[string]Slot{}}
-	for _, body := range records {
-		kept, err := transport.Unmarshal[record](body)
+	a := &Acceptor{address: address, slots: map[string]Slot{}, durable: map[string]Slot{}}
+	for index, body := range records {
+		stored, err := transport.Unmarshal[record](body)
 		if err != nil {
-			return nil, err
+			return nil, &RecordError{Index: index, Count: len(records), Err: err}
 		}
-		if kept.Identity {
-			made.incarnation, made.identified = kept.Incarnation, true
+		if stored.Identity {
+			a.incarnation, a.identified = stored.Incarnation, true
 			continue
 		}
-		made.slots[kept.Slot.Key] = mergeSlots(made.slots[kept.Slot.Key], kept.Slot)
-		made.durable[kept.Slot.Key] = made.slots[kept.Slot.Key]
+		key := stored.Slot.Key
+		a.slots[key] = mergeSlots(a.slots[key], stored.Slot)
+		a.durable[key] = a.slots[key]
 	}
-	made.refreshVoters()
-	return made, nil
+	a.refreshVoters()
+	return a, nil
 }
 
-// Attach gives the voter its store; a voter without one answers nothing.
+// Attach sets the store. Until then the acceptor fences off all requests.
 func (a *Acceptor) Attach(store Store) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.store = store
 }
 
-// Snapshot gives records that stand for all that the voter holds.
+// Snapshot returns records that stand for the whole state in memory.
 func (a *Acceptor) Snapshot() [][]byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,95 +111,204 @@
 	return store.Save(encode(record{Identity: true, Incarnation: incarnation}))
 }
 
-// Bootstrap plants the first voters; only a disk that holds none takes them.
+// Bootstrap sets the first voter set of a cluster; on a disk that holds any slot
+// it does nothing.
 func (a *Acceptor) Bootstrap(voters VoterSet) error {
 	a.mu.Lock()
 	if len(a.slots) > 0 {
 		a.mu.Unlock()
 		return nil
 	}
-	slot := Slot{Key: VotersKey, Accepted: Proposal{Sequence: 1, Value: encode(voters)}}
-	a.slots[VotersKey] = slot
+	a.slots[VotersKey] = Slot{Key: VotersKey, Accepted: Proposal{Sequence: 1, Value: encode(voters)}}
 	a.identified = true
 	a.refreshVoters()
-	store := a.store
+	store, identity := a.store, encode(record{Identity: true, Incarnation: a.incarnation})
 	a.mu.Unlock()
-	if err := store.Save(encode(record{Identity: true, Incarnation: a.incarnation})); err != nil {
+	if err := store.Save(identity); err != nil {
 		return err
 	}
 	return a.persist(VotersKey)
 }
 
-// Prepare answers a taker of a key.
-func (a *Acceptor) Prepare(asked PrepareRequest) PrepareResponse {
+// Prepare answers a proposer that wants to own a key.
+func (a *Acceptor) Prepare(req PrepareRequest) PrepareResponse {
+	resp := a.prepareInMemory(req)
+	if resp.Verdict == Granted {
+		resp.Verdict = a.grantDurably(req.Key)
+	}
+	return resp
+}
+
+func (a *Acceptor) prepareInMemory(req PrepareRequest) PrepareResponse {
 	a.mu.Lock()
-	slot := a.slotOf(asked.Key)
-	told := PrepareResponse{Verdict: a.checkFence(asked.Fence, asked.Key), Generation: a.voters.Generation, Slot: slot}
-	if told.Verdict == Granted && asked.Epoch.Compare(slot.Promised) <= 0 {
-		told.Verdict = Superseded
+	defer a.mu.Unlock()
+	slot := a.slotOf(req.Key)
+	verdict := a.checkFence(req.Fence, req.Key)
+	if verdict == Granted && req.Epoch.Compare(slot.Promised) <= 0 {
+		verdict = Superseded
 	}
-	if told.Verdict != Granted {
-		a.mu.Unlock()
-		return told
+	if verdict == Granted {
+		slot.Promised = req.Epoch
+		a.setSlot(slot)
 	}
-	slot.Promised = asked.Epoch
-	a.setSlot(slot)
-	a.mu.Unlock()
-	told.Slot, told.Verdict = slot, a.grantDurably(asked.Key)
-	return told
+	return PrepareResponse{Verdict: verdict, Generation: a.voters.Generation, Slot: slot}
 }
 
-// Accept answers an owner's write.
-func (a *Acceptor) Accept(asked AcceptRequest) AcceptResponse {
+// Accept answers an owner's proposal.
+func (a *Acceptor) Accept(req AcceptRequest) AcceptResponse {
+	resp := a.acceptInMemory(req)
+	if resp.Verdict == Granted {
+		resp.Verdict = a.grantDurably(req.Key)
+	}
+	return resp
+}
+
+func (a *Acceptor) acceptInMemory(req AcceptRequest) AcceptResponse {
 	a.mu.Lock()
-	told := AcceptResponse{Verdict: a.checkFence(asked.Fence, asked.Key)}
-	slot := a.slotOf(asked.Key)
-	if told.Verdict == Granted && asked.Proposal.Epoch.Compare(slot.Promised) < 0 {
-		told.Verdict = Superseded
+	defer a.mu.Unlock()
+	slot := a.slotOf(req.Key)
+	resp := AcceptResponse{Verdict: a.checkFence(req.Fence, req.Key), Promised: slot.Promised}
+	if resp.Verdict == Granted && (req.Proposal.Epoch.Compare(slot.Promised) < 0 || slot.Accepted.newerThan(req.Proposal)) {
+		resp.Verdict = Superseded
 	}
-	if told.Verdict == Granted && slot.Accepted.newerThan(asked.Proposal) {
-		told.Verdict = Superseded
+	if resp.Verdict == Granted {
+		slot.Promised, slot.Accepted = req.Proposal.Epoch, req.Proposal
+		a.setSlot(slot)
+		a.refreshVoters()
 	}
-	told.Promised, told.Generation = slot.Promised, a.voters.Generation
-	if told.Verdict != Granted {
-		a.mu.Unlock()
-		return told
+	resp.Generation = a.voters.Generation
+	return resp
+}
+
+// Confirm answers an owner that asks whether it still owns a key.
+func (a *Acceptor) Confirm(req ConfirmRequest) AcceptResponse {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	slot := a.slotOf(req.Key)
+	resp := AcceptResponse{Verdict: a.checkFence(req.Fence, req.Key), Promised: slot.Promised, Generation: a.voters.Generation}
+	if resp.Verdict == Granted && slot.Promised.Compare(req.Epoch) != 0 {
+		resp.Verdict = Superseded
 	}
-	slot.Promised, slot.Accepted = asked.Proposal.Epoch, asked.Proposal
-	a.setSlot(slot)
-	a.refreshVoters()
-	told.Generation = a.voters.Generation
-	a.mu.Unlock()
-	told.Verdict = a.grantDurably(asked.Key)
-	return told
+	return resp
+}
+
+// Learn takes over slots of other replicas: the newest proposal and the highest
+// promise of each key. A voter ignores a proposal older than its promise, as if
+// the owner's request had come too late; one that doesn't vote takes all. If err
+// is nil all that was taken is durable.
+func (a *Acceptor) Learn(slots []Slot) error {
+	keys := a.learnInMemory(slots)
+	return a.persist(keys...)
 }
 
-// Confirm tells whether the epoch is still the newest that the voter knows.
-func (a *Acceptor) Confirm(asked ConfirmRequest) AcceptResponse {
+func (a *Acceptor) learnInMemory(slots []Slot) (keys []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	slot := a.slotOf(asked.Key)
-	told := AcceptResponse{Verdict: a.checkFence(asked.Fence, asked.Key), Promised: slot.Promised, Generation: a.voters.Generation}
-	if told.Verdict == Granted && slot.Promised.Compare(asked.Epoch) != 0 {
-		told.Verdict = Superseded
+	for _, slot := range slots {
+		current := a.slotOf(slot.Key)
+		next := current
+		if slot.Accepted.newerThan(current.Accepted) && (!a.voting() || slot.Accepted.Epoch.Compare(current.Promised) >= 0) {
+			next.Accepted = slot.Accepted
+		}
+		if slot.Promised.Compare(current.Promised) > 0 {
+			next.Promised = slot.Promised
+		}
+		keys = append(keys, slot.Key)
+		if !equalSlots(next, current) {
+			a.setSlot(next)
+		}
 	}
-	return told
+	a.refreshVoters()
+	return keys
 }
 
-// Slot gives what the voter holds for a key.
+// Leave has the voter give its place to whoever asks for it; it votes until then.
+func (a *Acceptor) Leave() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.leaving = true
+}
+
+// Slot returns the state in memory of a key.
 func (a *Acceptor) Slot(key string) Slot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.slotOf(key)
 }
 
+// Fetch returns durable slots and the voter set that is durable beside them.
+// State that is not durable is left out: whoever learns here relies on this voter
+// to go on fencing off older generations, even after a crash.
+func (a *Acceptor) Fetch(req FetchRequest) FetchResponse {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	voters, _ := decodeVoters(a.durable[VotersKey])
+	resp := FetchResponse{
+		Incarnation: a.incarnation, Generation: voters.Generation,
+		Fingerprint: voters.Fingerprint(), Voting: a.votesIn(voters),
+	}
+	if req.Key == "" {
+		resp.Slots = sortedSlots(a.durable)
+	} else if slot, ok := a.durable[req.Key]; ok {
+		resp.Slots = []Slot{slot}
+	}
+	return resp
+}
+
+// Digest returns the digests of all durable slots.
+func (a *Acceptor) Digest() DigestResponse {
+	fetched := a.Fetch(FetchRequest{})
+	resp := DigestResponse{Incarnation: fetched.Incarnation, Generation: fetched.Generation, Fingerprint: fetched.Fingerprint, Voting: fetched.Voting}
+	a.mu.Lock()
+	resp.Leaving = a.leaving
+	a.mu.Unlock()
+	resp.Keys = make([]KeyDigest, 0, len(fetched.Slots))
+	for _, slot := range fetched.Slots {
+		resp.Keys = append(resp.Keys, KeyDigest{
+			Key: slot.Key, Promised: slot.Promised, Epoch: slot.Accepted.Epoch, Sequence: slot.Accepted.Sequence,
+		})
+	}
+	return resp
+}
+
+// Voting reports whether this disk votes in the voter set known here.
+func (a *Acceptor) Voting() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voting()
+}
+
+// Voters returns the newest voter set known here.
+func (a *Acceptor) Voters() VoterSet {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voters
+}
+
+// Incarnation identifies the disk.
+func (a *Acceptor) Incarnation() ids.Incarnation {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.incarnation
+}
+
+// Identified reports whether the disk has an identity; one without it counts as
+// blank, whatever slots it holds.
+func (a *Acceptor) Identified() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.identified
+}
+
+// The methods below are called with mu held.
+
 func (a *Acceptor) slotOf(key string) Slot {
 	slot := a.slots[key]
 	slot.Key = key
 	return slot
 }
 
-// setSlot puts a slot in place of the one before, whose promise it may not lower.
+// setSlot replaces a slot in memory. A promise must not fall.
 func (a *Acceptor) setSlot(slot Slot) {
 	if before := a.slots[slot.Key].Promised; slot.Promised.Compare(before) < 0 {
 		a.Monitor.Violated(invariant.PromiseRises, "key %s: promised %v after %v", slot.Key, slot.Promised, before)
@@ -185,11 +316,38 @@
 	a.slots[slot.Key] = slot
 }
 
+// refreshVoters reads the voter set out of its slot.
+func (a *Acceptor) refreshVoters() {
+	if voters, ok := decodeVoters(a.slots[VotersKey]); ok {
+		a.voters = voters
+	}
+}
+
+// checkFence decides whether a request may be acted on. VotersKey is open to
+// proposers of any generation: their quorums are counted over the old and the
+// new voter set, so they find the newest.
+func (a *Acceptor) checkFence(fence FencingToken, key string) Verdict {
+	if a.store == nil || !a.voting() || fence.Incarnation != a.incarnation {
+		return Fenced
+	}
+	if key != VotersKey && (fence.Generation != a.voters.Generation || fence.Fingerprint != a.voters.Fingerprint()) {
+		return Fenced
+	}
+	return Granted
+}
+
+func (a *Acceptor) voting() bool { return a.votesIn(a.voters) }
+
+func (a *Acceptor) votesIn(voters VoterSet) bool {
+	member, ok := voters.member(a.address)
+	return ok && a.identified && !member.Learner && member.Incarnation == a.incarnation
+}
+
 func sortedSlots(slots map[string]Slot) []Slot {
-	found := make([]Slot, 0, len(slots))
+	sorted := make([]Slot, 0, len(slots))
 	for _, slot := range slots {
-		found = append(found, slot)
+		sorted = append(sorted, slot)
 	}
-	slices.SortFunc(found, func(left, right Slot) int { return strings.Compare(left.Key, right.Key) })
-	return found
+	slices.SortFunc(sorted, func(left, right Slot) int { return strings.Compare(left.Key, right.Key) })
+	return sorted
 }
--- a/control/state/register/batch.go
+++ b/control/state/register/batch.go
@@ -8,138 +8,125 @@
 	"onyxwell/base/scope"
 )
 
-// pendingUpdate is a change that waits for the key's writer.
+// pendingUpdate is a call that waits for the key's writer. value and err are set
+// before done is closed.
 type pendingUpdate struct {
 	ctx    scope.Scope
 	update UpdateFunc
-	// exclusive is done by itself in the step's place.
-	exclusive func(inner scope.Scope, state *keyState) error
-	// onlyIfOwned leaves it undone where the key is not owned here already.
+	// exclusive is run by itself, instead of update.
+	exclusive func(ctx scope.Scope, state *keyState) error
+	// onlyIfOwned refuses the update unless the key is owned already.
 	onlyIfOwned bool
-	value       []byte
-	err         error
-	done        chan struct{}
+
+	value []byte
+	err   error
+	done  chan struct{}
 }
 
-// maxBatchSize is how many changes go into one write; what waits beyond goes
-// into the next.
+// maxBatchSize bounds the updates of one write; the rest waits for the next.
 const maxBatchSize = 64
 
-// Update takes the key over where needed and writes what the step makes of its
-// value. When it returns without an error a majority of disks has the value.
-// After an Unsettled failure the change may or may not come into force; the
-// next owner settles it. Changes that wait together share one write: each step
-// is made on top of the one before, and all are answered, refusals too, once
-// the write is on a majority. So a key bears many orders at once, and its owner
-// answers well before others take it for silent.
-func (p *Proposer) Update(ctx scope.Scope, key string, step UpdateFunc) ([]byte, error) {
-	return p.submit(key, &pendingUpdate{ctx: ctx, update: step, done: make(chan struct{})})
-}
+// errAbandoned ends an acquisition that nobody waits for any more; updates that
+// came since start one anew.
+var errAbandoned = errors.New("register: nobody waits for the bid any more")
 
-// Read gives the value that a majority confirms.
-func (p *Proposer) Read(ctx scope.Scope, key string) ([]byte, error) {
-	return p.Update(ctx, key, func([]byte) ([]byte, error) { return nil, nil })
+// Update acquires the key if needed, applies the function to its value and
+// returns the value that is then committed. If err is nil a quorum of disks has
+// it. After an error of kind NoQuorum the update may or may not take effect;
+// the next owner decides. Updates that wait together share one write: each is
+// applied to the result of the one before, and all return once the write has its
+// quorum, those that the function refused too. So a key bears many updates at
+// once.
+func (p *Proposer) Update(ctx scope.Scope, key string, update UpdateFunc) ([]byte, error) {
+	return p.submit(key, &pendingUpdate{ctx: ctx, update: update})
 }
 
-// Reacquire takes the key over anew, even from itself, and so writes its newest
-// value to all voters again.
-func (p *Proposer) Reacquire(ctx scope.Scope, key string) error {
-	return p.exclusively(ctx, key, func(ctx scope.Scope, state *keyState) error {
-		state.owned = false
-		return p.acquire(ctx, state, key)
-	})
+// UpdateIfOwned is Update for a key that is owned already: it never acquires
+// one, so a command that was forwarded here long ago can't take the key from its
+// present owner. If the key is not owned under the newest voter set the error is
+// of kind NoQuorum, and the update has no effect.
+func (p *Proposer) UpdateIfOwned(ctx scope.Scope, key string, update UpdateFunc) ([]byte, error) {
+	return p.submit(key, &pendingUpdate{ctx: ctx, update: update, onlyIfOwned: true})
 }
 
-// exclusively does something with the key that goes together with no change.
-func (p *Proposer) exclusively(ctx scope.Scope, key string, act func(scope.Scope, *keyState) error) error {
-	_, err := p.submit(key, &pendingUpdate{ctx: ctx, exclusive: act, done: make(chan struct{})})
-	return err
+// Read returns the value that a quorum confirms to be the newest.
+func (p *Proposer) Read(ctx scope.Scope, key string) ([]byte, error) {
+	return p.Update(ctx, key, func([]byte) ([]byte, error) { return nil, nil })
 }
 
-// Owns tells whether this keeper believes that it owns the key.
-func (p *Proposer) Owns(key string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	state := p.keys[key]
-	return state != nil && (state.writerActive || state.owned)
+// exclusively runs a function that shares its turn at the key with no update.
+func (p *Proposer) exclusively(ctx scope.Scope, key string, run func(scope.Scope, *keyState) error) error {
+	_, err := p.submit(key, &pendingUpdate{ctx: ctx, exclusive: run})
+	return err
 }
 
-func (p *Proposer) submit(key string, mine *pendingUpdate) ([]byte, error) {
-	p.mu.Lock()
-	state := p.keys[key]
-	if state == nil {
-		state = &keyState{}
-		p.keys[key] = state
-	}
-	state.queue = append(state.queue, mine)
-	begin := !state.writerActive
-	state.writerActive = true
-	p.mu.Unlock()
-	if begin {
-		p.options.Spawn(func() { p.processQueue(mine.ctx.WithoutCancel(), state, key) })
+// submit queues an update, starts a writer if the key has none, and waits.
+func (p *Proposer) submit(key string, pending *pendingUpdate) ([]byte, error) {
+	pending.done = make(chan struct{})
+	if state, start := p.enqueue(key, pending); start {
+		p.options.Spawn(func() { p.processQueue(pending.ctx.WithoutCancel(), state) })
 	}
+	// A result that is there is preferred to the end of ctx.
 	select {
-	case <-mine.done:
-		return mine.value, mine.err
+	case <-pending.done:
+		return pending.value, pending.err
 	default:
 	}
 	select {
-	case <-mine.done:
-		return mine.value, mine.err
-	case <-mine.ctx.Done():
+	case <-pending.done:
+		return pending.value, pending.err
+	case <-pending.ctx.Done():
 		return nil, errkind.Errorf(errkind.NoQuorum, "%s: no majority answered in time", key)
 	}
 }
 
-// processQueue works on the key until nobody waits.
-func (p *Proposer) processQueue(ctx scope.Scope, state *keyState, key string) {
+// enqueue reports whether the caller has to start the key's writer.
+func (p *Proposer) enqueue(key string, pending *pendingUpdate) (state *keyState, start bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state = p.keys[key]
+	if state == nil {
+		state = &keyState{key: key}
+		p.keys[key] = state
+	}
+	state.queue = append(state.queue, pending)
+	start = !state.writerActive
+	state.writerActive = true
+	return state, start
+}
+
+// processQueue is the key's writer: it works until the queue is empty.
+func (p *Proposer) processQueue(ctx scope.Scope, state *keyState) {
 	for {
-		together := p.nextBatch(state)
-		if len(together) == 0 {
+		batch := p.nextBatch(state)
+		if len(batch) == 0 {
 			return
 		}
-		err := p.commitWithTimeout(ctx, state, key, together)
+		err := p.commitWithTimeout(ctx, state, batch)
 		if err != nil && !state.owned && !errors.Is(err, errAbandoned) {
-			// Who took the key since acts on it now: to bid again for those that
-			// wait here would keep the key from both.
-			together = append(together, p.drainQueue(state)...)
+			// Whoever took the key acts on it now: to acquire it again for those
+			// that wait here would keep it from both.
+			batch = append(batch, p.drainQueue(state)...)
 		}
-		for _, one := range together {
+		for _, pending := range batch {
 			if err != nil {
-				one.value, one.err = nil, err
+				pending.value, pending.err = nil, err
 			}
-			close(one.done)
+			close(pending.done)
 		}
 	}
 }
 
-func (p *Proposer) commitWithTimeout(ctx scope.Scope, state *keyState, key string, together []*pendingUpdate) error {
-	if p.options.BatchTimeout > 0 {
-		limited, release := ctx.WithTimeout(p.options.BatchTimeout)
-		defer release()
-		ctx = limited
-	}
-	return p.commitBatch(ctx, state, key, together)
-}
-
-// drainQueue takes all that wait for the key.
-func (p *Proposer) drainQueue(state *keyState) []*pendingUpdate {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	rest := state.queue
-	state.queue = nil
-	return rest
-}
-
-// nextBatch takes what waits; what is done alone goes alone. Those who
-// gave up before their change was begun are left out.
+// nextBatch takes updates off the queue, or one exclusive call. Those whose
+// callers gave up before are answered and left out. With an empty batch the
+// writer has ended.
 func (p *Proposer) nextBatch(state *keyState) []*pendingUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var chosen []*pendingUpdate
-	for len(state.queue) > 0 && len(chosen) < maxBatchSize {
+	var batch []*pendingUpdate
+	for len(state.queue) > 0 && len(batch) < maxBatchSize {
 		next := state.queue[0]
-		if next.exclusive != nil && len(chosen) > 0 {
+		if next.exclusive != nil && len(batch) > 0 {
 			break
 		}
 		state.queue = state.queue[1:]
@@ -148,62 +135,93 @@
 			close(next.done)
 			continue
 		}
-		chosen = append(chosen, next)
+		batch = append(batch, next)
 		if next.exclusive != nil {
 			break
 		}
 	}
-	state.writerActive = len(chosen) > 0
-	return chosen
+	state.writerActive = len(batch) > 0
+	return batch
+}
+
+// drainQueue takes all that waits off the queue.
+func (p *Proposer) drainQueue(state *keyState) []*pendingUpdate {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	queue := state.queue
+	state.queue = nil
+	return queue
+}
+
+func (p *Proposer) commitWithTimeout(ctx scope.Scope, state *keyState, batch []*pendingUpdate) error {
+	if p.options.BatchTimeout > 0 {
+		limited, cancel := ctx.WithTimeout(p.options.BatchTimeout)
+		defer cancel()
+		ctx = limited
+	}
+	return p.commitBatch(ctx, state, batch)
 }
 
-// commitBatch makes all steps on top of each other and writes what comes of them;
-// where nothing changes, a majority confirms that the value is the newest.
-func (p *Proposer) commitBatch(ctx scope.Scope, state *keyState, key string, together []*pendingUpdate) error {
-	if act := together[0].exclusive; act != nil {
-		return act(ctx, state)
+// commitBatch applies the updates one after the other and writes the result; if
+// nothing changes a quorum confirms that the value is the newest.
+func (p *Proposer) commitBatch(ctx scope.Scope, state *keyState, batch []*pendingUpdate) error {
+	if run := batch[0].exclusive; run != nil {
+		return run(ctx, state)
 	}
-	if together = p.rejectUnowned(state, key, together); len(together) == 0 {
+	if batch = p.rejectUnowned(state, batch); len(batch) == 0 {
 		return nil
 	}
-	wanted, release := untilAbandoned(ctx, together)
-	defer release()
-	if err := p.acquire(wanted, state, key); err != nil {
+	wanted, cancel := untilAbandoned(ctx, batch)
+	defer cancel()
+	if err := p.acquire(wanted, state); err != nil {
 		if wanted.Err() != nil && ctx.Err() == nil {
 			return errAbandoned
 		}
 		return err
 	}
 	value, changed := state.current.Value, false
-	for _, one := range together {
-		next, refusal := one.update(value)
-		if refusal == nil && next != nil {
+	for _, pending := range batch {
+		next, err := pending.update(value)
+		if err == nil && next != nil {
 			value, changed = next, true
 		}
-		one.value, one.err = value, refusal
+		pending.value, pending.err = value, err
 	}
 	if changed {
-		return p.write(ctx, state, key, value)
+		return p.write(ctx, state, value)
 	}
-	return p.confirm(ctx, state, key)
+	return p.confirm(ctx, state)
 }
 
-// errAbandoned is of a bid that was let go; who came since has one made anew.
-var errAbandoned = errors.New("register: nobody waits for the bid any more")
+// rejectUnowned leaves out the updates that need the key owned if it is not.
+func (p *Proposer) rejectUnowned(state *keyState, batch []*pendingUpdate) []*pendingUpdate {
+	if state.owned && p.votersCurrent(state) {
+		return batch
+	}
+	var rest []*pendingUpdate
+	for _, pending := range batch {
+		if pending.onlyIfOwned {
+			pending.err = errkind.Errorf(errkind.NoQuorum, "%s is not owned here", state.key)
+		} else {
+			rest = append(rest, pending)
+		}
+	}
+	return rest
+}
 
-// untilAbandoned gives a scope that ends once all who wait have given up. A bid for
-// a key that nobody waits for any more is let go: one that was cut off in the
-// middle of its bid would else keep what it is asked after its return waiting
-// behind it. A write goes on: it may have reached a voter.
-func untilAbandoned(ctx scope.Scope, together []*pendingUpdate) (scope.Scope, func()) {
-	wanted, end := ctx.WithCancel()
-	left := atomic.Int64{}
-	left.Store(int64(len(together)))
+// untilAbandoned returns a scope that ends once all callers of the batch have
+// given up. It bounds the acquisition: after a partition, one that nobody waits
+// for would hold up the updates that come since. A write is not bounded by it,
+// for it may have reached a voter.
+func untilAbandoned(ctx scope.Scope, batch []*pendingUpdate) (scope.Scope, func()) {
+	wanted, cancel := ctx.WithCancel()
+	var waiting atomic.Int64
+	waiting.Store(int64(len(batch)))
 	var stops []func() bool
-	for _, one := range together {
-		stops = append(stops, one.ctx.AfterFunc(func() {
-			if left.Add(-1) == 0 {
-				end()
+	for _, pending := range batch {
+		stops = append(stops, pending.ctx.AfterFunc(func() {
+			if waiting.Add(-1) == 0 {
+				cancel()
 			}
 		}))
 	}
@@ -211,6 +229,6 @@
 		for _, stop := range stops {
 			stop()
 		}
-		end()
+		cancel()
 	}
 }
--- a/control/state/register/broadcast.go
+++ b/control/state/register/broadcast.go
@@ -1,40 +1,42 @@
 package register
 
 import (
-	"sync"
-
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/transport"
 )
 
+// sendFunc sends one request to a member; it returns the verdict and the number
+// of the epoch that the member had promised.
+type sendFunc func(ctx scope.Scope, member Member) (Verdict, int64)
+
 type vote struct {
-	member      Member
-	verdict     Verdict
-	epochNumber int64
+	member  Member
+	verdict Verdict
+	// promised is the number of the epoch that the member had promised.
+	promised int64
 }
 
-// broadcast sends a message to every seat of the sets and returns once each set
-// has a majority of grants (and so many copies, where that is more), or can't
-// get it any more, or the scope ends.
-func (p *Proposer) broadcast(ctx scope.Scope, state *keyState, sets [][]Member, copies int, send func(scope.Scope, Member) (Verdict, int64)) error {
-	seats := distinctMembers(sets)
-	votes := make(chan vote, len(seats))
-	for _, seat := range seats {
+// broadcast sends a request to every member of the sets. It returns once each
+// set has its quorum, or can't get it any more, or ctx ends. The requests
+// themselves are bounded by MessageTimeout alone.
+func (p *Proposer) broadcast(ctx scope.Scope, state *keyState, sets [][]Member, minCopies int, send sendFunc) error {
+	members := distinctMembers(sets)
+	votes := make(chan vote, len(members))
+	for _, member := range members {
 		p.options.Spawn(func() {
-			message, release := ctx.WithoutCancel().WithTimeout(p.options.MessageTimeout)
-			defer release()
-			verdict, number := send(message, seat)
-			votes <- vote{member: seat, verdict: verdict, epochNumber: number}
+			ctx, cancel := ctx.WithoutCancel().WithTimeout(p.options.MessageTimeout)
+			defer cancel()
+			verdict, promised := send(ctx, member)
+			votes <- vote{member: member, verdict: verdict, promised: promised}
 		})
 	}
 	granted := map[ids.Address]bool{}
 	refused := map[ids.Address]bool{}
-	for range seats {
+	for range members {
 		select {
 		case cast := <-votes:
-			state.highestEpoch = max(state.highestEpoch, cast.epochNumber)
+			state.highestEpoch = max(state.highestEpoch, cast.promised)
 			if cast.verdict == Granted {
 				granted[cast.member.Address] = true
 			} else {
@@ -43,91 +45,30 @@
 		case <-ctx.Done():
 			return errkind.Errorf(errkind.NoQuorum, "the voters did not answer in time")
 		}
-		if allQuorums(sets, granted, copies) {
+		if allQuorums(sets, granted, minCopies) {
 			return nil
 		}
-		if quorumImpossible(sets, refused, copies) {
+		if quorumImpossible(sets, refused, minCopies) {
 			return errkind.Errorf(errkind.NoQuorum, "too many voters refused")
 		}
 	}
 	return errkind.Errorf(errkind.NoQuorum, "no majority")
 }
 
-// prepare asks the voters for the key under the state's epoch and gives the
-// newest value found. Taking the cohort key may uncover newer voters, whose
-// majority is then needed too.
-func (p *Proposer) prepare(ctx scope.Scope, state *keyState, key string) (Proposal, error) {
-	for {
-		var lock sync.Mutex
-		var newest Proposal
-		sets := [][]Member{state.voters.Members}
-		err := p.broadcast(ctx, state, sets, 0, func(message scope.Scope, seat Member) (Verdict, int64) {
-			told, err := p.options.Client.Promise(message, seat.Address, PrepareRequest{Fence: state.voters.FencingToken(seat), Key: key, Epoch: state.epoch})
-			verdict := verdictOf(told.Verdict, err)
-			lock.Lock()
-			defer lock.Unlock()
-			if verdict == Granted && told.Slot.Accepted.newerThan(newest) {
-				newest = told.Slot.Accepted
-			}
-			return verdict, told.Slot.Promised.Number
-		})
-		if err != nil {
-			return Proposal{}, err
-		}
-		lock.Lock()
-		found := newest
-		lock.Unlock()
-		if key != VotersKey {
-			return found, nil
-		}
-		voters, err := transport.Unmarshal[VoterSet](found.Value)
-		if err != nil || voters.Generation <= state.voters.Generation {
-			return found, nil
-		}
-		state.voters = voters
-		state.highestEpoch++
-		state.epoch.Number = state.highestEpoch
-	}
-}
-
-func distinctMembers(sets [][]Member) []Member {
-	var seats []Member
-	known := map[ids.Address]int{}
-	for _, set := range sets {
-		for _, seat := range set {
-			if index, found := known[seat.Address]; found {
-				// The newest set comes second: its incarnation is the one in force.
-				if !seat.Learner && seats[index].Learner {
-					seats[index] = seat
-				}
-				continue
-			}
-			known[seat.Address] = len(seats)
-			seats = append(seats, seat)
-		}
+// sendAccept returns the sending of one proposal for the key of the state.
+func (p *Proposer) sendAccept(state *keyState, proposal Proposal) sendFunc {
+	// The sending may outlast the writer's work under these voters.
+	voters := state.voters
+	return func(ctx scope.Scope, member Member) (Verdict, int64) {
+		resp, err := p.options.Client.Accept(ctx, member.Address, AcceptRequest{Fence: voters.FencingToken(member), Key: state.key, Proposal: proposal})
+		return verdictOf(resp.Verdict, err), resp.Promised.Number
 	}
-	return seats
 }
 
-func allQuorums(sets [][]Member, granted map[ids.Address]bool, copies int) bool {
-	for _, set := range sets {
-		if len(set) > 0 && !hasQuorum(set, granted, copies) {
-			return false
-		}
-	}
-	return true
-}
-
-// quorumImpossible tells whether some set can't grant enough any more.
-func quorumImpossible(sets [][]Member, refused map[ids.Address]bool, copies int) bool {
-	for _, set := range sets {
-		open := map[ids.Address]bool{}
-		for _, seat := range set {
-			open[seat.Address] = !refused[seat.Address]
-		}
-		if len(set) > 0 && !hasQuorum(set, open, copies) {
-			return true
-		}
+// verdictOf is Failed for a request that got no response.
+func verdictOf(verdict Verdict, err error) Verdict {
+	if err != nil {
+		return Failed
 	}
-	return false
+	return verdict
 }
--- a/control/state/register/discovery.go
+++ b/control/state/register/discovery.go
@@ -8,38 +8,41 @@
 	"onyxwell/base/scope"
 )
 
-// replaceable tells whether a voter's seat is free: by what this machine saw itself, or
-// since a majority of the voters miss it.
+// replaceable reports whether a voter may be replaced: by what this machine
+// observed itself, or because a majority of the voters miss it.
 func (j *Joiner) replaceable(address ids.Address) bool {
-	if back := j.returned.Load(); back != nil && (*back)[address] {
+	if returned := j.returned.Load(); returned != nil && (*returned)[address] {
 		return false
 	}
-	away := j.missedByMajority.Load()
-	return (away != nil && (*away)[address]) || j.Replaceable(address)
+	missed := j.missedByMajority.Load()
+	return (missed != nil && (*missed)[address]) || j.Replaceable(address)
 }
 
-// markReturned notes that one which seemed gone answered in this run.
+// markReturned notes that a voter which seemed lost answered in this run.
 func (j *Joiner) markReturned(address ids.Address) {
-	grown := map[ids.Address]bool{address: true}
-	if back := j.returned.Load(); back != nil {
-		maps.Copy(grown, *back)
+	returned := map[ids.Address]bool{address: true}
+	if before := j.returned.Load(); before != nil {
+		maps.Copy(returned, *before)
 	}
-	j.returned.Store(&grown)
+	j.returned.Store(&returned)
 }
 
-// discoverVoters learns who the voters are and whom of their number they miss: a newcomer
-// knows nobody for long enough to miss them itself. A majority that votes under
-// the voters known here is word enough that these are the newest: a majority of
-// them would hold any newer ones. All others are asked where there is none.
+// maxDiscoveryRounds bounds how often one run follows a voter set that changes.
+const maxDiscoveryRounds = 3
+
+// discoverVoters learns the newest voter set, and which voters the others miss:
+// a newcomer hasn't observed them for long enough itself. If a majority votes
+// under the set known here it is the newest, for a majority of it would hold any
+// newer one. Otherwise all peers are asked.
 func (j *Joiner) discoverVoters(ctx scope.Scope) {
 	j.missedByMajority.Store(nil)
 	for range maxDiscoveryRounds {
 		voters := j.Acceptor.Voters()
-		heard, contended := j.pollVoters(ctx, voters)
+		confirmed, contended := j.pollVoters(ctx, voters)
 		if contended && j.RequestTimeout > 0 && ctx.Wait(j.RequestTimeout/2+random.Duration(j.RequestTimeout)) {
 			continue
 		}
-		if heard {
+		if confirmed {
 			return
 		}
 		if j.Acceptor.Voters().Fingerprint() == voters.Fingerprint() {
@@ -51,57 +54,94 @@
 	}
 }
 
-// askPeersForVoters asks all other controllers for the voters. Who knows none is content
-// with the first that it hears of: these know newer ones if there are any.
+// askPeersForVoters asks all peers for their voter set. If none is known here the
+// first response suffices: its voters know a newer set if there is one.
 func (j *Joiner) askPeersForVoters(ctx scope.Scope, voters VoterSet) {
-	doubt := func(address ids.Address) bool { return voters.Generation == 0 || j.suspected(address) }
+	optional := func(address ids.Address) bool { return voters.Generation == 0 || j.suspected(address) }
 	known := func() bool { return j.Acceptor.Voters().Generation > 0 }
-	gather(j, j.withoutReplaceable(j.Peers()), doubt, known, func(address ids.Address) (struct{}, bool) {
+	gatherUntil(j, j.withoutReplaceable(j.Peers()), optional, known, j.requestVoters(ctx), discard)
+}
+
+// LearnVoters takes over the voter set that another controller knows.
+func (j *Joiner) LearnVoters(ctx scope.Scope, address ids.Address) {
+	ctx, cancel := j.withRequestTimeout(ctx)
+	defer cancel()
+	resp, err := j.Replicas.Copy(ctx, address, FetchRequest{Key: VotersKey})
+	if err != nil {
+		return
+	}
+	for _, slot := range resp.Slots {
+		slot.Promised = ids.Epoch{}
+		_ = j.Acceptor.Learn([]Slot{slot})
+	}
+}
+
+// requestVoters returns LearnVoters as a request for gather.
+func (j *Joiner) requestVoters(ctx scope.Scope) func(address ids.Address) (struct{}, bool) {
+	return func(address ids.Address) (struct{}, bool) {
 		j.LearnVoters(ctx, address)
 		return struct{}{}, true
-	}, func(ids.Address, struct{}) {})
+	}
 }
 
-// maxDiscoveryRounds bounds how often one run follows voters that change.
-const maxDiscoveryRounds = 3
+func discard(ids.Address, struct{}) {}
 
-// pollVoters asks the voters whom they miss, and tells whether a majority of
-// them votes under these, and whether another is changing them just now: two that
-// bid against each other both get nowhere. A bid that was seen before is one that
-// was given up. Newer voters that one of them knows are learnt.
-func (j *Joiner) pollVoters(ctx scope.Scope, voters VoterSet) (majority bool, contended bool) {
-	reports, heard, bid := map[ids.Address]int{}, 0, ids.Epoch{}
-	missed := func(address ids.Address) bool {
-		return j.suspected(address) || reports[address] >= quorum(len(voters.Members))
+// learnNewerVoters takes over the voter set of a replica whose digest names
+// another one than this, and not an older one.
+func (j *Joiner) learnNewerVoters(ctx scope.Scope, address ids.Address, voters VoterSet, digest DigestResponse) {
+	if digest.Generation >= voters.Generation && digest.Fingerprint != voters.Fingerprint() {
+		j.LearnVoters(ctx, address)
 	}
-	gather(j, j.withoutReplaceable(j.otherVoters(voters)), missed, always, func(address ids.Address) (DigestResponse, bool) {
-		told, err := j.fetchDigest(ctx, address)
-		j.learnNewerVoters(ctx, address, voters, told, err)
-		return told, err == nil && told.Voting
-	}, func(_ ids.Address, told DigestResponse) {
-		if told.Fingerprint == voters.Fingerprint() {
-			heard++
+}
+
+// pollVoters asks the voters whom they miss. It reports whether a majority votes
+// under this set, and whether another proposer is changing it just now: two that
+// outbid each other both get nowhere. A pending epoch that was seen before is
+// taken for given up.
+func (j *Joiner) pollVoters(ctx scope.Scope, voters VoterSet) (confirmed bool, contended bool) {
+	majority := quorum(len(voters.Members))
+	missedBy, votes, pending := map[ids.Address]int{}, 0, ids.Epoch{}
+	optional := func(address ids.Address) bool { return j.suspected(address) || missedBy[address] >= majority }
+	always := func() bool { return true }
+	gatherUntil(j, j.withoutReplaceable(j.otherVoters(voters)), optional, always, func(address ids.Address) (DigestResponse, bool) {
+		digest, err := j.fetchDigest(ctx, address)
+		if err != nil {
+			return digest, false
+		}
+		j.learnNewerVoters(ctx, address, voters, digest)
+		return digest, digest.Voting
+	}, func(_ ids.Address, digest DigestResponse) {
+		if digest.Fingerprint == voters.Fingerprint() {
+			votes++
 		}
-		if cohort := told.key(VotersKey); cohort.Promised != cohort.Epoch && cohort.Promised.Compare(bid) > 0 {
-			bid = cohort.Promised
+		if slot := digest.key(VotersKey); slot.Promised != slot.Epoch && slot.Promised.Compare(pending) > 0 {
+			pending = slot.Promised
 		}
-		for _, missed := range told.Unreachable {
-			reports[missed]++
+		for _, missed := range digest.Unreachable {
+			missedBy[missed]++
 		}
 	})
-	away := map[ids.Address]bool{}
-	for address, count := range reports {
-		away[address] = count >= quorum(len(voters.Members))
+	missed := map[ids.Address]bool{}
+	for address, count := range missedBy {
+		missed[address] = count >= majority
 	}
-	j.missedByMajority.Store(&away)
-	contended = bid.Number > 0 && bid.Owner != j.Address && bid != j.pendingEpoch
-	j.pendingEpoch = bid
-	return voters.Generation > 0 && heard >= quorum(len(voters.Members)), contended
+	j.missedByMajority.Store(&missed)
+	contended = pending.Number > 0 && pending.Owner != j.Address && pending != j.pendingEpoch
+	j.pendingEpoch = pending
+	return voters.Generation > 0 && votes >= majority, contended
 }
 
-// learnNewerVoters learns the voters from one that knows others than these, and none older.
-func (j *Joiner) learnNewerVoters(ctx scope.Scope, address ids.Address, voters VoterSet, told DigestResponse, err error) {
-	if err == nil && told.Generation >= voters.Generation && told.Fingerprint != voters.Fingerprint() {
+// ReconcileVoters brings whichever side of a fenced request knows an older voter
+// set up to date; generation is that of the other side. Under one generation two
+// proposers may have proposed different sets, so both are exchanged.
+func (j *Joiner) ReconcileVoters(ctx scope.Scope, address ids.Address, generation int64) {
+	own := j.Acceptor.Voters().Generation
+	if generation >= own {
 		j.LearnVoters(ctx, address)
 	}
+	if generation <= own {
+		slot := j.Acceptor.Slot(VotersKey)
+		slot.Promised = ids.Epoch{}
+		_ = j.Replicas.Learn(ctx, address, []Slot{slot})
+	}
 }
--- a/control/state/register/gather.go
+++ b/control/state/register/gather.go
@@ -4,72 +4,104 @@
 	"slices"
 
 	"onyxwell/base/ids"
+	"onyxwell/base/scope"
 )
 
-// gather asks all addresses at once and has each answer taken, one at a time, by
-// the caller. Those in doubt, by now, are asked too, but waited for only while there
-// is not enough: a voter that is gone must not cost each question its whole limit.
-func gather[Told any](joiner *Joiner, addresses []ids.Address, doubt func(address ids.Address) bool, enough func() bool,
-	ask func(address ids.Address) (Told, bool), take func(address ids.Address, told Told)) {
-	type answer struct {
+// gather sends a request to all addresses at once and hands the responses to
+// handle, one at a time, on the caller's goroutine. It does not await suspected
+// replicas.
+func gather[Response any](j *Joiner, addresses []ids.Address, request func(address ids.Address) (Response, bool), handle func(address ids.Address, resp Response)) {
+	gatherUntil(j, addresses, j.suspected, func() bool { return true }, request, handle)
+}
+
+// gatherUntil is gather with conditions of its own: optional replicas are awaited
+// only until the responses suffice. Both are asked after each response. So a
+// lost replica doesn't cost each request its whole timeout.
+func gatherUntil[Response any](j *Joiner, addresses []ids.Address, optional func(address ids.Address) bool, sufficient func() bool,
+	request func(address ids.Address) (Response, bool), handle func(address ids.Address, resp Response)) {
+	type result struct {
 		address ids.Address
-		told    Told
-		given   bool
+		resp    Response
+		ok      bool
 	}
-	spawn := joiner.Spawn
+	spawn := j.Spawn
 	if spawn == nil {
-		spawn = func(ask func()) { go ask() }
+		spawn = func(send func()) { go send() }
 	}
-	answers := make(chan answer, len(addresses))
-	waiting := slices.Clone(addresses)
+	results := make(chan result, len(addresses))
 	for _, address := range addresses {
 		spawn(func() {
-			told, given := ask(address)
-			answers <- answer{address: address, told: told, given: given}
+			resp, ok := request(address)
+			results <- result{address: address, resp: resp, ok: ok}
 		})
 	}
-	come := func(one answer) {
-		waiting = slices.DeleteFunc(waiting, func(address ids.Address) bool { return address == one.address })
-		if one.given {
-			take(one.address, one.told)
+	awaited := slices.Clone(addresses)
+	receive := func(r result) {
+		awaited = slices.DeleteFunc(awaited, func(address ids.Address) bool { return address == r.address })
+		if r.ok {
+			handle(r.address, r.resp)
 		}
 	}
-	for left := len(addresses); left > 0; left-- {
-		if slices.ContainsFunc(waiting, func(address ids.Address) bool { return !doubt(address) }) || !enough() {
-			come(<-answers)
+	for range addresses {
+		required := slices.ContainsFunc(awaited, func(address ids.Address) bool { return !optional(address) })
+		if required || !sufficient() {
+			receive(<-results)
 			continue
 		}
-		// What has come meanwhile is taken all the same.
+		// Responses that have come meanwhile are handled all the same.
 		select {
-		case one := <-answers:
-			come(one)
+		case r := <-results:
+			receive(r)
 		default:
 			return
 		}
 	}
 }
 
-// always says that those in doubt need not be waited for.
-func always() bool { return true }
+// gatherDigests asks the other voters of a set for their digests.
+func (j *Joiner) gatherDigests(ctx scope.Scope, voters VoterSet, handle func(address ids.Address, digest DigestResponse)) {
+	gather(j, j.otherVoters(voters), func(address ids.Address) (DigestResponse, bool) {
+		digest, err := j.fetchDigest(ctx, address)
+		return digest, err == nil
+	}, handle)
+}
+
+// fetchDigest asks one replica for its digests, within RequestTimeout.
+func (j *Joiner) fetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error) {
+	ctx, cancel := j.withRequestTimeout(ctx)
+	defer cancel()
+	return j.Replicas.Held(ctx, address)
+}
+
+// withRequestTimeout bounds one request.
+func (j *Joiner) withRequestTimeout(ctx scope.Scope) (scope.Scope, func()) {
+	if j.RequestTimeout == 0 {
+		return ctx, func() {}
+	}
+	return ctx.WithTimeout(j.RequestTimeout)
+}
 
-// suspected tells whether one does not answer this machine's questions now.
+// suspected reports whether a replica seems not to answer now.
 func (j *Joiner) suspected(address ids.Address) bool {
 	return j.Suspected != nil && j.Suspected(address)
 }
 
-// forEach asks all addresses at once and waits for all answers but those in doubt.
-func (j *Joiner) forEach(addresses []ids.Address, ask func(address ids.Address)) {
-	gather(j, addresses, j.suspected, always, func(address ids.Address) (struct{}, bool) {
-		ask(address)
-		return struct{}{}, true
-	}, func(ids.Address, struct{}) {})
+// otherVoters returns the addresses of the voters but this machine's.
+func (j *Joiner) otherVoters(voters VoterSet) []ids.Address {
+	var others []ids.Address
+	for _, member := range voters.Members {
+		if member.Address != j.Address {
+			others = append(others, member.Address)
+		}
+	}
+	return others
 }
 
-// withoutReplaceable gives those of some addresses that are not gone; all where they all are.
+// withoutReplaceable leaves out the voters that are lost, unless all are.
 func (j *Joiner) withoutReplaceable(addresses []ids.Address) []ids.Address {
-	found := slices.DeleteFunc(slices.Clone(addresses), j.replaceable)
-	if len(found) == 0 {
+	present := slices.DeleteFunc(slices.Clone(addresses), j.replaceable)
+	if len(present) == 0 {
 		return addresses
 	}
-	return found
+	return present
 }
--- a/control/state/register/gather_test.go
+++ b/control/state/register/gather_test.go
@@ -32,7 +32,7 @@
 				top := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 				asker := &Joiner{Suspected: func(address ids.Address) bool { return example.doubt && address == "c" }}
 				begin, taken := top.Now(), 0
-				gather(asker, []ids.Address{"a", "b", "c"}, asker.suspected, func() bool { return taken >= example.wanted }, func(address ids.Address) (int, bool) {
+				gatherUntil(asker, []ids.Address{"a", "b", "c"}, asker.suspected, func() bool { return taken >= example.wanted }, func(address ids.Address) (int, bool) {
 					top.Wait(map[ids.Address]clock.Span{"a": clock.Millisecond, "b": 70 * clock.Millisecond, "c": clock.Second}[address])
 					return 1, address != "c"
 				}, func(_ ids.Address, told int) { taken += told })
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -8,73 +8,86 @@
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
+	"onyxwell/control/transport"
 )
 
-// ReplicaClient is how a joiner asks others for what they hold, and mends them.
+// ErrNoVacancy is returned by Join if all places of the voter set are taken.
+var ErrNoVacancy = errors.New("register: no seat is free")
+
+// ReplicaClient exchanges state with other controllers. Copy and Held only read;
+// Learn is Acceptor.Learn over there.
 type ReplicaClient interface {
-	Copy(inner scope.Scope, address ids.Address, asked FetchRequest) (FetchResponse, error)
-	Held(inner scope.Scope, address ids.Address) (DigestResponse, error)
-	Learn(inner scope.Scope, address ids.Address, slots []Slot) error
+	Copy(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error)
+	Held(ctx scope.Scope, address ids.Address) (DigestResponse, error)
+	Learn(ctx scope.Scope, address ids.Address, slots []Slot) error
 }
 
-// Joiner brings a disk that does not vote to a seat.
+// Joiner makes a controller whose disk does not vote a voter.
+//
+// Of three ways to replace a voter it takes the third:
+//   - Learn, add, remove enlarges the voter set for a while. With the replaced
+//     voter lost for good three of four are needed then, and a newcomer that is
+//     lost meanwhile leaves two of four for ever.
+//   - Joint majorities (every change needs the old and the new set until the end)
+//     need the newcomer just as much, or every other old voter.
+//   - A learner takes the place of the lost voter, whose vote was missing anyway:
+//     the cluster never tolerates fewer losses than before, the newcomer may be
+//     lost at any step, and its place can be taken again.
+//
+// The third costs the vote of a voter that was only partitioned, or comes back
+// with its disk, from the replacement to the end of the learning. A joiner
+// therefore learns before it becomes a learner, so that only what came since is
+// learned after, and takes all steps in one run. Learning before is not enough:
+// until the replacement is committed, majorities with the replaced voter may
+// acknowledge updates.
 //
-// Three ways to replace a voter were weighed. *Learn, add, remove* makes the
-// voters one more for a while: with the replaced one gone for good, three of
-// four are needed then, and a newcomer that dies there leaves two of four, for
-// ever. *Joint majorities* (each change needs the old and the new voters until
-// the end) have the same need of the newcomer, or of every other old voter.
-// *Learning seats* put the newcomer in the place of the one that is gone, which
-// counted for nothing either: no moment bears fewer losses than the moment
-// before, a newcomer may die at any step, and its seat is taken again. What
-// they cost is the vote of one that was only cut off, or comes back with its
-// disk, from the seating to the end of the learning: a joiner therefore learns
-// *before* it is seated, so that only what came since is learnt in between, and
-// goes through all steps in one run. Learning once is not enough: until the seat
-// is taken, changes may still be answered by majorities of the one replaced.
+// Join belongs to one goroutine; the other methods may be called from any.
 type Joiner struct {
 	Address  ids.Address
 	Acceptor *Acceptor
 	Proposer *Proposer
 	Replicas ReplicaClient
-	// Peers gives the controllers worth asking, Gone whether a voter has been
-	// away for so long that its seat may be taken.
-	Peers       func() []ids.Address
+	// Peers returns the controllers worth asking for the voter set.
+	Peers func() []ids.Address
+	// Replaceable reports whether a voter was lost for so long that it may be
+	// replaced.
 	Replaceable func(address ids.Address) bool
-	// Suspected tells whether one does not answer now: it is asked all the same, but
-	// not waited for where the others suffice. It may be missing.
+	// Suspected reports whether a replica seems not to answer now. It is sent
+	// requests all the same, but not awaited if the others suffice. Nil suspects
+	// none.
 	Suspected func(address ids.Address) bool
-	// TargetVoters is how many seats there should be; Fits tells whether a seat here
-	// beside the others leaves no zone or region with too many of them.
-	TargetVoters     int
+	// TargetVoters is the size that the voter set should have.
+	TargetVoters int
+	// PlacementAllowed reports whether a voter here, beside the others, leaves no
+	// zone or region with too many of them.
 	PlacementAllowed func(others []ids.Address) bool
-	// RequestTimeout is how long one question may take; none says as long as the whole.
+	// RequestTimeout bounds one request; 0 leaves the bound of the whole run.
 	RequestTimeout clock.Span
-	// Spawn runs a question; tests run it in place.
-	Spawn func(ask func())
+	// Spawn runs a request in the background; nil starts a goroutine. Tests run it
+	// in place.
+	Spawn func(send func())
 
-	// missedByMajority are the voters that a majority of them say is away. A key's writer
-	// reads it too, while another run may be under way: it is swapped whole.
+	// missedByMajority are the voters that a majority of them misses, returned
+	// those that seemed lost and answered in this run. A key's writer reads both,
+	// perhaps during the next run, so the maps are replaced, never changed.
 	missedByMajority atomic.Pointer[map[ids.Address]bool]
-	// returned are those that seemed gone and answered in this run.
-	returned atomic.Pointer[map[ids.Address]bool]
-	// stalledRuns is how many times another was found learning under the same mark.
+	returned         atomic.Pointer[map[ids.Address]bool]
+	// stalledRuns counts the runs since the voter set became the present one.
 	stalledRuns        int
 	stalledFingerprint int64
-	// pendingEpoch is the newest promise of the voters' key that nothing was written under.
+	// pendingEpoch is the highest epoch promised for VotersKey that nothing had
+	// been written under at the last poll.
 	pendingEpoch ids.Epoch
 }
 
-// ErrNoVacancy says that all seats that are wanted are taken by others.
-var ErrNoVacancy = errors.New("register: no seat is free")
-
-// maxMembershipChanges bounds how many changes of voters one run makes: to be seated, and to
-// vote, each once more where another came in between.
+// maxMembershipChanges bounds the changes of voters that one run makes: to become
+// a learner and to become a voter, each once more if another change came first.
 const maxMembershipChanges = 4
 
-// Join goes the way to a seat: find the voters, learn what they hold, take the
-// place of this machine's older disk, of a voter that is gone, or a further one
-// while fewer than wanted are there, learn what came since, and only then vote.
+// Join runs once through all steps to a vote: learn the newest voter set, learn
+// the state of its voters, take the place of this machine's former disk, of a
+// lost voter, or a further one while fewer than TargetVoters are there, learn
+// what came since, and only then vote. It returns nil once the disk votes.
 func (j *Joiner) Join(ctx scope.Scope) error {
 	j.returned.Store(nil)
 	j.discoverVoters(ctx)
@@ -90,83 +103,87 @@
 		if err := j.joinStep(ctx, voters); err != nil {
 			return err
 		}
-		j.forEach(j.withoutReplaceable(j.otherVoters(voters)), func(address ids.Address) { j.LearnVoters(ctx, address) })
+		gather(j, j.withoutReplaceable(j.otherVoters(voters)), j.requestVoters(ctx), discard)
 	}
 	return nil
 }
 
+// joinStep makes one change of the voter set towards a vote.
 func (j *Joiner) joinStep(ctx scope.Scope, voters VoterSet) error {
-	own := Member{Address: j.Address, Incarnation: j.Acceptor.Incarnation(), Learner: true}
-	index, found := j.findVacancy(voters)
-	if !found {
+	index, ok := j.findVacancy(voters)
+	if !ok {
 		return ErrNoVacancy
 	}
-	size, seated := len(voters.Members), Member{}
+	self := Member{Address: j.Address, Incarnation: j.Acceptor.Incarnation(), Learner: true}
+	size, current := len(voters.Members), Member{}
 	if index < size {
-		seated = voters.Members[index]
-		if seated.Address == own.Address && seated.Incarnation == own.Incarnation && !seated.Learner {
+		current = voters.Members[index]
+		if current.Address == self.Address && current.Incarnation == self.Incarnation && !current.Learner {
 			return nil
 		}
 	} else {
-		// A further seat has no votes of before, which a newcomer would have to
-		// stand for: it votes from the start. Any majority that holds a change
-		// meets every majority of one seat more.
-		own.Learner, size = false, size+1
+		// A further place has no former votes that a newcomer would stand for, so
+		// it votes at once. Any majority that holds an update meets every majority
+		// of one voter more.
+		self.Learner, size = false, size+1
 	}
-	if seated != own {
-		found, back := j.countAnswering(ctx, voters, index)
-		if back {
-			// Another seat may be free all the same.
-			j.markReturned(seated.Address)
+	if current != self {
+		answering, returned := j.countAnswering(ctx, voters, index)
+		if returned {
+			// Another place may be free all the same.
+			j.markReturned(current.Address)
 			return j.joinStep(ctx, voters)
 		}
-		if found < max(learnQuorum(size), quorum(size)) {
+		if answering < max(learnQuorum(size), quorum(size)) {
 			return errkind.Errorf(errkind.NoQuorum, "too few others to take a seat")
 		}
 	}
 	if !j.learnFromVoters(ctx, voters, learnQuorum(size)) {
-		if j.Acceptor.Voters().Fingerprint() != voters.Fingerprint() {
-			// They are others by now: whoever changed them may still be at it.
-			return nil
-		}
-		// A voter that missed the change of voters, and promised a taker since,
-		// can't be mended by copies: the key is written again.
-		if err := j.Proposer.Reacquire(ctx, VotersKey); err != nil {
-			return err
-		}
-		return errkind.Errorf(errkind.NoQuorum, "too few others to learn from")
+		return j.retryLearning(ctx, voters)
 	}
-	if seated == own {
-		own.Learner = false
+	if current == self {
+		self.Learner = false
 	}
-	_, err := j.Proposer.Update(ctx, VotersKey, j.replaceMember(voters, index, own))
+	_, err := j.Proposer.Update(ctx, VotersKey, j.replaceMember(voters, index, self))
 	return err
 }
 
-// LearnVoters takes the voters that another controller knows.
-func (j *Joiner) LearnVoters(ctx scope.Scope, address ids.Address) {
-	short, release := j.withRequestTimeout(ctx)
-	defer release()
-	told, err := j.Replicas.Copy(short, address, FetchRequest{Key: VotersKey})
-	if err != nil {
-		return
+// retryLearning returns why learning from the voters failed; nil means that they
+// changed meanwhile, and that the next step starts from the newer set.
+func (j *Joiner) retryLearning(ctx scope.Scope, voters VoterSet) error {
+	if j.Acceptor.Voters().Fingerprint() != voters.Fingerprint() {
+		// Whoever changed them may still be at it.
+		return nil
 	}
-	for _, slot := range told.Slots {
-		slot.Promised = ids.Epoch{}
-		_ = j.Acceptor.Learn([]Slot{slot})
+	// A voter that missed the change of voters, and promised a newer epoch since,
+	// can't be brought up to date by Learn: the voter set is written again.
+	if err := j.Proposer.Reacquire(ctx, VotersKey); err != nil {
+		return err
 	}
+	return errkind.Errorf(errkind.NoQuorum, "too few others to learn from")
 }
 
-// ReconcileVoters repairs whichever side of a refused message knows only older voters; of
-// one generation two takers may have proposed different ones.
-func (j *Joiner) ReconcileVoters(ctx scope.Scope, address ids.Address, theirs int64) {
-	own := j.Acceptor.Voters().Generation
-	if theirs >= own {
-		j.LearnVoters(ctx, address)
-	}
-	if theirs <= own {
-		slot := j.Acceptor.Slot(VotersKey)
-		slot.Promised = ids.Epoch{}
-		_ = j.Replicas.Learn(ctx, address, []Slot{slot})
+// replaceMember returns the update that puts a member in the place of another, or
+// behind the last. It is dropped if the voter set is no longer the known one, or
+// the member to be replaced has returned; it runs right before the write.
+func (j *Joiner) replaceMember(known VoterSet, index int, member Member) UpdateFunc {
+	return func(current []byte) ([]byte, error) {
+		voters, err := transport.Unmarshal[VoterSet](current)
+		if err != nil || voters.Fingerprint() != known.Fingerprint() {
+			return nil, errkind.Errorf(errkind.NoQuorum, "the voters changed")
+		}
+		if index < len(voters.Members) {
+			replaced := voters.Members[index]
+			if replaced.Address != j.Address && !replaced.Learner && !j.replaceable(replaced.Address) {
+				return nil, errkind.Errorf(errkind.NoQuorum, "%s is back", replaced.Address)
+			}
+		}
+		next := VoterSet{Generation: voters.Generation + 1}
+		next.Members = append(next.Members, voters.Members...)
+		if index == len(next.Members) {
+			next.Members = append(next.Members, member)
+		}
+		next.Members[index] = member
+		return transport.Marshal(next)
 	}
 }
--- a/control/state/register/learn.go
+++ b/control/state/register/learn.go
@@ -2,165 +2,107 @@
 
 import (
 	"onyxwell/base/ids"
-	"onyxwell/control/transport"
+	"onyxwell/base/scope"
 )
 
-// encode can't fail: the types are this package's own, and a test packs each.
-func encode[Message any](message Message) []byte {
-	body, _ := transport.Marshal(message)
-	return body
-}
-
-// refreshVoters reads the voters out of the cohort slot.
-func (a *Acceptor) refreshVoters() {
-	if voters, found := decodeVoters(a.slots[VotersKey]); found {
-		a.voters = voters
-	}
-}
-
-func decodeVoters(slot Slot) (VoterSet, bool) {
-	if len(slot.Accepted.Value) == 0 {
-		return VoterSet{}, false
-	}
-	voters, err := transport.Unmarshal[VoterSet](slot.Accepted.Value)
-	return voters, err == nil
-}
-
-// checkFence tells whether a message may be acted on. The cohort key is open to
-// takers of any generation: their majorities are counted over the old and the
-// new voters, so they find the newest.
-func (a *Acceptor) checkFence(fence FencingToken, key string) Verdict {
-	if a.store == nil || !a.voting() || fence.Incarnation != a.incarnation {
-		return Fenced
-	}
-	if key != VotersKey && (fence.Generation != a.voters.Generation || fence.Fingerprint != a.voters.Fingerprint()) {
-		return Fenced
-	}
-	return Granted
-}
-
-func (a *Acceptor) voting() bool { return a.votesIn(a.voters) }
-
-func (a *Acceptor) votesIn(voters VoterSet) bool {
-	seat, found := voters.member(a.address)
-	return found && a.identified && !seat.Learner && seat.Incarnation == a.incarnation
-}
-
-// member finds the seat at an address.
-func (v VoterSet) member(address ids.Address) (Member, bool) {
-	for _, seat := range v.Members {
-		if seat.Address == address {
-			return seat, true
+// countAnswering counts the other voters that answer now: a replacement while too
+// few do would leave the cluster without a quorum. It also reports whether the
+// member to be replaced answers itself and still votes; it is not lost then,
+// whatever others say. Suspected voters are not awaited: they have left several
+// requests of this machine unanswered.
+func (j *Joiner) countAnswering(ctx scope.Scope, voters VoterSet, index int) (answering int, returned bool) {
+	j.gatherDigests(ctx, voters, func(address ids.Address, digest DigestResponse) {
+		member, _ := voters.member(address)
+		if !digest.Voting || member.Learner {
+			return
 		}
-	}
-	return Member{}, false
+		if index < len(voters.Members) && voters.Members[index].Address == address {
+			returned = digest.Incarnation == member.Incarnation && !digest.Leaving
+		} else {
+			answering++
+		}
+	})
+	return answering, returned
 }
 
-// Fetch gives what the voter's disk holds, and under which voters. What is not on
-// the disk yet is not told: whoever learns here counts on it that this voter
-// goes on fencing off older generations, and may lose its memory right after.
-func (a *Acceptor) Fetch(asked FetchRequest) FetchResponse {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	voters, _ := decodeVoters(a.durable[VotersKey])
-	told := FetchResponse{
-		Incarnation: a.incarnation, Generation: voters.Generation,
-		Fingerprint: voters.Fingerprint(), Voting: a.votesIn(voters),
-	}
-	if asked.Key == "" {
-		told.Slots = sortedSlots(a.durable)
-	} else if held, found := a.durable[asked.Key]; found {
-		told.Slots = []Slot{held}
-	}
-	return told
+// newestCopy is the newest digest of one key among the replicas, the replica that
+// holds it, and the highest epoch that any of them promised.
+type newestCopy struct {
+	digest   KeyDigest
+	promised ids.Epoch
+	source   ids.Address
 }
 
-// Leave has the voter give its seat to whoever asks for it; it votes until then.
-func (a *Acceptor) Leave() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.leaving = true
+// newestCopies are the newest digests of all keys, in the order of their arrival.
+type newestCopies struct {
+	keys   []string
+	copies map[string]newestCopy
 }
 
-// Digest gives how all keys stand on the voter's disk.
-func (a *Acceptor) Digest() DigestResponse {
-	copied := a.Fetch(FetchRequest{})
-	told := DigestResponse{Incarnation: copied.Incarnation, Generation: copied.Generation, Fingerprint: copied.Fingerprint, Voting: copied.Voting}
-	a.mu.Lock()
-	told.Leaving = a.leaving
-	a.mu.Unlock()
-	told.Keys = make([]KeyDigest, 0, len(copied.Slots))
-	for _, slot := range copied.Slots {
-		told.Keys = append(told.Keys, KeyDigest{
-			Key: slot.Key, Promised: slot.Promised, Epoch: slot.Accepted.Epoch, Sequence: slot.Accepted.Sequence,
-		})
+func (n *newestCopies) add(address ids.Address, digests []KeyDigest) {
+	for _, digest := range digests {
+		newest, known := n.copies[digest.Key]
+		if !known {
+			n.keys = append(n.keys, digest.Key)
+		}
+		if !known || digest.proposal().newerThan(newest.digest.proposal()) {
+			newest.digest, newest.source = digest, address
+		}
+		if digest.Promised.Compare(newest.promised) > 0 {
+			newest.promised = digest.Promised
+		}
+		n.copies[digest.Key] = newest
 	}
-	return told
-}
-
-// Voting tells whether this disk votes now.
-func (a *Acceptor) Voting() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.voting()
 }
 
-// Voters gives the voters as this voter knows them.
-func (a *Acceptor) Voters() VoterSet {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.voters
-}
-
-// Incarnation tells which disk this is.
-func (a *Acceptor) Incarnation() ids.Incarnation {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.incarnation
-}
-
-// Identified tells whether the disk has an identity; one without it is blank,
-// whatever else stands on it.
-func (a *Acceptor) Identified() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.identified
-}
-
-// Learn takes slots that others hold: the newest value and the highest promise
-// of each key. A value older than what was promised is left alone, just as if
-// the owner's message had come too late; one who does not vote yet takes all. Without
-// an error the disk has all that was taken.
-func (a *Acceptor) Learn(slots []Slot) error {
-	a.mu.Lock()
-	var keys []string
-	for _, seen := range slots {
-		held := a.slotOf(seen.Key)
-		mended := held
-		if seen.Accepted.newerThan(held.Accepted) && (!a.voting() || seen.Accepted.Epoch.Compare(held.Promised) >= 0) {
-			mended.Accepted = seen.Accepted
+// learnFromVoters takes over the newest state of each key from at least so many
+// other voters, all of which fence off older voter sets than this. Values travel
+// only if this disk lacks them. It reports whether all of it is durable here.
+func (j *Joiner) learnFromVoters(ctx scope.Scope, voters VoterSet, required int) bool {
+	newest := newestCopies{copies: map[string]newestCopy{}}
+	// Voters that seem lost are asked too: they may be there all the same.
+	gatherUntil(j, j.otherVoters(voters), j.suspected, func() bool { return required <= 0 }, func(address ids.Address) (DigestResponse, bool) {
+		member, _ := voters.member(address)
+		if member.Learner {
+			return DigestResponse{}, false
 		}
-		if seen.Promised.Compare(held.Promised) > 0 {
-			mended.Promised = seen.Promised
+		digest, err := j.fetchDigest(ctx, address)
+		if err != nil {
+			return digest, false
 		}
-		keys = append(keys, seen.Key)
-		if !equalSlots(mended, held) {
-			a.setSlot(mended)
+		j.learnNewerVoters(ctx, address, voters, digest)
+		return digest, digest.Voting && digest.Fingerprint == voters.Fingerprint() && digest.Incarnation == member.Incarnation
+	}, func(address ids.Address, digest DigestResponse) {
+		required--
+		newest.add(address, digest.Keys)
+	})
+	if required > 0 {
+		return false
+	}
+	var slots []Slot
+	for _, key := range newest.keys {
+		slot, ok := j.fetchSlot(ctx, key, newest.copies[key])
+		if !ok {
+			return false
 		}
+		slots = append(slots, slot)
 	}
-	a.refreshVoters()
-	a.mu.Unlock()
-	return a.persist(keys...)
+	return j.Acceptor.Learn(slots) == nil
 }
 
-// mergeSlots keeps the higher promise and the newer value of two states of a slot;
-// records of one key may stand in the journal in either order.
-func mergeSlots(left Slot, right Slot) Slot {
-	if left.Promised.Compare(right.Promised) > 0 {
-		right.Promised = left.Promised
+// fetchSlot returns the slot to learn, with its value if this disk lacks it. It
+// fails if the source no longer holds the proposal or a newer one.
+func (j *Joiner) fetchSlot(ctx scope.Scope, key string, newest newestCopy) (Slot, bool) {
+	slot := Slot{Key: key, Promised: newest.promised}
+	if !newest.digest.proposal().newerThan(j.Acceptor.Slot(key).Accepted) {
+		return slot, true
 	}
-	if left.Accepted.newerThan(right.Accepted) {
-		right.Accepted = left.Accepted
+	ctx, cancel := j.withRequestTimeout(ctx)
+	defer cancel()
+	resp, err := j.Replicas.Copy(ctx, newest.source, FetchRequest{Key: key})
+	if err != nil || len(resp.Slots) != 1 || newest.digest.proposal().newerThan(resp.Slots[0].Accepted) {
+		return slot, false
 	}
-	return right
+	slot.Accepted = resp.Slots[0].Accepted
+	return slot, true
 }
--- a/control/state/register/messages.go
+++ b/control/state/register/messages.go
@@ -1,20 +1,15 @@
-// Package register keeps small pieces of control state, each under a key of
-// its own, on a majority of synced disks. A key has one owner at a time, which
-// took it over under an epoch higher than any before; there is no common log
-// and no leader for all keys.
 package register
 
 import (
 	"hash/fnv"
 
 	"onyxwell/base/ids"
+	"onyxwell/control/transport"
 )
 
-// VotersKey is the key under which the voters themselves are kept.
-const VotersKey = "cohort"
-
-// Proposal is a value under the epoch of the owner that wrote it. The sequence
-// counts an owner's writes and goes on under the next owner.
+// Proposal is a value under the epoch of the owner that proposed it. Epoch and
+// Sequence together name one value: Sequence counts the writes to a key and
+// continues under the next owner.
 type Proposal struct {
 	Epoch    ids.Epoch `avro:"Epoch"`
 	Sequence int64     `avro:"Sequence"`
@@ -24,7 +19,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Proposal) SchemaName() string { return "Accepted_25" }
 
-// newerThan tells whether this value was written after the other.
+// newerThan reports whether p was written after other.
 func (p Proposal) newerThan(other Proposal) bool {
 	if order := p.Epoch.Compare(other.Epoch); order != 0 {
 		return order > 0
@@ -32,7 +27,8 @@
 	return p.Sequence > other.Sequence
 }
 
-// Slot is what one voter holds for one key.
+// Slot is the state of one acceptor for one key: the highest epoch that it
+// promised and the newest proposal that it accepted.
 type Slot struct {
 	Key      string    `avro:"Key"`
 	Promised ids.Epoch `avro:"Promised"`
@@ -42,51 +38,42 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Slot) SchemaName() string { return "Slot_25" }
 
-// Member is one voter's place. A voter whose disk was lost comes back under
-// another incarnation; while it is learning its votes don't count.
-type Member struct {
-	Address     ids.Address     `avro:"Address" json:"Address"`
-	Incarnation ids.Incarnation `avro:"Incarnation" json:"Incarnation"`
-	Learner     bool            `avro:"Learning" json:"Learning"`
-}
-
-// SchemaName names the stored and sent form; it must never change.
-func (Member) SchemaName() string { return "Seat_25" }
-
-// VoterSet is the value of the cohort key: who votes. From one generation to the
-// next a single seat changes, and a new seat learns before it votes, so every
-// majority of the one meets every majority of the other.
-type VoterSet struct {
-	Generation int64    `avro:"Generation"`
-	Members    []Member `avro:"Seats"`
+// equalSlots reports whether two states of a slot are the same; an epoch and a
+// sequence name one value, so values are not compared.
+func equalSlots(left Slot, right Slot) bool {
+	return left.Promised == right.Promised && left.Accepted.Epoch == right.Accepted.Epoch && left.Accepted.Sequence == right.Accepted.Sequence
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (VoterSet) SchemaName() string { return "Voters_25" }
-
-// FencingToken is carried by every message to a voter: a voter of another incarnation
-// or generation refuses it.
-type FencingToken struct {
-	Generation  int64           `avro:"Generation"`
-	Fingerprint int64           `avro:"Mark"`
-	Incarnation ids.Incarnation `avro:"Incarnation"`
+// mergeSlots returns the higher promise and the newer proposal of two states of
+// a slot: records of one key may stand in the log in either order.
+func mergeSlots(left Slot, right Slot) Slot {
+	if left.Promised.Compare(right.Promised) > 0 {
+		right.Promised = left.Promised
+	}
+	if left.Accepted.newerThan(right.Accepted) {
+		right.Accepted = left.Accepted
+	}
+	return right
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (FencingToken) SchemaName() string { return "Fence_25" }
-
-// Verdict is a voter's word on a message.
+// Verdict is an acceptor's decision on a request.
 type Verdict int64
 
-// The verdicts.
 const (
+	// Granted means that the request was carried out and is durable.
 	Granted Verdict = iota
+	// Superseded means that the acceptor promised a newer epoch or holds a newer
+	// proposal.
 	Superseded
+	// Fenced means that the fencing token names another generation or
+	// incarnation, or that the acceptor does not vote.
 	Fenced
+	// Failed means that the storage refused, or that no response came; the
+	// request may have been carried out.
 	Failed
 )
 
-// PrepareRequest asks a voter to refuse epochs below this one.
+// PrepareRequest asks an acceptor to refuse epochs below this one for the key.
 type PrepareRequest struct {
 	Fence FencingToken `avro:"Fence"`
 	Key   string       `avro:"Key"`
@@ -96,7 +83,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (PrepareRequest) SchemaName() string { return "PromiseAsk_25" }
 
-// PrepareResponse is the answer, with what the voter holds.
+// PrepareResponse answers a PrepareRequest with the slot of the acceptor.
 type PrepareResponse struct {
 	Verdict    Verdict `avro:"Verdict"`
 	Generation int64   `avro:"Generation"`
@@ -106,7 +93,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (PrepareResponse) SchemaName() string { return "PromiseTold_25" }
 
-// AcceptRequest asks a voter to take a value.
+// AcceptRequest asks an acceptor to accept a proposal for the key.
 type AcceptRequest struct {
 	Fence    FencingToken `avro:"Fence"`
 	Key      string       `avro:"Key"`
@@ -116,7 +103,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (AcceptRequest) SchemaName() string { return "AcceptAsk_25" }
 
-// AcceptResponse is the answer.
+// AcceptResponse answers an AcceptRequest and a ConfirmRequest. Promised is the
+// epoch that was promised before the request.
 type AcceptResponse struct {
 	Verdict    Verdict   `avro:"Verdict"`
 	Generation int64     `avro:"Generation"`
@@ -126,7 +114,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (AcceptResponse) SchemaName() string { return "AcceptTold_25" }
 
-// ConfirmRequest asks whether no newer owner than this epoch is known.
+// ConfirmRequest asks an acceptor whether this epoch is still the highest that
+// it promised for the key.
 type ConfirmRequest struct {
 	Fence FencingToken `avro:"Fence"`
 	Key   string       `avro:"Key"`
@@ -136,8 +125,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (ConfirmRequest) SchemaName() string { return "ConfirmAsk_25" }
 
-// FetchRequest asks for what a voter holds: under one key, or under all where none
-// is named.
+// FetchRequest asks for the durable slot of one key, or for all slots if Key is
+// empty.
 type FetchRequest struct {
 	Key string `avro:"Key"`
 }
@@ -145,7 +134,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (FetchRequest) SchemaName() string { return "CopyAsk_25" }
 
-// FetchResponse is all that a voter holds.
+// FetchResponse carries durable slots and the voter set that is durable beside
+// them.
 type FetchResponse struct {
 	Incarnation ids.Incarnation `avro:"Incarnation"`
 	Generation  int64           `avro:"Generation"`
@@ -157,7 +147,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (FetchResponse) SchemaName() string { return "CopyTold_25" }
 
-// KeyDigest is how one key stands on one disk, without its value.
+// KeyDigest is the durable state of one key on one disk, without its value.
 type KeyDigest struct {
 	Key      string    `avro:"Key"`
 	Promised ids.Epoch `avro:"Promised"`
@@ -168,11 +158,12 @@
 // SchemaName names the stored and sent form; it must never change.
 func (KeyDigest) SchemaName() string { return "Held_25" }
 
-// proposal is what the digest stands for; it has no value and is never learnt.
+// proposal is the proposal that the digest stands for, to compare by; it has no
+// value and must never be learned.
 func (k KeyDigest) proposal() Proposal { return Proposal{Epoch: k.Epoch, Sequence: k.Sequence} }
 
-// DigestRequest asks how all keys stand, and says by a sum how they stand with the
-// asker.
+// DigestRequest asks for the digests of all keys; Hash is that of the caller's
+// own digests.
 type DigestRequest struct {
 	Hash int64 `avro:"Sum"`
 }
@@ -180,17 +171,18 @@
 // SchemaName names the stored and sent form; it must never change.
 func (DigestRequest) SchemaName() string { return "HeldAsk_25" }
 
-// DigestResponse is how all keys stand on a voter's disk.
+// DigestResponse carries the digests of all keys on a voter's disk.
 type DigestResponse struct {
 	Incarnation ids.Incarnation `avro:"Incarnation"`
 	Generation  int64           `avro:"Generation"`
 	Fingerprint int64           `avro:"Mark"`
 	Voting      bool            `avro:"Voting"`
-	// Leaving says that it gives its seat to whoever asks for it.
+	// Leaving means that the voter gives its place to whoever asks for it.
 	Leaving bool `avro:"Leaving"`
-	// Unreachable are the voters that did not answer this one for a while.
+	// Unreachable are the voters that have not answered this one for a while.
 	Unreachable []ids.Address `avro:"Away"`
-	// Unchanged says that all keys stand as with the asker; they are left out then.
+	// Unchanged means that the digests equal those of the caller; Keys is empty
+	// then.
 	Unchanged bool        `avro:"Same"`
 	Keys      []KeyDigest `avro:"Keys"`
 }
@@ -198,31 +190,27 @@
 // SchemaName names the stored and sent form; it must never change.
 func (DigestResponse) SchemaName() string { return "HeldTold_25" }
 
-// Hash is a digest of how all keys stand.
+// Hash is the FNV-1a hash of the digests of all keys.
 func (d DigestResponse) Hash() int64 {
-	digest := fnv.New64a()
-	for _, held := range d.Keys {
-		_, _ = digest.Write(encode(held))
+	hash := fnv.New64a()
+	for _, digest := range d.Keys {
+		_, _ = hash.Write(encode(digest))
 	}
-	return int64(digest.Sum64())
-}
-
-// FencingToken makes the fence of a message to one seat.
-func (v VoterSet) FencingToken(seat Member) FencingToken {
-	return FencingToken{Generation: v.Generation, Fingerprint: v.Fingerprint(), Incarnation: seat.Incarnation}
+	return int64(hash.Sum64())
 }
 
-// hasQuorum tells whether the votes are a majority, and at least so many copies; a
-// seat that is learning counts as one that did not vote.
-func hasQuorum(seats []Member, votes map[ids.Address]bool, copies int) bool {
-	granted := 0
-	for _, seat := range seats {
-		if votes[seat.Address] && !seat.Learner {
-			granted++
+// key returns the digest of a key, or a zero one.
+func (d DigestResponse) key(key string) KeyDigest {
+	for _, digest := range d.Keys {
+		if digest.Key == key {
+			return digest
 		}
 	}
-	return granted >= max(quorum(len(seats)), copies)
+	return KeyDigest{}
 }
 
-// quorum is how many of so many seats are a majority.
-func quorum(seats int) int { return seats/2 + 1 }
+// encode cannot fail: the types are this package's own, and a test encodes each.
+func encode[Message any](message Message) []byte {
+	body, _ := transport.Marshal(message)
+	return body
+}
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -1,28 +1,73 @@
 package register
 
 import (
+	"errors"
 	"sync"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
-// Proposer owns keys: it takes them over, changes them and confirms them.
+// ErrNotOwner is returned by Repair if this proposer does not own the key.
+var ErrNotOwner = errors.New("register: another owns the key")
+
+// VoterClient sends requests to voters, the caller's own included.
+type VoterClient interface {
+	Promise(ctx scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error)
+	Accept(ctx scope.Scope, address ids.Address, req AcceptRequest) (AcceptResponse, error)
+	Confirm(ctx scope.Scope, address ids.Address, req ConfirmRequest) (AcceptResponse, error)
+}
+
+// UpdateFunc returns the next value of a key. With an error or a nil value the
+// key keeps its value. It must not block.
+type UpdateFunc func(current []byte) ([]byte, error)
+
+// ProposerOptions configure a Proposer. Address, Client, Voters and
+// MessageTimeout are required.
+type ProposerOptions struct {
+	Address ids.Address
+	Client  VoterClient
+	// Voters returns the newest voter set known here.
+	Voters func() VoterSet
+	// HighestEpoch returns the highest epoch that the local acceptor promised for
+	// a key; nil means 0.
+	HighestEpoch func(key string) int64
+	// OnCommit is called with each proposal that a quorum is known to hold.
+	OnCommit func(key string, committed Proposal)
+	// MessageTimeout bounds one request to a voter. Requests go on after a quorum
+	// has answered, so that the other voters don't lag.
+	MessageTimeout clock.Span
+	// BatchTimeout bounds one batch; 0 is no bound.
+	BatchTimeout clock.Span
+	// MinCopies is how many disks must hold an update before it is acknowledged,
+	// if that is more than a majority: one more than may be lost at one time.
+	MinCopies int
+	// Spawn runs a function in the background; nil starts a goroutine. Tests run
+	// it in place.
+	Spawn func(send func())
+}
+
+// Proposer owns keys: it acquires them, updates them and confirms that it still
+// owns them. Its methods may be called from any goroutine.
 type Proposer struct {
 	options ProposerOptions
 	mu      sync.Mutex
 	keys    map[string]*keyState
 }
 
-// keyState is this keeper's standing with one key. One writer at a time works on
-// it, and takes all changes that wait together.
+// keyState is the proposer's state for one key. One writer at a time works on a
+// key, for all updates that wait.
 type keyState struct {
-	// writerActive and queue are guarded by the keeper's lock, the rest belongs to
-	// the writer.
+	key string
+	// writerActive and queue are guarded by Proposer.mu, the rest belongs to the
+	// writer.
 	writerActive bool
 	queue        []*pendingUpdate
+
+	// owned means that a quorum of voters promised epoch.
 	owned        bool
 	highestEpoch int64
 	epoch        ids.Epoch
@@ -30,7 +75,7 @@
 	voters       VoterSet
 }
 
-// NewProposer makes a keeper that owns nothing yet.
+// NewProposer returns a proposer that owns no key.
 func NewProposer(options ProposerOptions) *Proposer {
 	if options.Spawn == nil {
 		options.Spawn = func(send func()) { go send() }
@@ -44,27 +89,77 @@
 	return &Proposer{options: options, keys: map[string]*keyState{}}
 }
 
-// acquireAttempts is how often a taker bids in one call: once more where the first bid
-// was below what some voter had promised.
+// Owns reports whether this proposer believes that it owns the key, or is at
+// work on it.
+func (p *Proposer) Owns(key string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	state := p.keys[key]
+	return state != nil && (state.writerActive || state.owned)
+}
+
+// Reacquire takes the key over under a new epoch, even from itself, and so
+// writes its newest value to all voters again.
+func (p *Proposer) Reacquire(ctx scope.Scope, key string) error {
+	return p.exclusively(ctx, key, func(ctx scope.Scope, state *keyState) error {
+		state.owned = false
+		return p.acquire(ctx, state)
+	})
+}
+
+// Repair sends the newest proposal of an owned key to lagging voters once more.
+// It is the very request that they missed, under the same epoch and fencing
+// token, so a voter that promised another owner since refuses it. If the voter
+// set changed since, the key is acquired anew, which writes to all voters. The
+// error is ErrNotOwner if the key is not owned.
+func (p *Proposer) Repair(ctx scope.Scope, key string, lagging []Member) error {
+	return p.exclusively(ctx, key, func(ctx scope.Scope, state *keyState) error {
+		if !state.owned {
+			return ErrNotOwner
+		}
+		if !p.votersCurrent(state) {
+			return p.acquire(ctx, state)
+		}
+		if state.current.Sequence == 0 {
+			return nil
+		}
+		// Each voter stands for itself: there is no majority to await.
+		var errs []error
+		for _, member := range lagging {
+			errs = append(errs, p.broadcast(ctx, state, [][]Member{{member}}, 0, p.sendAccept(state, state.current)))
+		}
+		return errors.Join(errs...)
+	})
+}
+
+// votersCurrent reports whether the voter set that the key was acquired under is
+// the newest known here.
+func (p *Proposer) votersCurrent(state *keyState) bool {
+	return state.voters.Fingerprint() == p.options.Voters().Fingerprint()
+}
+
+// acquireAttempts bounds the prepares of one call: a second one where the first
+// was below the epoch that some voter had promised.
 const acquireAttempts = 2
 
-// acquire makes sure that this keeper owns the key under the voters of now.
-func (p *Proposer) acquire(ctx scope.Scope, state *keyState, key string) error {
-	voters := p.options.Voters()
-	if state.owned && state.voters.Fingerprint() == voters.Fingerprint() {
+// acquire makes sure that the key is owned under the newest voter set.
+func (p *Proposer) acquire(ctx scope.Scope, state *keyState) error {
+	if state.owned && p.votersCurrent(state) {
 		return nil
 	}
 	var err error
 	for range acquireAttempts {
 		state.owned = false
 		state.voters = p.options.Voters()
-		state.highestEpoch = max(state.highestEpoch, p.options.HighestEpoch(key)) + 1
+		state.highestEpoch = max(state.highestEpoch, p.options.HighestEpoch(state.key)) + 1
 		state.epoch = ids.Epoch{Number: state.highestEpoch, Owner: p.options.Address}
-		err = p.takeOver(ctx, state, key)
-		ctx.Log.Info().Str("part", "register").Str("key", key).Int64("epoch", state.epoch.Number).Err(err).Msg("taken over")
+		err = p.takeOver(ctx, state)
+		event := ctx.Log.Info().Str("part", "register").Str("key", state.key).Int64("epoch", state.epoch.Number).Err(err)
 		if err == nil {
+			event.Msg("key acquired")
 			return nil
 		}
+		event.Msg("key not acquired")
 		if ctx.Err() != nil || state.highestEpoch == state.epoch.Number {
 			return err
 		}
@@ -72,17 +167,18 @@
 	return err
 }
 
-// takeOver gains the key under the state's epoch and settles its last write.
-func (p *Proposer) takeOver(ctx scope.Scope, state *keyState, key string) error {
-	newest, err := p.prepare(ctx, state, key)
+// takeOver prepares the key under the state's epoch and commits its newest
+// proposal.
+func (p *Proposer) takeOver(ctx scope.Scope, state *keyState) error {
+	newest, err := p.prepare(ctx, state)
 	if err != nil {
 		return err
 	}
 	state.current = newest
 	if newest.Sequence > 0 {
-		// The value found may stand on a minority only: it is written again
-		// under the new epoch before anything is built on it.
-		if err := p.write(ctx, state, key, newest.Value); err != nil {
+		// The proposal may be on a minority only: it is written again under the
+		// new epoch before anything is built on it.
+		if err := p.write(ctx, state, newest.Value); err != nil {
 			return err
 		}
 	}
@@ -90,47 +186,80 @@
 	return nil
 }
 
-// write puts a value on a majority of disks.
-func (p *Proposer) write(ctx scope.Scope, state *keyState, key string, value []byte) error {
+// prepare has a quorum promise the state's epoch and returns the newest proposal
+// that one of them accepted. For VotersKey that may be a newer voter set, whose
+// quorum is then needed too.
+func (p *Proposer) prepare(ctx scope.Scope, state *keyState) (Proposal, error) {
+	for {
+		newest, err := p.prepareOnce(ctx, state)
+		if err != nil || state.key != VotersKey {
+			return newest, err
+		}
+		voters, err := transport.Unmarshal[VoterSet](newest.Value)
+		if err != nil || voters.Generation <= state.voters.Generation {
+			return newest, nil
+		}
+		state.voters = voters
+		state.highestEpoch++
+		state.epoch.Number = state.highestEpoch
+	}
+}
+
+func (p *Proposer) prepareOnce(ctx scope.Scope, state *keyState) (Proposal, error) {
+	// Responses that come after the quorum still write to newest.
+	var mu sync.Mutex
+	var newest Proposal
+	voters, epoch := state.voters, state.epoch
+	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx scope.Scope, member Member) (Verdict, int64) {
+		resp, err := p.options.Client.Promise(ctx, member.Address, PrepareRequest{Fence: voters.FencingToken(member), Key: state.key, Epoch: epoch})
+		verdict := verdictOf(resp.Verdict, err)
+		mu.Lock()
+		defer mu.Unlock()
+		if verdict == Granted && resp.Slot.Accepted.newerThan(newest) {
+			newest = resp.Slot.Accepted
+		}
+		return verdict, resp.Slot.Promised.Number
+	})
+	if err != nil {
+		return Proposal{}, err
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	return newest, nil
+}
+
+// write has a quorum accept a value under the state's epoch.
+func (p *Proposer) write(ctx scope.Scope, state *keyState, value []byte) error {
 	next := Proposal{Epoch: state.epoch, Sequence: state.current.Sequence + 1, Value: value}
-	sets, copies := [][]Member{state.voters.Members}, p.options.MinCopies
-	if key == VotersKey {
-		// A seat must be filled also while too few disks are there for orders.
-		copies = 0
+	sets, minCopies := [][]Member{state.voters.Members}, p.options.MinCopies
+	if state.key == VotersKey {
+		// A voter must be replaceable even while too few disks are there for
+		// other updates.
+		minCopies = 0
 		voters, err := transport.Unmarshal[VoterSet](value)
 		if err != nil {
 			return errkind.Errorf(errkind.Internal, "voters: %v", err)
 		}
 		sets = append(sets, voters.Members)
 	}
-	err := p.broadcast(ctx, state, sets, copies, func(message scope.Scope, seat Member) (Verdict, int64) {
-		told, err := p.options.Client.Accept(message, seat.Address, AcceptRequest{Fence: state.voters.FencingToken(seat), Key: key, Proposal: next})
-		return verdictOf(told.Verdict, err), told.Promised.Number
-	})
-	if err != nil {
+	if err := p.broadcast(ctx, state, sets, minCopies, p.sendAccept(state, next)); err != nil {
 		state.owned = false
 		return err
 	}
 	state.current = next
-	p.options.OnCommit(key, next)
+	p.options.OnCommit(state.key, next)
 	return nil
 }
 
-// confirm asks a majority whether this keeper is still the owner.
-func (p *Proposer) confirm(ctx scope.Scope, state *keyState, key string) error {
-	err := p.broadcast(ctx, state, [][]Member{state.voters.Members}, 0, func(message scope.Scope, seat Member) (Verdict, int64) {
-		told, err := p.options.Client.Confirm(message, seat.Address, ConfirmRequest{Fence: state.voters.FencingToken(seat), Key: key, Epoch: state.epoch})
-		return verdictOf(told.Verdict, err), told.Promised.Number
+// confirm asks a quorum whether the key is still owned.
+func (p *Proposer) confirm(ctx scope.Scope, state *keyState) error {
+	voters, epoch := state.voters, state.epoch
+	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx scope.Scope, member Member) (Verdict, int64) {
+		resp, err := p.options.Client.Confirm(ctx, member.Address, ConfirmRequest{Fence: voters.FencingToken(member), Key: state.key, Epoch: epoch})
+		return verdictOf(resp.Verdict, err), resp.Promised.Number
 	})
 	if err != nil {
 		state.owned = false
 	}
 	return err
 }
-
-func verdictOf(verdict Verdict, err error) Verdict {
-	if err != nil {
-		return Failed
-	}
-	return verdict
-}
--- a/control/state/register/redundancy.go
+++ b/control/state/register/redundancy.go
@@ -9,25 +9,27 @@
 	"onyxwell/base/scope"
 )
 
-// Redundancy is how much more the control state bears, as seen by one controller.
+// Redundancy is how many further losses the control state tolerates, as one
+// controller sees it.
 type Redundancy struct {
 	Voters int `json:"seats"`
-	// CurrentVotes are the seats that answered, on the disk that was seated and under
-	// the voters of now; Away are those that did not, Learning those that don't
-	// vote yet.
+	// CurrentVotes counts the voters that answered, with the disk that the voter
+	// set names and under the newest set; Unreachable are those that did not
+	// answer, Learners those that don't vote yet.
 	CurrentVotes int           `json:"votes_that_count"`
 	Learners     []ids.Address `json:"learning"`
 	Unreachable  []ids.Address `json:"away"`
-	// Keys tells for each key how many disks hold the newest of it, and which
-	// voters lag.
+	// Keys lists for each key how many disks hold the newest proposal.
 	Keys []KeyRedundancy `json:"keys"`
-	// TolerableLosses is how many more voters may be lost with every answered change kept
-	// and the next one possible; below 0 no change is possible now.
-	TolerableLosses int  `json:"bears_losses"`
-	Complete        bool `json:"whole"`
+	// TolerableLosses is how many more voters may be lost with every acknowledged
+	// update kept and the next one possible; below 0 none is possible now.
+	TolerableLosses int `json:"bears_losses"`
+	// Complete means that all voters answered and hold the newest of all keys.
+	Complete bool `json:"whole"`
 }
 
-// KeyRedundancy is how many disks hold the newest of a key.
+// KeyRedundancy is how many disks hold the newest proposal of a key, and which
+// voters lag.
 type KeyRedundancy struct {
 	Key     string        `json:"key"`
 	Copies  int           `json:"disks"`
@@ -46,13 +48,14 @@
 		r.CurrentVotes, r.Voters, r.Learners, r.Unreachable, strings.Join(lagging, ", "))
 }
 
-// Redundancy asks all voters how they stand, and repairs nothing: it is for one
-// that has no seat of its own.
+// Redundancy surveys the voters and repairs nothing; it is for a controller that
+// is no voter itself.
 func (j *Joiner) Redundancy(ctx scope.Scope) Redundancy {
 	return (&Repairer{Joiner: j}).survey(ctx).redundancy()
 }
 
-// clusterView is what one round of questions found.
+// clusterView is the result of one survey: the digests of the voters that
+// answered, and the newest of each key.
 type clusterView struct {
 	voters  VoterSet
 	digests map[ids.Address]DigestResponse
@@ -60,68 +63,57 @@
 	keys    []string
 }
 
-// survey asks all voters how they stand; those that don't answer, or with another
-// disk than the seated one, are left out.
+// survey asks all voters for their digests. Those that don't answer, or with
+// another disk than the voter set names, are left out.
 func (r *Repairer) survey(ctx scope.Scope) clusterView {
-	joiner := r.Joiner
-	found := clusterView{voters: joiner.Acceptor.Voters(), digests: map[ids.Address]DigestResponse{}, newest: map[string]KeyDigest{}}
-	add := func(address ids.Address, told DigestResponse) {
-		seat, _ := found.voters.member(address)
-		if !told.Voting || told.Incarnation != seat.Incarnation {
-			return
-		}
-		found.digests[address] = told
-		for _, held := range told.Keys {
-			if known, seen := found.newest[held.Key]; !seen || held.proposal().newerThan(known.proposal()) {
-				found.newest[held.Key] = held
-			}
-		}
+	j := r.Joiner
+	view := clusterView{voters: j.Acceptor.Voters(), digests: map[ids.Address]DigestResponse{}, newest: map[string]KeyDigest{}}
+	view.add(j.Address, j.Acceptor.Digest())
+	j.gatherDigests(ctx, view.voters, view.add)
+	for key := range view.newest {
+		view.keys = append(view.keys, key)
 	}
-	add(joiner.Address, joiner.Acceptor.Digest())
-	gather(joiner, joiner.otherVoters(found.voters), joiner.suspected, always, func(address ids.Address) (DigestResponse, bool) {
-		told, err := joiner.fetchDigest(ctx, address)
-		return told, err == nil
-	}, add)
-	for key := range found.newest {
-		found.keys = append(found.keys, key)
-	}
-	sort.Strings(found.keys)
-	return found
+	sort.Strings(view.keys)
+	return view
 }
 
-// lagging gives the voters that hold something older than this.
-func (c clusterView) lagging(key string, mark KeyDigest) []Member {
-	var lagging []Member
-	for _, seat := range c.voters.Members {
-		if told, answered := c.digests[seat.Address]; answered && mark.proposal().newerThan(told.key(key).proposal()) {
-			lagging = append(lagging, seat)
+func (c clusterView) add(address ids.Address, resp DigestResponse) {
+	member, _ := c.voters.member(address)
+	if !resp.Voting || resp.Incarnation != member.Incarnation {
+		return
+	}
+	c.digests[address] = resp
+	for _, digest := range resp.Keys {
+		if newest, known := c.newest[digest.Key]; !known || digest.proposal().newerThan(newest.proposal()) {
+			c.newest[digest.Key] = digest
 		}
 	}
-	return lagging
 }
 
-func (d DigestResponse) key(key string) KeyDigest {
-	for _, held := range d.Keys {
-		if held.Key == key {
-			return held
+// lagging returns the voters that hold an older proposal of the key than digest.
+func (c clusterView) lagging(key string, digest KeyDigest) []Member {
+	var lagging []Member
+	for _, member := range c.voters.Members {
+		if resp, answered := c.digests[member.Address]; answered && digest.proposal().newerThan(resp.key(key).proposal()) {
+			lagging = append(lagging, member)
 		}
 	}
-	return KeyDigest{}
+	return lagging
 }
 
-// copies counts the disks that hold the newest of a key.
+// copies counts the disks that hold the newest proposal of a key.
 func (c clusterView) copies(key string) int {
 	return len(c.digests) - len(c.lagging(key, c.newest[key]))
 }
 
-// rank is the place of a voter among those that answered.
+// rank is the position of a voter among those that answered.
 func (c clusterView) rank(address ids.Address) int {
 	rank := 0
-	for _, seat := range c.voters.Members {
-		if seat.Address == address {
+	for _, member := range c.voters.Members {
+		if member.Address == address {
 			return rank
 		}
-		if _, answered := c.digests[seat.Address]; answered {
+		if _, answered := c.digests[member.Address]; answered {
 			rank++
 		}
 	}
@@ -129,29 +121,29 @@
 }
 
 func (c clusterView) redundancy() Redundancy {
-	state := Redundancy{Voters: len(c.voters.Members), Learners: []ids.Address{}, Unreachable: []ids.Address{}, Keys: []KeyRedundancy{}}
-	for _, seat := range c.voters.Members {
-		told, answered := c.digests[seat.Address]
+	redundancy := Redundancy{Voters: len(c.voters.Members), Learners: []ids.Address{}, Unreachable: []ids.Address{}, Keys: []KeyRedundancy{}}
+	for _, member := range c.voters.Members {
+		resp, answered := c.digests[member.Address]
 		switch {
-		case seat.Learner:
-			state.Learners = append(state.Learners, seat.Address)
+		case member.Learner:
+			redundancy.Learners = append(redundancy.Learners, member.Address)
 		case !answered:
-			state.Unreachable = append(state.Unreachable, seat.Address)
-		case told.Fingerprint == c.voters.Fingerprint():
-			state.CurrentVotes++
+			redundancy.Unreachable = append(redundancy.Unreachable, member.Address)
+		case resp.Fingerprint == c.voters.Fingerprint():
+			redundancy.CurrentVotes++
 		}
 	}
-	state.TolerableLosses = state.CurrentVotes - quorum(state.Voters)
-	state.Complete = state.Voters > 0 && state.CurrentVotes == state.Voters
+	redundancy.TolerableLosses = redundancy.CurrentVotes - quorum(redundancy.Voters)
+	redundancy.Complete = redundancy.Voters > 0 && redundancy.CurrentVotes == redundancy.Voters
 	for _, key := range c.keys {
 		held := KeyRedundancy{Key: key, Copies: c.copies(key), Lagging: []ids.Address{}}
-		for _, seat := range c.lagging(key, c.newest[key]) {
-			held.Lagging = append(held.Lagging, seat.Address)
+		for _, member := range c.lagging(key, c.newest[key]) {
+			held.Lagging = append(held.Lagging, member.Address)
 		}
-		// The newest is never on its last disk while as many are left as it bears.
-		state.TolerableLosses = min(state.TolerableLosses, held.Copies-1)
-		state.Complete = state.Complete && held.Copies == state.Voters
-		state.Keys = append(state.Keys, held)
+		// One copy must remain after as many losses.
+		redundancy.TolerableLosses = min(redundancy.TolerableLosses, held.Copies-1)
+		redundancy.Complete = redundancy.Complete && held.Copies == redundancy.Voters
+		redundancy.Keys = append(redundancy.Keys, held)
 	}
-	return state
+	return redundancy
 }
