--- a/control/state/register/redundancy.go
+++ b/control/state/register/redundancy.go
@@ -44,7 +44,7 @@
 			lagging = append(lagging, fmt.Sprintf("%s on %d", key.Key, key.Copies))
 		}
 	}
-	return fmt.Sprintf("bears %d more losses: %d of %d votes, learning %v, away %v, lagging [%s]", r.TolerableLosses,
+	return fmt.Sprintf("tolerates %d more losses: %d of %d voters current, learners %v, unreachable %v, lagging [%s]", r.TolerableLosses,
 		r.CurrentVotes, r.Voters, r.Learners, r.Unreachable, strings.Join(lagging, ", "))
 }
 
