--- a/data/upstream/client.go
+++ b/data/upstream/client.go
@@ -1,9 +1,19 @@
+// Package upstream sends requests to runners over pooled connections and reports
+// what is known of their execution: not executed, possibly executed, or answered.
+//
+// It owns the connections, the framing of requests and responses, and the
+// decision of which connections may be reused. Its invariants:
+//
+//   - A request is written at most once per call of Send; nothing is retried here.
+//   - A request counts as not executed only if no byte of it can have reached the
+//     runner, or if the runner's response to this very attempt says so.
+//   - A connection is reused only if the next response on it can be no other than
+//     the next request's.
 package upstream
 
 import (
 	"context"
 	"errors"
-	"io"
 	"net"
 	"net/http"
 	"sync"
@@ -12,159 +22,118 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
-// Wire names of the heads between router and runner.
-const (
-	AttemptIDHeader    = "Onyxwell-Attempt-Id"
-	SealHeader         = "Onyxwell-Server-Seal"
-	TargetHeader       = "Onyxwell-Target-Server"
-	TimeLeftHeader     = "Onyxwell-Time-Left-Ms"
-	UrgencyHeader      = "Onyxwell-Urgency"
-	LoadHeader         = "Onyxwell-Server-Load"
-	RunnerIDHeader     = "Onyxwell-Server-Id"
-	WarmupHeader       = "Onyxwell-Cold-Ms"
-	PromptPrefixHeader = "Onyxwell-Prompt-Prefix"
-	TokenCountHeader   = "Onyxwell-Token-Count"
-	LastEventIDHeader  = "Last-Event-Id"
-)
-
-// Request is a visitor's request as it goes to runners, one after another.
-type Request struct {
-	Method    string
-	Target    string
-	Host      string
-	Header    http.Header
-	Body      []byte
-	AttemptID string
-	// sentTo are the addresses that it was written to.
-	sentTo []ids.Address
-}
-
-// Attempt is one sending of a request.
-type Attempt struct {
-	Request     *Request
-	RunnerID    ids.RunnerID
-	Address     ids.Address
-	TimeLeft    clock.Span
-	Urgency     int
-	LastEventID string
-	Service     ids.Service
-	// AtMostOnce says that the request may run only once.
-	AtMostOnce bool
-}
-
-// Result is what came of a trip. The response is there where it was answered
-// or refused; its body is the caller's to close.
-type Result struct {
-	Outcome Outcome
-	// Cause names what was seen, in a word.
-	Cause    string
-	Response *http.Response
-	Err      error
-	// StaleConn says that nothing was sent since the kept connection was too old: the
-	// runner itself may be asked again at once.
-	StaleConn bool
-	// LocalExhaustion says that nothing was sent for want of this machine's own resources.
-	LocalExhaustion bool
-}
-
-// Options are what a sender is made from.
+// Options configure a Client.
 type Options struct {
 	Clock   clock.Clock
 	Dialing httpcall.Dialer
-	// IdleTimeout is how long a connection is kept where the runner does not say.
-	IdleTimeout    clock.Span
+	// IdleTimeout is after how long an idle connection is no longer reused; with 0
+	// none ever is.
+	IdleTimeout clock.Span
+	// MaxIdlePerHost is how many idle connections to one address are kept; less
+	// than minIdlePerHost counts as that.
 	MaxIdlePerHost int
 }
 
-// Client sends requests to runners over kept connections.
+// Client sends requests to runners over pooled connections. It is safe for
+// concurrent use.
 type Client struct {
 	options Options
 	dial    func(ctx context.Context, network string, address string) (net.Conn, error)
-	// sweeping says that idle connections are looked after.
-	sweeping      atomic.Bool
+	// sweeping is set while a goroutine closes idle connections.
+	sweeping atomic.Bool
+	// mu guards the two maps, not what they hold.
 	mu            sync.Mutex
-	hosts         map[string]*hostPool
+	pools         map[string]*hostPool
 	idleEstimates map[ids.Service]*idleEstimate
 }
 
-// NewClient makes a sender.
+// NewClient returns a client without connections.
 func NewClient(options Options) *Client {
-	return &Client{options: options, dial: options.Dialing.Dial, hosts: map[string]*hostPool{}, idleEstimates: map[ids.Service]*idleEstimate{}}
+	return &Client{options: options, dial: options.Dialing.Dial, pools: map[string]*hostPool{}, idleEstimates: map[ids.Service]*idleEstimate{}}
 }
 
-// Send sends a request to a runner, once, and waits for the head of the answer.
-func (c *Client) Send(ctx scope.Scope, trip Attempt) Result {
-	begin := c.options.Clock.Now()
-	link, sign, err := c.acquire(ctx, trip)
-	if link == nil {
-		return sign.result(err, nil)
+// Send sends a request to a runner once and waits for the head of its response.
+// The exchange ends with ctx, the reading of the response's body included.
+func (c *Client) Send(ctx context.Context, attempt Attempt) Result {
+	start := c.options.Clock.Now()
+	pc, obs, err := c.acquire(ctx, attempt)
+	if pc == nil {
+		return obs.result(err, nil)
 	}
-	// A new connection may have taken a while: the runner hears what is left now.
-	spent := c.options.Clock.Now().Since(begin)
-	if ctx.Err() != nil || spent >= max(trip.TimeLeft, clock.Millisecond) {
-		_ = link.Conn.Close()
+	// Dialing may have taken a while: the runner is told the time left now.
+	elapsed := c.options.Clock.Now().Since(start)
+	if ctx.Err() != nil || elapsed >= max(attempt.TimeLeft, clock.Millisecond) {
+		_ = pc.Conn.Close()
 		return deadlineExpired.result(nil, nil)
 	}
-	head, err := trip.encodeHead(trip.TimeLeft - spent)
+	head, err := attempt.encodeHead(attempt.TimeLeft - elapsed)
 	if err != nil {
-		_ = link.Conn.Close()
+		_ = pc.Conn.Close()
 		return dialFailed.result(err, nil)
 	}
-	release := context.AfterFunc(ctx, link.abort)
-	link.recordAttempt(trip.Request.AttemptID)
-	out, trust := link.writeRequest(head, trip.Request.Body), c.idleEstimate(trip.Service)
-	var response *http.Response
-	if !out.wroteNothing() {
-		response, err = link.readResponse(trip.Request.Method)
+	return c.exchange(ctx, pc, attempt, head)
+}
+
+// exchange writes a request and reads the head of its response.
+func (c *Client) exchange(ctx context.Context, pc *persistConn, attempt Attempt, head []byte) Result {
+	req, estimate := attempt.Request, c.idleEstimate(attempt.Service)
+	stopAbort := context.AfterFunc(ctx, pc.abort)
+	pc.recordAttempt(req.AttemptID)
+	write := pc.writeRequest(head, req.Body)
+	var resp *http.Response
+	var err error
+	if !write.wroteNothing() {
+		resp, err = pc.readResponse(req.Method)
 	}
-	if err != nil || out.wroteNothing() {
-		release()
-		_ = link.Conn.Close()
-		<-out.done
-		if out.written == 0 {
-			return nothingWritten.result(errors.Join(out.err, err), nil)
+	if err != nil || write.wroteNothing() {
+		stopAbort()
+		_ = pc.Conn.Close()
+		<-write.done
+		if write.written == 0 {
+			return nothingWritten.result(errors.Join(write.err, err), nil)
 		}
-		trip.Request.sentTo = append(trip.Request.sentTo, trip.Address)
+		req.sentTo = append(req.sentTo, attempt.Address)
 		if ctx.Err() == nil {
-			trust.recordFailure(link.idleFor)
+			estimate.recordFailure(pc.idleFor)
 		}
 		return noResponse.result(err, nil)
 	}
-	trip.Request.sentTo = append(trip.Request.sentTo, trip.Address)
-	trust.recordSuccess(link.idleFor)
-	link.pool.learnKeepAlive(response.Header)
-	sign = classifyHead(trip.Request.AttemptID, response)
-	c.releaseAfterBody(link, out, release, sign, response)
-	response.Request = &http.Request{Method: trip.Request.Method, Header: trip.header()}
-	if fate := conclusions[sign].outcome; fate != Answered && fate != Rejected {
-		_ = response.Body.Close()
-		response = nil
+	req.sentTo = append(req.sentTo, attempt.Address)
+	estimate.recordSuccess(pc.idleFor)
+	pc.pool.learnKeepAlive(resp.Header)
+	obs := classifyHead(req.AttemptID, resp)
+	c.releaseAfterBody(pc, write, stopAbort, obs, resp)
+	resp.Request = &http.Request{Method: req.Method, Header: attempt.header()}
+	if outcome := conclusions[obs].outcome; outcome != Answered && outcome != Rejected {
+		_ = resp.Body.Close()
+		resp = nil
 	}
-	return sign.result(nil, response)
+	return obs.result(nil, resp)
 }
 
-// releaseAfterBody has the connection be kept or closed once the answer's body has ended.
-func (c *Client) releaseAfterBody(link *conn, out *requestWrite, release func() bool, sign observation, response *http.Response) {
-	framed, closing := response.ContentLength != lengthUntilClose, response.Close
-	settle := func(whole bool) {
+// releaseAfterBody has the connection be pooled or closed when the response's
+// body has been read or closed. It replaces the body.
+func (c *Client) releaseAfterBody(pc *persistConn, write *requestWrite, stopAbort func() bool, obs observation, resp *http.Response) {
+	selfDelimited, closeRequested := resp.ContentLength != lengthUntilClose, resp.Close
+	onEnd := func(complete bool) {
 		reason := reuseBlocker(exchangeEnd{
-			observation: sign, bodyComplete: whole, selfDelimited: framed, closeRequested: closing, requestWritten: out.complete(), canceled: !release(), bufferedBytes: link.reader.Buffered(),
+			observation: obs, bodyComplete: complete, selfDelimited: selfDelimited, closeRequested: closeRequested,
+			requestWritten: write.complete(), canceled: !stopAbort(), bufferedBytes: pc.reader.Buffered(),
 		})
 		if reason != "" {
-			_ = link.Conn.Close()
+			_ = pc.Conn.Close()
 			return
 		}
-		c.release(link)
+		c.release(pc)
 	}
-	source := io.Reader(response.Body)
-	if response.ContentLength == 0 {
-		settle(true)
-		response.Body = http.NoBody
+	if resp.ContentLength == 0 {
+		onEnd(true)
+		resp.Body = http.NoBody
 		return
 	}
-	response.ContentLength = max(response.ContentLength, lengthChunked)
-	response.Body = &responseBody{source: source, onEnd: settle}
+	// Callers know one unknown length only.
+	resp.ContentLength = max(resp.ContentLength, lengthChunked)
+	resp.Body = &responseBody{source: resp.Body, onEnd: onEnd}
 }
--- a/data/upstream/client_test.go
+++ b/data/upstream/client_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"testing"
@@ -8,16 +9,17 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/data/upstreamtest"
 )
 
-func newTestClient(machine clock.Clock) *Client {
+// newTestClient returns a client that dials for real.
+func newTestClient(clk clock.Clock) *Client {
 	return NewClient(Options{
-		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
+		Clock: clk, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
 }
 
+// attemptTo returns an attempt of the request a1 to an address.
 func attemptTo(address ids.Address, method string, body string) Attempt {
 	return Attempt{
 		Request: &Request{
@@ -28,64 +30,64 @@
 	}
 }
 
-// nextAttempt is the trip of another request that is alike.
-func nextAttempt(trip Attempt, attempt string) Attempt {
-	request := *trip.Request
-	request.Header, request.AttemptID, request.sentTo = request.Header.Clone(), attempt, nil
-	request.Header.Set(AttemptIDHeader, attempt)
-	trip.Request = &request
-	return trip
+// nextAttempt returns an attempt of another request, alike but for its id.
+func nextAttempt(attempt Attempt, attemptID string) Attempt {
+	request := *attempt.Request
+	request.Header, request.AttemptID, request.sentTo = request.Header.Clone(), attemptID, nil
+	request.Header.Set(AttemptIDHeader, attemptID)
+	attempt.Request = &request
+	return attempt
 }
 
-func send(sender *Client, trip Attempt) Result { return sender.Send(scope.New(scope.Options{}), trip) }
+func send(client *Client, attempt Attempt) Result { return client.Send(context.Background(), attempt) }
 
 func TestClient_requestArrivesUnchanged(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "whole"))
-	trip := attemptTo(runner.Address, "POST", "the body")
-	trip.LastEventID = "12"
-	result := send(newTestClient(clock.NewFake()), trip)
+	attempt := attemptTo(runner.Address, "POST", "the body")
+	attempt.LastEventID = "12"
+	result := send(newTestClient(clock.NewFake()), attempt)
 	if result.Outcome != Answered {
-		t.Fatalf("fate %v: %v", result.Outcome, result.Err)
+		t.Fatalf("outcome %v: %v", result.Outcome, result.Err)
 	}
 	body, err := io.ReadAll(result.Response.Body)
 	if err != nil || string(body) != "whole" {
-		t.Fatalf("answer %q, %v", body, err)
+		t.Fatalf("response %q, %v", body, err)
 	}
-	seen := runner.Requests()[0]
-	if seen.Method != "POST" || seen.Target != "/a%2Fb/?q=1&q=2" || seen.Host != "shop.example" || seen.Body != "the body" {
-		t.Fatalf("the request was changed: %+v", seen)
+	req := runner.Requests()[0]
+	if req.Method != "POST" || req.Target != "/a%2Fb/?q=1&q=2" || req.Host != "shop.example" || req.Body != "the body" {
+		t.Fatalf("the request was changed: %+v", req)
 	}
-	wanted := map[string]string{
+	want := map[string]string{
 		TargetHeader: "i-1", TimeLeftHeader: "1500", UrgencyHeader: "2", LastEventIDHeader: "12", "X-Kept": "yes",
 		"Accept-Encoding": "", "User-Agent": "", AttemptIDHeader: "a1",
 	}
-	for name, value := range wanted {
-		if seen.Header.Get(name) != value {
-			t.Errorf("%s is %q, not %q", name, seen.Header.Get(name), value)
+	for name, value := range want {
+		if req.Header.Get(name) != value {
+			t.Errorf("%s is %q, not %q", name, req.Header.Get(name), value)
 		}
 	}
 }
 
-// TestClient_neverReplays has the runner close a kept connection as the next
-// request arrives, which net/http would send again by itself for some requests.
+// TestClient_neverReplays has the runner close a pooled connection as the next
+// request arrives; net/http would send some requests again by itself.
 func TestClient_neverReplays(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT"} {
 		for _, body := range []string{"", "text"} {
 			runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""), upstreamtest.HangUp())
-			sender := newTestClient(clock.NewFake())
-			trip := attemptTo(runner.Address, method, body)
-			trip.Request.Header.Set("Idempotency-Key", "k")
-			first := send(sender, trip)
+			client := newTestClient(clock.NewFake())
+			attempt := attemptTo(runner.Address, method, body)
+			attempt.Request.Header.Set("Idempotency-Key", "k")
+			first := send(client, attempt)
 			if first.Outcome != Answered {
-				t.Fatalf("%s: fate %v: %v", method, first.Outcome, first.Err)
+				t.Fatalf("%s: outcome %v: %v", method, first.Outcome, first.Err)
 			}
 			DrainAndClose(first.Response)
-			second := send(sender, nextAttempt(trip, "a2"))
+			second := send(client, nextAttempt(attempt, "a2"))
 			if second.Outcome != Indeterminate {
-				t.Errorf("%s %q: fate %v, though the request was written", method, body, second.Outcome)
+				t.Errorf("%s %q: outcome %v, though the request was written", method, body, second.Outcome)
 			}
-			if count, links := len(runner.Requests()), runner.ConnCount(); count != 2 || links != 1 {
-				t.Errorf("%s %q: %d requests arrived over %d connections, not 2 over 1", method, body, count, links)
+			if count, conns := len(runner.Requests()), runner.ConnCount(); count != 2 || conns != 1 {
+				t.Errorf("%s %q: %d requests arrived over %d connections, not 2 over 1", method, body, count, conns)
 			}
 		}
 	}
@@ -93,25 +95,25 @@
 
 func TestClient_connectionRefusedIsUnsent(t *testing.T) {
 	if result := send(newTestClient(clock.NewFake()), attemptTo("127.0.0.1:1", "POST", "x")); result.Outcome != Unsent {
-		t.Fatalf("fate %v", result.Outcome)
+		t.Fatalf("outcome %v", result.Outcome)
 	}
 }
 
-// TestClient_connectionOlderThanKeepAlive keeps a connection for longer than the runner
-// said it would: nothing may be written to it.
+// TestClient_connectionOlderThanKeepAlive has a pooled connection be older than
+// the runner announced to keep it: nothing may be written to it.
 func TestClient_connectionOlderThanKeepAlive(t *testing.T) {
-	machine := clock.NewFake()
-	keep := "HTTP/1.1 200 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nKeep-Alive: timeout=5\r\nContent-Length: 0\r\n\r\n"
-	runner := upstreamtest.Start(t, upstreamtest.Raw(keep, true))
-	sender := newTestClient(machine)
-	first := send(sender, attemptTo(runner.Address, "POST", "x"))
+	clk := clock.NewFake()
+	keepAlive := "HTTP/1.1 200 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nKeep-Alive: timeout=5\r\nContent-Length: 0\r\n\r\n"
+	runner := upstreamtest.Start(t, upstreamtest.Raw(keepAlive, true))
+	client := newTestClient(clk)
+	first := send(client, attemptTo(runner.Address, "POST", "x"))
 	DrainAndClose(first.Response)
-	machine.Advance(4500 * clock.Millisecond)
-	if second := send(sender, attemptTo(runner.Address, "POST", "x")); second.Outcome != Unsent {
-		t.Fatalf("fate %v", second.Outcome)
+	clk.Advance(4500 * clock.Millisecond)
+	if second := send(client, attemptTo(runner.Address, "POST", "x")); second.Outcome != Unsent {
+		t.Fatalf("outcome %v", second.Outcome)
 	}
-	if third := send(sender, attemptTo(runner.Address, "POST", "x")); third.Outcome != Answered {
-		t.Fatalf("a new connection: fate %v, %v", third.Outcome, third.Err)
+	if third := send(client, attemptTo(runner.Address, "POST", "x")); third.Outcome != Answered {
+		t.Fatalf("a new connection: outcome %v, %v", third.Outcome, third.Err)
 	}
 	if count := len(runner.Requests()); count != 2 {
 		t.Fatalf("%d requests arrived, not 2", count)
@@ -120,41 +122,43 @@
 
 func TestClient_outcomeOfResponseHead(t *testing.T) {
 	cases := []struct {
-		name string
-		step upstreamtest.Step
-		fate Outcome
+		name    string
+		step    upstreamtest.Step
+		outcome Outcome
 	}{
-		{"own answer", upstreamtest.Respond(200, "seal", "x"), Answered},
+		{"own response", upstreamtest.Respond(200, "seal", "x"), Answered},
 		{"own failure", upstreamtest.Respond(500, "", "x"), Answered},
-		{"another's answer", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"another's response", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
 		{"no id", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
 		{"no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Garbled},
 		{"encoded", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", true), Garbled},
 		{"no length", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Answered},
 		{"no length, no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\n\r\nwhole", false), Garbled},
 		{"no length, another's", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Garbled},
-		{"full", upstreamtest.Reject(503), Rejected},
-		{"another life", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Rejected},
-		{"a promise not made", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
+		{"rejected", upstreamtest.Reject(503), Rejected},
+		{"another incarnation", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Rejected},
+		{"a rejection not stated", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
 		{"a 429 that may have run", upstreamtest.Raw("HTTP/1.1 429 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
-		{"silence", upstreamtest.HangUp(), Indeterminate},
+		{"no response", upstreamtest.HangUp(), Indeterminate},
 		{"garbage", upstreamtest.Raw("these bytes are no answer\r\n\r\n", false), Indeterminate},
 	}
-	for _, example := range cases {
-		runner := upstreamtest.Start(t, example.step)
-		result := send(newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x"))
-		if result.Outcome != example.fate {
-			t.Errorf("%s: fate %v, not %v (%v)", example.name, result.Outcome, example.fate, result.Err)
-		}
-		DrainAndClose(result.Response)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			runner := upstreamtest.Start(t, tc.step)
+			result := send(newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x"))
+			if result.Outcome != tc.outcome {
+				t.Errorf("outcome %v, not %v (%v)", result.Outcome, tc.outcome, result.Err)
+			}
+			DrainAndClose(result.Response)
+		})
 	}
 }
 
 func TestEndToEndHeader_dropsHopByHop(t *testing.T) {
-	kept := EndToEndHeader(http.Header{
+	forwarded := EndToEndHeader(http.Header{
 		"Connection": {"close, X-Hop, onyxwell-server-seal"}, SealHeader: {"s"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"}, "X-Far": {"2"},
 	})
-	if len(kept) != 2 || kept.Get("X-Far") != "2" || kept.Get(SealHeader) != "s" {
-		t.Fatalf("kept %v", kept)
+	if len(forwarded) != 2 || forwarded.Get("X-Far") != "2" || forwarded.Get(SealHeader) != "s" {
+		t.Fatalf("forwarded %v", forwarded)
 	}
 }
--- a/data/upstream/conn.go
+++ b/data/upstream/conn.go
@@ -1,5 +1,3 @@
-// Package upstream carries requests to runners and tells exactly what is known of
-// their fate: answered, surely not run, or perhaps run.
 package upstream
 
 import (
@@ -7,188 +5,191 @@
 	"errors"
 	"io"
 	"net"
+	"slices"
 	"syscall"
 
 	"onyxwell/base/clock"
 )
 
 const (
-	// maxHeadBytes bounds the bytes up to the end of an answer's head, interim ones
-	// included.
+	// maxHeadBytes bounds the bytes up to the end of a response's head, interim
+	// responses included.
 	maxHeadBytes = 1 << 20
-	// noHeadLimit is no limit.
+	// noHeadLimit is the value of headBytesLeft outside of a head.
 	noHeadLimit = -1
-	// attemptHistory is how many attempts a connection remembers to have carried.
+	// attemptHistory is how many attempt ids a connection remembers.
 	attemptHistory = 8
-	// maxInlineWrite is the size up to which a request is written before its answer is
-	// read; a larger one is written meanwhile, as a runner may answer and leave it.
+	// maxInlineWrite is the size up to which a request is written before its
+	// response is read. A larger one is written concurrently, since a runner may
+	// respond and leave the rest of the request unread.
 	maxInlineWrite = 32 << 10
+	// readBufferSize is the size of a connection's read buffer.
+	readBufferSize = 4096
 )
 
-var errHeadTooLarge = errors.New("forward: the answer's head does not end")
+var (
+	errHeadTooLarge = errors.New("upstream: the response head exceeds its size limit")
+	errBodyClosed   = errors.New("upstream: the response body was closed before its end")
+)
 
-// conn is one connection to a runner; it carries one request at a time.
-type conn struct {
+// persistConn is one connection to a runner. It carries one request at a time
+// and is not safe for concurrent use, except for abort.
+type persistConn struct {
 	net.Conn
 	clock  clock.Clock
 	pool   *hostPool
 	reader *bufio.Reader
-	// lastRead is when the runner was last heard, in this or an earlier exchange.
+	// lastRead is when bytes last arrived, in this or an earlier exchange.
 	lastRead clock.Instant
-	// idleFor is how old the connection was when the exchange began.
+	// idleFor is how long the connection was idle when the exchange began.
 	idleFor clock.Span
-	// headBytesLeft is how many bytes of a head may still come.
-	headBytesLeft  int
+	// headBytesLeft is how many bytes of a head may still be read.
+	headBytesLeft int
+	// recentAttempts is a ring of the last attempt ids; attemptCount counts all.
 	recentAttempts [attemptHistory]string
 	attemptCount   int
 }
 
-func newConn(opened net.Conn, machine clock.Clock, host *hostPool) *conn {
-	link := &conn{Conn: opened, clock: machine, pool: host, headBytesLeft: noHeadLimit}
-	link.reader = bufio.NewReaderSize(link, 4096)
-	return link
+func newPersistConn(conn net.Conn, clk clock.Clock, pool *hostPool) *persistConn {
+	pc := &persistConn{Conn: conn, clock: clk, pool: pool, headBytesLeft: noHeadLimit}
+	pc.reader = bufio.NewReaderSize(pc, readBufferSize)
+	return pc
 }
 
-// Read notes when the runner was last heard and keeps heads within their bound.
-func (c *conn) Read(buffer []byte) (int, error) {
-	if c.headBytesLeft == 0 {
+// Read records when bytes arrived and enforces the size limit of heads.
+func (pc *persistConn) Read(buf []byte) (int, error) {
+	if pc.headBytesLeft == 0 {
 		return 0, errHeadTooLarge
 	}
-	if c.headBytesLeft > 0 && len(buffer) > c.headBytesLeft {
-		buffer = buffer[:c.headBytesLeft]
+	if pc.headBytesLeft > 0 && len(buf) > pc.headBytesLeft {
+		buf = buf[:pc.headBytesLeft]
 	}
-	size, err := c.Conn.Read(buffer)
-	if size > 0 {
-		c.lastRead = c.clock.Now()
-		if c.headBytesLeft > 0 {
-			c.headBytesLeft -= size
+	n, err := pc.Conn.Read(buf)
+	if n > 0 {
+		pc.lastRead = pc.clock.Now()
+		if pc.headBytesLeft > 0 {
+			pc.headBytesLeft -= n
 		}
 	}
-	return size, err
+	return n, err
 }
 
-// abort ends the exchange that is under way, whose time is over.
-func (c *conn) abort() { _ = c.Conn.Close() }
+// abort ends the current exchange by closing the connection, which unblocks its
+// reads and writes. It is called when the exchange's context ends.
+func (pc *persistConn) abort() { _ = pc.Conn.Close() }
 
-// recordAttempt notes that the connection carries an attempt.
-func (c *conn) recordAttempt(attempt string) {
-	c.recentAttempts[c.attemptCount%attemptHistory] = attempt
-	c.attemptCount++
+// recordAttempt remembers that the connection carries an attempt.
+func (pc *persistConn) recordAttempt(attemptID string) {
+	pc.recentAttempts[pc.attemptCount%attemptHistory] = attemptID
+	pc.attemptCount++
 }
 
-// carriedAttempt tells whether an attempt went over the connection lately: an answer that
-// comes twice could not be told from the one to come.
-func (c *conn) carriedAttempt(attempt string) bool {
-	for _, carried := range c.recentAttempts {
-		if carried == attempt {
-			return true
-		}
-	}
-	return false
+// carriedAttempt reports whether the connection carried an attempt recently. A
+// duplicate of that attempt's response could not be told from a new response
+// with the same id.
+func (pc *persistConn) carriedAttempt(attemptID string) bool {
+	return slices.Contains(pc.recentAttempts[:], attemptID)
 }
 
-// hasPendingInput tells whether a kept connection has something to read: an end, or
-// bytes that belong to no request.
-func (c *conn) hasPendingInput() bool {
-	if c.reader.Buffered() > 0 {
+// hasPendingInput reports whether an idle connection is readable: the peer has
+// closed it or has sent bytes that belong to no request.
+func (pc *persistConn) hasPendingInput() bool {
+	if pc.reader.Buffered() > 0 {
 		return true
 	}
-	inner, able := c.Conn.(syscall.Conn)
-	if !able {
+	sysConn, ok := pc.Conn.(syscall.Conn)
+	if !ok {
 		return false
 	}
-	raw, err := inner.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	var peek [1]byte
-	var peeked error
-	err = raw.Read(func(descriptor uintptr) bool {
-		_, _, peeked = syscall.Recvfrom(int(descriptor), peek[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buf [1]byte
+	var peekErr error
+	err = rawConn.Read(func(fd uintptr) bool {
+		_, _, peekErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	return err != nil || !errors.Is(peeked, syscall.EAGAIN)
+	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// requestWrite is a request on its way out.
+// requestWrite is the write of one request. A concurrent write ends at the
+// latest when its connection is closed.
 type requestWrite struct {
-	// done is closed when nothing more is written; size and err are good then.
+	// done is closed when the write has ended; written and err are valid then.
 	done    chan struct{}
 	written int64
 	err     error
 }
 
+// closedDone is the done channel of writes that ended before they were returned.
 var closedDone = func() chan struct{} {
-	made := make(chan struct{})
-	close(made)
-	return made
+	done := make(chan struct{})
+	close(done)
+	return done
 }()
 
-// writeRequest writes a request. A large one goes out while the answer is read already.
-func (c *conn) writeRequest(head []byte, body []byte) *requestWrite {
-	out := &requestWrite{done: closedDone}
+// writeRequest writes a request; one larger than maxInlineWrite is written by a
+// goroutine while the caller reads the response.
+func (pc *persistConn) writeRequest(head []byte, body []byte) *requestWrite {
+	write := &requestWrite{done: closedDone}
 	if len(head)+len(body) <= maxInlineWrite {
-		size, err := c.Conn.Write(append(head, body...))
-		out.written, out.err = int64(size), err
-		return out
+		n, err := pc.Conn.Write(append(head, body...))
+		write.written, write.err = int64(n), err
+		return write
 	}
-	out.done = make(chan struct{})
+	write.done = make(chan struct{})
 	go func() {
-		defer close(out.done)
-		parts := net.Buffers{head, body}
-		out.written, out.err = parts.WriteTo(c.Conn)
+		defer close(write.done)
+		buffers := net.Buffers{head, body}
+		write.written, write.err = buffers.WriteTo(pc.Conn)
 	}()
-	return out
+	return write
 }
 
-// complete tells whether the request went out whole by now.
-func (r *requestWrite) complete() bool {
-	select {
-	case <-r.done:
-		return r.err == nil
-	default:
-		return false
-	}
-}
+// complete reports whether the whole request has been written by now.
+func (w *requestWrite) complete() bool { return w.ended() && w.err == nil }
+
+// wroteNothing reports that the connection took no byte of the request, so that
+// nothing that can be read is a response to it.
+func (w *requestWrite) wroteNothing() bool { return w.ended() && w.err != nil && w.written == 0 }
 
-// wroteNothing tells that the connection took not one byte: whatever is there to be
-// read answers nothing.
-func (r *requestWrite) wroteNothing() bool {
+func (w *requestWrite) ended() bool {
 	select {
-	case <-r.done:
-		return r.err != nil && r.written == 0
+	case <-w.done:
+		return true
 	default:
 		return false
 	}
 }
 
-// responseBody is an answer's body. At its end the connection is kept or closed.
+// responseBody is a response's body. onEnd is called once, at the body's end or
+// when it is closed before, and decides whether the connection is reused.
 type responseBody struct {
 	source io.Reader
-	onEnd  func(whole bool)
+	onEnd  func(complete bool)
 	err    error
 }
 
-// Read gives io.EOF only where the body is whole.
-func (r *responseBody) Read(buffer []byte) (int, error) {
-	if r.err != nil {
-		return 0, r.err
+// Read returns io.EOF only where the body is complete.
+func (b *responseBody) Read(buf []byte) (int, error) {
+	if b.err != nil {
+		return 0, b.err
 	}
-	size, err := r.source.Read(buffer)
+	n, err := b.source.Read(buf)
 	if err != nil {
-		r.err = err
-		r.onEnd(errors.Is(err, io.EOF))
+		b.err = err
+		b.onEnd(errors.Is(err, io.EOF))
 	}
-	return size, err
+	return n, err
 }
 
-// Close gives up what was not read.
-func (r *responseBody) Close() error {
-	if r.err == nil {
-		r.err = errBodyClosed
-		r.onEnd(false)
+// Close gives up what was not read, and the connection with it.
+func (b *responseBody) Close() error {
+	if b.err == nil {
+		b.err = errBodyClosed
+		b.onEnd(false)
 	}
 	return nil
 }
-
-var errBodyClosed = errors.New("forward: the answer was given up")
--- a/data/upstream/conn_test.go
+++ b/data/upstream/conn_test.go
@@ -15,10 +15,10 @@
 
 const foreignResponse = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"
 
-// readResult sends a trip and gives the answer's body.
-func readResult(t *testing.T, sender *Client, trip Attempt) (Result, string) {
+// readResult sends an attempt and reads the body of its response.
+func readResult(t *testing.T, client *Client, attempt Attempt) (Result, string) {
 	t.Helper()
-	result := send(sender, trip)
+	result := send(client, attempt)
 	if result.Response == nil {
 		return result, ""
 	}
@@ -29,199 +29,203 @@
 	return result, string(text)
 }
 
-// TestClient_sameAttemptTwiceUsesNewConnection has a runner turn an attempt away and say so again
-// late, when the same attempt is there once more and runs: the late copy must
-// not be taken for the second sending's answer.
+// TestClient_sameAttemptTwiceUsesNewConnection has a runner reject an attempt and
+// repeat the rejection late, when the same attempt arrives again and is executed:
+// the duplicate must not be taken for the second sending's response.
 func TestClient_sameAttemptTwiceUsesNewConnection(t *testing.T) {
 	var first io.Writer
-	runner := upstreamtest.Start(t, func(seen upstreamtest.Request, writer io.Writer) bool {
+	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
 		first = writer
-		return upstreamtest.Reject(503)(seen, writer)
-	}, func(seen upstreamtest.Request, writer io.Writer) bool {
-		upstreamtest.Reject(503)(seen, first)
-		return upstreamtest.Respond(200, "seal", "ran")(seen, writer)
+		return upstreamtest.Reject(503)(req, writer)
+	}, func(req upstreamtest.Request, writer io.Writer) bool {
+		upstreamtest.Reject(503)(req, first)
+		return upstreamtest.Respond(200, "seal", "ran")(req, writer)
 	})
-	sender, trip := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
-	if result, _ := readResult(t, sender, trip); result.Outcome != Rejected {
+	client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+	if result, _ := readResult(t, client, attempt); result.Outcome != Rejected {
 		t.Fatalf("%+v", result)
 	}
-	if result, text := readResult(t, sender, trip); result.Outcome != Answered || text != "ran" || runner.ConnCount() != 2 {
+	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "ran" || runner.ConnCount() != 2 {
 		t.Fatalf("%+v, %q over %d connections", result, text, runner.ConnCount())
 	}
 }
 
-// TestClient_sameAttemptOverAnotherConnection has a runner answer an attempt as another
-// and tell the late truth over another connection that is kept: the attempt goes
-// to that address over a new one.
+// TestClient_sameAttemptOverAnotherConnection has a runner answer an attempt with
+// another's id and then reject it on a different connection, which is pooled: the
+// same attempt goes to that address over a new connection.
 func TestClient_sameAttemptOverAnotherConnection(t *testing.T) {
-	var kept io.Writer
-	runner := upstreamtest.Start(t, func(seen upstreamtest.Request, writer io.Writer) bool {
-		kept = writer
-		return upstreamtest.Respond(200, "seal", "first")(seen, writer)
-	}, upstreamtest.Raw(foreignResponse, true), func(seen upstreamtest.Request, writer io.Writer) bool {
-		upstreamtest.Reject(503)(seen, kept)
-		return upstreamtest.Respond(200, "seal", "ran")(seen, writer)
+	var pooled io.Writer
+	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
+		pooled = writer
+		return upstreamtest.Respond(200, "seal", "first")(req, writer)
+	}, upstreamtest.Raw(foreignResponse, true), func(req upstreamtest.Request, writer io.Writer) bool {
+		upstreamtest.Reject(503)(req, pooled)
+		return upstreamtest.Respond(200, "seal", "ran")(req, writer)
 	})
-	sender := newTestClient(clock.NewFake())
-	trip := attemptTo(runner.Address, "POST", "x")
-	held := send(sender, nextAttempt(trip, "a2"))
-	if result, _ := readResult(t, sender, trip); result.Outcome != Garbled {
+	client := newTestClient(clock.NewFake())
+	attempt := attemptTo(runner.Address, "POST", "x")
+	pending := send(client, nextAttempt(attempt, "a2"))
+	if result, _ := readResult(t, client, attempt); result.Outcome != Garbled {
 		t.Fatalf("%+v", result)
 	}
-	DrainAndClose(held.Response)
-	if result, text := readResult(t, sender, trip); result.Outcome != Answered || text != "ran" || runner.ConnCount() != 3 {
+	DrainAndClose(pending.Response)
+	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "ran" || runner.ConnCount() != 3 {
 		t.Fatalf("%+v, %q over %d connections", result, text, runner.ConnCount())
 	}
 }
 
-// TestClient_connectionOutOfStep has connections on which more comes than the answer to
-// the request: nothing else goes over them.
+// TestClient_connectionOutOfStep has connections carry something else than one
+// response to the request: they are not reused.
 func TestClient_connectionOutOfStep(t *testing.T) {
 	own := strings.Replace(sealedResponse, "body", "own.", 1)
 	cases := []struct {
-		name string
-		step upstreamtest.Step
-		fate Outcome
+		name    string
+		step    upstreamtest.Step
+		outcome Outcome
 	}{
-		{"another's empty answer", upstreamtest.Raw(foreignResponse, true), Garbled},
-		{"another's answer, then ours", upstreamtest.Raw(foreignResponse+own, true), Garbled},
-		{"an extra answer at once", upstreamtest.Raw(own+own, true), Answered},
-		{"bytes behind an empty answer", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Rejected},
+		{"another's empty response", upstreamtest.Raw(foreignResponse, true), Garbled},
+		{"another's response, then ours", upstreamtest.Raw(foreignResponse+own, true), Garbled},
+		{"an extra response at once", upstreamtest.Raw(own+own, true), Answered},
+		{"bytes behind an empty response", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Rejected},
 		{"bytes behind the last chunk", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nx", true), Answered},
-		{"no promise, no body", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
+		{"not stated, no body", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
 		{"two ids", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), Garbled},
 		{"another protocol", upstreamtest.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), Garbled},
-		{"half-closed", func(seen upstreamtest.Request, writer io.Writer) bool {
-			upstreamtest.Raw(own, true)(seen, writer)
+		{"half-closed", func(req upstreamtest.Request, writer io.Writer) bool {
+			upstreamtest.Raw(own, true)(req, writer)
 			_ = writer.(*net.TCPConn).CloseWrite()
 			return true
 		}, Answered},
 	}
-	for _, example := range cases {
-		runner := upstreamtest.Start(t, example.step, upstreamtest.Respond(200, "seal", "next"))
-		sender, trip := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
-		if result, _ := readResult(t, sender, trip); result.Outcome != example.fate {
-			t.Errorf("%s: %+v", example.name, result)
-			continue
-		}
-		if kept := sender.hostPool(string(runner.Address)).idle; len(kept) > 0 && (example.fate == Garbled || example.fate == Indeterminate) {
-			t.Errorf("%s: the connection is kept", example.name)
-			continue
-		}
-		awaitPendingInput(sender, runner.Address)
-		if result, text := readResult(t, sender, nextAttempt(trip, "a2")); result.Outcome != Answered || text != "next" || runner.ConnCount() != 2 {
-			t.Errorf("%s: %+v, %q over %d connections", example.name, result, text, runner.ConnCount())
-		}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			runner := upstreamtest.Start(t, tc.step, upstreamtest.Respond(200, "seal", "next"))
+			client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+			if result, _ := readResult(t, client, attempt); result.Outcome != tc.outcome {
+				t.Errorf("%+v", result)
+				return
+			}
+			if idle := client.pool(string(runner.Address)).idle; len(idle) > 0 && (tc.outcome == Garbled || tc.outcome == Indeterminate) {
+				t.Error("the connection is reused")
+				return
+			}
+			awaitPendingInput(client, runner.Address)
+			if result, text := readResult(t, client, nextAttempt(attempt, "a2")); result.Outcome != Answered || text != "next" || runner.ConnCount() != 2 {
+				t.Errorf("%+v, %q over %d connections", result, text, runner.ConnCount())
+			}
+		})
 	}
 }
 
-// awaitPendingInput waits until what the runner wrote is there on the kept connections.
-func awaitPendingInput(sender *Client, address ids.Address) {
-	for _, link := range sender.hostPool(string(address)).idle {
-		for !link.hasPendingInput() {
+// awaitPendingInput waits until what the runner wrote has arrived on the idle
+// connections.
+func awaitPendingInput(client *Client, address ids.Address) {
+	for _, conn := range client.pool(string(address)).idle {
+		for !conn.hasPendingInput() {
 			runtime.Gosched()
 		}
 	}
 }
 
-// TestClient_lateExtraResponse has an extra answer come when the connection is idle.
+// TestClient_lateExtraResponse has an extra response arrive on an idle connection.
 func TestClient_lateExtraResponse(t *testing.T) {
 	var late func()
-	runner := upstreamtest.Start(t, func(seen upstreamtest.Request, writer io.Writer) bool {
-		late = func() { upstreamtest.Respond(200, "seal", "extra")(seen, writer) }
-		return upstreamtest.Respond(200, "seal", "own")(seen, writer)
+	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
+		late = func() { upstreamtest.Respond(200, "seal", "extra")(req, writer) }
+		return upstreamtest.Respond(200, "seal", "own")(req, writer)
 	}, upstreamtest.Respond(200, "seal", "next"))
-	sender, trip := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
-	readResult(t, sender, trip)
+	client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+	readResult(t, client, attempt)
 	late()
-	awaitPendingInput(sender, runner.Address)
-	if result, text := readResult(t, sender, nextAttempt(trip, "a2")); text != "next" || runner.ConnCount() != 2 {
+	awaitPendingInput(client, runner.Address)
+	if result, text := readResult(t, client, nextAttempt(attempt, "a2")); text != "next" || runner.ConnCount() != 2 {
 		t.Fatalf("%+v, %q over %d connections", result, text, runner.ConnCount())
 	}
 }
 
-// TestClient_closesIdleConnections lets a kept connection grow old with no request
-// after it.
+// TestClient_closesIdleConnections has idle connections be closed without another
+// request.
 func TestClient_closesIdleConnections(t *testing.T) {
-	machine := clock.NewFake()
-	sender, runner := newTestClient(machine), upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "own"))
-	readResult(t, sender, attemptTo(runner.Address, "POST", "x"))
-	begin, host := machine.Now(), sender.hostPool(string(runner.Address))
-	if host.closeIdle(begin, clock.Second) != 1 {
-		t.Fatal("the connection is not kept")
-	}
-	for host.closeIdle(begin, 100*clock.Second) > 0 {
-		machine.AdvanceToNext()
+	clk := clock.NewFake()
+	client, runner := newTestClient(clk), upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "own"))
+	readResult(t, client, attemptTo(runner.Address, "POST", "x"))
+	start, pool := clk.Now(), client.pool(string(runner.Address))
+	if pool.closeIdle(start, clock.Second) != 1 {
+		t.Fatal("the connection is not pooled")
+	}
+	for pool.closeIdle(start, 100*clock.Second) > 0 {
+		clk.AdvanceToNext()
 		runtime.Gosched()
 	}
-	if spent := machine.Now().Since(begin); spent < 60*clock.Second || spent > 75*clock.Second {
-		t.Fatalf("closed after %v", spent)
+	if elapsed := clk.Now().Since(start); elapsed < 60*clock.Second || elapsed > 75*clock.Second {
+		t.Fatalf("closed after %v", elapsed)
 	}
 }
 
-// TestClient_interimResponses passes over those that come before the answer, within bounds.
+// TestClient_interimResponses skips interim responses, up to the size limit of a
+// head.
 func TestClient_interimResponses(t *testing.T) {
 	interim := "HTTP/1.1 100 Continue\r\n\r\n" + strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", 200)
 	runner := upstreamtest.Start(t, upstreamtest.Raw(interim+sealedResponse, true), upstreamtest.Raw(strings.Repeat(interim, 200), true))
-	sender, trip := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
-	if result, text := readResult(t, sender, trip); result.Outcome != Answered || text != "body" {
+	client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "body" {
 		t.Fatalf("%+v, %q", result, text)
 	}
-	if result, _ := readResult(t, sender, nextAttempt(trip, "a2")); result.Outcome != Indeterminate || runner.ConnCount() != 1 {
+	if result, _ := readResult(t, client, nextAttempt(attempt, "a2")); result.Outcome != Indeterminate || runner.ConnCount() != 1 {
 		t.Fatalf("%+v over %d connections", result, runner.ConnCount())
 	}
 }
 
-// TestClient_responseBeforeBodyIsRead has a runner answer at the head of a large
-// request and read no further.
+// TestClient_responseBeforeBodyIsRead has a runner respond after the head of a
+// large request and read no further.
 func TestClient_responseBeforeBodyIsRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	answers := []string{"HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", strings.Replace(sealedResponse, "{id}", "a2", 1)}
+	responses := []string{"HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", strings.Replace(sealedResponse, "{id}", "a2", 1)}
 	go func() {
-		for _, answer := range answers {
-			link, err := listener.Accept()
+		for _, response := range responses {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			defer link.Close()
-			for reader, line := bufio.NewReader(link), "-"; line != "\r\n"; {
+			defer conn.Close()
+			for reader, line := bufio.NewReader(conn), "-"; line != "\r\n"; {
 				line, _ = reader.ReadString('\n')
 			}
-			_, _ = io.WriteString(link, answer)
+			_, _ = io.WriteString(conn, response)
 		}
 	}()
-	sender, trip := newTestClient(clock.NewFake()), attemptTo(ids.Address(listener.Addr().String()), "POST", strings.Repeat("x", 32<<20))
-	if result, _ := readResult(t, sender, trip); result.Outcome != Rejected {
+	client, attempt := newTestClient(clock.NewFake()), attemptTo(ids.Address(listener.Addr().String()), "POST", strings.Repeat("x", 32<<20))
+	if result, _ := readResult(t, client, attempt); result.Outcome != Rejected {
 		t.Fatalf("%+v", result)
 	}
-	if result, text := readResult(t, sender, nextAttempt(trip, "a2")); result.Outcome != Answered || text != "body" {
+	if result, text := readResult(t, client, nextAttempt(attempt, "a2")); result.Outcome != Answered || text != "body" {
 		t.Fatalf("%+v, %q", result, text)
 	}
-	if kept := len(sender.hostPool(string(trip.Address)).idle); kept != 0 {
-		t.Fatalf("%d connections are kept whose request did not go out whole", kept)
+	if idle := len(client.pool(string(attempt.Address)).idle); idle != 0 {
+		t.Fatalf("%d connections are pooled whose request was not written completely", idle)
 	}
 }
 
-// TestClient_targetIsSentVerbatim has targets that an URL's rules would rewrite.
+// TestClient_targetIsSentVerbatim has targets that parsing as an URL would change.
 func TestClient_targetIsSentVerbatim(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""))
 	for _, target := range []string{"//other/x", "/a/../b", "/a//b?x=/../", "/%2e%2e/", "/?a=b?c"} {
-		trip := attemptTo(runner.Address, "GET", "")
-		trip.Request.Target = target
-		send(newTestClient(clock.NewFake()), trip)
-		seen := runner.Requests()
-		if got := seen[len(seen)-1]; got.Target != target || got.Host != "shop.example" {
+		attempt := attemptTo(runner.Address, "GET", "")
+		attempt.Request.Target = target
+		send(newTestClient(clock.NewFake()), attempt)
+		requests := runner.Requests()
+		if got := requests[len(requests)-1]; got.Target != target || got.Host != "shop.example" {
 			t.Errorf("%q arrived as %q at %q", target, got.Target, got.Host)
 		}
 	}
-	trip := attemptTo(runner.Address, "GET", "")
+	attempt := attemptTo(runner.Address, "GET", "")
 	for _, target := range []string{"", "/a b", "/a\r\nX: y", "/\x7f"} {
-		trip.Request.Target = target
-		if result := send(newTestClient(clock.NewFake()), trip); result.Outcome != Unsent || len(runner.Requests()) != 5 {
+		attempt.Request.Target = target
+		if result := send(newTestClient(clock.NewFake()), attempt); result.Outcome != Unsent || len(runner.Requests()) != 5 {
 			t.Errorf("%q: %+v, %d arrivals", target, result, len(runner.Requests()))
 		}
 	}
--- a/data/upstream/eventreader_test.go
+++ b/data/upstream/eventreader_test.go
@@ -7,40 +7,40 @@
 	"testing"
 )
 
-func readEvents(events *EventReader) ([]string, error) {
-	var found []string
+func readEvents(reader *EventReader) ([]string, error) {
+	var events []string
 	for {
-		event, err := events.Next()
+		event, err := reader.Next()
 		if err != nil {
-			return found, err
+			return events, err
 		}
-		found = append(found, string(event))
+		events = append(events, string(event))
 	}
 }
 
 func TestEventReader_returnsWholeEvents(t *testing.T) {
 	text := "id: 1\ndata: a\n\nonyxwell-weight-versions: 2\nid: 2\r\ndata: b\r\n\r\n"
-	found, err := readEvents(NewEventReader(strings.NewReader(text), ""))
-	if !errors.Is(err, io.EOF) || len(found) != 2 || strings.Join(found, "") != text {
-		t.Fatalf("%q, %v", found, err)
+	events, err := readEvents(NewEventReader(strings.NewReader(text), ""))
+	if !errors.Is(err, io.EOF) || len(events) != 2 || strings.Join(events, "") != text {
+		t.Fatalf("%q, %v", events, err)
 	}
 }
 
 func TestEventReader_eventLargerThanBuffer(t *testing.T) {
 	text := "id: 1\ndata: " + strings.Repeat("x", 20000) + "\n\n"
-	found, _ := readEvents(NewEventReader(strings.NewReader(text), ""))
-	if len(found) != 1 || found[0] != text {
-		t.Fatalf("%d events", len(found))
+	events, _ := readEvents(NewEventReader(strings.NewReader(text), ""))
+	if len(events) != 1 || events[0] != text {
+		t.Fatalf("%d events", len(events))
 	}
 }
 
 func TestEventReader_idsRiseByOne(t *testing.T) {
 	cases := []struct {
-		name  string
-		after string
-		text  string
-		good  int
-		order bool
+		name       string
+		after      string
+		text       string
+		complete   int
+		wrongOrder bool
 	}{
 		{"a gap", "", "id: 1\n\nid: 3\n\n", 1, true},
 		{"twice", "", "id: 1\n\nid: 1\n\n", 1, true},
@@ -51,29 +51,31 @@
 		{"a blank one", "4", "id: 5\n\n\r\nid: 6\n\n", 1, true},
 		{"no id", "4", ": still there\n\nid: 5\n\n", 2, false},
 	}
-	for _, example := range cases {
-		found, err := readEvents(NewEventReader(strings.NewReader(example.text), example.after))
-		if len(found) != example.good || errors.Is(err, ErrEventOrder) != example.order {
-			t.Errorf("%s: %d events, %v", example.name, len(found), err)
-		}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			events, err := readEvents(NewEventReader(strings.NewReader(tc.text), tc.after))
+			if len(events) != tc.complete || errors.Is(err, ErrEventOrder) != tc.wrongOrder {
+				t.Errorf("%d events, %v", len(events), err)
+			}
+		})
 	}
 }
 
 func TestEventReader_truncatedEvent(t *testing.T) {
-	found, err := readEvents(NewEventReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), ""))
-	if len(found) != 1 || !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Fatalf("%q, %v", found, err)
+	events, err := readEvents(NewEventReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"), ""))
+	if len(events) != 1 || !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Fatalf("%q, %v", events, err)
 	}
 }
 
-// TestEventReader_endlessEvent has a runner send one event for ever.
+// TestEventReader_endlessEvent has a stream whose first event never ends.
 func TestEventReader_endlessEvent(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader("id: 1\ndata: "), io.LimitReader(zeroReader{}, 64<<20))
-	if found, err := readEvents(NewEventReader(endless, "")); !errors.Is(err, errEventTooLarge) || len(found) > 0 {
-		t.Fatalf("%d events, %v", len(found), err)
+	if events, err := readEvents(NewEventReader(endless, "")); !errors.Is(err, errEventTooLarge) || len(events) > 0 {
+		t.Fatalf("%d events, %v", len(events), err)
 	}
 }
 
 type zeroReader struct{}
 
-func (zeroReader) Read(buffer []byte) (int, error) { return len(buffer), nil }
+func (zeroReader) Read(buf []byte) (int, error) { return len(buf), nil }
--- a/data/upstream/exhaustion_test.go
+++ b/data/upstream/exhaustion_test.go
@@ -9,15 +9,13 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
-	"onyxwell/base/scope"
 )
 
-// TestClient_localExhaustion has a connection not come up for a reason
-// of this machine's own.
+// TestClient_localExhaustion has dials fail for reasons of this machine and of
+// the runner.
 func TestClient_localExhaustion(t *testing.T) {
-	top := scope.New(scope.Options{Clock: clock.NewFake()})
-	sender := NewClient(Options{Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, IdleTimeout: clock.Second, MaxIdlePerHost: 1})
-	for _, example := range []struct {
+	client := NewClient(Options{Clock: clock.NewFake(), Dialing: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, IdleTimeout: clock.Second, MaxIdlePerHost: 1})
+	for _, tc := range []struct {
 		err  error
 		want string
 	}{
@@ -25,12 +23,12 @@
 		{os.NewSyscallError("connect", syscall.EADDRNOTAVAIL), "starved"},
 		{os.NewSyscallError("connect", syscall.ECONNREFUSED), "undialed"},
 	} {
-		sender.dial = func(context.Context, string, string) (net.Conn, error) {
-			return nil, &net.OpError{Op: "dial", Err: example.err}
+		client.dial = func(context.Context, string, string) (net.Conn, error) {
+			return nil, &net.OpError{Op: "dial", Err: tc.err}
 		}
-		result := sender.Send(top, Attempt{Request: &Request{Method: "GET", Target: "/", Host: "h", AttemptID: "a"}, Address: "127.0.0.1:1", TimeLeft: clock.Second})
-		if result.Outcome != Unsent || result.Cause != example.want {
-			t.Errorf("%v: %v, %s, not %s", example.err, result.Outcome, result.Cause, example.want)
+		result := client.Send(context.Background(), Attempt{Request: &Request{Method: "GET", Target: "/", Host: "h", AttemptID: "a"}, Address: "127.0.0.1:1", TimeLeft: clock.Second})
+		if result.Outcome != Unsent || result.Cause != tc.want {
+			t.Errorf("%v: %v, %s, not %s", tc.err, result.Outcome, result.Cause, tc.want)
 		}
 	}
 }
--- a/data/upstream/fakeconn_test.go
+++ b/data/upstream/fakeconn_test.go
@@ -13,51 +13,52 @@
 	"onyxwell/base/clock"
 )
 
-// exchange is what a wire does with one request: how many bytes of it are taken
-// before a failure, and what is to be read after it.
+// exchange is what a fakeConn does with one request: how many bytes of it are
+// accepted before the write fails, the response in which {id} stands for a1, and
+// the error that ends it.
 type exchange struct {
 	accepts  int
 	response string
 	err      error
 }
 
-// acceptAll is more than any request has.
+// acceptAll is more bytes than any request has.
 const acceptAll = 1 << 30
 
-// fakeConn is a connection that lies in memory, whose runner follows acts.
+// fakeConn is a connection in memory whose peer follows a list of exchanges.
 type fakeConn struct {
 	exchanges []exchange
 	written   bytes.Buffer
 	unread    string
 	current   exchange
 	closed    bool
-	// maxRead is how many bytes are read at once, where it is not 0.
+	// maxRead bounds the bytes of one Read, where it is not 0.
 	maxRead int
 }
 
-func (f *fakeConn) Write(text []byte) (int, error) {
+func (f *fakeConn) Write(data []byte) (int, error) {
 	if len(f.exchanges) > 0 {
 		f.current, f.exchanges = f.exchanges[0], f.exchanges[1:]
 		f.unread = strings.ReplaceAll(f.current.response, "{id}", "a1")
 	}
-	size := min(len(text), f.current.accepts)
-	f.written.Write(text[:size])
-	if size < len(text) {
-		return size, errReset
+	n := min(len(data), f.current.accepts)
+	f.written.Write(data[:n])
+	if n < len(data) {
+		return n, errReset
 	}
-	return size, nil
+	return n, nil
 }
 
-func (f *fakeConn) Read(buffer []byte) (int, error) {
+func (f *fakeConn) Read(buf []byte) (int, error) {
 	if f.unread == "" || f.closed {
 		return 0, f.current.err
 	}
-	if f.maxRead > 0 && len(buffer) > f.maxRead {
-		buffer = buffer[:f.maxRead]
+	if f.maxRead > 0 && len(buf) > f.maxRead {
+		buf = buf[:f.maxRead]
 	}
-	size := copy(buffer, f.unread)
-	f.unread = f.unread[size:]
-	return size, nil
+	n := copy(buf, f.unread)
+	f.unread = f.unread[n:]
+	return n, nil
 }
 
 func (f *fakeConn) Close() error {
@@ -73,75 +74,78 @@
 
 var errReset = errors.New("connection reset by peer")
 
-// clientWith is a sender that gets these wires, one after another.
-func clientWith(wires ...*fakeConn) *Client {
-	sender := newTestClient(clock.NewFake())
-	sender.dial = func(context.Context, string, string) (net.Conn, error) {
-		if len(wires) == 0 {
-			return nil, errors.New("nobody listens")
+// clientWith returns a client that dials these connections, one after another.
+func clientWith(conns ...*fakeConn) *Client {
+	client := newTestClient(clock.NewFake())
+	client.dial = func(context.Context, string, string) (net.Conn, error) {
+		if len(conns) == 0 {
+			return nil, errors.New("connection refused")
 		}
-		next := wires[0]
-		wires = wires[1:]
+		next := conns[0]
+		conns = conns[1:]
 		return next, nil
 	}
-	return sender
+	return client
 }
 
 const sealedResponse = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
 
-// TestClient_neverWritesTwice cuts connections, new and kept, at each point of a
-// request and of the answer's first bytes: what is known of the request follows
-// from the bytes that were taken alone, and it is never written again.
+// TestClient_neverWritesTwice breaks connections, new and pooled, at each point
+// of a request and of the first bytes of its response: the outcome follows from
+// the bytes that were accepted alone, and the request is never written again.
 func TestClient_neverWritesTwice(t *testing.T) {
 	cases := []struct {
-		name string
-		act  exchange
-		fate Outcome
+		name    string
+		last    exchange
+		outcome Outcome
 	}{
 		{"no byte is taken", exchange{accepts: 0, err: errReset}, Unsent},
 		{"one byte is taken", exchange{accepts: 1, err: errReset}, Indeterminate},
 		{"half is taken", exchange{accepts: 40, err: io.EOF}, Indeterminate},
-		{"reset at no byte of the answer", exchange{accepts: acceptAll, err: errReset}, Indeterminate},
-		{"closed at no byte of the answer", exchange{accepts: acceptAll, err: io.EOF}, Indeterminate},
+		{"reset at no byte of the response", exchange{accepts: acceptAll, err: errReset}, Indeterminate},
+		{"closed at no byte of the response", exchange{accepts: acceptAll, err: io.EOF}, Indeterminate},
 		{"reset at one byte", exchange{accepts: acceptAll, response: "H", err: errReset}, Indeterminate},
 		{"closed at one byte", exchange{accepts: acceptAll, response: "H", err: io.EOF}, Indeterminate},
 		{"closed before the head's end", exchange{accepts: acceptAll, response: sealedResponse[:len(sealedResponse)-6], err: io.EOF}, Indeterminate},
 	}
-	for _, example := range cases {
-		for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
-			for _, kept := range []bool{false, true} {
-				one, spare := &fakeConn{exchanges: []exchange{example.act}}, &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
-				if kept {
-					one.exchanges = []exchange{{accepts: acceptAll, response: "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"}, example.act}
-				}
-				sender, trip := clientWith(one, spare), attemptTo("r:1", method, "text")
-				trip.Request.Header.Set("Idempotency-Key", "k")
-				if kept {
-					DrainAndClose(send(sender, nextAttempt(trip, "a1")).Response)
-					one.written.Reset()
-					trip = nextAttempt(trip, "a1")
-					host := sender.hostPool("r:1")
-					host.idle[0].recentAttempts = [attemptHistory]string{}
-				}
-				result := send(sender, trip)
-				if result.Outcome != example.fate || spare.written.Len() > 0 || !one.closed {
-					t.Errorf("%s, %s, kept %v: %+v, %d bytes elsewhere", example.name, method, kept, result, spare.written.Len())
-				}
-				if count := strings.Count(one.written.String(), " HTTP/1.1\r\n"); count > 1 {
-					t.Errorf("%s, %s: written %d times", example.name, method, count)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
+				for _, pooled := range []bool{false, true} {
+					conn, spare := &fakeConn{exchanges: []exchange{tc.last}}, &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
+					if pooled {
+						conn.exchanges = []exchange{{accepts: acceptAll, response: "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"}, tc.last}
+					}
+					client, attempt := clientWith(conn, spare), attemptTo("r:1", method, "text")
+					attempt.Request.Header.Set("Idempotency-Key", "k")
+					if pooled {
+						DrainAndClose(send(client, nextAttempt(attempt, "a1")).Response)
+						conn.written.Reset()
+						attempt = nextAttempt(attempt, "a1")
+						pool := client.pool("r:1")
+						pool.idle[0].recentAttempts = [attemptHistory]string{}
+					}
+					result := send(client, attempt)
+					if result.Outcome != tc.outcome || spare.written.Len() > 0 || !conn.closed {
+						t.Errorf("%s, pooled %v: %+v, %d bytes elsewhere", method, pooled, result, spare.written.Len())
+					}
+					if count := strings.Count(conn.written.String(), " HTTP/1.1\r\n"); count > 1 {
+						t.Errorf("%s: written %d times", method, count)
+					}
 				}
 			}
-		}
+		})
 	}
 }
 
-// TestClient_ambiguousFraming has heads whose body's end is in doubt.
+// TestClient_ambiguousFraming has heads that are ambiguous about the end of
+// their body, and bodies that are cut short.
 func TestClient_ambiguousFraming(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n"
 	cases := []struct {
 		name, rest string
-		fate       Outcome
-		whole      bool
+		outcome    Outcome
+		complete   bool
 	}{
 		{"one length", "Content-Length: 2\r\n\r\nok", Answered, true},
 		{"the same length twice", "Content-Length: 2\r\nContent-Length: 2\r\n\r\nok", Answered, true},
@@ -159,21 +163,23 @@
 		{"a space before the colon", "Content-Length : 2\r\n\r\nok", Indeterminate, false},
 		{"a control byte", "X-Odd: a\x00b\r\nContent-Length: 2\r\n\r\nok", Indeterminate, false},
 	}
-	for _, example := range cases {
-		one := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: head + example.rest, err: io.EOF}}}
-		sender := clientWith(one)
-		result := send(sender, attemptTo("r:1", "POST", "x"))
-		if result.Outcome != example.fate {
-			t.Errorf("%s: %+v", example.name, result)
-		}
-		if result.Response != nil {
-			text, err := io.ReadAll(result.Response.Body)
-			if (err == nil) != example.whole || err == nil && string(text) != "ok" {
-				t.Errorf("%s: %q, %v", example.name, text, err)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: head + tc.rest, err: io.EOF}}}
+			client := clientWith(conn)
+			result := send(client, attemptTo("r:1", "POST", "x"))
+			if result.Outcome != tc.outcome {
+				t.Errorf("%+v", result)
 			}
-		}
-		if one.closed == example.whole {
-			t.Errorf("%s: closed is %v", example.name, one.closed)
-		}
+			if result.Response != nil {
+				body, err := io.ReadAll(result.Response.Body)
+				if (err == nil) != tc.complete || err == nil && string(body) != "ok" {
+					t.Errorf("%q, %v", body, err)
+				}
+			}
+			if conn.closed == tc.complete {
+				t.Errorf("closed is %v", conn.closed)
+			}
+		})
 	}
 }
--- a/data/upstream/fuzz_test.go
+++ b/data/upstream/fuzz_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// referenceResponse reads an answer with net/http: its head and body, whether the body
-// is whole, and how many bytes stand behind it.
-func referenceResponse(method string, answer string) (*http.Response, string, bool, int) {
-	source := strings.NewReader(answer)
+// referenceResponse parses a response with net/http: its head, its body, whether the body
+// is complete, and how many bytes follow it.
+func referenceResponse(method string, response string) (*http.Response, string, bool, int) {
+	source := strings.NewReader(response)
 	reader := bufio.NewReader(source)
 	for {
 		head, err := http.ReadResponse(reader, &http.Request{Method: method})
@@ -31,54 +31,55 @@
 
 // checkAgainstReference sends a request over a wire that gives these bytes, and has what comes
 // of it stand up to the reference.
-func checkAgainstReference(t *testing.T, method string, answer string, most int) {
-	one := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: answer, err: io.EOF}}, maxRead: most}
-	sender := clientWith(one)
-	result := send(sender, attemptTo("r:1", method, "x"))
-	head, text, whole, rest := referenceResponse(method, answer)
+func checkAgainstReference(t *testing.T, method string, response string, maxRead int) {
+	t.Helper()
+	conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: response, err: io.EOF}}, maxRead: maxRead}
+	client := clientWith(conn)
+	result := send(client, attemptTo("r:1", method, "x"))
+	head, text, complete, rest := referenceResponse(method, response)
 	if result.Response == nil {
-		if result.Outcome != Indeterminate && result.Outcome != Garbled || !one.closed {
-			t.Fatalf("fate %v, closed %v", result.Outcome, one.closed)
+		if result.Outcome != Indeterminate && result.Outcome != Garbled || !conn.closed {
+			t.Fatalf("outcome %v, closed %v", result.Outcome, conn.closed)
 		}
 		return
 	}
 	got, err := io.ReadAll(result.Response.Body)
 	_ = result.Response.Body.Close()
 	if head == nil || head.StatusCode != result.Response.StatusCode || len(head.Header[AttemptIDHeader]) != 1 || head.Header.Get(AttemptIDHeader) != "a1" {
-		t.Fatalf("fate %v of no answer to the request: %q", result.Outcome, answer)
+		t.Fatalf("outcome %v without a response to the request: %q", result.Outcome, response)
 	}
-	refusal := head.Header.Get("Onyxwell-Not-Run") != "" || head.StatusCode == http.StatusMisdirectedRequest
-	if refusal != (result.Outcome == Rejected) {
-		t.Fatalf("fate %v, though refused is %v", result.Outcome, refusal)
+	notRun := head.Header.Get("Onyxwell-Not-Run") != "" || head.StatusCode == http.StatusMisdirectedRequest
+	if notRun != (result.Outcome == Rejected) {
+		t.Fatalf("outcome %v, though not run is %v", result.Outcome, notRun)
 	}
 	if result.Outcome == Answered && (notRunStatuses[head.StatusCode] || head.StatusCode/100 == 2 && head.Header.Get(SealHeader) == "") {
-		t.Fatalf("%d is an answer", head.StatusCode)
+		t.Fatalf("%d is taken for a response", head.StatusCode)
 	}
-	if err == nil && (!whole || string(got) != text) {
-		t.Fatalf("%q (whole is %v) looks whole: %q", text, whole, got)
+	if err == nil && (!complete || string(got) != text) {
+		t.Fatalf("%q (complete is %v) looks complete: %q", text, complete, got)
 	}
-	// What is still on its way is seen before the next use.
-	rest -= len(one.unread)
-	if !one.closed && (err != nil || rest > 0 || head.Close) {
-		t.Fatalf("the connection is kept, %d bytes behind the answer, %v", rest, err)
+	// Bytes that have not arrived yet are noticed before the next use.
+	rest -= len(conn.unread)
+	if !conn.closed && (err != nil || rest > 0 || head.Close) {
+		t.Fatalf("the connection is reused, %d bytes beyond the response, %v", rest, err)
 	}
 }
 
 var methods = []string{"POST", "GET", "HEAD"}
 
 func FuzzAnswer(f *testing.F) {
-	for _, answer := range []string{
+	for _, response := range []string{
 		strings.ReplaceAll(sealedResponse, "{id}", "a1"), foreignResponse, "HTTP/1.1 100 C\r\n\r\n" + strings.ReplaceAll(sealedResponse, "{id}", "a1") + "rest",
 		"HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.0 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\n\r\nto the end",
 		"HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: a1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab",
 		"HTTP/1.1 204 X\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nConnection: x, close\r\n\r\n",
 	} {
-		f.Add(byte(0), byte(0), answer)
-		f.Add(byte(2), byte(1), answer)
+		f.Add(byte(0), byte(0), response)
+		f.Add(byte(2), byte(1), response)
 	}
-	f.Fuzz(func(t *testing.T, method byte, most byte, answer string) {
-		checkAgainstReference(t, methods[int(method)%len(methods)], answer, int(most))
+	f.Fuzz(func(t *testing.T, method byte, maxRead byte, response string) {
+		checkAgainstReference(t, methods[int(method)%len(methods)], response, int(maxRead))
 	})
 }
 
@@ -88,7 +89,7 @@
 		f.Add(byte(1), body)
 	}
 	head := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
-	f.Fuzz(func(t *testing.T, most byte, body string) { checkAgainstReference(t, "POST", head+body, int(most)) })
+	f.Fuzz(func(t *testing.T, maxRead byte, body string) { checkAgainstReference(t, "POST", head+body, int(maxRead)) })
 }
 
 // FuzzEvents has what is passed on of a stream be its own bytes, in their order,
--- a/data/upstream/header.go
+++ b/data/upstream/header.go
@@ -7,38 +7,70 @@
 	"strings"
 )
 
-// hopByHopHeaders are the heads that concern one connection only.
+// Header names between router and runner; they are part of the wire format.
+const (
+	// AttemptIDHeader carries the id of an attempt; a response repeats it.
+	AttemptIDHeader = "Onyxwell-Attempt-Id"
+	// SealHeader marks a success as the runner's own.
+	SealHeader = "Onyxwell-Server-Seal"
+	// TargetHeader names the runner that a request is meant for.
+	TargetHeader = "Onyxwell-Target-Server"
+	// TimeLeftHeader is the time to the request's deadline, in milliseconds.
+	TimeLeftHeader = "Onyxwell-Time-Left-Ms"
+	// UrgencyHeader is a request's urgency, 0 to 9.
+	UrgencyHeader = "Onyxwell-Urgency"
+	// LoadHeader is a runner's load: running, waiting, slots.
+	LoadHeader = "Onyxwell-Server-Load"
+	// RunnerIDHeader names the runner that a response comes from.
+	RunnerIDHeader = "Onyxwell-Server-Id"
+	// WarmupHeader is how long a runner is still warming up, in milliseconds.
+	WarmupHeader = "Onyxwell-Cold-Ms"
+	// PromptPrefixHeader lists a prompt's parts, as id:tokens.
+	PromptPrefixHeader = "Onyxwell-Prompt-Prefix"
+	// TokenCountHeader is a prompt's tokens and the most that may be generated.
+	TokenCountHeader = "Onyxwell-Token-Count"
+	// LastEventIDHeader is the id of the event after which a stream continues.
+	LastEventIDHeader = "Last-Event-Id"
+)
+
+// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaderPrefix begins the heads that go from end to end, whatever Connection names.
+// ownHeaderPrefix begins the headers that are end-to-end even where a
+// Connection header names them.
 const ownHeaderPrefix = "Onyxwell-"
 
-// EndToEndHeader gives the heads that are passed on, in either direction.
+// EndToEndHeader returns a copy of a header without its hop-by-hop fields, to be
+// forwarded in either direction.
 func EndToEndHeader(header http.Header) http.Header {
-	kept := header.Clone()
+	forwarded := header.Clone()
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
 			name = textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name))
 			if !strings.HasPrefix(name, ownHeaderPrefix) {
-				kept.Del(name)
+				forwarded.Del(name)
 			}
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		kept.Del(name)
+		forwarded.Del(name)
 	}
-	return kept
+	return forwarded
 }
 
-// DrainAndClose ends a response that is not needed; a short rest is read, so that
-// the connection can be kept.
-func DrainAndClose(response *http.Response) {
-	if response == nil {
+// maxDrainBytes is how much of an unwanted body is read to keep its connection.
+const maxDrainBytes = 4096
+
+// DrainAndClose closes a response that is not needed. It reads a short rest of
+// the body first, so that the connection can be reused. A nil response is
+// allowed.
+func DrainAndClose(resp *http.Response) {
+	if resp == nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, response.Body, 4096)
-	_ = response.Body.Close()
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDrainBytes)
+	_ = resp.Body.Close()
 }
--- a/data/upstream/idleestimate.go
+++ b/data/upstream/idleestimate.go
@@ -8,71 +8,72 @@
 )
 
 const (
-	// minTrustedIdle is the idle age that is always trusted: less would open a new
-	// connection for nearly every request.
+	// minTrustedIdle is the idle time that is always trusted: less would open a
+	// new connection for nearly every request.
 	minTrustedIdle = 500 * clock.Millisecond
-	// failureFactor is the part of an age at which a connection was found forgotten
-	// that is trusted afterwards; regained is by which part trust grows with each
-	// connection that was near it and worked.
-	failureFactor  = 0.6
+	// failureFactor is the part of a failed connection's idle time that is
+	// trusted afterwards.
+	failureFactor = 0.6
+	// recoveryFactor is by which part the limit grows with each connection that
+	// worked after more than half of it.
 	recoveryFactor = 0.02
 )
 
-// idleEstimate is what was learnt of how long the runners of a service keep an idle
-// connection: they may forget one without notice, and what is sent on it then
-// may have run.
+// idleEstimate estimates how long the runners of a service keep an idle
+// connection. They may drop one without notice, and a request that is written to
+// it then may have been executed.
 type idleEstimate struct {
-	mu         sync.Mutex
-	limit      clock.Span
+	mu sync.Mutex
+	// limit is the longest idle time that is trusted; 0 is none.
+	limit clock.Span
+	// provenIdle is the longest idle time after which a connection worked.
 	provenIdle clock.Span
 }
 
-// allows tells whether a connection that was idle for so long may be used. For
-// what may run only once, just ages that were seen to work are good enough.
-func (i *idleEstimate) allows(idle clock.Span, once bool) bool {
-	if i == nil {
-		return true
-	}
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.limit > 0 && idle > i.limit {
+// allows reports whether a connection may be used after an idle time. Requests
+// that must not be executed twice need one that has been seen to work.
+func (e *idleEstimate) allows(idleFor clock.Span, atMostOnce bool) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.limit > 0 && idleFor > e.limit {
 		return false
 	}
-	return !once || idle <= max(i.provenIdle, minTrustedIdle)
+	return !atMostOnce || idleFor <= max(e.provenIdle, minTrustedIdle)
 }
 
-// recordSuccess notes that a connection of that idle age was still good.
-func (i *idleEstimate) recordSuccess(idle clock.Span) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.provenIdle = max(i.provenIdle, idle)
-	if i.limit > 0 && idle > i.limit/2 {
-		i.limit += clock.Span(recoveryFactor * float64(i.limit))
+// recordSuccess notes that a connection worked after an idle time.
+func (e *idleEstimate) recordSuccess(idleFor clock.Span) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.provenIdle = max(e.provenIdle, idleFor)
+	if e.limit > 0 && idleFor > e.limit/2 {
+		e.limit += clock.Span(recoveryFactor * float64(e.limit))
 	}
 }
 
-// recordFailure notes that a connection of that idle age was not.
-func (i *idleEstimate) recordFailure(idle clock.Span) {
-	if idle <= minTrustedIdle {
+// recordFailure notes that a connection failed after an idle time. A failure
+// within minTrustedIdle is not the idle time's.
+func (e *idleEstimate) recordFailure(idleFor clock.Span) {
+	if idleFor <= minTrustedIdle {
 		return
 	}
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	limit := max(minTrustedIdle, clock.Span(failureFactor*float64(idle)))
-	if i.limit == 0 || limit < i.limit {
-		i.limit = limit
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	limit := max(minTrustedIdle, clock.Span(failureFactor*float64(idleFor)))
+	if e.limit == 0 || limit < e.limit {
+		e.limit = limit
 	}
-	i.provenIdle = min(i.provenIdle, i.limit)
+	e.provenIdle = min(e.provenIdle, e.limit)
 }
 
-// idleEstimate gives what was learnt of a service.
+// idleEstimate returns the estimate of a service.
 func (c *Client) idleEstimate(service ids.Service) *idleEstimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.idleEstimates[service]
-	if known == nil {
-		known = &idleEstimate{}
-		c.idleEstimates[service] = known
+	estimate := c.idleEstimates[service]
+	if estimate == nil {
+		estimate = &idleEstimate{}
+		c.idleEstimates[service] = estimate
 	}
-	return known
+	return estimate
 }
--- a/data/upstream/idleestimate_test.go
+++ b/data/upstream/idleestimate_test.go
@@ -7,56 +7,56 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestClient_learnsIdleLimit has runners of a service forget idle
-// connections: after one lapse the others of that age are not used any more,
-// and what may run only once never goes on an age that was not seen to work.
+// TestClient_learnsIdleLimit has runners of a service drop idle connections: after
+// one failure others as old are not reused, and a request that must not be
+// executed twice never uses an idle time that was not seen to work.
 func TestClient_learnsIdleLimit(t *testing.T) {
-	machine := clock.NewFake()
-	machine.Advance(clock.Second)
-	sender := newTestClient(machine)
-	forgetful := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""), upstreamtest.HangUp())
-	trip := attemptTo(forgetful.Address, "POST", "x")
-	trip.Service = "s"
-	DrainAndClose(send(sender, trip).Response)
-	machine.Advance(4 * clock.Second)
-	once := nextAttempt(trip, "a2")
+	clk := clock.NewFake()
+	clk.Advance(clock.Second)
+	client := newTestClient(clk)
+	dropping := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""), upstreamtest.HangUp())
+	attempt := attemptTo(dropping.Address, "POST", "x")
+	attempt.Service = "s"
+	DrainAndClose(send(client, attempt).Response)
+	clk.Advance(4 * clock.Second)
+	once := nextAttempt(attempt, "a2")
 	once.AtMostOnce = true
-	if result := send(sender, once); result.Outcome != Unsent || !result.StaleConn {
-		t.Fatalf("what may run only once went on an untried age: %+v", result)
+	if result := send(client, once); result.Outcome != Unsent || !result.StaleConn {
+		t.Fatalf("an at-most-once request used an unproven idle time: %+v", result)
 	}
-	DrainAndClose(send(sender, nextAttempt(trip, "a3")).Response)
+	DrainAndClose(send(client, nextAttempt(attempt, "a3")).Response)
 	other := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""))
-	trip.Address = other.Address
-	DrainAndClose(send(sender, trip).Response)
-	machine.Advance(400 * clock.Millisecond)
-	if result := send(sender, nextAttempt(trip, "a4")); result.Outcome != Answered || other.ConnCount() != 1 {
-		t.Fatalf("a young connection is not used: %+v", result)
+	attempt.Address = other.Address
+	DrainAndClose(send(client, attempt).Response)
+	clk.Advance(400 * clock.Millisecond)
+	if result := send(client, nextAttempt(attempt, "a4")); result.Outcome != Answered || other.ConnCount() != 1 {
+		t.Fatalf("a young connection is not reused: %+v", result)
 	} else {
 		DrainAndClose(result.Response)
 	}
 }
 
 func TestIdleEstimate_followsObservations(t *testing.T) {
-	learnt := &idleEstimate{}
-	if learnt.allows(2*clock.Second, true) || !learnt.allows(2*clock.Second, false) {
-		t.Fatal("an age that nobody tried is for repeatable requests only")
+	estimate := &idleEstimate{}
+	if estimate.allows(2*clock.Second, true) || !estimate.allows(2*clock.Second, false) {
+		t.Fatal("an unproven idle time is for idempotent requests only")
 	}
-	learnt.recordSuccess(2 * clock.Second)
-	if !learnt.allows(2*clock.Second, true) {
-		t.Fatal("an age that worked is not trusted")
+	estimate.recordSuccess(2 * clock.Second)
+	if !estimate.allows(2*clock.Second, true) {
+		t.Fatal("a proven idle time is not trusted")
 	}
-	learnt.recordFailure(1500 * clock.Millisecond)
-	if learnt.allows(clock.Second, false) || learnt.allows(clock.Second, true) || !learnt.allows(800*clock.Millisecond, true) {
-		t.Fatal("a lapse does not bound the age")
+	estimate.recordFailure(1500 * clock.Millisecond)
+	if estimate.allows(clock.Second, false) || estimate.allows(clock.Second, true) || !estimate.allows(800*clock.Millisecond, true) {
+		t.Fatal("a failure does not bound the idle time")
 	}
 	for range 100 {
-		learnt.recordSuccess(800 * clock.Millisecond)
+		estimate.recordSuccess(800 * clock.Millisecond)
 	}
-	if !learnt.allows(clock.Second, false) {
-		t.Fatal("trust never comes back")
+	if !estimate.allows(clock.Second, false) {
+		t.Fatal("the limit never recovers")
 	}
-	learnt.recordFailure(minTrustedIdle / 2)
-	if !learnt.allows(minTrustedIdle, true) {
-		t.Fatal("a runner's crash counts as a lapse")
+	estimate.recordFailure(minTrustedIdle / 2)
+	if !estimate.allows(minTrustedIdle, true) {
+		t.Fatal("a failure within the trusted idle time counts")
 	}
 }
--- a/data/upstream/outcome.go
+++ b/data/upstream/outcome.go
@@ -7,53 +7,74 @@
 	"onyxwell/base/response"
 )
 
-// Outcome is what is known of a request that was sent to a runner.
+// Outcome is what is known of a request's execution after it was sent.
 type Outcome int
 
-// The fates.
+// The outcomes.
 const (
-	// Unsent requests never reached the runner.
+	// Unsent: the request never reached the runner.
 	Unsent Outcome = iota
-	// Rejected requests were turned away by the runner without being run.
+	// Rejected: the runner turned the request away without executing it.
 	Rejected
-	// Answered requests have an answer, whose head can be trusted.
+	// Answered: there is a response whose head belongs to the request.
 	Answered
-	// Indeterminate requests may have run; no answer came that can be passed on.
+	// Indeterminate: the request may have been executed; there is no response
+	// that can be forwarded.
 	Indeterminate
-	// Garbled requests may have run; what came back is no answer to them.
+	// Garbled: the request may have been executed; what came back is not its
+	// response.
 	Garbled
 )
 
 var outcomeNames = [...]string{Unsent: "unsent", Rejected: "refused", Answered: "answered", Indeterminate: "doubtful", Garbled: "garbled"}
 
-// String gives the fate's name as logs and figures carry it.
+// String returns the name that logs and metrics carry.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// observation is what a sending showed.
+// Result is what came of an attempt.
+type Result struct {
+	Outcome Outcome
+	// Cause names what was observed, in a word; logs and metrics carry it.
+	Cause string
+	// Response is set where the outcome is Answered or Rejected. The caller must
+	// close its body.
+	Response *http.Response
+	// Err says more about an outcome without a response; it may be nil.
+	Err error
+	// StaleConn says that nothing was sent because the idle connections were too
+	// old: the same runner may be tried again at once.
+	StaleConn bool
+	// LocalExhaustion says that nothing was sent for want of this machine's own
+	// resources, which says nothing about the runner.
+	LocalExhaustion bool
+}
+
+// observation is what was seen of an exchange; conclusions maps it to an outcome.
 type observation int
 
 const (
-	// undialed: no connection came up.
+	// dialFailed: no connection was established.
 	dialFailed observation = iota
-	// starved: no connection came up for want of this machine's own resources.
+	// localExhaustion: no connection was established for want of local resources.
 	localExhaustion
-	// stale: the kept connections were too old; nothing was written.
+	// staleConn: the idle connections were too old; nothing was written.
 	staleConn
-	// expired: the time was over before the first byte was written.
+	// deadlineExpired: the deadline passed before the first byte was written.
 	deadlineExpired
-	// unwritten: the connection took not one byte.
+	// nothingWritten: the connection took no byte of the request.
 	nothingWritten
-	// silent: bytes were written, and no whole head came back.
+	// noResponse: bytes were written, and no complete response head came back.
 	noResponse
-	// foreign: the head is another request's, or nobody's.
+	// wrongAttempt: the head carries another attempt's id, or none.
 	wrongAttempt
-	// declined: the runner says that it did not run the request.
+	// declaredNotRun: the runner states that it did not execute the request.
 	declaredNotRun
-	// unsealed: a success that can't be the runner's whole body.
+	// missingSeal: a success without the runner's seal, or with its body re-encoded.
 	missingSeal
-	// unfounded: the status promises what the runner did not say.
+	// unprovenRejection: the status suggests that nothing was executed, but the
+	// runner does not state it.
 	unprovenRejection
-	// proper: the head is an answer to the request.
+	// validResponse: the head is a response to the request.
 	validResponse
 )
 
@@ -62,42 +83,44 @@
 	wrongAttempt: "foreign", declaredNotRun: "declined", missingSeal: "unsealed", unprovenRejection: "unfounded", validResponse: "proper",
 }
 
-// String gives the sign's name as logs and figures carry it.
+// String returns the name that logs and metrics carry.
 func (o observation) String() string { return observationNames[o] }
 
-// conclusion is what follows from a sign.
+// conclusion is what follows from an observation.
 type conclusion struct {
 	outcome Outcome
-	// inStep says that the connection stays in step, as far as the sign shows.
+	// inStep says that, as far as the observation shows, the next response on the
+	// connection belongs to the next request.
 	inStep bool
 	err    error
 }
 
-// conclusions is the one place that says what is known of a request's fate.
-// Whatever may have been written may have run, unless a whole head with the
-// request's own id says otherwise.
+// conclusions is the only place that decides what is known of a request's
+// execution. Invariant: a request of which any byte may have been written may
+// have been executed, unless a complete head with its own attempt id says
+// otherwise.
 var conclusions = [...]conclusion{
 	dialFailed:        {outcome: Unsent},
 	localExhaustion:   {outcome: Unsent},
-	staleConn:         {outcome: Unsent, err: errors.New("forward: the kept connection is too old to be trusted")},
-	deadlineExpired:   {outcome: Unsent, err: errors.New("forward: the time was over before anything was sent")},
+	staleConn:         {outcome: Unsent, err: errors.New("upstream: the idle connections are too old to be reused")},
+	deadlineExpired:   {outcome: Unsent, err: errors.New("upstream: the deadline passed before anything was sent")},
 	nothingWritten:    {outcome: Unsent},
 	noResponse:        {outcome: Indeterminate},
-	wrongAttempt:      {outcome: Garbled, err: errors.New("forward: the answer is another request's")},
+	wrongAttempt:      {outcome: Garbled, err: errors.New("upstream: the response is another attempt's")},
 	declaredNotRun:    {outcome: Rejected, inStep: true},
-	missingSeal:       {outcome: Garbled, err: errors.New("forward: a success without a seal")},
-	unprovenRejection: {outcome: Indeterminate, err: errors.New("forward: a refusal that does not say not-run")},
+	missingSeal:       {outcome: Garbled, err: errors.New("upstream: a success without the runner's seal")},
+	unprovenRejection: {outcome: Indeterminate, err: errors.New("upstream: a rejection that does not state that nothing was executed")},
 	validResponse:     {outcome: Answered, inStep: true},
 }
 
-// headChecks tell by which sign a whole head is known; the first that holds counts.
+// headChecks classify a complete head; the first that matches counts.
 var headChecks = []struct {
-	sign  observation
-	holds func(attempt string, head *http.Response) bool
+	observation observation
+	matches     func(attemptID string, head *http.Response) bool
 }{
-	{wrongAttempt, func(attempt string, head *http.Response) bool {
-		told := head.Header[AttemptIDHeader]
-		return attempt == "" || len(told) != 1 || told[0] != attempt || head.StatusCode < 200
+	{wrongAttempt, func(attemptID string, head *http.Response) bool {
+		values := head.Header[AttemptIDHeader]
+		return attemptID == "" || len(values) != 1 || values[0] != attemptID || head.StatusCode < 200
 	}},
 	{declaredNotRun, func(_ string, head *http.Response) bool {
 		return head.Header.Get(response.NotRunHeader) != "" || head.StatusCode == http.StatusMisdirectedRequest
@@ -108,60 +131,67 @@
 	{unprovenRejection, func(_ string, head *http.Response) bool { return notRunStatuses[head.StatusCode] }},
 }
 
-// notRunStatuses are the statuses that tell a visitor that nothing has run.
+// notRunStatuses are the statuses by which clients conclude that a request was
+// not executed.
 var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true,
 }
 
-// classifyHead tells by which sign a whole head is known.
-func classifyHead(attempt string, head *http.Response) observation {
-	for _, reading := range headChecks {
-		if reading.holds(attempt, head) {
-			return reading.sign
+// classifyHead returns what a complete response head shows of an attempt.
+func classifyHead(attemptID string, head *http.Response) observation {
+	for _, check := range headChecks {
+		if check.matches(attemptID, head) {
+			return check.observation
 		}
 	}
 	return validResponse
 }
 
-// result is what the caller hears of a sign.
-func (o observation) result(err error, response *http.Response) Result {
-	told := conclusions[o]
+// result returns what the caller is told of an observation; a nil err is
+// replaced by the observation's own.
+func (o observation) result(err error, resp *http.Response) Result {
+	concluded := conclusions[o]
 	if err == nil {
-		err = told.err
+		err = concluded.err
+	}
+	return Result{
+		Outcome: concluded.outcome, Cause: o.String(), Err: err, Response: resp,
+		StaleConn: o == staleConn, LocalExhaustion: o == localExhaustion,
 	}
-	return Result{Outcome: told.outcome, Cause: o.String(), Err: err, Response: response, StaleConn: o == staleConn, LocalExhaustion: o == localExhaustion}
 }
 
-// exchangeEnd is how an exchange over a connection ended.
+// exchangeEnd is the state of a connection when an exchange on it has ended.
 type exchangeEnd struct {
 	observation observation
-	// whole: the answer came to its end; framed: its own length or chunks said
-	// where that is; closing: a side wants the connection closed.
+	// bodyComplete: the body was read to its end. selfDelimited: its length or
+	// its chunks said where that is. closeRequested: the runner asked for the
+	// connection to be closed.
 	bodyComplete, selfDelimited, closeRequested bool
-	// written: the request went out whole; cut: its time ended.
+	// requestWritten: the whole request was written. canceled: the exchange's
+	// context ended.
 	requestWritten, canceled bool
-	// bufferedBytes is how many bytes are there behind the answer.
+	// bufferedBytes is how many bytes were read beyond the response.
 	bufferedBytes int
 }
 
-// reuseBlockers are what keeps a connection from being used again, by name.
+// reuseBlockers are the conditions that forbid to reuse a connection.
 var reuseBlockers = []struct {
-	name  string
-	holds func(ending exchangeEnd) bool
+	reason  string
+	matches func(end exchangeEnd) bool
 }{
-	{"the answer is not one to the request", func(ending exchangeEnd) bool { return !conclusions[ending.observation].inStep }},
-	{"the answer is not whole", func(ending exchangeEnd) bool { return !ending.bodyComplete }},
-	{"the answer's end is the connection's", func(ending exchangeEnd) bool { return !ending.selfDelimited || ending.closeRequested }},
-	{"the request did not go out whole", func(ending exchangeEnd) bool { return !ending.requestWritten }},
-	{"the time was over", func(ending exchangeEnd) bool { return ending.canceled }},
-	{"bytes stand behind the answer", func(ending exchangeEnd) bool { return ending.bufferedBytes > 0 }},
+	{"the response is not the request's own", func(end exchangeEnd) bool { return !conclusions[end.observation].inStep }},
+	{"the response is incomplete", func(end exchangeEnd) bool { return !end.bodyComplete }},
+	{"the response ends with the connection", func(end exchangeEnd) bool { return !end.selfDelimited || end.closeRequested }},
+	{"the request was not written completely", func(end exchangeEnd) bool { return !end.requestWritten }},
+	{"the exchange was canceled", func(end exchangeEnd) bool { return end.canceled }},
+	{"there are bytes beyond the response", func(end exchangeEnd) bool { return end.bufferedBytes > 0 }},
 }
 
-// reuseBlocker names why a connection may not be used again, if there is a reason.
-func reuseBlocker(ending exchangeEnd) string {
-	for _, bar := range reuseBlockers {
-		if bar.holds(ending) {
-			return bar.name
+// reuseBlocker returns why a connection must not be reused, or "" if it may be.
+func reuseBlocker(end exchangeEnd) string {
+	for _, blocker := range reuseBlockers {
+		if blocker.matches(end) {
+			return blocker.reason
 		}
 	}
 	return ""
--- a/data/upstream/outcome_test.go
+++ b/data/upstream/outcome_test.go
@@ -2,30 +2,31 @@
 
 import "testing"
 
-// TestReuseBlocker_eachCondition spoils one thing at a time of an exchange that went well.
+// TestReuseBlocker_eachCondition violates one condition of a reusable connection
+// at a time.
 func TestReuseBlocker_eachCondition(t *testing.T) {
-	well := exchangeEnd{observation: validResponse, bodyComplete: true, selfDelimited: true, requestWritten: true}
-	if reason := reuseBlocker(well); reason != "" {
-		t.Fatalf("a good connection is not kept: %s", reason)
+	reusable := exchangeEnd{observation: validResponse, bodyComplete: true, selfDelimited: true, requestWritten: true}
+	if reason := reuseBlocker(reusable); reason != "" {
+		t.Fatalf("a reusable connection is closed: %s", reason)
 	}
-	spoils := []func(ending *exchangeEnd){
-		func(ending *exchangeEnd) { ending.observation = wrongAttempt },
-		func(ending *exchangeEnd) { ending.bodyComplete = false },
-		func(ending *exchangeEnd) { ending.selfDelimited = false },
-		func(ending *exchangeEnd) { ending.closeRequested = true },
-		func(ending *exchangeEnd) { ending.requestWritten = false },
-		func(ending *exchangeEnd) { ending.canceled = true },
-		func(ending *exchangeEnd) { ending.bufferedBytes = 1 },
+	violations := []func(end *exchangeEnd){
+		func(end *exchangeEnd) { end.observation = wrongAttempt },
+		func(end *exchangeEnd) { end.bodyComplete = false },
+		func(end *exchangeEnd) { end.selfDelimited = false },
+		func(end *exchangeEnd) { end.closeRequested = true },
+		func(end *exchangeEnd) { end.requestWritten = false },
+		func(end *exchangeEnd) { end.canceled = true },
+		func(end *exchangeEnd) { end.bufferedBytes = 1 },
 	}
-	for index, spoil := range spoils {
-		spoilt := well
-		if spoil(&spoilt); reuseBlocker(spoilt) == "" {
-			t.Errorf("spoil %d: the connection is kept", index)
+	for index, violate := range violations {
+		end := reusable
+		if violate(&end); reuseBlocker(end) == "" {
+			t.Errorf("violation %d: the connection is reused", index)
 		}
 	}
-	for sign, verdict := range conclusions {
-		if fits := verdict.outcome == Answered || verdict.outcome == Rejected; verdict.inStep != fits {
-			t.Errorf("sign %d: fate %v and fit %v", sign, verdict.outcome, verdict.inStep)
+	for obs, concluded := range conclusions {
+		if want := concluded.outcome == Answered || concluded.outcome == Rejected; concluded.inStep != want {
+			t.Errorf("observation %d: outcome %v and in step %v", obs, concluded.outcome, concluded.inStep)
 		}
 	}
 }
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"slices"
@@ -11,118 +12,154 @@
 	"syscall"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
-// hostPool is what is known of one runner's address, and its idle connections.
+const (
+	// minIdlePerHost is the least MaxIdlePerHost.
+	minIdlePerHost = 2
+	// sweepsPerIdleTimeout is how many times in an IdleTimeout idle connections
+	// are swept.
+	sweepsPerIdleTimeout = 4
+	// maxKeepAliveSeconds bounds the keep-alive time that a runner announces.
+	maxKeepAliveSeconds = 24 * 60 * 60
+)
+
+// hostPool holds the idle connections to one address.
 type hostPool struct {
+	// keepAlive is how long the runner keeps an idle connection, as a clock.Span;
+	// 0 where it does not say.
 	keepAlive atomic.Int64
-	mu        sync.Mutex
-	idle      []*conn
+	// mu guards idle, which is ordered by the time of release.
+	mu   sync.Mutex
+	idle []*persistConn
 }
 
-// pop takes the connection that was used last.
-func (h *hostPool) pop() *conn {
+// pop removes and returns the connection that was released last, or nil.
+func (h *hostPool) pop() *persistConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	last := len(h.idle) - 1
 	if last < 0 {
 		return nil
 	}
-	link := h.idle[last]
+	pc := h.idle[last]
 	h.idle[last] = nil
 	h.idle = h.idle[:last]
-	return link
+	return pc
 }
 
-// exceedsKeepAlive tells whether an idle age is more than the runner allows.
-func (h *hostPool) exceedsKeepAlive(idle clock.Span) bool {
-	keep := clock.Span(h.keepAlive.Load())
-	return keep > 0 && idle > keep
+// push adds a connection unless there are limit of them; it reports whether it did.
+func (h *hostPool) push(pc *persistConn, limit int) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.idle) >= limit {
+		return false
+	}
+	h.idle = append(h.idle, pc)
+	return true
 }
 
-// closeIdle closes the idle connections of more than an age; it counts the others.
-func (h *hostPool) closeIdle(now clock.Instant, age clock.Span) int {
+// exceedsKeepAlive reports whether a connection has been idle for longer than
+// the runner announced to keep it.
+func (h *hostPool) exceedsKeepAlive(idleFor clock.Span) bool {
+	keepAlive := clock.Span(h.keepAlive.Load())
+	return keepAlive > 0 && idleFor > keepAlive
+}
+
+// closeIdle closes the connections that have been idle for at least maxIdle; it
+// returns how many are left.
+func (h *hostPool) closeIdle(now clock.Instant, maxIdle clock.Span) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.idle = slices.DeleteFunc(h.idle, func(link *conn) bool {
-		idle := now.Since(link.lastRead)
-		if idle < age && !h.exceedsKeepAlive(idle) {
+	h.idle = slices.DeleteFunc(h.idle, func(pc *persistConn) bool {
+		idleFor := now.Since(pc.lastRead)
+		if idleFor < maxIdle && !h.exceedsKeepAlive(idleFor) {
 			return false
 		}
-		_ = link.Conn.Close()
+		_ = pc.Conn.Close()
 		return true
 	})
 	return len(h.idle)
 }
 
-// acquire gives a connection on which nothing of this or another request can still
-// come: a kept one, or a new one where there is none. An attempt that went to
-// the address before always gets a new one.
-func (c *Client) acquire(ctx scope.Scope, trip Attempt) (*conn, observation, error) {
-	host, now := c.hostPool(string(trip.Address)), c.options.Clock.Now()
-	trust, old := c.idleEstimate(trip.Service), false
-	for !trip.Request.wasSentTo(trip.Address) {
-		link := host.pop()
-		if link == nil {
-			break
+// learnKeepAlive takes the keep-alive time from a response. Its last fifth is not
+// relied on.
+func (h *hostPool) learnKeepAlive(header http.Header) {
+	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
+		text, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
+		if !ok {
+			continue
 		}
-		link.idleFor = now.Since(link.lastRead)
-		tooOld := host.exceedsKeepAlive(link.idleFor) || !trust.allows(link.idleFor, trip.AtMostOnce)
-		if !tooOld && link.idleFor < c.options.IdleTimeout && !link.carriedAttempt(trip.Request.AttemptID) && !link.hasPendingInput() {
-			return link, validResponse, nil
+		if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
+			h.keepAlive.Store(int64(clock.Span(min(seconds, maxKeepAliveSeconds)) * clock.Second * 4 / 5))
 		}
-		_ = link.Conn.Close()
-		old = old || tooOld
 	}
-	if old {
-		return nil, staleConn, nil
+}
+
+// acquire returns an idle connection or dials one; with an error or an
+// observation other than validResponse there is no connection. A request that
+// was sent to the address before always gets a new connection, since a late
+// response to the earlier attempt could arrive on a pooled one.
+func (c *Client) acquire(ctx context.Context, attempt Attempt) (*persistConn, observation, error) {
+	pool := c.pool(string(attempt.Address))
+	if !attempt.Request.wasSentTo(attempt.Address) {
+		pc, stale := c.acquireIdle(pool, attempt)
+		if pc != nil {
+			return pc, validResponse, nil
+		}
+		if stale {
+			return nil, staleConn, nil
+		}
 	}
-	opened, err := c.dial(ctx, "tcp", string(trip.Address))
+	conn, err := c.dial(ctx, "tcp", string(attempt.Address))
 	if err != nil {
 		return nil, classifyDialError(err), err
 	}
-	return newConn(opened, c.options.Clock, host), validResponse, nil
+	return newPersistConn(conn, c.options.Clock, pool), validResponse, nil
+}
+
+// acquireIdle returns an idle connection that may carry the attempt, if there is
+// one; it closes those that may not. stale says that any of them was too old.
+func (c *Client) acquireIdle(pool *hostPool, attempt Attempt) (pc *persistConn, stale bool) {
+	now, estimate := c.options.Clock.Now(), c.idleEstimate(attempt.Service)
+	for pc := pool.pop(); pc != nil; pc = pool.pop() {
+		pc.idleFor = now.Since(pc.lastRead)
+		tooOld := pool.exceedsKeepAlive(pc.idleFor) || !estimate.allows(pc.idleFor, attempt.AtMostOnce)
+		if !tooOld && pc.idleFor < c.options.IdleTimeout && !pc.carriedAttempt(attempt.Request.AttemptID) && !pc.hasPendingInput() {
+			return pc, false
+		}
+		_ = pc.Conn.Close()
+		stale = stale || tooOld
+	}
+	return nil, stale
 }
 
-// localErrors are errors of this machine: it has no descriptor, port or memory left.
+// localErrors are dial errors of this machine: it is out of descriptors, ports
+// or memory.
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM}
 
-// classifyDialError tells by which sign a failed dial is known.
 func classifyDialError(err error) observation {
-	for _, shortage := range localErrors {
-		if errors.Is(err, shortage) {
+	for _, local := range localErrors {
+		if errors.Is(err, local) {
 			return localExhaustion
 		}
 	}
 	return dialFailed
 }
 
-// minIdlePerHost is how many idle connections to one runner are kept at least.
-const minIdlePerHost = 2
-
-// release keeps a connection for the next request.
-func (c *Client) release(link *conn) {
-	host := link.pool
-	host.mu.Lock()
-	full := len(host.idle) >= max(minIdlePerHost, c.options.MaxIdlePerHost)
-	if !full {
-		host.idle = append(host.idle, link)
-	}
-	host.mu.Unlock()
-	if full {
-		_ = link.Conn.Close()
+// release puts a connection back for the next request, or closes it where there
+// are enough.
+func (c *Client) release(pc *persistConn) {
+	if !pc.pool.push(pc, max(minIdlePerHost, c.options.MaxIdlePerHost)) {
+		_ = pc.Conn.Close()
 	}
 	if c.options.IdleTimeout > 0 && c.sweeping.CompareAndSwap(false, true) {
 		go c.sweepIdle()
 	}
 }
 
-// sweepsPerIdleTimeout is how many times in the longest idle age all hosts are swept.
-const sweepsPerIdleTimeout = 4
-
-// sweepIdle closes what was idle for too long, as long as there is anything idle.
+// sweepIdle closes connections that were idle for too long. It returns when
+// there is no idle connection; release starts it again.
 func (c *Client) sweepIdle() {
 	for {
 		<-c.options.Clock.After(c.options.IdleTimeout / sweepsPerIdleTimeout)
@@ -133,49 +170,29 @@
 	}
 }
 
-// CloseIdleConnections closes the kept connections that nobody uses.
+// CloseIdleConnections closes the connections that carry no request now.
 func (c *Client) CloseIdleConnections() { _ = c.closeIdle(c.options.Clock.Now(), 0) }
 
-// closeIdle closes the idle connections of more than an age; it counts the others.
-func (c *Client) closeIdle(now clock.Instant, age clock.Span) int {
+// closeIdle closes the connections that have been idle for at least maxIdle; it
+// returns how many are left.
+func (c *Client) closeIdle(now clock.Instant, maxIdle clock.Span) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left := 0
-	for _, host := range c.hosts {
-		left += host.closeIdle(now, age)
+	for _, pool := range c.pools {
+		left += pool.closeIdle(now, maxIdle)
 	}
 	return left
 }
 
-func (c *Client) hostPool(address string) *hostPool {
+// pool returns the pool of an address.
+func (c *Client) pool(address string) *hostPool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.hosts[address]
-	if known == nil {
-		known = &hostPool{}
-		c.hosts[address] = known
+	pool := c.pools[address]
+	if pool == nil {
+		pool = &hostPool{}
+		c.pools[address] = pool
 	}
-	return known
-}
-
-// learnKeepAlive takes from an answer how long the runner keeps an idle connection; the
-// last fifth of that time is not relied on.
-func (h *hostPool) learnKeepAlive(header http.Header) {
-	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
-		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
-		if !found {
-			continue
-		}
-		if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
-			h.keepAlive.Store(int64(clock.Span(min(seconds, maxKeepAliveSeconds)) * clock.Second * 4 / 5))
-		}
-	}
-}
-
-// maxKeepAliveSeconds, in seconds, is the most of a runner's word that is remembered.
-const maxKeepAliveSeconds = 24 * 60 * 60
-
-// wasSentTo tells whether the request was sent to an address before.
-func (r *Request) wasSentTo(address ids.Address) bool {
-	return slices.Contains(r.sentTo, address)
+	return pool
 }
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -3,14 +3,48 @@
 import (
 	"bytes"
 	"errors"
+	"maps"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 
 	"onyxwell/base/clock"
+	"onyxwell/base/ids"
 )
 
-// header are the request's own heads as they go out.
+// Request is a client's request as it is sent to runners, one after another. It
+// belongs to one caller at a time.
+type Request struct {
+	Method string
+	// Target is the request target as it is written, path and query.
+	Target    string
+	Host      string
+	Header    http.Header
+	Body      []byte
+	AttemptID string
+	// sentTo are the addresses that any byte of it was written to.
+	sentTo []ids.Address
+}
+
+// Attempt is one sending of a request to one runner.
+type Attempt struct {
+	Request  *Request
+	RunnerID ids.RunnerID
+	Address  ids.Address
+	// TimeLeft is the time to the request's deadline when Send is called.
+	TimeLeft clock.Span
+	Urgency  int
+	// LastEventID is the event after which a stream is resumed; empty for none.
+	LastEventID string
+	// Service is whose idle connections are judged together.
+	Service ids.Service
+	// AtMostOnce says that the request must not be executed twice: it is not sent
+	// over a connection whose idle time has not been seen to work.
+	AtMostOnce bool
+}
+
+// header returns the header that is reported for the attempt's response.
 func (a Attempt) header() http.Header {
 	if a.LastEventID == "" {
 		return a.Request.Header
@@ -18,43 +52,47 @@
 	return http.Header{LastEventIDHeader: {a.LastEventID}}
 }
 
-var errInvalidRequest = errors.New("forward: the request can't be written as one")
+var errInvalidRequest = errors.New("upstream: the request line cannot be written")
 
-// encodeHead makes the head of the request. The body always has a length, which is
-// our own.
-func (a Attempt) encodeHead(left clock.Span) ([]byte, error) {
-	request := a.Request
-	if !isPlainToken(request.Method) || !isPlainToken(request.Target) || !isPlainToken(request.Host) {
+// baseHeadSize is the capacity set aside for a request's head.
+const baseHeadSize = 1024
+
+// encodeHead returns the request line and header, with room for a small body.
+// The body is always sent with a Content-Length of our own.
+func (a Attempt) encodeHead(timeLeft clock.Span) ([]byte, error) {
+	req := a.Request
+	if !isPlainToken(req.Method) || !isPlainToken(req.Target) || !isPlainToken(req.Host) {
 		return nil, errInvalidRequest
 	}
-	made := bytes.NewBuffer(make([]byte, 0, 1024+min(len(request.Body), maxInlineWrite)))
-	made.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
-	own := [...]string{
-		TargetHeader, string(a.RunnerID),
-		TimeLeftHeader, strconv.FormatInt(max(1, left.Milliseconds()), 10),
-		UrgencyHeader, strconv.Itoa(min(9, max(0, a.Urgency))),
-		"Content-Length", request.contentLength(),
-		LastEventIDHeader, a.LastEventID,
+	head := bytes.NewBuffer(make([]byte, 0, baseHeadSize+min(len(req.Body), maxInlineWrite)))
+	head.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
+	replacements := [...]struct{ name, value string }{
+		{TargetHeader, string(a.RunnerID)},
+		{TimeLeftHeader, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)},
+		{UrgencyHeader, strconv.Itoa(min(9, max(0, a.Urgency)))},
+		{"Content-Length", req.contentLength()},
+		{LastEventIDHeader, a.LastEventID},
 	}
-	for index := 0; index < len(own); index += 2 {
-		if own[index+1] != "" {
-			made.WriteString(own[index] + ": " + own[index+1] + "\r\n")
+	for _, field := range replacements {
+		if field.value != "" {
+			head.WriteString(field.name + ": " + field.value + "\r\n")
 		}
 	}
 	skipped := replacedHeaders
 	if a.LastEventID != "" {
 		skipped = replacedHeadersOnResume
 	}
-	if err := request.Header.WriteSubset(made, skipped); err != nil {
+	if err := req.Header.WriteSubset(head, skipped); err != nil {
 		return nil, err
 	}
-	made.WriteString("\r\n")
-	return made.Bytes(), nil
+	head.WriteString("\r\n")
+	return head.Bytes(), nil
 }
 
-// methodsWithBody are the methods whose requests name a length also where it is 0.
+// methodsWithBody are the methods that state a Content-Length even where it is 0.
 var methodsWithBody = map[string]bool{http.MethodPost: true, http.MethodPut: true, http.MethodPatch: true}
 
+// contentLength returns the Content-Length to be sent, or "" for none.
 func (r *Request) contentLength() string {
 	if len(r.Body) == 0 && !methodsWithBody[r.Method] {
 		return ""
@@ -62,25 +100,31 @@
 	return strconv.Itoa(len(r.Body))
 }
 
-// isPlainToken tells whether a word of the request's line has no byte that could end it.
+// wasSentTo reports whether any byte of the request was written to an address.
+func (r *Request) wasSentTo(address ids.Address) bool {
+	return slices.Contains(r.sentTo, address)
+}
+
+// isPlainToken reports whether a word of the request line is free of bytes that
+// could end it.
 func isPlainToken(word string) bool {
-	return word != "" && strings.IndexFunc(word, func(letter rune) bool { return letter <= ' ' || letter == 0x7f }) < 0
+	return word != "" && strings.IndexFunc(word, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
-// replacedHeaders are the heads that are made anew for each sending.
+// replacedHeaders are not copied from the client's request: they are written
+// anew for each attempt, or do not apply to it.
 var replacedHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, "Connection": true,
-	// The body is here, so whoever asked whether it is wanted has been told.
+	// The body has been received, so the expectation has been met.
 	"Expect":     true,
 	TargetHeader: true, TimeLeftHeader: true, UrgencyHeader: true,
 }
 
+// replacedHeadersOnResume adds the id that a resumed attempt writes itself.
 var replacedHeadersOnResume = withName(replacedHeaders, LastEventIDHeader)
 
-func withName(names map[string]bool, more string) map[string]bool {
-	made := map[string]bool{more: true}
-	for name := range names {
-		made[name] = true
-	}
-	return made
+func withName(names map[string]bool, added string) map[string]bool {
+	extended := maps.Clone(names)
+	extended[added] = true
+	return extended
 }
--- a/data/upstream/response.go
+++ b/data/upstream/response.go
@@ -12,43 +12,54 @@
 )
 
 var (
-	errMalformedHead = errors.New("forward: the bytes are no answer's head")
-	errFraming       = errors.New("forward: the answer's head does not say where its body ends")
+	errMalformedHead = errors.New("upstream: the response head is malformed")
+	errFraming       = errors.New("upstream: the response does not say unambiguously where its body ends")
 )
 
-// readResponse reads the head of the answer; interim ones are passed over.
-func (c *conn) readResponse(method string) (*http.Response, error) {
-	c.headBytesLeft = maxHeadBytes
+// The lengths of bodies without a Content-Length. A body of lengthUntilClose
+// ends with an orderly close of the connection: a reset does not complete it.
+const (
+	lengthUntilClose = -2
+	lengthChunked    = -1
+)
+
+// maxTrailerBytes bounds the trailer that follows the last chunk.
+const maxTrailerBytes = 4096
+
+// readResponse reads a response's head, past interim (1xx) responses, and sets
+// up its body.
+func (pc *persistConn) readResponse(method string) (*http.Response, error) {
+	pc.headBytesLeft = maxHeadBytes
 	for {
-		response, err := readHead(c.reader)
+		resp, err := readHead(pc.reader)
 		if err != nil {
 			return nil, err
 		}
-		if response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
+		if resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		c.headBytesLeft = noHeadLimit
-		source, length, err := c.openBody(method, response)
+		pc.headBytesLeft = noHeadLimit
+		body, length, err := pc.openBody(method, resp)
 		if err != nil {
 			return nil, err
 		}
-		response.Body, response.ContentLength = io.NopCloser(source), length
-		return response, nil
+		resp.Body, resp.ContentLength = io.NopCloser(body), length
+		return resp, nil
 	}
 }
 
-// readHead reads one head, to the empty line.
+// readHead reads one status line and header.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
 	text := textproto.NewReader(reader)
 	line, err := text.ReadLine()
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
-	version, rest, _ := strings.Cut(line, " ")
-	number, _, _ := strings.Cut(rest, " ")
-	major, minor, known := http.ParseHTTPVersion(version)
-	code, err := strconv.ParseUint(number, 10, 16)
-	if !known || major != 1 || err != nil || len(number) != 3 || code < 100 {
+	proto, status, _ := strings.Cut(line, " ")
+	codeText, _, _ := strings.Cut(status, " ")
+	major, minor, ok := http.ParseHTTPVersion(proto)
+	code, err := strconv.ParseUint(codeText, 10, 16)
+	if !ok || major != 1 || err != nil || len(codeText) != 3 || code < 100 {
 		return nil, errMalformedHead
 	}
 	header, err := text.ReadMIMEHeader()
@@ -66,19 +77,21 @@
 		}
 	}
 	return &http.Response{
-		Status: rest, StatusCode: int(code), Proto: version, ProtoMajor: major, ProtoMinor: minor, Header: http.Header(header),
+		Status: status, StatusCode: int(code), Proto: proto, ProtoMajor: major, ProtoMinor: minor, Header: http.Header(header),
 		Close: minor == 0 || wantsClose(header["Connection"]),
 	}, nil
 }
 
-func isControl(letter rune) bool { return letter < ' ' && letter != '\t' || letter == 0x7f }
+// isControl reports whether a rune must not occur in a header's value.
+func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// isInvalidInName tells that a letter can't be part of a head's name.
-func isInvalidInName(letter rune) bool {
-	return letter <= ' ' || letter >= 0x7f || strings.ContainsRune("\"(),/:;<=>?@[\\]{}", letter)
+// isInvalidInName reports whether a rune must not occur in a header's name
+// (RFC 9110, section 5.6.2).
+func isInvalidInName(r rune) bool {
+	return r <= ' ' || r >= 0x7f || strings.ContainsRune("\"(),/:;<=>?@[\\]{}", r)
 }
 
-// unexpectedEOF has an end inside of something that is not whole look like one.
+// unexpectedEOF turns an end of input inside of an element into an error.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -86,10 +99,12 @@
 	return err
 }
 
+// wantsClose reports whether a Connection header asks for the connection to be
+// closed.
 func wantsClose(values []string) bool {
 	for _, value := range values {
-		for _, token := range strings.Split(value, ",") {
-			if strings.EqualFold(strings.TrimSpace(token), "close") {
+		for _, option := range strings.Split(value, ",") {
+			if strings.EqualFold(strings.TrimSpace(option), "close") {
 				return true
 			}
 		}
@@ -97,42 +112,49 @@
 	return false
 }
 
-// lengthUntilClose is the length of a body that ends with the connection, in order or not
-// at all: a reset is no end. chunks is that of one whose pieces say where it ends.
-const lengthUntilClose, lengthChunked = -2, -1
+// openBody returns the body that follows a head, and its length.
+func (pc *persistConn) openBody(method string, resp *http.Response) (io.Reader, int64, error) {
+	length, err := bodyLength(resp)
+	if err != nil {
+		return nil, 0, err
+	}
+	if resp.StatusCode == http.StatusNoContent && (length > 0 || length == lengthChunked) {
+		// The head announces a body that a 204 cannot have; it may follow all the same.
+		resp.Close = true
+	}
+	if method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
+		return http.NoBody, 0, nil
+	}
+	switch length {
+	case lengthChunked:
+		return &chunkedReader{reader: pc.reader, chunks: httputil.NewChunkedReader(pc.reader)}, length, nil
+	case lengthUntilClose:
+		return pc.reader, length, nil
+	default:
+		return &lengthReader{reader: pc.reader, remaining: length}, length, nil
+	}
+}
 
-// openBody gives the body that follows a head, and its length. A head that says
-// two different things of it is none.
-func (c *conn) openBody(method string, response *http.Response) (io.Reader, int64, error) {
-	lengths, coded := response.Header["Content-Length"], response.Header["Transfer-Encoding"]
+// bodyLength returns the length that a head announces. A head that is ambiguous
+// about it is an error, since two parties could disagree on where the next
+// response begins.
+func bodyLength(resp *http.Response) (int64, error) {
+	lengths, encodings := resp.Header["Content-Length"], resp.Header["Transfer-Encoding"]
 	length := int64(lengthUntilClose)
 	for _, text := range lengths {
-		told, err := strconv.ParseUint(strings.TrimSpace(text), 10, 62)
-		if err != nil || length >= 0 && length != int64(told) {
-			return nil, 0, errFraming
+		parsed, err := strconv.ParseUint(strings.TrimSpace(text), 10, 62)
+		if err != nil || length >= 0 && length != int64(parsed) {
+			return 0, errFraming
 		}
-		length = int64(told)
+		length = int64(parsed)
 	}
-	if len(coded) > 0 {
-		if len(coded) != 1 || !strings.EqualFold(coded[0], "chunked") || len(lengths) > 0 || response.ProtoMinor == 0 {
-			return nil, 0, errFraming
-		}
-		length = lengthChunked
+	if len(encodings) == 0 {
+		return length, nil
 	}
-	if response.StatusCode == http.StatusNoContent && (length > 0 || length == lengthChunked) {
-		// The body that can't be may come yet.
-		response.Close = true
-	}
-	if method == http.MethodHead || response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified {
-		return http.NoBody, 0, nil
+	if len(encodings) != 1 || !strings.EqualFold(encodings[0], "chunked") || len(lengths) > 0 || resp.ProtoMinor == 0 {
+		return 0, errFraming
 	}
-	if length == lengthChunked {
-		return &chunkedReader{conn: c, chunks: httputil.NewChunkedReader(c.reader)}, length, nil
-	}
-	if length == lengthUntilClose {
-		return c.reader, length, nil
-	}
-	return &lengthReader{reader: c.reader, remaining: length}, length, nil
+	return lengthChunked, nil
 }
 
 // lengthReader reads a body of a known length.
@@ -141,41 +163,40 @@
 	remaining int64
 }
 
-func (l *lengthReader) Read(buffer []byte) (int, error) {
+// Read returns io.EOF with the body's last byte.
+func (l *lengthReader) Read(buf []byte) (int, error) {
 	if l.remaining == 0 {
 		return 0, io.EOF
 	}
-	if int64(len(buffer)) > l.remaining {
-		buffer = buffer[:l.remaining]
+	if int64(len(buf)) > l.remaining {
+		buf = buf[:l.remaining]
 	}
-	size, err := l.reader.Read(buffer)
-	if l.remaining -= int64(size); l.remaining == 0 {
-		return size, io.EOF
+	n, err := l.reader.Read(buf)
+	if l.remaining -= int64(n); l.remaining == 0 {
+		return n, io.EOF
 	}
-	return size, unexpectedEOF(err)
+	return n, unexpectedEOF(err)
 }
 
-// chunkedReader reads a body in chunks, with the trailer that ends it.
+// chunkedReader reads a chunked body and the trailer that ends it.
 type chunkedReader struct {
-	conn   *conn
+	reader *bufio.Reader
 	chunks io.Reader
 }
 
-func (c *chunkedReader) Read(buffer []byte) (int, error) {
-	size, err := c.chunks.Read(buffer)
+// Read returns io.EOF only after a complete trailer.
+func (c *chunkedReader) Read(buf []byte) (int, error) {
+	n, err := c.chunks.Read(buf)
 	if !errors.Is(err, io.EOF) {
-		return size, err
+		return n, err
 	}
-	if torn := readTrailer(c.conn.reader); torn != nil {
-		return size, unexpectedEOF(torn)
+	if err := readTrailer(c.reader); err != nil {
+		return n, unexpectedEOF(err)
 	}
-	return size, io.EOF
+	return n, io.EOF
 }
 
-// maxTrailerBytes bounds the bytes of what follows the last chunk.
-const maxTrailerBytes = 4096
-
-// readTrailer reads what follows the last chunk, to the empty line.
+// readTrailer reads and discards the trailer, to its empty line.
 func readTrailer(reader *bufio.Reader) error {
 	for total := 0; total < maxTrailerBytes; {
 		line, err := reader.ReadSlice('\n')
@@ -183,12 +204,12 @@
 			return err
 		}
 		total += len(line)
-		text, ended := strings.CutSuffix(string(line), "\r\n")
-		if text == "" && ended {
+		field, terminated := strings.CutSuffix(string(line), "\r\n")
+		if field == "" && terminated {
 			return nil
 		}
-		name, value, named := strings.Cut(text, ":")
-		if !ended || !named || name == "" || strings.IndexFunc(name, isInvalidInName) >= 0 || strings.IndexFunc(value, isControl) >= 0 {
+		name, value, ok := strings.Cut(field, ":")
+		if !terminated || !ok || name == "" || strings.IndexFunc(name, isInvalidInName) >= 0 || strings.IndexFunc(value, isControl) >= 0 {
 			return errFraming
 		}
 	}
--- a/data/upstream/response_test.go
+++ b/data/upstream/response_test.go
@@ -10,58 +10,59 @@
 	"onyxwell/base/clock"
 )
 
-// TestClient_bodyEndsWithConnection has answers with neither length nor chunks: a
-// clean end is the body's, anything else is none, and nothing else goes over the
-// connection.
+// TestClient_bodyEndsWithConnection has responses with neither length nor
+// chunks: only an orderly close completes the body, and the connection is not
+// reused.
 func TestClient_bodyEndsWithConnection(t *testing.T) {
 	head := " 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n\r\n"
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		for _, err := range []error{io.EOF, errReset, net.ErrClosed} {
-			one := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: version + head + "ok", err: err}}, maxRead: 7}
-			result := send(clientWith(one), attemptTo("r:1", "POST", "x"))
+			conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: version + head + "ok", err: err}}, maxRead: 7}
+			result := send(clientWith(conn), attemptTo("r:1", "POST", "x"))
 			if result.Outcome != Answered || result.Response.ContentLength != lengthChunked {
 				t.Fatalf("%s, %v: %+v", version, err, result)
 			}
-			text, told := io.ReadAll(result.Response.Body)
-			if string(text) != "ok" || (told == nil) != (err == io.EOF) || !one.closed {
-				t.Errorf("%s, %v: %q, %v, closed %v", version, err, text, told, one.closed)
+			body, readErr := io.ReadAll(result.Response.Body)
+			if string(body) != "ok" || (readErr == nil) != (err == io.EOF) || !conn.closed {
+				t.Errorf("%s, %v: %q, %v, closed %v", version, err, body, readErr, conn.closed)
 			}
 		}
 	}
 }
 
-// TestClient_noContentWithBodyHeaders has answers that can't have a body say that they do: the
-// connection may carry it yet.
+// TestClient_noContentWithBodyHeaders has a 204 announce a body that it cannot
+// have: the body may follow all the same, so the connection is not reused.
 func TestClient_noContentWithBodyHeaders(t *testing.T) {
-	for _, frame := range []string{"Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n"} {
-		one := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: "HTTP/1.1 204 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n" + frame + "\r\n"}}}
-		if result, text := readResult(t, clientWith(one), attemptTo("r:1", "POST", "x")); result.Outcome != Answered || text != "" || !one.closed {
-			t.Errorf("%q: %+v, %q, closed %v", frame, result, text, one.closed)
+	for _, framing := range []string{"Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n"} {
+		conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: "HTTP/1.1 204 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n" + framing + "\r\n"}}}
+		if result, text := readResult(t, clientWith(conn), attemptTo("r:1", "POST", "x")); result.Outcome != Answered || text != "" || !conn.closed {
+			t.Errorf("%q: %+v, %q, closed %v", framing, result, text, conn.closed)
 		}
 	}
 }
 
-// TestClient_responseBeforeAnyWrite has a runner say something and be gone on a connection that
-// takes not one byte of the request: that is no answer, and nothing has run.
+// TestClient_responseBeforeAnyWrite has a runner respond and disconnect before a
+// byte of the request is accepted: that is no response to it, and it was not
+// executed.
 func TestClient_responseBeforeAnyWrite(t *testing.T) {
-	for _, answer := range []string{foreignResponse, sealedResponse, "HTTP/1.1 408 X\r\nConnection: close\r\n\r\n"} {
-		one := &fakeConn{exchanges: []exchange{{accepts: 0, response: answer, err: errReset}}}
-		if result := send(clientWith(one), attemptTo("r:1", "POST", "x")); result.Outcome != Unsent || !one.closed {
-			t.Errorf("%q: %+v", answer, result)
+	for _, response := range []string{foreignResponse, sealedResponse, "HTTP/1.1 408 X\r\nConnection: close\r\n\r\n"} {
+		conn := &fakeConn{exchanges: []exchange{{accepts: 0, response: response, err: errReset}}}
+		if result := send(clientWith(conn), attemptTo("r:1", "POST", "x")); result.Outcome != Unsent || !conn.closed {
+			t.Errorf("%q: %+v", response, result)
 		}
 	}
 }
 
-// TestClient_dialTimeCountsAgainstDeadline has a connection come up late: the runner is told
-// what is left then.
+// TestClient_dialTimeCountsAgainstDeadline has a dial take a while: the runner is
+// told the time left after it.
 func TestClient_dialTimeCountsAgainstDeadline(t *testing.T) {
-	machine, one := clock.NewFake(), &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
-	sender := newTestClient(machine)
-	sender.dial = func(context.Context, string, string) (net.Conn, error) {
-		machine.Advance(700 * clock.Millisecond)
-		return one, nil
+	clk, conn := clock.NewFake(), &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
+	client := newTestClient(clk)
+	client.dial = func(context.Context, string, string) (net.Conn, error) {
+		clk.Advance(700 * clock.Millisecond)
+		return conn, nil
 	}
-	if result := send(sender, attemptTo("r:1", "POST", "x")); result.Outcome != Answered || !strings.Contains(one.written.String(), TimeLeftHeader+": 800\r\n") {
-		t.Fatalf("%+v after %q", result, one.written.String())
+	if result := send(client, attemptTo("r:1", "POST", "x")); result.Outcome != Answered || !strings.Contains(conn.written.String(), TimeLeftHeader+": 800\r\n") {
+		t.Fatalf("%+v after %q", result, conn.written.String())
 	}
 }
