--- a/data/upstream/fuzz_test.go
+++ b/data/upstream/fuzz_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// referenceResponse parses a response with net/http: its head, its body, whether the body
-// is complete, and how many bytes follow it.
+// referenceResponse parses a response with net/http: its head, its body, whether
+// the body is complete, and how many bytes follow it.
 func referenceResponse(method string, response string) (*http.Response, string, bool, int) {
 	source := strings.NewReader(response)
 	reader := bufio.NewReader(source)
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkAgainstReference sends a request over a wire that gives these bytes, and has what comes
-// of it stand up to the reference.
+// checkAgainstReference sends a request over a connection that carries these bytes
+// and compares the result with the reference.
 func checkAgainstReference(t *testing.T, method string, response string, maxRead int) {
 	t.Helper()
 	conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: response, err: io.EOF}}, maxRead: maxRead}
@@ -89,11 +89,13 @@
 		f.Add(byte(1), body)
 	}
 	head := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n"
-	f.Fuzz(func(t *testing.T, maxRead byte, body string) { checkAgainstReference(t, "POST", head+body, int(maxRead)) })
+	f.Fuzz(func(t *testing.T, maxRead byte, body string) {
+		checkAgainstReference(t, "POST", head+body, int(maxRead))
+	})
 }
 
-// FuzzEvents has what is passed on of a stream be its own bytes, in their order,
-// and the ids rise by one.
+// FuzzEvents checks that the events of a stream are its own bytes, in order, with
+// ids that rise by one.
 func FuzzEvents(f *testing.F) {
 	for _, text := range []string{"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\n\nid: 3\n\n", "id:5\r\n\r\n: hi\n\nid: x\n\n", "id: 1\nid: 2\n\n", "data", "\n\n"} {
 		f.Add("", text)
