--- a/data/balancer/admission.go
+++ b/data/balancer/admission.go
@@ -8,20 +8,21 @@
 	"onyxwell/data/upstream"
 )
 
-// Action is what the executor is to do next.
+// Action is what the proxy is to do next.
 type Action int
 
-// The acts.
+// The actions.
 const (
-	// Send the request to the order's runner.
+	// Send the request to the decision's runner.
 	Send Action = iota
-	// Wait for the order's span and ask again.
+	// Wait for the decision's delay and ask again.
 	Wait
-	// Fail with the order's kind of failure.
+	// Fail the request with the decision's error kind.
 	Fail
 )
 
-// Decision is what a decision says when it is asked.
+// Decision is the next step of an admission. Runner is set for Send, Delay for
+// Wait, Kind for Fail.
 type Decision struct {
 	Action Action
 	Runner *snapshot.Runner
@@ -29,26 +30,40 @@
 	Kind   errkind.Kind
 }
 
-// Admission is the state of one request on its way.
+// maxWaitFraction is the part of a route's latency target, one in so many, that a
+// request may wait for a runner before it is rejected: a rejection that comes
+// late is worse than an early one.
+const maxWaitFraction = 4
+
+// Admission is the state of one request from its arrival to its end. It belongs
+// to one goroutine.
 type Admission struct {
-	balancer      *Balancer
-	request       Request
-	service       ids.Service
-	tried         map[ids.RunnerID]bool
-	attempts      int
+	balancer *Balancer
+	request  Request
+	service  ids.Service
+	// tried are the runners that the request was meant for, whether it reached
+	// them or not; attempts counts those that it may have reached.
+	tried    map[ids.RunnerID]bool
+	attempts int
+	// reachedRunner: some runner may have received the request. mayHaveRun: some
+	// runner may have executed it. garbled: the last outcome was no valid response.
 	reachedRunner bool
 	mayHaveRun    bool
 	garbled       bool
-	overloaded    bool
-	exclusions    Exclusions
-	// rarePrefix says that the first shared part belongs to some runners only.
+	// overloaded: every runner has a queue that would make the request late.
+	overloaded bool
+	exclusions Exclusions
+	// rarePrefix: the first shared part is served by a subset of the runners.
 	rarePrefix bool
 }
 
-// Service is the service that the request goes to.
+// Service returns the service that the request goes to.
 func (a *Admission) Service() ids.Service { return a.service }
 
-// Next tells what to do next.
+// Exclusions returns why runners were left out of the last selection.
+func (a *Admission) Exclusions() Exclusions { return a.exclusions }
+
+// Next decides the next step.
 func (a *Admission) Next(now clock.Instant) Decision {
 	if !now.Before(a.request.Deadline) {
 		return a.fail(errkind.DeadlineBeforeRun, errkind.DeadlineExceeded)
@@ -60,17 +75,9 @@
 	if a.attempts >= max(1, route.MaxAttempts) {
 		return a.fail(errkind.Overloaded, errkind.RunnerLost)
 	}
-	runner, pause := a.balancer.selectRunner(a, now)
+	runner, delay := a.balancer.selectRunner(a, now)
 	if runner == nil {
-		// A short wait is no refusal that comes late.
-		if pause > 0 && now.Add(pause).Since(a.request.ArrivedAt) < route.LatencyTarget()/4 {
-			return Decision{Action: Wait, Delay: pause}
-		}
-		promise := errkind.NoRunner
-		if a.overloaded {
-			promise = errkind.Overloaded
-		}
-		return a.fail(promise, errkind.RunnerLost)
+		return a.waitOrFail(delay, now)
 	}
 	if a.reachedRunner && !a.balancer.options.RetryBudget.TrySpend(a.service, now) {
 		return a.fail(errkind.RetryBudgetExhausted, errkind.RunnerLost)
@@ -78,36 +85,50 @@
 	return Decision{Action: Send, Runner: runner}
 }
 
-// fail picks the last answer: a promise only where nothing can have run.
-func (a *Admission) fail(promise errkind.Kind, broken errkind.Kind) Decision {
+// waitOrFail decides the step where there is no runner; delay is after how long
+// there may be one, 0 for unknown.
+func (a *Admission) waitOrFail(delay clock.Span, now clock.Instant) Decision {
+	if delay > 0 && now.Add(delay).Since(a.request.ArrivedAt) < a.request.Route.LatencyTarget()/maxWaitFraction {
+		return Decision{Action: Wait, Delay: delay}
+	}
+	if a.overloaded {
+		return a.fail(errkind.Overloaded, errkind.RunnerLost)
+	}
+	return a.fail(errkind.NoRunner, errkind.RunnerLost)
+}
+
+// fail ends the request: with notRun, which tells the client that nothing was
+// executed, only where that is certain.
+func (a *Admission) fail(notRun errkind.Kind, mayHaveRun errkind.Kind) Decision {
 	if !a.mayHaveRun {
-		return Decision{Action: Fail, Kind: promise}
+		return Decision{Action: Fail, Kind: notRun}
 	}
-	if a.garbled && broken == errkind.RunnerLost {
-		broken = errkind.BadRunnerResponse
+	if a.garbled && mayHaveRun == errkind.RunnerLost {
+		mayHaveRun = errkind.BadRunnerResponse
 	}
-	return Decision{Action: Fail, Kind: broken}
+	return Decision{Action: Fail, Kind: mayHaveRun}
 }
 
-// Confirm asks again, right before the bytes are written, whether the runner may
-// still be sent to; it takes the request's place at a cold one.
+// Confirm reports whether the request may still be sent to a runner. It is called
+// right before the first byte is written, and takes the request's place in a slow
+// start.
 func (a *Admission) Confirm(runner *snapshot.Runner, now clock.Instant) bool {
 	options := a.balancer.options
-	seen := options.Snapshots.Current()
-	if seen.Config == nil || !seen.AvailableByID(a.service, runner.ID) {
+	snap := options.Snapshots.Current()
+	if snap.Config == nil || !snap.AvailableByID(a.service, runner.ID) {
 		return false
 	}
-	return options.SlowStart.Admit(runner.ID, a.balancer.slowStartLimit(seen.Config.Service(a.service), runner.Zone), now)
+	return options.SlowStart.Admit(runner.ID, a.balancer.slowStartLimit(snap.Config.Service(a.service), runner.Zone), now)
 }
 
-// RecordOutcome notes the fate of a sending.
-func (a *Admission) RecordOutcome(runner *snapshot.Runner, fate upstream.Outcome) {
+// RecordOutcome records what came of sending the request to a runner.
+func (a *Admission) RecordOutcome(runner *snapshot.Runner, outcome upstream.Outcome) {
 	a.tried[runner.ID] = true
-	if fate == upstream.Unsent {
+	if outcome == upstream.Unsent {
 		return
 	}
 	a.attempts++
 	a.reachedRunner = true
-	a.mayHaveRun = a.mayHaveRun || fate != upstream.Rejected
-	a.garbled = fate == upstream.Garbled
+	a.mayHaveRun = a.mayHaveRun || outcome != upstream.Rejected
+	a.garbled = outcome == upstream.Garbled
 }
--- a/data/balancer/affinity.go
+++ b/data/balancer/affinity.go
@@ -10,18 +10,25 @@
 	"onyxwell/base/ids"
 )
 
-// minTokensPerByte is how many tokens must be spared for each byte moved before a
-// request goes to another region for the parts that were read there.
-const minTokensPerByte = 0.3
-
-// worthCrossRegion tells whether a prompt shares so much that it is cheaper to move the
-// request to where its parts were read than to read them in every region.
-func worthCrossRegion(asking Request) bool {
-	return asking.SharedTokens >= minTokensPerByte*float64(asking.BodyBytes)
-}
+const (
+	// minTokensPerByte is how many shared tokens a request must have per byte of
+	// its body before it may go to another region for its prefix.
+	minTokensPerByte = 0.3
+	// minChainedParts is how many parts, its own included, a prompt has whose shared
+	// parts form a chain.
+	minChainedParts = 3
+	// subsetDivisor and minSubset size the subset that serves a rare prefix: one in
+	// so many runners, and at least so many.
+	subsetDivisor = 8
+	minSubset     = 4
+	// loadFactor and loadMargin bound a candidate's load in terms of the mean.
+	loadFactor = 1.25
+	loadMargin = 0.06
+)
 
-// affinityKey is the key that keeps like prompts together: the last shared part
-// stands for all before it.
+// affinityKey returns the key that keeps prompts with the same prefix on the same
+// runner: the last shared part, which stands for all before it. It reports
+// whether there is one.
 func affinityKey(parts []string) (string, bool) {
 	if len(parts) < 2 {
 		return "", false
@@ -29,96 +36,88 @@
 	return parts[len(parts)-2], true
 }
 
-// pickByAffinity picks the runner for a prompt of shared parts: among all, or, where the
-// first part is a rare one, among those that the first part belongs to, so that it
-// need not be read at every runner. Where all of these are much fuller than the
-// others, all are there to choose from.
-func pickByAffinity(decision *Admission, found []candidate, key string) candidate {
-	bound := loadBound(found)
-	if decision.rarePrefix {
-		if chosen, fits := rendezvous(prefixSubset(found, decision.request.PromptParts[0]), key, bound); fits {
-			return chosen
+// worthCrossRegion reports whether a prompt shares so much that moving the request
+// to where its prefix is cached costs less than prefilling it in every region.
+func worthCrossRegion(req Request) bool {
+	return req.SharedTokens >= minTokensPerByte*float64(req.BodyBytes)
+}
+
+// pickByAffinity picks the runner for a prompt with a shared prefix by rendezvous
+// hashing with bounded loads: among the subset that serves the prefix, if it is a
+// rare one, so that it need not be cached everywhere; else, or where the subset
+// is overloaded, among all. Where all are at the bound, it picks the least loaded.
+func pickByAffinity(admission *Admission, candidates []candidate, key string) candidate {
+	bound := loadBound(candidates)
+	if admission.rarePrefix {
+		if cand, ok := rendezvous(prefixSubset(candidates, admission.request.PromptParts[0]), key, bound); ok {
+			return cand
 		}
 	}
-	if chosen, fits := rendezvous(found, key, bound); fits {
-		return chosen
+	if cand, ok := rendezvous(candidates, key, bound); ok {
+		return cand
 	}
-	return slices.MinFunc(found, func(left, right candidate) int { return cmp.Compare(left.load, right.load) })
-}
-
-// hasRarePrefix tells whether the first of several shared parts is a rare one.
-func (b *Balancer) hasRarePrefix(asking Request) bool {
-	return len(asking.PromptParts) >= minChainedParts && b.prefixes.observe(asking.PromptParts[0], asking.PartTokens)
+	return slices.MinFunc(candidates, func(left, right candidate) int { return cmp.Compare(left.load, right.load) })
 }
 
-const (
-	// minChainedParts is how many parts a prompt has, its own included, whose shared
-	// parts form a chain.
-	minChainedParts = 3
-	// subsetDivisor is the part of the runners, one in so many, that a rare first part
-	// belongs to, and minSubset how many these are at least.
-	subsetDivisor = 8
-	minSubset     = 4
-)
-
-// loadBound is the load up to which a runner is no fuller than the others by far.
-func loadBound(found []candidate) float64 {
+// loadBound returns the load above which affinity does not count.
+func loadBound(candidates []candidate) float64 {
 	mean := 0.0
-	for _, able := range found {
-		mean += able.load / float64(len(found))
+	for _, cand := range candidates {
+		mean += cand.load / float64(len(candidates))
 	}
-	return 1.25*mean + 0.06
+	return loadFactor*mean + loadMargin
 }
 
-// prefixSubset gives the runners that a first part belongs to: those that come first by
-// weighted rendezvous hashing.
-func prefixSubset(found []candidate, first string) []candidate {
-	count := max(minSubset, (len(found)+subsetDivisor-1)/subsetDivisor)
-	if count >= len(found) {
-		return found
+// prefixSubset returns the candidates that serve a rare prefix: those with the
+// highest rendezvous scores.
+func prefixSubset(candidates []candidate, prefix string) []candidate {
+	size := max(minSubset, (len(candidates)+subsetDivisor-1)/subsetDivisor)
+	if size >= len(candidates) {
+		return candidates
 	}
-	scores := make(map[ids.RunnerID]float64, len(found))
-	for _, able := range found {
-		scores[able.runner.ID] = rendezvousScore(able, first)
+	scores := make(map[ids.RunnerID]float64, len(candidates))
+	for _, cand := range candidates {
+		scores[cand.runner.ID] = rendezvousScore(cand, prefix)
 	}
-	ordered := slices.Clone(found)
+	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(left, right candidate) int {
 		return cmp.Compare(scores[right.runner.ID], scores[left.runner.ID])
 	})
-	return ordered[:count]
+	return ordered[:size]
 }
 
-// rendezvous picks by weighted rendezvous hashing, so that shares follow the
-// weights and a part stays where it was read; a runner that is fuller than the
-// bound is passed over for the next in the order. It tells whether there is one
-// that is not.
-func rendezvous(found []candidate, key string, bound float64) (candidate, bool) {
+// rendezvous picks the candidate with the highest rendezvous score among those
+// whose load is within the bound; it reports whether there is one. Keys spread in
+// proportion to the weights, and a key moves only if its runner goes.
+func rendezvous(candidates []candidate, key string, bound float64) (candidate, bool) {
 	best, bestScore := -1, 0.0
-	for index, able := range found {
-		if able.load > bound {
+	for index, cand := range candidates {
+		if cand.load > bound {
 			continue
 		}
-		if own := rendezvousScore(able, key); best < 0 || own > bestScore {
-			best, bestScore = index, own
+		if score := rendezvousScore(cand, key); best < 0 || score > bestScore {
+			best, bestScore = index, score
 		}
 	}
 	if best < 0 {
 		return candidate{}, false
 	}
-	return found[best], true
+	return candidates[best], true
 }
 
-func rendezvousScore(able candidate, key string) float64 {
-	return -able.weight / math.Log(hashFraction(key, string(able.runner.ID)))
+// rendezvousScore is -weight / ln(h), the score of weighted rendezvous hashing.
+func rendezvousScore(cand candidate, key string) float64 {
+	return -cand.weight / math.Log(hashFraction(key, string(cand.runner.ID)))
 }
 
-// hashFraction hashes a key and a runner to a number between 0 and 1.
+// hashFraction hashes a key and a runner to a number between 0 and 1, by FNV-1a
+// with the finalizer of MurmurHash3.
 func hashFraction(key string, runner string) float64 {
-	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(key))
-	_, _ = digest.Write([]byte{0})
-	_, _ = digest.Write([]byte(runner))
-	mixed := digest.Sum64()
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(key))
+	_, _ = hash.Write([]byte{0})
+	_, _ = hash.Write([]byte(runner))
+	mixed := hash.Sum64()
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
 	mixed ^= mixed >> 33
@@ -128,52 +127,62 @@
 }
 
 const (
-	// rarePrefixShare is the share of the work below which a first part is a rare one: so
-	// many of them belong to a runner that its load is about even.
+	// rarePrefixShare is the share of the work below which a prefix is rare: so many
+	// rare ones are served by a runner that its load is about even.
 	rarePrefixShare = 1.0 / 64
-	// minObservedPrompts is how many prompts must have been seen before any is rare.
+	// minObservedPrompts is how many prompts must have been observed before any
+	// prefix is rare.
 	minObservedPrompts = 32
-	// forgetShare is the share below which a first part is forgotten.
+	// forgetShare is the share of the work below which a prefix is forgotten.
 	forgetShare = rarePrefixShare / 64
-	// prefixHalfLife is how many prompts count for about half, maxPrefixes how many first
-	// parts are remembered.
+	// prefixHalfLife is after how many prompts an observation counts for half.
 	prefixHalfLife = 512
-	maxPrefixes    = 4096
+	// maxPrefixes bounds how many prefixes are tracked.
+	maxPrefixes = 4096
 )
 
-// prefixTracker remembers how much work lately came with each first part, in tokens.
+// hasRarePrefix observes a request and reports whether its prompt is a chain of
+// parts that begins with a rare one.
+func (b *Balancer) hasRarePrefix(req Request) bool {
+	return len(req.PromptParts) >= minChainedParts && b.prefixes.observe(req.PromptParts[0], req.PartTokens)
+}
+
+// prefixTracker tracks how much work, in tokens, came lately with each first part
+// of a prompt. It is safe for concurrent use; the zero value is ready.
 type prefixTracker struct {
 	mu     sync.Mutex
 	tokens map[string]float64
-	total  float64
-	count  float64
+	// total and count are the tokens and the prompts of all prefixes.
+	total float64
+	count float64
 }
 
-// observe counts a prompt, and tells whether its first part is a rare one.
-func (p *prefixTracker) observe(first string, tokens float64) bool {
+// observe counts a prompt and reports whether its prefix is rare.
+func (p *prefixTracker) observe(prefix string, tokens float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.tokens == nil {
 		p.tokens = map[string]float64{}
 	}
-	if _, known := p.tokens[first]; known || len(p.tokens) < maxPrefixes {
-		p.tokens[first] += tokens
+	if _, ok := p.tokens[prefix]; ok || len(p.tokens) < maxPrefixes {
+		p.tokens[prefix] += tokens
 	}
 	p.total += tokens
 	if p.count++; p.count >= 2*prefixHalfLife {
 		p.decay()
 	}
-	return p.count >= minObservedPrompts && p.tokens[first] < rarePrefixShare*p.total
+	return p.count >= minObservedPrompts && p.tokens[prefix] < rarePrefixShare*p.total
 }
 
-// decay halves all that is remembered, and forgets what is hardly there.
+// decay halves all observations and forgets the prefixes that hardly count. The
+// caller holds mu.
 func (p *prefixTracker) decay() {
 	p.count, p.total = p.count/2, p.total/2
-	for first, tokens := range p.tokens {
+	for prefix, tokens := range p.tokens {
 		if tokens /= 2; tokens < forgetShare*p.total {
-			delete(p.tokens, first)
+			delete(p.tokens, prefix)
 		} else {
-			p.tokens[first] = tokens
+			p.tokens[prefix] = tokens
 		}
 	}
 }
--- a/data/balancer/affinity_test.go
+++ b/data/balancer/affinity_test.go
@@ -9,85 +9,85 @@
 	"onyxwell/base/ids"
 )
 
-// admitPrompts has two kinds of chains: three first parts that many long prompts share,
-// and eighty that few short ones do.
-func admitPrompts(gate *Balancer, count int, act func(decision *Admission)) {
+// admitPrompts admits prompts of two kinds of chains: three prefixes that many
+// long prompts share, and eighty that few short ones do.
+func admitPrompts(b *Balancer, count int, visit func(admission *Admission)) {
 	for number := range count {
-		asking := Request{PromptParts: []string{fmt.Sprint("rare", number%80), fmt.Sprint("thing", number%640), "own"}, PartTokens: 2000}
+		req := Request{PromptParts: []string{fmt.Sprint("rare", number%80), fmt.Sprint("thing", number%640), "own"}, PartTokens: 2000}
 		if number%6 == 0 {
-			asking = Request{PromptParts: []string{fmt.Sprint("common", number%3), fmt.Sprint("book", number%180), "own"}, PartTokens: 12000}
+			req = Request{PromptParts: []string{fmt.Sprint("common", number%3), fmt.Sprint("book", number%180), "own"}, PartTokens: 12000}
 		}
-		act(&Admission{request: asking, rarePrefix: gate.hasRarePrefix(asking)})
+		visit(&Admission{request: req, rarePrefix: b.hasRarePrefix(req)})
 	}
 }
 
-// TestPickByAffinity_rarePrefixesUseFewRunners counts at how many runners each first part
-// is read, and how even the load is: hardly less than where every part may be read
-// anywhere.
+// TestPickByAffinity_rarePrefixesUseFewRunners counts at how many runners each
+// prefix is cached, and how even the load is: hardly less than without subsets.
 func TestPickByAffinity_rarePrefixesUseFewRunners(t *testing.T) {
 	weights := make([]float64, 56)
 	for index := range weights {
 		weights[index] = 10
 	}
-	found, gate := newCandidates(weights...), &Balancer{}
-	readers := map[string]map[ids.RunnerID]bool{}
-	load, anywhere := map[ids.RunnerID]float64{}, map[ids.RunnerID]float64{}
-	admitPrompts(gate, 600, func(*Admission) {})
-	admitPrompts(gate, 19200, func(decision *Admission) {
-		first := decision.request.PromptParts[0]
-		key, _ := affinityKey(decision.request.PromptParts)
-		chosen := pickByAffinity(decision, found, key).runner.ID
-		if readers[first] == nil {
-			readers[first] = map[ids.RunnerID]bool{}
+	candidates, b := newCandidates(weights...), &Balancer{}
+	cachedAt := map[string]map[ids.RunnerID]bool{}
+	loads, loadsWithoutSubsets := map[ids.RunnerID]float64{}, map[ids.RunnerID]float64{}
+	admitPrompts(b, 600, func(*Admission) {})
+	admitPrompts(b, 19200, func(admission *Admission) {
+		prefix := admission.request.PromptParts[0]
+		key, _ := affinityKey(admission.request.PromptParts)
+		chosen := pickByAffinity(admission, candidates, key).runner.ID
+		if cachedAt[prefix] == nil {
+			cachedAt[prefix] = map[ids.RunnerID]bool{}
 		}
-		readers[first][chosen] = true
-		load[chosen] += decision.request.PartTokens
-		anywhere[pickForPart(found, key).runner.ID] += decision.request.PartTokens
+		cachedAt[prefix][chosen] = true
+		loads[chosen] += admission.request.PartTokens
+		loadsWithoutSubsets[pickForPart(candidates, key).runner.ID] += admission.request.PartTokens
 	})
-	for first, there := range readers {
-		if first[0] == 'r' && len(there) > len(found)/subsetDivisor {
-			t.Errorf("%s is read at %d runners", first, len(there))
+	for prefix, runners := range cachedAt {
+		if prefix[0] == 'r' && len(runners) > len(candidates)/subsetDivisor {
+			t.Errorf("rare prefix %s is cached at %d runners", prefix, len(runners))
 		}
-		if first[0] == 'c' && len(there) < len(found)/3 {
-			t.Errorf("%s, which much work shares, is at %d runners alone", first, len(there))
+		if prefix[0] == 'c' && len(runners) < len(candidates)/3 {
+			t.Errorf("common prefix %s is cached at %d runners only", prefix, len(runners))
 		}
 	}
-	most := func(loads map[ids.RunnerID]float64) float64 { return slices.Max(slices.Collect(maps.Values(loads))) }
-	if most(load) > 1.25*most(anywhere) {
-		t.Errorf("the fullest runner has %.2f times what it has where parts are read anywhere", most(load)/most(anywhere))
+	maxLoad := func(loads map[ids.RunnerID]float64) float64 { return slices.Max(slices.Collect(maps.Values(loads))) }
+	if maxLoad(loads) > 1.25*maxLoad(loadsWithoutSubsets) {
+		t.Errorf("the most loaded runner has %.2f times its load without subsets", maxLoad(loads)/maxLoad(loadsWithoutSubsets))
 	}
 }
 
-// TestPickByAffinity_leavesOverloadedSubset has the runners that a rare part belongs to be full.
+// TestPickByAffinity_leavesOverloadedSubset has the subset that serves a rare
+// prefix be overloaded.
 func TestPickByAffinity_leavesOverloadedSubset(t *testing.T) {
-	found := newCandidates(1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-	decision := &Admission{request: Request{PromptParts: []string{"first", "second", "own"}}, rarePrefix: true}
-	belongs := map[ids.RunnerID]bool{}
-	for _, able := range prefixSubset(found, "first") {
-		belongs[able.runner.ID] = true
+	candidates := newCandidates(1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
+	admission := &Admission{request: Request{PromptParts: []string{"first", "second", "own"}}, rarePrefix: true}
+	inSubset := map[ids.RunnerID]bool{}
+	for _, cand := range prefixSubset(candidates, "first") {
+		inSubset[cand.runner.ID] = true
 	}
-	if !belongs[pickByAffinity(decision, found, "second").runner.ID] || len(belongs) != minSubset {
-		t.Fatalf("not one of %v", belongs)
+	if !inSubset[pickByAffinity(admission, candidates, "second").runner.ID] || len(inSubset) != minSubset {
+		t.Fatalf("picked none of the subset %v", inSubset)
 	}
-	for index := range found {
-		if belongs[found[index].runner.ID] {
-			found[index].load = 3
+	for index := range candidates {
+		if inSubset[candidates[index].runner.ID] {
+			candidates[index].load = 3
 		}
 	}
-	if belongs[pickByAffinity(decision, found, "second").runner.ID] {
-		t.Fatal("a full runner gets it though others stand idle")
+	if inSubset[pickByAffinity(admission, candidates, "second").runner.ID] {
+		t.Fatal("an overloaded runner is picked though others are idle")
 	}
 }
 
 func TestPrefixTracker_forgets(t *testing.T) {
-	var kept prefixTracker
+	var tracker prefixTracker
 	for number := range 40 * prefixHalfLife {
-		kept.observe(fmt.Sprint(number), 1000)
+		tracker.observe(fmt.Sprint(number), 1000)
 	}
-	if len(kept.tokens) > maxPrefixes {
-		t.Fatalf("%d first parts are remembered", len(kept.tokens))
+	if len(tracker.tokens) > maxPrefixes {
+		t.Fatalf("%d prefixes are tracked", len(tracker.tokens))
 	}
-	if kept.observe("new", 1000) != true || kept.observe("new", kept.total) {
-		t.Fatal("a part is not told by its share")
+	if tracker.observe("new", 1000) != true || tracker.observe("new", tracker.total) {
+		t.Fatal("a prefix is not judged by its share")
 	}
 }
--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -1,127 +1,94 @@
-// Package balancer decides what becomes of a request: which runner it goes to,
-// whether it waits, or how it is answered. It is asked; the executor obeys.
+// Package balancer decides what becomes of a request: which runner it is sent to,
+// whether it waits, and with which error it ends. It sends nothing itself: the
+// proxy asks an Admission for the next Decision, carries it out and reports the
+// outcome.
+//
+// Invariants:
+//
+//   - A request that may have been executed is sent again only if its route is
+//     idempotent, and is never answered as if nothing had been executed.
+//   - A further attempt of a request that has reached a runner is paid for from
+//     the retry budget.
+//   - A request is not sent again to a runner that it was sent to before.
 package balancer
 
 import (
-	"strconv"
-	"strings"
-
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 	"onyxwell/control/config"
-	"onyxwell/control/planning/lengthstats"
 	"onyxwell/data/retrybudget"
 	"onyxwell/data/runnerstats"
 	"onyxwell/data/slowstart"
 	"onyxwell/data/snapshot"
 )
 
-// Options are what a gate is made from.
+// Options configure a Balancer. All but ZoneLost are needed.
 type Options struct {
+	// Scope gives the clock.
 	Scope       scope.Scope
 	Snapshots   *snapshot.Store
 	Stats       *runnerstats.Collector
 	RetryBudget *retrybudget.Budget
 	SlowStart   *slowstart.Tracker
-	Region      ids.Region
-	// SlowStartSharers gives among how many routers the rate of a cold runner in a zone is
-	// shared; zero where it is not this router's to serve.
+	// Region is where this router runs.
+	Region ids.Region
+	// SlowStartSharers returns among how many routers the rate of a runner in slow
+	// start in a zone is shared; 0 where this router must not send to it.
 	SlowStartSharers func(zone ids.Zone) int
-	// RouterCount is how many routers there could be.
+	// RouterCount returns how many routers there may be, at most.
 	RouterCount func() int
-	// ZoneLost tells whether a zone seems to be lost: its runners are used only where no
-	// others are. It may be left out.
+	// ZoneLost reports whether a zone seems to be lost: its runners are used only
+	// where there are no others. It may be nil.
 	ZoneLost func(zone ids.Zone) bool
-	// Random gives numbers from 0 to below 1; tests replace it.
+	// Random returns a number in [0, 1).
 	Random func() float64
 }
 
-// Balancer makes decisions.
+// Balancer selects runners. It is safe for concurrent use.
 type Balancer struct {
 	options  Options
+	clock    clock.Clock
 	prefixes prefixTracker
 }
 
-// New makes a gate.
-func New(options Options) *Balancer { return &Balancer{options: options} }
-
-// Request is what is known of a request when it is let in.
-type Request struct {
-	Route *config.Route
-	// PromptParts are the ids of the prompt's parts, the own part last; Tokens counts
-	// all of them, Shared those before the own part. Bytes is the body's length.
-	PromptParts  []string
-	PartTokens   float64
-	SharedTokens float64
-	BodyBytes    int
-	// PromptTokens is the prompt's tokens as the request tells them; 0 is unknown.
-	PromptTokens float64
-	ArrivedAt    clock.Instant
-	Deadline     clock.Instant
-}
-
-// ParsePromptParts reads the parts of a prompt: ids and tokens, in order.
-func (r *Request) ParsePromptParts(text string) {
-	if text == "" {
-		return
-	}
-	own := 0.0
-	for _, piece := range strings.Split(text, ",") {
-		id, count, _ := strings.Cut(strings.TrimSpace(piece), ":")
-		own, _ = strconv.ParseFloat(count, 64)
-		r.PromptParts = append(r.PromptParts, id)
-		r.PartTokens += own
-	}
-	r.SharedTokens = r.PartTokens - own
-}
-
-// ParseTokenCount reads the tokens of the prompt and the most out, as the request tells
-// them. What is absent or broken leaves the length unknown; it refuses nothing.
-func (r *Request) ParseTokenCount(text string) {
-	prompt, _, _ := strings.Cut(text, ",")
-	if tokens, err := strconv.ParseFloat(strings.TrimSpace(prompt), 64); err == nil && tokens > 0 && tokens < 1e9 {
-		r.PromptTokens = tokens
-	}
-}
-
-// LengthKind is what the request is told apart by before it runs.
-func (a *Admission) LengthKind() lengthstats.Key {
-	return lengthstats.Key{
-		Service: a.service, Route: a.request.Route.Name, Bucket: lengthstats.BucketOf(a.request.PromptTokens),
-	}
+// New returns a balancer.
+func New(options Options) *Balancer {
+	return &Balancer{options: options, clock: options.Scope.Clock}
 }
 
-// Admit opens the decision on a request.
-func (b *Balancer) Admit(asking Request) *Admission {
-	decision := &Admission{balancer: b, request: asking, tried: map[ids.RunnerID]bool{}}
-	decision.service = b.pickService(asking.Route)
-	decision.rarePrefix = b.hasRarePrefix(asking)
-	b.options.Stats.AddDemand(decision.service, homesKey(asking.Route))
-	b.options.RetryBudget.AddRequest(decision.service, b.options.Scope.Now())
-	return decision
+// Admit begins the admission of a request: it picks its service and counts it as
+// demand and towards the retry budget.
+func (b *Balancer) Admit(req Request) *Admission {
+	a := &Admission{balancer: b, request: req, tried: map[ids.RunnerID]bool{}}
+	a.service = b.pickService(req.Route)
+	a.rarePrefix = b.hasRarePrefix(req)
+	b.options.Stats.AddDemand(a.service, homesKey(req.Route))
+	b.options.RetryBudget.AddRequest(a.service, b.clock.Now())
+	return a
 }
 
-// pickService picks one of the route's services by their weights.
+// pickService draws one of the route's services by their weights.
 func (b *Balancer) pickService(route *config.Route) ids.Service {
-	parts := route.WeightedServices()
+	services := route.WeightedServices()
 	total := 0.0
-	for _, part := range parts {
-		total += part.Weight
+	for _, weighted := range services {
+		total += weighted.Weight
 	}
-	aim := b.options.Random() * total
-	for _, part := range parts {
-		if aim -= part.Weight; aim < 0 {
-			return part.Service
+	remaining := b.options.Random() * total
+	for _, weighted := range services {
+		if remaining -= weighted.Weight; remaining < 0 {
+			return weighted.Service
 		}
 	}
-	return parts[len(parts)-1].Service
+	return services[len(services)-1].Service
 }
 
+// homesKey is the form in which demand and flows name a route's home regions.
 func homesKey(route *config.Route) string {
 	key := ""
-	for _, home := range route.HomeRegions {
-		key += string(home) + ","
+	for _, region := range route.HomeRegions {
+		key += string(region) + ","
 	}
 	return key
 }
@@ -130,6 +97,7 @@
 	return b.options.ZoneLost != nil && b.options.ZoneLost(zone)
 }
 
+// slowStartLimit returns the limit of a service's runners in slow start in a zone.
 func (b *Balancer) slowStartLimit(service *config.Service, zone ids.Zone) slowstart.Limit {
 	if service == nil {
 		return slowstart.Limit{}
--- a/data/balancer/exclusions.go
+++ b/data/balancer/exclusions.go
@@ -1,33 +1,39 @@
 package balancer
 
-import "fmt"
+import (
+	"fmt"
+	"strings"
+)
 
-// Exclusions counts the runners that a decision could not choose, by the cause.
+// Exclusions counts the runners that were left out of a selection, by reason.
 type Exclusions struct {
-	// Tried had the request already, Closed drain or are in an emptied zone, Away
-	// stand outside the route's homes.
-	Tried, Draining, OutsideHomes int
-	// Unresponsive are doubted or do not answer, Full have all the connections that this
-	// router may have there, Cold got what a cold one may get.
-	Unresponsive, AtConnectionLimit, SlowStart int
+	// Tried had the request already.
+	Tried int
+	// Draining are shutting down or in an evacuated zone.
+	Draining int
+	// OutsideHomes are in none of the route's home regions.
+	OutsideHomes int
+	// Unresponsive are suspected of a failure or do not respond.
+	Unresponsive int
+	// AtConnectionLimit have all requests that this router may have there.
+	AtConnectionLimit int
+	// SlowStart have had their share of requests for now.
+	SlowStart int
 }
 
-// String tells the causes that left any out.
+// String lists the counts that are not 0, or "none".
 func (e Exclusions) String() string {
-	text := ""
-	for _, cause := range []struct {
+	var reasons []string
+	for _, reason := range []struct {
 		name  string
 		count int
 	}{{"tried", e.Tried}, {"closed", e.Draining}, {"away", e.OutsideHomes}, {"silent", e.Unresponsive}, {"full", e.AtConnectionLimit}, {"cold", e.SlowStart}} {
-		if cause.count > 0 {
-			text += fmt.Sprintf(" %s %d", cause.name, cause.count)
+		if reason.count > 0 {
+			reasons = append(reasons, fmt.Sprintf("%s %d", reason.name, reason.count))
 		}
 	}
-	if text == "" {
+	if len(reasons) == 0 {
 		return "none"
 	}
-	return text[1:]
+	return strings.Join(reasons, " ")
 }
-
-// Exclusions tells which runners the last choice left out.
-func (a *Admission) Exclusions() Exclusions { return a.exclusions }
--- a/data/balancer/lengthclass.go
+++ b/data/balancer/lengthclass.go
@@ -6,49 +6,62 @@
 )
 
 const (
-	// shortSpillMargin is by how much fuller its own group must be before a short
-	// request goes to a runner of the long one; a long request borrows only where
-	// its own group is longSpillFactor times as full, and by longSpillMargin.
+	// shortSpillMargin is by how much the load of its own class's runners must
+	// exceed the others' before a short request may go to any runner.
 	shortSpillMargin = 0.1
-	longSpillFactor  = 2.0
-	longSpillMargin  = 0.25
+	// longSpillFactor and longSpillMargin say the same of a long request: its own
+	// class's load must exceed the others' by the factor and the margin.
+	longSpillFactor = 2.0
+	longSpillMargin = 0.25
 )
 
-// filterLengthClass narrows the choice to the runners that take requests of this length
-// first. Where these are much fuller than the others, or none is left, all are
-// there to choose from: grouping never makes a runner stand idle beside a queue,
-// and never refuses.
-func (b *Balancer) filterLengthClass(seen *snapshot.Snapshot, decision *Admission, found []candidate) []candidate {
-	class := seen.Lengths.Class(decision.LengthKind())
+// LengthKind returns by what the request's length is estimated before it runs.
+func (a *Admission) LengthKind() lengthstats.Key {
+	return lengthstats.Key{
+		Service: a.service, Route: a.request.Route.Name, Bucket: lengthstats.BucketOf(a.request.PromptTokens),
+	}
+}
+
+// filterLengthClass narrows the choice to the runners that the plan assigns to
+// requests of this length. It returns all candidates where these are overloaded
+// compared to the others, or are none: no runner stands idle beside a queue, and
+// no request is rejected for its class.
+func (b *Balancer) filterLengthClass(snap *snapshot.Snapshot, admission *Admission, candidates []candidate) []candidate {
+	class := snap.Lengths.Class(admission.LengthKind())
 	if class == lengthstats.Unknown {
-		return found
+		return candidates
 	}
 	var own, others []candidate
-	for _, able := range found {
-		if able.lengthClass == lengthstats.Unknown || able.lengthClass == class {
-			own = append(own, able)
+	for _, cand := range candidates {
+		if cand.lengthClass == lengthstats.Unknown || cand.lengthClass == class {
+			own = append(own, cand)
 		} else {
-			others = append(others, able)
+			others = append(others, cand)
 		}
 	}
-	if len(own) == 0 || len(others) == 0 {
-		return found
-	}
-	here, there := minLoad(own), minLoad(others)
-	borrows := map[lengthstats.Class]bool{
-		lengthstats.Short: here > there+shortSpillMargin,
-		lengthstats.Long:  here > longSpillFactor*there+longSpillMargin,
-	}
-	if borrows[class] {
-		return found
+	if len(own) == 0 || len(others) == 0 || spillsOver(class, minLoad(own), minLoad(others)) {
+		return candidates
 	}
 	return own
 }
 
-func minLoad(found []candidate) float64 {
-	least := found[0].load
-	for _, able := range found {
-		least = min(least, able.load)
+// spillsOver reports whether requests of a class may go to all runners, by the
+// least load of the class's own runners and of the others.
+func spillsOver(class lengthstats.Class, own, others float64) bool {
+	switch class {
+	case lengthstats.Short:
+		return own > others+shortSpillMargin
+	case lengthstats.Long:
+		return own > longSpillFactor*others+longSpillMargin
+	default:
+		return false
+	}
+}
+
+func minLoad(candidates []candidate) float64 {
+	least := candidates[0].load
+	for _, cand := range candidates {
+		least = min(least, cand.load)
 	}
 	return least
 }
--- a/data/balancer/lengthclass_test.go
+++ b/data/balancer/lengthclass_test.go
@@ -8,18 +8,21 @@
 	"onyxwell/data/snapshot"
 )
 
+// newLengthClassCandidates returns candidates with these loads, the first half of
+// them for short requests.
 func newLengthClassCandidates(loads ...float64) []candidate {
-	found := newCandidates(make([]float64, len(loads))...)
-	for index := range found {
-		found[index].load, found[index].weight = loads[index], 1
-		found[index].lengthClass = lengthstats.Short
+	candidates := newCandidates(make([]float64, len(loads))...)
+	for index := range candidates {
+		candidates[index].load, candidates[index].weight = loads[index], 1
+		candidates[index].lengthClass = lengthstats.Short
 		if index >= len(loads)/2 {
-			found[index].lengthClass = lengthstats.Long
+			candidates[index].lengthClass = lengthstats.Long
 		}
 	}
-	return found
+	return candidates
 }
 
+// snapshotWithLengths knows the route "check" as short and "manifest" as long.
 func snapshotWithLengths() *snapshot.Snapshot {
 	check := lengthstats.Key{Service: "s", Route: "check", Bucket: lengthstats.BucketOf(1800)}
 	manifest := lengthstats.Key{Service: "s", Route: "manifest", Bucket: lengthstats.BucketOf(6600)}
@@ -29,50 +32,53 @@
 	)}
 }
 
+// newAdmission admits a request of a route with a token count.
 func newAdmission(route string, count string) *Admission {
-	asking := Request{Route: &config.Route{Name: route}}
-	asking.ParseTokenCount(count)
-	return &Admission{service: "s", request: asking}
+	req := Request{Route: &config.Route{Name: route}}
+	req.ParseTokenCount(count)
+	return &Admission{service: "s", request: req}
 }
 
 func TestFilterLengthClass_selectsClass(t *testing.T) {
-	gate, seen := New(Options{}), snapshotWithLengths()
+	b, snap := New(Options{}), snapshotWithLengths()
 	cases := []struct {
-		name  string
-		asked *Admission
-		loads []float64
-		class lengthstats.Class
-		count int
+		name      string
+		admission *Admission
+		loads     []float64
+		class     lengthstats.Class
+		count     int
 	}{
 		{"short", newAdmission("check", "1800,24"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Short, 2},
 		{"long", newAdmission("manifest", "6600,400"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Long, 2},
-		{"short borrows soon", newAdmission("check", "1800,24"), []float64{0.4, 0.4, 0.2, 0.1}, lengthstats.Unknown, 4},
-		{"long does not borrow soon", newAdmission("manifest", "6600,400"), []float64{0.2, 0.2, 0.4, 0.4}, lengthstats.Long, 2},
-		{"long borrows where short is idle", newAdmission("manifest", "6600,400"), []float64{0, 0, 0.4, 0.4}, lengthstats.Unknown, 4},
+		{"short spills over soon", newAdmission("check", "1800,24"), []float64{0.4, 0.4, 0.2, 0.1}, lengthstats.Unknown, 4},
+		{"long does not spill over soon", newAdmission("manifest", "6600,400"), []float64{0.2, 0.2, 0.4, 0.4}, lengthstats.Long, 2},
+		{"long spills over where short is idle", newAdmission("manifest", "6600,400"), []float64{0, 0, 0.4, 0.4}, lengthstats.Unknown, 4},
 		{"no count", newAdmission("check", ""), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
-		{"a broken count", newAdmission("check", "many,none"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
-		{"larger than any seen", newAdmission("check", "500000,24"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
+		{"a malformed count", newAdmission("check", "many,none"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
+		{"larger than any observed", newAdmission("check", "500000,24"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
 	}
-	for _, example := range cases {
-		found := gate.filterLengthClass(seen, example.asked, newLengthClassCandidates(example.loads...))
-		if len(found) != example.count {
-			t.Errorf("%s: %d runners to choose from, not %d", example.name, len(found), example.count)
-		}
-		for _, able := range found {
-			if example.class != lengthstats.Unknown && able.lengthClass != example.class {
-				t.Errorf("%s: a runner of class %d", example.name, able.lengthClass)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			candidates := b.filterLengthClass(snap, tc.admission, newLengthClassCandidates(tc.loads...))
+			if len(candidates) != tc.count {
+				t.Errorf("%d candidates, not %d", len(candidates), tc.count)
 			}
-		}
+			for _, cand := range candidates {
+				if tc.class != lengthstats.Unknown && cand.lengthClass != tc.class {
+					t.Errorf("a runner of class %d", cand.lengthClass)
+				}
+			}
+		})
 	}
 }
 
 func TestFilterLengthClass_neverEmpty(t *testing.T) {
-	gate, seen := New(Options{}), snapshotWithLengths()
+	b, snap := New(Options{}), snapshotWithLengths()
 	onlyLong := newLengthClassCandidates(0.1, 0.1, 0.1, 0.1)[2:]
-	if found := gate.filterLengthClass(seen, newAdmission("check", "1800,24"), onlyLong); len(found) != 2 {
-		t.Fatalf("%d runners, though only the other class has any", len(found))
+	if candidates := b.filterLengthClass(snap, newAdmission("check", "1800,24"), onlyLong); len(candidates) != 2 {
+		t.Fatalf("%d runners, though only the other class has any", len(candidates))
 	}
-	if found := gate.filterLengthClass(&snapshot.Snapshot{}, newAdmission("check", "1800,24"), newLengthClassCandidates(0.1, 0.1)); len(found) != 2 {
-		t.Fatalf("%d runners without any estimates", len(found))
+	if candidates := b.filterLengthClass(&snapshot.Snapshot{}, newAdmission("check", "1800,24"), newLengthClassCandidates(0.1, 0.1)); len(candidates) != 2 {
+		t.Fatalf("%d runners without any estimates", len(candidates))
 	}
 }
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -6,104 +6,161 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/config"
+	"onyxwell/control/planning/autoscaler"
 	"onyxwell/control/planning/lengthstats"
+	"onyxwell/data/runnerstats"
 	"onyxwell/data/snapshot"
 )
 
+const (
+	// recheckDelay is after how long a runner that cannot take a request now may do
+	// so.
+	recheckDelay = 20 * clock.Millisecond
+	// minSilenceLimit is the least time without a sign of life that excludes a
+	// runner; otherwise it is the part of the latency target, one in
+	// silenceFraction.
+	minSilenceLimit = 50 * clock.Millisecond
+	silenceFraction = 2
+	// minQueued is how many requests must be waiting at a runner before their
+	// waiting time counts.
+	minQueued = 2
+	// maxQueuedShare is the share of the latency target that the oldest of them may
+	// have waited.
+	maxQueuedShare = 0.6
+)
+
 // candidate is a runner that could take the request.
 type candidate struct {
 	runner *snapshot.Runner
 	weight float64
-	// load is how many requests it has for each that it can run at once.
+	// load is how many requests it has per slot.
 	load        float64
 	lengthClass lengthstats.Class
 }
 
-// selectRunner picks the runner for the next sending. Where none is open now but one
-// soon will be, it tells how long that takes.
-func (b *Balancer) selectRunner(decision *Admission, now clock.Instant) (*snapshot.Runner, clock.Span) {
-	seen := b.options.Snapshots.Current()
-	if seen.Config == nil {
+// selectRunner picks the runner for the next attempt. Where there is none now but
+// may be one soon, it returns nil and after how long to ask again.
+func (b *Balancer) selectRunner(admission *Admission, now clock.Instant) (*snapshot.Runner, clock.Span) {
+	snap := b.options.Snapshots.Current()
+	if snap.Config == nil {
 		return nil, 0
 	}
-	service := seen.Config.Service(decision.service)
-	found, soon := b.candidates(seen, service, decision, now)
-	if len(found) == 0 {
-		return nil, soon
+	candidates, delay := b.candidates(snap, admission, now)
+	if len(candidates) == 0 {
+		return nil, delay
 	}
-	if found = b.filterTimely(decision.request.Route, found, now); len(found) == 0 {
-		decision.overloaded = true
+	req := &admission.request
+	if candidates = b.filterTimely(req.Route, candidates, now); len(candidates) == 0 {
+		admission.overloaded = true
 		return nil, 0
 	}
-	key, shared := affinityKey(decision.request.PromptParts)
-	shared = shared && decision.request.Route.Sticky
-	if !shared || !worthCrossRegion(decision.request) {
-		found = b.filterRegion(seen, decision, found)
+	key, hasAffinity := affinityKey(req.PromptParts)
+	hasAffinity = hasAffinity && req.Route.Sticky
+	if !hasAffinity || !worthCrossRegion(*req) {
+		candidates = b.filterRegion(snap, admission, candidates)
 	}
-	found = b.filterLengthClass(seen, decision, found)
-	if shared {
-		return pickByAffinity(decision, found, key).runner, 0
+	candidates = b.filterLengthClass(snap, admission, candidates)
+	if hasAffinity {
+		return pickByAffinity(admission, candidates, key).runner, 0
 	}
-	return b.pickTwoChoices(found).runner, 0
+	return b.pickTwoChoices(candidates).runner, 0
 }
 
-// recheckDelay is how long a request waits before it asks again.
-const recheckDelay = 20 * clock.Millisecond
-
-// candidates are the runners that are listed, at home, open, awake and within
-// what cold ones may get.
-func (b *Balancer) candidates(seen *snapshot.Snapshot, service *config.Service, decision *Admission, now clock.Instant) ([]candidate, clock.Span) {
-	var found, resting []candidate
-	soon := clock.Span(0)
-	route := decision.request.Route
-	share := b.connectionShare(service)
-	patience := max(route.LatencyTarget()/2, 50*clock.Millisecond)
-	decision.exclusions = Exclusions{}
-	for _, runner := range seen.Runners[decision.service] {
-		if decision.tried[runner.ID] {
-			decision.exclusions.Tried++
-			continue
-		}
-		if !seen.Available(runner) {
-			decision.exclusions.Draining++
-			continue
-		}
-		if !route.AllowsRegion(runner.Region) {
-			decision.exclusions.OutsideHomes++
+// candidates returns the runners that can take the request now. Those that are
+// ejected or in a lost zone are returned only where there are no others. It
+// counts the runners that it leaves out in the admission's exclusions, and
+// returns after how long one of them may be a candidate, 0 for none.
+func (b *Balancer) candidates(snap *snapshot.Snapshot, admission *Admission, now clock.Instant) ([]candidate, clock.Span) {
+	check := readiness{
+		balancer: b, service: snap.Config.Service(admission.service), now: now,
+		silenceLimit: max(admission.request.Route.LatencyTarget()/silenceFraction, minSilenceLimit),
+	}
+	check.connectionShare = b.connectionShare(check.service)
+	admission.exclusions = Exclusions{}
+	var healthy, unhealthy []candidate
+	delay := clock.Span(0)
+	for _, runner := range snap.Runners[admission.service] {
+		if !admission.eligible(snap, runner) {
 			continue
 		}
-		ledger := b.options.Stats.State(runner.ID)
-		if ledger.Suspect || b.options.Stats.SilentFor(runner.ID, now) > patience {
-			// Its test may be over in a moment.
-			decision.exclusions.Unresponsive++
-			soon = recheckDelay
-			continue
+		stats := b.options.Stats.State(runner.ID)
+		ready, soon := check.ready(runner, &stats, &admission.exclusions)
+		if soon {
+			delay = recheckDelay
 		}
-		if ledger.InFlight >= share {
-			decision.exclusions.AtConnectionLimit++
+		if !ready {
 			continue
 		}
-		if !b.options.SlowStart.CanAdmit(runner.ID, b.slowStartLimit(service, runner.Zone), now) {
-			decision.exclusions.SlowStart++
-			soon = recheckDelay
-			continue
+		cand := candidate{
+			runner: runner, weight: snap.Weight(runner), load: load(runner, &stats), lengthClass: snap.RunnerWeights[runner.ID].Group,
 		}
-		slots := math.Max(1, float64(runner.Capacity))
-		told := ledger.Load.Running + ledger.Load.Waiting
-		able := candidate{runner: runner, weight: seen.Weight(runner), load: math.Max(told+ledger.Load.SentSince, ledger.InFlight) / slots, lengthClass: seen.RunnerWeights[runner.ID].Group}
-		if seen.Ejected(runner.ID, now) || b.zoneLost(runner.Zone) {
-			resting = append(resting, able)
+		if snap.Ejected(runner.ID, now) || b.zoneLost(runner.Zone) {
+			unhealthy = append(unhealthy, cand)
 		} else {
-			found = append(found, able)
+			healthy = append(healthy, cand)
 		}
 	}
-	if len(found) == 0 {
-		found = resting
+	if len(healthy) == 0 {
+		return unhealthy, delay
 	}
-	return found, soon
+	return healthy, delay
+}
+
+// eligible reports whether the request may go to a runner, whatever its load.
+func (a *Admission) eligible(snap *snapshot.Snapshot, runner *snapshot.Runner) bool {
+	switch {
+	case a.tried[runner.ID]:
+		a.exclusions.Tried++
+	case !snap.Available(runner):
+		a.exclusions.Draining++
+	case !a.request.Route.AllowsRegion(runner.Region):
+		a.exclusions.OutsideHomes++
+	default:
+		return true
+	}
+	return false
+}
+
+// readiness checks which runners of a service can take a request now.
+type readiness struct {
+	balancer *Balancer
+	service  *config.Service
+	now      clock.Instant
+	// silenceLimit is how long a request may wait for a sign of life of its runner.
+	silenceLimit clock.Span
+	// connectionShare is how many requests this router may have at a runner.
+	connectionShare float64
+}
+
+// ready reports whether a runner can take a request now; soon says that it may
+// after recheckDelay.
+func (r *readiness) ready(runner *snapshot.Runner, stats *runnerstats.State, exclusions *Exclusions) (ready, soon bool) {
+	options := &r.balancer.options
+	if stats.Suspect || options.Stats.SilentFor(runner.ID, r.now) > r.silenceLimit {
+		exclusions.Unresponsive++
+		return false, true
+	}
+	if stats.InFlight >= r.connectionShare {
+		exclusions.AtConnectionLimit++
+		return false, false
+	}
+	if !options.SlowStart.CanAdmit(runner.ID, r.balancer.slowStartLimit(r.service, runner.Zone), r.now) {
+		exclusions.SlowStart++
+		return false, true
+	}
+	return true, false
+}
+
+// load returns a runner's requests per slot: what it reported and was sent since,
+// or what this router has there, whichever is more.
+func load(runner *snapshot.Runner, stats *runnerstats.State) float64 {
+	slots := math.Max(1, float64(runner.Capacity))
+	reported := stats.Load.Running + stats.Load.Waiting
+	return math.Max(reported+stats.Load.SentSince, stats.InFlight) / slots
 }
 
-// connectionShare is this router's part of the connections that a runner accepts.
+// connectionShare returns this router's share of the connections that a runner
+// accepts, at least 1; it is infinite where the service sets no limit.
 func (b *Balancer) connectionShare(service *config.Service) float64 {
 	if service == nil || service.MaxConnections <= 0 {
 		return math.Inf(1)
@@ -111,53 +168,50 @@
 	return math.Max(1, float64(service.MaxConnections)/float64(max(1, b.options.RouterCount())))
 }
 
-const (
-	// minQueued is how many must wait at a runner before their wait counts.
-	minQueued = 2
-	// maxGoalShare is the part of the goal that others may have waited already.
-	maxGoalShare = 0.6
-)
-
-// filterTimely leaves out the runners at which requests of the same urgency have
-// waited so long that another would miss its goal. Where that is all of them,
-// what is let in would only make everybody late.
-func (b *Balancer) filterTimely(route *config.Route, found []candidate, now clock.Instant) []candidate {
+// filterTimely leaves out the runners at which requests of the same priority have
+// waited so long that another would miss its latency target. Where no runner is
+// left, admitting the request would only delay the others.
+func (b *Balancer) filterTimely(route *config.Route, candidates []candidate, now clock.Instant) []candidate {
 	if route.LatencyTargetMS <= 0 {
-		return found
+		return candidates
 	}
-	limit := clock.Span(maxGoalShare * float64(route.LatencyTarget()))
-	kept := found[:0:0]
-	for _, able := range found {
-		if count, oldest := b.options.Stats.QueuedFor(able.runner.ID, route.Priority, now); count < minQueued || oldest <= limit {
-			kept = append(kept, able)
+	limit := clock.Span(maxQueuedShare * float64(route.LatencyTarget()))
+	timely := candidates[:0:0]
+	for _, cand := range candidates {
+		if count, oldest := b.options.Stats.QueuedFor(cand.runner.ID, route.Priority, now); count < minQueued || oldest <= limit {
+			timely = append(timely, cand)
 		}
 	}
-	return kept
+	return timely
 }
 
-// filterRegion narrows the choice to one region: by the plan's shares, or the own
-// region first, as long as the runners there are not the fuller ones by far.
-func (b *Balancer) filterRegion(seen *snapshot.Snapshot, decision *Admission, found []candidate) []candidate {
+// filterRegion narrows the choice to one region: drawn by the shares of the plan's
+// flows from this region, or, without a flow, the router's own region if it has
+// candidates.
+func (b *Balancer) filterRegion(snap *snapshot.Snapshot, admission *Admission, candidates []candidate) []candidate {
 	regions := map[ids.Region][]candidate{}
-	for _, able := range found {
-		regions[able.runner.Region] = append(regions[able.runner.Region], able)
+	for _, cand := range candidates {
+		regions[cand.runner.Region] = append(regions[cand.runner.Region], cand)
 	}
 	if len(regions) == 1 {
-		return found
+		return candidates
+	}
+	homes := homesKey(admission.request.Route)
+	applies := func(flow autoscaler.Flow) bool {
+		return flow.Service == admission.service && flow.HomeRegions == homes && flow.Origin == b.options.Region
 	}
-	homes := homesKey(decision.request.Route)
 	total := 0.0
 	shares := map[ids.Region]float64{}
-	for _, flow := range seen.Flows {
-		if flow.Service == decision.service && flow.HomeRegions == homes && flow.Origin == b.options.Region && regions[flow.Target] != nil {
+	for _, flow := range snap.Flows {
+		if applies(flow) && regions[flow.Target] != nil {
 			shares[flow.Target] += flow.Share
 			total += flow.Share
 		}
 	}
-	aim := b.options.Random() * total
-	for _, flow := range seen.Flows {
-		if share := shares[flow.Target]; share > 0 && flow.Service == decision.service && flow.HomeRegions == homes && flow.Origin == b.options.Region {
-			if aim -= share; aim < 0 {
+	remaining := b.options.Random() * total
+	for _, flow := range snap.Flows {
+		if share := shares[flow.Target]; share > 0 && applies(flow) {
+			if remaining -= share; remaining < 0 {
 				return regions[flow.Target]
 			}
 		}
@@ -165,28 +219,30 @@
 	if own := regions[b.options.Region]; own != nil {
 		return own
 	}
-	return found
+	return candidates
 }
 
-// pickTwoChoices draws two by weight and takes the one with less load.
-func (b *Balancer) pickTwoChoices(found []candidate) candidate {
-	first, second := b.drawWeighted(found), b.drawWeighted(found)
+// pickTwoChoices draws two candidates by weight and returns the one with less
+// load ("power of two choices").
+func (b *Balancer) pickTwoChoices(candidates []candidate) candidate {
+	first, second := b.drawWeighted(candidates), b.drawWeighted(candidates)
 	if second.load < first.load {
 		return second
 	}
 	return first
 }
 
-func (b *Balancer) drawWeighted(found []candidate) candidate {
+// drawWeighted draws a candidate with a probability in proportion to its weight.
+func (b *Balancer) drawWeighted(candidates []candidate) candidate {
 	total := 0.0
-	for _, able := range found {
-		total += able.weight
+	for _, cand := range candidates {
+		total += cand.weight
 	}
-	aim := b.options.Random() * total
-	for _, able := range found {
-		if aim -= able.weight; aim < 0 {
-			return able
+	remaining := b.options.Random() * total
+	for _, cand := range candidates {
+		if remaining -= cand.weight; remaining < 0 {
+			return cand
 		}
 	}
-	return found[len(found)-1]
+	return candidates[len(candidates)-1]
 }
--- a/data/balancer/selection_test.go
+++ b/data/balancer/selection_test.go
@@ -13,25 +13,26 @@
 	"onyxwell/data/snapshot"
 )
 
+// newCandidates returns idle candidates i0, i1, ... with these weights.
 func newCandidates(weights ...float64) []candidate {
-	var found []candidate
+	var candidates []candidate
 	for index, weight := range weights {
 		runner := &snapshot.Runner{Runner: discovery.Runner{ID: ids.RunnerID(fmt.Sprint("i", index))}, Region: "north"}
-		found = append(found, candidate{runner: runner, weight: weight})
+		candidates = append(candidates, candidate{runner: runner, weight: weight})
 	}
-	return found
+	return candidates
 }
 
-// pickForPart is the runner for a prompt of one shared part.
-func pickForPart(found []candidate, key string) candidate {
-	return pickByAffinity(&Admission{}, found, key)
+// pickForPart returns the runner for a prompt of one shared part.
+func pickForPart(candidates []candidate, key string) candidate {
+	return pickByAffinity(&Admission{}, candidates, key)
 }
 
 func TestPickByAffinity_sharesFollowWeights(t *testing.T) {
-	found := newCandidates(1, 2, 5)
+	candidates := newCandidates(1, 2, 5)
 	counts := map[ids.RunnerID]int{}
 	for key := range 8000 {
-		counts[pickForPart(found, fmt.Sprint("part", key)).runner.ID]++
+		counts[pickForPart(candidates, fmt.Sprint("part", key)).runner.ID]++
 	}
 	for id, want := range map[ids.RunnerID]int{"i0": 1000, "i1": 2000, "i2": 5000} {
 		if got := counts[id]; got < want*9/10 || got > want*11/10 {
@@ -56,38 +57,38 @@
 }
 
 func TestPickByAffinity_skipsOverloadedRunner(t *testing.T) {
-	found := newCandidates(1, 1, 1)
-	home := pickForPart(found, "part")
-	for index := range found {
-		if found[index].runner.ID == home.runner.ID {
-			found[index].load = 2
+	candidates := newCandidates(1, 1, 1)
+	home := pickForPart(candidates, "part")
+	for index := range candidates {
+		if candidates[index].runner.ID == home.runner.ID {
+			candidates[index].load = 2
 		}
 	}
-	if pickForPart(found, "part").runner.ID == home.runner.ID {
-		t.Fatal("a full runner still gets the request")
+	if pickForPart(candidates, "part").runner.ID == home.runner.ID {
+		t.Fatal("an overloaded runner is picked")
 	}
 }
 
 func TestAffinityKey_lastSharedPart(t *testing.T) {
-	if key, keyed := affinityKey([]string{"a", "b", "own"}); !keyed || key != "b" {
-		t.Fatalf("%q %v", key, keyed)
+	if key, ok := affinityKey([]string{"a", "b", "own"}); !ok || key != "b" {
+		t.Fatalf("%q %v", key, ok)
 	}
-	if _, keyed := affinityKey([]string{"own"}); keyed {
+	if _, ok := affinityKey([]string{"own"}); ok {
 		t.Fatal("a prompt that shares nothing has an affinity")
 	}
 }
 
-// TestFilterRegion_followsPlan has the plan's flows pick the region, and without
-// any flow the own region.
+// TestFilterRegion_followsPlan has the plan's flows decide the region, and without
+// any flow the router's own.
 func TestFilterRegion_followsPlan(t *testing.T) {
-	found := newCandidates(1, 1)
-	found[1].runner.Region = "south"
-	decision := &Admission{service: "s", request: Request{Route: &config.Route{}}}
-	count := func(seen *snapshot.Snapshot) int {
+	candidates := newCandidates(1, 1)
+	candidates[1].runner.Region = "south"
+	admission := &Admission{service: "s", request: Request{Route: &config.Route{}}}
+	count := func(snap *snapshot.Snapshot) int {
 		north := 0
 		for step := range 100 {
-			gate := New(Options{Region: "north", Random: func() float64 { return float64(step) / 100 }})
-			if gate.filterRegion(seen, decision, found)[0].runner.Region == "north" {
+			b := New(Options{Region: "north", Random: func() float64 { return float64(step) / 100 }})
+			if b.filterRegion(snap, admission, candidates)[0].runner.Region == "north" {
 				north++
 			}
 		}
@@ -106,7 +107,7 @@
 }
 
 // TestWorthCrossRegion_bySharedTokens has a prompt of many shared tokens in a short
-// body go to where its parts were read, and one that shares little stay.
+// body be worth moving, and one that shares little not.
 func TestWorthCrossRegion_bySharedTokens(t *testing.T) {
 	var long, short Request
 	long.ParsePromptParts("a:500,b:5000,own:6000")
@@ -121,30 +122,31 @@
 	}
 }
 
-// TestFilterTimely_excludesSlowQueues has requests wait at runners for ever longer: those
-// where the next would be late are left out, one that waits alone is no sign.
+// TestFilterTimely_excludesSlowQueues has requests wait at runners for longer and
+// longer: runners where the next would be late are left out, but a request that
+// waits alone does not count.
 func TestFilterTimely_excludesSlowQueues(t *testing.T) {
-	machine, board := clock.NewFake(), runnerstats.New()
-	gate := New(Options{Stats: board})
+	clk, stats := clock.NewFake(), runnerstats.New()
+	b := New(Options{Stats: stats})
 	route := &config.Route{LatencyTargetMS: 1000, Priority: 1}
-	found := newCandidates(1, 1, 1)
-	send := func(id ids.RunnerID, number uint64, urgency int) {
-		board.RequestSent(id, runnerstats.SentRequest{Number: number, Urgency: urgency}, machine.Now())
+	candidates := newCandidates(1, 1, 1)
+	send := func(id ids.RunnerID, number uint64, priority int) {
+		stats.RequestSent(id, runnerstats.SentRequest{Number: number, Urgency: priority}, clk.Now())
 	}
 	send("i0", 1, 1)
 	send("i0", 2, 1)
 	send("i1", 3, 1)
 	send("i2", 4, 0)
 	send("i2", 5, 0)
-	if kept := gate.filterTimely(route, found, machine.Now()); len(kept) != 3 {
-		t.Fatalf("%d of 3 before anybody waited", len(kept))
+	if timely := b.filterTimely(route, candidates, clk.Now()); len(timely) != 3 {
+		t.Fatalf("%d of 3 before any has waited", len(timely))
 	}
-	machine.Advance(700 * clock.Millisecond)
-	kept := gate.filterTimely(route, found, machine.Now())
-	if len(kept) != 2 || kept[0].runner.ID != "i1" || kept[1].runner.ID != "i2" {
-		t.Fatalf("%d kept", len(kept))
+	clk.Advance(700 * clock.Millisecond)
+	timely := b.filterTimely(route, candidates, clk.Now())
+	if len(timely) != 2 || timely[0].runner.ID != "i1" || timely[1].runner.ID != "i2" {
+		t.Fatalf("%d left", len(timely))
 	}
-	if kept := gate.filterTimely(&config.Route{}, found, machine.Now()); len(kept) != 3 {
-		t.Fatal("a route without a goal is held to one")
+	if timely := b.filterTimely(&config.Route{}, candidates, clk.Now()); len(timely) != 3 {
+		t.Fatal("a route without a latency target has candidates left out")
 	}
 }
