--- a/data/retrybudget/retrybudget.go
+++ b/data/retrybudget/retrybudget.go
@@ -1,6 +1,8 @@
-// Package retrybudget bounds the further tries that one router pays for, so that
-// the sum over all routers stays inside the bound whatever they know of each
-// other.
+// Package retrybudget bounds the retries of one router, so that the sum over all
+// routers stays within the bound without their knowing of each other.
+//
+// Invariant: the retries of all routers for a service within any Window are at
+// most Ratio times the requests of that window and the one before, plus Reserve.
 package retrybudget
 
 import (
@@ -10,34 +12,42 @@
 	"onyxwell/base/ids"
 )
 
+// bucketCount is into how many buckets a window is divided, the extra one of
+// advance included.
 const bucketCount = 50
 
-// Options are the bounds.
+// Options configure a Budget.
 type Options struct {
-	Ratio   float64
+	// Ratio is how many retries are allowed per request.
+	Ratio float64
+	// Reserve is how many retries are allowed within a window without any request,
+	// for all routers together.
 	Reserve float64
-	Window  clock.Span
-	// Routers tells among how many routers the extra is shared.
+	// Window is the length of the sliding window.
+	Window clock.Span
+	// Routers returns among how many routers the reserve is shared.
 	Routers func() int
-	// ReserveFrom is from when on the extra may be spent: a process that was started
-	// again does not know what the one before spent in the last window.
+	// ReserveFrom is from when on the reserve may be spent. A restarted process
+	// does not know what it spent before within the last window.
 	ReserveFrom clock.Instant
 }
 
-// Budget counts requests and further tries in a sliding window, per service.
+// Budget counts requests and retries per service in a sliding window. It is safe
+// for concurrent use.
 type Budget struct {
 	options Options
 	mu      sync.Mutex
 	windows map[ids.Service]*window
 }
 
+// window is a ring of buckets; bucket numbers the newest one since time 0.
 type window struct {
 	bucket   int64
 	requests [bucketCount]float64
-	spent    [bucketCount]float64
+	retries  [bucketCount]float64
 }
 
-// New makes a budget.
+// New returns a budget of which nothing is spent.
 func New(options Options) *Budget {
 	return &Budget{options: options, windows: map[ids.Service]*window{}}
 }
@@ -46,46 +56,52 @@
 func (b *Budget) AddRequest(service ids.Service, now clock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	counted := b.advance(service, now)
-	counted.requests[counted.bucket%bucketCount]++
+	w := b.advance(service, now)
+	w.requests[w.bucket%bucketCount]++
 }
 
-// TrySpend pays for one further try; false says that there is nothing left.
+// TrySpend takes one retry from the budget of a service; it reports whether there
+// was one left.
 func (b *Budget) TrySpend(service ids.Service, now clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	counted := b.advance(service, now)
-	requests, spent := 0.0, 0.0
+	w := b.advance(service, now)
+	requests, retries := 0.0, 0.0
 	for index := range bucketCount {
-		requests += counted.requests[index]
-		spent += counted.spent[index]
+		requests += w.requests[index]
+		retries += w.retries[index]
 	}
-	share := b.options.Reserve / float64(max(1, b.options.Routers()))
-	if now.Before(b.options.ReserveFrom) {
-		share = 0
-	}
-	if spent+1 > b.options.Ratio*requests+share {
+	if retries+1 > b.options.Ratio*requests+b.reserve(now) {
 		return false
 	}
-	counted.spent[counted.bucket%bucketCount]++
+	w.retries[w.bucket%bucketCount]++
 	return true
 }
 
-// advance moves a service's window on to now. One slice more than the span is
-// kept, so that no span of the whole length is counted short.
+// reserve returns this router's share of the reserve.
+func (b *Budget) reserve(now clock.Instant) float64 {
+	if now.Before(b.options.ReserveFrom) {
+		return 0
+	}
+	return b.options.Reserve / float64(max(1, b.options.Routers()))
+}
+
+// advance moves a service's window on to now and returns it. The ring holds one
+// bucket more than a Window lasts, so that the oldest bucket, which is only partly
+// inside, is never missing. The caller holds mu.
 func (b *Budget) advance(service ids.Service, now clock.Instant) *window {
-	length := int64(b.options.Window) / (bucketCount - 1)
-	slice := int64(now) / max(1, length)
-	counted := b.windows[service]
-	if counted == nil {
-		counted = &window{bucket: slice}
-		b.windows[service] = counted
+	bucketLength := int64(b.options.Window) / (bucketCount - 1)
+	bucket := int64(now) / max(1, bucketLength)
+	w := b.windows[service]
+	if w == nil {
+		w = &window{bucket: bucket}
+		b.windows[service] = w
 	}
-	for steps := 0; counted.bucket < slice && steps < bucketCount; steps++ {
-		counted.bucket++
-		counted.requests[counted.bucket%bucketCount] = 0
-		counted.spent[counted.bucket%bucketCount] = 0
+	for cleared := 0; w.bucket < bucket && cleared < bucketCount; cleared++ {
+		w.bucket++
+		w.requests[w.bucket%bucketCount] = 0
+		w.retries[w.bucket%bucketCount] = 0
 	}
-	counted.bucket = max(counted.bucket, slice)
-	return counted
+	w.bucket = max(w.bucket, bucket)
+	return w
 }
