--- a/data/slowstart/slowstart.go
+++ b/data/slowstart/slowstart.go
@@ -1,5 +1,8 @@
-// Package slowstart bounds what cold runners get: all routers together stay under
-// a runner's rate, each within its own part and without saving any up.
+// Package slowstart bounds the rate of requests to runners that are warming up.
+//
+// Invariant: within any second, all routers together send a runner at most its
+// rate plus one request each. Each router spaces its requests by the number of
+// routers over the rate, and saves up nothing.
 package slowstart
 
 import (
@@ -9,129 +12,139 @@
 	"onyxwell/base/ids"
 )
 
-// Limit is what a service says of its cold runners, and among how many routers
-// their rate is shared; with no sharers a cold runner is not this router's.
+// Limit is the rate of a service's runners in slow start.
 type Limit struct {
+	// RequestsPerSecond is the rate per runner; 0 is no limit.
 	RequestsPerSecond float64
-	Routers           int
+	// Routers is among how many routers the rate is shared; with 0 this router may
+	// not send to a runner in slow start.
+	Routers int
 }
 
-// Tracker knows until when each runner is cold.
+// Tracker knows which runners are in slow start, and when each may get its next
+// request from this router. It is safe for concurrent use.
 type Tracker struct {
 	mu      sync.Mutex
 	runners map[ids.RunnerID]*runnerState
+	// hasList is set once a list of runners was not empty.
 	hasList bool
 	random  func() float64
 }
 
 type runnerState struct {
-	until         clock.Instant
-	nextAdmission clock.Instant
-	// startedAt is when the cold spell was learnt of; placed says that this router's
-	// first turn in it is set.
+	// startedAt is when this router learnt of the slow start, until is its end.
 	startedAt clock.Instant
-	scheduled bool
+	until     clock.Instant
+	// nextAdmission is when the next request is admitted, valid if scheduled.
+	nextAdmission clock.Instant
+	scheduled     bool
 }
 
-// New makes a warmth that knows nobody yet. Chance gives numbers from 0 to below
-// 1: routers that learn of a cold runner at once must not all begin with it at
-// once.
-func New(chance func() float64) *Tracker {
-	return &Tracker{runners: map[ids.RunnerID]*runnerState{}, random: chance}
+// New returns a tracker without runners. random returns a number in [0, 1): it
+// spreads the first requests of routers that learn of a runner at the same time.
+func New(random func() float64) *Tracker {
+	return &Tracker{runners: map[ids.RunnerID]*runnerState{}, random: random}
 }
 
-// Runner is one runner of a list.
+// Runner is an entry of a list of runners.
 type Runner struct {
-	ID        ids.RunnerID
+	ID ids.RunnerID
+	// Remaining is how much of its warm-up is left, as the list says.
 	Remaining clock.Span
-	Warmup    clock.Span
+	// Warmup is how long a warm-up of its service takes.
+	Warmup clock.Span
 }
 
-// Update takes a list of runners. One that was not on the list before is cold
-// for its whole warm-up, whatever the list says; on the first list of all the
-// list's own word counts.
-func (t *Tracker) Update(entries []Runner, lag clock.Span, now clock.Instant) {
+// Update replaces the list of runners, which may be outdated by lag. A runner that
+// was not on the list before is in slow start for its whole warm-up, whatever the
+// list says, except on the first list.
+func (t *Tracker) Update(runners []Runner, lag clock.Span, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	present := map[ids.RunnerID]bool{}
-	for _, entry := range entries {
-		present[entry.ID] = true
-		known := t.runners[entry.ID]
-		if known == nil {
-			known = &runnerState{}
-			t.runners[entry.ID] = known
-			if t.hasList && entry.Warmup > 0 {
-				known.extend(now.Add(entry.Warmup+lag), now)
+	listed := map[ids.RunnerID]bool{}
+	for _, runner := range runners {
+		listed[runner.ID] = true
+		state := t.runners[runner.ID]
+		if state == nil {
+			state = &runnerState{}
+			t.runners[runner.ID] = state
+			if t.hasList && runner.Warmup > 0 {
+				state.extend(now.Add(runner.Warmup+lag), now)
 			}
 		}
-		if entry.Remaining > 0 {
-			known.extend(now.Add(entry.Remaining+lag), now)
+		if runner.Remaining > 0 {
+			state.extend(now.Add(runner.Remaining+lag), now)
 		}
 	}
 	for id := range t.runners {
-		if !present[id] {
+		if !listed[id] {
 			delete(t.runners, id)
 		}
 	}
-	t.hasList = t.hasList || len(entries) > 0
+	t.hasList = t.hasList || len(runners) > 0
 }
 
-// Extend holds a runner for cold until an instant.
+// Extend has a listed runner be in slow start until an instant, at least. A
+// runner that is not listed is ignored.
 func (t *Tracker) Extend(id ids.RunnerID, until clock.Instant, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.runners[id]; known != nil {
-		known.extend(until, now)
+	if state := t.runners[id]; state != nil {
+		state.extend(until, now)
 	}
 }
 
-// extend lengthens a cold spell, or begins one.
-func (r *runnerState) extend(until clock.Instant, now clock.Instant) {
-	if !now.Before(r.until) {
-		r.startedAt, r.scheduled = now, false
+// extend lengthens a slow start, or begins one.
+func (s *runnerState) extend(until clock.Instant, now clock.Instant) {
+	if !s.active(now) {
+		s.startedAt, s.scheduled = now, false
 	}
-	if r.until.Before(until) {
-		r.until = until
+	if s.until.Before(until) {
+		s.until = until
 	}
 }
 
-// Active tells whether a runner is held for cold.
+func (s *runnerState) active(now clock.Instant) bool { return now.Before(s.until) }
+
+// Active reports whether a runner is in slow start.
 func (t *Tracker) Active(id ids.RunnerID, now clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.runners[id]
-	return known != nil && now.Before(known.until)
+	state := t.runners[id]
+	return state != nil && state.active(now)
 }
 
-// CanAdmit tells whether a runner could take a request now, without taking it.
-func (t *Tracker) CanAdmit(id ids.RunnerID, bound Limit, now clock.Instant) bool {
-	return t.tryAdmit(id, bound, now, false)
+// CanAdmit reports whether Admit would admit a request now.
+func (t *Tracker) CanAdmit(id ids.RunnerID, limit Limit, now clock.Instant) bool {
+	return t.admit(id, limit, now, false)
 }
 
-// Admit takes one request's place at a runner; a warm one always has place.
-func (t *Tracker) Admit(id ids.RunnerID, bound Limit, now clock.Instant) bool {
-	return t.tryAdmit(id, bound, now, true)
+// Admit admits one request to a runner, unless it would exceed the limit of its
+// slow start. Other runners, unknown ones too, are not limited.
+func (t *Tracker) Admit(id ids.RunnerID, limit Limit, now clock.Instant) bool {
+	return t.admit(id, limit, now, true)
 }
 
-func (t *Tracker) tryAdmit(id ids.RunnerID, bound Limit, now clock.Instant, take bool) bool {
+// admit reports whether a request is within the limit; with take it is counted.
+func (t *Tracker) admit(id ids.RunnerID, limit Limit, now clock.Instant, take bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.runners[id]
-	if known == nil || bound.RequestsPerSecond <= 0 || !now.Before(known.until) {
+	state := t.runners[id]
+	if state == nil || limit.RequestsPerSecond <= 0 || !state.active(now) {
 		return true
 	}
-	if bound.Routers <= 0 {
+	if limit.Routers <= 0 {
 		return false
 	}
-	gap := float64(clock.Second) * float64(bound.Routers) / bound.RequestsPerSecond
-	if !known.scheduled {
-		known.scheduled, known.nextAdmission = true, known.startedAt.Add(clock.Span(gap*t.random()))
+	interval := float64(clock.Second) * float64(limit.Routers) / limit.RequestsPerSecond
+	if !state.scheduled {
+		state.scheduled, state.nextAdmission = true, state.startedAt.Add(clock.Span(interval*t.random()))
 	}
-	if now.Before(known.nextAdmission) {
+	if now.Before(state.nextAdmission) {
 		return false
 	}
 	if take {
-		known.nextAdmission = now.Add(clock.Span(gap))
+		state.nextAdmission = now.Add(clock.Span(interval))
 	}
 	return true
 }
