--- a/data/runnerstats/collector.go
+++ b/data/runnerstats/collector.go
@@ -1,5 +1,9 @@
-// Package runnerstats keeps what a router sees of each runner: requests arrived,
-// running and finished, how long they took, and the load that runners tell.
+// Package runnerstats keeps what a router observes of each runner: requests in
+// flight and ended, the load that the runner reports, and whether it is suspected
+// of a failure. The balancer decides by it, and the autoscaler gets a report of it.
+//
+// A request is recorded by RequestSent, ResponseBegan where there is a response,
+// and RequestEnded, in this order. A Collector is safe for concurrent use.
 package runnerstats
 
 import (
@@ -12,71 +16,56 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
+// shardCount is among how many locks the runners are divided.
 const shardCount = 8
 
-// Load is what a runner told of itself in an answer.
-type Load struct {
-	Running    float64
-	Waiting    float64
-	Slots      float64
-	ReportedAt clock.Instant
-	SentSince  float64
-}
-
-// State is what is known of one runner.
+// State is what is known of a runner now.
 type State struct {
-	Service  ids.Service
+	Service ids.Service
+	// InFlight is how many requests of this router it has.
 	InFlight float64
-	// UnansweredTokens are the tokens of prompts sent whose first event is not here.
+	// UnansweredTokens are the prompts' tokens of those without a response yet.
 	UnansweredTokens float64
 	Load             Load
-	// LastSeen is when the runner last gave a sign of life, Asked when the oldest
-	// request that still waits for one was sent.
+	// LastSeen is when the runner last gave a sign of life.
 	LastSeen clock.Instant
-	// Suspect says that the runner broke down and gave no sign of life since:
-	// nothing new is sent to it until a test has found it well.
-	Suspect   bool
-	probes    int
-	nextProbe clock.Instant
-	// relapses counts doubts that came soon after the last one ended, ill the tests
-	// that a runner answered by saying that it is ill.
-	relapses         int
-	unhealthyReplies int
-	clearedAt        clock.Instant
-
-	arrived, finished, failed, latencySumMS float64
-	units                                   float64
-	inFlightSum, pendingSum                 float64
-	samples                                 float64
-	pending                                 map[uint64]pendingRequest
-}
-
-// pendingRequest is a request that has no sign of an answer yet.
-type pendingRequest struct {
-	sentAt  clock.Instant
-	urgency int
-	goal    clock.Span
-	overdue bool
-}
-
-// Collector holds the ledgers of all runners, in shards with a lock each.
+	// Suspect says that the runner has failed and gave no sign of life since:
+	// nothing is sent to it until a probe succeeds.
+	Suspect bool
+}
+
+// runner is all that is kept of a runner.
+type runner struct {
+	State
+	probing probing
+	totals  totals
+	pending map[uint64]pendingRequest
+}
+
+// totals is what is counted of a runner between two reports.
+type totals struct {
+	arrived, finished, failed float64
+	latencyMS                 float64
+	// units are the tokens of the requests that arrived, at least 1 each.
+	units float64
+	// inFlight and pending are sums over samples.
+	inFlight, pending, samples float64
+}
+
+// Collector collects the statistics of all runners and the demand for services.
 type Collector struct {
-	seed        maphash.Seed
-	shards      [shardCount]shard
-	aggregates  shard
+	seed   maphash.Seed
+	shards [shardCount]shard
+	// demandMu guards what is counted for services and routes, below.
+	demandMu    sync.Mutex
 	demand      map[demandKey]float64
 	readings    map[readingKey]headroom.Reading
 	completions map[lengthstats.Key]lengthstats.Totals
 }
 
-type readingKey struct {
-	service ids.Service
-	route   string
-}
-
 type shard struct {
-	mu     sync.Mutex
-	states map[ids.RunnerID]*State
+	mu      sync.Mutex
+	runners map[ids.RunnerID]*runner
 }
 
 type demandKey struct {
@@ -84,132 +73,122 @@
 	homes   string
 }
 
-// New makes an empty board.
+type readingKey struct {
+	service ids.Service
+	route   string
+}
+
+// New returns an empty collector.
 func New() *Collector {
-	board := &Collector{seed: maphash.MakeSeed(), demand: map[demandKey]float64{}, readings: map[readingKey]headroom.Reading{}, completions: map[lengthstats.Key]lengthstats.Totals{}}
-	for index := range board.shards {
-		board.shards[index].states = map[ids.RunnerID]*State{}
+	c := &Collector{seed: maphash.MakeSeed()}
+	for index := range c.shards {
+		c.shards[index].runners = map[ids.RunnerID]*runner{}
 	}
-	return board
+	c.resetDemand()
+	return c
+}
+
+// update calls change with a runner, which is added if it is unknown, under its
+// shard's lock.
+func (c *Collector) update(id ids.RunnerID, change func(r *runner)) {
+	s := &c.shards[maphash.String(c.seed, string(id))%shardCount]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := s.runners[id]
+	if r == nil {
+		r = &runner{pending: map[uint64]pendingRequest{}}
+		s.runners[id] = r
+	}
+	change(r)
 }
 
-func (c *Collector) update(id ids.RunnerID, act func(ledger *State)) {
-	part := &c.shards[maphash.String(c.seed, string(id))%shardCount]
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	ledger := part.states[id]
-	if ledger == nil {
-		ledger = &State{pending: map[uint64]pendingRequest{}}
-		part.states[id] = ledger
+// eachShard calls visit with the runners of each shard, under its lock.
+func (c *Collector) eachShard(visit func(runners map[ids.RunnerID]*runner)) {
+	for index := range c.shards {
+		s := &c.shards[index]
+		s.mu.Lock()
+		visit(s.runners)
+		s.mu.Unlock()
 	}
-	act(ledger)
 }
 
-// State gives a copy of a runner's ledger.
+// State returns the state of a runner.
 func (c *Collector) State(id ids.RunnerID) State {
-	var seen State
-	c.update(id, func(ledger *State) { seen = *ledger })
-	seen.pending = nil
-	return seen
-}
-
-// AddDemand notes how much visitors want of a service.
-func (c *Collector) AddDemand(service ids.Service, homes string) {
-	c.aggregates.mu.Lock()
-	defer c.aggregates.mu.Unlock()
-	c.demand[demandKey{service: service, homes: homes}]++
-}
-
-// ObserveFirstEvent notes how long a first answer took for a request of so many units.
-func (c *Collector) ObserveFirstEvent(service ids.Service, route string, units float64, first clock.Span) {
-	milliseconds := float64(first) / float64(clock.Millisecond)
-	c.aggregates.mu.Lock()
-	defer c.aggregates.mu.Unlock()
-	key := readingKey{service: service, route: route}
-	c.readings[key] = c.readings[key].Add(headroom.Reading{
-		Service: service, Route: route, Count: 1, Units: units, UnitsSquared: units * units,
-		FirstTokenMS: milliseconds, UnitsFirstTokenMS: units * milliseconds,
-	})
+	var state State
+	c.update(id, func(r *runner) { state = r.State })
+	return state
 }
 
-// SentRequest is a request that goes to a runner; its number is given back to Began
-// and Ended.
+// SentRequest is a request that is sent to a runner.
 type SentRequest struct {
 	Service ids.Service
-	Number  uint64
+	// Number identifies the request among this router's.
+	Number uint64
+	// Tokens is the prompt's length; 0 is unknown.
 	Tokens  float64
 	Urgency int
-	// Goal is how soon a first sign is wanted.
+	// Goal is within what time a response is wanted; 0 is none.
 	Goal clock.Span
 }
 
-// RequestSent notes a request that goes to a runner.
-func (c *Collector) RequestSent(id ids.RunnerID, sending SentRequest, now clock.Instant) {
-	c.update(id, func(ledger *State) {
-		ledger.Service = sending.Service
-		ledger.InFlight++
-		ledger.UnansweredTokens += sending.Tokens
-		ledger.arrived++
-		ledger.units += max(1, sending.Tokens)
-		ledger.Load.SentSince++
-		ledger.pending[sending.Number] = pendingRequest{sentAt: now, urgency: sending.Urgency, goal: sending.Goal}
+// RequestSent records a request that is sent to a runner.
+func (c *Collector) RequestSent(id ids.RunnerID, req SentRequest, now clock.Instant) {
+	c.update(id, func(r *runner) {
+		r.Service = req.Service
+		r.InFlight++
+		r.UnansweredTokens += req.Tokens
+		r.totals.arrived++
+		r.totals.units += max(1, req.Tokens)
+		r.Load.SentSince++
+		r.pending[req.Number] = pendingRequest{sentAt: now, urgency: req.Urgency, goal: req.Goal}
 	})
 }
 
-// ResponseBegan notes the first sign of an answer.
+// ResponseBegan records the head of a response, by the number and the tokens of
+// its request. It ends a suspicion.
 func (c *Collector) ResponseBegan(id ids.RunnerID, number uint64, tokens float64, now clock.Instant) {
-	c.update(id, func(ledger *State) {
-		ledger.UnansweredTokens = max(0, ledger.UnansweredTokens-tokens)
-		ledger.markAlive(now)
-		delete(ledger.pending, number)
+	c.update(id, func(r *runner) {
+		r.UnansweredTokens = max(0, r.UnansweredTokens-tokens)
+		r.markAlive(now)
+		delete(r.pending, number)
 	})
 }
 
 // EndedRequest is how a request at a runner ended.
 type EndedRequest struct {
-	Service ids.Service
-	Number  uint64
-	Tokens  float64
-	Began   bool
-	// Completed is an answer that came whole; Broken a runner that broke down.
+	// Number and Tokens are those of the SentRequest.
+	Number uint64
+	Tokens float64
+	// Began says that ResponseBegan was called for it.
+	Began bool
+	// Completed says that the whole response arrived, RunnerFailed that the end
+	// speaks against the runner.
 	Completed    bool
 	RunnerFailed bool
-	Duration     clock.Span
-}
-
-// RequestEnded notes the end of a request.
-func (c *Collector) RequestEnded(id ids.RunnerID, ending EndedRequest, now clock.Instant) {
-	c.update(id, func(ledger *State) {
-		ledger.InFlight = max(0, ledger.InFlight-1)
-		counted := ledger.pending[ending.Number].overdue
-		delete(ledger.pending, ending.Number)
-		if !ending.Began {
-			ledger.UnansweredTokens = max(0, ledger.UnansweredTokens-ending.Tokens)
+	// Duration is how long the request was at the runner.
+	Duration clock.Span
+}
+
+// RequestEnded records the end of a request. A completed one ends a suspicion, a
+// failure of the runner begins one.
+func (c *Collector) RequestEnded(id ids.RunnerID, end EndedRequest, now clock.Instant) {
+	c.update(id, func(r *runner) {
+		r.InFlight = max(0, r.InFlight-1)
+		countedAsFailed := r.pending[end.Number].overdue
+		delete(r.pending, end.Number)
+		if !end.Began {
+			r.UnansweredTokens = max(0, r.UnansweredTokens-end.Tokens)
 		}
-		if ending.Completed {
-			ledger.finished++
-			ledger.latencySumMS += float64(ending.Duration.Milliseconds())
-			ledger.markAlive(now)
+		if end.Completed {
+			r.totals.finished++
+			r.totals.latencyMS += float64(end.Duration.Milliseconds())
+			r.markAlive(now)
 		}
-		if ending.RunnerFailed {
-			if !counted {
-				ledger.failed++
+		if end.RunnerFailed {
+			if !countedAsFailed {
+				r.totals.failed++
 			}
-			ledger.suspect(now)
+			r.suspect(now)
 		}
 	})
 }
-
-// SampleInFlight adds one look at how many are running; looks are averaged.
-func (c *Collector) SampleInFlight() {
-	for index := range c.shards {
-		part := &c.shards[index]
-		part.mu.Lock()
-		for _, ledger := range part.states {
-			ledger.samples++
-			ledger.inFlightSum += ledger.InFlight
-			ledger.pendingSum += float64(len(ledger.pending))
-		}
-		part.mu.Unlock()
-	}
-}
--- a/data/runnerstats/collector_test.go
+++ b/data/runnerstats/collector_test.go
@@ -7,90 +7,86 @@
 )
 
 func TestCollector_report(t *testing.T) {
-	machine, board := clock.NewFake(), New()
-	board.AddDemand("s", "north,")
-	board.RequestSent("i", SentRequest{Service: "s", Number: 1, Tokens: 100}, machine.Now())
-	board.RequestSent("i", SentRequest{Service: "s", Number: 2, Tokens: 50}, machine.Now())
-	board.SampleInFlight()
-	board.ObserveLoad("i", "3,1,8", machine.Now())
-	board.ObserveLoad("i", "nonsense", machine.Now())
-	board.ResponseBegan("i", 1, 100, machine.Now())
-	board.ObserveFirstEvent("s", "long", 100, 40*clock.Millisecond)
-	board.ObserveFirstEvent("s", "long", 50, 20*clock.Millisecond)
-	board.SampleInFlight()
-	board.RequestEnded("i", EndedRequest{Number: 1, Began: true, Completed: true, Duration: 200 * clock.Millisecond}, machine.Now())
-	board.RequestEnded("i", EndedRequest{Number: 2, Tokens: 50, RunnerFailed: true}, machine.Now())
-	ledger := board.State("i")
-	if ledger.InFlight != 0 || ledger.UnansweredTokens != 0 || ledger.Load.Running != 3 || ledger.Load.Waiting != 1 || !ledger.Suspect {
-		t.Fatalf("%+v", ledger)
+	clk, collector := clock.NewFake(), New()
+	collector.AddDemand("s", "north,")
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, Tokens: 100}, clk.Now())
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 2, Tokens: 50}, clk.Now())
+	collector.SampleInFlight()
+	collector.ObserveLoad("i", "3,1,8", clk.Now())
+	collector.ObserveLoad("i", "nonsense", clk.Now())
+	collector.ResponseBegan("i", 1, 100, clk.Now())
+	collector.ObserveFirstEvent("s", "long", 100, 40*clock.Millisecond)
+	collector.ObserveFirstEvent("s", "long", 50, 20*clock.Millisecond)
+	collector.SampleInFlight()
+	collector.RequestEnded("i", EndedRequest{Number: 1, Began: true, Completed: true, Duration: 200 * clock.Millisecond}, clk.Now())
+	collector.RequestEnded("i", EndedRequest{Number: 2, Tokens: 50, RunnerFailed: true}, clk.Now())
+	state := collector.State("i")
+	if state.InFlight != 0 || state.UnansweredTokens != 0 || state.Load.Running != 3 || state.Load.Waiting != 1 || !state.Suspect {
+		t.Fatalf("%+v", state)
 	}
-	report := board.TakeReport(machine.Now(), clock.Second)
+	report := collector.TakeReport(clk.Now(), clock.Second)
 	samples, demands := report.Samples, report.Demands
 	if len(samples) != 1 || len(demands) != 1 || demands[0].HomeRegions != "north," || demands[0].Arrived != 1 {
 		t.Fatalf("%+v %+v", samples, demands)
 	}
-	if read := report.Readings[0]; read.Count != 2 || read.Units != 150 || read.UnitsSquared != 12500 || read.FirstTokenMS != 60 || read.UnitsFirstTokenMS != 5000 {
-		t.Fatalf("%+v", read)
+	if reading := report.Readings[0]; reading.Count != 2 || reading.Units != 150 || reading.UnitsSquared != 12500 || reading.FirstTokenMS != 60 || reading.UnitsFirstTokenMS != 5000 {
+		t.Fatalf("%+v", reading)
 	}
 	sample := samples[0]
 	if sample.Arrived != 2 || sample.Finished != 1 || sample.Failed != 1 || sample.ExecutionMS != 200 || sample.Running != 2 || sample.Pending != 1.5 || sample.Utilization != 3.0/8 || sample.Units != 150 {
 		t.Fatalf("%+v", sample)
 	}
-	if again := board.TakeReport(machine.Now(), clock.Second); len(again.Samples)+len(again.Demands)+len(again.Readings) != 0 {
+	if again := collector.TakeReport(clk.Now(), clock.Second); len(again.Samples)+len(again.Demands)+len(again.Readings) != 0 {
 		t.Fatalf("counted twice: %+v", again)
 	}
 }
 
 func TestCollector_silenceOfOldestPending(t *testing.T) {
-	machine, board := clock.NewFake(), New()
-	board.RequestSent("i", SentRequest{Service: "s", Number: 1, Tokens: 0}, machine.Now())
-	machine.Advance(clock.Second)
-	board.RequestSent("i", SentRequest{Service: "s", Number: 2, Tokens: 0}, machine.Now())
-	machine.Advance(clock.Second)
-	if silence := board.SilentFor("i", machine.Now()); silence != 2*clock.Second {
+	clk, collector := clock.NewFake(), New()
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, Tokens: 0}, clk.Now())
+	clk.Advance(clock.Second)
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 2, Tokens: 0}, clk.Now())
+	clk.Advance(clock.Second)
+	if silence := collector.SilentFor("i", clk.Now()); silence != 2*clock.Second {
 		t.Fatalf("%v", silence)
 	}
-	board.ResponseBegan("i", 2, 0, machine.Now())
-	machine.Advance(clock.Second)
-	if silence := board.SilentFor("i", machine.Now()); silence != clock.Second {
-		t.Fatalf("a sign of life does not count: %v", silence)
+	collector.ResponseBegan("i", 2, 0, clk.Now())
+	clk.Advance(clock.Second)
+	if silence := collector.SilentFor("i", clk.Now()); silence != clock.Second {
+		t.Fatalf("a response does not count as a sign of life: %v", silence)
 	}
-	board.RequestEnded("i", EndedRequest{Number: 1, Completed: true}, machine.Now())
-	if silence := board.SilentFor("i", machine.Now()); silence != 0 {
-		t.Fatalf("%v with nothing waiting", silence)
+	collector.RequestEnded("i", EndedRequest{Number: 1, Completed: true}, clk.Now())
+	if silence := collector.SilentFor("i", clk.Now()); silence != 0 {
+		t.Fatalf("%v with nothing pending", silence)
 	}
 }
 
 func TestCollector_suspicionEndsWithProbeOrResponse(t *testing.T) {
-	machine, board := clock.NewFake(), New()
-	fail := func() {
-		board.RequestSent("i", SentRequest{Service: "s", Number: 9, Tokens: 0}, machine.Now())
-		board.RequestEnded("i", EndedRequest{Number: 9, RunnerFailed: true}, machine.Now())
+	clk, collector := clock.NewFake(), New()
+	failRequest(collector, clk)
+	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 1 || due[0] != "i" {
+		t.Fatalf("the first probe is not due at once: %v", due)
 	}
-	fail()
-	if due := board.DueProbes(machine.Now(), clock.Second); len(due) != 1 || due[0] != "i" {
-		t.Fatalf("the first test is not due at once: %v", due)
+	failRequest(collector, clk)
+	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 0 {
+		t.Fatalf("another failure hastens the probes: %v", due)
 	}
-	fail()
-	if due := board.DueProbes(machine.Now(), clock.Second); len(due) != 0 {
-		t.Fatalf("another failure hurries the tests: %v", due)
-	}
-	machine.Advance(clock.Second)
-	if due := board.DueProbes(machine.Now(), clock.Second); len(due) != 1 {
+	clk.Advance(clock.Second)
+	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 1 {
 		t.Fatalf("%v", due)
 	}
-	machine.Advance(clock.Second)
-	if due := board.DueProbes(machine.Now(), clock.Second); len(due) != 0 {
-		t.Fatalf("the pause does not grow: %v", due)
+	clk.Advance(clock.Second)
+	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 0 {
+		t.Fatalf("the interval does not grow: %v", due)
 	}
-	board.ClearSuspicion("i", machine.Now())
-	if board.State("i").Suspect {
-		t.Fatal("doubted though a test found it well")
+	collector.ClearSuspicion("i", clk.Now())
+	if collector.State("i").Suspect {
+		t.Fatal("suspected after a probe succeeded")
 	}
-	fail()
-	board.RequestSent("i", SentRequest{Service: "s", Number: 10, Tokens: 0}, machine.Now())
-	board.ResponseBegan("i", 10, 0, machine.Now())
-	if board.State("i").Suspect {
-		t.Fatal("doubted after a sign of life")
+	failRequest(collector, clk)
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 10, Tokens: 0}, clk.Now())
+	collector.ResponseBegan("i", 10, 0, clk.Now())
+	if collector.State("i").Suspect {
+		t.Fatal("suspected after a response")
 	}
 }
--- a/data/runnerstats/load.go
+++ b/data/runnerstats/load.go
@@ -8,21 +8,34 @@
 	"onyxwell/base/ids"
 )
 
-// ObserveLoad notes the load that a runner put in an answer: running, waiting, slots.
+// Load is what a runner reported of itself with a response.
+type Load struct {
+	// Running, Waiting and Slots count its requests, those of other routers too, and
+	// how many it runs at once.
+	Running    float64
+	Waiting    float64
+	Slots      float64
+	ReportedAt clock.Instant
+	// SentSince is how many requests this router has sent since the report.
+	SentSince float64
+}
+
+// ObserveLoad records a report of the form "running,waiting,slots". Malformed
+// text is ignored.
 func (c *Collector) ObserveLoad(id ids.RunnerID, text string, now clock.Instant) {
-	parts := strings.Split(text, ",")
-	if len(parts) != 3 {
+	fields := strings.Split(text, ",")
+	if len(fields) != 3 {
 		return
 	}
-	figures := [3]float64{}
-	for index, part := range parts {
-		figure, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
+	values := [3]float64{}
+	for index, field := range fields {
+		value, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
 		if err != nil {
 			return
 		}
-		figures[index] = figure
+		values[index] = value
 	}
-	c.update(id, func(ledger *State) {
-		ledger.Load = Load{Running: figures[0], Waiting: figures[1], Slots: figures[2], ReportedAt: now}
+	c.update(id, func(r *runner) {
+		r.Load = Load{Running: values[0], Waiting: values[1], Slots: values[2], ReportedAt: now}
 	})
 }
--- a/data/runnerstats/pending.go
+++ b/data/runnerstats/pending.go
@@ -5,15 +5,29 @@
 	"onyxwell/base/ids"
 )
 
-// SilentFor tells how long the oldest request at a runner has waited for a first
-// sign, if the runner gave no other sign of life since.
+// overdueGoals is after how many times its goal a pending request counts as a
+// failure of its runner, though it may still complete.
+const overdueGoals = 2
+
+// pendingRequest is a request without a response yet.
+type pendingRequest struct {
+	sentAt  clock.Instant
+	urgency int
+	goal    clock.Span
+	// overdue says that it was counted as failed.
+	overdue bool
+}
+
+// SilentFor returns for how long the oldest pending request at a runner has waited
+// since it was sent or since the runner's last sign of life; 0 where none is
+// pending.
 func (c *Collector) SilentFor(id ids.RunnerID, now clock.Instant) clock.Span {
 	silence := clock.Span(0)
-	c.update(id, func(ledger *State) {
-		for _, held := range ledger.pending {
-			since := held.sentAt
-			if since.Before(ledger.LastSeen) {
-				since = ledger.LastSeen
+	c.update(id, func(r *runner) {
+		for _, req := range r.pending {
+			since := req.sentAt
+			if since.Before(r.LastSeen) {
+				since = r.LastSeen
 			}
 			silence = max(silence, now.Since(since))
 		}
@@ -21,33 +35,28 @@
 	return silence
 }
 
-// QueuedFor tells how many of this router's requests of an urgency wait at a runner
-// for a first sign, and for how long the oldest has.
-func (c *Collector) QueuedFor(id ids.RunnerID, urgency int, now clock.Instant) (int, clock.Span) {
-	count, oldest := 0, clock.Span(0)
-	c.update(id, func(ledger *State) {
-		for _, held := range ledger.pending {
-			if held.urgency == urgency {
+// QueuedFor returns how many requests of an urgency are pending at a runner, and
+// for how long the oldest of them.
+func (c *Collector) QueuedFor(id ids.RunnerID, urgency int, now clock.Instant) (count int, oldest clock.Span) {
+	c.update(id, func(r *runner) {
+		for _, req := range r.pending {
+			if req.urgency == urgency {
 				count++
-				oldest = max(oldest, now.Since(held.sentAt))
+				oldest = max(oldest, now.Since(req.sentAt))
 			}
 		}
 	})
 	return count, oldest
 }
 
-// overdueGoals is after how many goals a request that waits for a first sign
-// counts against its runner, though it may still end well.
-const overdueGoals = 2
-
-// countOverdue counts requests that hang: waiting for their end would tell of an
-// ill runner only when the clients have long given up.
-func (s *State) countOverdue(now clock.Instant) {
-	for number, held := range s.pending {
-		if !held.overdue && held.goal > 0 && now.Since(held.sentAt) > overdueGoals*held.goal {
-			held.overdue = true
-			s.pending[number] = held
-			s.failed++
+// countOverdue counts requests that hang as failures: by the time that they end,
+// the clients would long have given up.
+func (r *runner) countOverdue(now clock.Instant) {
+	for number, req := range r.pending {
+		if !req.overdue && req.goal > 0 && now.Since(req.sentAt) > overdueGoals*req.goal {
+			req.overdue = true
+			r.pending[number] = req
+			r.totals.failed++
 		}
 	}
 }
--- a/data/runnerstats/report.go
+++ b/data/runnerstats/report.go
@@ -8,59 +8,96 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// TakeReport gives what was seen since the last time, and begins anew.
-func (c *Collector) TakeReport(now clock.Instant, spent clock.Span) autoscaler.ReportRequest {
+// AddDemand counts a request for a service, by the key of its home regions.
+func (c *Collector) AddDemand(service ids.Service, homes string) {
+	c.demandMu.Lock()
+	defer c.demandMu.Unlock()
+	c.demand[demandKey{service: service, homes: homes}]++
+}
+
+// ObserveFirstEvent records how long the first event of a response took, for a
+// request of so many units of work.
+func (c *Collector) ObserveFirstEvent(service ids.Service, route string, units float64, latency clock.Span) {
+	latencyMS := float64(latency) / float64(clock.Millisecond)
+	c.demandMu.Lock()
+	defer c.demandMu.Unlock()
+	key := readingKey{service: service, route: route}
+	c.readings[key] = c.readings[key].Add(headroom.Reading{
+		Service: service, Route: route, Count: 1, Units: units, UnitsSquared: units * units,
+		FirstTokenMS: latencyMS, UnitsFirstTokenMS: units * latencyMS,
+	})
+}
+
+// ObserveCompletion records a complete response for the statistics of lengths.
+func (c *Collector) ObserveCompletion(completion lengthstats.Totals) {
+	c.demandMu.Lock()
+	defer c.demandMu.Unlock()
+	c.completions[completion.Key] = completion.Add(c.completions[completion.Key])
+}
+
+// SampleInFlight samples how many requests are in flight and pending at each
+// runner; a report carries the means.
+func (c *Collector) SampleInFlight() {
+	c.eachShard(func(runners map[ids.RunnerID]*runner) {
+		for _, r := range runners {
+			r.totals.samples++
+			r.totals.inFlight += r.InFlight
+			r.totals.pending += float64(len(r.pending))
+		}
+	})
+}
+
+// TakeReport returns what was observed since the last report, which was elapsed
+// ago, and resets it. Runners of which nothing is to be remembered are forgotten.
+func (c *Collector) TakeReport(now clock.Instant, elapsed clock.Span) autoscaler.ReportRequest {
 	var report autoscaler.ReportRequest
-	for index := range c.shards {
-		part := &c.shards[index]
-		part.mu.Lock()
-		for id, ledger := range part.states {
-			if sample, any := ledger.takeSample(id, now, spent.Seconds()); any {
+	c.eachShard(func(runners map[ids.RunnerID]*runner) {
+		for id, r := range runners {
+			if sample, ok := r.takeSample(id, now, elapsed.Seconds()); ok {
 				report.Samples = append(report.Samples, sample)
-			} else if ledger.InFlight == 0 && !ledger.Suspect && (ledger.clearedAt == 0 || now.Since(ledger.clearedAt) > relapseWindow) {
-				delete(part.states, id)
+			} else if r.InFlight == 0 && !r.Suspect && !r.probing.clearedWithin(relapseWindow, now) {
+				delete(runners, id)
 			}
 		}
-		part.mu.Unlock()
-	}
-	c.aggregates.mu.Lock()
-	defer c.aggregates.mu.Unlock()
+	})
+	c.demandMu.Lock()
+	defer c.demandMu.Unlock()
 	for key, arrived := range c.demand {
 		report.Demands = append(report.Demands, autoscaler.Demand{Service: key.service, HomeRegions: key.homes, Arrived: arrived})
 	}
 	for _, reading := range c.readings {
 		report.Readings = append(report.Readings, reading)
 	}
-	for _, sum := range c.completions {
-		report.Lengths = append(report.Lengths, sum)
+	for _, completion := range c.completions {
+		report.Lengths = append(report.Lengths, completion)
 	}
-	c.demand, c.readings = map[demandKey]float64{}, map[readingKey]headroom.Reading{}
-	c.completions = map[lengthstats.Key]lengthstats.Totals{}
+	c.resetDemand()
 	return report
 }
 
-// ObserveCompletion notes a whole answer: its kind, how long it took, how many tokens had to
-// be read for it, and whether it began slowly.
-func (c *Collector) ObserveCompletion(answer lengthstats.Totals) {
-	c.aggregates.mu.Lock()
-	defer c.aggregates.mu.Unlock()
-	c.completions[answer.Key] = answer.Add(c.completions[answer.Key])
+// resetDemand forgets what was counted for services and routes. The caller holds
+// demandMu.
+func (c *Collector) resetDemand() {
+	c.demand, c.readings = map[demandKey]float64{}, map[readingKey]headroom.Reading{}
+	c.completions = map[lengthstats.Key]lengthstats.Totals{}
 }
 
-func (s *State) takeSample(id ids.RunnerID, now clock.Instant, seconds float64) (autoscaler.Sample, bool) {
-	s.countOverdue(now)
-	part := seconds / max(1, s.samples)
+// takeSample returns the totals of a runner and resets them; it reports whether
+// there was any request.
+func (r *runner) takeSample(id ids.RunnerID, now clock.Instant, elapsedSeconds float64) (autoscaler.Sample, bool) {
+	r.countOverdue(now)
+	t := &r.totals
+	secondsPerSample := elapsedSeconds / max(1, t.samples)
 	sample := autoscaler.Sample{
-		Runner: id, Service: s.Service, Arrived: s.arrived, Finished: s.finished, Failed: s.failed,
-		Units:       s.units,
-		ExecutionMS: s.latencySumMS, Running: s.inFlightSum * part, Pending: s.pendingSum * part,
+		Runner: id, Service: r.Service, Arrived: t.arrived, Finished: t.finished, Failed: t.failed,
+		Units: t.units, ExecutionMS: t.latencyMS,
+		Running: t.inFlight * secondsPerSample, Pending: t.pending * secondsPerSample,
 	}
-	if s.Load.Slots > 0 {
-		sample.Utilization = s.Load.Running / s.Load.Slots
+	if r.Load.Slots > 0 {
+		sample.Utilization = r.Load.Running / r.Load.Slots
 		sample.MemoryUtilization = sample.Utilization
 	}
-	any := s.arrived+s.finished+s.failed > 0 || s.InFlight > 0
-	s.arrived, s.finished, s.failed, s.latencySumMS, s.units = 0, 0, 0, 0, 0
-	s.inFlightSum, s.pendingSum, s.samples = 0, 0, 0
-	return sample, any
+	active := t.arrived+t.finished+t.failed > 0 || r.InFlight > 0
+	*t = totals{}
+	return sample, active
 }
--- a/data/runnerstats/suspicion.go
+++ b/data/runnerstats/suspicion.go
@@ -5,80 +5,103 @@
 	"onyxwell/base/ids"
 )
 
-// DueProbes gives the doubted runners whose next test is due, and puts the one after
-// it off: the pause doubles from the first to eight times as long.
+const (
+	// maxProbeShift bounds the backoff between probes, to 2^maxProbeShift times the
+	// first interval.
+	maxProbeShift = 3
+	// relapseWindow is within what time after a suspicion ended another one is a
+	// relapse. Its first probe is delayed, since the runner's health check may
+	// succeed all the while: by relapseBackoff, doubled with each further relapse,
+	// maxRelapses times at most.
+	relapseWindow  = 5 * clock.Second
+	relapseBackoff = clock.Second / 4
+	maxRelapses    = 4
+	// unhealthyReplyLimit is after how many replies that call the runner unhealthy
+	// it is tried nevertheless: health checks can be wrong either way.
+	unhealthyReplyLimit = 4
+)
+
+// probing is the state of a runner's suspicions.
+type probing struct {
+	// probes counts the probes of the current suspicion, unhealthyReplies those that
+	// called the runner unhealthy; nextProbe is when the next is due.
+	probes           int
+	unhealthyReplies int
+	nextProbe        clock.Instant
+	// relapses counts the relapses in a row, clearedAt is when the last suspicion
+	// ended.
+	relapses  int
+	clearedAt clock.Instant
+}
+
+// DueProbes returns the suspects whose next probe is due, and schedules the one
+// after it: the interval doubles from first up to eight times as long.
 func (c *Collector) DueProbes(now clock.Instant, first clock.Span) []ids.RunnerID {
-	var found []ids.RunnerID
-	for index := range c.shards {
-		part := &c.shards[index]
-		part.mu.Lock()
-		for id, ledger := range part.states {
-			if ledger.Suspect && !now.Before(ledger.nextProbe) {
-				found = append(found, id)
-				ledger.nextProbe = now.Add(first << min(ledger.probes, 3))
-				ledger.probes++
+	var due []ids.RunnerID
+	c.eachShard(func(runners map[ids.RunnerID]*runner) {
+		for id, r := range runners {
+			if r.Suspect && !now.Before(r.probing.nextProbe) {
+				due = append(due, id)
+				r.probing.nextProbe = now.Add(first << min(r.probing.probes, maxProbeShift))
+				r.probing.probes++
 			}
 		}
-		part.mu.Unlock()
-	}
-	return found
+	})
+	return due
 }
 
-// Suspect doubts a runner on other evidence than a request's.
+// Suspect begins a suspicion on other evidence than a request's end.
 func (c *Collector) Suspect(id ids.RunnerID, now clock.Instant) {
-	c.update(id, func(ledger *State) { ledger.suspect(now) })
+	c.update(id, func(r *runner) { r.suspect(now) })
 }
 
-// A runner that falls again within relapse of the last doubt rests before its
-// next test, longer with each fall: its health answer may be good all the while.
-const (
-	relapseWindow  = 5 * clock.Second
-	relapseBackoff = clock.Second / 4
-	maxRelapses    = 4
-)
-
-func (s *State) suspect(now clock.Instant) {
-	if s.Suspect {
+// suspect begins a suspicion, unless there is one. Its first probe is due at once
+// or, for a relapse, after a backoff.
+func (r *runner) suspect(now clock.Instant) {
+	if r.Suspect {
 		return
 	}
-	s.Suspect, s.probes, s.unhealthyReplies, s.nextProbe = true, 0, 0, now
-	if s.clearedAt == 0 || now.Since(s.clearedAt) > relapseWindow {
-		s.relapses = 0
+	p := &r.probing
+	r.Suspect, p.probes, p.unhealthyReplies, p.nextProbe = true, 0, 0, now
+	if !p.clearedWithin(relapseWindow, now) {
+		p.relapses = 0
 		return
 	}
-	s.nextProbe = now.Add(relapseBackoff << s.relapses)
-	s.relapses = min(maxRelapses, s.relapses+1)
+	p.nextProbe = now.Add(relapseBackoff << p.relapses)
+	p.relapses = min(maxRelapses, p.relapses+1)
 }
 
-// unhealthyReplyLimit is how often a runner may say that it is ill before it is tried all
-// the same: health answers can be false either way.
-const unhealthyReplyLimit = 4
+// clearedWithin reports whether a suspicion ended within the time before now.
+func (p *probing) clearedWithin(window clock.Span, now clock.Instant) bool {
+	return p.clearedAt != 0 && now.Since(p.clearedAt) <= window
+}
 
-// RecordUnhealthy notes that a doubted runner answered a test by saying that it is ill;
-// it tells whether the runner should be tried with requests nevertheless.
+// RecordUnhealthy records a probe to which the runner replied that it is
+// unhealthy; it reports whether the suspicion should be cleared nevertheless.
 func (c *Collector) RecordUnhealthy(id ids.RunnerID) bool {
 	try := false
-	c.update(id, func(ledger *State) {
-		ledger.unhealthyReplies++
-		try = ledger.unhealthyReplies >= unhealthyReplyLimit
+	c.update(id, func(r *runner) {
+		r.probing.unhealthyReplies++
+		try = r.probing.unhealthyReplies >= unhealthyReplyLimit
 	})
 	return try
 }
 
-// ClearSuspicion ends the doubt about a runner that a test found well.
+// ClearSuspicion ends the suspicion of a runner whose probe succeeded.
 func (c *Collector) ClearSuspicion(id ids.RunnerID, now clock.Instant) {
-	c.update(id, func(ledger *State) { ledger.markAlive(now) })
+	c.update(id, func(r *runner) { r.markAlive(now) })
 }
 
-// markAlive ends the doubt about a runner.
-func (s *State) markAlive(now clock.Instant) {
-	if s.Suspect {
-		s.clearedAt = now
+// markAlive records a sign of life.
+func (r *runner) markAlive(now clock.Instant) {
+	if r.Suspect {
+		r.probing.clearedAt = now
 	}
-	s.Suspect, s.LastSeen = false, now
+	r.Suspect, r.LastSeen = false, now
 }
 
-// Unlist forgets a runner that is listed no more.
+// Unlist ends the suspicion of a runner that is listed no more, so that it is not
+// probed again. It is no sign of life.
 func (c *Collector) Unlist(id ids.RunnerID) {
-	c.update(id, func(ledger *State) { ledger.Suspect = false })
+	c.update(id, func(r *runner) { r.Suspect = false })
 }
--- a/data/runnerstats/suspicion_test.go
+++ b/data/runnerstats/suspicion_test.go
@@ -6,64 +6,65 @@
 	"onyxwell/base/clock"
 )
 
-func failRequest(board *Collector, machine *clock.Fake) {
-	board.RequestSent("i", SentRequest{Service: "s", Number: 9}, machine.Now())
-	board.RequestEnded("i", EndedRequest{Number: 9, RunnerFailed: true}, machine.Now())
+// failRequest has a request to the runner i fail at once.
+func failRequest(collector *Collector, clk *clock.Fake) {
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 9}, clk.Now())
+	collector.RequestEnded("i", EndedRequest{Number: 9, RunnerFailed: true}, clk.Now())
 }
 
-// TestCollector_relapsesBackOff has a runner say that it is well after each
-// failure: every fall makes it rest longer before it is asked again.
+// TestCollector_relapsesBackOff has a runner's probes succeed after each failure:
+// every relapse delays the next probe for longer.
 func TestCollector_relapsesBackOff(t *testing.T) {
-	machine, board := clock.NewFake(), New()
-	machine.Advance(clock.Second)
+	clk, collector := clock.NewFake(), New()
+	clk.Advance(clock.Second)
 	last := clock.Span(-1)
-	for fall := range 4 {
-		failRequest(board, machine)
-		rest := clock.Span(0)
-		for len(board.DueProbes(machine.Now(), clock.Second)) == 0 {
-			machine.Advance(10 * clock.Millisecond)
-			rest += 10 * clock.Millisecond
+	for relapse := range 4 {
+		failRequest(collector, clk)
+		delay := clock.Span(0)
+		for len(collector.DueProbes(clk.Now(), clock.Second)) == 0 {
+			clk.Advance(10 * clock.Millisecond)
+			delay += 10 * clock.Millisecond
 		}
-		if rest <= last {
-			t.Fatalf("fall %d rests for %v after %v", fall, rest, last)
+		if delay <= last {
+			t.Fatalf("relapse %d delays the probe by %v after %v", relapse, delay, last)
 		}
-		last = rest
-		board.ClearSuspicion("i", machine.Now())
+		last = delay
+		collector.ClearSuspicion("i", clk.Now())
 	}
-	machine.Advance(2 * relapseWindow)
-	failRequest(board, machine)
-	if len(board.DueProbes(machine.Now(), clock.Second)) != 1 {
-		t.Fatal("falls of long ago still count")
+	clk.Advance(2 * relapseWindow)
+	failRequest(collector, clk)
+	if len(collector.DueProbes(clk.Now(), clock.Second)) != 1 {
+		t.Fatal("relapses of long ago still count")
 	}
 }
 
-// TestCollector_unhealthyRunnerIsTriedEventually has a doubted runner say that it is ill
-// over and over: it is tried all the same, since that may be false.
+// TestCollector_unhealthyRunnerIsTriedEventually has a suspect reply to probes that
+// it is unhealthy: it is tried nevertheless in the end, since that may be wrong.
 func TestCollector_unhealthyRunnerIsTriedEventually(t *testing.T) {
-	machine, board := clock.NewFake(), New()
-	failRequest(board, machine)
+	clk, collector := clock.NewFake(), New()
+	failRequest(collector, clk)
 	for range unhealthyReplyLimit - 1 {
-		if board.RecordUnhealthy("i") {
-			t.Fatal("tried at the first word of it")
+		if collector.RecordUnhealthy("i") {
+			t.Fatal("tried before the limit of replies")
 		}
 	}
-	if !board.RecordUnhealthy("i") {
+	if !collector.RecordUnhealthy("i") {
 		t.Fatal("never tried")
 	}
 }
 
-// TestCollector_overdueRequestsCountOnce waits for requests that never get
-// a first sign: they count once, long before they end.
+// TestCollector_overdueRequestsCountOnce has requests that get no response: they
+// count as failed once, long before they end.
 func TestCollector_overdueRequestsCountOnce(t *testing.T) {
-	machine, board := clock.NewFake(), New()
-	board.RequestSent("i", SentRequest{Service: "s", Number: 1, Goal: 300 * clock.Millisecond}, machine.Now())
-	board.RequestSent("i", SentRequest{Service: "s", Number: 2}, machine.Now())
-	machine.Advance(clock.Second)
-	if sample := board.TakeReport(machine.Now(), clock.Second).Samples[0]; sample.Failed != 1 {
+	clk, collector := clock.NewFake(), New()
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, Goal: 300 * clock.Millisecond}, clk.Now())
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 2}, clk.Now())
+	clk.Advance(clock.Second)
+	if sample := collector.TakeReport(clk.Now(), clock.Second).Samples[0]; sample.Failed != 1 {
 		t.Fatalf("%+v", sample)
 	}
-	board.RequestEnded("i", EndedRequest{Number: 1, RunnerFailed: true}, machine.Now())
-	if sample := board.TakeReport(machine.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
+	collector.RequestEnded("i", EndedRequest{Number: 1, RunnerFailed: true}, clk.Now())
+	if sample := collector.TakeReport(clk.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
 		t.Fatalf("counted twice: %+v", sample)
 	}
 }
