--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -70,18 +70,23 @@
 
 // pickService draws one of the route's services by their weights.
 func (b *Balancer) pickService(route *config.Route) ids.Service {
-	services := route.WeightedServices()
+	return drawWeighted(b, route.WeightedServices(), func(weighted config.WeightedService) float64 { return weighted.Weight }).Service
+}
+
+// drawWeighted draws an item with a probability in proportion to its weight; the
+// last one where no weight is positive.
+func drawWeighted[T any](b *Balancer, items []T, weight func(T) float64) T {
 	total := 0.0
-	for _, weighted := range services {
-		total += weighted.Weight
+	for _, item := range items {
+		total += weight(item)
 	}
 	remaining := b.options.Random() * total
-	for _, weighted := range services {
-		if remaining -= weighted.Weight; remaining < 0 {
-			return weighted.Service
+	for _, item := range items {
+		if remaining -= weight(item); remaining < 0 {
+			return item
 		}
 	}
-	return services[len(services)-1].Service
+	return items[len(items)-1]
 }
 
 // homesKey is the form in which demand and flows name a route's home regions.
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -225,24 +225,10 @@
 // pickTwoChoices draws two candidates by weight and returns the one with less
 // load ("power of two choices").
 func (b *Balancer) pickTwoChoices(candidates []candidate) candidate {
-	first, second := b.drawWeighted(candidates), b.drawWeighted(candidates)
+	weight := func(cand candidate) float64 { return cand.weight }
+	first, second := drawWeighted(b, candidates, weight), drawWeighted(b, candidates, weight)
 	if second.load < first.load {
 		return second
 	}
 	return first
 }
-
-// drawWeighted draws a candidate with a probability in proportion to its weight.
-func (b *Balancer) drawWeighted(candidates []candidate) candidate {
-	total := 0.0
-	for _, cand := range candidates {
-		total += cand.weight
-	}
-	remaining := b.options.Random() * total
-	for _, cand := range candidates {
-		if remaining -= cand.weight; remaining < 0 {
-			return cand
-		}
-	}
-	return candidates[len(candidates)-1]
-}
