--- a/data/runnerstats/collector.go
+++ b/data/runnerstats/collector.go
@@ -125,9 +125,10 @@
 	// Number identifies the request among this router's.
 	Number uint64
 	// Tokens is the prompt's length; 0 is unknown.
-	Tokens  float64
+	Tokens float64
+	// Urgency is the priority of its route.
 	Urgency int
-	// Goal is within what time a response is wanted; 0 is none.
+	// Goal is the latency target of the first event; 0 is none.
 	Goal clock.Span
 }
 
@@ -140,7 +141,7 @@
 		r.totals.arrived++
 		r.totals.units += max(1, req.Tokens)
 		r.Load.SentSince++
-		r.pending[req.Number] = pendingRequest{sentAt: now, urgency: req.Urgency, goal: req.Goal}
+		r.pending[req.Number] = pendingRequest{sentAt: now, priority: req.Urgency, latencyTarget: req.Goal}
 	})
 }
 
--- a/data/runnerstats/pending.go
+++ b/data/runnerstats/pending.go
@@ -5,15 +5,15 @@
 	"onyxwell/base/ids"
 )
 
-// overdueGoals is after how many times its goal a pending request counts as a
-// failure of its runner, though it may still complete.
-const overdueGoals = 2
+// overdueFactor is after how many times its latency target a pending request
+// counts as a failure of its runner, though it may still complete.
+const overdueFactor = 2
 
 // pendingRequest is a request without a response yet.
 type pendingRequest struct {
-	sentAt  clock.Instant
-	urgency int
-	goal    clock.Span
+	sentAt        clock.Instant
+	priority      int
+	latencyTarget clock.Span
 	// overdue says that it was counted as failed.
 	overdue bool
 }
@@ -35,12 +35,12 @@
 	return silence
 }
 
-// QueuedFor returns how many requests of an urgency are pending at a runner, and
+// QueuedFor returns how many requests of a priority are pending at a runner, and
 // for how long the oldest of them.
-func (c *Collector) QueuedFor(id ids.RunnerID, urgency int, now clock.Instant) (count int, oldest clock.Span) {
+func (c *Collector) QueuedFor(id ids.RunnerID, priority int, now clock.Instant) (count int, oldest clock.Span) {
 	c.update(id, func(r *runner) {
 		for _, req := range r.pending {
-			if req.urgency == urgency {
+			if req.priority == priority {
 				count++
 				oldest = max(oldest, now.Since(req.sentAt))
 			}
@@ -53,7 +53,7 @@
 // the clients would long have given up.
 func (r *runner) countOverdue(now clock.Instant) {
 	for number, req := range r.pending {
-		if !req.overdue && req.goal > 0 && now.Since(req.sentAt) > overdueGoals*req.goal {
+		if !req.overdue && req.latencyTarget > 0 && now.Since(req.sentAt) > overdueFactor*req.latencyTarget {
 			req.overdue = true
 			r.pending[number] = req
 			r.totals.failed++
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -34,7 +34,8 @@
 	Address  ids.Address
 	// TimeLeft is the time to the request's deadline when Send is called.
 	TimeLeft clock.Span
-	Urgency  int
+	// Urgency is the priority of the route, sent as UrgencyHeader within 0 to 9.
+	Urgency int
 	// LastEventID is the event after which a stream is resumed; empty for none.
 	LastEventID string
 	// Service is whose idle connections are judged together.
