--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -6,71 +6,81 @@
 	"onyxwell/base/scope"
 )
 
-// EnsureQuorum makes sure of contact, with a round of questions where it is not fresh.
-// Without a majority within the wait it is an Unsettled failure.
+// Errors of EnsureQuorum and WithQuorum; both are of the kind errkind.NoQuorum.
+var (
+	// ErrNoQuorum says that no majority of the voters answered within a round.
+	ErrNoQuorum = errkind.Errorf(errkind.NoQuorum, "no contact with a majority of the voters")
+	// ErrCallerGone says that the caller's context had ended.
+	ErrCallerGone = errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
+)
+
+// stallGrace is how long a command waits in a process that has just stalled.
+const stallGrace = 20 * clock.Millisecond
+
+// EnsureQuorum returns nil once contact with a majority is fresh. Where it is
+// not, it sends rounds of heartbeats, and returns ErrNoQuorum after RoundTimeout.
 func (t *Tracker) EnsureQuorum(ctx scope.Scope) error {
 	if t.HasQuorum(ctx.Now()) {
-		return callerGone(ctx)
+		return checkCaller(ctx)
 	}
-	short, release := ctx.WithTimeout(t.options.RoundTimeout)
-	defer release()
-	for short.Err() == nil {
+	limited, cancel := ctx.WithTimeout(t.options.RoundTimeout)
+	defer cancel()
+	for limited.Err() == nil {
 		t.mu.Lock()
 		changed := t.changed
 		t.mu.Unlock()
 		t.heartbeatRound(ctx)
 		if t.HasQuorum(ctx.Now()) {
 			t.logTransition(ctx, true)
-			return callerGone(ctx)
+			return checkCaller(ctx)
 		}
 		select {
 		case <-changed:
-		case <-short.Done():
-		case <-short.Clock.After(t.heartbeatInterval()):
+		case <-limited.Done():
+		case <-limited.Clock.After(t.heartbeatInterval()):
 		}
 	}
 	if t.HasQuorum(ctx.Now()) {
-		return callerGone(ctx)
+		return checkCaller(ctx)
 	}
-	if err := callerGone(ctx); err != nil {
+	if err := checkCaller(ctx); err != nil {
 		return err
 	}
 	t.logTransition(ctx, false)
-	return errkind.Errorf(errkind.NoQuorum, "no contact with a majority of the voters")
+	return ErrNoQuorum
 }
 
-// callerGone is the failure of one whose caller is gone.
-func callerGone(ctx scope.Scope) error {
+// checkCaller returns ErrCallerGone once ctx has ended.
+func checkCaller(ctx scope.Scope) error {
 	if ctx.Err() == nil {
 		return nil
 	}
-	return errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
+	return ErrCallerGone
 }
 
-// WithQuorum makes sure of contact and gives a scope that ends when it is lost: a
-// quarter of a second after its beginning or after the loss, whichever is later.
+// WithQuorum ensures a quorum and returns a copy of ctx that is cancelled when
+// contact is lost: SilenceTimeout after the call, or after the newest request
+// that a majority answered, whichever is later. The caller must call the returned
+// function, also after an error.
 func (t *Tracker) WithQuorum(ctx scope.Scope) (scope.Scope, func(), error) {
 	if t.recentlyStalled(ctx.Now()) {
-		// What came while this process stood still may be from callers that are
-		// gone: they are noticed first.
+		// Requests that arrived during the stall may be from callers that are
+		// gone; this lets their connections be seen to have closed first.
 		ctx.Wait(stallGrace)
 	}
 	if err := t.EnsureQuorum(ctx); err != nil {
 		return ctx, func() {}, err
 	}
-	guarded, end := ctx.WithCancel()
+	guarded, cancel := ctx.WithCancel()
 	t.options.Spawn(func() {
-		defer end()
+		defer cancel()
 		t.watch(guarded)
 	})
-	return guarded, end, nil
+	return guarded, cancel, nil
 }
 
-// stallGrace is how long an order waits in a process that stood still.
-const stallGrace = 20 * clock.Millisecond
-
-// recentlyStalled tells whether this process stood still until a moment ago. Only while
-// Run runs can it be found.
+// recentlyStalled records that this process runs, and reports whether it had
+// stalled until a moment ago. A stall can be found only while Run runs.
 func (t *Tracker) recentlyStalled(now clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- /dev/null
+++ b/control/state/quorum/messages.go
@@ -0,0 +1,48 @@
+package quorum
+
+import (
+	"onyxwell/base/clock"
+	"onyxwell/base/httpcall"
+	"onyxwell/base/ids"
+	"onyxwell/base/scope"
+	"onyxwell/control/transport"
+)
+
+// heartbeatCall names the heartbeat on the wire.
+const heartbeatCall = "contact"
+
+// HeartbeatRequest asks a voter to show that it hears the sender.
+type HeartbeatRequest struct {
+	From ids.Address `avro:"From"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (HeartbeatRequest) SchemaName() string { return "Ask_24" }
+
+// HeartbeatResponse carries the responder's monotonic clock, in nanoseconds, and
+// the incarnation of its process, within which alone the clock can be compared.
+type HeartbeatResponse struct {
+	Incarnation int64 `avro:"Life"`
+	Reading     int64 `avro:"Reading"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (HeartbeatResponse) SchemaName() string { return "Told_24" }
+
+// clockLead is how far the responder's clock was ahead of the own one when its
+// response arrived. The response that travelled the least has the largest lead.
+func (r HeartbeatResponse) clockLead(received clock.Instant) int64 {
+	return r.Reading - int64(received)
+}
+
+// RegisterHandlers serves the heartbeat to other controllers.
+func (t *Tracker) RegisterHandlers(calls *httpcall.Mux) {
+	transport.Handle(calls, heartbeatCall, func(ctx scope.Scope, _ HeartbeatRequest) (HeartbeatResponse, error) {
+		return t.Respond(ctx.Now()), nil
+	})
+}
+
+// Respond answers a heartbeat that arrived now.
+func (t *Tracker) Respond(now clock.Instant) HeartbeatResponse {
+	return HeartbeatResponse{Incarnation: t.options.Incarnation, Reading: int64(now)}
+}
--- a/control/state/quorum/silence.go
+++ b/control/state/quorum/silence.go
@@ -1,103 +1,99 @@
 package quorum
 
 import (
-	"slices"
-
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
+	"onyxwell/control/state/register"
 )
 
-// rttSamples are how long the newest answers took, there and back. The least of them
-// counts: one whose packet was lost and sent again tells nothing of the way.
+// roundsPerSilence is how many heartbeat rounds fall into SilenceTimeout, so that
+// no command ends for a single lost packet.
+const roundsPerSilence = 5
+
+// rttSamples are the newest round-trip times, newest first; 0 is none. The least
+// of them counts: a packet that was lost and sent again tells nothing of the path.
 type rttSamples [3]clock.Span
 
-func (r rttSamples) with(span clock.Span) rttSamples { return rttSamples{span, r[0], r[1]} }
+func (s rttSamples) with(rtt clock.Span) rttSamples { return rttSamples{rtt, s[0], s[1]} }
 
-// min is 0 where no answer came yet.
-func (r rttSamples) min() clock.Span {
+// min returns the least sample; 0 where there is none.
+func (s rttSamples) min() clock.Span {
 	least := clock.Span(0)
-	for _, span := range r {
-		if span > 0 && (least == 0 || span < least) {
-			least = span
+	for _, rtt := range s {
+		if rtt > 0 && (least == 0 || rtt < least) {
+			least = rtt
 		}
 	}
 	return least
 }
 
-// majorityRTT is how long it takes until a majority has answered a question; 0
-// where fewer are known.
+// majorityRTT returns how long it takes until a majority has answered a
+// heartbeat; 0 where the round trips of fewer are known.
 func (t *Tracker) majorityRTT() clock.Span {
-	var known []clock.Span
-	seats := t.options.Voters().Members
-	t.mu.Lock()
-	for _, seat := range seats {
-		if seat.Address == t.options.Address {
-			known = append(known, 0)
-		} else if span := t.peers[seat.Address].rtts.min(); span > 0 && !seat.Learner {
-			known = append(known, span)
+	rtt, _ := t.majority(t.options.Voters().Members, func(member register.Member, p peer) (clock.Span, bool) {
+		if member.Address == t.options.Address {
+			return 0, true
 		}
-	}
-	t.mu.Unlock()
-	quorum := len(seats)/2 + 1
-	if len(known) < quorum {
-		return 0
-	}
-	slices.Sort(known)
-	return known[quorum-1]
+		least := p.rtts.min()
+		return least, least > 0 && !member.Learner
+	})
+	return rtt
 }
 
-// heartbeatInterval is the time between two rounds of questions while an order is under way:
-// several fall into a silence, so one that is lost ends no order.
-func (t *Tracker) heartbeatInterval() clock.Span { return t.options.SilenceTimeout / 5 }
+// heartbeatInterval is the time between two rounds while a command is in flight.
+func (t *Tracker) heartbeatInterval() clock.Span { return t.options.SilenceTimeout / roundsPerSilence }
 
-// silenceTimeout is for how long a majority's newest answered question may have been
-// sent: half a round trip more than the way takes, and two questions, in any
-// case; and never longer than contact itself lasts.
+// silenceTimeout is how old contact may get while a command is in flight:
+//
+//	max(SilenceTimeout, 3/2 RTT + 2 heartbeat intervals)
+//
+// with the majority's round-trip time, and never more than MaxAge + RoundTimeout.
 func (t *Tracker) silenceTimeout() clock.Span {
 	needed := t.majorityRTT()*3/2 + 2*t.heartbeatInterval()
 	return min(max(t.options.SilenceTimeout, needed), t.options.MaxAge+t.options.RoundTimeout)
 }
 
-// watch asks at the pace for as long as the scope lasts, or until a majority has
-// been silent since the beginning, or since the newest question that it
-// answered, whichever is later. An order that is done sooner costs no question
-// but its own, which are heard too. A process that stood still looks at what
-// came meanwhile first.
-func (t *Tracker) watch(guarded scope.Scope) {
-	begin := guarded.Now()
+// watch sends heartbeat rounds until ctx ends, or until a majority has been
+// silent for silenceTimeout since the call or since the newest request that it
+// answered, whichever is later. A command that is done within one interval costs
+// no heartbeat: its own requests count as contact.
+func (t *Tracker) watch(ctx scope.Scope) {
+	start := ctx.Now()
 	for {
-		now := guarded.Now()
+		now := ctx.Now()
 		age, _ := t.MajorityAge(now)
-		heard := now.Add(-age)
-		left := t.silenceTimeout() - now.Since(max(begin, heard))
-		if left <= 0 {
-			t.loseQuorum(guarded, heard)
+		contact := now.Add(-age)
+		remaining := t.silenceTimeout() - now.Since(max(start, contact))
+		if remaining <= 0 {
+			t.loseQuorum(ctx, contact)
 			return
 		}
-		pause := min(left, t.heartbeatInterval())
-		if !guarded.Wait(pause) {
+		pause := min(remaining, t.heartbeatInterval())
+		if !ctx.Wait(pause) {
 			return
 		}
-		if woken := guarded.Now(); woken.Since(now) > pause+t.heartbeatInterval() {
-			begin = woken
+		if woken := ctx.Now(); woken.Since(now) > pause+t.heartbeatInterval() {
+			// This process stalled: the responses that arrived meanwhile are to be
+			// read before a majority is taken for silent.
+			start = woken
 		}
-		t.heartbeatRound(guarded)
+		t.heartbeatRound(ctx)
 	}
 }
 
-// loseQuorum notes that a majority is silent, from when on only later answers
-// show contact.
-func (t *Tracker) loseQuorum(ctx scope.Scope, heard clock.Instant) {
+// loseQuorum records that a majority, last in contact at the instant, fell
+// silent.
+func (t *Tracker) loseQuorum(ctx scope.Scope, contact clock.Instant) {
 	t.mu.Lock()
-	t.silentSince = max(t.silentSince, heard)
+	t.silentSince = max(t.silentSince, contact)
 	t.mu.Unlock()
 	t.logTransition(ctx, false)
 }
 
-// answeredSinceSilence tells whether a majority answered what was asked after it last fell
-// silent.
-func (t *Tracker) answeredSinceSilence(heard clock.Instant) bool {
+// answeredSinceSilence reports whether contact at the instant is newer than that
+// at which a majority last fell silent.
+func (t *Tracker) answeredSinceSilence(contact clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.silentSince == 0 || heard > t.silentSince
+	return t.silentSince == 0 || contact > t.silentSince
 }
--- a/control/state/quorum/tracker_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -18,27 +18,28 @@
 	"onyxwell/control/state/register"
 )
 
-func TestMain(tests *testing.M) { proptest.Run(tests) }
+func TestMain(m *testing.M) { proptest.Run(m) }
 
 const (
 	testMaxAge       = 400 * clock.Millisecond
 	testRoundTimeout = 200 * clock.Millisecond
 )
 
+// testVoters returns voters with the addresses 0, 1, 2 and so on.
 func testVoters(count int) func() register.VoterSet {
-	made := register.VoterSet{Generation: 1}
+	voters := register.VoterSet{Generation: 1}
 	for index := range count {
-		made.Members = append(made.Members, register.Member{Address: ids.Address(fmt.Sprint(index))})
+		voters.Members = append(voters.Members, register.Member{Address: ids.Address(fmt.Sprint(index))})
 	}
-	return func() register.VoterSet { return made }
+	return func() register.VoterSet { return voters }
 }
 
-// newTestTracker is a contact of the first of some voters; the others answer after a
-// delay each, or never.
+// newTestTracker is the tracker of the first of some voters; the others answer
+// after their delay, by address, or never where they have none.
 func newTestTracker(count int, delays *sync.Map) *Tracker {
 	return New(Options{Address: "0", Voters: testVoters(count), MaxAge: testMaxAge, Heartbeat: func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error) {
-		delay, answers := delays.Load(address)
-		if !answers {
+		delay, ok := delays.Load(address)
+		if !ok {
 			<-ctx.Done()
 			return HeartbeatResponse{}, ctx.Err()
 		}
@@ -49,132 +50,132 @@
 	}})
 }
 
-// drainPending lets messages that nobody answers run out.
+// drainPending lets heartbeats that nobody answers time out.
 func drainPending() { scope.New(scope.Options{}).Wait(4 * testMaxAge) }
 
 func TestTracker_majorityAgeIsOldestOfNewestMajority(t *testing.T) {
-	made := New(Options{Address: "0", Voters: testVoters(5), MaxAge: testMaxAge})
+	tracker := New(Options{Address: "0", Voters: testVoters(5), MaxAge: testMaxAge})
 	now := clock.Instant(10 * clock.Second)
-	made.RecordContact("1", now.Add(-100*clock.Millisecond))
-	if _, known := made.MajorityAge(now); known {
+	tracker.RecordContact("1", now.Add(-100*clock.Millisecond))
+	if _, ok := tracker.MajorityAge(now); ok {
 		t.Fatal("two of five count as a majority")
 	}
-	made.RecordContact("2", now.Add(-300*clock.Millisecond))
-	made.RecordContact("3", now.Add(-900*clock.Millisecond))
-	if age, known := made.MajorityAge(now); !known || age != 300*clock.Millisecond {
-		t.Fatalf("%v %v", age, known)
+	tracker.RecordContact("2", now.Add(-300*clock.Millisecond))
+	tracker.RecordContact("3", now.Add(-900*clock.Millisecond))
+	if age, ok := tracker.MajorityAge(now); !ok || age != 300*clock.Millisecond {
+		t.Fatalf("age %v, %v", age, ok)
 	}
-	made.RecordContact("2", now.Add(-800*clock.Millisecond))
-	if age, _ := made.MajorityAge(now); age != 300*clock.Millisecond {
-		t.Fatal("an older question made contact older")
+	tracker.RecordContact("2", now.Add(-800*clock.Millisecond))
+	if age, _ := tracker.MajorityAge(now); age != 300*clock.Millisecond {
+		t.Fatal("an older request made contact older")
 	}
-	learning := testVoters(3)()
-	learning.Members[1].Learner = true
-	made = New(Options{Address: "0", Voters: func() register.VoterSet { return learning }, MaxAge: testMaxAge})
-	made.RecordContact("1", now)
-	if _, known := made.MajorityAge(now); known {
-		t.Fatal("a seat that is learning counts")
+	voters := testVoters(3)()
+	voters.Members[1].Learner = true
+	tracker = New(Options{Address: "0", Voters: func() register.VoterSet { return voters }, MaxAge: testMaxAge})
+	tracker.RecordContact("1", now)
+	if _, ok := tracker.MajorityAge(now); ok {
+		t.Fatal("a learner counts")
 	}
 }
 
 func TestTracker_partitionedControllerDetectsLossInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &logtest.Buffer{}
-		top := scope.New(scope.Options{Log: scope.NewLogger("info", log)})
+		ctx := scope.New(scope.Options{Log: scope.NewLogger("info", log)})
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		made := newTestTracker(3, delays)
-		if err := made.EnsureQuorum(top); err != nil {
+		tracker := newTestTracker(3, delays)
+		if err := tracker.EnsureQuorum(ctx); err != nil {
 			t.Fatal(err)
 		}
-		guarded, end, err := made.WithQuorum(top)
+		guarded, cancel, err := tracker.WithQuorum(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer end()
+		defer cancel()
 		delays.Delete(ids.Address("1"))
-		cut := top.Now()
+		partitioned := ctx.Now()
 		<-guarded.Done()
-		if took := top.Now().Since(cut); took > 250*clock.Millisecond {
-			t.Errorf("an order under way ended %v after the cut", took)
+		if took := ctx.Now().Since(partitioned); took > 250*clock.Millisecond {
+			t.Errorf("a command in flight ended %v after the partition", took)
 		}
-		begin := top.Now()
+		start := ctx.Now()
 		for range 3 {
-			if err := made.EnsureQuorum(top); errkind.KindOf(err) != errkind.NoQuorum {
-				t.Errorf("cut off: %v", err)
+			if err := tracker.EnsureQuorum(ctx); errkind.KindOf(err) != errkind.NoQuorum {
+				t.Errorf("partitioned: %v", err)
 			}
 		}
-		if took := top.Now().Since(begin); took > 3*testRoundTimeout {
+		if took := ctx.Now().Since(start); took > 3*testRoundTimeout {
 			t.Errorf("three refusals took %v", took)
 		}
 		delays.Store(ids.Address("2"), 70*clock.Millisecond)
-		if err := made.EnsureQuorum(top); err != nil {
+		if err := tracker.EnsureQuorum(ctx); err != nil {
 			t.Error(err)
 		}
-		if told := made.Status(top.Now()); !told.Majority || told.AgeMS != 70 {
-			t.Errorf("%+v", told)
+		if status := tracker.Status(ctx.Now()); !status.Majority || status.AgeMS != 70 {
+			t.Errorf("%+v", status)
 		}
 		if lines := strings.Count(log.String(), "\n"); lines != 2 {
 			t.Errorf("%d lines for one loss and one return:\n%s", lines, log)
 		}
-		end()
+		cancel()
 		drainPending()
 	})
 }
 
 func TestTracker_runKeepsQuorumWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		top, end := scope.New(scope.Options{}).WithCancel()
+		ctx, cancel := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		made := newTestTracker(3, delays)
-		go made.Run(top)
-		top.Wait(clock.Second)
+		tracker := newTestTracker(3, delays)
+		go tracker.Run(ctx)
+		ctx.Wait(clock.Second)
 		for range 50 {
-			if top.Wait(61 * clock.Millisecond); !made.HasQuorum(top.Now()) {
-				age, _ := made.MajorityAge(top.Now())
+			if ctx.Wait(61 * clock.Millisecond); !tracker.HasQuorum(ctx.Now()) {
+				age, _ := tracker.MajorityAge(ctx.Now())
 				t.Fatalf("contact is %v old", age)
 			}
 		}
-		end()
+		cancel()
 		drainPending()
 	})
 }
 
-// TestTracker_stalledProcessNoticesGoneCallerFirst has a process stand still: a
-// caller that went in the meantime is noticed before its order is begun.
+// TestTracker_stalledProcessNoticesGoneCallerFirst stalls a process: a caller
+// that went away in the meantime is noticed before its command is begun.
 func TestTracker_stalledProcessNoticesGoneCallerFirst(t *testing.T) {
-	machine := clock.NewFake()
-	top := scope.New(scope.Options{Clock: machine})
-	made := New(Options{Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
-	made.lastTick = machine.Now()
-	guard := func(goes bool) error {
-		caller, gone := top.WithCancel()
-		defer gone()
-		told := make(chan error)
+	fake := clock.NewFake()
+	ctx := scope.New(scope.Options{Clock: fake})
+	tracker := New(Options{Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
+	tracker.lastTick = fake.Now()
+	guard := func(callerLeaves bool) error {
+		caller, leave := ctx.WithCancel()
+		defer leave()
+		result := make(chan error)
 		go func() {
-			_, end, err := made.WithQuorum(caller)
-			end()
-			told <- err
+			_, cancel, err := tracker.WithQuorum(caller)
+			cancel()
+			result <- err
 		}()
-		if goes {
-			gone()
+		if callerLeaves {
+			leave()
 		}
 		for {
 			select {
-			case err := <-told:
+			case err := <-result:
 				return err
 			default:
-				machine.AdvanceToNext()
+				fake.AdvanceToNext()
 			}
 		}
 	}
 	if err := guard(false); err != nil {
 		t.Fatal(err)
 	}
-	machine.Advance(2 * testMaxAge)
-	if !made.recentlyStalled(machine.Now()) {
-		t.Fatal("not found to have stood still")
+	fake.Advance(2 * testMaxAge)
+	if !tracker.recentlyStalled(fake.Now()) {
+		t.Fatal("the stall was not noticed")
 	}
 	if err := guard(true); errkind.KindOf(err) != errkind.NoQuorum {
 		t.Fatalf("begun for a caller that is gone: %v", err)
@@ -184,42 +185,43 @@
 	}
 }
 
-// TestTracker_remoteDeadlineNeverOutlivesForwarder has clocks differ by anything and run a little
-// apart, answers and orders take any time: whoever gets the order late finds
-// it closed, and one that was quick finds it open.
+// TestTracker_remoteDeadlineNeverOutlivesForwarder draws clocks that differ by
+// any offset and drift a little, and any delays: a command that arrives late is
+// refused, and one that arrives early enough is not.
 func TestTracker_remoteDeadlineNeverOutlivesForwarder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offset := clock.Span(rapid.IntRange(0, 1<<40).Draw(t, "offset"))
-		pace := rapid.IntRange(995, 1000).Draw(t, "receiver's pace in thousandths")
-		machine := clock.NewFake()
-		top := scope.New(scope.Options{Clock: machine})
-		theirs := func() clock.Instant {
-			return clock.Instant(offset) + machine.Now()*clock.Instant(pace)/1000
+		rate := rapid.IntRange(995, 1000).Draw(t, "receiver's rate in thousandths")
+		fake := clock.NewFake()
+		ctx := scope.New(scope.Options{Clock: fake})
+		remoteNow := func() clock.Instant {
+			return clock.Instant(offset) + fake.Now()*clock.Instant(rate)/1000
 		}
 		receiver := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge})
 		there, back := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
-		passer := New(Options{Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(scope.Scope, ids.Address) (HeartbeatResponse, error) {
-			machine.Advance(clock.Span(there) * clock.Millisecond)
-			told := receiver.Respond(theirs())
-			machine.Advance(clock.Span(back) * clock.Millisecond)
-			return told, nil
+		forwarder := New(Options{Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(scope.Scope, ids.Address) (HeartbeatResponse, error) {
+			fake.Advance(clock.Span(there) * clock.Millisecond)
+			resp := receiver.Respond(remoteNow())
+			fake.Advance(clock.Span(back) * clock.Millisecond)
+			return resp, nil
 		}})
-		_ = passer.heartbeat(top, "1")
-		machine.Advance(clock.Span(rapid.IntRange(0, 3000).Draw(t, "age")) * clock.Millisecond)
-		giveUp := machine.Now().Add(testMaxAge + clock.Span(there+back)*clock.Millisecond)
-		stamp, err := passer.RemoteDeadline(top, "1", giveUp)
+		_ = forwarder.heartbeat(ctx, "1")
+		fake.Advance(clock.Span(rapid.IntRange(0, 3000).Draw(t, "age")) * clock.Millisecond)
+		giveUp := fake.Now().Add(testMaxAge + clock.Span(there+back)*clock.Millisecond)
+		deadline, err := forwarder.RemoteDeadline(ctx, "1", giveUp)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if quick := machine.Now().Since(giveUp) < -clock.Span(back)*clock.Millisecond-100*clock.Millisecond; quick && !receiver.WithinDeadline(stamp, theirs()) {
-			t.Fatal("a quick order finds itself closed")
+		early := fake.Now().Since(giveUp) < -clock.Span(back)*clock.Millisecond-100*clock.Millisecond
+		if early && !receiver.WithinDeadline(deadline, remoteNow()) {
+			t.Fatal("an early command is refused")
 		}
-		machine.Advance(giveUp.Since(machine.Now()))
-		if receiver.WithinDeadline(stamp, theirs()) {
-			t.Fatal("open after its passer gave up")
+		fake.Advance(giveUp.Since(fake.Now()))
+		if receiver.WithinDeadline(deadline, remoteNow()) {
+			t.Fatal("accepted after the forwarder gave up")
 		}
-		if again := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge}); again.WithinDeadline(stamp, 0) {
-			t.Fatal("open in another life")
+		if restarted := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge}); restarted.WithinDeadline(deadline, 0) {
+			t.Fatal("accepted by another incarnation")
 		}
 	})
 }
