--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -1,6 +1,7 @@
 package readindex
 
 import (
+	"sync"
 	"sync/atomic"
 
 	"onyxwell/base/clock"
@@ -9,106 +10,121 @@
 	"onyxwell/base/scope"
 )
 
-// The states of a gate. Unconfirmed is the one exception: no majority could be
-// had within the bound, and the router is ready with what it has, as one must
-// be that is cut off with its region. It goes on asking until it is confirmed.
+// The states of a Gate, as the status and the log show them.
 const (
-	Waiting     = "waiting"
+	// Waiting is closed.
+	Waiting = "waiting"
+	// Unconfirmed is open, though no majority confirmed a version within MaxWait.
+	// The gate goes on querying until it is Confirmed.
 	Unconfirmed = "unconfirmed"
-	Confirmed   = "confirmed"
+	// Confirmed is open: the read index, or a later version, is applied.
+	Confirmed = "confirmed"
 )
 
-// Options are what a gate is made from.
+const (
+	// checksPerMaxWait is how often per MaxWait the applied version is checked.
+	checksPerMaxWait = 32
+	// The interval between two queries starts at MaxWait / firstIntervalDivisor and
+	// grows by half each time, up to MaxWait * maxIntervalFactor.
+	firstIntervalDivisor = 6
+	maxIntervalFactor    = 4
+	// maxQueuedResults bounds the results that wait for Run; further ones are
+	// dropped.
+	maxQueuedResults = 64
+)
+
+// Options configure a Gate. All but Jitter are required.
 type Options struct {
-	// Controllers gives the inner addresses of those that can be asked now.
+	// Controllers returns the addresses of the controllers that can be queried now.
 	Controllers func() []ids.Address
-	// Query asks one of them.
-	Query func(inner scope.Scope, address ids.Address) (Response, error)
-	// Applied is closed once some version is acted on here, Serial gives which.
+	// Query asks one controller for the read index.
+	Query func(ctx scope.Scope, address ids.Address) (Response, error)
+	// Applied is closed once some version is applied here; AppliedSerial then
+	// returns which.
 	Applied       <-chan struct{}
 	AppliedSerial func() ids.Serial
-	// Fetch gets news from a controller that told of a newer version.
-	Fetch func(inner scope.Scope, address ids.Address)
+	// Fetch exchanges updates with a controller that has a newer version.
+	Fetch func(ctx scope.Scope, address ids.Address)
 	// MaxWait is how long the gate stays closed without any confirmation.
 	MaxWait clock.Span
-	// Jitter gives a random part of a span, so that those who start together
-	// don't ask together.
-	Jitter func(span clock.Span) clock.Span
+	// Jitter randomizes a query interval, so that routers that start together do
+	// not query together; by default it returns between 0.5 and 1.5 of it.
+	Jitter func(interval clock.Span) clock.Span
 }
 
-// Gate holds a router back until its version is confirmed.
+// Gate keeps a router from serving until its version is confirmed. Ready and
+// State may be called from any goroutine; the other state belongs to Run.
 type Gate struct {
-	options    Options
-	ready      chan struct{}
-	state      atomic.Value
+	options Options
+	ready   chan struct{}
+	state   atomic.Value
+
+	// queries are the goroutines that Run started and awaits.
+	queries sync.WaitGroup
+	// candidates are the controllers that are yet to be queried, in random order.
 	candidates []ids.Address
-	// readIndex is the read index; known says that there is one.
+	// readIndex is the newest serial of all responses, where hasReadIndex; source
+	// is the controller that responded last.
 	readIndex    ids.Serial
 	hasReadIndex bool
-	// source told it last.
-	source ids.Address
-	// waitingSince is when the wait for a confirmation began.
+	source       ids.Address
+	// waitingSince is the start of the wait that MaxWait bounds.
 	waitingSince clock.Instant
-	wasApplied   bool
+	// wasApplied reports that some version was already applied at the last check.
+	wasApplied bool
 }
 
-// NewGate makes a closed gate.
+// NewGate returns a closed Gate; Run opens it.
 func NewGate(options Options) *Gate {
 	if options.Jitter == nil {
-		options.Jitter = func(span clock.Span) clock.Span { return span/2 + random.Duration(span) }
+		options.Jitter = func(interval clock.Span) clock.Span { return interval/2 + random.Duration(interval) }
 	}
-	made := &Gate{options: options, ready: make(chan struct{})}
-	made.state.Store(Waiting)
-	return made
+	g := &Gate{options: options, ready: make(chan struct{})}
+	g.state.Store(Waiting)
+	return g
 }
 
-// Ready is closed once the router may serve.
+// Ready returns a channel that is closed once the router may serve.
 func (g *Gate) Ready() <-chan struct{} { return g.ready }
 
-// State tells how it stands with the confirmation.
+// State returns Waiting, Unconfirmed or Confirmed.
 func (g *Gate) State() string { return g.state.Load().(string) }
 
+// queryResult is what came of the query to one controller.
 type queryResult struct {
 	from     ids.Address
 	response Response
 	err      error
 }
 
-const (
-	// checksPerMaxWait is how many looks at the own version are in the bound.
-	checksPerMaxWait = 32
-	// firstIntervalDivisor is the part of the bound between the first two questions; later
-	// ones are half as long again apart each time, up to maxIntervalFactor bounds.
-	firstIntervalDivisor = 6
-	maxIntervalFactor    = 4
-)
-
-// Run asks until the version is confirmed, then waits for the scope's end: a
-// part that ends is started again.
+// Run queries controllers until the version is confirmed, and returns when ctx
+// has ended: a supervisor would start a service that returns earlier again.
 func (g *Gate) Run(ctx scope.Scope) {
-	bound := g.options.MaxWait
-	answers := make(chan queryResult, 64)
-	pause := bound / firstIntervalDivisor
+	defer g.queries.Wait()
+	maxWait := g.options.MaxWait
+	results := make(chan queryResult, maxQueuedResults)
+	interval := maxWait / firstIntervalDivisor
 	next := ctx.Now()
 	g.waitingSince = next
 	for ctx.Err() == nil && !g.evaluate(ctx) {
 		if now := ctx.Now(); !now.Before(next) && (!g.hasReadIndex || g.behind()) {
-			g.queryNext(ctx, answers)
-			next = now.Add(g.options.Jitter(pause))
-			pause = min(pause*3/2, maxIntervalFactor*bound)
+			g.queryNext(ctx, results)
+			next = now.Add(g.options.Jitter(interval))
+			interval = min(interval*3/2, maxIntervalFactor*maxWait)
 		}
 		select {
-		case heard := <-answers:
-			g.handleResult(ctx, heard)
-		case <-ctx.Clock.After(bound / checksPerMaxWait):
+		case result := <-results:
+			g.handleResult(ctx, result)
+		case <-ctx.Clock.After(maxWait / checksPerMaxWait):
 		case <-ctx.Done():
 		}
 	}
 	<-ctx.Done()
 }
 
-// queryNext asks the next controller: each once, in random order, then all again.
-func (g *Gate) queryNext(ctx scope.Scope, answers chan<- queryResult) {
+// queryNext queries the next controller: each once, in random order, then all
+// again.
+func (g *Gate) queryNext(ctx scope.Scope, results chan<- queryResult) {
 	if len(g.candidates) == 0 {
 		g.candidates = append(g.candidates, g.options.Controllers()...)
 		random.Shuffle(g.candidates)
@@ -118,34 +134,35 @@
 	}
 	address := g.candidates[0]
 	g.candidates = g.candidates[1:]
-	go func() {
-		short, release := ctx.WithTimeout(g.options.MaxWait)
-		defer release()
-		told, err := g.options.Query(short, address)
+	g.queries.Go(func() {
+		ctx, cancel := ctx.WithTimeout(g.options.MaxWait)
+		defer cancel()
+		resp, err := g.options.Query(ctx, address)
 		select {
-		case answers <- queryResult{from: address, response: told, err: err}:
+		case results <- queryResult{from: address, response: resp, err: err}:
 		default:
 		}
-	}()
+	})
 }
 
-func (g *Gate) handleResult(ctx scope.Scope, heard queryResult) {
-	if heard.err != nil {
+func (g *Gate) handleResult(ctx scope.Scope, result queryResult) {
+	if result.err != nil {
 		return
 	}
-	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, heard.response.Serial), ctx.Now()
-	g.source = heard.from
+	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, result.response.Serial), ctx.Now()
+	g.source = result.from
 	g.fetchIfBehind(ctx)
 }
 
-// fetchIfBehind asks whoever told of a newer version for its news.
+// fetchIfBehind fetches from the controller that responded last.
 func (g *Gate) fetchIfBehind(ctx scope.Scope) {
 	if g.behind() {
-		go g.options.Fetch(ctx, g.source)
+		source := g.source
+		g.queries.Go(func() { g.options.Fetch(ctx, source) })
 	}
 }
 
-// applied tells whether some version is acted on.
+// applied reports whether some version is applied here.
 func (g *Gate) applied() bool {
 	select {
 	case <-g.options.Applied:
@@ -155,18 +172,20 @@
 	}
 }
 
-// behind tells whether an older version than the read index is acted on.
+// behind reports whether the version that is applied here is older than the read
+// index.
 func (g *Gate) behind() bool {
 	return g.hasReadIndex && g.applied() && g.options.AppliedSerial() < g.readIndex
 }
 
-// evaluate opens the gate where that is due; it tells whether all is confirmed.
+// evaluate opens the gate where that is due, and reports whether the version is
+// confirmed.
 func (g *Gate) evaluate(ctx scope.Scope) bool {
 	if !g.applied() {
 		return false
 	}
 	if !g.wasApplied && g.hasReadIndex {
-		// The wait for a version that is behind begins when it is there.
+		// The wait for a version that is behind starts once that is known.
 		g.waitingSince = ctx.Now()
 		g.fetchIfBehind(ctx)
 	}
@@ -182,11 +201,12 @@
 }
 
 var stateMessages = map[string]string{
-	Unconfirmed: "ready, though no majority confirmed the version within the bound",
-	Confirmed:   "a majority confirmed the version",
+	Unconfirmed: "ready with unconfirmed version",
+	Confirmed:   "version confirmed",
 }
 
-// setState changes the state, and logs what is not as usual.
+// setState opens the gate in the state. It logs only a router that became ready
+// unconfirmed, and its confirmation.
 func (g *Gate) setState(ctx scope.Scope, state string) {
 	before := g.State()
 	if before == state {
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -14,44 +14,12 @@
 	"onyxwell/base/scope"
 )
 
-func TestMain(tests *testing.M) { proptest.Run(tests) }
+func TestMain(m *testing.M) { proptest.Run(m) }
 
 const testMaxWait = 750 * clock.Millisecond
 
-// TestReader_requestsShareReadBegunAfterThem has hundreds ask at once: few reads
-// answer them, and none is older than its question.
-func TestReader_requestsShareReadBegunAfterThem(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		top := scope.New(scope.Options{})
-		var newest, reads atomic.Int64
-		reader := NewReader(func(ctx scope.Scope) (ids.Serial, error) {
-			reads.Add(1)
-			seen := newest.Load()
-			ctx.Wait(100 * clock.Millisecond)
-			return ids.Serial(seen), nil
-		})
-		told := make(chan bool)
-		for index := range 300 {
-			go func() {
-				top.Wait(clock.Span(index) * clock.Millisecond)
-				least := newest.Add(1)
-				serial, err := reader.ReadIndex(top)
-				told <- err == nil && int64(serial) >= least
-			}()
-		}
-		for range 300 {
-			if !<-told {
-				t.Error("a read from before the question answered it")
-			}
-		}
-		if reads.Load() > 6 {
-			t.Errorf("%d reads for 300 questions within 300 ms", reads.Load())
-		}
-	})
-}
-
-// testGate is a router's gate with one controller that is cut off and one that is
-// not; those answer by script.
+// testGate is a router's gate beside two controllers: one is partitioned, the
+// other is where the test says so.
 type testGate struct {
 	ctx         scope.Scope
 	log         *logtest.Buffer
@@ -65,93 +33,97 @@
 }
 
 func newTestGate(t *testing.T) *testGate {
-	made := &testGate{log: &logtest.Buffer{}, applied: make(chan struct{})}
-	made.ctx = scope.New(scope.Options{Log: scope.NewLogger("info", made.log)})
-	top, end := made.ctx.WithCancel()
-	made.ctx = top
-	t.Cleanup(func() { end(); scope.New(scope.Options{}).Wait(testMaxWait) })
-	made.gate = NewGate(Options{
-		Controllers: func() []ids.Address { return []ids.Address{"cut", "well"} },
+	tg := &testGate{log: &logtest.Buffer{}, applied: make(chan struct{})}
+	tg.ctx = scope.New(scope.Options{Log: scope.NewLogger("info", tg.log)})
+	ctx, cancel := tg.ctx.WithCancel()
+	tg.ctx = ctx
+	t.Cleanup(func() { cancel(); scope.New(scope.Options{}).Wait(testMaxWait) })
+	tg.gate = NewGate(Options{
+		Controllers: func() []ids.Address { return []ids.Address{"partitioned", "healthy"} },
 		Query: func(ctx scope.Scope, address ids.Address) (Response, error) {
-			made.queries.Add(1)
-			if address == "cut" || made.partitioned.Load() {
+			tg.queries.Add(1)
+			if address == "partitioned" || tg.partitioned.Load() {
 				ctx.Wait(190 * clock.Millisecond)
-				return Response{}, errors.New("unsettled")
+				return Response{}, errors.New("no quorum")
 			}
 			ctx.Wait(80 * clock.Millisecond)
-			return Response{Serial: ids.Serial(made.newest.Load())}, nil
+			return Response{Serial: ids.Serial(tg.newest.Load())}, nil
 		},
-		Applied: made.applied, AppliedSerial: func() ids.Serial { return ids.Serial(made.serial.Load()) },
+		Applied: tg.applied, AppliedSerial: func() ids.Serial { return ids.Serial(tg.serial.Load()) },
 		Fetch: func(ctx scope.Scope, _ ids.Address) {
-			if ctx.Wait(100 * clock.Millisecond); !made.partitioned.Load() {
-				made.serial.Store(made.newest.Load())
+			if ctx.Wait(100 * clock.Millisecond); !tg.partitioned.Load() {
+				tg.serial.Store(tg.newest.Load())
 			}
 		},
 		MaxWait: testMaxWait,
 	})
-	return made
+	return tg
 }
 
-// run gives how long after the first version the gate opened.
-func (t *testGate) run(firstAfter clock.Span, serial int64) clock.Span {
-	go func() { t.gate.Run(t.ctx); t.runEnded.Store(true) }()
-	t.ctx.Wait(firstAfter)
-	t.serial.Store(serial)
-	close(t.applied)
-	begin := t.ctx.Now()
-	<-t.gate.Ready()
-	return t.ctx.Now().Since(begin)
+// run runs the gate, applies a first version after a while, and returns how long
+// after that the gate opened.
+func (tg *testGate) run(appliedAfter clock.Span, serial int64) clock.Span {
+	go func() { tg.gate.Run(tg.ctx); tg.runEnded.Store(true) }()
+	tg.ctx.Wait(appliedAfter)
+	tg.serial.Store(serial)
+	close(tg.applied)
+	start := tg.ctx.Now()
+	<-tg.gate.Ready()
+	return tg.ctx.Now().Since(start)
 }
 
 func TestGate_staleVersionIsNotServed(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		for _, after := range []clock.Span{0, 200 * clock.Millisecond, 3 * clock.Second} {
-			site := newTestGate(t)
-			site.newest.Store(9)
-			if took := site.run(after, 5); took > testMaxWait || site.gate.State() != Confirmed || site.serial.Load() != 9 {
-				t.Errorf("first version after %v: %s with %d after %v", after, site.gate.State(), site.serial.Load(), took)
-			}
-		}
-	})
+	for _, after := range []clock.Span{0, 200 * clock.Millisecond, 3 * clock.Second} {
+		t.Run(after.String(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				tg := newTestGate(t)
+				tg.newest.Store(9)
+				if took := tg.run(after, 5); took > testMaxWait || tg.gate.State() != Confirmed || tg.serial.Load() != 9 {
+					t.Errorf("%s with %d after %v", tg.gate.State(), tg.serial.Load(), took)
+				}
+			})
+		})
+	}
 }
 
 func TestGate_firstStartIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newTestGate(t)
-		if took := site.run(clock.Second, 1); took > testMaxWait/checksPerMaxWait || site.gate.State() != Confirmed {
-			t.Errorf("%s after %v", site.gate.State(), took)
+		tg := newTestGate(t)
+		if took := tg.run(clock.Second, 1); took > testMaxWait/checksPerMaxWait || tg.gate.State() != Confirmed {
+			t.Errorf("%s after %v", tg.gate.State(), took)
 		}
-		if asks := site.queries.Load(); asks > 4 {
-			t.Errorf("%d questions", asks)
+		if queries := tg.queries.Load(); queries > 4 {
+			t.Errorf("%d queries", queries)
 		}
-		if site.ctx.Wait(clock.Second); site.runEnded.Load() {
-			t.Error("the part ended: a supervisor would start it again and again")
+		if tg.ctx.Wait(clock.Second); tg.runEnded.Load() {
+			t.Error("Run returned: a supervisor would start it again and again")
 		}
 	})
 }
 
-// TestGate_partitionedRegionServesUnconfirmed is the one exception: it is bounded
-// and shown, the questions get rare, and it ends with a confirmation.
+// TestGate_partitionedRegionServesUnconfirmed partitions the whole region: the
+// gate opens within MaxWait and shows that it is unconfirmed, its queries become
+// rare, and it is confirmed once the partition heals.
 func TestGate_partitionedRegionServesUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		site := newTestGate(t)
-		site.partitioned.Store(true)
-		site.newest.Store(6)
-		if took := site.run(100*clock.Millisecond, 5); took > testMaxWait || site.gate.State() != Unconfirmed {
-			t.Errorf("%s after %v", site.gate.State(), took)
+		tg := newTestGate(t)
+		tg.partitioned.Store(true)
+		tg.newest.Store(6)
+		if took := tg.run(100*clock.Millisecond, 5); took > testMaxWait || tg.gate.State() != Unconfirmed {
+			t.Errorf("%s after %v", tg.gate.State(), took)
 		}
-		site.ctx.Wait(60 * clock.Second)
-		if asks := site.queries.Load(); asks > 40 {
-			t.Errorf("%d questions in a minute", asks)
+		tg.ctx.Wait(60 * clock.Second)
+		if queries := tg.queries.Load(); queries > 40 {
+			t.Errorf("%d queries in a minute", queries)
 		}
-		site.partitioned.Store(false)
-		site.ctx.Wait(4 * maxIntervalFactor * testMaxWait)
-		if site.gate.State() != Confirmed || site.serial.Load() != 6 {
-			t.Errorf("joined again: %s with %d", site.gate.State(), site.serial.Load())
+		tg.partitioned.Store(false)
+		tg.ctx.Wait(4 * maxIntervalFactor * testMaxWait)
+		if tg.gate.State() != Confirmed || tg.serial.Load() != 6 {
+			t.Errorf("healed: %s with %d", tg.gate.State(), tg.serial.Load())
 		}
 		synctest.Wait()
-		if lines := strings.Count(site.log.String(), "\n"); lines != 2 {
-			t.Errorf("%d lines:\n%s", lines, site.log)
+		if lines := strings.Count(tg.log.String(), "\n"); lines != 2 {
+			t.Errorf("%d lines:\n%s", lines, tg.log)
 		}
 	})
 }
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -1,7 +1,3 @@
-// Package readindex tells a router that starts the newest version that a
-// majority of the voters confirms: its read index. Until it acts on that
-// version or a later one it is not ready, so that one that starts beside a
-// cut-off controller does not serve what others have long replaced.
 package readindex
 
 import (
@@ -13,7 +9,7 @@
 	"onyxwell/control/transport"
 )
 
-// MessageName names the question between daemons.
+// MessageName names the request between daemons.
 const MessageName = "readindex"
 
 // Request asks a controller for the read index.
@@ -24,7 +20,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Request) SchemaName() string { return "Ask_26" }
 
-// Response answers it: the serial of the newest version, 0 where none was taken.
+// Response carries the serial of the newest version; 0 where none was ever
+// accepted.
 type Response struct {
 	Serial ids.Serial `avro:"Serial"`
 }
@@ -32,26 +29,32 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Response) SchemaName() string { return "Told_26" }
 
-// Reader answers with reads that a majority confirms. Questions that wait
-// together share the next read, which begins after all of them came in.
+// Reader answers requests for the read index, from reads that a majority
+// confirms. Requests that wait together share the next read, which begins after
+// all of them arrived. It is safe for concurrent use.
 type Reader struct {
-	read    func(inner scope.Scope) (ids.Serial, error)
-	mu      sync.Mutex
+	read func(ctx scope.Scope) (ids.Serial, error)
+
+	mu sync.Mutex
+	// reading reports that readLoop runs; pending is the read after the one that
+	// it is at.
 	reading bool
 	pending *sharedRead
 }
 
-// sharedRead is a read that some questions wait for.
+// sharedRead is a read that several requests wait for; its result is set before
+// done is closed.
 type sharedRead struct {
 	done   chan struct{}
 	serial ids.Serial
 	err    error
 }
 
-// NewReader makes a reader; read is one read that a majority confirms.
+// NewReader returns a Reader on top of read, which returns the newest serial once
+// a majority has confirmed it.
 func NewReader(read func(ctx scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
 
-// RegisterHandlers adds the reader's message to a table of calls.
+// RegisterHandlers serves the read index to other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, MessageName, func(ctx scope.Scope, _ Request) (Response, error) {
 		serial, err := r.ReadIndex(ctx)
@@ -59,38 +62,43 @@
 	})
 }
 
-// ReadIndex gives the serial that a majority confirmed after the question came.
+// ReadIndex returns the newest serial that a majority confirmed after the call.
 func (r *Reader) ReadIndex(ctx scope.Scope) (ids.Serial, error) {
+	read := r.join(ctx)
+	select {
+	case <-read.done:
+		return read.serial, read.err
+	case <-ctx.Done():
+		return 0, ctx.Err()
+	}
+}
+
+// join returns the read that begins next, and sees to it that it does.
+func (r *Reader) join(ctx scope.Scope) *sharedRead {
 	r.mu.Lock()
-	mine := r.pending
-	if mine == nil {
-		mine = &sharedRead{done: make(chan struct{})}
-		r.pending = mine
+	defer r.mu.Unlock()
+	if r.pending == nil {
+		r.pending = &sharedRead{done: make(chan struct{})}
 	}
 	if !r.reading {
 		r.reading = true
+		// The loop serves other callers too: it ends with the last of them.
 		go r.readLoop(ctx.WithoutCancel())
 	}
-	r.mu.Unlock()
-	select {
-	case <-mine.done:
-		return mine.serial, mine.err
-	case <-ctx.Done():
-		return 0, ctx.Err()
-	}
+	return r.pending
 }
 
-// readLoop reads for those who wait until nobody does.
+// readLoop runs pending reads until there is none.
 func (r *Reader) readLoop(ctx scope.Scope) {
 	for {
 		r.mu.Lock()
-		turn := r.pending
-		r.pending, r.reading = nil, turn != nil
+		read := r.pending
+		r.pending, r.reading = nil, read != nil
 		r.mu.Unlock()
-		if turn == nil {
+		if read == nil {
 			return
 		}
-		turn.serial, turn.err = r.read(ctx)
-		close(turn.done)
+		read.serial, read.err = r.read(ctx)
+		close(read.done)
 	}
 }
--- /dev/null
+++ b/control/state/readindex/reader_test.go
@@ -0,0 +1,43 @@
+package readindex
+
+import (
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+
+	"onyxwell/base/clock"
+	"onyxwell/base/ids"
+	"onyxwell/base/scope"
+)
+
+// TestReader_requestsShareReadBegunAfterThem sends hundreds of requests at once:
+// few reads answer them, and each read begins after its requests.
+func TestReader_requestsShareReadBegunAfterThem(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx := scope.New(scope.Options{})
+		var newest, reads atomic.Int64
+		reader := NewReader(func(ctx scope.Scope) (ids.Serial, error) {
+			reads.Add(1)
+			serial := newest.Load()
+			ctx.Wait(100 * clock.Millisecond)
+			return ids.Serial(serial), nil
+		})
+		results := make(chan bool)
+		for index := range 300 {
+			go func() {
+				ctx.Wait(clock.Span(index) * clock.Millisecond)
+				atLeast := newest.Add(1)
+				serial, err := reader.ReadIndex(ctx)
+				results <- err == nil && int64(serial) >= atLeast
+			}()
+		}
+		for range 300 {
+			if !<-results {
+				t.Error("answered by a read from before the request")
+			}
+		}
+		if reads.Load() > 6 {
+			t.Errorf("%d reads for 300 requests within 300 ms", reads.Load())
+		}
+	})
+}
