--- a/control/state/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -9,27 +9,27 @@
 )
 
 func ExampleHolder() {
-	machine := clock.NewFake()
-	top := scope.New(scope.Options{Clock: machine})
-	// One voter, for the sake of the example.
-	voter := lease.NewLessor(machine, 3*clock.Second, func() (bool, int64) { return true, 1 })
-	machine.Advance(3 * clock.Second)
+	fake := clock.NewFake()
+	ctx := scope.New(scope.Options{Clock: fake})
+	// A single voter is its own majority.
+	lessor := lease.NewLessor(fake, 3*clock.Second, func() (bool, int64) { return true, 1 })
+	fake.Advance(3 * clock.Second)
 	epoch := int64(0)
 	holder := lease.NewHolder(lease.Options{
 		Name: "census", Address: "10.0.0.1:7721", TTL: 3 * clock.Second,
-		RequestGrant: func(_ scope.Scope, asked lease.Request) lease.Outcome {
-			asked.VotersMark = 1
-			if voter.Grant(asked).Granted {
+		RequestGrant: func(_ scope.Scope, req lease.Request) lease.Outcome {
+			req.VotersFingerprint = 1
+			if lessor.Grant(req).Granted {
 				return lease.MajorityGranted
 			}
 			return lease.NoneGranted
 		},
 		NextEpoch: func(scope.Scope, string) (int64, error) { epoch++; return epoch, nil },
 	})
-	holder.TryAcquireOrRenew(top)
-	fmt.Println(holder.Held(machine.Now()))
-	machine.Advance(3 * clock.Second)
-	fmt.Println(holder.Held(machine.Now()))
+	holder.TryAcquireOrRenew(ctx)
+	fmt.Println(holder.Held(fake.Now()))
+	fake.Advance(3 * clock.Second)
+	fmt.Println(holder.Held(fake.Now()))
 	// Output:
 	// 1 true
 	// 1 false
--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -1,24 +1,3 @@
-// Package lease gives a duty to one daemon at a time: a hold is granted by a
-// majority of the voters for a span, renewed well before its end, and its
-// holder stops a margin early. No time of day is compared anywhere.
-//
-// What holds, and why:
-//   - Two never hold at once: the holder counts its span from before the
-//     question, a voter from when it grants; a voter that started, or learnt of
-//     other voters, grants nothing new for a span; and who asks under other
-//     voters than the asked one knows is refused, so each hold stands on a
-//     majority of one cohort, and the next cohort's majority meets it.
-//   - Messages may be late, twice or out of order: each carries a number of its
-//     asker's life. Nothing that was given back is granted by a late question,
-//     and a late release takes no grant back that came after it.
-//   - A hold that ran out while it was being renewed is a new one, under a new
-//     epoch. What a holder tells carries its epoch, so whatever a frozen one
-//     still tells is older than what the next has told.
-//
-// The steady clock stands still while a whole machine is suspended (not while a
-// process is stopped). A voter that was suspended holds its grants longer,
-// which is safe. A holder that was may act for what was left of its span; its
-// epoch is then the older one.
 package lease
 
 import (
@@ -31,74 +10,47 @@
 	"onyxwell/base/scope"
 )
 
-// Request asks a voter for a duty. Renew says that the asker holds it now; Release
-// gives back what was granted to questions up to this number. Voters marks the
-// cohort under which is asked.
-type Request struct {
-	Name        string      `avro:"Duty"`
-	Holder      ids.Address `avro:"Holder"`
-	Incarnation int64       `avro:"Life"`
-	Sequence    int64       `avro:"Number"`
-	VotersMark  int64       `avro:"Voters"`
-	Renew       bool        `avro:"Renew"`
-	Release     bool        `avro:"Release"`
-}
-
-// SchemaName names the stored and sent form; it must never change.
-func (Request) SchemaName() string { return "Ask_22" }
-
-// Response is the voter's answer. Misfenced says that it knows other voters, of the
-// generation named.
-type Response struct {
-	Granted        bool  `avro:"Granted"`
-	VotersMismatch bool  `avro:"Misfenced"`
-	Generation     int64 `avro:"Generation"`
-}
-
-// SchemaName names the stored and sent form; it must never change.
-func (Response) SchemaName() string { return "Told_22" }
+// renewalsPerTTL is how often a lease is renewed in its TTL; one request may take
+// as long as the time between two.
+const renewalsPerTTL = 3
 
-// Outcome is what came of a question to all voters.
-type Outcome int
-
-// What comes of a question: a majority granted it; or it did not, though some
-// voters may have; or it is known that none did.
-const (
-	MajorityGranted Outcome = iota
-	MinorityGranted
-	NoneGranted
-)
-
-// Options are what a holder is made from.
+// Options configure a Holder. All but Monitor and Incarnation are required.
 type Options struct {
+	// Name is the lease's, Address that of this daemon.
 	Name    string
 	Address ids.Address
-	TTL     clock.Span
-	// RequestGrant asks all voters, under the mark of their cohort.
-	RequestGrant func(inner scope.Scope, asked Request) Outcome
-	// NextEpoch writes a new epoch for the duty to the register.
-	NextEpoch func(inner scope.Scope, duty string) (int64, error)
-	// Monitor may be left out.
+	// TTL is how long voters grant the lease for.
+	TTL clock.Span
+	// RequestGrant sends a request to all voters, under the fingerprint of their
+	// set.
+	RequestGrant func(ctx scope.Scope, req Request) Outcome
+	// NextEpoch durably raises the lease's epoch and returns it.
+	NextEpoch func(ctx scope.Scope, name string) (int64, error)
+	// Monitor counts broken invariants; it may be nil.
 	Monitor *invariant.Monitor
-	// Incarnation tells this process from the one before; by default a random number.
+	// Incarnation tells this process from the one before it on the same address;
+	// by default a random number.
 	Incarnation int64
 }
 
-// Holder is the side of the daemon that wants the duty.
+// Holder is the side of a daemon that wants one lease. It is safe for concurrent
+// use.
 type Holder struct {
 	options Options
-	mu      sync.Mutex
-	epoch   int64
-	expiry  clock.Instant
-	// sequence counts the questions; those up to released were given back.
+
+	mu     sync.Mutex
+	epoch  int64
+	expiry clock.Instant
+	// sequence is that of the newest request; those up to releasedThrough were
+	// released.
 	sequence        int64
 	releasedThrough int64
-	resigned        bool
-	// standDownUntil is until when the duty is not striven for.
+	// The lease is not requested once resigned, nor until standDownUntil.
+	resigned       bool
 	standDownUntil clock.Instant
 }
 
-// NewHolder makes a holder that does not hold yet.
+// NewHolder returns a Holder that does not hold the lease yet.
 func NewHolder(options Options) *Holder {
 	for options.Incarnation == 0 {
 		options.Incarnation = random.Int64N(1 << 62)
@@ -106,27 +58,28 @@
 	return &Holder{options: options}
 }
 
-// Name names what is held.
+// Name returns the lease's name.
 func (h *Holder) Name() string { return h.options.Name }
 
-// Held tells whether the duty is this daemon's now, and under which epoch.
-func (h *Holder) Held(now clock.Instant) (int64, bool) {
+// Held reports whether this daemon holds the lease now, and with which epoch.
+func (h *Holder) Held(now clock.Instant) (epoch int64, held bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.epoch, h.heldAt(now)
 }
 
+// heldAt is Held for a caller that holds h.mu.
 func (h *Holder) heldAt(now clock.Instant) bool {
 	return h.epoch > 0 && now.Before(h.expiry)
 }
 
-// Run strives for the duty until the scope ends.
+// Run acquires the lease and renews it until ctx ends.
 func (h *Holder) Run(ctx scope.Scope) {
 	for ctx.Err() == nil {
-		pause := h.options.TTL / 3
+		pause := h.options.TTL / renewalsPerTTL
 		if !h.TryAcquireOrRenew(ctx) {
-			// Askers that split the votes must not meet again.
-			pause = pause/2 + random.Duration(h.options.TTL/3)
+			// Daemons that split the votes must not meet again.
+			pause = pause/2 + random.Duration(h.options.TTL/renewalsPerTTL)
 		}
 		if !ctx.Wait(pause) {
 			return
@@ -134,90 +87,95 @@
 	}
 }
 
-// Release gives the duty up.
-func (h *Holder) Release(ctx scope.Scope) {
-	h.mu.Lock()
-	h.expiry, h.releasedThrough = 0, h.sequence
-	number := h.sequence
-	h.mu.Unlock()
-	h.options.RequestGrant(ctx, h.newRequest(number, Request{Release: true}))
-}
-
-// StandDown gives the duty up and leaves it to others for a span.
-func (h *Holder) StandDown(ctx scope.Scope, span clock.Span) {
-	h.mu.Lock()
-	h.standDownUntil = ctx.Now().Add(span)
-	h.mu.Unlock()
-	h.Release(ctx)
-}
-
-// Resign gives the duty up for good: it is not striven for again.
-func (h *Holder) Resign(ctx scope.Scope) {
-	h.mu.Lock()
-	h.resigned = true
-	h.mu.Unlock()
-	h.Release(ctx)
+// TryAcquireOrRenew requests the lease once, or renews it. It reports whether a
+// majority granted it. It reports true after a failed renewal as well: the lease
+// is still held until it expires.
+func (h *Holder) TryAcquireOrRenew(ctx scope.Scope) bool {
+	limited, cancel := ctx.WithTimeout(h.options.TTL / renewalsPerTTL)
+	defer cancel()
+	start := ctx.Now()
+	sequence, renew, idle := h.beginAttempt(start)
+	if idle {
+		return false
+	}
+	if outcome := h.options.RequestGrant(limited, h.newRequest(sequence, Request{Renew: renew})); outcome != MajorityGranted {
+		if !renew && outcome == MinorityGranted {
+			// What a minority granted is released, so that another can acquire it.
+			h.Release(ctx)
+		}
+		return renew
+	}
+	// Counted from before the request, less a margin for clock drift.
+	expiry := start.Add(h.options.TTL * 9 / 10)
+	if renew && h.recordGrant(ctx, sequence, 0, expiry) {
+		return true
+	}
+	return h.acquire(ctx, sequence, expiry)
 }
 
-func (h *Holder) newRequest(number int64, asked Request) Request {
-	asked.Name, asked.Holder, asked.Incarnation, asked.Sequence = h.options.Name, h.options.Address, h.options.Incarnation, number
-	return asked
+// acquire takes up a lease that was granted anew, with a new epoch: also one that
+// expired while it was renewed, which another may have held in between.
+func (h *Holder) acquire(ctx scope.Scope, sequence int64, expiry clock.Instant) bool {
+	epoch, err := h.options.NextEpoch(ctx, h.options.Name)
+	ctx.Log.Info().Str("part", "lease").Str("lease", h.options.Name).Int64("epoch", epoch).Err(err).Msg("lease granted")
+	if err != nil || !h.recordGrant(ctx, sequence, epoch, expiry) {
+		h.Release(ctx)
+		return false
+	}
+	return true
 }
 
-// beginAttempt numbers a question, and tells whether the duty is held now, and whether
-// it is left to others.
-func (h *Holder) beginAttempt(now clock.Instant) (number int64, renew bool, rests bool) {
+// beginAttempt numbers a request. It reports whether the lease is held now, so
+// that the request renews it, and whether it is not to be requested at all.
+func (h *Holder) beginAttempt(now clock.Instant) (sequence int64, renew bool, idle bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sequence++
 	return h.sequence, h.heldAt(now), h.resigned || now.Before(h.standDownUntil)
 }
 
-// recordGrant has what was granted to a question count, under a new epoch where one is
-// given; without one only if the duty is held still. What was given back in the
-// meantime does not count.
-func (h *Holder) recordGrant(ctx scope.Scope, number int64, epoch int64, until clock.Instant) bool {
+func (h *Holder) newRequest(sequence int64, req Request) Request {
+	req.Name, req.Holder, req.Incarnation, req.Sequence = h.options.Name, h.options.Address, h.options.Incarnation, sequence
+	return req
+}
+
+// recordGrant takes up what a majority granted to a request, with a new epoch, or
+// with the current one where epoch is 0 and the lease has not expired. It reports
+// false where it does not, or where the request was released meanwhile.
+func (h *Holder) recordGrant(ctx scope.Scope, sequence int64, epoch int64, expiry clock.Instant) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.releasedThrough >= number || (epoch == 0 && !h.heldAt(ctx.Now())) {
+	if h.releasedThrough >= sequence || (epoch == 0 && !h.heldAt(ctx.Now())) {
 		return false
 	}
 	if epoch > 0 && epoch <= h.epoch {
-		h.options.Monitor.Violated(invariant.EpochRises, "duty %s is gained under epoch %d after %d", h.options.Name, epoch, h.epoch)
+		h.options.Monitor.Violated(invariant.EpochRises, "lease %s is acquired with epoch %d after %d", h.options.Name, epoch, h.epoch)
 	}
-	h.epoch, h.expiry = max(h.epoch, epoch), until
+	h.epoch, h.expiry = max(h.epoch, epoch), expiry
 	return true
 }
 
-// TryAcquireOrRenew asks once for the duty, or renews it; it tells whether a majority
-// granted it.
-func (h *Holder) TryAcquireOrRenew(ctx scope.Scope) bool {
-	short, release := ctx.WithTimeout(h.options.TTL / 3)
-	defer release()
-	begin := ctx.Now()
-	number, renew, rests := h.beginAttempt(begin)
-	if rests {
-		return false
-	}
-	if grants := h.options.RequestGrant(short, h.newRequest(number, Request{Renew: renew})); grants != MajorityGranted {
-		if !renew && grants == MinorityGranted {
-			// What a minority granted is given back, so that another can gain it.
-			h.Release(ctx)
-		}
-		return renew
-	}
-	// Counted from before the question, less a margin for clocks that differ.
-	until := begin.Add(h.options.TTL * 9 / 10)
-	if renew && h.recordGrant(ctx, number, 0, until) {
-		return true
-	}
-	// A hold that ran out in the meantime is a new one: another may have had the
-	// duty in between.
-	epoch, err := h.options.NextEpoch(ctx, h.options.Name)
-	ctx.Log.Info().Str("part", "hold").Str("duty", h.options.Name).Int64("epoch", epoch).Err(err).Msg("granted")
-	if err != nil || !h.recordGrant(ctx, number, epoch, until) {
-		h.Release(ctx)
-		return false
-	}
-	return true
+// Release gives the lease up; Run acquires it again where it can.
+func (h *Holder) Release(ctx scope.Scope) {
+	h.mu.Lock()
+	h.expiry, h.releasedThrough = 0, h.sequence
+	sequence := h.sequence
+	h.mu.Unlock()
+	h.options.RequestGrant(ctx, h.newRequest(sequence, Request{Release: true}))
+}
+
+// StandDown releases the lease and leaves it to others for the span.
+func (h *Holder) StandDown(ctx scope.Scope, span clock.Span) {
+	h.mu.Lock()
+	h.standDownUntil = ctx.Now().Add(span)
+	h.mu.Unlock()
+	h.Release(ctx)
+}
+
+// Resign releases the lease for good.
+func (h *Holder) Resign(ctx scope.Scope) {
+	h.mu.Lock()
+	h.resigned = true
+	h.mu.Unlock()
+	h.Release(ctx)
 }
--- a/control/state/lease/lessor.go
+++ b/control/state/lease/lessor.go
@@ -7,84 +7,96 @@
 	"onyxwell/base/ids"
 )
 
+// grant is a lease that this voter granted.
 type grant struct {
 	holder      ids.Address
 	incarnation int64
-	// sequence is that of the newest question that was granted.
+	// sequence is that of the newest request that was granted.
 	sequence int64
 	expiry   clock.Instant
 }
 
-// requester is one that asks for a duty; said is the newest that it said.
+func (g grant) heldBy(req Request) bool {
+	return g.holder == req.Holder && g.incarnation == req.Incarnation
+}
+
+// requester is a daemon that requests one lease.
 type requester struct {
 	name   string
 	holder ids.Address
 }
 
+// requestID orders the requests of one requester, within an incarnation.
 type requestID struct{ incarnation, sequence int64 }
 
-// Lessor is the voter's side: it grants a duty to one holder at a time.
+// Lessor is the voter's side of all leases: it grants each to one holder at a
+// time. It is safe for concurrent use.
 type Lessor struct {
-	mu         sync.Mutex
-	clock      clock.Clock
-	ttl        clock.Span
-	grants     map[string]grant
-	latest     map[requester]requestID
-	votersMark int64
-	quietUntil clock.Instant
-	// Voting tells whether this daemon votes now, and the mark of the voters.
-	votingState func() (bool, int64)
+	clock clock.Clock
+	ttl   clock.Span
+	// votingState reports whether this daemon votes now, and the fingerprint of the
+	// voter set that it knows.
+	votingState func() (voting bool, fingerprint int64)
+
+	mu     sync.Mutex
+	grants map[string]grant
+	latest map[requester]requestID
+	// votersFingerprint is the voter set of the last request; until quietUntil the
+	// voter may not know of all grants in force.
+	votersFingerprint int64
+	quietUntil        clock.Instant
 }
 
-// NewLessor makes a voter that grants nothing for a first span, since it may
-// have granted holds in a life before.
-func NewLessor(machine clock.Clock, span clock.Span, voting func() (bool, int64)) *Lessor {
-	_, voters := voting()
+// NewLessor returns a Lessor that makes no grant for a first TTL, since the
+// process before this one may have made some.
+func NewLessor(clock clock.Clock, ttl clock.Span, votingState func() (voting bool, fingerprint int64)) *Lessor {
+	_, fingerprint := votingState()
 	return &Lessor{
-		clock: machine, ttl: span, grants: map[string]grant{}, latest: map[requester]requestID{},
-		quietUntil: machine.Now().Add(span), votingState: voting, votersMark: voters,
+		clock: clock, ttl: ttl, votingState: votingState, grants: map[string]grant{}, latest: map[requester]requestID{},
+		votersFingerprint: fingerprint, quietUntil: clock.Now().Add(ttl),
 	}
 }
 
-// Grant answers a daemon that wants or has a duty.
-func (l *Lessor) Grant(asked Request) Response {
-	voting, voters := l.votingState()
+// Grant grants, renews or releases a lease, and answers the request.
+func (l *Lessor) Grant(req Request) Response {
+	voting, fingerprint := l.votingState()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	if voters != l.votersMark {
-		// Other voters may have granted what this one does not know of.
-		l.quietUntil, l.votersMark = now.Add(l.ttl), voters
+	if fingerprint != l.votersFingerprint {
+		// Other voters may have made grants that this one does not know of.
+		l.quietUntil, l.votersFingerprint = now.Add(l.ttl), fingerprint
 	}
-	late := l.isStale(asked)
-	known, found := l.grants[asked.Name]
-	current := found && now.Before(known.expiry)
-	own := current && known.holder == asked.Holder && known.incarnation == asked.Incarnation
-	if asked.Release {
-		if own && known.sequence <= asked.Sequence {
-			delete(l.grants, asked.Name)
+	stale := !l.recordRequest(req)
+	current, ok := l.grants[req.Name]
+	inForce := ok && now.Before(current.expiry)
+	own := inForce && current.heldBy(req)
+	if req.Release {
+		if own && current.sequence <= req.Sequence {
+			delete(l.grants, req.Name)
 		}
 		return Response{}
 	}
-	if asked.VotersMark != voters {
+	if req.VotersFingerprint != fingerprint {
 		return Response{VotersMismatch: true}
 	}
-	// A grant that its holder does not know of any more runs out first.
-	renewal := own && asked.Renew
-	if late || !voting || (current && !renewal) || (!renewal && now.Before(l.quietUntil)) {
+	// A grant that its holder no longer knows of is left to expire.
+	renewal := own && req.Renew
+	if stale || !voting || (inForce && !renewal) || (!renewal && now.Before(l.quietUntil)) {
 		return Response{}
 	}
-	l.grants[asked.Name] = grant{holder: asked.Holder, incarnation: asked.Incarnation, sequence: asked.Sequence, expiry: now.Add(l.ttl)}
+	l.grants[req.Name] = grant{holder: req.Holder, incarnation: req.Incarnation, sequence: req.Sequence, expiry: now.Add(l.ttl)}
 	return Response{Granted: true}
 }
 
-// isStale tells whether the asker said this, or something later, before.
-func (l *Lessor) isStale(asked Request) bool {
-	from := requester{name: asked.Name, holder: asked.Holder}
-	newest := l.latest[from]
-	if newest.incarnation == asked.Incarnation && asked.Sequence <= newest.sequence {
-		return true
+// recordRequest reports whether the request is newer than all that its requester
+// sent in the same incarnation. The caller holds l.mu.
+func (l *Lessor) recordRequest(req Request) bool {
+	from := requester{name: req.Name, holder: req.Holder}
+	latest := l.latest[from]
+	if latest.incarnation == req.Incarnation && req.Sequence <= latest.sequence {
+		return false
 	}
-	l.latest[from] = requestID{incarnation: asked.Incarnation, sequence: asked.Sequence}
-	return false
+	l.latest[from] = requestID{incarnation: req.Incarnation, sequence: req.Sequence}
+	return true
 }
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -191,7 +191,7 @@
 func (v *Voter) RequestLease(ctx scope.Scope, asked lease.Request) lease.Outcome {
 	voters := v.Acceptor.Voters()
 	seats := voters.Members
-	asked.VotersMark = voters.Fingerprint()
+	asked.VotersFingerprint = voters.Fingerprint()
 	granted := 0
 	if v.Lessor.Grant(asked).Granted {
 		granted = 1
