--- /dev/null
+++ b/control/state/voter/client.go
@@ -0,0 +1,79 @@
+package voter
+
+import (
+	"onyxwell/base/ids"
+	"onyxwell/base/scope"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
+)
+
+// A Voter is the register.VoterClient of the proposer and the
+// register.ReplicaClient of the joiner: both reach all controllers through it.
+
+// Promise sends a prepare request to a voter.
+func (v *Voter) Promise(ctx scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+	return callVoter(ctx, v, address, prepareCall, req, v.Acceptor.Prepare, func(resp register.PrepareResponse) (register.Verdict, int64) {
+		return resp.Verdict, resp.Generation
+	})
+}
+
+// Accept sends an accept request to a voter.
+func (v *Voter) Accept(ctx scope.Scope, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+	return callVoter(ctx, v, address, acceptCall, req, v.Acceptor.Accept, acceptVerdict)
+}
+
+// Confirm sends a confirm request to a voter.
+func (v *Voter) Confirm(ctx scope.Scope, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+	return callVoter(ctx, v, address, confirmCall, req, v.Acceptor.Confirm, acceptVerdict)
+}
+
+func acceptVerdict(resp register.AcceptResponse) (register.Verdict, int64) {
+	return resp.Verdict, resp.Generation
+}
+
+// callVoter calls the own voter in place and others by message. Where a voter
+// refuses the voter set of the request, whichever side knows the older one learns
+// the newer.
+func callVoter[Req, Resp any](ctx scope.Scope, v *Voter, address ids.Address, name string, req Req,
+	own func(Req) Resp, verdictOf func(Resp) (register.Verdict, int64)) (Resp, error) {
+	if address == v.options.Address {
+		return own(req), nil
+	}
+	resp, err := call[Resp](ctx, v, address, name, req)
+	if verdict, generation := verdictOf(resp); err == nil && verdict == register.Fenced {
+		v.joiner.ReconcileVoters(ctx, address, generation)
+	}
+	return resp, err
+}
+
+// call sends a request to another controller and records a response as contact.
+func call[Resp, Req any](ctx scope.Scope, v *Voter, address ids.Address, name string, req Req) (Resp, error) {
+	sent := ctx.Now()
+	resp, err := transport.Send[Resp](ctx, v.options.Transport, address, name, req)
+	if err == nil {
+		v.options.Quorum.RecordContact(address, sent)
+	}
+	return resp, err
+}
+
+// Copy fetches the slots that a controller holds.
+func (v *Voter) Copy(ctx scope.Scope, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
+	return transport.Send[register.FetchResponse](ctx, v.options.Transport, address, fetchCall, req)
+}
+
+// Held fetches the state of all keys on a controller's disk. Where it holds the
+// same as this one, which is the usual case, the keys are not sent.
+func (v *Voter) Held(ctx scope.Scope, address ids.Address) (register.DigestResponse, error) {
+	own := v.Acceptor.Digest()
+	resp, err := call[register.DigestResponse](ctx, v, address, digestCall, register.DigestRequest{Hash: own.Hash()})
+	if err == nil && resp.Unchanged {
+		resp.Keys = own.Keys
+	}
+	return resp, err
+}
+
+// Learn brings newer copies of slots to a controller.
+func (v *Voter) Learn(ctx scope.Scope, address ids.Address, slots []register.Slot) error {
+	_, err := transport.Send[LearnResponse](ctx, v.options.Transport, address, learnCall, LearnRequest{Slots: slots})
+	return err
+}
--- /dev/null
+++ b/control/state/voter/handover.go
@@ -0,0 +1,49 @@
+package voter
+
+import (
+	"onyxwell/base/ids"
+	"onyxwell/base/scope"
+	"onyxwell/base/settings"
+	"onyxwell/control/state/register"
+)
+
+const (
+	// handOverShare is the part of the graceful shutdown, one in so many, that a
+	// hand-over may take.
+	handOverShare = 4
+	// handOversPerReplaceAfter is how often in ReplaceAfter it is tried again.
+	handOversPerReplaceAfter = 10
+)
+
+// HandOver waits, for at most a quarter of the graceful shutdown, until enough
+// other disks hold what this one does and a standby has taken its place. Without a
+// standby it keeps the place: a controller that shuts down does not know whether
+// it will be restarted.
+func (v *Voter) HandOver(ctx scope.Scope) {
+	ctx, cancel := ctx.WithTimeout(settings.Seconds(v.settings.Bounds.GraceS) / handOverShare)
+	defer cancel()
+	repairer := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(v.settings)}
+	replicated := repairer.HandOff(ctx)
+	for (!replicated || v.hasStandby()) && ctx.Wait(v.options.ReplaceAfter/handOversPerReplaceAfter) {
+		replicated = repairer.HandOff(ctx)
+	}
+	v.log.Info().Str("part", "voter").Bool("replicated", replicated).Bool("voting", v.Voting()).Msg("hand-over ended")
+}
+
+// hasStandby reports whether this disk still votes and a controller that is alive
+// could take its place.
+func (v *Voter) hasStandby() bool {
+	if !v.Voting() {
+		return false
+	}
+	voters := map[ids.Address]bool{}
+	for _, voter := range v.Acceptor.Voters().Members {
+		voters[voter.Address] = true
+	}
+	for _, member := range v.aliveControllers() {
+		if !voters[member.Address] {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/control/state/voter/lease.go
@@ -0,0 +1,62 @@
+package voter
+
+import (
+	"onyxwell/base/ids"
+	"onyxwell/base/scope"
+	"onyxwell/control/state/lease"
+)
+
+// leaseRequestsPerTTL is the part of LeaseTTL, one in so many, that a request for
+// a lease may take.
+const leaseRequestsPerTTL = 3
+
+// RequestLease sends a request for a lease to all voters, and returns once a
+// majority has granted it or none can. The own voter is asked first: while it
+// refuses a new lease, the others are not bothered.
+func (v *Voter) RequestLease(ctx scope.Scope, req lease.Request) lease.Outcome {
+	voters := v.Acceptor.Voters()
+	members := voters.Members
+	req.VotersFingerprint = voters.Fingerprint()
+	granted := 0
+	if v.Lessor.Grant(req).Granted {
+		granted = 1
+	} else if !req.Renew && !req.Release {
+		return lease.NoneGranted
+	}
+	votes := make(chan bool, len(members))
+	for _, member := range members {
+		go func() { votes <- v.requestLeaseFrom(ctx, member.Address, req) }()
+	}
+	for pending := len(members); 2*granted <= len(members); pending-- {
+		if pending == 0 {
+			return lease.MinorityGranted
+		}
+		select {
+		case vote := <-votes:
+			if vote {
+				granted++
+			}
+		case <-ctx.Done():
+			return lease.MinorityGranted
+		}
+	}
+	return lease.MajorityGranted
+}
+
+// requestLeaseFrom reports whether another voter granted the request. It goes on
+// after ctx has ended, so that a release reaches slow voters too.
+func (v *Voter) requestLeaseFrom(ctx scope.Scope, address ids.Address, req lease.Request) bool {
+	if address == v.options.Address {
+		return false
+	}
+	ctx, cancel := ctx.WithoutCancel().WithTimeout(v.options.LeaseTTL / leaseRequestsPerTTL)
+	defer cancel()
+	resp, err := call[lease.Response](ctx, v, address, leaseCall, req)
+	if err != nil {
+		return false
+	}
+	if resp.VotersMismatch {
+		v.joiner.ReconcileVoters(ctx, address, resp.Generation)
+	}
+	return resp.Granted
+}
--- a/control/state/voter/liveness.go
+++ b/control/state/voter/liveness.go
@@ -8,112 +8,117 @@
 	"onyxwell/control/state/register"
 )
 
-// view is what of the voters is seen from here without a question, and since
-// when it has been so.
+// view is what is known of the voters without a request, and since when.
 type view struct {
-	votersMark int64
-	silent     string
-	calm       bool
-	since      clock.Instant
+	votersFingerprint int64
+	// suspects are the learners and the suspected voters.
+	suspects string
+	// stable says that nothing is left to be done.
+	stable bool
+	since  clock.Instant
 }
 
-// checkDue tells whether the next look should come at once: what is seen of the
-// voters just changed, or is not calm and has not been like this for long.
+// checkDue reports whether to survey, or try to join, at the next tick: the view
+// of the voters has just changed, or it is not stable and has not been like that
+// for long.
 func (v *Voter) checkDue(now clock.Instant) bool {
 	voters := v.Acceptor.Voters()
 	v.trackVoters(now, voters)
-	seen := view{votersMark: voters.Fingerprint(), calm: voters.Generation > 0}
+	current := view{votersFingerprint: voters.Fingerprint(), stable: voters.Generation > 0}
 	for _, voter := range voters.Members {
 		if voter.Learner || v.suspected(voter.Address) {
-			seen.silent += string(voter.Address) + " "
+			current.suspects += string(voter.Address) + " "
 		}
 	}
 	voting := v.Voting()
-	seen.calm = seen.calm && seen.silent == "" && (voting || !v.joiner.HasVacancy())
+	current.stable = current.stable && current.suspects == "" && (voting || !v.joiner.HasVacancy())
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if voting {
-		seen.calm = seen.calm && v.redundancy.CurrentVotes == v.redundancy.Voters && !v.survey.HasLagging()
+		current.stable = current.stable && v.redundancy.CurrentVotes == v.redundancy.Voters && !v.repairer.HasLagging()
 	}
-	seen.since = v.lastView.since
-	if seen != v.lastView {
-		seen.since = now
-		v.lastView = seen
+	current.since = v.lastView.since
+	if current != v.lastView {
+		current.since = now
+		v.lastView = current
 	}
-	age := now.Since(seen.since)
-	return age < v.options.Timing.SuspectAfter || (!seen.calm && age < v.options.Timing.ActiveFor)
+	age := now.Since(current.since)
+	return age < v.options.Timing.SuspectAfter || (!current.stable && age < v.options.Timing.ActiveFor)
 }
 
-// trackVoters notes since when each voter has been one.
+// trackVoters records since when each voter has been one.
 func (v *Voter) trackVoters(now clock.Instant, voters register.VoterSet) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	watched := map[ids.Address]clock.Instant{}
+	tracked := map[ids.Address]clock.Instant{}
 	for _, voter := range voters.Members {
-		since, known := v.voterSince[voter.Address]
-		if !known {
+		since, ok := v.voterSince[voter.Address]
+		if !ok {
 			since = now
 		}
-		watched[voter.Address] = since
+		tracked[voter.Address] = since
 	}
-	v.voterSince = watched
+	v.voterSince = tracked
 }
 
-// suspected tells whether a voter has been silent for a while.
+// suspected reports whether a voter has been silent for a while.
 func (v *Voter) suspected(address ids.Address) bool {
 	return v.silentFor(address, v.options.Timing.SuspectAfter)
 }
 
-// responsive tells whether one answered a question that was sent a moment ago.
+// responsive reports whether a controller answered a request that was sent a
+// moment ago.
 func (v *Voter) responsive(address ids.Address) bool {
 	if v.options.Quorum == nil {
 		return false
 	}
-	asked := v.options.Quorum.LastContact(address)
-	return asked > 0 && v.now().Since(asked) < v.options.Timing.SuspectAfter
+	contact := v.options.Quorum.LastContact(address)
+	return contact > 0 && v.clock.Now().Since(contact) < v.options.Timing.SuspectAfter
 }
 
-// silentFor tells whether a voter has answered nothing for so long, though a majority
-// answers here: one that is cut off or stood still itself misses nobody.
+// silentFor reports whether a voter has answered nothing for the span though a
+// majority answers here: a controller that is partitioned or stalled itself takes
+// nobody for silent.
 func (v *Voter) silentFor(address ids.Address, span clock.Span) bool {
-	now := v.now()
+	now := v.clock.Now()
 	if v.options.Quorum == nil || address == v.options.Address || !v.options.Quorum.HasQuorum(now) {
 		return false
 	}
 	v.mu.Lock()
-	since, voter := v.voterSince[address]
+	since, ok := v.voterSince[address]
 	v.mu.Unlock()
-	return voter && now.Since(max(since, v.options.Quorum.LastContact(address))) >= span
+	return ok && now.Since(max(since, v.options.Quorum.LastContact(address))) >= span
 }
 
-// recordMissed notes since when voters have not answered the looks.
-func (v *Voter) recordMissed(begin clock.Instant, away []ids.Address) {
+// recordMissed records since when voters have not answered the surveys. The caller
+// holds v.mu.
+func (v *Voter) recordMissed(surveyed clock.Instant, unreachable []ids.Address) {
 	missed := map[ids.Address]clock.Instant{}
-	for _, address := range away {
-		missed[address] = begin
-		if since, known := v.missedSince[address]; known {
+	for _, address := range unreachable {
+		missed[address] = surveyed
+		if since, ok := v.missedSince[address]; ok {
 			missed[address] = since
 		}
 	}
 	v.missedSince = missed
 }
 
-// lostVoters gives the voters that did not answer for so long that their seats may be
-// taken: not one of the looks, or nothing at all.
+// lostVoters returns the voters that for LostAfter have not answered a survey, or
+// nothing at all: their places may be taken, once a majority of the voters agrees.
 func (v *Voter) lostVoters() []ids.Address {
-	var found []ids.Address
+	var lost []ids.Address
 	v.mu.Lock()
 	for address, since := range v.missedSince {
-		if v.now().Since(since) >= v.options.Timing.LostAfter {
-			found = append(found, address)
+		if v.clock.Now().Since(since) >= v.options.Timing.LostAfter {
+			lost = append(lost, address)
 		}
 	}
 	v.mu.Unlock()
 	for _, voter := range v.Acceptor.Voters().Members {
-		if !slices.Contains(found, voter.Address) && v.silentFor(voter.Address, v.options.Timing.LostAfter) {
-			found = append(found, voter.Address)
+		if !slices.Contains(lost, voter.Address) && v.silentFor(voter.Address, v.options.Timing.LostAfter) {
+			lost = append(lost, voter.Address)
 		}
 	}
-	slices.Sort(found)
-	return found
+	slices.Sort(lost)
+	return lost
 }
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -11,57 +11,56 @@
 	"onyxwell/control/transport"
 )
 
-// testTiming is that of these tests.
+// testTiming is the timing of clusters with trackers.
 var testTiming = Timing{
 	Tick: 250 * clock.Millisecond, RequestTimeout: 300 * clock.Millisecond, SuspectAfter: 750 * clock.Millisecond,
 	LostAfter: 1500 * clock.Millisecond, ActiveFor: 12 * clock.Second,
 }
 
-// attachTracker gives a controller a contact, and what has it hear all that are not
-// silent.
+// attachTracker gives a voter a quorum tracker. The function that it returns has
+// all other voters answer that are not silent, and checks.
 func (c *cluster) attachTracker(index int, silent map[ids.Address]bool) func() {
-	subject := c.voters[index]
-	subject.options.Timing = testTiming
-	subject.options.Quorum = quorum.New(quorum.Options{
-		Address: subject.options.Address, Voters: subject.Acceptor.Voters, MaxAge: 500 * clock.Millisecond,
+	v := c.voters[index]
+	v.options.Timing = testTiming
+	v.options.Quorum = quorum.New(quorum.Options{
+		Address: v.options.Address, Voters: v.Acceptor.Voters, MaxAge: 500 * clock.Millisecond,
 	})
 	return func() {
-		for _, voter := range subject.Acceptor.Voters().Members {
-			if voter.Address != subject.options.Address && !silent[voter.Address] {
-				subject.options.Quorum.RecordContact(voter.Address, c.clock.Now())
+		for _, voter := range v.Acceptor.Voters().Members {
+			if voter.Address != v.options.Address && !silent[voter.Address] {
+				v.options.Quorum.RecordContact(voter.Address, c.clock.Now())
 			}
 		}
-		subject.checkDue(c.clock.Now())
+		v.checkDue(c.clock.Now())
 	}
 }
 
-// TestVoter_silentPeerIsSuspectedThenLost has a voter fall silent: it is in doubt
-// after one span, missed after the other, and neither after a shorter pause; a
-// newcomer that is lost while it learns is missed alike. One that hears no
-// majority itself misses nobody.
+// TestVoter_silentPeerIsSuspectedThenLost has a voter fall silent: it is suspected
+// after SuspectAfter, lost after LostAfter, and neither after a shorter pause. A
+// learner is lost alike. A voter that hears no majority itself suspects nobody.
 func TestVoter_silentPeerIsSuspectedThenLost(t *testing.T) {
-	site := newCluster(t, 4)
+	c := newCluster(t, 4)
 	silent := map[ids.Address]bool{}
-	ask, subject := site.attachTracker(0, silent), site.voters[0]
-	lost, other := site.voters[1].options.Address, site.voters[2].options.Address
+	round, v := c.attachTracker(0, silent), c.voters[0]
+	lost, other := c.voters[1].options.Address, c.voters[2].options.Address
 	pass := func(span clock.Span) {
 		for ; span > 0; span -= testTiming.Tick {
-			site.clock.Advance(testTiming.Tick)
-			ask()
+			c.clock.Advance(testTiming.Tick)
+			round()
 		}
 	}
-	check := func(when string, doubted bool, missed bool) {
+	check := func(when string, wantSuspected bool, wantLost bool) {
 		t.Helper()
-		if subject.suspected(lost) != doubted || slices.Contains(subject.lostVoters(), lost) != missed || subject.suspected(other) {
-			t.Fatalf("%s: doubted %v, away %v", when, subject.suspected(lost), subject.lostVoters())
+		if v.suspected(lost) != wantSuspected || slices.Contains(v.lostVoters(), lost) != wantLost || v.suspected(other) {
+			t.Fatalf("%s: suspected %v, lost %v", when, v.suspected(lost), v.lostVoters())
 		}
 	}
-	ask()
+	round()
 	silent[lost] = true
 	pass(testTiming.SuspectAfter - testTiming.Tick)
 	check("after a moment", false, false)
 	pass(testTiming.Tick)
-	check("after the span of doubt", true, false)
+	check("after SuspectAfter", true, false)
 	silent[lost] = false
 	pass(testTiming.Tick)
 	check("after a pause", false, false)
@@ -70,61 +69,61 @@
 	check("for good", true, true)
 	silent[other] = true
 	pass(2 * testTiming.LostAfter)
-	if len(subject.lostVoters()) != 0 || subject.suspected(lost) {
-		t.Fatalf("one that is cut off itself misses %v", subject.lostVoters())
+	if len(v.lostVoters()) != 0 || v.suspected(lost) {
+		t.Fatalf("a partitioned voter takes %v for lost", v.lostVoters())
 	}
 	silent[other] = false
-	ask()
+	round()
 	learner := register.Member{Address: lost, Incarnation: 7, Learner: true}
-	seats := slices.Clone(subject.Acceptor.Voters().Members)
-	for index := range seats {
-		if seats[index].Address == lost {
-			seats[index] = learner
+	members := slices.Clone(v.Acceptor.Voters().Members)
+	for index := range members {
+		if members[index].Address == lost {
+			members[index] = learner
 		}
 	}
-	body, err := transport.Marshal(register.VoterSet{Generation: 2, Members: seats})
+	body, err := transport.Marshal(register.VoterSet{Generation: 2, Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := subject.Acceptor.Learn([]register.Slot{{Key: register.VotersKey, Accepted: register.Proposal{Epoch: ids.Epoch{Number: 5}, Sequence: 1, Value: body}}}); err != nil {
+	if err := v.Acceptor.Learn([]register.Slot{{Key: register.VotersKey, Accepted: register.Proposal{Epoch: ids.Epoch{Number: 5}, Sequence: 1, Value: body}}}); err != nil {
 		t.Fatal(err)
 	}
-	ask()
-	check("learning, lost", true, true)
+	round()
+	check("lost learner", true, true)
 }
 
-// TestVoter_changesTriggerSurveys has looks come at each tick while what is seen of the
-// voters is young or not whole, and in calm at their own pace alone: a loss that
-// nobody replaces does not stir for ever.
+// TestVoter_changesTriggerSurveys expects a survey at each tick while the view of
+// the voters is new or not stable, and none but the regular ones afterwards: a loss
+// that nobody replaces does not cause them for ever.
 func TestVoter_changesTriggerSurveys(t *testing.T) {
-	site := newCluster(t, 4)
+	c := newCluster(t, 4)
 	silent := map[ids.Address]bool{}
-	ask, subject := site.attachTracker(0, silent), site.voters[0]
-	ask()
-	if !subject.checkDue(site.clock.Now()) {
-		t.Fatal("voters that were just learnt of don't stir")
+	round, v := c.attachTracker(0, silent), c.voters[0]
+	round()
+	if !v.checkDue(c.clock.Now()) {
+		t.Fatal("a new voter set triggers no survey")
 	}
-	pass := func(span clock.Span) (stirred int) {
+	pass := func(span clock.Span) (due int) {
 		for ; span > 0; span -= testTiming.Tick {
-			site.clock.Advance(testTiming.Tick)
-			ask()
-			if subject.checkDue(site.clock.Now()) {
-				stirred++
+			c.clock.Advance(testTiming.Tick)
+			round()
+			if v.checkDue(c.clock.Now()) {
+				due++
 			}
 		}
-		return stirred
+		return due
 	}
 	pass(testTiming.ActiveFor)
 	if count := pass(clock.Second); count != 0 {
-		t.Fatalf("calm stirs %d times", count)
+		t.Fatalf("%d surveys due while stable", count)
 	}
-	silent[site.voters[1].options.Address] = true
+	silent[c.voters[1].options.Address] = true
 	pass(testTiming.SuspectAfter)
 	if count := pass(clock.Second); count != 4 {
-		t.Fatalf("a silent voter stirs %d of 4 times", count)
+		t.Fatalf("%d of 4 surveys due for a silent voter", count)
 	}
 	pass(testTiming.ActiveFor)
 	if count := pass(clock.Second); count != 0 {
-		t.Fatalf("a loss that lasts stirs %d times", count)
+		t.Fatalf("%d surveys due for a lasting loss", count)
 	}
 }
--- /dev/null
+++ b/control/state/voter/messages.go
@@ -0,0 +1,72 @@
+package voter
+
+import (
+	"onyxwell/base/httpcall"
+	"onyxwell/base/scope"
+	"onyxwell/control/state/lease"
+	"onyxwell/control/state/register"
+	"onyxwell/control/transport"
+)
+
+// The names of a voter's requests on the wire.
+const (
+	prepareCall = "promise"
+	acceptCall  = "accept"
+	confirmCall = "confirm"
+	fetchCall   = "copy"
+	digestCall  = "held"
+	learnCall   = "learn"
+	leaseCall   = "hold"
+)
+
+// LearnRequest brings newer copies of slots to a replica.
+type LearnRequest struct {
+	Slots []register.Slot `avro:"Slots"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (LearnRequest) SchemaName() string { return "LearnAsk_21" }
+
+// LearnResponse reports whether the slots are durable.
+type LearnResponse struct {
+	Applied bool `avro:"Taken"`
+}
+
+// SchemaName names the stored and sent form; it must never change.
+func (LearnResponse) SchemaName() string { return "LearnTold_21" }
+
+// RegisterHandlers serves the voter to other controllers.
+func (v *Voter) RegisterHandlers(calls *httpcall.Mux) {
+	handle(calls, prepareCall, v.Acceptor.Prepare)
+	handle(calls, acceptCall, v.Acceptor.Accept)
+	handle(calls, confirmCall, v.Acceptor.Confirm)
+	handle(calls, fetchCall, v.Acceptor.Fetch)
+	handle(calls, digestCall, v.handleDigest)
+	handle(calls, leaseCall, v.handleLease)
+	transport.Handle(calls, learnCall, func(_ scope.Scope, req LearnRequest) (LearnResponse, error) {
+		err := v.Acceptor.Learn(req.Slots)
+		return LearnResponse{Applied: err == nil}, err
+	})
+}
+
+// handle serves a request that can't fail.
+func handle[Req, Resp any](calls *httpcall.Mux, name string, serve func(Req) Resp) {
+	transport.Handle(calls, name, func(_ scope.Scope, req Req) (Resp, error) { return serve(req), nil })
+}
+
+// handleDigest answers with the state of all keys on this disk, or with its hash
+// alone where the requester holds the same.
+func (v *Voter) handleDigest(req register.DigestRequest) register.DigestResponse {
+	resp := v.Acceptor.Digest()
+	resp.Unreachable = v.lostVoters()
+	if resp.Hash() == req.Hash {
+		resp.Unchanged, resp.Keys = true, nil
+	}
+	return resp
+}
+
+func (v *Voter) handleLease(req lease.Request) lease.Response {
+	resp := v.Lessor.Grant(req)
+	resp.Generation = v.Acceptor.Voters().Generation
+	return resp
+}
--- a/control/state/voter/placement.go
+++ b/control/state/voter/placement.go
@@ -5,22 +5,26 @@
 	"onyxwell/base/settings"
 )
 
-// TargetCount is how many voters bear the loss of so many machines at one time: one
-// more than twice as many, and never fewer than three.
-func TargetCount(settings *settings.Settings) int { return max(3, 2*settings.Tolerate.Machines+1) }
+// minVoters is the least number of voters that tolerates the loss of one.
+const minVoters = 3
 
-// RequiredCopies is how many disks must hold an order before it is answered: one more
-// than may be lost at one time. Where fewer controllers than seeds are usual
-// are named, there are no more than these.
-func RequiredCopies(settings *settings.Settings) int {
-	if seeds := len(settings.Seeds); seeds < 3 {
-		return min(seeds, settings.Tolerate.Machines+1)
+// TargetCount returns how many voters tolerate the simultaneous loss of as many
+// machines as the settings name: 2n+1, and never fewer than three.
+func TargetCount(node *settings.Settings) int { return max(minVoters, 2*node.Tolerate.Machines+1) }
+
+// RequiredCopies returns how many disks must hold a command before it is
+// acknowledged: one more than may be lost at a time, and no more than there are
+// seeds where the settings name fewer than three.
+func RequiredCopies(node *settings.Settings) int {
+	copies := node.Tolerate.Machines + 1
+	if seeds := len(node.Seeds); seeds < minVoters {
+		return min(seeds, copies)
 	}
-	return settings.Tolerate.Machines + 1
+	return copies
 }
 
-// fitsPlacement tells whether a voter here beside the others leaves every zone and
-// region with no more than its even share of the seats.
+// fitsPlacement reports whether a voter here beside the others leaves this zone and
+// region with no more than its even share of the voters.
 func (v *Voter) fitsPlacement(others []ids.Address) bool {
 	self := v.options.Membership.Self()
 	regions := map[ids.Region]bool{}
@@ -29,15 +33,19 @@
 	}
 	inZone, inRegion := 1, 1
 	for _, address := range others {
-		member, known := v.options.Membership.Find(address)
-		if known && member.Zone == self.Zone {
+		member, ok := v.options.Membership.Find(address)
+		if ok && member.Zone == self.Zone {
 			inZone++
 		}
-		if known && member.Region == self.Region {
+		if ok && member.Region == self.Region {
 			inRegion++
 		}
 	}
 	return inZone <= evenShare(v.options.TargetCount, len(v.options.Zones)) && inRegion <= evenShare(v.options.TargetCount, len(regions))
 }
 
-func evenShare(seats int, places int) int { return (seats + max(1, places) - 1) / max(1, places) }
+// evenShare returns the share of each place, rounded up; no places count as one.
+func evenShare(voters int, places int) int {
+	places = max(1, places)
+	return (voters + places - 1) / places
+}
--- a/control/state/voter/replaceable_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -8,45 +8,45 @@
 	"onyxwell/control/membership"
 )
 
-// TestVoter_responsivePeerIsNotReplaceable has a voter that no daemon told of, or that was
-// removed: while it answers it is not gone, and once it falls silent it is. One
-// that leaves gives its seat also while it answers.
+// TestVoter_responsivePeerIsNotReplaceable has a voter that no daemon remembers, or
+// that was removed: it is replaceable only once it falls silent. One that leaves is
+// also while it answers.
 func TestVoter_responsivePeerIsNotReplaceable(t *testing.T) {
-	for _, example := range []struct {
-		text   string
-		state  membership.State
-		leaves bool
+	for _, tt := range []struct {
+		name            string
+		state           membership.State
+		whileResponsive bool
 	}{
-		{text: "nobody told of it", state: -1},
-		{text: "removed", state: membership.Removed},
-		{text: "left", state: membership.Left, leaves: true},
+		{name: "unknown", state: -1},
+		{name: "removed", state: membership.Removed},
+		{name: "left", state: membership.Left, whileResponsive: true},
 	} {
-		t.Run(example.text, func(t *testing.T) {
-			site := newCluster(t, 3)
+		t.Run(tt.name, func(t *testing.T) {
+			c := newCluster(t, 3)
 			silent := map[ids.Address]bool{}
-			ask, subject, other := site.attachTracker(0, silent), site.voters[0], site.voters[1].options.Address
-			members := []membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, ServesControl: true, State: example.state}}
-			if example.state < 0 {
-				subject.options.Membership = membership.NewTable(site.clock, membership.Member{Address: subject.options.Address, Role: "fleet-controller"})
+			round, v, other := c.attachTracker(0, silent), c.voters[0], c.voters[1].options.Address
+			members := []membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 2, ServesControl: true, State: tt.state}}
+			if tt.state < 0 {
+				v.options.Membership = membership.NewTable(c.clock, membership.Member{Address: v.options.Address, Role: "fleet-controller"})
 			} else {
-				subject.options.Membership.Merge(members)
+				v.options.Membership.Merge(members)
 			}
 			for range 20 {
-				ask()
-				if gone := subject.isReplaceable(other); gone != example.leaves {
-					t.Fatalf("answers, and is gone: %v", gone)
+				round()
+				if replaceable := v.isReplaceable(other); replaceable != tt.whileResponsive {
+					t.Fatalf("responsive, and replaceable: %v", replaceable)
 				}
-				site.clock.Advance(testTiming.Tick)
+				c.clock.Advance(testTiming.Tick)
 			}
 			silent[other] = true
-			gone := false
-			for span := clock.Span(0); span < 4*subject.options.ReplaceAfter; span += testTiming.Tick {
-				ask()
-				site.clock.Advance(testTiming.Tick)
-				gone = subject.isReplaceable(other)
+			replaceable := false
+			for span := clock.Span(0); span < 4*v.options.ReplaceAfter; span += testTiming.Tick {
+				round()
+				c.clock.Advance(testTiming.Tick)
+				replaceable = v.isReplaceable(other)
 			}
-			if !gone {
-				t.Fatal("silent, and not gone")
+			if !replaceable {
+				t.Fatal("silent, and not replaceable")
 			}
 		})
 	}
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -4,142 +4,94 @@
 	"errors"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/ids"
 	"onyxwell/base/random"
 	"onyxwell/base/scope"
-	"onyxwell/base/settings"
-	"onyxwell/control/membership"
 	"onyxwell/control/state/register"
 )
 
-// Attach names the keeper through which a seat is asked for and what lags is
-// repaired.
-func (v *Voter) Attach(keeper *register.Proposer) {
-	v.joiner = &register.Joiner{
-		Address: v.options.Address, Acceptor: v.Acceptor, Proposer: keeper,
-		Replicas: v, Peers: v.controllers, Replaceable: v.isReplaceable,
-		TargetVoters: v.options.TargetCount, PlacementAllowed: v.fitsPlacement, Suspected: v.suspected, RequestTimeout: v.options.Timing.RequestTimeout,
-	}
-	v.survey = &register.Repairer{Joiner: v.joiner}
-}
-
-// standbyIdleRounds is how many calm looks one that finds no free seat lets pass before it
-// asks all others again; a seat that it sees getting free it asks for at once.
+// standbyIdleRounds is how many intervals a standby that finds no vacancy lets pass
+// before it asks all others again. It tries at once for a place that it sees
+// becoming free.
 const standbyIdleRounds = 1
 
-// Run strives for a seat until the scope ends, and looks after what the voters
-// hold while it has one. One that stands by follows the voters, so that little is
-// left to learn when a seat gets free. In calm that is done now and then; what
-// changes (a voter falls silent, the voters are others, a key lags) has it done
-// at the next tick, and at each while the change is young.
-func (v *Voter) Run(ctx scope.Scope, every clock.Span) {
-	tick := min(v.options.Timing.Tick, every)
-	next := ctx.Now()
+// Run surveys and repairs what the voters hold while this disk votes, and tries to
+// join them while it does not, until ctx ends. A standby catches up meanwhile, so
+// that little is left to learn once a place is free. That is done every interval,
+// and at each tick for a while after the view of the voters changed.
+func (v *Voter) Run(ctx scope.Scope, interval clock.Span) {
+	tick := min(v.options.Timing.Tick, interval)
+	next := v.clock.Now()
 	for ctx.Err() == nil {
-		now := ctx.Now()
-		stirred := v.checkDue(now)
-		if stirred || !now.Before(next) {
-			next = ctx.Now().Add(v.step(ctx, every))
+		now := v.clock.Now()
+		due := v.checkDue(now)
+		if due || !now.Before(next) {
+			start := v.clock.Now()
+			next = start.Add(v.step(ctx, interval))
 		}
-		// Newcomers that met each other on the way to a seat part here.
+		// Standbys that tried for the same place must not meet again.
 		if !ctx.Wait(tick - random.Duration(tick/2)) {
 			return
 		}
 	}
 }
 
-// step looks after the voters, or strives to be one, and tells how long to be idle
-// in calm.
-func (v *Voter) step(ctx scope.Scope, every clock.Span) clock.Span {
+// step surveys, or tries to join, and returns how long to pause while the view is
+// stable.
+func (v *Voter) step(ctx scope.Scope, interval clock.Span) clock.Span {
 	if v.Voting() {
 		v.surveyOnce(ctx)
-		return every
+		return interval
 	}
-	return clock.Span(v.tryJoin(ctx)+1) * every
+	return clock.Span(v.tryJoin(ctx)+1) * interval
 }
 
-// tryJoin asks for a seat, or follows the voters while there is none, and gives
-// for how many looks to be idle.
+// tryJoin tries to join the voters, or catches up with them where there is no
+// vacancy. It returns how many intervals to skip.
 func (v *Voter) tryJoin(ctx scope.Scope) int {
-	short, release := ctx.WithTimeout(v.options.Timeout)
-	defer release()
-	err := v.joiner.Join(short)
-	ctx.Log.Info().Str("part", "seat").Err(err).Msg("asked for a seat")
+	ctx, cancel := ctx.WithTimeout(v.options.Timeout)
+	defer cancel()
+	err := v.joiner.Join(ctx)
+	v.log.Info().Str("part", "voter").Err(err).Msg("join attempted")
 	if !errors.Is(err, register.ErrNoVacancy) {
 		return 0
 	}
-	v.survey.CatchUp(short)
+	v.repairer.CatchUp(ctx)
 	return standbyIdleRounds
 }
 
-// surveyOnce has one round of questions and repairs, and logs what changed; what the
-// next look finds otherwise again was only a change on its way.
+// surveyOnce surveys the voters and repairs what lags. It logs a change once two
+// surveys in a row show it: one that the next survey does not show was only in
+// progress.
 func (v *Voter) surveyOnce(ctx scope.Scope) {
-	short, release := ctx.WithTimeout(v.options.Timeout)
-	defer release()
-	begin := ctx.Now()
-	state := v.survey.Round(short)
+	ctx, cancel := ctx.WithTimeout(v.options.Timeout)
+	defer cancel()
+	start := v.clock.Now()
+	redundancy := v.repairer.Round(ctx)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	line := state.String()
-	if line == v.redundancy.String() && line != v.lastLogged {
-		v.lastLogged = line
-		whole := v.options.Quorum.Status(ctx.Now()).AllVotersAgeMS
-		ctx.Log.Info().Str("part", "seat").Bool("whole", state.Complete).Int64("whole_contact_age_ms", whole).Msg(line)
+	summary := redundancy.String()
+	if summary == v.redundancy.String() && summary != v.lastLogged {
+		v.lastLogged = summary
+		v.log.Info().Str("part", "voter").Str("redundancy", summary).Bool("complete", redundancy.Complete).
+			Int64("all_voters_age_ms", v.options.Quorum.Status(v.clock.Now()).AllVotersAgeMS).Msg("redundancy changed")
 	}
-	v.redundancy = state
-	v.recordMissed(begin, state.Unreachable)
+	v.redundancy = redundancy
+	v.recordMissed(start, redundancy.Unreachable)
 }
 
-// Redundancy tells how much more the control state bears, as last seen from
-// here; without a seat nothing was.
+// Redundancy returns the result of the last survey; the zero value where this disk
+// has not voted yet.
 func (v *Voter) Redundancy() register.Redundancy {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.redundancy
 }
 
-// QueryRedundancy is the same, for which the voters are asked where there is no
-// seat here.
+// QueryRedundancy returns the result of the last survey, or of a new one without
+// repairs where this disk does not vote.
 func (v *Voter) QueryRedundancy(ctx scope.Scope) register.Redundancy {
 	if v.Voting() {
 		return v.Redundancy()
 	}
 	return v.joiner.Redundancy(ctx)
 }
-
-// HandOver makes sure, for at most a quarter of the time that one has to end, that
-// what this disk holds is held by enough others, and that its seat is taken by one
-// that stands by. Where nobody does it keeps its seat: one that leaves can't tell
-// whether it will be started again.
-func (v *Voter) HandOver(ctx scope.Scope) {
-	short, release := ctx.WithTimeout(settings.Seconds(ctx.Settings.Bounds.GraceS) / 4)
-	defer release()
-	leaving := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(ctx.Settings)}
-	done := leaving.HandOff(short)
-	for (!done || v.hasStandby()) && short.Wait(v.options.ReplaceAfter/10) {
-		done = leaving.HandOff(short)
-	}
-	ctx.Log.Info().Str("part", "seat").Bool("enough", done).Bool("seated", v.Voting()).Msg("what is held here is held by others")
-}
-
-// Leave says that this seat is free for one that stands by.
-func (v *Voter) Leave() { v.Acceptor.Leave() }
-
-// hasStandby tells whether somebody who stands by could take the seat yet.
-func (v *Voter) hasStandby() bool {
-	if !v.Voting() {
-		return false
-	}
-	seated := map[ids.Address]bool{}
-	for _, voter := range v.Acceptor.Voters().Members {
-		seated[voter.Address] = true
-	}
-	self := v.options.Membership.Self()
-	for _, member := range v.options.Membership.Members() {
-		if member.Role == self.Role && member.State == membership.Alive && !seated[member.Address] {
-			return true
-		}
-	}
-	return false
-}
--- a/control/state/voter/timing.go
+++ b/control/state/voter/timing.go
@@ -1,51 +1,52 @@
 package voter
 
 import (
+	"cmp"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/settings"
 )
 
-// Timing is how soon a lost voter is replaced: parts of the time to catch up that
-// add up to less than all of it, also for two losses one after the other.
+// Timing is how soon a lost voter is replaced.
 type Timing struct {
-	// Tick is the time between two looks while something changes.
+	// Tick is the time between two checks while the view of the voters changes.
 	Tick clock.Span
-	// RequestTimeout is how long one question may take.
+	// RequestTimeout bounds one request to another controller.
 	RequestTimeout clock.Span
-	// SuspectAfter is how long a voter may be silent before it is not waited for any more,
-	// Missed before its seat is free to one that stands by.
+	// SuspectAfter is how long a voter may be silent before it is no longer waited
+	// for, LostAfter before a standby may take its place.
 	SuspectAfter clock.Span
 	LostAfter    clock.Span
-	// ActiveFor is how long a change keeps the looks at each tick.
+	// ActiveFor is how long after a change the checks come at each tick.
 	ActiveFor clock.Span
 }
 
-// TimingOf gives each stage its part of the time to catch up, from how long a duty is
-// held and an order passed on. Contact is asked for each two thirds of the latter:
-// one that answers is never silent for twice as long.
-func TimingOf(node *settings.Settings, hold clock.Span, pass clock.Span) Timing {
-	whole := settings.Seconds(node.Bounds.CatchUpS)
-	if whole == 0 {
-		whole = 3 * hold
+// TimingOf divides the time to catch up, bounds.catch_up_s, or three lease
+// durations where that is 0, among the stages of a replacement. They add up to less
+// than all of it, also for two losses one after the other. A voter that answers is
+// never suspected: heartbeats are sent every 2/3 of forwardTimeout, and SuspectAfter
+// is 3/2 of it or more.
+func TimingOf(node *settings.Settings, leaseDuration clock.Span, forwardTimeout clock.Span) Timing {
+	catchUp := settings.Seconds(node.Bounds.CatchUpS)
+	if catchUp == 0 {
+		catchUp = 3 * leaseDuration
 	}
 	return Timing{
-		Tick: whole / 24, RequestTimeout: min(hold/6, whole/18),
-		SuspectAfter: max(whole/8, pass*3/2), LostAfter: max(whole/4, 2*pass), ActiveFor: 2 * whole,
+		Tick:           catchUp / 24,
+		RequestTimeout: min(leaseDuration/6, catchUp/18),
+		SuspectAfter:   max(catchUp/8, forwardTimeout*3/2),
+		LostAfter:      max(catchUp/4, 2*forwardTimeout),
+		ActiveFor:      2 * catchUp,
 	}
 }
 
-// withDefaults fills in what is not set, as parts of the patience.
+// withDefaults returns the timing with what is not set as a part of the patience.
 func (t Timing) withDefaults(patience clock.Span) Timing {
-	for _, one := range []struct {
-		span *clock.Span
-		part clock.Span
-	}{
-		{&t.Tick, patience / 8}, {&t.RequestTimeout, patience / 6}, {&t.SuspectAfter, patience / 2},
-		{&t.LostAfter, patience}, {&t.ActiveFor, 4 * patience},
-	} {
-		if *one.span == 0 {
-			*one.span = one.part
-		}
+	return Timing{
+		Tick:           cmp.Or(t.Tick, patience/8),
+		RequestTimeout: cmp.Or(t.RequestTimeout, patience/6),
+		SuspectAfter:   cmp.Or(t.SuspectAfter, patience/2),
+		LostAfter:      cmp.Or(t.LostAfter, patience),
+		ActiveFor:      cmp.Or(t.ActiveFor, 4*patience),
 	}
-	return t
 }
--- a/control/state/voter/timing_test.go
+++ b/control/state/voter/timing_test.go
@@ -8,9 +8,9 @@
 	"onyxwell/control/daemon"
 )
 
-// TestTimingOf_twoReplacementsFitCatchUpTime adds the stages of two replacements one
-// after the other up, from the loss to the repair of the last key: as long as a
-// spec may take no longer than catching up they fit, whatever the bounds are.
+// TestTimingOf_twoReplacementsFitCatchUpTime adds up the stages of two replacements
+// in sequence, from the loss to the repair of the last key: they fit the time to
+// catch up, whatever the bounds, as long as a command may take no longer than that.
 func TestTimingOf_twoReplacementsFitCatchUpTime(t *testing.T) {
 	for _, bounds := range []settings.Bounds{
 		{CatchUpS: 4, InTouchMS: 4000, ApplyWithinMS: 3000},
@@ -19,22 +19,23 @@
 		{CatchUpS: 60, InTouchMS: 5000, ApplyWithinMS: 5000},
 		{CatchUpS: 0, InTouchMS: 4000, ApplyWithinMS: 3000},
 	} {
-		all := daemon.TimingOf(&settings.Settings{Bounds: bounds})
-		pace, pass := TimingOf(&settings.Settings{Bounds: bounds}, all.LeaseDuration, all.ForwardTimeout), all.ForwardTimeout
-		whole := settings.Seconds(bounds.CatchUpS)
+		common := daemon.TimingOf(&settings.Settings{Bounds: bounds})
+		timing, forward := TimingOf(&settings.Settings{Bounds: bounds}, common.LeaseDuration, common.ForwardTimeout), common.ForwardTimeout
+		catchUp := settings.Seconds(bounds.CatchUpS)
 		if bounds.CatchUpS == 0 {
-			whole = settings.Milliseconds(bounds.InTouchMS)
+			catchUp = settings.Milliseconds(bounds.InTouchMS)
 		}
-		// A seat takes a question whether the one is back, one for the copies, and
-		// six rounds of messages: to take the voters' key over, to settle it and to
-		// write it, twice. A round takes a quarter of what a question may.
-		seat := pace.Tick + 2*pace.RequestTimeout + 6*pace.RequestTimeout/4
-		sum := pace.LostAfter + 2*seat + 3*pace.Tick
-		if sum >= whole {
-			t.Errorf("the stages add up to %v of %v: %+v", sum, whole, pace)
+		// A replacement takes a request whether the lost voter is back, one for the
+		// copies, and six rounds of messages: to acquire the voters' key, to commit its
+		// present value and to write the next, twice. A round takes a quarter of what a
+		// request may.
+		replacement := timing.Tick + 2*timing.RequestTimeout + 6*timing.RequestTimeout/4
+		sum := timing.LostAfter + 2*replacement + 3*timing.Tick
+		if sum >= catchUp {
+			t.Errorf("the stages add up to %v of %v: %+v", sum, catchUp, timing)
 		}
-		if pace.SuspectAfter <= pass*2/3+clock.Span(pace.RequestTimeout)/4 || pace.LostAfter <= pace.SuspectAfter {
-			t.Errorf("one that answers is in doubt between two questions: %+v, one each %v", pace, pass*2/3)
+		if timing.SuspectAfter <= forward*2/3+clock.Span(timing.RequestTimeout)/4 || timing.LostAfter <= timing.SuspectAfter {
+			t.Errorf("a voter that answers is suspected between two heartbeats: %+v, one every %v", timing, forward*2/3)
 		}
 	}
 }
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -16,7 +16,8 @@
 	"onyxwell/control/transport"
 )
 
-// cluster is some controllers in one process, over real calls, on one fake clock.
+// cluster is some controllers in one process, over real HTTP calls, on one fake
+// clock. The first three are voters.
 type cluster struct {
 	t         *testing.T
 	clock     *clock.Fake
@@ -28,143 +29,145 @@
 
 func newCluster(t *testing.T, count int) *cluster {
 	t.Helper()
-	made := &cluster{t: t, clock: clock.NewFake()}
-	settings := &settings.Settings{Seeds: []ids.Address{"a", "b", "c"}}
-	settings.Tolerate.Machines, settings.Bounds.GraceS = 1, 8
-	made.ctx = scope.New(scope.Options{Clock: made.clock, Settings: settings})
-	var tables []*httpcall.Mux
+	c := &cluster{t: t, clock: clock.NewFake()}
+	node := &settings.Settings{Seeds: []ids.Address{"a", "b", "c"}}
+	node.Tolerate.Machines, node.Bounds.GraceS = 1, 8
+	c.ctx = scope.New(scope.Options{Clock: c.clock, Settings: node})
+	var muxes []*httpcall.Mux
 	var addresses []ids.Address
 	for range count {
-		table := httpcall.NewMux(made.ctx, 1<<20)
-		door := httptest.NewServer(table)
-		t.Cleanup(door.Close)
-		tables, made.servers = append(tables, table), append(made.servers, door)
-		addresses = append(addresses, ids.Address(strings.TrimPrefix(door.URL, "http://")))
+		mux := httpcall.NewMux(c.ctx, 1<<20)
+		server := httptest.NewServer(mux)
+		t.Cleanup(server.Close)
+		muxes, c.servers = append(muxes, mux), append(c.servers, server)
+		addresses = append(addresses, ids.Address(strings.TrimPrefix(server.URL, "http://")))
 	}
 	for index, address := range addresses {
-		known := membership.NewTable(made.clock, membership.Member{Address: address, Role: "fleet-controller"})
+		members := membership.NewTable(c.clock, membership.Member{Address: address, Role: "fleet-controller"})
 		for _, other := range addresses {
 			if other != address {
-				known.Merge([]membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 1, ServesControl: true}})
+				members.Merge([]membership.Member{{Address: other, Role: "fleet-controller", Incarnation: 1, ServesControl: true}})
 			}
 		}
-		opened, err := Open(made.ctx, Options{
-			Address: address, Disk: wal.Dir(t.TempDir()), FirstStart: index < 3, Seeds: addresses[:3], Membership: known,
+		v, err := Open(c.ctx, Options{
+			Address: address, Disk: wal.Dir(t.TempDir()), FirstStart: index < 3, Seeds: addresses[:3], Membership: members,
 			Transport:    transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
 			ReplaceAfter: clock.Second, Timeout: 100 * clock.Second, LeaseTTL: clock.Second, TargetCount: 3,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(opened.Close)
-		opened.RegisterHandlers(tables[index])
-		keeper := register.NewProposer(register.ProposerOptions{
-			Address: address, Client: opened, Voters: opened.Acceptor.Voters, MessageTimeout: 100 * clock.Second, MinCopies: 2,
-			HighestEpoch: func(key string) int64 { return opened.Acceptor.Slot(key).Promised.Number },
+		t.Cleanup(v.Close)
+		v.RegisterHandlers(muxes[index])
+		proposer := register.NewProposer(register.ProposerOptions{
+			Address: address, Client: v, Voters: v.Acceptor.Voters, MessageTimeout: 100 * clock.Second, MinCopies: 2,
+			HighestEpoch: func(key string) int64 { return v.Acceptor.Slot(key).Promised.Number },
 		})
-		opened.Attach(keeper)
-		made.voters, made.proposers = append(made.voters, opened), append(made.proposers, keeper)
+		v.Attach(proposer)
+		c.voters, c.proposers = append(c.voters, v), append(c.proposers, proposer)
 	}
-	return made
+	return c
 }
 
-func (c *cluster) change(index int, value string) {
+// update writes a value through the proposer of a controller.
+func (c *cluster) update(index int, value string) {
 	c.t.Helper()
-	step := func([]byte) ([]byte, error) { return []byte(value), nil }
-	if _, err := c.proposers[index].Update(c.ctx, "spec", step); err != nil {
+	replace := func([]byte) ([]byte, error) { return []byte(value), nil }
+	if _, err := c.proposers[index].Update(c.ctx, "spec", replace); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// removeVoter ends a controller and has all others take it for removed.
+// removeVoter stops a controller and has it removed from all memberships.
 func (c *cluster) removeVoter(index int) {
 	c.servers[index].Close()
-	for _, seat := range c.voters {
-		seat.options.Membership.AdvanceState(c.voters[index].options.Address, membership.Removed)
+	for _, v := range c.voters {
+		v.options.Membership.AdvanceState(c.voters[index].options.Address, membership.Removed)
 	}
 	c.clock.Advance(2 * clock.Second)
 }
 
-// TestVoter_standbyReplacesLostVoterInOneRun loses a voter: the one that stood by has followed the
-// values, sees the seat get free without a message, and votes after one run;
-// after one more look of a voter all is whole.
+// TestVoter_standbyReplacesLostVoterInOneRun loses a voter: the standby has caught
+// up with the values, sees the vacancy without a request, and votes after one
+// attempt to join; after the next surveys all is complete.
 func TestVoter_standbyReplacesLostVoterInOneRun(t *testing.T) {
-	site := newCluster(t, 4)
-	standBy := site.voters[3]
-	if idle := standBy.tryJoin(site.ctx); idle != standbyIdleRounds || standBy.joiner.HasVacancy() {
-		t.Fatalf("idle for %d though no seat is free", idle)
-	}
-	site.change(0, "one")
-	standBy.survey.CatchUp(site.ctx)
-	standBy.survey.CatchUp(site.ctx)
-	if held := standBy.Acceptor.Slot("spec"); string(held.Accepted.Value) != "one" || held.Promised.Number != 0 {
-		t.Fatalf("the stand-by holds %+v", held)
-	}
-	// One without a seat shows what a voter does.
-	for !site.voters[0].Redundancy().Complete {
-		site.voters[0].surveyOnce(site.ctx)
-	}
-	alike := func() {
+	c := newCluster(t, 4)
+	standby := c.voters[3]
+	if idle := standby.tryJoin(c.ctx); idle != standbyIdleRounds || standby.joiner.HasVacancy() {
+		t.Fatalf("idle for %d, or a vacancy though there is none", idle)
+	}
+	c.update(0, "one")
+	standby.repairer.CatchUp(c.ctx)
+	standby.repairer.CatchUp(c.ctx)
+	if slot := standby.Acceptor.Slot("spec"); string(slot.Accepted.Value) != "one" || slot.Promised.Number != 0 {
+		t.Fatalf("the standby holds %+v", slot)
+	}
+	for !c.voters[0].Redundancy().Complete {
+		c.voters[0].surveyOnce(c.ctx)
+	}
+	// expectSameView compares what a standby and a voter show.
+	expectSameView := func() {
 		t.Helper()
-		seen, own := standBy.QueryRedundancy(site.ctx), site.voters[0].QueryRedundancy(site.ctx)
-		if seen.String() != own.String() || seen.Complete != own.Complete || len(seen.Keys) != len(own.Keys) || own.Voters != 3 {
-			t.Fatalf("a voter sees %s, the stand-by %s", own, seen)
+		got, want := standby.QueryRedundancy(c.ctx), c.voters[0].QueryRedundancy(c.ctx)
+		if got.String() != want.String() || got.Complete != want.Complete || len(got.Keys) != len(want.Keys) || want.Voters != 3 {
+			t.Fatalf("a voter shows %s, the standby %s", want, got)
 		}
 	}
-	alike()
-	site.removeVoter(2)
-	site.voters[0].surveyOnce(site.ctx)
-	alike()
-	if state := site.voters[0].Redundancy(); state.TolerableLosses != 0 || len(state.Unreachable) != 1 {
-		t.Fatalf("with one lost: %s", state)
+	expectSameView()
+	c.removeVoter(2)
+	c.voters[0].surveyOnce(c.ctx)
+	expectSameView()
+	if redundancy := c.voters[0].Redundancy(); redundancy.TolerableLosses != 0 || len(redundancy.Unreachable) != 1 {
+		t.Fatalf("with one lost: %s", redundancy)
 	}
-	if !standBy.joiner.HasVacancy() {
-		t.Fatal("the free seat isn't seen")
+	if !standby.joiner.HasVacancy() {
+		t.Fatal("the vacancy is not seen")
 	}
-	standBy.tryJoin(site.ctx)
-	if !standBy.Voting() {
-		t.Fatalf("no seat after one run: %+v", standBy.Acceptor.Voters())
+	standby.tryJoin(c.ctx)
+	if !standby.Voting() {
+		t.Fatalf("not a voter after one attempt: %+v", standby.Acceptor.Voters())
 	}
 	for range 3 {
-		site.voters[0].surveyOnce(site.ctx)
-		standBy.surveyOnce(site.ctx)
+		c.voters[0].surveyOnce(c.ctx)
+		standby.surveyOnce(c.ctx)
 	}
-	if state := site.voters[0].Redundancy(); !state.Complete || state.TolerableLosses != 1 {
-		t.Fatalf("after the replacement: %s", state)
+	if redundancy := c.voters[0].Redundancy(); !redundancy.Complete || redundancy.TolerableLosses != 1 {
+		t.Fatalf("after the replacement: %s", redundancy)
 	}
-	site.change(3, "two")
+	c.update(3, "two")
 }
 
-// TestVoter_forgottenVoterIsReplaced has no daemon remember a voter that is away.
+// TestVoter_forgottenVoterIsReplaced has no daemon remember a voter that was lost.
 func TestVoter_forgottenVoterIsReplaced(t *testing.T) {
-	site := newCluster(t, 4)
-	site.removeVoter(2)
-	site.clock.Advance(2 * 60 * 60 * clock.Second)
-	for _, seat := range site.voters {
-		seat.options.Membership.Prune()
+	c := newCluster(t, 4)
+	c.removeVoter(2)
+	c.clock.Advance(2 * 60 * 60 * clock.Second)
+	for _, v := range c.voters {
+		v.options.Membership.Prune()
 	}
 	for range 2 {
-		site.voters[3].tryJoin(site.ctx)
-		site.clock.Advance(3 * clock.Second)
+		c.voters[3].tryJoin(c.ctx)
+		c.clock.Advance(3 * clock.Second)
 	}
-	if !site.voters[3].Voting() {
-		t.Fatalf("the seat of a forgotten voter stays empty: %+v", site.voters[3].Acceptor.Voters())
+	if !c.voters[3].Voting() {
+		t.Fatalf("a forgotten voter is not replaced: %+v", c.voters[3].Acceptor.Voters())
 	}
 }
 
-// TestVoter_handOverEndsInTime has one that leaves find the others away, and its time
-// over: it ends all the same; with them there it has nothing to wait for.
+// TestVoter_handOverEndsInTime hands over to voters that are there, for which there
+// is nothing to wait, and then with all others lost and the time over: it ends all
+// the same.
 func TestVoter_handOverEndsInTime(t *testing.T) {
-	site := newCluster(t, 3)
-	site.change(0, "one")
-	// A change is answered before its last message is: two looks see to that.
-	for !site.voters[0].Redundancy().Complete {
-		site.voters[0].surveyOnce(site.ctx)
-	}
-	site.voters[0].HandOver(site.ctx)
-	site.removeVoter(1)
-	site.removeVoter(2)
-	ended, end := site.ctx.WithCancel()
-	end()
-	site.voters[0].HandOver(ended)
+	c := newCluster(t, 3)
+	c.update(0, "one")
+	// An update is acknowledged before its last message is: two surveys await that.
+	for !c.voters[0].Redundancy().Complete {
+		c.voters[0].surveyOnce(c.ctx)
+	}
+	c.voters[0].HandOver(c.ctx)
+	c.removeVoter(1)
+	c.removeVoter(2)
+	ended, cancel := c.ctx.WithCancel()
+	cancel()
+	c.voters[0].HandOver(ended)
 }
