--- a/control/state/voter/liveness.go
+++ b/control/state/voter/liveness.go
@@ -2,120 +2,97 @@
 
 import (
 	"slices"
+	"sync"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/state/register"
 )
 
-// view is what is known of the voters without a request, and since when.
-type view struct {
-	votersFingerprint int64
-	// suspects are the learners and the suspected voters.
-	suspects string
-	// stable says that nothing is left to be done.
-	stable bool
-	since  clock.Instant
-}
+// liveness tracks which voters answer, by contact and by the surveys; it sends
+// nothing itself. It is safe for concurrent use.
+type liveness struct {
+	options *Options
+	clock   clock.Clock
 
-// checkDue reports whether to survey, or try to join, at the next tick: the view
-// of the voters has just changed, or it is not stable and has not been like that
-// for long.
-func (v *Voter) checkDue(now clock.Instant) bool {
-	voters := v.Acceptor.Voters()
-	v.trackVoters(now, voters)
-	current := view{votersFingerprint: voters.Fingerprint(), stable: voters.Generation > 0}
-	for _, voter := range voters.Members {
-		if voter.Learner || v.suspected(voter.Address) {
-			current.suspects += string(voter.Address) + " "
-		}
-	}
-	voting := v.Voting()
-	current.stable = current.stable && current.suspects == "" && (voting || !v.joiner.HasVacancy())
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if voting {
-		current.stable = current.stable && v.redundancy.CurrentVotes == v.redundancy.Voters && !v.repairer.HasLagging()
-	}
-	current.since = v.lastView.since
-	if current != v.lastView {
-		current.since = now
-		v.lastView = current
-	}
-	age := now.Since(current.since)
-	return age < v.options.Timing.SuspectAfter || (!current.stable && age < v.options.Timing.ActiveFor)
+	mu sync.Mutex
+	// voterSince is since when each voter has been one, missedSince since when
+	// voters have not answered the surveys.
+	voterSince  map[ids.Address]clock.Instant
+	missedSince map[ids.Address]clock.Instant
 }
 
 // trackVoters records since when each voter has been one.
-func (v *Voter) trackVoters(now clock.Instant, voters register.VoterSet) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (l *liveness) trackVoters(now clock.Instant, voters register.VoterSet) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	tracked := map[ids.Address]clock.Instant{}
 	for _, voter := range voters.Members {
-		since, ok := v.voterSince[voter.Address]
+		since, ok := l.voterSince[voter.Address]
 		if !ok {
 			since = now
 		}
 		tracked[voter.Address] = since
 	}
-	v.voterSince = tracked
+	l.voterSince = tracked
 }
 
-// suspected reports whether a voter has been silent for a while.
-func (v *Voter) suspected(address ids.Address) bool {
-	return v.silentFor(address, v.options.Timing.SuspectAfter)
+// recordMissed records since when voters have not answered the surveys.
+func (l *liveness) recordMissed(surveyed clock.Instant, unreachable []ids.Address) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	missed := map[ids.Address]clock.Instant{}
+	for _, address := range unreachable {
+		missed[address] = surveyed
+		if since, ok := l.missedSince[address]; ok {
+			missed[address] = since
+		}
+	}
+	l.missedSince = missed
 }
 
 // responsive reports whether a controller answered a request that was sent a
 // moment ago.
-func (v *Voter) responsive(address ids.Address) bool {
-	if v.options.Quorum == nil {
+func (l *liveness) responsive(address ids.Address) bool {
+	if l.options.Quorum == nil {
 		return false
 	}
-	contact := v.options.Quorum.LastContact(address)
-	return contact > 0 && v.clock.Now().Since(contact) < v.options.Timing.SuspectAfter
+	contact := l.options.Quorum.LastContact(address)
+	return contact > 0 && l.clock.Now().Since(contact) < l.options.Timing.SuspectAfter
+}
+
+// suspected reports whether a voter has been silent for a while.
+func (l *liveness) suspected(address ids.Address) bool {
+	return l.silentFor(address, l.options.Timing.SuspectAfter)
 }
 
 // silentFor reports whether a voter has answered nothing for the span though a
 // majority answers here: a controller that is partitioned or stalled itself takes
 // nobody for silent.
-func (v *Voter) silentFor(address ids.Address, span clock.Span) bool {
-	now := v.clock.Now()
-	if v.options.Quorum == nil || address == v.options.Address || !v.options.Quorum.HasQuorum(now) {
+func (l *liveness) silentFor(address ids.Address, span clock.Span) bool {
+	now := l.clock.Now()
+	if l.options.Quorum == nil || address == l.options.Address || !l.options.Quorum.HasQuorum(now) {
 		return false
 	}
-	v.mu.Lock()
-	since, ok := v.voterSince[address]
-	v.mu.Unlock()
-	return ok && now.Since(max(since, v.options.Quorum.LastContact(address))) >= span
-}
-
-// recordMissed records since when voters have not answered the surveys. The caller
-// holds v.mu.
-func (v *Voter) recordMissed(surveyed clock.Instant, unreachable []ids.Address) {
-	missed := map[ids.Address]clock.Instant{}
-	for _, address := range unreachable {
-		missed[address] = surveyed
-		if since, ok := v.missedSince[address]; ok {
-			missed[address] = since
-		}
-	}
-	v.missedSince = missed
+	l.mu.Lock()
+	since, ok := l.voterSince[address]
+	l.mu.Unlock()
+	return ok && now.Since(max(since, l.options.Quorum.LastContact(address))) >= span
 }
 
-// lostVoters returns the voters that for LostAfter have not answered a survey, or
-// nothing at all: their places may be taken, once a majority of the voters agrees.
-func (v *Voter) lostVoters() []ids.Address {
+// lost returns the voters that for LostAfter have not answered a survey, or nothing
+// at all: their places may be taken, once a majority of the voters agrees.
+func (l *liveness) lost(voters register.VoterSet) []ids.Address {
 	var lost []ids.Address
-	v.mu.Lock()
-	for address, since := range v.missedSince {
-		if v.clock.Now().Since(since) >= v.options.Timing.LostAfter {
+	l.mu.Lock()
+	for address, since := range l.missedSince {
+		if l.clock.Now().Since(since) >= l.options.Timing.LostAfter {
 			lost = append(lost, address)
 		}
 	}
-	v.mu.Unlock()
-	for _, voter := range v.Acceptor.Voters().Members {
-		if !slices.Contains(lost, voter.Address) && v.silentFor(voter.Address, v.options.Timing.LostAfter) {
+	l.mu.Unlock()
+	for _, voter := range voters.Members {
+		if !slices.Contains(lost, voter.Address) && l.silentFor(voter.Address, l.options.Timing.LostAfter) {
 			lost = append(lost, voter.Address)
 		}
 	}
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -51,8 +51,9 @@
 	}
 	check := func(when string, wantSuspected bool, wantLost bool) {
 		t.Helper()
-		if v.suspected(lost) != wantSuspected || slices.Contains(v.lostVoters(), lost) != wantLost || v.suspected(other) {
-			t.Fatalf("%s: suspected %v, lost %v", when, v.suspected(lost), v.lostVoters())
+		allLost := v.liveness.lost(v.Acceptor.Voters())
+		if v.liveness.suspected(lost) != wantSuspected || slices.Contains(allLost, lost) != wantLost || v.liveness.suspected(other) {
+			t.Fatalf("%s: suspected %v, lost %v", when, v.liveness.suspected(lost), allLost)
 		}
 	}
 	round()
@@ -69,8 +70,8 @@
 	check("for good", true, true)
 	silent[other] = true
 	pass(2 * testTiming.LostAfter)
-	if len(v.lostVoters()) != 0 || v.suspected(lost) {
-		t.Fatalf("a partitioned voter takes %v for lost", v.lostVoters())
+	if allLost := v.liveness.lost(v.Acceptor.Voters()); len(allLost) != 0 || v.liveness.suspected(lost) {
+		t.Fatalf("a partitioned voter takes %v for lost", allLost)
 	}
 	silent[other] = false
 	round()
--- a/control/state/voter/open.go
+++ b/control/state/voter/open.go
@@ -35,6 +35,7 @@
 			options: options, clock: ctx.Clock, log: ctx.Log, settings: ctx.Settings,
 			unknownSince: map[ids.Address]clock.Instant{},
 		}
+		v.liveness.options, v.liveness.clock = &v.options, v.clock
 		records, err := v.openLog()
 		if errors.Is(err, wal.ErrUnsupportedVersion) {
 			return nil, err
--- a/control/state/voter/replaceable.go
+++ b/control/state/voter/replaceable.go
@@ -13,7 +13,7 @@
 // from the first call.
 func (v *Voter) isReplaceable(address ids.Address) bool {
 	member, ok := v.options.Membership.Find(address)
-	if member.State != membership.Left && v.responsive(address) {
+	if member.State != membership.Left && v.liveness.responsive(address) {
 		// A report that it was removed is older than that, or wrong.
 		v.mu.Lock()
 		delete(v.unknownSince, address)
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -35,6 +35,44 @@
 	}
 }
 
+// view is what is known of the voters without a request, and since when.
+type view struct {
+	votersFingerprint int64
+	// suspects are the learners and the suspected voters.
+	suspects string
+	// stable says that nothing is left to be done.
+	stable bool
+	since  clock.Instant
+}
+
+// checkDue reports whether to survey, or try to join, at the next tick: the view
+// of the voters has just changed, or it is not stable and has not been like that
+// for long.
+func (v *Voter) checkDue(now clock.Instant) bool {
+	voters := v.Acceptor.Voters()
+	v.liveness.trackVoters(now, voters)
+	current := view{votersFingerprint: voters.Fingerprint(), stable: voters.Generation > 0}
+	for _, voter := range voters.Members {
+		if voter.Learner || v.liveness.suspected(voter.Address) {
+			current.suspects += string(voter.Address) + " "
+		}
+	}
+	voting := v.Voting()
+	current.stable = current.stable && current.suspects == "" && (voting || !v.joiner.HasVacancy())
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if voting {
+		current.stable = current.stable && v.redundancy.CurrentVotes == v.redundancy.Voters && !v.repairer.HasLagging()
+	}
+	current.since = v.lastView.since
+	if current != v.lastView {
+		current.since = now
+		v.lastView = current
+	}
+	age := now.Since(current.since)
+	return age < v.options.Timing.SuspectAfter || (!current.stable && age < v.options.Timing.ActiveFor)
+}
+
 // step surveys, or tries to join, and returns how long to pause while the view is
 // stable.
 func (v *Voter) step(ctx scope.Scope, interval clock.Span) clock.Span {
@@ -76,7 +114,7 @@
 			Int64("all_voters_age_ms", v.options.Quorum.Status(v.clock.Now()).AllVotersAgeMS).Msg("redundancy changed")
 	}
 	v.redundancy = redundancy
-	v.recordMissed(start, redundancy.Unreachable)
+	v.liveness.recordMissed(start, redundancy.Unreachable)
 }
 
 // Redundancy returns the result of the last survey; the zero value where this disk
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -60,6 +60,7 @@
 	wal      *wal.Log
 	joiner   *register.Joiner
 	repairer *register.Repairer
+	liveness liveness
 
 	mu sync.Mutex
 	// redundancy is the result of the last survey, lastLogged that which was
@@ -69,11 +70,7 @@
 	// unknownSince is since when voters that the membership does not know have been
 	// asked for.
 	unknownSince map[ids.Address]clock.Instant
-	// missedSince is since when voters have not answered the surveys, voterSince
-	// since when each has been a voter.
-	missedSince map[ids.Address]clock.Instant
-	voterSince  map[ids.Address]clock.Instant
-	lastView    view
+	lastView     view
 }
 
 // Attach sets the proposer through which the Voter joins the voter set and
@@ -81,7 +78,7 @@
 func (v *Voter) Attach(proposer *register.Proposer) {
 	v.joiner = &register.Joiner{
 		Address: v.options.Address, Acceptor: v.Acceptor, Proposer: proposer,
-		Replicas: v, Peers: v.controllers, Replaceable: v.isReplaceable, Suspected: v.suspected,
+		Replicas: v, Peers: v.controllers, Replaceable: v.isReplaceable, Suspected: v.liveness.suspected,
 		TargetVoters: v.options.TargetCount, PlacementAllowed: v.fitsPlacement, RequestTimeout: v.options.Timing.RequestTimeout,
 	}
 	v.repairer = &register.Repairer{Joiner: v.joiner}
