--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -1,14 +1,34 @@
 package proxy
 
 import (
+	"net/http"
+
 	"onyxwell/base/clock"
+	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
+	"onyxwell/control/planning/lengthstats"
+	"onyxwell/data/balancer"
+	"onyxwell/data/runnerstats"
 	"onyxwell/data/snapshot"
 	"onyxwell/data/upstream"
 )
 
-// attemptRecord is one sending of a request, as it is told afterwards.
+// attempt is one sending of a request that is under way.
+type attempt struct {
+	request   upstream.Attempt
+	admission *balancer.Admission
+	runner    *snapshot.Runner
+	number    uint64
+	startedAt clock.Instant
+	// resumes says that the rest of a stream is asked for.
+	resumes bool
+	// began says that the runner's response began, slow that it did so late.
+	began bool
+	slow  bool
+}
+
+// attemptRecord is an attempt that has ended.
 type attemptRecord struct {
 	runner   ids.RunnerID
 	outcome  upstream.Outcome
@@ -16,66 +36,166 @@
 	duration clock.Span
 }
 
-// mayHaveRun tells whether the runner may have begun to work.
-func (a attemptRecord) mayHaveRun() bool {
-	return a.outcome != upstream.Unsent && a.outcome != upstream.Rejected
+// mayHaveRun returns whether the runner may have begun to work.
+func (r attemptRecord) mayHaveRun() bool {
+	return r.outcome != upstream.Unsent && r.outcome != upstream.Rejected
 }
 
-// reachedRunner tells whether the runner counts it as an arrival.
-func (a attemptRecord) reachedRunner() bool { return a.outcome != upstream.Unsent }
-
-// Outcomes of requests beside the names of the kinds of failures.
-const (
-	outcomeAnswered = "answered"
-	// outcomeUpstreamError is of a runner's own 5xx, passed on.
-	outcomeUpstreamError = "runner-failed"
-	// outcomeAborted is of a connection that ended without a whole answer.
-	outcomeAborted = "cut"
-	// outcomeClientGone is of a client that left first.
-	outcomeClientGone = "left"
-)
-
-// unloggedOutcomes are outcomes that need no line in the log.
-var unloggedOutcomes = map[string]bool{
-	outcomeAnswered: true, outcomeUpstreamError: true, outcomeClientGone: true, "no-route": true, "crowded": true,
-}
+// reachedRunner returns whether the runner counts it as an arrival.
+func (r attemptRecord) reachedRunner() bool { return r.outcome != upstream.Unsent }
 
-// mayHaveRun tells whether any sending so far may have run.
+// mayHaveRun returns whether any attempt so far may have run.
 func (e *exchange) mayHaveRun() bool {
-	for _, sent := range e.attempts {
-		if sent.mayHaveRun() {
+	for _, record := range e.attempts {
+		if record.mayHaveRun() {
 			return true
 		}
 	}
 	return false
 }
 
-// checkAttempt looks at a sending right before it is made: what the decision
-// and the snapshot should have seen to already.
-func (e *exchange) checkAttempt(runner *snapshot.Runner, left clock.Span, now clock.Instant) {
-	monitor, route := e.proxy.options.Monitor, e.route
+// slowResponseDivisor says after which part of its latency target a response
+// counts as slow, as 1/slowResponseDivisor.
+const slowResponseDivisor = 4
+
+// responseBegan counts the head of a runner's response.
+func (e *exchange) responseBegan(a *attempt) {
+	now := e.proxy.clock.Now()
+	a.began = true
+	a.slow = now.Since(e.arrivedAt) > e.route.LatencyTarget()/slowResponseDivisor
+	tokens := e.balancerRequest.PartTokens
+	e.proxy.stats.ResponseBegan(a.runner.ID, a.number, tokens, now)
+	if tokens > 0 && !a.resumes {
+		e.proxy.stats.ObserveFirstEvent(a.admission.Service(), e.route.Name, tokens, now.Since(a.startedAt))
+	}
+}
+
+// endAttempt counts what came of an attempt. Its outcome differs from the
+// result's where the body broke.
+func (e *exchange) endAttempt(a *attempt, result upstream.Result, outcome upstream.Outcome) {
+	now, stats := e.proxy.clock.Now(), e.proxy.stats
+	ended := runnerstats.EndedRequest{
+		Number: a.number, Tokens: e.balancerRequest.PartTokens, Began: a.began,
+		Completed: outcome == upstream.Answered, Duration: now.Since(a.startedAt),
+	}
+	cause := result.Cause
+	if result.Outcome != outcome {
+		cause = "body"
+	}
+	e.recordAttempt(attemptRecord{runner: a.runner.ID, outcome: outcome, cause: cause, duration: ended.Duration})
+	if ended.Completed && ended.Tokens == 0 {
+		stats.ObserveFirstEvent(a.admission.Service(), e.route.Name, 1, ended.Duration)
+	}
+	if ended.Completed && !a.resumes {
+		stats.ObserveCompletion(e.completionTotals(a, ended.Duration))
+	}
+	late := e.clientGone || e.req.Context().Err() != nil || !now.Before(e.deadline)
+	ended.RunnerFailed = !ended.Completed && runnerFailed(result, late, ended, e.route.LatencyTarget())
+	stats.RequestEnded(a.runner.ID, ended, now)
+}
+
+// completionTotals is what a completed attempt adds to the statistics of
+// lengths.
+func (e *exchange) completionTotals(a *attempt, duration clock.Span) lengthstats.Totals {
+	slow := 0.0
+	if a.slow {
+		slow = 1
+	}
+	return lengthstats.Totals{
+		Key: a.admission.LengthKind(), Count: 1, DurationMS: float64(duration) / float64(clock.Millisecond),
+		Tokens: max(0, e.balancerRequest.PartTokens-e.balancerRequest.SharedTokens), SlowFirstTokens: slow,
+	}
+}
+
+// runnerFailed returns whether an attempt that was not completed speaks against
+// its runner. One that only rejected the request is healthy, unless it is
+// another than the one that was meant. Where the time ran out or the client
+// left, only silence of more than the latency target does. Nothing was sent on a
+// stale connection or for want of this machine's descriptors: that says nothing
+// of the runner.
+func runnerFailed(result upstream.Result, late bool, ended runnerstats.EndedRequest, latencyTarget clock.Span) bool {
+	if result.StaleConn || result.LocalExhaustion {
+		return false
+	}
+	if result.Outcome == upstream.Rejected {
+		return result.Response.StatusCode == http.StatusMisdirectedRequest
+	}
+	if late {
+		return !ended.Began && ended.Duration > latencyTarget
+	}
+	return true
+}
+
+// recordAttempt keeps an attempt for the log and the checks that follow.
+func (e *exchange) recordAttempt(record attemptRecord) {
+	e.attempts = append(e.attempts, record)
+	e.proxy.metrics.Send(record.outcome.String(), record.cause)
+}
+
+// discardTimeout is how long the rest of a rejection is waited for, so that its
+// connection can be kept.
+const discardTimeout = 50 * clock.Millisecond
+
+// discard reads a response that is not relayed to its end. One whose rest does
+// not come is left to the end of the exchange, which closes it.
+func discard(source clock.Clock, resp *http.Response) {
+	if resp == nil || resp.Body == http.NoBody {
+		return
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		upstream.DrainAndClose(resp)
+	}()
+	select {
+	case <-done:
+	case <-source.After(discardTimeout):
+	}
+}
+
+// checkAttempt counts the promises that an attempt would break, right before it
+// is sent: the balancer and the snapshot should have seen to them.
+func (e *exchange) checkAttempt(runner *snapshot.Runner, timeLeft clock.Span, now clock.Instant) {
+	monitor, route, id := e.proxy.monitor, e.route, e.upstreamRequest.AttemptID
 	arrivals := 0
-	for _, sent := range e.attempts {
-		if sent.reachedRunner() {
+	for _, record := range e.attempts {
+		if record.reachedRunner() {
 			arrivals++
 		}
 	}
 	if !route.Idempotent() && e.mayHaveRun() {
-		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", e.upstreamRequest.AttemptID, route.Name, runner.ID, e.attempts)
+		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", id, route.Name, runner.ID, e.attempts)
 	}
 	if arrivals >= max(1, route.MaxAttempts) {
-		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", e.upstreamRequest.AttemptID, route.Name, runner.ID, arrivals, route.MaxAttempts)
+		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
 	if !route.AllowsRegion(runner.Region) {
-		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", e.upstreamRequest.AttemptID, route.Name, runner.ID, runner.Region)
+		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", id, route.Name, runner.ID, runner.Region)
+	}
+	if timeout := e.clientTimeout; timeout > 0 && now.Add(timeLeft).Since(e.arrivedAt) > timeout {
+		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", id, timeLeft, timeout)
 	}
-	if told := e.clientTimeout; told > 0 && now.Add(left).Since(e.arrivedAt) > told {
-		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", e.upstreamRequest.AttemptID, left, told)
+}
+
+// checkResponse counts a response that is another attempt's, or a success
+// without a runner's seal.
+func (e *exchange) checkResponse(resp *http.Response) {
+	id, sealed := resp.Header.Get(upstream.AttemptIDHeader), resp.Header.Get(upstream.SealHeader) != ""
+	if id != e.upstreamRequest.AttemptID || (resp.StatusCode/100 == 2 && !sealed) {
+		e.proxy.monitor.Violated(invariant.AnswerSeal, "attempt %s gets an answer of %q, status %d, sealed %v", e.upstreamRequest.AttemptID, id, resp.StatusCode, sealed)
 	}
 }
 
-// recordAttempt notes what came of a sending, and counts it.
-func (e *exchange) recordAttempt(runner *snapshot.Runner, fate upstream.Outcome, cause string, spent clock.Span) {
-	e.attempts = append(e.attempts, attemptRecord{runner: runner.ID, outcome: fate, cause: cause, duration: spent})
-	e.proxy.options.Metrics.Send(fate.String(), cause)
+// checkEventOrder counts an event that does not follow the last one passed on.
+func (e *exchange) checkEventOrder(events *upstream.EventReader) {
+	if e.hasLastEventID && events.HasLastID && events.LastID != e.lastEventID && events.LastID != e.lastEventID+1 {
+		e.proxy.monitor.Violated(invariant.EventOrder, "attempt %s gets event %d after %d", e.upstreamRequest.AttemptID, events.LastID, e.lastEventID)
+	}
+}
+
+// checkRejection counts a promise that nothing ran where something may have.
+func (e *exchange) checkRejection(kind errkind.Kind) {
+	if kind.Response().NotRun && e.mayHaveRun() {
+		e.proxy.monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", e.upstreamRequest.AttemptID, kind, e.attempts)
+	}
 }
--- a/data/proxy/bench_test.go
+++ b/data/proxy/bench_test.go
@@ -19,8 +19,8 @@
 
 const bodyEnd = "END!"
 
-// startEchoRunner is a runner that does next to nothing: it answers on kept connections
-// what it finds the id of.
+// startEchoRunner starts a runner that does next to nothing: it answers each
+// request on a connection with its attempt id.
 func startEchoRunner(b *testing.B) ids.Address {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,52 +29,52 @@
 	b.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			link, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveEcho(link)
+			go serveEcho(conn)
 		}
 	}()
 	return ids.Address(listener.Addr().String())
 }
 
-func serveEcho(link net.Conn) {
-	defer link.Close()
-	buffer, filled, name := make([]byte, 16<<10), 0, []byte("Onyxwell-Attempt-Id: ")
+func serveEcho(conn net.Conn) {
+	defer conn.Close()
+	buf, filled, name := make([]byte, 16<<10), 0, []byte("Onyxwell-Attempt-Id: ")
 	body := strings.Repeat("x", 500)
 	for {
-		size, err := link.Read(buffer[filled:])
+		n, err := conn.Read(buf[filled:])
 		if err != nil {
 			return
 		}
-		if filled += size; !bytes.HasSuffix(buffer[:filled], []byte(bodyEnd)) {
+		if filled += n; !bytes.HasSuffix(buf[:filled], []byte(bodyEnd)) {
 			continue
 		}
-		at := bytes.Index(buffer[:filled], name) + len(name)
-		id, _, _ := bytes.Cut(buffer[at:filled], []byte("\r\n"))
-		_, _ = fmt.Fprintf(link, "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: %s\r\nOnyxwell-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+		at := bytes.Index(buf[:filled], name) + len(name)
+		id, _, _ := bytes.Cut(buf[at:filled], []byte("\r\n"))
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: %s\r\nOnyxwell-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 		filled = 0
 	}
 }
 
 func cpuTime() float64 {
-	var used syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
-	return float64(used.Utime.Nano() + used.Stime.Nano())
+	var usage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return float64(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// bench has a router with one quick runner; what it gives must be used by
-// parallel visitors, whose processor time counts with the router's.
-func bench(b *testing.B, visitor func(house *testProxy, each *testing.PB) error) {
-	house := newTestProxy(b, 10, upstreamtest.Start(b, upstreamtest.HangUp()))
-	house.runners[0] = discovery.Runner{ID: "i-1", Service: "desk", Address: startEchoRunner(b), Zone: "n", Capacity: 1000}
-	house.publishRunners()
+// bench runs parallel clients against a router with one echo runner; the clients'
+// CPU time counts with the router's.
+func bench(b *testing.B, client func(p *testProxy, pb *testing.PB) error) {
+	p := newTestProxy(b, 10, upstreamtest.Start(b, upstreamtest.HangUp()))
+	p.runners[0] = discovery.Runner{ID: "i-1", Service: "desk", Address: startEchoRunner(b), Zone: "n", Capacity: 1000}
+	p.publishRunners()
 	before := cpuTime()
 	b.ReportAllocs()
 	b.ResetTimer()
-	b.RunParallel(func(each *testing.PB) {
-		if err := visitor(house, each); err != nil {
+	b.RunParallel(func(pb *testing.PB) {
+		if err := client(p, pb); err != nil {
 			b.Error(err)
 		}
 	})
@@ -85,42 +85,42 @@
 
 var benchBody = strings.Repeat("b", 80) + bodyEnd
 
-// BenchmarkRouter takes requests from the front's handler to a runner and back.
+// BenchmarkRouter takes requests from the proxy's handler to a runner and back.
 func BenchmarkRouter(b *testing.B) {
-	bench(b, func(house *testProxy, each *testing.PB) error {
-		for number := 0; each.Next(); number++ {
-			request := httptest.NewRequest("POST", "/once/x", strings.NewReader(benchBody))
-			request.Host = "shop.example"
-			request.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%x-%p", number, each))
-			request.Header.Set("Onyxwell-Time-Left-Ms", "4000")
-			answer := httptest.NewRecorder()
-			house.proxy.ServeHTTP(answer, request)
-			if size, _ := io.Copy(io.Discard, answer.Body); answer.Code != http.StatusOK || size != 500 {
-				return fmt.Errorf("%d, %d bytes", answer.Code, size)
+	bench(b, func(p *testProxy, pb *testing.PB) error {
+		for i := 0; pb.Next(); i++ {
+			req := httptest.NewRequest("POST", "/once/x", strings.NewReader(benchBody))
+			req.Host = "shop.example"
+			req.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%x-%p", i, pb))
+			req.Header.Set("Onyxwell-Time-Left-Ms", "4000")
+			resp := httptest.NewRecorder()
+			p.proxy.ServeHTTP(resp, req)
+			if n, _ := io.Copy(io.Discard, resp.Body); resp.Code != http.StatusOK || n != 500 {
+				return fmt.Errorf("%d, %d bytes", resp.Code, n)
 			}
 		}
 		return nil
 	})
 }
 
-// BenchmarkListener takes them from visitors' kept connections.
+// BenchmarkListener takes them from clients' connections.
 func BenchmarkListener(b *testing.B) {
-	bench(b, func(house *testProxy, each *testing.PB) error {
-		link, err := net.Dial("tcp", house.server.Listener.Addr().String())
+	bench(b, func(p *testProxy, pb *testing.PB) error {
+		conn, err := net.Dial("tcp", p.server.Listener.Addr().String())
 		if err != nil {
 			return err
 		}
-		defer link.Close()
-		reader := bufio.NewReader(link)
-		for number := 0; each.Next(); number++ {
-			_, _ = fmt.Fprintf(link, "POST /once/x HTTP/1.1\r\nHost: shop.example\r\nOnyxwell-Attempt-Id: %x-%p\r\nOnyxwell-Time-Left-Ms: 4000\r\nContent-Length: %d\r\n\r\n%s",
-				number, each, len(benchBody), benchBody)
-			answer, err := http.ReadResponse(reader, nil)
+		defer conn.Close()
+		reader := bufio.NewReader(conn)
+		for i := 0; pb.Next(); i++ {
+			_, _ = fmt.Fprintf(conn, "POST /once/x HTTP/1.1\r\nHost: shop.example\r\nOnyxwell-Attempt-Id: %x-%p\r\nOnyxwell-Time-Left-Ms: 4000\r\nContent-Length: %d\r\n\r\n%s",
+				i, pb, len(benchBody), benchBody)
+			resp, err := http.ReadResponse(reader, nil)
 			if err != nil {
 				return err
 			}
-			if size, _ := io.Copy(io.Discard, answer.Body); answer.StatusCode != http.StatusOK || size != 500 {
-				return fmt.Errorf("%d, %d bytes", answer.StatusCode, size)
+			if n, _ := io.Copy(io.Discard, resp.Body); resp.StatusCode != http.StatusOK || n != 500 {
+				return fmt.Errorf("%d, %d bytes", resp.StatusCode, n)
 			}
 		}
 		return nil
--- a/data/proxy/conns.go
+++ b/data/proxy/conns.go
@@ -1,67 +1,67 @@
 package proxy
 
 import (
+	"context"
 	"sync"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 )
 
-// connSet are the connections of a front's clients. The zero value is ready.
+// connSet is the set of a proxy's clients' connections. Its zero value is ready
+// for use.
 type connSet struct {
 	mu    sync.Mutex
 	conns map[*clientConn]bool
 }
 
-func (c *connSet) add(link *clientConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.conns == nil {
-		c.conns = map[*clientConn]bool{}
+func (s *connSet) add(conn *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.conns == nil {
+		s.conns = map[*clientConn]bool{}
 	}
-	c.conns[link] = true
+	s.conns[conn] = true
 }
 
-func (c *connSet) remove(link *clientConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.conns, link)
+func (s *connSet) remove(conn *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
 }
 
-// list gives all connections.
-func (c *connSet) list() []*clientConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var all []*clientConn
-	for link := range c.conns {
-		all = append(all, link)
+func (s *connSet) list() []*clientConn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	conns := make([]*clientConn, 0, len(s.conns))
+	for conn := range s.conns {
+		conns = append(conns, conn)
 	}
-	return all
+	return conns
 }
 
-// CloseIdle closes the connections on which nothing is asked. net/http would do that
-// too, and also close one whose next request it is reading, which it then has
-// answered into nothing.
+// CloseIdle closes the connections on which no request is read or served.
+// http.Server would do that too, but also close one whose next request it is
+// reading, and then serve that request without a way to answer it.
 func (p *Proxy) CloseIdle() {
-	for _, link := range p.conns.list() {
-		if link.deadlines.closeIfIdle() {
-			_ = link.Close()
+	for _, conn := range p.conns.list() {
+		if conn.deadlines.closeIfIdle() {
+			_ = conn.Close()
 		}
 	}
 }
 
-// AwaitIdle closes connections as their answers go out, until none is asked for one
-// any more or the scope ends.
-func (p *Proxy) AwaitIdle(ctx scope.Scope) {
-	const pause = 20 * clock.Millisecond
-	for p.hasRequests() && ctx.Wait(pause) {
+// AwaitIdle closes connections as their responses go out, until no request is
+// read or served any more or the context ends.
+func (p *Proxy) AwaitIdle(ctx context.Context) {
+	const interval = 20 * clock.Millisecond
+	for p.hasRequests() && clock.Wait(ctx, p.clock, interval) {
 		p.CloseIdle()
 	}
 }
 
 func (p *Proxy) hasRequests() bool {
-	for _, link := range p.conns.list() {
-		if link.deadlines.hasRequest() {
+	for _, conn := range p.conns.list() {
+		if conn.deadlines.hasRequest() {
 			return true
 		}
 	}
--- a/data/proxy/deadlines.go
+++ b/data/proxy/deadlines.go
@@ -2,12 +2,10 @@
 
 import (
 	"errors"
-	"net/http"
 	"os"
 	"sync"
 	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/settings"
 	"onyxwell/control/config"
 )
@@ -16,23 +14,24 @@
 type connPhase int
 
 const (
-	// phaseReadingHead: a request's head is on its way, or the first is waited for.
+	// phaseReadingHead is from the first byte of a request's head, or from the
+	// accept, to its last.
 	phaseReadingHead connPhase = iota
-	// resting: the answer is out, and no further request has begun.
+	// phaseIdle is after a response while no further request has begun.
 	phaseIdle
-	// handling: a request is being answered; its deadlines are its own.
+	// phaseServing is while a request is served; its deadlines are its own.
 	phaseServing
-	// closed: it was closed by this side while nothing was asked. What is read of
-	// it still is not acted on.
+	// phaseClosed is after the router closed it while idle. What is still read of
+	// it is not acted on.
 	phaseClosed
 )
 
-// setByConn stands for the deadlines that net/http sets: the
+// setByConn stands for the time-outs that net/http's server is made with: the
 // connection puts those of the configuration in force in their place.
 const setByConn = 24 * time.Hour
 
-// connDeadlines holds a connection to the limits in force now. net/http's server has
-// its limits from when it is made, and a configuration may bring others.
+// connDeadlines holds a connection to the limits in force now. net/http's server
+// has its time-outs from when it is made, and a configuration may bring others.
 type connDeadlines struct {
 	limits func() config.Limits
 	mu     sync.Mutex
@@ -43,89 +42,93 @@
 	hasInput bool
 }
 
-// enter begins a phase; false says that the connection is closed.
-func (c *connDeadlines) enter(next connPhase) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase == phaseClosed {
+// enter begins a phase. It returns false where the connection is closed.
+func (d *connDeadlines) enter(next connPhase) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.phase == phaseClosed {
 		return false
 	}
-	c.phase, c.since = next, time.Now()
-	c.hasInput = c.hasInput && next != phaseIdle
+	d.phase, d.since = next, time.Now()
+	d.hasInput = d.hasInput && next != phaseIdle
 	return true
 }
 
-// inputArrived notes that bytes have arrived.
-func (c *connDeadlines) inputArrived() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.hasInput = true
+// inputArrived notes that bytes were read.
+func (d *connDeadlines) inputArrived() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.hasInput = true
 }
 
-// closeIfIdle has a connection on which nothing is asked be closed; false says that
-// something is.
-func (c *connDeadlines) closeIfIdle() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase == phaseServing || c.hasInput {
+// closeIfIdle enters phaseClosed unless a request is being read or served, and
+// returns whether it did.
+func (d *connDeadlines) closeIfIdle() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.phase == phaseServing || d.hasInput {
 		return false
 	}
-	c.phase = phaseClosed
+	d.phase = phaseClosed
 	return true
 }
 
-// hasRequest tells whether a request is being read or answered.
-func (c *connDeadlines) hasRequest() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.phase == phaseServing || (c.phase != phaseClosed && c.hasInput)
+// hasRequest returns whether a request is being read or served.
+func (d *connDeadlines) hasRequest() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.phase == phaseServing || (d.phase != phaseClosed && d.hasInput)
 }
 
-// readDeadline gives the deadline that counts where net/http sets one.
-func (c *connDeadlines) readDeadline(set time.Time) time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase == phaseServing || c.phase == phaseClosed {
-		return set
+// usesGivenDeadline returns whether a deadline is set as net/http gives it. The
+// caller holds the lock.
+func (d *connDeadlines) usesGivenDeadline() bool {
+	return d.phase == phaseServing || d.phase == phaseClosed
+}
+
+// readDeadline returns the deadline to set where net/http sets one.
+func (d *connDeadlines) readDeadline(deadline time.Time) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.usesGivenDeadline() {
+		return deadline
 	}
-	if set.IsZero() {
-		// The rest is over: a request has begun.
-		c.phase, c.since = phaseReadingHead, time.Now()
-		return set
+	if deadline.IsZero() {
+		// net/http ends the idle time so: a request has begun.
+		d.phase, d.since = phaseReadingHead, time.Now()
+		return deadline
 	}
-	return c.expiry()
+	return d.expiry()
 }
 
-// expiry is when the present phase has lasted too long; zero is never.
-func (c *connDeadlines) expiry() time.Time {
-	limits := c.limits()
-	span := map[connPhase]clock.Span{
-		phaseReadingHead: settings.Milliseconds(limits.HeaderTimeoutMS), phaseIdle: settings.Milliseconds(limits.IdleTimeoutMS),
-	}[c.phase]
-	if span <= 0 {
+// expiry returns when the present phase times out by the limits in force; the
+// zero time is never. The caller holds the lock.
+func (d *connDeadlines) expiry() time.Time {
+	limits, timeoutMS := d.limits(), 0.0
+	switch d.phase {
+	case phaseReadingHead:
+		timeoutMS = limits.HeaderTimeoutMS
+	case phaseIdle:
+		timeoutMS = limits.IdleTimeoutMS
+	}
+	timeout := settings.Milliseconds(timeoutMS)
+	if timeout <= 0 {
 		return time.Time{}
 	}
-	return c.since.Add(span)
+	return d.since.Add(timeout)
 }
 
-// extended tells whether a deadline that has passed was that of older limits, and
-// until when there is time by those in force.
-func (c *connDeadlines) extended(err error) (time.Time, bool) {
+// extended returns the new deadline, and true, where err is a time-out by limits
+// that are in force no more and those in force leave time.
+func (d *connDeadlines) extended(err error) (time.Time, bool) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return time.Time{}, false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase == phaseServing || c.phase == phaseClosed {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.usesGivenDeadline() {
 		return time.Time{}, false
 	}
-	until := c.expiry()
-	return until, until.IsZero() || time.Now().Before(until)
-}
-
-// markIdle notes that a connection is idle; net/http's server tells it.
-func markIdle(link *clientConn, state http.ConnState) {
-	if state == http.StateIdle {
-		link.deadlines.enter(phaseIdle)
-	}
+	expiry := d.expiry()
+	return expiry, expiry.IsZero() || time.Now().Before(expiry)
 }
--- a/data/proxy/drain_test.go
+++ b/data/proxy/drain_test.go
@@ -15,9 +15,10 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// crossingListener is a listener whose connections do something when certain bytes have
-// arrived and nobody has read them yet. That they were closed shows only once
-// the request has reached a runner, or nobody reads on.
+// crossingListener is a listener whose connections call onTrigger when certain
+// bytes have arrived that nobody has read yet. After that they read no more until
+// over is closed: that the router closed them shows only once the request has
+// reached a runner, or nobody reads on.
 type crossingListener struct {
 	net.Listener
 	trigger   string
@@ -60,20 +61,20 @@
 	return c.Conn.SetReadDeadline(until)
 }
 
-// TestDrain_requestCrossingCloseIsNotForwarded has a router begin to leave at the
-// moment at which a request arrives on a kept connection: it is answered, or it
-// reaches no runner.
+// TestDrain_requestCrossingCloseIsNotForwarded starts draining at the moment at
+// which a request arrives on an idle connection: it is answered, or it reaches
+// no runner.
 func TestDrain_requestCrossingCloseIsNotForwarded(t *testing.T) {
-	link := crossingListener{trigger: "/once/second", over: make(chan struct{}), once: &sync.Once{}}
-	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"), upstreamtest.Before(link.end, upstreamtest.Respond(200, "s", "x")))
-	house := newTestProxy(t, 0, runner)
+	listener := crossingListener{trigger: "/once/second", over: make(chan struct{}), once: &sync.Once{}}
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"), upstreamtest.Before(listener.end, upstreamtest.Respond(200, "s", "x")))
+	p := newTestProxy(t, 0, runner)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &httptest.Server{Config: NewServer(house.proxy)}
-	link.Listener, link.onTrigger = plain, func() { startDraining(house) }
-	server.Listener = NewListener(house.proxy, link)
+	server := &httptest.Server{Config: NewServer(p.proxy)}
+	listener.Listener, listener.onTrigger = plain, func() { startDraining(p) }
+	server.Listener = NewListener(p.proxy, listener)
 	server.Start()
 	t.Cleanup(server.Close)
 	conn, err := net.Dial("tcp", plain.Addr().String())
@@ -82,23 +83,23 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
-	reader, answers := bufio.NewReader(conn), 0
+	reader, responses := bufio.NewReader(conn), 0
 	for _, name := range []string{"first", "second"} {
 		fmt.Fprintf(conn, "GET /once/%s HTTP/1.1\r\nHost: shop.example\r\nOnyxwell-Attempt-Id: %s\r\nOnyxwell-Time-Left-Ms: 4000\r\n\r\n", name, "v1")
-		if response, err := http.ReadResponse(reader, nil); err == nil {
-			_ = response.Body.Close()
-			answers++
+		if resp, err := http.ReadResponse(reader, nil); err == nil {
+			_ = resp.Body.Close()
+			responses++
 		}
 	}
 	// The connection's end comes after all that the router does with it.
 	server.Close()
-	if answers != countRequests(runner) || answers == 0 {
-		t.Errorf("%d requests reached the runner, %d were answered", countRequests(runner), answers)
+	if responses != countRequests(runner) || responses == 0 {
+		t.Errorf("%d requests reached the runner, %d were answered", countRequests(runner), responses)
 	}
 }
 
-// startDraining does what a router does first when it leaves.
-func startDraining(house *testProxy) {
-	house.proxy.Drain(house.clock.Now())
-	house.proxy.CloseIdle()
+// startDraining does what a router does first when it drains.
+func startDraining(p *testProxy) {
+	p.proxy.Drain(p.clock.Now())
+	p.proxy.CloseIdle()
 }
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -1,180 +1,496 @@
 package proxy
 
 import (
+	"context"
+	"errors"
+	"io"
+	"math"
 	"net/http"
 	"strconv"
+	"strings"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
+	"onyxwell/base/errkind"
+	"onyxwell/base/memquota"
+	"onyxwell/base/response"
 	"onyxwell/base/settings"
 	"onyxwell/control/config"
-	"onyxwell/control/planning/lengthstats"
 	"onyxwell/data/balancer"
 	"onyxwell/data/runnerstats"
 	"onyxwell/data/snapshot"
 	"onyxwell/data/upstream"
 )
 
-// actions are what the executor can do; each tells whether the visit is over.
-var actions = map[balancer.Action]func(*exchange, scope.Scope, *balancer.Admission, balancer.Decision) bool{
-	balancer.Send: (*exchange).attempt,
-	balancer.Wait: func(visit *exchange, inner scope.Scope, _ *balancer.Admission, order balancer.Decision) bool {
-		inner.Wait(order.Delay)
-		return false
-	},
-	balancer.Fail: func(visit *exchange, _ scope.Scope, decision *balancer.Admission, order balancer.Decision) bool {
-		visit.reject(order.Kind, "")
-		visit.reason = "left out: " + decision.Exclusions().String()
-		return true
-	},
-}
-
-// run asks the decision and obeys until the visit is over.
-func (e *exchange) run() {
-	top := e.proxy.options.Scope.WithContext(e.request.Context())
-	ctx, release := top.WithTimeout(e.deadline.Since(e.arrivedAt))
-	defer release()
-	decision := e.proxy.options.Balancer.Admit(e.balancerRequest)
+// exchange is one request of a client and what became of it. It belongs to the
+// goroutine of its handler.
+type exchange struct {
+	proxy *Proxy
+	w     http.ResponseWriter
+	req   *http.Request
+	// conn is the client's connection; nil where it did not come by NewListener.
+	conn      *clientConn
+	arrivedAt clock.Instant
+
+	// Set by readRequest.
+	snapshot        *snapshot.Snapshot
+	route           *config.Route
+	deadline        clock.Instant
+	clientTimeout   clock.Span // what the client allows; 0 where it does not say
+	requestBody     *memquota.Body
+	upstreamRequest *upstream.Request
+	balancerRequest balancer.Request
+
+	attempts []attemptRecord
+
+	// headerSent says that the head of a runner's response is with the client,
+	// rejected that a response of this router's own is.
+	headerSent     bool
+	rejected       bool
+	upstreamStatus int
+	// lastEventID is that of the last event passed on, or of the last that the
+	// client has of a stream that it resumes.
+	lastEventID    int64
+	hasLastEventID bool
+	// clientGone says that a write to the client failed.
+	clientGone bool
+
+	// outcome is how the exchange ended, "" where it was aborted; reason says more
+	// of a rejection.
+	outcome string
+	reason  string
+}
+
+// serve carries the exchange through its life: read, attempt until one response
+// is relayed or the request is rejected, record.
+func (e *exchange) serve() {
+	defer e.recordOutcome()
+	defer e.requestBody.Release()
+	if err := e.readRequest(); err != nil {
+		e.reject(errkind.KindOf(err), errkind.DetailOf(err))
+		return
+	}
+	e.forward()
+	if !e.headerSent && !e.rejected {
+		// Without a head, net/http would answer with an empty success.
+		response.Abort()
+	}
+}
+
+// readRequest reads the request within the limits of the configuration in force
+// and finds its route. An error is one of package errkind.
+func (e *exchange) readRequest() error {
+	e.snapshot = e.proxy.snapshots.Current()
+	if e.snapshot.Config == nil {
+		return errkind.Errorf(errkind.NotReady, "")
+	}
+	limits := e.snapshot.Config.Limits
+	if limits.MaxHeaderBytes > 0 && headerBytes(e.req) > limits.MaxHeaderBytes {
+		return errkind.Errorf(errkind.HeaderTooLarge, "over %d bytes", limits.MaxHeaderBytes)
+	}
+	if err := checkHead(e.req, e.conn); err != nil {
+		return err
+	}
+	path, _, _ := strings.Cut(e.req.RequestURI, "?")
+	e.route = e.snapshot.Config.Match(e.req.Host, path)
+	if e.route == nil {
+		return errkind.Errorf(errkind.NoRoute, "")
+	}
+	if e.proxy.draining.Load() && e.arrivedAt > clock.Instant(e.proxy.acceptUntil.Load()) {
+		return errkind.Errorf(errkind.Draining, "")
+	}
+	if attemptIDs := e.req.Header[upstream.AttemptIDHeader]; len(attemptIDs) != 1 || attemptIDs[0] == "" {
+		return errkind.Errorf(errkind.BadRequest, "there must be one "+upstream.AttemptIDHeader)
+	}
+	body, err := e.readBody(limits)
+	if err != nil {
+		return err
+	}
+	e.setDeadline()
+	e.setRequests(body)
+	if value := e.req.Header.Get(upstream.LastEventIDHeader); value != "" {
+		e.lastEventID, err = strconv.ParseInt(value, 10, 64)
+		e.hasLastEventID = err == nil
+	}
+	return nil
+}
+
+// headerBytes is the size of a request's head as it is written in HTTP/1.1, but
+// for the version and the spaces of the first line.
+func headerBytes(req *http.Request) int64 {
+	size := len(req.Method) + len(req.RequestURI) + len(req.Host) + 20
+	for name, values := range req.Header {
+		for _, value := range values {
+			size += len(name) + len(value) + 4
+		}
+	}
+	return int64(size)
+}
+
+// defaultBodyDivisor says which part of the machine's memory one body may take
+// where the configuration sets no limit, as 1/defaultBodyDivisor.
+const defaultBodyDivisor = 64
+
+// readBody reads the request's body whole into requestBody, so that it can be
+// sent again.
+func (e *exchange) readBody(limits config.Limits) ([]byte, error) {
+	maxBytes := limits.MaxBodyBytes
+	if maxBytes > 0 && e.req.ContentLength > maxBytes {
+		return nil, errkind.Errorf(errkind.BodyTooLarge, "over %d bytes", maxBytes)
+	}
+	if maxBytes <= 0 {
+		maxBytes = e.proxy.machine.MemoryMB << 20 / defaultBodyDivisor
+	}
+	if e.req.ContentLength == 0 {
+		return nil, nil
+	}
+	response.SetReadTimeout(e.w, settings.Milliseconds(limits.IdleTimeoutMS))
+	err := e.requestBody.Read(http.MaxBytesReader(e.w, e.req.Body, maxBytes), e.req.ContentLength, maxBytes)
+	response.SetReadTimeout(e.w, 0)
+	if err == nil {
+		return e.requestBody.Bytes, nil
+	}
+	var tooLarge *http.MaxBytesError
+	var timeout interface{ Timeout() bool }
+	switch {
+	case errors.Is(err, memquota.ErrFull):
+		return nil, errkind.Errorf(errkind.OutOfMemory, "")
+	case errors.As(err, &tooLarge):
+		return nil, errkind.Errorf(errkind.BodyTooLarge, "over %d bytes", maxBytes)
+	case errors.As(err, &timeout) && timeout.Timeout():
+		return nil, errkind.Errorf(errkind.RequestTimeout, "")
+	}
+	return nil, errkind.Errorf(errkind.BadRequest, "the body is not whole")
+}
+
+// setDeadline sets the deadline to the route's time-out after the arrival, or to
+// the client's own where that is shorter.
+func (e *exchange) setDeadline() {
+	timeout := settings.Milliseconds(e.route.TimeoutMS)
+	if ms, err := strconv.ParseFloat(e.req.Header.Get(upstream.TimeLeftHeader), 64); err == nil && ms > 0 {
+		e.clientTimeout = settings.Milliseconds(ms)
+		timeout = min(timeout, e.clientTimeout)
+	}
+	e.deadline = e.arrivedAt.Add(timeout)
+}
+
+// setRequests sets what runners and the balancer are to know of the request.
+func (e *exchange) setRequests(body []byte) {
+	e.upstreamRequest = &upstream.Request{
+		Method: e.req.Method, Target: e.req.RequestURI, Host: e.req.Host,
+		Header: upstream.EndToEndHeader(e.req.Header), Body: body,
+		AttemptID: e.req.Header.Get(upstream.AttemptIDHeader),
+	}
+	e.balancerRequest = balancer.Request{Route: e.route, ArrivedAt: e.arrivedAt, Deadline: e.deadline, BodyBytes: len(body)}
+	e.balancerRequest.ParsePromptParts(e.req.Header.Get(upstream.PromptPrefixHeader))
+	e.balancerRequest.ParseTokenCount(e.req.Header.Get(upstream.TokenCountHeader))
+}
+
+// forward does what the balancer decides until the client has a complete
+// response, or aborts where the client has left.
+func (e *exchange) forward() {
+	ctx, cancel := e.proxy.clock.WithTimeout(e.req.Context(), e.deadline.Since(e.arrivedAt))
+	defer cancel()
+	admission := e.proxy.balancer.Admit(e.balancerRequest)
 	for {
-		if top.Err() != nil {
+		if e.req.Context().Err() != nil {
 			e.abort()
 		}
-		order := decision.Next(top.Now())
-		if actions[order.Action](e, ctx, decision, order) {
+		decision := admission.Next(e.proxy.clock.Now())
+		switch decision.Action {
+		case balancer.Send:
+			if e.attempt(ctx, admission, decision.Runner) {
+				return
+			}
+		case balancer.Wait:
+			clock.Wait(ctx, e.proxy.clock, decision.Delay)
+		case balancer.Fail:
+			e.reject(decision.Kind, "")
+			e.reason = "left out: " + admission.Exclusions().String()
 			return
 		}
 	}
 }
 
-// attempt takes the request to a runner and its answer to the visitor.
-func (e *exchange) attempt(ctx scope.Scope, decision *balancer.Admission, order balancer.Decision) bool {
+// attempt sends the request to a runner and relays its response. It returns
+// whether the exchange is over.
+func (e *exchange) attempt(ctx context.Context, admission *balancer.Admission, runner *snapshot.Runner) (done bool) {
 	if e.headerSent && !e.hasLastEventID {
-		// What was passed on had no ids, so that no other run can go on after it.
+		// The events passed on had no ids: no other runner can resume after them.
 		e.abort()
 	}
-	options, runner := e.proxy.options, order.Runner
-	begin := ctx.Now()
-	if !decision.Confirm(runner, begin) {
+	startedAt := e.proxy.clock.Now()
+	if !admission.Confirm(runner, startedAt) {
 		return false
 	}
-	trip := upstream.Attempt{
-		Request: e.upstreamRequest, RunnerID: runner.ID, Address: runner.Address,
-		TimeLeft: e.deadline.Since(begin), Urgency: e.route.Priority,
-		Service: decision.Service(), AtMostOnce: !e.route.Idempotent(),
-	}
-	resumed := e.hasLastEventID
-	if resumed {
-		trip.LastEventID = strconv.FormatInt(e.lastEventID, 10)
-	}
-	e.checkAttempt(runner, trip.TimeLeft, begin)
-	number := e.proxy.attemptSeq.Add(1)
-	options.Stats.RequestSent(runner.ID, runnerstats.SentRequest{
-		Service: decision.Service(), Number: number, Tokens: e.balancerRequest.PartTokens, Urgency: e.route.Priority,
-		Goal: e.route.LatencyTarget(),
-	}, begin)
-	ending := runnerstats.EndedRequest{Number: number, Tokens: e.balancerRequest.PartTokens}
-	result := options.Upstream.Send(ctx, trip)
+	a := e.startAttempt(admission, runner, startedAt)
+	result := e.proxy.upstream.Send(e.proxy.scope.WithContext(ctx), a.request)
 	e.readRunnerHeaders(runner, result.Response)
-	fate, over, slow := result.Outcome, false, 0.0
-	if result.Outcome == upstream.Answered {
-		ending.Began = true
-		first := ctx.Now()
-		if first.Since(e.arrivedAt) > e.route.LatencyTarget()/slowResponseDivisor {
-			slow = 1
-		}
-		options.Stats.ResponseBegan(runner.ID, number, e.balancerRequest.PartTokens, first)
-		if e.balancerRequest.PartTokens > 0 && !e.hasLastEventID {
-			options.Stats.ObserveFirstEvent(decision.Service(), e.route.Name, e.balancerRequest.PartTokens, first.Since(begin))
-		}
-		fate, over = e.relay(ctx, runner, result.Response)
+	outcome := result.Outcome
+	if outcome == upstream.Answered {
+		e.responseBegan(&a)
+		outcome, done = e.relay(result.Response)
 	} else {
-		discard(ctx, result.Response)
-	}
-	now := ctx.Now()
-	ending.Completed = fate == upstream.Answered
-	ending.Duration = now.Since(begin)
-	cause := result.Cause
-	if result.Outcome != fate {
-		cause = "body"
-	}
-	e.recordAttempt(runner, fate, cause, ending.Duration)
-	if ending.Completed && e.balancerRequest.PartTokens == 0 {
-		options.Stats.ObserveFirstEvent(decision.Service(), e.route.Name, 1, ending.Duration)
+		discard(e.proxy.clock, result.Response)
 	}
-	if ending.Completed && !resumed {
-		options.Stats.ObserveCompletion(e.completionTotals(decision, ending.Duration, slow))
-	}
-	late := e.clientGone || e.request.Context().Err() != nil || !now.Before(e.deadline)
-	ending.RunnerFailed = fate != upstream.Answered && runnerFailed(result, late, ending, e.route)
-	options.Stats.RequestEnded(runner.ID, ending, now)
+	e.endAttempt(&a, result, outcome)
 	if !result.StaleConn {
-		decision.RecordOutcome(runner, fate)
+		admission.RecordOutcome(runner, outcome)
 	}
 	if e.clientGone {
 		e.abort()
 	}
-	return over
+	return done
 }
 
-// discardTimeout is how long the rest of a refusal is waited for, so that its
-// connection can be kept.
-const discardTimeout = 50 * clock.Millisecond
+// startAttempt prepares an attempt and counts it as sent to the runner.
+func (e *exchange) startAttempt(admission *balancer.Admission, runner *snapshot.Runner, startedAt clock.Instant) attempt {
+	a := attempt{
+		admission: admission, runner: runner, startedAt: startedAt, number: e.proxy.attemptSeq.Add(1), resumes: e.hasLastEventID,
+		request: upstream.Attempt{
+			Request: e.upstreamRequest, RunnerID: runner.ID, Address: runner.Address,
+			TimeLeft: e.deadline.Since(startedAt), Urgency: e.route.Priority,
+			Service: admission.Service(), AtMostOnce: !e.route.Idempotent(),
+		},
+	}
+	if a.resumes {
+		a.request.LastEventID = strconv.FormatInt(e.lastEventID, 10)
+	}
+	e.checkAttempt(runner, a.request.TimeLeft, startedAt)
+	e.proxy.stats.RequestSent(runner.ID, runnerstats.SentRequest{
+		Service: admission.Service(), Number: a.number, Tokens: e.balancerRequest.PartTokens, Urgency: e.route.Priority,
+		Goal: e.route.LatencyTarget(),
+	}, startedAt)
+	return a
+}
 
-// discard ends a response that is not passed on; one whose rest does not come is
-// left to the end of the visit.
-func discard(ctx scope.Scope, response *http.Response) {
-	if response == nil || response.Body == http.NoBody {
+// readRunnerHeaders takes over what a runner says of itself: its load and how
+// long it is still warming up.
+func (e *exchange) readRunnerHeaders(runner *snapshot.Runner, resp *http.Response) {
+	if resp == nil {
 		return
 	}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		upstream.DrainAndClose(response)
-	}()
-	select {
-	case <-done:
-	case <-ctx.Clock.After(discardTimeout):
+	now := e.proxy.clock.Now()
+	if load := resp.Header.Get(upstream.LoadHeader); load != "" {
+		e.proxy.stats.ObserveLoad(runner.ID, load, now)
+	}
+	if ms, err := strconv.ParseFloat(resp.Header.Get(upstream.WarmupHeader), 64); err == nil && ms > 0 {
+		e.proxy.slowStart.Extend(runner.ID, now.Add(settings.Milliseconds(ms)), now)
 	}
 }
 
-// slowResponseDivisor is the part of its goal after which an answer began slowly.
-const slowResponseDivisor = 4
+// relay passes a runner's response on to the client. It returns what the
+// attempt came to and whether the exchange is over.
+func (e *exchange) relay(resp *http.Response) (outcome upstream.Outcome, done bool) {
+	defer resp.Body.Close()
+	if e.route.Type == config.Streaming && resp.StatusCode == http.StatusOK {
+		return e.relayEvents(resp)
+	}
+	if e.headerSent {
+		// The rest of a stream was asked for, and this is none.
+		return upstream.Garbled, false
+	}
+	return e.relayBuffered(resp)
+}
 
-// completionTotals is what the length of answers is learnt from.
-func (e *exchange) completionTotals(decision *balancer.Admission, spent clock.Span, slow float64) lengthstats.Totals {
-	return lengthstats.Totals{
-		Key: decision.LengthKind(), Count: 1, DurationMS: float64(spent) / float64(clock.Millisecond),
-		Tokens: max(0, e.balancerRequest.PartTokens-e.balancerRequest.SharedTokens), SlowFirstTokens: slow,
+// relayBuffered passes a response on once it is here whole: one that breaks
+// before can be asked for again.
+func (e *exchange) relayBuffered(resp *http.Response) (outcome upstream.Outcome, done bool) {
+	maxBytes := e.proxy.maxResponseBytes()
+	if resp.ContentLength >= maxBytes {
+		return upstream.Garbled, false
+	}
+	source := &io.LimitedReader{R: resp.Body, N: maxBytes}
+	body := e.proxy.bodyQuota.NewBody()
+	defer body.Release()
+	err := body.Read(source, resp.ContentLength, maxBytes)
+	if errors.Is(err, memquota.ErrFull) {
+		return e.relayUnbuffered(resp, body, source)
 	}
+	if err != nil {
+		return upstream.Indeterminate, false
+	}
+	if int64(len(body.Bytes)) == maxBytes {
+		return upstream.Garbled, false
+	}
+	e.beginResponse(resp, int64(len(body.Bytes)))
+	_, err = e.w.Write(body.Bytes)
+	return e.endResponse(err)
 }
 
-// runnerFailed tells whether a fate speaks against the runner: one that only turned
-// a request away is well; one that was silent for longer than an answer's goal
-// is not. Nothing was sent on a kept connection that was too old, or for want of
-// this machine's own descriptors: that says nothing of the runner.
-func runnerFailed(result upstream.Result, late bool, ending runnerstats.EndedRequest, route *config.Route) bool {
-	if result.StaleConn || result.LocalExhaustion {
-		return false
+// relayUnbuffered passes on as it comes what there is no memory for: where it
+// breaks it can't be asked for again, and the connection is aborted.
+func (e *exchange) relayUnbuffered(resp *http.Response, body *memquota.Body, rest *io.LimitedReader) (outcome upstream.Outcome, done bool) {
+	e.beginResponse(resp, max(unknownLength, resp.ContentLength))
+	_, err := e.w.Write(body.Bytes)
+	body.Release()
+	if err != nil {
+		return e.endResponse(err)
 	}
-	if result.Outcome == upstream.Rejected {
-		return result.Response.StatusCode == http.StatusMisdirectedRequest
+	source := &upstreamReader{source: rest}
+	if _, err = io.Copy(e.w, source); source.err != nil {
+		return upstream.Indeterminate, false
 	}
-	if late {
-		return !ending.Began && ending.Duration > route.LatencyTarget()
+	if rest.N <= 0 {
+		return upstream.Garbled, false
 	}
-	return true
+	return e.endResponse(err)
 }
 
-// readRunnerHeaders takes what a runner says of itself in an answer's head.
-func (e *exchange) readRunnerHeaders(runner *snapshot.Runner, response *http.Response) {
-	if response == nil {
-		return
+// relayEvents passes complete events on as they come. Where the runner breaks
+// off, the next attempt resumes after the last event passed on.
+func (e *exchange) relayEvents(resp *http.Response) (outcome upstream.Outcome, done bool) {
+	resumeAfter := ""
+	if e.hasLastEventID {
+		resumeAfter = resp.Request.Header.Get(upstream.LastEventIDHeader)
+	}
+	events := upstream.NewEventReader(resp.Body, resumeAfter)
+	flusher := http.NewResponseController(e.w)
+	for {
+		event, readErr := events.Next()
+		end := errors.Is(readErr, io.EOF)
+		if readErr != nil && !end {
+			return eventOutcome(readErr), false
+		}
+		if !e.headerSent {
+			e.beginResponse(resp, e.streamLength(resp))
+		}
+		_, err := e.w.Write(event)
+		if end {
+			return e.endResponse(err)
+		}
+		if err == nil {
+			err = flusher.Flush()
+		}
+		if err != nil {
+			return e.endResponse(err)
+		}
+		e.checkEventOrder(events)
+		e.lastEventID, e.hasLastEventID = events.LastID, events.HasLastID
+	}
+}
+
+// unknownLength is the length of a body that is sent in chunks.
+const unknownLength = -1
+
+// streamLength returns the length that a stream's head tells. One that may be
+// resumed has none: the events of another run have other lengths.
+func (e *exchange) streamLength(resp *http.Response) int64 {
+	if e.route.Resumable {
+		return unknownLength
+	}
+	return resp.ContentLength
+}
+
+func eventOutcome(err error) upstream.Outcome {
+	if errors.Is(err, upstream.ErrEventOrder) {
+		return upstream.Garbled
+	}
+	return upstream.Indeterminate
+}
+
+// upstreamReader keeps the error of its source apart from that of a copy's
+// destination.
+type upstreamReader struct {
+	source io.Reader
+	err    error
+}
+
+// Read implements io.Reader.
+func (r *upstreamReader) Read(p []byte) (int, error) {
+	n, err := r.source.Read(p)
+	if err != nil && !errors.Is(err, io.EOF) {
+		r.err = err
+	}
+	return n, err
+}
+
+// maxResponseDivisor says which part of the machine's memory no response
+// reaches, as 1/maxResponseDivisor.
+const maxResponseDivisor = 8
+
+// maxResponseBytes is a size that no proper response reaches: one without an end
+// must not take all memory.
+func (p *Proxy) maxResponseBytes() int64 {
+	if maxBytes := p.machine.MemoryMB << 20 / maxResponseDivisor; maxBytes > 0 {
+		return maxBytes
+	}
+	return math.MaxInt64
+}
+
+// beginResponse sends the head of a runner's response to the client.
+func (e *exchange) beginResponse(resp *http.Response, length int64) {
+	e.checkResponse(resp)
+	e.upstreamStatus = resp.StatusCode
+	header := upstream.EndToEndHeader(resp.Header)
+	upstreamLength := header["Content-Length"]
+	delete(header, "Content-Length")
+	if e.req.Method == http.MethodHead {
+		// The length is that of a body which is not sent.
+		length = unknownLength
+		if len(upstreamLength) > 0 {
+			header["Content-Length"] = upstreamLength[:1]
+		}
+	}
+	response.WriteHeader(e.w, resp.StatusCode, header, length, e.closesConn())
+	e.headerSent = true
+}
+
+// endResponse ends a response whose last write gave err.
+func (e *exchange) endResponse(err error) (outcome upstream.Outcome, done bool) {
+	if err != nil {
+		e.clientGone = true
+		return upstream.Indeterminate, true
+	}
+	e.outcome = outcomeAnswered
+	if e.upstreamStatus >= http.StatusInternalServerError {
+		e.outcome = outcomeUpstreamError
 	}
-	now := e.proxy.options.Scope.Now()
-	if load := response.Header.Get(upstream.LoadHeader); load != "" {
-		e.proxy.options.Stats.ObserveLoad(runner.ID, load, now)
+	return upstream.Answered, true
+}
+
+// minRetryAfter is the least time that a rejected client is asked to wait.
+const minRetryAfter = 20 * clock.Millisecond
+
+// reject answers with a failure of this router's own; one that promises that
+// nothing ran says when to retry. It aborts where a response has begun.
+func (e *exchange) reject(kind errkind.Kind, detail string) {
+	if e.headerSent {
+		e.abort()
 	}
-	if left, err := strconv.ParseFloat(response.Header.Get(upstream.WarmupHeader), 64); err == nil && left > 0 {
-		e.proxy.options.SlowStart.Extend(runner.ID, now.Add(settings.Milliseconds(left)), now)
+	e.checkRejection(kind)
+	e.outcome, e.reason = kind.String(), detail
+	resp := response.FromKind(kind, detail)
+	if resp.Status == http.StatusServiceUnavailable && e.route != nil {
+		resp = resp.WithRetryAfter(max(retryAfter(kind, e.route.LatencyTarget()), minRetryAfter))
+	}
+	if e.closesConn() {
+		resp = resp.WithClose()
+	}
+	e.rejected = true
+	resp.Send(e.w)
+}
+
+// retryAfter is when a retry may find a free runner: soon where one is missing,
+// later where all are overloaded.
+func retryAfter(kind errkind.Kind, latencyTarget clock.Span) clock.Span {
+	if kind == errkind.Overloaded {
+		return latencyTarget / 2
+	}
+	return latencyTarget / 8
+}
+
+// closesConn returns whether the connection ends with the response: the router
+// drains, or other clients wait for a slot.
+func (e *exchange) closesConn() bool {
+	return e.proxy.draining.Load() || (e.conn != nil && e.conn.slots.nearlyFull())
+}
+
+// abort ends the connection so that a response that was begun does not look
+// complete. To a client of HTTP/1.0 the connection's end may be the response's,
+// so there it has to be a reset.
+func (e *exchange) abort() {
+	if e.conn != nil && e.headerSent && !e.req.ProtoAtLeast(1, 1) {
+		e.conn.resetOnClose()
 	}
+	response.Abort()
 }
--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -10,30 +10,30 @@
 	"testing"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/data/upstreamtest"
 )
 
-// TestProxy_deadlineDuringWait has all runners in doubt when the request's time ends: it
-// gets a promise that holds, and a stream that was begun looks broken.
+// TestProxy_deadlineDuringWait has all runners suspected when the deadline passes:
+// the client gets a promise that nothing ran, and a stream that was begun looks
+// broken.
 func TestProxy_deadlineDuringWait(t *testing.T) {
 	for path, status := range map[string]int{"/safe/x": 503, "/again/x": 200} {
 		one, two := upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)), upstreamtest.Start(t, upstreamtest.HangUp())
-		house := newTestProxy(t, 10, one, two)
-		house.stats.Suspect("i-2", house.clock.Now())
+		p := newTestProxy(t, 10, one, two)
+		p.stats.Suspect("i-2", p.clock.Now())
 		if status == 503 {
-			house.stats.Suspect("i-1", house.clock.Now())
+			p.stats.Suspect("i-1", p.clock.Now())
 		}
 		done := make(chan clientResponse)
-		go func() { done <- house.do(path, "x", "Onyxwell-Time-Left-Ms", "50") }()
+		go func() { done <- p.do(path, "x", "Onyxwell-Time-Left-Ms", "50") }()
 		var got clientResponse
 		for over := false; !over; {
 			select {
 			case got = <-done:
 				over = true
 			default:
-				if status == 503 || countRequests(one) > 0 && house.stats.State("i-1").InFlight == 0 {
-					house.clock.AdvanceToNext()
+				if status == 503 || countRequests(one) > 0 && p.stats.State("i-1").InFlight == 0 {
+					p.clock.AdvanceToNext()
 				}
 				runtime.Gosched()
 			}
@@ -44,17 +44,17 @@
 	}
 }
 
-// TestProxy_resumedAfterDeadline has the router stand still until the request's time is
-// over while the runner's answer, or its end, waits to be read: nothing that may
-// have run is sent again, and nothing is promised.
+// TestProxy_resumedAfterDeadline stalls the router past the deadline while the
+// runner's response, or its end, waits to be read: nothing that may have run is
+// sent again, and nothing is promised.
 func TestProxy_resumedAfterDeadline(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/again/x"} {
 		for _, step := range []upstreamtest.Step{upstreamtest.Respond(200, "s", "id: 1\n\n"), upstreamtest.HangUp(), upstreamtest.Reset("H")} {
-			var house *testProxy
-			asleep := func() { house.clock.Advance(6 * clock.Second) }
-			one, two := upstreamtest.Start(t, upstreamtest.Before(func() { asleep() }, step)), upstreamtest.Start(t, upstreamtest.Before(func() { asleep() }, step))
-			house = newTestProxy(t, 10, one, two)
-			got := house.do(path, "x")
+			var p *testProxy
+			stall := func() { p.clock.Advance(6 * clock.Second) }
+			one, two := upstreamtest.Start(t, upstreamtest.Before(func() { stall() }, step)), upstreamtest.Start(t, upstreamtest.Before(func() { stall() }, step))
+			p = newTestProxy(t, 10, one, two)
+			got := p.do(path, "x")
 			whole := got.status == 200 && got.header.Get("Onyxwell-Server-Seal") == "s" && (got.body == "id: 1\n\n" || got.err != nil)
 			if countRequests(one, two) != 1 || !whole && got.status != 502 && got.status != 504 {
 				t.Errorf("%s: %+v after %d arrivals", path, got, countRequests(one, two))
@@ -63,20 +63,20 @@
 	}
 }
 
-// TestProxy_deadlineDuringRetry has the first runner turn the request away
-// and the second be at work on it when the time ends.
+// TestProxy_deadlineDuringRetry has the first runner reject the request and the
+// second be at work on it when the deadline passes.
 func TestProxy_deadlineDuringRetry(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x"} {
-		var made *testProxy
-		made, one, two := newTestProxyWithPair(t, 10, upstreamtest.Reject(503), upstreamtest.Before(func() { made.clock.Advance(6 * clock.Second) }, upstreamtest.HangUp()))
-		if got := made.do(path, "x"); got.status != 504 && got.status != 502 || countRequests(one) != 1 || countRequests(two) != 1 {
+		var p *testProxy
+		p, one, two := newTestProxyWithPair(t, 10, upstreamtest.Reject(503), upstreamtest.Before(func() { p.clock.Advance(6 * clock.Second) }, upstreamtest.HangUp()))
+		if got := p.do(path, "x"); got.status != 504 && got.status != 502 || countRequests(one) != 1 || countRequests(two) != 1 {
 			t.Errorf("%s: %+v after %d and %d arrivals", path, got, countRequests(one), countRequests(two))
 		}
 	}
 }
 
-// TestStream_ignoresAbandonedRunner has a stream go on elsewhere after the first runner's
-// went wrong, while the first one sends more: none of it comes in.
+// TestStream_ignoresAbandonedRunner resumes a stream at a second runner while the
+// first, whose stream had a gap, sends more: none of that is relayed.
 func TestStream_ignoresAbandonedRunner(t *testing.T) {
 	var first io.Writer
 	head, _, _ := strings.Cut(gappedStream, "\r\n\r\n")
@@ -87,30 +87,30 @@
 	talks := upstreamtest.Before(func() {
 		_, _ = io.WriteString(first, "15\r\nid: 2\ndata: another\n\n\r\n0\r\n\r\n")
 	}, upstreamtest.EventStream("seal-2", 2, 4, true))
-	house, _, two := newTestProxyWithPair(t, 10, started, talks)
-	got := house.do("/again/x", "x")
+	p, _, two := newTestProxyWithPair(t, 10, started, talks)
+	got := p.do("/again/x", "x")
 	if got.err != nil || got.body != eventText(1, 4) || two.Requests()[0].Header.Get("Last-Event-Id") != "1" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestProxy_clientDisconnects has the visitor leave while a runner is at work, and the
-// runner break off then: nobody else is asked.
+// TestProxy_clientDisconnects closes the client's connection while a runner is at
+// work, which then rejects the request: there is no retry.
 func TestProxy_clientDisconnects(t *testing.T) {
-	var house *testProxy
+	var p *testProxy
 	var leave func()
 	one := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
 	two := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
-	house = newTestProxy(t, 10, one, two)
-	link := house.dial()
+	p = newTestProxy(t, 10, one, two)
+	conn := p.dial()
 	leave = func() {
-		_ = link.Close()
-		for house.proxy.InFlight() > 0 {
+		_ = conn.Close()
+		for p.proxy.InFlight() > 0 {
 			runtime.Gosched()
 		}
 	}
-	_, _ = io.WriteString(link, goodRequest)
-	for countRequests(one, two) == 0 || house.proxy.InFlight() > 0 {
+	_, _ = io.WriteString(conn, goodRequest)
+	for countRequests(one, two) == 0 || p.proxy.InFlight() > 0 {
 		runtime.Gosched()
 	}
 	if count := countRequests(one, two); count != 1 {
@@ -118,26 +118,26 @@
 	}
 }
 
-// TestDrain_keepsResponseUnderWay has the router told to leave, and the spec drop
-// the route, while an answer is under way: it comes whole all the same.
+// TestDrain_keepsResponseUnderWay drains the router and drops the route from the
+// configuration while a response is under way: it comes complete all the same.
 func TestDrain_keepsResponseUnderWay(t *testing.T) {
 	for _, path := range []string{"/once/x", "/stream/x"} {
-		var house *testProxy
+		var p *testProxy
 		trouble := func(seen upstreamtest.Request, writer io.Writer) bool {
-			house.proxy.Drain(house.clock.Now())
-			house.server.Config.SetKeepAlivesEnabled(false)
-			go func() { _ = house.server.Config.Shutdown(context.Background()) }()
-			house.setConfig(2, strings.ReplaceAll(configDocument, path[:len(path)-1], "/other/"))
+			p.proxy.Drain(p.clock.Now())
+			p.server.Config.SetKeepAlivesEnabled(false)
+			go func() { _ = p.server.Config.Shutdown(context.Background()) }()
+			p.setConfig(2, strings.ReplaceAll(configDocument, path[:len(path)-1], "/other/"))
 			return upstreamtest.EventStream("s", 1, 5, true)(seen, writer)
 		}
-		house = newTestProxy(t, 10, upstreamtest.Start(t, trouble))
-		if got := house.do(path, "x"); got.status != http.StatusOK || got.err != nil || got.body != eventText(1, 5) || !got.closes {
+		p = newTestProxy(t, 10, upstreamtest.Start(t, trouble))
+		if got := p.do(path, "x"); got.status != http.StatusOK || got.err != nil || got.body != eventText(1, 5) || !got.closes {
 			t.Errorf("%s: %+v", path, got)
 		}
 	}
 }
 
-// instantClock is a clock whose spans are over at once.
+// instantClock is a clock whose waits are over at once.
 type instantClock struct{ clock.Clock }
 
 func (instantClock) After(clock.Span) <-chan struct{} {
@@ -146,13 +146,13 @@
 	return over
 }
 
-// TestDiscard_doesNotWaitForSilentBody has a runner turn a request away and never send the
-// rest of that answer: the request does not wait for it.
+// TestDiscard_doesNotWaitForSilentBody has a runner reject a request and never
+// send the rest of that response: the request does not wait for it.
 func TestDiscard_doesNotWaitForSilentBody(t *testing.T) {
 	silent, runner := net.Pipe()
 	defer runner.Close()
 	defer silent.Close()
-	discard(scope.New(scope.Options{Clock: instantClock{clock.NewFake()}}), &http.Response{Body: silent})
-	discard(scope.New(scope.Options{}), &http.Response{Body: http.NoBody})
-	discard(scope.New(scope.Options{}), nil)
+	discard(instantClock{clock.NewFake()}, &http.Response{Body: silent})
+	discard(clock.NewMonotonic(), &http.Response{Body: http.NoBody})
+	discard(clock.NewMonotonic(), nil)
 }
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -17,33 +17,33 @@
 
 const sealedResponseHead = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n"
 
-// TestStream_resumesOverShorterContentLength has the rest of a stream come from a run
-// whose events are longer: the first one's length must not end it early.
+// TestStream_resumesOverShorterContentLength resumes a stream at a runner whose
+// events are longer: the first one's length must not end it early.
 func TestStream_resumesOverShorterContentLength(t *testing.T) {
 	first := upstreamtest.Raw(sealedResponseHead+"Content-Length: 63\r\n\r\n"+eventText(1, 1), false)
 	longer := "id: 2\ndata: token 2 token 2 token 2 token\n\n"
 	second := upstreamtest.Raw(sealedResponseHead+"Content-Length: 64\r\n\r\n"+longer+eventText(3, 3), true)
-	house, _, _ := newTestProxyWithPair(t, 10, first, second)
-	if got := house.do("/again/x", "x"); got.err != nil || got.body != eventText(1, 1)+longer+eventText(3, 3) {
+	p, _, _ := newTestProxyWithPair(t, 10, first, second)
+	if got := p.do("/again/x", "x"); got.err != nil || got.body != eventText(1, 1)+longer+eventText(3, 3) {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestStream_withoutIDsIsNotResumed has a runner break off after events that have
-// no id: another run would say them again.
+// TestStream_withoutIDsIsNotResumed has a runner break off after events without
+// ids: another run would repeat them.
 func TestStream_withoutIDsIsNotResumed(t *testing.T) {
-	house, _, two := newTestProxyWithPair(t, 10, upstreamtest.Raw(sealedResponseHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
+	p, _, two := newTestProxyWithPair(t, 10, upstreamtest.Raw(sealedResponseHead+"Transfer-Encoding: chunked\r\n\r\n9\r\ndata: a\n\n\r\n", false),
 		upstreamtest.Raw(sealedResponseHead+"Content-Length: 18\r\n\r\ndata: a\n\ndata: b\n\n", true))
-	if got := house.do("/again/x", "x"); got.err == nil || strings.Count(got.body, "data: a") > 1 {
+	if got := p.do("/again/x", "x"); got.err == nil || strings.Count(got.body, "data: a") > 1 {
 		t.Fatalf("%+v after %d further runs", got, len(two.Requests()))
 	}
 }
 
-// doRaw sends bytes and gives all that comes back, and how it ended.
-func (t *testProxy) doRaw(text string) (string, error) {
-	link := t.dial()
-	_, _ = io.WriteString(link, text)
-	got, err := io.ReadAll(link)
+// doRaw sends bytes and returns all that comes back, and how it ended.
+func (p *testProxy) doRaw(text string) (string, error) {
+	conn := p.dial()
+	_, _ = io.WriteString(conn, text)
+	got, err := io.ReadAll(conn)
 	return string(got), err
 }
 
@@ -61,36 +61,36 @@
 	}
 }
 
-// TestProxy_headKeepsContentLength asks for a head alone.
+// TestProxy_headKeepsContentLength sends HEAD requests.
 func TestProxy_headKeepsContentLength(t *testing.T) {
 	for path, frame := range map[string]string{"/safe/x": "Content-Length: 7\r\n", "/stream/x": "Content-Length: 7\r\n", "/once/x": ""} {
 		runner := upstreamtest.Start(t, upstreamtest.Raw(sealedResponseHead+frame+"\r\n", true))
-		link := newTestProxy(t, 10, runner).dial()
-		_, _ = io.WriteString(link, "HEAD "+path+" HTTP/1.1\r\n"+hostLine+badAttemptLine+"\r\n")
-		answer, err := http.ReadResponse(bufio.NewReader(link), &http.Request{Method: "HEAD"})
-		if err != nil || answer.StatusCode != 200 || "Content-Length: "+answer.Header.Get("Content-Length")+"\r\n" != frame && frame != "" || frame == "" && answer.ContentLength >= 0 {
-			t.Errorf("%s: %+v, %v", path, answer, err)
+		conn := newTestProxy(t, 10, runner).dial()
+		_, _ = io.WriteString(conn, "HEAD "+path+" HTTP/1.1\r\n"+hostLine+badAttemptLine+"\r\n")
+		resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: "HEAD"})
+		if err != nil || resp.StatusCode != 200 || "Content-Length: "+resp.Header.Get("Content-Length")+"\r\n" != frame && frame != "" || frame == "" && resp.ContentLength >= 0 {
+			t.Errorf("%s: %+v, %v", path, resp, err)
 		}
 	}
 }
 
-// TestProxy_answersExpectContinue has a client wait for the word that its body is
-// wanted: the router gives it, and no runner is asked for it again.
+// TestProxy_answersExpectContinue has a client wait for 100 Continue: the router
+// sends it, and no runner gets the Expect header.
 func TestProxy_answersExpectContinue(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Raw("HTTP/1.1 103 Early Hints\r\n\r\n"+sealedResponseHead+"Content-Length: 2\r\n\r\nok", true))
-	link := newTestProxy(t, 10, runner).dial()
-	reader := bufio.NewReader(link)
+	conn := newTestProxy(t, 10, runner).dial()
+	reader := bufio.NewReader(conn)
 	for _, body := range []string{"content-length: 1\ncontent-length: 2\n\n", "ok"} {
-		_, _ = io.WriteString(link, "POST /once/x HTTP/1.1\r\n"+hostLine+badAttemptLine+"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
-		if answer, err := http.ReadResponse(reader, nil); err != nil || answer.StatusCode != http.StatusContinue {
-			t.Fatalf("%+v, %v", answer, err)
+		_, _ = io.WriteString(conn, "POST /once/x HTTP/1.1\r\n"+hostLine+badAttemptLine+"Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
+		if resp, err := http.ReadResponse(reader, nil); err != nil || resp.StatusCode != http.StatusContinue {
+			t.Fatalf("%+v, %v", resp, err)
 		}
-		_, _ = io.WriteString(link, "28\r\n"+body+strings.Repeat(" ", 0x28-len(body))+"\r\n0\r\n\r\n")
-		answer, err := http.ReadResponse(reader, nil)
-		if err != nil || answer.StatusCode != 200 {
-			t.Fatalf("%+v, %v", answer, err)
+		_, _ = io.WriteString(conn, "28\r\n"+body+strings.Repeat(" ", 0x28-len(body))+"\r\n0\r\n\r\n")
+		resp, err := http.ReadResponse(reader, nil)
+		if err != nil || resp.StatusCode != 200 {
+			t.Fatalf("%+v, %v", resp, err)
 		}
-		_, _ = io.Copy(io.Discard, answer.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 	}
 	for _, seen := range runner.Requests() {
 		if seen.Header.Get("Expect") != "" {
@@ -99,74 +99,74 @@
 	}
 }
 
-// TestProxy_unreadBodyIsNotARequest has a request be refused before its body was read:
-// what stands in the body is no request, and the one behind it is answered.
+// TestProxy_unreadBodyIsNotARequest rejects a request before its body was read:
+// what is in the body is no request, and the one behind it is answered.
 func TestProxy_unreadBodyIsNotARequest(t *testing.T) {
 	for _, expects := range []string{"", "Expect: 100-continue\r\n"} {
 		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-		link := newTestProxy(t, 10, runner).dial()
-		reader := bufio.NewReader(link)
-		_, _ = io.WriteString(link, "POST /nowhere HTTP/1.1\r\n"+hostLine+badAttemptLine+expects+fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)))
+		conn := newTestProxy(t, 10, runner).dial()
+		reader := bufio.NewReader(conn)
+		_, _ = io.WriteString(conn, "POST /nowhere HTTP/1.1\r\n"+hostLine+badAttemptLine+expects+fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)))
 		if expects == "" {
-			_, _ = io.WriteString(link, smuggledRequest+goodRequest)
+			_, _ = io.WriteString(conn, smuggledRequest+goodRequest)
 		}
-		answer, err := http.ReadResponse(reader, nil)
-		if err != nil || answer.StatusCode != 404 || answer.Close != (expects != "") {
-			t.Fatalf("%q: %+v, %v", expects, answer, err)
+		resp, err := http.ReadResponse(reader, nil)
+		if err != nil || resp.StatusCode != 404 || resp.Close != (expects != "") {
+			t.Fatalf("%q: %+v, %v", expects, resp, err)
 		}
-		_, _ = io.Copy(io.Discard, answer.Body)
+		_, _ = io.Copy(io.Discard, resp.Body)
 		if expects != "" {
 			continue
 		}
-		answer, err = http.ReadResponse(reader, nil)
-		if err != nil || answer.StatusCode != 200 || countRequests(runner) != 1 || runner.Requests()[0].AttemptID != "good" {
-			t.Fatalf("%+v, %v, %+v", answer, err, runner.Requests())
+		resp, err = http.ReadResponse(reader, nil)
+		if err != nil || resp.StatusCode != 200 || countRequests(runner) != 1 || runner.Requests()[0].AttemptID != "good" {
+			t.Fatalf("%+v, %v, %+v", resp, err, runner.Requests())
 		}
 	}
 }
 
-// TestProxy_pipelinedRequests sends a request before the answer to the one before it is
-// there: one whose frame was not looked at reaches no runner, with a promise.
+// TestProxy_pipelinedRequests sends a request before the response to the one
+// before it: one whose framing was not scanned reaches no runner.
 func TestProxy_pipelinedRequests(t *testing.T) {
 	chunks := "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Transfer-Encoding: chunked\r\n%s\r\n2\r\nab\r\n0\r\n\r\n"
 	cases := []struct {
 		second string
 		status int
 	}{{goodRequest, 200}, {fmt.Sprintf(chunks, ""), 503}, {fmt.Sprintf(chunks, "Content-Length: 5\r\n"), 503}}
-	for _, example := range cases {
+	for _, tc := range cases {
 		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-		link := newTestProxy(t, 10, runner).dial()
-		_, _ = io.WriteString(link, goodRequest+example.second+goodRequest)
-		reader := bufio.NewReader(link)
-		for index, status := range []int{200, example.status} {
-			answer, err := http.ReadResponse(reader, nil)
-			if err != nil || answer.StatusCode != status || answer.Close != (status != 200) {
-				t.Fatalf("%d, %q: %+v, %v", index, example.second, answer, err)
+		conn := newTestProxy(t, 10, runner).dial()
+		_, _ = io.WriteString(conn, goodRequest+tc.second+goodRequest)
+		reader := bufio.NewReader(conn)
+		for index, status := range []int{200, tc.status} {
+			resp, err := http.ReadResponse(reader, nil)
+			if err != nil || resp.StatusCode != status || resp.Close != (status != 200) {
+				t.Fatalf("%d, %q: %+v, %v", index, tc.second, resp, err)
 			}
-			_, _ = io.Copy(io.Discard, answer.Body)
+			_, _ = io.Copy(io.Discard, resp.Body)
 		}
-		if example.status == 200 {
+		if tc.status == 200 {
 			continue
 		}
 		if rest, _ := io.ReadAll(reader); len(rest) > 0 || countRequests(runner) != 1 {
-			t.Errorf("%q: %q behind it, %d arrivals", example.second, rest, countRequests(runner))
+			t.Errorf("%q: %q behind it, %d arrivals", tc.second, rest, countRequests(runner))
 		}
 	}
 }
 
-// endlessBody is an answer without an end.
+// endlessBody is a body without an end.
 type endlessBody struct{}
 
 func (endlessBody) Read(buffer []byte) (int, error) { return len(buffer), nil }
 func (endlessBody) Close() error                    { return nil }
 
-// TestRelay_endlessResponseIsGarbled has a runner send more than a router may hold.
+// TestRelay_endlessResponseIsGarbled has a runner send more than may be buffered.
 func TestRelay_endlessResponseIsGarbled(t *testing.T) {
-	top := scope.New(scope.Options{Settings: &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}})
-	visit := &exchange{proxy: New(Options{Scope: top}), route: &config.Route{}}
+	sc := scope.New(scope.Options{Settings: &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}})
+	e := &exchange{proxy: New(Options{Scope: sc}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
-		if fate, over := visit.relay(top, nil, &http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); fate != upstream.Garbled || over {
-			t.Errorf("length %d: %v, %v", length, fate, over)
+		if outcome, done := e.relay(&http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); outcome != upstream.Garbled || done {
+			t.Errorf("length %d: %v, %v", length, outcome, done)
 		}
 	}
 }
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -36,7 +36,8 @@
  "services":[{"name":"desk","health_path":"/health","max_conns":100,"warmup_s":3,"cold_per_s":10}],
  "limits":{"max_header_bytes":2000,"max_body_bytes":100,"header_wait_ms":3000,"idle_ms":15000}}`
 
-// testProxy is a router's data plane between scripted runners and a visitor.
+// testProxy is a router's data plane between scripted runners and a client, on a
+// clock that stands still.
 type testProxy struct {
 	t          testing.TB
 	clock      *clock.Fake
@@ -50,68 +51,74 @@
 	listSerial ids.Serial
 }
 
-func newTestProxy(t testing.TB, extra float64, runners ...*upstreamtest.Runner) *testProxy {
+// newTestProxy returns a testProxy whose retry budget is the reserve alone.
+func newTestProxy(t testing.TB, retryReserve float64, runners ...*upstreamtest.Runner) *testProxy {
 	t.Helper()
-	return newTestProxyWithSettings(t, &settings.Settings{}, extra, runners...)
+	return newTestProxyWithSettings(t, &settings.Settings{}, retryReserve, runners...)
 }
 
-// newTestProxyWithSettings makes a house on a machine of those settings.
-func newTestProxyWithSettings(t testing.TB, settings *settings.Settings, extra float64, runners ...*upstreamtest.Runner) *testProxy {
+// newTestProxyWithSettings returns a testProxy on a machine of those settings.
+func newTestProxyWithSettings(t testing.TB, settings *settings.Settings, retryReserve float64, runners ...*upstreamtest.Runner) *testProxy {
 	t.Helper()
-	machine := clock.NewFake()
-	made := &testProxy{t: t, clock: machine, stats: runnerstats.New(), log: &logtest.Buffer{}}
-	top := scope.New(scope.Options{Clock: machine, Settings: settings, Log: scope.NewLogger("warn", made.log)})
-	made.snapshots = snapshot.NewStore(snapshot.Options{Clock: machine, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
-	made.updates = gossip.NewStore(made.snapshots.Apply)
+	fakeClock := clock.NewFake()
+	p := &testProxy{t: t, clock: fakeClock, stats: runnerstats.New(), log: &logtest.Buffer{}}
+	sc := scope.New(scope.Options{Clock: fakeClock, Settings: settings, Log: scope.NewLogger("warn", p.log)})
+	p.snapshots = snapshot.NewStore(snapshot.Options{Clock: fakeClock, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
+	p.updates = gossip.NewStore(p.snapshots.Apply)
 	one := func() int { return 1 }
-	cold := slowstart.New(func() float64 { return 0 })
-	gate := balancer.New(balancer.Options{
-		Scope: top, Snapshots: made.snapshots, Stats: made.stats, SlowStart: cold, Region: "north", RouterCount: one,
+	slowStart := slowstart.New(func() float64 { return 0 })
+	lb := balancer.New(balancer.Options{
+		Scope: sc, Snapshots: p.snapshots, Stats: p.stats, SlowStart: slowStart, Region: "north", RouterCount: one,
 		SlowStartSharers: func(ids.Zone) int { return 1 },
 		Random:           func() float64 { return 0 },
-		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: extra, Window: 10 * clock.Second, Routers: one}),
+		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: retryReserve, Window: 10 * clock.Second, Routers: one}),
 	})
-	sender := upstream.NewClient(upstream.Options{
-		Clock: machine, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
+	client := upstream.NewClient(upstream.Options{
+		Clock: fakeClock, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
-	made.proxy = New(Options{Scope: top, Snapshots: made.snapshots, Balancer: gate, Stats: made.stats, SlowStart: cold, Upstream: sender})
-	made.server = httptest.NewUnstartedServer(made.proxy)
-	made.server.Listener = NewListener(made.proxy, made.server.Listener)
-	made.server.Config = NewServer(made.proxy)
-	made.server.Start()
-	t.Cleanup(made.server.Close)
-	made.setConfig(1, configDocument)
-	for index, runner := range runners {
+	p.proxy = New(Options{Scope: sc, Snapshots: p.snapshots, Balancer: lb, Stats: p.stats, SlowStart: slowStart, Upstream: client})
+	p.server = httptest.NewUnstartedServer(p.proxy)
+	p.server.Listener = NewListener(p.proxy, p.server.Listener)
+	p.server.Config = NewServer(p.proxy)
+	p.server.Start()
+	t.Cleanup(p.server.Close)
+	p.setConfig(1, configDocument)
+	for i, runner := range runners {
 		zone := ids.Zone("n")
-		made.runners = append(made.runners, discovery.Runner{
-			ID: ids.RunnerID(fmt.Sprintf("i-%d", index+1)), Service: "desk", Address: runner.Address, Zone: zone, Capacity: 4,
+		p.runners = append(p.runners, discovery.Runner{
+			ID: ids.RunnerID(fmt.Sprintf("i-%d", i+1)), Service: "desk", Address: runner.Address, Zone: zone, Capacity: 4,
 		})
 	}
-	made.publishRunners()
-	return made
+	p.publishRunners()
+	return p
 }
 
-func (t *testProxy) setConfig(serial int, text string) {
-	t.updates.Put(gossip.Item{Key: "spec", Version: ids.Serial(serial), Body: []byte(fmt.Sprintf(text, serial))})
+// setConfig publishes a configuration, a format with its version.
+func (p *testProxy) setConfig(version int, format string) {
+	p.updates.Put(gossip.Item{Key: "spec", Version: ids.Serial(version), Body: []byte(fmt.Sprintf(format, version))})
 }
 
-func (t *testProxy) publishRunners() {
-	t.listSerial++
-	body, err := transport.Marshal(discovery.List{Runners: t.runners})
+// publishRunners publishes p.runners as the list of endpoints.
+func (p *testProxy) publishRunners() {
+	p.t.Helper()
+	p.listSerial++
+	body, err := transport.Marshal(discovery.List{Runners: p.runners})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: t.listSerial, Body: body})
+	p.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: p.listSerial, Body: body})
 }
 
-func (t *testProxy) setEvacuated(zone ids.Zone, serial ids.Serial, empty bool) {
-	body, err := transport.Marshal(evacuation.State{Version: serial, Drained: empty})
+func (p *testProxy) setEvacuated(zone ids.Zone, version ids.Serial, drained bool) {
+	p.t.Helper()
+	body, err := transport.Marshal(evacuation.State{Version: version, Drained: drained})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: serial, Body: body})
+	p.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
 }
 
+// clientResponse is what a client got.
 type clientResponse struct {
 	status int
 	closes bool
@@ -120,28 +127,30 @@
 	err    error
 }
 
-// do sends a visitor's request and reads the answer to its end.
-func (t *testProxy) do(path string, body string, heads ...string) clientResponse {
-	t.t.Helper()
-	request, err := http.NewRequest("POST", t.server.URL+path, strings.NewReader(body))
+// do sends a request and reads the response to its end. Headers are pairs of
+// name and value.
+func (p *testProxy) do(path string, body string, headers ...string) clientResponse {
+	p.t.Helper()
+	req, err := http.NewRequest("POST", p.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	request.Host = "shop.example"
-	request.Header.Set("Onyxwell-Attempt-Id", "v1")
-	request.Header.Set("Onyxwell-Time-Left-Ms", "4000")
-	for index := 0; index+1 < len(heads); index += 2 {
-		request.Header.Set(heads[index], heads[index+1])
+	req.Host = "shop.example"
+	req.Header.Set("Onyxwell-Attempt-Id", "v1")
+	req.Header.Set("Onyxwell-Time-Left-Ms", "4000")
+	for i := 0; i+1 < len(headers); i += 2 {
+		req.Header.Set(headers[i], headers[i+1])
 	}
-	response, err := http.DefaultTransport.RoundTrip(request)
+	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		return clientResponse{err: err}
 	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
-	return clientResponse{status: response.StatusCode, closes: response.Close, header: response.Header, body: string(text), err: err}
+	defer resp.Body.Close()
+	format, err := io.ReadAll(resp.Body)
+	return clientResponse{status: resp.StatusCode, closes: resp.Close, header: resp.Header, body: string(format), err: err}
 }
 
+// countRequests returns how many requests arrived at runners.
 func countRequests(runners ...*upstreamtest.Runner) int {
 	count := 0
 	for _, runner := range runners {
--- a/data/proxy/hostile_test.go
+++ b/data/proxy/hostile_test.go
@@ -19,7 +19,7 @@
 	goodRequest     = "POST /once/good HTTP/1.1\r\n" + hostLine + "Onyxwell-Attempt-Id: good\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// hostileRequests are requests that no runner may hear of, with their statuses.
+// hostileRequests are requests that may reach no runner, with their statuses.
 var hostileRequests = []struct {
 	name, text string
 	status     int
@@ -55,47 +55,50 @@
 	{"no request at all", "\x16\x03\x01 hello\r\n\r\n", 400},
 }
 
-func (t *testProxy) dial() net.Conn {
-	link, err := net.Dial("tcp", t.server.Listener.Addr().String())
+func (p *testProxy) dial() net.Conn {
+	conn, err := net.Dial("tcp", p.server.Listener.Addr().String())
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.t.Cleanup(func() { _ = link.Close() })
-	return link
+	p.t.Cleanup(func() { _ = conn.Close() })
+	return conn
 }
 
-// TestProxy_hostileRequests sends each bad request, alone and with a good one right
-// behind it, and a good one after it: none but the good ones reach the runner.
+// TestProxy_hostileRequests sends each bad request, alone and with a good one
+// right behind it, and a good one after all: only that reaches the runner.
 func TestProxy_hostileRequests(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
-	house.setConfig(2, strings.Replace(configDocument, `"idle_ms":15000`, `"idle_ms":2000`, 1))
-	for _, example := range hostileRequests {
-		for _, behind := range []string{"", goodRequest} {
-			link := house.dial()
-			_, _ = io.WriteString(link, example.text+behind)
-			reader := bufio.NewReader(link)
-			answer, err := http.ReadResponse(reader, nil)
-			if err != nil {
-				t.Errorf("%s: %v", example.name, err)
-				continue
+	p := newTestProxy(t, 10, runner)
+	p.setConfig(2, strings.Replace(configDocument, `"idle_ms":15000`, `"idle_ms":2000`, 1))
+	for _, tc := range hostileRequests {
+		t.Run(tc.name, func(t *testing.T) {
+			for _, behind := range []string{"", goodRequest} {
+				conn := p.dial()
+				_, _ = io.WriteString(conn, tc.text+behind)
+				reader := bufio.NewReader(conn)
+				resp, err := http.ReadResponse(reader, nil)
+				if err != nil {
+					t.Errorf("%v", err)
+					continue
+				}
+				_, _ = io.Copy(io.Discard, resp.Body)
+				if resp.StatusCode != tc.status || !resp.Close {
+					t.Errorf("%d, closing %v", resp.StatusCode, resp.Close)
+				}
+				if rest, _ := io.ReadAll(reader); len(rest) > 0 {
+					t.Errorf("%q comes behind the refusal", rest)
+				}
 			}
-			_, _ = io.Copy(io.Discard, answer.Body)
-			if answer.StatusCode != example.status || !answer.Close {
-				t.Errorf("%s: %d, closing %v", example.name, answer.StatusCode, answer.Close)
-			}
-			if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-				t.Errorf("%s: %q comes behind the refusal", example.name, rest)
-			}
-		}
+		})
 	}
-	if got := house.do("/once/x", "x"); got.status != 200 || countRequests(runner) != 1 {
+	if got := p.do("/once/x", "x"); got.status != 200 || countRequests(runner) != 1 {
 		t.Fatalf("%+v after %d arrivals: %+v", got, countRequests(runner), runner.Requests())
 	}
 }
 
-// TestProxy_smuggledRequestsStayInBody has forms that some servers read otherwise, and
-// which are proper here: each arrives as the one request that it is.
+// TestProxy_smuggledRequestsStayInBody sends forms that some servers read
+// otherwise, and which are proper here: each arrives as the one request that it
+// is.
 func TestProxy_smuggledRequestsStayInBody(t *testing.T) {
 	cases := []struct{ name, text, body string }{
 		{"a request in a body", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(smuggledRequest)) + smuggledRequest, smuggledRequest},
@@ -104,37 +107,39 @@
 		{"a folded value", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Content-Length:\r\n 2\r\n\r\nab", "ab"},
 		{"a head named by Connection", "POST /once/x HTTP/1.1\r\n" + hostLine + badAttemptLine + "Connection: Content-Length, Onyxwell-Attempt-Id\r\nContent-Length: 2\r\n\r\nab", "ab"},
 	}
-	for _, example := range cases {
-		runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-		link := newTestProxy(t, 10, runner).dial()
-		reader := bufio.NewReader(link)
-		for index, text := range []string{example.text, goodRequest} {
-			_, _ = io.WriteString(link, text)
-			answer, err := http.ReadResponse(reader, nil)
-			if err != nil || answer.StatusCode != 200 {
-				t.Fatalf("%s, %d: %+v, %v", example.name, index, answer, err)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
+			conn := newTestProxy(t, 10, runner).dial()
+			reader := bufio.NewReader(conn)
+			for index, text := range []string{tc.text, goodRequest} {
+				_, _ = io.WriteString(conn, text)
+				resp, err := http.ReadResponse(reader, nil)
+				if err != nil || resp.StatusCode != 200 {
+					t.Fatalf("request %d: %+v, %v", index, resp, err)
+				}
+				_, _ = io.Copy(io.Discard, resp.Body)
 			}
-			_, _ = io.Copy(io.Discard, answer.Body)
-		}
-		seen := runner.Requests()
-		if len(seen) != 2 || seen[0].Body != example.body || seen[0].AttemptID != "bad" || seen[1].Body != "ok" || seen[1].AttemptID != "good" {
-			t.Errorf("%s: %+v", example.name, seen)
-		}
+			seen := runner.Requests()
+			if len(seen) != 2 || seen[0].Body != tc.body || seen[0].AttemptID != "bad" || seen[1].Body != "ok" || seen[1].AttemptID != "good" {
+				t.Errorf("%+v", seen)
+			}
+		})
 	}
 }
 
-// TestProxy_rejectsEndlessHead writes a head until the router has enough.
+// TestProxy_rejectsEndlessHead writes a head until the router rejects it.
 func TestProxy_rejectsEndlessHead(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	link := newTestProxy(t, 10, runner).dial()
+	conn := newTestProxy(t, 10, runner).dial()
 	go func() {
-		_, err := io.WriteString(link, "GET /once/x HTTP/1.1\r\n"+hostLine+badAttemptLine)
+		_, err := io.WriteString(conn, "GET /once/x HTTP/1.1\r\n"+hostLine+badAttemptLine)
 		for err == nil {
-			_, err = io.WriteString(link, "X-More: "+strings.Repeat("x", 1000)+"\r\n")
+			_, err = io.WriteString(conn, "X-More: "+strings.Repeat("x", 1000)+"\r\n")
 		}
 	}()
-	answer, err := http.ReadResponse(bufio.NewReader(link), nil)
-	if err == nil && (answer.StatusCode != 431 || !answer.Close) || countRequests(runner) != 0 {
-		t.Fatalf("%+v, %v", answer, err)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err == nil && (resp.StatusCode != 431 || !resp.Close) || countRequests(runner) != 0 {
+		t.Fatalf("%+v, %v", resp, err)
 	}
 }
--- a/data/proxy/limits_test.go
+++ b/data/proxy/limits_test.go
@@ -15,7 +15,8 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// deadlineListener is a listener whose connections tell the deadlines that are set.
+// deadlineListener is a listener whose connections send on the deadlines that are
+// set, as the time left.
 type deadlineListener struct {
 	net.Listener
 	set chan time.Duration
@@ -38,25 +39,25 @@
 	return d.Conn.SetReadDeadline(until)
 }
 
-func configWithLimits(headWaitMS int, idleMS int) string {
-	return strings.NewReplacer(`"header_wait_ms":3000`, fmt.Sprintf(`"header_wait_ms":%d`, headWaitMS),
-		`"idle_ms":15000`, fmt.Sprintf(`"idle_ms":%d`, idleMS)).Replace(configDocument)
+func configWithLimits(headerTimeoutMS int, idleTimeoutMS int) string {
+	return strings.NewReplacer(`"header_wait_ms":3000`, fmt.Sprintf(`"header_wait_ms":%d`, headerTimeoutMS),
+		`"idle_ms":15000`, fmt.Sprintf(`"idle_ms":%d`, idleTimeoutMS)).Replace(configDocument)
 }
 
-// TestConnDeadlines_followNewConfig has a configuration with longer limits come into
-// force after the server was made: heads and rests get the time that it allows.
+// TestConnDeadlines_followNewConfig has a configuration with longer time-outs come
+// into force after the server was made: heads and idle connections get them.
 func TestConnDeadlines_followNewConfig(t *testing.T) {
-	house := newTestProxy(t, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
-	house.setConfig(2, configWithLimits(1000, 1500))
+	p := newTestProxy(t, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
+	p.setConfig(2, configWithLimits(1000, 1500))
 	set := make(chan time.Duration, 64)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &httptest.Server{Listener: NewListener(house.proxy, deadlineListener{Listener: plain, set: set}), Config: NewServer(house.proxy)}
+	server := &httptest.Server{Listener: NewListener(p.proxy, deadlineListener{Listener: plain, set: set}), Config: NewServer(p.proxy)}
 	server.Start()
 	t.Cleanup(server.Close)
-	house.setConfig(3, configWithLimits(60000, 90000))
+	p.setConfig(3, configWithLimits(60000, 90000))
 	conn, err := net.Dial("tcp", plain.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -66,31 +67,31 @@
 		t.Errorf("a head gets %v of 60 s", head)
 	}
 	fmt.Fprintf(conn, "GET /safe/1 HTTP/1.1\r\nHost: shop.example\r\nOnyxwell-Attempt-Id: v1\r\n\r\n")
-	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.Copy(io.Discard, response.Body)
-	// The last that is set while nothing is asked is the time to rest.
-	rest := time.Duration(0)
-	for rest < 70*time.Second {
+	_, _ = io.Copy(io.Discard, resp.Body)
+	// The last that is set is the idle time-out.
+	idle := time.Duration(0)
+	for idle < 70*time.Second {
 		select {
-		case rest = <-set:
+		case idle = <-set:
 		case <-time.After(2 * time.Second):
-			t.Fatalf("a connection may rest for %v of 90 s", rest)
+			t.Fatalf("a connection may be idle for %v of 90 s", idle)
 		}
 	}
 }
 
-// TestBodyQuota_boundsBodiesTogether has clients hold back the ends of bodies that are
-// each inside the limits and together more than the router's memory.
+// TestBodyQuota_boundsBodiesTogether has clients hold back the ends of bodies that
+// are each inside the limits and together more than the router's memory.
 func TestBodyQuota_boundsBodiesTogether(t *testing.T) {
-	house := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
-	house.setConfig(2, strings.Replace(configDocument, `"max_body_bytes":100`, `"max_body_bytes":4194304`, 1))
+	p := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
+	p.setConfig(2, strings.Replace(configDocument, `"max_body_bytes":100`, `"max_body_bytes":4194304`, 1))
 	const size, clients = 1 << 20, 24
 	answers := make(chan string, clients)
 	for range clients {
-		conn, err := net.Dial("tcp", house.server.Listener.Addr().String())
+		conn, err := net.Dial("tcp", p.server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,38 +101,38 @@
 		}()
 		go func() {
 			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
 				answers <- err.Error()
 				return
 			}
-			answers <- response.Status + " " + response.Header.Get("Retry-After")
+			answers <- resp.Status + " " + resp.Header.Get("Retry-After")
 		}()
 	}
 	if got := <-answers; !strings.HasPrefix(got, "503 Service Unavailable 0.") {
 		t.Errorf("the first that is too much gets %q", got)
 	}
-	// A body of which little has come takes of the room for small ones, also where
-	// it will be refused: all but the one that is held get their answers first.
+	// A body of which little has come takes memory of that for small ones, also
+	// where it will be rejected: all but the one that is held are answered first.
 	for range clients - 2 {
 		<-answers
 	}
-	if got := house.do("/safe/2", "small"); got.status != 200 {
+	if got := p.do("/safe/2", "small"); got.status != 200 {
 		t.Errorf("a small request beside them gets %d %v", got.status, got.err)
 	}
 }
 
-// TestBodyQuota_relaysLargeResponseUnbuffered has answers be larger than the room that
-// is left: they go to their clients whole, without being held first.
+// TestBodyQuota_relaysLargeResponseUnbuffered has a response be larger than the
+// memory that is left: it goes to its client complete, without being buffered.
 func TestBodyQuota_relaysLargeResponseUnbuffered(t *testing.T) {
 	text := strings.Repeat("y", 200<<10)
-	house := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", text), upstreamtest.Respond(200, "s", text)))
-	full := house.proxy.bodyQuota.NewBody()
+	p := newTestProxyWithSettings(t, &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", text), upstreamtest.Respond(200, "s", text)))
+	full := p.proxy.bodyQuota.NewBody()
 	defer full.Release()
 	if err := full.Read(strings.NewReader(strings.Repeat("z", 1500<<10)), 1500<<10, 1500<<10); err != nil {
 		t.Fatal(err)
 	}
-	if got := house.do("/safe/1", ""); got.status != 200 || got.body != text || got.err != nil {
+	if got := p.do("/safe/1", ""); got.status != 200 || got.body != text || got.err != nil {
 		t.Errorf("%d, %d bytes, %v", got.status, len(got.body), got.err)
 	}
 }
--- a/data/proxy/listener.go
+++ b/data/proxy/listener.go
@@ -14,32 +14,33 @@
 	"onyxwell/base/httpcall"
 )
 
-// NewServer makes the server of a front. What it can't read gets a 4xx and a
-// closed connection; nothing is answered past the front. How long heads and
-// rests may take is up to the configuration in force.
-func NewServer(front *Proxy) *http.Server {
-	server := httpcall.NewServer(front, setByConn, setByConn)
-	server.ConnState = func(link net.Conn, state http.ConnState) {
-		if watched, known := link.(*clientConn); known {
-			markIdle(watched, state)
+// NewServer returns the server of a proxy, to serve a listener of NewListener.
+// What it can't read gets a 4xx and a closed connection; no other answer goes
+// out past the proxy. The time-outs of heads and idle connections are those of
+// the configuration in force.
+func NewServer(p *Proxy) *http.Server {
+	server := httpcall.NewServer(p, setByConn, setByConn)
+	server.ConnState = func(conn net.Conn, state http.ConnState) {
+		if client, ok := conn.(*clientConn); ok && state == http.StateIdle {
+			client.deadlines.enter(phaseIdle)
 		}
 	}
 	// Its answer to "OPTIONS *" would be a success that no runner gave.
 	server.DisableGeneralOptionsHandler = true
-	server.ConnContext = func(ctx context.Context, link net.Conn) context.Context {
-		if watched, known := link.(*clientConn); known {
-			return context.WithValue(ctx, connKey{}, watched)
+	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
+		if client, ok := conn.(*clientConn); ok {
+			return context.WithValue(ctx, connKey{}, client)
 		}
 		return ctx
 	}
 	return server
 }
 
-// NewListener has the connections of a listener watched for heads that say two things
-// of where a body ends, which net/http mends without a word, and held to the
-// limits in force.
-func NewListener(front *Proxy, listener net.Listener) net.Listener {
-	return limitListener{Listener: listener, proxy: front, slots: newConnSlots(front.options.Scope.Settings.Limits.OpenFiles)}
+// NewListener wraps a listener for a proxy's server. Its connections watch for
+// heads that frame their body twice, which net/http mends silently, keep to the
+// limits in force, and leave descriptors for the connections to runners.
+func NewListener(p *Proxy, listener net.Listener) net.Listener {
+	return limitListener{Listener: listener, proxy: p, slots: newConnSlots(p.machine.OpenFiles)}
 }
 
 type limitListener struct {
@@ -48,35 +49,44 @@
 	slots *connSlots
 }
 
-// Close closes the door.
+// Close implements net.Listener.
 func (l limitListener) Close() error {
 	l.slots.close()
 	return l.Listener.Close()
 }
 
-// Accept gives the next connection.
+// Accept implements net.Listener; it waits for a free slot first.
 func (l limitListener) Accept() (net.Conn, error) {
 	if err := l.slots.acquire(); err != nil {
 		return nil, err
 	}
-	link, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		l.slots.release()
 		return nil, err
 	}
-	made := &clientConn{Conn: link, slots: l.slots}
-	made.deadlines.limits = l.proxy.limits
-	made.deadlines.enter(phaseReadingHead)
-	made.conns = &l.proxy.conns
-	made.conns.add(made)
-	return made, nil
+	conn := &clientConn{Conn: accepted, slots: l.slots, conns: &l.proxy.conns}
+	conn.deadlines.limits = l.proxy.limits
+	conn.deadlines.enter(phaseReadingHead)
+	conn.conns.add(conn)
+	return conn, nil
 }
 
 type connKey struct{}
 
-// clientConn is a visitor's connection. It reads along in the first head after an
-// answer; a request that was sent before the answer to the one before is not
-// looked at, and turned away where that leaves its frame in doubt.
+// clientConnOf returns the connection that a request came by; nil where it did
+// not come by a listener of NewListener.
+func clientConnOf(req *http.Request) *clientConn {
+	conn, _ := req.Context().Value(connKey{}).(*clientConn)
+	return conn
+}
+
+// clientConn is a client's connection. It scans the first head after each
+// response. A pipelined request, sent before the response to the one before it,
+// is not scanned, and rejected where that leaves its framing in doubt.
+//
+// net/http reads and writes it on different goroutines: headEnded and line are
+// the reader's alone.
 type clientConn struct {
 	net.Conn
 	deadlines connDeadlines
@@ -85,30 +95,32 @@
 	closeOnce sync.Once
 	// responseBegun says that something was written since the last head began.
 	responseBegun atomic.Bool
-	// headEnded says that the head has ended; line is the begin of its present line.
+	// headEnded says that the head is scanned to its end; line is the beginning of
+	// its present line, of maxFieldName bytes at most.
 	headEnded bool
 	line      []byte
-	// contentLengths and codings count the heads that frame a body; heads counts the
-	// requests that were taken since.
+	// contentLengths and transferEncodings count the scanned head's fields that
+	// frame a body, requests those that were taken since it began.
 	contentLengths, transferEncodings, requests atomic.Int32
 }
 
-// maxFieldName is how much of a line is enough to know what it frames.
+// maxFieldName is the length of the longest field name that frames a body.
 const maxFieldName = len("transfer-encoding:")
 
-// Read reads along.
-func (c *clientConn) Read(buffer []byte) (int, error) {
-	size, err := c.Conn.Read(buffer)
-	for size == 0 {
-		until, more := c.deadlines.extended(err)
-		if !more {
+// Read implements net.Conn. It reads on after a time-out of limits that are in
+// force no more.
+func (c *clientConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	for n == 0 {
+		deadline, ok := c.deadlines.extended(err)
+		if !ok {
 			break
 		}
-		if err = c.Conn.SetReadDeadline(until); err == nil {
-			size, err = c.Conn.Read(buffer)
+		if err = c.Conn.SetReadDeadline(deadline); err == nil {
+			n, err = c.Conn.Read(p)
 		}
 	}
-	if size > 0 {
+	if n > 0 {
 		c.deadlines.inputArrived()
 		if c.responseBegun.Swap(false) {
 			c.headEnded, c.line = false, c.line[:0]
@@ -117,25 +129,25 @@
 			c.requests.Store(0)
 		}
 		if !c.headEnded {
-			c.scanHead(buffer[:size])
+			c.scanHead(p[:n])
 		}
 	}
-	return size, err
+	return n, err
 }
 
-// SetReadDeadline sets the deadline of the limits in force in place of
-// net/http's, but while a request is being answered.
-func (c *clientConn) SetReadDeadline(set time.Time) error {
-	return c.Conn.SetReadDeadline(c.deadlines.readDeadline(set))
+// SetReadDeadline implements net.Conn. While no request is served, the deadline
+// is that of the limits in force in place of net/http's.
+func (c *clientConn) SetReadDeadline(deadline time.Time) error {
+	return c.Conn.SetReadDeadline(c.deadlines.readDeadline(deadline))
 }
 
-// Write notes that an answer went out.
-func (c *clientConn) Write(buffer []byte) (int, error) {
+// Write implements net.Conn.
+func (c *clientConn) Write(p []byte) (int, error) {
 	c.responseBegun.Store(true)
-	return c.Conn.Write(buffer)
+	return c.Conn.Write(p)
 }
 
-// Close ends the connection and gives its place to another.
+// Close implements net.Conn; it gives the slot back once.
 func (c *clientConn) Close() error {
 	c.closeOnce.Do(func() {
 		c.conns.remove(c)
@@ -144,21 +156,23 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite ends our side alone, so that a last answer is not lost by a reset.
+// CloseWrite closes the router's side alone, so that the last response is not
+// lost by a reset.
 func (c *clientConn) CloseWrite() error {
-	if half, able := c.Conn.(interface{ CloseWrite() error }); able {
-		return half.CloseWrite()
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return conn.CloseWrite()
 	}
 	return c.Conn.Close()
 }
 
-// resetOnClose has the connection's end be a reset.
+// resetOnClose makes the connection end with a reset.
 func (c *clientConn) resetOnClose() {
-	if able, known := c.Conn.(interface{ SetLinger(seconds int) error }); known {
-		_ = able.SetLinger(0)
+	if conn, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
+		_ = conn.SetLinger(0)
 	}
 }
 
+// scanHead counts the fields of a head that frame its body.
 func (c *clientConn) scanHead(text []byte) {
 	for len(text) > 0 && !c.headEnded {
 		part, rest, ended := bytes.Cut(text, []byte("\n"))
@@ -179,29 +193,29 @@
 	}
 }
 
-// hasAmbiguousBody tells whether the request's head says two things of its body, and whether
-// that was seen.
-func (c *clientConn) hasAmbiguousBody() (torn bool, seen bool) {
-	lengths, codings := c.contentLengths.Load(), c.transferEncodings.Load()
-	seen = c.requests.Add(1) == 1
-	return seen && lengths+codings > 1, seen
+// takeRequest counts a request as taken. It returns whether its head was
+// scanned, and whether that frames the body twice.
+func (c *clientConn) takeRequest() (ambiguous bool, scanned bool) {
+	framings := c.contentLengths.Load() + c.transferEncodings.Load()
+	scanned = c.requests.Add(1) == 1
+	return scanned && framings > 1, scanned
 }
 
-// checkHead tells what is wrong with a request's head, beyond what net/http refuses.
-func checkHead(request *http.Request) error {
-	if reason := targetProblem(request); reason != "" {
-		return errkind.Errorf(errkind.BadRequest, "%s", reason)
+// checkHead rejects heads that net/http accepts and that could mean another
+// request to a runner than to this router.
+func checkHead(req *http.Request, conn *clientConn) error {
+	if problem := targetProblem(req); problem != "" {
+		return errkind.Errorf(errkind.BadRequest, "%s", problem)
 	}
-	link, known := request.Context().Value(connKey{}).(*clientConn)
-	if !known {
+	if conn == nil {
 		return nil
 	}
-	torn, seen := link.hasAmbiguousBody()
-	if torn {
+	ambiguous, scanned := conn.takeRequest()
+	if ambiguous {
 		return errkind.Errorf(errkind.BadRequest, "the body's length is told twice")
 	}
-	if !seen && len(request.TransferEncoding) > 0 {
-		// Beside the chunks there may have been a length. By itself it is proper.
+	if !scanned && len(req.TransferEncoding) > 0 {
+		// net/http drops a Content-Length beside chunks, so there may have been one.
 		return errkind.Errorf(errkind.EarlyRequest, "")
 	}
 	return nil
--- a/data/proxy/outcome.go
+++ b/data/proxy/outcome.go
@@ -5,17 +5,36 @@
 	"sync"
 
 	"onyxwell/base/clock"
+	"onyxwell/base/errkind"
 	"onyxwell/data/upstream"
 )
 
-// recordOutcome counts how the visit ended, and logs one that failed.
+// Outcomes of requests beside the names of the kinds of failures. They are
+// values of a label of metrics.
+const (
+	outcomeAnswered = "answered"
+	// outcomeUpstreamError is a runner's own 5xx, passed on.
+	outcomeUpstreamError = "runner-failed"
+	// outcomeAborted is a connection that ended without a complete response.
+	outcomeAborted = "cut"
+	// outcomeClientGone is a client that left first.
+	outcomeClientGone = "left"
+)
+
+// unloggedOutcomes are those that are no failure of this router.
+var unloggedOutcomes = map[string]bool{
+	outcomeAnswered: true, outcomeUpstreamError: true, outcomeClientGone: true,
+	errkind.NoRoute.String(): true, errkind.Overloaded.String(): true,
+}
+
+// recordOutcome counts how the exchange ended, and logs a failure.
 func (e *exchange) recordOutcome() {
-	options := e.proxy.options
-	spent := options.Scope.Now().Since(e.arrivedAt)
+	now := e.proxy.clock.Now()
+	duration := now.Since(e.arrivedAt)
 	outcome := e.outcome
 	if outcome == "" {
 		outcome = outcomeAborted
-		if e.clientGone || e.request.Context().Err() != nil {
+		if e.clientGone || e.req.Context().Err() != nil {
 			outcome = outcomeClientGone
 		}
 	}
@@ -23,53 +42,56 @@
 	if e.route != nil {
 		route = e.route.Name
 	}
-	options.Metrics.Request(route, outcome, spent)
+	e.proxy.metrics.Request(route, outcome, duration)
 	if unloggedOutcomes[outcome] {
 		return
 	}
-	if told, suppressed := e.proxy.failureLog.allow(outcome, options.Scope.Now()); told {
-		e.logFailure(outcome, route, spent, suppressed)
+	if ok, suppressed := e.proxy.failureLog.allow(outcome, now); ok {
+		e.logFailure(outcome, route, duration, suppressed)
 	}
 }
 
-// logFailure writes the line of a request that failed: how it ended and why, and what
-// came of each sending.
-func (e *exchange) logFailure(outcome string, route string, spent clock.Span, suppressed int64) {
-	entry := e.proxy.options.Scope.Log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
-		Str("attempt", e.request.Header.Get(upstream.AttemptIDHeader)).
-		Dur("spent", spent).Int("body_bytes", e.balancerRequest.BodyBytes).Int64("running", e.proxy.InFlight()).Int64("suppressed", suppressed)
+// logFailure logs a request that failed: how it ended and why, and what came of
+// each attempt. The line's suppressed tells how many lines of that outcome were
+// left out before it.
+func (e *exchange) logFailure(outcome string, route string, duration clock.Span, suppressed int64) {
+	entry := e.proxy.log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
+		Str("attempt_id", e.req.Header.Get(upstream.AttemptIDHeader)).
+		Dur("duration_ms", duration).Int("body_bytes", e.balancerRequest.BodyBytes).
+		Int64("in_flight", e.proxy.InFlight()).Int64("suppressed", suppressed)
 	if e.reason != "" {
 		entry = entry.Str("reason", e.reason)
 	}
 	if e.snapshot != nil && e.snapshot.Config != nil {
-		entry = entry.Int64("version", int64(e.snapshot.Config.Version))
+		entry = entry.Int64("config_version", int64(e.snapshot.Config.Version))
 	}
 	if len(e.attempts) > 0 {
-		var sendings []string
-		for _, sent := range e.attempts {
-			sendings = append(sendings, fmt.Sprintf("%s %s %s %s", sent.runner, sent.outcome, sent.cause, sent.duration))
+		var attempts []string
+		for _, record := range e.attempts {
+			attempts = append(attempts, fmt.Sprintf("%s %s %s %s", record.runner, record.outcome, record.cause, record.duration))
 		}
-		entry = entry.Strs("sendings", sendings)
+		entry = entry.Strs("attempts", attempts)
 	}
-	entry.Msg("a request was not served")
+	entry.Msg("request failed")
 }
 
-// failureLinesPerSecond bounds the log lines of requests that failed with one outcome:
-// each outcome has its own, so that none hides another.
+// failureLinesPerSecond bounds the log lines of failed requests with one
+// outcome: each outcome has its own bound, so that none hides another.
 const failureLinesPerSecond = 2
 
-// lineLimiter counts the log lines of the present second, by outcome.
+// lineLimiter counts the log lines of the present second, by outcome. Its zero
+// value is ready for use.
 type lineLimiter struct {
 	mu     sync.Mutex
 	second int64
 	counts map[string]int
-	// suppressed are those that were not written since the last of the outcome.
+	// suppressed are the lines left out since the last of the outcome.
 	suppressed map[string]int64
 }
 
-// allow tells whether another line of an outcome may be written now, and how many
-// were not since the last.
-func (l *lineLimiter) allow(outcome string, now clock.Instant) (bool, int64) {
+// allow returns whether another line of an outcome may be written now, and then
+// how many were suppressed since the last.
+func (l *lineLimiter) allow(outcome string, now clock.Instant) (ok bool, suppressed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := int64(now) / int64(clock.Second); second != l.second || l.counts == nil {
@@ -83,7 +105,7 @@
 		return false, 0
 	}
 	l.counts[outcome]++
-	suppressed := l.suppressed[outcome]
+	suppressed = l.suppressed[outcome]
 	delete(l.suppressed, outcome)
 	return true, suppressed
 }
--- a/data/proxy/proxy.go
+++ b/data/proxy/proxy.go
@@ -1,17 +1,32 @@
-// Package proxy is the visitor's side of a router: it reads requests, asks
-// the decision what to do, obeys, and answers.
+// Package proxy is the client-facing side of a router: it reads requests,
+// attempts them at the runners that the balancer names, and relays a runner's
+// response or answers with a failure.
+//
+// It keeps these promises to clients, and counts each that is broken:
+//   - a request that may run only once is sent to no second runner unless the
+//     first surely did not run it;
+//   - a failure that promises that nothing ran is sent only where that is sure;
+//   - a response that is not complete never looks complete: its connection is
+//     aborted instead;
+//   - of an event stream, events are passed on in order and without gaps, also
+//     where another runner resumes it.
+//
+// The life of a request is in exchange.go. A connection's side of it is in
+// listener.go (framing of request heads) and deadlines.go (time-outs).
 package proxy
 
 import (
 	"net/http"
 	"sync/atomic"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
-	"onyxwell/base/errkind"
 	"onyxwell/base/invariant"
 	"onyxwell/base/memquota"
 	"onyxwell/base/response"
 	"onyxwell/base/scope"
+	"onyxwell/base/settings"
 	"onyxwell/base/telemetry"
 	"onyxwell/control/config"
 	"onyxwell/data/balancer"
@@ -21,153 +36,96 @@
 	"onyxwell/data/upstream"
 )
 
-// Options are what a front is made from.
+// Options are what a Proxy is made from. Metrics and Monitor may be nil.
 type Options struct {
+	// Scope gives the clock, the logger and the machine's limits; its context is
+	// not used.
 	Scope     scope.Scope
 	Snapshots *snapshot.Store
 	Balancer  *balancer.Balancer
 	Stats     *runnerstats.Collector
 	SlowStart *slowstart.Tracker
 	Upstream  *upstream.Client
-	// Metrics and Monitor may be left out.
-	Metrics *telemetry.Metrics
-	Monitor *invariant.Monitor
+	Metrics   *telemetry.Metrics
+	Monitor   *invariant.Monitor
 }
 
-// Proxy answers visitors.
+// Proxy is the handler of clients' requests. Its methods may be called at the
+// same time.
 type Proxy struct {
-	options  Options
+	clock clock.Clock
+	log   *log.Logger
+	// machine are the limits of this machine; those for requests are in the
+	// configuration in force, see limits.
+	machine   settings.Limits
+	scope     scope.Scope
+	snapshots *snapshot.Store
+	balancer  *balancer.Balancer
+	stats     *runnerstats.Collector
+	slowStart *slowstart.Tracker
+	upstream  *upstream.Client
+	metrics   *telemetry.Metrics
+	monitor   *invariant.Monitor
+
 	draining atomic.Bool
-	// acceptUntil is when a leaving front takes its last request.
+	// acceptUntil is the clock.Instant until which a draining proxy takes requests.
 	acceptUntil atomic.Int64
-	attemptSeq  atomic.Uint64
-	inFlight    atomic.Int64
-	failureLog  lineLimiter
-	// bodyQuota bounds what bodies take together.
+	// attemptSeq numbers the attempts for the statistics of runners.
+	attemptSeq atomic.Uint64
+	inFlight   atomic.Int64
+	failureLog lineLimiter
+	// bodyQuota bounds the memory of all bodies together; nil is unbounded.
 	bodyQuota *memquota.Quota
-	// conns are the clients' connections.
-	conns connSet
+	conns     connSet
 }
 
-// New makes a front.
+// bodyMemoryDivisor says which part of the machine's memory bodies may take
+// together, as 1/bodyMemoryDivisor: what is freed waits for the garbage
+// collector, and connections need memory too.
+const bodyMemoryDivisor = 4
+
+// New returns a Proxy that serves the snapshots of options.Snapshots.
 func New(options Options) *Proxy {
-	front := &Proxy{options: options}
-	if memory := options.Scope.Settings.Limits.MemoryMB << 20; memory > 0 {
-		front.bodyQuota = memquota.New(memory/bodyMemoryDivisor, options.Monitor)
-		options.Metrics.GaugeFunc("body_bytes", "Bytes reserved for the bodies of requests and answers.", nil, func() float64 { return float64(front.bodyQuota.Reserved()) })
+	p := &Proxy{
+		clock: options.Scope.Clock, log: options.Scope.Log, machine: options.Scope.Settings.Limits, scope: options.Scope,
+		snapshots: options.Snapshots, balancer: options.Balancer, stats: options.Stats, slowStart: options.SlowStart,
+		upstream: options.Upstream, metrics: options.Metrics, monitor: options.Monitor,
+	}
+	if memory := p.machine.MemoryMB << 20; memory > 0 {
+		p.bodyQuota = memquota.New(memory/bodyMemoryDivisor, p.monitor)
+		p.metrics.GaugeFunc("body_bytes", "Bytes reserved for the bodies of requests and answers.", nil, func() float64 { return float64(p.bodyQuota.Reserved()) })
 	}
-	return front
+	return p
 }
 
-// bodyMemoryDivisor is the part of the memory, one in so many, that bodies may take
-// together: what is freed waits for the collector, and connections take more.
-const bodyMemoryDivisor = 4
-
-// limits are those of the configuration in force.
+// limits returns the limits for requests of the configuration in force.
 func (p *Proxy) limits() config.Limits {
-	if seen := p.options.Snapshots.Current(); seen.Config != nil {
-		return seen.Config.Limits
+	if current := p.snapshots.Current(); current.Config != nil {
+		return current.Config.Limits
 	}
 	return config.Limits{}
 }
 
-// Drain has every answer from now on ask its visitor to go elsewhere next, and
-// requests that come later than the last be turned away.
-func (p *Proxy) Drain(last clock.Instant) {
-	p.acceptUntil.Store(int64(last))
+// Drain makes every response from now on ask its client to close the
+// connection, and rejects requests that arrive after acceptUntil.
+func (p *Proxy) Drain(acceptUntil clock.Instant) {
+	p.acceptUntil.Store(int64(acceptUntil))
 	p.draining.Store(true)
 }
 
-// InFlight tells how many requests are being answered.
+// InFlight returns how many requests are being served.
 func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
 
-// ServeHTTP answers one request.
-func (p *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+// ServeHTTP serves one request. It panics with http.ErrAbortHandler where the
+// connection is to end without a complete response.
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
-	if link, known := request.Context().Value(connKey{}).(*clientConn); known && !link.deadlines.enter(phaseServing) {
-		// It was closed as the request arrived: nobody would get the answer.
-		response.Abort()
-	}
-	visit := &exchange{proxy: p, writer: writer, request: request, arrivedAt: p.options.Scope.Now(), requestBody: p.bodyQuota.NewBody()}
-	defer visit.recordOutcome()
-	defer visit.requestBody.Release()
-	if err := visit.readRequest(); err != nil {
-		visit.reject(errkind.KindOf(err), errkind.DetailOf(err))
-		return
-	}
-	visit.run()
-	if !visit.headerSent && !visit.rejected {
-		// Whoever has no answer must not get net/http's empty success.
+	conn := clientConnOf(req)
+	if conn != nil && !conn.deadlines.enter(phaseServing) {
+		// It was closed as the request arrived: nobody would get the response.
 		response.Abort()
 	}
-}
-
-// exchange is one request of a visitor.
-type exchange struct {
-	proxy           *Proxy
-	writer          http.ResponseWriter
-	request         *http.Request
-	arrivedAt       clock.Instant
-	deadline        clock.Instant
-	snapshot        *snapshot.Snapshot
-	route           *config.Route
-	upstreamRequest *upstream.Request
-	balancerRequest balancer.Request
-	// headerSent says that the head of an answer is with the visitor, refused that one
-	// of our own is, last is the id
-	// of the last event passed on, gone that the visitor takes no more.
-	headerSent     bool
-	rejected       bool
-	hasLastEventID bool
-	clientGone     bool
-	lastEventID    int64
-	// attempts are what was sent so far, outcome how the visit ended.
-	attempts []attemptRecord
-	outcome  string
-	// reason is why it was refused, beyond the outcome.
-	reason string
-	// requestBody is the request's body.
-	requestBody *memquota.Body
-	// upstreamStatus is that of the runner's answer that was passed on.
-	upstreamStatus int
-	// clientTimeout is the time that the client gave; 0 is not told.
-	clientTimeout clock.Span
-}
-
-// reject answers with a failure, and where it promises that nothing ran,
-// tells when to come back.
-func (e *exchange) reject(kind errkind.Kind, detail string) {
-	if e.headerSent {
-		e.abort()
-	}
-	if kind.Response().NotRun && e.mayHaveRun() {
-		e.proxy.options.Monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", e.upstreamRequest.AttemptID, kind, e.attempts)
-	}
-	e.outcome, e.reason = kind.String(), detail
-	made := response.FromKind(kind, detail)
-	if kind.Response().Status == http.StatusServiceUnavailable && e.route != nil {
-		made = made.WithRetryAfter(max(retryAfter(kind, e.route.LatencyTarget()), 20*clock.Millisecond))
-	}
-	if e.closesConn() {
-		made = made.WithClose()
-	}
-	e.rejected = true
-	made.Send(e.writer)
-}
-
-// closesConn tells whether the connection ends with the answer: the router leaves, or
-// others wait for the connection's place.
-func (e *exchange) closesConn() bool {
-	link, known := e.request.Context().Value(connKey{}).(*clientConn)
-	return e.proxy.draining.Load() || (known && link.slots.nearlyFull())
-}
-
-// retryAfter is when a visitor may find things better: soon where a runner is
-// missing, later where there are too many requests.
-func retryAfter(kind errkind.Kind, goal clock.Span) clock.Span {
-	if kind == errkind.Overloaded {
-		return goal / 2
-	}
-	return goal / 8
+	e := &exchange{proxy: p, w: w, req: req, conn: conn, arrivedAt: p.clock.Now(), requestBody: p.bodyQuota.NewBody()}
+	e.serve()
 }
--- a/data/proxy/proxy_test.go
+++ b/data/proxy/proxy_test.go
@@ -1,10 +1,10 @@
 package proxy
 
 import (
-	"onyxwell/base/clock"
 	"strings"
 	"testing"
 
+	"onyxwell/base/clock"
 	"onyxwell/data/upstreamtest"
 )
 
@@ -21,28 +21,30 @@
 
 func TestProxy_rejectsBadInput(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
+	p := newTestProxy(t, 10, runner)
 	cases := []struct {
-		path, body, head string
-		status           int
+		name, path, body, head string
+		status                 int
 	}{
-		{"/nowhere/x", "", "", 404},
-		{"/safe/x", strings.Repeat("b", 101), "", 413},
-		{"/safe/x", "", strings.Repeat("h", 2001), 431},
+		{"unknown route", "/nowhere/x", "", "", 404},
+		{"body too large", "/safe/x", strings.Repeat("b", 101), "", 413},
+		{"header too large", "/safe/x", "", strings.Repeat("h", 2001), 431},
 	}
-	for _, example := range cases {
-		if got := house.do(example.path, example.body, "X-Long", example.head); got.status != example.status {
-			t.Errorf("%s: %d, not %d", example.path, got.status, example.status)
-		}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := p.do(tc.path, tc.body, "X-Long", tc.head); got.status != tc.status {
+				t.Errorf("status %d, not %d", got.status, tc.status)
+			}
+		})
 	}
 	if countRequests(runner) != 0 {
 		t.Error("a refused request reached a runner")
 	}
 }
 
-// TestProxy_runnerFailureByRouteType takes each way a runner can fail on a request, and what becomes of
-// it on each kind of route: only what surely did not run, or may run again, is
-// tried elsewhere, and only what did not run gets a promise.
+// TestProxy_runnerFailureByRouteType takes each way a runner can fail on a request
+// and what becomes of it on each type of route: only what surely did not run, or
+// may run again, is retried, and only what did not run gets a promise.
 func TestProxy_runnerFailureByRouteType(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -75,97 +77,99 @@
 		{"stream not begun", "/stream/x", upstreamtest.HangUp(), 502, false},
 		{"stream full", "/stream/x", upstreamtest.Reject(503), 200, true},
 	}
-	for _, example := range cases {
-		finish := upstreamtest.Respond(200, "good", "good")
-		if strings.HasPrefix(example.path, "/stream/") {
-			finish = upstreamtest.EventStream("good", 1, 2, true)
-		}
-		house, bad, good := newTestProxyWithPair(t, 10, example.step, finish)
-		got := house.do(example.path, "x")
-		if got.status != example.status || (len(good.Requests()) == 1) != example.second || countRequests(bad) != 1 {
-			t.Errorf("%s: %d, %d and %d arrivals", example.name, got.status, countRequests(bad), countRequests(good))
-		}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			finish := upstreamtest.Respond(200, "good", "good")
+			if strings.HasPrefix(tc.path, "/stream/") {
+				finish = upstreamtest.EventStream("good", 1, 2, true)
+			}
+			p, bad, good := newTestProxyWithPair(t, 10, tc.step, finish)
+			got := p.do(tc.path, "x")
+			if got.status != tc.status || (len(good.Requests()) == 1) != tc.second || countRequests(bad) != 1 {
+				t.Errorf("%d, %d and %d arrivals", got.status, countRequests(bad), countRequests(good))
+			}
+		})
 	}
 }
 
 func TestProxy_retryBudgetIsShared(t *testing.T) {
 	bad := []*upstreamtest.Runner{upstreamtest.Start(t, upstreamtest.HangUp()), upstreamtest.Start(t, upstreamtest.HangUp())}
-	house := newTestProxy(t, 1, bad...)
-	if got := house.do("/safe/x", "x"); got.status != 502 || countRequests(bad...) != 2 {
+	p := newTestProxy(t, 1, bad...)
+	if got := p.do("/safe/x", "x"); got.status != 502 || countRequests(bad...) != 2 {
 		t.Fatalf("%d after %d arrivals", got.status, countRequests(bad...))
 	}
-	house.stats.ClearSuspicion("i-1", house.clock.Now())
-	house.stats.ClearSuspicion("i-2", house.clock.Now())
-	if got := house.do("/safe/x", "x"); got.status != 502 || countRequests(bad...) != 3 {
-		t.Fatalf("%d after %d arrivals: a further try without budget", got.status, countRequests(bad...))
+	p.stats.ClearSuspicion("i-1", p.clock.Now())
+	p.stats.ClearSuspicion("i-2", p.clock.Now())
+	if got := p.do("/safe/x", "x"); got.status != 502 || countRequests(bad...) != 3 {
+		t.Fatalf("%d after %d arrivals: a retry without budget", got.status, countRequests(bad...))
 	}
 }
 
 func TestProxy_homeRegionsBind(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
-	if got := house.do("/home/x", "x"); got.status != 503 || countRequests(runner) != 0 {
-		t.Fatalf("%d: a runner away from home got the request", got.status)
+	p := newTestProxy(t, 10, runner)
+	if got := p.do("/home/x", "x"); got.status != 503 || countRequests(runner) != 0 {
+		t.Fatalf("%d: a runner outside the home regions got the request", got.status)
 	}
-	house.runners[0].Zone = "s"
-	house.publishRunners()
-	if got := house.do("/home/x", "x"); got.status != 200 {
+	p.runners[0].Zone = "s"
+	p.publishRunners()
+	if got := p.do("/home/x", "x"); got.status != 200 {
 		t.Fatalf("%d from a runner at home", got.status)
 	}
 }
 
 func TestProxy_evacuatedZoneGetsNoRequests(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
-	house.setEvacuated("n", 1, true)
-	if got := house.do("/safe/x", "x"); got.status != 503 || got.header.Get("Retry-After") == "" || countRequests(runner) != 0 {
+	p := newTestProxy(t, 10, runner)
+	p.setEvacuated("n", 1, true)
+	if got := p.do("/safe/x", "x"); got.status != 503 || got.header.Get("Retry-After") == "" || countRequests(runner) != 0 {
 		t.Fatalf("%+v", got)
 	}
-	house.setEvacuated("n", 2, false)
-	if got := house.do("/safe/x", "x"); got.status != 200 {
+	p.setEvacuated("n", 2, false)
+	if got := p.do("/safe/x", "x"); got.status != 200 {
 		t.Fatalf("%+v", got)
 	}
 }
 
 func TestDrain_closesConnAfterResponse(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
-	house.proxy.Drain(house.clock.Now())
-	if got := house.do("/safe/x", "x"); got.status != 200 || !got.closes {
+	p := newTestProxy(t, 10, runner)
+	p.proxy.Drain(p.clock.Now())
+	if got := p.do("/safe/x", "x"); got.status != 200 || !got.closes {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestProxy_staleConnSuspectsNoRunner has a request that may run only once meet a kept
-// connection of an age that nobody tried: it goes to the same runner on a new
-// one, and the runner stands as well as before.
+// TestProxy_staleConnSuspectsNoRunner has a request that may run only once meet an
+// idle connection of an age that was never tried: it goes to the same runner on
+// a new one, and the runner is not suspected.
 func TestProxy_staleConnSuspectsNoRunner(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
-	house.clock.Advance(clock.Second)
+	p := newTestProxy(t, 10, runner)
+	p.clock.Advance(clock.Second)
 	for range 3 {
-		if got := house.do("/once/x", "x"); got.status != 200 {
+		if got := p.do("/once/x", "x"); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		house.clock.Advance(3 * clock.Second)
+		p.clock.Advance(3 * clock.Second)
 	}
-	ledger := house.stats.State("i-1")
-	if countRequests(runner) != 3 || ledger.Suspect || len(house.stats.DueProbes(house.clock.Now(), clock.Second)) != 0 {
-		t.Fatalf("%d arrivals, %+v", countRequests(runner), ledger)
+	state := p.stats.State("i-1")
+	if countRequests(runner) != 3 || state.Suspect || len(p.stats.DueProbes(p.clock.Now(), clock.Second)) != 0 {
+		t.Fatalf("%d arrivals, %+v", countRequests(runner), state)
 	}
-	if sample := house.stats.TakeReport(house.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
+	if sample := p.stats.TakeReport(p.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
 		t.Fatalf("%+v", sample)
 	}
 }
 
-// TestDrain_rejectsLateRequest turns away, with a promise, what comes too
-// late to be finished before the process ends.
+// TestDrain_rejectsLateRequest rejects, with a promise that nothing ran, what
+// comes too late to be finished before the process ends.
 func TestDrain_rejectsLateRequest(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
-	house := newTestProxy(t, 10, runner)
-	house.proxy.Drain(house.clock.Now().Add(clock.Second))
-	house.clock.Advance(clock.Second + clock.Millisecond)
-	got := house.do("/once/x", "")
+	p := newTestProxy(t, 10, runner)
+	p.proxy.Drain(p.clock.Now().Add(clock.Second))
+	p.clock.Advance(clock.Second + clock.Millisecond)
+	got := p.do("/once/x", "")
 	if got.status != 503 || !got.closes || got.header.Get("Retry-After") == "" || countRequests(runner) != 0 {
 		t.Errorf("%+v, %d arrivals", got, countRequests(runner))
 	}
--- a/data/proxy/slots.go
+++ b/data/proxy/slots.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// reservedFiles are the descriptors that the machine keeps for files.
+	// reservedFiles are the descriptors kept for other uses than connections.
 	reservedFiles = 200
-	// clientFilesDivisor is the part of the others, one in so many, that clients'
-	// connections may take; requests to runners need as many.
+	// clientFilesDivisor says which part of the others clients' connections may
+	// take, as 1/clientFilesDivisor; attempts at runners need as many.
 	clientFilesDivisor = 2
-	// nearlyFullQuarters is the part of the places, in quarters, from which connections
-	// end with their answers, so that others get their turn.
+	// nearlyFullQuarters is from how many quarters of the slots on connections end
+	// with their responses, so that waiting clients get their turn.
 	nearlyFullQuarters = 3
 )
 
-// connSlots are those for clients' connections. A nil one has places for all.
+// connSlots bounds the number of clients' connections. A nil one has no bound.
 type connSlots struct {
 	tokens    chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// newConnSlots makes the places of a process that may open so many files; 0 is no
-// bound.
+// newConnSlots returns the slots of a process that may open openFiles files; 0
+// is no bound.
 func newConnSlots(openFiles int) *connSlots {
 	if openFiles <= 0 {
 		return nil
@@ -33,34 +33,34 @@
 	return &connSlots{tokens: make(chan struct{}, count), closed: make(chan struct{})}
 }
 
-// acquire waits for a place.
-func (c *connSlots) acquire() error {
-	if c == nil {
+// acquire waits for a slot; it returns net.ErrClosed once the slots are closed.
+func (s *connSlots) acquire() error {
+	if s == nil {
 		return nil
 	}
 	select {
-	case c.tokens <- struct{}{}:
+	case s.tokens <- struct{}{}:
 		return nil
-	case <-c.closed:
+	case <-s.closed:
 		return net.ErrClosed
 	}
 }
 
-// release gives a place back.
-func (c *connSlots) release() {
-	if c != nil {
-		<-c.tokens
+// release gives a slot back.
+func (s *connSlots) release() {
+	if s != nil {
+		<-s.tokens
 	}
 }
 
-// close has nobody wait any more.
-func (c *connSlots) close() {
-	if c != nil {
-		c.closeOnce.Do(func() { close(c.closed) })
+// close ends the wait of all who acquire.
+func (s *connSlots) close() {
+	if s != nil {
+		s.closeOnce.Do(func() { close(s.closed) })
 	}
 }
 
-// nearlyFull tells whether few places are left.
-func (c *connSlots) nearlyFull() bool {
-	return c != nil && len(c.tokens) >= max(1, cap(c.tokens)*nearlyFullQuarters/4)
+// nearlyFull returns whether few slots are free.
+func (s *connSlots) nearlyFull() bool {
+	return s != nil && len(s.tokens) >= max(1, cap(s.tokens)*nearlyFullQuarters/4)
 }
--- a/data/proxy/stream_test.go
+++ b/data/proxy/stream_test.go
@@ -8,21 +8,21 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// newTestProxyWithPair starts two runners; the second is ready only once the first has a
-// request, so that the first is asked first.
+// newTestProxyWithPair starts two runners; the second is ready only once the
+// first has a request, so that the first attempt goes to the first.
 func newTestProxyWithPair(t *testing.T, extra float64, first upstreamtest.Step, second upstreamtest.Step) (*testProxy, *upstreamtest.Runner, *upstreamtest.Runner) {
 	t.Helper()
-	var made *testProxy
+	var p *testProxy
 	open := func() {
-		made.runners[1].Draining = false
-		made.publishRunners()
+		p.runners[1].Draining = false
+		p.publishRunners()
 	}
 	one := upstreamtest.Start(t, upstreamtest.Before(open, first))
 	two := upstreamtest.Start(t, second)
-	made = newTestProxy(t, extra, one, two)
-	made.runners[1].Draining = true
-	made.publishRunners()
-	return made, one, two
+	p = newTestProxy(t, extra, one, two)
+	p.runners[1].Draining = true
+	p.publishRunners()
+	return p, one, two
 }
 
 func eventText(first int, last int) string {
@@ -42,20 +42,20 @@
 }
 
 // TestStream_brokenIsResumed has one runner break off after three events: another
-// goes on after the third, under the first one's head.
+// resumes after the third, under the first one's head.
 func TestStream_brokenIsResumed(t *testing.T) {
-	house, _, second := newTestProxyWithPair(t, 10, upstreamtest.EventStream("seal-1", 1, 3, false), upstreamtest.EventStream("seal-2", 4, 6, true))
-	got := house.do("/again/x", "x")
+	p, _, second := newTestProxyWithPair(t, 10, upstreamtest.EventStream("seal-1", 1, 3, false), upstreamtest.EventStream("seal-2", 4, 6, true))
+	got := p.do("/again/x", "x")
 	if got.err != nil || got.body != eventText(1, 6) || got.header.Get("Onyxwell-Server-Seal") != "seal-1" {
 		t.Fatalf("%+v", got)
 	}
 	if after := second.Requests()[0].Header.Get("Last-Event-Id"); after != "3" {
-		t.Fatalf("the second run was asked to go on after %q", after)
+		t.Fatalf("the second runner was asked to resume after %q", after)
 	}
 }
 
-// TestStream_unresumableLooksBroken breaks streams off in ways that can't be
-// mended; the visitor must see that they are not whole.
+// TestStream_unresumableLooksBroken breaks streams in ways that can't be
+// resumed; the client must see that they are not complete.
 func TestStream_unresumableLooksBroken(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -68,15 +68,17 @@
 		{"an end inside an event", "/stream/x", upstreamtest.Raw(sealedResponseHead+"\r\n"+eventText(1, 2)+"id: 3\n", false), upstreamtest.EventStream("s", 3, 6, true)},
 		{"goes on wrongly", "/again/x", upstreamtest.EventStream("s", 1, 3, false), upstreamtest.EventStream("s", 1, 6, true)},
 	}
-	for _, example := range cases {
-		house, _, _ := newTestProxyWithPair(t, 10, example.first, example.second)
-		got := house.do(example.path, "x")
-		if got.err == nil {
-			t.Errorf("%s: the answer looks whole: %q", example.name, got.body)
-		}
-		if !strings.HasPrefix(eventText(1, 3), got.body) {
-			t.Errorf("%s: %q was passed on", example.name, got.body)
-		}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			p, _, _ := newTestProxyWithPair(t, 10, tc.first, tc.second)
+			got := p.do(tc.path, "x")
+			if got.err == nil {
+				t.Errorf("the answer looks whole: %q", got.body)
+			}
+			if !strings.HasPrefix(eventText(1, 3), got.body) {
+				t.Errorf("%q was passed on", got.body)
+			}
+		})
 	}
 }
 
--- a/data/proxy/target.go
+++ b/data/proxy/target.go
@@ -5,14 +5,16 @@
 	"strings"
 )
 
-// targetProblem tells what is wrong with a request's target; "" is nothing.
-func targetProblem(request *http.Request) string {
-	target := request.RequestURI
+// targetProblem returns what is wrong with a request's target, "" where it is
+// well formed. Runners get the target as it is, so routes must be matched by it
+// as it is.
+func targetProblem(req *http.Request) string {
+	target := req.RequestURI
 	path, _, _ := strings.Cut(target, "?")
-	if request.Method == http.MethodConnect || !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") {
+	if req.Method == http.MethodConnect || !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") {
 		return "the target is no path"
 	}
-	if strings.IndexFunc(target, forbiddenInTarget) >= 0 {
+	if strings.ContainsFunc(target, forbiddenInTarget) {
 		return "the target has letters that none can have"
 	}
 	if hasDotSegments(path) {
@@ -27,14 +29,14 @@
 
 var dotDecoder = strings.NewReplacer("%2e", ".", "%2E", ".")
 
-// hasDotSegments tells whether a path has a step that leads up or nowhere, in either
-// spelling: behind a prefix it would reach what another route is for.
+// hasDotSegments returns whether a path has a segment "." or "..", in either
+// spelling: behind a route's prefix it would reach what another route is for.
 func hasDotSegments(path string) bool {
 	if !strings.Contains(path, "/.") && !strings.Contains(path, "/%2") {
 		return false
 	}
-	for _, step := range strings.Split(path, "/") {
-		if step = dotDecoder.Replace(step); step == "." || step == ".." {
+	for _, segment := range strings.Split(path, "/") {
+		if segment = dotDecoder.Replace(segment); segment == "." || segment == ".." {
 			return true
 		}
 	}
