--- a/data/router/drain.go
+++ b/data/router/drain.go
@@ -1,45 +1,39 @@
 package router
 
 import (
-	"math/rand/v2"
-	"net"
-	"net/http"
+	"context"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/membership"
 )
 
-func randomFloat() float64 { return rand.Float64() }
-
-// clientEndpoint is what clients come through.
-type clientEndpoint struct {
-	listener net.Listener
-	server   *http.Server
-}
-
-// becomeReady has the router be ready with an entrance; it does not where the router
-// leaves already.
-func (r *Router) becomeReady(opened *clientEndpoint) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.draining {
-		return
-	}
-	r.endpoint = opened
-	r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
-}
+const (
+	// acceptWhileDraining is how long a draining router accepts requests on
+	// connections that are open. Those that clients send more than three seconds
+	// after the signal may not be cut when the grace period is over.
+	acceptWhileDraining = 2750 * clock.Millisecond
+	// maxDirectoryTTL bounds the time that clients may use an answer of the
+	// directory, in seconds, and directoryTTLFactor how often they may use it so
+	// long: clients hold an answer for up to three times its time to live.
+	maxDirectoryTTL    = 1
+	directoryTTLFactor = 4
+	// listenerClosePercent and drainEndPercent are the parts of the grace period
+	// after which the listener closes, and after which requests still in flight are
+	// cut.
+	listenerClosePercent = 45
+	drainEndPercent      = 90
+)
 
-// isDraining tells whether the router leaves.
+// isDraining returns whether drain has begun.
 func (r *Router) isDraining() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.draining
 }
 
-// startDraining has the router not be ready any more; it gives the entrance that its
-// clients came through, nil where they never did.
+// startDraining announces the router as not ready for good. It returns the
+// endpoint that clients connect to, nil where there never was one.
 func (r *Router) startDraining() *clientEndpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,37 +42,32 @@
 	return r.endpoint
 }
 
-const (
-	// acceptWhileDraining is after what time from its SIGTERM a leaving router turns new
-	// requests away, though its door is open still: those that are sent later than
-	// three seconds may not be cut when its time is over.
-	acceptWhileDraining = 2750 * clock.Millisecond
-	// listenerClosePercent and drainEndPercent are the parts of the grace, in hundredths, after
-	// which the door closes and after which all that still runs is cut.
-	listenerClosePercent = 45
-	drainEndPercent      = 90
-)
-
-// drain goes in order: out of the directory at once, the door open until
-// clients have moved, then closed, and what runs is finished.
-func (r *Router) drain(top scope.Scope) {
-	grace := settings.Seconds(top.Settings.Bounds.GraceS)
-	begin := top.Now()
-	opened := r.startDraining()
-	r.daemon.GossipNow(top)
-	r.proxy.Drain(begin.Add(acceptWhileDraining))
+// drain ends the router in order: out of the directory at once, the listener
+// open until clients have moved, then closed, and requests in flight completed
+// within the grace period.
+func (r *Router) drain(ctx context.Context) {
+	grace := settings.Seconds(r.settings.Bounds.GraceS)
+	startedAt := r.clock.Now()
+	endpoint := r.startDraining()
+	r.daemon.GossipNow(r.scope.WithContext(ctx))
+	r.proxy.Drain(startedAt.Add(acceptWhileDraining))
 	r.proxy.CloseIdle()
-	// Clients hold an answer of the directory for up to three times its time.
-	moving := min(4*settings.Seconds(min(1, top.Settings.Bounds.TTLMaxS)), grace*listenerClosePercent/100)
-	top.Wait(moving)
-	if opened != nil {
-		_ = opened.listener.Close()
-		closing, release := top.WithTimeout(grace*drainEndPercent/100 - top.Now().Since(begin))
-		r.proxy.CloseIdle()
-		r.proxy.AwaitIdle(closing)
-		release()
-		_ = opened.server.Close()
+	moving := directoryTTLFactor * settings.Seconds(min(maxDirectoryTTL, r.settings.Bounds.TTLMaxS))
+	clock.Wait(ctx, r.clock, min(moving, grace*listenerClosePercent/100))
+	if endpoint != nil {
+		r.closeEndpoint(ctx, endpoint, grace*drainEndPercent/100-r.clock.Now().Since(startedAt))
 	}
-	r.daemon.Leave(top)
-	top.Wait(r.timing.Probe.AckTimeout)
+	r.daemon.Leave(r.scope.WithContext(ctx))
+	clock.Wait(ctx, r.clock, r.timing.Probe.AckTimeout)
+}
+
+// closeEndpoint closes the listener, completes requests in flight within the
+// time-out, and cuts the rest.
+func (r *Router) closeEndpoint(ctx context.Context, endpoint *clientEndpoint, timeout clock.Span) {
+	_ = endpoint.listener.Close()
+	ctx, cancel := r.clock.WithTimeout(ctx, timeout)
+	defer cancel()
+	r.proxy.CloseIdle()
+	r.proxy.AwaitIdle(ctx)
+	_ = endpoint.server.Close()
 }
--- a/data/router/health.go
+++ b/data/router/health.go
@@ -1,8 +1,11 @@
 package router
 
 import (
+	"context"
+	"math/rand/v2"
 	"net/http"
 	"strconv"
+	"sync"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -15,7 +18,7 @@
 	"onyxwell/data/upstream"
 )
 
-// healthRequest asks a runner whether it is well.
+// healthRequest is a health check of a runner.
 type healthRequest struct{ path string }
 
 // Outgoing makes the call.
@@ -23,103 +26,168 @@
 	return httpcall.Outgoing{Method: http.MethodGet, Path: h.path}
 }
 
-// healthReport is what a runner said of itself.
+// healthReport is a runner's answer to a health check.
 type healthReport struct {
-	runnerID   ids.RunnerID
+	runnerID   ids.RunnerID // "" where it does not say
 	warmupLeft clock.Span
 	unhealthy  bool
 }
 
-// Hear takes a well runner, or one that is only full, for alive.
-func (h *healthReport) Hear(heard httpcall.RawResponse) error {
-	full := heard.Status == http.StatusServiceUnavailable && heard.Header.Get(response.NotRunHeader) != ""
-	h.unhealthy = heard.Status != http.StatusOK && !full
-	h.runnerID = ids.RunnerID(heard.Header.Get(upstream.RunnerIDHeader))
-	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.WarmupHeader), 64); err == nil {
-		h.warmupLeft = settings.Milliseconds(left)
+// Hear reads the answer. A runner that is only full is healthy.
+func (h *healthReport) Hear(resp httpcall.RawResponse) error {
+	full := resp.Status == http.StatusServiceUnavailable && resp.Header.Get(response.NotRunHeader) != ""
+	h.unhealthy = resp.Status != http.StatusOK && !full
+	h.runnerID = ids.RunnerID(resp.Header.Get(upstream.RunnerIDHeader))
+	if ms, err := strconv.ParseFloat(resp.Header.Get(upstream.WarmupHeader), 64); err == nil {
+		h.warmupLeft = settings.Milliseconds(ms)
 	}
 	return nil
 }
 
-// checksPerConnectTimeout is how many looks at doubted runners and at what is reachable
-// there are in the time for connecting.
-const checksPerConnectTimeout = 8
+const (
+	// checksPerConnectTimeout is how often, in a time-out for connecting, probes
+	// are looked for that are due, and whether this router reaches all services.
+	checksPerConnectTimeout = 8
+	// degradedChecks is after how many checks in a row that miss a service the
+	// router is degraded: a moment without runners is no reason to send clients
+	// elsewhere.
+	degradedChecks = checksPerConnectTimeout / 2
+	// firstProbeDivisor says after which part of the time-out for connecting a
+	// runner or zone is probed again, as 1/firstProbeDivisor.
+	firstProbeDivisor = 4
+)
 
-// probeSuspects tests runners that broke down until they are well again, and tells
-// the directory when this router reaches no runner for some route.
+// probeSuspects probes suspected runners and lost zones until they answer, and
+// announces the router as degraded while it reaches no runner of some service.
+// It returns once the context has ended and all probes with it.
 func (r *Router) probeSuspects(ctx scope.Scope) error {
-	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: r.timing.ConnectTimeout, UserTimeout: r.timing.PeerTimeout}, IdleTimeout: r.timing.ConnectTimeout, MaxIdlePerHost: 1})
-	unable, reached := 0, false
-	for ctx.Wait(r.timing.ConnectTimeout / checksPerConnectTimeout) {
-		now := ctx.Now()
-		r.probeLostZones(ctx, client)
-		for _, id := range r.stats.DueProbes(now, r.timing.ConnectTimeout/4) {
-			go r.probeSuspect(ctx, client, id)
+	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: r.dialer(), IdleTimeout: r.timing.ConnectTimeout, MaxIdlePerHost: 1})
+	firstInterval := r.timing.ConnectTimeout / firstProbeDivisor
+	var probes sync.WaitGroup
+	defer probes.Wait()
+	failedChecks, reached := 0, false
+	for clock.Wait(ctx, r.clock, r.timing.ConnectTimeout/checksPerConnectTimeout) {
+		now, current := r.clock.Now(), r.snapshots.Current()
+		r.lostZones.update(current.LostZones, now)
+		for _, zone := range r.lostZones.dueProbes(now, firstInterval) {
+			for _, runner := range sampleRunners(current, zone) {
+				probes.Go(func() { r.probeZone(ctx, client, runner) })
+			}
+		}
+		for _, id := range r.stats.DueProbes(now, firstInterval) {
+			probes.Go(func() { r.probeSuspect(ctx, client, id) })
 		}
 		if r.reachesAllServices(now) {
-			unable, reached = 0, true
+			failedChecks, reached = 0, true
 		} else if reached {
-			// Before that the list of runners may not be whole yet.
-			unable++
+			// Before that the list of runners may be incomplete.
+			failedChecks++
 		}
-		// A moment without runners is no reason to send visitors away.
-		r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Degraded = unable > checksPerConnectTimeout/2 })
+		r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Degraded = failedChecks > degradedChecks })
 	}
 	return nil
 }
 
-// checkHealth asks a runner of a configured service whether it is well.
-func (r *Router) checkHealth(ctx scope.Scope, client *http.Client, seen *snapshot.Snapshot, runner *snapshot.Runner) (healthReport, error) {
-	short, release := ctx.WithTimeout(r.timing.ConnectTimeout)
-	defer release()
-	return httpcall.Do[healthReport](short, client, runner.Address, healthRequest{path: seen.Config.Service(runner.Service).HealthPath})
+// checkHealth sends a health check to a runner of a configured service.
+func (r *Router) checkHealth(ctx context.Context, client *http.Client, current *snapshot.Snapshot, runner *snapshot.Runner) (healthReport, error) {
+	ctx, cancel := r.clock.WithTimeout(ctx, r.timing.ConnectTimeout)
+	defer cancel()
+	request := healthRequest{path: current.Config.Service(runner.Service).HealthPath}
+	return httpcall.Do[healthReport](r.scope.WithContext(ctx), client, runner.Address, request)
 }
 
-func (r *Router) probeSuspect(ctx scope.Scope, client *http.Client, id ids.RunnerID) {
-	seen := r.snapshots.Current()
-	runner := seen.Find(id)
-	if runner == nil || seen.Config == nil || seen.Config.Service(runner.Service) == nil {
+// isConfigured returns whether a runner's service is in the configuration in
+// force.
+func isConfigured(current *snapshot.Snapshot, runner *snapshot.Runner) bool {
+	return current.Config != nil && current.Config.Service(runner.Service) != nil
+}
+
+// probeSuspect checks a suspected runner and clears it where it is healthy; one
+// that says again and again that it is not is cleared too, so that requests
+// decide.
+func (r *Router) probeSuspect(ctx context.Context, client *http.Client, id ids.RunnerID) {
+	current := r.snapshots.Current()
+	runner := current.Find(id)
+	if runner == nil || !isConfigured(current, runner) {
 		r.stats.Unlist(id)
 		return
 	}
-	told, err := r.checkHealth(ctx, client, seen, runner)
-	if err != nil || (told.runnerID != "" && told.runnerID != id) {
+	report, err := r.checkHealth(ctx, client, current, runner)
+	if err != nil || (report.runnerID != "" && report.runnerID != id) {
 		return
 	}
-	if told.unhealthy && (told.runnerID != id || !r.stats.RecordUnhealthy(id)) {
+	if report.unhealthy && (report.runnerID != id || !r.stats.RecordUnhealthy(id)) {
 		return
 	}
-	now := ctx.Now()
-	if told.warmupLeft > 0 {
-		r.slowStart.Extend(id, now.Add(told.warmupLeft), now)
+	now := r.clock.Now()
+	if report.warmupLeft > 0 {
+		r.slowStart.Extend(id, now.Add(report.warmupLeft), now)
 	}
 	r.stats.ClearSuspicion(id, now)
 }
 
-// reachesAllServices tells whether every service that has routes has a runner that can be
-// sent to now.
+// sampleRunners draws a runner of each service in a zone.
+func sampleRunners(current *snapshot.Snapshot, zone ids.Zone) []*snapshot.Runner {
+	var sample []*snapshot.Runner
+	for _, runners := range current.Runners {
+		var available []*snapshot.Runner
+		for _, runner := range runners {
+			if runner.Zone == zone && current.Available(runner) {
+				available = append(available, runner)
+			}
+		}
+		if len(available) > 0 {
+			sample = append(sample, available[rand.N(len(available))])
+		}
+	}
+	return sample
+}
+
+// probeZone checks a runner of a lost zone; where it is healthy, the zone is
+// used again. Where it restarted, all of its service in the zone start slowly
+// for as long as it does.
+func (r *Router) probeZone(ctx context.Context, client *http.Client, runner *snapshot.Runner) {
+	current := r.snapshots.Current()
+	if !isConfigured(current, runner) {
+		return
+	}
+	report, err := r.checkHealth(ctx, client, current, runner)
+	if err != nil || report.unhealthy {
+		return
+	}
+	now := r.clock.Now()
+	for _, peer := range current.Runners[runner.Service] {
+		if peer.Zone == runner.Zone && report.warmupLeft > 0 {
+			r.slowStart.Extend(peer.ID, now.Add(report.warmupLeft), now)
+		}
+	}
+	r.lostZones.remove(runner.Zone)
+}
+
+// reachesAllServices returns whether every service that routes send to has a
+// runner that can get requests now.
 func (r *Router) reachesAllServices(now clock.Instant) bool {
-	seen := r.snapshots.Current()
-	if seen.Config == nil || seen.Runners == nil {
+	current := r.snapshots.Current()
+	if current.Config == nil || current.Runners == nil {
 		return true
 	}
-	wanted := map[ids.Service]bool{}
-	for index := range seen.Config.Routes {
-		for _, part := range seen.Config.Routes[index].WeightedServices() {
-			wanted[part.Service] = wanted[part.Service] || part.Weight > 0
+	routed := map[ids.Service]bool{}
+	for i := range current.Config.Routes {
+		for _, weighted := range current.Config.Routes[i].WeightedServices() {
+			routed[weighted.Service] = routed[weighted.Service] || weighted.Weight > 0
 		}
 	}
-	for service, any := range wanted {
-		if any && !r.reachesService(seen, service, now) {
+	for service, ok := range routed {
+		if ok && !r.reachesService(current, service, now) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Router) reachesService(seen *snapshot.Snapshot, service ids.Service, now clock.Instant) bool {
-	for _, runner := range seen.Runners[service] {
-		if seen.Available(runner) && !r.lostZones.contains(runner.Zone) && !r.stats.State(runner.ID).Suspect && r.stats.SilentFor(runner.ID, now) < r.timing.ConnectTimeout {
+func (r *Router) reachesService(current *snapshot.Snapshot, service ids.Service, now clock.Instant) bool {
+	for _, runner := range current.Runners[service] {
+		if current.Available(runner) && !r.lostZones.contains(runner.Zone) && !r.stats.State(runner.ID).Suspect && r.stats.SilentFor(runner.ID, now) < r.timing.ConnectTimeout {
 			return true
 		}
 	}
--- a/data/router/lostzones.go
+++ b/data/router/lostzones.go
@@ -1,139 +1,93 @@
 package router
 
 import (
-	"math/rand/v2"
-	"net/http"
 	"sync"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
-	"onyxwell/data/snapshot"
 )
 
-// lostZoneTracker are the zones whose runners this router leaves alone, because nobody
-// there answers its own zone's relay. One runner of each service is tested now and
-// then: once one answers, the zone is used again, though it may still be told as
-// lost. So the tests of a zone do not grow with its runners.
+// lostZoneTracker knows the zones whose runners this router avoids, because no
+// member there answers its own zone's relay. One runner of each service there is
+// probed now and then: once one answers, the zone is used again, though it may
+// still be reported as lost. So the probes of a zone do not grow with its
+// runners. The zero value tracks nothing yet; methods may be called at the same
+// time.
 type lostZoneTracker struct {
-	mu       sync.Mutex
-	zones    map[ids.Zone]*lostZone
+	mu    sync.Mutex
+	zones map[ids.Zone]*lostZone
+	// reported are the zones of the last update.
 	reported map[ids.Zone]bool
 }
 
 type lostZone struct {
 	nextProbe clock.Instant
 	probes    int
-	// recoveredAt is since when the zone is told as lost no more.
+	// recoveredAt is since when the zone is reported as lost no more; 0 while it is.
 	recoveredAt clock.Instant
 }
 
 const (
-	// maxBackoffDoublings is how often the pause between two tests of a zone doubles.
+	// maxBackoffDoublings is how often the time between two probes of a zone
+	// doubles.
 	maxBackoffDoublings = 2
-	// recoveryTimeout is how long a zone that is told as lost no more may be silent
-	// before its runners are tried with requests all the same.
+	// recoveryTimeout is how long a zone that is reported as lost no more may be
+	// silent before its runners get requests all the same.
 	recoveryTimeout = 5 * clock.Second
 )
 
-// contains tells whether a zone's runners are left alone.
-func (l *lostZoneTracker) contains(zone ids.Zone) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.zones[zone] != nil
+// contains returns whether a zone's runners are avoided.
+func (t *lostZoneTracker) contains(zone ids.Zone) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.zones[zone] != nil
 }
 
-// update takes over which zones are told as lost.
-func (l *lostZoneTracker) update(told map[ids.Zone]bool, now clock.Instant) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.zones == nil {
-		l.zones = map[ids.Zone]*lostZone{}
+// update takes over which zones are reported as lost. A zone is avoided from its
+// first report on; while it stays reported, one that was removed is not again.
+func (t *lostZoneTracker) update(reported map[ids.Zone]bool, now clock.Instant) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.zones == nil {
+		t.zones = map[ids.Zone]*lostZone{}
 	}
-	for zone := range told {
-		if !l.reported[zone] {
-			l.zones[zone] = &lostZone{nextProbe: now}
+	for zone := range reported {
+		if !t.reported[zone] {
+			t.zones[zone] = &lostZone{nextProbe: now}
 		}
 	}
-	for zone, known := range l.zones {
+	for zone, lost := range t.zones {
 		switch {
-		case told[zone]:
-			known.recoveredAt = 0
-		case known.recoveredAt == 0:
-			known.recoveredAt, known.probes, known.nextProbe = now, 0, now
-		case now.Since(known.recoveredAt) > recoveryTimeout:
-			delete(l.zones, zone)
+		case reported[zone]:
+			lost.recoveredAt = 0
+		case lost.recoveredAt == 0:
+			lost.recoveredAt, lost.probes, lost.nextProbe = now, 0, now
+		case now.Since(lost.recoveredAt) > recoveryTimeout:
+			delete(t.zones, zone)
 		}
 	}
-	l.reported = told
+	t.reported = reported
 }
 
-// dueProbes gives the zones whose next test is due, and puts the one after it off.
-func (l *lostZoneTracker) dueProbes(now clock.Instant, first clock.Span) []ids.Zone {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// dueProbes returns the zones to probe now, and schedules their next probes with
+// exponential backoff from the first interval.
+func (t *lostZoneTracker) dueProbes(now clock.Instant, firstInterval clock.Span) []ids.Zone {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var due []ids.Zone
-	for zone, known := range l.zones {
-		if !now.Before(known.nextProbe) {
+	for zone, lost := range t.zones {
+		if !now.Before(lost.nextProbe) {
 			due = append(due, zone)
-			known.nextProbe = now.Add(first << min(known.probes, maxBackoffDoublings))
-			known.probes++
+			lost.nextProbe = now.Add(firstInterval << min(lost.probes, maxBackoffDoublings))
+			lost.probes++
 		}
 	}
 	return due
 }
 
-// remove ends the loss of a zone.
-func (l *lostZoneTracker) remove(zone ids.Zone) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.zones, zone)
-}
-
-// probeLostZones looks after the lost zones.
-func (r *Router) probeLostZones(ctx scope.Scope, client *http.Client) {
-	seen, now := r.snapshots.Current(), ctx.Now()
-	r.lostZones.update(seen.LostZones, now)
-	for _, zone := range r.lostZones.dueProbes(now, r.timing.ConnectTimeout/4) {
-		for _, runner := range sampleRunners(seen, zone) {
-			go r.probeZone(ctx, client, runner)
-		}
-	}
-}
-
-// sampleRunners draws a runner of each service in a zone.
-func sampleRunners(seen *snapshot.Snapshot, zone ids.Zone) []*snapshot.Runner {
-	var drawn []*snapshot.Runner
-	for _, runners := range seen.Runners {
-		var there []*snapshot.Runner
-		for _, runner := range runners {
-			if runner.Zone == zone && seen.Available(runner) {
-				there = append(there, runner)
-			}
-		}
-		if len(there) > 0 {
-			drawn = append(drawn, there[rand.N(len(there))])
-		}
-	}
-	return drawn
-}
-
-// probeZone asks a runner of a lost zone whether it is there. Where it started anew,
-// all of its service in the zone count as cold for as long as it does.
-func (r *Router) probeZone(ctx scope.Scope, client *http.Client, runner *snapshot.Runner) {
-	seen := r.snapshots.Current()
-	if seen.Config == nil || seen.Config.Service(runner.Service) == nil {
-		return
-	}
-	told, err := r.checkHealth(ctx, client, seen, runner)
-	if err != nil || told.unhealthy {
-		return
-	}
-	now := ctx.Now()
-	for _, mate := range seen.Runners[runner.Service] {
-		if mate.Zone == runner.Zone && told.warmupLeft > 0 {
-			r.slowStart.Extend(mate.ID, now.Add(told.warmupLeft), now)
-		}
-	}
-	r.lostZones.remove(runner.Zone)
+// remove has a zone's runners be used again.
+func (t *lostZoneTracker) remove(zone ids.Zone) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.zones, zone)
 }
--- a/data/router/lostzones_test.go
+++ b/data/router/lostzones_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"net/http"
 	"net/http/httptest"
 	"slices"
@@ -11,7 +12,6 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/discovery"
 	"onyxwell/control/gossip"
 	"onyxwell/control/membership/zonesummary"
@@ -19,73 +19,72 @@
 	"onyxwell/data/slowstart"
 )
 
-// reportLostZones has the router be told which zones are lost.
-func reportLostZones(r *Router, serial ids.Serial, zones ...ids.Zone) {
+// reportLostZones reports zones as lost to a router.
+func reportLostZones(r *Router, version ids.Serial, zones ...ids.Zone) {
 	body, _ := transport.Marshal(zonesummary.LostZones{Zones: zones})
-	r.snapshots.Apply(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: serial, Body: body})
+	r.snapshots.Apply(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
 }
 
 func TestLostZones_avoidedUntilRunnerAnswers(t *testing.T) {
 	var down atomic.Bool
 	down.Store(true)
-	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if down.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		writer.Header().Set("Onyxwell-Cold-Ms", "500")
+		w.Header().Set("Onyxwell-Cold-Ms", "500")
 	}))
 	defer server.Close()
 	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
-	r, machine := newRouter(t,
+	r, fakeClock := newRouter(t,
 		discovery.Runner{ID: "near", Service: "s", Zone: "n", Address: address},
 		discovery.Runner{ID: "far", Service: "s", Zone: "s", Address: address},
-		discovery.Runner{ID: "mate", Service: "s", Zone: "s", Address: address})
-	r.slowStart.Update([]slowstart.Runner{{ID: "near"}, {ID: "far"}, {ID: "mate"}}, 0, machine.Now())
+		discovery.Runner{ID: "peer", Service: "s", Zone: "s", Address: address})
+	r.slowStart.Update([]slowstart.Runner{{ID: "near"}, {ID: "far"}, {ID: "peer"}}, 0, fakeClock.Now())
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
-	top := scope.New(scope.Options{Clock: machine})
-	test := func() {
-		r.lostZones.update(r.snapshots.Current().LostZones, machine.Now())
-		for _, zone := range r.lostZones.dueProbes(machine.Now(), clock.Second) {
+	probe := func() {
+		r.lostZones.update(r.snapshots.Current().LostZones, fakeClock.Now())
+		for _, zone := range r.lostZones.dueProbes(fakeClock.Now(), clock.Second) {
 			for _, runner := range sampleRunners(r.snapshots.Current(), zone) {
-				r.probeZone(top, client, runner)
+				r.probeZone(context.Background(), client, runner)
 			}
 		}
 	}
-	test()
+	probe()
 	reportLostZones(r, 1, "s")
-	if test(); !r.lostZones.contains("s") || r.lostZones.contains("n") {
-		t.Fatal("not the lost zone is left alone")
+	if probe(); !r.lostZones.contains("s") || r.lostZones.contains("n") {
+		t.Fatal("not the lost zone is avoided")
 	}
 	down.Store(false)
-	if test(); !r.lostZones.contains("s") {
-		t.Fatal("tested again at once")
+	if probe(); !r.lostZones.contains("s") {
+		t.Fatal("probed again at once")
 	}
-	machine.Advance(4 * clock.Second)
-	if test(); r.lostZones.contains("s") {
-		t.Fatal("a zone whose runners answer is left alone for ever")
+	fakeClock.Advance(4 * clock.Second)
+	if probe(); r.lostZones.contains("s") {
+		t.Fatal("a zone whose runners answer is avoided for ever")
 	}
-	for id, want := range map[ids.RunnerID]bool{"far": true, "mate": true, "near": false} {
-		if cold := r.slowStart.Active(id, machine.Now()); cold != want {
-			t.Errorf("%s: cold %v", id, cold)
+	for id, want := range map[ids.RunnerID]bool{"far": true, "peer": true, "near": false} {
+		if warming := r.slowStart.Active(id, fakeClock.Now()); warming != want {
+			t.Errorf("%s: warming up %v", id, warming)
 		}
 	}
-	if test(); r.lostZones.contains("s") {
-		t.Fatal("a zone that was found is lost again, though it was not told anew")
+	if probe(); r.lostZones.contains("s") {
+		t.Fatal("a zone that recovered is avoided again, though it was not reported anew")
 	}
 	reportLostZones(r, 2)
-	test()
+	probe()
 	down.Store(true)
 	reportLostZones(r, 3, "s")
-	if test(); !r.lostZones.contains("s") {
+	if probe(); !r.lostZones.contains("s") {
 		t.Fatal("a second loss does not count")
 	}
 	reportLostZones(r, 4)
-	if test(); !r.lostZones.contains("s") {
+	if probe(); !r.lostZones.contains("s") {
 		t.Fatal("a zone is used before anything there answered")
 	}
-	machine.Advance(recoveryTimeout + 1)
-	if test(); r.lostZones.contains("s") {
-		t.Fatal("a zone that is told as lost no more is left alone for ever")
+	fakeClock.Advance(recoveryTimeout + 1)
+	if probe(); r.lostZones.contains("s") {
+		t.Fatal("a zone that is reported as lost no more is avoided for ever")
 	}
 }
 
@@ -94,14 +93,14 @@
 	for _, id := range []ids.RunnerID{"a", "b", "c", "d"} {
 		runners = append(runners, discovery.Runner{ID: id, Service: "s", Zone: "s"})
 	}
-	r, machine := newRouter(t, runners...)
-	r.lostZones.update(map[ids.Zone]bool{"s": true}, machine.Now())
+	r, fakeClock := newRouter(t, runners...)
+	r.lostZones.update(map[ids.Zone]bool{"s": true}, fakeClock.Now())
 	var tests []int
 	for range 4 {
-		for range r.lostZones.dueProbes(machine.Now(), clock.Second) {
+		for range r.lostZones.dueProbes(fakeClock.Now(), clock.Second) {
 			tests = append(tests, len(sampleRunners(r.snapshots.Current(), "s")))
 		}
-		machine.Advance(2 * clock.Second)
+		fakeClock.Advance(2 * clock.Second)
 	}
 	if !slices.Equal(tests, []int{1, 1, 1}) {
 		t.Fatalf("runners tested: %v", tests)
--- a/data/router/report.go
+++ b/data/router/report.go
@@ -1,34 +1,39 @@
 package router
 
 import (
+	"sync"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
 )
 
 const (
-	// samplesPerReport is how often the running requests are counted for one report.
-	samplesPerReport = 3
 	// reportInterval is the time between two reports.
 	reportInterval = clock.Second / 2
+	// samplesPerReport is how often the requests in flight are counted for a report.
+	samplesPerReport = 3
 )
 
-// sendReports sends what this router saw of the runners up to its zone's relay.
+// sendReports sends what this router measured of runners to its zone's relay
+// until the context ends.
 func (r *Router) sendReports(ctx scope.Scope) error {
-	last := ctx.Now()
-	for turn := 1; ctx.Wait(reportInterval / samplesPerReport); turn++ {
+	var sending sync.WaitGroup
+	defer sending.Wait()
+	last := r.clock.Now()
+	for sample := 1; clock.Wait(ctx, r.clock, reportInterval/samplesPerReport); sample++ {
 		r.stats.SampleInFlight()
-		if turn%samplesPerReport != 0 {
+		if sample%samplesPerReport != 0 {
 			continue
 		}
-		now := ctx.Now()
-		asked := r.stats.TakeReport(now, now.Since(last))
-		asked.From, asked.Region = r.daemon.Address, ctx.Settings.Region
-		if !ctx.Settings.Grouping {
+		now := r.clock.Now()
+		report := r.stats.TakeReport(now, now.Since(last))
+		report.From, report.Region = r.daemon.Address, r.settings.Region
+		if !r.settings.Grouping {
 			// Only grouping by length needs them.
-			asked.Lengths = nil
+			report.Lengths = nil
 		}
 		last = now
-		go r.daemon.Report(ctx, asked)
+		sending.Go(func() { r.daemon.Report(ctx, report) })
 	}
 	return nil
 }
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -1,19 +1,19 @@
-// Package router is the data plane's daemon: it carries clients' requests to
-// model runners, on every edge machine, and keeps no durable state.
+// Package router is the daemon of the data plane: it carries clients' requests
+// to model runners, on every edge machine, and keeps no durable state.
+//
+// A router is ready only with a configuration and a list of runners that are
+// confirmed as the newest, and never again once it drains.
 package router
 
 import (
 	"context"
-	"errors"
-	"net"
-	"net/http"
+	"math/rand/v2"
 	"sync"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/errkind"
 	"onyxwell/base/httpcall"
+	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
-	"onyxwell/base/response"
 	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/daemon"
@@ -30,14 +30,18 @@
 // Role is the routers' name in the deploy file and among members.
 const Role = "router"
 
-// Options are what a router stands on.
+// Options are what a Router is made from.
 type Options struct {
-	// Network is the machine's own where none is given.
+	// Network is the machine's own where it is nil.
 	Network daemon.Network
 }
 
-// Router is the daemon put together.
+// Router is a router's daemon, put together by New.
 type Router struct {
+	clock    clock.Clock
+	settings *settings.Settings
+	// scope is for calls that take one; its context is not used.
+	scope     scope.Scope
 	daemon    *daemon.Daemon
 	timing    daemon.Timing
 	snapshots *snapshot.Store
@@ -46,164 +50,130 @@
 	lostZones lostZoneTracker
 	readIndex *readindex.Gate
 	proxy     *proxy.Proxy
-	mu        sync.Mutex
-	// endpoint is what clients come through, once there is one; leaving says that
-	// the router leaves.
+
+	mu sync.Mutex
+	// endpoint is nil until the router is ready for the first time.
 	endpoint *clientEndpoint
 	draining bool
 }
 
-// Run runs the router until the scope ends, then leaves in order.
-func (r *Router) Run(top scope.Scope, reread <-chan *settings.Settings) error {
-	running, end := context.WithCancel(context.Background())
-	defer end()
-	ended := make(chan error, 1)
-	go func() { ended <- r.daemon.Run(running) }()
-	for {
-		select {
-		case fresh := <-reread:
-			r.daemon.Reload(fresh)
-		case err := <-ended:
-			return err
-		case <-top.Done():
-			r.drain(top.WithoutCancel())
-			return nil
-		}
-	}
-}
+const (
+	// upstreamIdleFactor is how long idle connections to runners are kept, in peer
+	// time-outs, where the runner does not say.
+	upstreamIdleFactor = 8
+	// idlePerHostDivisor says which part of the descriptors idle connections to one
+	// runner may take, as 1/idlePerHostDivisor.
+	idlePerHostDivisor = 64
+)
 
-// New puts a router together.
+// New returns a router that does nothing until Run.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
-	r := &Router{timing: daemon.TimingOf(top.Settings), stats: runnerstats.New(), slowStart: slowstart.New(randomFloat)}
+	r := &Router{
+		clock: top.Clock, settings: top.Settings, scope: top,
+		timing: daemon.TimingOf(top.Settings), stats: runnerstats.New(), slowStart: slowstart.New(rand.Float64),
+	}
 	view := daemon.NewView(top)
 	r.snapshots = snapshot.NewStore(snapshot.Options{
-		Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region, View: view, OnRunners: r.updateSlowStart(top), Monitor: monitor,
+		Clock: r.clock, Zones: r.settings.Zones, Region: r.settings.Region, View: view, OnRunners: r.updateSlowStart, Monitor: monitor,
 	})
 	var err error
 	r.daemon, err = daemon.New(top, daemon.Options{Role: Role, OnUpdate: r.snapshots.Apply, View: view, Network: options.Network, Monitor: monitor})
 	if err != nil {
 		return nil, err
 	}
-	tries := retrybudget.New(r.retryBudgetOptions(top))
-	gate := balancer.New(balancer.Options{
-		Scope: top, Snapshots: r.snapshots, Stats: r.stats, RetryBudget: tries, SlowStart: r.slowStart,
-		Region: top.Settings.Region, SlowStartSharers: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: randomFloat,
-	})
-	sender := upstream.NewClient(upstream.Options{
-		Clock: top.Clock, Dialing: httpcall.Dialer{Timeout: r.timing.ConnectTimeout, UserTimeout: r.timing.PeerTimeout},
-		IdleTimeout: 8 * r.timing.PeerTimeout, MaxIdlePerHost: top.Settings.Limits.OpenFiles / 64,
-	})
 	r.proxy = proxy.New(proxy.Options{
-		Scope: top, Snapshots: r.snapshots, Balancer: gate, Stats: r.stats, SlowStart: r.slowStart, Upstream: sender,
+		Scope: top, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
+		Balancer: balancer.New(balancer.Options{
+			Scope: top, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
+			RetryBudget: retrybudget.New(r.retryBudgetOptions()), Region: r.settings.Region,
+			SlowStartSharers: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: rand.Float64,
+		}),
+		Upstream: upstream.NewClient(upstream.Options{
+			Clock: r.clock, Dialing: r.dialer(),
+			IdleTimeout: upstreamIdleFactor * r.timing.PeerTimeout, MaxIdlePerHost: r.settings.Limits.OpenFiles / idlePerHostDivisor,
+		}),
 		Metrics: r.daemon.Metrics, Monitor: r.daemon.Monitor,
 	})
 	r.readIndex = r.daemon.NewReadIndexGate(r.snapshots.Ready(), r.configVersion)
 	r.daemon.Metrics.GaugeFunc("config_version", "Version of the configuration that this router acts on.", nil, func() float64 { return float64(r.configVersion()) })
 	r.daemon.Metrics.GaugeFunc("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.proxy.InFlight()) })
-	r.addServices(top)
+	r.addServices()
 	return r, nil
 }
 
-// retryBudgetOptions is what this router may spend on further tries. A process before this
-// one may have spent its part of the extra just now, unless all starts for the
-// first time.
-func (r *Router) retryBudgetOptions(top scope.Scope) retrybudget.Options {
-	bounds := top.Settings.Bounds
-	options := retrybudget.Options{
-		Ratio: bounds.RetryRatio, Reserve: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Routers: r.routerCount,
-	}
-	if !top.Settings.FirstStart {
-		options.ReserveFrom = top.Now().Add(options.Window)
+// Run runs the router until the context ends, then drains it. Settings that
+// come over reloaded are taken over while it runs.
+func (r *Router) Run(ctx context.Context, reloaded <-chan *settings.Settings) error {
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	ended := make(chan error, 1)
+	go func() { ended <- r.daemon.Run(running) }()
+	for {
+		select {
+		case fresh := <-reloaded:
+			r.daemon.Reload(fresh)
+		case err := <-ended:
+			return err
+		case <-ctx.Done():
+			r.drain(context.WithoutCancel(ctx))
+			return nil
+		}
 	}
-	return options
 }
 
-// routerCount is how many routers there could be.
-func (r *Router) routerCount() int { return r.daemon.Zones.RouterCount() }
-
-// updateSlowStart keeps the warmth of runners up with each new list.
-func (r *Router) updateSlowStart(top scope.Scope) func(*snapshot.Snapshot) {
-	lag := settings.Milliseconds(top.Settings.Platform.MaxLagMS)
-	return func(seen *snapshot.Snapshot) {
-		var entries []slowstart.Runner
-		for name, runners := range seen.Runners {
-			warmup := clock.Span(0)
-			if seen.Config != nil && seen.Config.Service(name) != nil {
-				warmup = settings.Seconds(seen.Config.Service(name).WarmupSeconds)
-			}
-			for _, runner := range runners {
-				entries = append(entries, slowstart.Runner{
-					ID: runner.ID, Remaining: settings.Milliseconds(float64(runner.WarmupLeftMS)), Warmup: warmup,
-				})
-			}
-		}
-		r.slowStart.Update(entries, lag, top.Now())
-	}
+func (r *Router) addServices() {
+	r.daemon.AddService("readiness", r.serveReadiness)
+	r.daemon.AddOneShot("readindex", r.readIndex.Run)
+	r.daemon.AddService("front", r.serveClients)
+	r.daemon.AddService("report", r.sendReports)
+	r.daemon.AddService("doubts", r.probeSuspects)
 }
 
-func (r *Router) addServices(top scope.Scope) {
-	common := r.daemon
-	common.AddService("readiness", func(ctx scope.Scope) error {
-		return common.ServeHTTP(ctx, top.Settings.Listen["readiness"], http.HandlerFunc(r.handleReadiness))
-	})
-	common.AddOneShot("readindex", r.readIndex.Run)
-	common.AddService("front", r.serveClients)
-	common.AddService("report", r.sendReports)
-	common.AddService("doubts", r.probeSuspects)
+func (r *Router) dialer() httpcall.Dialer {
+	return httpcall.Dialer{Timeout: r.timing.ConnectTimeout, UserTimeout: r.timing.PeerTimeout}
 }
 
-func (r *Router) handleReadiness(writer http.ResponseWriter, request *http.Request) {
-	if request.URL.Path != "/ready" {
-		response.FromKind(errkind.UnknownCall, request.URL.Path).Send(writer)
-		return
-	}
-	if !r.daemon.Membership.Self().Ready {
-		response.FromKind(errkind.NotReady, "the version is "+r.readIndex.State()).Send(writer)
-		return
+// retryBudgetOptions are this router's share of the retry budget. A process
+// before this one may have spent its part of the reserve just now, unless the
+// whole deployment starts for the first time.
+func (r *Router) retryBudgetOptions() retrybudget.Options {
+	bounds := r.settings.Bounds
+	options := retrybudget.Options{
+		Ratio: bounds.RetryRatio, Reserve: bounds.RetryExtra, Window: settings.Seconds(bounds.RetryWindowS), Routers: r.routerCount,
 	}
-	if state := r.readIndex.State(); state != readindex.Confirmed {
-		response.Raw(http.StatusOK, "text/plain", []byte(state+"\n")).Send(writer)
-		return
+	if !r.settings.FirstStart {
+		options.ReserveFrom = r.clock.Now().Add(options.Window)
 	}
-	response.Empty(http.StatusOK).Send(writer)
+	return options
 }
 
-// serveClients takes visitors in once a spec and the runners are known, and the
-// spec is confirmed as the newest. The door
-// opens a little earlier: those who come while these are on their way wait in
-// the listener's queue rather than being turned off.
-func (r *Router) serveClients(ctx scope.Scope) error {
-	address := string(ctx.Settings.Listen["front"])
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		return err
+// routerCount returns how many routers there could be.
+func (r *Router) routerCount() int { return r.daemon.Zones.RouterCount() }
+
+// configVersion returns the version of the configuration that this router acts
+// on; 0 is none yet.
+func (r *Router) configVersion() ids.Serial {
+	if current := r.snapshots.Current(); current.Config != nil {
+		return current.Config.Version
 	}
-	defer func() { _ = listener.Close() }()
-	select {
-	case <-ctx.Done():
-		return nil
-	case <-r.readIndex.Ready():
-	case <-ctx.Clock.After(r.timing.ConnectTimeout):
-		_ = listener.Close()
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-r.readIndex.Ready():
+	return 0
+}
+
+// updateSlowStart takes over a new list of runners. It is called before the
+// list is acted on.
+func (r *Router) updateSlowStart(next *snapshot.Snapshot) {
+	var runners []slowstart.Runner
+	for name, listed := range next.Runners {
+		warmup := clock.Span(0)
+		if next.Config != nil && next.Config.Service(name) != nil {
+			warmup = settings.Seconds(next.Config.Service(name).WarmupSeconds)
 		}
-		if listener, err = net.Listen("tcp", address); err != nil {
-			return err
+		for _, runner := range listed {
+			runners = append(runners, slowstart.Runner{
+				ID: runner.ID, Remaining: settings.Milliseconds(float64(runner.WarmupLeftMS)), Warmup: warmup,
+			})
 		}
 	}
-	server := proxy.NewServer(r.proxy)
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
-	defer stop()
-	door := proxy.NewListener(r.proxy, listener)
-	r.becomeReady(&clientEndpoint{listener: door, server: server})
-	r.daemon.GossipNow(ctx)
-	if err := server.Serve(door); !errors.Is(err, http.ErrServerClosed) && !r.isDraining() {
-		return err
-	}
-	<-ctx.Done()
-	return nil
+	r.slowStart.Update(runners, settings.Milliseconds(r.settings.Platform.MaxLagMS), r.clock.Now())
 }
