--- a/data/snapshot/ejection_test.go
+++ b/data/snapshot/ejection_test.go
@@ -11,24 +11,24 @@
 )
 
 func TestEjected_expires(t *testing.T) {
-	machine := clock.NewFake()
-	frame := NewStore(Options{Clock: machine})
+	fakeClock := clock.NewFake()
+	store := NewStore(Options{Clock: fakeClock})
 	body, _ := transport.Marshal(outlier.Ejections{Runners: []outlier.Ejection{{Runner: "i", LeftMS: 1000}}})
-	frame.Apply(gossip.Item{Key: outlier.Key("z"), Version: 1, Body: body})
-	if !frame.Current().Ejected("i", machine.Now()) || frame.Current().Ejected("j", machine.Now()) {
-		t.Fatal("not the one that was told rests")
+	store.Apply(gossip.Item{Key: outlier.Key("z"), Version: 1, Body: body})
+	if !store.Current().Ejected("i", fakeClock.Now()) || store.Current().Ejected("j", fakeClock.Now()) {
+		t.Fatal("not the runner that was reported is ejected")
 	}
-	machine.Advance(1001 * clock.Millisecond)
-	if frame.Current().Ejected("i", machine.Now()) {
-		t.Fatal("a rest outlives its time though its relay is silent")
+	fakeClock.Advance(1001 * clock.Millisecond)
+	if store.Current().Ejected("i", fakeClock.Now()) {
+		t.Fatal("an ejection outlives its time while its relay is silent")
 	}
 	plan, _ := transport.Marshal(autoscaler.Routing{Runners: []autoscaler.RunnerWeight{{Runner: "k", Quarantined: true}}})
-	frame.Apply(gossip.Item{Key: autoscaler.RoutingKey, Version: 1, Body: plan})
-	if !frame.Current().Ejected("k", machine.Now()) {
-		t.Fatal("the plan's rest does not count")
+	store.Apply(gossip.Item{Key: autoscaler.RoutingKey, Version: 1, Body: plan})
+	if !store.Current().Ejected("k", fakeClock.Now()) {
+		t.Fatal("the plan's quarantine does not count")
 	}
-	frame.Apply(gossip.Item{Key: outlier.Key("z"), Version: 2, Body: []byte("broken")})
-	if !frame.Current().Ejected("k", machine.Now()) {
+	store.Apply(gossip.Item{Key: outlier.Key("z"), Version: 2, Body: []byte("broken")})
+	if !store.Current().Ejected("k", fakeClock.Now()) {
 		t.Fatal("a broken item changed something")
 	}
 }
--- a/data/snapshot/invariant_test.go
+++ b/data/snapshot/invariant_test.go
@@ -11,10 +11,10 @@
 
 func TestInvariants_countOlderVersion(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
-	frame := NewStore(Options{Clock: clock.NewFake(), Monitor: monitor})
-	for _, serial := range []ids.Serial{4, 5, 3} {
-		frame.update(func(next *Snapshot) bool {
-			next.Config = &config.Config{Version: serial}
+	store := NewStore(Options{Clock: clock.NewFake(), Monitor: monitor})
+	for _, version := range []ids.Serial{4, 5, 3} {
+		store.update(func(next *Snapshot) bool {
+			next.Config = &config.Config{Version: version}
 			return true
 		})
 	}
--- /dev/null
+++ b/data/snapshot/store.go
@@ -0,0 +1,234 @@
+package snapshot
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+
+	"onyxwell/base/clock"
+	"onyxwell/base/ids"
+	"onyxwell/base/invariant"
+	"onyxwell/control/config"
+	"onyxwell/control/config/evacuation"
+	"onyxwell/control/discovery"
+	"onyxwell/control/gossip"
+	"onyxwell/control/membership/zonesummary"
+	"onyxwell/control/outlier"
+	"onyxwell/control/planning/autoscaler"
+	"onyxwell/control/planning/lengthstats"
+)
+
+// Options are what a Store is made from.
+type Options struct {
+	Clock clock.Clock
+	// Zones are the regions of all zones, Region is the router's own.
+	Zones  map[ids.Zone]ids.Region
+	Region ids.Region
+	// View keeps the list of runners; nil is a new one.
+	View *discovery.View
+	// OnRunners is called with each snapshot that has a new list of runners, before
+	// it is current; nil is not called. It must not call the store.
+	OnRunners func(next *Snapshot)
+	// Monitor may be nil.
+	Monitor *invariant.Monitor
+}
+
+// Store holds the current snapshot. Its methods may be called at the same time.
+type Store struct {
+	options   Options
+	current   atomic.Pointer[Snapshot]
+	ready     chan struct{}
+	readyOnce sync.Once
+
+	// mu orders updates.
+	mu    sync.Mutex
+	zones map[ids.Zone]zoneRunners
+}
+
+// zoneRunners are a zone's runners, as made from its part of the list.
+type zoneRunners struct {
+	list    *discovery.ZoneList
+	runners []*Runner
+}
+
+// NewStore returns a store with an empty snapshot.
+func NewStore(options Options) *Store {
+	if options.OnRunners == nil {
+		options.OnRunners = func(*Snapshot) {}
+	}
+	if options.View == nil {
+		options.View = discovery.NewView(discovery.ViewOptions{Clock: options.Clock})
+	}
+	s := &Store{options: options, ready: make(chan struct{})}
+	s.current.Store(&Snapshot{})
+	return s
+}
+
+// Current returns the current snapshot, which is never nil.
+func (s *Store) Current() *Snapshot { return s.current.Load() }
+
+// Ready returns a channel that is closed once there are a configuration and a
+// list of runners.
+func (s *Store) Ready() <-chan struct{} { return s.ready }
+
+// Apply takes over an update that was gossiped; what can't be read changes
+// nothing. A gossip store calls it with versions of each key that only rise.
+func (s *Store) Apply(item gossip.Item) {
+	if s.options.View.Apply(item) {
+		s.update(s.applyRunners)
+	} else if apply := s.applierOf(item.Key); apply != nil {
+		s.update(func(next *Snapshot) bool { return apply(next, item.Body) })
+	}
+}
+
+// applier changes the next snapshot by an item's body; it returns whether there
+// is anything new.
+type applier func(next *Snapshot, body []byte) bool
+
+// applierOf returns what takes over the items of a key, nil where none does.
+func (s *Store) applierOf(key string) applier {
+	switch {
+	case key == config.Key:
+		return applyConfig
+	case key == autoscaler.RoutingKey:
+		return s.applyPlan
+	case strings.HasPrefix(key, gossip.ZonePrefix):
+		return s.applyEjections
+	case strings.HasPrefix(key, gossip.LostPrefix):
+		return applyLostZones
+	}
+	zone, ok := evacuation.ZoneFromKey(key)
+	if !ok {
+		return nil
+	}
+	return func(next *Snapshot, body []byte) bool { return applyEvacuation(next, zone, body) }
+}
+
+// ApplyRunners takes over a list of runners that was not gossiped.
+func (s *Store) ApplyRunners(list discovery.List) {
+	s.options.View.SetLocal(list)
+	s.update(s.applyRunners)
+}
+
+// update makes a changed copy of the snapshot current, unless change returns
+// false. A change must replace maps, not write to them.
+func (s *Store) update(change func(next *Snapshot) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	current := s.current.Load()
+	next := *current
+	if !change(&next) {
+		return
+	}
+	if current.Config != nil && next.Config.Version < current.Config.Version {
+		s.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Config.Version, current.Config.Version)
+	}
+	s.current.Store(&next)
+	if next.Config != nil && next.Runners != nil {
+		s.readyOnce.Do(func() { close(s.ready) })
+	}
+}
+
+func applyConfig(next *Snapshot, body []byte) bool {
+	parsed, err := config.Parse(body)
+	if err != nil || (next.Config != nil && parsed.Version <= next.Config.Version) {
+		return false
+	}
+	next.Config = parsed
+	return true
+}
+
+// applyPlan takes over what a plan says of runners and regions.
+func (s *Store) applyPlan(next *Snapshot, body []byte) bool {
+	routing, err := autoscaler.ReadRouting(body)
+	if err != nil {
+		return false
+	}
+	next.Flows, next.Lengths = routing.Flows, nil
+	next.typeWeights = map[runnerType]float64{}
+	for _, planned := range routing.Types {
+		next.typeWeights[runnerType{service: planned.Service, version: planned.Version}] = planned.Weight
+	}
+	next.RunnerWeights = map[ids.RunnerID]autoscaler.RunnerWeight{}
+	for _, planned := range routing.Runners {
+		next.RunnerWeights[planned.Runner] = planned
+	}
+	for _, lengths := range routing.Lengths {
+		if lengths.Region == s.options.Region {
+			next.Lengths = lengthstats.NewTable(lengths.Expected, lengths.Splits)
+		}
+	}
+	return true
+}
+
+// applyRunners takes over the view's list. The runners of a zone whose part of
+// the list is unchanged stay the same ones.
+func (s *Store) applyRunners(next *Snapshot) bool {
+	lists := s.options.View.Zones()
+	if lists == nil {
+		return false
+	}
+	zones := map[ids.Zone]zoneRunners{}
+	next.Runners = map[ids.Service][]*Runner{}
+	for _, zone := range slices.Sorted(maps.Keys(lists)) {
+		zones[zone] = s.zones[zone]
+		if zones[zone].list != lists[zone] {
+			zones[zone] = s.newZoneRunners(lists[zone])
+		}
+		for _, runner := range zones[zone].runners {
+			next.Runners[runner.Service] = append(next.Runners[runner.Service], runner)
+		}
+	}
+	s.zones = zones
+	s.options.OnRunners(next)
+	return true
+}
+
+func (s *Store) newZoneRunners(list *discovery.ZoneList) zoneRunners {
+	zone := zoneRunners{list: list}
+	for _, listed := range list.Runners {
+		zone.runners = append(zone.runners, &Runner{Runner: listed, Region: s.options.Zones[listed.Zone]})
+	}
+	return zone
+}
+
+func applyEvacuation(next *Snapshot, zone ids.Zone, body []byte) bool {
+	state, err := evacuation.Decode(body)
+	if err != nil {
+		return false
+	}
+	evacuated := map[ids.Zone]bool{}
+	maps.Copy(evacuated, next.Evacuated)
+	evacuated[zone] = state.Drained
+	next.Evacuated = evacuated
+	return true
+}
+
+// applyEjections takes over the ejected runners; they are gossiped in the zone
+// alone. An ejection ends by itself, by this router's clock.
+func (s *Store) applyEjections(next *Snapshot, body []byte) bool {
+	ejections, err := outlier.Decode(body)
+	if err != nil {
+		return false
+	}
+	now := s.options.Clock.Now()
+	next.EjectedUntil = map[ids.RunnerID]clock.Instant{}
+	for _, ejection := range ejections.Runners {
+		next.EjectedUntil[ejection.Runner] = now.Add(clock.Span(ejection.LeftMS) * clock.Millisecond)
+	}
+	return true
+}
+
+func applyLostZones(next *Snapshot, body []byte) bool {
+	lost, err := zonesummary.UnmarshalLostZones(body)
+	if err != nil {
+		return false
+	}
+	next.LostZones = map[ids.Zone]bool{}
+	for _, zone := range lost.Zones {
+		next.LostZones[zone] = true
+	}
+	return true
+}
--- /dev/null
+++ b/data/snapshot/store_test.go
@@ -0,0 +1,93 @@
+package snapshot
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"onyxwell/base/clock"
+	"onyxwell/base/ids"
+	"onyxwell/base/proptest"
+	"onyxwell/control/config/evacuation"
+	"onyxwell/control/discovery"
+	"onyxwell/control/gossip"
+	"onyxwell/control/transport"
+)
+
+func TestMain(m *testing.M) { proptest.Run(m) }
+
+// TestStore_neverGoesBack applies items in any order: the version of the
+// configuration and of each zone only rise, and earlier snapshots stay what they
+// were.
+func TestStore_neverGoesBack(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		store := NewStore(Options{Clock: clock.NewFake()})
+		updates := gossip.NewStore(store.Apply)
+		configVersion, zoneVersion := ids.Serial(0), ids.Serial(0)
+		for range rapid.IntRange(1, 40).Draw(t, "items") {
+			before := store.Current()
+			copied := *before
+			version := ids.Serial(rapid.IntRange(1, 30).Draw(t, "version"))
+			if rapid.Bool().Draw(t, "config") {
+				updates.Put(gossip.Item{Key: "spec", Version: version, Body: []byte(fmt.Sprintf(`{"config_version":%d}`, version))})
+				configVersion = max(configVersion, version)
+			} else {
+				body, _ := transport.Marshal(evacuation.State{Version: version, Drained: version%2 == 1})
+				updates.Put(gossip.Item{Key: evacuation.Key("hall"), Version: version, Body: body})
+				zoneVersion = max(zoneVersion, version)
+			}
+			if before.Config != copied.Config || before.Evacuated["hall"] != copied.Evacuated["hall"] {
+				t.Fatal("a snapshot was changed after it was taken")
+			}
+			current := store.Current()
+			if configVersion > 0 && current.Config.Version != configVersion {
+				t.Fatalf("the configuration is at %d, not %d", current.Config.Version, configVersion)
+			}
+			if current.Evacuated["hall"] != (zoneVersion%2 == 1) {
+				t.Fatalf("the zone is not as version %d left it", zoneVersion)
+			}
+		}
+	})
+}
+
+func TestReady_needsConfigAndRunners(t *testing.T) {
+	store := NewStore(Options{Clock: clock.NewFake()})
+	ready := func() bool {
+		select {
+		case <-store.Ready():
+			return true
+		default:
+			return false
+		}
+	}
+	store.Apply(gossip.Item{Key: "spec", Version: 1, Body: []byte(`{"config_version":1}`)})
+	if ready() {
+		t.Fatal("ready without a list of runners")
+	}
+	store.ApplyRunners(discovery.List{})
+	if !ready() {
+		t.Fatal("not ready with both")
+	}
+}
+
+// TestApply_keepsRunnersOfOtherZones changes one zone's part of the list: the
+// runners of the others stay the same ones.
+func TestApply_keepsRunnersOfOtherZones(t *testing.T) {
+	store := NewStore(Options{Clock: clock.NewFake()})
+	publish := func(zone ids.Zone, version ids.Serial, names ...ids.RunnerID) {
+		var list discovery.List
+		for _, name := range names {
+			list.Runners = append(list.Runners, discovery.Runner{ID: name, Service: "s", Zone: zone})
+		}
+		body, _ := transport.Marshal(list)
+		store.Apply(gossip.Item{Key: discovery.ZoneKey(zone), Version: version, Body: body})
+	}
+	publish("a", 1, "i", "j")
+	publish("b", 1, "k")
+	kept := store.Current().Find("i")
+	publish("b", 2, "l")
+	if kept == nil || store.Current().Find("i") != kept || store.Current().Find("k") != nil || store.Current().Find("l") == nil {
+		t.Fatalf("%+v", store.Current().Runners)
+	}
+}
