--- a/data/proxy/deadlines.go
+++ b/data/proxy/deadlines.go
@@ -80,9 +80,9 @@
 	return d.phase == phaseServing || (d.phase != phaseClosed && d.hasInput)
 }
 
-// usesGivenDeadline returns whether a deadline is set as net/http gives it. The
+// keepsDeadline returns whether a deadline is set as net/http gives it. The
 // caller holds the lock.
-func (d *connDeadlines) usesGivenDeadline() bool {
+func (d *connDeadlines) keepsDeadline() bool {
 	return d.phase == phaseServing || d.phase == phaseClosed
 }
 
@@ -90,7 +90,7 @@
 func (d *connDeadlines) readDeadline(deadline time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.usesGivenDeadline() {
+	if d.keepsDeadline() {
 		return deadline
 	}
 	if deadline.IsZero() {
@@ -126,7 +126,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.usesGivenDeadline() {
+	if d.keepsDeadline() {
 		return time.Time{}, false
 	}
 	expiry := d.expiry()
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -114,13 +114,13 @@
 	return nil
 }
 
-// headerBytes is the size of a request's head as it is written in HTTP/1.1, but
-// for the version and the spaces of the first line.
+// headerBytes returns the size of a request's head as HTTP/1.1 writes it, without
+// the empty line at its end.
 func headerBytes(req *http.Request) int64 {
-	size := len(req.Method) + len(req.RequestURI) + len(req.Host) + 20
+	size := len(req.Method) + len(req.RequestURI) + len("  HTTP/1.1\r\n") + len("Host: \r\n") + len(req.Host)
 	for name, values := range req.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + 4
+			size += len(name) + len(": \r\n") + len(value)
 		}
 	}
 	return int64(size)
@@ -130,8 +130,8 @@
 // where the configuration sets no limit, as 1/defaultBodyDivisor.
 const defaultBodyDivisor = 64
 
-// readBody reads the request's body whole into requestBody, so that it can be
-// sent again.
+// readBody reads the complete body into requestBody, so that it can be sent
+// again.
 func (e *exchange) readBody(limits config.Limits) ([]byte, error) {
 	maxBytes := limits.MaxBodyBytes
 	if maxBytes > 0 && e.req.ContentLength > maxBytes {
@@ -292,8 +292,8 @@
 	return e.relayBuffered(resp)
 }
 
-// relayBuffered passes a response on once it is here whole: one that breaks
-// before can be asked for again.
+// relayBuffered passes a response on once it is complete: one that breaks before
+// can be asked for again.
 func (e *exchange) relayBuffered(resp *http.Response) (outcome upstream.Outcome, done bool) {
 	maxBytes := e.proxy.maxResponseBytes()
 	if resp.ContentLength >= maxBytes {
@@ -317,8 +317,8 @@
 	return e.endResponse(err)
 }
 
-// relayUnbuffered passes on as it comes what there is no memory for: where it
-// breaks it can't be asked for again, and the connection is aborted.
+// relayUnbuffered passes a response on as it comes where there is no memory for
+// it: after a break it can't be asked for again, and the exchange is aborted.
 func (e *exchange) relayUnbuffered(resp *http.Response, body *memquota.Body, rest *io.LimitedReader) (outcome upstream.Outcome, done bool) {
 	e.beginResponse(resp, max(unknownLength, resp.ContentLength))
 	_, err := e.w.Write(body.Bytes)
--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -55,8 +55,8 @@
 			one, two := upstreamtest.Start(t, upstreamtest.Before(func() { stall() }, step)), upstreamtest.Start(t, upstreamtest.Before(func() { stall() }, step))
 			p = newTestProxy(t, 10, one, two)
 			got := p.do(path, "x")
-			whole := got.status == 200 && got.header.Get("Onyxwell-Server-Seal") == "s" && (got.body == "id: 1\n\n" || got.err != nil)
-			if countRequests(one, two) != 1 || !whole && got.status != 502 && got.status != 504 {
+			complete := got.status == 200 && got.header.Get("Onyxwell-Server-Seal") == "s" && (got.body == "id: 1\n\n" || got.err != nil)
+			if countRequests(one, two) != 1 || !complete && got.status != 502 && got.status != 504 {
 				t.Errorf("%s: %+v after %d arrivals", path, got, countRequests(one, two))
 			}
 		}
@@ -123,14 +123,14 @@
 func TestDrain_keepsResponseUnderWay(t *testing.T) {
 	for _, path := range []string{"/once/x", "/stream/x"} {
 		var p *testProxy
-		trouble := func(seen upstreamtest.Request, writer io.Writer) bool {
+		drainThenRespond := func(seen upstreamtest.Request, writer io.Writer) bool {
 			p.proxy.Drain(p.clock.Now())
 			p.server.Config.SetKeepAlivesEnabled(false)
 			go func() { _ = p.server.Config.Shutdown(context.Background()) }()
 			p.setConfig(2, strings.ReplaceAll(configDocument, path[:len(path)-1], "/other/"))
 			return upstreamtest.EventStream("s", 1, 5, true)(seen, writer)
 		}
-		p = newTestProxy(t, 10, upstreamtest.Start(t, trouble))
+		p = newTestProxy(t, 10, upstreamtest.Start(t, drainThenRespond))
 		if got := p.do(path, "x"); got.status != http.StatusOK || got.err != nil || got.body != eventText(1, 5) || !got.closes {
 			t.Errorf("%s: %+v", path, got)
 		}
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -51,8 +51,8 @@
 // HTTP/1.0, to whom the connection's end is the stream's: it must be a reset.
 func TestStream_brokenResetsHTTP10Client(t *testing.T) {
 	text := "POST /stream/x HTTP/1.0\r\n" + hostLine + badAttemptLine + "Content-Length: 1\r\n\r\nx"
-	whole := newTestProxy(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, true)))
-	if got, err := whole.doRaw(text); err != nil || !strings.HasSuffix(got, eventText(1, 2)) {
+	complete := newTestProxy(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, true)))
+	if got, err := complete.doRaw(text); err != nil || !strings.HasSuffix(got, eventText(1, 2)) {
 		t.Fatalf("%q, %v", got, err)
 	}
 	broken := newTestProxy(t, 10, upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)))
--- a/data/proxy/target.go
+++ b/data/proxy/target.go
@@ -23,8 +23,8 @@
 	return ""
 }
 
-func forbiddenInTarget(letter rune) bool {
-	return letter <= ' ' || letter == 0x7f || letter == '#' || letter == '\\'
+func forbiddenInTarget(char rune) bool {
+	return char <= ' ' || char == 0x7f || char == '#' || char == '\\'
 }
 
 var dotDecoder = strings.NewReplacer("%2e", ".", "%2E", ".")
