--- a/base/settings/settings.go
+++ b/base/settings/settings.go
@@ -1,11 +1,14 @@
-// Package settings reads and checks the boot file: what a process is told of its
-// machine, its bounds and its neighbours before it starts.
+// Package settings reads and checks the boot file, the TOML file that tells a
+// process about its machine, its limits and its first peers before it starts.
+//
+// Settings are read-only once parsed: a changed file is parsed into a new
+// Settings value. Names in the file are part of the deployment's interface and
+// live in the toml tags; unknown names are ignored.
 package settings
 
 import (
 	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 	"strconv"
 	"strings"
@@ -16,106 +19,187 @@
 	"onyxwell/base/ids"
 )
 
-// PathVariable names the environment variable that holds the boot file's path.
+// PathVariable is the environment variable that holds the boot file's path.
 const PathVariable = "ONYXWELL_NODE_FILE"
 
-// DefaultPath is the path used where the variable is not set.
+// DefaultPath is the boot file's path where PathVariable is unset.
 const DefaultPath = "/etc/onyxwell/boot.toml"
 
-// Settings is the boot file as read. Fields that are not known are ignored.
+// Settings is a parsed boot file. A field absent from the file has its zero
+// value; Parse rejects a file that lacks a required one.
 type Settings struct {
-	NodeName     string                  `toml:"node_name"`
-	Role         string                  `toml:"role"`
-	MachineClass string                  `toml:"machine_class"`
-	Serves       []string                `toml:"serves"`
-	IP           string                  `toml:"ip"`
-	Zone         ids.Zone                `toml:"zone"`
-	Region       ids.Region              `toml:"region"`
-	PortRange    []int                   `toml:"port_range"`
-	Seeds        []ids.Address           `toml:"seed_nodes"`
-	FirstStart   bool                    `toml:"first_start"`
-	Counted      bool                    `toml:"counted"`
-	DataDir      string                  `toml:"data_dir"`
-	HeartbeatMS  int                     `toml:"beat_every_ms"`
-	Rules        []string                `toml:"rules_in_force"`
-	Zones        map[ids.Zone]ids.Region `toml:"zones"`
-	Listen       map[string]ids.Address  `toml:"listen"`
-	Limits       Limits                  `toml:"limits"`
-	Tolerate     Tolerance               `toml:"tolerate"`
-	Bounds       Bounds                  `toml:"bounds"`
-	Platform     Platform                `toml:"cloud_api"`
-	// Grouping is of the command line.
+	// NodeName identifies the machine in messages. Required.
+	NodeName string `toml:"node_name"`
+	// Role is the process's role in the deployment. Unused.
+	Role string `toml:"role"`
+	// MachineClass is the class of the machine. Unused.
+	MachineClass string `toml:"machine_class"`
+	// Serves lists the client interfaces of the process. Unused: Listen says which
+	// are served, and where.
+	Serves []string `toml:"serves"`
+	// IP is the machine's address, on which daemons reach each other. Required.
+	IP string `toml:"ip"`
+	// Zone and Region are the failure domains that the machine is in. Required.
+	Zone   ids.Zone   `toml:"zone"`
+	Region ids.Region `toml:"region"`
+	// PortRange holds the first and the last port for traffic between daemons. It
+	// is the same on every machine. Required.
+	PortRange []int `toml:"port_range"`
+	// Seeds are the control addresses of the first controllers to contact. At
+	// least one is required.
+	Seeds []ids.Address `toml:"seed_nodes"`
+	// FirstStart says that the deployment starts for the first time, with empty
+	// disks: only then may controllers form a new voter group. Default false.
+	FirstStart bool `toml:"first_start"`
+	// Counted says whether Tolerate.Machines applies to this machine. Unused.
+	Counted bool `toml:"counted"`
+	// DataDir is the directory of the stored state; empty on a machine without a
+	// disk.
+	DataDir string `toml:"data_dir"`
+	// HeartbeatMS is a heartbeat interval in milliseconds. Unused.
+	HeartbeatMS int `toml:"beat_every_ms"`
+	// Rules names the parts of the service level rules in force. Unused.
+	Rules []string `toml:"rules_in_force"`
+	// Zones maps every zone of the deployment to its region.
+	Zones map[ids.Zone]ids.Region `toml:"zones"`
+	// Listen maps a client interface (front, readiness, control, directory) to the
+	// address it is served at. One that is absent is not served.
+	Listen map[string]ids.Address `toml:"listen"`
+	// Limits are the resources of the process.
+	Limits Limits `toml:"limits"`
+	// Tolerate is the loss that the deployment must bear.
+	Tolerate Tolerance `toml:"tolerate"`
+	// Bounds are the figures of the service level rules.
+	Bounds Bounds `toml:"bounds"`
+	// Platform is the API that lists the runners.
+	Platform Platform `toml:"cloud_api"`
+	// Grouping has runners grouped by the expected duration of their requests. It
+	// is set by the command line, not by the file. Default false.
 	Grouping bool `toml:"-"`
-	// Metrics is where the daemon's figures are served; it is of the command line.
+	// Metrics is where the daemon's metrics are served. It is set by the command
+	// line, not by the file. Default nowhere.
 	Metrics MetricsEndpoint `toml:"-"`
 }
 
-// MetricsEndpoint is a port and a path; port 0 is nowhere.
+// MetricsEndpoint is the port and the path at which metrics are served. Port 0
+// means that they are not served.
 type MetricsEndpoint struct {
 	Port int
 	Path string
 }
 
-// UnmarshalText reads PORT/PATH, as in 19464/metrics; kong calls it.
+// UnmarshalText parses PORT/PATH, such as 19464/metrics. The command line
+// parser calls it.
 func (m *MetricsEndpoint) UnmarshalText(text []byte) error {
-	port, path, found := strings.Cut(string(text), "/")
-	number, err := strconv.ParseUint(port, 10, 16)
-	if err != nil || number == 0 || !found || path == "" || strings.ContainsAny(path, " {}") {
+	portText, path, ok := strings.Cut(string(text), "/")
+	port, err := strconv.ParseUint(portText, 10, 16)
+	if err != nil || port == 0 || !ok || path == "" || strings.ContainsAny(path, " {}") {
 		return fmt.Errorf("%q is no PORT/PATH such as 19464/metrics", text)
 	}
-	m.Port, m.Path = int(number), "/"+path
+	m.Port, m.Path = int(port), "/"+path
 	return nil
 }
 
-// Limits are what the machine allows the process.
+// Limits are the resources that the machine grants the process.
 type Limits struct {
-	CPUShare  float64 `toml:"cpu_share"`
-	Cores     float64 `toml:"cores"`
-	MemoryMB  int64   `toml:"memory_mb"`
-	OpenFiles int     `toml:"open_files"`
-	LinkMbps  float64 `toml:"link_mbps"`
-	DiskMB    int64   `toml:"disk_mb"`
+	// CPUShare is the fraction of one core that the process gets. Unused.
+	CPUShare float64 `toml:"cpu_share"`
+	// Cores is the speed of a core relative to the reference. Unused.
+	Cores float64 `toml:"cores"`
+	// MemoryMB is the memory above which the process is killed, in MiB. The Go
+	// memory limit and the quotas for bodies are fractions of it. Above 0.
+	MemoryMB int64 `toml:"memory_mb"`
+	// OpenFiles is the number of file descriptors. It bounds client connections
+	// and idle connections to each runner. Above 0.
+	OpenFiles int `toml:"open_files"`
+	// LinkMbps is the bandwidth of the machine's link in Mbit/s. Machines with
+	// more are preferred as gossip relays.
+	LinkMbps float64 `toml:"link_mbps"`
+	// DiskMB is the size of the data directory's disk in MiB; a quarter of it
+	// bounds the write-ahead log.
+	DiskMB int64 `toml:"disk_mb"`
 }
 
-// Tolerance is how much may be lost at one time.
+// Tolerance is how much may be lost at the same time without loss of service.
 type Tolerance struct {
+	// Machines is the number of machines with a disk. The voter group has
+	// 2*Machines+1 members, and at least 3.
 	Machines int `toml:"machines"`
-	Zones    int `toml:"zones"`
-	Regions  int `toml:"regions"`
+	// Zones and Regions are numbers of whole failure domains. Unused.
+	Zones   int `toml:"zones"`
+	Regions int `toml:"regions"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the figures of the service level rules, from which time-outs,
+// intervals and budgets are derived. The suffix of a name gives its unit: MS for
+// milliseconds, S for seconds; the others are plain numbers. "Unused" marks a
+// figure that the rules state and no time-out depends on.
 type Bounds struct {
-	SeedLagS      float64 `toml:"seed_lag_s"`
-	ReuseAfterS   float64 `toml:"reuse_after_s"`
-	InTouchMS     float64 `toml:"in_touch_ms"`
-	AckWithinMS   float64 `toml:"ack_within_ms"`
-	CatchUpS      float64 `toml:"catch_up_s"`
-	DrainMS       float64 `toml:"drain_ms"`
-	GraceS        float64 `toml:"grace_s"`
-	LostSlackMS   float64 `toml:"lost_slack_ms"`
+	// SeedLagS is how far the operator's list of controllers may be behind. The
+	// boot file is polled no more often than that.
+	SeedLagS float64 `toml:"seed_lag_s"`
+	// ReuseAfterS is after how long an ended runner's address may be given to
+	// another service's runner. Unused.
+	ReuseAfterS float64 `toml:"reuse_after_s"`
+	// InTouchMS is for how long a machine must have been reachable before the
+	// rules bind it; probes and suspicion time-outs are fractions of it.
+	InTouchMS float64 `toml:"in_touch_ms"`
+	// AckWithinMS is the time in which an operator's command is acknowledged.
+	// Unused.
+	AckWithinMS float64 `toml:"ack_within_ms"`
+	// CatchUpS is for how long after its return a machine still counts as lost.
+	// It paces the replacement of voters.
+	CatchUpS float64 `toml:"catch_up_s"`
+	// DrainMS is the time in which requests stop going to a draining runner.
+	DrainMS float64 `toml:"drain_ms"`
+	// GraceS is the time between SIGTERM and SIGKILL. Above 0.
+	GraceS float64 `toml:"grace_s"`
+	// LostSlackMS is how long after the last byte of a request its loss may still
+	// be blamed on planned work. Unused.
+	LostSlackMS float64 `toml:"lost_slack_ms"`
+	// ApplyWithinMS is the time in which a configuration or a changed boot file
+	// takes effect on every machine. Above 0.
 	ApplyWithinMS float64 `toml:"apply_within_ms"`
-	DowngradeMS   float64 `toml:"downgrade_ms"`
-	StretchMS     float64 `toml:"stretch_ms"`
-	RetryRatio    float64 `toml:"retry_ratio"`
-	RetryWindowS  float64 `toml:"retry_window_s"`
-	RetryExtra    float64 `toml:"retry_extra"`
-	ColdExcess    float64 `toml:"cold_excess"`
-	ColdSlack     float64 `toml:"cold_slack"`
-	EvacuateMS    float64 `toml:"evacuate_ms"`
-	RecoveryS     float64 `toml:"recovery_s"`
-	StepMS        float64 `toml:"step_ms"`
-	TTLMaxS       float64 `toml:"ttl_max_s"`
+	// DowngradeMS is for how long an older configuration may show its effect after
+	// a newer one did. Unused.
+	DowngradeMS float64 `toml:"downgrade_ms"`
+	// StretchMS is by how much an unavailable quorum may extend the other bounds.
+	// Unused.
+	StretchMS float64 `toml:"stretch_ms"`
+	// RetryRatio, RetryWindowS and RetryExtra are the retry budget: in a window of
+	// RetryWindowS, RetryRatio retries for each request and RetryExtra more.
+	// RetryWindowS is above 0.
+	RetryRatio   float64 `toml:"retry_ratio"`
+	RetryWindowS float64 `toml:"retry_window_s"`
+	RetryExtra   float64 `toml:"retry_extra"`
+	// ColdExcess and ColdSlack bound the requests in a second to a runner that is
+	// warming up: its rate times ColdExcess, and ColdSlack more. Unused.
+	ColdExcess float64 `toml:"cold_excess"`
+	ColdSlack  float64 `toml:"cold_slack"`
+	// EvacuateMS is the time in which requests stop going to an evacuated zone.
+	// Unused.
+	EvacuateMS float64 `toml:"evacuate_ms"`
+	// RecoveryS is the time in which service is back after all processes were
+	// lost.
+	RecoveryS float64 `toml:"recovery_s"`
+	// StepMS is by how much a router may delay a piece of a stream. Unused.
+	StepMS float64 `toml:"step_ms"`
+	// TTLMaxS is the longest time for which clients may cache the directory's
+	// answer.
+	TTLMaxS float64 `toml:"ttl_max_s"`
 }
 
-// Platform is where the list of runners is kept.
+// Platform is the API of the platform that lists the runners.
 type Platform struct {
-	Address  ids.Address `toml:"address"`
-	RatePerS float64     `toml:"rate_per_s"`
-	MaxLagMS float64     `toml:"max_lag_ms"`
+	// Address is where it is served. Required.
+	Address ids.Address `toml:"address"`
+	// RatePerS is how many calls a second the whole deployment may make. Above 0.
+	RatePerS float64 `toml:"rate_per_s"`
+	// MaxLagMS is how far the list may be behind, in milliseconds.
+	MaxLagMS float64 `toml:"max_lag_ms"`
 }
 
-// Path tells where the boot file is.
+// Path returns the boot file's path: the value of PathVariable, else DefaultPath.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path
@@ -123,7 +207,7 @@
 	return DefaultPath
 }
 
-// Read reads and checks a boot file.
+// Read parses the boot file at path; see Parse for its errors.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,7 +216,8 @@
 	return Parse(string(text))
 }
 
-// Parse checks the text of a boot file.
+// Parse parses and validates the text of a boot file. The error joins everything
+// that is wrong with it, each by the name of the field.
 func Parse(text string) (*Settings, error) {
 	settings := &Settings{}
 	if _, err := toml.Decode(text, settings); err != nil {
@@ -144,15 +229,10 @@
 	return settings, nil
 }
 
-// Milliseconds turns a figure of the boot file into a span.
-func Milliseconds(figure float64) time.Duration {
-	return time.Duration(figure * float64(time.Millisecond))
+// Milliseconds converts a figure in milliseconds to a duration.
+func Milliseconds(ms float64) time.Duration {
+	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Seconds turns a figure of the boot file into a span.
-func Seconds(figure float64) time.Duration { return time.Duration(figure * float64(time.Second)) }
-
-func validAddress(address ids.Address) bool {
-	_, err := netip.ParseAddrPort(string(address))
-	return err == nil
-}
+// Seconds converts a figure in seconds to a duration.
+func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/base/settings/settings_test.go
+++ b/base/settings/settings_test.go
@@ -39,11 +39,12 @@
 		t.Fatalf("%v %v", settings.InternalAddress("10.9.9.9", "fleet-controller"), settings.SeedAddresses())
 	}
 	if settings.RequireListeners("front") != nil || settings.RequireListeners("front", "control") == nil {
-		t.Fatal("the listening addresses are not looked at")
+		t.Fatal("RequireListeners does not check the listening addresses")
 	}
 }
 
 func TestParse_invalidFileNamesField(t *testing.T) {
+	// The key is part of the error; the value replaces a text of validSettings.
 	cases := map[string][2]string{
 		"node_name":              {`node_name = "edge-1"`, ``},
 		"ip is":                  {`"10.1.0.13"`, `"host"`},
@@ -58,14 +59,19 @@
 		"bounds.apply_within_ms": {`apply_within_ms = 3000.5`, ``},
 		"boot file":              {`zone = "a"`, `zone = `},
 	}
-	for name, change := range cases {
-		text := strings.Replace(validSettings, change[0], change[1], 1)
-		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
-		}
+	for field, edit := range cases {
+		t.Run(field, func(t *testing.T) {
+			text := strings.Replace(validSettings, edit[0], edit[1], 1)
+			if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), field) {
+				t.Errorf("error %v does not name %s", err, field)
+			}
+		})
 	}
+}
+
+func TestRead_missingFile(t *testing.T) {
 	if _, err := Read(t.TempDir() + "/none.toml"); err == nil {
-		t.Error("a missing file is taken")
+		t.Error("no error for a missing file")
 	}
 }
 
@@ -73,7 +79,7 @@
 	settings := &Settings{PortRange: []int{7720, 7735}}
 	for ip, want := range map[string]ids.Address{"10.1.0.13": "10.1.0.13:7721", "fd00::13": "[fd00::13]:7721"} {
 		if got := settings.InternalAddress(ip, "fleet-controller"); got != want {
-			t.Errorf("%s: %s, not %s", ip, got, want)
+			t.Errorf("InternalAddress(%s) = %s, want %s", ip, got, want)
 		}
 	}
 }
@@ -82,7 +88,7 @@
 	settings := &Settings{PortRange: []int{7720, 7735}, Seeds: []ids.Address{"10.1.0.13:8166"}, Listen: map[string]ids.Address{"front": "10.1.0.13:8161"}}
 	for port, want := range map[int]bool{7720: true, 7735: true, 8166: true, 8161: true, 19464: false} {
 		if settings.UsesPort(port) != want {
-			t.Errorf("%d: not %v", port, want)
+			t.Errorf("UsesPort(%d) is not %v", port, want)
 		}
 	}
 }
