--- a/base/httpcall/client.go
+++ b/base/httpcall/client.go
@@ -2,15 +2,15 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net/http"
 	"slices"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
-// Outgoing is what a question looks like on the wire.
+// Outgoing is a request as it is sent.
 type Outgoing struct {
 	Method string
 	Path   string
@@ -18,67 +18,80 @@
 	Body   []byte
 }
 
-// Requester is a question that can be sent.
-type Requester interface{ Outgoing() Outgoing }
+// Requester is a typed request that can be sent.
+type Requester interface {
+	// Outgoing encodes the request.
+	Outgoing() Outgoing
+}
 
-// RawResponse is the raw answer to a question.
+// RawResponse is a response as it was received, its body complete.
 type RawResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// ResponseReader is an answer that can be read.
-type ResponseReader interface{ Hear(heard RawResponse) error }
-
-// maxResponseBytes bounds what is read of an answer to one of our own questions.
-const maxResponseBytes = 64 << 20
+// ResponseReader is a typed response that can be decoded.
+type ResponseReader interface {
+	// Hear decodes the response into the receiver. It decides which statuses are
+	// errors.
+	Hear(raw RawResponse) error
+}
 
-// maxPresizedBytes is the most room that a length told ahead claims.
-const maxPresizedBytes = 64 << 10
+const (
+	// maxResponseBytes bounds the body of a response; what follows is not read.
+	maxResponseBytes = 64 << 20
+	// maxPresizedBytes bounds what is allocated for a body on the word of its
+	// Content-Length alone.
+	maxPresizedBytes = 64 << 10
+	// growStep is by how many bytes at least a full buffer grows.
+	growStep = 512
+)
 
-// readAll reads to the end, into room for the length that was told.
-func readAll(from io.Reader, told int64) ([]byte, error) {
-	whole := make([]byte, 0, min(max(told, 0), maxPresizedBytes)+1)
+// readAll reads to the end, into a buffer that is sized by the Content-Length;
+// below 0 that is unknown.
+func readAll(reader io.Reader, contentLength int64) ([]byte, error) {
+	buffer := make([]byte, 0, min(max(contentLength, 0), maxPresizedBytes)+1)
 	for {
-		size, err := from.Read(whole[len(whole):cap(whole)])
-		whole = whole[:len(whole)+size]
+		n, err := reader.Read(buffer[len(buffer):cap(buffer)])
+		buffer = buffer[:len(buffer)+n]
 		if err == io.EOF {
-			return whole, nil
+			return buffer, nil
 		}
 		if err != nil {
-			return whole, err
+			return buffer, err
 		}
-		if len(whole) == cap(whole) {
-			whole = slices.Grow(whole, 512)
+		if len(buffer) == cap(buffer) {
+			buffer = slices.Grow(buffer, growStep)
 		}
 	}
 }
 
-// Do sends a question and reads its answer: the client's side of the one
-// generic handler.
-func Do[Told any, Pointer interface {
-	*Told
+// Do sends a request to the address and decodes the response. The error is the
+// transport's, or that of the response's Hear. Redirects follow the client's
+// policy; nothing is retried.
+func Do[Response any, Pointer interface {
+	*Response
 	ResponseReader
-}](ctx scope.Scope, client *http.Client, address ids.Address, asking Requester) (Told, error) {
-	var told Told
-	outgoing := asking.Outgoing()
-	request, err := http.NewRequestWithContext(ctx, outgoing.Method, "http://"+string(address)+outgoing.Path, bytes.NewReader(outgoing.Body))
+}](ctx context.Context, client *http.Client, address ids.Address, requester Requester) (Response, error) {
+	var resp Response
+	outgoing := requester.Outgoing()
+	req, err := http.NewRequestWithContext(ctx, outgoing.Method, "http://"+string(address)+outgoing.Path, bytes.NewReader(outgoing.Body))
 	if err != nil {
-		return told, err
+		return resp, err
 	}
 	for name, values := range outgoing.Header {
-		request.Header[name] = values
+		req.Header[name] = values
 	}
-	request.Header.Set("User-Agent", "")
-	response, err := client.Do(request)
+	req.Header.Set("User-Agent", "")
+	raw, err := client.Do(req)
 	if err != nil {
-		return told, err
+		return resp, err
 	}
-	defer response.Body.Close()
-	body, err := readAll(io.LimitReader(response.Body, maxResponseBytes), response.ContentLength)
+	defer raw.Body.Close()
+	body, err := readAll(io.LimitReader(raw.Body, maxResponseBytes), raw.ContentLength)
 	if err != nil {
-		return told, err
+		return resp, err
 	}
-	return told, Pointer(&told).Hear(RawResponse{Status: response.StatusCode, Header: response.Header, Body: body})
+	return resp, Pointer(&resp).Hear(RawResponse{Status: raw.StatusCode, Header: raw.Header, Body: body})
 }
--- a/base/httpcall/deadline_test.go
+++ b/base/httpcall/deadline_test.go
@@ -12,7 +12,8 @@
 	"onyxwell/base/scope"
 )
 
-// deadlineListener is a connection that tells each read deadline that is set.
+// deadlineListener accepts connections that report each read deadline that is
+// set on them, as the time left; 0 is none.
 type deadlineListener struct {
 	net.Listener
 	deadlines chan time.Duration
@@ -37,38 +38,38 @@
 	return d.Conn.SetReadDeadline(until)
 }
 
-// TestMux_bodyHasReadDeadline sends a head and one byte: once the head is
-// read, there is a time by which the body must be there.
+// A client sends a header and one byte of the body: the rest has a read deadline
+// once the header is read.
 func TestMux_bodyHasReadDeadline(t *testing.T) {
-	set := make(chan time.Duration, 16)
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	deadlines := make(chan time.Duration, 16)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := NewMux(scope.New(scope.Options{}), 1<<20)
-	Handle(table, http.MethodPut, "/settings", func(scope.Scope, empty) (empty, error) { return empty{}, nil })
-	server := &httptest.Server{Listener: deadlineListener{Listener: plain, deadlines: set}, Config: NewServer(table, 5*time.Second, 60*time.Second)}
+	mux := NewMux(scope.New(scope.Options{}), 1<<20)
+	Handle(mux, http.MethodPut, "/settings", func(scope.Scope, empty) (empty, error) { return empty{}, nil })
+	server := &httptest.Server{Listener: deadlineListener{Listener: listener, deadlines: deadlines}, Config: NewServer(mux, 5*time.Second, 60*time.Second)}
 	server.Start()
 	t.Cleanup(server.Close)
-	conn, err := net.Dial("tcp", plain.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	fmt.Fprintf(conn, "PUT /settings HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nx")
-	// The head's own deadline, and its end.
-	for _, what := range []string{"a head", "its end", "a body"} {
+	const reset = "header deadline reset"
+	for _, event := range []string{"header", reset, "body"} {
 		select {
-		case left := <-set:
-			if what != "its end" && (left <= 0 || left > 30*time.Second) {
-				t.Errorf("%s is waited for for %v", what, left)
+		case left := <-deadlines:
+			if event != reset && (left <= 0 || left > 30*time.Second) {
+				t.Errorf("%s: read deadline in %v", event, left)
 			}
 		case <-time.After(2 * time.Second):
-			t.Fatalf("%s is waited for for ever", what)
+			t.Fatalf("%s: no read deadline is set", event)
 		}
 	}
 	fmt.Fprintf(conn, "%099d", 0)
-	if response, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("%v %v", response, err)
+	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("response %v, error %v", resp, err)
 	}
 }
--- a/base/httpcall/harness_test.go
+++ b/base/httpcall/harness_test.go
@@ -2,7 +2,7 @@
 
 import "onyxwell/base/response"
 
-// empty is a question and an answer without parts.
+// empty is a request and a response without content.
 type empty struct{}
 
 func (*empty) Read(Incoming) error     { return nil }
--- a/base/httpcall/mux.go
+++ b/base/httpcall/mux.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/memquota"
 	"onyxwell/base/response"
@@ -15,136 +15,162 @@
 	"onyxwell/base/telemetry"
 )
 
-// Incoming is a call as it arrived: its tail is what follows a path that ends
-// with a slash in the table.
+// Incoming is a call as it was received, its body complete.
 type Incoming struct {
 	Request *http.Request
-	Tail    string
-	Body    []byte
+	// Tail is what follows the path that the handler is registered for, where that
+	// ends with a slash.
+	Tail string
+	Body []byte
 }
 
-// RequestReader is read from a call.
-type RequestReader interface{ Read(incoming Incoming) error }
+// RequestReader is a typed request that can be decoded.
+type RequestReader interface {
+	// Read decodes the call into the receiver. An error rejects the call.
+	Read(incoming Incoming) error
+}
 
-// Responder makes the reply to a call.
-type Responder interface{ Reply() response.Response }
+// Responder is a typed response that can be encoded.
+type Responder interface {
+	// Reply encodes the response.
+	Reply() response.Response
+}
 
-// Gate stands before the calls of a table: it looks at each body before it is
-// read, and is told of each call that was refused unread.
+// Gate inspects calls before their handlers run.
 type Gate interface {
+	// Enter inspects a body and returns the one that is decoded in its place. An
+	// error rejects the call.
 	Enter(body []byte) ([]byte, error)
-	Rejected(inner scope.Scope, sender string, err error)
+	// Rejected is called for each call that is rejected before its handler runs,
+	// with the IP of the sender.
+	Rejected(ctx scope.Scope, sender string, err error)
 }
 
-// Mux holds the calls that a daemon serves.
+// handler serves a call whose body was read.
+type handler func(ctx scope.Scope, incoming Incoming) response.Response
+
+// Mux dispatches calls to handlers by method and path. Handlers are registered
+// before it serves; it is safe for concurrent calls from then on.
 type Mux struct {
-	Scope     scope.Scope
+	// Scope is the parent of the scope that handlers get.
+	Scope scope.Scope
+	// BodyLimit is the largest body in bytes.
 	BodyLimit int64
-	// Gate may be left out.
+	// Gate may be nil.
 	Gate Gate
-	// Bodies bounds what bodies take together; it may be left out, and several
-	// tables may share it.
+	// Bodies bounds the memory of the bodies of all calls together. It may be nil,
+	// and several muxes may share it.
 	Bodies *memquota.Quota
-	// Metrics count the calls; they may be left out.
+	// Metrics count the calls; nil counts nothing.
 	Metrics  *telemetry.Metrics
-	handlers map[string]func(scope.Scope, Incoming) response.Response
+	handlers map[string]handler
 }
 
-// NewMux makes an empty table.
-func NewMux(top scope.Scope, bodyLimit int64) *Mux {
-	return &Mux{Scope: top, BodyLimit: bodyLimit, handlers: map[string]func(scope.Scope, Incoming) response.Response{}}
+// NewMux returns a mux without handlers; see Mux for the arguments.
+func NewMux(ctx scope.Scope, bodyLimit int64) *Mux {
+	return &Mux{Scope: ctx, BodyLimit: bodyLimit, handlers: map[string]handler{}}
 }
 
-// Handle adds a pair of question and answer to the table. A path that ends
-// with a slash takes all that begins with it.
-func Handle[Asked any, Pointer interface {
-	*Asked
+// Handle registers a handler for a method and a path. A path that ends with a
+// slash matches every path with one more element; an exact match goes first. An
+// error of serve is answered by response.FromError.
+func Handle[Request any, Pointer interface {
+	*Request
 	RequestReader
-}, Told Responder](table *Mux, method string, path string, serve func(scope.Scope, Asked) (Told, error)) {
-	table.handlers[method+" "+path] = func(ctx scope.Scope, incoming Incoming) response.Response {
-		var asked Asked
-		if err := Pointer(&asked).Read(incoming); err != nil {
-			return table.reject(incoming.Request, err)
+}, Response Responder](mux *Mux, method string, path string, serve func(scope.Scope, Request) (Response, error)) {
+	mux.handlers[method+" "+path] = func(ctx scope.Scope, incoming Incoming) response.Response {
+		var req Request
+		if err := Pointer(&req).Read(incoming); err != nil {
+			return mux.reject(incoming.Request, err)
 		}
-		told, err := serve(ctx, asked)
+		resp, err := serve(ctx, req)
 		if err != nil {
 			return response.FromError(err)
 		}
-		return told.Reply()
+		return resp.Reply()
 	}
 }
 
-// ServeHTTP finds the call in the table and answers it.
-func (m *Mux) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	path := request.URL.Path
-	serve, tail := m.handlers[request.Method+" "+path], ""
-	if serve == nil {
-		cut := strings.LastIndexByte(path, '/') + 1
-		serve, tail = m.handlers[request.Method+" "+path[:cut]], path[cut:]
+// find returns the handler of a call, nil if there is none, and the tail of the
+// path.
+func (m *Mux) find(method string, path string) (serve handler, tail string) {
+	if serve := m.handlers[method+" "+path]; serve != nil {
+		return serve, ""
 	}
+	prefix := strings.LastIndexByte(path, '/') + 1
+	return m.handlers[method+" "+path[:prefix]], path[prefix:]
+}
+
+// ServeHTTP reads the body of a call and answers it through its handler.
+func (m *Mux) ServeHTTP(writer http.ResponseWriter, req *http.Request) {
+	path := req.URL.Path
+	serve, tail := m.find(req.Method, path)
 	if serve == nil {
-		m.reject(request, errkind.Errorf(errkind.UnknownCall, "%s %s", request.Method, path)).Send(writer)
+		m.reject(req, errkind.Errorf(errkind.UnknownCall, "%s %s", req.Method, path)).Send(writer)
 		return
 	}
-	held := m.Bodies.NewBody()
-	defer held.Release()
-	if err := m.readBody(writer, request, held); err != nil {
-		m.reject(request, bodyError(err)).Send(writer)
+	buffer := m.Bodies.NewBody()
+	defer buffer.Release()
+	if err := m.readBody(writer, req, buffer); err != nil {
+		m.reject(req, bodyError(err)).Send(writer)
 		return
 	}
-	body, err := held.Bytes, error(nil)
+	body := buffer.Bytes
 	if m.Gate != nil {
+		var err error
 		if body, err = m.Gate.Enter(body); err != nil {
-			m.reject(request, err).Send(writer)
+			m.reject(req, err).Send(writer)
 			return
 		}
 	}
-	ctx := m.Scope.WithContext(request.Context())
-	begin := ctx.Now()
-	answer := serve(ctx, Incoming{Request: request, Tail: tail, Body: body})
-	m.Metrics.Call(request.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(answer.Status), ctx.Now().Since(begin))
-	answer.Send(writer)
+	ctx := m.Scope.WithContext(req.Context())
+	start := ctx.Now()
+	resp := serve(ctx, Incoming{Request: req, Tail: tail, Body: body})
+	m.Metrics.Call(req.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(resp.Status), ctx.Now().Since(start))
+	resp.Send(writer)
 }
 
-// bodyTimeout is how long a body may take from the end of its head: some times as
-// long as the largest one takes on the slowest link.
-const bodyTimeout = 10 * clock.Second
+// bodyTimeout bounds the time from the end of a call's header to the end of its
+// body: several times what the largest body takes on the slowest link.
+const bodyTimeout = 10 * time.Second
 
-// readBody takes a call's body in.
-func (m *Mux) readBody(writer http.ResponseWriter, request *http.Request, held *memquota.Body) error {
-	if request.ContentLength == 0 {
+// readBody reads a call's body into the buffer.
+func (m *Mux) readBody(writer http.ResponseWriter, req *http.Request, buffer *memquota.Body) error {
+	if req.ContentLength == 0 {
 		return nil
 	}
 	response.SetReadTimeout(writer, bodyTimeout)
 	defer response.SetReadTimeout(writer, 0)
-	return held.Read(http.MaxBytesReader(writer, request.Body, m.BodyLimit), request.ContentLength, m.BodyLimit)
+	return buffer.Read(http.MaxBytesReader(writer, req.Body, m.BodyLimit), req.ContentLength, m.BodyLimit)
 }
 
-// reject answers a call that was not read.
-func (m *Mux) reject(request *http.Request, err error) response.Response {
+// reject answers a call whose handler does not run, and reports it to the gate.
+func (m *Mux) reject(req *http.Request, err error) response.Response {
 	if m.Gate != nil {
-		sender, _, _ := net.SplitHostPort(request.RemoteAddr)
+		sender, _, _ := net.SplitHostPort(req.RemoteAddr)
 		m.Gate.Rejected(m.Scope, sender, err)
 	}
 	return response.FromError(err)
 }
 
+// bodyError gives an error of reading a body its kind.
 func bodyError(err error) error {
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return errkind.Errorf(errkind.BodyTooLarge, "body: over %d bytes", large.Limit)
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return errkind.Errorf(errkind.BodyTooLarge, "body: over %d bytes", tooLarge.Limit)
 	}
 	if errors.Is(err, memquota.ErrFull) {
 		return errkind.Errorf(errkind.OutOfMemory, "")
 	}
-	var slow interface{ Timeout() bool }
-	if errors.As(err, &slow) && slow.Timeout() {
+	var timeout interface{ Timeout() bool }
+	if errors.As(err, &timeout) && timeout.Timeout() {
 		return errkind.Errorf(errkind.RequestTimeout, "body: not there within %v", bodyTimeout)
 	}
 	return errkind.Errorf(errkind.BadRequest, "body: it is not whole")
 }
 
-// NewServer makes an HTTP server for a handler with bounds on slow callers.
-func NewServer(handler http.Handler, headWait clock.Span, idle clock.Span) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: headWait, IdleTimeout: idle}
+// NewServer returns a server that closes a connection whose header takes longer
+// than headerTimeout, or that is unused for longer than idleTimeout.
+func NewServer(handler http.Handler, headerTimeout time.Duration, idleTimeout time.Duration) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
--- a/base/httpcall/traffic.go
+++ b/base/httpcall/traffic.go
@@ -5,35 +5,37 @@
 	"sync/atomic"
 )
 
-// Traffic counts what a daemon's own calls and datagrams carry, heads included.
+// Traffic counts the messages and bytes between daemons, over TCP and UDP, headers
+// included.
 type Traffic struct{ Messages, BytesIn, BytesOut atomic.Int64 }
 
-// countedConn is a connection whose bytes are counted.
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-// Read counts what comes in.
+// Read reads and counts.
 func (c countedConn) Read(buffer []byte) (int, error) {
-	size, err := c.Conn.Read(buffer)
-	c.traffic.BytesIn.Add(int64(size))
-	return size, err
+	n, err := c.Conn.Read(buffer)
+	c.traffic.BytesIn.Add(int64(n))
+	return n, err
 }
 
-// Write counts what goes out.
+// Write writes and counts.
 func (c countedConn) Write(buffer []byte) (int, error) {
-	size, err := c.Conn.Write(buffer)
-	c.traffic.BytesOut.Add(int64(size))
-	return size, err
+	n, err := c.Conn.Write(buffer)
+	c.traffic.BytesOut.Add(int64(n))
+	return n, err
 }
 
-// CountConn counts the bytes of a connection; without a count it stays as it is.
-func CountConn(link net.Conn, traffic *Traffic) net.Conn {
+// CountConn returns a connection that adds its bytes to traffic, or the
+// connection itself if traffic is nil.
+func CountConn(conn net.Conn, traffic *Traffic) net.Conn {
 	if traffic == nil {
-		return link
+		return conn
 	}
-	return countedConn{Conn: link, traffic: traffic}
+	return countedConn{Conn: conn, traffic: traffic}
 }
 
 type countedListener struct {
@@ -41,16 +43,17 @@
 	traffic *Traffic
 }
 
-// Accept counts the bytes of what it accepts.
+// Accept returns a connection whose bytes are counted.
 func (c countedListener) Accept() (net.Conn, error) {
-	link, err := c.Listener.Accept()
+	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return CountConn(link, c.traffic), nil
+	return CountConn(conn, c.traffic), nil
 }
 
-// CountListener counts the bytes of all connections that it accepts.
+// CountListener returns a listener whose connections add their bytes to traffic,
+// or the listener itself if traffic is nil.
 func CountListener(listener net.Listener, traffic *Traffic) net.Listener {
 	if traffic == nil {
 		return listener
