--- a/base/errkind/errkind.go
+++ b/base/errkind/errkind.go
@@ -1,5 +1,10 @@
-// Package errkind is the closed list of the kinds of errors that onyxwell
-// knows, with the table that says how each is answered.
+// Package errkind is the closed set of error kinds that cross a boundary: a
+// client's or an operator's response, or a response between daemons. One table
+// maps each kind to its HTTP response.
+//
+// A kind's number is sent in a header and its name in bodies, logs and metrics,
+// between builds of different age: neither may ever change, and new kinds go to
+// the end.
 package errkind
 
 import (
@@ -7,46 +12,80 @@
 	"fmt"
 )
 
-// Kind is one of the kinds of errors below; there are no others.
+// Kind is an error kind. There are no others than the constants below.
 type Kind int
 
-// The kinds. A kind whose answer is 503, 429 or 408 is a promise that the
-// request has not run and never will, except for Unsettled and Forgotten, which
-// are told of orders alone and leave open whether they were taken.
+// The kinds. One whose status is 408, 429 or 503 promises that the request has
+// not run and never will. NoQuorum and OutcomeExpired are the exceptions: they
+// answer commands alone, and leave open whether the command took effect.
 const (
+	// None is the kind of no error.
 	None Kind = iota
+	// BadRequest is a request that can't be parsed.
 	BadRequest
+	// HeaderTooLarge is a header over the configured limit.
 	HeaderTooLarge
+	// BodyTooLarge is a body over the limit.
 	BodyTooLarge
+	// RequestTimeout is a request that was not received completely in time.
 	RequestTimeout
+	// NoRoute is a host and path that no route matches.
 	NoRoute
+	// UnknownCall is a method and path that the daemon doesn't serve.
 	UnknownCall
+	// NotReady is a router without a configuration.
 	NotReady
+	// Draining is a router that is shutting down.
 	Draining
+	// NoRunner is a service without an eligible runner.
 	NoRunner
+	// Overloaded is load that the runners can't serve within its target.
 	Overloaded
+	// RetryBudgetExhausted is a failed attempt for which no retry is left.
 	RetryBudgetExhausted
+	// RunnerLost is a runner that failed when it may have run the request.
 	RunnerLost
+	// BadRunnerResponse is a response that fails verification.
 	BadRunnerResponse
+	// DeadlineExceeded is a deadline that passed when a runner may have run the
+	// request.
 	DeadlineExceeded
+	// DeadlineBeforeRun is a deadline that passed before any runner began.
 	DeadlineBeforeRun
+	// InvalidConfig is a configuration that fails validation.
 	InvalidConfig
+	// VersionConflict is a compare-and-set against another version.
 	VersionConflict
+	// UnknownZone is a zone that the deployment doesn't have.
 	UnknownZone
+	// NoQuorum is a command for which no majority of voters answered in time; it
+	// may have taken effect.
 	NoQuorum
+	// OutcomeExpired is a repeated command whose first outcome is no longer
+	// recorded.
 	OutcomeExpired
+	// Internal is every error without a kind.
 	Internal
+	// EarlyRequest is a request sent before the response to the one before it on
+	// the same connection.
 	EarlyRequest
+	// OutOfMemory is a body for which the memory quota has no room.
 	OutOfMemory
+	// kindCount is the number of kinds.
 	kindCount
 )
 
-// Response is how a kind is told to a caller.
+// Response is how a kind is answered.
 type Response struct {
-	Status          int
-	Name            string
-	Text            string
-	NotRun          bool
+	// Status is the HTTP status.
+	Status int
+	// Name identifies the kind in bodies, logs and metrics.
+	Name string
+	// Text explains it to a person.
+	Text string
+	// NotRun promises that the request has not run and never will.
+	NotRun bool
+	// CloseConnection says that the connection can't be used after the response.
 	CloseConnection bool
 }
 
@@ -77,7 +116,8 @@
 	EarlyRequest:         {Status: 503, Name: "sent-ahead", Text: "the request came before the answer to the one before it", NotRun: true, CloseConnection: true},
 }
 
-// Response looks the kind up in the table.
+// Response returns how the kind is answered; a number that is no kind is answered
+// as Internal.
 func (k Kind) Response() Response {
 	if k < 0 || k >= kindCount {
 		return responses[Internal]
@@ -85,16 +125,19 @@
 	return responses[k]
 }
 
-// String gives the kind's name as logs and answers carry it.
+// String returns the kind's name.
 func (k Kind) String() string { return k.Response().Name }
 
-// Error is an error of a known kind.
+// Error is an error of a kind.
 type Error struct {
-	Kind   Kind
+	Kind Kind
+	// Detail is what is answered beyond the kind; it may be empty.
 	Detail string
+	// cause is the error that Detail wraps, nil if none.
+	cause error
 }
 
-// Error tells the kind and the detail.
+// Error returns the kind's name and the detail.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return e.Kind.String()
@@ -102,12 +145,19 @@
 	return e.Kind.String() + ": " + e.Detail
 }
 
-// Errorf makes an error of the kind with a detail in the manner of fmt.
+// Unwrap returns the error that was formatted with %w, nil if none was.
+func (e *Error) Unwrap() error { return e.cause }
+
+// Errorf returns an error of the kind, with a detail that is formatted as by
+// fmt.Errorf. An error in it formatted with %w is wrapped; the kind that counts
+// is the outer one.
 func Errorf(kind Kind, format string, values ...any) error {
-	return &Error{Kind: kind, Detail: fmt.Sprintf(format, values...)}
+	detail := fmt.Errorf(format, values...)
+	return &Error{Kind: kind, Detail: detail.Error(), cause: errors.Unwrap(detail)}
 }
 
-// KindOf finds the kind of an error; an error of no known kind is Internal.
+// KindOf returns the kind of the outermost Error in err's chain: None if err is
+// nil, Internal if there is no Error.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -119,7 +169,8 @@
 	return Internal
 }
 
-// DetailOf gives what is said beyond the kind.
+// DetailOf returns the detail of the outermost Error in err's chain, empty if
+// there is none.
 func DetailOf(err error) string {
 	var known *Error
 	if errors.As(err, &known) {
--- a/base/errkind/errkind_test.go
+++ b/base/errkind/errkind_test.go
@@ -6,29 +6,94 @@
 	"testing"
 )
 
+// The number of a kind is sent in a header and its name in bodies: builds of
+// different age must agree on both. Rows are only ever added, at the end.
+func TestKind_wireNumbersAndNames(t *testing.T) {
+	wire := []struct {
+		kind   Kind
+		name   string
+		status int
+	}{
+		{None, "none", 200},
+		{BadRequest, "bad-request", 400},
+		{HeaderTooLarge, "head-too-large", 431},
+		{BodyTooLarge, "body-too-large", 413},
+		{RequestTimeout, "too-slow", 408},
+		{NoRoute, "no-route", 404},
+		{UnknownCall, "unknown-call", 404},
+		{NotReady, "unready", 503},
+		{Draining, "leaving", 503},
+		{NoRunner, "no-runner", 503},
+		{Overloaded, "crowded", 503},
+		{RetryBudgetExhausted, "budget-spent", 503},
+		{RunnerLost, "runner-lost", 502},
+		{BadRunnerResponse, "runner-garbled", 502},
+		{DeadlineExceeded, "limit-reached", 504},
+		{DeadlineBeforeRun, "limit-before-run", 503},
+		{InvalidConfig, "bad-spec", 400},
+		{VersionConflict, "stale-spec", 412},
+		{UnknownZone, "unknown-zone", 404},
+		{NoQuorum, "unsettled", 503},
+		{OutcomeExpired, "forgotten", 503},
+		{Internal, "internal", 500},
+		{EarlyRequest, "sent-ahead", 503},
+		{OutOfMemory, "no-memory", 503},
+	}
+	if len(wire) != int(kindCount) {
+		t.Fatalf("%d kinds are listed of %d", len(wire), kindCount)
+	}
+	for number, want := range wire {
+		if int(want.kind) != number || want.kind.String() != want.name || want.kind.Response().Status != want.status {
+			t.Errorf("number %d is %q (%d) with status %d, want %q with status %d",
+				number, want.kind, int(want.kind), want.kind.Response().Status, want.name, want.status)
+		}
+	}
+}
+
 func TestKind_everyKindHasResponse(t *testing.T) {
 	names := map[string]bool{}
-	// Orders may be left without a clear answer; a client's request never.
-	unclear := map[Kind]bool{NoQuorum: true, OutcomeExpired: true}
-	promise := map[int]bool{408: true, 421: true, 429: true, 503: true}
+	// Commands may be left without a clear outcome, requests of clients never.
+	outcomeUnknown := map[Kind]bool{NoQuorum: true, OutcomeExpired: true}
+	promisesNotRun := map[int]bool{408: true, 421: true, 429: true, 503: true}
 	for kind := None; kind < kindCount; kind++ {
-		told := kind.Response()
-		if told.Status == 0 || told.Name == "" || names[told.Name] {
-			t.Errorf("kind %d: %+v", kind, told)
+		resp := kind.Response()
+		if resp.Status == 0 || resp.Name == "" || names[resp.Name] {
+			t.Errorf("kind %d: %+v", kind, resp)
 		}
-		names[told.Name] = true
-		if promise[told.Status] && !told.NotRun && !unclear[kind] {
-			t.Errorf("%s promises what may not be so", told.Name)
+		names[resp.Name] = true
+		if promisesNotRun[resp.Status] && !resp.NotRun && !outcomeUnknown[kind] {
+			t.Errorf("%s: status %d promises that the request did not run", resp.Name, resp.Status)
 		}
 	}
 	if Kind(-1).Response().Status != 500 || kindCount.Response().Status != 500 {
-		t.Error("an unknown kind is not internal")
+		t.Error("an unknown kind is not answered as Internal")
+	}
+}
+
+func TestKindOf(t *testing.T) {
+	conflict := Errorf(VersionConflict, "version %d", 7)
+	cases := map[string]struct {
+		err    error
+		kind   Kind
+		detail string
+	}{
+		"no error":      {nil, None, ""},
+		"without kind":  {errors.New("x"), Internal, ""},
+		"wrapped":       {fmt.Errorf("outside: %w", conflict), VersionConflict, "version 7"},
+		"inside a kind": {Errorf(NoQuorum, "write: %w", conflict), NoQuorum, "write: stale-spec: version 7"},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			if KindOf(c.err) != c.kind || DetailOf(c.err) != c.detail {
+				t.Errorf("kind %v with detail %q, want %v with %q", KindOf(c.err), DetailOf(c.err), c.kind, c.detail)
+			}
+		})
 	}
 }
 
-func TestKindOf_wrappedError(t *testing.T) {
-	err := fmt.Errorf("outside: %w", Errorf(VersionConflict, "version %d", 7))
-	if KindOf(err) != VersionConflict || DetailOf(err) != "version 7" || KindOf(nil) != None || KindOf(errors.New("x")) != Internal {
-		t.Fatalf("%v %q", KindOf(err), DetailOf(err))
+func TestErrorf_wraps(t *testing.T) {
+	cause := errors.New("disk full")
+	if err := Errorf(Internal, "append: %w", cause); !errors.Is(err, cause) || err.Error() != "internal: append: disk full" {
+		t.Errorf("%v does not wrap %v", err, cause)
 	}
 }
