--- a/base/ids/ids.go
+++ b/base/ids/ids.go
@@ -1,32 +1,35 @@
-// Package ids holds the small types for names, addresses and serials, so that
-// one can't be handed over for another.
+// Package ids holds the types of names, addresses and version numbers, so that
+// the compiler tells them apart.
 package ids
 
 import "cmp"
 
-// RunnerID names one life of one model runner.
+// RunnerID identifies one incarnation of a model runner: a runner that is
+// restarted gets a new one.
 type RunnerID string
 
-// Service names a service, a set of like runners.
+// Service names a set of interchangeable runners.
 type Service string
 
-// Zone names a zone of machines.
+// Zone names a failure domain of machines; it is in one region.
 type Zone string
 
-// Region names a region, a set of zones.
+// Region names a set of zones.
 type Region string
 
-// Address is an IP address and a port.
+// Address is an IP address and a port, "10.1.0.13:8166".
 type Address string
 
-// Serial counts the versions of a piece of state; it only ever rises.
+// Serial is the version of a piece of state. It never decreases.
 type Serial int64
 
-// Incarnation tells the lives of one daemon (or of one disk) apart.
+// Incarnation tells apart the lives of one daemon, or of one disk: of two, the
+// higher is the later.
 type Incarnation int64
 
-// Epoch orders the owners of a key or of a hold. Of two epochs the one with
-// the higher number is newer; the owner's address breaks ties.
+// Epoch is a proposal number: it orders the owners of a key or of a lease, and
+// serves as their fencing token. The higher Number is the later; the owner's
+// address breaks ties, so that no two owners have the same epoch.
 type Epoch struct {
 	Number int64   `avro:"Number"`
 	Owner  Address `avro:"Owner"`
@@ -35,7 +38,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Epoch) SchemaName() string { return "Epoch_17" }
 
-// Compare orders two epochs: negative when this one is older.
+// Compare returns a negative number if e is the earlier epoch, 0 if the two are
+// equal, and a positive number if e is the later one.
 func (e Epoch) Compare(other Epoch) int {
 	return cmp.Or(cmp.Compare(e.Number, other.Number), cmp.Compare(e.Owner, other.Owner))
 }
