--- a/base/clock/clock.go
+++ b/base/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock is the project's only door to time. Everything that waits or
-// measures asks a Clock, so tests run on a Fake and never sleep.
+// Package clock is the only source of time for what the daemons do. Everything
+// that waits or measures takes a Clock, so that tests and simulations run on a
+// Fake and never sleep.
 package clock
 
 import (
@@ -7,71 +8,80 @@
 	"time"
 )
 
-// Span is a length of time.
+// Span is time.Duration, by its former name; new code uses time.Duration.
 type Span = time.Duration
 
-// Lengths of time in common use.
+// Durations by their former names; new code uses those of package time.
 const (
 	Millisecond = time.Millisecond
 	Second      = time.Second
 )
 
-// Instant is a moment on the steady clock of one process. Instants of two
-// processes can't be compared, and the time of day plays no part in them.
+// Instant is a reading of a monotonic clock, in nanoseconds. Instants of
+// different processes can't be compared, and changes of the time of day have no
+// effect on them. The zero Instant is before every reading of a clock.
 type Instant int64
 
-// Add moves an instant by a span.
-func (i Instant) Add(span Span) Instant { return i + Instant(span) }
+// Add returns the instant that is d later.
+func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Since tells how much later this instant is than the earlier one.
-func (i Instant) Since(earlier Instant) Span { return Span(i - earlier) }
+// Since returns the time from the earlier instant to i.
+func (i Instant) Since(earlier Instant) time.Duration { return time.Duration(i - earlier) }
 
-// Before tells whether this instant comes before the other.
+// Before reports whether i is before the other instant.
 func (i Instant) Before(other Instant) bool { return i < other }
 
-// Clock tells the steady time and wakes its callers.
+// Clock reads the time and wakes who waits for it. It is safe for concurrent
+// use.
 type Clock interface {
-	// Now gives the present instant.
+	// Now returns the present instant. It never decreases.
 	Now() Instant
-	// After gives a channel that is closed once the span has passed.
-	After(span Span) <-chan struct{}
-	// WithTimeout gives a context that ends when the span has passed.
-	WithTimeout(parent context.Context, span Span) (context.Context, context.CancelFunc)
+	// After returns a channel that is closed once d has passed.
+	After(d time.Duration) <-chan struct{}
+	// WithTimeout returns a context that ends with context.DeadlineExceeded once
+	// the timeout has passed. The caller must call the cancel function.
+	WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc)
 }
 
-type monotonic struct{ begin time.Time }
+// origin is the instant at which clocks start: after the zero Instant, which
+// callers use for "never".
+const origin = time.Second
 
-// NewMonotonic gives the clock of the machine.
-func NewMonotonic() Clock { return monotonic{begin: time.Now().Add(-time.Second)} }
+// monotonic is the clock of the machine.
+type monotonic struct{ zero time.Time }
 
-func (m monotonic) Now() Instant { return Instant(time.Since(m.begin)) }
+// NewMonotonic returns the monotonic clock of the machine.
+func NewMonotonic() Clock { return monotonic{zero: time.Now().Add(-origin)} }
 
-func (m monotonic) After(span Span) <-chan struct{} {
+func (m monotonic) Now() Instant { return Instant(time.Since(m.zero)) }
+
+func (m monotonic) After(d time.Duration) <-chan struct{} {
 	done := make(chan struct{})
-	time.AfterFunc(span, func() { close(done) })
+	time.AfterFunc(d, func() { close(done) })
 	return done
 }
 
-func (m monotonic) WithTimeout(parent context.Context, span Span) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(parent, span)
+func (m monotonic) WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(parent, timeout)
 }
 
-// Wait blocks for the span or until the context ends; it tells whether the
-// span passed whole.
-func Wait(ctx context.Context, source Clock, span Span) bool {
-	if machine, real := source.(monotonic); real {
-		return machine.wait(ctx, span)
+// Wait blocks until d has passed on the clock or the context ends, and reports
+// whether d has passed.
+func Wait(ctx context.Context, clock Clock, d time.Duration) bool {
+	if _, ok := clock.(monotonic); ok {
+		return waitMonotonic(ctx, d)
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-source.After(span):
+	case <-clock.After(d):
 		return true
 	}
 }
 
-func (m monotonic) wait(ctx context.Context, span Span) bool {
-	timer := time.NewTimer(span)
+// waitMonotonic leaves no timer behind when the context ends first.
+func waitMonotonic(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/base/clock/fake.go
+++ b/base/clock/fake.go
@@ -3,86 +3,92 @@
 import (
 	"context"
 	"sync"
+	"time"
 )
 
-// Fake is a clock for tests: it stands still until it is moved.
+// Fake is a Clock for tests and simulations: it stands still until it is
+// advanced. It is safe for concurrent use.
 type Fake struct {
 	mu      sync.Mutex
 	now     Instant
 	waiters []waiter
 }
 
+// waiter is a function to call at an instant.
 type waiter struct {
 	until Instant
 	wake  func()
 }
 
-// NewFake gives a fake clock that stands one second after its start.
-func NewFake() *Fake { return &Fake{now: Instant(Second)} }
+// NewFake returns a fake clock at the instant at which other clocks start.
+func NewFake() *Fake { return &Fake{now: Instant(origin)} }
 
-// Now gives the present instant.
+// Now returns the present instant.
 func (f *Fake) Now() Instant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-// After gives a channel that is closed once the clock was moved by the span.
-func (f *Fake) After(span Span) <-chan struct{} {
+// After returns a channel that is closed once the clock was advanced by d, at
+// once if d is not above 0.
+func (f *Fake) After(d time.Duration) <-chan struct{} {
 	done := make(chan struct{})
-	f.schedule(span, func() { close(done) })
+	f.schedule(d, func() { close(done) })
 	return done
 }
 
-// WithTimeout gives a context that ends once the clock was moved by the span.
-func (f *Fake) WithTimeout(parent context.Context, span Span) (context.Context, context.CancelFunc) {
+// WithTimeout returns a context that ends once the clock was advanced by the
+// timeout.
+func (f *Fake) WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	f.schedule(span, func() { cancel(context.DeadlineExceeded) })
+	f.schedule(timeout, func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() { cancel(context.Canceled) }
 }
 
-// Advance lets the span pass and wakes all whose time has come.
-func (f *Fake) Advance(span Span) {
+// Advance moves the clock by d, then wakes who is due, in the order in which they
+// began to wait.
+func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
-	f.now = f.now.Add(span)
-	var due []waiter
-	var rest []waiter
-	for _, waiting := range f.waiters {
-		if f.now.Before(waiting.until) {
-			rest = append(rest, waiting)
+	f.now = f.now.Add(d)
+	var due, rest []waiter
+	for _, waiter := range f.waiters {
+		if f.now.Before(waiter.until) {
+			rest = append(rest, waiter)
 		} else {
-			due = append(due, waiting)
+			due = append(due, waiter)
 		}
 	}
 	f.waiters = rest
 	f.mu.Unlock()
-	for _, waiting := range due {
-		waiting.wake()
+	for _, waiter := range due {
+		waiter.wake()
 	}
 }
 
-// AdvanceToNext moves the clock to the first instant that somebody waits for; false
-// says that nobody waits.
+// AdvanceToNext advances the clock to the first instant that is waited for. It
+// returns false if there is none.
 func (f *Fake) AdvanceToNext() bool {
 	f.mu.Lock()
 	if len(f.waiters) == 0 {
 		f.mu.Unlock()
 		return false
 	}
-	first := f.waiters[0].until
-	for _, waiting := range f.waiters {
-		first = min(first, waiting.until)
+	next := f.waiters[0].until
+	for _, waiter := range f.waiters {
+		next = min(next, waiter.until)
 	}
-	span := first.Since(f.now)
+	d := next.Since(f.now)
 	f.mu.Unlock()
-	f.Advance(span)
+	f.Advance(d)
 	return true
 }
 
-func (f *Fake) schedule(span Span, wake func()) {
+// schedule calls wake once the clock was advanced by d.
+func (f *Fake) schedule(d time.Duration, wake func()) {
 	f.mu.Lock()
-	if span > 0 {
-		f.waiters = append(f.waiters, waiter{until: f.now.Add(span), wake: wake})
+	if d > 0 {
+		f.waiters = append(f.waiters, waiter{until: f.now.Add(d), wake: wake})
 		f.mu.Unlock()
 		return
 	}
