--- a/base/invariant/invariant.go
+++ b/base/invariant/invariant.go
@@ -1,71 +1,75 @@
-// Package invariant counts violations of the promises that matter most, where
-// the code can see them while it runs. A violation never ends a process in
-// production: it is counted, and the first few of each promise are logged with
-// the facts. In a test binary it panics, so that no test passes over one.
+// Package invariant counts violations of the safety properties that the running
+// code can check for itself. In production a violation never ends the process:
+// it is counted, and the first few of each property are logged with the facts.
+// In a test binary it panics, so that no test can miss one.
 package invariant
 
 import (
 	"fmt"
+	"slices"
 	"sync/atomic"
 	"testing"
 
 	"github.com/phuslu/log"
 )
 
-// Name names a promise; docs/promises.md lists them all.
+// Name identifies a property; docs/promises.md lists them all. It is the label of
+// a metric and a field of log lines.
 type Name string
 
-// The promises that are checked in the code.
+// The properties.
 const (
-	// AnswerSeal: a success passed on bears its runner's seal and the request's id.
+	// AnswerSeal: a forwarded success bears its runner's seal and the request's id.
 	AnswerSeal Name = "answer-seal"
-	// RunOnce: a request that may run once is not sent again after it may have run.
+	// RunOnce: a request that is not idempotent is not sent again after it may have
+	// run.
 	RunOnce Name = "run-once"
-	// PromiseNotRun: an answer that promises "not run" is not given after a run.
+	// PromiseNotRun: a response that promises "not run" is not given after a run.
 	PromiseNotRun Name = "promise-not-run"
-	// Tries: a request reaches no more runners than its route's tries.
+	// Tries: a request makes no more attempts than its route allows.
 	Tries Name = "tries"
-	// TimeLeft: a runner is not given more time than the client has.
+	// TimeLeft: the deadline that a runner gets is not after the client's.
 	TimeLeft Name = "time-left"
 	// Home: a request goes only to runners in a home region of its route.
 	Home Name = "home"
-	// EventOrder: the ids of the events passed on rise by one.
+	// EventOrder: the ids of the events of a forwarded stream increase by one.
 	EventOrder Name = "event-order"
-	// VersionRises: the configuration acted on never goes back in a process's life.
+	// VersionRises: the configuration in use is never replaced by an older one
+	// during the life of a process.
 	VersionRises Name = "version-rises"
-	// EpochRises: each gain of a duty has a higher epoch than the one before.
+	// EpochRises: each acquisition of a lease has a higher epoch than the one before.
 	EpochRises Name = "epoch-rises"
-	// PromiseRises: the epoch that a voter has promised never goes down.
+	// PromiseRises: the epoch that an acceptor has promised never decreases.
 	PromiseRises Name = "promise-rises"
-	// LedAway: clients are led out of their region only where it is known lost.
+	// LedAway: clients are sent out of their region only if it is known to be lost.
 	LedAway Name = "led-away"
-	// MemoryReserved: no more memory is given back than was reserved.
+	// MemoryReserved: no more memory is released than was reserved.
 	MemoryReserved Name = "memory-reserved"
 )
 
-// Names lists all promises.
+// Names lists all properties.
 var Names = []Name{
 	AnswerSeal, RunOnce, PromiseNotRun, Tries, TimeLeft, Home, EventOrder, VersionRises, EpochRises, PromiseRises, LedAway, MemoryReserved,
 }
 
-// maxLogged is how many violations of a promise are logged with their facts.
+// maxLogged bounds the violations of one property that are logged.
 const maxLogged = 5
 
-// Monitor counts violations. The zero value is ready; a nil one is that of the
-// process.
+// Monitor counts violations. The zero value is ready to use; a nil Monitor stands
+// for one that the whole process shares. It is safe for concurrent use.
 type Monitor struct {
-	// Log may be left out.
+	// Log may be nil; then violations are only counted.
 	Log *log.Logger
-	// Tolerant has violations counted in tests too, where they are planted.
+	// Tolerant keeps violations from panicking in tests, for those that cause one.
 	Tolerant bool
 	counts   [16]atomic.Int64
 }
 
-// defaultMonitor is the monitor of code that was given none.
+// defaultMonitor stands in for a nil Monitor.
 var defaultMonitor Monitor
 
-// Violated counts a violation of a promise, told with the facts in the manner
-// of fmt.
+// Violated counts a violation of the property; format and facts describe it as
+// for fmt.Sprintf.
 func (m *Monitor) Violated(name Name, format string, facts ...any) {
 	if m == nil {
 		m = &defaultMonitor
@@ -80,7 +84,7 @@
 	}
 }
 
-// Count gives how often a promise was violated.
+// Count returns how often the property was violated.
 func (m *Monitor) Count(name Name) int64 {
 	if m == nil {
 		m = &defaultMonitor
@@ -88,11 +92,11 @@
 	return m.counts[indexOf(name)].Load()
 }
 
+// indexOf returns the position of the name in Names; it panics for any other.
 func indexOf(name Name) int {
-	for index, known := range Names {
-		if known == name {
-			return index
-		}
+	index := slices.Index(Names, name)
+	if index < 0 {
+		panic("invariant: " + string(name) + " is not in the list of names")
 	}
-	panic("invariant: " + string(name) + " is not in the list of names")
+	return index
 }
--- a/base/invariant/invariant_test.go
+++ b/base/invariant/invariant_test.go
@@ -9,23 +9,26 @@
 )
 
 func TestMonitor_countsAllLogsFirst(t *testing.T) {
-	var text bytes.Buffer
-	monitor := &Monitor{Tolerant: true, Log: &log.Logger{Writer: &log.IOWriter{Writer: &text}}}
+	var lines bytes.Buffer
+	monitor := &Monitor{Tolerant: true, Log: &log.Logger{Writer: &log.IOWriter{Writer: &lines}}}
 	for range maxLogged + 3 {
 		monitor.Violated(RunOnce, "attempt %s", "a1")
 	}
-	if got := monitor.Count(RunOnce); got != maxLogged+3 || monitor.Count(Home) != 0 {
-		t.Errorf("%d violations counted, and %d of a promise that was kept", got, monitor.Count(Home))
+	if got := monitor.Count(RunOnce); got != maxLogged+3 {
+		t.Errorf("counted %d violations, want %d", got, maxLogged+3)
 	}
-	if lines := strings.Count(text.String(), `"invariant":"run-once"`); lines != maxLogged || !strings.Contains(text.String(), "attempt a1") {
-		t.Errorf("%d lines: %s", lines, text.String())
+	if got := monitor.Count(Home); got != 0 {
+		t.Errorf("counted %d violations of a property that holds", got)
+	}
+	if logged := strings.Count(lines.String(), `"invariant":"run-once"`); logged != maxLogged || !strings.Contains(lines.String(), "attempt a1") {
+		t.Errorf("logged %d lines, want %d with the facts: %s", logged, maxLogged, lines.String())
 	}
 }
 
 func TestMonitor_violationPanicsInTests(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("a test goes on after a violation")
+			t.Error("no panic")
 		}
 	}()
 	(&Monitor{}).Violated(Home, "planted")
