--- a/base/program/hangup_test.go
+++ b/base/program/hangup_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// haltVariable has this test binary stop in the middle of its start.
+// haltVariable is set for a test binary that is to wait in its initialization.
 const haltVariable = "ONYXWELL_TEST_START"
 
 // This runs before main, while packages are being initialized.
@@ -22,31 +22,30 @@
 	return true
 }()
 
-// TestHangup_ignoredBeforeMain sends a SIGHUP to a program that has not come
-// to its main function.
+// A process gets a SIGHUP before its main function runs.
 func TestHangup_ignoredBeforeMain(t *testing.T) {
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	command := exec.Command(own)
+	command := exec.Command(executable)
 	command.Env = append(os.Environ(), haltVariable+"=1")
-	in, inErr := command.StdinPipe()
-	out, outErr := command.StdoutPipe()
-	if inErr != nil || outErr != nil {
-		t.Fatal(inErr, outErr)
+	stdin, stdinErr := command.StdinPipe()
+	stdout, stdoutErr := command.StdoutPipe()
+	if stdinErr != nil || stdoutErr != nil {
+		t.Fatal(stdinErr, stdoutErr)
 	}
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if line, err := bufio.NewReader(out).ReadString('\n'); err != nil || line != "starting\n" {
-		t.Fatalf("%q %v", line, err)
+	if line, err := bufio.NewReader(stdout).ReadString('\n'); err != nil || line != "starting\n" {
+		t.Fatalf("first line %q, error %v", line, err)
 	}
 	if err := command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = fmt.Fprintln(in)
+	_, _ = fmt.Fprintln(stdin)
 	if err := command.Wait(); err != nil {
-		t.Errorf("the program ended: %v", err)
+		t.Errorf("the process failed: %v", err)
 	}
 }
--- a/base/program/program.go
+++ b/base/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the common command line of the daemons: run (the
-// default), check for the boot file, and the version.
+// Package program is the entry point of the daemons: the command line, the first
+// read of the boot file and its reloads, and the signals of the process.
 package program
 
 import (
@@ -20,17 +20,21 @@
 // Version is the version of all programs.
 const Version = "0.1.0"
 
-// Daemon is what a program runs.
+// Daemon describes a program to Main.
 type Daemon struct {
 	Name        string
 	Description string
-	// RequiredListeners names the listening addresses that the boot file must hold.
+	// RequiredListeners are the client interfaces for which the boot file must have
+	// an address.
 	RequiredListeners []string
-	// Serve runs until the context ends, then leaves in order. Reread is told
-	// each new boot file.
-	Serve func(top scope.Scope, reread <-chan *settings.Settings) error
+	// Serve runs the daemon until ctx ends and then shuts it down gracefully; its
+	// error is that of the program. Each reloaded boot file is received from
+	// reread.
+	Serve func(ctx scope.Scope, reread <-chan *settings.Settings) error
 }
 
+// commandLine is what the flags are parsed into; the names of its fields are the
+// flags.
 type commandLine struct {
 	Boot     string                   `help:"Path of the boot file; by default what ${variable} holds." placeholder:"FILE"`
 	LogLevel string                   `help:"Least level that is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"warn"`
@@ -41,56 +45,57 @@
 	Check    struct{}                 `cmd:"" help:"Read and check the boot file, then stop."`
 }
 
-// Main parses the command line and runs a command; it gives the exit status.
+// Main parses the command line, runs the command and returns the exit status of
+// the process.
 func Main(daemon Daemon, arguments []string) int {
+	if err := execute(daemon, arguments); err != nil {
+		fmt.Fprintf(os.Stderr, "%s: %v\n", daemon.Name, err)
+		return 1
+	}
+	return 0
+}
+
+func execute(daemon Daemon, arguments []string) error {
 	hangups := NotifyHangup()
 	var line commandLine
 	parser, err := kong.New(&line, kong.Name(daemon.Name), kong.Description(daemon.Description),
 		kong.Vars{"version": daemon.Name + " " + Version, "variable": settings.PathVariable})
 	if err != nil {
-		return fail(daemon, err)
+		return err
 	}
-	parsed, err := parser.Parse(arguments)
+	command, err := parser.Parse(arguments)
 	if err != nil {
-		return fail(daemon, err)
+		return err
 	}
 	if line.Boot == "" {
 		line.Boot = settings.Path()
 	}
-	file, settings, err := OpenSettings(line.Boot)
-	if err == nil {
-		err = settings.RequireListeners(daemon.RequiredListeners...)
-	}
+	file, node, err := OpenSettings(line.Boot)
 	if err != nil {
-		return fail(daemon, err)
-	}
-	if settings != nil {
-		settings.Grouping, settings.Metrics = line.Grouping == "on", line.Metrics
+		return err
 	}
-	commands := map[string]func() error{
-		"check": func() error {
-			_, err := fmt.Printf("%s: boot file %s is good: %s in %s\n", daemon.Name, line.Boot, settings.NodeName, settings.Zone)
-			return err
-		},
-		"run": func() error { return run(daemon, line, settings, file, hangups) },
+	if err := node.RequireListeners(daemon.RequiredListeners...); err != nil {
+		return err
 	}
-	if err := commands[parsed.Command()](); err != nil {
-		return fail(daemon, err)
+	node.Grouping, node.Metrics = line.Grouping == "on", line.Metrics
+	if command.Command() == "check" {
+		_, err := fmt.Printf("%s: boot file %s is good: %s in %s\n", daemon.Name, line.Boot, node.NodeName, node.Zone)
+		return err
 	}
-	return 0
+	return run(daemon, line.LogLevel, node, file, hangups)
 }
 
-func fail(daemon Daemon, err error) int {
-	fmt.Fprintf(os.Stderr, "%s: %v\n", daemon.Name, err)
-	return 1
-}
+// memoryLimitPercent is the part of the process's memory that the Go runtime may
+// use before it collects harder; the rest is for what it doesn't count.
+const memoryLimitPercent = 60
 
-func run(daemon Daemon, line commandLine, settings *settings.Settings, file *SettingsFile, hangups <-chan os.Signal) error {
+// run serves until SIGTERM or an interrupt.
+func run(daemon Daemon, logLevel string, node *settings.Settings, file *SettingsFile, hangups <-chan os.Signal) error {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(settings.Limits.MemoryMB << 20 * 6 / 10)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	debug.SetMemoryLimit(node.Limits.MemoryMB << 20 * memoryLimitPercent / 100)
+	signals, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
-	top := scope.New(scope.Options{Settings: settings, Log: scope.NewLogger(line.LogLevel, os.Stderr)}).WithContext(ctx)
-	return daemon.Serve(top, file.Watch(top, hangups))
+	ctx := scope.New(scope.Options{Settings: node, Log: scope.NewLogger(logLevel, os.Stderr)}).WithContext(signals)
+	return daemon.Serve(ctx, file.Watch(ctx, hangups))
 }
--- a/base/program/watch.go
+++ b/base/program/watch.go
@@ -2,72 +2,85 @@
 
 import (
 	"os"
+	"time"
 
 	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 )
 
-// SettingsFile is a settings file as it was read last.
+// SettingsFile is a boot file and the state in which it was read last.
 type SettingsFile struct {
 	path string
-	// lastStamp is the stamp from before it was read: a change that comes while it is
-	// read is seen as one.
+	// lastStamp was taken before that read, so that a change during the read
+	// shows as one.
 	lastStamp fileStamp
 }
 
-// OpenSettings reads a settings file for the first time.
+// OpenSettings reads a boot file for the first time.
 func OpenSettings(path string) (*SettingsFile, *settings.Settings, error) {
 	file := &SettingsFile{path: path, lastStamp: statFile(path)}
-	settings, err := settings.Read(path)
-	return file, settings, err
+	node, err := settings.Read(path)
+	return file, node, err
 }
 
-// Watch reads the settings file again on each SIGHUP, and when the file changes
-// without any signal, and gives each new one.
-func (s *SettingsFile) Watch(top scope.Scope, hangups <-chan os.Signal) <-chan *settings.Settings {
+// Watch reads the file again on each SIGHUP and, since it may change without
+// one, whenever a poll finds another size or modification time. Valid settings
+// are sent on the channel it returns; an invalid file is logged and changes
+// nothing. It stops when ctx ends; the channel is not closed. It may be called
+// once.
+func (s *SettingsFile) Watch(ctx scope.Scope, hangups <-chan os.Signal) <-chan *settings.Settings {
 	reread := make(chan *settings.Settings, 1)
-	go s.watch(top, hangups, reread)
+	go s.watch(ctx, hangups, reread)
 	return reread
 }
 
-func (s *SettingsFile) watch(top scope.Scope, hangups <-chan os.Signal, reread chan<- *settings.Settings) {
-	pause := max(settings.Seconds(top.Settings.Bounds.SeedLagS), settings.Milliseconds(top.Settings.Bounds.ApplyWithinMS))
+func (s *SettingsFile) watch(ctx scope.Scope, hangups <-chan os.Signal, reread chan<- *settings.Settings) {
+	interval := pollInterval(ctx.Settings.Bounds)
 	for {
-		// A SIGHUP says that the file changed, whatever its size and time say.
-		changed := false
+		// The file counts as changed after a SIGHUP, even if its stamp is the same.
+		hungUp := false
 		select {
-		case <-top.Done():
+		case <-ctx.Done():
 			return
 		case <-hangups:
-			changed = true
-		case <-top.Clock.After(pause):
+			hungUp = true
+		case <-ctx.Clock.After(interval):
 		}
 		stamp := statFile(s.path)
-		if stamp == s.lastStamp && !changed {
+		if stamp == s.lastStamp && !hungUp {
 			continue
 		}
-		fresh, err := settings.Read(s.path)
+		node, err := settings.Read(s.path)
 		if err != nil {
-			top.Log.Error().Str("part", "boot").Err(err).Msg("the changed boot file is not taken")
+			ctx.Log.Error().Str("part", "boot").Err(err).Msg("boot file reload failed")
 			continue
 		}
 		s.lastStamp = stamp
 		select {
-		case reread <- fresh:
-		case <-top.Done():
+		case reread <- node:
+		case <-ctx.Done():
 		}
 	}
 }
 
+// pollInterval returns the time between two looks at the file's stamp.
+func pollInterval(bounds settings.Bounds) time.Duration {
+	return max(settings.Seconds(bounds.SeedLagS), settings.Milliseconds(bounds.ApplyWithinMS))
+}
+
+// fileStamp tells two states of a file apart, as far as that goes without
+// reading it.
 type fileStamp struct {
 	size     int64
 	modified int64
 }
 
+// statFile returns the stamp of a file; one that can't be read has the zero
+// stamp.
 func statFile(path string) fileStamp {
-	found, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
 	}
-	return fileStamp{size: found.Size(), modified: found.ModTime().UnixNano()}
+	return fileStamp{size: info.Size(), modified: info.ModTime().UnixNano()}
 }
--- a/base/program/watch_test.go
+++ b/base/program/watch_test.go
@@ -32,7 +32,7 @@
 rate_per_s = 42.0
 `
 
-// settingsFile is a settings file of a test.
+// settingsFile is the path of a boot file.
 type settingsFile string
 
 func (s settingsFile) write(t *testing.T, name string) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// open reads the file for the first time; what it gives begins to watch it, on a
-// clock that stands still.
+// open reads the file for the first time and returns a function that begins to
+// watch it, on a clock that stands still: no poll ever happens.
 func (s settingsFile) open(t *testing.T) (watch func() <-chan *settings.Settings) {
 	t.Helper()
 	hangups := NotifyHangup()
@@ -51,51 +51,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	top, end := scope.New(scope.Options{Clock: clock.NewFake(), Settings: node}).WithCancel()
-	t.Cleanup(end)
-	return func() <-chan *settings.Settings { return file.Watch(top, hangups) }
+	ctx, cancel := scope.New(scope.Options{Clock: clock.NewFake(), Settings: node}).WithCancel()
+	t.Cleanup(cancel)
+	return func() <-chan *settings.Settings { return file.Watch(ctx, hangups) }
 }
 
-// hangUp sends this process a SIGHUP and wants the settings of that name.
-func hangUp(t *testing.T, reread <-chan *settings.Settings, name string) {
+// hangUpAndExpect sends this process a SIGHUP and expects settings with that node
+// name.
+func hangUpAndExpect(t *testing.T, reread <-chan *settings.Settings, name string) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case fresh := <-reread:
-		if fresh.NodeName != name {
-			t.Fatalf("%q was read, not %q", fresh.NodeName, name)
+	case node := <-reread:
+		if node.NodeName != name {
+			t.Fatalf("reread settings of %q, want %q", node.NodeName, name)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatalf("%q is never seen", name)
+		t.Fatalf("settings of %q are never reread", name)
 	}
 }
 
-// TestHangup_reloadsSettings sends this process a SIGHUP at once after NotifyHangup: it lives,
-// and the changed file is there though no time passes.
+// A SIGHUP right after NotifyHangup reloads the file, though no time passes.
 func TestHangup_reloadsSettings(t *testing.T) {
 	path := settingsFile(filepath.Join(t.TempDir(), "boot.toml"))
 	path.write(t, "one")
 	reread := path.open(t)()
 	for _, name := range []string{"the second", "the third one"} {
 		path.write(t, name)
-		hangUp(t, reread, name)
+		hangUpAndExpect(t, reread, name)
 	}
 }
 
-// TestWatch_changeBeforeWatchIsSeen has the settings file change after it was
-// read and before anybody watches it.
+// The file changes after it was read and before it is watched.
 func TestWatch_changeBeforeWatchIsSeen(t *testing.T) {
 	path := settingsFile(filepath.Join(t.TempDir(), "boot.toml"))
 	path.write(t, "one")
 	watch := path.open(t)
 	path.write(t, "the second")
-	hangUp(t, watch(), "the second")
+	hangUpAndExpect(t, watch(), "the second")
 }
 
-// TestHangup_reloadsDespiteUnchangedStamp has the file change without its size and
-// time showing it.
+// The file changes, but neither its size nor its modification time does.
 func TestHangup_reloadsDespiteUnchangedStamp(t *testing.T) {
 	path := settingsFile(filepath.Join(t.TempDir(), "boot.toml"))
 	write := func(name string) {
@@ -107,5 +105,5 @@
 	write("one")
 	reread := path.open(t)()
 	write("two")
-	hangUp(t, reread, "two")
+	hangUpAndExpect(t, reread, "two")
 }
