--- a/base/scope/scope.go
+++ b/base/scope/scope.go
@@ -1,11 +1,15 @@
-// Package scope holds the project's one context type. It stands in for long
-// lists of arguments: where a call comes from, until when it may take, the
-// clock, the log and the boot file.
+// Package scope holds a context that carries the clock, the logger and the node
+// settings along.
+//
+// It is on its way out: types take what they need in their constructors, and
+// functions take a context.Context. A Scope is a context.Context, so that it can
+// be passed to either.
 package scope
 
 import (
 	"context"
 	"io"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -13,7 +17,7 @@
 	"onyxwell/base/settings"
 )
 
-// Scope is handed down every call that waits, logs or needs the boot file.
+// Scope is a context with a clock, a logger and the node settings.
 type Scope struct {
 	context.Context
 	Clock    clock.Clock
@@ -21,14 +25,15 @@
 	Settings *settings.Settings
 }
 
-// Options are what a scope is made from.
+// Options are the parts of a new Scope. A nil Clock is the machine's, a nil Log
+// discards everything, and nil Settings are empty.
 type Options struct {
 	Clock    clock.Clock
 	Log      *log.Logger
 	Settings *settings.Settings
 }
 
-// New makes the outermost scope; what the options leave out is filled in.
+// New returns a scope that never ends.
 func New(options Options) Scope {
 	if options.Clock == nil {
 		options.Clock = clock.NewMonotonic()
@@ -42,38 +47,42 @@
 	return Scope{Context: context.Background(), Clock: options.Clock, Log: options.Log, Settings: options.Settings}
 }
 
-// WithContext gives the same scope below another context.
-func (s Scope) WithContext(parent context.Context) Scope {
-	s.Context = parent
+// WithContext returns the scope with ctx in place of its context.
+func (s Scope) WithContext(ctx context.Context) Scope {
+	s.Context = ctx
 	return s
 }
 
-// WithTimeout gives the same scope with an end after the span.
-func (s Scope) WithTimeout(span clock.Span) (Scope, func()) {
-	limited, cancel := s.Clock.WithTimeout(s.Context, span)
-	return s.WithContext(limited), cancel
+// WithTimeout returns a scope that ends once the timeout has passed on its clock.
+// The caller must call the cancel function.
+func (s Scope) WithTimeout(timeout time.Duration) (Scope, func()) {
+	ctx, cancel := s.Clock.WithTimeout(s.Context, timeout)
+	return s.WithContext(ctx), cancel
 }
 
-// WithCancel gives the same scope and a function that ends it.
+// WithCancel returns a scope that ends with s, or when the cancel function is
+// called, which the caller must do.
 func (s Scope) WithCancel() (Scope, func()) {
-	inner, cancel := context.WithCancel(s.Context)
-	return s.WithContext(inner), cancel
+	ctx, cancel := context.WithCancel(s.Context)
+	return s.WithContext(ctx), cancel
 }
 
-// AfterFunc has something done once the scope has ended; the function it gives back
-// calls that off.
-func (s Scope) AfterFunc(act func()) (stop func() bool) { return context.AfterFunc(s.Context, act) }
+// AfterFunc runs f in a goroutine of its own once the scope has ended. Calling
+// stop keeps that from happening; it reports whether it did.
+func (s Scope) AfterFunc(f func()) (stop func() bool) { return context.AfterFunc(s.Context, f) }
 
-// WithoutCancel gives the same scope without the end of its parent.
+// WithoutCancel returns a scope that does not end when s does.
 func (s Scope) WithoutCancel() Scope { return s.WithContext(context.WithoutCancel(s.Context)) }
 
-// Wait blocks for the span; false says that the scope ended first.
-func (s Scope) Wait(span clock.Span) bool { return clock.Wait(s.Context, s.Clock, span) }
+// Wait blocks until d has passed or the scope ends, and reports whether d has
+// passed.
+func (s Scope) Wait(d time.Duration) bool { return clock.Wait(s.Context, s.Clock, d) }
 
-// Now gives the present instant.
+// Now returns the present instant of the clock.
 func (s Scope) Now() clock.Instant { return s.Clock.Now() }
 
-// NewLogger makes a logger of JSON lines at a level: debug, info, warn or error.
+// NewLogger returns a logger of JSON lines. The level is debug, info, warn or
+// error.
 func NewLogger(level string, writer io.Writer) *log.Logger {
 	return &log.Logger{Level: log.ParseLevel(level), TimeFormat: "15:04:05.000", Writer: &log.IOWriter{Writer: writer}}
 }
