--- a/base/telemetry/telemetry.go
+++ b/base/telemetry/telemetry.go
@@ -1,33 +1,36 @@
-// Package telemetry keeps a daemon's figures and serves them in Prometheus'
-// text format. Labels are bounded: names of routes, of kinds and of causes,
-// never a tenant, a key or the id of a request. Times are in seconds.
+// Package telemetry holds a daemon's Prometheus metrics and serves them as text.
+//
+// Labels are bounded: routes, error kinds and causes, never a tenant, a key or a
+// request's id. Times are in seconds.
 package telemetry
 
 import (
 	"net/http"
 	"sync"
+	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/invariant"
 )
 
-// namespace begins the names of all figures.
+// namespace prefixes the names of all metrics.
 const namespace = "onyxwell"
 
-// maxRoutes is how many routes have figures of their own; further ones are
-// counted together as otherRoutes.
+// Labels of routes.
 const (
+	// maxRoutes bounds the routes with a label of their own; the others share
+	// otherRoutes.
 	maxRoutes   = 256
 	otherRoutes = "(other)"
-	// noRoute stands for requests that no route has.
+	// noRoute is the label of requests that match no route.
 	noRoute = "(none)"
 )
 
-// Metrics are the figures of one daemon. A nil one counts nothing.
+// Metrics are the metrics of one daemon. They are safe for concurrent use; a nil
+// Metrics counts nothing.
 type Metrics struct {
 	registry       *prometheus.Registry
 	requests       *prometheus.CounterVec
@@ -37,24 +40,27 @@
 	calls          *prometheus.CounterVec
 	callSeconds    *prometheus.HistogramVec
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// routes are those with a label of their own, the first that were seen.
 	routes map[string]bool
 }
 
-// latencyBuckets are the upper ends of the histograms' classes: from a millisecond to
-// half a minute.
+// latencyBuckets are the upper bounds of the histograms' buckets, in seconds.
 var latencyBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30}
 
-// New makes the figures of a daemon, with those of its process and of the
-// invariants that the monitor counts.
+// New returns the metrics of a daemon, with those of its process and the counts
+// of the monitor.
 func New(monitor *invariant.Monitor) *Metrics {
-	metrics := &Metrics{registry: prometheus.NewRegistry(), routes: map[string]bool{}}
-	metrics.requests = newCounterVec("requests_total", "Requests of clients that ended, by route and outcome: answered, or the kind of failure told, or cut, or left.", "route", "outcome")
-	metrics.sends = newCounterVec("sends_total", "Requests sent to runners, by what is known of their fate and by cause.", "fate", "cause")
-	metrics.requestSeconds = newHistogramVec("request_seconds", "Time from a request's head to the end of its answer, by outcome.", "outcome")
-	metrics.lookups = newCounterVec("lookups_total", "Answers of the directory, by the circle that the routers are in: zone, region, away, or none.", "circle")
-	metrics.calls = newCounterVec("calls_total", "Calls of operators and of other daemons that were answered, by call and status.", "call", "status")
-	metrics.callSeconds = newHistogramVec("call_seconds", "Time to the answer of such calls.", "call")
+	metrics := &Metrics{
+		registry:       prometheus.NewRegistry(),
+		requests:       newCounterVec("requests_total", "Requests of clients that ended, by route and outcome: answered, or the kind of failure told, or cut, or left.", "route", "outcome"),
+		sends:          newCounterVec("sends_total", "Requests sent to runners, by what is known of their fate and by cause.", "fate", "cause"),
+		requestSeconds: newHistogramVec("request_seconds", "Time from a request's head to the end of its answer, by outcome.", "outcome"),
+		lookups:        newCounterVec("lookups_total", "Answers of the directory, by the circle that the routers are in: zone, region, away, or none.", "circle"),
+		calls:          newCounterVec("calls_total", "Calls of operators and of other daemons that were answered, by call and status.", "call", "status"),
+		callSeconds:    newHistogramVec("call_seconds", "Time to the answer of such calls.", "call"),
+		routes:         map[string]bool{},
+	}
 	metrics.registry.MustRegister(metrics.requests, metrics.sends, metrics.requestSeconds, metrics.lookups, metrics.calls, metrics.callSeconds,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	for _, name := range invariant.Names {
@@ -72,7 +78,9 @@
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: latencyBuckets}, labels)
 }
 
-// CounterFunc adds a figure that only rises and is read when it is asked for.
+// CounterFunc registers a counter that is read when the metrics are scraped. The
+// labels are constant, and may be nil. It panics if the counter is registered
+// already.
 func (m *Metrics) CounterFunc(name string, help string, labels map[string]string, read func() float64) {
 	if m == nil {
 		return
@@ -82,7 +90,7 @@
 	}, read))
 }
 
-// GaugeFunc adds a figure that is read when it is asked for.
+// GaugeFunc registers a gauge, as CounterFunc does a counter.
 func (m *Metrics) GaugeFunc(name string, help string, labels map[string]string, read func() float64) {
 	if m == nil {
 		return
@@ -92,16 +100,17 @@
 	}, read))
 }
 
-// Request counts a client's request that ended, with the time that it took.
-func (m *Metrics) Request(route string, outcome string, spent clock.Span) {
+// Request counts a client's request that ended. The route is empty if none
+// matched; the outcome is one of the help text of requests_total.
+func (m *Metrics) Request(route string, outcome string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
 	m.requests.WithLabelValues(m.routeLabel(route), outcome).Inc()
-	m.requestSeconds.WithLabelValues(outcome).Observe(spent.Seconds())
+	m.requestSeconds.WithLabelValues(outcome).Observe(elapsed.Seconds())
 }
 
-// routeLabel gives the label of a route: the first ones have their own.
+// routeLabel returns the label of a route.
 func (m *Metrics) routeLabel(route string) string {
 	if route == "" {
 		return noRoute
@@ -115,31 +124,32 @@
 	return route
 }
 
-// Send counts a request sent to a runner, by its fate and the cause of a
-// further try.
+// Send counts an attempt at a runner, by what is known of its outcome and by the
+// cause of the attempt.
 func (m *Metrics) Send(fate string, cause string) {
 	if m != nil {
 		m.sends.WithLabelValues(fate, cause).Inc()
 	}
 }
 
-// Lookup counts an answer of the directory by its circle.
+// Lookup counts a response of the directory by how near the routers in it are.
 func (m *Metrics) Lookup(circle string) {
 	if m != nil {
 		m.lookups.WithLabelValues(circle).Inc()
 	}
 }
 
-// Call counts an answered call, with the time that it took.
-func (m *Metrics) Call(call string, status string, spent clock.Span) {
+// Call counts a call of an operator or a daemon that was answered. The call is
+// its method and the path of its handler.
+func (m *Metrics) Call(call string, status string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
 	m.calls.WithLabelValues(call, status).Inc()
-	m.callSeconds.WithLabelValues(call).Observe(spent.Seconds())
+	m.callSeconds.WithLabelValues(call).Observe(elapsed.Seconds())
 }
 
-// Handler serves the figures as text.
+// Handler returns the handler that serves the metrics at the path.
 func (m *Metrics) Handler(path string) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+path, promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
--- a/base/telemetry/telemetry_test.go
+++ b/base/telemetry/telemetry_test.go
@@ -5,8 +5,8 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/invariant"
 )
 
@@ -14,15 +14,15 @@
 	monitor := &invariant.Monitor{Tolerant: true}
 	metrics := New(monitor)
 	for index := range maxRoutes + 2 {
-		metrics.Request(fmt.Sprintf("r-%d", index), "answered", 20*clock.Millisecond)
+		metrics.Request(fmt.Sprintf("r-%d", index), "answered", 20*time.Millisecond)
 	}
 	metrics.Request("", "no-route", 0)
 	metrics.Send("refused", "declined")
 	metrics.Lookup("zone")
-	metrics.Call("PUT /settings", "200", clock.Second)
+	metrics.Call("PUT /settings", "200", time.Second)
 	monitor.Violated(invariant.Home, "planted")
-	writer := httptest.NewRecorder()
-	metrics.Handler("/metrics").ServeHTTP(writer, httptest.NewRequest("GET", "/metrics", nil))
+	recorder := httptest.NewRecorder()
+	metrics.Handler("/metrics").ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
 	for _, want := range []string{
 		`onyxwell_requests_total{outcome="answered",route="r-0"} 1`,
 		`onyxwell_requests_total{outcome="answered",route="(other)"} 2`,
@@ -35,11 +35,14 @@
 		`onyxwell_invariant_violations_total{invariant="run-once"} 0`,
 		`process_resident_memory_bytes`,
 	} {
-		if !strings.Contains(writer.Body.String(), want) {
-			t.Errorf("missing: %s", want)
+		if !strings.Contains(recorder.Body.String(), want) {
+			t.Errorf("missing line: %s", want)
 		}
 	}
-	var none *Metrics
-	none.Request("r", "answered", 0)
-	none.GaugeFunc("g", "", nil, nil)
+}
+
+func TestMetrics_nilCountsNothing(t *testing.T) {
+	var metrics *Metrics
+	metrics.Request("r", "answered", 0)
+	metrics.GaugeFunc("g", "", nil, nil)
 }
