--- a/control/planning/autoscaler/aggregator.go
+++ b/control/planning/autoscaler/aggregator.go
@@ -8,8 +8,9 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// Aggregator adds up the reports of a zone's routers, so that the planner hears zones
-// and not routers.
+// Aggregator sums the reports of a zone's routers, so that the planner receives one
+// report from each zone. The zero value is ready to use; it is safe for concurrent
+// use.
 type Aggregator struct {
 	mu       sync.Mutex
 	samples  map[ids.RunnerID]Sample
@@ -19,7 +20,7 @@
 	region   ids.Region
 }
 
-// Add takes a router's report.
+// Add adds a report. All reports must be of one region.
 func (a *Aggregator) Add(report ReportRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -31,22 +32,22 @@
 	for _, sample := range report.Samples {
 		a.samples[sample.Runner] = sample.merge(a.samples[sample.Runner])
 	}
-	for _, wanted := range report.Demands {
-		key := demandKey{service: wanted.Service, homeRegions: wanted.HomeRegions}
-		wanted.Arrived += a.demands[key].Arrived
-		a.demands[key] = wanted
+	for _, demand := range report.Demands {
+		key := demandKey{service: demand.Service, homeRegions: demand.HomeRegions}
+		demand.Arrived += a.demands[key].Arrived
+		a.demands[key] = demand
 	}
 	for _, reading := range report.Readings {
 		key := readingKey{service: reading.Service, route: reading.Route}
 		a.readings[key] = a.readings[key].Add(reading)
 	}
-	for _, seen := range report.Lengths {
-		a.lengths[seen.Key] = seen.Add(a.lengths[seen.Key])
+	for _, totals := range report.Lengths {
+		a.lengths[totals.Key] = totals.Add(a.lengths[totals.Key])
 	}
 }
 
-// merge joins what two routers saw of one runner: counts add up, of what the
-// runner tells of itself the higher counts.
+// merge returns the sample of two routers for one runner: counts add up; of what
+// the runner reports of itself, the higher value counts.
 func (s Sample) merge(other Sample) Sample {
 	s.Arrived += other.Arrived
 	s.Finished += other.Finished
@@ -60,7 +61,8 @@
 	return s
 }
 
-// Flush gives the sum since the last time; false says that nothing was added.
+// Flush returns the sum of the reports since the last call, and false if there
+// were none. The order of its entries is not defined.
 func (a *Aggregator) Flush() (ReportRequest, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,16 +70,16 @@
 	for _, sample := range a.samples {
 		report.Samples = append(report.Samples, sample)
 	}
-	for _, wanted := range a.demands {
-		report.Demands = append(report.Demands, wanted)
+	for _, demand := range a.demands {
+		report.Demands = append(report.Demands, demand)
 	}
 	for _, reading := range a.readings {
 		report.Readings = append(report.Readings, reading)
 	}
-	for _, seen := range a.lengths {
-		report.Lengths = append(report.Lengths, seen)
+	for _, totals := range a.lengths {
+		report.Lengths = append(report.Lengths, totals)
 	}
-	any := a.samples != nil
+	ok := a.samples != nil
 	a.samples, a.demands, a.readings, a.lengths = nil, nil, nil, nil
-	return report, any
+	return report, ok
 }
--- a/control/planning/autoscaler/aggregator_test.go
+++ b/control/planning/autoscaler/aggregator_test.go
@@ -10,8 +10,7 @@
 	"onyxwell/control/transport"
 )
 
-// TestAggregator_equalsSeparateReports adds the same reports to a window one by one and
-// as a sum: the window must hold the same.
+// A window holds the same after the sum of some reports as after each of them.
 func TestAggregator_equalsSeparateReports(t *testing.T) {
 	reports := []ReportRequest{
 		{Region: "north", Samples: []Sample{{Runner: "a", Arrived: 3, Finished: 2, Running: 1.5, Utilization: 0.2}, {Runner: "b", Arrived: 1, Units: 40}},
@@ -19,38 +18,38 @@
 		{Region: "north", Samples: []Sample{{Runner: "a", Arrived: 2, Finished: 2, Running: 0.5, Utilization: 0.4, ExecutionMS: 90, Failed: 1}},
 			Demands: []Demand{{Service: "s", HomeRegions: "north,", Arrived: 2}, {Service: "s", Arrived: 1}}, Readings: []headroom.Reading{{Service: "s", Route: "r", Count: 1, FirstTokenMS: 10}}},
 	}
-	apart, together, sum := newWindow(0, 0), newWindow(0, 0), &Aggregator{}
+	separate, aggregated, aggregator := newWindow(0), newWindow(0), &Aggregator{}
 	for _, report := range reports {
-		apart.add(report)
-		sum.Add(report)
+		separate.add(report)
+		aggregator.Add(report)
 	}
-	total, any := sum.Flush()
-	if !any {
-		t.Fatal("nothing was summed")
+	sum, ok := aggregator.Flush()
+	if !ok {
+		t.Fatal("no sum")
 	}
-	together.add(total)
-	for id, run := range apart.runners {
-		if other := together.runners[id]; other == nil || other.current != run.current || other.executionMS != run.executionMS || other.units != run.units {
-			t.Errorf("%s: %+v, not %+v", id, other, run)
+	aggregated.add(sum)
+	for id, series := range separate.runners {
+		if other := aggregated.runners[id]; other == nil || other.current != series.current || other.executionMS != series.executionMS || other.units != series.units {
+			t.Errorf("%s: %+v, want %+v", id, other, series)
 		}
 	}
-	for key, wanted := range apart.demand {
-		if other := together.demand[key]; other == nil || *other != *wanted {
-			t.Errorf("%+v: %+v, not %+v", key, other, wanted)
+	for key, rate := range separate.demand {
+		if other := aggregated.demand[key]; other == nil || *other != *rate {
+			t.Errorf("%+v: %+v, want %+v", key, other, rate)
 		}
 	}
-	for key, reading := range apart.readings {
-		if together.readings[key] != reading {
-			t.Errorf("%+v: %+v, not %+v", key, together.readings[key], reading)
+	for key, reading := range separate.readings {
+		if aggregated.readings[key] != reading {
+			t.Errorf("%+v: %+v, want %+v", key, aggregated.readings[key], reading)
 		}
 	}
-	if _, any := sum.Flush(); any {
-		t.Error("a sum was given twice")
+	if _, ok := aggregator.Flush(); ok {
+		t.Error("a second sum of the same reports")
 	}
 }
 
-// TestReportMessage_roundTrip has a report of many runners travel: what is read out of
-// the message says the same, in thousandths, and is far shorter.
+// The message of a report with many runners decodes to the same report, where
+// that has no parts smaller than a thousandth, and takes less than a fifth of it.
 func TestReportMessage_roundTrip(t *testing.T) {
 	report := ReportRequest{From: "r:1", Region: "north", Demands: []Demand{{Service: "s", HomeRegions: "north,", Arrived: 4}}}
 	for index := range 200 {
@@ -63,16 +62,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := message.Decode()
+	decoded, err := message.Decode()
 	plain, _ := transport.Marshal(report)
-	if again, _ := transport.Marshal(read); err != nil || !bytes.Equal(again, plain) {
-		t.Fatalf("%v: %+v", err, read)
+	if again, _ := transport.Marshal(decoded); err != nil || !bytes.Equal(again, plain) {
+		t.Fatalf("decoded %+v, error %v", decoded, err)
 	}
 	if 5*len(message.Body) > len(plain) {
-		t.Errorf("%d bytes of %d", len(message.Body), len(plain))
+		t.Errorf("message of %d bytes for a report of %d", len(message.Body), len(plain))
 	}
 	message.Body = message.Body[:len(message.Body)/2]
 	if _, err := message.Decode(); err == nil {
-		t.Error("half a report is read")
+		t.Error("half a message is decoded")
 	}
 }
--- a/control/planning/autoscaler/build.go
+++ b/control/planning/autoscaler/build.go
@@ -1,63 +1,65 @@
 package autoscaler
 
 import (
+	"maps"
 	"math"
 	"slices"
-	"strings"
 
 	"onyxwell/base/ids"
 )
 
-// runnerType is a type of runner: the paper's GPU type. Runners of one service
-// and one version of its software are alike.
+// runnerType stands for the paper's GPU type: runners of one service and version
+// are taken to be alike.
 type runnerType struct {
 	service ids.Service
 	version string
 }
 
+func (r Runner) runnerType() runnerType {
+	return runnerType{service: r.Service, version: r.Version}
+}
+
 const (
-	// priorWeight is how many looks of its own a runner needs to weigh as much as its
-	// type does in its ceiling.
+	// priorWeight is the number of samples at which a runner's own estimate weighs
+	// as much as that of its type.
 	priorWeight = 30.0
-	// weightTolerance is by how much a weight must differ before it is changed: each
-	// change moves prompts away from where their parts were read.
+	// weightTolerance is the relative change of a weight below which it is kept:
+	// each change moves prompts away from the runners that have their prefixes
+	// cached.
 	weightTolerance = 0.25
-	// slowStartFactor is the part of its weight that a runner gets while it warms up.
+	// slowStartFactor is the fraction of its weight that a runner has while it
+	// warms up.
 	slowStartFactor = 0.5
 )
 
-// Plan makes a plan from the window and the runners that there are.
+// Plan returns a plan for the runners, from the metrics in the window and the
+// last plan. The caller holds the lock, as Tick does.
 func (p *Planner) Plan(runners []Runner) Plan {
 	plan := Plan{Owner: p.options.Address}
 	types := p.typeCapacities(runners)
-	regions := map[ids.Service]map[ids.Region][]RunnerPlan{}
-	supplies := map[ids.Service]map[ids.Region]*regionCapacity{}
+	services := map[ids.Service]map[ids.Region]*regionCapacity{}
 	for _, runner := range runners {
 		if !runner.Ready {
 			continue
 		}
-		key := runnerType{service: runner.Service, version: runner.Version}
-		ceiling := p.runnerCapacity(runner, types[key])
-		planned := p.planRunner(runner, ceiling, p.typeWeight(key, types[key]))
+		key := runner.runnerType()
+		capacity := p.runnerCapacity(runner, types[key])
+		planned := p.planRunner(runner, capacity, p.typeWeight(key, types[key]))
 		plan.Runners = append(plan.Runners, planned)
-		if regions[runner.Service] == nil {
-			regions[runner.Service] = map[ids.Region][]RunnerPlan{}
-			supplies[runner.Service] = map[ids.Region]*regionCapacity{}
+		if services[runner.Service] == nil {
+			services[runner.Service] = map[ids.Region]*regionCapacity{}
 		}
-		regions[runner.Service][runner.Region] = append(regions[runner.Service][runner.Region], planned)
-		given := supplies[runner.Service][runner.Region]
-		if given == nil {
-			given = &regionCapacity{}
-			supplies[runner.Service][runner.Region] = given
+		region := services[runner.Service][runner.Region]
+		if region == nil {
+			region = &regionCapacity{}
+			services[runner.Service][runner.Region] = region
 		}
-		given.rateLimit += ceiling.RateLimit
-		given.remaining += ceiling.RateLimit
-		given.saturated = given.saturated || ceiling.Saturated
+		region.add(planned, capacity)
 	}
-	for _, service := range sortedKeys(regions) {
-		plan.Replicas = append(plan.Replicas, p.replicaCounts(service, regions[service])...)
-		if p.hasDemand(service) {
-			plan.Flows = append(plan.Flows, allocateFlows(p.window.demand, service, supplies[service])...)
+	for _, service := range sortedKeys(services) {
+		plan.Replicas = append(plan.Replicas, planReplicas(service, services[service], p.window.load(service))...)
+		if p.window.hasDemand(service) {
+			plan.Flows = append(plan.Flows, allocateFlows(p.window.demand, service, services[service])...)
 		}
 	}
 	p.groupByLength(&plan, runners)
@@ -65,35 +67,37 @@
 	return plan
 }
 
-// typeCapacities estimates each type from the looks at all its runners.
+// typeCapacities estimates the capacity of each type from the metrics of all its
+// runners. A type with too few has none.
 func (p *Planner) typeCapacities(runners []Runner) map[runnerType]Capacity {
-	pools := map[runnerType]*sampleSet{}
+	samples := map[runnerType]*sampleSet{}
 	for _, runner := range runners {
-		key := runnerType{service: runner.Service, version: runner.Version}
-		if pools[key] == nil {
-			pools[key] = &sampleSet{}
+		key := runner.runnerType()
+		if samples[key] == nil {
+			samples[key] = &sampleSet{}
 		}
-		if run := p.window.runners[runner.ID]; run != nil {
-			pools[key].add(run.points)
+		if series := p.window.runners[runner.ID]; series != nil {
+			samples[key].add(series.points)
 		}
 	}
-	ceilings := map[runnerType]Capacity{}
-	for key, gathered := range pools {
-		if ceiling, enough := gathered.estimate(); enough {
-			ceilings[key] = ceiling
+	capacities := map[runnerType]Capacity{}
+	for key, set := range samples {
+		if capacity, ok := set.estimate(); ok {
+			capacities[key] = capacity
 		}
 	}
-	return ceilings
+	return capacities
 }
 
+// sampleSet holds the metrics for an estimate, each index an interval.
 type sampleSet struct{ finished, running, executionS, memoryUtilization []float64 }
 
 func (s *sampleSet) add(points []metrics) {
-	for _, seen := range points {
-		s.finished = append(s.finished, seen.finished)
-		s.running = append(s.running, seen.running)
-		s.executionS = append(s.executionS, seen.executionMS/1000)
-		s.memoryUtilization = append(s.memoryUtilization, seen.memoryUtilization)
+	for _, point := range points {
+		s.finished = append(s.finished, point.finished)
+		s.running = append(s.running, point.running)
+		s.executionS = append(s.executionS, point.executionMS/1000)
+		s.memoryUtilization = append(s.memoryUtilization, point.memoryUtilization)
 	}
 }
 
@@ -101,103 +105,88 @@
 	return EstimateCapacity(s.finished, s.running, s.executionS, s.memoryUtilization)
 }
 
-// runnerCapacity is a runner's own estimate, drawn towards its type's by how few looks
-// it rests on: without fresh metrics it decays to the type's as its looks leave
-// the window.
-func (p *Planner) runnerCapacity(runner Runner, common Capacity) Capacity {
+// runnerCapacity shrinks a runner's own estimate towards that of its type, the
+// more the fewer samples it has: without fresh metrics it decays to the type's
+// as the samples leave the window.
+func (p *Planner) runnerCapacity(runner Runner, ofType Capacity) Capacity {
 	var own sampleSet
-	if run := p.window.runners[runner.ID]; run != nil {
-		own.add(run.points)
-	}
-	ceiling, enough := own.estimate()
-	if !enough {
-		return common
-	}
-	if common.RateLimit <= 0 {
-		return ceiling
-	}
-	part := float64(ceiling.Samples) / (float64(ceiling.Samples) + priorWeight)
-	mixed := ceiling
-	mixed.RateLimit = part*ceiling.RateLimit + (1-part)*common.RateLimit
-	mixed.ExecutionS = part*ceiling.ExecutionS + (1-part)*common.ExecutionS
-	mixed.ConcurrencyLimit = mixed.RateLimit * mixed.ExecutionS
-	mixed.MemoryUtilization = part*ceiling.MemoryUtilization + (1-part)*common.MemoryUtilization
-	return mixed
+	if series := p.window.runners[runner.ID]; series != nil {
+		own.add(series.points)
+	}
+	capacity, ok := own.estimate()
+	if !ok {
+		return ofType
+	}
+	if ofType.RateLimit <= 0 {
+		return capacity
+	}
+	weight := float64(capacity.Samples) / (float64(capacity.Samples) + priorWeight)
+	shrunk := capacity
+	shrunk.RateLimit = weight*capacity.RateLimit + (1-weight)*ofType.RateLimit
+	shrunk.ExecutionS = weight*capacity.ExecutionS + (1-weight)*ofType.ExecutionS
+	shrunk.ConcurrencyLimit = shrunk.RateLimit * shrunk.ExecutionS
+	shrunk.MemoryUtilization = weight*capacity.MemoryUtilization + (1-weight)*ofType.MemoryUtilization
+	return shrunk
 }
 
-// planRunner gives a runner its weight: its ceiling, less while it is cold. One that
-// hardly differs from its type has the type's weight, and a weight that hardly
-// differs from the last one stays as it was.
-func (p *Planner) planRunner(runner Runner, ceiling Capacity, common float64) RunnerPlan {
+// planRunner weighs a runner by its rate limit, reduced while it warms up. A
+// weight close to that of the type, or else to the runner's last one, is replaced
+// by it.
+func (p *Planner) planRunner(runner Runner, capacity Capacity, typeWeight float64) RunnerPlan {
 	planned := RunnerPlan{
-		Runner: runner.ID, RateLimit: roundSignificant(ceiling.RateLimit), ConcurrencyLimit: roundSignificant(ceiling.ConcurrencyLimit), MemoryUtilization: roundSignificant(ceiling.MemoryUtilization),
-		Quarantined: p.quarantined[runner.ID] > 0,
+		Runner:            runner.ID,
+		RateLimit:         roundSignificant(capacity.RateLimit),
+		ConcurrencyLimit:  roundSignificant(capacity.ConcurrencyLimit),
+		MemoryUtilization: roundSignificant(capacity.MemoryUtilization),
+		Quarantined:       p.quarantined[runner.ID] > 0,
 	}
-	before, known := p.runnerPlans[runner.ID]
+	last, known := p.runnerPlans[runner.ID]
 	if planned.RateLimit <= 0 && known {
-		planned.RateLimit, planned.ConcurrencyLimit, planned.MemoryUtilization = before.RateLimit, before.ConcurrencyLimit, before.MemoryUtilization
+		planned.RateLimit, planned.ConcurrencyLimit, planned.MemoryUtilization = last.RateLimit, last.ConcurrencyLimit, last.MemoryUtilization
 	}
-	full := planned.RateLimit
-	if withinTolerance(full, common) {
-		full = common
-	} else if known && withinTolerance(full, before.Weight) {
-		full = before.Weight
+	weight := planned.RateLimit
+	if withinTolerance(weight, typeWeight) {
+		weight = typeWeight
+	} else if known && withinTolerance(weight, last.Weight) {
+		weight = last.Weight
 	}
-	planned.Weight = full
+	planned.Weight = weight
 	p.runnerPlans[runner.ID] = planned
 	if runner.WarmingUp {
-		planned.Weight = roundSignificant(slowStartFactor * full)
+		planned.Weight = roundSignificant(slowStartFactor * weight)
 	}
 	return planned
 }
 
-// replicaCounts solves the program for one service: its types are the regions.
-func (p *Planner) replicaCounts(service ids.Service, regions map[ids.Region][]RunnerPlan) []Replicas {
+// planReplicas returns how many of a service's ready runners in each region the
+// load needs; to the linear program each region is a type.
+func planReplicas(service ids.Service, regions map[ids.Region]*regionCapacity, load float64) []Replicas {
 	var types []ReplicaType
-	var shown []Replicas
+	var replicas []Replicas
 	for _, region := range sortedKeys(regions) {
-		kind := ReplicaType{Max: float64(len(regions[region]))}
+		runners := regions[region].runners
+		kind := ReplicaType{Max: float64(len(runners))}
 		memory := 0.0
-		for _, planned := range regions[region] {
+		for _, planned := range runners {
 			kind.RateLimit += planned.RateLimit / kind.Max
 			memory += planned.MemoryUtilization / kind.Max
 		}
 		kind.Cost = memoryMismatchCost(memory)
 		types = append(types, kind)
-		shown = append(shown, Replicas{Service: service, Region: region, Ready: int64(kind.Max), RateLimit: roundSignificant(kind.RateLimit)})
-	}
-	load := 0.0
-	for key, wanted := range p.window.demand {
-		if key.service == service {
-			load += wanted.perS
-		}
+		replicas = append(replicas, Replicas{Service: service, Region: region, Ready: int64(kind.Max), RateLimit: roundSignificant(kind.RateLimit)})
 	}
 	for index, needed := range SolveReplicas(types, load) {
-		shown[index].Needed, shown[index].Load = needed, roundSignificant(load)
-	}
-	return shown
-}
-
-func (p *Planner) hasDemand(service ids.Service) bool {
-	for key := range p.window.demand {
-		if key.service == service {
-			return true
-		}
+		replicas[index].Needed, replicas[index].Load = needed, roundSignificant(load)
 	}
-	return false
+	return replicas
 }
 
 func sortedKeys[Key ~string, Value any](table map[Key]Value) []Key {
-	var keys []Key
-	for key := range table {
-		keys = append(keys, key)
-	}
-	slices.SortFunc(keys, func(left, right Key) int { return strings.Compare(string(left), string(right)) })
-	return keys
+	return slices.Sorted(maps.Keys(table))
 }
 
-// roundSignificant keeps two significant digits, so that a plan that says the same is the
-// same.
+// roundSignificant rounds to two significant digits, so that noise doesn't
+// change a plan. What is no finite number becomes 0.
 func roundSignificant(value float64) float64 {
 	if value == 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 		return 0
--- a/control/planning/autoscaler/group.go
+++ b/control/planning/autoscaler/group.go
@@ -1,88 +1,93 @@
 package autoscaler
 
 import (
+	"cmp"
 	"hash/fnv"
 	"slices"
-	"strings"
 
 	"onyxwell/base/ids"
 	"onyxwell/control/planning/lengthstats"
 )
 
 const (
-	// minGroupedRunners is how many runners a region must have to be grouped.
+	// minGroupedRunners is the number of runners of a service below which a region
+	// is not grouped.
 	minGroupedRunners = 4
-	// shortClassMargin is by how much more than its part of the work the short class gets:
-	// it is the one that must not wait.
+	// shortClassMargin is the factor by which the short class's share of the
+	// runners exceeds its share of the work: it is the one that must not queue.
 	shortClassMargin = 1.2
+	// maxShortShare bounds the short class's share of the runners.
+	maxShortShare = 0.8
+	// minGroupWeight keeps the weights of a group above 0.
+	minGroupWeight = 1e-9
 )
 
-// recordLengths adds a report's answers to what is known of its region.
+// recordLengths adds the request durations of a report to its region's.
 func (p *Planner) recordLengths(report ReportRequest) {
-	known := p.lengths[report.Region]
-	if known == nil {
-		known = &lengthstats.Estimator{}
-		p.lengths[report.Region] = known
+	estimator := p.lengths[report.Region]
+	if estimator == nil {
+		estimator = &lengthstats.Estimator{}
+		p.lengths[report.Region] = estimator
 	}
-	known.Add(report.Lengths)
+	estimator.Add(report.Lengths)
 }
 
-// groupByLength cuts each region's answers into short and long ones and gives each class
-// a part of the runners whose weights are its part of the work. Weights stay as
-// they are: within a class requests are shared out by the ceilings.
+// groupByLength splits the requests of each region into short and long ones and
+// assigns each class a share of the runners that follows its share of the work.
+// Weights stay as they are.
 func (p *Planner) groupByLength(plan *Plan, listed []Runner) {
 	if !p.options.GroupByLength {
 		return
 	}
-	places := map[ids.RunnerID]Runner{}
+	runners := map[ids.RunnerID]Runner{}
 	for _, runner := range listed {
-		places[runner.ID] = runner
+		runners[runner.ID] = runner
 	}
 	for _, region := range sortedKeys(p.lengths) {
-		known := p.lengths[region]
-		told := RegionLengths{Region: region, Expected: known.Expectations()}
-		pools := map[ids.Service][]*RunnerPlan{}
+		estimator := p.lengths[region]
+		lengths := RegionLengths{Region: region, Expected: estimator.Expectations()}
+		services := map[ids.Service][]*RunnerPlan{}
 		for index := range plan.Runners {
 			planned := &plan.Runners[index]
-			if place := places[planned.Runner]; place.Region == region {
-				pools[place.Service] = append(pools[place.Service], planned)
+			if runner := runners[planned.Runner]; runner.Region == region {
+				services[runner.Service] = append(services[runner.Service], planned)
 			}
 		}
-		for _, service := range sortedKeys(pools) {
-			split, apart := known.Split(service)
-			if apart && len(pools[service]) >= minGroupedRunners {
-				told.Splits = append(told.Splits, split)
-				assignClasses(pools[service], min(0.8, shortClassMargin*split.ShortWorkShare))
+		for _, service := range sortedKeys(services) {
+			split, ok := estimator.Split(service)
+			if ok && len(services[service]) >= minGroupedRunners {
+				lengths.Splits = append(lengths.Splits, split)
+				assignClasses(services[service], min(maxShortShare, shortClassMargin*split.ShortWorkShare))
 			}
 		}
-		plan.Lengths = append(plan.Lengths, told)
+		plan.Lengths = append(plan.Lengths, lengths)
 	}
 }
 
-// assignClasses gives the first runners, in an order that does not change, to the short
-// class until their weights are its part; each class has at least one.
-func assignClasses(pool []*RunnerPlan, part float64) {
+// assignClasses assigns runners to the short class until its share of the weights
+// is reached, and the others to the long class. Each class gets at least one of
+// two or more runners. The order is that of a hash, so that a runner that comes or
+// goes hardly changes the class of the others.
+func assignClasses(pool []*RunnerPlan, shortShare float64) {
 	slices.SortFunc(pool, func(left, right *RunnerPlan) int {
-		if order := int64(hashRunner(left.Runner)>>1) - int64(hashRunner(right.Runner)>>1); order != 0 {
-			return map[bool]int{true: 1, false: -1}[order > 0]
-		}
-		return strings.Compare(string(left.Runner), string(right.Runner))
+		return cmp.Or(cmp.Compare(hashRunner(left.Runner), hashRunner(right.Runner)), cmp.Compare(left.Runner, right.Runner))
 	})
-	total, given := 0.0, 0.0
+	total, short := 0.0, 0.0
 	for _, planned := range pool {
-		total += max(planned.Weight, 1e-9)
+		total += max(planned.Weight, minGroupWeight)
 	}
 	for index, planned := range pool {
 		planned.Group = lengthstats.Long
-		if index == 0 || (index < len(pool)-1 && given+planned.Weight/2 < part*total) {
+		if index == 0 || (index < len(pool)-1 && short+planned.Weight/2 < shortShare*total) {
 			planned.Group = lengthstats.Short
-			given += max(planned.Weight, 1e-9)
+			short += max(planned.Weight, minGroupWeight)
 		}
 	}
 }
 
+// hashRunner returns 63 bits of a runner's hash.
 func hashRunner(id ids.RunnerID) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(id))
-	return digest.Sum64()
+	return digest.Sum64() >> 1
 }
--- a/control/planning/autoscaler/group_test.go
+++ b/control/planning/autoscaler/group_test.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/planning/lengthstats"
 )
 
-// lengthReport is a report of answers of two kinds, so many a second of each.
+// lengthReport reports durations of requests of two keys, a short and a long one.
 func lengthReport(region ids.Region, short float64, long float64) ReportRequest {
 	return ReportRequest{Region: region, Lengths: []lengthstats.Totals{
 		{Key: lengthstats.Key{Service: "s", Route: "check", Bucket: 11}, Count: short, DurationMS: 120 * short, Tokens: 1800 * short, SlowFirstTokens: 0.1 * short},
@@ -17,16 +17,18 @@
 	}}
 }
 
+// newGroupingPlanner returns a planner that groups, and runners of equal weight in
+// region north.
 func newGroupingPlanner(runners int) (*Planner, []Runner) {
 	var listed []Runner
 	for index := range runners {
 		listed = append(listed, Runner{ID: ids.RunnerID(fmt.Sprint("i", index)), Service: "s", Version: "v", Region: "north", Ready: true})
 	}
-	made := New(Options{GroupByLength: true, Window: clock.Second, Interval: clock.Second, PlanEvery: 1})
+	planner := New(Options{GroupByLength: true, Window: time.Second, Interval: time.Second, PlanEvery: 1})
 	for _, runner := range listed {
-		made.runnerPlans[runner.ID] = RunnerPlan{Runner: runner.ID, RateLimit: 10, Weight: 10}
+		planner.runnerPlans[runner.ID] = RunnerPlan{Runner: runner.ID, RateLimit: 10, Weight: 10}
 	}
-	return made, listed
+	return planner, listed
 }
 
 func countClasses(plan Plan) (short int, long int) {
@@ -42,13 +44,13 @@
 }
 
 func TestGroupByLength_classesGetWorkShare(t *testing.T) {
-	made, listed := newGroupingPlanner(20)
-	made.AddReport(lengthReport("north", 300, 70))
-	plan := made.Plan(listed)
+	planner, listed := newGroupingPlanner(20)
+	planner.AddReport(lengthReport("north", 300, 70))
+	plan := planner.Plan(listed)
 	short, long := countClasses(plan)
-	// 540,000 of 1,002,000 tokens are short ones', with a fifth more.
+	// 540,000 of 1,002,000 tokens are those of short requests, and a fifth more.
 	if short != 13 || long != 7 {
-		t.Fatalf("%d runners for short work, %d for long", short, long)
+		t.Fatalf("%d runners for short requests, %d for long ones", short, long)
 	}
 	if len(plan.Lengths) != 1 || len(plan.Lengths[0].Splits) != 1 || len(plan.Lengths[0].Expected) != 2 {
 		t.Fatalf("%+v", plan.Lengths)
@@ -58,52 +60,54 @@
 		before[planned.Runner] = planned.Group
 	}
 	moved := 0
-	made.AddReport(lengthReport("north", 10, 1))
-	for _, planned := range made.Plan(listed[1:]).Runners {
+	planner.AddReport(lengthReport("north", 10, 1))
+	for _, planned := range planner.Plan(listed[1:]).Runners {
 		if before[planned.Runner] != planned.Group {
 			moved++
 		}
 	}
 	if moved > 1 {
-		t.Fatalf("%d runners changed their class since one is gone", moved)
+		t.Fatalf("%d runners changed their class when one left", moved)
 	}
 }
 
 func TestGroupByLength_notGrouped(t *testing.T) {
 	cases := map[string]func() (*Planner, []Runner){
 		"few runners": func() (*Planner, []Runner) {
-			made, listed := newGroupingPlanner(3)
-			made.AddReport(lengthReport("north", 300, 70))
-			return made, listed
+			planner, listed := newGroupingPlanner(3)
+			planner.AddReport(lengthReport("north", 300, 70))
+			return planner, listed
 		},
-		"another region's answers": func() (*Planner, []Runner) {
-			made, listed := newGroupingPlanner(20)
-			made.AddReport(lengthReport("south", 300, 70))
-			return made, listed
+		"another region's requests": func() (*Planner, []Runner) {
+			planner, listed := newGroupingPlanner(20)
+			planner.AddReport(lengthReport("south", 300, 70))
+			return planner, listed
 		},
-		"no answers": func() (*Planner, []Runner) { return newGroupingPlanner(20) },
+		"no requests": func() (*Planner, []Runner) { return newGroupingPlanner(20) },
 		"switched off": func() (*Planner, []Runner) {
-			made, listed := newGroupingPlanner(20)
-			made.options.GroupByLength = false
-			made.AddReport(lengthReport("north", 300, 70))
-			return made, listed
+			planner, listed := newGroupingPlanner(20)
+			planner.options.GroupByLength = false
+			planner.AddReport(lengthReport("north", 300, 70))
+			return planner, listed
 		},
 	}
-	for name, make := range cases {
-		made, listed := make()
-		if short, long := countClasses(made.Plan(listed)); short+long != 0 {
-			t.Errorf("%s: %d and %d runners are grouped", name, short, long)
-		}
+	for name, setUp := range cases {
+		t.Run(name, func(t *testing.T) {
+			planner, listed := setUp()
+			if short, long := countClasses(planner.Plan(listed)); short+long != 0 {
+				t.Errorf("%d and %d runners are grouped", short, long)
+			}
+		})
 	}
 }
 
 func TestAssignClasses_eachKeepsRunner(t *testing.T) {
-	for _, part := range []float64{0, 0.001, 0.5, 0.999, 2} {
+	for _, shortShare := range []float64{0, 0.001, 0.5, 0.999, 2} {
 		var pool []*RunnerPlan
 		for index := range 4 {
 			pool = append(pool, &RunnerPlan{Runner: ids.RunnerID(fmt.Sprint(index)), Weight: 1})
 		}
-		assignClasses(pool, part)
+		assignClasses(pool, shortShare)
 		short := 0
 		for _, planned := range pool {
 			if planned.Group == lengthstats.Short {
@@ -111,7 +115,7 @@
 			}
 		}
 		if short == 0 || short == 4 {
-			t.Errorf("part %v: %d of 4 runners for short work", part, short)
+			t.Errorf("share %v: %d of 4 runners for short requests", shortShare, short)
 		}
 	}
 }
--- a/control/planning/autoscaler/message.go
+++ b/control/planning/autoscaler/message.go
@@ -10,9 +10,10 @@
 	"onyxwell/control/transport"
 )
 
-// ReportMessage carries a report between daemons: whole numbers in place of
-// floating ones, the names of services once, and all of it packed where it is
-// long. A sample takes a fifth of what it does as it is kept.
+// ReportMessage is a report as it is sent: integers in place of floating point
+// numbers, each service's name once, and the body compressed if it is long. It
+// takes about a fifth of a ReportRequest. Values are rounded: counts, units and
+// milliseconds to integers, the others to thousandths.
 type ReportMessage struct {
 	Compressed bool   `avro:"Packed"`
 	Body       []byte `avro:"Body"`
@@ -21,7 +22,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (ReportMessage) SchemaName() string { return "ReportMessage_23" }
 
-// compactReport is the body of the message.
+// compactReport is the decoded body of a ReportMessage.
 type compactReport struct {
 	From     ids.Address          `avro:"From"`
 	Region   ids.Region           `avro:"Region"`
@@ -35,8 +36,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (compactReport) SchemaName() string { return "compactReport_23" }
 
-// compactSample is a Sample: Service is its place among the services, times and
-// what is running are in thousandths, as are the utilisations.
+// compactSample is a Sample. Service is an index into Services; Running, Pending
+// and the utilizations are in thousandths.
 type compactSample struct {
 	Runner            ids.RunnerID `avro:"Runner"`
 	Service           int64        `avro:"Service"`
@@ -54,31 +55,61 @@
 // SchemaName names the stored and sent form; it must never change.
 func (compactSample) SchemaName() string { return "compactSample_23" }
 
-// milli is the unit of what is below one in a message.
+// milli is the number of thousandths in one.
 const milli = 1000
 
 func roundToInt(value float64) int64 { return int64(math.Round(value)) }
 
-// Encode gives a report as it travels.
+func (s Sample) compact(service int64) compactSample {
+	return compactSample{
+		Runner:            s.Runner,
+		Service:           service,
+		Arrived:           roundToInt(s.Arrived),
+		Finished:          roundToInt(s.Finished),
+		Running:           roundToInt(milli * s.Running),
+		Pending:           roundToInt(milli * s.Pending),
+		Failed:            roundToInt(s.Failed),
+		ExecutionMS:       roundToInt(s.ExecutionMS),
+		MemoryUtilization: roundToInt(milli * s.MemoryUtilization),
+		Utilization:       roundToInt(milli * s.Utilization),
+		Units:             roundToInt(s.Units),
+	}
+}
+
+// expand returns the sample; a service that is not listed stays empty.
+func (c compactSample) expand(services []ids.Service) Sample {
+	sample := Sample{
+		Runner:            c.Runner,
+		Arrived:           float64(c.Arrived),
+		Finished:          float64(c.Finished),
+		Running:           float64(c.Running) / milli,
+		Pending:           float64(c.Pending) / milli,
+		Failed:            float64(c.Failed),
+		ExecutionMS:       float64(c.ExecutionMS),
+		MemoryUtilization: float64(c.MemoryUtilization) / milli,
+		Utilization:       float64(c.Utilization) / milli,
+		Units:             float64(c.Units),
+	}
+	if c.Service >= 0 && c.Service < int64(len(services)) {
+		sample.Service = services[c.Service]
+	}
+	return sample
+}
+
+// Encode returns the report as it is sent.
 func (r ReportRequest) Encode() (ReportMessage, error) {
 	compact := compactReport{
 		From: r.From, Region: r.Region, Demands: r.Demands, Readings: r.Readings, Lengths: r.Lengths,
 	}
-	places := map[ids.Service]int64{}
+	indexes := map[ids.Service]int64{}
 	for _, sample := range r.Samples {
-		place, known := places[sample.Service]
+		index, known := indexes[sample.Service]
 		if !known {
-			place = int64(len(compact.Services))
-			places[sample.Service] = place
+			index = int64(len(compact.Services))
+			indexes[sample.Service] = index
 			compact.Services = append(compact.Services, sample.Service)
 		}
-		compact.Samples = append(compact.Samples, compactSample{
-			Runner: sample.Runner, Service: place,
-			Arrived: roundToInt(sample.Arrived), Finished: roundToInt(sample.Finished), Failed: roundToInt(sample.Failed),
-			Running: roundToInt(milli * sample.Running), Pending: roundToInt(milli * sample.Pending),
-			ExecutionMS: roundToInt(sample.ExecutionMS), Units: roundToInt(sample.Units),
-			MemoryUtilization: roundToInt(milli * sample.MemoryUtilization), Utilization: roundToInt(milli * sample.Utilization),
-		})
+		compact.Samples = append(compact.Samples, sample.compact(index))
 	}
 	body, err := transport.Marshal(compact)
 	if err != nil {
@@ -89,7 +120,7 @@
 	return message, nil
 }
 
-// Decode reads the report out of the message.
+// Decode returns the report of a message.
 func (r ReportMessage) Decode() (ReportRequest, error) {
 	body, err := compress.Decode(r.Body, r.Compressed)
 	if err != nil {
@@ -103,16 +134,7 @@
 		From: compact.From, Region: compact.Region, Demands: compact.Demands, Readings: compact.Readings, Lengths: compact.Lengths,
 	}
 	for _, sample := range compact.Samples {
-		read := Sample{
-			Runner: sample.Runner, Arrived: float64(sample.Arrived), Finished: float64(sample.Finished), Failed: float64(sample.Failed),
-			Running: float64(sample.Running) / milli, Pending: float64(sample.Pending) / milli,
-			ExecutionMS: float64(sample.ExecutionMS), Units: float64(sample.Units),
-			MemoryUtilization: float64(sample.MemoryUtilization) / milli, Utilization: float64(sample.Utilization) / milli,
-		}
-		if sample.Service >= 0 && sample.Service < int64(len(compact.Services)) {
-			read.Service = compact.Services[sample.Service]
-		}
-		report.Samples = append(report.Samples, read)
+		report.Samples = append(report.Samples, sample.expand(compact.Services))
 	}
 	return report, nil
 }
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -13,69 +14,88 @@
 	"onyxwell/control/transport"
 )
 
-// Runner is a runner as the scaler needs to know it.
+// Runner is what the planner needs to know of a listed runner.
 type Runner struct {
-	ID        ids.RunnerID
-	Service   ids.Service
-	Version   string
-	Region    ids.Region
+	ID      ids.RunnerID
+	Service ids.Service
+	// Version is that of the runner's software.
+	Version string
+	Region  ids.Region
+	// Ready is false for a runner that drains: it is not planned for.
 	Ready     bool
 	WarmingUp bool
 }
 
-// Options are what a scaler is made from.
+// Options configure a Planner; all fields but Now and GroupByLength are required.
 type Options struct {
+	// Address is this daemon's.
 	Address ids.Address
-	Gossip  *gossip.Store
-	// Lease tells whether this daemon has the duty, and under which epoch.
-	Lease func(now clock.Instant) (int64, bool)
-	// Now gives the present, for a look at the duty right before a plan is told;
-	// by default the instant of the step stands for it.
+	// Gossip is where plans are published, and where the last one is found.
+	Gossip *gossip.Store
+	// Lease returns the epoch of the planner's lease, and whether this daemon owns
+	// it.
+	Lease func(now clock.Instant) (epoch int64, owned bool)
+	// Now returns the present; it is used to check the lease again right before a
+	// plan is published. If it is nil, that check is left out.
 	Now func() clock.Instant
-	// Runners gives the runners of the newest list.
+	// Runners returns the runners of the newest list.
 	Runners func() []Runner
-	// NewSerial joins an epoch and a count.
+	// NewSerial returns the version of a published item. It must order by epoch
+	// first, then by counter.
 	NewSerial func(epoch int64, counter int64) ids.Serial
-	// Window is how far back the metrics go, Step the time between two looks.
-	Window   clock.Span
-	Interval clock.Span
-	// PlanEvery is how many steps pass between two plans that nothing hurries.
+	// Window is for how long metrics are kept.
+	Window time.Duration
+	// Interval is the time between two ticks.
+	Interval time.Duration
+	// PlanEvery is the number of ticks between two plans for which there is no
+	// other cause.
 	PlanEvery int
-	// GroupByLength has runners grouped by the length of the work that they take.
+	// GroupByLength has runners grouped by the expected duration of requests.
 	GroupByLength bool
 }
 
-// Planner plans while it holds the duty.
+// Planner plans while this daemon owns the planner's lease. It is safe for
+// concurrent use.
+//
+// Everything but options and mu is state of the present epoch: it is dropped when
+// the lease is acquired again.
 type Planner struct {
-	options     Options
-	mu          sync.Mutex
-	window      *window
-	profiles    map[ids.Service]*Profile
+	options Options
+	mu      sync.Mutex
+	epoch   int64
+	window  *window
+	// profiles hold what is normal for the runners of a service.
+	profiles map[ids.Service]*Profile
+	// runnerPlans, typeWeights and flows are those of the last plan, from which a
+	// new one differs only where that is worth it.
 	runnerPlans map[ids.RunnerID]RunnerPlan
-	// typeWeights are the weights of the types, flows the shares of before.
 	typeWeights map[runnerType]float64
 	flows       map[flowKey][]Flow
+	// quarantined counts the ticks for which a runner stays quarantined.
 	quarantined map[ids.RunnerID]int
 	lengths     map[ids.Region]*lengthstats.Estimator
-	counter     int64
-	steps       int
-	// planCount counts those that were made under this epoch; made is the last.
-	planCount    int
-	lastPlan     Plan
-	published    []byte
+	// counter numbers the published items.
+	counter int64
+	// steps counts the ticks, planCount the plans.
+	steps     int
+	planCount int
+	lastPlan  Plan
+	// published is the routing that was published last.
+	published []byte
+	// readyRunners lists the ready runners of the last tick.
 	readyRunners string
-	epoch        int64
 }
 
-// New makes a scaler.
+// New returns a planner. It does nothing before Run or Tick.
 func New(options Options) *Planner {
-	made := &Planner{options: options}
-	made.reset()
-	return made
+	planner := &Planner{options: options}
+	planner.reset()
+	return planner
 }
 
+// reset drops the state of an epoch.
 func (p *Planner) reset() {
-	p.window = newWindow(p.options.Window, p.options.Interval)
+	p.window = newWindow(p.options.Window)
 	p.profiles = map[ids.Service]*Profile{}
 	p.runnerPlans = map[ids.RunnerID]RunnerPlan{}
 	p.typeWeights, p.flows = map[runnerType]float64{}, map[flowKey][]Flow{}
@@ -84,22 +104,22 @@
 	p.steps, p.planCount, p.published, p.readyRunners = 0, 0, nil, ""
 }
 
-// RegisterHandlers adds the scaler's message to a table of calls.
+// RegisterHandlers has the mux take reports for the planner. A daemon that
+// doesn't own the lease answers that it doesn't, and drops the report.
 func (p *Planner) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, "report", func(ctx scope.Scope, message ReportMessage) (ReportResponse, error) {
-		_, held := p.options.Lease(ctx.Now())
-		if !held {
+		if _, owned := p.options.Lease(ctx.Now()); !owned {
 			return ReportResponse{}, nil
 		}
 		report, err := message.Decode()
 		if err == nil {
 			p.AddReport(report)
 		}
-		return ReportResponse{Owner: held}, err
+		return ReportResponse{Owner: true}, err
 	})
 }
 
-// AddReport adds a router's report to the window.
+// AddReport adds a report to the interval that Tick closes next.
 func (p *Planner) AddReport(report ReportRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +127,7 @@
 	p.recordLengths(report)
 }
 
-// Run looks at the metrics once a step until the scope ends.
+// Run ticks once an interval until ctx ends.
 func (p *Planner) Run(ctx scope.Scope) {
 	last := ctx.Now()
 	for ctx.Wait(p.options.Interval) {
@@ -117,13 +137,14 @@
 	}
 }
 
-// Tick closes a step: it detects, and plans anew where a runner stands out,
-// the runners changed, or it is time.
-func (p *Planner) Tick(now clock.Instant, spent clock.Span) {
-	epoch, held := p.options.Lease(now)
+// Tick closes the interval that took elapsed. It publishes a new plan if a runner
+// shows an anomaly, if the set of ready runners changed, or if PlanEvery ticks
+// have passed. It does nothing on a daemon that doesn't own the lease.
+func (p *Planner) Tick(now clock.Instant, elapsed time.Duration) {
+	epoch, owned := p.options.Lease(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !held {
+	if !owned {
 		return
 	}
 	if epoch != p.epoch {
@@ -131,46 +152,49 @@
 		p.epoch, p.counter = epoch, 0
 		p.restore()
 	}
-	p.window.closeInterval(now, spent)
-	for _, known := range p.lengths {
-		known.Decay(spent.Seconds())
+	p.window.closeInterval(now, elapsed)
+	for _, estimator := range p.lengths {
+		estimator.Decay(elapsed.Seconds())
 	}
-	hit := p.detectAnomalies()
+	anomaly := p.detectAnomalies()
 	runners := p.options.Runners()
 	changed := p.readyChanged(runners)
-	if hit || changed || p.steps%p.options.PlanEvery == 0 {
+	scheduled := p.steps%p.options.PlanEvery == 0
+	if anomaly || changed || scheduled {
 		p.publish(p.Plan(runners), runners)
 	}
-	if p.steps%p.options.PlanEvery == 0 {
+	if scheduled {
 		p.updateProfiles()
 	}
 	p.steps++
 }
 
-// RecentWork is what routers lately sent and read: the readings of every route over
-// so many seconds, and the units a second of every runner.
-func (p *Planner) RecentWork() (readings []headroom.Reading, units map[ids.RunnerID]float64, seconds float64) {
+// RecentWork returns the readings of every route over the last seconds, and each
+// runner's work in units a second.
+func (p *Planner) RecentWork() (readings []headroom.Reading, unitsPerS map[ids.RunnerID]float64, seconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	seconds = max(p.window.seconds, 0.001)
+	seconds = max(p.window.seconds, minSeconds)
 	for _, reading := range p.window.readings {
 		readings = append(readings, reading)
 	}
-	units = map[ids.RunnerID]float64{}
-	for id, run := range p.window.runners {
-		units[id] = run.units / seconds
+	unitsPerS = map[ids.RunnerID]float64{}
+	for id, series := range p.window.runners {
+		unitsPerS[id] = series.units / seconds
 	}
-	return readings, units, seconds
+	return readings, unitsPerS, seconds
 }
 
+// readyChanged reports whether the ready runners are others than at the last
+// call.
 func (p *Planner) readyChanged(runners []Runner) bool {
-	sign := ""
+	ready := ""
 	for _, runner := range runners {
 		if runner.Ready {
-			sign += string(runner.ID) + " "
+			ready += string(runner.ID) + " "
 		}
 	}
-	changed := sign != p.readyRunners
-	p.readyRunners = sign
+	changed := ready != p.readyRunners
+	p.readyRunners = ready
 	return changed
 }
--- a/control/planning/autoscaler/profile.go
+++ b/control/planning/autoscaler/profile.go
@@ -7,121 +7,160 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Anomaly is where a detected runner pulls the plan.
+// Anomaly is how a runner differs from what is normal.
 type Anomaly int
 
-// The directions: up where it is overloaded, down where it is idle.
+// The anomalies.
 const (
 	NoAnomaly Anomaly = iota
+	// Overload is a runner that does more than normal.
 	Overload
+	// Underload is a runner that does less than normal.
 	Underload
 )
 
 const (
-	// latentDimensions is how many components stand in for the hidden variable.
+	// latentDimensions is the number of principal components of a profile.
 	latentDimensions = 2
-	// minProfileSamples is how many looks a profile must rest on.
+	// minProfileSamples is the number of vectors that a profile needs.
 	minProfileSamples = 24
-	// anomalyThreshold is by how many deviations a miss must stand out to count.
+	// anomalyThreshold is by how many deviations the reconstruction error of an
+	// anomaly exceeds the mean.
 	anomalyThreshold = 6.0
+	// minErrorDeviation bounds the deviation of the reconstruction error from
+	// below, as a fraction of the mean.
+	minErrorDeviation = 0.1
+	// constantDeviation is the deviation below which a metric counts as constant;
+	// minScale bounds what it is then scaled by.
+	constantDeviation = 1e-9
+	minScale          = 1e-3
 )
 
-// Profile is what is normal for a type of runners: the mean and spread of each
-// metric and the main directions in which they move together. It stands in
-// for the paper's auto-encoder: a linear one, whose hidden variable is held to
-// what it was in normal looks, as the paper's prior holds it. So an overloaded
-// runner is reconstructed as a normal one, and the difference has a sign.
+// Profile is what is normal for the runners of a service: the mean and deviation
+// of each metric, and the principal components in which the metrics move
+// together. It is a linear auto-encoder in the place of the paper's: the latent
+// variables are held to the range that they had in the normal vectors, as the
+// paper's prior holds them. So an overloaded runner is reconstructed as a normal
+// one, and the sign of the difference tells an overload from an underload. A
+// Profile is immutable; a nil one finds no anomalies.
 type Profile struct {
-	mean           []float64
-	deviation      []float64
-	basis          *mat.Dense
-	latentBound    []float64
+	mean      []float64
+	deviation []float64
+	// basis has a principal component in each column.
+	basis *mat.Dense
+	// latentBound is the largest absolute value of each latent variable.
+	latentBound []float64
+	// errorMean and errorDeviation are those of the reconstruction error.
 	errorMean      float64
 	errorDeviation float64
 }
 
-// FitProfile makes a profile from metric vectors; too few give none.
+// FitProfile returns the profile of normal metric vectors, which are equally
+// long. It returns nil if there are too few, or if they have no principal
+// components.
 func FitProfile(vectors [][]float64) *Profile {
 	if len(vectors) < minProfileSamples {
 		return nil
 	}
+	profile := &Profile{}
+	profile.fitScale(vectors)
+	if !profile.fitBasis(vectors) {
+		return nil
+	}
+	reconstructionErrors := make([]float64, len(vectors))
+	for index, vector := range vectors {
+		reconstructionErrors[index], _ = profile.reconstruct(vector)
+	}
+	profile.errorMean, profile.errorDeviation = stat.MeanStdDev(reconstructionErrors, nil)
+	return profile
+}
+
+// fitScale fits the mean and the deviation of each metric.
+func (p *Profile) fitScale(vectors [][]float64) {
 	width := len(vectors[0])
-	made := &Profile{mean: make([]float64, width), deviation: make([]float64, width)}
+	p.mean, p.deviation = make([]float64, width), make([]float64, width)
 	column := make([]float64, len(vectors))
 	for metric := range width {
 		for index, vector := range vectors {
 			column[index] = vector[metric]
 		}
-		made.mean[metric], made.deviation[metric] = stat.MeanStdDev(column, nil)
-		if made.deviation[metric] < 1e-9 {
-			made.deviation[metric] = math.Max(1e-3, math.Abs(made.mean[metric]))
+		p.mean[metric], p.deviation[metric] = stat.MeanStdDev(column, nil)
+		if p.deviation[metric] < constantDeviation {
+			p.deviation[metric] = math.Max(minScale, math.Abs(p.mean[metric]))
 		}
 	}
+}
+
+// fitBasis fits the principal components and the range of the latent variables.
+func (p *Profile) fitBasis(vectors [][]float64) bool {
+	width := len(p.mean)
+	dimensions := min(latentDimensions, width)
 	table := mat.NewDense(len(vectors), width, nil)
 	for index, vector := range vectors {
-		table.SetRow(index, made.normalise(vector))
+		table.SetRow(index, p.normalise(vector))
 	}
-	var parts mat.SVD
-	if !parts.Factorize(table, mat.SVDThin) {
-		return nil
+	var svd mat.SVD
+	if !svd.Factorize(table, mat.SVDThin) {
+		return false
 	}
-	var directions mat.Dense
-	parts.VTo(&directions)
-	made.basis = mat.DenseCopyOf(directions.Slice(0, width, 0, min(latentDimensions, width)))
-	made.latentBound = make([]float64, min(latentDimensions, width))
+	var components mat.Dense
+	svd.VTo(&components)
+	p.basis = mat.DenseCopyOf(components.Slice(0, width, 0, dimensions))
+	p.latentBound = make([]float64, dimensions)
 	for _, vector := range vectors {
-		var hidden mat.VecDense
-		hidden.MulVec(made.basis.T(), mat.NewVecDense(width, made.normalise(vector)))
-		for part := range made.latentBound {
-			made.latentBound[part] = math.Max(made.latentBound[part], math.Abs(hidden.AtVec(part)))
+		latent := p.encode(mat.NewVecDense(width, p.normalise(vector)))
+		for dimension := range p.latentBound {
+			p.latentBound[dimension] = math.Max(p.latentBound[dimension], math.Abs(latent.AtVec(dimension)))
 		}
 	}
-	misses := make([]float64, len(vectors))
-	for index, vector := range vectors {
-		misses[index], _ = made.reconstruct(vector)
-	}
-	made.errorMean, made.errorDeviation = stat.MeanStdDev(misses, nil)
-	return made
+	return true
 }
 
 func (p *Profile) normalise(vector []float64) []float64 {
-	normal := make([]float64, len(vector))
+	normalised := make([]float64, len(vector))
 	for metric, value := range vector {
-		normal[metric] = (value - p.mean[metric]) / p.deviation[metric]
+		normalised[metric] = (value - p.mean[metric]) / p.deviation[metric]
 	}
-	return normal
+	return normalised
+}
+
+// encode returns the latent variables of a normalised vector.
+func (p *Profile) encode(input *mat.VecDense) *mat.VecDense {
+	var latent mat.VecDense
+	latent.MulVec(p.basis.T(), input)
+	return &latent
 }
 
-// reconstruct gives how far the vector is from what the profile makes of it,
-// and the mean difference between the two.
-func (p *Profile) reconstruct(vector []float64) (float64, float64) {
+// reconstruct returns the Euclidean distance of the normalised vector from its
+// reconstruction, and the mean difference between the two.
+func (p *Profile) reconstruct(vector []float64) (distance float64, meanDifference float64) {
 	input := mat.NewVecDense(len(vector), p.normalise(vector))
-	var hidden, output mat.VecDense
-	hidden.MulVec(p.basis.T(), input)
-	for part, reach := range p.latentBound {
-		hidden.SetVec(part, math.Min(reach, math.Max(-reach, hidden.AtVec(part))))
+	latent := p.encode(input)
+	for dimension, bound := range p.latentBound {
+		latent.SetVec(dimension, math.Min(bound, math.Max(-bound, latent.AtVec(dimension))))
 	}
-	output.MulVec(p.basis, &hidden)
-	miss, difference := 0.0, 0.0
+	var output mat.VecDense
+	output.MulVec(p.basis, latent)
+	sumSquares := 0.0
 	for metric := range vector {
-		gap := input.AtVec(metric) - output.AtVec(metric)
-		miss += gap * gap
-		difference += gap / float64(len(vector))
+		difference := input.AtVec(metric) - output.AtVec(metric)
+		sumSquares += difference * difference
+		meanDifference += difference / float64(len(vector))
 	}
-	return math.Sqrt(miss), difference
+	return math.Sqrt(sumSquares), meanDifference
 }
 
-// Detect tells whether a vector stands out from the profile, and by the sign
-// of the mean reconstruction difference, in which direction.
+// Detect classifies a metric vector by its reconstruction error, and by the sign
+// of the mean difference from the reconstruction.
 func (p *Profile) Detect(vector []float64) Anomaly {
 	if p == nil {
 		return NoAnomaly
 	}
-	miss, difference := p.reconstruct(vector)
-	if miss <= p.errorMean+anomalyThreshold*math.Max(p.errorDeviation, 0.1*p.errorMean) {
+	distance, meanDifference := p.reconstruct(vector)
+	if distance <= p.errorMean+anomalyThreshold*math.Max(p.errorDeviation, minErrorDeviation*p.errorMean) {
 		return NoAnomaly
 	}
-	if difference > 0 {
+	if meanDifference > 0 {
 		return Overload
 	}
 	return Underload
--- a/control/planning/autoscaler/publish.go
+++ b/control/planning/autoscaler/publish.go
@@ -5,28 +5,31 @@
 	"onyxwell/control/transport"
 )
 
-// restore takes over the ceilings and weights that another holder told.
+// fullPlanInterval is the number of plans for each that is published complete:
+// only the next owner of the lease needs it.
+const fullPlanInterval = 6
+
+// restore takes rate limits and weights over from what another owner published.
+// What can't be read is ignored: it is estimated anew.
 func (p *Planner) restore() {
-	if item, found := p.options.Gossip.Get(PlanKey); found {
+	if item, ok := p.options.Gossip.Get(PlanKey); ok {
 		if plan, err := ReadPlan(item.Body); err == nil {
 			for _, planned := range plan.Runners {
 				p.runnerPlans[planned.Runner] = planned
 			}
 		}
 	}
-	if item, found := p.options.Gossip.Get(RoutingKey); found {
-		if told, err := ReadRouting(item.Body); err == nil {
-			for _, known := range told.Types {
-				p.typeWeights[runnerType{service: known.Service, version: known.Version}] = known.Weight
+	if item, ok := p.options.Gossip.Get(RoutingKey); ok {
+		if routing, err := ReadRouting(item.Body); err == nil {
+			for _, weight := range routing.Types {
+				p.typeWeights[runnerType{service: weight.Service, version: weight.Version}] = weight.Weight
 			}
 		}
 	}
 }
 
-// fullPlanInterval is how many plans are made for each that is told whole: it serves
-// only the next holder of the duty.
-const fullPlanInterval = 6
-
+// publish publishes the routing of a plan if it changed, and now and then the
+// plan itself.
 func (p *Planner) publish(plan Plan, runners []Runner) {
 	p.lastPlan = plan
 	body, err := transport.Marshal(p.buildRouting(plan, runners))
@@ -44,11 +47,11 @@
 	p.planCount++
 }
 
-// put makes news under the next serial, unless the duty has ended while the plan
-// was made.
+// put publishes an item under the next version. It returns false if the lease was
+// lost while the plan was made, or if the store has a later version.
 func (p *Planner) put(key string, body []byte) bool {
 	if p.options.Now != nil {
-		if epoch, held := p.options.Lease(p.options.Now()); !held || epoch != p.epoch {
+		if epoch, owned := p.options.Lease(p.options.Now()); !owned || epoch != p.epoch {
 			return false
 		}
 	}
--- a/control/planning/autoscaler/quarantine.go
+++ b/control/planning/autoscaler/quarantine.go
@@ -2,64 +2,73 @@
 
 import "onyxwell/base/ids"
 
-// updateProfiles renews what is normal for the runners of each service.
+// quarantineSteps is the number of ticks for which a runner stays quarantined.
+// Routers check its health meanwhile.
+const quarantineSteps = 2
+
+// updateProfiles fits the profiles of all services to the window. A service with
+// too few metrics keeps its profile.
 func (p *Planner) updateProfiles() {
 	vectors := map[ids.Service][][]float64{}
-	for _, run := range p.window.runners {
-		for _, seen := range run.points {
-			vectors[run.service] = append(vectors[run.service], seen.vector())
+	for _, series := range p.window.runners {
+		for _, point := range series.points {
+			vectors[series.service] = append(vectors[series.service], point.vector())
 		}
 	}
-	for service, seen := range vectors {
-		if profile := FitProfile(seen); profile != nil {
+	for service, vectors := range vectors {
+		if profile := FitProfile(vectors); profile != nil {
 			p.profiles[service] = profile
 		}
 	}
 }
 
-// quarantineSteps is how many steps a runner that stands out stays out of rotation;
-// its probe is the routers' own.
-const quarantineSteps = 2
-
-// detectAnomalies looks for runners that stand out. A hit has the plan made anew; one
-// that points up at a runner which finishes nothing while requests break down
-// there has the runner rest: that is what a relaunch comes to here.
+// detectAnomalies reports whether a runner shows an anomaly in the newest
+// interval, or ends its quarantine. An overloaded runner that finished nothing
+// while requests failed at it is quarantined: the paper would relaunch it.
 func (p *Planner) detectAnomalies() bool {
-	hit := false
-	for id, steps := range p.quarantined {
-		p.quarantined[id] = steps - 1
-		if steps <= 1 {
-			delete(p.quarantined, id)
-			hit = true
-		}
-	}
-	for id, run := range p.window.runners {
-		if len(run.points) == 0 {
+	detected := p.releaseQuarantined()
+	for id, series := range p.window.runners {
+		if len(series.points) == 0 {
 			continue
 		}
-		newest := run.points[len(run.points)-1]
-		direction := p.profiles[run.service].Detect(newest.vector())
-		if direction == NoAnomaly {
+		newest := series.points[len(series.points)-1]
+		anomaly := p.profiles[series.service].Detect(newest.vector())
+		if anomaly == NoAnomaly {
 			continue
 		}
-		hit = true
-		if direction == Overload && newest.finished == 0 && newest.failed > 0 && p.canQuarantine(run.service) {
+		detected = true
+		if anomaly == Overload && newest.finished == 0 && newest.failed > 0 && p.canQuarantine(series.service) {
 			p.quarantined[id] = quarantineSteps
 		}
 	}
-	return hit
+	return detected
+}
+
+// releaseQuarantined counts a tick of each quarantine, and reports whether one
+// ended.
+func (p *Planner) releaseQuarantined() bool {
+	released := false
+	for id, steps := range p.quarantined {
+		p.quarantined[id] = steps - 1
+		if steps <= 1 {
+			delete(p.quarantined, id)
+			released = true
+		}
+	}
+	return released
 }
 
-// canQuarantine keeps those that rest at less than a third of a service's runners.
+// canQuarantine reports whether, with one more, less than a third of a service's
+// runners would be quarantined.
 func (p *Planner) canQuarantine(service ids.Service) bool {
-	all, resting := 0, 0
-	for id, run := range p.window.runners {
-		if run.service == service {
-			all++
+	runners, quarantined := 0, 0
+	for id, series := range p.window.runners {
+		if series.service == service {
+			runners++
 			if p.quarantined[id] > 0 {
-				resting++
+				quarantined++
 			}
 		}
 	}
-	return 3*(resting+1) < all
+	return 3*(quarantined+1) < runners
 }
--- a/control/planning/autoscaler/window.go
+++ b/control/planning/autoscaler/window.go
@@ -2,14 +2,25 @@
 
 import (
 	"math"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/planning/headroom"
 )
 
-// metrics is one look at one runner: the metrics of one span, per second where
-// they are rates.
+const (
+	// minSeconds bounds the length of an interval from below, as a divisor.
+	minSeconds = 0.001
+	// retainedPerSecond is the fraction of readings and units that is left after a
+	// second.
+	retainedPerSecond = 0.9
+	// demandSmoothing is the weight of the newest interval in a demand rate.
+	demandSmoothing = 0.3
+)
+
+// metrics are those of one runner over one interval; counts are per second once
+// the interval is closed.
 type metrics struct {
 	at                clock.Instant
 	arrived           float64
@@ -22,30 +33,34 @@
 	utilization       float64
 }
 
-// vector is the metric vector that the detector looks at.
+// vector returns the metrics that a Profile is fitted to.
 func (m metrics) vector() []float64 {
 	return []float64{
 		m.finished, m.running, m.arrived, m.pending, m.executionMS, m.memoryUtilization, m.utilization,
 	}
 }
 
-// series is what is kept of one runner over the window.
+// series are the metrics of one runner over the window.
 type series struct {
-	service     ids.Service
-	points      []metrics
+	service ids.Service
+	// points are the closed intervals, oldest first; those without a request are
+	// left out.
+	points []metrics
+	// current sums the open interval, executionMS the execution time in it.
 	current     metrics
 	executionMS float64
-	units       float64
+	// units is the recent work, decaying.
+	units float64
 }
 
-// window keeps the series of all runners.
+// window keeps the metrics of all runners and the demand of all regions. It is
+// not safe for concurrent use.
 type window struct {
-	length  clock.Span
-	step    clock.Span
+	length  time.Duration
 	runners map[ids.RunnerID]*series
 	demand  map[demandKey]*demandRate
-	// readings and units are forgotten little by little; seconds is the time
-	// that they stand for.
+	// readings decay, as the units of the runners do; seconds is the time that
+	// they stand for.
 	readings map[readingKey]headroom.Reading
 	seconds  float64
 }
@@ -55,99 +70,126 @@
 	route   string
 }
 
+// demandKey identifies requests that may use the same runners.
 type demandKey struct {
-	service     ids.Service
+	service ids.Service
+	// homeRegions is that of Demand.
 	homeRegions string
-	origin      ids.Region
+	// origin is the region of the routers that received the requests.
+	origin ids.Region
 }
 
-// demandRate is an arrival rate that follows quickly and forgets within some steps.
+// demandRate is an exponentially smoothed arrival rate.
 type demandRate struct {
-	perS  float64
+	perS float64
+	// count is that of the open interval.
 	count float64
 }
 
-func newWindow(length clock.Span, step clock.Span) *window {
-	return &window{length: length, step: step, runners: map[ids.RunnerID]*series{}, demand: map[demandKey]*demandRate{}, readings: map[readingKey]headroom.Reading{}}
+func newWindow(length time.Duration) *window {
+	return &window{length: length, runners: map[ids.RunnerID]*series{}, demand: map[demandKey]*demandRate{}, readings: map[readingKey]headroom.Reading{}}
 }
 
-// add adds a router's samples to the span that is open.
+// add adds a report to the open interval.
 func (w *window) add(report ReportRequest) {
 	for _, sample := range report.Samples {
-		run := w.runners[sample.Runner]
-		if run == nil {
-			run = &series{}
-			w.runners[sample.Runner] = run
+		runner := w.runners[sample.Runner]
+		if runner == nil {
+			runner = &series{}
+			w.runners[sample.Runner] = runner
 		}
-		run.service = sample.Service
-		run.current.arrived += sample.Arrived
-		run.current.finished += sample.Finished
-		run.current.running += sample.Running
-		run.current.pending += sample.Pending
-		run.current.failed += sample.Failed
-		run.executionMS += sample.ExecutionMS
-		run.units += sample.Units
-		run.current.memoryUtilization = max(run.current.memoryUtilization, sample.MemoryUtilization)
-		run.current.utilization = max(run.current.utilization, sample.Utilization)
+		runner.add(sample)
 	}
 	for _, reading := range report.Readings {
 		key := readingKey{service: reading.Service, route: reading.Route}
 		w.readings[key] = w.readings[key].Add(reading)
 	}
-	for _, wanted := range report.Demands {
-		key := demandKey{service: wanted.Service, homeRegions: wanted.HomeRegions, origin: report.Region}
+	for _, demand := range report.Demands {
+		key := demandKey{service: demand.Service, homeRegions: demand.HomeRegions, origin: report.Region}
 		if w.demand[key] == nil {
 			w.demand[key] = &demandRate{}
 		}
-		w.demand[key].count += wanted.Arrived
+		w.demand[key].count += demand.Arrived
 	}
 }
 
-// retainedPerSecond is the part of readings and units that outlives a second.
-const retainedPerSecond = 0.9
+func (s *series) add(sample Sample) {
+	s.service = sample.Service
+	s.current.arrived += sample.Arrived
+	s.current.finished += sample.Finished
+	s.current.running += sample.Running
+	s.current.pending += sample.Pending
+	s.current.failed += sample.Failed
+	s.executionMS += sample.ExecutionMS
+	s.units += sample.Units
+	s.current.memoryUtilization = max(s.current.memoryUtilization, sample.MemoryUtilization)
+	s.current.utilization = max(s.current.utilization, sample.Utilization)
+}
+
+// closeInterval closes the open interval and drops points older than the window.
+func (w *window) closeInterval(now clock.Instant, elapsed time.Duration) {
+	seconds := max(elapsed.Seconds(), minSeconds)
+	w.decay(seconds)
+	for id, series := range w.runners {
+		series.closeInterval(now, seconds)
+		for len(series.points) > 0 && now.Since(series.points[0].at) > w.length {
+			series.points = series.points[1:]
+		}
+		if len(series.points) == 0 {
+			delete(w.runners, id)
+		}
+	}
+	for _, rate := range w.demand {
+		rate.perS += demandSmoothing * (rate.count/seconds - rate.perS)
+		rate.count = 0
+	}
+}
 
-// decay ages readings and units by a step.
+// decay ages readings and units.
 func (w *window) decay(seconds float64) {
-	part := math.Pow(retainedPerSecond, seconds)
+	retained := math.Pow(retainedPerSecond, seconds)
 	for key, reading := range w.readings {
-		w.readings[key] = reading.Scale(part)
+		w.readings[key] = reading.Scale(retained)
 	}
-	for _, run := range w.runners {
-		run.units *= part
+	for _, series := range w.runners {
+		series.units *= retained
 	}
-	w.seconds = w.seconds*part + seconds
+	w.seconds = w.seconds*retained + seconds
 }
 
-// demandSmoothing is how much of a new rate is taken over in one step.
-const demandSmoothing = 0.3
+func (s *series) closeInterval(now clock.Instant, seconds float64) {
+	closed := s.current
+	closed.at = now
+	closed.arrived /= seconds
+	if s.current.finished > 0 {
+		closed.executionMS = s.executionMS / s.current.finished
+	}
+	closed.finished /= seconds
+	closed.running /= seconds
+	closed.pending /= seconds
+	s.current, s.executionMS = metrics{}, 0
+	if closed.arrived+closed.finished+closed.running+closed.failed > 0 {
+		s.points = append(s.points, closed)
+	}
+}
 
-// closeInterval ends the open span and drops what is older than the window.
-func (w *window) closeInterval(now clock.Instant, spent clock.Span) {
-	seconds := max(spent.Seconds(), 0.001)
-	w.decay(seconds)
-	for id, run := range w.runners {
-		closed := run.current
-		closed.at = now
-		closed.arrived /= seconds
-		if run.current.finished > 0 {
-			closed.executionMS = run.executionMS / run.current.finished
-		}
-		closed.finished /= seconds
-		closed.running /= seconds
-		closed.pending /= seconds
-		run.current, run.executionMS = metrics{}, 0
-		if closed.arrived+closed.finished+closed.running+closed.failed > 0 {
-			run.points = append(run.points, closed)
-		}
-		for len(run.points) > 0 && now.Since(run.points[0].at) > w.length {
-			run.points = run.points[1:]
-		}
-		if len(run.points) == 0 {
-			delete(w.runners, id)
+// hasDemand reports whether requests for the service were ever reported.
+func (w *window) hasDemand(service ids.Service) bool {
+	for key := range w.demand {
+		if key.service == service {
+			return true
 		}
 	}
-	for _, wanted := range w.demand {
-		wanted.perS += demandSmoothing * (wanted.count/seconds - wanted.perS)
-		wanted.count = 0
+	return false
+}
+
+// load returns the demand for the service in requests a second.
+func (w *window) load(service ids.Service) float64 {
+	load := 0.0
+	for key, rate := range w.demand {
+		if key.service == service {
+			load += rate.perS
+		}
 	}
+	return load
 }
