--- a/control/planning/headroom/estimate.go
+++ b/control/planning/headroom/estimate.go
@@ -1,75 +1,32 @@
 package headroom
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"onyxwell/base/ids"
 	"onyxwell/control/config"
 )
 
-// Runner is one runner as it stands.
+// Ready is the State of a runner that requests may go to.
+const Ready = "ready"
+
+// Runner is a listed runner.
 type Runner struct {
 	ID      ids.RunnerID
 	Service ids.Service
 	Region  ids.Region
-	Slots   float64
-	// State is ready, cold, draining, emptied or resting; only ready runners
-	// count for room.
+	// Slots is the number of requests that it serves at once.
+	Slots float64
+	// State is Ready, or why the runner is not: cold, draining, emptied, resting.
 	State string
-	// UnitsPerS is the work that routers sent it lately.
+	// UnitsPerS is the work that was recently sent to it.
 	UnitsPerS float64
 }
 
-// Ready is the standing that counts.
-const Ready = "ready"
-
-// Routers says how many routers there are and how many take visitors.
-type Routers struct {
-	Region ids.Region `json:"region"`
-	Known  int64      `json:"known"`
-	Ready  int64      `json:"ready"`
-}
-
-// Service is the room of one service over all regions.
-type Service struct {
-	Service        ids.Service `json:"service"`
-	HasData        bool        `json:"enough_seen"`
-	LoadPerS       float64     `json:"load_per_s"`
-	Utilization    float64     `json:"used"`
-	GrowthTogether float64     `json:"room_together"`
-	Routes         []Route     `json:"routes"`
-	Regions        []Region    `json:"regions"`
-}
-
-// Route is the room of one route: by how much it alone may grow, and by how
-// much all routes of the family may grow together before this one runs late.
-type Route struct {
-	Name           string  `json:"name"`
-	TargetMS       float64 `json:"goal_ms"`
-	FirstTokenMS   float64 `json:"first_ms"`
-	LoadPerS       float64 `json:"load_per_s"`
-	GrowthAlone    float64 `json:"room_alone"`
-	GrowthTogether float64 `json:"room_together"`
-}
-
-// Region is what a family has in one region, quiet ones too.
-type Region struct {
-	Region      ids.Region `json:"region"`
-	Ready       int64      `json:"ready"`
-	NotReady    int64      `json:"other"`
-	Utilization float64    `json:"used"`
-	UnitsPerS   float64    `json:"units_per_s"`
-}
-
-// Report is the newest estimate, and on what it rests.
-type Report struct {
-	Services []Service `json:"families"`
-	Routers  []Routers `json:"routers"`
-}
-
-// Input is all that an estimate is made from. Readings are sums over so many
-// seconds.
+// Input is what an estimate is made from.
 type Input struct {
+	// Seconds is the time that Readings are sums over; it is above 0.
 	Seconds  float64
 	Config   *config.Config
 	Runners  []Runner
@@ -77,143 +34,154 @@
 	Routers  []Routers
 }
 
-// Estimate works the room of every family out.
-func Estimate(seen Input) Report {
-	report := Report{Routers: seen.Routers}
-	for _, service := range seen.Config.Services {
-		report.Services = append(report.Services, estimateService(seen, service))
+// Estimate returns the headroom of every service in the configuration.
+func Estimate(input Input) Report {
+	report := Report{Routers: input.Routers}
+	for _, service := range input.Config.Services {
+		report.Services = append(report.Services, newEstimator(input, service).estimate())
 	}
 	return report
 }
 
-func estimateService(seen Input, service config.Service) Service {
-	made := Service{Service: service.Name, GrowthTogether: growthCap}
-	var readings []Reading
-	for _, reading := range seen.Readings {
+// estimator estimates the headroom of one service.
+type estimator struct {
+	service config.Service
+	config  *config.Config
+	seconds float64
+	// runners and readings are those of the service, readings by route.
+	runners  []Runner
+	readings []Reading
+	total    Reading
+	model    LatencyModel
+	hasData  bool
+}
+
+func newEstimator(input Input, service config.Service) *estimator {
+	e := &estimator{service: service, config: input.Config, seconds: input.Seconds}
+	for _, runner := range input.Runners {
+		if runner.Service == service.Name {
+			e.runners = append(e.runners, runner)
+		}
+	}
+	for _, reading := range input.Readings {
 		if reading.Service == service.Name && reading.Count > 0 {
-			readings = append(readings, reading)
+			e.readings = append(e.readings, reading)
 		}
 	}
-	sort.Slice(readings, func(left, right int) bool { return readings[left].Route < readings[right].Route })
-	pace, enough := fitModel(seen, service, readings)
-	made.HasData = enough
-	if !enough {
-		made.GrowthTogether = 0
+	slices.SortFunc(e.readings, func(left, right Reading) int { return cmp.Compare(left.Route, right.Route) })
+	e.total = sum(e.readings)
+	e.model, e.hasData = e.fitModel()
+	return e
+}
+
+// fitModel fits the latency model. Requests of a service without an engine have
+// no lengths: there a unit is a request, and takes its part of a runner's slots.
+func (e *estimator) fitModel() (LatencyModel, bool) {
+	if e.service.Engine != nil {
+		return FitLatencyModel(e.readings)
 	}
-	made.Regions = estimateRegions(seen, service.Name, pace)
-	for _, reading := range readings {
-		made.LoadPerS += reading.Count / seen.Seconds
+	slots := 0.0
+	for _, runner := range e.runners {
+		slots += runner.Slots
 	}
-	for _, reading := range readings {
-		route := findRoute(seen.Config, reading.Route)
-		if route == nil || !enough {
-			continue
-		}
-		load := routeLoad(seen, service.Name, route, reading, readings, pace)
-		first := reading.FirstTokenMS / reading.Count
-		plain := pace.BaseMS + pace.PerUnitMS*reading.Units/reading.Count
-		found := Route{Name: route.Name, TargetMS: route.LatencyTargetMS, FirstTokenMS: first, LoadPerS: reading.Count / seen.Seconds}
-		found.GrowthAlone = MaxGrowth(load, route.LatencyTargetMS-plain, false)
-		found.GrowthTogether = MaxGrowth(load, route.LatencyTargetMS-plain, true)
-		made.GrowthTogether = min(made.GrowthTogether, found.GrowthTogether)
-		made.Utilization = max(made.Utilization, load.Utilization)
-		made.Routes = append(made.Routes, found)
+	if e.total.Count == 0 || slots == 0 {
+		return LatencyModel{}, false
 	}
-	return made
+	mean := e.total.FirstTokenMS / e.total.Count
+	return LatencyModel{BaseMS: mean, PerUnitMS: mean / (slots / float64(len(e.runners)))}, true
 }
 
-// fitModel fits the family's pace; one whose requests have no sizes is paced by
-// how long its slots are taken.
-func fitModel(seen Input, service config.Service, readings []Reading) (LatencyModel, bool) {
-	if service.Engine != nil {
-		return FitLatencyModel(readings)
+func (e *estimator) estimate() Service {
+	service := Service{Service: e.service.Name, HasData: e.hasData, Regions: e.regions()}
+	for _, reading := range e.readings {
+		service.LoadPerS += reading.Count / e.seconds
 	}
-	total, slots, count := Reading{}, 0.0, 0.0
-	for _, reading := range readings {
-		total = total.Add(reading)
+	if !e.hasData {
+		return service
 	}
-	for _, runner := range seen.Runners {
-		if runner.Service == service.Name {
-			slots += runner.Slots
-			count++
+	service.GrowthTogether = growthCap
+	for _, reading := range e.readings {
+		route := e.findRoute(reading.Route)
+		if route == nil {
+			continue
 		}
+		load := e.load(route, reading)
+		growth := e.route(route, reading, load)
+		service.GrowthTogether = min(service.GrowthTogether, growth.GrowthTogether)
+		service.Utilization = max(service.Utilization, load.Utilization)
+		service.Routes = append(service.Routes, growth)
 	}
-	if total.Count == 0 || slots == 0 {
-		return LatencyModel{}, false
+	return service
+}
+
+// route estimates the headroom of one route. What its target leaves beyond the
+// latency of a request that does not queue may be spent queueing.
+func (e *estimator) route(route *config.Route, reading Reading, load Load) Route {
+	unqueuedMS := e.model.BaseMS + e.model.PerUnitMS*reading.Units/reading.Count
+	spareMS := route.LatencyTargetMS - unqueuedMS
+	return Route{
+		Name:           route.Name,
+		TargetMS:       route.LatencyTargetMS,
+		FirstTokenMS:   reading.FirstTokenMS / reading.Count,
+		LoadPerS:       reading.Count / e.seconds,
+		GrowthAlone:    load.MaxRouteGrowth(spareMS),
+		GrowthTogether: load.MaxGrowth(spareMS),
 	}
-	first := total.FirstTokenMS / total.Count
-	return LatencyModel{BaseMS: first, PerUnitMS: first / (slots / count)}, true
 }
 
-func findRoute(version *config.Config, name string) *config.Route {
-	for index := range version.Routes {
-		if version.Routes[index].Name == name {
-			return &version.Routes[index]
+// findRoute returns the route of that name, nil if the configuration has none.
+func (e *estimator) findRoute(name string) *config.Route {
+	for index := range e.config.Routes {
+		if e.config.Routes[index].Name == name {
+			return &e.config.Routes[index]
 		}
 	}
 	return nil
 }
 
-func estimateRegions(seen Input, service ids.Service, pace LatencyModel) []Region {
-	found := map[ids.Region]*Region{}
-	for _, runner := range seen.Runners {
-		if runner.Service != service {
+// load returns the load of the runners in the regions that the route allows. Work
+// that went to runners which are no longer ready counts: the others have to take
+// it.
+func (e *estimator) load(route *config.Route, reading Reading) Load {
+	ready, unitsPerS := 0.0, 0.0
+	for _, runner := range e.runners {
+		if !route.AllowsRegion(runner.Region) {
 			continue
 		}
-		if found[runner.Region] == nil {
-			found[runner.Region] = &Region{Region: runner.Region}
-		}
-		region := found[runner.Region]
-		region.UnitsPerS += runner.UnitsPerS
+		unitsPerS += runner.UnitsPerS
 		if runner.State == Ready {
-			region.Ready++
-		} else {
-			region.NotReady++
+			ready++
 		}
 	}
-	var listed []Region
-	for _, region := range found {
-		region.Utilization = utilization(region.UnitsPerS, float64(region.Ready), pace)
-		listed = append(listed, *region)
-	}
-	sort.Slice(listed, func(left, right int) bool { return listed[left].Region < listed[right].Region })
-	return listed
-}
-
-func utilization(unitsPerS float64, runners float64, pace LatencyModel) float64 {
-	if runners == 0 {
-		return 0
+	load := Load{Utilization: 1, RouteUtilization: 1, ResidualMS: e.model.residualMS(e.total)}
+	if ready > 0 {
+		load.Utilization = e.model.utilization(unitsPerS, ready)
+		load.RouteUtilization = e.model.utilization(reading.Units/e.seconds, ready)
 	}
-	return unitsPerS * pace.PerUnitMS / 1000 / runners
+	return load
 }
 
-// routeLoad is the load of the runners that a route may use: all that stand ready
-// where it is at home, whatever they were sent lately. Work that went to
-// runners which stand no more has to be borne by the others.
-func routeLoad(seen Input, service ids.Service, route *config.Route, own Reading, all []Reading, pace LatencyModel) Load {
-	ready, units := 0.0, 0.0
-	for _, runner := range seen.Runners {
-		if runner.Service != service {
-			continue
+// regions returns what the service has in each region with a runner of it.
+func (e *estimator) regions() []Region {
+	byName := map[ids.Region]*Region{}
+	for _, runner := range e.runners {
+		region := byName[runner.Region]
+		if region == nil {
+			region = &Region{Region: runner.Region}
+			byName[runner.Region] = region
 		}
-		if !route.AllowsRegion(runner.Region) {
-			continue
-		}
-		units += runner.UnitsPerS
+		region.UnitsPerS += runner.UnitsPerS
 		if runner.State == Ready {
-			ready++
+			region.Ready++
+		} else {
+			region.NotReady++
 		}
 	}
-	load := Load{Utilization: utilization(units, ready, pace), RouteUtilization: utilization(own.Units/seen.Seconds, ready, pace)}
-	if ready == 0 {
-		load.Utilization, load.RouteUtilization = 1, 1
+	var regions []Region
+	for _, region := range byName {
+		region.Utilization = e.model.utilization(region.UnitsPerS, float64(region.Ready))
+		regions = append(regions, *region)
 	}
-	total := Reading{}
-	for _, reading := range all {
-		total = total.Add(reading)
-	}
-	if total.Units > 0 {
-		load.ResidualMS = pace.PerUnitMS * total.UnitsSquared / total.Units / 2
-	}
-	return load
+	slices.SortFunc(regions, func(left, right Region) int { return cmp.Compare(left.Region, right.Region) })
+	return regions
 }
--- a/control/planning/headroom/model.go
+++ b/control/planning/headroom/model.go
@@ -1,5 +1,11 @@
-// Package headroom tells how much more load each model family can bear before its
-// requests run late: for each route alone, and for all of its routes together.
+// Package headroom estimates by what factor the load of each service may grow
+// before its requests miss their latency target: for each route alone, and for all
+// routes together.
+//
+// It fits the time to first token as a linear function of the prompt's length,
+// takes from that the utilization of the runners that are ready, and finds the
+// utilization at which the tail of the queueing time reaches the target.
+// docs/room.md has the alternatives and the rehearsals.
 package headroom
 
 import (
@@ -8,11 +14,8 @@
 	"onyxwell/base/ids"
 )
 
-// Key is the news key of the newest estimate.
-const Key = "room"
-
-// Reading sums what routers saw of one route's first answers. Units are prompt
-// tokens, or one a request where a route has none.
+// Reading sums the times to first token of one route's requests. Units are prompt
+// tokens, or one for a request without any.
 type Reading struct {
 	Service      ids.Service `avro:"Service"`
 	Route        string      `avro:"Route"`
@@ -20,14 +23,14 @@
 	Units        float64     `avro:"Units"`
 	UnitsSquared float64     `avro:"UnitsSquared"`
 	FirstTokenMS float64     `avro:"FirstMS"`
-	// UnitsFirstTokenMS is the sum of units times first answer, for the fit.
+	// UnitsFirstTokenMS sums the products of units and time to first token.
 	UnitsFirstTokenMS float64 `avro:"Crossed"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
 func (Reading) SchemaName() string { return "Reading_21" }
 
-// Add joins two sums.
+// Add returns the sum of two readings; it is of the route of other.
 func (r Reading) Add(other Reading) Reading {
 	other.Count += r.Count
 	other.Units += r.Units
@@ -37,35 +40,61 @@
 	return other
 }
 
-// Scale gives a part of the sums; older looks are forgotten this way.
-func (r Reading) Scale(part float64) Reading {
-	r.Count *= part
-	r.Units *= part
-	r.UnitsSquared *= part
-	r.FirstTokenMS *= part
-	r.UnitsFirstTokenMS *= part
+// Scale returns the reading with its sums multiplied by a factor, by which it
+// decays.
+func (r Reading) Scale(factor float64) Reading {
+	r.Count *= factor
+	r.Units *= factor
+	r.UnitsSquared *= factor
+	r.FirstTokenMS *= factor
+	r.UnitsFirstTokenMS *= factor
 	return r
 }
 
-// LatencyModel is how a runner of a family reads: a first answer takes BaseMS and
-// PerUnitMS for each unit ahead of it.
+func sum(readings []Reading) Reading {
+	total := Reading{}
+	for _, reading := range readings {
+		total = total.Add(reading)
+	}
+	return total
+}
+
+// LatencyModel is the time to first token at a runner of a service: BaseMS, and
+// PerUnitMS for each unit that the runner has to process before.
 type LatencyModel struct {
 	BaseMS    float64
 	PerUnitMS float64
 }
 
-// FitLatencyModel draws the least squares line of first answer on units. All routes of
-// a family share it, since they share its runners.
+const (
+	// minCount is the number of requests that an estimate needs.
+	minCount = 30
+	// minRelativeSpread is the spread of the units, relative to their square, below
+	// which all requests count as equally long.
+	minRelativeSpread = 1e-9
+	// maxLateFraction is the fraction of requests that may miss their target.
+	maxLateFraction = 0.05
+	// growthCap bounds growth: no estimate holds so far from what was measured.
+	growthCap = 64.0
+	// maxSearched is the highest utilization that is searched, in so many
+	// bisections.
+	maxSearched = 0.995
+	bisections  = 40
+	// minResidualMS keeps the residual time, a divisor, above 0.
+	minResidualMS = 1e-6
+)
+
+// FitLatencyModel fits the least squares line of time to first token on units. It
+// takes the readings of all routes of a service, since they share its runners. It
+// returns false if there are too few requests, if all are equally long, or if
+// longer ones don't take longer.
 func FitLatencyModel(readings []Reading) (LatencyModel, bool) {
-	total := Reading{}
-	for _, reading := range readings {
-		total = total.Add(reading)
-	}
+	total := sum(readings)
 	if total.Count < minCount {
 		return LatencyModel{}, false
 	}
 	spread := total.UnitsSquared - total.Units*total.Units/total.Count
-	if spread <= 1e-9*total.UnitsSquared {
+	if spread <= minRelativeSpread*total.UnitsSquared {
 		return LatencyModel{}, false
 	}
 	slope := (total.UnitsFirstTokenMS - total.Units*total.FirstTokenMS/total.Count) / spread
@@ -75,54 +104,66 @@
 	return LatencyModel{BaseMS: math.Max(0, (total.FirstTokenMS-slope*total.Units)/total.Count), PerUnitMS: slope}, true
 }
 
-const (
-	// minCount is how many answers an estimate must rest on.
-	minCount = 30
-	// maxLateFraction is the share of requests that may run late.
-	maxLateFraction = 0.05
-	// growthCap is where the search for a factor ends: no estimate reaches so far.
-	growthCap = 64.0
-)
+// utilization returns the utilization of runners that process units at a rate.
+func (m LatencyModel) utilization(unitsPerS float64, runners float64) float64 {
+	if runners == 0 {
+		return 0
+	}
+	return unitsPerS * m.PerUnitMS / 1000 / runners
+}
 
-// Load is what a pool of runners bears now, in shares of what they can do.
+// residualMS returns the mean residual time of the request in service when
+// another arrives, E[S²]/2E[S] for a service time S = PerUnitMS·units.
+func (m LatencyModel) residualMS(total Reading) float64 {
+	if total.Units <= 0 {
+		return 0
+	}
+	return m.PerUnitMS * total.UnitsSquared / total.Units / 2
+}
+
+// Load is the load of the ready runners that a route may use.
 type Load struct {
-	// Utilization is the utilisation of the pool; Own the part of it that the route
-	// brings. Both are of the runners that stand ready.
+	// Utilization is that of the runners; RouteUtilization is the part of it that
+	// the route causes.
 	Utilization      float64
 	RouteUtilization float64
-	// ResidualMS is the mean time that is left of the work in hand when another
-	// request arrives.
+	// ResidualMS is the mean time that is left of the request in service when
+	// another arrives.
 	ResidualMS float64
 }
 
-// MaxGrowth tells how many times the route's own load (or, together, all load) may
-// grow while the share of requests whose wait is over the spare time stays
-// small. It is below 1 where the goal is missed already, and 0 where no load at
-// all would keep it.
-func MaxGrowth(load Load, spareMS float64, together bool) float64 {
-	growing := load.RouteUtilization
-	if together {
-		growing = load.Utilization
-	}
-	limit := maxUtilization(load.ResidualMS, spareMS)
+// MaxRouteGrowth returns by what factor the route's own load may grow while only
+// a small fraction of requests queue for longer than spareMS. It is below 1 if
+// the target is missed already, and 0 if no load at all would keep it.
+func (l Load) MaxRouteGrowth(spareMS float64) float64 {
+	return l.maxGrowth(l.RouteUtilization, spareMS)
+}
+
+// MaxGrowth is MaxRouteGrowth for the load of all routes.
+func (l Load) MaxGrowth(spareMS float64) float64 {
+	return l.maxGrowth(l.Utilization, spareMS)
+}
+
+// maxGrowth returns the factor on the growing part of the utilization.
+func (l Load) maxGrowth(growing float64, spareMS float64) float64 {
 	if growing <= 0 {
 		return growthCap
 	}
-	factor := (limit - (load.Utilization - growing)) / growing
-	return math.Min(growthCap, math.Max(0, factor))
+	growth := (maxUtilization(l.ResidualMS, spareMS) - (l.Utilization - growing)) / growing
+	return math.Min(growthCap, math.Max(0, growth))
 }
 
-// maxUtilization is the utilisation at which the wait stays under the spare time but
-// for the share that may run late. The wait of a queue that is busy for a part
-// of the time falls off like an exponential: P(W > t) ≈ u·exp(-t(1-u)/rest).
-func maxUtilization(restMS float64, spareMS float64) float64 {
+// maxUtilization returns the utilization u at which all but maxLateFraction of the
+// requests queue for less than spareMS. The queueing time W of a server with
+// Poisson arrivals has an exponential tail: P(W > t) ≈ u·exp(-t(1-u)/residual).
+func maxUtilization(residualMS float64, spareMS float64) float64 {
 	if spareMS <= 0 {
 		return 0
 	}
-	low, high := 0.0, 0.995
-	for range 40 {
+	low, high := 0.0, maxSearched
+	for range bisections {
 		middle := (low + high) / 2
-		if middle*math.Exp(-spareMS*(1-middle)/math.Max(restMS, 1e-6)) > maxLateFraction {
+		if middle*math.Exp(-spareMS*(1-middle)/math.Max(residualMS, minResidualMS)) > maxLateFraction {
 			high = middle
 		} else {
 			low = middle
