--- a/control/planning/lengthstats/split.go
+++ b/control/planning/lengthstats/split.go
@@ -9,85 +9,112 @@
 )
 
 const (
-	// minDurationRatio is by how much long answers must take longer than short ones, and
-	// minWorkShare which part of the work each class must have, to be told apart.
+	// minDurationRatio is the least ratio of the mean durations of the long and the
+	// short class.
 	minDurationRatio = 3.0
-	minWorkShare     = 0.1
-	// minSlowShare is the part of the short calls that must begin slowly before they
-	// get runners of their own, releaseWorkShare to which part of what it then was the
-	// long work must fall before they share again.
-	minSlowShare     = 0.04
+	// minWorkShare is the least share of the work in each class.
+	minWorkShare = 0.1
+	// minSlowShare is the fraction of short requests with a slow first token from
+	// which a split begins.
+	minSlowShare = 0.04
+	// releaseWorkShare is the fraction of the long work at a split's beginning below
+	// which the split ends.
 	releaseWorkShare = 0.6
+	// shareTolerance is the change of the short class's share of the work below
+	// which a split is kept.
+	shareTolerance = 0.1
+	// minMeanMS keeps a mean duration, as a divisor, above 0.
+	minMeanMS = 1e-9
 )
 
-// Split cuts a service's answers into short and long ones.
+// Split divides the requests of a service into short and long ones.
 type Split struct {
 	Service ids.Service `avro:"Service"`
-	// ThresholdMS is the time from which an answer counts as long.
+	// ThresholdMS is the expected duration from which a request is long.
 	ThresholdMS float64 `avro:"CutMS"`
-	// ShortWorkShare is the part of the work that short ones are.
+	// ShortWorkShare is the short class's share of the work, from 0 to 1.
 	ShortWorkShare float64 `avro:"ShortPart"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
 func (Split) SchemaName() string { return "Split_24" }
 
-// Split finds the cut that parts short from long best: the one between two kinds
-// where the classes' times, on a scale of ratios, lie farthest apart for how many
-// there are of each. False says that there is nothing to tell apart.
+// activeSplit is a split and what its hysteresis depends on.
+type activeSplit struct {
+	Split
+	// longWork is the work of the long class when the split began.
+	longWork float64
+	// slowShare is the fraction of short requests with a slow first token.
+	slowShare float64
+}
+
+// Split returns the split of a service, and false if there is none. It must be
+// called once for each plan: a split depends on the one before.
 func (e *Estimator) Split(service ids.Service) (Split, bool) {
-	var kinds []Totals
+	var keys []Totals
 	count, work := 0.0, 0.0
-	for kind, sum := range e.totals {
-		if kind.Service == service && kind.Bucket > 0 && sum.Count > 0 {
-			kinds = append(kinds, sum)
-			count, work = count+sum.Count, work+sum.Tokens
+	for key, totals := range e.totals {
+		if key.Service == service && key.Bucket > 0 && totals.Count > 0 {
+			keys = append(keys, totals)
+			count, work = count+totals.Count, work+totals.Tokens
 		}
 	}
 	if count < minPerSplit || work <= 0 {
 		return Split{}, false
 	}
-	slices.SortFunc(kinds, func(left, right Totals) int {
-		return cmp.Or(cmp.Compare(left.DurationMS/left.Count, right.DurationMS/right.Count), compareKeys(left.Key, right.Key))
+	slices.SortFunc(keys, func(left, right Totals) int {
+		return cmp.Or(cmp.Compare(left.meanMS(), right.meanMS()), compareKeys(left.Key, right.Key))
 	})
-	best, bestGap := activeSplit{Split: Split{Service: service}}, 0.0
-	suffering, short := 0.0, Totals{}
-	for index := range kinds[:len(kinds)-1] {
-		short = short.Add(kinds[index])
+	best, ok := bestSplit(keys, count, work)
+	best.Service = service
+	return e.applyHysteresis(best, ok)
+}
+
+// bestSplit returns the split between two keys, ordered by mean duration, that
+// separates the classes best: the one that maximises n_short·n_long·ln²(ratio of
+// the mean durations), the variance between two classes of log durations. It
+// returns false if no split meets the least ratio and work shares.
+func bestSplit(keys []Totals, count float64, work float64) (best activeSplit, ok bool) {
+	bestVariance := 0.0
+	short := Totals{}
+	for index := range keys[:len(keys)-1] {
+		short = short.Add(keys[index])
 		long := Totals{Count: count - short.Count}
-		for _, later := range kinds[index+1:] {
-			long.DurationMS += later.DurationMS
+		for _, longer := range keys[index+1:] {
+			long.DurationMS += longer.DurationMS
 		}
-		ratio := (long.DurationMS / long.Count) / max(1e-9, short.DurationMS/short.Count)
-		part := short.Tokens / work
-		gap := short.Count * long.Count * math.Pow(math.Log(max(1, ratio)), 2)
-		if ratio >= minDurationRatio && part >= minWorkShare && part <= 1-minWorkShare && gap > bestGap {
-			below, above := kinds[index].DurationMS/kinds[index].Count, kinds[index+1].DurationMS/kinds[index+1].Count
-			best.ThresholdMS, best.ShortWorkShare, bestGap = math.Sqrt(below*above), part, gap
-			best.longWork, suffering = work-short.Tokens, short.SlowFirstTokens/short.Count
+		ratio := long.meanMS() / max(minMeanMS, short.meanMS())
+		share := short.Tokens / work
+		variance := short.Count * long.Count * math.Pow(math.Log(max(1, ratio)), 2)
+		if ratio >= minDurationRatio && share >= minWorkShare && share <= 1-minWorkShare && variance > bestVariance {
+			bestVariance = variance
+			best.ThresholdMS, best.ShortWorkShare = math.Sqrt(keys[index].meanMS()*keys[index+1].meanMS()), share
+			best.longWork, best.slowShare = work-short.Tokens, short.SlowFirstTokens/short.Count
 		}
 	}
-	return e.applyHysteresis(best, bestGap > 0, suffering)
+	return best, bestVariance > 0
 }
 
-// applyHysteresis begins a split only where short calls suffer: as long as they don't,
-// one group serves both best, since long prompts then wait less for each other.
-// A split lasts until the long work has gone back, and a cut that hardly moved
-// stays: a class that changes moves prompts away from where they were read.
-func (e *Estimator) applyHysteresis(found activeSplit, apart bool, suffering float64) (Split, bool) {
-	before, known := e.splits[found.Service]
-	wanted := apart && (suffering >= minSlowShare || (known && found.longWork >= releaseWorkShare*before.longWork))
-	if !wanted {
-		delete(e.splits, found.Service)
+// applyHysteresis begins a split only if short requests are slow: else one group
+// serves both classes better, since long prompts then queue less for each other.
+// A split lasts until the long work has shrunk, and is kept if it hardly moved:
+// another class moves prompts away from where their prefixes are cached.
+func (e *Estimator) applyHysteresis(split activeSplit, ok bool) (Split, bool) {
+	last, active := e.splits[split.Service]
+	begins := split.slowShare >= minSlowShare
+	lasts := active && split.longWork >= releaseWorkShare*last.longWork
+	if !ok || !(begins || lasts) {
+		delete(e.splits, split.Service)
 		return Split{}, false
 	}
-	if known && math.Abs(found.ThresholdMS-before.ThresholdMS) <= changeTolerance*before.ThresholdMS && math.Abs(found.ShortWorkShare-before.ShortWorkShare) <= 0.1 {
-		return before.Split, true
+	if active && math.Abs(split.ThresholdMS-last.ThresholdMS) <= changeTolerance*last.ThresholdMS &&
+		math.Abs(split.ShortWorkShare-last.ShortWorkShare) <= shareTolerance {
+		return last.Split, true
 	}
-	found.ThresholdMS, found.ShortWorkShare = math.Round(found.ThresholdMS), math.Round(found.ShortWorkShare*100)/100
-	if known {
-		found.longWork = before.longWork
+	split.ThresholdMS, split.ShortWorkShare = math.Round(split.ThresholdMS), math.Round(split.ShortWorkShare*100)/100
+	if active {
+		split.longWork = last.longWork
 	}
-	e.splits[found.Service] = found
-	return found.Split, true
+	e.splits[split.Service] = split
+	return split.Split, true
 }
--- /dev/null
+++ b/control/planning/lengthstats/split_test.go
@@ -0,0 +1,61 @@
+package lengthstats
+
+import (
+	"math"
+	"testing"
+)
+
+func TestSplit_thresholdBetweenClusters(t *testing.T) {
+	split, ok := newMixedEstimator(100, 25).Split("s")
+	if !ok || split.ThresholdMS < 200 || split.ThresholdMS > 1500 || math.Abs(split.ShortWorkShare-0.29) > 0.01 {
+		t.Fatalf("%+v %v", split, ok)
+	}
+}
+
+func TestSplit_noneForFewOrSimilar(t *testing.T) {
+	similar := &Estimator{}
+	similar.Add([]Totals{{Key: key("a", 100), Count: 200, DurationMS: 20000, Tokens: 1}, {Key: key("b", 5000), Count: 200, DurationMS: 30000, Tokens: 1}})
+	cases := map[string]*Estimator{
+		"twenty requests":          newMixedEstimator(5, 5),
+		"hardly any long work":     newMixedEstimator(1000, 0.5),
+		"durations that are close": similar,
+	}
+	for name, estimator := range cases {
+		t.Run(name, func(t *testing.T) {
+			if split, ok := estimator.Split("s"); ok {
+				t.Errorf("%+v", split)
+			}
+		})
+	}
+}
+
+// Short requests are fast, then slow, then fast again: the split begins when they
+// are slow, and lasts until the long work has shrunk.
+func TestSplit_hysteresis(t *testing.T) {
+	estimator := &Estimator{}
+	// run returns whether there is a split after so many seconds.
+	run := func(seconds int, long float64, slow float64) bool {
+		split := false
+		for range seconds {
+			estimator.Decay(1)
+			estimator.Add([]Totals{
+				{Key: key("check", 1800), Count: 30, DurationMS: 3900, Tokens: 54000, SlowFirstTokens: slow},
+				{Key: key("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
+			})
+			_, split = estimator.Split("s")
+		}
+		return split
+	}
+	if run(30, 5, 0) {
+		t.Fatal("split though no short request is slow")
+	}
+	if !run(20, 20, 6) {
+		t.Fatal("not split though short requests are slow")
+	}
+	if !run(60, 20, 0) {
+		t.Fatal("not split any more though the long work is still there")
+	}
+	if run(120, 3, 0) {
+		t.Fatal("split though the long work has shrunk")
+	}
+}
--- a/control/planning/lengthstats/table.go
+++ b/control/planning/lengthstats/table.go
@@ -2,63 +2,70 @@
 
 import "onyxwell/base/ids"
 
-// Table looks expectations up: it is what the planner told back, as a router
-// reads it.
+// Class is the class of a request.
+type Class int64
+
+// The classes. A request of class Unknown may go to any runner.
+const (
+	Unknown Class = iota
+	Short
+	Long
+)
+
+// Table classifies requests by what the planner published for a region. It is
+// immutable; a nil Table knows no class.
 type Table struct {
-	exact map[Key]float64
-	// byBucket stands for kinds that were not seen: the mean of their service's
-	// prompts of that length.
+	byKey map[Key]float64
+	// byBucket holds the mean of a service's expectations in a bucket, for keys
+	// without one; their Route is empty.
 	byBucket map[Key]mean
 	splits   map[ids.Service]Split
 }
 
 type mean struct{ sum, count float64 }
 
-// NewTable makes a table of a region's expectations.
-func NewTable(told []Expected, splits []Split) *Table {
-	made := &Table{exact: map[Key]float64{}, byBucket: map[Key]mean{}, splits: map[ids.Service]Split{}}
-	for _, expected := range told {
-		made.exact[expected.Key] = expected.DurationMS
-		any := Key{Service: expected.Key.Service, Bucket: expected.Key.Bucket}
-		made.byBucket[any] = mean{sum: made.byBucket[any].sum + expected.DurationMS, count: made.byBucket[any].count + 1}
+func (m mean) add(value float64) mean { return mean{sum: m.sum + value, count: m.count + 1} }
+
+// NewTable returns the table of a region's expectations and splits.
+func NewTable(expectations []Expected, splits []Split) *Table {
+	table := &Table{byKey: map[Key]float64{}, byBucket: map[Key]mean{}, splits: map[ids.Service]Split{}}
+	for _, expected := range expectations {
+		table.byKey[expected.Key] = expected.DurationMS
+		bucket := expected.Key.anyRoute()
+		table.byBucket[bucket] = table.byBucket[bucket].add(expected.DurationMS)
 	}
 	for _, split := range splits {
-		made.splits[split.Service] = split
+		table.splits[split.Service] = split
 	}
-	return made
+	return table
 }
 
-// Class is the group of work that a request belongs to.
-type Class int64
-
-// The classes. A request of unknown length goes anywhere.
-const (
-	Unknown Class = iota
-	Short
-	Long
-)
+// anyRoute returns the key of a bucket over all routes of the service.
+func (k Key) anyRoute() Key { return Key{Service: k.Service, Bucket: k.Bucket} }
 
-// Expect tells how long a kind of answer is expected to take: by its own past,
-// else by that of other routes of the service with prompts as long.
-func (t *Table) Expect(kind Key) (float64, bool) {
-	if t == nil || kind.Bucket == 0 {
+// Expect returns the expected duration of a request in milliseconds: that of its
+// key, else the mean over the service's routes for prompts of that length. It
+// returns false if there is neither, or if the length is unknown.
+func (t *Table) Expect(key Key) (durationMS float64, ok bool) {
+	if t == nil || key.Bucket == 0 {
 		return 0, false
 	}
-	if exact, found := t.exact[kind]; found {
-		return exact, true
+	if expected, ok := t.byKey[key]; ok {
+		return expected, true
 	}
-	loose, found := t.byBucket[Key{Service: kind.Service, Bucket: kind.Bucket}]
-	return loose.sum / max(1, loose.count), found
+	bucket, ok := t.byBucket[key.anyRoute()]
+	return bucket.sum / max(1, bucket.count), ok
 }
 
-// Class gives the class of a kind of request.
-func (t *Table) Class(kind Key) Class {
-	expected, known := t.Expect(kind)
-	if !known {
+// Class returns the class of a request, Unknown if its service is not split or
+// nothing is expected of it.
+func (t *Table) Class(key Key) Class {
+	expected, ok := t.Expect(key)
+	if !ok {
 		return Unknown
 	}
-	split, apart := t.splits[kind.Service]
-	if !apart {
+	split, ok := t.splits[key.Service]
+	if !ok {
 		return Unknown
 	}
 	if expected >= split.ThresholdMS {
