--- a/base/settings/settings.go
+++ b/base/settings/settings.go
@@ -28,7 +28,7 @@
 // Settings is a parsed boot file. A field absent from the file has its zero
 // value; Parse rejects a file that lacks a required one.
 type Settings struct {
-	// NodeName identifies the machine in messages. Required.
+	// NodeName names the machine in the output of the check command. Required.
 	NodeName string `toml:"node_name"`
 	// Role is the process's role in the deployment. Unused.
 	Role string `toml:"role"`
@@ -53,8 +53,8 @@
 	FirstStart bool `toml:"first_start"`
 	// Counted says whether Tolerate.Machines applies to this machine. Unused.
 	Counted bool `toml:"counted"`
-	// DataDir is the directory of the stored state; empty on a machine without a
-	// disk.
+	// DataDir is the directory of a controller's stored state. Routers store
+	// nothing.
 	DataDir string `toml:"data_dir"`
 	// HeartbeatMS is a heartbeat interval in milliseconds. Unused.
 	HeartbeatMS int `toml:"beat_every_ms"`
@@ -142,15 +142,18 @@
 	// another service's runner. Unused.
 	ReuseAfterS float64 `toml:"reuse_after_s"`
 	// InTouchMS is for how long a machine must have been reachable before the
-	// rules bind it; probes and suspicion time-outs are fractions of it.
+	// rules bind it. The membership's probes and suspicion, the duration of leases
+	// and the time-out of peers are fractions of it. Default ApplyWithinMS.
 	InTouchMS float64 `toml:"in_touch_ms"`
 	// AckWithinMS is the time in which an operator's command is acknowledged.
 	// Unused.
 	AckWithinMS float64 `toml:"ack_within_ms"`
 	// CatchUpS is for how long after its return a machine still counts as lost.
-	// It paces the replacement of voters.
+	// The intervals and time-outs for replacing voters are fractions of it.
+	// Default three durations of a lease.
 	CatchUpS float64 `toml:"catch_up_s"`
-	// DrainMS is the time in which requests stop going to a draining runner.
+	// DrainMS is the time in which requests stop going to a draining runner. The
+	// interval of discovery is a sixth of it. Default ApplyWithinMS.
 	DrainMS float64 `toml:"drain_ms"`
 	// GraceS is the time between SIGTERM and SIGKILL. Above 0.
 	GraceS float64 `toml:"grace_s"`
@@ -158,7 +161,8 @@
 	// be blamed on planned work. Unused.
 	LostSlackMS float64 `toml:"lost_slack_ms"`
 	// ApplyWithinMS is the time in which a configuration or a changed boot file
-	// takes effect on every machine. Above 0.
+	// takes effect on every machine. The intervals of gossip and the time-outs of
+	// commands are fractions of it. Above 0.
 	ApplyWithinMS float64 `toml:"apply_within_ms"`
 	// DowngradeMS is for how long an older configuration may show its effect after
 	// a newer one did. Unused.
@@ -166,9 +170,9 @@
 	// StretchMS is by how much an unavailable quorum may extend the other bounds.
 	// Unused.
 	StretchMS float64 `toml:"stretch_ms"`
-	// RetryRatio, RetryWindowS and RetryExtra are the retry budget: in a window of
-	// RetryWindowS, RetryRatio retries for each request and RetryExtra more.
-	// RetryWindowS is above 0.
+	// RetryRatio, RetryWindowS and RetryExtra are the retry budget of all routers:
+	// in a window of RetryWindowS, RetryRatio retries for each request, and
+	// RetryExtra more that the routers share. RetryWindowS is above 0.
 	RetryRatio   float64 `toml:"retry_ratio"`
 	RetryWindowS float64 `toml:"retry_window_s"`
 	RetryExtra   float64 `toml:"retry_extra"`
@@ -180,12 +184,12 @@
 	// Unused.
 	EvacuateMS float64 `toml:"evacuate_ms"`
 	// RecoveryS is the time in which service is back after all processes were
-	// lost.
+	// lost. A region whose routers are unreachable for that long counts as lost.
 	RecoveryS float64 `toml:"recovery_s"`
 	// StepMS is by how much a router may delay a piece of a stream. Unused.
 	StepMS float64 `toml:"step_ms"`
-	// TTLMaxS is the longest time for which clients may cache the directory's
-	// answer.
+	// TTLMaxS bounds the time for which clients may cache the directory's answer;
+	// the directory grants a second at most.
 	TTLMaxS float64 `toml:"ttl_max_s"`
 }
 
