--- a/control/transport/client.go
+++ b/control/transport/client.go
@@ -11,57 +11,81 @@
 	"onyxwell/base/scope"
 )
 
-// Client sends messages to other daemons.
+// contentType is that of every request and of every successful response.
+const contentType = "avro/binary"
+
+const (
+	// idleTimeoutFactor is how many user timeouts an idle connection is kept.
+	idleTimeoutFactor  = 10
+	maxIdleConnections = 4
+)
+
+// Client sends messages to other daemons. Guard and Stats are set before its
+// first use; it is safe for concurrent use then.
 type Client struct {
-	// Guard marks what is sent and counts what can't be read of the answers.
+	// Guard tags each request with the deployment and counts the responses that
+	// can't be decoded. It may be nil.
 	Guard *Guard
-	// Stats counts what is sent, by message; it may be left out.
+	// Stats counts the requests that were answered, by message name. It may be nil.
 	Stats      *MessageStats
 	httpClient *http.Client
 	traffic    *httpcall.Traffic
 }
 
-// NewClient makes a courier: how long a connection may take to come up, and how long
-// a silent one is kept, is in the dialing.
-func NewClient(dialing httpcall.Dialer) *Client { return NewClientOnNetwork(systemNetwork{}, dialing) }
+// NewClient returns a client over the machine's own network. The dialer says how
+// long connecting may take and when an unresponsive connection is given up.
+func NewClient(dialer httpcall.Dialer) *Client {
+	return NewClientOnNetwork(systemNetwork{}, dialer)
+}
 
-// Network makes the clients that messages go through.
+// Network makes the HTTP clients that messages travel through.
 type Network interface {
-	Client(pooling httpcall.ClientOptions) *http.Client
+	Client(options httpcall.ClientOptions) *http.Client
 }
 
+// systemNetwork is the machine's own network.
 type systemNetwork struct{}
 
-func (systemNetwork) Client(pooling httpcall.ClientOptions) *http.Client {
-	return httpcall.NewClient(pooling)
+func (systemNetwork) Client(options httpcall.ClientOptions) *http.Client {
+	return httpcall.NewClient(options)
 }
 
-// NewClientOnNetwork makes a courier whose messages go over a network that isn't the
-// machine's own.
-func NewClientOnNetwork(network Network, dialing httpcall.Dialer) *Client {
-	return &Client{traffic: dialing.Traffic, httpClient: network.Client(httpcall.ClientOptions{Dialer: dialing, IdleTimeout: 10 * dialing.UserTimeout, MaxIdlePerHost: 4})}
+// NewClientOnNetwork returns a client over another network than the machine's
+// own, such as a simulated one.
+func NewClientOnNetwork(network Network, dialer httpcall.Dialer) *Client {
+	return &Client{
+		traffic: dialer.Traffic,
+		httpClient: network.Client(httpcall.ClientOptions{
+			Dialer: dialer, IdleTimeout: idleTimeoutFactor * dialer.UserTimeout, MaxIdlePerHost: maxIdleConnections,
+		}),
+	}
 }
 
+// outgoingRequest is a request on the client's side, already encoded.
 type outgoingRequest struct {
 	name string
 	body []byte
 }
 
-// Outgoing makes the call.
+// Outgoing implements the request side of an HTTP call.
 func (o outgoingRequest) Outgoing() httpcall.Outgoing {
-	return httpcall.Outgoing{Method: "POST", Path: "/" + o.name, Body: o.body,
-		Header: http.Header{"Content-Type": {"avro/binary"}}}
+	return httpcall.Outgoing{
+		Method: http.MethodPost, Path: "/" + o.name, Body: o.body,
+		Header: http.Header{"Content-Type": {contentType}},
+	}
 }
 
+// incomingResponse is a response on the client's side, still encoded.
 type incomingResponse struct{ body []byte }
 
-// Hear reads the answer or the failure that the other daemon told.
-func (i *incomingResponse) Hear(heard httpcall.RawResponse) error {
-	if heard.Status == http.StatusOK {
-		i.body = heard.Body
+// Hear keeps the body of a success; any other status becomes an error of the
+// kind that the response's header names, Internal where it names none.
+func (i *incomingResponse) Hear(raw httpcall.RawResponse) error {
+	if raw.Status == http.StatusOK {
+		i.body = raw.Body
 		return nil
 	}
-	number, _ := strconv.Atoi(heard.Header.Get(response.KindHeader))
+	number, _ := strconv.Atoi(raw.Header.Get(response.KindHeader))
 	kind := errkind.Kind(number)
 	if kind == errkind.None {
 		kind = errkind.Internal
@@ -69,52 +93,27 @@
 	return errkind.Errorf(kind, "told by another daemon")
 }
 
-// Send asks another daemon and waits for its answer.
-func Send[Told, Asked any](ctx scope.Scope, messenger *Client, address ids.Address, name string, question Asked) (Told, error) {
-	var nothing Told
-	body, err := Seal(messenger.Guard, question)
+// Send sends req to the daemon at an address as the message of that name, and
+// waits for the response until ctx ends. An error that the other daemon answered
+// keeps its errkind.Kind; a response that can't be decoded is an error with a
+// RejectReason, and is counted by the client's guard.
+func Send[Response, Request any](ctx scope.Scope, client *Client, address ids.Address, name string, req Request) (Response, error) {
+	var zero Response
+	body, err := Seal(client.Guard, req)
 	if err != nil {
-		return nothing, err
+		return zero, err
 	}
-	if messenger.traffic != nil {
-		messenger.traffic.Messages.Add(1)
-	}
-	answer, err := httpcall.Do[incomingResponse](ctx, messenger.httpClient, address, outgoingRequest{name: name, body: body})
-	if err != nil {
-		return nothing, err
+	if client.traffic != nil {
+		client.traffic.Messages.Add(1)
 	}
-	messenger.Stats.Add(name, len(body), len(answer.body))
-	told, err := Unmarshal[Told](answer.body)
+	raw, err := httpcall.Do[incomingResponse](ctx, client.httpClient, address, outgoingRequest{name: name, body: body})
 	if err != nil {
-		messenger.Guard.Rejected(ctx, string(address), err)
+		return zero, err
 	}
-	return told, err
-}
-
-type incomingRequest[Asked any] struct{ message Asked }
-
-// Read unpacks the question.
-func (i *incomingRequest[Asked]) Read(incoming httpcall.Incoming) error {
-	message, err := Unmarshal[Asked](incoming.Body)
-	i.message = message
-	return err
-}
-
-type outgoingResponse[Told any] struct{ message Told }
-
-// Reply packs the answer.
-func (o outgoingResponse[Told]) Reply() response.Response {
-	body, err := Marshal(o.message)
+	client.Stats.Add(name, len(body), len(raw.body))
+	resp, err := Unmarshal[Response](raw.body)
 	if err != nil {
-		return response.FromKind(errkind.Internal, err.Error())
+		client.Guard.Rejected(ctx, string(address), err)
 	}
-	return response.Raw(http.StatusOK, "avro/binary", body)
-}
-
-// Handle serves a message of that name.
-func Handle[Asked, Told any](table *httpcall.Mux, name string, serve func(scope.Scope, Asked) (Told, error)) {
-	httpcall.Handle(table, "POST", "/"+name, func(ctx scope.Scope, question incomingRequest[Asked]) (outgoingResponse[Told], error) {
-		answer, err := serve(ctx, question.message)
-		return outgoingResponse[Told]{message: answer}, err
-	})
+	return resp, err
 }
--- a/control/transport/encoding.go
+++ b/control/transport/encoding.go
@@ -9,12 +9,12 @@
 	"github.com/hamba/avro/v2"
 )
 
-// smallMessageLimit is the length up to which a message is read under the small
-// bounds: no datagram is longer.
+// smallMessageLimit is the length in bytes up to which a message is decoded
+// under the small bounds: no datagram is longer.
 const smallMessageLimit = 64 << 10
 
-// The bounds keep a torn length from claiming much memory: a message can't hold
-// more items than it has bytes.
+// The bounds keep a damaged length from claiming much memory: a message can't
+// hold more items than it has bytes.
 var (
 	smallReaders = newReaderPool(avro.Config{MaxByteSliceSize: smallMessageLimit, MaxSliceAllocSize: smallMessageLimit}.Freeze())
 	largeReaders = newReaderPool(avro.Config{MaxByteSliceSize: 64 << 20, MaxSliceAllocSize: 1 << 20}.Freeze())
@@ -26,12 +26,13 @@
 
 var writers = sync.Pool{New: func() any { return avro.NewWriter(io.Discard, 512) }}
 
-// Marshal turns a message into bytes: the fingerprint of its schema, then Avro.
+// Marshal encodes a message: the fingerprint of its schema, then Avro. It fails
+// only for a type that has no schema.
 func Marshal[Message any](message Message) ([]byte, error) {
 	return marshalWithPrefix(nil, message)
 }
 
-func marshalWithPrefix[Message any](head []byte, message Message) ([]byte, error) {
+func marshalWithPrefix[Message any](prefix []byte, message Message) ([]byte, error) {
 	known, err := schemaFor(reflect.TypeFor[Message]())
 	if err != nil {
 		return nil, err
@@ -40,7 +41,7 @@
 	defer writers.Put(writer)
 	writer.Reset(io.Discard)
 	writer.Error = nil
-	_, _ = writer.Write(head)
+	_, _ = writer.Write(prefix)
 	_, _ = writer.Write(known.fingerprint[:])
 	writer.WriteVal(known.schema, message)
 	if writer.Error != nil {
@@ -49,9 +50,9 @@
 	return bytes.Clone(writer.Buffer()), nil
 }
 
-// Unmarshal reads a message that Pack made, here or in another daemon of the same
-// build. One that is torn, that has anything after its end or that was made
-// from another form of the type is refused with its Flaw.
+// Unmarshal decodes a message that Marshal encoded, here or in another daemon.
+// Its error has a RejectReason: SchemaMismatch for another form of the type,
+// Malformed for a body that is damaged or that goes on after the message.
 func Unmarshal[Message any](body []byte) (message Message, err error) {
 	known, err := schemaFor(reflect.TypeFor[Message]())
 	if err != nil {
@@ -60,14 +61,14 @@
 	if len(body) < fingerprintLength {
 		return message, rejectf(Malformed, "%d bytes", len(body))
 	}
-	if head := body[:fingerprintLength]; !bytes.Equal(head, known.fingerprint[:]) {
-		return message, rejectf(SchemaMismatch, "%T has form %x here, not %x", message, known.fingerprint, head)
+	if fingerprint := body[:fingerprintLength]; !bytes.Equal(fingerprint, known.fingerprint[:]) {
+		return message, rejectf(SchemaMismatch, "%T has form %x here, not %x", message, known.fingerprint, fingerprint)
 	}
 	pool := largeReaders
 	if len(body) <= smallMessageLimit {
 		pool = smallReaders
 	}
-	// What a torn length makes the library do must not end the daemon.
+	// The library may panic over a damaged length; that must not end the daemon.
 	defer func() {
 		if caught := recover(); caught != nil {
 			err = rejectf(Malformed, "%v", caught)
--- a/control/transport/schema.go
+++ b/control/transport/schema.go
@@ -1,5 +1,3 @@
-// Package transport carries messages between the system's own daemons: HTTP
-// calls whose bodies are Avro, with a schema that is read off the Go type.
 package transport
 
 import (
@@ -15,76 +13,69 @@
 
 // fingerprintLength is how many bytes of its schema's fingerprint go ahead of
 // each message and of each value on a disk: two forms of one message are taken
-// for each other once in four thousand million times.
+// for each other with a probability of 2^-32.
 const fingerprintLength = 4
 
-// messageSchema is a message type's schema and the head that tells it.
+// Named is implemented by every struct that is stored or sent. The name is part
+// of the schema, and so of the fingerprint ahead of every stored value and every
+// message: it stays as it is when the Go type is renamed or moved, and so do the
+// names in the avro tags of the fields.
+type Named interface {
+	SchemaName() string
+}
+
+// messageSchema is the schema of a message type with its fingerprint.
 type messageSchema struct {
 	schema      avro.Schema
 	fingerprint [fingerprintLength]byte
 }
 
-// schemas are the known ones; the map is swapped whole when one is added.
+// schemas caches the schemas by type. The map is never changed, only replaced
+// whole under schemasMu, so that readers need no lock.
 var (
 	schemas   atomic.Pointer[map[reflect.Type]messageSchema]
 	schemasMu sync.Mutex
 )
 
-// schemaFor gives the form of a message type. The schema is made of the type's
+// schemaFor returns the schema of a message type. It consists of the type's
 // SchemaName and of the fields' avro tags and types, in the fields' order.
-func schemaFor(kind reflect.Type) (messageSchema, error) {
-	if known := schemas.Load(); known != nil {
-		if found, has := (*known)[kind]; has {
-			return found, nil
+func schemaFor(typ reflect.Type) (messageSchema, error) {
+	if cached := schemas.Load(); cached != nil {
+		if schema, ok := (*cached)[typ]; ok {
+			return schema, nil
 		}
 	}
-	made, err := deriveSchema(kind)
+	schema, err := deriveSchema(typ)
 	if err != nil {
 		return messageSchema{}, err
 	}
 	schemasMu.Lock()
 	defer schemasMu.Unlock()
-	grown := map[reflect.Type]messageSchema{kind: made}
-	if known := schemas.Load(); known != nil {
-		maps.Copy(grown, *known)
+	extended := map[reflect.Type]messageSchema{typ: schema}
+	if cached := schemas.Load(); cached != nil {
+		maps.Copy(extended, *cached)
 	}
-	schemas.Store(&grown)
-	return made, nil
+	schemas.Store(&extended)
+	return schema, nil
 }
 
-func deriveSchema(kind reflect.Type) (messageSchema, error) {
-	shape, err := schemaDefinition(kind, map[reflect.Type]bool{})
+func deriveSchema(typ reflect.Type) (messageSchema, error) {
+	definition, err := schemaDefinition(typ, map[reflect.Type]bool{})
 	if err != nil {
 		return messageSchema{}, err
 	}
-	text, err := json.Marshal(shape)
+	text, err := json.Marshal(definition)
 	if err != nil {
 		return messageSchema{}, err
 	}
-	schema, err := avro.ParseWithCache(string(text), "", &avro.SchemaCache{})
+	parsed, err := avro.ParseWithCache(string(text), "", &avro.SchemaCache{})
 	if err != nil {
 		return messageSchema{}, err
 	}
-	made := messageSchema{schema: schema}
-	whole := schema.Fingerprint()
-	copy(made.fingerprint[:], whole[:])
-	return made, nil
-}
-
-// Named is implemented by every struct that is stored or sent. The name is part
-// of the schema, and so of the fingerprint ahead of every stored value and every
-// message: it stays as it is when the Go type is renamed or moved, and so do the
-// names in the avro tags of the fields.
-type Named interface {
-	SchemaName() string
-}
-
-func schemaName(kind reflect.Type) (string, error) {
-	named, ok := reflect.Zero(kind).Interface().(Named)
-	if !ok {
-		return "", fmt.Errorf("courier: %s has no SchemaName", kind)
-	}
-	return named.SchemaName(), nil
+	schema := messageSchema{schema: parsed}
+	fingerprint := parsed.Fingerprint()
+	copy(schema.fingerprint[:], fingerprint[:])
+	return schema, nil
 }
 
 var primitiveTypes = map[reflect.Kind]string{
@@ -92,40 +83,47 @@
 	reflect.Bool: "boolean", reflect.Float64: "double",
 }
 
-func schemaDefinition(kind reflect.Type, named map[reflect.Type]bool) (any, error) {
-	if name, simple := primitiveTypes[kind.Kind()]; simple {
+// schemaDefinition returns the type's schema as Avro has it in JSON. A record is
+// defined where it occurs first and named from then on; defined says which are.
+func schemaDefinition(typ reflect.Type, defined map[reflect.Type]bool) (any, error) {
+	if name, ok := primitiveTypes[typ.Kind()]; ok {
 		return name, nil
 	}
-	if kind.Kind() == reflect.Slice && kind.Elem().Kind() == reflect.Uint8 {
-		return "bytes", nil
-	}
-	if kind.Kind() == reflect.Slice {
-		items, err := schemaDefinition(kind.Elem(), named)
+	switch typ.Kind() {
+	case reflect.Slice:
+		if typ.Elem().Kind() == reflect.Uint8 {
+			return "bytes", nil
+		}
+		items, err := schemaDefinition(typ.Elem(), defined)
 		return map[string]any{"type": "array", "items": items}, err
+	case reflect.Struct:
+		return recordDefinition(typ, defined)
 	}
-	if kind.Kind() != reflect.Struct {
-		return nil, fmt.Errorf("courier: %s has no Avro shape", kind)
-	}
-	name, err := schemaName(kind)
-	if err != nil {
-		return nil, err
+	return nil, fmt.Errorf("transport: %s has no Avro schema", typ)
+}
+
+func recordDefinition(typ reflect.Type, defined map[reflect.Type]bool) (any, error) {
+	named, ok := reflect.Zero(typ).Interface().(Named)
+	if !ok {
+		return nil, fmt.Errorf("transport: %s has no SchemaName", typ)
 	}
-	if named[kind] {
+	name := named.SchemaName()
+	if defined[typ] {
 		return name, nil
 	}
-	named[kind] = true
+	defined[typ] = true
 	fields := []any{}
-	for index := range kind.NumField() {
-		field := kind.Field(index)
-		tag, tagged := field.Tag.Lookup("avro")
-		if !tagged {
-			return nil, fmt.Errorf("courier: %s.%s has no avro tag", kind, field.Name)
+	for index := range typ.NumField() {
+		field := typ.Field(index)
+		tag, ok := field.Tag.Lookup("avro")
+		if !ok {
+			return nil, fmt.Errorf("transport: %s.%s has no avro tag", typ, field.Name)
 		}
-		shape, err := schemaDefinition(field.Type, named)
+		definition, err := schemaDefinition(field.Type, defined)
 		if err != nil {
 			return nil, err
 		}
-		fields = append(fields, map[string]any{"name": tag, "type": shape})
+		fields = append(fields, map[string]any{"name": tag, "type": definition})
 	}
 	return map[string]any{"type": "record", "name": name, "fields": fields}, nil
 }
--- /dev/null
+++ b/control/transport/server.go
@@ -0,0 +1,42 @@
+package transport
+
+import (
+	"net/http"
+
+	"onyxwell/base/errkind"
+	"onyxwell/base/httpcall"
+	"onyxwell/base/response"
+	"onyxwell/base/scope"
+)
+
+// incomingRequest is a request on the server's side. The guard has taken the
+// deployment's tag off its body before.
+type incomingRequest[Request any] struct{ message Request }
+
+// Read decodes the request.
+func (i *incomingRequest[Request]) Read(incoming httpcall.Incoming) error {
+	message, err := Unmarshal[Request](incoming.Body)
+	i.message = message
+	return err
+}
+
+// outgoingResponse is a response on the server's side.
+type outgoingResponse[Response any] struct{ message Response }
+
+// Reply encodes the response.
+func (o outgoingResponse[Response]) Reply() response.Response {
+	body, err := Marshal(o.message)
+	if err != nil {
+		return response.FromKind(errkind.Internal, err.Error())
+	}
+	return response.Raw(http.StatusOK, contentType, body)
+}
+
+// Handle registers the handler of the message of that name. The kind of an error
+// that serve returns reaches the sender; its text does not.
+func Handle[Request, Response any](mux *httpcall.Mux, name string, serve func(scope.Scope, Request) (Response, error)) {
+	httpcall.Handle(mux, http.MethodPost, "/"+name, func(ctx scope.Scope, req incomingRequest[Request]) (outgoingResponse[Response], error) {
+		resp, err := serve(ctx, req.message)
+		return outgoingResponse[Response]{message: resp}, err
+	})
+}
--- a/control/transport/stats.go
+++ b/control/transport/stats.go
@@ -5,24 +5,25 @@
 	"sync"
 )
 
-// MessageVolume is what the messages of one name came to: how many were answered, and
-// the bytes of their bodies, heads not included.
+// MessageVolume is what the messages of one name sum up to.
 type MessageVolume struct {
+	// Messages is how many were answered.
 	Messages int64
-	// RequestBytes and Told are the bytes of the questions and of their answers.
+	// RequestBytes and ResponseBytes are the lengths of the bodies, without heads.
 	RequestBytes  int64
 	ResponseBytes int64
 }
 
-// MessageStats counts the messages that a daemon sent, by their name. A nil one counts
-// nothing.
+// MessageStats counts the messages that a daemon sent, by name. The zero value
+// is ready; it is safe for concurrent use.
 type MessageStats struct {
 	mu      sync.Mutex
 	volumes map[string]MessageVolume
 }
 
-// Add counts a message that was answered.
-func (m *MessageStats) Add(name string, asked int, told int) {
+// Add counts one message by the lengths of its bodies in bytes. On nil
+// MessageStats it does nothing.
+func (m *MessageStats) Add(name string, requestBytes int, responseBytes int) {
 	if m == nil {
 		return
 	}
@@ -31,11 +32,14 @@
 	if m.volumes == nil {
 		m.volumes = map[string]MessageVolume{}
 	}
-	sum := m.volumes[name]
-	m.volumes[name] = MessageVolume{Messages: sum.Messages + 1, RequestBytes: sum.RequestBytes + int64(asked), ResponseBytes: sum.ResponseBytes + int64(told)}
+	volume := m.volumes[name]
+	volume.Messages++
+	volume.RequestBytes += int64(requestBytes)
+	volume.ResponseBytes += int64(responseBytes)
+	m.volumes[name] = volume
 }
 
-// Snapshot gives what was counted, by the messages' names.
+// Snapshot returns a copy of the counts, by message name.
 func (m *MessageStats) Snapshot() map[string]MessageVolume {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/transport/transport_test.go
+++ b/control/transport/transport_test.go
@@ -33,7 +33,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (sampleMessage) SchemaName() string { return "question_24" }
 
-// olderMessage is the question as another build may know it.
+// olderMessage is sampleMessage in the form of another build.
 type olderMessage struct {
 	Number int64    `avro:"Number"`
 	Items  []string `avro:"Items"`
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := Unmarshal[sampleMessage](whole); err != nil || read.Number != 700 || len(read.Items) != 2 || string(read.Items[0].Bytes) != "xyz" {
-		t.Fatalf("%+v, %v", read, err)
+	if decoded, err := Unmarshal[sampleMessage](whole); err != nil || decoded.Number != 700 || len(decoded.Items) != 2 || string(decoded.Items[0].Bytes) != "xyz" {
+		t.Fatalf("%+v, %v", decoded, err)
 	}
 	for length := range whole {
 		if _, err := Unmarshal[sampleMessage](whole[:length]); err == nil || RejectReasonOf(err) != Malformed {
@@ -79,13 +79,13 @@
 	if _, err := Unmarshal[sampleMessage](append(bytes.Clone(whole), 0)); err == nil || RejectReasonOf(err) != Malformed {
 		t.Errorf("a byte too many: %v", err)
 	}
-	// Whatever single byte is turned over, the reader ends with a word on it or
-	// with a message; it claims no memory that the bytes can't fill.
+	// Whatever single bit is flipped, decoding ends with an error or a message, and
+	// claims no memory that the bytes can't fill.
 	for index := range whole {
 		for bit := range 8 {
-			odd := bytes.Clone(whole)
-			odd[index] ^= 1 << bit
-			_, _ = Unmarshal[sampleMessage](odd)
+			damaged := bytes.Clone(whole)
+			damaged[index] ^= 1 << bit
+			_, _ = Unmarshal[sampleMessage](damaged)
 		}
 	}
 	if _, err := Unmarshal[olderMessage](whole); err == nil || RejectReasonOf(err) != SchemaMismatch {
@@ -93,86 +93,86 @@
 	}
 }
 
-// postMessage sends bytes to a table and gives the status and the kind told.
-func postMessage(calls *httpcall.Mux, name string, body []byte) (int, errkind.Kind) {
+// postMessage posts a body to a mux and returns the status and the kind answered.
+func postMessage(mux *httpcall.Mux, name string, body []byte) (int, errkind.Kind) {
 	recorder := httptest.NewRecorder()
-	request := httptest.NewRequest(http.MethodPost, "/"+name, bytes.NewReader(body))
-	request.RemoteAddr = "10.0.0.7:4444"
-	calls.ServeHTTP(recorder, request)
+	req := httptest.NewRequest(http.MethodPost, "/"+name, bytes.NewReader(body))
+	req.RemoteAddr = "10.0.0.7:4444"
+	mux.ServeHTTP(recorder, req)
 	kind, _ := strconv.Atoi(recorder.Header().Get(response.KindHeader))
 	return recorder.Code, errkind.Kind(kind)
 }
 
 func TestGuard_countsRejectionsAndLogsOnce(t *testing.T) {
-	written := &bytes.Buffer{}
-	top := scope.New(scope.Options{Log: scope.NewLogger("warn", written)})
-	calls, served := httpcall.NewMux(top, 100), 0
-	gate := newTestGuard()
-	calls.Gate = gate
-	Handle(calls, "sum", func(scope.Scope, sampleMessage) (sampleReply, error) { served++; return sampleReply{Sum: 1}, nil })
-	good, _ := Seal(gate, sampleRequest)
+	logged := &bytes.Buffer{}
+	top := scope.New(scope.Options{Log: scope.NewLogger("warn", logged)})
+	mux, handled := httpcall.NewMux(top, 100), 0
+	guard := newTestGuard()
+	mux.Gate = guard
+	Handle(mux, "sum", func(scope.Scope, sampleMessage) (sampleReply, error) { handled++; return sampleReply{Sum: 1}, nil })
+	good, _ := Seal(guard, sampleRequest)
 	foreign, _ := Seal(NewGuard(nil), sampleRequest)
-	version, _ := Seal(gate, olderMessage{Number: 7})
-	cases := []struct {
+	otherSchema, _ := Seal(guard, olderMessage{Number: 7})
+	tests := []struct {
 		name, call string
 		body       []byte
 		status     int
 		kind       errkind.Kind
-		flaw       RejectReason
+		reason     RejectReason
 	}{
 		{"torn", "sum", good[:len(good)-2], 400, errkind.BadRequest, Malformed},
 		{"empty", "sum", nil, 400, errkind.BadRequest, Malformed},
-		{"another version", "sum", version, 400, errkind.BadRequest, SchemaMismatch},
+		{"another version", "sum", otherSchema, 400, errkind.BadRequest, SchemaMismatch},
 		{"another deployment", "sum", foreign, 400, errkind.BadRequest, ForeignDeployment},
 		{"oversized", "sum", append(bytes.Clone(good), make([]byte, 100)...), 413, errkind.BodyTooLarge, TooLarge},
 		{"unknown", "product", good, 404, errkind.UnknownCall, UnknownMessage},
 	}
-	for _, example := range cases {
+	for _, test := range tests {
 		for range 3 {
-			before := gate.Counts[example.flaw].Load()
-			status, kind := postMessage(calls, example.call, example.body)
-			if status != example.status || kind != example.kind || gate.Counts[example.flaw].Load() != before+1 {
-				t.Errorf("%s: %d %v, counted %v", example.name, status, kind, gate.Totals())
+			before := guard.Counts[test.reason].Load()
+			status, kind := postMessage(mux, test.call, test.body)
+			if status != test.status || kind != test.kind || guard.Counts[test.reason].Load() != before+1 {
+				t.Errorf("%s: %d %v, counted %v", test.name, status, kind, guard.Totals())
 			}
 		}
 	}
-	if status, _ := postMessage(calls, "sum", good); status != 200 || served != 1 {
-		t.Fatalf("%d for a good one, %d were served", status, served)
+	if status, _ := postMessage(mux, "sum", good); status != 200 || handled != 1 {
+		t.Fatalf("%d for a good one, %d were handled", status, handled)
 	}
-	// Torn and empty are one flaw of one sender.
-	if lines := strings.Count(written.String(), "\n"); lines != int(rejectReasonCount) {
-		t.Errorf("%d lines:\n%s", lines, written)
+	// Torn and empty are one reason of one sender.
+	if lines := strings.Count(logged.String(), "\n"); lines != int(rejectReasonCount) {
+		t.Errorf("%d lines:\n%s", lines, logged)
 	}
 	for sender := range 2 * maxLoggedRejections {
-		gate.Rejected(top, fmt.Sprint(sender), errkind.Errorf(errkind.BadRequest, "odd"))
+		guard.Rejected(top, fmt.Sprint(sender), errkind.Errorf(errkind.BadRequest, "odd"))
 	}
-	if lines := strings.Count(written.String(), "\n"); lines != maxLoggedRejections {
+	if lines := strings.Count(logged.String(), "\n"); lines != maxLoggedRejections {
 		t.Errorf("%d lines after many senders", lines)
 	}
 }
 
 func TestSend_countsResponseOfOtherSchema(t *testing.T) {
 	top := scope.New(scope.Options{})
-	calls := httpcall.NewMux(top, 100)
-	calls.Gate = newTestGuard()
-	Handle(calls, "sum", func(scope.Scope, sampleMessage) (olderMessage, error) { return olderMessage{Number: 9}, nil })
-	server := httptest.NewServer(calls)
+	mux := httpcall.NewMux(top, 100)
+	mux.Gate = newTestGuard()
+	Handle(mux, "sum", func(scope.Scope, sampleMessage) (olderMessage, error) { return olderMessage{Number: 9}, nil })
+	server := httptest.NewServer(mux)
 	defer server.Close()
-	messenger := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
-	messenger.Guard = newTestGuard()
+	client := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
+	client.Guard = newTestGuard()
 	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
-	if told, err := Send[sampleReply](top, messenger, address, "sum", sampleRequest); err == nil || RejectReasonOf(err) != SchemaMismatch {
-		t.Fatalf("%+v, %v", told, err)
+	if resp, err := Send[sampleReply](top, client, address, "sum", sampleRequest); err == nil || RejectReasonOf(err) != SchemaMismatch {
+		t.Fatalf("%+v, %v", resp, err)
 	}
-	if told, err := Send[olderMessage](top, messenger, address, "sum", sampleRequest); err != nil || told.Number != 9 {
-		t.Fatalf("%+v, %v", told, err)
+	if resp, err := Send[olderMessage](top, client, address, "sum", sampleRequest); err != nil || resp.Number != 9 {
+		t.Fatalf("%+v, %v", resp, err)
 	}
-	if totals := messenger.Guard.Totals(); totals["version"] != 1 || totals["torn"] != 0 {
+	if totals := client.Guard.Totals(); totals["version"] != 1 || totals["torn"] != 0 {
 		t.Fatalf("%v", totals)
 	}
-	stranger := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
-	stranger.Guard = NewGuard(nil)
-	if _, err := Send[olderMessage](top, stranger, address, "sum", sampleRequest); errkind.KindOf(err) != errkind.BadRequest {
+	foreign := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
+	foreign.Guard = NewGuard(nil)
+	if _, err := Send[olderMessage](top, foreign, address, "sum", sampleRequest); errkind.KindOf(err) != errkind.BadRequest {
 		t.Fatalf("a foreign message: %v", err)
 	}
 }
@@ -193,9 +193,9 @@
 
 func (untagged) SchemaName() string { return "untagged" }
 
-// TestPack_refusesFormsThatFollowGoNames keeps a form from hanging on the names
+// TestMarshal_rejectsTypesWithoutExplicitNames keeps a form from hanging on the names
 // of Go types and fields, which may change while stored values stay.
-func TestPack_refusesFormsThatFollowGoNames(t *testing.T) {
+func TestMarshal_rejectsTypesWithoutExplicitNames(t *testing.T) {
 	if _, err := Marshal(unnamed{}); err == nil || !strings.Contains(err.Error(), "SchemaName") {
 		t.Errorf("no SchemaName: %v", err)
 	}
