--- a/control/membership/dissemination.go
+++ b/control/membership/dissemination.go
@@ -1,31 +1,41 @@
 package membership
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
 
-// Pacing of what is forgotten: members that left say so themselves; removed
-// ones may be alive behind a cut and count for longer. One that is no longer of
-// the backbone is remembered until nobody reports it as such any more.
+// How long members that are gone are remembered. One that left said so itself;
+// a removed one may be alive behind a partition, and counts for longer. A former
+// member of another zone's backbone is remembered until nobody reports it as a
+// present one any more.
 const (
 	leftRetention           = 10 * 60 * clock.Second
 	removedRetention        = 60 * 60 * clock.Second
 	formerBackboneRetention = 60 * clock.Second
 )
 
-// Prune drops members that were gone for very long.
+const (
+	// reportsPerDatagram bounds the reports on a datagram, the own one aside.
+	reportsPerDatagram = 4
+	// maxTransmits is how often a report is sent on datagrams; exchanges between
+	// tables spread it further.
+	maxTransmits = 4
+)
+
+// Prune drops members that were gone for longer than they are remembered.
 func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for address, known := range t.members {
-		away := now.Since(known.stateSince)
-		stranger := !t.tracks(known.Member) && now.Since(known.leftBackboneAt) > formerBackboneRetention
-		gone := (known.State == Left && away > leftRetention) || (known.State == Removed && away > removedRetention)
-		if address != t.self.Address && (stranger || gone) {
+		age := now.Since(known.stateSince)
+		untracked := !t.tracks(known.Member) && now.Since(known.leftBackboneAt) > formerBackboneRetention
+		expired := (known.State == Left && age > leftRetention) || (known.State == Removed && age > removedRetention)
+		if address != t.self.Address && (untracked || expired) {
 			t.toggleDigest(known)
 			delete(t.members, address)
 			t.snapshot = nil
@@ -33,15 +43,16 @@
 	}
 }
 
-// Now is the present instant on the table's clock.
+// Now returns the present instant on the table's clock.
 func (t *Table) Now() clock.Instant { return t.clock.Now() }
 
-// KnowsFullHistory tells whether the daemon has lived for as long as members that are
-// gone are remembered.
+// KnowsFullHistory reports whether the daemon has run for as long as removed
+// members are remembered, and so has heard of every member that counts.
 func (t *Table) KnowsFullHistory() bool { return t.clock.Now().Since(t.startedAt) > removedRetention }
 
-// MembersFor gives the members to tell a daemon: all, where it is of the same zone;
-// otherwise the backbone, and those that lately were part of it.
+// MembersFor returns the members that a daemon of the zone should know, in the
+// order of their addresses: all for the own zone, otherwise the backbone and
+// those that lately were part of it.
 func (t *Table) MembersFor(zone ids.Zone) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,10 +62,12 @@
 			members = append(members, known.Member)
 		}
 	}
-	sort.Slice(members, func(left, right int) bool { return members[left].Address < members[right].Address })
+	slices.SortFunc(members, compareAddresses)
 	return members
 }
 
+// sharesWith reports whether daemons of the zone are told of an entry. The caller
+// holds mu.
 func (t *Table) sharesWith(known *entry, zone ids.Zone) bool {
 	if known.Backbone() || known.Address == t.self.Address {
 		return true
@@ -63,36 +76,33 @@
 	return lately || (known.Zone == t.self.Zone && zone == t.self.Zone)
 }
 
-// Differs tells whether a table of another daemon with these sums differs in
-// what both should know.
-func (t *Table) Differs(zone ids.Zone, sums Digest) bool {
+// Differs reports whether the table of a daemon in the zone, with that digest,
+// differs from this one in what both should know.
+func (t *Table) Differs(zone ids.Zone, digest Digest) bool {
 	own := t.Digest()
-	return own.Backbone != sums.Backbone || (zone == t.Self().Zone && own.Zone != sums.Zone)
+	return own.Backbone != digest.Backbone || (zone == t.Self().Zone && own.Zone != digest.Zone)
 }
 
-// selectReports gives the daemon's own report and up to count others that were told
-// least often and that a daemon at the address should know.
-func (t *Table) selectReports(count int, to ids.Address) []Member {
+// selectReports returns the reports for a datagram: the daemon's own, and of
+// those that the receiver should know the ones that were sent least often.
+func (t *Table) selectReports(receiver ids.Address) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	zone := t.self.Zone
-	if known := t.members[to]; known != nil {
+	if known := t.members[receiver]; known != nil {
 		zone = known.Zone
 	}
-	var fresh []*entry
+	var pending []*entry
 	for _, known := range t.members {
-		if known.transmits < 4 && known.Address != t.self.Address && t.sharesWith(known, zone) {
-			fresh = append(fresh, known)
+		if known.transmits < maxTransmits && known.Address != t.self.Address && t.sharesWith(known, zone) {
+			pending = append(pending, known)
 		}
 	}
-	sort.Slice(fresh, func(left, right int) bool {
-		if fresh[left].transmits != fresh[right].transmits {
-			return fresh[left].transmits < fresh[right].transmits
-		}
-		return fresh[left].Address < fresh[right].Address
+	slices.SortFunc(pending, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(a.transmits, b.transmits), cmp.Compare(a.Address, b.Address))
 	})
 	reports := []Member{t.self}
-	for _, known := range fresh[:min(count, len(fresh))] {
+	for _, known := range pending[:min(reportsPerDatagram, len(pending))] {
 		known.transmits++
 		reports = append(reports, known.Member)
 	}
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -11,36 +11,36 @@
 	"onyxwell/control/transport"
 )
 
-func newTestTable(machine clock.Clock, address ids.Address) *Table {
-	return NewTable(machine, Member{Address: address, Role: "router"})
+func newTestTable(source clock.Clock, address ids.Address) *Table {
+	return NewTable(source, Member{Address: address, Role: "router"})
 }
 
 func TestTableMerge_prefersNewerReports(t *testing.T) {
-	known := newTestTable(clock.NewFake(), "a")
-	known.Merge([]Member{{Address: "b", Incarnation: 2}})
-	known.Merge([]Member{{Address: "b", Incarnation: 1, State: Removed}})
-	if member, _ := known.Find("b"); member.State != Alive {
+	table := newTestTable(clock.NewFake(), "a")
+	table.Merge([]Member{{Address: "b", Incarnation: 2}})
+	table.Merge([]Member{{Address: "b", Incarnation: 1, State: Removed}})
+	if member, _ := table.Find("b"); member.State != Alive {
 		t.Fatalf("an older report counted: %+v", member)
 	}
-	known.Merge([]Member{{Address: "b", Incarnation: 2, State: Suspect}})
-	if member, _ := known.Find("b"); member.State != Suspect {
-		t.Fatalf("a worse report of the same life did not count: %+v", member)
+	table.Merge([]Member{{Address: "b", Incarnation: 2, State: Suspect}})
+	if member, _ := table.Find("b"); member.State != Suspect {
+		t.Fatalf("a worse report of the same incarnation did not count: %+v", member)
 	}
-	known.Merge([]Member{{Address: "b", Incarnation: 3}})
-	if member, _ := known.Find("b"); member.State != Alive {
+	table.Merge([]Member{{Address: "b", Incarnation: 3}})
+	if member, _ := table.Find("b"); member.State != Alive {
 		t.Fatalf("the refutation did not count: %+v", member)
 	}
 }
 
 func TestTableMerge_refutesSuspicion(t *testing.T) {
-	known := newTestTable(clock.NewFake(), "a")
-	known.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Suspect}})
-	if self := known.Self(); self.State != Alive || self.Incarnation != 2 {
+	table := newTestTable(clock.NewFake(), "a")
+	table.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Suspect}})
+	if self := table.Self(); self.State != Alive || self.Incarnation != 2 {
 		t.Fatalf("%+v", self)
 	}
 	other := newTestTable(clock.NewFake(), "b")
 	other.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Removed}})
-	other.Merge([]Member{known.Self()})
+	other.Merge([]Member{table.Self()})
 	if member, _ := other.Find("a"); member.State != Alive {
 		t.Fatalf("%+v", member)
 	}
@@ -49,9 +49,9 @@
 func TestTableMerge_restartSupersedesOldIncarnation(t *testing.T) {
 	other := newTestTable(clock.NewFake(), "b")
 	other.Merge([]Member{{Address: "a", Role: "router", Ready: true, Incarnation: 7}})
-	reborn := newTestTable(clock.NewFake(), "a")
-	reborn.Merge(other.Members())
-	other.Merge([]Member{reborn.Self()})
+	restarted := newTestTable(clock.NewFake(), "a")
+	restarted.Merge(other.Members())
+	other.Merge([]Member{restarted.Self()})
 	if member, _ := other.Find("a"); member.Ready || member.Incarnation != 8 {
 		t.Fatalf("%+v", member)
 	}
@@ -61,22 +61,22 @@
 	first, second := newTestTable(clock.NewFake(), "a"), newTestTable(clock.NewFake(), "b")
 	first.Merge([]Member{second.Self()})
 	if first.Digest() == second.Digest() {
-		t.Fatal("tables that differ have one sum")
+		t.Fatal("tables that differ have one digest")
 	}
 	second.Merge(first.Members())
 	if first.Digest() != second.Digest() {
-		t.Fatal("equal tables differ in their sums")
+		t.Fatal("equal tables differ in their digests")
 	}
 }
 
 // senderAddress is a sender as it is logged.
 type senderAddress ids.Address
 
-// String gives its address.
+// String returns the address.
 func (s senderAddress) String() string { return string(s) }
 
-// fakeNetwork joins probers without any network; members in dead answer nothing, and
-// pairs in cut don't reach each other.
+// fakeNetwork delivers datagrams between probers in memory; members in dead answer nothing, and
+// pairs in partitioned don't reach each other.
 type fakeNetwork struct {
 	clock       *clock.Fake
 	scope       scope.Scope
@@ -86,26 +86,26 @@
 }
 
 func newFakeNetwork(addresses ...ids.Address) *fakeNetwork {
-	made := &fakeNetwork{clock: clock.NewFake(), probers: map[ids.Address]*Prober{}, dead: map[ids.Address]bool{}, partitioned: map[[2]ids.Address]bool{}}
-	made.scope = scope.New(scope.Options{Clock: made.clock})
+	network := &fakeNetwork{clock: clock.NewFake(), probers: map[ids.Address]*Prober{}, dead: map[ids.Address]bool{}, partitioned: map[[2]ids.Address]bool{}}
+	network.scope = scope.New(scope.Options{Clock: network.clock})
 	for _, address := range addresses {
-		made.probers[address] = &Prober{
-			Table:  newTestTable(made.clock, address),
-			Spawn:  func(ask func()) { ask() },
+		network.probers[address] = &Prober{
+			Table:  newTestTable(network.clock, address),
+			inline: true,
 			Config: ProbeConfig{Interval: clock.Second, AckTimeout: 100 * clock.Millisecond, SuspicionTimeout: 2 * clock.Second, IndirectProbes: 2},
 			Send: func(to ids.Address, body []byte) {
-				if target := made.probers[to]; target != nil && !made.dead[to] && !made.dead[address] && !made.partitioned[[2]ids.Address{address, to}] {
-					target.Receive(made.scope, senderAddress(address), body)
+				if target := network.probers[to]; target != nil && !network.dead[to] && !network.dead[address] && !network.partitioned[[2]ids.Address{address, to}] {
+					target.Receive(network.scope, senderAddress(address), body)
 				}
 			},
 		}
 	}
-	for _, prober := range made.probers {
-		for _, other := range made.probers {
+	for _, prober := range network.probers {
+		for _, other := range network.probers {
 			prober.Table.Merge([]Member{other.Table.Self()})
 		}
 	}
-	return made
+	return network
 }
 
 // runProbe runs one probe, letting time pass while it waits.
@@ -133,33 +133,33 @@
 }
 
 func TestProber_suspectsThenRemovesSilentMember(t *testing.T) {
-	net := newFakeNetwork("a", "b", "c")
-	net.runProbe("a", "b")
-	if net.state("a", "b") != Alive {
+	network := newFakeNetwork("a", "b", "c")
+	network.runProbe("a", "b")
+	if network.state("a", "b") != Alive {
 		t.Fatal("a member that answers is suspected")
 	}
-	net.dead["b"] = true
-	net.runProbe("a", "b")
-	if net.state("a", "b") != Suspect {
-		t.Fatalf("state %d of a silent member", net.state("a", "b"))
+	network.dead["b"] = true
+	network.runProbe("a", "b")
+	if network.state("a", "b") != Suspect {
+		t.Fatalf("state %d of a silent member", network.state("a", "b"))
 	}
-	net.probers["a"].removeExpiredSuspects(true)
-	net.clock.Advance(3 * clock.Second)
-	net.probers["a"].removeExpiredSuspects(true)
-	if net.state("a", "b") != Suspect {
+	network.probers["a"].removeExpiredSuspects(true)
+	network.clock.Advance(3 * clock.Second)
+	network.probers["a"].removeExpiredSuspects(true)
+	if network.state("a", "b") != Suspect {
 		t.Fatal("a daemon that was frozen itself removed another")
 	}
-	net.probers["a"].removeExpiredSuspects(false)
-	if net.state("a", "b") != Removed {
+	network.probers["a"].removeExpiredSuspects(false)
+	if network.state("a", "b") != Removed {
 		t.Fatal("the suspicion never ends")
 	}
 }
 
 func TestProber_indirectProbeClearsMember(t *testing.T) {
-	net := newFakeNetwork("a", "b", "c")
-	net.partitioned[[2]ids.Address{"a", "b"}] = true
-	net.runProbe("a", "b")
-	if net.state("a", "b") != Alive {
+	network := newFakeNetwork("a", "b", "c")
+	network.partitioned[[2]ids.Address{"a", "b"}] = true
+	network.runProbe("a", "b")
+	if network.state("a", "b") != Alive {
 		t.Fatal("a member that others reach is suspected")
 	}
 }
@@ -175,8 +175,8 @@
 	if err := (&Store{Table: second, Disk: disk, Name: "members"}).Load(); err != nil {
 		t.Fatal(err)
 	}
-	if member, known := second.Find("b"); !known || member.Present() || member.Ready {
-		t.Fatalf("%+v %v", member, known)
+	if member, ok := second.Find("b"); !ok || member.Present() || member.Ready {
+		t.Fatalf("%+v %v", member, ok)
 	}
 	if self := second.Self(); self.State != Alive {
 		t.Fatalf("a daemon took its own old record for true: %+v", self)
@@ -188,29 +188,29 @@
 }
 
 func TestProberReceive_countsAndDropsRejectedDatagrams(t *testing.T) {
-	net := newFakeNetwork("a", "b")
-	prober := net.probers["a"]
+	network := newFakeNetwork("a", "b")
+	prober := network.probers["a"]
 	prober.Guard = transport.NewGuard(map[ids.Zone]ids.Region{"hall": "north"})
-	heard := 0
-	prober.Send = func(ids.Address, []byte) { heard++ }
-	news := Datagram{Kind: kindPing, Sequence: 1, From: "b", Reports: []Member{{Address: "odd", Incarnation: 3}}}
-	whole, _ := transport.Seal(prober.Guard, news)
-	foreign, _ := transport.Seal(transport.NewGuard(nil), news)
-	version, _ := transport.Seal(prober.Guard, news.Reports[0])
-	news.Kind = 77
-	unknown, _ := transport.Seal(prober.Guard, news)
-	for _, body := range [][]byte{whole[:len(whole)-1], whole[:3], nil, foreign, version, unknown} {
-		prober.Receive(net.scope, senderAddress("c"), body)
+	answers := 0
+	prober.Send = func(ids.Address, []byte) { answers++ }
+	ping := Datagram{Kind: kindPing, Sequence: 1, From: "b", Reports: []Member{{Address: "odd", Incarnation: 3}}}
+	whole, _ := transport.Seal(prober.Guard, ping)
+	foreign, _ := transport.Seal(transport.NewGuard(nil), ping)
+	otherSchema, _ := transport.Seal(prober.Guard, ping.Reports[0])
+	ping.Kind = 77
+	unknown, _ := transport.Seal(prober.Guard, ping)
+	for _, body := range [][]byte{whole[:len(whole)-1], whole[:3], nil, foreign, otherSchema, unknown} {
+		prober.Receive(network.scope, senderAddress("c"), body)
 	}
 	totals := prober.Guard.Totals()
 	if totals["torn"] != 3 || totals["deployment"] != 1 || totals["version"] != 1 || totals["unknown"] != 1 {
 		t.Errorf("%v", totals)
 	}
-	if _, known := prober.Table.Find("odd"); known || heard != 0 {
-		t.Errorf("a refused datagram was heard: known %v, %d answers", known, heard)
+	if _, ok := prober.Table.Find("odd"); ok || answers != 0 {
+		t.Errorf("a refused datagram was heard: known %v, %d answers", ok, answers)
 	}
-	prober.Receive(net.scope, senderAddress("b"), whole)
-	if _, known := prober.Table.Find("odd"); !known || heard != 1 {
-		t.Errorf("a good datagram was not heard: known %v, %d answers", known, heard)
+	prober.Receive(network.scope, senderAddress("b"), whole)
+	if _, ok := prober.Table.Find("odd"); !ok || answers != 1 {
+		t.Errorf("a good datagram was not heard: known %v, %d answers", ok, answers)
 	}
 }
--- a/control/membership/prober.go
+++ b/control/membership/prober.go
@@ -1,200 +1,181 @@
 package membership
 
 import (
-	"fmt"
+	"context"
 	"sync"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
-// Datagram is what daemons send each other to learn who is there.
-type Datagram struct {
-	Kind     int64       `avro:"Kind"`
-	Sequence int64       `avro:"Number"`
-	From     ids.Address `avro:"From"`
-	Target   ids.Address `avro:"Target"`
-	Reports  []Member    `avro:"Reports"`
+// ProbeConfig says how often a daemon probes and how long it waits.
+type ProbeConfig struct {
+	// Interval is the time between two probes of one group.
+	Interval clock.Span
+	// AckTimeout is how long a direct probe waits; an indirect one waits twice
+	// as long.
+	AckTimeout clock.Span
+	// SuspicionTimeout is how long a suspected member has to refute.
+	SuspicionTimeout clock.Span
+	// IndirectProbes is how many others are asked to probe a silent member.
+	IndirectProbes int
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (Datagram) SchemaName() string { return "Datagram_23" }
-
-// The kinds of datagrams.
+// Multiples of ProbeConfig's spans.
 const (
-	kindPing int64 = iota
-	kindAck
-	kindPingRequest
+	// stalledIntervals is the gap between two rounds, in intervals, above which
+	// this daemon must have stalled itself and judges nobody by it.
+	stalledIntervals = 3
+	// indirectTimeouts is how long an indirect probe waits, in ack timeouts.
+	indirectTimeouts = 2
+	// staleTimeouts is the length of a probe, in ack timeouts, above which this
+	// daemon must have stalled in the middle of it.
+	staleTimeouts = 6
 )
 
-// ProbeConfig is how often a daemon probes and how long it waits.
-type ProbeConfig struct {
-	Interval         clock.Span
-	AckTimeout       clock.Span
-	SuspicionTimeout clock.Span
-	IndirectProbes   int
-}
-
-// Prober probes the members of a table in turn.
+// Prober detects members of a table that fail. It runs on the table's clock.
 type Prober struct {
 	Table  *Table
 	Config ProbeConfig
-	// Send sends bytes to a member's address; what is lost is lost.
+	// Send sends a datagram to an address. It does not block and may lose it.
 	Send func(to ids.Address, body []byte)
-	// Guard marks what is sent and counts what is refused; it may be left out.
+	// Guard tags what is sent and counts what is rejected. It may be nil.
 	Guard *transport.Guard
-	// Shuffle orders the members of one turn; tests replace it.
-	Shuffle func(members []Member)
-	// Spawn runs what asks on another's behalf; tests run it in place.
-	Spawn func(ask func())
+
+	// shuffle replaces the random order of a rotation in tests; inline has tests
+	// run what else runs in a goroutine of its own.
+	shuffle func(members []Member)
+	inline  bool
 
 	mu           sync.Mutex
 	lastSequence int64
-	pendingAcks  map[int64]chan struct{}
-	rotation     map[probeGroup][]Member
+	// pendingAcks holds the probes that wait for an ack, by sequence.
+	pendingAcks map[int64]chan struct{}
+	rotation    map[probeGroup][]Member
 }
 
-// Run probes until the scope ends.
-func (p *Prober) Run(ctx scope.Scope) {
-	last := ctx.Now()
-	for ctx.Wait(p.Config.Interval) {
-		now := ctx.Now()
-		// A daemon whose own clock jumped was frozen: it doubts itself first.
-		frozen := now.Since(last) > 3*p.Config.Interval
+// Run probes until ctx ends, and returns once all probes that it started have.
+func (p *Prober) Run(ctx context.Context) {
+	var probes sync.WaitGroup
+	defer probes.Wait()
+	last := p.Table.Now()
+	for clock.Wait(ctx, p.Table.clock, p.Config.Interval) {
+		now := p.Table.Now()
+		stalled := now.Since(last) > stalledIntervals*p.Config.Interval
 		last = now
-		p.removeExpiredSuspects(frozen)
-		for _, circle := range probeGroups {
-			if target, found := p.nextTarget(circle); found && !frozen {
-				go p.Probe(ctx, target)
+		p.removeExpiredSuspects(stalled)
+		for _, group := range probeGroups {
+			if target, ok := p.nextTarget(group); ok && !stalled {
+				probes.Go(func() { p.Probe(ctx, target) })
 			}
 		}
 	}
 }
 
-// Probe asks one member, then asks others to ask it, then suspects it.
-func (p *Prober) Probe(ctx scope.Scope, target Member) {
-	number, answered := p.registerProbe()
-	defer p.unregisterProbe(number)
-	begin := ctx.Now()
-	p.send(target.Address, Datagram{Kind: kindPing, Sequence: number})
-	if awaitAck(ctx, answered, p.Config.AckTimeout) {
-		return
-	}
-	for _, third := range p.indirectProbers(target) {
-		p.send(third.Address, Datagram{Kind: kindPingRequest, Sequence: number, Target: target.Address})
-	}
-	p.send(target.Address, Datagram{Kind: kindPing, Sequence: number})
-	if awaitAck(ctx, answered, 2*p.Config.AckTimeout) || ctx.Err() != nil {
-		return
-	}
-	if ctx.Now().Since(begin) > 6*p.Config.AckTimeout {
+// Probe pings a member, then asks others to ping it, and suspects it where no ack
+// came either way. The other members of a suspected remote zone are probed at
+// once; Probe returns after them.
+func (p *Prober) Probe(ctx context.Context, target Member) {
+	if !p.failed(ctx, target) {
 		return
 	}
 	p.Table.AdvanceState(target.Address, Suspect)
-	for _, mate := range p.prioritizeZone(target) {
-		p.spawn(func() { p.Probe(ctx, mate) })
+	var probes sync.WaitGroup
+	defer probes.Wait()
+	for _, peer := range p.prioritizeZone(target) {
+		probes.Add(1)
+		p.spawn(func() {
+			defer probes.Done()
+			p.Probe(ctx, peer)
+		})
 	}
 }
 
-// Receive handles a datagram that arrived; one that can't be read is counted and
-// dropped.
-func (p *Prober) Receive(ctx scope.Scope, sender fmt.Stringer, body []byte) {
-	datagram, err := transport.Open[Datagram](p.Guard, body)
-	if err != nil {
-		p.Guard.Rejected(ctx, sender.String(), err)
-		return
+// failed reports whether a member answered neither a direct nor an indirect probe.
+// A probe that was cut short, or in which this daemon stalled, says nothing.
+func (p *Prober) failed(ctx context.Context, target Member) bool {
+	sequence, acked := p.registerProbe()
+	defer p.unregisterProbe(sequence)
+	begin := p.Table.Now()
+	p.send(target.Address, Datagram{Kind: kindPing, Sequence: sequence})
+	if p.awaitAck(ctx, acked, p.Config.AckTimeout) {
+		return false
 	}
-	handle := datagramHandlers[datagram.Kind]
-	if handle == nil {
-		p.Guard.Rejected(ctx, sender.String(), errkind.Errorf(errkind.UnknownCall, "datagram of kind %d", datagram.Kind))
-		return
+	for _, helper := range p.indirectProbers(target) {
+		p.send(helper.Address, Datagram{Kind: kindPingRequest, Sequence: sequence, Target: target.Address})
 	}
-	p.Table.Merge(datagram.Reports)
-	handle(p, ctx, datagram)
-}
-
-var datagramHandlers = map[int64]func(*Prober, scope.Scope, Datagram){
-	kindPing: func(prober *Prober, _ scope.Scope, datagram Datagram) {
-		prober.send(datagram.From, Datagram{Kind: kindAck, Sequence: datagram.Sequence})
-	},
-	kindAck: func(prober *Prober, _ scope.Scope, datagram Datagram) { prober.acknowledge(datagram.Sequence) },
-	kindPingRequest: func(prober *Prober, inner scope.Scope, datagram Datagram) {
-		prober.spawn(func() {
-			number, answered := prober.registerProbe()
-			defer prober.unregisterProbe(number)
-			prober.send(datagram.Target, Datagram{Kind: kindPing, Sequence: number})
-			if awaitAck(inner, answered, prober.Config.AckTimeout) {
-				prober.send(datagram.From, Datagram{Kind: kindAck, Sequence: datagram.Sequence})
-			}
-		})
-	},
+	p.send(target.Address, Datagram{Kind: kindPing, Sequence: sequence})
+	if p.awaitAck(ctx, acked, indirectTimeouts*p.Config.AckTimeout) || ctx.Err() != nil {
+		return false
+	}
+	return p.Table.Now().Since(begin) <= staleTimeouts*p.Config.AckTimeout
 }
 
-func (p *Prober) spawn(ask func()) {
-	if p.Spawn != nil {
-		p.Spawn(ask)
+func (p *Prober) spawn(task func()) {
+	if p.inline {
+		task()
 		return
 	}
-	go ask()
+	go task()
 }
 
-func awaitAck(ctx scope.Scope, answered chan struct{}, span clock.Span) bool {
+// awaitAck reports whether the ack came before the timeout and before ctx ended.
+func (p *Prober) awaitAck(ctx context.Context, acked <-chan struct{}, timeout clock.Span) bool {
+	// An ack that is there already counts, whatever else is ready too.
 	select {
-	case <-answered:
+	case <-acked:
 		return true
 	default:
 	}
 	select {
-	case <-answered:
+	case <-acked:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-ctx.Clock.After(span):
+	case <-p.Table.clock.After(timeout):
 		return false
 	}
 }
 
-func (p *Prober) send(to ids.Address, datagram Datagram) {
-	datagram.From = p.Table.Self().Address
-	datagram.Reports = p.Table.selectReports(4, to)
-	if body, err := transport.Seal(p.Guard, datagram); err == nil {
-		p.Send(to, body)
-	}
-}
-
-func (p *Prober) registerProbe() (int64, chan struct{}) {
+// registerProbe returns the sequence of a new probe and the channel that its ack
+// closes; the caller unregisters it.
+func (p *Prober) registerProbe() (sequence int64, acked <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pendingAcks == nil {
 		p.pendingAcks = map[int64]chan struct{}{}
 	}
 	p.lastSequence++
-	p.pendingAcks[p.lastSequence] = make(chan struct{})
-	return p.lastSequence, p.pendingAcks[p.lastSequence]
+	pending := make(chan struct{})
+	p.pendingAcks[p.lastSequence] = pending
+	return p.lastSequence, pending
 }
 
-func (p *Prober) unregisterProbe(number int64) {
+func (p *Prober) unregisterProbe(sequence int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.pendingAcks, number)
+	delete(p.pendingAcks, sequence)
 }
 
-func (p *Prober) acknowledge(number int64) {
+// acknowledge wakes the probe that waits for the ack, if it still does.
+func (p *Prober) acknowledge(sequence int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if answered := p.pendingAcks[number]; answered != nil {
-		delete(p.pendingAcks, number)
-		close(answered)
+	if acked := p.pendingAcks[sequence]; acked != nil {
+		delete(p.pendingAcks, sequence)
+		close(acked)
 	}
 }
 
-// removeExpiredSuspects removes members whose suspicion was not refuted in time.
-func (p *Prober) removeExpiredSuspects(frozen bool) {
+// removeExpiredSuspects removes the members whose suspicion was not refuted in
+// time; none where this daemon stalled itself and may have missed a refutation.
+func (p *Prober) removeExpiredSuspects(stalled bool) {
+	if stalled {
+		return
+	}
 	for _, member := range p.Table.Members() {
-		if member.State == Suspect && !frozen && p.Table.StateAge(member.Address) > p.Config.SuspicionTimeout {
+		if member.State == Suspect && p.Table.StateAge(member.Address) > p.Config.SuspicionTimeout {
 			p.Table.AdvanceState(member.Address, Removed)
 		}
 	}
--- a/control/membership/relays.go
+++ b/control/membership/relays.go
@@ -1,76 +1,84 @@
 package membership
 
 import (
+	"cmp"
 	"hash/fnv"
-	"sort"
+	"slices"
 	"strings"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
 
-// Relays gives the daemons that pass news on for a zone, the first choice first.
-// For the own zone every member works them out by itself; those of other zones
-// say of themselves that they are. Nothing rests on agreement: news only rises,
-// so two views of who relays cost bytes and no more.
+// Relays returns up to count daemons that forward updates for a zone, the
+// preferred one first, each on a machine of its own. For the own zone every
+// member computes them from its table; those of other zones are the ones that
+// announce themselves. No agreement is needed: versions only rise, so two views
+// of who relays cost bandwidth alone.
 func (t *Table) Relays(zone ids.Zone, count int) []Member {
-	var able []Member
-	own := zone == t.Self().Zone
+	var candidates []Member
+	local := zone == t.Self().Zone
 	for _, member := range t.Members() {
-		if member.Zone == zone && member.State == Alive && (own || member.Backbone()) {
-			able = append(able, member)
+		if member.Zone == zone && member.State == Alive && (local || member.Backbone()) {
+			candidates = append(candidates, member)
 		}
 	}
-	rankRelays(able)
-	return pickDistinctHosts(able, count)
+	rankRelays(candidates)
+	return pickDistinctHosts(candidates, count)
 }
 
-// UpdateRelayRole has the daemon say of itself whether it relays for its zone; one that
-// has only just begun, and may know nobody yet, waits.
-func (t *Table) UpdateRelayRole(count int, patience clock.Span) {
+// UpdateRelayRole sets the own Relay flag by whether the daemon is one of the
+// first count relays of its zone. It does nothing within the warm-up span after
+// the start, in which the daemon may not know its zone yet.
+func (t *Table) UpdateRelayRole(count int, warmUp clock.Span) {
 	self := t.Self()
-	if t.clock.Now().Since(t.startedAt) < patience || !self.Present() {
+	if t.clock.Now().Since(t.startedAt) < warmUp || !self.Present() {
 		return
 	}
-	chosen := false
-	for _, relay := range t.Relays(self.Zone, count) {
-		chosen = chosen || relay.Address == self.Address
-	}
-	t.UpdateSelf(func(self *Member) { self.Relay = chosen })
+	relay := slices.ContainsFunc(t.Relays(self.Zone, count), func(member Member) bool { return member.Address == self.Address })
+	t.UpdateSelf(func(self *Member) { self.Relay = relay })
 }
 
-// rankRelays orders members by how well they relay: machines with more link first,
-// then those that already serve control and so carry no requests, then by a
-// hash that spreads the work over zones.
+// rankRelays orders members by how well they relay: by link capacity, then those
+// that serve control and so carry no requests, then by a hash of the address,
+// which spreads the work over machines.
 func rankRelays(members []Member) {
-	sort.Slice(members, func(left, right int) bool {
-		one, other := members[left], members[right]
-		if one.LinkMbps != other.LinkMbps {
-			return one.LinkMbps > other.LinkMbps
-		}
-		if one.ServesControl != other.ServesControl {
-			return one.ServesControl
-		}
-		return addressHash(one.Address) < addressHash(other.Address)
+	slices.SortFunc(members, func(a, b Member) int {
+		return cmp.Or(
+			cmp.Compare(b.LinkMbps, a.LinkMbps),
+			compareBools(b.ServesControl, a.ServesControl),
+			cmp.Compare(addressHash(a.Address), addressHash(b.Address)),
+		)
 	})
 }
 
-// pickDistinctHosts takes the first so many members that stand on different machines.
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// pickDistinctHosts returns the first count members that stand on different machines.
 func pickDistinctHosts(members []Member, count int) []Member {
 	taken := map[string]bool{}
-	var chosen []Member
+	var picked []Member
 	for _, member := range members {
-		machine, _, _ := strings.Cut(string(member.Address), ":")
-		if !taken[machine] && len(chosen) < count {
-			taken[machine] = true
-			chosen = append(chosen, member)
+		host, _, _ := strings.Cut(string(member.Address), ":")
+		if !taken[host] && len(picked) < count {
+			taken[host] = true
+			picked = append(picked, member)
 		}
 	}
-	return chosen
+	return picked
 }
 
 func addressHash(address ids.Address) uint64 {
-	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(address))
-	return digest.Sum64()
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(address))
+	return hash.Sum64()
 }
--- a/control/membership/store.go
+++ b/control/membership/store.go
@@ -8,15 +8,16 @@
 	"onyxwell/control/transport"
 )
 
-// Store writes the members that a daemon knows to its disk, so that it still
-// knows them after everything was down at once: shares of common bounds depend
-// on how many routers there could be.
+// Store keeps the known members on disk, so that a daemon still knows them after
+// all of them were down at once: the shares of common limits depend on how many
+// routers there could be. Its methods are called by one goroutine at a time.
 type Store struct {
 	Table *Table
 	Disk  wal.FS
-	Name  string
-	// ZoneSizes gives what else is kept with the members: how many routers the other
-	// zones had; Sized is told of them when they are read back.
+	// Name is that of the file.
+	Name string
+	// ZoneSizes returns the router counts of the other zones, which are stored
+	// with the members; RestoreZoneSizes takes them back. Both may be nil.
 	ZoneSizes        func() []ZoneSize
 	RestoreZoneSizes func([]ZoneSize)
 	savedDigest      Digest
@@ -31,6 +32,7 @@
 // SchemaName names the stored and sent form; it must never change.
 func (ZoneSize) SchemaName() string { return "Size_23" }
 
+// storedMembers is the content of the file.
 type storedMembers struct {
 	Members   []Member   `avro:"Members"`
 	ZoneSizes []ZoneSize `avro:"Sizes"`
@@ -39,54 +41,56 @@
 // SchemaName names the stored and sent form; it must never change.
 func (storedMembers) SchemaName() string { return "kept_23" }
 
-// Load takes what the disk holds. Nobody is known to be there until it is heard
-// of, so all stand as removed, in the oldest of lives.
+// Load merges the stored members into the table. All of them count as removed
+// in the oldest incarnation, until they are heard of. A file that can't be
+// decoded counts as none; an error is one of reading the disk.
 func (s *Store) Load() error {
 	body, err := s.Disk.Read(s.Name)
 	if err != nil || len(body) == 0 {
 		return err
 	}
-	read, err := transport.Unmarshal[storedMembers](body)
+	stored, err := transport.Unmarshal[storedMembers](body)
 	if err != nil {
-		// A torn file is as good as none: the members will be heard of again.
+		// The members will be heard of again.
 		return nil
 	}
-	for index := range read.Members {
-		read.Members[index].State, read.Members[index].Incarnation, read.Members[index].Ready = Removed, 0, false
+	for index := range stored.Members {
+		member := &stored.Members[index]
+		member.State, member.Incarnation, member.Ready = Removed, 0, false
 	}
-	s.Table.Merge(read.Members)
+	s.Table.Merge(stored.Members)
 	if s.RestoreZoneSizes != nil {
-		s.RestoreZoneSizes(read.ZoneSizes)
+		s.RestoreZoneSizes(stored.ZoneSizes)
 	}
 	return nil
 }
 
-// Save writes the members if they changed since the last time.
+// Save writes the members if they changed since the last successful Save.
 func (s *Store) Save() error {
-	sums := s.Table.Digest()
-	if sums == s.savedDigest {
+	digest := s.Table.Digest()
+	if digest == s.savedDigest {
 		return nil
 	}
-	whole := storedMembers{Members: s.Table.Members()}
+	stored := storedMembers{Members: s.Table.Members()}
 	if s.ZoneSizes != nil {
-		whole.ZoneSizes = s.ZoneSizes()
+		stored.ZoneSizes = s.ZoneSizes()
 	}
-	body, err := transport.Marshal(whole)
+	body, err := transport.Marshal(stored)
 	if err != nil {
 		return err
 	}
-	err = wal.ReplaceFile(s.Disk, s.Name, body)
-	if err == nil {
-		s.savedDigest = sums
+	if err := wal.ReplaceFile(s.Disk, s.Name, body); err != nil {
+		return err
 	}
-	return err
+	s.savedDigest = digest
+	return nil
 }
 
-// Run saves now and then until the scope ends.
-func (s *Store) Run(ctx scope.Scope, every clock.Span) {
-	for ctx.Wait(every) {
+// Run saves once each interval until ctx ends.
+func (s *Store) Run(ctx scope.Scope, interval clock.Span) {
+	for ctx.Wait(interval) {
 		if err := s.Save(); err != nil {
-			ctx.Log.Warn().Str("part", "members").Err(err).Msg("the members are not saved")
+			ctx.Log.Warn().Str("part", "members").Err(err).Msg("saving members failed")
 		}
 	}
 }
--- a/control/membership/table.go
+++ b/control/membership/table.go
@@ -1,12 +1,8 @@
-// Package membership is how the daemons know each other: probes to a few members
-// in turn, second opinions through third parties, suspicion before removal. A
-// daemon knows all members of its own zone, and of other zones the backbone:
-// those that serve control and those that relay.
 package membership
 
 import (
 	"hash/fnv"
-	"sort"
+	"slices"
 	"sync"
 
 	"onyxwell/base/clock"
@@ -14,18 +10,22 @@
 	"onyxwell/control/transport"
 )
 
+// entry is what a table holds of a member beside its report.
 type entry struct {
 	Member
 	stateSince clock.Instant
-	transmits  int
-	hash       int64
-	// leftBackboneAt is when a member ceased to be of the backbone: other zones are told so
-	// for a while, so that older reports don't bring it back there.
-	leftBackboneAt clock.Instant
+	// transmits is how often this report was sent on a datagram.
+	transmits int
+	hash      int64
+	// formerBackbone says that the member ceased to be of the backbone, at
+	// leftBackboneAt. Other zones are told so for a while, lest older reports
+	// bring it back there.
 	formerBackbone bool
+	leftBackboneAt clock.Instant
 }
 
-// Table holds the members that a daemon knows, itself included.
+// Table holds the members that a daemon knows, itself included. It is safe for
+// concurrent use.
 type Table struct {
 	mu        sync.Mutex
 	clock     clock.Clock
@@ -33,11 +33,13 @@
 	self      Member
 	members   map[ids.Address]*entry
 	digest    Digest
-	snapshot  []Member
+	// snapshot caches Members; nil after any change.
+	snapshot []Member
 }
 
-// Digest are digests of the members that are present: equal sums mean equal
-// tables. Daemons of one zone compare both, others only that of the backbone.
+// Digest sums up the members that are present: equal digests mean equal tables,
+// but for collisions of a 64-bit hash. Daemons of one zone compare both parts,
+// others only that of the backbone.
 type Digest struct {
 	Zone     int64 `avro:"Zone"`
 	Backbone int64 `avro:"Backbone"`
@@ -46,22 +48,25 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Digest) SchemaName() string { return "Sums_23" }
 
-// NewTable makes a table that knows only its own daemon.
-func NewTable(machine clock.Clock, self Member) *Table {
+// NewTable returns a table that knows only its own daemon, in an incarnation of
+// at least 1.
+func NewTable(source clock.Clock, self Member) *Table {
 	self.Incarnation = max(self.Incarnation, 1)
-	table := &Table{clock: machine, startedAt: machine.Now(), self: self, members: map[ids.Address]*entry{}}
+	table := &Table{clock: source, startedAt: source.Now(), self: self, members: map[ids.Address]*entry{}}
 	table.put(self)
 	return table
 }
 
-// Self gives the table's own daemon.
+// Self returns the report of the table's own daemon.
 func (t *Table) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// UpdateSelf changes what the daemon says of itself.
+// UpdateSelf changes the report of the table's own daemon; a change raises its
+// incarnation, so that it overrides the earlier report everywhere. The function
+// must not call the table.
 func (t *Table) UpdateSelf(change func(self *Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,15 +78,16 @@
 	}
 }
 
-// Merge takes reports of members and tells whether any was news. A report that
-// the daemon itself is gone is refuted by a higher incarnation.
+// Merge takes reports from other daemons and reports whether any changed the
+// table. A report that the table's own daemon is gone is refuted by a higher
+// incarnation.
 func (t *Table) Merge(reports []Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := false
+	changed := false
 	for _, report := range reports {
 		if report.Address == t.self.Address {
-			news = t.refute(report) || news
+			changed = t.refute(report) || changed
 			continue
 		}
 		known := t.members[report.Address]
@@ -90,17 +96,19 @@
 		}
 		if known == nil || report.supersedes(known.Member) {
 			t.put(report)
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// tracks tells whether a member belongs into this table.
+// tracks reports whether a member belongs in this table.
 func (t *Table) tracks(member Member) bool {
 	return member.Zone == t.self.Zone || member.Backbone()
 }
 
+// refute raises the own incarnation above that of a report which is not what
+// this daemon says of itself: a suspicion, or a report of its previous process.
 func (t *Table) refute(report Member) bool {
 	if !report.supersedes(t.self) && report == t.self {
 		return false
@@ -113,7 +121,9 @@
 	return true
 }
 
-// AdvanceState moves a member to a state on this daemon's own evidence.
+// AdvanceState moves a member to a higher state, on this daemon's own evidence
+// and in the incarnation that it knows. A state that is not higher, an unknown
+// member and the own daemon are left alone.
 func (t *Table) AdvanceState(address ids.Address, state State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,8 +136,8 @@
 	t.put(report)
 }
 
-// Members gives all members in the order of their addresses; the list is shared
-// and must not be changed.
+// Members returns all members in the order of their addresses. The slice is
+// shared and must not be changed.
 func (t *Table) Members() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,12 +150,12 @@
 			members = append(members, known.Member)
 		}
 	}
-	sort.Slice(members, func(left, right int) bool { return members[left].Address < members[right].Address })
+	slices.SortFunc(members, compareAddresses)
 	t.snapshot = members
 	return members
 }
 
-// Find gives the member at an address.
+// Find returns the member at an address, and whether it is known.
 func (t *Table) Find(address ids.Address) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,7 +166,8 @@
 	return known.Member, true
 }
 
-// StateAge tells for how long a member has been in its state.
+// StateAge returns for how long a member has been in its state, 0 where it is
+// unknown.
 func (t *Table) StateAge(address ids.Address) clock.Span {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,14 +178,15 @@
 	return t.clock.Now().Since(known.stateSince)
 }
 
-// Digest gives the digests of the table.
+// Digest returns the digest of the members that are present.
 func (t *Table) Digest() Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.digest
 }
 
-// put replaces what is known of a member; the sums change by that member alone.
+// put replaces what is known of a member, and its part in the digest. The caller
+// holds mu.
 func (t *Table) put(member Member) {
 	t.snapshot = nil
 	known := t.members[member.Address]
@@ -194,8 +206,8 @@
 	t.toggleDigest(known)
 }
 
-// toggleDigest puts a member's mark into the sums, or takes it out again: marks are
-// joined by exclusive or.
+// toggleDigest adds an entry to the digest or takes it out again: the digest is
+// the exclusive or of the hashes, so both are the same operation.
 func (t *Table) toggleDigest(known *entry) {
 	if !known.Present() {
 		return
@@ -208,9 +220,11 @@
 	}
 }
 
+// memberHash hashes the encoded report: daemons compare digests over the wire,
+// so it must be the same in all of them.
 func memberHash(member Member) int64 {
-	digest := fnv.New64a()
+	hash := fnv.New64a()
 	body, _ := transport.Marshal(member)
-	_, _ = digest.Write(body)
-	return int64(digest.Sum64())
+	_, _ = hash.Write(body)
+	return int64(hash.Sum64())
 }
--- a/control/membership/targets.go
+++ b/control/membership/targets.go
@@ -7,9 +7,9 @@
 	"onyxwell/base/random"
 )
 
-// probeGroup is a group that a daemon probes in turn: its own zone, and for the
-// backbone that of the other zones. Each has a turn of its own, so that neither
-// waits for the other.
+// probeGroup is a set of members that a daemon probes in rotation: those of its
+// own zone, or for the backbone the backbone of the other zones. Each group has
+// its own rotation and one probe an interval, so neither delays the other.
 type probeGroup int
 
 const (
@@ -26,69 +26,74 @@
 	return remoteGroup
 }
 
-// nextTarget gives the members of a circle one after another, in a new order each turn.
-func (p *Prober) nextTarget(of probeGroup) (Member, bool) {
+// nextTarget takes the next member off a group's rotation, and begins a new
+// rotation in a new order where the last one is through: each member is probed
+// once a rotation, which bounds the time until a failure is detected.
+func (p *Prober) nextTarget(group probeGroup) (Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rotation == nil {
 		p.rotation = map[probeGroup][]Member{}
 	}
-	if len(p.rotation[of]) == 0 {
-		turn := p.candidates(of, "")
-		if p.Shuffle != nil {
-			p.Shuffle(turn)
+	if len(p.rotation[group]) == 0 {
+		rotation := p.candidates(group, "")
+		if p.shuffle != nil {
+			p.shuffle(rotation)
 		} else {
-			random.Shuffle(turn)
+			random.Shuffle(rotation)
 		}
-		p.rotation[of] = turn
+		p.rotation[group] = rotation
 	}
-	if len(p.rotation[of]) == 0 {
+	if len(p.rotation[group]) == 0 {
 		return Member{}, false
 	}
-	target := p.rotation[of][0]
-	p.rotation[of] = p.rotation[of][1:]
+	target := p.rotation[group][0]
+	p.rotation[group] = p.rotation[group][1:]
 	return target, true
 }
 
-// prioritizeZone puts those of a suspected member's zone at the head of the turn, and gives
-// them: a zone that is lost is found out as a whole.
+// prioritizeZone moves the members of a suspected member's zone to the head of
+// the rotation and returns those that are alive, so that the loss of a whole zone
+// is detected at once. It does nothing for the own zone.
 func (p *Prober) prioritizeZone(suspected Member) []Member {
-	of := p.groupOf(suspected)
-	if of == localGroup {
+	group := p.groupOf(suspected)
+	if group == localGroup {
 		return nil
 	}
-	var mates []Member
-	for _, member := range p.candidates(of, suspected.Address) {
+	var peers []Member
+	for _, member := range p.candidates(group, suspected.Address) {
 		if member.Zone == suspected.Zone && member.State == Alive {
-			mates = append(mates, member)
+			peers = append(peers, member)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rotation != nil {
-		p.rotation[of] = append(mates, slices.DeleteFunc(p.rotation[of], func(member Member) bool { return member.Zone == suspected.Zone })...)
+		rest := slices.DeleteFunc(p.rotation[group], func(member Member) bool { return member.Zone == suspected.Zone })
+		p.rotation[group] = append(peers, rest...)
 	}
-	return mates
+	return peers
 }
 
-// candidates are those of a circle whom this daemon probes. Only the backbone
-// probes over zones.
-func (p *Prober) candidates(of probeGroup, without ids.Address) []Member {
+// candidates returns the members of a group that this daemon probes, except one.
+// Only the backbone probes across zones.
+func (p *Prober) candidates(group probeGroup, except ids.Address) []Member {
 	self := p.Table.Self()
-	var found []Member
+	var candidates []Member
 	for _, member := range p.Table.Members() {
-		if p.groupOf(member) != of || (of == remoteGroup && !self.Backbone()) {
+		if p.groupOf(member) != group || (group == remoteGroup && !self.Backbone()) {
 			continue
 		}
-		if member.Present() && member.Address != self.Address && member.Address != without {
-			found = append(found, member)
+		if member.Present() && member.Address != self.Address && member.Address != except {
+			candidates = append(candidates, member)
 		}
 	}
-	return found
+	return candidates
 }
 
+// indirectProbers picks the members that are asked to probe the target.
 func (p *Prober) indirectProbers(target Member) []Member {
-	found := p.candidates(p.groupOf(target), target.Address)
-	random.Shuffle(found)
-	return found[:min(p.Config.IndirectProbes, len(found))]
+	candidates := p.candidates(p.groupOf(target), target.Address)
+	random.Shuffle(candidates)
+	return candidates[:min(p.Config.IndirectProbes, len(candidates))]
 }
