--- a/control/gossip/digest.go
+++ b/control/gossip/digest.go
@@ -1,57 +1,59 @@
 package gossip
 
 import (
+	"cmp"
 	"encoding/binary"
 	"hash/fnv"
-	"sort"
+	"slices"
 
 	"onyxwell/base/ids"
 	"onyxwell/control/membership"
 )
 
-// Versions names the items that another daemon should hold.
-func (s *Store) Versions(partner membership.Member) []ItemVersion {
+// Versions returns the versions of the items here that a member should hold, in
+// the order of their keys.
+func (s *Store) Versions(member membership.Member) []ItemVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var marks []ItemVersion
-	for key, item := range s.items {
-		if !shouldHold(key, partner) {
-			continue
+	var versions []ItemVersion
+	for key, known := range s.items {
+		if shouldHold(key, member) {
+			versions = append(versions, ItemVersion{Key: known.Key, Version: known.Version})
 		}
-		marks = append(marks, ItemVersion{Key: item.Key, Version: item.Version})
 	}
-	sort.Slice(marks, func(left, right int) bool { return marks[left].Key < marks[right].Key })
-	return marks
+	slices.SortFunc(versions, func(a, b ItemVersion) int { return cmp.Compare(a.Key, b.Key) })
+	return versions
 }
 
-// Digest is one number for all that Marks names: two that hold the same items
-// have the same.
-func (s *Store) Digest(partner membership.Member) int64 {
-	digest := fnv.New64a()
-	for _, mark := range s.Versions(partner) {
-		_, _ = digest.Write([]byte(mark.Key))
-		_, _ = digest.Write(binary.LittleEndian.AppendUint64([]byte{0}, uint64(mark.Version)))
+// Digest is a 64-bit hash of Versions: two stores that hold the same items for
+// the member have the same digest.
+func (s *Store) Digest(member membership.Member) int64 {
+	hash := fnv.New64a()
+	for _, version := range s.Versions(member) {
+		_, _ = hash.Write([]byte(version.Key))
+		_, _ = hash.Write(binary.LittleEndian.AppendUint64([]byte{0}, uint64(version.Version)))
 	}
-	return int64(digest.Sum64())
+	return int64(hash.Sum64())
 }
 
-// Diff gives the items that are newer here than the marks say, and the keys
-// of those that are newer there. The items are as they travel.
-func (s *Store) Diff(marks []ItemVersion, partner membership.Member) (items []Item, wanted []string) {
+// Diff compares the store with the versions that another holds. It returns the
+// items that are newer here, as they are on the wire and as far as the member
+// should hold them, and the keys of those that are newer there.
+func (s *Store) Diff(versions []ItemVersion, member membership.Member) (items []Item, wantedKeys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	theirs := map[string]ids.Serial{}
-	for _, mark := range marks {
-		theirs[mark.Key] = mark.Version
-		if own, found := s.items[mark.Key]; !found || own.Version < mark.Version {
-			wanted = append(wanted, mark.Key)
+	remote := map[string]ids.Serial{}
+	for _, version := range versions {
+		remote[version.Key] = version.Version
+		if known, ok := s.items[version.Key]; !ok || known.Version < version.Version {
+			wantedKeys = append(wantedKeys, version.Key)
 		}
 	}
-	for key, item := range s.items {
-		if serial, found := theirs[key]; shouldHold(key, partner) && (!found || serial < item.Version) {
-			items = append(items, item.wire)
+	for key, known := range s.items {
+		if version, ok := remote[key]; shouldHold(key, member) && (!ok || version < known.Version) {
+			items = append(items, known.wire)
 		}
 	}
-	sort.Slice(items, func(left, right int) bool { return items[left].Key < items[right].Key })
-	return items, wanted
+	slices.SortFunc(items, compareKeys)
+	return items, wantedKeys
 }
--- a/control/gossip/example_test.go
+++ b/control/gossip/example_test.go
@@ -8,11 +8,11 @@
 )
 
 func ExampleStore() {
-	news := gossip.NewStore(func(item gossip.Item) { fmt.Println("fresh:", item.Key, item.Version) })
-	news.Put(gossip.Item{Key: "spec", Version: 7})
-	news.Put(gossip.Item{Key: "spec", Version: 5})
-	items, wanted := news.Diff([]gossip.ItemVersion{{Key: "spec", Version: 6}, {Key: "plan", Version: 1}}, membership.Member{})
-	fmt.Println("newer here:", len(items), "wanted:", wanted)
+	store := gossip.NewStore(func(item gossip.Item) { fmt.Println("fresh:", item.Key, item.Version) })
+	store.Put(gossip.Item{Key: "spec", Version: 7})
+	store.Put(gossip.Item{Key: "spec", Version: 5})
+	items, wantedKeys := store.Diff([]gossip.ItemVersion{{Key: "spec", Version: 6}, {Key: "plan", Version: 1}}, membership.Member{})
+	fmt.Println("newer here:", len(items), "wanted:", wantedKeys)
 	// Output:
 	// fresh: spec 7
 	// newer here: 1 wanted: [plan]
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -1,69 +1,77 @@
 package gossip
 
 import (
+	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
 	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 )
 
-// maxNearerAttempts is how often a daemon that knows nothing asks those nearby alone,
-// before it takes all news from far away.
+// maxNearerAttempts is how often a daemon without items leaves an exchange to
+// nearer daemons, before it takes all items from far away.
 const maxNearerAttempts = 3
 
-// nearerTimeoutDivisor is the part, one in so many, of the time between two exchanges that one
-// nearby has for its answer: it may be down as well.
+// nearerTimeoutDivisor gives the timeout of an exchange with a nearer daemon,
+// which may be down as well, as a part of the interval.
 const nearerTimeoutDivisor = 4
 
-// fetchFromNearer has a daemon that knows nothing take the news, which may be long, from
-// a daemon that is nearer than the one that it asked first, mostly a seed. It tells
-// whether that was done, or is to be tried again: the mates may know nothing yet
-// either, and the first relay of a zone is the one to bring it there.
-func (g *Gossiper) fetchFromNearer(ctx scope.Scope, asked ids.Address, told ExchangeResponse) bool {
+// fetchFromNearer has a daemon without items take them, which may be many bytes,
+// from a daemon that is nearer than the one that answered, mostly a seed. It
+// reports whether the exchange is done, or better repeated later: the nearer
+// daemons may be empty too, and it is the first relay of a zone that fetches for
+// it from far away.
+func (g *Gossiper) fetchFromNearer(ctx scope.Scope, address ids.Address, resp ExchangeResponse) bool {
 	if !g.Store.Empty() {
 		return false
 	}
-	g.Table.Merge(append(told.Members, told.From))
-	nearer, found := g.nearerBackbone(asked)
-	if !found {
+	g.Table.Merge(append(resp.Members, resp.From))
+	nearer, ok := g.nearerBackbone(address)
+	if !ok {
 		return false
 	}
-	short, release := ctx.WithTimeout(g.Interval / nearerTimeoutDivisor)
-	g.Exchange(short, nearer)
-	release()
+	g.exchangeWithin(ctx, g.Interval/nearerTimeoutDivisor, nearer)
 	if !g.Store.Empty() {
 		return true
 	}
 	self := g.Table.Self()
-	first := g.Table.Relays(self.Zone, 1)
-	brings := len(first) > 0 && first[0].Address == self.Address
-	return !brings && g.emptyExchanges.Add(1) <= maxNearerAttempts
+	relays := g.Table.Relays(self.Zone, 1)
+	first := len(relays) > 0 && relays[0].Address == self.Address
+	return !first && g.emptyExchanges.Add(1) <= maxNearerAttempts
 }
 
-// nearerBackbone gives a relay or controller that is nearer than a daemon: of the own zone,
-// or of the own region where the other is of neither.
+func (g *Gossiper) exchangeWithin(ctx scope.Scope, timeout clock.Span, address ids.Address) {
+	short, cancel := ctx.WithTimeout(timeout)
+	defer cancel()
+	g.Exchange(short, address)
+}
+
+// nearerBackbone picks one of the nearest daemons of the backbone that are nearer
+// than another daemon.
 func (g *Gossiper) nearerBackbone(than ids.Address) (ids.Address, bool) {
 	other, _ := g.Table.Find(than)
-	var best []membership.Member
+	limit := g.distance(other)
+	var nearest []membership.Member
 	for _, member := range g.Table.Members() {
 		usable := member.State == membership.Alive && member.Backbone() && member.Address != g.Table.Self().Address
-		if !usable || g.distance(member) >= g.distance(other) {
+		distance := g.distance(member)
+		if !usable || distance >= limit {
 			continue
 		}
-		if len(best) > 0 && g.distance(member) < g.distance(best[0]) {
-			best = nil
+		if len(nearest) > 0 && distance < g.distance(nearest[0]) {
+			nearest = nil
 		}
-		if len(best) == 0 || g.distance(member) == g.distance(best[0]) {
-			best = append(best, member)
+		if len(nearest) == 0 || distance == g.distance(nearest[0]) {
+			nearest = append(nearest, member)
 		}
 	}
-	if len(best) == 0 {
+	if len(nearest) == 0 {
 		return "", false
 	}
-	return best[random.IntN(len(best))].Address, true
+	return nearest[random.IntN(len(nearest))].Address, true
 }
 
-// distance is 0 in the own zone, 1 in the own region, 2 elsewhere.
+// distance is 0 within the own zone, 1 within the own region, 2 elsewhere.
 func (g *Gossiper) distance(member membership.Member) int {
 	self := g.Table.Self()
 	switch {
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -9,8 +9,8 @@
 	"onyxwell/control/membership"
 )
 
-// The parts, one in so many, of the usual time between two exchanges: of a daemon
-// that knows nothing, and of one that still lacks what it needs.
+// The delay until the next exchange, as a part of the interval: of a daemon
+// without items, and of one that still misses what it needs.
 const (
 	emptyIntervalDivisor       = 8
 	missingDataIntervalDivisor = 4
@@ -20,10 +20,10 @@
 	return g.Rejoining && g.MissingData != nil && g.MissingData()
 }
 
-// nextDelay is the time until the next exchange.
+// nextDelay returns the time until the next exchange: 3/4 to 5/4 of the interval,
+// and less while the daemon can't serve for want of items.
 func (g *Gossiper) nextDelay() clock.Span {
 	if g.Rejoining && g.Store.Empty() {
-		// One that knows nothing can't serve: it asks at once, and often.
 		return g.Interval / emptyIntervalDivisor
 	}
 	if g.missingData() {
@@ -32,7 +32,7 @@
 	return g.Interval*3/4 + random.Duration(g.Interval/2)
 }
 
-// Odds of whom a daemon exchanges with: one exchange of so many.
+// The odds of the kinds of partners: one exchange of so many.
 const (
 	oddsRemoved      = 16
 	oddsRelay        = 2
@@ -41,35 +41,35 @@
 	oddsFarOtherwise = 16
 )
 
-// choosePartner picks a member, mostly of the same zone; while none is known, and
-// now and then after that, a seed; now and then one that was removed, which may
-// be back and know nobody. This is what mends all that the tier loses, and it
-// goes on where there are no relays.
+// choosePartner picks the partner of an exchange, mostly of the same zone. While
+// no other member is known, and now and then after that, it is a seed; now and
+// then a member that was removed, which may be back and know nobody. Exchanges
+// need no relays: they repair whatever pushes lost, and also where there are none.
 func (g *Gossiper) choosePartner() (ids.Address, bool) {
-	near, far, gone := g.classifyMembers()
+	local, remote, removed := g.classifyMembers()
 	if g.missingData() && random.IntN(oddsRelay) == 0 {
-		if relay, found := g.chooseRelay(); found {
+		if relay, ok := g.chooseRelay(); ok {
 			return relay, true
 		}
 	}
-	if len(gone) > 0 && random.IntN(oddsRemoved) == 0 {
-		return gone[random.IntN(len(gone))].Address, true
+	if len(removed) > 0 && random.IntN(oddsRemoved) == 0 {
+		return removed[random.IntN(len(removed))].Address, true
 	}
-	if seeds := g.seeds(); len(seeds) > 0 && (len(near)+len(far) == 0 || random.IntN(oddsSeed) == 0) {
+	if seeds := g.seeds(); len(seeds) > 0 && (len(local)+len(remote) == 0 || random.IntN(oddsSeed) == 0) {
 		return seeds[random.IntN(len(seeds))], true
 	}
 	odds := oddsFarOtherwise
 	if g.Table.Self().Backbone() {
 		odds = oddsFarBackbone
 	}
-	pool := near
-	if len(near) == 0 || (len(far) > 0 && (random.IntN(odds) == 0 || g.Store.Empty())) {
-		pool = far
+	candidates := local
+	if len(local) == 0 || (len(remote) > 0 && (random.IntN(odds) == 0 || g.Store.Empty())) {
+		candidates = remote
 	}
-	if len(pool) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return pool[random.IntN(len(pool))].Address, true
+	return candidates[random.IntN(len(candidates))].Address, true
 }
 
 // chooseRelay picks one of the other daemons that relay for the own zone.
@@ -83,57 +83,46 @@
 	return relays[random.IntN(len(relays))].Address, true
 }
 
-// AnnounceTargets picks those who are told at once of a change in this daemon itself:
-// the relays of its zone, and one more of it.
+// AnnounceTargets picks the partners that hear at once of a change of the own
+// report: the relays of the zone and one more member of it, and for the backbone
+// one of another zone.
 func (g *Gossiper) AnnounceTargets() []ids.Address {
 	self := g.Table.Self()
-	var chosen []ids.Address
+	var picked []ids.Address
 	taken := map[ids.Address]bool{self.Address: true}
 	add := func(member membership.Member) {
 		if !taken[member.Address] {
 			taken[member.Address] = true
-			chosen = append(chosen, member.Address)
+			picked = append(picked, member.Address)
 		}
 	}
 	for _, relay := range g.Table.Relays(self.Zone, g.RelaysPerZone) {
 		add(relay)
 	}
-	near, far, _ := g.classifyMembers()
-	if len(near) > 0 {
-		add(near[random.IntN(len(near))])
+	local, remote, _ := g.classifyMembers()
+	if len(local) > 0 {
+		add(local[random.IntN(len(local))])
 	}
-	if len(far) > 0 && self.Backbone() {
-		add(far[random.IntN(len(far))])
+	if len(remote) > 0 && self.Backbone() {
+		add(remote[random.IntN(len(remote))])
 	}
-	return chosen
+	return picked
 }
 
-// classifyMembers sorts the members: those of this zone, those of others, and those
-// that were removed but never said that they leave.
-func (g *Gossiper) classifyMembers() (near []membership.Member, far []membership.Member, gone []membership.Member) {
+// classifyMembers returns the other members: those of this zone, those of other
+// zones, and those that were removed without having left.
+func (g *Gossiper) classifyMembers() (local, remote, removed []membership.Member) {
 	self := g.Table.Self()
 	for _, member := range g.Table.Members() {
-		pool := &far
+		class := &remote
 		if !member.Present() {
-			pool = &gone
+			class = &removed
 		} else if member.Zone == self.Zone {
-			pool = &near
+			class = &local
 		}
 		if member.Address != self.Address && member.State != membership.Left {
-			*pool = append(*pool, member)
+			*class = append(*class, member)
 		}
 	}
-	return near, far, gone
-}
-
-// SetSeeds replaces the seeds.
-func (g *Gossiper) SetSeeds(seeds []ids.Address) {
-	g.reloadedSeeds.Store(&seeds)
-}
-
-func (g *Gossiper) seeds() []ids.Address {
-	if fresh := g.reloadedSeeds.Load(); fresh != nil {
-		return *fresh
-	}
-	return g.Seeds
+	return local, remote, removed
 }
--- a/control/gossip/push.go
+++ b/control/gossip/push.go
@@ -8,187 +8,137 @@
 
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/control/transport"
 )
 
-// Targets is what a daemon is asked to reach with the news that it is handed:
-// regions by one relay in each, zones likewise, and members itself. Each daemon
-// splits its duty over a few others, so nobody sends to more than the fan-out.
-type Targets struct {
-	Regions []ids.Region  `avro:"Regions"`
-	Zones   []ids.Zone    `avro:"Zones"`
-	Members []ids.Address `avro:"Members"`
-	// BackboneOnly says that of a zone's members only the backbone wants the news.
-	BackboneOnly bool `avro:"Backbone"`
-}
-
-// SchemaName names the stored and sent form; it must never change.
-func (Targets) SchemaName() string { return "Duty_23" }
+// PushStats counts the pushes that this daemon sent, those that failed, and the
+// ones that it received and sent on.
+type PushStats struct{ Pushed, Failed, Relayed atomic.Int64 }
 
-// PushRequest hands news down the tier.
-type PushRequest struct {
-	From    ids.Address `avro:"From"`
-	Items   []Item      `avro:"Items"`
-	Targets Targets     `avro:"Duty"`
+// Push sends items to all targets that should hold them. It returns once each
+// part was handed on or given up; what is given up is left to exchanges.
+func (g *Gossiper) Push(ctx scope.Scope, items []Item, targets Targets) {
+	for filter, group := range groupByFilter(items) {
+		g.pushGroup(ctx, group, filter.apply(g, targets))
+	}
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (PushRequest) SchemaName() string { return "PushAsk_23" }
-
-// PushResponse answers it: how many of the items were new.
-type PushResponse struct {
-	Accepted int64 `avro:"Taken"`
+// pushGroup sends items that the same members should hold.
+func (g *Gossiper) pushGroup(ctx scope.Scope, items []Item, targets Targets) {
+	var deliveries sync.WaitGroup
+	for _, part := range g.splitTargets(targets) {
+		deliveries.Add(1)
+		g.spawn(func() {
+			defer deliveries.Done()
+			g.deliver(ctx, items, part)
+		})
+	}
+	deliveries.Wait()
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (PushResponse) SchemaName() string { return "PushTold_23" }
-
-// PushStats are what went through the tier here.
-type PushStats struct{ Pushed, Failed, Relayed atomic.Int64 }
-
-// allTargets is the duty of the daemon that made an item.
-func (g *Gossiper) allTargets() Targets {
-	regions := map[ids.Region]bool{}
-	duty := Targets{}
-	for _, region := range g.Zones {
-		if !regions[region] {
-			regions[region] = true
-			duty.Regions = append(duty.Regions, region)
+// deliver sends one delivery to the first candidate that takes it; where none
+// does, what remains is split anew.
+func (g *Gossiper) deliver(ctx scope.Scope, items []Item, part delivery) {
+	for _, candidate := range part.candidates[:min(maxDeliveryAttempts, len(part.candidates))] {
+		if err := g.sendPush(ctx, candidate, items, part.targets(candidate)); err == nil {
+			g.Stats.Pushed.Add(1)
+			return
+		}
+		g.Stats.Failed.Add(1)
+		if ctx.Err() != nil {
+			return
 		}
 	}
-	slices.Sort(duty.Regions)
-	return duty
+	if !part.remainder.empty() {
+		g.Push(ctx, items, part.remainder)
+	}
 }
 
-// forward hands what came by comparing digests to the zone: a relay pushes it to
-// the members, any other daemon has a relay compare with it.
-func (g *Gossiper) forward(ctx scope.Scope, items []Item) {
-	self := g.Table.Self()
-	if self.Relay {
-		g.spawn(func() { g.Push(ctx, items, Targets{Zones: []ids.Zone{self.Zone}}) })
-		return
-	}
-	for _, relay := range g.Table.Relays(self.Zone, 1) {
-		go g.Exchange(ctx, relay.Address)
-	}
+func (g *Gossiper) sendPush(ctx scope.Scope, address ids.Address, items []Item, targets Targets) error {
+	short, cancel := ctx.WithTimeout(g.Interval)
+	defer cancel()
+	return g.remote().Push(short, address, PushRequest{From: g.Table.Self().Address, Items: items, Targets: targets})
 }
 
-// handlePush takes news that was handed down and goes on with the duty at once,
-// before the answer is sent: the sender need not wait for it.
-func (g *Gossiper) handlePush(ctx scope.Scope, asked PushRequest) PushResponse {
-	told := PushResponse{}
-	for _, item := range asked.Items {
+// handlePush takes items that were pushed here and starts to send them on. It
+// doesn't wait for that, so that the sender need not; hence the sending outlasts
+// the call. It ends by itself: each attempt has a timeout, and each further level
+// less to reach.
+func (g *Gossiper) handlePush(ctx scope.Scope, req PushRequest) PushResponse {
+	resp := PushResponse{}
+	for _, item := range req.Items {
 		if g.Store.receive(item, nil) {
-			told.Accepted++
+			resp.Accepted++
 		}
 	}
-	if len(asked.Targets.Regions)+len(asked.Targets.Zones)+len(asked.Targets.Members) > 0 {
+	if !req.Targets.empty() {
 		g.Stats.Relayed.Add(1)
-		g.spawn(func() { g.Push(ctx.WithoutCancel(), asked.Items, g.withoutSender(asked)) })
+		g.spawn(func() { g.Push(ctx.WithoutCancel(), req.Items, withoutSender(req)) })
 	}
-	return told
+	return resp
 }
 
-// withoutSender leaves the sender out of a duty: it has the news.
-func (g *Gossiper) withoutSender(asked PushRequest) Targets {
-	duty := asked.Targets
-	duty.Members = slices.DeleteFunc(slices.Clone(duty.Members), func(member ids.Address) bool { return member == asked.From })
-	return duty
+// withoutSender returns the targets of a push but for its sender, which has the
+// items.
+func withoutSender(req PushRequest) Targets {
+	targets := req.Targets
+	targets.Members = slices.DeleteFunc(slices.Clone(targets.Members), func(member ids.Address) bool { return member == req.From })
+	return targets
 }
 
-// Push brings items to all that the duty names, and returns when each part was
-// handed on or given up: what is given up is mended by comparing digests.
-func (g *Gossiper) Push(ctx scope.Scope, items []Item, duty Targets) {
-	for narrowed, some := range g.groupByFilter(items) {
-		g.pushGroup(ctx, some, narrowed.apply(g, duty))
-	}
-}
-
-func (g *Gossiper) pushGroup(ctx scope.Scope, items []Item, duty Targets) {
-	var group sync.WaitGroup
-	for _, part := range g.splitTargets(duty) {
-		group.Add(1)
-		g.spawn(func() {
-			defer group.Done()
-			g.deliver(ctx, items, part)
-		})
+// forward spreads what came by an exchange in the own zone: a relay pushes it to
+// the members, any other daemon exchanges with a relay.
+func (g *Gossiper) forward(ctx scope.Scope, items []Item) {
+	self := g.Table.Self()
+	if self.Relay {
+		g.Push(ctx, items, Targets{Zones: []ids.Zone{self.Zone}})
+		return
 	}
-	group.Wait()
-}
-
-// groupByFilter sorts items by who should hold them; each scope narrows a duty to these.
-func (g *Gossiper) groupByFilter(items []Item) map[*targetFilter][]Item {
-	sorted := map[*targetFilter][]Item{}
-	for _, item := range items {
-		for _, scope := range targetFilters {
-			if strings.HasPrefix(item.Key, scope.prefix) {
-				sorted[scope] = append(sorted[scope], item)
-				break
-			}
-		}
+	for _, relay := range g.Table.Relays(self.Zone, 1) {
+		g.Exchange(ctx, relay.Address)
 	}
-	return sorted
 }
 
-// targetFilter narrows the duty of items whose keys begin with the prefix.
+// targetFilter narrows targets to those that should hold the items whose keys
+// begin with the prefix.
 type targetFilter struct {
 	prefix string
-	apply  func(spreader *Gossiper, duty Targets) Targets
-}
-
-// ownZoneOnly narrows a duty to the zone of this daemon.
-func ownZoneOnly(spreader *Gossiper, duty Targets) Targets {
-	if len(duty.Regions)+len(duty.Zones) == 0 {
-		return duty
-	}
-	return Targets{Zones: []ids.Zone{spreader.Table.Self().Zone}}
+	apply  func(g *Gossiper, targets Targets) Targets
 }
 
-// targetFilters are tried in this order; the last fits every key.
+// targetFilters are tried in this order; the last matches every key.
 var targetFilters = newTargetFilters()
 
 func newTargetFilters() []*targetFilter {
-	all := []*targetFilter{{BackbonePrefix, func(_ *Gossiper, duty Targets) Targets { duty.BackboneOnly = true; return duty }}}
+	filters := []*targetFilter{{BackbonePrefix, backboneOnly}}
 	for _, prefix := range zonePrefixes {
-		all = append(all, &targetFilter{prefix, ownZoneOnly})
+		filters = append(filters, &targetFilter{prefix, ownZoneOnly})
 	}
-	return append(all, &targetFilter{"", func(_ *Gossiper, duty Targets) Targets { return duty }})
+	return append(filters, &targetFilter{"", func(_ *Gossiper, targets Targets) Targets { return targets }})
 }
 
-// deliver sends one part to the first taker that answers soon; where none does,
-// the rest of the duty is split anew.
-func (g *Gossiper) deliver(ctx scope.Scope, items []Item, piece delivery) {
-	for _, taker := range piece.candidates[:min(maxDeliveryAttempts, len(piece.candidates))] {
-		short, release := ctx.WithTimeout(g.Interval)
-		asked := PushRequest{From: g.Table.Self().Address, Items: items, Targets: piece.targets(taker)}
-		err := g.sendPush(short, taker, asked)
-		release()
-		if err == nil {
-			g.Stats.Pushed.Add(1)
-			return
-		}
-		g.Stats.Failed.Add(1)
-		if ctx.Err() != nil {
-			return
-		}
-	}
-	if len(piece.remainder.Regions)+len(piece.remainder.Zones)+len(piece.remainder.Members) > 0 {
-		g.Push(ctx, items, piece.remainder)
-	}
+func backboneOnly(_ *Gossiper, targets Targets) Targets {
+	targets.BackboneOnly = true
+	return targets
 }
 
-func (g *Gossiper) spawn(act func()) {
-	if g.Spawn != nil {
-		g.Spawn(act)
-		return
+// ownZoneOnly narrows targets to the zone of this daemon.
+func ownZoneOnly(g *Gossiper, targets Targets) Targets {
+	if len(targets.Regions)+len(targets.Zones) == 0 {
+		return targets
 	}
-	go act()
+	return Targets{Zones: []ids.Zone{g.Table.Self().Zone}}
 }
 
-func (g *Gossiper) sendPush(ctx scope.Scope, taker ids.Address, asked PushRequest) error {
-	if g.SendPush != nil {
-		return g.SendPush(ctx, taker, asked)
+// groupByFilter groups items by the first filter that matches their keys.
+func groupByFilter(items []Item) map[*targetFilter][]Item {
+	groups := map[*targetFilter][]Item{}
+	for _, item := range items {
+		for _, filter := range targetFilters {
+			if strings.HasPrefix(item.Key, filter.prefix) {
+				groups[filter] = append(groups[filter], item)
+				break
+			}
+		}
 	}
-	_, err := transport.Send[PushResponse](ctx, g.Client, taker, "push", asked)
-	return err
+	return groups
 }
--- a/control/gossip/push_test.go
+++ b/control/gossip/push_test.go
@@ -14,8 +14,8 @@
 	"onyxwell/control/membership"
 )
 
-// cluster is many daemons without a network: each zone has one that serves
-// control and so many routers.
+// cluster is many daemons that call each other directly: each zone has one that
+// serves control and so many routers.
 type cluster struct {
 	clock        *clock.Fake
 	scope        scope.Scope
@@ -30,15 +30,15 @@
 
 const relaysPerZone = 2
 
-func newCluster(regions int, zonesOfRegion int, routers int) *cluster {
-	made := &cluster{
+func newCluster(regions int, zonesPerRegion int, routers int) *cluster {
+	c := &cluster{
 		clock: clock.NewFake(), gossipers: map[ids.Address]*Gossiper{}, dead: map[ids.Address]bool{},
 		random: rand.New(rand.NewPCG(7, 11)), messagesSent: map[ids.Address]int{}, bytesSent: map[ids.Address]int{},
 	}
-	made.scope = scope.New(scope.Options{Clock: made.clock})
+	c.scope = scope.New(scope.Options{Clock: c.clock})
 	zones := map[ids.Zone]ids.Region{}
 	for region := range regions {
-		for zone := range zonesOfRegion {
+		for zone := range zonesPerRegion {
 			zones[ids.Zone(fmt.Sprintf("r%d-z%d", region, zone))] = ids.Region(fmt.Sprintf("r%d", region))
 		}
 	}
@@ -49,42 +49,52 @@
 			if index == 0 {
 				self.LinkMbps = 100
 			}
-			made.add(self, zones)
+			c.add(self, zones)
 		}
 	}
-	made.shareMembership()
-	return made
+	c.shareMembership()
+	return c
 }
 
 func (c *cluster) add(self membership.Member, zones map[ids.Zone]ids.Region) {
-	spreader := &Gossiper{
+	c.gossipers[self.Address] = &Gossiper{
 		Store: NewStore(nil), Table: membership.NewTable(c.clock, self), Zones: zones,
 		RelaysPerZone: relaysPerZone, Fanout: 8, Interval: clock.Second, Timeout: clock.Second,
-		Spawn: func(act func()) { act() },
+		inline: true, peers: clusterPeers{cluster: c, self: self.Address},
 	}
-	spreader.SendPush = func(ctx scope.Scope, taker ids.Address, asked PushRequest) error {
-		c.messagesSent[self.Address]++
-		for _, item := range asked.Items {
-			c.bytesSent[self.Address] += len(item.Body)
-		}
-		if c.dead[taker] || c.dead[self.Address] || c.random.Float64() < c.lossRate {
-			return errors.New("estate: lost")
-		}
-		c.gossipers[taker].handlePush(ctx, asked)
-		return nil
-	}
-	c.gossipers[self.Address] = spreader
 	c.addresses = append(c.addresses, self.Address)
 }
 
+// clusterPeers are the other daemons of a cluster as one of them reaches them. It
+// sends them pushes alone: any other message panics.
+type clusterPeers struct {
+	peers
+	cluster *cluster
+	self    ids.Address
+}
+
+// Push implements peers.
+func (p clusterPeers) Push(ctx scope.Scope, address ids.Address, req PushRequest) error {
+	c := p.cluster
+	c.messagesSent[p.self]++
+	for _, item := range req.Items {
+		c.bytesSent[p.self] += len(item.Body)
+	}
+	if c.dead[address] || c.dead[p.self] || c.random.Float64() < c.lossRate {
+		return errors.New("push lost")
+	}
+	c.gossipers[address].handlePush(ctx, req)
+	return nil
+}
+
 // shareMembership has all know whom they should know, and the relays say what they are.
 func (c *cluster) shareMembership() {
 	var all []membership.Member
 	for _, address := range c.addresses {
 		all = append(all, c.gossipers[address].Table.Self())
 	}
-	for _, spreader := range c.gossipers {
-		spreader.Table.Merge(all)
+	for _, gossiper := range c.gossipers {
+		gossiper.Table.Merge(all)
 	}
 	c.clock.Advance(clock.Second)
 	all = nil
@@ -92,67 +102,67 @@
 		c.gossipers[address].Table.UpdateRelayRole(relaysPerZone, 0)
 		all = append(all, c.gossipers[address].Table.Self())
 	}
-	for _, spreader := range c.gossipers {
-		spreader.Table.Merge(all)
+	for _, gossiper := range c.gossipers {
+		gossiper.Table.Merge(all)
 	}
 }
 
 func (c *cluster) publish(origin ids.Address, item Item) {
-	spreader := c.gossipers[origin]
-	spreader.Store.Put(item)
-	spreader.Push(c.scope, spreader.Store.takePending(spreader.Store.localUpdates), spreader.allTargets())
+	gossiper := c.gossipers[origin]
+	gossiper.Store.Put(item)
+	gossiper.Push(c.scope, gossiper.Store.takePending(gossiper.Store.localUpdates), gossiper.allTargets())
 }
 
 func (c *cluster) missing(key string) []ids.Address {
-	var found []ids.Address
+	var missing []ids.Address
 	for _, address := range c.addresses {
-		if _, held := c.gossipers[address].Store.Get(key); !held && !c.dead[address] {
-			found = append(found, address)
+		if _, ok := c.gossipers[address].Store.Get(key); !ok && !c.dead[address] {
+			missing = append(missing, address)
 		}
 	}
-	return found
+	return missing
 }
 
 // runAntiEntropy lets every daemon compare digests with one partner.
 func (c *cluster) runAntiEntropy() {
 	for _, address := range c.addresses {
 		from := c.gossipers[address]
-		partner, found := from.choosePartner()
-		if !found || c.dead[address] || c.dead[partner] || c.gossipers[partner] == nil {
+		partner, ok := from.choosePartner()
+		if !ok || c.dead[address] || c.dead[partner] || c.gossipers[partner] == nil {
 			continue
 		}
 		to := c.gossipers[partner]
-		items, wanted := to.Store.Diff(from.Store.Versions(from.commonScope(to.Table.Self())), to.commonScope(from.Table.Self()))
+		items, wantedKeys := to.Store.Diff(from.Store.Versions(from.commonScope(to.Table.Self())), to.commonScope(from.Table.Self()))
 		from.receiveAll(items)
-		for _, key := range wanted {
+		for _, key := range wantedKeys {
 			item, _ := from.Store.wireItem(key)
 			to.receiveAll([]Item{item})
 		}
 	}
 }
 
-// TestPush_reachesEveryMemberOnce pushes one item through estates that
-// double: it reaches everybody at once, nobody sends more as the estate grows
+// TestPush_reachesEveryMemberOnce pushes one item through clusters that
+// double: it reaches everybody at once, nobody sends more as the cluster grows
 // beyond its zone, and each daemon gets it once.
 func TestPush_reachesEveryMemberOnce(t *testing.T) {
 	for _, size := range []struct{ regions, zones, routers int }{{3, 2, 15}, {6, 2, 15}, {12, 2, 15}, {27, 3, 14}} {
-		estate := newCluster(size.regions, size.zones, size.routers)
-		estate.publish(estate.addresses[0], Item{Key: "spec", Version: 1, Body: make([]byte, 100)})
-		if missing := estate.missing("spec"); len(missing) > 0 {
-			t.Errorf("%v: %d of %d daemons were not reached", size, len(missing), len(estate.addresses))
+		c := newCluster(size.regions, size.zones, size.routers)
+		c.publish(c.addresses[0], Item{Key: "spec", Version: 1, Body: make([]byte, 100)})
+		if missing := c.missing("spec"); len(missing) > 0 {
+			t.Errorf("%v: %d of %d daemons were not reached", size, len(missing), len(c.addresses))
 		}
 		messages, most := 0, 0
-		for _, count := range estate.messagesSent {
+		for _, count := range c.messagesSent {
 			messages, most = messages+count, max(most, count)
 		}
-		if messages != len(estate.addresses)-1 {
-			t.Errorf("%v: %d messages for %d daemons", size, messages, len(estate.addresses))
+		if messages != len(c.addresses)-1 {
+			t.Errorf("%v: %d messages for %d daemons", size, messages, len(c.addresses))
 		}
 		if most > 3*8 {
 			t.Errorf("%v: one daemon sent %d messages", size, most)
 		}
-		for _, address := range estate.addresses {
-			table := estate.gossipers[address].Table
+		for _, address := range c.addresses {
+			table := c.gossipers[address].Table
 			if known := len(table.Members()); known > size.routers+1+2*size.regions*size.zones+2 {
 				t.Fatalf("%v: %s knows %d members", size, address, known)
 			}
@@ -161,24 +171,24 @@
 }
 
 // TestAntiEntropy_repairsLostPushes loses a fifth of all pushes, and has both relays of
-// a zone die in the middle: comparing digests finds what the tier lost.
+// a zone die in the middle: comparing digests finds what the pushes lost.
 func TestAntiEntropy_repairsLostPushes(t *testing.T) {
-	estate := newCluster(3, 2, 15)
+	c := newCluster(3, 2, 15)
 	other := ids.Zone("r1-z1")
-	for _, relay := range estate.gossipers[ids.Address(other+"-1:1")].Table.Relays(other, relaysPerZone) {
-		estate.dead[relay.Address] = true
+	for _, relay := range c.gossipers[ids.Address(other+"-1:1")].Table.Relays(other, relaysPerZone) {
+		c.dead[relay.Address] = true
 	}
-	estate.lossRate = 0.2
-	estate.publish(estate.addresses[0], Item{Key: "spec", Version: 1, Body: make([]byte, 5000)})
+	c.lossRate = 0.2
+	c.publish(c.addresses[0], Item{Key: "spec", Version: 1, Body: make([]byte, 5000)})
 	rounds := 0
-	for ; len(estate.missing("spec")) > 0; rounds++ {
+	for ; len(c.missing("spec")) > 0; rounds++ {
 		if rounds > 40 {
-			t.Fatalf("%d daemons never got it", len(estate.missing("spec")))
+			t.Fatalf("%d daemons never got it", len(c.missing("spec")))
 		}
-		estate.runAntiEntropy()
+		c.runAntiEntropy()
 	}
 	t.Logf("mended after %d rounds of digests", rounds)
-	item, _ := estate.gossipers[estate.addresses[len(estate.addresses)-1]].Store.Get("spec")
+	item, _ := c.gossipers[c.addresses[len(c.addresses)-1]].Store.Get("spec")
 	if len(item.Body) != 5000 {
 		t.Fatalf("the body is %d bytes long", len(item.Body))
 	}
@@ -186,37 +196,37 @@
 
 // TestPush_keepsBackboneItemsInBackbone pushes what only the backbone holds.
 func TestPush_keepsBackboneItemsInBackbone(t *testing.T) {
-	estate := newCluster(3, 2, 15)
-	estate.publish(estate.addresses[0], Item{Key: BackbonePrefix + "z", Version: 1})
-	for _, address := range estate.addresses {
-		_, held := estate.gossipers[address].Store.Get(BackbonePrefix + "z")
-		if backbone := estate.gossipers[address].Table.Self().Backbone(); held != backbone && address != estate.addresses[0] {
-			t.Errorf("%s: held %v, of the backbone %v", address, held, backbone)
+	c := newCluster(3, 2, 15)
+	c.publish(c.addresses[0], Item{Key: BackbonePrefix + "z", Version: 1})
+	for _, address := range c.addresses {
+		_, ok := c.gossipers[address].Store.Get(BackbonePrefix + "z")
+		if backbone := c.gossipers[address].Table.Self().Backbone(); ok != backbone && address != c.addresses[0] {
+			t.Errorf("%s: held %v, of the backbone %v", address, ok, backbone)
 		}
 	}
 }
 
 // TestPush_keepsZoneItemsInZone pushes what concerns one zone only.
 func TestPush_keepsZoneItemsInZone(t *testing.T) {
-	estate := newCluster(3, 2, 15)
-	zone := estate.gossipers[estate.addresses[0]].Table.Self().Zone
-	estate.publish(estate.addresses[0], Item{Key: ZonePrefix + string(zone), Version: 1})
-	estate.runAntiEntropy()
-	for _, address := range estate.addresses {
-		_, held := estate.gossipers[address].Store.Get(ZonePrefix + string(zone))
-		if own := estate.gossipers[address].Table.Self().Zone == zone; held != own {
-			t.Errorf("%s: held %v, of the zone %v", address, held, own)
+	c := newCluster(3, 2, 15)
+	zone := c.gossipers[c.addresses[0]].Table.Self().Zone
+	c.publish(c.addresses[0], Item{Key: ZonePrefix + string(zone), Version: 1})
+	c.runAntiEntropy()
+	for _, address := range c.addresses {
+		_, ok := c.gossipers[address].Store.Get(ZonePrefix + string(zone))
+		if own := c.gossipers[address].Table.Self().Zone == zone; ok != own {
+			t.Errorf("%s: held %v, of the zone %v", address, ok, own)
 		}
 	}
 }
 
 // TestStore_dropsUndecodableItem takes an item that can't be unpacked.
 func TestStore_dropsUndecodableItem(t *testing.T) {
-	news := NewStore(nil)
-	if news.receive(Item{Key: "spec", Version: 9, Body: []byte("no deflate"), Compressed: true}, nil) {
+	store := NewStore(nil)
+	if store.receive(Item{Key: "spec", Version: 9, Body: []byte("no deflate"), Compressed: true}, nil) {
 		t.Fatal("a broken body was taken")
 	}
-	if _, found := news.Get("spec"); found {
+	if _, ok := store.Get("spec"); ok {
 		t.Fatal("a broken body is held")
 	}
 }
--- a/control/gossip/store.go
+++ b/control/gossip/store.go
@@ -1,72 +1,68 @@
-// Package gossip passes news on: every daemon keeps the newest item of each
-// key, tells a few others at once when it learns one, and mends gaps by
-// comparing digests with a partner now and then.
 package gossip
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"strings"
 	"sync"
 
 	"onyxwell/base/compress"
-	"onyxwell/base/ids"
 	"onyxwell/control/membership"
 )
 
-// Item is one piece of news; of one key the highest serial counts. Packed says
-// that the body is compressed, as it travels between daemons.
-type Item struct {
-	Key        string     `avro:"Key"`
-	Version    ids.Serial `avro:"Serial"`
-	Body       []byte     `avro:"Body"`
-	Compressed bool       `avro:"Packed"`
+// Store holds the newest item of each key. It is safe for concurrent use.
+type Store struct {
+	mu       sync.Mutex
+	items    map[string]entry
+	onUpdate func(item Item)
+	// localUpdates are the keys that were put here, remoteUpdates those that came
+	// by an exchange; each is to be pushed on yet.
+	localUpdates  *updateQueue
+	remoteUpdates *updateQueue
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (Item) SchemaName() string { return "Item_23" }
+// entry is an item as it is read here and as it is on the wire.
+type entry struct {
+	Item
+	wire Item
+}
 
-// ItemVersion names an item without its body.
-type ItemVersion struct {
-	Key     string     `avro:"Key"`
-	Version ids.Serial `avro:"Serial"`
+// updateQueue is a set of keys and the signal that it isn't empty. The store's mu
+// guards the keys.
+type updateQueue struct {
+	wake chan struct{}
+	keys map[string]bool
 }
 
-// SchemaName names the stored and sent form; it must never change.
-func (ItemVersion) SchemaName() string { return "Mark_23" }
+func newUpdateQueue() *updateQueue {
+	return &updateQueue{wake: make(chan struct{}, 1), keys: map[string]bool{}}
+}
 
-// Store holds the newest item of each key.
-type Store struct {
-	mu    sync.Mutex
-	items map[string]entry
-	// pending are the keys made or heard here that were not yet pushed on.
-	pending map[chan struct{}]map[string]bool
-	// OnUpdate is told each item that is new here, in rising order of serial for
-	// each key; set it before the first Put.
-	OnUpdate      func(item Item)
-	localUpdates  chan struct{}
-	remoteUpdates chan struct{}
-}
-
-// NewStore makes an empty store of news.
-func NewStore(fresh func(Item)) *Store {
-	if fresh == nil {
-		fresh = func(Item) {}
+func (q *updateQueue) add(key string) {
+	q.keys[key] = true
+	select {
+	case q.wake <- struct{}{}:
+	default:
 	}
-	made := &Store{items: map[string]entry{}, OnUpdate: fresh, localUpdates: make(chan struct{}, 1), remoteUpdates: make(chan struct{}, 1)}
-	made.pending = map[chan struct{}]map[string]bool{made.localUpdates: {}, made.remoteUpdates: {}}
-	return made
 }
 
-// entry is an item as it is read here and as it travels.
-type entry struct {
-	Item
-	wire Item
+// NewStore returns an empty store. It calls onUpdate, which may be nil, with each
+// item that is new here, in rising order of version for each key. The function is
+// called with the store locked: it must neither call the store nor block.
+func NewStore(onUpdate func(Item)) *Store {
+	if onUpdate == nil {
+		onUpdate = func(Item) {}
+	}
+	return &Store{
+		items: map[string]entry{}, onUpdate: onUpdate,
+		localUpdates: newUpdateQueue(), remoteUpdates: newUpdateQueue(),
+	}
 }
 
-// Put takes an item that this daemon made; it tells whether it was newer than
-// what was known.
+// Put takes an item that this daemon made, to be pushed to all that should hold
+// it. It reports whether the item was newer than the known one.
 func (s *Store) Put(item Item) bool {
-	if known, found := s.Get(item.Key); found && item.Version <= known.Version {
+	if !s.newer(item) {
 		return false
 	}
 	if item.Compressed {
@@ -77,95 +73,101 @@
 	return s.apply(entry{Item: item, wire: wire}, s.localUpdates)
 }
 
-// receive takes an item that came from another daemon. One that can't be unpacked
-// is dropped. Only what came by comparing digests wakes this daemon: what was
-// pushed is on its way to the others already.
-func (s *Store) receive(item Item, wake chan struct{}) bool {
-	if known, found := s.Get(item.Key); found && item.Version <= known.Version {
+// receive takes an item off the wire, and reports whether it was newer; one that
+// can't be decompressed is dropped. queue is nil for an item that was pushed,
+// which is on its way to the others already.
+func (s *Store) receive(item Item, queue *updateQueue) bool {
+	if !s.newer(item) {
 		return false
 	}
-	plain := item
 	body, err := compress.Decode(item.Body, item.Compressed)
 	if err != nil {
 		return false
 	}
+	plain := item
 	plain.Body, plain.Compressed = body, false
-	return s.apply(entry{Item: plain, wire: item}, wake)
+	return s.apply(entry{Item: plain, wire: item}, queue)
 }
 
-// apply keeps an item and wakes those who pass on what was made or heard.
-func (s *Store) apply(item entry, wake chan struct{}) bool {
+// newer spares the compression of an item that isn't; apply decides.
+func (s *Store) newer(item Item) bool {
+	known, ok := s.Get(item.Key)
+	return !ok || item.Version > known.Version
+}
+
+// apply keeps an item if it is newer, and queues it to be pushed on.
+func (s *Store) apply(item entry, queue *updateQueue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, found := s.items[item.Key]
-	if found && item.Version <= known.Version {
+	known, ok := s.items[item.Key]
+	if ok && item.Version <= known.Version {
 		return false
 	}
 	s.items[item.Key] = item
-	s.OnUpdate(item.Item)
-	if wake == nil {
-		return true
-	}
-	s.pending[wake][item.Key] = true
-	select {
-	case wake <- struct{}{}:
-	default:
+	s.onUpdate(item.Item)
+	if queue != nil {
+		queue.add(item.Key)
 	}
 	return true
 }
 
-// takePending gives what is to be passed on, as it travels: of each key the newest.
-func (s *Store) takePending(wake chan struct{}) []Item {
+// takePending empties a queue and returns the newest items of its keys as they
+// are on the wire, in the order of the keys.
+func (s *Store) takePending(queue *updateQueue) []Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var items []Item
-	for key := range s.pending[wake] {
+	for key := range queue.keys {
 		items = append(items, s.items[key].wire)
 	}
-	clear(s.pending[wake])
-	sort.Slice(items, func(left, right int) bool { return items[left].Key < items[right].Key })
+	clear(queue.keys)
+	slices.SortFunc(items, compareKeys)
 	return items
 }
 
-// Get gives the item of a key.
+func compareKeys(a, b Item) int { return cmp.Compare(a.Key, b.Key) }
+
+// Get returns the item of a key, and whether there is one.
 func (s *Store) Get(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	item, found := s.items[key]
-	return item.Item, found
+	known, ok := s.items[key]
+	return known.Item, ok
 }
 
-// wireItem gives the item of a key as it travels.
+// wireItem returns the item of a key as it is on the wire.
 func (s *Store) wireItem(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	item, found := s.items[key]
-	return item.wire, found
+	known, ok := s.items[key]
+	return known.wire, ok
 }
 
-// Empty tells whether nothing is known yet.
+// Empty reports whether the store holds no item.
 func (s *Store) Empty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.items) == 0
 }
 
-// WithPrefix gives the items whose keys begin so, in the order of their keys.
+// WithPrefix returns the items whose keys begin with the prefix, in the order of
+// the keys.
 func (s *Store) WithPrefix(prefix string) []Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var items []Item
-	for key, item := range s.items {
+	for key, known := range s.items {
 		if strings.HasPrefix(key, prefix) {
-			items = append(items, item.Item)
+			items = append(items, known.Item)
 		}
 	}
-	sort.Slice(items, func(left, right int) bool { return items[left].Key < items[right].Key })
+	slices.SortFunc(items, compareKeys)
 	return items
 }
 
-// The keys of some items begin so: those that only the backbone holds, and those
-// of one zone, whose name follows.
+// Prefixes of the keys whose items not everybody holds. BackbonePrefix is for
+// those that only the backbone holds; after the others comes the name of the zone
+// that alone holds the item.
 const (
 	BackbonePrefix = "view/"
 	ZonePrefix     = "rest/"
@@ -173,15 +175,14 @@
 	LostPrefix     = "lost/"
 )
 
-// zonePrefixes begin the keys of items that only the daemons of one zone hold.
 var zonePrefixes = []string{ZonePrefix, LocalPrefix, LostPrefix}
 
-// shouldHold tells whether a daemon should hold an item of that key.
-func shouldHold(key string, who membership.Member) bool {
+// shouldHold reports whether a member should hold the item of a key.
+func shouldHold(key string, member membership.Member) bool {
 	for _, prefix := range zonePrefixes {
-		if zone, own := strings.CutPrefix(key, prefix); own {
-			return zone == string(who.Zone)
+		if zone, ok := strings.CutPrefix(key, prefix); ok {
+			return zone == string(member.Zone)
 		}
 	}
-	return who.Backbone() || !strings.HasPrefix(key, BackbonePrefix)
+	return member.Backbone() || !strings.HasPrefix(key, BackbonePrefix)
 }
--- a/control/gossip/store_test.go
+++ b/control/gossip/store_test.go
@@ -21,7 +21,7 @@
 func TestStore_versionsOnlyIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newest := map[string]ids.Serial{}
-		news := NewStore(func(item Item) {
+		store := NewStore(func(item Item) {
 			if item.Version <= newest[item.Key] {
 				t.Fatalf("%s went from %d to %d", item.Key, newest[item.Key], item.Version)
 			}
@@ -31,11 +31,11 @@
 		for range rapid.IntRange(1, 40).Draw(t, "count") {
 			key := rapid.SampledFrom([]string{"spec", "plan"}).Draw(t, "key")
 			serial := ids.Serial(rapid.IntRange(1, 20).Draw(t, "serial"))
-			news.Put(Item{Key: key, Version: serial})
+			store.Put(Item{Key: key, Version: serial})
 			highest[key] = max(highest[key], serial)
 		}
 		for key, serial := range highest {
-			if item, _ := news.Get(key); item.Version != serial {
+			if item, _ := store.Get(key); item.Version != serial {
 				t.Fatalf("%s: %d, not %d", key, item.Version, serial)
 			}
 		}
@@ -46,35 +46,35 @@
 // of them all know the newest of everything.
 func TestStoreDiff_converges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []*Store
+		var stores []*Store
 		for range 5 {
-			all = append(all, NewStore(nil))
+			stores = append(stores, NewStore(nil))
 		}
 		for index := range rapid.IntRange(1, 20).Draw(t, "items") {
-			where := rapid.IntRange(0, len(all)-1).Draw(t, "where")
-			all[where].Put(Item{Key: fmt.Sprint(index % 4), Version: ids.Serial(index + 1), Body: []byte{byte(index)}})
+			where := rapid.IntRange(0, len(stores)-1).Draw(t, "where")
+			stores[where].Put(Item{Key: fmt.Sprint(index % 4), Version: ids.Serial(index + 1), Body: []byte{byte(index)}})
 		}
 		exchange := func(from *Store, to *Store) {
-			items, wanted := to.Diff(from.Versions(backboneMember), backboneMember)
-			if same := from.Digest(backboneMember) == to.Digest(backboneMember); same != (len(items)+len(wanted) == 0) {
-				t.Fatalf("digests agree: %v, though %v and %v differ", same, items, wanted)
+			items, wantedKeys := to.Diff(from.Versions(backboneMember), backboneMember)
+			if same := from.Digest(backboneMember) == to.Digest(backboneMember); same != (len(items)+len(wantedKeys) == 0) {
+				t.Fatalf("digests agree: %v, though %v and %v differ", same, items, wantedKeys)
 			}
 			for _, item := range items {
 				from.receive(item, nil)
 			}
-			for _, key := range wanted {
+			for _, key := range wantedKeys {
 				item, _ := from.Get(key)
 				to.Put(item)
 			}
 		}
 		for range 2 {
-			for index := range all {
-				exchange(all[index], all[(index+1)%len(all)])
+			for index := range stores {
+				exchange(stores[index], stores[(index+1)%len(stores)])
 			}
 		}
-		for index := 1; index < len(all); index++ {
-			if items, wanted := all[index].Diff(all[0].Versions(backboneMember), backboneMember); len(items)+len(wanted) != 0 {
-				t.Fatalf("%d still differs from the first: %v %v", index, items, wanted)
+		for index := 1; index < len(stores); index++ {
+			if items, wantedKeys := stores[index].Diff(stores[0].Versions(backboneMember), backboneMember); len(items)+len(wantedKeys) != 0 {
+				t.Fatalf("%d still differs from the first: %v %v", index, items, wantedKeys)
 			}
 		}
 	})
--- a/control/gossip/targets.go
+++ b/control/gossip/targets.go
@@ -8,97 +8,136 @@
 	"onyxwell/control/membership"
 )
 
-// delivery is one sending: the daemons that may do it, the best first, what each of
-// them is to reach, and what is left to reach when none of them answers.
+// maxDeliveryAttempts bounds the candidates that are tried for one delivery.
+const maxDeliveryAttempts = 3
+
+// delivery is one message of a push: the daemons that may take it, the preferred
+// one first, what each of them is to reach, and what remains to be reached when
+// none of them takes it.
 type delivery struct {
 	candidates []ids.Address
-	targets    func(taker ids.Address) Targets
+	targets    func(candidate ids.Address) Targets
 	remainder  Targets
 }
 
-// splitTargets cuts a duty into parts. The own region's zones and the own zone's
-// members are this daemon's to split further.
-func (g *Gossiper) splitTargets(duty Targets) []delivery {
-	self := g.Table.Self()
-	var parts []delivery
-	for _, chunk := range chunks(g.expandOwnRegion(&duty), g.Fanout) {
-		parts = append(parts, delivery{
+// allTargets returns the targets of a daemon that made an item.
+func (g *Gossiper) allTargets() Targets {
+	seen := map[ids.Region]bool{}
+	targets := Targets{}
+	for _, region := range g.Zones {
+		if !seen[region] {
+			seen[region] = true
+			targets.Regions = append(targets.Regions, region)
+		}
+	}
+	slices.Sort(targets.Regions)
+	return targets
+}
+
+// splitTargets splits targets into deliveries, at most the fan-out each of
+// regions, zones and members. The own region is split into its zones here, and
+// the own zone into its members.
+func (g *Gossiper) splitTargets(targets Targets) []delivery {
+	deliveries := g.regionDeliveries(g.expandOwnRegion(&targets), targets.BackboneOnly)
+	deliveries = append(deliveries, g.zoneDeliveries(g.expandOwnZone(&targets), targets.BackboneOnly)...)
+	return append(deliveries, g.memberDeliveries(targets.Members)...)
+}
+
+func (g *Gossiper) regionDeliveries(regions []ids.Region, backboneOnly bool) []delivery {
+	var deliveries []delivery
+	for _, chunk := range chunks(regions, g.Fanout) {
+		deliveries = append(deliveries, delivery{
 			candidates: g.backboneCandidates(func(zone ids.Zone) bool { return g.Zones[zone] == chunk[0] }),
-			targets:    func(ids.Address) Targets { return Targets{Regions: chunk, BackboneOnly: duty.BackboneOnly} },
-			remainder:  Targets{Regions: chunk[1:], BackboneOnly: duty.BackboneOnly},
+			targets:    func(ids.Address) Targets { return Targets{Regions: chunk, BackboneOnly: backboneOnly} },
+			remainder:  Targets{Regions: chunk[1:], BackboneOnly: backboneOnly},
 		})
 	}
-	for _, chunk := range chunks(g.expandOwnZone(&duty), g.Fanout) {
-		parts = append(parts, delivery{
+	return deliveries
+}
+
+func (g *Gossiper) zoneDeliveries(zones []ids.Zone, backboneOnly bool) []delivery {
+	var deliveries []delivery
+	for _, chunk := range chunks(zones, g.Fanout) {
+		deliveries = append(deliveries, delivery{
 			candidates: g.backboneCandidates(func(zone ids.Zone) bool { return zone == chunk[0] }),
-			targets:    func(ids.Address) Targets { return Targets{Zones: chunk, BackboneOnly: duty.BackboneOnly} },
-			remainder:  Targets{Zones: chunk[1:], BackboneOnly: duty.BackboneOnly},
+			targets:    func(ids.Address) Targets { return Targets{Zones: chunk, BackboneOnly: backboneOnly} },
+			remainder:  Targets{Zones: chunk[1:], BackboneOnly: backboneOnly},
 		})
 	}
-	members := slices.DeleteFunc(slices.Clone(duty.Members), func(member ids.Address) bool {
-		known, found := g.Table.Find(member)
-		return member == self.Address || (found && !known.Present())
+	return deliveries
+}
+
+// memberDeliveries splits members into chains: the first that takes a delivery
+// reaches those after it.
+func (g *Gossiper) memberDeliveries(addresses []ids.Address) []delivery {
+	self := g.Table.Self()
+	reachable := slices.DeleteFunc(slices.Clone(addresses), func(address ids.Address) bool {
+		known, ok := g.Table.Find(address)
+		return address == self.Address || (ok && !known.Present())
 	})
-	for _, chunk := range chunks(members, g.Fanout) {
-		parts = append(parts, delivery{
-			candidates: chunk[:min(maxDeliveryAttempts, len(chunk))],
-			targets:    func(taker ids.Address) Targets { return Targets{Members: chunk[slices.Index(chunk, taker)+1:]} },
-			remainder:  Targets{Members: chunk[min(maxDeliveryAttempts, len(chunk)):]},
+	var deliveries []delivery
+	for _, chunk := range chunks(reachable, g.Fanout) {
+		attempts := min(maxDeliveryAttempts, len(chunk))
+		deliveries = append(deliveries, delivery{
+			candidates: chunk[:attempts],
+			targets: func(candidate ids.Address) Targets {
+				return Targets{Members: chunk[slices.Index(chunk, candidate)+1:]}
+			},
+			remainder: Targets{Members: chunk[attempts:]},
 		})
 	}
-	return parts
+	return deliveries
 }
 
-// expandOwnRegion turns the own region of a duty into its zones and gives the others.
-func (g *Gossiper) expandOwnRegion(duty *Targets) []ids.Region {
+// expandOwnRegion turns the own region among the targets into its zones and
+// returns the other regions.
+func (g *Gossiper) expandOwnRegion(targets *Targets) []ids.Region {
 	self := g.Table.Self()
-	if slices.Contains(duty.Regions, self.Region) {
+	if slices.Contains(targets.Regions, self.Region) {
 		for zone, region := range g.Zones {
-			if region == self.Region && !slices.Contains(duty.Zones, zone) {
-				duty.Zones = append(duty.Zones, zone)
+			if region == self.Region && !slices.Contains(targets.Zones, zone) {
+				targets.Zones = append(targets.Zones, zone)
 			}
 		}
-		slices.Sort(duty.Zones)
+		slices.Sort(targets.Zones)
 	}
-	return slices.DeleteFunc(slices.Clone(duty.Regions), func(region ids.Region) bool { return region == self.Region })
+	return slices.DeleteFunc(slices.Clone(targets.Regions), func(region ids.Region) bool { return region == self.Region })
 }
 
-// expandOwnZone turns the own zone of a duty into its members and gives the others.
-func (g *Gossiper) expandOwnZone(duty *Targets) []ids.Zone {
+// expandOwnZone turns the own zone among the targets into its members and returns
+// the other zones.
+func (g *Gossiper) expandOwnZone(targets *Targets) []ids.Zone {
 	self := g.Table.Self()
-	if slices.Contains(duty.Zones, self.Zone) {
-		near, _, _ := g.classifyMembers()
-		for _, member := range near {
-			if !slices.Contains(duty.Members, member.Address) && (member.Backbone() || !duty.BackboneOnly) {
-				duty.Members = append(duty.Members, member.Address)
+	if slices.Contains(targets.Zones, self.Zone) {
+		local, _, _ := g.classifyMembers()
+		for _, member := range local {
+			if !slices.Contains(targets.Members, member.Address) && (member.Backbone() || !targets.BackboneOnly) {
+				targets.Members = append(targets.Members, member.Address)
 			}
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(duty.Zones), func(zone ids.Zone) bool { return zone == self.Zone })
+	return slices.DeleteFunc(slices.Clone(targets.Zones), func(zone ids.Zone) bool { return zone == self.Zone })
 }
 
-// backboneCandidates are the daemons of the backbone in zones that may pass news on there:
-// relays in any order, then the others.
-func (g *Gossiper) backboneCandidates(wanted func(ids.Zone) bool) []ids.Address {
-	var relays, rest []ids.Address
+// backboneCandidates returns the daemons of the backbone, in zones that match,
+// that may relay there: relays in random order, then the others.
+func (g *Gossiper) backboneCandidates(match func(ids.Zone) bool) []ids.Address {
+	var relays, others []ids.Address
 	for _, member := range g.Table.Members() {
-		if member.State != membership.Alive || !member.Backbone() || !wanted(member.Zone) {
+		if member.State != membership.Alive || !member.Backbone() || !match(member.Zone) {
 			continue
 		}
 		if member.Relay {
 			relays = append(relays, member.Address)
 		} else {
-			rest = append(rest, member.Address)
+			others = append(others, member.Address)
 		}
 	}
 	random.Shuffle(relays)
-	return append(relays, rest...)
+	return append(relays, others...)
 }
 
-// maxDeliveryAttempts is how many daemons are tried for one part.
-const maxDeliveryAttempts = 3
-
-// chunks cuts a list into at most so many even parts.
+// chunks splits a list into at most so many chunks of even length.
 func chunks[Element any](list []Element, most int) [][]Element {
 	if len(list) == 0 {
 		return nil
--- a/control/gossip/version.go
+++ b/control/gossip/version.go
@@ -6,21 +6,22 @@
 	"onyxwell/base/ids"
 )
 
-// PutNext makes an item of a key that more than one daemon may write, above the one
-// that is known.
+// PutNext puts a body under a key that several daemons may write, in a version
+// above the known one. It reports whether it was taken.
 func (s *Store) PutNext(key string, writer ids.Address, body []byte) bool {
 	known, _ := s.Get(key)
 	return s.Put(Item{Key: key, Version: NextVersion(known.Version, writer), Body: body})
 }
 
-// writerBits is how much of a serial tells writers apart.
+// writerBits is the number of low bits of a version that tell writers apart.
 const writerBits = 16
 
-// NextVersion gives a serial above the one that is known, for items that more
-// than one daemon may write: two that write at once get different ones, so that
-// one of them counts everywhere.
+// NextVersion returns a version above the known one, for keys that several
+// daemons may write: the counter in the high bits rises by one, a hash of the
+// writer's address fills the low writerBits. So two that write at once get
+// different versions, and the same one of them counts everywhere.
 func NextVersion(known ids.Serial, writer ids.Address) ids.Serial {
-	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(writer))
-	return (known>>writerBits+1)<<writerBits | ids.Serial(digest.Sum64()>>(64-writerBits))
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(writer))
+	return (known>>writerBits+1)<<writerBits | ids.Serial(hash.Sum64()>>(64-writerBits))
 }
