--- a/control/membership/zonesummary/lost.go
+++ b/control/membership/zonesummary/lostzones.go
@@ -9,9 +9,9 @@
 	"onyxwell/control/transport"
 )
 
-// LostZones is the news of one zone on others: those whose backbone answered before and
-// does not now. Their runners are gone too, most likely; routers of the zone need
-// not find that out one request at a time.
+// LostZones is what a zone's backbone tells its zone of others: the zones whose
+// backbone was alive and is no more. Their runners are most likely gone too, and
+// routers need not detect that one request at a time.
 type LostZones struct {
 	Zones []ids.Zone `avro:"Zones"`
 }
@@ -19,14 +19,15 @@
 // SchemaName names the stored and sent form; it must never change.
 func (LostZones) SchemaName() string { return "Lost_25" }
 
-// LostZonesKey is the news key of what a zone's daemons are told of lost zones.
+// LostZonesKey returns the key under which a zone is told of lost zones.
 func LostZonesKey(zone ids.Zone) string { return gossip.LostPrefix + string(zone) }
 
-// UnmarshalLostZones reads the body of the news item.
+// UnmarshalLostZones decodes the body of the item of a LostZonesKey.
 func UnmarshalLostZones(body []byte) (LostZones, error) { return transport.Unmarshal[LostZones](body) }
 
-// findLostZones gives the zones of whose backbone nobody answers, though somebody did in
-// this daemon's life. A zone whose daemons all left in order is not lost.
+// findLostZones returns the other zones of whose backbone nobody is alive, though
+// somebody was since this daemon started. A zone whose daemons all left in order
+// is not lost.
 func (m *Manager) findLostZones() LostZones {
 	alive, silent := m.backboneHealth()
 	m.mu.Lock()
@@ -34,27 +35,27 @@
 	if m.seenAlive == nil {
 		m.seenAlive = map[ids.Zone]bool{}
 	}
-	var found LostZones
+	var lost LostZones
 	for zone := range m.Zones {
 		if alive[zone] {
 			m.seenAlive[zone] = true
 		} else if silent[zone] && m.seenAlive[zone] && zone != m.Table.Self().Zone {
-			found.Zones = append(found.Zones, zone)
+			lost.Zones = append(lost.Zones, zone)
 		}
 	}
-	slices.Sort(found.Zones)
-	return found
+	slices.Sort(lost.Zones)
+	return lost
 }
 
-// backboneHealth tells of each zone whether anybody of its backbone answers, and whether
-// anybody of it does not.
-func (m *Manager) backboneHealth() (answers map[ids.Zone]bool, silent map[ids.Zone]bool) {
-	answers, silent = map[ids.Zone]bool{}, map[ids.Zone]bool{}
+// backboneHealth returns the zones of whose backbone somebody is alive, and those
+// of whose backbone somebody is suspected or removed.
+func (m *Manager) backboneHealth() (alive, silent map[ids.Zone]bool) {
+	alive, silent = map[ids.Zone]bool{}, map[ids.Zone]bool{}
 	for _, member := range m.Table.Members() {
 		if member.Backbone() {
-			answers[member.Zone] = answers[member.Zone] || member.State == membership.Alive
+			alive[member.Zone] = alive[member.Zone] || member.State == membership.Alive
 			silent[member.Zone] = silent[member.Zone] || member.State == membership.Suspect || member.State == membership.Removed
 		}
 	}
-	return answers, silent
+	return alive, silent
 }
--- a/control/membership/zonesummary/manager.go
+++ b/control/membership/zonesummary/manager.go
@@ -1,6 +1,3 @@
-// Package zonesummary tells other zones what they need to know of a zone without
-// knowing its members: which of its routers clients may go to, and how many
-// routers there could be.
 package zonesummary
 
 import (
@@ -14,124 +11,141 @@
 	"onyxwell/control/transport"
 )
 
-// The keys of news begin so; the zone's name follows. Fronts are for the
-// backbone only, sizes for all.
+// The prefixes of the keys of what a zone publishes; the zone's name follows.
+// Endpoints are for the backbone alone, sizes for all daemons.
 const (
 	EndpointsPrefix = gossip.BackbonePrefix
 	SizePrefix      = "size/"
 )
 
-// RouterEndpoints are where clients of a zone may go: Able routers, and those that are
-// ready but reach no runner for some of their routes.
+// RouterEndpoints are the addresses at which the routers of a zone serve clients.
 type RouterEndpoints struct {
-	Zone     ids.Zone      `avro:"Zone"`
-	Ready    []ids.Address `avro:"Able"`
+	Zone  ids.Zone      `avro:"Zone"`
+	Ready []ids.Address `avro:"Able"`
+	// Degraded routers are ready but reach no runner for some of their routes.
 	Degraded []ids.Address `avro:"Unable"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
 func (RouterEndpoints) SchemaName() string { return "Fronts_25" }
 
-// Manager makes the news of its zone while it relays, and reads that of others.
+// Manager publishes the summaries of its own zone and reads those of the others.
+// The exported fields are set before its first use; its methods are safe for
+// concurrent use then.
 type Manager struct {
 	Table *membership.Table
 	Store *gossip.Store
-	// Zones gives all zones with their regions.
+	// Zones has all zones with their regions.
 	Zones map[ids.Zone]ids.Region
-	// RouterRole is that of the daemons which carry requests.
+	// RouterRole is the role of the daemons that carry requests.
 	RouterRole string
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// routersByZone has the published sizes, those of other zones for the most part.
 	routersByZone map[ids.Zone]int64
-	// seenAlive are the zones of whose backbone somebody answered in this life.
-	seenAlive        map[ids.Zone]bool
+	// seenAlive has the zones of whose backbone a member was alive since the start.
+	seenAlive map[ids.Zone]bool
+	// The counts are as of the last Refresh, so that requests read a number alone.
 	routerCount      atomic.Int64
 	localRouterCount atomic.Int64
 }
 
-// Refresh makes news of the own zone where it changed, if this daemon is the first
-// to relay for it.
+// Refresh prunes the table, counts the routers anew and, on the first relay of
+// the zone, publishes the summaries that changed. It is called once an interval.
 func (m *Manager) Refresh() {
 	m.Table.Prune()
 	m.recount()
 	lost := m.findLostZones()
-	self := m.Table.Self()
-	first := m.Table.Relays(self.Zone, 1)
-	if !self.Relay || len(first) == 0 || first[0].Address != self.Address {
+	if !m.firstRelay() {
 		return
 	}
-	fronts := RouterEndpoints{Zone: self.Zone}
-	for _, member := range m.localRouters() {
-		serving := member.State == membership.Alive && member.Ready && member.ClientAddress != ""
-		if serving && member.Degraded {
-			fronts.Degraded = append(fronts.Degraded, member.ClientAddress)
+	zone := m.Table.Self().Zone
+	publish(m, EndpointsPrefix, m.localEndpoints())
+	if _, published := m.Store.Get(LostZonesKey(zone)); published || len(lost.Zones) > 0 {
+		publish(m, gossip.LostPrefix, lost)
+	}
+	publish(m, SizePrefix, membership.ZoneSize{Zone: zone, Routers: m.advertisedSize()})
+}
+
+// firstRelay reports whether this daemon publishes for its zone.
+func (m *Manager) firstRelay() bool {
+	self := m.Table.Self()
+	relays := m.Table.Relays(self.Zone, 1)
+	return self.Relay && len(relays) > 0 && relays[0].Address == self.Address
+}
+
+// localEndpoints returns the endpoints of this zone's routers that are ready.
+func (m *Manager) localEndpoints() RouterEndpoints {
+	endpoints := RouterEndpoints{Zone: m.Table.Self().Zone}
+	for _, router := range m.localRouters() {
+		serving := router.State == membership.Alive && router.Ready && router.ClientAddress != ""
+		if serving && router.Degraded {
+			endpoints.Degraded = append(endpoints.Degraded, router.ClientAddress)
 		} else if serving {
-			fronts.Ready = append(fronts.Ready, member.ClientAddress)
+			endpoints.Ready = append(endpoints.Ready, router.ClientAddress)
 		}
 	}
-	publish(m, EndpointsPrefix, fronts)
-	if _, told := m.Store.Get(LostZonesKey(self.Zone)); told || len(lost.Zones) > 0 {
-		publish(m, gossip.LostPrefix, lost)
-	}
-	publish(m, SizePrefix, membership.ZoneSize{Zone: self.Zone, Routers: m.advertisedSize()})
+	return endpoints
 }
 
-// advertisedSize is how many routers the zone could have. A daemon that has not lived long
-// enough to have heard of all of them never lowers what was told before.
+// advertisedSize returns how many routers the zone could have. A daemon that has
+// not run for long enough to have heard of all never lowers the published size.
 func (m *Manager) advertisedSize() int64 {
-	own := m.localSize()
+	size := m.localSize()
 	if m.Table.KnowsFullHistory() {
-		return own
+		return size
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(own, m.routersByZone[m.Table.Self().Zone])
+	return max(size, m.routersByZone[m.Table.Self().Zone])
 }
 
-// localRouters gives the routers of this zone.
+// localRouters returns the known routers of this zone, also those that are gone.
 func (m *Manager) localRouters() []membership.Member {
 	zone := m.Table.Self().Zone
-	var found []membership.Member
+	var routers []membership.Member
 	for _, member := range m.Table.Members() {
 		if member.Zone == zone && member.Role == m.RouterRole {
-			found = append(found, member)
+			routers = append(routers, member)
 		}
 	}
-	return found
+	return routers
 }
 
 func (m *Manager) localSize() int64 { return int64(len(m.localRouters())) }
 
-// publish makes an item where the newest of its key says something else. Two
-// relays that both believe to be the first write under serials that differ.
-func publish[Message any](watcher *Manager, prefix string, message Message) {
+// publish puts a summary of the own zone into the store, unless the newest item
+// of its key says the same.
+func publish[Message any](m *Manager, prefix string, message Message) {
 	body, err := transport.Marshal(message)
-	self := watcher.Table.Self()
+	if err != nil {
+		return
+	}
+	self := m.Table.Self()
 	key := prefix + string(self.Zone)
-	known, found := watcher.Store.Get(key)
-	if err != nil || (found && slices.Equal(known.Body, body)) {
+	if published, ok := m.Store.Get(key); ok && slices.Equal(published.Body, body) {
 		return
 	}
-	watcher.Store.PutNext(key, self.Address, body)
+	m.Store.PutNext(key, self.Address, body)
 }
 
-// RemoteEndpoints gives the fronts of the other zones from which some daemon of the
-// backbone answers, and the zones from which not all do: they may be out of
-// reach, even if that is not sure yet.
-func (m *Manager) RemoteEndpoints() (reached []RouterEndpoints, cut []ids.Zone) {
-	answers, silent := m.backboneHealth()
-	own := m.Table.Self().Zone
+// RemoteEndpoints returns the endpoints of the other zones of whose backbone a
+// member is alive, and the zones of whose backbone not all are: those may be
+// unreachable, even if that is not certain yet. A zone may be in both.
+func (m *Manager) RemoteEndpoints() (reachable []RouterEndpoints, doubtful []ids.Zone) {
+	alive, silent := m.backboneHealth()
+	local := m.Table.Self().Zone
 	for _, item := range m.Store.WithPrefix(EndpointsPrefix) {
-		fronts, err := transport.Unmarshal[RouterEndpoints](item.Body)
-		if err != nil || fronts.Zone == own {
+		endpoints, err := transport.Unmarshal[RouterEndpoints](item.Body)
+		if err != nil || endpoints.Zone == local {
 			continue
 		}
-		if answers[fronts.Zone] {
-			reached = append(reached, fronts)
+		if alive[endpoints.Zone] {
+			reachable = append(reachable, endpoints)
 		}
-		if !answers[fronts.Zone] || silent[fronts.Zone] {
-			cut = append(cut, fronts.Zone)
+		if !alive[endpoints.Zone] || silent[endpoints.Zone] {
+			doubtful = append(doubtful, endpoints.Zone)
 		}
 	}
-	return reached, cut
+	return reachable, doubtful
 }
--- a/control/membership/zonesummary/sizes.go
+++ b/control/membership/zonesummary/sizes.go
@@ -1,6 +1,7 @@
 package zonesummary
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"strings"
@@ -11,59 +12,63 @@
 	"onyxwell/control/transport"
 )
 
-// RouterCount tells among how many routers sums are to be shared: all of this zone
-// that are known, gone or not, and those of the other zones. A zone that nothing
-// was heard of counts as the largest.
+// RouterCount returns among how many routers deployment-wide limits are shared:
+// all known routers of this zone, gone or not, and the sizes of the other zones.
+// A zone of unknown size counts as the largest. It is at least 1.
 func (m *Manager) RouterCount() int {
-	if counted := m.routerCount.Load(); counted > 0 {
-		return int(counted)
+	if count := m.routerCount.Load(); count > 0 {
+		return int(count)
 	}
 	return m.recount()
 }
 
-// Sharers tells among how many routers the rate of a cold runner in a zone is
-// shared: those of the zone itself serve it, since they know each other, and
-// nobody else does. Only where a zone has no routers do all.
+// Sharers returns among how many routers the rate of a runner in slow start is
+// shared. The routers of the runner's own zone alone serve it, since they know
+// each other; for those of other zones it is 0, unless that zone has no routers.
 func (m *Manager) Sharers(zone ids.Zone) int {
 	if zone == m.Table.Self().Zone {
 		return max(1, int(m.localRouterCount.Load()))
 	}
-	m.mu.Lock()
-	routers, heard := m.routersByZone[zone]
-	m.mu.Unlock()
-	if heard && routers == 0 {
+	if size, known := m.zoneSize(zone); known && size == 0 {
 		return m.RouterCount()
 	}
 	return 0
 }
 
-// recount is asked for at each look, so that requests only read a number.
+func (m *Manager) zoneSize(zone ids.Zone) (routers int64, known bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	routers, known = m.routersByZone[zone]
+	return routers, known
+}
+
+// recount brings the counts up to date and returns the new RouterCount.
 func (m *Manager) recount() int {
-	self := m.Table.Self()
-	own := m.localSize()
+	localZone, size := m.Table.Self().Zone, m.localSize()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	largest, sum, unknown := max(own, m.routersByZone[self.Zone]), int64(0), int64(0)
-	own = largest
+	local := max(size, m.routersByZone[localZone])
+	largest, remote, unknownZones := local, int64(0), int64(0)
 	for zone := range m.Zones {
-		if zone == self.Zone {
+		if zone == localZone {
 			continue
 		}
-		size, heard := m.routersByZone[zone]
-		largest, sum = max(largest, size), sum+size
-		if !heard {
-			unknown++
+		routers, known := m.routersByZone[zone]
+		largest, remote = max(largest, routers), remote+routers
+		if !known {
+			unknownZones++
 		}
 	}
-	counted := max(1, own+sum+unknown*largest)
-	m.localRouterCount.Store(own)
-	m.routerCount.Store(counted)
-	return int(counted)
+	count := max(1, local+remote+unknownZones*largest)
+	m.localRouterCount.Store(local)
+	m.routerCount.Store(count)
+	return int(count)
 }
 
-// HandleItem reads a size out of an item of news; other items are left alone.
+// HandleItem takes the size out of an item under SizePrefix and ignores all other
+// items. The store calls it with each new item.
 func (m *Manager) HandleItem(item gossip.Item) {
-	if len(item.Key) <= len(SizePrefix) || item.Key[:len(SizePrefix)] != SizePrefix {
+	if zone, ok := strings.CutPrefix(item.Key, SizePrefix); !ok || zone == "" {
 		return
 	}
 	if size, err := transport.Unmarshal[membership.ZoneSize](item.Body); err == nil {
@@ -71,7 +76,8 @@
 	}
 }
 
-// MergeSizes takes sizes: from news, or from a disk.
+// MergeSizes takes sizes that were published, or that were stored by an earlier
+// process.
 func (m *Manager) MergeSizes(sizes []membership.ZoneSize) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +89,7 @@
 	}
 }
 
-// Sizes gives what is known of the other zones.
+// Sizes returns the known sizes, in the order of the zones' names.
 func (m *Manager) Sizes() []membership.ZoneSize {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,40 +97,49 @@
 	for zone, routers := range m.routersByZone {
 		sizes = append(sizes, membership.ZoneSize{Zone: zone, Routers: routers})
 	}
-	slices.SortFunc(sizes, func(left, right membership.ZoneSize) int {
-		return strings.Compare(string(left.Zone), string(right.Zone))
-	})
+	slices.SortFunc(sizes, func(a, b membership.ZoneSize) int { return cmp.Compare(a.Zone, b.Zone) })
 	return sizes
 }
 
-// RegionSummary sums up the routers of a region, those that are gone too.
+// RegionSummary counts the routers of a region: the known ones, also those that
+// are gone, and the ready ones.
 type RegionSummary struct {
 	Name  ids.Region `json:"region"`
 	Known int64      `json:"routers_known"`
 	Ready int64      `json:"routers_ready"`
 }
 
-// Regions counts the routers of each region.
+// Regions returns the summaries of all regions, in the order of their names.
 func (m *Manager) Regions() []RegionSummary {
-	self := m.Table.Self()
-	known, ready := map[ids.Zone]int64{self.Zone: m.localSize()}, map[ids.Zone]int64{}
+	known, ready := m.knownRouters(), m.readyRouters()
+	summaries := map[ids.Region]RegionSummary{}
+	for zone, region := range m.Zones {
+		summary := summaries[region]
+		summaries[region] = RegionSummary{Name: region, Known: summary.Known + known[zone], Ready: summary.Ready + ready[zone]}
+	}
+	return slices.SortedFunc(maps.Values(summaries), func(a, b RegionSummary) int { return cmp.Compare(a.Name, b.Name) })
+}
+
+// knownRouters returns the number of known routers by zone.
+func (m *Manager) knownRouters() map[ids.Zone]int64 {
+	known := map[ids.Zone]int64{m.Table.Self().Zone: m.localSize()}
 	for _, size := range m.Sizes() {
 		known[size.Zone] = max(known[size.Zone], size.Routers)
 	}
-	for _, member := range m.localRouters() {
-		if member.State == membership.Alive && member.Ready {
-			ready[self.Zone]++
+	return known
+}
+
+// readyRouters returns the number of ready routers by zone.
+func (m *Manager) readyRouters() map[ids.Zone]int64 {
+	ready := map[ids.Zone]int64{}
+	for _, router := range m.localRouters() {
+		if router.State == membership.Alive && router.Ready {
+			ready[router.Zone]++
 		}
 	}
-	reached, _ := m.RemoteEndpoints()
-	for _, fronts := range reached {
-		ready[fronts.Zone] = int64(len(fronts.Ready) + len(fronts.Degraded))
-	}
-	sums := map[ids.Region]RegionSummary{}
-	for zone, region := range m.Zones {
-		sums[region] = RegionSummary{Name: region, Known: sums[region].Known + known[zone], Ready: sums[region].Ready + ready[zone]}
+	reachable, _ := m.RemoteEndpoints()
+	for _, endpoints := range reachable {
+		ready[endpoints.Zone] = int64(len(endpoints.Ready) + len(endpoints.Degraded))
 	}
-	return slices.SortedFunc(maps.Values(sums), func(left, right RegionSummary) int {
-		return strings.Compare(string(left.Name), string(right.Name))
-	})
+	return ready
 }
