--- a/control/gossip/store_test.go
+++ b/control/gossip/store_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
-// TestStore_versionsOnlyIncrease puts items in any order: what is told as fresh rises for
+// TestStore_versionsOnlyIncrease puts items in any order: the versions of updates rise for
 // each key, and the newest stays.
 func TestStore_versionsOnlyIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- /dev/null
+++ b/control/membership/prober_test.go
@@ -0,0 +1,63 @@
+package membership
+
+import (
+	"context"
+	"testing"
+
+	"onyxwell/base/clock"
+	"onyxwell/base/ids"
+)
+
+// tickClock stands still: an interval passes when the test sends a tick, any other
+// span never does.
+type tickClock struct {
+	clock.Clock
+	interval clock.Span
+	ticks    chan struct{}
+}
+
+// After implements clock.Clock.
+func (c tickClock) After(span clock.Span) <-chan struct{} {
+	if span == c.interval {
+		return c.ticks
+	}
+	return nil
+}
+
+// TestProberRun_awaitsItsProbes ends Run while probes wait for acks that never
+// come: none is left when Run has returned.
+func TestProberRun_awaitsItsProbes(t *testing.T) {
+	source := tickClock{Clock: clock.NewFake(), interval: clock.Second, ticks: make(chan struct{})}
+	table := NewTable(source, Member{Address: "a:1", Zone: "east", Relay: true})
+	table.Merge([]Member{
+		{Address: "b:1", Zone: "east", Incarnation: 1},
+		{Address: "c:1", Zone: "west", Incarnation: 1, Relay: true},
+	})
+	pinged := make(chan ids.Address, 2)
+	prober := &Prober{
+		Table: table, Config: ProbeConfig{Interval: source.interval, AckTimeout: 2 * source.interval},
+		Send: func(to ids.Address, _ []byte) { pinged <- to },
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		prober.Run(ctx)
+	}()
+	source.ticks <- struct{}{}
+	for range 2 {
+		<-pinged
+	}
+	cancel()
+	<-done
+	prober.mu.Lock()
+	defer prober.mu.Unlock()
+	if len(prober.pendingAcks) != 0 {
+		t.Errorf("%d probes outlast Run", len(prober.pendingAcks))
+	}
+	for _, address := range []ids.Address{"b:1", "c:1"} {
+		if member, _ := table.Find(address); member.State != Alive {
+			t.Errorf("%s is in state %d after a probe that was cut short", address, member.State)
+		}
+	}
+}
