--- a/base/httpcall/client.go
+++ b/base/httpcall/client.go
@@ -10,8 +10,8 @@
 	"onyxwell/base/ids"
 )
 
-// Outgoing is a request as it is sent.
-type Outgoing struct {
+// OutgoingRequest is a request as it is sent.
+type OutgoingRequest struct {
 	Method string
 	Path   string
 	Header http.Header
@@ -20,8 +20,8 @@
 
 // Requester is a typed request that can be sent.
 type Requester interface {
-	// Outgoing encodes the request.
-	Outgoing() Outgoing
+	// Encode encodes the request.
+	Encode() OutgoingRequest
 }
 
 // RawResponse is a response as it was received, its body complete.
@@ -33,9 +33,9 @@
 
 // ResponseReader is a typed response that can be decoded.
 type ResponseReader interface {
-	// Hear decodes the response into the receiver. It decides which statuses are
+	// Decode decodes the response into the receiver. It decides which statuses are
 	// errors.
-	Hear(raw RawResponse) error
+	Decode(raw RawResponse) error
 }
 
 const (
@@ -75,7 +75,7 @@
 	ResponseReader
 }](ctx context.Context, client *http.Client, address ids.Address, requester Requester) (Response, error) {
 	var resp Response
-	outgoing := requester.Outgoing()
+	outgoing := requester.Encode()
 	req, err := http.NewRequestWithContext(ctx, outgoing.Method, "http://"+string(address)+outgoing.Path, bytes.NewReader(outgoing.Body))
 	if err != nil {
 		return resp, err
@@ -93,5 +93,5 @@
 	if err != nil {
 		return resp, err
 	}
-	return resp, Pointer(&resp).Hear(RawResponse{Status: raw.StatusCode, Header: raw.Header, Body: body})
+	return resp, Pointer(&resp).Decode(RawResponse{Status: raw.StatusCode, Header: raw.Header, Body: body})
 }
--- a/base/httpcall/harness_test.go
+++ b/base/httpcall/harness_test.go
@@ -5,5 +5,5 @@
 // empty is a request and a response without content.
 type empty struct{}
 
-func (*empty) Read(Incoming) error     { return nil }
-func (empty) Reply() response.Response { return response.Empty(200) }
+func (*empty) Decode(Incoming) error      { return nil }
+func (empty) Response() response.Response { return response.Empty(200) }
--- a/base/httpcall/mux.go
+++ b/base/httpcall/mux.go
@@ -26,14 +26,14 @@
 
 // RequestReader is a typed request that can be decoded.
 type RequestReader interface {
-	// Read decodes the call into the receiver. An error rejects the call.
-	Read(incoming Incoming) error
+	// Decode decodes the call into the receiver. An error rejects the call.
+	Decode(incoming Incoming) error
 }
 
 // Responder is a typed response that can be encoded.
 type Responder interface {
-	// Reply encodes the response.
-	Reply() response.Response
+	// Response encodes the response.
+	Response() response.Response
 }
 
 // Gate inspects calls before their handlers run.
@@ -80,14 +80,14 @@
 }, Response Responder](mux *Mux, method string, path string, serve func(scope.Scope, Request) (Response, error)) {
 	mux.handlers[method+" "+path] = func(ctx scope.Scope, incoming Incoming) response.Response {
 		var req Request
-		if err := Pointer(&req).Read(incoming); err != nil {
+		if err := Pointer(&req).Decode(incoming); err != nil {
 			return mux.reject(incoming.Request, err)
 		}
 		resp, err := serve(ctx, req)
 		if err != nil {
 			return response.FromError(err)
 		}
-		return resp.Reply()
+		return resp.Response()
 	}
 }
 
@@ -126,7 +126,7 @@
 	ctx := m.Scope.WithContext(req.Context())
 	start := ctx.Now()
 	resp := serve(ctx, Incoming{Request: req, Tail: tail, Body: body})
-	m.Metrics.Call(req.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(resp.Status), ctx.Now().Since(start))
+	m.Metrics.ObserveCall(req.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(resp.Status), ctx.Now().Since(start))
 	resp.Send(writer)
 }
 
--- a/base/ids/ids.go
+++ b/base/ids/ids.go
@@ -20,8 +20,8 @@
 // Address is an IP address and a port, "10.1.0.13:8166".
 type Address string
 
-// Serial is the version of a piece of state. It never decreases.
-type Serial int64
+// Version is the version of a piece of state. It never decreases.
+type Version int64
 
 // Incarnation tells apart the lives of one daemon, or of one disk: of two, the
 // higher is the later.
--- a/base/invariant/invariant.go
+++ b/base/invariant/invariant.go
@@ -19,17 +19,17 @@
 
 // The properties.
 const (
-	// AnswerSeal: a forwarded success bears its runner's seal and the request's id.
-	AnswerSeal Name = "answer-seal"
+	// ResponseSeal: a forwarded success bears its runner's seal and the request's id.
+	ResponseSeal Name = "answer-seal"
 	// RunOnce: a request that is not idempotent is not sent again after it may have
 	// run.
 	RunOnce Name = "run-once"
 	// PromiseNotRun: a response that promises "not run" is not given after a run.
 	PromiseNotRun Name = "promise-not-run"
 	// Tries: a request makes no more attempts than its route allows.
-	Tries Name = "tries"
-	// TimeLeft: the deadline that a runner gets is not after the client's.
-	TimeLeft Name = "time-left"
+	AttemptLimit Name = "tries"
+	// DeadlineNotExtended: the deadline that a runner gets is not after the client's.
+	DeadlineNotExtended Name = "time-left"
 	// Home: a request goes only to runners in a home region of its route.
 	Home Name = "home"
 	// EventOrder: the ids of the events of a forwarded stream increase by one.
@@ -41,15 +41,15 @@
 	EpochRises Name = "epoch-rises"
 	// PromiseRises: the epoch that an acceptor has promised never decreases.
 	PromiseRises Name = "promise-rises"
-	// LedAway: clients are sent out of their region only if it is known to be lost.
-	LedAway Name = "led-away"
+	// RegionFailover: clients are sent out of their region only if it is known to be lost.
+	RegionFailover Name = "led-away"
 	// MemoryReserved: no more memory is released than was reserved.
 	MemoryReserved Name = "memory-reserved"
 )
 
 // Names lists all properties.
 var Names = []Name{
-	AnswerSeal, RunOnce, PromiseNotRun, Tries, TimeLeft, Home, EventOrder, VersionRises, EpochRises, PromiseRises, LedAway, MemoryReserved,
+	ResponseSeal, RunOnce, PromiseNotRun, AttemptLimit, DeadlineNotExtended, Home, EventOrder, VersionRises, EpochRises, PromiseRises, RegionFailover, MemoryReserved,
 }
 
 // maxLogged bounds the violations of one property that are logged.
--- a/base/telemetry/telemetry.go
+++ b/base/telemetry/telemetry.go
@@ -100,9 +100,9 @@
 	}, read))
 }
 
-// Request counts a client's request that ended. The route is empty if none
+// ObserveRequest counts a client's request that ended. The route is empty if none
 // matched; the outcome is one of the help text of requests_total.
-func (m *Metrics) Request(route string, outcome string, elapsed time.Duration) {
+func (m *Metrics) ObserveRequest(route string, outcome string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
@@ -124,24 +124,24 @@
 	return route
 }
 
-// Send counts an attempt at a runner, by what is known of its outcome and by the
+// CountAttempt counts an attempt at a runner, by what is known of its outcome and by the
 // cause of the attempt.
-func (m *Metrics) Send(fate string, cause string) {
+func (m *Metrics) CountAttempt(fate string, cause string) {
 	if m != nil {
 		m.sends.WithLabelValues(fate, cause).Inc()
 	}
 }
 
-// Lookup counts a response of the directory by how near the routers in it are.
-func (m *Metrics) Lookup(circle string) {
+// CountLookup counts a response of the directory by how near the routers in it are.
+func (m *Metrics) CountLookup(circle string) {
 	if m != nil {
 		m.lookups.WithLabelValues(circle).Inc()
 	}
 }
 
-// Call counts a call of an operator or a daemon that was answered. The call is
+// ObserveCall counts a call of an operator or a daemon that was answered. The call is
 // its method and the path of its handler.
-func (m *Metrics) Call(call string, status string, elapsed time.Duration) {
+func (m *Metrics) ObserveCall(call string, status string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
--- a/base/telemetry/telemetry_test.go
+++ b/base/telemetry/telemetry_test.go
@@ -14,12 +14,12 @@
 	monitor := &invariant.Monitor{Tolerant: true}
 	metrics := New(monitor)
 	for index := range maxRoutes + 2 {
-		metrics.Request(fmt.Sprintf("r-%d", index), "answered", 20*time.Millisecond)
+		metrics.ObserveRequest(fmt.Sprintf("r-%d", index), "answered", 20*time.Millisecond)
 	}
-	metrics.Request("", "no-route", 0)
-	metrics.Send("refused", "declined")
-	metrics.Lookup("zone")
-	metrics.Call("PUT /settings", "200", time.Second)
+	metrics.ObserveRequest("", "no-route", 0)
+	metrics.CountAttempt("refused", "declined")
+	metrics.CountLookup("zone")
+	metrics.ObserveCall("PUT /settings", "200", time.Second)
 	monitor.Violated(invariant.Home, "planted")
 	recorder := httptest.NewRecorder()
 	metrics.Handler("/metrics").ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
@@ -43,6 +43,6 @@
 
 func TestMetrics_nilCountsNothing(t *testing.T) {
 	var metrics *Metrics
-	metrics.Request("r", "answered", 0)
+	metrics.ObserveRequest("r", "answered", 0)
 	metrics.GaugeFunc("g", "", nil, nil)
 }
--- a/cmd/room/main.go
+++ b/cmd/room/main.go
@@ -31,16 +31,18 @@
 
 type asking struct{}
 
-// Outgoing makes the call.
-func (asking) Outgoing() httpcall.Outgoing { return httpcall.Outgoing{Method: "GET", Path: "/room"} }
+// Encode makes the call.
+func (asking) Encode() httpcall.OutgoingRequest {
+	return httpcall.OutgoingRequest{Method: "GET", Path: "/room"}
+}
 
 type heard struct {
 	body   []byte
 	report headroom.Report
 }
 
-// Hear reads the report.
-func (h *heard) Hear(told httpcall.RawResponse) error {
+// Decode reads the report.
+func (h *heard) Decode(told httpcall.RawResponse) error {
 	if told.Status != 200 {
 		return errkind.Errorf(errkind.NotReady, "the controller answered %d: %s", told.Status, told.Body)
 	}
--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -92,8 +92,8 @@
 // versionPattern matches an If-Match header: one version, with or without quotes.
 var versionPattern = regexp.MustCompile(`^(?:(0|[1-9][0-9]*)|"(0|[1-9][0-9]*)")$`)
 
-// Read takes the base version off the header, and the body.
-func (c *ConfigChangeRequest) Read(incoming httpcall.Incoming) error {
+// Decode takes the base version off the header, and the body.
+func (c *ConfigChangeRequest) Decode(incoming httpcall.Incoming) error {
 	ifMatch := incoming.Request.Header.Values("If-Match")
 	if len(ifMatch) != 1 {
 		return errkind.Errorf(errkind.BadRequest, "If-Match: stands %d times, not once", len(ifMatch))
@@ -110,25 +110,25 @@
 		return errkind.Errorf(errkind.BadRequest, "If-Match: %s is above any version", ifMatch[0])
 	}
 	c.Change = store.Change{
-		Full: incoming.Request.Method == http.MethodPut, BaseVersion: ids.Serial(version), Body: incoming.Body,
+		Full: incoming.Request.Method == http.MethodPut, BaseVersion: ids.Version(version), Body: incoming.Body,
 	}
 	return nil
 }
 
 // ConfigChangeResponse acknowledges a change by the version that it led to. A
 // repeated change gets its own version again, whatever came into force since.
-type ConfigChangeResponse struct{ Version ids.Serial }
+type ConfigChangeResponse struct{ Version ids.Version }
 
-// Reply gives the version as JSON.
-func (c ConfigChangeResponse) Reply() response.Response {
+// Response gives the version as JSON.
+func (c ConfigChangeResponse) Response() response.Response {
 	return response.JSON(http.StatusOK, map[string]any{"config_version": c.Version})
 }
 
 // ConfigResponse is the document in force.
 type ConfigResponse struct{ Document []byte }
 
-// Reply gives the document as it was sent.
-func (c ConfigResponse) Reply() response.Response {
+// Response gives the document as it was sent.
+func (c ConfigResponse) Response() response.Response {
 	return response.Raw(http.StatusOK, "application/json", c.Document)
 }
 
@@ -141,8 +141,8 @@
 
 var zoneVerbs = map[string]string{http.MethodPost: command.VerbDrain, http.MethodDelete: command.VerbUndrain}
 
-// Read takes the zone off the path, and the verb off the method.
-func (z *ZoneRequest) Read(incoming httpcall.Incoming) error {
+// Decode takes the zone off the path, and the verb off the method.
+func (z *ZoneRequest) Decode(incoming httpcall.Incoming) error {
 	z.Zone = ids.Zone(incoming.Tail)
 	z.Verb = zoneVerbs[incoming.Request.Method]
 	return nil
@@ -151,19 +151,19 @@
 // HeadroomResponse is a headroom report as JSON.
 type HeadroomResponse struct{ Report []byte }
 
-// Reply gives the report.
-func (h HeadroomResponse) Reply() response.Response {
+// Response gives the report.
+func (h HeadroomResponse) Response() response.Response {
 	return response.Raw(http.StatusOK, "application/json", h.Report)
 }
 
 // EmptyRequest is a request without parameters.
 type EmptyRequest struct{}
 
-// Read reads nothing.
-func (e *EmptyRequest) Read(httpcall.Incoming) error { return nil }
+// Decode reads nothing.
+func (e *EmptyRequest) Decode(httpcall.Incoming) error { return nil }
 
 // EmptyResponse acknowledges a command without a result.
 type EmptyResponse struct{}
 
-// Reply is empty.
-func (EmptyResponse) Reply() response.Response { return response.Empty(http.StatusOK) }
+// Response is empty.
+func (EmptyResponse) Response() response.Response { return response.Empty(http.StatusOK) }
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -32,7 +32,7 @@
 // loopback is a register.VoterClient of a single voter.
 type loopback struct{ acceptor *register.Acceptor }
 
-func (l loopback) Promise(_ scope.Scope, _ ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (l loopback) Prepare(_ scope.Scope, _ ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return l.acceptor.Prepare(req), nil
 }
 
@@ -84,18 +84,18 @@
 }
 
 // do sends a request over HTTP and returns its status and body.
-func (s *testServer) do(method string, path string, match string, body string) (int, string) {
-	s.Helper()
-	req, err := http.NewRequest(method, s.server.URL+path, strings.NewReader(body))
+func (t *testServer) do(method string, path string, match string, body string) (int, string) {
+	t.Helper()
+	req, err := http.NewRequest(method, t.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		s.Fatal(err)
+		t.Fatal(err)
 	}
 	if match != "" {
 		req.Header.Set("If-Match", match)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		s.Fatal(err)
+		t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -181,7 +181,7 @@
 }
 
 // serveDirect serves a request without a network; the path is taken as it is.
-func (s *testServer) serveDirect(method string, path string, header http.Header, body io.Reader) (int, string) {
+func (t *testServer) serveDirect(method string, path string, header http.Header, body io.Reader) (int, string) {
 	recorder := httptest.NewRecorder()
 	req := httptest.NewRequest(method, path, body)
 	for name, values := range header {
@@ -189,7 +189,7 @@
 			req.Header[name] = values
 		}
 	}
-	s.calls.ServeHTTP(recorder, req)
+	t.calls.ServeHTTP(recorder, req)
 	return recorder.Code, recorder.Body.String()
 }
 
--- a/control/config/config.go
+++ b/control/config/config.go
@@ -153,10 +153,10 @@
 // Config is one version of the configuration.
 type Config struct {
 	// Version rises with every change; 1 or more, required.
-	Version  ids.Serial `json:"config_version"`
-	Routes   []Route    `json:"routes"`
-	Services []Service  `json:"services"`
-	Limits   Limits     `json:"limits"`
+	Version  ids.Version `json:"config_version"`
+	Routes   []Route     `json:"routes"`
+	Services []Service   `json:"services"`
+	Limits   Limits      `json:"limits"`
 
 	routesByHost   map[string][]*Route
 	servicesByName map[ids.Service]*Service
--- a/control/config/evacuation/evacuation.go
+++ b/control/config/evacuation/evacuation.go
@@ -16,7 +16,7 @@
 
 // State is the register's value of a zone's key. It is stored and gossiped.
 type State struct {
-	Version ids.Serial `avro:"Serial"`
+	Version ids.Version `avro:"Serial"`
 	// Drained says that the zone's runners get no new requests.
 	Drained bool `avro:"Empty"`
 }
@@ -36,7 +36,7 @@
 // Update is the update of a zone's value to a state. It leaves the value as it is
 // if the zone is in that state, or if it was written after the version since: it
 // was in that state meanwhile then. A since of 0 stands for any version.
-func Update(drained bool, since ids.Serial) func(current []byte) ([]byte, error) {
+func Update(drained bool, since ids.Version) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		state, err := Decode(current)
 		if err != nil {
--- a/control/config/evacuation/evacuation_test.go
+++ b/control/config/evacuation/evacuation_test.go
@@ -13,7 +13,7 @@
 		name    string
 		current State
 		drained bool
-		since   ids.Serial
+		since   ids.Version
 		want    State
 	}{
 		{"first write", State{}, true, 1, State{Version: 1, Drained: true}},
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -18,7 +18,7 @@
 	// force.
 	Full bool `avro:"Whole"`
 	// BaseVersion is the version that has to be in force; 0 for the first.
-	BaseVersion ids.Serial `avro:"Match"`
+	BaseVersion ids.Version `avro:"Match"`
 	// Body is JSON text, compressed if Compressed is set.
 	Body       []byte `avro:"Body"`
 	Compressed bool   `avro:"Packed"`
@@ -37,7 +37,7 @@
 
 // Version is the version that the change leads to, as its uncompressed body says;
 // 0 if that can't be read.
-func (c Change) Version() ids.Serial {
+func (c Change) Version() ids.Version {
 	var p patch
 	_ = json.Unmarshal(c.Body, &p)
 	return p.Version
@@ -89,7 +89,7 @@
 
 // nextDocument gives the valid document that the change leads to, with its
 // version.
-func (c Change) nextDocument(record Record) ([]byte, ids.Serial, error) {
+func (c Change) nextDocument(record Record) ([]byte, ids.Version, error) {
 	document := c.Body
 	if !c.Full {
 		var err error
--- a/control/config/store/change_log_test.go
+++ b/control/config/store/change_log_test.go
@@ -44,7 +44,7 @@
 }
 
 // patchChange is a change that sets a version and a mark.
-func patchChange(base ids.Serial, version ids.Serial, mark int) Change {
+func patchChange(base ids.Version, version ids.Version, mark int) Change {
 	body, _ := json.Marshal(map[string]any{"config_version": version, "mark": mark})
 	return Change{BaseVersion: base, Body: body}
 }
@@ -55,7 +55,7 @@
 	c.t.Helper()
 	record, err := DecodeCompressed(c.value)
 	for range count - 2 {
-		change := patchChange(record.Version, record.Version+1+ids.Serial(len(c.changes)%5), 0)
+		change := patchChange(record.Version, record.Version+1+ids.Version(len(c.changes)%5), 0)
 		record.Version = change.Version()
 		record.History.append(record.Version-change.BaseVersion, change.digest())
 		record.History.truncate(c.sealed)
@@ -66,7 +66,7 @@
 	}
 	for range min(count, 2) {
 		record, _ = DecodeCompressed(c.value)
-		c.apply(patchChange(record.Version, record.Version+1+ids.Serial(len(c.changes)%5), 0))
+		c.apply(patchChange(record.Version, record.Version+1+ids.Version(len(c.changes)%5), 0))
 	}
 }
 
--- a/control/config/store/change_test.go
+++ b/control/config/store/change_test.go
@@ -97,7 +97,7 @@
 		t.Fatalf("%+v, %v", record.Version, err)
 	}
 	var document struct {
-		Version ids.Serial        `json:"config_version"`
+		Version ids.Version       `json:"config_version"`
 		Routes  []config.Route    `json:"routes"`
 		Extra   map[string]int    `json:"extra"`
 		Limits  map[string]int    `json:"limits"`
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -18,7 +18,7 @@
 	// Index counts the chunks from the first change on.
 	Index int64 `avro:"Index"`
 	// BaseVersion is the version that the first of Entries was applied on.
-	BaseVersion ids.Serial `avro:"Base"`
+	BaseVersion ids.Version `avro:"Base"`
 	// Entries holds chunkLength entries, encoded as History.Recent.
 	Entries []byte `avro:"Entries"`
 }
@@ -52,21 +52,21 @@
 // Resolve decides by the chunk's value: nil if the change was applied,
 // *VersionConflictError if another one was, and the error itself if the chunk was
 // overwritten or never written.
-func (e *ArchivedError) Resolve(value []byte) error {
+func (a *ArchivedError) Resolve(value []byte) error {
 	if len(value) == 0 {
-		return e
+		return a
 	}
 	chunk, err := decodeChunk(value)
 	if err != nil {
 		return err
 	}
-	if chunk.Index != e.index {
-		return e
+	if chunk.Index != a.index {
+		return a
 	}
-	if hasEntry(chunk.BaseVersion, chunk.Entries, e.baseVersion, e.digest) {
+	if hasEntry(chunk.BaseVersion, chunk.Entries, a.baseVersion, a.digest) {
 		return nil
 	}
-	return &VersionConflictError{BaseVersion: e.baseVersion}
+	return &VersionConflictError{BaseVersion: a.baseVersion}
 }
 
 func decodeChunk(value []byte) (Chunk, error) {
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -35,7 +35,7 @@
 	// chunkLength.
 	Offset int64 `avro:"First"`
 	// BaseVersion is the version that the first of Recent was applied on.
-	BaseVersion ids.Serial `avro:"Base"`
+	BaseVersion ids.Version `avro:"Base"`
 	// Recent holds the entries since then: for each change the increase of the
 	// version as a varint, and the digest.
 	Recent []byte `avro:"Recent"`
@@ -49,23 +49,23 @@
 
 // entry is one change of the history.
 type entry struct {
-	baseVersion ids.Serial
+	baseVersion ids.Version
 	// delta is the increase of the version by the change.
-	delta  ids.Serial
+	delta  ids.Version
 	digest []byte
 }
 
 // walkEntries visits encoded entries, the first of them applied on the base
 // version, until visit returns false. It returns the encoded length of the
 // entries before that one.
-func walkEntries(baseVersion ids.Serial, entries []byte, visit func(entry) bool) int {
+func walkEntries(baseVersion ids.Version, entries []byte, visit func(entry) bool) int {
 	rest := entries
 	for len(rest) > 0 {
 		delta, width := binary.Uvarint(rest)
 		if width <= 0 || len(rest) < width+digestLength {
 			break
 		}
-		e := entry{baseVersion: baseVersion, delta: ids.Serial(delta), digest: rest[width : width+digestLength]}
+		e := entry{baseVersion: baseVersion, delta: ids.Version(delta), digest: rest[width : width+digestLength]}
 		if !visit(e) {
 			break
 		}
@@ -77,7 +77,7 @@
 
 // hasEntry tells whether the change of a digest is the one that was applied on a
 // version. The first of the encoded entries was applied on the version first.
-func hasEntry(first ids.Serial, entries []byte, baseVersion ids.Serial, digest []byte) bool {
+func hasEntry(first ids.Version, entries []byte, baseVersion ids.Version, digest []byte) bool {
 	applied := false
 	walkEntries(first, entries, func(e entry) bool {
 		applied = e.baseVersion == baseVersion && bytes.Equal(e.digest, digest)
@@ -88,7 +88,7 @@
 
 // takeEntries gives the first count of encoded entries, and the increase of the
 // version over them; none if there are fewer.
-func takeEntries(entries []byte, count int) (taken []byte, delta ids.Serial) {
+func takeEntries(entries []byte, count int) (taken []byte, delta ids.Version) {
 	visited := 0
 	length := walkEntries(0, entries, func(e entry) bool {
 		if visited == count {
@@ -106,7 +106,7 @@
 
 // append adds a change. Recent may be a part of a decoded message's buffer, so
 // that nothing is appended in place.
-func (h *History) append(delta ids.Serial, digest []byte) {
+func (h *History) append(delta ids.Version, digest []byte) {
 	h.Recent = append(binary.AppendUvarint(slices.Clip(h.Recent), uint64(delta)), digest...)
 }
 
@@ -131,14 +131,14 @@
 }
 
 // chunkDeltas decodes ChunkDeltas.
-func (h *History) chunkDeltas() []ids.Serial {
-	var deltas []ids.Serial
+func (h *History) chunkDeltas() []ids.Version {
+	var deltas []ids.Version
 	for rest := h.ChunkDeltas; len(rest) > 0; {
 		delta, width := binary.Uvarint(rest)
 		if width <= 0 {
 			break
 		}
-		deltas, rest = append(deltas, ids.Serial(delta)), rest[width:]
+		deltas, rest = append(deltas, ids.Version(delta)), rest[width:]
 	}
 	return deltas
 }
@@ -163,7 +163,7 @@
 
 // lookup decides whether a change on an earlier version was applied: nil means
 // that it was. Current is the version in force.
-func (h History) lookup(baseVersion ids.Serial, digest []byte, current ids.Serial) error {
+func (h History) lookup(baseVersion ids.Version, digest []byte, current ids.Version) error {
 	conflict := func() error {
 		return &VersionConflictError{BaseVersion: baseVersion, Current: current, CurrentKnown: true}
 	}
--- a/control/config/store/history_test.go
+++ b/control/config/store/history_test.go
@@ -135,8 +135,8 @@
 
 // olderRecord is Record as an older build stored it: the same name, other fields.
 type olderRecord struct {
-	Serial   ids.Serial `avro:"Serial"`
-	Document []byte     `avro:"Document"`
+	Serial   ids.Version `avro:"Serial"`
+	Document []byte      `avro:"Document"`
 }
 
 // SchemaName is that of Record.
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -9,7 +9,7 @@
 
 // patch is the body of a change that is not full.
 type patch struct {
-	Version ids.Serial `json:"config_version"`
+	Version ids.Version `json:"config_version"`
 	// Changes maps a key of the document to its new value; of a list, to the items
 	// to be replaced or added, by their names.
 	Changes map[string]json.RawMessage `json:"changes"`
--- a/control/config/store/record.go
+++ b/control/config/store/record.go
@@ -19,7 +19,7 @@
 
 // Record is the register's value of the configuration's key. It is stored.
 type Record struct {
-	Version ids.Serial `avro:"Serial"`
+	Version ids.Version `avro:"Serial"`
 	// Document is the JSON text, compressed if Compressed is set.
 	Document   []byte  `avro:"Document"`
 	Compressed bool    `avro:"Packed"`
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -124,7 +124,7 @@
 		go holder.Resign(ctx)
 	}
 	ctx.Wait(c.timing.CommandTimeout)
-	c.voter.HandOver(ctx)
+	c.voter.HandOff(ctx)
 }
 
 // restoreMembership loads the members known before the restart and keeps the
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -51,8 +51,8 @@
 	Reachable bool          `json:"reached"`
 }
 
-// Reply encodes the status as indented JSON.
-func (s status) Reply() response.Response {
+// Response encodes the status as indented JSON.
+func (s status) Response() response.Response {
 	body, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
 		return response.FromError(err)
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -76,7 +76,7 @@
 
 	mu sync.Mutex
 	// planSerial is the version of the routing plan that planOwner was read from.
-	planSerial ids.Serial
+	planSerial ids.Version
 	planOwner  ids.Address
 }
 
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -16,7 +16,7 @@
 // configuration version it applied is no older than one that a majority of the
 // voters confirmed after the start. applied is closed once there is a version,
 // and serial gives it.
-func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, serial func() ids.Serial) *readindex.Gate {
+func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, serial func() ids.Version) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
 		Applied: applied, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
 		Query: func(ctx scope.Scope, address ids.Address) (readindex.Response, error) {
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -31,8 +31,8 @@
 	Zone   ids.Zone
 }
 
-// Read implements httpcall.RequestReader.
-func (l *LookupRequest) Read(incoming httpcall.Incoming) error {
+// Decode implements httpcall.RequestReader.
+func (l *LookupRequest) Decode(incoming httpcall.Incoming) error {
 	query := incoming.Request.URL.Query()
 	l.Region, l.Zone = ids.Region(query.Get("region")), ids.Zone(query.Get("zone"))
 	return nil
@@ -45,9 +45,9 @@
 	TTLS      float64       `json:"ttl_s"`
 }
 
-// Reply encodes the response; without addresses it is a 503, so that the client
+// Response encodes the response; without addresses it is a 503, so that the client
 // asks another directory or stays with what it has.
-func (l LookupResponse) Reply() response.Response {
+func (l LookupResponse) Response() response.Response {
 	if len(l.Addresses) == 0 {
 		return response.Empty(http.StatusServiceUnavailable)
 	}
@@ -156,6 +156,6 @@
 }
 
 func (d *Directory) countLookup(name string, addresses []ids.Address) []ids.Address {
-	d.Metrics.Lookup(name)
+	d.Metrics.CountLookup(name)
 	return addresses
 }
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -49,7 +49,7 @@
 func (f *fixture) merge(members ...membership.Member) { f.Membership.Merge(members) }
 
 // publish publishes the routers of another zone.
-func (f *fixture) publish(serial ids.Serial, routers zonesummary.RouterEndpoints) {
+func (f *fixture) publish(serial ids.Version, routers zonesummary.RouterEndpoints) {
 	f.t.Helper()
 	body, err := transport.Marshal(routers)
 	if err != nil {
@@ -97,7 +97,7 @@
 func TestLookupResponse_emptyIsUnavailable(t *testing.T) {
 	f := newFixture(t)
 	resp := LookupResponse{Addresses: f.Choose(LookupRequest{})}
-	if reply := resp.Reply(); reply.Status != http.StatusServiceUnavailable {
+	if reply := resp.Response(); reply.Status != http.StatusServiceUnavailable {
 		t.Fatalf("%+v", reply)
 	}
 }
--- a/control/directory/redirect_test.go
+++ b/control/directory/redirect_test.go
@@ -88,7 +88,7 @@
 	f.Monitor = &invariant.Monitor{Tolerant: true}
 	f.checkRedirect(LookupRequest{Zone: "z1", Region: "r1"}, []ids.Address{"fe"})
 	f.checkRedirect(LookupRequest{Zone: "z9", Region: "r9"}, []ids.Address{"fe"})
-	if got := f.Monitor.Count(invariant.LedAway); got != 1 {
+	if got := f.Monitor.Count(invariant.RegionFailover); got != 1 {
 		t.Errorf("counted %d", got)
 	}
 }
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -104,6 +104,6 @@
 // invariant.
 func (d *Directory) checkRedirect(req LookupRequest, addresses []ids.Address) {
 	if len(addresses) > 0 && d.isDeployed(req.Region) && !d.regions.isLost(req.Region) {
-		d.Monitor.Violated(invariant.LedAway, "clients of %s in %s are led to %v", req.Zone, req.Region, addresses)
+		d.Monitor.Violated(invariant.RegionFailover, "clients of %s in %s are led to %v", req.Zone, req.Region, addresses)
 	}
 }
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -36,8 +36,8 @@
 	Token string
 }
 
-// Outgoing implements httpcall.Requester.
-func (p PageRequest) Outgoing() httpcall.Outgoing {
+// Encode implements httpcall.Requester.
+func (p PageRequest) Encode() httpcall.OutgoingRequest {
 	query := url.Values{}
 	if p.Zone != "" {
 		query.Set("zone", string(p.Zone))
@@ -49,7 +49,7 @@
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	return httpcall.Outgoing{Method: http.MethodGet, Path: path}
+	return httpcall.OutgoingRequest{Method: http.MethodGet, Path: path}
 }
 
 // Page is one page of the list; Next is the token of the next one, if any.
@@ -58,9 +58,9 @@
 	Next    *string `json:"next_token"`
 }
 
-// Hear implements httpcall.ResponseReader. Any status but 200 is an error of
+// Decode implements httpcall.ResponseReader. Any status but 200 is an error of
 // kind errkind.NotReady.
-func (p *Page) Hear(resp httpcall.RawResponse) error {
+func (p *Page) Decode(resp httpcall.RawResponse) error {
 	if resp.Status != http.StatusOK {
 		return errkind.Errorf(errkind.NotReady, "the platform answered %d", resp.Status)
 	}
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -64,7 +64,7 @@
 // publishedZone is a zone's list as last published.
 type publishedZone struct {
 	list   List
-	serial ids.Serial
+	serial ids.Version
 }
 
 // Run polls until ctx ends. The interval includes the time that a poll takes.
@@ -177,7 +177,7 @@
 }
 
 // publishItem puts a message into the gossip store under the next serial.
-func publishItem[Message any](p *Publisher, key string, message Message) ids.Serial {
+func publishItem[Message any](p *Publisher, key string, message Message) ids.Version {
 	p.sequence++
 	serial := FencedSerial(p.epoch, p.sequence)
 	if body, err := transport.Marshal(message); err == nil {
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -99,12 +99,12 @@
 	return &publisherFixture{Publisher: publisher, platform: platform, clock: fake}
 }
 
-func (f *publisherFixture) poll() { f.Poll(context.Background()) }
+func (p *publisherFixture) poll() { p.Poll(context.Background()) }
 
 // publishedList gives a zone's list as published, and its serial.
-func (f *publisherFixture) publishedList(t *testing.T, zone ids.Zone) (List, ids.Serial) {
+func (p *publisherFixture) publishedList(t *testing.T, zone ids.Zone) (List, ids.Version) {
 	t.Helper()
-	item, ok := f.Updates.Get(ZoneKey(zone))
+	item, ok := p.Updates.Get(ZoneKey(zone))
 	list, err := transport.Unmarshal[List](item.Body)
 	if !ok || err != nil {
 		t.Fatalf("list of %s: published %v, %v", zone, ok, err)
@@ -112,14 +112,14 @@
 	return list, item.Version
 }
 
-func (f *publisherFixture) heartbeatSerial() ids.Serial {
-	item, _ := f.Updates.Get(HeartbeatKey)
+func (p *publisherFixture) heartbeatSerial() ids.Version {
+	item, _ := p.Updates.Get(HeartbeatKey)
 	return item.Version
 }
 
-func (f *publisherFixture) expectDelay(t *testing.T, moment string, want clock.Span) {
+func (p *publisherFixture) expectDelay(t *testing.T, moment string, want clock.Span) {
 	t.Helper()
-	if delay := f.delay(); delay != want {
+	if delay := p.delay(); delay != want {
 		t.Fatalf("%s: delay %v, want %v", moment, delay, want)
 	}
 }
--- a/control/discovery/runner.go
+++ b/control/discovery/runner.go
@@ -104,7 +104,7 @@
 
 // zoneDigest is the digest of one zone's published list (FNV-1a). Digests are
 // combined by xor, so that the order of the zones does not matter.
-func zoneDigest(zone ids.Zone, serial ids.Serial) int64 {
+func zoneDigest(zone ids.Zone, serial ids.Version) int64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(string(zone) + "@" + strconv.FormatInt(int64(serial), 10)))
 	return int64(digest.Sum64())
@@ -118,4 +118,4 @@
 
 // FencedSerial joins a lease's epoch, the fencing token, and a sequence number
 // below 2^32 to a version that rises with both, the epoch first.
-func FencedSerial(epoch int64, sequence int64) ids.Serial { return ids.Serial(epoch<<32 | sequence) }
+func FencedSerial(epoch int64, sequence int64) ids.Version { return ids.Version(epoch<<32 | sequence) }
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -49,7 +49,7 @@
 // pointers to find the zones that may have changed.
 type ZoneList struct {
 	Runners []Runner
-	serial  ids.Serial
+	serial  ids.Version
 }
 
 // NewView makes an empty view, which is neither complete nor fresh.
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -22,16 +22,16 @@
 	*View
 	t       testing.TB
 	clock   *clock.Fake
-	serials map[ids.Zone]ids.Serial
+	serials map[ids.Zone]ids.Version
 }
 
 func newViewFixture(t testing.TB) *viewFixture {
 	fake := clock.NewFake()
 	view := NewView(ViewOptions{Clock: fake, Zones: []ids.Zone{"a", "b"}, MaxAge: maxAge})
-	return &viewFixture{View: view, t: t, clock: fake, serials: map[ids.Zone]ids.Serial{}}
+	return &viewFixture{View: view, t: t, clock: fake, serials: map[ids.Zone]ids.Version{}}
 }
 
-func newItem[Message any](key string, serial ids.Serial, message Message) gossip.Item {
+func newItem[Message any](key string, serial ids.Version, message Message) gossip.Item {
 	body, _ := transport.Marshal(message)
 	return gossip.Item{Key: key, Version: serial, Body: body}
 }
@@ -45,29 +45,29 @@
 }
 
 // publish publishes a zone's list and reports whether the view may have changed.
-func (f *viewFixture) publish(zone ids.Zone, serial ids.Serial, names ...ids.RunnerID) (changed bool) {
-	f.serials[zone] = serial
-	return f.Apply(newItem(ZoneKey(zone), serial, newList(zone, names...)))
+func (v *viewFixture) publish(zone ids.Zone, serial ids.Version, names ...ids.RunnerID) (changed bool) {
+	v.serials[zone] = serial
+	return v.Apply(newItem(ZoneKey(zone), serial, newList(zone, names...)))
 }
 
 // heartbeat publishes a heartbeat that confirms the serials.
-func (f *viewFixture) heartbeat(serial ids.Serial) (changed bool) {
+func (v *viewFixture) heartbeat(serial ids.Version) (changed bool) {
 	digest := int64(0)
-	for zone, published := range f.serials {
+	for zone, published := range v.serials {
 		digest ^= zoneDigest(zone, published)
 	}
-	return f.Apply(newItem(HeartbeatKey, serial, Heartbeat{Digest: digest}))
+	return v.Apply(newItem(HeartbeatKey, serial, Heartbeat{Digest: digest}))
 }
 
-func (f *viewFixture) expect(moment string, names ...ids.RunnerID) {
-	f.t.Helper()
-	runners := f.Runners()
+func (v *viewFixture) expect(moment string, names ...ids.RunnerID) {
+	v.t.Helper()
+	runners := v.Runners()
 	same := len(runners) == len(names)
 	for index := range runners {
 		same = same && runners[index].ID == names[index]
 	}
 	if !same {
-		f.t.Errorf("%s: %+v, want %v", moment, runners, names)
+		v.t.Errorf("%s: %+v, want %v", moment, runners, names)
 	}
 }
 
--- a/control/gossip/digest.go
+++ b/control/gossip/digest.go
@@ -42,7 +42,7 @@
 func (s *Store) Diff(versions []ItemVersion, member membership.Member) (items []Item, wantedKeys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	remote := map[string]ids.Serial{}
+	remote := map[string]ids.Version{}
 	for _, version := range versions {
 		remote[version.Key] = version.Version
 		if known, ok := s.items[version.Key]; !ok || known.Version < version.Version {
--- a/control/gossip/message.go
+++ b/control/gossip/message.go
@@ -8,10 +8,10 @@
 // Item is one version of one key; of one key the highest version counts.
 // Compressed says that the body is, as it is on the wire.
 type Item struct {
-	Key        string     `avro:"Key"`
-	Version    ids.Serial `avro:"Serial"`
-	Body       []byte     `avro:"Body"`
-	Compressed bool       `avro:"Packed"`
+	Key        string      `avro:"Key"`
+	Version    ids.Version `avro:"Serial"`
+	Body       []byte      `avro:"Body"`
+	Compressed bool        `avro:"Packed"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -19,8 +19,8 @@
 
 // ItemVersion is an item without its body.
 type ItemVersion struct {
-	Key     string     `avro:"Key"`
-	Version ids.Serial `avro:"Serial"`
+	Key     string      `avro:"Key"`
+	Version ids.Version `avro:"Serial"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
--- a/control/gossip/push_test.go
+++ b/control/gossip/push_test.go
@@ -74,13 +74,13 @@
 }
 
 // Push implements peers.
-func (p clusterPeers) Push(ctx scope.Scope, address ids.Address, req PushRequest) error {
-	c := p.cluster
-	c.messagesSent[p.self]++
+func (cp clusterPeers) Push(ctx scope.Scope, address ids.Address, req PushRequest) error {
+	c := cp.cluster
+	c.messagesSent[cp.self]++
 	for _, item := range req.Items {
-		c.bytesSent[p.self] += len(item.Body)
+		c.bytesSent[cp.self] += len(item.Body)
 	}
-	if c.dead[address] || c.dead[p.self] || c.random.Float64() < c.lossRate {
+	if c.dead[address] || c.dead[cp.self] || c.random.Float64() < c.lossRate {
 		return errors.New("push lost")
 	}
 	c.gossipers[address].handlePush(ctx, req)
--- a/control/gossip/store.go
+++ b/control/gossip/store.go
@@ -38,10 +38,10 @@
 	return &updateQueue{wake: make(chan struct{}, 1), keys: map[string]bool{}}
 }
 
-func (q *updateQueue) add(key string) {
-	q.keys[key] = true
+func (u *updateQueue) add(key string) {
+	u.keys[key] = true
 	select {
-	case q.wake <- struct{}{}:
+	case u.wake <- struct{}{}:
 	default:
 	}
 }
--- a/control/gossip/store_test.go
+++ b/control/gossip/store_test.go
@@ -20,17 +20,17 @@
 // each key, and the newest stays.
 func TestStore_versionsOnlyIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		newest := map[string]ids.Serial{}
+		newest := map[string]ids.Version{}
 		store := NewStore(func(item Item) {
 			if item.Version <= newest[item.Key] {
 				t.Fatalf("%s went from %d to %d", item.Key, newest[item.Key], item.Version)
 			}
 			newest[item.Key] = item.Version
 		})
-		highest := map[string]ids.Serial{}
+		highest := map[string]ids.Version{}
 		for range rapid.IntRange(1, 40).Draw(t, "count") {
 			key := rapid.SampledFrom([]string{"spec", "plan"}).Draw(t, "key")
-			serial := ids.Serial(rapid.IntRange(1, 20).Draw(t, "serial"))
+			serial := ids.Version(rapid.IntRange(1, 20).Draw(t, "serial"))
 			store.Put(Item{Key: key, Version: serial})
 			highest[key] = max(highest[key], serial)
 		}
@@ -52,7 +52,7 @@
 		}
 		for index := range rapid.IntRange(1, 20).Draw(t, "items") {
 			where := rapid.IntRange(0, len(stores)-1).Draw(t, "where")
-			stores[where].Put(Item{Key: fmt.Sprint(index % 4), Version: ids.Serial(index + 1), Body: []byte{byte(index)}})
+			stores[where].Put(Item{Key: fmt.Sprint(index % 4), Version: ids.Version(index + 1), Body: []byte{byte(index)}})
 		}
 		exchange := func(from *Store, to *Store) {
 			items, wantedKeys := to.Diff(from.Versions(backboneMember), backboneMember)
--- a/control/gossip/version.go
+++ b/control/gossip/version.go
@@ -20,8 +20,8 @@
 // daemons may write: the counter in the high bits rises by one, a hash of the
 // writer's address fills the low writerBits. So two that write at once get
 // different versions, and the same one of them counts everywhere.
-func NextVersion(known ids.Serial, writer ids.Address) ids.Serial {
+func NextVersion(known ids.Version, writer ids.Address) ids.Version {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(writer))
-	return (known>>writerBits+1)<<writerBits | ids.Serial(hash.Sum64()>>(64-writerBits))
+	return (known>>writerBits+1)<<writerBits | ids.Version(hash.Sum64()>>(64-writerBits))
 }
--- a/control/membership/prober_test.go
+++ b/control/membership/prober_test.go
@@ -17,9 +17,9 @@
 }
 
 // After implements clock.Clock.
-func (c tickClock) After(span clock.Span) <-chan struct{} {
-	if span == c.interval {
-		return c.ticks
+func (t tickClock) After(span clock.Span) <-chan struct{} {
+	if span == t.interval {
+		return t.ticks
 	}
 	return nil
 }
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -42,7 +42,7 @@
 	Runners func() []Runner
 	// NewSerial returns the version of a published item. It must order by epoch
 	// first, then by counter.
-	NewSerial func(epoch int64, counter int64) ids.Serial
+	NewSerial func(epoch int64, counter int64) ids.Version
 	// Window is for how long metrics are kept.
 	Window time.Duration
 	// Interval is the time between two ticks.
--- a/control/planning/autoscaler/planner_test.go
+++ b/control/planning/autoscaler/planner_test.go
@@ -40,7 +40,7 @@
 		Address: "c", Gossip: h.gossip, Runners: func() []Runner { return h.runners },
 		Now:       h.clock.Now,
 		Lease:     func(clock.Instant) (int64, bool) { return h.epoch, h.leased },
-		NewSerial: func(epoch int64, counter int64) ids.Serial { return ids.Serial(epoch<<32 | counter) },
+		NewSerial: func(epoch int64, counter int64) ids.Version { return ids.Version(epoch<<32 | counter) },
 		Window:    60 * time.Second, Interval: time.Second, PlanEvery: 5,
 	})
 }
--- a/control/planning/headroom/model.go
+++ b/control/planning/headroom/model.go
@@ -105,20 +105,20 @@
 }
 
 // utilization returns the utilization of runners that process units at a rate.
-func (m LatencyModel) utilization(unitsPerS float64, runners float64) float64 {
+func (l LatencyModel) utilization(unitsPerS float64, runners float64) float64 {
 	if runners == 0 {
 		return 0
 	}
-	return unitsPerS * m.PerUnitMS / 1000 / runners
+	return unitsPerS * l.PerUnitMS / 1000 / runners
 }
 
 // residualMS returns the mean residual time of the request in service when
 // another arrives, E[S²]/2E[S] for a service time S = PerUnitMS·units.
-func (m LatencyModel) residualMS(total Reading) float64 {
+func (l LatencyModel) residualMS(total Reading) float64 {
 	if total.Units <= 0 {
 		return 0
 	}
-	return m.PerUnitMS * total.UnitsSquared / total.Units / 2
+	return l.PerUnitMS * total.UnitsSquared / total.Units / 2
 }
 
 // Load is the load of the ready runners that a route may use.
--- a/control/state/command/chunks_test.go
+++ b/control/state/command/chunks_test.go
@@ -20,15 +20,15 @@
 	// decided holds the result of a sent change, by its index; acknowledged the
 	// index of the change that was acknowledged on a base version.
 	decided      map[int]errkind.Kind
-	acknowledged map[ids.Serial]int
-	latest       ids.Serial
+	acknowledged map[ids.Version]int
+	latest       ids.Version
 	resultCounts map[errkind.Kind]int
 	busy         map[ids.Address]bool
 }
 
 func newPropertyRun(t *rapid.T, resultCounts map[errkind.Kind]int) *propertyRun {
 	p := &propertyRun{
-		lossyCluster: newLossyCluster(t), t: t, decided: map[int]errkind.Kind{}, acknowledged: map[ids.Serial]int{},
+		lossyCluster: newLossyCluster(t), t: t, decided: map[int]errkind.Kind{}, acknowledged: map[ids.Version]int{},
 		resultCounts: resultCounts, busy: map[ids.Address]bool{},
 	}
 	p.sent = append(p.sent, p.seedHistory()...)
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -133,7 +133,7 @@
 	return resp, ctx.Err()
 }
 
-func (n *node) Promise(ctx scope.Scope, to ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (n *node) Prepare(ctx scope.Scope, to ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return deliver(n, ctx, to, func(other *node) register.PrepareResponse { return other.acceptor.Prepare(req) })
 }
 
@@ -205,7 +205,7 @@
 
 func zoneCommand(verb string) Command { return Command{Key: evacuation.Key("hall"), Verb: verb} }
 
-func putCommand(base ids.Serial, version int) Command {
+func putCommand(base ids.Version, version int) Command {
 	body := fmt.Sprintf(`{"config_version":%d,"routes":[],"services":[{"name":"s"}]}`, version)
 	return Command{Key: config.Key, Verb: VerbChange, Change: store.Change{Full: true, BaseVersion: base, Body: []byte(body)}}
 }
--- a/control/state/command/command.go
+++ b/control/state/command/command.go
@@ -19,7 +19,7 @@
 	FromNonVoter bool `avro:"Forwarded"`
 	// ZoneVersion is the version of a zone's state read after the command
 	// arrived; 0 before it was read. See dispatchOnce.
-	ZoneVersion ids.Serial `avro:"Past"`
+	ZoneVersion ids.Version `avro:"Past"`
 	// Deadline, in the receiver's clock, is when a forwarded command may not be
 	// started any more; the zero value if it was not forwarded.
 	Deadline quorum.Deadline `avro:"Until"`
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -61,7 +61,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 150*clock.Millisecond)
 		for version := range 4 {
-			if kind, _, elapsed := c.dispatch("a", putCommand(ids.Serial(version), version+1)); kind != errkind.None {
+			if kind, _, elapsed := c.dispatch("a", putCommand(ids.Version(version), version+1)); kind != errkind.None {
 				t.Errorf("command %d: %v after %v", version, kind, elapsed)
 			}
 		}
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -61,7 +61,7 @@
 	return resp, nil
 }
 
-func (l *lossyCluster) Promise(_ scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (l *lossyCluster) Prepare(_ scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.PrepareResponse { return acceptor.Prepare(req) })
 }
 
@@ -127,7 +127,7 @@
 const initialConfig = `{"config_version":1,"routes":[],"services":[{"name":"s"}]}`
 
 // patchChange is a change that sets a version and a mark.
-func patchChange(base ids.Serial, version ids.Serial, mark string) store.Change {
+func patchChange(base ids.Version, version ids.Version, mark string) store.Change {
 	return store.Change{BaseVersion: base, Body: fmt.Appendf(nil, `{"config_version":%d,"changes":{"mark":%q}}`, version, mark)}
 }
 
@@ -137,7 +137,7 @@
 	changes []store.Change
 }) {
 	history.changes = []store.Change{{Full: true, Body: []byte(initialConfig)}}
-	for version := range ids.Serial(800) {
+	for version := range ids.Version(800) {
 		history.changes = append(history.changes, patchChange(version+1, version+2, ""))
 	}
 	for _, change := range history.changes {
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -11,7 +11,7 @@
 
 // LatestVersion gives the version of the newest configuration that a majority
 // confirms now; 0 if there is none yet.
-func (d *Dispatcher) LatestVersion(ctx scope.Scope) (ids.Serial, error) {
+func (d *Dispatcher) LatestVersion(ctx scope.Scope) (ids.Version, error) {
 	value, err := d.Dispatch(ctx, Command{Key: config.Key, Verb: VerbRead})
 	if err != nil {
 		return 0, err
--- a/control/state/quorum/messages.go
+++ b/control/state/quorum/messages.go
@@ -31,8 +31,8 @@
 
 // clockLead is how far the responder's clock was ahead of the own one when its
 // response arrived. The response that travelled the least has the largest lead.
-func (r HeartbeatResponse) clockLead(received clock.Instant) int64 {
-	return r.Reading - int64(received)
+func (h HeartbeatResponse) clockLead(received clock.Instant) int64 {
+	return h.Reading - int64(received)
 }
 
 // RegisterHandlers serves the heartbeat to other controllers.
--- a/control/state/quorum/silence.go
+++ b/control/state/quorum/silence.go
@@ -14,12 +14,12 @@
 // of them counts: a packet that was lost and sent again tells nothing of the path.
 type rttSamples [3]clock.Span
 
-func (s rttSamples) with(rtt clock.Span) rttSamples { return rttSamples{rtt, s[0], s[1]} }
+func (r rttSamples) with(rtt clock.Span) rttSamples { return rttSamples{rtt, r[0], r[1]} }
 
 // min returns the least sample; 0 where there is none.
-func (s rttSamples) min() clock.Span {
+func (r rttSamples) min() clock.Span {
 	least := clock.Span(0)
-	for _, rtt := range s {
+	for _, rtt := range r {
 		if rtt > 0 && (least == 0 || rtt < least) {
 			least = rtt
 		}
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -42,7 +42,7 @@
 	// Applied is closed once some version is applied here; AppliedSerial then
 	// returns which.
 	Applied       <-chan struct{}
-	AppliedSerial func() ids.Serial
+	AppliedSerial func() ids.Version
 	// Fetch exchanges updates with a controller that has a newer version.
 	Fetch func(ctx scope.Scope, address ids.Address)
 	// MaxWait is how long the gate stays closed without any confirmation.
@@ -65,7 +65,7 @@
 	candidates []ids.Address
 	// readIndex is the newest serial of all responses, where hasReadIndex; source
 	// is the controller that responded last.
-	readIndex    ids.Serial
+	readIndex    ids.Version
 	hasReadIndex bool
 	source       ids.Address
 	// waitingSince is the start of the wait that MaxWait bounds.
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -47,9 +47,9 @@
 				return Response{}, errors.New("no quorum")
 			}
 			ctx.Wait(80 * clock.Millisecond)
-			return Response{Serial: ids.Serial(tg.newest.Load())}, nil
+			return Response{Serial: ids.Version(tg.newest.Load())}, nil
 		},
-		Applied: tg.applied, AppliedSerial: func() ids.Serial { return ids.Serial(tg.serial.Load()) },
+		Applied: tg.applied, AppliedSerial: func() ids.Version { return ids.Version(tg.serial.Load()) },
 		Fetch: func(ctx scope.Scope, _ ids.Address) {
 			if ctx.Wait(100 * clock.Millisecond); !tg.partitioned.Load() {
 				tg.serial.Store(tg.newest.Load())
@@ -62,14 +62,14 @@
 
 // run runs the gate, applies a first version after a while, and returns how long
 // after that the gate opened.
-func (tg *testGate) run(appliedAfter clock.Span, serial int64) clock.Span {
-	go func() { tg.gate.Run(tg.ctx); tg.runEnded.Store(true) }()
-	tg.ctx.Wait(appliedAfter)
-	tg.serial.Store(serial)
-	close(tg.applied)
-	start := tg.ctx.Now()
-	<-tg.gate.Ready()
-	return tg.ctx.Now().Since(start)
+func (t *testGate) run(appliedAfter clock.Span, serial int64) clock.Span {
+	go func() { t.gate.Run(t.ctx); t.runEnded.Store(true) }()
+	t.ctx.Wait(appliedAfter)
+	t.serial.Store(serial)
+	close(t.applied)
+	start := t.ctx.Now()
+	<-t.gate.Ready()
+	return t.ctx.Now().Since(start)
 }
 
 func TestGate_staleVersionIsNotServed(t *testing.T) {
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -23,7 +23,7 @@
 // Response carries the serial of the newest version; 0 where none was ever
 // accepted.
 type Response struct {
-	Serial ids.Serial `avro:"Serial"`
+	Serial ids.Version `avro:"Serial"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -33,7 +33,7 @@
 // confirms. Requests that wait together share the next read, which begins after
 // all of them arrived. It is safe for concurrent use.
 type Reader struct {
-	read func(ctx scope.Scope) (ids.Serial, error)
+	read func(ctx scope.Scope) (ids.Version, error)
 
 	mu sync.Mutex
 	// reading reports that readLoop runs; pending is the read after the one that
@@ -46,13 +46,13 @@
 // done is closed.
 type sharedRead struct {
 	done   chan struct{}
-	serial ids.Serial
+	serial ids.Version
 	err    error
 }
 
 // NewReader returns a Reader on top of read, which returns the newest serial once
 // a majority has confirmed it.
-func NewReader(read func(ctx scope.Scope) (ids.Serial, error)) *Reader { return &Reader{read: read} }
+func NewReader(read func(ctx scope.Scope) (ids.Version, error)) *Reader { return &Reader{read: read} }
 
 // RegisterHandlers serves the read index to other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
@@ -63,7 +63,7 @@
 }
 
 // ReadIndex returns the newest serial that a majority confirmed after the call.
-func (r *Reader) ReadIndex(ctx scope.Scope) (ids.Serial, error) {
+func (r *Reader) ReadIndex(ctx scope.Scope) (ids.Version, error) {
 	read := r.join(ctx)
 	select {
 	case <-read.done:
--- a/control/state/readindex/reader_test.go
+++ b/control/state/readindex/reader_test.go
@@ -16,11 +16,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := scope.New(scope.Options{})
 		var newest, reads atomic.Int64
-		reader := NewReader(func(ctx scope.Scope) (ids.Serial, error) {
+		reader := NewReader(func(ctx scope.Scope) (ids.Version, error) {
 			reads.Add(1)
 			serial := newest.Load()
 			ctx.Wait(100 * clock.Millisecond)
-			return ids.Serial(serial), nil
+			return ids.Version(serial), nil
 		})
 		results := make(chan bool)
 		for index := range 300 {
--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -35,12 +35,12 @@
 }
 
 // Error says which record it is, what is wrong with it and what to do.
-func (e *RecordError) Error() string {
-	return fmt.Sprintf("register: stored record %d of %d: %v: start the build that wrote the file", e.Index+1, e.Count, e.Err)
+func (r *RecordError) Error() string {
+	return fmt.Sprintf("register: stored record %d of %d: %v: start the build that wrote the file", r.Index+1, r.Count, r.Err)
 }
 
 // Unwrap returns the decoder's error.
-func (e *RecordError) Unwrap() error { return e.Err }
+func (r *RecordError) Unwrap() error { return r.Err }
 
 // Acceptor is one voter: what it promised and accepted for each key. Its methods
 // may be called from any goroutine.
--- a/control/state/register/discovery.go
+++ b/control/state/register/discovery.go
@@ -66,7 +66,7 @@
 func (j *Joiner) LearnVoters(ctx scope.Scope, address ids.Address) {
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
-	resp, err := j.Replicas.Copy(ctx, address, FetchRequest{Key: VotersKey})
+	resp, err := j.Replicas.Fetch(ctx, address, FetchRequest{Key: VotersKey})
 	if err != nil {
 		return
 	}
--- a/control/state/register/gather.go
+++ b/control/state/register/gather.go
@@ -70,7 +70,7 @@
 func (j *Joiner) fetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error) {
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
-	return j.Replicas.Held(ctx, address)
+	return j.Replicas.FetchDigest(ctx, address)
 }
 
 // withRequestTimeout bounds one request.
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -17,8 +17,8 @@
 // ReplicaClient exchanges state with other controllers. Copy and Held only read;
 // Learn is Acceptor.Learn over there.
 type ReplicaClient interface {
-	Copy(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error)
-	Held(ctx scope.Scope, address ids.Address) (DigestResponse, error)
+	Fetch(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error)
+	FetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error)
 	Learn(ctx scope.Scope, address ids.Address, slots []Slot) error
 }
 
--- a/control/state/register/learn.go
+++ b/control/state/register/learn.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
-	resp, err := j.Replicas.Copy(ctx, newest.source, FetchRequest{Key: key})
+	resp, err := j.Replicas.Fetch(ctx, newest.source, FetchRequest{Key: key})
 	if err != nil || len(resp.Slots) != 1 || newest.digest.proposal().newerThan(resp.Slots[0].Accepted) {
 		return slot, false
 	}
--- a/control/state/register/network_test.go
+++ b/control/state/register/network_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c clusterClient) Promise(_ scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error) {
+func (c clusterClient) Prepare(_ scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error) {
 	resp, err := deliver(c.cluster, c.from, address, func(voter *Acceptor) PrepareResponse { return voter.Prepare(req) })
 	c.reconcile(address, resp.Verdict, resp.Generation, err)
 	return resp, err
@@ -78,11 +78,11 @@
 	return resp, err
 }
 
-func (c clusterClient) Copy(_ scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error) {
+func (c clusterClient) Fetch(_ scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error) {
 	return deliver(c.cluster, c.from, address, func(voter *Acceptor) FetchResponse { return voter.Fetch(req) })
 }
 
-func (c clusterClient) Held(_ scope.Scope, address ids.Address) (DigestResponse, error) {
+func (c clusterClient) FetchDigest(_ scope.Scope, address ids.Address) (DigestResponse, error) {
 	return deliver(c.cluster, c.from, address, func(voter *Acceptor) DigestResponse { return voter.Digest() })
 }
 
@@ -107,20 +107,20 @@
 	<-ctx.Done()
 }
 
-func (u unresponsiveClient) Copy(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error) {
+func (u unresponsiveClient) Fetch(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error) {
 	if address == u.unresponsive {
 		u.waitForTimeout(ctx)
 		return FetchResponse{}, ctx.Err()
 	}
-	return u.ReplicaClient.Copy(ctx, address, req)
+	return u.ReplicaClient.Fetch(ctx, address, req)
 }
 
-func (u unresponsiveClient) Held(ctx scope.Scope, address ids.Address) (DigestResponse, error) {
+func (u unresponsiveClient) FetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error) {
 	if address == u.unresponsive {
 		u.waitForTimeout(ctx)
 		return DigestResponse{}, ctx.Err()
 	}
-	resp, err := u.ReplicaClient.Held(ctx, address)
+	resp, err := u.ReplicaClient.FetchDigest(ctx, address)
 	resp.Unreachable = []ids.Address{u.unresponsive}
 	return resp, err
 }
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -16,7 +16,7 @@
 
 // VoterClient sends requests to voters, the caller's own included.
 type VoterClient interface {
-	Promise(ctx scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error)
+	Prepare(ctx scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error)
 	Accept(ctx scope.Scope, address ids.Address, req AcceptRequest) (AcceptResponse, error)
 	Confirm(ctx scope.Scope, address ids.Address, req ConfirmRequest) (AcceptResponse, error)
 }
@@ -211,7 +211,7 @@
 	var newest Proposal
 	voters, epoch := state.voters, state.epoch
 	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx scope.Scope, member Member) (Verdict, int64) {
-		resp, err := p.options.Client.Promise(ctx, member.Address, PrepareRequest{Fence: voters.FencingToken(member), Key: state.key, Epoch: epoch})
+		resp, err := p.options.Client.Prepare(ctx, member.Address, PrepareRequest{Fence: voters.FencingToken(member), Key: state.key, Epoch: epoch})
 		verdict := verdictOf(resp.Verdict, err)
 		mu.Lock()
 		defer mu.Unlock()
--- a/control/state/register/repair.go
+++ b/control/state/register/repair.go
@@ -136,7 +136,7 @@
 	address := others[r.nextPeer%len(others)]
 	limited, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
-	resp, err := j.Replicas.Held(limited, address)
+	resp, err := j.Replicas.FetchDigest(limited, address)
 	if err != nil {
 		return
 	}
--- a/control/state/voter/client.go
+++ b/control/state/voter/client.go
@@ -10,8 +10,8 @@
 // A Voter is the register.VoterClient of the proposer and the
 // register.ReplicaClient of the joiner: both reach all controllers through it.
 
-// Promise sends a prepare request to a voter.
-func (v *Voter) Promise(ctx scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+// Prepare sends a prepare request to a voter.
+func (v *Voter) Prepare(ctx scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return callVoter(ctx, v, address, prepareCall, req, v.Acceptor.Prepare, func(resp register.PrepareResponse) (register.Verdict, int64) {
 		return resp.Verdict, resp.Generation
 	})
@@ -56,14 +56,14 @@
 	return resp, err
 }
 
-// Copy fetches the slots that a controller holds.
-func (v *Voter) Copy(ctx scope.Scope, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
+// Fetch fetches the slots that a controller holds.
+func (v *Voter) Fetch(ctx scope.Scope, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
 	return transport.Send[register.FetchResponse](ctx, v.options.Transport, address, fetchCall, req)
 }
 
-// Held fetches the state of all keys on a controller's disk. Where it holds the
+// FetchDigest fetches the state of all keys on a controller's disk. Where it holds the
 // same as this one, which is the usual case, the keys are not sent.
-func (v *Voter) Held(ctx scope.Scope, address ids.Address) (register.DigestResponse, error) {
+func (v *Voter) FetchDigest(ctx scope.Scope, address ids.Address) (register.DigestResponse, error) {
 	own := v.Acceptor.Digest()
 	resp, err := call[register.DigestResponse](ctx, v, address, digestCall, register.DigestRequest{Hash: own.Hash()})
 	if err == nil && resp.Unchanged {
--- a/control/state/voter/handover.go
+++ b/control/state/voter/handover.go
@@ -15,11 +15,11 @@
 	handOversPerReplaceAfter = 10
 )
 
-// HandOver waits, for at most a quarter of the graceful shutdown, until enough
+// HandOff waits, for at most a quarter of the graceful shutdown, until enough
 // other disks hold what this one does and a standby has taken its place. Without a
 // standby it keeps the place: a controller that shuts down does not know whether
 // it will be restarted.
-func (v *Voter) HandOver(ctx scope.Scope) {
+func (v *Voter) HandOff(ctx scope.Scope) {
 	ctx, cancel := ctx.WithTimeout(settings.Seconds(v.settings.Bounds.GraceS) / handOverShare)
 	defer cancel()
 	repairer := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(v.settings)}
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -164,10 +164,10 @@
 	for !c.voters[0].Redundancy().Complete {
 		c.voters[0].surveyOnce(c.ctx)
 	}
-	c.voters[0].HandOver(c.ctx)
+	c.voters[0].HandOff(c.ctx)
 	c.removeVoter(1)
 	c.removeVoter(2)
 	ended, cancel := c.ctx.WithCancel()
 	cancel()
-	c.voters[0].HandOver(ended)
+	c.voters[0].HandOff(ended)
 }
--- a/control/state/wal/bench_test.go
+++ b/control/state/wal/bench_test.go
@@ -106,7 +106,7 @@
 		patch, _ := json.Marshal(map[string]any{"config_version": index + 2, "changes": map[string]any{
 			"routes": []any{route(source, source.IntN(routes), max(2, routes/10))}}})
 		before := cpuTime()
-		next, err := store.Change{BaseVersion: ids.Serial(index + 1), Body: patch}.Apply(value)
+		next, err := store.Change{BaseVersion: ids.Version(index + 1), Body: patch}.Apply(value)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/control/state/wal/compact.go
+++ b/control/state/wal/compact.go
@@ -28,7 +28,7 @@
 	err := l.rewriteFile(l.options.Snapshot())
 	if errors.Is(err, syscall.ENOSPC) {
 		_ = l.options.FS.Remove(quarantineName(l.options.Name))
-		_ = l.options.FS.SyncFolder()
+		_ = l.options.FS.SyncDir()
 	}
 	return err
 }
--- a/control/state/wal/errors.go
+++ b/control/state/wal/errors.go
@@ -27,12 +27,12 @@
 }
 
 // Error names the file, both versions and what to do.
-func (e *VersionError) Error() string {
-	return fmt.Sprintf("%s has format version %d, this build reads %d: start the build that wrote the file", e.File, e.Found, e.Want)
+func (v *VersionError) Error() string {
+	return fmt.Sprintf("%s has format version %d, this build reads %d: start the build that wrote the file", v.File, v.Found, v.Want)
 }
 
 // Is reports whether target is ErrUnsupportedVersion.
-func (e *VersionError) Is(target error) bool { return target == ErrUnsupportedVersion }
+func (v *VersionError) Is(target error) bool { return target == ErrUnsupportedVersion }
 
 // Corruption reports that synced bytes of a file are damaged. Open has set the
 // file aside then, and the log starts empty.
--- a/control/state/wal/fs.go
+++ b/control/state/wal/fs.go
@@ -14,7 +14,7 @@
 }
 
 // FS is the folder that a log lives in. A name that was created, renamed or
-// removed is durable only once SyncFolder has returned, and bytes once Sync has.
+// removed is durable only once SyncDir has returned, and bytes once Sync has.
 type FS interface {
 	// Read returns the content of a file; a missing one is empty.
 	Read(name string) ([]byte, error)
@@ -27,8 +27,8 @@
 	Rename(from string, to string) error
 	// Remove removes a file; a missing one is no error.
 	Remove(name string) error
-	// SyncFolder makes the names of all files durable.
-	SyncFolder() error
+	// SyncDir makes the names of all files durable.
+	SyncDir() error
 }
 
 // Dir is the FS of a directory of the operating system.
@@ -68,7 +68,7 @@
 	if err := os.Mkdir(path, 0o755); err != nil && !os.IsExist(err) {
 		return err
 	}
-	return Dir(parent).SyncFolder()
+	return Dir(parent).SyncDir()
 }
 
 // Append opens a file and cuts it to the length.
@@ -99,8 +99,8 @@
 	return err
 }
 
-// SyncFolder makes the names of all files durable.
-func (d Dir) SyncFolder() error {
+// SyncDir makes the names of all files durable.
+func (d Dir) SyncDir() error {
 	folder, err := os.Open(string(d))
 	if err != nil {
 		return err
--- a/control/state/wal/log.go
+++ b/control/state/wal/log.go
@@ -119,7 +119,7 @@
 	if err := fs.Rename(name, quarantineName(name)); err != nil {
 		return err
 	}
-	return fs.SyncFolder()
+	return fs.SyncDir()
 }
 
 // resume opens the file for appending after its intact frames.
@@ -130,7 +130,7 @@
 	}
 	// What a former process wrote need not have been synced yet.
 	if err = file.Sync(); err == nil {
-		err = l.options.FS.SyncFolder()
+		err = l.options.FS.SyncDir()
 	}
 	if err != nil {
 		_ = file.Close()
--- a/control/state/wal/replace.go
+++ b/control/state/wal/replace.go
@@ -26,12 +26,12 @@
 		return nil, false, err
 	}
 	if err = writeAndSync(file, content); err == nil {
-		err = fs.SyncFolder()
+		err = fs.SyncDir()
 	}
 	if err == nil {
 		renamed = true
 		if err = fs.Rename(temp, name); err == nil {
-			err = fs.SyncFolder()
+			err = fs.SyncDir()
 		}
 	}
 	if err != nil {
--- a/control/transport/client.go
+++ b/control/transport/client.go
@@ -67,9 +67,9 @@
 	body []byte
 }
 
-// Outgoing implements the request side of an HTTP call.
-func (o outgoingRequest) Outgoing() httpcall.Outgoing {
-	return httpcall.Outgoing{
+// Encode implements the request side of an HTTP call.
+func (o outgoingRequest) Encode() httpcall.OutgoingRequest {
+	return httpcall.OutgoingRequest{
 		Method: http.MethodPost, Path: "/" + o.name, Body: o.body,
 		Header: http.Header{"Content-Type": {contentType}},
 	}
@@ -78,9 +78,9 @@
 // incomingResponse is a response on the client's side, still encoded.
 type incomingResponse struct{ body []byte }
 
-// Hear keeps the body of a success; any other status becomes an error of the
+// Decode keeps the body of a success; any other status becomes an error of the
 // kind that the response's header names, Internal where it names none.
-func (i *incomingResponse) Hear(raw httpcall.RawResponse) error {
+func (i *incomingResponse) Decode(raw httpcall.RawResponse) error {
 	if raw.Status == http.StatusOK {
 		i.body = raw.Body
 		return nil
--- a/control/transport/server.go
+++ b/control/transport/server.go
@@ -13,8 +13,8 @@
 // deployment's tag off its body before.
 type incomingRequest[Request any] struct{ message Request }
 
-// Read decodes the request.
-func (i *incomingRequest[Request]) Read(incoming httpcall.Incoming) error {
+// Decode decodes the request.
+func (i *incomingRequest[Request]) Decode(incoming httpcall.Incoming) error {
 	message, err := Unmarshal[Request](incoming.Body)
 	i.message = message
 	return err
@@ -23,8 +23,8 @@
 // outgoingResponse is a response on the server's side.
 type outgoingResponse[Response any] struct{ message Response }
 
-// Reply encodes the response.
-func (o outgoingResponse[Response]) Reply() response.Response {
+// Response encodes the response.
+func (o outgoingResponse[Response]) Response() response.Response {
 	body, err := Marshal(o.message)
 	if err != nil {
 		return response.FromKind(errkind.Internal, err.Error())
--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -33,9 +33,9 @@
 	SlowStart   *slowstart.Tracker
 	// Region is where this router runs.
 	Region ids.Region
-	// SlowStartSharers returns among how many routers the rate of a runner in slow
+	// SlowStartRouters returns among how many routers the rate of a runner in slow
 	// start in a zone is shared; 0 where this router must not send to it.
-	SlowStartSharers func(zone ids.Zone) int
+	SlowStartRouters func(zone ids.Zone) int
 	// RouterCount returns how many routers there may be, at most.
 	RouterCount func() int
 	// ZoneLost reports whether a zone seems to be lost: its runners are used only
@@ -107,5 +107,5 @@
 	if service == nil {
 		return slowstart.Limit{}
 	}
-	return slowstart.Limit{RequestsPerSecond: service.WarmupRatePerSecond, Routers: b.options.SlowStartSharers(zone)}
+	return slowstart.Limit{RequestsPerSecond: service.WarmupRatePerSecond, Routers: b.options.SlowStartRouters(zone)}
 }
--- a/data/balancer/lengthclass.go
+++ b/data/balancer/lengthclass.go
@@ -15,8 +15,8 @@
 	longSpillMargin = 0.25
 )
 
-// LengthKind returns by what the request's length is estimated before it runs.
-func (a *Admission) LengthKind() lengthstats.Key {
+// LengthKey returns by what the request's length is estimated before it runs.
+func (a *Admission) LengthKey() lengthstats.Key {
 	return lengthstats.Key{
 		Service: a.service, Route: a.request.Route.Name, Bucket: lengthstats.BucketOf(a.request.PromptTokens),
 	}
@@ -27,7 +27,7 @@
 // compared to the others, or are none: no runner stands idle beside a queue, and
 // no request is rejected for its class.
 func (b *Balancer) filterLengthClass(snap *snapshot.Snapshot, admission *Admission, candidates []candidate) []candidate {
-	class := snap.Lengths.Class(admission.LengthKind())
+	class := snap.Lengths.Class(admission.LengthKey())
 	if class == lengthstats.Unknown {
 		return candidates
 	}
--- a/data/balancer/selection_test.go
+++ b/data/balancer/selection_test.go
@@ -131,7 +131,7 @@
 	route := &config.Route{LatencyTargetMS: 1000, Priority: 1}
 	candidates := newCandidates(1, 1, 1)
 	send := func(id ids.RunnerID, number uint64, priority int) {
-		stats.RequestSent(id, runnerstats.SentRequest{Number: number, Urgency: priority}, clk.Now())
+		stats.RequestSent(id, runnerstats.SentRequest{Number: number, Priority: priority}, clk.Now())
 	}
 	send("i0", 1, 1)
 	send("i0", 2, 1)
--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -37,12 +37,12 @@
 }
 
 // mayHaveRun returns whether the runner may have begun to work.
-func (r attemptRecord) mayHaveRun() bool {
-	return r.outcome != upstream.Unsent && r.outcome != upstream.Rejected
+func (a attemptRecord) mayHaveRun() bool {
+	return a.outcome != upstream.Unsent && a.outcome != upstream.Rejected
 }
 
 // reachedRunner returns whether the runner counts it as an arrival.
-func (r attemptRecord) reachedRunner() bool { return r.outcome != upstream.Unsent }
+func (a attemptRecord) reachedRunner() bool { return a.outcome != upstream.Unsent }
 
 // mayHaveRun returns whether any attempt so far may have run.
 func (e *exchange) mayHaveRun() bool {
@@ -102,7 +102,7 @@
 		slow = 1
 	}
 	return lengthstats.Totals{
-		Key: a.admission.LengthKind(), Count: 1, DurationMS: float64(duration) / float64(clock.Millisecond),
+		Key: a.admission.LengthKey(), Count: 1, DurationMS: float64(duration) / float64(clock.Millisecond),
 		Tokens: max(0, e.balancerRequest.PartTokens-e.balancerRequest.SharedTokens), SlowFirstTokens: slow,
 	}
 }
@@ -129,7 +129,7 @@
 // recordAttempt keeps an attempt for the log and the checks that follow.
 func (e *exchange) recordAttempt(record attemptRecord) {
 	e.attempts = append(e.attempts, record)
-	e.proxy.metrics.Send(record.outcome.String(), record.cause)
+	e.proxy.metrics.CountAttempt(record.outcome.String(), record.cause)
 }
 
 // discardTimeout is how long the rest of a rejection is waited for, so that its
@@ -167,13 +167,13 @@
 		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", id, route.Name, runner.ID, e.attempts)
 	}
 	if arrivals >= max(1, route.MaxAttempts) {
-		monitor.Violated(invariant.Tries, "attempt %s of route %s is sent to %s after %d of %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
+		monitor.Violated(invariant.AttemptLimit, "attempt %s of route %s is sent to %s after %d of %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
 	if !route.AllowsRegion(runner.Region) {
 		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", id, route.Name, runner.ID, runner.Region)
 	}
 	if timeout := e.clientTimeout; timeout > 0 && now.Add(timeLeft).Since(e.arrivedAt) > timeout {
-		monitor.Violated(invariant.TimeLeft, "attempt %s: %v left of %v", id, timeLeft, timeout)
+		monitor.Violated(invariant.DeadlineNotExtended, "attempt %s: %v left of %v", id, timeLeft, timeout)
 	}
 }
 
@@ -182,7 +182,7 @@
 func (e *exchange) checkResponse(resp *http.Response) {
 	id, sealed := resp.Header.Get(upstream.AttemptIDHeader), resp.Header.Get(upstream.SealHeader) != ""
 	if id != e.upstreamRequest.AttemptID || (resp.StatusCode/100 == 2 && !sealed) {
-		e.proxy.monitor.Violated(invariant.AnswerSeal, "attempt %s gets an answer of %q, status %d, sealed %v", e.upstreamRequest.AttemptID, id, resp.StatusCode, sealed)
+		e.proxy.monitor.Violated(invariant.ResponseSeal, "attempt %s gets an answer of %q, status %d, sealed %v", e.upstreamRequest.AttemptID, id, resp.StatusCode, sealed)
 	}
 }
 
--- a/data/proxy/conns.go
+++ b/data/proxy/conns.go
@@ -14,26 +14,26 @@
 	conns map[*clientConn]bool
 }
 
-func (s *connSet) add(conn *clientConn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.conns == nil {
-		s.conns = map[*clientConn]bool{}
+func (c *connSet) add(conn *clientConn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns == nil {
+		c.conns = map[*clientConn]bool{}
 	}
-	s.conns[conn] = true
+	c.conns[conn] = true
 }
 
-func (s *connSet) remove(conn *clientConn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.conns, conn)
+func (c *connSet) remove(conn *clientConn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.conns, conn)
 }
 
-func (s *connSet) list() []*clientConn {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	conns := make([]*clientConn, 0, len(s.conns))
-	for conn := range s.conns {
+func (c *connSet) list() []*clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conns := make([]*clientConn, 0, len(c.conns))
+	for conn := range c.conns {
 		conns = append(conns, conn)
 	}
 	return conns
--- a/data/proxy/deadlines.go
+++ b/data/proxy/deadlines.go
@@ -43,69 +43,69 @@
 }
 
 // enter begins a phase. It returns false where the connection is closed.
-func (d *connDeadlines) enter(next connPhase) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.phase == phaseClosed {
+func (c *connDeadlines) enter(next connPhase) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase == phaseClosed {
 		return false
 	}
-	d.phase, d.since = next, time.Now()
-	d.hasInput = d.hasInput && next != phaseIdle
+	c.phase, c.since = next, time.Now()
+	c.hasInput = c.hasInput && next != phaseIdle
 	return true
 }
 
 // inputArrived notes that bytes were read.
-func (d *connDeadlines) inputArrived() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.hasInput = true
+func (c *connDeadlines) inputArrived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.hasInput = true
 }
 
 // closeIfIdle enters phaseClosed unless a request is being read or served, and
 // returns whether it did.
-func (d *connDeadlines) closeIfIdle() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.phase == phaseServing || d.hasInput {
+func (c *connDeadlines) closeIfIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase == phaseServing || c.hasInput {
 		return false
 	}
-	d.phase = phaseClosed
+	c.phase = phaseClosed
 	return true
 }
 
 // hasRequest returns whether a request is being read or served.
-func (d *connDeadlines) hasRequest() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.phase == phaseServing || (d.phase != phaseClosed && d.hasInput)
+func (c *connDeadlines) hasRequest() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.phase == phaseServing || (c.phase != phaseClosed && c.hasInput)
 }
 
 // keepsDeadline returns whether a deadline is set as net/http gives it. The
 // caller holds the lock.
-func (d *connDeadlines) keepsDeadline() bool {
-	return d.phase == phaseServing || d.phase == phaseClosed
+func (c *connDeadlines) keepsDeadline() bool {
+	return c.phase == phaseServing || c.phase == phaseClosed
 }
 
 // readDeadline returns the deadline to set where net/http sets one.
-func (d *connDeadlines) readDeadline(deadline time.Time) time.Time {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.keepsDeadline() {
+func (c *connDeadlines) readDeadline(deadline time.Time) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.keepsDeadline() {
 		return deadline
 	}
 	if deadline.IsZero() {
 		// net/http ends the idle time so: a request has begun.
-		d.phase, d.since = phaseReadingHead, time.Now()
+		c.phase, c.since = phaseReadingHead, time.Now()
 		return deadline
 	}
-	return d.expiry()
+	return c.expiry()
 }
 
 // expiry returns when the present phase times out by the limits in force; the
 // zero time is never. The caller holds the lock.
-func (d *connDeadlines) expiry() time.Time {
-	limits, timeoutMS := d.limits(), 0.0
-	switch d.phase {
+func (c *connDeadlines) expiry() time.Time {
+	limits, timeoutMS := c.limits(), 0.0
+	switch c.phase {
 	case phaseReadingHead:
 		timeoutMS = limits.HeaderTimeoutMS
 	case phaseIdle:
@@ -115,20 +115,20 @@
 	if timeout <= 0 {
 		return time.Time{}
 	}
-	return d.since.Add(timeout)
+	return c.since.Add(timeout)
 }
 
 // extended returns the new deadline, and true, where err is a time-out by limits
 // that are in force no more and those in force leave time.
-func (d *connDeadlines) extended(err error) (time.Time, bool) {
+func (c *connDeadlines) extended(err error) (time.Time, bool) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return time.Time{}, false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.keepsDeadline() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.keepsDeadline() {
 		return time.Time{}, false
 	}
-	expiry := d.expiry()
+	expiry := c.expiry()
 	return expiry, expiry.IsZero() || time.Now().Before(expiry)
 }
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -248,7 +248,7 @@
 		admission: admission, runner: runner, startedAt: startedAt, number: e.proxy.attemptSeq.Add(1), resumes: e.hasLastEventID,
 		request: upstream.Attempt{
 			Request: e.upstreamRequest, RunnerID: runner.ID, Address: runner.Address,
-			TimeLeft: e.deadline.Since(startedAt), Urgency: e.route.Priority,
+			TimeLeft: e.deadline.Since(startedAt), Priority: e.route.Priority,
 			Service: admission.Service(), AtMostOnce: !e.route.Idempotent(),
 		},
 	}
@@ -257,8 +257,8 @@
 	}
 	e.checkAttempt(runner, a.request.TimeLeft, startedAt)
 	e.proxy.stats.RequestSent(runner.ID, runnerstats.SentRequest{
-		Service: admission.Service(), Number: a.number, Tokens: e.balancerRequest.PartTokens, Urgency: e.route.Priority,
-		Goal: e.route.LatencyTarget(),
+		Service: admission.Service(), Number: a.number, Tokens: e.balancerRequest.PartTokens, Priority: e.route.Priority,
+		LatencyTarget: e.route.LatencyTarget(),
 	}, startedAt)
 	return a
 }
@@ -396,10 +396,10 @@
 }
 
 // Read implements io.Reader.
-func (r *upstreamReader) Read(p []byte) (int, error) {
-	n, err := r.source.Read(p)
+func (u *upstreamReader) Read(p []byte) (int, error) {
+	n, err := u.source.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		r.err = err
+		u.err = err
 	}
 	return n, err
 }
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -48,7 +48,7 @@
 	server     *httptest.Server
 	log        *logtest.Buffer
 	runners    []discovery.Runner
-	listSerial ids.Serial
+	listSerial ids.Version
 }
 
 // newTestProxy returns a testProxy whose retry budget is the reserve alone.
@@ -69,12 +69,12 @@
 	slowStart := slowstart.New(func() float64 { return 0 })
 	lb := balancer.New(balancer.Options{
 		Scope: sc, Snapshots: p.snapshots, Stats: p.stats, SlowStart: slowStart, Region: "north", RouterCount: one,
-		SlowStartSharers: func(ids.Zone) int { return 1 },
+		SlowStartRouters: func(ids.Zone) int { return 1 },
 		Random:           func() float64 { return 0 },
 		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: retryReserve, Window: 10 * clock.Second, Routers: one}),
 	})
 	client := upstream.NewClient(upstream.Options{
-		Clock: fakeClock, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
+		Clock: fakeClock, Dialer: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
 	p.proxy = New(Options{Scope: sc, Snapshots: p.snapshots, Balancer: lb, Stats: p.stats, SlowStart: slowStart, Upstream: client})
 	p.server = httptest.NewUnstartedServer(p.proxy)
@@ -94,28 +94,28 @@
 }
 
 // setConfig publishes a configuration, a format with its version.
-func (p *testProxy) setConfig(version int, format string) {
-	p.updates.Put(gossip.Item{Key: "spec", Version: ids.Serial(version), Body: []byte(fmt.Sprintf(format, version))})
+func (t *testProxy) setConfig(version int, format string) {
+	t.updates.Put(gossip.Item{Key: "spec", Version: ids.Version(version), Body: []byte(fmt.Sprintf(format, version))})
 }
 
 // publishRunners publishes p.runners as the list of endpoints.
-func (p *testProxy) publishRunners() {
-	p.t.Helper()
-	p.listSerial++
-	body, err := transport.Marshal(discovery.List{Runners: p.runners})
+func (t *testProxy) publishRunners() {
+	t.t.Helper()
+	t.listSerial++
+	body, err := transport.Marshal(discovery.List{Runners: t.runners})
 	if err != nil {
-		p.t.Fatal(err)
+		t.t.Fatal(err)
 	}
-	p.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: p.listSerial, Body: body})
+	t.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: t.listSerial, Body: body})
 }
 
-func (p *testProxy) setEvacuated(zone ids.Zone, version ids.Serial, drained bool) {
-	p.t.Helper()
+func (t *testProxy) setEvacuated(zone ids.Zone, version ids.Version, drained bool) {
+	t.t.Helper()
 	body, err := transport.Marshal(evacuation.State{Version: version, Drained: drained})
 	if err != nil {
-		p.t.Fatal(err)
+		t.t.Fatal(err)
 	}
-	p.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
+	t.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
 }
 
 // clientResponse is what a client got.
@@ -129,11 +129,11 @@
 
 // do sends a request and reads the response to its end. Headers are pairs of
 // name and value.
-func (p *testProxy) do(path string, body string, headers ...string) clientResponse {
-	p.t.Helper()
-	req, err := http.NewRequest("POST", p.server.URL+path, strings.NewReader(body))
+func (t *testProxy) do(path string, body string, headers ...string) clientResponse {
+	t.t.Helper()
+	req, err := http.NewRequest("POST", t.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		p.t.Fatal(err)
+		t.t.Fatal(err)
 	}
 	req.Host = "shop.example"
 	req.Header.Set("Onyxwell-Attempt-Id", "v1")
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -41,17 +41,17 @@
 	}{
 		{invariant.RunOnce, config.Route{Type: config.Unsafe, MaxAttempts: 3}, ran, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 1},
 		{invariant.RunOnce, config.Route{Type: config.Safe, MaxAttempts: 3}, ran, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 0},
-		{invariant.Tries, config.Route{Type: config.Safe, MaxAttempts: 1}, ran, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 1},
+		{invariant.AttemptLimit, config.Route{Type: config.Safe, MaxAttempts: 1}, ran, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 1},
 		{invariant.Home, config.Route{Type: config.Safe, HomeRegions: []ids.Region{"south"}}, nil, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 1},
-		{invariant.TimeLeft, config.Route{Type: config.Safe}, nil, func(e *exchange) {
+		{invariant.DeadlineNotExtended, config.Route{Type: config.Safe}, nil, func(e *exchange) {
 			e.clientTimeout = clock.Second
 			e.checkAttempt(runner, 2*clock.Second, 0)
 		}, 1},
 		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(e *exchange) { e.reject(errkind.Overloaded, "") }, 1},
 		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(e *exchange) { e.reject(errkind.RunnerLost, "") }, 0},
-		{invariant.AnswerSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("other", "s"), 0) }, 1},
-		{invariant.AnswerSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", ""), 0) }, 1},
-		{invariant.AnswerSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", "s"), 0) }, 0},
+		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("other", "s"), 0) }, 1},
+		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", ""), 0) }, 1},
+		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", "s"), 0) }, 0},
 		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { resumeEvents(e, eventsFrom(9)) }, 1},
 		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { resumeEvents(e, eventsFrom(6)) }, 0},
 	}
--- a/data/proxy/outcome.go
+++ b/data/proxy/outcome.go
@@ -42,7 +42,7 @@
 	if e.route != nil {
 		route = e.route.Name
 	}
-	e.proxy.metrics.Request(route, outcome, duration)
+	e.proxy.metrics.ObserveRequest(route, outcome, duration)
 	if unloggedOutcomes[outcome] {
 		return
 	}
--- a/data/proxy/slots.go
+++ b/data/proxy/slots.go
@@ -34,33 +34,33 @@
 }
 
 // acquire waits for a slot; it returns net.ErrClosed once the slots are closed.
-func (s *connSlots) acquire() error {
-	if s == nil {
+func (c *connSlots) acquire() error {
+	if c == nil {
 		return nil
 	}
 	select {
-	case s.tokens <- struct{}{}:
+	case c.tokens <- struct{}{}:
 		return nil
-	case <-s.closed:
+	case <-c.closed:
 		return net.ErrClosed
 	}
 }
 
 // release gives a slot back.
-func (s *connSlots) release() {
-	if s != nil {
-		<-s.tokens
+func (c *connSlots) release() {
+	if c != nil {
+		<-c.tokens
 	}
 }
 
 // close ends the wait of all who acquire.
-func (s *connSlots) close() {
-	if s != nil {
-		s.closeOnce.Do(func() { close(s.closed) })
+func (c *connSlots) close() {
+	if c != nil {
+		c.closeOnce.Do(func() { close(c.closed) })
 	}
 }
 
 // nearlyFull returns whether few slots are free.
-func (s *connSlots) nearlyFull() bool {
-	return s != nil && len(s.tokens) >= max(1, cap(s.tokens)*nearlyFullQuarters/4)
+func (c *connSlots) nearlyFull() bool {
+	return c != nil && len(c.tokens) >= max(1, cap(c.tokens)*nearlyFullQuarters/4)
 }
--- a/data/router/health.go
+++ b/data/router/health.go
@@ -21,9 +21,9 @@
 // healthRequest is a health check of a runner.
 type healthRequest struct{ path string }
 
-// Outgoing makes the call.
-func (h healthRequest) Outgoing() httpcall.Outgoing {
-	return httpcall.Outgoing{Method: http.MethodGet, Path: h.path}
+// Encode makes the call.
+func (h healthRequest) Encode() httpcall.OutgoingRequest {
+	return httpcall.OutgoingRequest{Method: http.MethodGet, Path: h.path}
 }
 
 // healthReport is a runner's answer to a health check.
@@ -33,8 +33,8 @@
 	unhealthy  bool
 }
 
-// Hear reads the answer. A runner that is only full is healthy.
-func (h *healthReport) Hear(resp httpcall.RawResponse) error {
+// Decode reads the answer. A runner that is only full is healthy.
+func (h *healthReport) Decode(resp httpcall.RawResponse) error {
 	full := resp.Status == http.StatusServiceUnavailable && resp.Header.Get(response.NotRunHeader) != ""
 	h.unhealthy = resp.Status != http.StatusOK && !full
 	h.runnerID = ids.RunnerID(resp.Header.Get(upstream.RunnerIDHeader))
--- a/data/router/lostzones.go
+++ b/data/router/lostzones.go
@@ -37,45 +37,45 @@
 )
 
 // contains returns whether a zone's runners are avoided.
-func (t *lostZoneTracker) contains(zone ids.Zone) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.zones[zone] != nil
+func (l *lostZoneTracker) contains(zone ids.Zone) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.zones[zone] != nil
 }
 
 // update takes over which zones are reported as lost. A zone is avoided from its
 // first report on; while it stays reported, one that was removed is not again.
-func (t *lostZoneTracker) update(reported map[ids.Zone]bool, now clock.Instant) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.zones == nil {
-		t.zones = map[ids.Zone]*lostZone{}
+func (l *lostZoneTracker) update(reported map[ids.Zone]bool, now clock.Instant) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.zones == nil {
+		l.zones = map[ids.Zone]*lostZone{}
 	}
 	for zone := range reported {
-		if !t.reported[zone] {
-			t.zones[zone] = &lostZone{nextProbe: now}
+		if !l.reported[zone] {
+			l.zones[zone] = &lostZone{nextProbe: now}
 		}
 	}
-	for zone, lost := range t.zones {
+	for zone, lost := range l.zones {
 		switch {
 		case reported[zone]:
 			lost.recoveredAt = 0
 		case lost.recoveredAt == 0:
 			lost.recoveredAt, lost.probes, lost.nextProbe = now, 0, now
 		case now.Since(lost.recoveredAt) > recoveryTimeout:
-			delete(t.zones, zone)
+			delete(l.zones, zone)
 		}
 	}
-	t.reported = reported
+	l.reported = reported
 }
 
 // dueProbes returns the zones to probe now, and schedules their next probes with
 // exponential backoff from the first interval.
-func (t *lostZoneTracker) dueProbes(now clock.Instant, firstInterval clock.Span) []ids.Zone {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *lostZoneTracker) dueProbes(now clock.Instant, firstInterval clock.Span) []ids.Zone {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var due []ids.Zone
-	for zone, lost := range t.zones {
+	for zone, lost := range l.zones {
 		if !now.Before(lost.nextProbe) {
 			due = append(due, zone)
 			lost.nextProbe = now.Add(firstInterval << min(lost.probes, maxBackoffDoublings))
@@ -86,8 +86,8 @@
 }
 
 // remove has a zone's runners be used again.
-func (t *lostZoneTracker) remove(zone ids.Zone) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.zones, zone)
+func (l *lostZoneTracker) remove(zone ids.Zone) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.zones, zone)
 }
--- a/data/router/lostzones_test.go
+++ b/data/router/lostzones_test.go
@@ -20,7 +20,7 @@
 )
 
 // reportLostZones reports zones as lost to a router.
-func reportLostZones(r *Router, version ids.Serial, zones ...ids.Zone) {
+func reportLostZones(r *Router, version ids.Version, zones ...ids.Zone) {
 	body, _ := transport.Marshal(zonesummary.LostZones{Zones: zones})
 	r.snapshots.Apply(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
 }
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -87,10 +87,10 @@
 		Balancer: balancer.New(balancer.Options{
 			Scope: top, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
 			RetryBudget: retrybudget.New(r.retryBudgetOptions()), Region: r.settings.Region,
-			SlowStartSharers: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: rand.Float64,
+			SlowStartRouters: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: rand.Float64,
 		}),
 		Upstream: upstream.NewClient(upstream.Options{
-			Clock: r.clock, Dialing: r.dialer(),
+			Clock: r.clock, Dialer: r.dialer(),
 			IdleTimeout: upstreamIdleFactor * r.timing.PeerTimeout, MaxIdlePerHost: r.settings.Limits.OpenFiles / idlePerHostDivisor,
 		}),
 		Metrics: r.daemon.Metrics, Monitor: r.daemon.Monitor,
@@ -153,7 +153,7 @@
 
 // configVersion returns the version of the configuration that this router acts
 // on; 0 is none yet.
-func (r *Router) configVersion() ids.Serial {
+func (r *Router) configVersion() ids.Version {
 	if current := r.snapshots.Current(); current.Config != nil {
 		return current.Config.Version
 	}
--- a/data/runnerstats/collector.go
+++ b/data/runnerstats/collector.go
@@ -126,10 +126,10 @@
 	Number uint64
 	// Tokens is the prompt's length; 0 is unknown.
 	Tokens float64
-	// Urgency is the priority of its route.
-	Urgency int
-	// Goal is the latency target of the first event; 0 is none.
-	Goal clock.Span
+	// Priority is the priority of its route.
+	Priority int
+	// LatencyTarget is the latency target of the first event; 0 is none.
+	LatencyTarget clock.Span
 }
 
 // RequestSent records a request that is sent to a runner.
@@ -141,7 +141,7 @@
 		r.totals.arrived++
 		r.totals.units += max(1, req.Tokens)
 		r.Load.SentSince++
-		r.pending[req.Number] = pendingRequest{sentAt: now, priority: req.Urgency, latencyTarget: req.Goal}
+		r.pending[req.Number] = pendingRequest{sentAt: now, priority: req.Priority, latencyTarget: req.LatencyTarget}
 	})
 }
 
--- a/data/runnerstats/suspicion_test.go
+++ b/data/runnerstats/suspicion_test.go
@@ -57,7 +57,7 @@
 // count as failed once, long before they end.
 func TestCollector_overdueRequestsCountOnce(t *testing.T) {
 	clk, collector := clock.NewFake(), New()
-	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, Goal: 300 * clock.Millisecond}, clk.Now())
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, LatencyTarget: 300 * clock.Millisecond}, clk.Now())
 	collector.RequestSent("i", SentRequest{Service: "s", Number: 2}, clk.Now())
 	clk.Advance(clock.Second)
 	if sample := collector.TakeReport(clk.Now(), clock.Second).Samples[0]; sample.Failed != 1 {
--- a/data/slowstart/slowstart.go
+++ b/data/slowstart/slowstart.go
@@ -95,16 +95,16 @@
 }
 
 // extend lengthens a slow start, or begins one.
-func (s *runnerState) extend(until clock.Instant, now clock.Instant) {
-	if !s.active(now) {
-		s.startedAt, s.scheduled = now, false
+func (r *runnerState) extend(until clock.Instant, now clock.Instant) {
+	if !r.active(now) {
+		r.startedAt, r.scheduled = now, false
 	}
-	if s.until.Before(until) {
-		s.until = until
+	if r.until.Before(until) {
+		r.until = until
 	}
 }
 
-func (s *runnerState) active(now clock.Instant) bool { return now.Before(s.until) }
+func (r *runnerState) active(now clock.Instant) bool { return now.Before(r.until) }
 
 // Active reports whether a runner is in slow start.
 func (t *Tracker) Active(id ids.RunnerID, now clock.Instant) bool {
--- a/data/snapshot/invariant_test.go
+++ b/data/snapshot/invariant_test.go
@@ -12,7 +12,7 @@
 func TestInvariants_countOlderVersion(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
 	store := NewStore(Options{Clock: clock.NewFake(), Monitor: monitor})
-	for _, version := range []ids.Serial{4, 5, 3} {
+	for _, version := range []ids.Version{4, 5, 3} {
 		store.update(func(next *Snapshot) bool {
 			next.Config = &config.Config{Version: version}
 			return true
--- a/data/snapshot/store_test.go
+++ b/data/snapshot/store_test.go
@@ -24,11 +24,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore(Options{Clock: clock.NewFake()})
 		updates := gossip.NewStore(store.Apply)
-		configVersion, zoneVersion := ids.Serial(0), ids.Serial(0)
+		configVersion, zoneVersion := ids.Version(0), ids.Version(0)
 		for range rapid.IntRange(1, 40).Draw(t, "items") {
 			before := store.Current()
 			copied := *before
-			version := ids.Serial(rapid.IntRange(1, 30).Draw(t, "version"))
+			version := ids.Version(rapid.IntRange(1, 30).Draw(t, "version"))
 			if rapid.Bool().Draw(t, "config") {
 				updates.Put(gossip.Item{Key: "spec", Version: version, Body: []byte(fmt.Sprintf(`{"config_version":%d}`, version))})
 				configVersion = max(configVersion, version)
@@ -75,7 +75,7 @@
 // runners of the others stay the same ones.
 func TestApply_keepsRunnersOfOtherZones(t *testing.T) {
 	store := NewStore(Options{Clock: clock.NewFake()})
-	publish := func(zone ids.Zone, version ids.Serial, names ...ids.RunnerID) {
+	publish := func(zone ids.Zone, version ids.Version, names ...ids.RunnerID) {
 		var list discovery.List
 		for _, name := range names {
 			list.Runners = append(list.Runners, discovery.Runner{ID: name, Service: "s", Zone: zone})
--- a/data/upstream/client.go
+++ b/data/upstream/client.go
@@ -26,8 +26,8 @@
 
 // Options configure a Client.
 type Options struct {
-	Clock   clock.Clock
-	Dialing httpcall.Dialer
+	Clock  clock.Clock
+	Dialer httpcall.Dialer
 	// IdleTimeout is after how long an idle connection is no longer reused; with 0
 	// none ever is.
 	IdleTimeout clock.Span
@@ -51,7 +51,7 @@
 
 // NewClient returns a client without connections.
 func NewClient(options Options) *Client {
-	return &Client{options: options, dial: options.Dialing.Dial, pools: map[string]*hostPool{}, idleEstimates: map[ids.Service]*idleEstimate{}}
+	return &Client{options: options, dial: options.Dialer.Dial, pools: map[string]*hostPool{}, idleEstimates: map[ids.Service]*idleEstimate{}}
 }
 
 // Send sends a request to a runner once and waits for the head of its response.
--- a/data/upstream/client_test.go
+++ b/data/upstream/client_test.go
@@ -15,7 +15,7 @@
 // newTestClient returns a client that dials for real.
 func newTestClient(clk clock.Clock) *Client {
 	return NewClient(Options{
-		Clock: clk, Dialing: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
+		Clock: clk, Dialer: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
 }
 
@@ -26,7 +26,7 @@
 			Method: method, Target: "/a%2Fb/?q=1&q=2", Host: "shop.example",
 			Header: http.Header{"Onyxwell-Attempt-Id": {"a1"}, "X-Kept": {"yes"}}, Body: []byte(body), AttemptID: "a1",
 		},
-		RunnerID: "i-1", Address: address, TimeLeft: 1500 * clock.Millisecond, Urgency: 2,
+		RunnerID: "i-1", Address: address, TimeLeft: 1500 * clock.Millisecond, Priority: 2,
 	}
 }
 
--- a/data/upstream/conn.go
+++ b/data/upstream/conn.go
@@ -57,18 +57,18 @@
 }
 
 // Read records when bytes arrived and enforces the size limit of heads.
-func (pc *persistConn) Read(buf []byte) (int, error) {
-	if pc.headBytesLeft == 0 {
+func (p *persistConn) Read(buf []byte) (int, error) {
+	if p.headBytesLeft == 0 {
 		return 0, errHeadTooLarge
 	}
-	if pc.headBytesLeft > 0 && len(buf) > pc.headBytesLeft {
-		buf = buf[:pc.headBytesLeft]
+	if p.headBytesLeft > 0 && len(buf) > p.headBytesLeft {
+		buf = buf[:p.headBytesLeft]
 	}
-	n, err := pc.Conn.Read(buf)
+	n, err := p.Conn.Read(buf)
 	if n > 0 {
-		pc.lastRead = pc.clock.Now()
-		if pc.headBytesLeft > 0 {
-			pc.headBytesLeft -= n
+		p.lastRead = p.clock.Now()
+		if p.headBytesLeft > 0 {
+			p.headBytesLeft -= n
 		}
 	}
 	return n, err
@@ -76,28 +76,28 @@
 
 // abort ends the current exchange by closing the connection, which unblocks its
 // reads and writes. It is called when the exchange's context ends.
-func (pc *persistConn) abort() { _ = pc.Conn.Close() }
+func (p *persistConn) abort() { _ = p.Conn.Close() }
 
 // recordAttempt remembers that the connection carries an attempt.
-func (pc *persistConn) recordAttempt(attemptID string) {
-	pc.recentAttempts[pc.attemptCount%attemptHistory] = attemptID
-	pc.attemptCount++
+func (p *persistConn) recordAttempt(attemptID string) {
+	p.recentAttempts[p.attemptCount%attemptHistory] = attemptID
+	p.attemptCount++
 }
 
 // carriedAttempt reports whether the connection carried an attempt recently. A
 // duplicate of that attempt's response could not be told from a new response
 // with the same id.
-func (pc *persistConn) carriedAttempt(attemptID string) bool {
-	return slices.Contains(pc.recentAttempts[:], attemptID)
+func (p *persistConn) carriedAttempt(attemptID string) bool {
+	return slices.Contains(p.recentAttempts[:], attemptID)
 }
 
 // hasPendingInput reports whether an idle connection is readable: the peer has
 // closed it or has sent bytes that belong to no request.
-func (pc *persistConn) hasPendingInput() bool {
-	if pc.reader.Buffered() > 0 {
+func (p *persistConn) hasPendingInput() bool {
+	if p.reader.Buffered() > 0 {
 		return true
 	}
-	sysConn, ok := pc.Conn.(syscall.Conn)
+	sysConn, ok := p.Conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -132,10 +132,10 @@
 
 // writeRequest writes a request; one larger than maxInlineWrite is written by a
 // goroutine while the caller reads the response.
-func (pc *persistConn) writeRequest(head []byte, body []byte) *requestWrite {
+func (p *persistConn) writeRequest(head []byte, body []byte) *requestWrite {
 	write := &requestWrite{done: closedDone}
 	if len(head)+len(body) <= maxInlineWrite {
-		n, err := pc.Conn.Write(append(head, body...))
+		n, err := p.Conn.Write(append(head, body...))
 		write.written, write.err = int64(n), err
 		return write
 	}
@@ -143,21 +143,21 @@
 	go func() {
 		defer close(write.done)
 		buffers := net.Buffers{head, body}
-		write.written, write.err = buffers.WriteTo(pc.Conn)
+		write.written, write.err = buffers.WriteTo(p.Conn)
 	}()
 	return write
 }
 
 // complete reports whether the whole request has been written by now.
-func (w *requestWrite) complete() bool { return w.ended() && w.err == nil }
+func (r *requestWrite) complete() bool { return r.ended() && r.err == nil }
 
 // wroteNothing reports that the connection took no byte of the request, so that
 // nothing that can be read is a response to it.
-func (w *requestWrite) wroteNothing() bool { return w.ended() && w.err != nil && w.written == 0 }
+func (r *requestWrite) wroteNothing() bool { return r.ended() && r.err != nil && r.written == 0 }
 
-func (w *requestWrite) ended() bool {
+func (r *requestWrite) ended() bool {
 	select {
-	case <-w.done:
+	case <-r.done:
 		return true
 	default:
 		return false
@@ -173,23 +173,23 @@
 }
 
 // Read returns io.EOF only where the body is complete.
-func (b *responseBody) Read(buf []byte) (int, error) {
-	if b.err != nil {
-		return 0, b.err
+func (r *responseBody) Read(buf []byte) (int, error) {
+	if r.err != nil {
+		return 0, r.err
 	}
-	n, err := b.source.Read(buf)
+	n, err := r.source.Read(buf)
 	if err != nil {
-		b.err = err
-		b.onEnd(errors.Is(err, io.EOF))
+		r.err = err
+		r.onEnd(errors.Is(err, io.EOF))
 	}
 	return n, err
 }
 
 // Close gives up what was not read, and the connection with it.
-func (b *responseBody) Close() error {
-	if b.err == nil {
-		b.err = errBodyClosed
-		b.onEnd(false)
+func (r *responseBody) Close() error {
+	if r.err == nil {
+		r.err = errBodyClosed
+		r.onEnd(false)
 	}
 	return nil
 }
--- a/data/upstream/exhaustion_test.go
+++ b/data/upstream/exhaustion_test.go
@@ -14,7 +14,7 @@
 // TestClient_localExhaustion has dials fail for reasons of this machine and of
 // the runner.
 func TestClient_localExhaustion(t *testing.T) {
-	client := NewClient(Options{Clock: clock.NewFake(), Dialing: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, IdleTimeout: clock.Second, MaxIdlePerHost: 1})
+	client := NewClient(Options{Clock: clock.NewFake(), Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, IdleTimeout: clock.Second, MaxIdlePerHost: 1})
 	for _, tc := range []struct {
 		err  error
 		want string
--- a/data/upstream/idleestimate.go
+++ b/data/upstream/idleestimate.go
@@ -32,38 +32,38 @@
 
 // allows reports whether a connection may be used after an idle time. Requests
 // that must not be executed twice need one that has been seen to work.
-func (e *idleEstimate) allows(idleFor clock.Span, atMostOnce bool) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.limit > 0 && idleFor > e.limit {
+func (i *idleEstimate) allows(idleFor clock.Span, atMostOnce bool) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.limit > 0 && idleFor > i.limit {
 		return false
 	}
-	return !atMostOnce || idleFor <= max(e.provenIdle, minTrustedIdle)
+	return !atMostOnce || idleFor <= max(i.provenIdle, minTrustedIdle)
 }
 
 // recordSuccess notes that a connection worked after an idle time.
-func (e *idleEstimate) recordSuccess(idleFor clock.Span) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.provenIdle = max(e.provenIdle, idleFor)
-	if e.limit > 0 && idleFor > e.limit/2 {
-		e.limit += clock.Span(recoveryFactor * float64(e.limit))
+func (i *idleEstimate) recordSuccess(idleFor clock.Span) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.provenIdle = max(i.provenIdle, idleFor)
+	if i.limit > 0 && idleFor > i.limit/2 {
+		i.limit += clock.Span(recoveryFactor * float64(i.limit))
 	}
 }
 
 // recordFailure notes that a connection failed after an idle time. A failure
 // within minTrustedIdle is not the idle time's.
-func (e *idleEstimate) recordFailure(idleFor clock.Span) {
+func (i *idleEstimate) recordFailure(idleFor clock.Span) {
 	if idleFor <= minTrustedIdle {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	limit := max(minTrustedIdle, clock.Span(failureFactor*float64(idleFor)))
-	if e.limit == 0 || limit < e.limit {
-		e.limit = limit
+	if i.limit == 0 || limit < i.limit {
+		i.limit = limit
 	}
-	e.provenIdle = min(e.provenIdle, e.limit)
+	i.provenIdle = min(i.provenIdle, i.limit)
 }
 
 // idleEstimate returns the estimate of a service.
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -34,8 +34,8 @@
 	Address  ids.Address
 	// TimeLeft is the time to the request's deadline when Send is called.
 	TimeLeft clock.Span
-	// Urgency is the priority of the route, sent as UrgencyHeader within 0 to 9.
-	Urgency int
+	// Priority is the priority of the route, sent as UrgencyHeader within 0 to 9.
+	Priority int
 	// LastEventID is the event after which a stream is resumed; empty for none.
 	LastEventID string
 	// Service is whose idle connections are judged together.
@@ -70,7 +70,7 @@
 	replacements := [...]struct{ name, value string }{
 		{TargetHeader, string(a.RunnerID)},
 		{TimeLeftHeader, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)},
-		{UrgencyHeader, strconv.Itoa(min(9, max(0, a.Urgency)))},
+		{UrgencyHeader, strconv.Itoa(min(9, max(0, a.Priority)))},
 		{"Content-Length", req.contentLength()},
 		{LastEventIDHeader, a.LastEventID},
 	}
--- a/data/upstream/response.go
+++ b/data/upstream/response.go
@@ -28,18 +28,18 @@
 
 // readResponse reads a response's head, past interim (1xx) responses, and sets
 // up its body.
-func (pc *persistConn) readResponse(method string) (*http.Response, error) {
-	pc.headBytesLeft = maxHeadBytes
+func (p *persistConn) readResponse(method string) (*http.Response, error) {
+	p.headBytesLeft = maxHeadBytes
 	for {
-		resp, err := readHead(pc.reader)
+		resp, err := readHead(p.reader)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		pc.headBytesLeft = noHeadLimit
-		body, length, err := pc.openBody(method, resp)
+		p.headBytesLeft = noHeadLimit
+		body, length, err := p.openBody(method, resp)
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 }
 
 // openBody returns the body that follows a head, and its length.
-func (pc *persistConn) openBody(method string, resp *http.Response) (io.Reader, int64, error) {
+func (p *persistConn) openBody(method string, resp *http.Response) (io.Reader, int64, error) {
 	length, err := bodyLength(resp)
 	if err != nil {
 		return nil, 0, err
@@ -127,11 +127,11 @@
 	}
 	switch length {
 	case lengthChunked:
-		return &chunkedReader{reader: pc.reader, chunks: httputil.NewChunkedReader(pc.reader)}, length, nil
+		return &chunkedReader{reader: p.reader, chunks: httputil.NewChunkedReader(p.reader)}, length, nil
 	case lengthUntilClose:
-		return pc.reader, length, nil
+		return p.reader, length, nil
 	default:
-		return &lengthReader{reader: pc.reader, remaining: length}, length, nil
+		return &lengthReader{reader: p.reader, remaining: length}, length, nil
 	}
 }
 
--- a/emulator/experiment/router.go
+++ b/emulator/experiment/router.go
@@ -77,11 +77,11 @@
 	one := func() int { return 1 }
 	gate := balancer.New(balancer.Options{
 		Scope: top, Snapshots: made.frame, Stats: made.board, SlowStart: made.warmth, Region: "region", RouterCount: one,
-		SlowStartSharers: func(ids.Zone) int { return 1 }, Random: rand.Float64,
+		SlowStartRouters: func(ids.Zone) int { return 1 }, Random: rand.Float64,
 		RetryBudget: retrybudget.New(retrybudget.Options{Ratio: 4, Reserve: 1000, Window: 10 * clock.Second, Routers: one}),
 	})
 	dialing := httpcall.Dialer{Timeout: routerSilence, UserTimeout: routerSilence}
-	sender := upstream.NewClient(upstream.Options{Clock: top.Clock, Dialing: dialing, IdleTimeout: 8 * routerSilence, MaxIdlePerHost: 64})
+	sender := upstream.NewClient(upstream.Options{Clock: top.Clock, Dialer: dialing, IdleTimeout: 8 * routerSilence, MaxIdlePerHost: 64})
 	front := proxy.New(proxy.Options{
 		Scope: top, Snapshots: made.frame, Balancer: gate, Stats: made.board, SlowStart: made.warmth, Upstream: sender,
 	})
@@ -90,7 +90,7 @@
 	if options.Forgive > 0 {
 		go made.forgive(top, options.Forgive)
 	}
-	serial := ids.Serial(1)
+	serial := ids.Version(1)
 	reread := func() {
 		serial++
 		made.frame.Apply(gossip.Item{Key: config.Key, Version: serial, Body: document})
@@ -138,9 +138,9 @@
 // health asks a runner how it is.
 type health struct{}
 
-// Outgoing makes the call.
-func (health) Outgoing() httpcall.Outgoing {
-	return httpcall.Outgoing{Method: http.MethodGet, Path: "/health"}
+// Encode makes the call.
+func (health) Encode() httpcall.OutgoingRequest {
+	return httpcall.OutgoingRequest{Method: http.MethodGet, Path: "/health"}
 }
 
 type condition struct {
@@ -149,8 +149,8 @@
 	cold clock.Span
 }
 
-// Hear reads the answer.
-func (c *condition) Hear(heard httpcall.RawResponse) error {
+// Decode reads the answer.
+func (c *condition) Decode(heard httpcall.RawResponse) error {
 	c.id, c.well = ids.RunnerID(heard.Header.Get(upstream.RunnerIDHeader)), heard.Status == http.StatusOK
 	if left, err := strconv.ParseFloat(heard.Header.Get(upstream.WarmupHeader), 64); err == nil {
 		c.cold = settings.Milliseconds(left)
--- a/simulation/plants_disks_test.go
+++ b/simulation/plants_disks_test.go
@@ -174,11 +174,11 @@
 	return m.file(m.FS.Append(name, length))
 }
 
-func (m meddled) SyncFolder() error {
+func (m meddled) SyncDir() error {
 	if m.noFolder {
 		return nil
 	}
-	return m.FS.SyncFolder()
+	return m.FS.SyncDir()
 }
 
 // readTorn reads a damaged journal up to the damage, as if its tail were torn.
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -22,13 +22,13 @@
 	frame  *snapshot.Store
 	gate   *readindex.Gate
 	// newest is the highest serial that each key of news had here.
-	newest map[string]ids.Serial
+	newest map[string]ids.Version
 }
 
 // carry runs a router's control side.
 func (l *life) carry(top scope.Scope) error {
 	world := l.machine.world
-	made := &router{newest: map[string]ids.Serial{}}
+	made := &router{newest: map[string]ids.Version{}}
 	made.frame = snapshot.NewStore(snapshot.Options{Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region})
 	absorb := func(item gossip.Item) {
 		if heard := world.options.plant.Heard; heard != nil {
@@ -60,7 +60,7 @@
 }
 
 // serial is the version that the router acts on.
-func (r *router) serial() ids.Serial {
+func (r *router) serial() ids.Version {
 	if seen := r.frame.Current(); seen.Config != nil {
 		return seen.Config.Version
 	}
--- a/simulation/simdisk/disk_test.go
+++ b/simulation/simdisk/disk_test.go
@@ -33,7 +33,7 @@
 		process := machine.Mount()
 		kept := must(process.Create("kept"))
 		must(kept.Write([]byte("synced")))
-		if err := errors.Join(kept.Sync(), process.SyncFolder()); err != nil {
+		if err := errors.Join(kept.Sync(), process.SyncDir()); err != nil {
 			t.Fatal(err)
 		}
 		must(kept.Write([]byte("-one")))
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		machine.LosePower()
-		if _, err := kept.Write([]byte("x")); !errors.Is(err, ErrDead) || !errors.Is(kept.Sync(), ErrDead) || !errors.Is(process.SyncFolder(), ErrDead) {
+		if _, err := kept.Write([]byte("x")); !errors.Is(err, ErrDead) || !errors.Is(kept.Sync(), ErrDead) || !errors.Is(process.SyncDir(), ErrDead) {
 			t.Fatal("a dead process still writes")
 		}
 		after := machine.Mount()
@@ -100,7 +100,7 @@
 		ActCreate: func() error { _, err := process.Create("b"); return err },
 		ActRename: func() error { return process.Rename("a", "b") },
 		ActRemove: func() error { return process.Remove("a") },
-		ActFolder: func() error { return process.SyncFolder() },
+		ActFolder: func() error { return process.SyncDir() },
 	} {
 		refusing = act
 		if do() == nil {
--- a/simulation/simdisk/mount.go
+++ b/simulation/simdisk/mount.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// SyncFolder makes all names last.
-func (m *mount) SyncFolder() error {
+// SyncDir makes all names last.
+func (m *mount) SyncDir() error {
 	disk := m.disk
 	if _, err := disk.act(m.life, ActFolder, 0); err != nil {
 		return err
--- a/tools/doccheck/main.go
+++ b/tools/doccheck/main.go
@@ -108,19 +108,19 @@
 
 // problem says what is wrong with a qualified name; "" if nothing, also for what
 // is no name of a package of this module.
-func (n packageNames) problem(code string) string {
-	if testName.MatchString(code) && !n[anyPackage][code] {
+func (p packageNames) problem(code string) string {
+	if testName.MatchString(code) && !p[anyPackage][code] {
 		return "names " + code + ", but there is no such test"
 	}
 	parts := qualified.FindStringSubmatch(code)
-	if parts == nil || n[parts[1]] == nil {
+	if parts == nil || p[parts[1]] == nil {
 		return ""
 	}
 	name := parts[2]
-	if !n[parts[1]][name] {
+	if !p[parts[1]][name] {
 		return fmt.Sprintf("names %s, but package %s has no %s", code, parts[1], name)
 	}
-	if member := parts[4]; member != "" && !n[parts[1]][name+"."+member] {
+	if member := parts[4]; member != "" && !p[parts[1]][name+"."+member] {
 		return fmt.Sprintf("names %s, but %s.%s has no %s", code, parts[1], name, member)
 	}
 	return ""
@@ -148,19 +148,19 @@
 	return names, err
 }
 
-func (n packageNames) add(name string, file *ast.File) {
+func (p packageNames) add(name string, file *ast.File) {
 	for _, key := range []string{name, anyPackage} {
-		if n[key] == nil {
-			n[key] = map[string]bool{}
+		if p[key] == nil {
+			p[key] = map[string]bool{}
 		}
 	}
-	known := n[name]
+	known := p[name]
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
 			if declaration.Recv == nil {
 				known[declaration.Name.Name] = true
-				n[anyPackage][declaration.Name.Name] = true
+				p[anyPackage][declaration.Name.Name] = true
 			} else {
 				known[receiverType(declaration)+"."+declaration.Name.Name] = true
 			}
