--- a/cmd/simulate/service.go
+++ b/cmd/simulate/availability.go
@@ -9,10 +9,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// service is the command that measures how orders are taken, in simulated time:
+// availabilityCommand is the command that measures how orders are taken, in simulated time:
 // without trouble, and while the owner of the configuration is lost again and
 // again.
-type service struct {
+type availabilityCommand struct {
 	Site      []string      `help:"Deployment that is played; may be given again." default:"three,five,nine"`
 	From      uint64        `help:"First seed." default:"1"`
 	Seeds     int           `help:"How many seeds of each row." default:"4"`
@@ -23,19 +23,19 @@
 	Within    time.Duration `help:"End after this time, whatever was played." default:"30m"`
 }
 
-// struck are the rows: what befalls the owner, or nothing.
-var struck = []string{"quiet", "kill", "freeze", "cut"}
+// ownerFaults are the rows: what befalls the owner, or nothing.
+var ownerFaults = []string{"quiet", "kill", "freeze", "cut"}
 
-// play plays the seeds of each row and prints a table.
-func (s service) play() (int, error) {
-	if s.Seeds < 1 || s.Jobs < 1 {
+// run plays the seeds of each row and prints a table.
+func (a availabilityCommand) run() (int, error) {
+	if a.Seeds < 1 || a.Jobs < 1 {
 		return 0, errors.New("--seeds and --jobs want a number above 0")
 	}
-	sets := map[string]setting{}
+	sets := map[string]runFlags{}
 	var order []string
-	for _, site := range s.Site {
-		for _, strike := range struck {
-			set := setting{Site: site, Length: s.Length, Operators: s.Operators, Quiet: true, Hurry: s.Hurry, Service: strike}
+	for _, site := range a.Site {
+		for _, strike := range ownerFaults {
+			set := runFlags{Site: site, Length: a.Length, Operators: a.Operators, Quiet: true, Hurry: a.Hurry, Service: strike}
 			if _, err := set.options(); err != nil {
 				return 0, err
 			}
@@ -43,36 +43,36 @@
 			order, sets[name] = append(order, name), set
 		}
 	}
-	totals := each(order, sets, s.From, s.Seeds, s.Jobs, s.Within)
+	totals := runAll(order, sets, a.From, a.Seeds, a.Jobs, a.Within)
 	fmt.Println("simulated seconds; orders are acknowledged after (median, 99 in 100); silence is the longest without an acknowledgement after a loss of the owner")
 	fmt.Println("| site, owner | seeds, broken | changes a second | median | 99 in 100 | losses | silence, median | worst |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	status := 0
 	for _, name := range order {
-		fmt.Println(totals[name].served(name))
+		fmt.Println(totals[name].availabilityRow(name))
 	}
 	for _, name := range order {
-		status = max(status, totals[name].complain(name, s.Seeds))
+		status = max(status, totals[name].printFailures(name, a.Seeds))
 	}
 	return status, nil
 }
 
-// served is a row of the table.
-func (s *sum) served(name string) string {
-	measured := s.service
-	row := fmt.Sprintf("| %s | %d, %d | ", name, len(s.played), len(s.broken))
+// availabilityRow is a row of the table.
+func (s *summary) availabilityRow(name string) string {
+	measured := s.availability
+	row := fmt.Sprintf("| %s | %d, %d | ", name, len(s.played), len(s.violating))
 	if measured.Span == 0 || len(measured.Acks) == 0 {
 		return row + "none taken | | | | | |"
 	}
-	row += fmt.Sprintf("%.1f | %.3f | %.3f | ", float64(measured.Changes)/measured.Span.Seconds(), part(measured.Acks, 0.5), part(measured.Acks, 0.99))
+	row += fmt.Sprintf("%.1f | %.3f | %.3f | ", float64(measured.Changes)/measured.Span.Seconds(), quantile(measured.Acks, 0.5), quantile(measured.Acks, 0.99))
 	if len(measured.Silences) == 0 {
 		return row + "0 | | |"
 	}
-	return row + fmt.Sprintf("%d | %.2f | %.2f |", len(measured.Silences), part(measured.Silences, 0.5), part(measured.Silences, 1))
+	return row + fmt.Sprintf("%d | %.2f | %.2f |", len(measured.Silences), quantile(measured.Silences, 0.5), quantile(measured.Silences, 1))
 }
 
-// part is the quantile of some spans in seconds.
-func part(spans []time.Duration, share float64) float64 {
+// quantile is the quantile of some spans in seconds.
+func quantile(spans []time.Duration, share float64) float64 {
 	var values []float64
 	for _, span := range spans {
 		values = append(values, span.Seconds())
--- a/cmd/simulate/many.go
+++ b/cmd/simulate/batches.go
@@ -25,27 +25,27 @@
 // batchSize is how many seeds a process plays before another takes its place.
 const batchSize = 20
 
-// sum is what many runs came to.
-type sum struct {
-	mu       sync.Mutex
-	played   map[uint64]bool
-	broken   []simulation.Result
-	counts   map[string]int
-	whole    []float64
-	acks     []float64
-	gaps     []float64
-	unplayed []string
-	// redundancy are the seconds until all was whole again, by kind of loss.
-	redundancy map[string][]float64
-	service    simulation.Service
+// summary is what many runs came to.
+type summary struct {
+	mu              sync.Mutex
+	played          map[uint64]bool
+	violating       []simulation.Result
+	counts          map[string]int
+	recoverySeconds []float64
+	ackSeconds      []float64
+	ackGapSeconds   []float64
+	failures        []string
+	// redundancySeconds are the seconds until all was whole again, by kind of loss.
+	redundancySeconds map[string][]float64
+	availability      simulation.Availability
 }
 
-func newSum() *sum {
-	return &sum{played: map[uint64]bool{}, counts: map[string]int{}, redundancy: map[string][]float64{}}
+func newSummary() *summary {
+	return &summary{played: map[uint64]bool{}, counts: map[string]int{}, redundancySeconds: map[string][]float64{}}
 }
 
-// many plays seeds in several processes until they are done or time is up.
-func (c commandLine) many() (int, error) {
+// runSeeds plays seeds in several processes until they are done or time is up.
+func (c commandLine) runSeeds() (int, error) {
 	asked := c.Run
 	if _, err := asked.options(); err != nil {
 		return 0, err
@@ -57,7 +57,7 @@
 	defer stop()
 	ctx, end := context.WithTimeout(ctx, asked.Within)
 	defer end()
-	total := newSum()
+	total := newSummary()
 	batches := make(chan uint64)
 	var group sync.WaitGroup
 	for range asked.Jobs {
@@ -65,7 +65,7 @@
 		go func() {
 			defer group.Done()
 			for first := range batches {
-				total.play(ctx, asked.setting, first, min(batchSize, int(asked.From+uint64(asked.Seeds)-first)))
+				total.runProcess(ctx, asked.runFlags, first, min(batchSize, int(asked.From+uint64(asked.Seeds)-first)))
 			}
 		}()
 	}
@@ -77,32 +77,32 @@
 	}
 	close(batches)
 	group.Wait()
-	return total.tell(asked.setting, asked.Seeds), nil
+	return total.print(asked.runFlags, asked.Seeds), nil
 }
 
 // arguments are those of a process that plays some seeds.
-func (s setting) arguments() []string {
-	made := []string{"--site", s.Site, "--point", strconv.Itoa(s.Point), "--length", s.Length.String(), "--operators", strconv.Itoa(s.Operators)}
-	for name, set := range map[string]bool{"--quiet": s.Quiet, "--hurry": s.Hurry} {
+func (r runFlags) arguments() []string {
+	made := []string{"--site", r.Site, "--point", strconv.Itoa(r.Point), "--length", r.Length.String(), "--operators", strconv.Itoa(r.Operators)}
+	for name, set := range map[string]bool{"--quiet": r.Quiet, "--hurry": r.Hurry} {
 		if set {
 			made = append(made, name)
 		}
 	}
-	for name, value := range map[string]string{"--drill": s.Drill, "--service": s.Service} {
+	for name, value := range map[string]string{"--drill": r.Drill, "--service": r.Service} {
 		if value != "" {
 			made = append(made, name, value)
 		}
 	}
-	for _, name := range s.Trouble {
+	for _, name := range r.Trouble {
 		made = append(made, "--trouble", name)
 	}
 	return made
 }
 
-func (s *sum) play(ctx context.Context, set setting, first uint64, seeds int) {
+func (s *summary) runProcess(ctx context.Context, set runFlags, first uint64, seeds int) {
 	program, err := os.Executable()
 	if err != nil {
-		s.fail(first, err.Error())
+		s.addFailure(first, err.Error())
 		return
 	}
 	arguments := append([]string{"batch", "--from", strconv.FormatUint(first, 10), "--seeds", strconv.Itoa(seeds)}, set.arguments()...)
@@ -114,7 +114,7 @@
 		err = child.Start()
 	}
 	if err != nil {
-		s.fail(first, err.Error())
+		s.addFailure(first, err.Error())
 		return
 	}
 	next := first
@@ -123,23 +123,23 @@
 	for lines.Scan() {
 		var result simulation.Result
 		if json.Unmarshal(lines.Bytes(), &result) == nil && result.Counts != nil {
-			s.take(result)
+			s.add(result)
 			next = result.Seed + 1
 		}
 	}
 	if err := child.Wait(); err != nil && ctx.Err() == nil {
 		head, _, _ := strings.Cut(said.String(), "\n\n")
-		s.fail(next, err.Error()+": "+head)
+		s.addFailure(next, err.Error()+": "+head)
 	}
 }
 
-func (s *sum) fail(seed uint64, text string) {
+func (s *summary) addFailure(seed uint64, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unplayed = append(s.unplayed, fmt.Sprintf("seed %d was not played to its end: %.600s", seed, text))
+	s.failures = append(s.failures, fmt.Sprintf("seed %d was not played to its end: %.600s", seed, text))
 }
 
-func (s *sum) take(result simulation.Result) {
+func (s *summary) add(result simulation.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.played[result.Seed] = true
@@ -147,65 +147,65 @@
 		s.counts[name] += count
 	}
 	for _, span := range result.Whole {
-		s.whole = append(s.whole, span.Seconds())
+		s.recoverySeconds = append(s.recoverySeconds, span.Seconds())
 	}
 	for _, span := range result.Acks {
-		s.acks = append(s.acks, span.Seconds())
+		s.ackSeconds = append(s.ackSeconds, span.Seconds())
 	}
 	for name, spans := range result.Redundancy {
 		for _, span := range spans {
-			s.redundancy[name] = append(s.redundancy[name], span.Seconds())
+			s.redundancySeconds[name] = append(s.redundancySeconds[name], span.Seconds())
 		}
 	}
-	s.service.Span += result.Service.Span
-	s.service.Changes += result.Service.Changes
-	s.service.Acks = append(s.service.Acks, result.Service.Acks...)
-	s.service.Silences = append(s.service.Silences, result.Service.Silences...)
-	s.gaps = append(s.gaps, result.Gap.Seconds())
+	s.availability.Span += result.Service.Span
+	s.availability.Changes += result.Service.Changes
+	s.availability.Acks = append(s.availability.Acks, result.Service.Acks...)
+	s.availability.Silences = append(s.availability.Silences, result.Service.Silences...)
+	s.ackGapSeconds = append(s.ackGapSeconds, result.Gap.Seconds())
 	if len(result.Broken) > 0 {
-		s.broken = append(s.broken, result)
+		s.violating = append(s.violating, result)
 	}
 }
 
-// tell sums up and gives the exit status.
-func (s *sum) tell(set setting, asked int) int {
-	for _, name := range names(s.counts) {
+// print sums up and gives the exit status.
+func (s *summary) print(set runFlags, asked int) int {
+	for _, name := range sortedKeys(s.counts) {
 		fmt.Printf("%10d %s\n", s.counts[name], name)
 	}
-	show("seconds from the end of trouble until all is whole", s.whole)
-	show("seconds until an order is acknowledged", s.acks)
-	show("longest seconds of a run without an acknowledgement", s.gaps)
-	sort.Slice(s.broken, func(left, right int) bool { return s.broken[left].Seed < s.broken[right].Seed })
-	for _, result := range s.broken {
+	printQuantiles("seconds from the end of trouble until all is whole", s.recoverySeconds)
+	printQuantiles("seconds until an order is acknowledged", s.ackSeconds)
+	printQuantiles("longest seconds of a run without an acknowledgement", s.ackGapSeconds)
+	sort.Slice(s.violating, func(left, right int) bool { return s.violating[left].Seed < s.violating[right].Seed })
+	for _, result := range s.violating {
 		for _, text := range result.Broken {
 			fmt.Printf("BROKEN seed %d: %s\n", result.Seed, text)
 		}
 		fmt.Printf("  again: simulate seed %d %s --trace\n", result.Seed, strings.Join(set.arguments(), " "))
 	}
-	for _, text := range s.unplayed {
+	for _, text := range s.failures {
 		fmt.Println("NOT PLAYED " + text)
 	}
-	fmt.Printf("%d of %d seeds played on %s, point %d: %d broke a promise\n", len(s.played), asked, set.Site, set.Point, len(s.broken))
-	if len(s.broken)+len(s.unplayed) > 0 {
+	fmt.Printf("%d of %d seeds played on %s, point %d: %d broke a promise\n", len(s.played), asked, set.Site, set.Point, len(s.violating))
+	if len(s.violating)+len(s.failures) > 0 {
 		return 1
 	}
 	return 0
 }
 
-func show(what string, values []float64) {
+func printQuantiles(what string, values []float64) {
 	if len(values) == 0 {
 		return
 	}
 	slices.Sort(values)
 	at := func(part float64) float64 { return stat.Quantile(part, stat.Empirical, values, nil) }
-	fmt.Printf("%s: median %s, 99 in 100 %s, worst %s (%d)\n", what, seconds(at(0.5)), seconds(at(0.99)), seconds(values[len(values)-1]), len(values))
+	fmt.Printf("%s: median %s, 99 in 100 %s, worst %s (%d)\n", what, formatSeconds(at(0.5)), formatSeconds(at(0.99)), formatSeconds(values[len(values)-1]), len(values))
 }
 
-func seconds(value float64) string {
+func formatSeconds(value float64) string {
 	return (time.Duration(value*1e3) * time.Millisecond).String()
 }
 
-func names[Value any](counts map[string]Value) []string {
+func sortedKeys[Value any](counts map[string]Value) []string {
 	var found []string
 	for name := range counts {
 		found = append(found, name)
--- a/cmd/simulate/redundancy.go
+++ b/cmd/simulate/redundancy.go
@@ -17,9 +17,9 @@
 	"onyxwell/simulation"
 )
 
-// redundancy is the command that measures how long each kind of loss takes until
+// redundancyCommand is the command that measures how long each kind of loss takes until
 // all seats are filled and every voter holds all.
-type redundancy struct {
+type redundancyCommand struct {
 	Site   string        `help:"Deployment that is played: see 'simulate list'." default:"three"`
 	Kind   []string      `help:"Play only this kind of loss; may be given again." placeholder:"NAME"`
 	From   uint64        `help:"First seed." default:"1"`
@@ -30,7 +30,7 @@
 }
 
 // kinds are those that are played.
-func (r redundancy) kinds() ([]string, error) {
+func (r redundancyCommand) kinds() ([]string, error) {
 	all := simulation.Drills()
 	for _, name := range r.Kind {
 		if !slices.Contains(all, name) {
@@ -43,27 +43,27 @@
 	return all, nil
 }
 
-func (r redundancy) setting(kind string) setting {
-	return setting{Site: r.Site, Length: r.Length, Operators: 2, Quiet: true, Drill: kind}
+func (r redundancyCommand) flags(kind string) runFlags {
+	return runFlags{Site: r.Site, Length: r.Length, Operators: 2, Quiet: true, Drill: kind}
 }
 
-// play plays the seeds of each kind and prints a table.
-func (r redundancy) play() (int, error) {
+// run plays the seeds of each kind and prints a table.
+func (r redundancyCommand) run() (int, error) {
 	kinds, err := r.kinds()
 	if err != nil {
 		return 0, err
 	}
-	if _, err := r.setting("").options(); err != nil {
+	if _, err := r.flags("").options(); err != nil {
 		return 0, err
 	}
 	if r.Seeds < 1 || r.Jobs < 1 {
 		return 0, errors.New("--seeds and --jobs want a number above 0")
 	}
-	sets := map[string]setting{}
+	sets := map[string]runFlags{}
 	for _, kind := range kinds {
-		sets[kind] = r.setting(kind)
+		sets[kind] = r.flags(kind)
 	}
-	totals := each(kinds, sets, r.From, r.Seeds, r.Jobs, r.Within)
+	totals := runAll(kinds, sets, r.From, r.Seeds, r.Jobs, r.Within)
 	bound := simulation.Sites[r.Site].Bounds.CatchUpS
 	fmt.Printf("%s: seconds from a return or the start of the one in its place (gone, planned: from the loss) until redundancy is whole\n", r.Site)
 	fmt.Println("| kind | count | median | 99 in 100 | worst | catch_up_s | outside |")
@@ -71,20 +71,20 @@
 	status := 0
 	for _, kind := range kinds {
 		total := totals[kind]
-		for _, name := range names(total.redundancy) {
-			row(name, total.redundancy[name], bound)
+		for _, name := range sortedKeys(total.redundancySeconds) {
+			printRow(name, total.redundancySeconds[name], bound)
 		}
-		if len(total.redundancy) == 0 {
+		if len(total.redundancySeconds) == 0 {
 			fmt.Printf("| %s | 0 | | | | %g | |\n", kind, bound)
 		}
 	}
 	for _, kind := range kinds {
-		status = max(status, totals[kind].complain(kind, r.Seeds))
+		status = max(status, totals[kind].printFailures(kind, r.Seeds))
 	}
 	return status, nil
 }
 
-func row(name string, values []float64, bound float64) {
+func printRow(name string, values []float64, bound float64) {
 	slices.Sort(values)
 	at := func(part float64) float64 { return stat.Quantile(part, stat.Empirical, values, nil) }
 	outside := 0
@@ -96,38 +96,38 @@
 	fmt.Printf("| %s | %d | %.2f | %.2f | %.2f | %g | %d |\n", name, len(values), at(0.5), at(0.99), values[len(values)-1], bound, outside)
 }
 
-// complain prints which seeds broke a promise or were not played.
-func (s *sum) complain(name string, seeds int) int {
-	for _, result := range s.broken {
+// printFailures prints which seeds broke a promise or were not played.
+func (s *summary) printFailures(name string, seeds int) int {
+	for _, result := range s.violating {
 		fmt.Printf("BROKEN %s, seed %d: %s\n", name, result.Seed, strings.Join(result.Broken, "; "))
 	}
-	for _, text := range s.unplayed {
+	for _, text := range s.failures {
 		fmt.Printf("NOT PLAYED %s, %s\n", name, text)
 	}
 	if len(s.played) < seeds {
 		fmt.Printf("%s: %d of %d seeds played\n", name, len(s.played), seeds)
 	}
-	if len(s.broken) > 0 || len(s.played) < seeds {
+	if len(s.violating) > 0 || len(s.played) < seeds {
 		return 1
 	}
 	return 0
 }
 
-// each plays the seeds of many settings, a process each.
-func each(order []string, sets map[string]setting, from uint64, seeds int, jobs int, within time.Duration) map[string]*sum {
+// runAll plays the seeds of many settings, a process each.
+func runAll(order []string, sets map[string]runFlags, from uint64, seeds int, jobs int, within time.Duration) map[string]*summary {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	ctx, end := context.WithTimeout(ctx, within)
 	defer end()
-	totals, places := map[string]*sum{}, make(chan struct{}, jobs)
+	totals, places := map[string]*summary{}, make(chan struct{}, jobs)
 	var group sync.WaitGroup
 	for _, name := range order {
-		totals[name] = newSum()
+		totals[name] = newSummary()
 		places <- struct{}{}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			totals[name].play(ctx, sets[name], from, seeds)
+			totals[name].runProcess(ctx, sets[name], from, seeds)
 			<-places
 		}()
 	}
--- a/cmd/simulate/play.go
+++ b/cmd/simulate/seed.go
@@ -11,9 +11,9 @@
 	"onyxwell/simulation"
 )
 
-// bubble runs something in a test, since only tests have simulated time. It
+// inSimulatedTime runs something in a test, since only tests have simulated time. It
 // ends the process.
-func bubble(act func(t *testing.T)) {
+func inSimulatedTime(act func(t *testing.T)) {
 	runtime.GOMAXPROCS(1)
 	// The collector's own goroutines would change the order of the others.
 	debug.SetGCPercent(-1)
@@ -23,8 +23,8 @@
 	testing.Main(every, []testing.InternalTest{{Name: "simulate", F: act}}, nil, nil)
 }
 
-// one plays a seed again.
-func (c commandLine) one() (int, error) {
+// runSeed plays a seed again.
+func (c commandLine) runSeed() (int, error) {
 	options, err := c.Seed.options()
 	if err != nil {
 		return 0, err
@@ -33,9 +33,9 @@
 	if c.Seed.Trace {
 		options.Trace = os.Stdout
 	}
-	bubble(func(t *testing.T) {
+	inSimulatedTime(func(t *testing.T) {
 		result := simulation.Run(t, options)
-		for _, name := range names(result.Counts) {
+		for _, name := range sortedKeys(result.Counts) {
 			fmt.Printf("%8d %s\n", result.Counts[name], name)
 		}
 		for _, text := range result.Broken {
@@ -45,13 +45,13 @@
 	return 0, nil
 }
 
-// batch plays some seeds for the run that started it, a line of JSON each.
-func (c commandLine) batch() (int, error) {
+// runBatch plays some seeds for the run that started it, a line of JSON each.
+func (c commandLine) runBatch() (int, error) {
 	options, err := c.Batch.options()
 	if err != nil {
 		return 0, err
 	}
-	bubble(func(t *testing.T) {
+	inSimulatedTime(func(t *testing.T) {
 		for offset := range c.Batch.Seeds {
 			options.Seed = c.Batch.From + uint64(offset)
 			body, err := json.Marshal(simulation.Run(t, options))
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -18,7 +18,7 @@
 // operation of the disk fails, another each time.
 func TestOpen_damagedWALGetsNewIncarnation(t *testing.T) {
 	fake, operations, failing := clock.NewFake(), 0, 0
-	disk := simdisk.New(simdisk.Options{Pause: func(string, int) error {
+	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if operations++; operations == failing {
 			return errors.New("refused")
 		}
@@ -54,7 +54,7 @@
 		t.Fatalf("%+v", resp)
 	}
 	v.Close()
-	if disk.Spoil("registers") < 0 {
+	if disk.FlipBit("registers") < 0 {
 		t.Fatal("nothing was synced")
 	}
 	for _, firstStart := range []bool{true, false} {
@@ -72,7 +72,7 @@
 func TestOpen_retriesRefusingDiskSoon(t *testing.T) {
 	fake := clock.NewFake()
 	recovered := fake.Now().Add(clock.Second)
-	disk := simdisk.New(simdisk.Options{Pause: func(string, int) error {
+	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if fake.Now() < recovered {
 			return errors.New("refused")
 		}
--- a/control/state/wal/bench_test.go
+++ b/control/state/wal/bench_test.go
@@ -71,9 +71,9 @@
 	source := rand.New(rand.NewPCG(1, 2))
 	// A disk 30 times slower than 120 MB/s and 5 ms a sync.
 	busy := time.Duration(0)
-	disk := simdisk.New(simdisk.Options{Limit: 64 << 20, Pause: func(act string, bytes int) error {
+	disk := simdisk.New(simdisk.Options{Capacity: 64 << 20, Delay: func(act string, bytes int) error {
 		busy += 30 * time.Duration(bytes) * time.Second / 120e6
-		if act == simdisk.ActSync || act == simdisk.ActFolder {
+		if act == simdisk.OpSync || act == simdisk.OpSyncFolder {
 			busy += 30 * 5 * time.Millisecond
 		}
 		return nil
@@ -101,7 +101,7 @@
 	}
 	fence, epoch := register.FencingToken{Generation: 1, Fingerprint: acceptor.Voters().Fingerprint()}, ids.Epoch{Number: 1, Owner: "a"}
 	var stepped, saved, worst time.Duration
-	written, start := disk.Written(), busy
+	written, start := disk.BytesWritten(), busy
 	for index := range changes {
 		patch, _ := json.Marshal(map[string]any{"config_version": index + 2, "changes": map[string]any{
 			"routes": []any{route(source, source.IntN(routes), max(2, routes/10))}}})
@@ -119,12 +119,12 @@
 		worst = max(worst, busy-idle)
 		stepped, saved = stepped+applied-before, saved+cpuTime()-applied
 	}
-	written, busy = disk.Written()-written, busy-start
+	written, busy = disk.BytesWritten()-written, busy-start
 	b.ReportMetric(float64(busy.Microseconds())/1000/float64(changes), "slow-disk-ms/change")
 	b.ReportMetric(float64(worst.Microseconds())/1000, "slow-disk-worst-ms")
 	log.Close()
 	disk.Kill()
-	size := disk.Bytes("registers")
+	size := disk.Size("registers")
 	restartedAt := time.Now()
 	_, log = open()
 	restart := time.Since(restartedAt)
--- a/control/state/wal/crash_test.go
+++ b/control/state/wal/crash_test.go
@@ -131,7 +131,7 @@
 func TestSave_acknowledgedSurvivesCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &host{t: t, actsUntilCrash: -1, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
-		h.disk = simdisk.New(simdisk.Options{Pause: h.beforeAct, Draw: func(odds int) bool { return h.random.IntN(odds) == 0 }})
+		h.disk = simdisk.New(simdisk.Options{Delay: h.beforeAct, OneIn: func(odds int) bool { return h.random.IntN(odds) == 0 }})
 		for range rapid.IntRange(1, 8).Draw(t, "lives") {
 			h.actsUntilCrash = rapid.IntRange(-1, 60).Draw(t, "acts until crash")
 			h.powerLoss = rapid.Bool().Draw(t, "power loss")
@@ -143,7 +143,7 @@
 			}
 			h.failOneIn = 0
 			if rapid.Bool().Draw(t, "goes on") {
-				if err := h.save(1); err != nil && !errors.Is(err, simdisk.ErrDead) {
+				if err := h.save(1); err != nil && !errors.Is(err, simdisk.ErrProcessDead) {
 					t.Fatalf("no act fails any more: %v", err)
 				}
 			}
--- a/control/state/wal/log_test.go
+++ b/control/state/wal/log_test.go
@@ -24,7 +24,7 @@
 
 // TestOpen_corruptFileCountsAsBlank damages a file before its last record.
 func TestOpen_corruptFileCountsAsBlank(t *testing.T) {
-	disk := simdisk.New(simdisk.Options{Draw: func(int) bool { return false }})
+	disk := simdisk.New(simdisk.Options{OneIn: func(int) bool { return false }})
 	open := func() (*wal.Log, [][]byte) {
 		log, records, err := wal.Open(wal.Options{FS: disk.Mount(), Name: "j", Snapshot: func() [][]byte { return nil }})
 		if err != nil {
@@ -43,15 +43,15 @@
 			}
 		}
 		log.Close()
-		size := disk.Bytes("j")
-		at := disk.Spoil("j")
+		size := disk.Size("j")
+		at := disk.FlipBit("j")
 		disk.Kill()
 		log, records = open()
 		corruption := log.Corruption
 		if corruption == nil || len(records) != 0 || corruption.File != "j" || corruption.QuarantinedAs != "j.damaged" || corruption.Bytes != size || corruption.Offset > at {
 			t.Fatalf("%+v, %d records", corruption, len(records))
 		}
-		if disk.Bytes(corruption.QuarantinedAs) != size {
+		if disk.Size(corruption.QuarantinedAs) != size {
 			t.Fatal("the file is not kept")
 		}
 		log.Close()
@@ -68,8 +68,8 @@
 func TestOpen_recordsAreDurable(t *testing.T) {
 	var disk *simdisk.Disk
 	killOnSync := false
-	disk = simdisk.New(simdisk.Options{Draw: func(odds int) bool { return odds == 4 }, Pause: func(act string, _ int) error {
-		if killOnSync && act == simdisk.ActSync {
+	disk = simdisk.New(simdisk.Options{OneIn: func(odds int) bool { return odds == 4 }, Delay: func(act string, _ int) error {
+		if killOnSync && act == simdisk.OpSync {
 			disk.Kill()
 		}
 		return nil
@@ -82,7 +82,7 @@
 		}
 		if killOnSync = process == 0; !killOnSync {
 			disk.LosePower()
-		} else if err := log.Save(counterRecord(0, 1)); !errors.Is(err, simdisk.ErrDead) {
+		} else if err := log.Save(counterRecord(0, 1)); !errors.Is(err, simdisk.ErrProcessDead) {
 			t.Fatal(err)
 		}
 		log.Close()
@@ -94,7 +94,7 @@
 // space.
 func TestSave_recoversFromFullDisk(t *testing.T) {
 	refused := ""
-	disk := simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
+	disk := simdisk.New(simdisk.Options{Delay: func(act string, _ int) error {
 		if act == refused {
 			return simdisk.ErrFull
 		}
@@ -104,8 +104,8 @@
 	log := openEmpty(t, wal.Options{FS: disk.Mount(), Name: "j", Snapshot: func() [][]byte { return [][]byte{snapshot} }, MinCompactBytes: 4000})
 	defer log.Close()
 	for round := range 60 {
-		refused = []string{"", "", simdisk.ActWrite, "", simdisk.ActCreate, simdisk.ActCreate}[round/2%6]
-		if err := log.Save(snapshot); (err != nil) != (refused == simdisk.ActWrite) {
+		refused = []string{"", "", simdisk.OpWrite, "", simdisk.OpCreate, simdisk.OpCreate}[round/2%6]
+		if err := log.Save(snapshot); (err != nil) != (refused == simdisk.OpWrite) {
 			t.Fatalf("round %d, without %q: %v", round, refused, err)
 		}
 	}
@@ -114,8 +114,8 @@
 // TestSave_awaitsSync stalls a sync.
 func TestSave_awaitsSync(t *testing.T) {
 	stalling, reached, release := false, make(chan bool), make(chan bool)
-	disk := simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
-		if stalling && act == simdisk.ActSync {
+	disk := simdisk.New(simdisk.Options{Delay: func(act string, _ int) error {
+		if stalling && act == simdisk.OpSync {
 			reached <- true
 			<-release
 		}
@@ -147,8 +147,8 @@
 func TestSave_keepsWithinMaxBytes(t *testing.T) {
 	const limit = 10_000
 	var disk *simdisk.Disk
-	disk = simdisk.New(simdisk.Options{Pause: func(act string, _ int) error {
-		if current, next := disk.Bytes("j"), disk.Bytes("j.new"); max(current, next) > limit {
+	disk = simdisk.New(simdisk.Options{Delay: func(act string, _ int) error {
+		if current, next := disk.Size("j"), disk.Size("j.new"); max(current, next) > limit {
 			t.Errorf("%d and %d bytes at a %s", current, next, act)
 		}
 		return nil
@@ -200,7 +200,7 @@
 		if err := log.Save(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		if length := disk.Bytes("j"); length > minCompactBytes+int64(4*len(snapshot)) {
+		if length := disk.Size("j"); length > minCompactBytes+int64(4*len(snapshot)) {
 			t.Fatalf("the file has %d bytes", length)
 		}
 	}
--- a/simulation/service_test.go
+++ b/simulation/availability_test.go
@@ -6,14 +6,14 @@
 	"onyxwell/base/clock"
 )
 
-// TestService checks that a run measures what is taken, and how long nothing is
+// TestRun_measuresAvailability checks that a run measures what is taken, and how long nothing is
 // after each loss of the owner.
-func TestService(t *testing.T) {
-	if apart(t) {
+func TestRun_measuresAvailability(t *testing.T) {
+	if runWithoutRaceDetector(t) {
 		return
 	}
-	for _, strike := range Strikes() {
-		options := Options{Site: Sites["three"], Seed: 1, Length: 30 * clock.Second, Operators: 2, Quiet: true, Service: strike}
+	for _, strike := range OwnerFaults() {
+		options := Options{Site: Sites["three"], Seed: 1, Duration: 30 * clock.Second, Clients: 2, NoFaults: true, OwnerFault: strike}
 		result := Run(t, options)
 		for _, text := range result.Broken {
 			t.Errorf("%s: %s", strike, text)
--- a/simulation/clock.go
+++ b/simulation/clock.go
@@ -6,43 +6,43 @@
 	"onyxwell/base/clock"
 )
 
-// steady is a machine's steady clock: no two machines' can be compared, and it
+// machineClock is a machine's steady clock: no two machines' can be compared, and it
 // runs on while the machine is frozen, though nobody there sees it.
-type steady struct {
+type machineClock struct {
 	machine *Machine
 	offset  clock.Span
 }
 
 // Now gives the present instant.
-func (s steady) Now() clock.Instant {
-	now := s.machine.world.now()
-	if pace := s.machine.pace(); pace != 1 {
-		now = slowFrom + clock.Span(float64(now-slowFrom)*pace)
+func (m machineClock) Now() clock.Instant {
+	now := m.machine.cluster.now()
+	if pace := m.machine.clockRate(); pace != 1 {
+		now = clockSkewStart + clock.Span(float64(now-clockSkewStart)*pace)
 	}
-	return clock.Instant(now + s.offset)
+	return clock.Instant(now + m.offset)
 }
 
 // After gives a channel that is closed once the span has passed.
-func (s steady) After(span clock.Span) <-chan struct{} {
+func (m machineClock) After(span clock.Span) <-chan struct{} {
 	done := make(chan struct{})
-	s.machine.timer(s.stretched(span), func() { close(done) })
+	m.machine.timer(m.realDuration(span), func() { close(done) })
 	return done
 }
 
 // WithTimeout gives a context that ends when the span has passed.
-func (s steady) WithTimeout(parent context.Context, span clock.Span) (context.Context, context.CancelFunc) {
-	deepen(0)
+func (m machineClock) WithTimeout(parent context.Context, span clock.Span) (context.Context, context.CancelFunc) {
+	growStack(0)
 	ctx, cancel := context.WithCancelCause(parent)
-	limit := s.machine.timer(s.stretched(span), func() { cancel(context.DeadlineExceeded) })
+	limit := m.machine.timer(m.realDuration(span), func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
 		cancel(context.Canceled)
-		s.machine.world.forget(limit)
+		m.machine.cluster.cancel(limit)
 	}
 }
 
-// stretched is how long a span of this clock really is.
-func (s steady) stretched(span clock.Span) clock.Span {
-	if pace := s.machine.pace(); pace != 1 {
+// realDuration is how long a span of this clock really is.
+func (m machineClock) realDuration(span clock.Span) clock.Span {
+	if pace := m.machine.clockRate(); pace != 1 {
 		return clock.Span(float64(span) / pace)
 	}
 	return span
@@ -50,13 +50,13 @@
 
 // timer wakes somebody on the machine; one that is frozen wakes late.
 func (m *Machine) timer(span clock.Span, act func()) *event {
-	return m.world.after(span, func() { m.deliver(act) })
+	return m.cluster.after(span, func() { m.deliver(act) })
 }
 
 // deliver has something reach the machine: now, or when it thaws.
 func (m *Machine) deliver(act func()) {
 	if m.frozen {
-		m.late = append(m.late, act)
+		m.deferred = append(m.deferred, act)
 		return
 	}
 	act()
--- a/simulation/compatibility_test.go
+++ b/simulation/compatibility_test.go
@@ -10,13 +10,13 @@
 	"onyxwell/base/random"
 )
 
-// oldDisks holds what the controllers of site "three" had on their disks when
+// oldDataDir holds what the controllers of site "three" had on their disks when
 // the build before stored forms had names of their own (40dc010) stopped: the
 // configuration of version 2, taken as order 2, and zone-1 evacuated.
-const oldDisks = "testdata/data-dir-40dc010"
+const oldDataDir = "testdata/data-dir-40dc010"
 
 // restoreDisks puts the files of a folder on the disks of the controllers.
-func restoreDisks(t *testing.T, world *World, folder string) {
+func restoreDisks(t *testing.T, world *Cluster, folder string) {
 	t.Helper()
 	for _, machine := range world.controllers() {
 		files, err := os.ReadDir(filepath.Join(folder, machine.name))
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			machine.disk.Put(file.Name(), content)
+			machine.disk.PutSynced(file.Name(), content)
 		}
 	}
 }
@@ -38,10 +38,10 @@
 // newest order again, refuse one that lost, and take the next.
 func TestOldDisks_areServedByThisBuild(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(Options{Site: Sites["three"], Seed: 1})
-		random.SetSource(world.chance)
+		world := newCluster(Options{Site: Sites["three"], Seed: 1})
+		random.SetSource(world.jitter)
 		defer random.SetSource(nil)
-		restoreDisks(t, world, oldDisks)
+		restoreDisks(t, world, oldDataDir)
 		for _, machine := range world.machines {
 			machine.start(false)
 		}
@@ -49,50 +49,50 @@
 		go func() {
 			defer close(done)
 			world.sleep(4 * clock.Second)
-			checkOldDisks(t, world)
+			checkOldState(t, world)
 		}()
-		world.until(60 * clock.Second)
+		world.runUntil(60 * clock.Second)
 		select {
 		case <-done:
 		default:
 			t.Error("the orders got no answers")
 		}
-		world.ending = true
+		world.stopping = true
 		for _, machine := range world.machines {
-			machine.gone = true
-			machine.die()
+			machine.removed = true
+			machine.kill()
 		}
 		synctest.Wait()
 		for world.step(world.now() + 120*clock.Second) {
 		}
-		for _, text := range world.broken {
+		for _, text := range world.violations {
 			t.Error(text)
 		}
 	})
 }
 
-func checkOldDisks(t *testing.T, world *World) {
+func checkOldState(t *testing.T, world *Cluster) {
 	readVersion := func(want int64) {
 		t.Helper()
-		if version, found := world.readSettings(8 * clock.Second); !found || version != want {
+		if version, found := world.readConfig(8 * clock.Second); !found || version != want {
 			t.Errorf("the configuration has version %d (%v), not %d", version, found, want)
 		}
 	}
 	readVersion(2)
-	world.numbered = 1
+	world.lastCommandID = 1
 	orders := []struct {
 		name string
-		order
+		clientCommand
 		want outcome
 	}{
-		{"the newest order again", world.put(1, 2, false), taken},
-		{"another order on top of a version that is no longer current", world.put(1, 2, false), refused},
-		{"the evacuation again", world.zone("zone-1", true), taken},
-		{"the next order", world.put(2, 3, false), taken},
-		{"the end of the evacuation", world.zone("zone-1", false), taken},
+		{"the newest order again", world.changeCommand(1, 2, false), accepted},
+		{"another order on top of a version that is no longer current", world.changeCommand(1, 2, false), rejected},
+		{"the evacuation again", world.zoneCommand("zone-1", true), accepted},
+		{"the next order", world.changeCommand(2, 3, false), accepted},
+		{"the end of the evacuation", world.zoneCommand("zone-1", false), accepted},
 	}
 	for _, sent := range orders {
-		if did, body := world.give(sent.order); did.outcome != sent.want {
+		if did, body := world.execute(sent.clientCommand); did.outcome != sent.want {
 			t.Errorf("%s: %s, not %s: %s", sent.name, outcomeNames[did.outcome], outcomeNames[sent.want], body)
 		}
 	}
--- a/simulation/datagram.go
+++ b/simulation/datagram.go
@@ -10,67 +10,67 @@
 
 // datagram is one that arrived; a place names its sender.
 type datagram struct {
-	from place
+	from senderName
 	body []byte
 }
 
-type place string
+type senderName string
 
 // String names the place.
-func (p place) String() string { return string(p) }
+func (s senderName) String() string { return string(s) }
 
 // socket takes datagrams.
 type socket struct {
-	life   *life
-	inbox  chan datagram
-	closed chan struct{}
+	process *process
+	inbox   chan datagram
+	closed  chan struct{}
 }
 
 // Datagrams opens an address for datagrams.
-func (l *life) Datagrams(address ids.Address) (daemon.Socket, error) {
-	opened := &socket{life: l, inbox: make(chan datagram, 256), closed: make(chan struct{})}
-	l.machine.world.mu.Lock()
-	defer l.machine.world.mu.Unlock()
-	l.sockets[address] = opened
+func (p *process) Datagrams(address ids.Address) (daemon.Socket, error) {
+	opened := &socket{process: p, inbox: make(chan datagram, 256), closed: make(chan struct{})}
+	p.machine.cluster.mu.Lock()
+	defer p.machine.cluster.mu.Unlock()
+	p.sockets[address] = opened
 	return opened, nil
 }
 
 // Send sends a datagram, which may be lost, doubled or late.
 func (s *socket) Send(to ids.Address, body []byte) {
-	world, from := s.life.machine.world, s.life.machine.name
-	if s.life.over() {
+	world, from := s.process.machine.cluster, s.process.machine.name
+	if s.process.isDead() {
 		return
 	}
 	copies := 1
-	if world.once("datagram lost "+from+string(to), 50) {
+	if world.drawOneIn("datagram lost "+from+string(to), 50) {
 		copies = 0
-	} else if world.once("datagram twice "+from+string(to), 50) {
+	} else if world.drawOneIn("datagram twice "+from+string(to), 50) {
 		copies = 2
 	}
 	kept := bytes.Clone(body)
 	for range copies {
-		world.after(world.latency(from, to), func() { world.drop(from, to, kept) })
+		world.after(world.latency(from, to), func() { world.deliverDatagram(from, to, kept) })
 	}
 }
 
-// drop brings a datagram to its machine.
-func (w *World) drop(from string, to ids.Address, body []byte) {
-	target, _ := w.at(to)
-	if target == nil || target.dark || target.gone || w.link(from, target.name).cut {
+// deliverDatagram brings a datagram to its machine.
+func (c *Cluster) deliverDatagram(from string, to ids.Address, body []byte) {
+	target, _ := c.resolve(to)
+	if target == nil || target.poweredOff || target.removed || c.link(from, target.name).cut {
 		return
 	}
 	target.deliver(func() {
-		if target.life == nil {
+		if target.process == nil {
 			return
 		}
-		w.mu.Lock()
-		opened := target.life.sockets[to]
-		w.mu.Unlock()
+		c.mu.Lock()
+		opened := target.process.sockets[to]
+		c.mu.Unlock()
 		if opened == nil {
 			return
 		}
 		select {
-		case opened.inbox <- datagram{from: place(from), body: body}:
+		case opened.inbox <- datagram{from: senderName(from), body: body}:
 		default:
 		}
 	})
@@ -83,7 +83,7 @@
 		return copy(buffer, got.body), got.from, nil
 	case <-s.closed:
 		return 0, nil, errDead
-	case <-s.life.dead:
+	case <-s.process.dead:
 		return 0, nil, errDead
 	}
 }
--- a/simulation/drill.go
+++ b/simulation/drill.go
@@ -7,9 +7,9 @@
 	"onyxwell/base/clock"
 )
 
-// drills are the kinds of loss that a run may play again and again. The steps of
+// drillCatalogue are the kinds of loss that a run may play again and again. The steps of
 // one follow each other as soon as catch_up_s allows, whole or not.
-var drills = []struct {
+var drillCatalogue = []struct {
 	name  string
 	steps []string
 	// losses is how many are lost at a time.
@@ -40,166 +40,166 @@
 	{"two: replace", []string{"replace"}, 2},
 }
 
-// fromLoss are the losses whose time runs from the loss on: nothing comes back, or
+// timedFromLoss are the losses whose time runs from the loss on: nothing comes back, or
 // what takes the place is there beforehand.
-var fromLoss = map[string]bool{"planned": true, "gone": true}
+var timedFromLoss = map[string]bool{"planned": true, "gone": true}
 
 // Drills names the kinds of loss that a run may play again and again, in order.
 func Drills() []string {
 	var names []string
-	for _, one := range drills {
+	for _, one := range drillCatalogue {
 		names = append(names, one.name)
 	}
 	return names
 }
 
-// peek is how often a drill looks whether all is whole.
-const peek = 10 * clock.Millisecond
+// drillInterval is how often a drill looks whether all is whole.
+const drillInterval = 10 * clock.Millisecond
 
 // drill is the one kind of loss of a run, and what was measured.
 type drill struct {
 	steps  []string
 	losses int
-	// waits are losses that nobody has made up for yet.
-	waits []wait
-	// step is the next one, due when it or the next round may begin.
-	step int
-	due  clock.Span
-	// away is how many are lost and not back yet.
-	away int
-	took map[string][]clock.Span
+	// recoveries are losses that nobody has made up for yet.
+	recoveries []pendingRecovery
+	// nextStep is the next one, due when it or the next round may begin.
+	nextStep int
+	nextDue  clock.Span
+	// down is how many are lost and not back yet.
+	down          int
+	recoveryTimes map[string][]clock.Span
 }
 
-// wait is a loss that counts from an instant on.
-type wait struct {
+// pendingRecovery is a loss that counts from an instant on.
+type pendingRecovery struct {
 	name  string
 	since clock.Span
 }
 
-// catchUp is how long one that is back counts as lost.
-func (w *World) catchUp() clock.Span {
-	return clock.Span(w.options.Site.Bounds.CatchUpS * float64(clock.Second))
+// catchUpTime is how long one that is back counts as lost.
+func (c *Cluster) catchUpTime() clock.Span {
+	return clock.Span(c.options.Site.Bounds.CatchUpS * float64(clock.Second))
 }
 
-// practise begins the drill of a run that has one.
-func (w *World) practise() {
-	for _, one := range drills {
-		if one.name == w.options.Drill && one.losses <= w.options.Site.Losses {
-			w.drill = drill{steps: one.steps, losses: one.losses, took: map[string][]clock.Span{}}
-			w.after(0, w.peek)
+// startDrill begins the drill of a run that has one.
+func (c *Cluster) startDrill() {
+	for _, one := range drillCatalogue {
+		if one.name == c.options.Drill && one.losses <= c.options.Site.MaxLosses {
+			c.drill = drill{steps: one.steps, losses: one.losses, recoveryTimes: map[string][]clock.Span{}}
+			c.after(0, c.tickDrill)
 		}
 	}
 }
 
-// peek notes whether all is whole, and begins the next loss when it may.
-func (w *World) peek() {
-	if w.ending || w.violated() {
+// tickDrill notes whether all is whole, and begins the next loss when it may.
+func (c *Cluster) tickDrill() {
+	if c.stopping || c.hasViolation() {
 		return
 	}
-	w.after(peek, w.peek)
-	drill := &w.drill
-	if len(drill.waits) > 0 {
-		w.endWaits()
+	c.after(drillInterval, c.tickDrill)
+	drill := &c.drill
+	if len(drill.recoveries) > 0 {
+		c.completeRecoveries()
 	}
-	if drill.away > 0 {
+	if drill.down > 0 {
 		return
 	}
-	if drill.step == len(drill.steps) && len(drill.waits) == 0 {
-		drill.step = 0
-		drill.due = max(drill.due, w.now()+w.between("calm", 0, clock.Second))
+	if drill.nextStep == len(drill.steps) && len(drill.recoveries) == 0 {
+		drill.nextStep = 0
+		drill.nextDue = max(drill.nextDue, c.now()+c.drawBetween("calm", 0, clock.Second))
 	}
-	if drill.step < len(drill.steps) && w.now() >= drill.due {
-		w.lose(drill.steps[drill.step])
+	if drill.nextStep < len(drill.steps) && c.now() >= drill.nextDue {
+		c.injectDrillFault(drill.steps[drill.nextStep])
 	}
 }
 
-// endWaits notes how long all losses took that are made up for; one that takes
+// completeRecoveries notes how long all losses took that are made up for; one that takes
 // too long breaks a promise, and counts with the time until then.
-func (w *World) endWaits() {
-	drill := &w.drill
-	whole, missing := w.sound()
-	for _, seat := range w.voters().Members {
-		machine := w.hosts[hostOf(seat.Address)]
-		if whole && (machine == nil || machine.leaves || machine.gone) {
+func (c *Cluster) completeRecoveries() {
+	drill := &c.drill
+	whole, missing := c.fullyReplicated()
+	for _, seat := range c.newestVoters().Members {
+		machine := c.machinesByIP[hostOf(seat.Address)]
+		if whole && (machine == nil || machine.leaving || machine.removed) {
 			whole, missing = false, fmt.Sprintf("%s has a seat and leaves", seat.Address)
 		}
 	}
-	first := drill.waits[0]
-	late := w.now()-first.since > settling
+	first := drill.recoveries[0]
+	late := c.now()-first.since > recoveryTimeout
 	if !whole && !late {
 		return
 	}
-	for _, one := range drill.waits {
-		drill.took[one.name] = append(drill.took[one.name], w.now()-one.since)
-		w.note("waited", nil, "after", one.name, "seconds", (w.now() - one.since).Seconds(), "whole", whole)
+	for _, one := range drill.recoveries {
+		drill.recoveryTimes[one.name] = append(drill.recoveryTimes[one.name], c.now()-one.since)
+		c.trace("waited", nil, "after", one.name, "seconds", (c.now() - one.since).Seconds(), "whole", whole)
 	}
-	drill.waits = nil
+	drill.recoveries = nil
 	if !whole {
-		w.violate("%s after %s still: %s", settling, first.name, missing)
+		c.reportViolation("%s after %s still: %s", recoveryTimeout, first.name, missing)
 	}
 }
 
-// lose has some of those that vote lost in some way.
-func (w *World) lose(name string) {
-	drill, one := &w.drill, troubles[name]
+// injectDrillFault has some of those that vote lost in some way.
+func (c *Cluster) injectDrillFault(name string) {
+	drill, one := &c.drill, faultCatalogue[name]
 	if name == "gone" {
-		one = trouble{begin: goAway}
+		one = fault{inject: removeMachine}
 	}
-	targets := w.seated()
-	if len(targets) < drill.losses || w.now()+one.high > w.options.Length || (name == "gone" && w.spare() < 1) {
+	targets := c.votingMachines()
+	if len(targets) < drill.losses || c.now()+one.maxDuration > c.options.Duration || (name == "gone" && c.spareControllers() < 1) {
 		return
 	}
-	label := w.options.Drill
+	label := c.options.Drill
 	if len(drill.steps) > 1 {
-		label = fmt.Sprintf("%s (%d)", label, drill.step+1)
+		label = fmt.Sprintf("%s (%d)", label, drill.nextStep+1)
 	}
-	drill.step++
+	drill.nextStep++
 	for number := range drill.losses {
-		at := w.below(fmt.Sprint("victim ", number), len(targets))
+		at := c.drawBelow(fmt.Sprint("victim ", number), len(targets))
 		machine := targets[at]
 		targets = slices.Delete(targets, at, at+1)
-		drill.away++
-		w.count("trouble " + name)
-		w.note("trouble", machine, "name", name)
-		if fromLoss[name] {
-			drill.waits = append(drill.waits, wait{name: label, since: w.now()})
+		drill.down++
+		c.count("trouble " + name)
+		c.trace("trouble", machine, "name", name)
+		if timedFromLoss[name] {
+			drill.recoveries = append(drill.recoveries, pendingRecovery{name: label, since: c.now()})
 		}
-		end := one.begin(w, machine)
-		w.after(w.between(fmt.Sprint("span ", name, number), one.low, one.high), func() {
-			w.note("trouble over", machine, "name", name)
+		end := one.inject(c, machine)
+		c.after(c.drawBetween(fmt.Sprint("span ", name, number), one.minDuration, one.maxDuration), func() {
+			c.trace("trouble over", machine, "name", name)
 			if end != nil {
 				end()
 			}
-			drill.away--
-			drill.due = w.now() + w.catchUp()
+			drill.down--
+			drill.nextDue = c.now() + c.catchUpTime()
 			// Where two are lost, time counts from the return of the last.
-			if !fromLoss[name] && drill.away == 0 {
-				drill.waits = append(drill.waits, wait{name: label, since: w.now()})
+			if !timedFromLoss[name] && drill.down == 0 {
+				drill.recoveries = append(drill.recoveries, pendingRecovery{name: label, since: c.now()})
 			}
 		})
 	}
 }
 
-// seated are the machines that vote and are there.
-func (w *World) seated() []*Machine {
+// votingMachines are the machines that vote and are there.
+func (c *Cluster) votingMachines() []*Machine {
 	var found []*Machine
-	for _, seat := range w.voters().Members {
-		machine := w.hosts[hostOf(seat.Address)]
-		if machine != nil && machine.life != nil && machine.life.control != nil && !machine.gone && !machine.leaves {
+	for _, seat := range c.newestVoters().Members {
+		machine := c.machinesByIP[hostOf(seat.Address)]
+		if machine != nil && machine.process != nil && machine.process.control != nil && !machine.removed && !machine.leaving {
 			found = append(found, machine)
 		}
 	}
 	return found
 }
 
-// spare is how many controllers there are beyond the seats.
-func (w *World) spare() int {
-	return len(w.controllers()) - max(3, 2*w.options.Site.Losses+1)
+// spareControllers is how many controllers there are beyond the seats.
+func (c *Cluster) spareControllers() int {
+	return len(c.controllers()) - max(3, 2*c.options.Site.MaxLosses+1)
 }
 
-// goAway takes a machine away for good, with none in its place.
-func goAway(_ *World, machine *Machine) func() {
+// removeMachine takes a machine away for good, with none in its place.
+func removeMachine(_ *Cluster, machine *Machine) func() {
 	machine.losePower()
-	machine.gone = true
+	machine.removed = true
 	return nil
 }
--- a/simulation/drill_test.go
+++ b/simulation/drill_test.go
@@ -7,12 +7,12 @@
 	"onyxwell/base/clock"
 )
 
-// TestDrill checks that a run of one kind of loss measures each of them.
-func TestDrill(t *testing.T) {
-	if apart(t) {
+// TestRun_drillMeasuresRecovery checks that a run of one kind of loss measures each of them.
+func TestRun_drillMeasuresRecovery(t *testing.T) {
+	if runWithoutRaceDetector(t) {
 		return
 	}
-	options := Options{Site: Sites["three"], Seed: 3, Length: 24 * clock.Second, Operators: 2, Quiet: true, Drill: "wipe"}
+	options := Options{Site: Sites["three"], Seed: 3, Duration: 24 * clock.Second, Clients: 2, NoFaults: true, Drill: "wipe"}
 	result := Run(t, options)
 	for _, text := range result.Broken {
 		t.Error(text)
@@ -27,18 +27,18 @@
 		}
 	}
 	// Where no seat is ever filled again, the same run says so.
-	options.plant = fillNoSeat()
+	options.bug = rejectVoterChanges()
 	result = Run(t, options)
-	if took := result.Redundancy["wipe"]; len(took) != 1 || took[0] < settling || len(result.Broken) == 0 || !strings.Contains(result.Broken[0], "after wipe still") {
+	if took := result.Redundancy["wipe"]; len(took) != 1 || took[0] < recoveryTimeout || len(result.Broken) == 0 || !strings.Contains(result.Broken[0], "after wipe still") {
 		t.Errorf("no seat is filled, and yet: %v, %v", result.Redundancy, result.Broken)
 	}
 }
 
-// TestDrills checks that each kind of loss is one that there is.
-func TestDrills(t *testing.T) {
-	for _, one := range drills {
+// TestDrillCatalogue_faultsExist checks that each kind of loss is one that there is.
+func TestDrillCatalogue_faultsExist(t *testing.T) {
+	for _, one := range drillCatalogue {
 		for _, step := range one.steps {
-			if _, found := troubles[step]; !found && step != "gone" {
+			if _, found := faultCatalogue[step]; !found && step != "gone" {
 				t.Errorf("%s: %s is not known", one.name, step)
 			}
 		}
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -15,34 +15,34 @@
 
 // Machine is one simulated machine; it outlives its processes.
 type Machine struct {
-	world  *World
-	name   string
-	ip     string
-	zone   ids.Zone
-	region ids.Region
-	// carries says that it runs a router and no controller.
-	carries bool
-	disk    *simdisk.Disk
-	trouble diskTrouble
-	life    *life
-	frozen  bool
-	late    []func()
-	// dark machines have no power, gone ones never come back.
+	cluster *Cluster
+	name    string
+	ip      string
+	zone    ids.Zone
+	region  ids.Region
+	// isRouter says that it runs a router and no controller.
+	isRouter  bool
+	disk      *simdisk.Disk
+	diskFault diskFault
+	process   *process
+	frozen    bool
+	deferred  []func()
+	// poweredOff machines have no power, gone ones never come back.
 	// One that leaves does not start again.
-	dark   bool
-	gone   bool
-	leaves bool
-	// touched is when trouble on it last began or ended; troubled counts the
+	poweredOff bool
+	removed    bool
+	leaving    bool
+	// lastFaultChange is when trouble on it last began or ended; troubled counts the
 	// troubles that it is in.
-	touched  clock.Span
-	troubled int
-	births   int
-	lasting  lasting
-	draws    int
+	lastFaultChange clock.Span
+	activeFaults    int
+	starts          int
+	durable         durableState
+	diskDraws       int
 }
 
-// diskTrouble is what ails a disk now.
-type diskTrouble struct {
+// diskFault is what ails a disk now.
+type diskFault struct {
 	stalled bool
 	slow    float64
 	refuses bool
@@ -50,23 +50,23 @@
 	waiting []func()
 }
 
-// life is one process on a machine.
-type life struct {
+// process is one process on a machine.
+type process struct {
 	machine  *Machine
 	number   int
 	dead     chan struct{}
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 	handlers map[ids.Address]http.Handler
 	sockets  map[ids.Address]*socket
 	control  *controller.Controller
 	router   *router
-	// newest is the newest version that was acknowledged before the start.
-	newest int64
+	// ackedVersionAtStart is the newest version that was acknowledged before the start.
+	ackedVersionAtStart int64
 }
 
-func (l *life) over() bool {
+func (p *process) isDead() bool {
 	select {
-	case <-l.dead:
+	case <-p.dead:
 		return true
 	default:
 		return false
@@ -75,108 +75,108 @@
 
 // start gives the machine a new process.
 func (m *Machine) start(first bool) {
-	if m.life != nil || m.dark || m.gone || m.leaves {
+	if m.process != nil || m.poweredOff || m.removed || m.leaving {
 		return
 	}
-	m.births++
+	m.starts++
 	ctx, end := context.WithCancel(context.Background())
-	born := &life{
-		machine: m, number: m.births, dead: make(chan struct{}), end: end,
+	born := &process{
+		machine: m, number: m.starts, dead: make(chan struct{}), cancel: end,
 		handlers: map[ids.Address]http.Handler{}, sockets: map[ids.Address]*socket{},
 	}
-	m.world.mu.Lock()
-	born.newest = m.world.known.version
-	m.world.mu.Unlock()
-	m.life = born
-	settings := m.world.settings(m, first)
+	m.cluster.mu.Lock()
+	born.ackedVersionAtStart = m.cluster.known.version
+	m.cluster.mu.Unlock()
+	m.process = born
+	settings := m.cluster.nodeSettings(m, first)
 	top := scope.New(scope.Options{
-		Clock:    steady{machine: m, offset: m.world.between("boot "+m.name, clock.Second, 1000*clock.Second) - m.world.now()},
-		Settings: settings, Log: m.world.log(m),
+		Clock:    machineClock{machine: m, offset: m.cluster.drawBetween("boot "+m.name, clock.Second, 1000*clock.Second) - m.cluster.now()},
+		Settings: settings, Log: m.cluster.processLogger(m),
 	}).WithContext(ctx)
-	m.world.note("start", m, "life", born.number, "first", first)
-	run := born.controller
-	if m.carries {
-		run = born.carry
+	m.cluster.trace("start", m, "life", born.number, "first", first)
+	run := born.runController
+	if m.isRouter {
+		run = born.runRouter
 	}
 	go func() {
 		err := run(top)
-		m.world.after(0, func() { m.ended(born, err) })
+		m.cluster.after(0, func() { m.handleExit(born, err) })
 	}()
 }
 
-func (l *life) controller(top scope.Scope) error {
-	made, err := controller.New(top, controller.Options{Network: l, Disk: l.mount(top)})
+func (p *process) runController(top scope.Scope) error {
+	made, err := controller.New(top, controller.Options{Network: p, Disk: p.mountDisk(top)})
 	if err != nil {
 		return err
 	}
-	l.machine.world.after(0, func() {
-		if !l.over() {
-			l.control = made
-			l.machine.begins()
+	p.machine.cluster.after(0, func() {
+		if !p.isDead() {
+			p.control = made
+			p.machine.checkDurableState()
 		}
 	})
 	return made.Run(top, make(chan *settings.Settings))
 }
 
-// ended starts a process again that ended by itself.
-func (m *Machine) ended(was *life, err error) {
-	if m.life != was {
+// handleExit starts a process again that ended by itself.
+func (m *Machine) handleExit(was *process, err error) {
+	if m.process != was {
 		return
 	}
-	m.world.note("ended", m, "fault", fmt.Sprint(err))
-	m.die()
+	m.cluster.trace("ended", m, "fault", fmt.Sprint(err))
+	m.kill()
 	m.timer(500*clock.Millisecond, func() { m.start(false) })
 }
 
-// die ends the process at once; what it wrote stays.
-func (m *Machine) die() {
-	if m.life == nil {
+// kill ends the process at once; what it wrote stays.
+func (m *Machine) kill() {
+	if m.process == nil {
 		return
 	}
-	m.ends()
+	m.recordDurableState()
 	m.disk.Kill()
-	close(m.life.dead)
-	m.life.end()
-	m.life = nil
+	close(m.process.dead)
+	m.process.cancel()
+	m.process = nil
 	m.frozen = false
-	m.wakeUp()
+	m.resume()
 }
 
-// wakeUp lets happen what waited while the machine stood still.
-func (m *Machine) wakeUp() {
-	late := m.late
-	m.late = nil
+// resume lets happen what waited while the machine stood still.
+func (m *Machine) resume() {
+	late := m.deferred
+	m.deferred = nil
 	for _, act := range late {
 		act()
 	}
-	m.unstall()
+	m.unstallDisk()
 }
 
-func (m *Machine) unstall() {
-	waiting := m.trouble.waiting
-	m.trouble.waiting = nil
+func (m *Machine) unstallDisk() {
+	waiting := m.diskFault.waiting
+	m.diskFault.waiting = nil
 	for _, act := range waiting {
 		act()
 	}
 }
 
-// pause is how long the disk takes for an act.
-func (m *Machine) pause(act string, bytes int) error {
-	here := m.life
-	if here == nil || here.over() {
-		return simdisk.ErrDead
-	}
-	trouble, world := &m.trouble, m.world
-	writing := act != simdisk.ActRead
-	if writing && trouble.refuses && act != simdisk.ActAppend {
-		return errRefused
-	}
-	if trouble.full && act == simdisk.ActWrite {
+// diskDelay is how long the disk takes for an act.
+func (m *Machine) diskDelay(act string, bytes int) error {
+	here := m.process
+	if here == nil || here.isDead() {
+		return simdisk.ErrProcessDead
+	}
+	trouble, world := &m.diskFault, m.cluster
+	writing := act != simdisk.OpRead
+	if writing && trouble.refuses && act != simdisk.OpAppend {
+		return errDiskRefused
+	}
+	if trouble.full && act == simdisk.OpWrite {
 		return simdisk.ErrFull
 	}
 	span := clock.Span(bytes) * clock.Second / (120 << 20)
-	if act == simdisk.ActSync || act == simdisk.ActFolder {
-		span += world.options.Site.Sync
+	if act == simdisk.OpSync || act == simdisk.OpSyncFolder {
+		span += world.options.Site.SyncLatency
 	}
 	if trouble.slow > 1 {
 		span = clock.Span(float64(span) * trouble.slow)
@@ -198,6 +198,6 @@
 	case <-done:
 		return nil
 	case <-here.dead:
-		return simdisk.ErrDead
+		return simdisk.ErrProcessDead
 	}
 }
--- a/simulation/main_test.go
+++ b/simulation/main_test.go
@@ -18,10 +18,10 @@
 	os.Exit(tests.Run())
 }
 
-// apart plays a test in another process where this one has the race detector,
+// runWithoutRaceDetector plays a test in another process where this one has the race detector,
 // under which a run takes twenty times as long. It tells whether it did.
-func apart(t *testing.T) bool {
-	if !raced {
+func runWithoutRaceDetector(t *testing.T) bool {
+	if !raceEnabled {
 		return false
 	}
 	t.Parallel()
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -16,30 +16,30 @@
 )
 
 var (
-	errDead    = errors.New("simulation: the process is dead")
-	errReset   = errors.New("simulation: connection reset")
-	errRefused = errors.New("simulation: the disk refuses")
+	errDead        = errors.New("simulation: the process is dead")
+	errConnReset   = errors.New("simulation: connection reset")
+	errDiskRefused = errors.New("simulation: the disk refuses")
 )
 
 // message is a call on its way over a link, and its answer on the way back.
 type message struct {
-	sender  *life // nil for those outside
-	from    string
-	to      ids.Address
-	path    string
-	request *http.Request
-	body    []byte
-	answer  chan answered
-	// given says that the asker waits no longer.
-	given bool
+	sender   *process // nil for those outside
+	from     string
+	to       ids.Address
+	path     string
+	request  *http.Request
+	body     []byte
+	response chan reply
+	// abandoned says that the asker waits no longer.
+	abandoned bool
 	// left says that the asker has gone on, with an answer or without; leaving
 	// is done when it does.
-	mu      sync.Mutex
-	left    bool
-	leaving func()
+	mu             sync.Mutex
+	callerDone     bool
+	callerDoneHook func()
 }
 
-type answered struct {
+type reply struct {
 	status int
 	header http.Header
 	body   []byte
@@ -47,166 +47,166 @@
 }
 
 // Serve keeps a handler at an address until the scope ends.
-func (l *life) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *httpcall.Traffic) error {
-	world := l.machine.world
-	world.quietly(0, func() { l.handlers[address] = handler })
+func (p *process) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *httpcall.Traffic) error {
+	world := p.machine.cluster
+	world.afterQuiet(0, func() { p.handlers[address] = handler })
 	<-ctx.Done()
-	world.quietly(0, func() { delete(l.handlers, address) })
+	world.afterQuiet(0, func() { delete(p.handlers, address) })
 	return nil
 }
 
 // Client makes a client whose calls go over the simulated links.
-func (l *life) Client(pooling httpcall.ClientOptions) *http.Client {
+func (p *process) Client(pooling httpcall.ClientOptions) *http.Client {
 	return &http.Client{
-		Transport:     dialer{life: l, dialing: pooling.Dialer},
+		Transport:     roundTripper{process: p, dialer: pooling.Dialer},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// dialer gives up on what is silent as connections do.
-type dialer struct {
-	life    *life
-	dialing httpcall.Dialer
+// roundTripper gives up on what is silent as connections do.
+type roundTripper struct {
+	process *process
+	dialer  httpcall.Dialer
 }
 
 // RoundTrip carries a call and its answer.
-func (d dialer) RoundTrip(request *http.Request) (*http.Response, error) {
-	life, world := d.life, d.life.machine.world
+func (r roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
+	life, world := r.process, r.process.machine.cluster
 	reset := make(chan struct{}, 2)
 	end := func() { reset <- struct{}{} }
-	silence := life.machine.timer(d.dialing.UserTimeout, end)
-	defer world.forget(silence)
-	world.quietly(0, func() {
-		if target, _ := world.at(ids.Address(request.URL.Host)); target != nil && (target.dark || target.gone) {
-			life.machine.timer(d.dialing.Timeout, end)
+	silence := life.machine.timer(r.dialer.UserTimeout, end)
+	defer world.cancel(silence)
+	world.afterQuiet(0, func() {
+		if target, _ := world.resolve(ids.Address(request.URL.Host)); target != nil && (target.poweredOff || target.removed) {
+			life.machine.timer(r.dialer.Timeout, end)
 		}
 	})
-	return world.carry(life, life.machine.name, request, reset)
+	return world.roundTrip(life, life.machine.name, request, reset)
 }
 
-// carry sends a call from a place and waits for its answer, or until the
+// roundTrip sends a call from a place and waits for its answer, or until the
 // connection is reset.
-func (w *World) carry(sender *life, from string, request *http.Request, reset <-chan struct{}) (*http.Response, error) {
-	if sender != nil && sender.over() {
+func (c *Cluster) roundTrip(sender *process, from string, request *http.Request, reset <-chan struct{}) (*http.Response, error) {
+	if sender != nil && sender.isDead() {
 		return nil, errDead
 	}
 	sent := &message{
-		sender: sender, from: from, to: ids.Address(request.URL.Host), path: request.URL.Path, request: request, body: bodyOf(request),
-		answer: make(chan answered, 1),
+		sender: sender, from: from, to: ids.Address(request.URL.Host), path: request.URL.Path, request: request, body: readBody(request),
+		response: make(chan reply, 1),
 	}
-	defer sent.leave()
-	w.count("messages")
+	defer sent.notifyCallerDone()
+	c.count("messages")
 	var dead chan struct{}
 	if sender != nil {
 		dead = sender.dead
 	}
-	if forged, done := w.tamper(sent); done {
-		return forged.response(request), forged.err
+	if forged, done := c.interceptRequest(sent); done {
+		return forged.httpResponse(request), forged.err
 	}
-	w.after(w.latency(from, sent.to), func() { w.arrive(sent) })
+	c.after(c.latency(from, sent.to), func() { c.deliverRequest(sent) })
 	select {
-	case got := <-sent.answer:
+	case got := <-sent.response:
 		if got.err != nil {
 			return nil, got.err
 		}
-		return got.response(request), nil
+		return got.httpResponse(request), nil
 	case <-request.Context().Done():
-		w.quietly(0, func() { sent.given = true })
+		c.afterQuiet(0, func() { sent.abandoned = true })
 		return nil, request.Context().Err()
 	case <-reset:
-		w.quietly(0, func() { sent.given = true })
-		return nil, errReset
+		c.afterQuiet(0, func() { sent.abandoned = true })
+		return nil, errConnReset
 	case <-dead:
 		return nil, errDead
 	}
 }
 
-func (a answered) response(request *http.Request) *http.Response {
-	if a.err != nil {
+func (r reply) httpResponse(request *http.Request) *http.Response {
+	if r.err != nil {
 		return nil
 	}
 	return &http.Response{
-		StatusCode: a.status, Header: a.header, Body: io.NopCloser(bytes.NewReader(a.body)), ContentLength: int64(len(a.body)),
+		StatusCode: r.status, Header: r.header, Body: io.NopCloser(bytes.NewReader(r.body)), ContentLength: int64(len(r.body)),
 		Request: request, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 }
 
-// arrive brings a call to its machine; what a cut holds up comes when it heals,
+// deliverRequest brings a call to its machine; what a cut holds up comes when it heals,
 // also when its asker has given up since.
-func (w *World) arrive(sent *message) {
-	target, standing := w.at(sent.to)
-	if standing == platform {
-		w.platform(sent)
+func (c *Cluster) deliverRequest(sent *message) {
+	target, standing := c.resolve(sent.to)
+	if standing == platformHost {
+		c.answerPlatform(sent)
 		return
 	}
-	if target == nil || target.dark || target.gone {
+	if target == nil || target.poweredOff || target.removed {
 		return
 	}
-	if link := w.link(sent.from, target.name); link.cut {
-		link.held = append(link.held, func() { w.arrive(sent) })
+	if link := c.link(sent.from, target.name); link.cut {
+		link.queued = append(link.queued, func() { c.deliverRequest(sent) })
 		return
 	}
-	target.deliver(func() { w.serve(target, sent) })
+	target.deliver(func() { c.serveRequest(target, sent) })
 }
 
-func (w *World) serve(target *Machine, sent *message) {
-	here := target.life
+func (c *Cluster) serveRequest(target *Machine, sent *message) {
+	here := target.process
 	var handler http.Handler
 	if here != nil {
 		handler = here.handlers[sent.to]
 	}
 	if handler == nil {
-		w.back(target, sent, answered{err: errReset})
+		c.sendReply(target, sent, reply{err: errConnReset})
 		return
 	}
-	if sent.given && w.once("given "+sent.path, 2) {
+	if sent.abandoned && c.drawOneIn("given "+sent.path, 2) {
 		// The asker's reset came before the call was read.
 		return
 	}
-	sent.arrives()
+	sent.markRead()
 	inner, end := context.WithCancel(context.Background())
-	sent.onLeave(func() {
-		w.after(w.latency(sent.from, sent.to), func() { target.deliver(end) })
+	sent.setCallerDoneHook(func() {
+		c.after(c.latency(sent.from, sent.to), func() { target.deliver(end) })
 	})
-	request := sent.arrived(inner)
+	request := sent.incomingRequest(inner)
 	go func() {
-		deepen(0)
-		written := &recorder{header: http.Header{}}
+		growStack(0)
+		written := &responseRecorder{header: http.Header{}}
 		handler.ServeHTTP(written, request)
-		sent.onLeave(nil)
+		sent.setCallerDoneHook(nil)
 		end()
-		got := answered{status: written.status(), header: written.header, body: written.body}
-		if here.over() {
-			got = answered{err: errReset}
+		got := reply{status: written.status(), header: written.header, body: written.body}
+		if here.isDead() {
+			got = reply{err: errConnReset}
 		}
-		w.quietly(0, func() { w.back(target, sent, got) })
+		c.afterQuiet(0, func() { c.sendReply(target, sent, got) })
 	}()
 }
 
-// back carries an answer to whoever asked.
-func (w *World) back(target *Machine, sent *message, got answered) {
-	got = w.twist(target, sent, got)
-	sent.told(got, w.now())
-	if w.answerLost(target, sent) {
-		w.count("answers lost")
+// sendReply carries an answer to whoever asked.
+func (c *Cluster) sendReply(target *Machine, sent *message, got reply) {
+	got = c.interceptReply(target, sent, got)
+	sent.recordReply(got, c.now())
+	if c.losesReply(target, sent) {
+		c.count("answers lost")
 		return
 	}
-	w.after(w.latency(target.name, sent.to), func() {
-		link := w.link(target.name, sent.from)
+	c.after(c.latency(target.name, sent.to), func() {
+		link := c.link(target.name, sent.from)
 		if link.cut {
-			link.held = append(link.held, func() { w.hand(sent, got) })
+			link.queued = append(link.queued, func() { c.deliverReply(sent, got) })
 			return
 		}
-		w.hand(sent, got)
+		c.deliverReply(sent, got)
 	})
 }
 
-func (w *World) hand(sent *message, got answered) {
+func (c *Cluster) deliverReply(sent *message, got reply) {
 	if sent.sender == nil {
-		sent.answer <- got
+		sent.response <- got
 		return
 	}
-	sent.sender.machine.deliver(func() { sent.answer <- got })
+	sent.sender.machine.deliver(func() { sent.response <- got })
 }
 
 func hostOf(address ids.Address) string {
@@ -216,11 +216,11 @@
 
 // latency is how long a way takes: by how far apart the places are, with some
 // spread, and now and then as long as a lost packet takes to be sent again.
-func (w *World) latency(from string, to ids.Address) clock.Span {
-	target, _ := w.at(to)
-	span := w.distance(from, target)
-	span += w.between("latency "+from+string(to), 0, span/4+clock.Millisecond)
-	if w.once("packet "+from+string(to), 200) {
+func (c *Cluster) latency(from string, to ids.Address) clock.Span {
+	target, _ := c.resolve(to)
+	span := c.baseLatency(from, target)
+	span += c.drawBetween("latency "+from+string(to), 0, span/4+clock.Millisecond)
+	if c.drawOneIn("packet "+from+string(to), 200) {
 		span += 200 * clock.Millisecond
 	}
 	return span
--- a/simulation/norace_test.go
+++ b/simulation/norace_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = false
+const raceEnabled = false
--- a/simulation/run.go
+++ b/simulation/run.go
@@ -9,152 +9,152 @@
 	"onyxwell/base/random"
 )
 
-// settling is how long a run goes on after all trouble has ended.
-const settling = 25 * clock.Second
+// recoveryTimeout is how long a run goes on after all trouble has ended.
+const recoveryTimeout = 25 * clock.Second
 
 // Run plays one run. It needs a test for the bubble of simulated time in which
 // everything goes on; the command makes one.
 func Run(t *testing.T, options Options) Result {
-	var world *World
+	var world *Cluster
 	synctest.Test(t, func(*testing.T) {
-		world = newWorld(options)
-		random.SetSource(world.chance)
+		world = newCluster(options)
+		random.SetSource(world.jitter)
 		defer random.SetSource(nil)
-		world.play()
+		world.run()
 	})
 	wrong, unknown := world.history.check()
-	world.broken = append(world.broken, wrong...)
+	world.violations = append(world.violations, wrong...)
 	if unknown > 0 {
-		world.counted["keys not decided by the checker"] += unknown
+		world.counts["keys not decided by the checker"] += unknown
 	}
 	if len(wrong) > 0 {
-		for _, line := range world.history.lines() {
-			world.note(line, nil)
+		for _, line := range world.history.describe() {
+			world.trace(line, nil)
 		}
 	}
 	return Result{
-		Seed: options.Seed, Broken: world.broken, Counts: world.counted, Whole: world.watch.wholeTook, Acks: world.watch.acks, Gap: world.watch.gap,
-		Redundancy: world.drill.took, Service: world.serving.Service,
+		Seed: options.Seed, Broken: world.violations, Counts: world.counts, Whole: world.observed.recoveryTimes, Acks: world.observed.ackLatencies, Gap: world.observed.longestAckGap,
+		Redundancy: world.drill.recoveryTimes, Service: world.meter.Availability,
 	}
 }
 
-func (w *World) play() {
-	for _, machine := range w.machines {
-		w.after(w.between("first start "+machine.name, 0, 300*clock.Millisecond), func() { machine.start(true) })
+func (c *Cluster) run() {
+	for _, machine := range c.machines {
+		c.after(c.drawBetween("first start "+machine.name, 0, 300*clock.Millisecond), func() { machine.start(true) })
 	}
-	w.until(2 * clock.Second)
-	if w.options.script != nil {
-		go w.options.script(w)
+	c.runUntil(2 * clock.Second)
+	if c.options.scenario != nil {
+		go c.options.scenario(c)
 	} else {
-		w.trouble()
+		c.startWorkload()
 	}
-	w.until(w.options.Length)
-	w.settle()
-	w.ending = true
-	w.until(w.now() + 16*clock.Second)
-	for _, machine := range w.machines {
-		machine.gone = true
-		machine.die()
+	c.runUntil(c.options.Duration)
+	c.checkRecovery()
+	c.stopping = true
+	c.runUntil(c.now() + 16*clock.Second)
+	for _, machine := range c.machines {
+		machine.removed = true
+		machine.kill()
 	}
 	synctest.Wait()
 	// All that still waits for some time runs out; nothing is checked any more.
-	for w.step(w.now() + 120*clock.Second) {
+	for c.step(c.now() + 120*clock.Second) {
 	}
 }
 
-// trouble sets the operators and, later, the troubles going.
-func (w *World) trouble() {
-	for number := range max(1, w.options.Operators) {
-		go w.operate(fmt.Sprint("operator ", number))
-	}
-	w.until(8 * clock.Second)
-	go w.plague()
-	w.practise()
-	w.measureService()
+// startWorkload sets the operators and, later, the troubles going.
+func (c *Cluster) startWorkload() {
+	for number := range max(1, c.options.Clients) {
+		go c.runClient(fmt.Sprint("operator ", number))
+	}
+	c.runUntil(8 * clock.Second)
+	go c.injectFaults()
+	c.startDrill()
+	c.startAvailabilityMeter()
 }
 
-// until goes on to an instant, and checks after each step; a broken promise
+// runUntil goes on to an instant, and checks after each step; a broken promise
 // ends the run.
-func (w *World) until(end clock.Span) {
+func (c *Cluster) runUntil(end clock.Span) {
 	// Time passes also where nothing waits for it.
-	w.after(end-w.now(), func() {})
+	c.after(end-c.now(), func() {})
 	synctest.Wait()
-	for !w.violated() && w.step(end) {
-		w.look()
+	for !c.hasViolation() && c.step(end) {
+		c.checkInvariants()
 	}
 }
 
-// settle ends all trouble; within the time to catch up everything must be whole
+// checkRecovery ends all trouble; within the time to catch up everything must be whole
 // again, an order be acknowledged, and all read the same.
-func (w *World) settle() {
-	for _, one := range w.links {
+func (c *Cluster) checkRecovery() {
+	for _, one := range c.links {
 		one.cut = false
 	}
-	for key := range w.links {
-		w.heal(key[0], key[1])
+	for key := range c.links {
+		c.healLink(key[0], key[1])
 	}
-	w.ackLost, w.hurry = 0, false
-	for _, machine := range w.machines {
-		machine.trouble.stalled, machine.trouble.slow, machine.trouble.refuses, machine.trouble.full = false, 0, false, false
+	c.replyLossRate, c.highLoad = 0, false
+	for _, machine := range c.machines {
+		machine.diskFault.stalled, machine.diskFault.slow, machine.diskFault.refuses, machine.diskFault.full = false, 0, false, false
 		if machine.frozen {
 			machine.frozen = false
-			machine.wakeUp()
+			machine.resume()
 		}
-		machine.unstall()
-		machine.comeBack()
+		machine.unstallDisk()
+		machine.powerOn()
 	}
-	begin := w.now()
-	w.waitWhole(begin)
-	w.until(begin + settling)
-	if w.violated() {
+	begin := c.now()
+	c.waitFullyReplicated(begin)
+	c.runUntil(begin + recoveryTimeout)
+	if c.hasViolation() {
 		return
 	}
-	w.final()
+	c.checkFinalState()
 }
 
-// waitWhole goes on until all seats are filled and every voter holds all.
-func (w *World) waitWhole(begin clock.Span) {
+// waitFullyReplicated goes on until all seats are filled and every voter holds all.
+func (c *Cluster) waitFullyReplicated(begin clock.Span) {
 	whole, missing := false, ""
-	for w.now()-begin < settling && !whole && !w.violated() {
-		w.until(w.now() + 100*clock.Millisecond)
-		whole, missing = w.sound()
+	for c.now()-begin < recoveryTimeout && !whole && !c.hasViolation() {
+		c.runUntil(c.now() + 100*clock.Millisecond)
+		whole, missing = c.fullyReplicated()
 	}
-	if w.violated() {
+	if c.hasViolation() {
 		return
 	}
 	if !whole {
-		w.violate("%s after all trouble ended, still: %s", settling, missing)
+		c.reportViolation("%s after all trouble ended, still: %s", recoveryTimeout, missing)
 		return
 	}
-	w.watch.wholeTook = append(w.watch.wholeTook, w.now()-begin)
+	c.observed.recoveryTimes = append(c.observed.recoveryTimes, c.now()-begin)
 }
 
-// final reads at every controller and gives one more order.
-func (w *World) final() {
+// checkFinalState reads at every controller and gives one more order.
+func (c *Cluster) checkFinalState() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		did, _ := w.give(w.zone(w.options.Site.Places[0].Zone, true))
-		w.record(did)
-		if did.outcome != taken {
-			w.violate("an order in calm got no acknowledgement")
+		did, _ := c.execute(c.zoneCommand(c.options.Site.Locations[0].Zone, true))
+		c.record(did)
+		if did.outcome != accepted {
+			c.reportViolation("an order in calm got no acknowledgement")
 		}
-		for range len(w.controllers()) {
-			if _, found := w.readSettings(8 * clock.Second); !found {
-				w.violate("GET /settings is not answered in calm")
+		for range len(c.controllers()) {
+			if _, found := c.readConfig(8 * clock.Second); !found {
+				c.reportViolation("GET /settings is not answered in calm")
 			}
 		}
 	}()
-	limit := w.now() + 30*clock.Second
-	for w.now() < limit && !w.violated() {
-		w.until(w.now() + 100*clock.Millisecond)
+	limit := c.now() + 30*clock.Second
+	for c.now() < limit && !c.hasViolation() {
+		c.runUntil(c.now() + 100*clock.Millisecond)
 		select {
 		case <-done:
 			return
 		default:
 		}
 	}
-	if !w.violated() {
-		w.violate("the last orders got no answer in calm")
+	if !c.hasViolation() {
+		c.reportViolation("the last orders got no answer in calm")
 	}
 }
--- a/simulation/simdisk/disk.go
+++ b/simulation/simdisk/disk.go
@@ -16,148 +16,148 @@
 
 // Faults of a simulated disk.
 var (
-	// ErrDead is told to a process that was killed or lost its power.
-	ErrDead = errors.New("disk: the process is dead")
+	// ErrProcessDead is told to a process that was killed or lost its power.
+	ErrProcessDead = errors.New("disk: the process is dead")
 	// ErrFull is told to a write that goes beyond Options.Limit.
 	ErrFull = fmt.Errorf("disk: %w", syscall.ENOSPC)
-	// ErrMissing is told to who names a file that is not there.
-	ErrMissing = errors.New("disk: no such file")
+	// ErrNotExist is told to who names a file that is not there.
+	ErrNotExist = errors.New("disk: no such file")
 )
 
 // Acts that Options.Pause is told of.
 const (
-	ActRead   = "read"
-	ActCreate = "create"
-	ActAppend = "append"
-	ActWrite  = "write"
-	ActSync   = "sync"
-	ActRename = "rename"
-	ActRemove = "remove"
-	ActFolder = "folder"
+	OpRead       = "read"
+	OpCreate     = "create"
+	OpAppend     = "append"
+	OpWrite      = "write"
+	OpSync       = "sync"
+	OpRename     = "rename"
+	OpRemove     = "remove"
+	OpSyncFolder = "folder"
 )
 
 // Options are what a disk is made with.
 type Options struct {
-	// Draw is true once in so many; all chance comes from it. It is asked with
+	// OneIn is true once in so many; all chance comes from it. It is asked with
 	// the disk locked.
-	Draw func(odds int) bool
-	// Pause is called, with the disk unlocked, before an act takes effect, with
+	OneIn func(odds int) bool
+	// Delay is called, with the disk unlocked, before an act takes effect, with
 	// the bytes that it moves. It may block as long as the disk takes. After an
 	// error the act has not happened; a write or a sync may have, or in part.
-	Pause func(act string, bytes int) error
-	// Limit is how many bytes the disk holds; 0 is no limit.
-	Limit int64
+	Delay func(act string, bytes int) error
+	// Capacity is how many bytes the disk holds; 0 is no limit.
+	Capacity int64
 }
 
 // Disk is the disk of one machine; it outlives the machine's processes.
 type Disk struct {
-	mu      sync.Mutex
-	options Options
-	life    int64
-	// names are as a process sees them, lasting as the next start after a loss
+	mu         sync.Mutex
+	options    Options
+	generation int64
+	// files are as a process sees them, lasting as the next start after a loss
 	// of power would at least find them; loose are the steps between the two.
-	names   map[string]*content
-	lasting map[string]*content
-	loose   []nameStep
-	written int64
+	files        map[string]*fileContent
+	durable      map[string]*fileContent
+	unsynced     []nameChange
+	bytesWritten int64
 }
 
 // New makes an empty disk.
 func New(options Options) *Disk {
-	if options.Draw == nil {
-		options.Draw = func(int) bool { return false }
+	if options.OneIn == nil {
+		options.OneIn = func(int) bool { return false }
 	}
-	if options.Pause == nil {
-		options.Pause = func(string, int) error { return nil }
+	if options.Delay == nil {
+		options.Delay = func(string, int) error { return nil }
 	}
-	return &Disk{options: options, names: map[string]*content{}, lasting: map[string]*content{}}
+	return &Disk{options: options, files: map[string]*fileContent{}, durable: map[string]*fileContent{}}
 }
 
 // Mount gives a process its view of the disk, which dies with the process: all
-// its acts, and those of the files it opened, return ErrDead after a Kill,
+// its acts, and those of the files it opened, return ErrProcessDead after a Kill,
 // LosePower or Wipe, also those that were under way.
 func (d *Disk) Mount() wal.FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &mount{disk: d, life: d.life}
+	return &mount{disk: d, generation: d.generation}
 }
 
 // Kill ends the process; all that it wrote stays, synced or not.
 func (d *Disk) Kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
+	d.generation++
 }
 
 // Wipe loses the disk: the next process finds an empty one.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
-	d.names, d.lasting, d.loose = map[string]*content{}, map[string]*content{}, nil
+	d.generation++
+	d.files, d.durable, d.unsynced = map[string]*fileContent{}, map[string]*fileContent{}, nil
 }
 
-// Bytes gives the size of a file as a process sees it; 0 for a missing one.
-func (d *Disk) Bytes(name string) int64 {
+// Size gives the size of a file as a process sees it; 0 for a missing one.
+func (d *Disk) Size(name string) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if found := d.names[name]; found != nil {
-		return int64(len(found.now))
+	if found := d.files[name]; found != nil {
+		return int64(len(found.current))
 	}
 	return 0
 }
 
-// Written gives the bytes that all processes wrote so far.
-func (d *Disk) Written() int64 {
+// BytesWritten gives the bytes that all processes wrote so far.
+func (d *Disk) BytesWritten() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.written
+	return d.bytesWritten
 }
 
-// Spoil flips a bit of a byte in the synced part of a file and tells where; -1
+// FlipBit flips a bit of a byte in the synced part of a file and tells where; -1
 // if the file has no such part.
-func (d *Disk) Spoil(name string) int64 { return d.SpoilWithin(name, math.MaxInt) }
+func (d *Disk) FlipBit(name string) int64 { return d.FlipBitWithin(name, math.MaxInt) }
 
-// SpoilWithin is Spoil for the first bytes of a file.
-func (d *Disk) SpoilWithin(name string, length int) int64 {
+// FlipBitWithin is Spoil for the first bytes of a file.
+func (d *Disk) FlipBitWithin(name string, length int) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	found := d.names[name]
+	found := d.files[name]
 	if found == nil {
 		return -1
 	}
-	length = min(length, len(found.synced), len(found.now))
+	length = min(length, len(found.synced), len(found.current))
 	if length <= 0 {
 		return -1
 	}
-	at := d.pick(length)
+	at := d.drawBelow(length)
 	found.synced[at] ^= 0x10
-	found.now[at] ^= 0x10
+	found.current[at] ^= 0x10
 	return int64(at)
 }
 
-// act waits for the disk and locks it; the caller unlocks it where the act may
+// begin waits for the disk and locks it; the caller unlocks it where the act may
 // take effect. Partly tells that it failed but may have taken effect.
-func (d *Disk) act(life int64, act string, bytes int) (partly bool, err error) {
-	err = d.options.Pause(act, bytes)
+func (d *Disk) begin(life int64, act string, bytes int) (partly bool, err error) {
+	err = d.options.Delay(act, bytes)
 	d.mu.Lock()
-	if d.life != life {
+	if d.generation != life {
 		d.mu.Unlock()
-		return false, ErrDead
+		return false, ErrProcessDead
 	}
-	if err != nil && (act != ActWrite && act != ActSync || d.options.Draw(2)) {
+	if err != nil && (act != OpWrite && act != OpSync || d.options.OneIn(2)) {
 		d.mu.Unlock()
 		return false, fmt.Errorf("disk: %w", err)
 	}
 	return err != nil, err
 }
 
-// pick draws a number from 0 up to, not including, the bound.
-func (d *Disk) pick(bound int) int {
+// drawBelow draws a number from 0 up to, not including, the bound.
+func (d *Disk) drawBelow(bound int) int {
 	low, high := 0, bound
 	for high-low > 1 {
 		middle := low + (high-low)/2
-		if d.options.Draw(2) {
+		if d.options.OneIn(2) {
 			low = middle
 		} else {
 			high = middle
@@ -168,16 +168,16 @@
 
 func (d *Disk) used() int64 {
 	used := int64(0)
-	for _, found := range d.names {
-		used += int64(len(found.now))
+	for _, found := range d.files {
+		used += int64(len(found.current))
 	}
 	return used
 }
 
-// Put places a whole synced file, as a process of another build may have left it.
-func (d *Disk) Put(name string, synced []byte) {
+// PutSynced places a whole synced file, as a process of another build may have left it.
+func (d *Disk) PutSynced(name string, synced []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	file := &content{now: bytes.Clone(synced), synced: bytes.Clone(synced)}
-	d.names[name], d.lasting[name] = file, file
+	file := &fileContent{current: bytes.Clone(synced), synced: bytes.Clone(synced)}
+	d.files[name], d.durable[name] = file, file
 }
--- a/simulation/simdisk/disk_test.go
+++ b/simulation/simdisk/disk_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
-func drawn(t *rapid.T) func(int) bool {
+func drawOneIn(t *rapid.T) func(int) bool {
 	return func(odds int) bool { return rapid.IntRange(1, odds).Draw(t, "odds") == 1 }
 }
 
@@ -24,12 +24,12 @@
 	return result
 }
 
-// TestOnlySyncedThingsLast checks that bytes outlast the power once a sync
+// TestLosePower_keepsOnlySynced checks that bytes outlast the power once a sync
 // covered them, names once a folder sync did, and that the rest may go.
-func TestOnlySyncedThingsLast(t *testing.T) {
+func TestLosePower_keepsOnlySynced(t *testing.T) {
 	outcomes := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		machine := New(Options{Draw: drawn(t)})
+		machine := New(Options{OneIn: drawOneIn(t)})
 		process := machine.Mount()
 		kept := must(process.Create("kept"))
 		must(kept.Write([]byte("synced")))
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		machine.LosePower()
-		if _, err := kept.Write([]byte("x")); !errors.Is(err, ErrDead) || !errors.Is(kept.Sync(), ErrDead) || !errors.Is(process.SyncDir(), ErrDead) {
+		if _, err := kept.Write([]byte("x")); !errors.Is(err, ErrProcessDead) || !errors.Is(kept.Sync(), ErrProcessDead) || !errors.Is(process.SyncDir(), ErrProcessDead) {
 			t.Fatal("a dead process still writes")
 		}
 		after := machine.Mount()
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestKillKeepsWhatWasWrittenAndWipeNothing(t *testing.T) {
-	machine := New(Options{Limit: 8})
+func TestKill_keepsWritesWipeDoesNot(t *testing.T) {
+	machine := New(Options{Capacity: 8})
 	process := machine.Mount()
 	opened := must(process.Create("a"))
 	must(opened.Write([]byte("12345678")))
@@ -74,10 +74,10 @@
 		t.Fatal(err)
 	}
 	machine.Kill()
-	if _, err := process.Read("a"); !errors.Is(err, ErrDead) {
+	if _, err := process.Read("a"); !errors.Is(err, ErrProcessDead) {
 		t.Fatal(err)
 	}
-	if body := must(machine.Mount().Read("a")); string(body) != "12345678" || machine.Bytes("a") != 8 || machine.Written() != 8 {
+	if body := must(machine.Mount().Read("a")); string(body) != "12345678" || machine.Size("a") != 8 || machine.BytesWritten() != 8 {
 		t.Fatalf("%q", body)
 	}
 	machine.Wipe()
@@ -86,9 +86,9 @@
 	}
 }
 
-func TestRefusedActsDoNotHappen(t *testing.T) {
+func TestDelay_errorPreventsOperation(t *testing.T) {
 	refusing := ""
-	machine := New(Options{Pause: func(act string, _ int) error {
+	machine := New(Options{Delay: func(act string, _ int) error {
 		if act == refusing {
 			return errors.New("refused")
 		}
@@ -97,10 +97,10 @@
 	process := machine.Mount()
 	must(process.Create("a"))
 	for act, do := range map[string]func() error{
-		ActCreate: func() error { _, err := process.Create("b"); return err },
-		ActRename: func() error { return process.Rename("a", "b") },
-		ActRemove: func() error { return process.Remove("a") },
-		ActFolder: func() error { return process.SyncDir() },
+		OpCreate:     func() error { _, err := process.Create("b"); return err },
+		OpRename:     func() error { return process.Rename("a", "b") },
+		OpRemove:     func() error { return process.Remove("a") },
+		OpSyncFolder: func() error { return process.SyncDir() },
 	} {
 		refusing = act
 		if do() == nil {
@@ -111,10 +111,10 @@
 	if err := process.Remove("a"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := process.Append("a", 0); !errors.Is(err, ErrMissing) {
+	if _, err := process.Append("a", 0); !errors.Is(err, ErrNotExist) {
 		t.Fatal(err)
 	}
-	if machine.Spoil("a") != -1 {
+	if machine.FlipBit("a") != -1 {
 		t.Fatal("a missing file was spoilt")
 	}
 }
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -6,8 +6,8 @@
 	"onyxwell/base/clock"
 )
 
-func TestQuiet(t *testing.T) {
-	result := Run(t, Options{Site: Sites["three"], Seed: 1, Length: 20 * clock.Second, Operators: 2, Quiet: true})
+func TestRun_withoutFaults(t *testing.T) {
+	result := Run(t, Options{Site: Sites["three"], Seed: 1, Duration: 20 * clock.Second, Clients: 2, NoFaults: true})
 	for _, text := range result.Broken {
 		t.Error(text)
 	}
