--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -42,19 +42,19 @@
 	}
 	var records []replay.Record
 	if err == nil {
-		records, err = read(line.Day, input)
+		records, err = readRecords(line.Day, input)
 	}
 	if err != nil {
 		fmt.Fprintf(errors, "replay: %v\n", err)
 		return 1
 	}
 	outcomes := replay.Play(scope.New(scope.Options{}), records, replay.Options{
-		Routers: line.Router, Speed: line.Speed, Limit: line.Limit, Client: replay.NewClient(64),
+		Routers: line.Router, Speed: line.Speed, Timeout: line.Limit, Client: replay.NewClient(64),
 	})
-	return show(out, outcomes, line.JSON)
+	return writeReport(out, outcomes, line.JSON)
 }
 
-func read(path string, input io.Reader) ([]replay.Record, error) {
+func readRecords(path string, input io.Reader) ([]replay.Record, error) {
 	if path == "-" {
 		return replay.Read(input)
 	}
@@ -70,7 +70,7 @@
 	return records, nil
 }
 
-func show(out io.Writer, outcomes []replay.Outcome, asJSON bool) int {
+func writeReport(out io.Writer, outcomes []replay.RouteSummary, asJSON bool) int {
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(outcomes); err != nil {
 			return 1
@@ -81,7 +81,7 @@
 	fmt.Fprintln(table, "route\trequests\tbroken\tfirst p50 ms\tfirst p99 ms\tstatuses")
 	for _, outcome := range outcomes {
 		statuses, _ := json.Marshal(outcome.Statuses)
-		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\t%s\n", outcome.Route, outcome.Count, outcome.Broken, outcome.P50MS, outcome.P99MS,
+		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\t%s\n", outcome.Route, outcome.Requests, outcome.Incomplete, outcome.FirstByteP50MS, outcome.FirstByteP99MS,
 			strings.Trim(string(statuses), "{}"))
 	}
 	_ = table.Flush()
--- a/cmd/replay/main_test.go
+++ b/cmd/replay/main_test.go
@@ -15,7 +15,7 @@
 {"at_ms":0.5,"method":"GET","host":"shop.example","path":"/b/1","route":"named"}
 `
 
-func TestDayIsPlayed(t *testing.T) {
+func TestRun_playsRecordedDay(t *testing.T) {
 	var lock sync.Mutex
 	seen := map[string]bool{}
 	attempts := map[string]bool{}
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestBrokenRecordIsNamedByItsLine(t *testing.T) {
+func TestRun_invalidRecordNamedByLine(t *testing.T) {
 	cases := map[string]string{
 		"line 2: ":                  "{\"at_ms\":0,\"method\":\"GET\",\"host\":\"h\",\"path\":\"/\"}\n{broken\n",
 		"line 1: method is missing": `{"at_ms":0,"host":"h","path":"/"}`,
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestBadUse(t *testing.T) {
+func TestRun_invalidArguments(t *testing.T) {
 	for _, arguments := range [][]string{{}, {"-"}, {"/nowhere", "--router", "x:1"}, {"-", "--router", "x:1", "--speed", "0"}} {
 		var out, errors bytes.Buffer
 		if status := run(arguments, strings.NewReader(""), &out, &errors); status == 0 || errors.Len() == 0 {
--- a/cmd/room/main.go
+++ b/cmd/room/main.go
@@ -29,25 +29,25 @@
 	Version    kong.VersionFlag `help:"Print the version and stop."`
 }
 
-type asking struct{}
+type reportRequest struct{}
 
 // Encode makes the call.
-func (asking) Encode() httpcall.OutgoingRequest {
+func (reportRequest) Encode() httpcall.OutgoingRequest {
 	return httpcall.OutgoingRequest{Method: "GET", Path: "/room"}
 }
 
-type heard struct {
+type reportResponse struct {
 	body   []byte
 	report headroom.Report
 }
 
 // Decode reads the report.
-func (h *heard) Decode(told httpcall.RawResponse) error {
+func (r *reportResponse) Decode(told httpcall.RawResponse) error {
 	if told.Status != 200 {
 		return errkind.Errorf(errkind.NotReady, "the controller answered %d: %s", told.Status, told.Body)
 	}
-	h.body = told.Body
-	return json.Unmarshal(told.Body, &h.report)
+	r.body = told.Body
+	return json.Unmarshal(told.Body, &r.report)
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -60,13 +60,13 @@
 		_, err = parser.Parse(arguments)
 	}
 	if err == nil && len(line.Controller) == 0 {
-		line.Controller, err = seeds(line.Boot)
+		line.Controller, err = seedAddresses(line.Boot)
 	}
 	if err != nil {
 		fmt.Fprintf(errors, "room: %v\n", err)
 		return 1
 	}
-	answer, err := ask(line)
+	answer, err := fetchReport(line)
 	if err != nil {
 		fmt.Fprintf(errors, "room: %v\n", err)
 		return 1
@@ -75,11 +75,11 @@
 		_, _ = out.Write(append(answer.body, '\n'))
 		return 0
 	}
-	show(out, answer.report)
+	writeReport(out, answer.report)
 	return 0
 }
 
-func seeds(path string) ([]ids.Address, error) {
+func seedAddresses(path string) ([]ids.Address, error) {
 	if path == "" {
 		path = settings.Path()
 	}
@@ -90,22 +90,22 @@
 	return settings.Seeds, nil
 }
 
-func ask(line commandLine) (heard, error) {
+func fetchReport(line commandLine) (reportResponse, error) {
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: line.Limit, UserTimeout: line.Limit}, IdleTimeout: line.Limit, MaxIdlePerHost: 1})
 	var last error
 	for _, address := range line.Controller {
 		short, release := scope.New(scope.Options{}).WithTimeout(line.Limit)
-		answer, err := httpcall.Do[heard](short, client, address, asking{})
+		answer, err := httpcall.Do[reportResponse](short, client, address, reportRequest{})
 		release()
 		if err == nil {
 			return answer, nil
 		}
 		last = fmt.Errorf("%s: %w", address, err)
 	}
-	return heard{}, last
+	return reportResponse{}, last
 }
 
-func show(out io.Writer, report headroom.Report) {
+func writeReport(out io.Writer, report headroom.Report) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, family := range report.Services {
 		if !family.HasData {
--- a/cmd/room/main_test.go
+++ b/cmd/room/main_test.go
@@ -13,7 +13,7 @@
  "regions":[{"region":"north","ready":4,"other":0,"used":0.23},{"region":"south","ready":2,"other":1,"used":0}]},
  {"service":"new","enough_seen":false}],"routers":[{"region":"north","known":4,"ready":3}]}`
 
-func play(t *testing.T, status int, body string) string {
+func startController(t *testing.T, status int, body string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != "/room" {
@@ -26,10 +26,10 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestRoomIsShown(t *testing.T) {
+func TestRun_writesReport(t *testing.T) {
 	var out, errors bytes.Buffer
 	// The first controller is dead; the next one is asked.
-	if status := run([]string{"127.0.0.1:1", play(t, 200, report)}, &out, &errors); status != 0 {
+	if status := run([]string{"127.0.0.1:1", startController(t, 200, report)}, &out, &errors); status != 0 {
 		t.Fatalf("status %d: %s", status, errors.String())
 	}
 	for _, piece := range []string{"room for 3.6 times", "alone 6.7 times", "in south", "too few answers", "routers in north", "of 4"} {
@@ -39,9 +39,9 @@
 	}
 }
 
-func TestBadUseIsSaidInOneLine(t *testing.T) {
+func TestRun_failureInOneLine(t *testing.T) {
 	cases := [][]string{
-		{"--no-such-flag"}, {"--boot", "/nowhere/boot.toml"}, {play(t, 503, `{"error":"unready"}`)}, {play(t, 200, "not json")}, {"--limit", "soon"},
+		{"--no-such-flag"}, {"--boot", "/nowhere/boot.toml"}, {startController(t, 503, `{"error":"unready"}`)}, {startController(t, 200, "not json")}, {"--limit", "soon"},
 	}
 	for _, arguments := range cases {
 		var out, errors bytes.Buffer
@@ -51,9 +51,9 @@
 	}
 }
 
-func TestReportAsItCame(t *testing.T) {
+func TestRun_jsonUnchanged(t *testing.T) {
 	var out, errors bytes.Buffer
-	if status := run([]string{"--json", play(t, 200, report)}, &out, &errors); status != 0 || strings.TrimSpace(out.String()) != report {
+	if status := run([]string{"--json", startController(t, 200, report)}, &out, &errors); status != 0 || strings.TrimSpace(out.String()) != report {
 		t.Fatalf("status %d: %s", status, out.String())
 	}
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -59,7 +59,7 @@
 func run(arguments []string, out io.Writer, complaints io.Writer) int {
 	// A daemon's own command line has the words of the program that ships.
 	if len(arguments) > 1 && arguments[0] == "daemon" {
-		return soak.Serve(arguments[1], arguments[2:], os.Stdin)
+		return soak.RunDaemon(arguments[1], arguments[2:], os.Stdin)
 	}
 	var line commandLine
 	shown := false
@@ -76,8 +76,8 @@
 	status := 0
 	if err == nil {
 		commands := map[string]func() (int, error){
-			"run":      func() (int, error) { return line.Run.play(out) },
-			"troubles": func() (int, error) { return 0, list(out) },
+			"run":      func() (int, error) { return line.Run.execute(out) },
+			"troubles": func() (int, error) { return 0, listFaults(out) },
 		}
 		status, err = commands[parsed.Command()]()
 	}
@@ -88,18 +88,18 @@
 	return status
 }
 
-func list(out io.Writer) error {
+func listFaults(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	for _, name := range soak.KindNames() {
-		fmt.Fprintf(table, "%s\t%s\n", name, soak.KindText(name))
+	for _, name := range soak.FaultNames() {
+		fmt.Fprintf(table, "%s\t%s\n", name, soak.FaultDescription(name))
 	}
 	return table.Flush()
 }
 
-// subnets is how far the addresses of runs at one time lie apart.
-const subnets = 15
+// subnetsPerRun is how far the addresses of runs at one time lie apart.
+const subnetsPerRun = 15
 
-func (r runCommand) play(out io.Writer) (int, error) {
+func (r runCommand) execute(out io.Writer) (int, error) {
 	own, err := os.Executable()
 	if err != nil {
 		return 0, err
@@ -134,9 +134,9 @@
 				lock.Lock()
 				played++
 				if err == nil {
-					report.Show(out)
+					report.Print(out)
 					if !r.Keep {
-						err = report.Tidy()
+						err = report.RemoveDirIfClean()
 					}
 				}
 				if err != nil {
@@ -156,13 +156,13 @@
 
 func (r runCommand) options(own string, seed uint64, job int) soak.Options {
 	options := soak.Options{
-		Seed: seed, Length: r.Length, Overlap: r.Overlap, Every: r.Every, Kinds: r.Trouble,
+		Seed: seed, Duration: r.Length, FaultsPerBurst: r.Overlap, BurstInterval: r.Every, Faults: r.Trouble,
 		Regions: r.Regions, Zones: r.Zones, Routers: r.Routers, Runners: r.Runners,
-		Clients: r.Clients, Operators: r.Operators, Rude: r.Rude, Subnet: r.Subnet + job*subnets,
-		Folder: filepath.Join(r.Folder, fmt.Sprintf("seed-%d", seed)), Program: []string{own, "daemon"},
+		Clients: r.Clients, Operators: r.Operators, MalformedRate: r.Rude, Subnet: r.Subnet + job*subnetsPerRun,
+		Dir: filepath.Join(r.Folder, fmt.Sprintf("seed-%d", seed)), DaemonCommand: []string{own, "daemon"},
 	}
 	if r.Mix == "all" {
-		options.Mix = runner.AllFaults()
+		options.RunnerFaults = runner.AllFaults()
 	}
 	return options
 }
--- a/replay/player.go
+++ b/replay/play.go
@@ -21,32 +21,32 @@
 	Routers []ids.Address
 	// Speed plays the day faster (above 1) or slower.
 	Speed float64
-	// Limit is how long one request may take.
-	Limit  clock.Span
-	Client *http.Client
+	// Timeout is how long one request may take.
+	Timeout clock.Span
+	Client  *http.Client
 }
 
-// Outcome sums up the requests of one route.
-type Outcome struct {
+// RouteSummary sums up the requests of one route.
+type RouteSummary struct {
 	Route    string         `json:"route"`
-	Count    int            `json:"count"`
+	Requests int            `json:"count"`
 	Statuses map[string]int `json:"statuses"`
-	// Broken are answers that did not come, or not whole.
-	Broken int     `json:"broken"`
-	P50MS  float64 `json:"first_p50_ms"`
-	P99MS  float64 `json:"first_p99_ms"`
-	firsts []float64
+	// Incomplete are answers that did not come, or not whole.
+	Incomplete     int     `json:"broken"`
+	FirstByteP50MS float64 `json:"first_p50_ms"`
+	FirstByteP99MS float64 `json:"first_p99_ms"`
+	firstByteMS    []float64
 }
 
 // Play sends every record at its time and gives the outcomes in the order of
 // their routes.
-func Play(ctx scope.Scope, records []Record, options Options) []Outcome {
+func Play(ctx scope.Scope, records []Record, options Options) []RouteSummary {
 	var lock sync.Mutex
 	var running sync.WaitGroup
-	found := map[string]*Outcome{}
+	found := map[string]*RouteSummary{}
 	begin := ctx.Now()
 	for _, record := range records {
-		due := begin.Add(clock.Span(float64(record.At()) / options.Speed))
+		due := begin.Add(clock.Span(float64(record.Offset()) / options.Speed))
 		if pause := due.Since(ctx.Now()); pause > 0 && !ctx.Wait(pause) {
 			break
 		}
@@ -56,32 +56,32 @@
 			status, first, err := send(ctx, record, options)
 			lock.Lock()
 			defer lock.Unlock()
-			count(found, record.group(), status, first, err)
+			addResult(found, record.routeName(), status, first, err)
 		}()
 	}
 	running.Wait()
-	return sorted(found)
+	return summarize(found)
 }
 
-func count(found map[string]*Outcome, route string, status int, first clock.Span, err error) {
+func addResult(found map[string]*RouteSummary, route string, status int, first clock.Span, err error) {
 	outcome := found[route]
 	if outcome == nil {
-		outcome = &Outcome{Route: route, Statuses: map[string]int{}}
+		outcome = &RouteSummary{Route: route, Statuses: map[string]int{}}
 		found[route] = outcome
 	}
-	outcome.Count++
+	outcome.Requests++
 	if status > 0 {
 		outcome.Statuses[fmt.Sprint(status)]++
-		outcome.firsts = append(outcome.firsts, float64(first)/float64(clock.Millisecond))
+		outcome.firstByteMS = append(outcome.firstByteMS, float64(first)/float64(clock.Millisecond))
 	}
 	if err != nil {
-		outcome.Broken++
+		outcome.Incomplete++
 	}
 }
 
 // send sends one request; the status is 0 where no head came.
 func send(ctx scope.Scope, record Record, options Options) (int, clock.Span, error) {
-	short, release := ctx.WithTimeout(options.Limit)
+	short, release := ctx.WithTimeout(options.Timeout)
 	defer release()
 	router := options.Routers[rand.IntN(len(options.Routers))]
 	request, err := http.NewRequestWithContext(short, record.Method, "http://"+string(router)+"/", strings.NewReader(record.Body))
@@ -96,7 +96,7 @@
 	}
 	// A played request is another one than the recorded: it has its own id.
 	request.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%016x", rand.Uint64()))
-	request.Header.Set("Onyxwell-Time-Left-Ms", fmt.Sprint(options.Limit.Milliseconds()))
+	request.Header.Set("Onyxwell-Time-Left-Ms", fmt.Sprint(options.Timeout.Milliseconds()))
 	begin := ctx.Now()
 	response, err := options.Client.Do(request)
 	if err != nil {
@@ -108,11 +108,11 @@
 	return response.StatusCode, first, err
 }
 
-func sorted(found map[string]*Outcome) []Outcome {
-	var outcomes []Outcome
+func summarize(found map[string]*RouteSummary) []RouteSummary {
+	var outcomes []RouteSummary
 	for _, outcome := range found {
-		sort.Float64s(outcome.firsts)
-		outcome.P50MS, outcome.P99MS = quantile(outcome.firsts, 0.5), quantile(outcome.firsts, 0.99)
+		sort.Float64s(outcome.firstByteMS)
+		outcome.FirstByteP50MS, outcome.FirstByteP99MS = quantile(outcome.firstByteMS, 0.5), quantile(outcome.firstByteMS, 0.99)
 		outcomes = append(outcomes, *outcome)
 	}
 	sort.Slice(outcomes, func(left, right int) bool { return outcomes[left].Route < outcomes[right].Route })
--- a/replay/record.go
+++ b/replay/record.go
@@ -26,11 +26,11 @@
 	Route string `json:"route"`
 }
 
-// At is when the request was sent.
-func (r Record) At() clock.Span { return clock.Span(r.AtMS * float64(clock.Millisecond)) }
+// Offset is when the request was sent.
+func (r Record) Offset() clock.Span { return clock.Span(r.AtMS * float64(clock.Millisecond)) }
 
-// group names the route that the outcome is counted under.
-func (r Record) group() string {
+// routeName names the route that the outcome is counted under.
+func (r Record) routeName() string {
 	if r.Route != "" {
 		return r.Route
 	}
@@ -38,14 +38,14 @@
 	return r.Host + "/" + first + "/"
 }
 
-// lineLimit is the longest line of a record.
-const lineLimit = 16 << 20
+// maxLineBytes is the longest line of a record.
+const maxLineBytes = 16 << 20
 
 // Read reads a recorded day. The first broken record ends it, named by its
 // line.
 func Read(source io.Reader) ([]Record, error) {
 	lines := bufio.NewScanner(source)
-	lines.Buffer(make([]byte, 64<<10), lineLimit)
+	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
 	var records []Record
 	number := 0
 	for lines.Scan() {
@@ -54,7 +54,7 @@
 		if text == "" {
 			continue
 		}
-		record, err := parse(text)
+		record, err := parseRecord(text)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", number, err)
 		}
@@ -69,7 +69,7 @@
 	return records, nil
 }
 
-func parse(text string) (Record, error) {
+func parseRecord(text string) (Record, error) {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.DisallowUnknownFields()
 	var record Record
--- a/soak/daemon.go
+++ b/soak/daemon.go
@@ -13,9 +13,9 @@
 	"onyxwell/emulator/links"
 )
 
-// Serve is one daemon of a soak: the same parts as the program that ships, on a
+// RunDaemon is one daemon of a soak: the same parts as the program that ships, on a
 // network whose links are broken as the orders say. It ends when the orders do.
-func Serve(role string, arguments []string, orders io.Reader) int {
+func RunDaemon(role string, arguments []string, orders io.Reader) int {
 	broken := &links.Injector{}
 	go func() {
 		broken.Follow(orders)
--- a/deployment/layout.go
+++ b/soak/localcluster/layout.go
@@ -1,7 +1,7 @@
-// Package deployment lays out a small deployment on loopback addresses and runs
+// Package localcluster lays out a small deployment on loopback addresses and runs
 // its daemons as real processes: machines in zones and regions, their settings
 // files, the platform's list of runners.
-package deployment
+package localcluster
 
 import (
 	"fmt"
@@ -16,23 +16,23 @@
 // Ports of the deployment; each machine has a loopback address of its own, so
 // they are the same everywhere.
 const (
-	FirstPort    = 17720
-	LastPort     = 17735
-	FrontPort    = 18161
-	ReadyPort    = 18162
-	ControlPort  = 18163
-	LookupPort   = 18164
-	PlatformPort = 18165
-	RunnerPort   = 18166
+	FirstPort     = 17720
+	LastPort      = 17735
+	FrontPort     = 18161
+	ReadyPort     = 18162
+	ControlPort   = 18163
+	DirectoryPort = 18164
+	PlatformPort  = 18165
+	RunnerPort    = 18166
 )
 
 // Layout says how many machines there are and where.
 type Layout struct {
 	Regions int
-	// Zones is how many zones each region has, Routers how many machines with a
+	// ZonesPerRegion is how many zones each region has, Routers how many machines with a
 	// router each zone has beside the one with its controller.
-	Zones   int
-	Routers int
+	ZonesPerRegion int
+	RoutersPerZone int
 	// Subnet is the second byte of the first zone's addresses; the zones after it
 	// have the next ones, the platform and the runners those before.
 	Subnet int
@@ -46,7 +46,7 @@
 type Zone struct {
 	Name   ids.Zone
 	Region ids.Region
-	number int
+	index  int
 }
 
 // Machine is one machine with one daemon: number 0 of a zone has its
@@ -75,10 +75,10 @@
 func (l Layout) AllZones() []Zone {
 	var found []Zone
 	for region := range l.Regions {
-		for index := range l.Zones {
+		for index := range l.ZonesPerRegion {
 			found = append(found, Zone{
 				Name: ids.Zone(fmt.Sprintf("r%d-z%d", region, index)), Region: ids.Region(fmt.Sprintf("r%d", region)),
-				number: region*l.Zones + index,
+				index: region*l.ZonesPerRegion + index,
 			})
 		}
 	}
@@ -87,14 +87,14 @@
 
 // Machine gives a machine of a zone, also one beyond the layout's own.
 func (l Layout) Machine(zone Zone, number int) Machine {
-	return Machine{Zone: zone, Number: number, IP: fmt.Sprintf("127.%d.%d.%d", l.Subnet+zone.number, number/250, 1+number%250)}
+	return Machine{Zone: zone, Number: number, IP: fmt.Sprintf("127.%d.%d.%d", l.Subnet+zone.index, number/250, 1+number%250)}
 }
 
 // Machines gives all machines, zone by zone, the controller's first.
 func (l Layout) Machines() []Machine {
 	var found []Machine
 	for _, zone := range l.AllZones() {
-		for number := range 1 + l.Routers {
+		for number := range 1 + l.RoutersPerZone {
 			found = append(found, l.Machine(zone, number))
 		}
 	}
@@ -136,16 +136,16 @@
 	link := 10
 	if machine.Number == 0 {
 		link = 100
-		fmt.Fprintf(&text, "control = %q\ndirectory = %q\n", machine.Address(ControlPort), machine.Address(LookupPort))
+		fmt.Fprintf(&text, "control = %q\ndirectory = %q\n", machine.Address(ControlPort), machine.Address(DirectoryPort))
 	} else {
 		fmt.Fprintf(&text, "front = %q\nreadiness = %q\n", machine.Address(FrontPort), machine.Address(ReadyPort))
 	}
-	fmt.Fprintf(&text, limitsText, l.MemoryMB, link, min(2, (len(zones)-1)/2), l.GraceS, l.PlatformAddress())
+	fmt.Fprintf(&text, sharedSettings, l.MemoryMB, link, min(2, (len(zones)-1)/2), l.GraceS, l.PlatformAddress())
 	return text.String()
 }
 
-// limitsText are the parts of a settings file that all machines share.
-const limitsText = `[limits]
+// sharedSettings are the parts of a settings file that all machines share.
+const sharedSettings = `[limits]
 memory_mb = %d
 open_files = 4100
 link_mbps = %d
@@ -172,9 +172,9 @@
 max_lag_ms = 200
 `
 
-// Write puts a machine's settings file and an empty data folder into a folder
+// WriteSettings puts a machine's settings file and an empty data folder into a folder
 // of its own, and gives the file's path.
-func (l Layout) Write(folder string, machine Machine) (string, error) {
+func (l Layout) WriteSettings(folder string, machine Machine) (string, error) {
 	own := filepath.Join(folder, machine.Name())
 	data := filepath.Join(own, "data")
 	if err := os.MkdirAll(data, 0o755); err != nil {
@@ -184,8 +184,8 @@
 	return path, os.WriteFile(path, []byte(l.Settings(machine, data, true, l.Seeds())), 0o644)
 }
 
-// Free names an address that is in use already, before anything starts.
-func (l Layout) Free() error {
+// CheckAddressesFree names an address that is in use already, before anything starts.
+func (l Layout) CheckAddressesFree() error {
 	wanted := []string{l.PlatformAddress()}
 	for _, zone := range l.AllZones() {
 		wanted = append(wanted, l.Machine(zone, 0).Address(ControlPort), l.Machine(zone, 1).Address(FirstPort))
--- a/deployment/platform.go
+++ b/soak/localcluster/platform.go
@@ -1,4 +1,4 @@
-package deployment
+package localcluster
 
 import (
 	"encoding/json"
@@ -11,50 +11,50 @@
 	"onyxwell/base/clock"
 )
 
-// Listed is a runner as the platform lists it.
-type Listed struct {
-	ID        string  `json:"id"`
-	Service   string  `json:"service"`
-	Address   string  `json:"address"`
-	Zone      string  `json:"zone"`
-	Version   string  `json:"config_version"`
-	Capacity  int     `json:"capacity"`
-	Condition string  `json:"condition"`
-	ColdLeft  float64 `json:"cold_left_ms"`
+// ListedRunner is a runner as the platform lists it.
+type ListedRunner struct {
+	ID              string  `json:"id"`
+	Service         string  `json:"service"`
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone"`
+	Version         string  `json:"config_version"`
+	Capacity        int     `json:"capacity"`
+	Condition       string  `json:"condition"`
+	SlowStartLeftMS float64 `json:"cold_left_ms"`
 }
 
-// pageLength is how many runners the platform gives on one page.
-const pageLength = 100
+// pageSize is how many runners the platform gives on one page.
+const pageSize = 100
 
 type page struct {
-	Servers []Listed `json:"servers"`
-	Next    *string  `json:"next_token"`
+	Servers []ListedRunner `json:"servers"`
+	Next    *string        `json:"next_token"`
 }
 
 // Platform answers which runners there are.
 type Platform struct {
-	// List gives all runners now.
-	List func() []Listed
+	// ListRunners gives all runners now.
+	ListRunners func() []ListedRunner
 	// Calls counts the questions.
 	Calls atomic.Int64
-	// Down has it answer 503.
-	Down atomic.Bool
+	// Unavailable has it answer 503.
+	Unavailable atomic.Bool
 }
 
 // ServeHTTP answers GET /servers.
 func (p *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	p.Calls.Add(1)
-	if p.Down.Load() {
+	if p.Unavailable.Load() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	list := p.List()
+	list := p.ListRunners()
 	if zone := request.URL.Query().Get("zone"); zone != "" {
-		list = slices.DeleteFunc(slices.Clone(list), func(listed Listed) bool { return listed.Zone != zone })
+		list = slices.DeleteFunc(slices.Clone(list), func(listed ListedRunner) bool { return listed.Zone != zone })
 	}
 	first, _ := strconv.Atoi(request.URL.Query().Get("page_token"))
 	first = min(max(0, first), len(list))
-	last := min(len(list), first+pageLength)
+	last := min(len(list), first+pageSize)
 	answer := page{Servers: list[first:last]}
 	if last < len(list) {
 		next := strconv.Itoa(last)
--- a/deployment/process.go
+++ b/soak/localcluster/process.go
@@ -1,4 +1,4 @@
-package deployment
+package localcluster
 
 import (
 	"bytes"
@@ -18,48 +18,48 @@
 type Process struct {
 	Machine Machine
 	command *exec.Cmd
-	input   io.WriteCloser
-	ended   chan struct{}
+	stdin   io.WriteCloser
+	done    chan struct{}
 	err     error
 }
 
 // Start starts a command for a machine; what it writes goes to the log. Its
 // standard input is a pipe, whose end tells it that this program is gone.
 func Start(machine Machine, log io.Writer, name string, arguments ...string) (*Process, error) {
-	process := &Process{Machine: machine, command: exec.Command(name, arguments...), ended: make(chan struct{})}
+	process := &Process{Machine: machine, command: exec.Command(name, arguments...), done: make(chan struct{})}
 	process.command.Stdout, process.command.Stderr = log, log
 	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	input, err := process.command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	process.input = input
+	process.stdin = input
 	if err := process.command.Start(); err != nil {
 		return nil, fmt.Errorf("%s of %s: %w", machine.Role(), machine.Name(), err)
 	}
 	go func() {
 		process.err = process.command.Wait()
-		close(process.ended)
+		close(process.done)
 	}()
 	return process, nil
 }
 
-// Input is the process's standard input.
-func (p *Process) Input() io.Writer { return p.input }
+// Stdin is the process's standard input.
+func (p *Process) Stdin() io.Writer { return p.stdin }
 
-// Ended is closed once the process has ended.
-func (p *Process) Ended() <-chan struct{} { return p.ended }
+// Done is closed once the process has ended.
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Err says how an ended process ended; nil is status 0.
 func (p *Process) Err() error {
-	<-p.ended
+	<-p.done
 	return p.err
 }
 
-// Over tells whether the process has ended.
-func (p *Process) Over() bool {
+// Exited tells whether the process has ended.
+func (p *Process) Exited() bool {
 	select {
-	case <-p.ended:
+	case <-p.done:
 		return true
 	default:
 		return false
@@ -72,18 +72,18 @@
 // Kill ends the process without asking and waits until it is gone.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
-	<-p.ended
+	<-p.done
 }
 
-// Stop ends processes: in order first, then, after the span, without asking.
-func Stop(all []*Process, span clock.Span) {
+// StopAll ends processes: in order first, then, after the span, without asking.
+func StopAll(all []*Process, span clock.Span) {
 	for _, process := range all {
 		process.Signal(syscall.SIGTERM)
 	}
 	over := clock.NewMonotonic().After(span)
 	for _, process := range all {
 		select {
-		case <-process.ended:
+		case <-process.done:
 		case <-over:
 			process.Kill()
 		}
@@ -92,14 +92,14 @@
 
 // Usage is what a process has taken so far.
 type Usage struct {
-	// ProcessorMS is processor time in milliseconds, MemoryMB resident memory now.
-	ProcessorMS float64
-	MemoryMB    float64
+	// CPUMS is processor time in milliseconds, MemoryMB resident memory now.
+	CPUMS    float64
+	MemoryMB float64
 }
 
 // Places of the fields of /proc/PID/stat behind the name of the command.
 const (
-	userField, systemField, residentField = 11, 12, 21
+	userTicksField, systemTicksField, residentPagesField = 11, 12, 21
 	// tickMS is the length of a tick of the kernel's accounts.
 	tickMS = 10
 )
@@ -111,11 +111,11 @@
 		return Usage{}, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	if len(fields) <= residentField {
+	if len(fields) <= residentPagesField {
 		return Usage{}, fmt.Errorf("/proc: %d fields of %s", len(fields), p.Machine.Name())
 	}
-	user, _ := strconv.ParseFloat(fields[userField], 64)
-	system, _ := strconv.ParseFloat(fields[systemField], 64)
-	pages, _ := strconv.ParseFloat(fields[residentField], 64)
-	return Usage{ProcessorMS: (user + system) * tickMS, MemoryMB: pages * float64(os.Getpagesize()) / (1 << 20)}, nil
+	user, _ := strconv.ParseFloat(fields[userTicksField], 64)
+	system, _ := strconv.ParseFloat(fields[systemTicksField], 64)
+	pages, _ := strconv.ParseFloat(fields[residentPagesField], 64)
+	return Usage{CPUMS: (user + system) * tickMS, MemoryMB: pages * float64(os.Getpagesize()) / (1 << 20)}, nil
 }
--- a/tools/doccheck/main.go
+++ b/tools/doccheck/main.go
@@ -22,12 +22,12 @@
 )
 
 var (
-	inlineCode = regexp.MustCompile("`([^`\n]+)`")
-	link       = regexp.MustCompile(`\]\(([^)#\s]+)[^)]*\)`)
-	repoPath   = regexp.MustCompile(`^(base|cmd|control|data|deploy|deployment|docs|emulator|replay|simulation|soak|tools)(/[A-Za-z0-9_.-]+)+/?$`)
-	qualified  = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*)(\.([A-Za-z]\w*))?(\(.*\))?$`)
-	testName   = regexp.MustCompile(`^(Test|Fuzz|Benchmark|Example)[A-Z]\w*$`)
-	fence      = regexp.MustCompile("(?ms)^```.*?^```")
+	inlineCode           = regexp.MustCompile("`([^`\n]+)`")
+	linkPattern          = regexp.MustCompile(`\]\(([^)#\s]+)[^)]*\)`)
+	repoPathPattern      = regexp.MustCompile(`^(base|cmd|control|data|deploy|deployment|docs|emulator|replay|simulation|soak|tools)(/[A-Za-z0-9_.-]+)+/?$`)
+	qualifiedNamePattern = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*)(\.([A-Za-z]\w*))?(\(.*\))?$`)
+	testNamePattern      = regexp.MustCompile(`^(Test|Fuzz|Benchmark|Example)[A-Z]\w*$`)
+	fencedBlock          = regexp.MustCompile("(?ms)^```.*?^```")
 )
 
 func main() {
@@ -70,7 +70,7 @@
 
 func checkPage(root string, page string, text string, names packageNames, past bool) []string {
 	var problems []string
-	for _, match := range link.FindAllStringSubmatch(text, -1) {
+	for _, match := range linkPattern.FindAllStringSubmatch(text, -1) {
 		target := match[1]
 		if strings.Contains(target, "://") {
 			continue
@@ -82,9 +82,9 @@
 	if past {
 		return problems
 	}
-	for _, match := range inlineCode.FindAllStringSubmatch(fence.ReplaceAllString(text, ""), -1) {
+	for _, match := range inlineCode.FindAllStringSubmatch(fencedBlock.ReplaceAllString(text, ""), -1) {
 		code := match[1]
-		if repoPath.MatchString(code) && !exists(filepath.Join(root, code)) {
+		if repoPathPattern.MatchString(code) && !exists(filepath.Join(root, code)) {
 			problems = append(problems, "names "+code+", which is not there")
 		}
 		if problem := names.problem(code); problem != "" {
@@ -109,10 +109,10 @@
 // problem says what is wrong with a qualified name; "" if nothing, also for what
 // is no name of a package of this module.
 func (p packageNames) problem(code string) string {
-	if testName.MatchString(code) && !p[anyPackage][code] {
+	if testNamePattern.MatchString(code) && !p[anyPackage][code] {
 		return "names " + code + ", but there is no such test"
 	}
-	parts := qualified.FindStringSubmatch(code)
+	parts := qualifiedNamePattern.FindStringSubmatch(code)
 	if parts == nil || p[parts[1]] == nil {
 		return ""
 	}
--- a/tools/testjudge/main.go
+++ b/tools/testjudge/main.go
@@ -14,12 +14,12 @@
 	"strings"
 )
 
-// mostKnown is how many known red tests there may be.
-const mostKnown = 3
+// maxKnownRed is how many known red tests there may be.
+const maxKnownRed = 3
 
-// known is a line of KNOWN-RED.txt: TEST | cause | issue, the test as
+// knownRed is a line of KNOWN-RED.txt: TEST | cause | issue, the test as
 // PACKAGE.NAME.
-type known struct {
+type knownRed struct {
 	test, cause, issue string
 }
 
@@ -36,7 +36,7 @@
 	outcomes map[string]string
 	output   map[string][]string
 	// packages that failed, and those whose binary broke off.
-	failed, broken map[string]bool
+	failed, crashed map[string]bool
 }
 
 func main() {
@@ -51,7 +51,7 @@
 }
 
 func run(path string, in io.Reader, out io.Writer) error {
-	listed, err := readKnown(path)
+	listed, err := readKnownRed(path)
 	if err != nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 	return judge(listed, seen, out)
 }
 
-// readKnown reads the list; a file that is not there is an empty one.
-func readKnown(path string) ([]known, error) {
+// readKnownRed reads the list; a file that is not there is an empty one.
+func readKnownRed(path string) ([]knownRed, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var listed []known
+	var listed []knownRed
 	for number, line := range strings.Split(string(text), "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
@@ -83,16 +83,16 @@
 		if len(parts) != 3 || slices.Contains(parts, "") {
 			return nil, fmt.Errorf("%s, line %d: TEST | cause | issue is wanted", path, number+1)
 		}
-		listed = append(listed, known{test: parts[0], cause: parts[1], issue: parts[2]})
+		listed = append(listed, knownRed{test: parts[0], cause: parts[1], issue: parts[2]})
 	}
-	if len(listed) > mostKnown {
-		return nil, fmt.Errorf("%s: %d tests, %d at the most", path, len(listed), mostKnown)
+	if len(listed) > maxKnownRed {
+		return nil, fmt.Errorf("%s: %d tests, %d at the most", path, len(listed), maxKnownRed)
 	}
 	return listed, nil
 }
 
 func readEvents(in io.Reader, out io.Writer) (results, error) {
-	seen := results{outcomes: map[string]string{}, output: map[string][]string{}, failed: map[string]bool{}, broken: map[string]bool{}}
+	seen := results{outcomes: map[string]string{}, output: map[string][]string{}, failed: map[string]bool{}, crashed: map[string]bool{}}
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 16<<20)
 	for lines.Scan() {
@@ -101,19 +101,19 @@
 			fmt.Fprintln(out, lines.Text())
 			continue
 		}
-		seen.take(next, out)
+		seen.add(next, out)
 	}
 	return seen, lines.Err()
 }
 
-func (r results) take(next event, out io.Writer) {
+func (r results) add(next event, out io.Writer) {
 	top, _, _ := strings.Cut(next.Test, "/")
 	name := next.Package + "." + top
 	switch {
 	case next.Action == "output" || next.Action == "build-output":
 		r.output[name] = append(r.output[name], next.Output)
 		if strings.HasPrefix(next.Output, "panic:") || strings.HasPrefix(next.Output, "fatal error:") {
-			r.broken[next.Package] = true
+			r.crashed[next.Package] = true
 		}
 		// A package's own closing line, as "go test" prints it.
 		if next.Test == "" && (strings.HasPrefix(next.Output, "ok ") || strings.HasPrefix(next.Output, "?") || strings.HasPrefix(next.Output, "FAIL")) {
@@ -126,7 +126,7 @@
 	}
 }
 
-func judge(listed []known, seen results, out io.Writer) error {
+func judge(listed []knownRed, seen results, out io.Writer) error {
 	var wrong []string
 	expected := map[string]bool{}
 	for _, red := range listed {
@@ -156,7 +156,7 @@
 		}
 	}
 	for name := range seen.failed {
-		if !explained[name] || seen.broken[name] {
+		if !explained[name] || seen.crashed[name] {
 			wrong = append(wrong, "package "+name+" fails as a whole")
 			fmt.Fprint(out, strings.Join(seen.output[name+"."], ""))
 		}
--- a/tools/testjudge/main_test.go
+++ b/tools/testjudge/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestWhatMayLand(t *testing.T) {
+func TestRun_verdicts(t *testing.T) {
 	const good = `{"Action":"pass","Package":"p","Test":"TestGood"}` + "\n"
 	const bad = `{"Action":"output","Package":"p","Test":"TestBad","Output":"why\n"}
 {"Action":"fail","Package":"p","Test":"TestBad/part"}
