--- a/soak/localcluster/platform.go
+++ b/soak/localcluster/platform.go
@@ -23,7 +23,7 @@
 	SlowStartLeftMS float64 `json:"cold_left_ms"`
 }
 
-// pageSize is how many runners the platform gives on one page.
+// pageSize is how many runners a page of the list holds.
 const pageSize = 100
 
 type page struct {
@@ -31,46 +31,51 @@
 	Next    *string        `json:"next_token"`
 }
 
-// Platform answers which runners there are.
+// Platform is the platform's API: it lists the runners, page by page.
 type Platform struct {
-	// ListRunners gives all runners now.
+	// ListRunners returns the current runners. It is called concurrently.
 	ListRunners func() []ListedRunner
-	// Calls counts the questions.
-	Calls atomic.Int64
-	// Unavailable has it answer 503.
+	// Unavailable has every request answered with 503.
 	Unavailable atomic.Bool
 }
 
-// ServeHTTP answers GET /servers.
-func (p *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	p.Calls.Add(1)
+// ServeHTTP answers GET /servers; zone and page_token are its parameters.
+func (p *Platform) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if p.Unavailable.Load() {
-		writer.WriteHeader(http.StatusServiceUnavailable)
+		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	list := p.ListRunners()
-	if zone := request.URL.Query().Get("zone"); zone != "" {
-		list = slices.DeleteFunc(slices.Clone(list), func(listed ListedRunner) bool { return listed.Zone != zone })
+	runners := p.ListRunners()
+	if zone := req.URL.Query().Get("zone"); zone != "" {
+		runners = slices.DeleteFunc(slices.Clone(runners), func(listed ListedRunner) bool { return listed.Zone != zone })
 	}
-	first, _ := strconv.Atoi(request.URL.Query().Get("page_token"))
-	first = min(max(0, first), len(list))
-	last := min(len(list), first+pageSize)
-	answer := page{Servers: list[first:last]}
-	if last < len(list) {
-		next := strconv.Itoa(last)
-		answer.Next = &next
+	// A token is the index of the page's first runner; one that is none is 0.
+	first, _ := strconv.Atoi(req.URL.Query().Get("page_token"))
+	first = min(max(0, first), len(runners))
+	end := min(len(runners), first+pageSize)
+	resp := page{Servers: runners[first:end]}
+	if end < len(runners) {
+		next := strconv.Itoa(end)
+		resp.Next = &next
 	}
-	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(answer)
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(resp)
 }
 
-// Serve serves a handler at an address; the function it gives ends that.
+// Serve serves a handler at an address until stop is called.
 func Serve(address string, handler http.Handler) (stop func(), err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * clock.Second}
-	go func() { _ = server.Serve(listener) }()
-	return func() { _ = server.Close() }, nil
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		_ = server.Serve(listener)
+	}()
+	return func() {
+		_ = server.Close()
+		<-served
+	}, nil
 }
--- /dev/null
+++ b/soak/localcluster/settings.go
@@ -0,0 +1,94 @@
+package localcluster
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+)
+
+// Bounds that the boot files promise to keep.
+const (
+	// ApplyWithin is how long after its acknowledgement a configuration is in force
+	// at every router, EvacuateWithin how long after that of an evacuation the zone
+	// gets no more requests.
+	ApplyWithin    = 3 * time.Second
+	EvacuateWithin = 5 * time.Second
+	// RecoverWithin is how long after the last fault everything is served again,
+	// CatchUpWithin how long a controller with an empty disk needs to be a replica
+	// again.
+	RecoverWithin = 12 * time.Second
+	CatchUpWithin = 4 * time.Second
+)
+
+// Bandwidth in Mbit/s that the boot files state.
+const (
+	controllerLinkMbps = 100
+	routerLinkMbps     = 10
+)
+
+// Settings returns the text of a machine's boot file. firstStart says that the
+// whole cluster starts for the first time.
+func (l Layout) Settings(machine Machine, dataDir string, firstStart bool, seeds []string) string {
+	zones := l.AllZones()
+	var text strings.Builder
+	fmt.Fprintf(&text, "node_name = %q\nzone = %q\nregion = %q\nip = %q\nport_range = [%d, %d]\nfirst_start = %v\ndata_dir = %q\nrules_in_force = [\"base\"]\n",
+		machine.Name(), machine.Zone.Name, machine.Zone.Region, machine.IP, FirstPort, LastPort, firstStart, dataDir)
+	fmt.Fprintf(&text, "seed_nodes = [\"%s\"]\n[zones]\n", strings.Join(seeds, `", "`))
+	for _, zone := range zones {
+		fmt.Fprintf(&text, "%s = %q\n", zone.Name, zone.Region)
+	}
+	text.WriteString("[listen]\n")
+	linkMbps := routerLinkMbps
+	if machine.Number == 0 {
+		linkMbps = controllerLinkMbps
+		fmt.Fprintf(&text, "control = %q\ndirectory = %q\n", machine.Address(ControlPort), machine.Address(DirectoryPort))
+	} else {
+		fmt.Fprintf(&text, "front = %q\nreadiness = %q\n", machine.Address(FrontPort), machine.Address(ReadyPort))
+	}
+	toleratedMachines := min(2, (len(zones)-1)/2)
+	fmt.Fprintf(&text, sharedSettings, l.MemoryMB, linkMbps, toleratedMachines, ApplyWithin.Milliseconds(), CatchUpWithin.Seconds(),
+		EvacuateWithin.Milliseconds(), l.GraceS, RecoverWithin.Seconds(), l.PlatformAddress())
+	return text.String()
+}
+
+// sharedSettings are the sections that all boot files have.
+const sharedSettings = `[limits]
+memory_mb = %d
+open_files = 4100
+link_mbps = %d
+[tolerate]
+machines = %d
+zones = 1
+regions = 1
+[bounds]
+in_touch_ms = 4000
+apply_within_ms = %d
+ack_within_ms = 5000
+catch_up_s = %g
+drain_ms = 4000
+evacuate_ms = %d
+grace_s = %g
+retry_ratio = 0.2
+retry_window_s = 10
+retry_extra = 60
+ttl_max_s = 5
+recovery_s = %g
+[cloud_api]
+address = %q
+rate_per_s = 1000
+max_lag_ms = 200
+`
+
+// WriteSettings writes a machine's boot file for its first start and creates its
+// empty data directory, both below dir/NAME, and returns the file's path.
+func (l Layout) WriteSettings(dir string, machine Machine) (string, error) {
+	machineDir := filepath.Join(dir, machine.Name())
+	dataDir := filepath.Join(machineDir, "data")
+	if err := os.MkdirAll(dataDir, 0o755); err != nil {
+		return "", err
+	}
+	path := filepath.Join(machineDir, "boot.toml")
+	return path, os.WriteFile(path, []byte(l.Settings(machine, dataDir, true, l.Seeds())), 0o644)
+}
--- a/soak/machine.go
+++ b/soak/machine.go
@@ -180,10 +180,10 @@
 
 // sampleMemory notes how much memory the daemon has.
 func (m *machine) sampleMemory() {
-	usage, err := m.currentProcess().Usage()
+	residentMB, err := m.currentProcess().ResidentMB()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil {
-		m.peakMemoryMB = max(m.peakMemoryMB, usage.MemoryMB)
+		m.peakMemoryMB = max(m.peakMemoryMB, residentMB)
 	}
 }
