--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,9 +1,11 @@
-// Replay plays a recorded day of requests against routers and tells the
-// outcomes by route.
+// Replay sends a recorded day of requests to routers and sums up the responses
+// by route.
 package main
 
 import (
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,50 +15,75 @@
 
 	"github.com/alecthomas/kong"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/program"
-	"onyxwell/base/scope"
 	"onyxwell/replay"
 )
 
+// maxIdlePerRouter is how many idle connections are kept to each router.
+const maxIdlePerRouter = 64
+
+// commandLine is what the flags are parsed into; the names of its fields are the
+// flags.
 type commandLine struct {
 	Day     string           `arg:"" help:"The recorded day: a file of JSON lines, or - for standard input."`
-	Router  []ids.Address    `required:"" help:"Front addresses of routers, drawn by chance for each request."`
-	Speed   float64          `help:"How many times as fast as recorded." default:"1"`
-	Limit   time.Duration    `help:"How long one request may take." default:"15s"`
-	JSON    bool             `name:"json" help:"Print the outcomes as JSON."`
+	Router  []ids.Address    `required:"" help:"Front addresses of routers; each request goes to one drawn at random."`
+	Speed   float64          `help:"How many times as fast as recorded requests are sent." default:"1"`
+	Limit   time.Duration    `help:"Timeout of each request." default:"15s"`
+	JSON    bool             `name:"json" help:"Print the summary as JSON."`
 	Version kong.VersionFlag `help:"Print the version and stop."`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
-func run(arguments []string, input io.Reader, out io.Writer, errors io.Writer) int {
-	var line commandLine
-	parser, err := kong.New(&line, kong.Name("replay"), kong.Writers(out, errors), kong.Vars{"version": "replay " + program.Version},
-		kong.Description("Plays a recorded day of requests against routers and tells the outcomes by route."))
-	if err == nil {
-		_, err = parser.Parse(arguments)
-	}
-	if err == nil && line.Speed <= 0 {
-		err = fmt.Errorf("--speed wants a number above 0")
-	}
+// run returns the exit status: 0, or 1 where nothing was sent or the summary
+// could not be printed.
+func run(arguments []string, stdin io.Reader, stdout io.Writer, stderr io.Writer) int {
+	line, err := parse(arguments, stdout, stderr)
 	var records []replay.Record
 	if err == nil {
-		records, err = readRecords(line.Day, input)
+		records, err = readRecords(line.Day, stdin)
 	}
 	if err != nil {
-		fmt.Fprintf(errors, "replay: %v\n", err)
+		fmt.Fprintf(stderr, "replay: %v\n", err)
 		return 1
 	}
-	outcomes := replay.Play(scope.New(scope.Options{}), records, replay.Options{
-		Routers: line.Router, Speed: line.Speed, Timeout: line.Limit, Client: replay.NewClient(64),
-	})
-	return writeReport(out, outcomes, line.JSON)
+	player := replay.Player{
+		Routers: line.Router, Speed: line.Speed, Timeout: line.Limit,
+		Client: replay.NewClient(maxIdlePerRouter), Clock: clock.NewMonotonic(),
+	}
+	summaries := player.Play(context.Background(), records)
+	if !line.JSON {
+		writeTable(stdout, summaries)
+		return 0
+	}
+	if err := json.NewEncoder(stdout).Encode(summaries); err != nil {
+		return 1
+	}
+	return 0
 }
 
-func readRecords(path string, input io.Reader) ([]replay.Record, error) {
+func parse(arguments []string, stdout io.Writer, stderr io.Writer) (commandLine, error) {
+	var line commandLine
+	parser, err := kong.New(&line, kong.Name("replay"), kong.Writers(stdout, stderr), kong.Vars{"version": "replay " + program.Version},
+		kong.Description("Sends a recorded day of requests to routers and sums up the responses by route."))
+	if err != nil {
+		return line, err
+	}
+	if _, err := parser.Parse(arguments); err != nil {
+		return line, err
+	}
+	if line.Speed <= 0 {
+		return line, errors.New("--speed wants a number above 0")
+	}
+	return line, nil
+}
+
+// readRecords reads the recorded day at a path; - is standard input.
+func readRecords(path string, stdin io.Reader) ([]replay.Record, error) {
 	if path == "-" {
-		return replay.Read(input)
+		return replay.Read(stdin)
 	}
 	file, err := os.Open(path)
 	if err != nil {
@@ -70,20 +97,13 @@
 	return records, nil
 }
 
-func writeReport(out io.Writer, outcomes []replay.RouteSummary, asJSON bool) int {
-	if asJSON {
-		if err := json.NewEncoder(out).Encode(outcomes); err != nil {
-			return 1
-		}
-		return 0
-	}
+func writeTable(out io.Writer, summaries []replay.RouteSummary) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "route\trequests\tbroken\tfirst p50 ms\tfirst p99 ms\tstatuses")
-	for _, outcome := range outcomes {
-		statuses, _ := json.Marshal(outcome.Statuses)
-		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\t%s\n", outcome.Route, outcome.Requests, outcome.Incomplete, outcome.FirstByteP50MS, outcome.FirstByteP99MS,
-			strings.Trim(string(statuses), "{}"))
+	for _, summary := range summaries {
+		statuses, _ := json.Marshal(summary.Statuses)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f\t%.1f\t%s\n", summary.Route, summary.Requests, summary.Incomplete,
+			summary.FirstByteP50MS, summary.FirstByteP99MS, strings.Trim(string(statuses), "{}"))
 	}
 	_ = table.Flush()
-	return 0
 }
--- a/replay/play.go
+++ b/replay/play.go
@@ -1,135 +1,109 @@
 package replay
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
 	"net/url"
-	"sort"
 	"strings"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
+	"onyxwell/data/upstream"
 )
 
-// Options are how a day is played.
-type Options struct {
-	// Routers are the front addresses that requests go to, drawn by chance.
+// Player sends recorded requests to routers.
+type Player struct {
+	// Routers are front addresses; each request goes to one drawn at random.
 	Routers []ids.Address
-	// Speed plays the day faster (above 1) or slower.
+	// Speed is how many times as fast as recorded requests are sent; above 0.
 	Speed float64
-	// Timeout is how long one request may take.
-	Timeout clock.Span
+	// Timeout limits each request, and is sent with it as its time left.
+	Timeout time.Duration
 	Client  *http.Client
+	Clock   clock.Clock
 }
 
-// RouteSummary sums up the requests of one route.
-type RouteSummary struct {
-	Route    string         `json:"route"`
-	Requests int            `json:"count"`
-	Statuses map[string]int `json:"statuses"`
-	// Incomplete are answers that did not come, or not whole.
-	Incomplete     int     `json:"broken"`
-	FirstByteP50MS float64 `json:"first_p50_ms"`
-	FirstByteP99MS float64 `json:"first_p99_ms"`
-	firstByteMS    []float64
+// NewClient returns a client for a Player. It follows no redirects and leaves
+// compressed bodies as they are.
+func NewClient(maxIdlePerRouter int) *http.Client {
+	return &http.Client{
+		Transport:     &http.Transport{MaxIdleConnsPerHost: maxIdlePerRouter, DisableCompression: true, IdleConnTimeout: 10 * time.Second},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
 }
 
-// Play sends every record at its time and gives the outcomes in the order of
-// their routes.
-func Play(ctx scope.Scope, records []Record, options Options) []RouteSummary {
-	var lock sync.Mutex
-	var running sync.WaitGroup
-	found := map[string]*RouteSummary{}
-	begin := ctx.Now()
+// Play sends each record at its time, whether or not earlier ones have been
+// answered, and returns a summary of every route, ordered by name. When ctx ends,
+// no further record is sent.
+func (p *Player) Play(ctx context.Context, records []Record) []RouteSummary {
+	var results collector
+	var requests sync.WaitGroup
+	start := p.Clock.Now()
 	for _, record := range records {
-		due := begin.Add(clock.Span(float64(record.Offset()) / options.Speed))
-		if pause := due.Since(ctx.Now()); pause > 0 && !ctx.Wait(pause) {
+		due := start.Add(time.Duration(float64(record.Offset()) / p.Speed))
+		if wait := due.Since(p.Clock.Now()); wait > 0 && !clock.Wait(ctx, p.Clock, wait) {
 			break
 		}
-		running.Add(1)
+		requests.Add(1)
 		go func() {
-			defer running.Done()
-			status, first, err := send(ctx, record, options)
-			lock.Lock()
-			defer lock.Unlock()
-			addResult(found, record.routeName(), status, first, err)
+			defer requests.Done()
+			results.add(record.routeName(), p.send(ctx, record))
 		}()
 	}
-	running.Wait()
-	return summarize(found)
+	requests.Wait()
+	return results.summarize()
 }
 
-func addResult(found map[string]*RouteSummary, route string, status int, first clock.Span, err error) {
-	outcome := found[route]
-	if outcome == nil {
-		outcome = &RouteSummary{Route: route, Statuses: map[string]int{}}
-		found[route] = outcome
-	}
-	outcome.Requests++
-	if status > 0 {
-		outcome.Statuses[fmt.Sprint(status)]++
-		outcome.firstByteMS = append(outcome.firstByteMS, float64(first)/float64(clock.Millisecond))
-	}
-	if err != nil {
-		outcome.Incomplete++
-	}
+// result is what came of one request.
+type result struct {
+	// status is 0 where no response head arrived.
+	status    int
+	firstByte time.Duration
+	// err is set where the response did not arrive, or broke off.
+	err error
 }
 
-// send sends one request; the status is 0 where no head came.
-func send(ctx scope.Scope, record Record, options Options) (int, clock.Span, error) {
-	short, release := ctx.WithTimeout(options.Timeout)
-	defer release()
-	router := options.Routers[rand.IntN(len(options.Routers))]
-	request, err := http.NewRequestWithContext(short, record.Method, "http://"+string(router)+"/", strings.NewReader(record.Body))
+// send sends one request and reads its response to the end.
+func (p *Player) send(ctx context.Context, record Record) result {
+	ctx, cancel := p.Clock.WithTimeout(ctx, p.Timeout)
+	defer cancel()
+	req, err := p.newRequest(ctx, record)
 	if err != nil {
-		return 0, 0, err
-	}
-	request.URL = &url.URL{Scheme: "http", Host: string(router), Opaque: record.Path}
-	request.Host = record.Host
-	request.GetBody = nil
-	for name, value := range record.Headers {
-		request.Header.Set(name, value)
+		return result{err: err}
 	}
-	// A played request is another one than the recorded: it has its own id.
-	request.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%016x", rand.Uint64()))
-	request.Header.Set("Onyxwell-Time-Left-Ms", fmt.Sprint(options.Timeout.Milliseconds()))
-	begin := ctx.Now()
-	response, err := options.Client.Do(request)
+	start := p.Clock.Now()
+	resp, err := p.Client.Do(req)
 	if err != nil {
-		return 0, 0, err
+		return result{err: err}
 	}
-	defer response.Body.Close()
-	first := ctx.Now().Since(begin)
-	_, err = io.Copy(io.Discard, response.Body)
-	return response.StatusCode, first, err
+	defer resp.Body.Close()
+	firstByte := p.Clock.Now().Since(start)
+	_, err = io.Copy(io.Discard, resp.Body)
+	return result{status: resp.StatusCode, firstByte: firstByte, err: err}
 }
 
-func summarize(found map[string]*RouteSummary) []RouteSummary {
-	var outcomes []RouteSummary
-	for _, outcome := range found {
-		sort.Float64s(outcome.firstByteMS)
-		outcome.FirstByteP50MS, outcome.FirstByteP99MS = quantile(outcome.firstByteMS, 0.5), quantile(outcome.firstByteMS, 0.99)
-		outcomes = append(outcomes, *outcome)
-	}
-	sort.Slice(outcomes, func(left, right int) bool { return outcomes[left].Route < outcomes[right].Route })
-	return outcomes
-}
-
-func quantile(values []float64, part float64) float64 {
-	if len(values) == 0 {
-		return 0
+// newRequest returns the recorded request with an attempt id of its own, since it
+// is another request than the recorded one.
+func (p *Player) newRequest(ctx context.Context, record Record) (*http.Request, error) {
+	router := string(p.Routers[rand.IntN(len(p.Routers))])
+	req, err := http.NewRequestWithContext(ctx, record.Method, "http://"+router+"/", strings.NewReader(record.Body))
+	if err != nil {
+		return nil, err
 	}
-	return values[min(len(values)-1, int(part*float64(len(values))))]
-}
-
-// NewClient makes the client that a day is played with.
-func NewClient(perRouter int) *http.Client {
-	return &http.Client{
-		Transport:     &http.Transport{MaxIdleConnsPerHost: perRouter, DisableCompression: true, IdleConnTimeout: 10 * clock.Second},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	// The path is sent as it was recorded, with its escapes.
+	req.URL = &url.URL{Scheme: "http", Host: router, Opaque: record.Path}
+	req.Host = record.Host
+	// The transport must not send the body again on another connection.
+	req.GetBody = nil
+	for name, value := range record.Headers {
+		req.Header.Set(name, value)
 	}
+	req.Header.Set(upstream.AttemptIDHeader, fmt.Sprintf("%016x", rand.Uint64()))
+	req.Header.Set(upstream.TimeLeftHeader, fmt.Sprint(p.Timeout.Milliseconds()))
+	return req, nil
 }
--- a/replay/record.go
+++ b/replay/record.go
@@ -1,48 +1,49 @@
-// Package replay plays a recorded day of requests against a running system and
-// tells the outcomes by route.
+// Package replay sends a recorded day of requests to the routers of a running
+// system at the recorded pace, and sums up the responses by route. The format of
+// a recorded day is described in docs/replay.md.
 package replay
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
 // Record is one request of a recorded day: a line of JSON.
 type Record struct {
-	// AtMS is when it was sent, counted from the day's begin.
+	// AtMS is when it was sent, in milliseconds from the start of the day.
 	AtMS    float64           `json:"at_ms"`
 	Method  string            `json:"method"`
 	Host    string            `json:"host"`
 	Path    string            `json:"path"`
 	Headers map[string]string `json:"headers"`
 	Body    string            `json:"body"`
-	// Route names the group that its outcome is counted under; by default the
-	// host and the first part of the path.
+	// Route is what its result is counted under; by default the host and the first
+	// segment of the path.
 	Route string `json:"route"`
 }
 
-// Offset is when the request was sent.
-func (r Record) Offset() clock.Span { return clock.Span(r.AtMS * float64(clock.Millisecond)) }
+// Offset returns when the request was sent, counted from the start of the day.
+func (r Record) Offset() time.Duration { return time.Duration(r.AtMS * float64(time.Millisecond)) }
 
-// routeName names the route that the outcome is counted under.
+// routeName returns the route that the result is counted under.
 func (r Record) routeName() string {
 	if r.Route != "" {
 		return r.Route
 	}
-	first, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
-	return r.Host + "/" + first + "/"
+	segment, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
+	return r.Host + "/" + segment + "/"
 }
 
-// maxLineBytes is the longest line of a record.
+// maxLineBytes is the length of the longest line that is read.
 const maxLineBytes = 16 << 20
 
-// Read reads a recorded day. The first broken record ends it, named by its
-// line.
+// Read reads a recorded day: a record on each line, blank lines aside, ordered by
+// time. An error names the line of the first invalid record.
 func Read(source io.Reader) ([]Record, error) {
 	lines := bufio.NewScanner(source)
 	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
@@ -50,11 +51,11 @@
 	number := 0
 	for lines.Scan() {
 		number++
-		text := strings.TrimSpace(lines.Text())
-		if text == "" {
+		line := strings.TrimSpace(lines.Text())
+		if line == "" {
 			continue
 		}
-		record, err := parseRecord(text)
+		record, err := parseRecord(line)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", number, err)
 		}
@@ -69,30 +70,29 @@
 	return records, nil
 }
 
-func parseRecord(text string) (Record, error) {
-	decoder := json.NewDecoder(strings.NewReader(text))
+func parseRecord(line string) (Record, error) {
+	decoder := json.NewDecoder(strings.NewReader(line))
 	decoder.DisallowUnknownFields()
 	var record Record
 	if err := decoder.Decode(&record); err != nil {
-		return record, err
+		return Record{}, err
 	}
 	if decoder.More() {
-		return record, fmt.Errorf("more than one record")
-	}
-	for _, rule := range recordRules {
-		if !rule.holds(record) {
-			return record, fmt.Errorf("%s", rule.text)
-		}
+		return Record{}, errors.New("more than one record")
 	}
-	return record, nil
+	return record, record.validate()
 }
 
-var recordRules = []struct {
-	holds func(Record) bool
-	text  string
-}{
-	{func(record Record) bool { return record.AtMS >= 0 }, "at_ms is below 0"},
-	{func(record Record) bool { return record.Method != "" }, "method is missing"},
-	{func(record Record) bool { return record.Host != "" }, "host is missing"},
-	{func(record Record) bool { return strings.HasPrefix(record.Path, "/") }, "path begins with no slash"},
+func (r Record) validate() error {
+	switch {
+	case !(r.AtMS >= 0):
+		return errors.New("at_ms is below 0")
+	case r.Method == "":
+		return errors.New("method is missing")
+	case r.Host == "":
+		return errors.New("host is missing")
+	case !strings.HasPrefix(r.Path, "/"):
+		return errors.New("path begins with no slash")
+	}
+	return nil
 }
