--- a/cmd/fleet-controller/main.go
+++ b/cmd/fleet-controller/main.go
@@ -1,5 +1,6 @@
-// Fleet-controller keeps the control state of onyxwell: specs, evacuations,
-// the discovery of runners and the plan, on the machines with a disk.
+// Fleet-controller is onyxwell's control plane: it replicates the configuration
+// and evacuations, discovers runners, plans, and serves the admin and the
+// directory API. One runs on every machine with a disk.
 package main
 
 import (
@@ -14,16 +15,17 @@
 func main() {
 	os.Exit(program.Main(program.Daemon{
 		Name:              controller.Role,
-		Description:       "Keeps onyxwell's control state, answers its operator and directory, and plans.",
+		Description:       "Replicates onyxwell's control state, serves the admin and the directory API, discovers runners and plans.",
 		RequiredListeners: []string{"control", "directory"},
 		Serve:             serve,
 	}, os.Args[1:]))
 }
 
-func serve(top scope.Scope, reread <-chan *settings.Settings) error {
-	made, err := controller.New(top, controller.Options{})
+// serve runs the controller until ctx ends.
+func serve(ctx scope.Scope, reread <-chan *settings.Settings) error {
+	c, err := controller.New(ctx, controller.Options{})
 	if err != nil {
 		return err
 	}
-	return made.Run(top, reread)
+	return c.Run(ctx, reread)
 }
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,5 @@
-// Router carries visitors' requests to model runners, on every edge machine.
+// Router forwards clients' requests to model runners. One runs on every edge
+// machine; it keeps nothing on disk that must survive.
 package main
 
 import (
@@ -13,16 +14,17 @@
 func main() {
 	os.Exit(program.Main(program.Daemon{
 		Name:              router.Role,
-		Description:       "Carries visitors' requests to the model runners that the plan chooses.",
+		Description:       "Forwards clients' requests to model runners, as the plan of the controllers distributes them.",
 		RequiredListeners: []string{"front", "readiness"},
 		Serve:             serve,
 	}, os.Args[1:]))
 }
 
-func serve(top scope.Scope, reread <-chan *settings.Settings) error {
-	r, err := router.New(top, router.Options{})
+// serve runs the router until ctx ends.
+func serve(ctx scope.Scope, reread <-chan *settings.Settings) error {
+	r, err := router.New(ctx, router.Options{})
 	if err != nil {
 		return err
 	}
-	return r.Run(top, reread)
+	return r.Run(ctx, reread)
 }
