--- a/tools/testjudge/main.go
+++ b/tools/testjudge/main.go
@@ -1,11 +1,10 @@
-// Testjudge reads what "go test -json" prints and decides whether a change may
-// land: every test passes but for those that KNOWN-RED.txt lists, and these
-// fail. It prints the listed ones with their state, and hides nothing.
+// Testjudge reads the output of "go test -json" and decides whether a change may
+// land: every test passes but for those that KNOWN-RED.txt lists, and these fail.
+// It prints the listed ones with their outcome, and the output of the others that
+// fail.
 package main
 
 import (
-	"bufio"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -14,31 +13,6 @@
 	"strings"
 )
 
-// maxKnownRed is how many known red tests there may be.
-const maxKnownRed = 3
-
-// knownRed is a line of KNOWN-RED.txt: TEST | cause | issue, the test as
-// PACKAGE.NAME.
-type knownRed struct {
-	test, cause, issue string
-}
-
-// event is a line of "go test -json".
-type event struct {
-	Action  string
-	Package string
-	Test    string
-	Output  string
-}
-
-// results are the outcomes of the top-level tests, by PACKAGE.NAME.
-type results struct {
-	outcomes map[string]string
-	output   map[string][]string
-	// packages that failed, and those whose binary broke off.
-	failed, crashed map[string]bool
-}
-
 func main() {
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: go test -json ./... | testjudge KNOWN-RED.txt")
@@ -50,124 +24,84 @@
 	}
 }
 
-func run(path string, in io.Reader, out io.Writer) error {
-	listed, err := readKnownRed(path)
+// run returns an error with a line for each reason why the change may not land.
+func run(knownRedPath string, in io.Reader, out io.Writer) error {
+	listed, err := readKnownRed(knownRedPath)
 	if err != nil {
 		return err
 	}
-	seen, err := readEvents(in, out)
+	r, err := readEvents(in, out)
 	if err != nil {
 		return err
 	}
-	return judge(listed, seen, out)
-}
-
-// readKnownRed reads the list; a file that is not there is an empty one.
-func readKnownRed(path string) ([]knownRed, error) {
-	text, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	var listed []knownRed
-	for number, line := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(line) == "" {
-			continue
-		}
-		parts := strings.Split(line, "|")
-		for index := range parts {
-			parts[index] = strings.TrimSpace(parts[index])
-		}
-		if len(parts) != 3 || slices.Contains(parts, "") {
-			return nil, fmt.Errorf("%s, line %d: TEST | cause | issue is wanted", path, number+1)
-		}
-		listed = append(listed, knownRed{test: parts[0], cause: parts[1], issue: parts[2]})
-	}
-	if len(listed) > maxKnownRed {
-		return nil, fmt.Errorf("%s: %d tests, %d at the most", path, len(listed), maxKnownRed)
-	}
-	return listed, nil
-}
-
-func readEvents(in io.Reader, out io.Writer) (results, error) {
-	seen := results{outcomes: map[string]string{}, output: map[string][]string{}, failed: map[string]bool{}, crashed: map[string]bool{}}
-	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, 16<<20)
-	for lines.Scan() {
-		var next event
-		if json.Unmarshal(lines.Bytes(), &next) != nil {
-			fmt.Fprintln(out, lines.Text())
-			continue
-		}
-		seen.add(next, out)
+	problems := slices.Concat(judgeKnownRed(listed, r, out), judgeTests(listed, r, out), judgePackages(r, out))
+	passed, failed := r.count("pass"), r.count("fail")
+	fmt.Fprintf(out, "%d passed, %d failed\n", passed, failed)
+	if passed == 0 {
+		problems = append(problems, "no test passed")
 	}
-	return seen, lines.Err()
-}
-
-func (r results) add(next event, out io.Writer) {
-	top, _, _ := strings.Cut(next.Test, "/")
-	name := next.Package + "." + top
-	switch {
-	case next.Action == "output" || next.Action == "build-output":
-		r.output[name] = append(r.output[name], next.Output)
-		if strings.HasPrefix(next.Output, "panic:") || strings.HasPrefix(next.Output, "fatal error:") {
-			r.crashed[next.Package] = true
-		}
-		// A package's own closing line, as "go test" prints it.
-		if next.Test == "" && (strings.HasPrefix(next.Output, "ok ") || strings.HasPrefix(next.Output, "?") || strings.HasPrefix(next.Output, "FAIL")) {
-			fmt.Fprint(out, next.Output)
-		}
-	case next.Action == "fail" && next.Test == "":
-		r.failed[next.Package] = true
-	case next.Test == top && (next.Action == "pass" || next.Action == "fail" || next.Action == "skip"):
-		r.outcomes[name] = next.Action
+	if len(problems) == 0 {
+		return nil
 	}
+	slices.Sort(problems)
+	return errors.New(strings.Join(problems, "\n"))
 }
 
-func judge(listed []knownRed, seen results, out io.Writer) error {
-	var wrong []string
-	expected := map[string]bool{}
+// judgeKnownRed returns the listed tests that do not fail.
+func judgeKnownRed(listed []knownRed, r results, out io.Writer) []string {
+	var problems []string
 	for _, red := range listed {
-		expected[red.test] = true
-		outcome := seen.outcomes[red.test]
+		outcome := r.outcomes[red.test]
 		if outcome == "" {
 			outcome = "not there"
 		}
 		fmt.Fprintf(out, "known red: %s: %s (%s; issue %s)\n", red.test, outcome, red.cause, red.issue)
 		if outcome != "fail" {
-			wrong = append(wrong, fmt.Sprintf("%s is listed as known red and is: %s", red.test, outcome))
+			problems = append(problems, fmt.Sprintf("%s is listed as known red and is: %s", red.test, outcome))
 		}
 	}
-	passed, failed := 0, 0
-	explained := map[string]bool{}
-	for name, outcome := range seen.outcomes {
-		switch outcome {
-		case "pass":
-			passed++
-		case "fail":
-			failed++
-			explained[name[:strings.LastIndexByte(name, '.')]] = true
-			if !expected[name] {
-				wrong = append(wrong, name+" fails")
-				fmt.Fprint(out, strings.Join(seen.output[name], ""))
-			}
+	return problems
+}
+
+// judgeTests returns the tests that fail and are not listed.
+func judgeTests(listed []knownRed, r results, out io.Writer) []string {
+	var problems []string
+	for name, outcome := range r.outcomes {
+		isListed := slices.ContainsFunc(listed, func(red knownRed) bool { return red.test == name })
+		if outcome == "fail" && !isListed {
+			problems = append(problems, name+" fails")
+			fmt.Fprint(out, strings.Join(r.output[name], ""))
 		}
 	}
-	for name := range seen.failed {
-		if !explained[name] || seen.crashed[name] {
-			wrong = append(wrong, "package "+name+" fails as a whole")
-			fmt.Fprint(out, strings.Join(seen.output[name+"."], ""))
+	return problems
+}
+
+// judgePackages returns the packages whose failure no failed test explains: those
+// that do not build, and those whose binary crashed.
+func judgePackages(r results, out io.Writer) []string {
+	withFailedTest := map[string]bool{}
+	for name, outcome := range r.outcomes {
+		if outcome == "fail" {
+			withFailedTest[name[:strings.LastIndexByte(name, '.')]] = true
 		}
 	}
-	fmt.Fprintf(out, "%d passed, %d failed\n", passed, failed)
-	if passed == 0 {
-		wrong = append(wrong, "no test passed")
+	var problems []string
+	for name := range r.failed {
+		if !withFailedTest[name] || r.crashed[name] {
+			problems = append(problems, "package "+name+" fails as a whole")
+			fmt.Fprint(out, strings.Join(r.output[name+"."], ""))
+		}
 	}
-	if len(wrong) > 0 {
-		slices.Sort(wrong)
-		return errors.New(strings.Join(wrong, "\n"))
+	return problems
+}
+
+// count returns how many tests have the outcome.
+func (r results) count(outcome string) int {
+	count := 0
+	for _, other := range r.outcomes {
+		if other == outcome {
+			count++
+		}
 	}
-	return nil
+	return count
 }
--- a/tools/testjudge/main_test.go
+++ b/tools/testjudge/main_test.go
@@ -17,7 +17,8 @@
 `
 	cases := []struct {
 		name, list, events string
-		wrong              string
+		// wantErr is part of the error; "" is none.
+		wantErr string
 	}{
 		{"all pass", "", good, ""},
 		{"a listed one fails", "p.TestBad | a cause | 19\n", good + bad, ""},
@@ -30,14 +31,16 @@
 		{"too many", strings.Repeat("p.TestBad | a cause | 19\n", 4), good, "4 tests, 3 at the most"},
 		{"no cause", "p.TestBad | | 19", good, "TEST | cause | issue is wanted"},
 	}
-	for _, example := range cases {
-		path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
-		if err := os.WriteFile(path, []byte(example.list), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		err := run(path, strings.NewReader(example.events), io.Discard)
-		if (err == nil) != (example.wrong == "") || (err != nil && !strings.Contains(err.Error(), example.wrong)) {
-			t.Errorf("%s: %v", example.name, err)
-		}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
+			if err := os.WriteFile(path, []byte(test.list), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			err := run(path, strings.NewReader(test.events), io.Discard)
+			if (err == nil) != (test.wantErr == "") || (err != nil && !strings.Contains(err.Error(), test.wantErr)) {
+				t.Errorf("error %v, want %q", err, test.wantErr)
+			}
+		})
 	}
 }
