--- a/soak/checks.go
+++ b/soak/checks.go
@@ -1,223 +1,243 @@
 package soak
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
 	"strings"
 	"sync"
+	"syscall"
+	"time"
 
-	"onyxwell/base/clock"
-	"onyxwell/base/scope"
+	"onyxwell/base/ids"
 	"onyxwell/control/controller"
 	"onyxwell/data/router"
+	"onyxwell/data/upstream"
 	"onyxwell/emulator/client"
 	"onyxwell/emulator/links"
 	"onyxwell/soak/localcluster"
 )
 
 const (
-	frontPort = localcluster.FrontPort
-	// checkAttemptPrefix begins the ids of the examination's own requests.
+	// checkAttemptPrefix begins the attempt ids of the checks' own requests.
 	checkAttemptPrefix = "exam-"
+	// pollInterval is the time between two tries of a condition.
+	pollInterval = 20 * time.Millisecond
+	// probesPerRouter is how many requests each router gets in a round that looks
+	// for requests to an evacuated zone.
+	probesPerRouter        = 4
+	evacuationPollInterval = 100 * time.Millisecond
 )
 
-// check looks, once all trouble is over, whether everything that was promised
-// is there.
-func (c *cluster) check(ctx scope.Scope, report *Report) {
-	for _, machine := range c.machines {
-		machine.setLinkFaults(links.Faults{})
-		machine.signal(continueSignal)
-	}
-	c.platform.Unavailable.Store(false)
-	begin := ctx.Now()
-	asker := newOperator(c, rand.New(rand.NewPCG(c.options.Seed, 4)))
-	if !c.waitUntilEmpty(ctx, recoverWithin, c.firstNotReady) {
-		c.addFinding("RECOVER", "%v after all trouble: %s", recoverWithin, c.firstNotReady())
-	}
-	report.Recovery = ctx.Now().Since(begin)
-	c.checkPropagation(ctx, asker, report)
-	c.checkEvacuation(ctx, asker)
-	c.checkControllerReads(ctx, asker)
+// checkGuarantees ends all faults and checks that everything recovers, and that
+// what was recorded during the run kept every guarantee.
+func (c *cluster) checkGuarantees(ctx context.Context, report *Report) {
+	c.endFaults()
+	start := c.clock.Now()
+	if err := c.eventually(ctx, localcluster.RecoverWithin, func() error { return c.checkReady(ctx) }); err != nil {
+		c.addFinding("RECOVER", "%v after the last fault: %v", localcluster.RecoverWithin, err)
+	}
+	report.Recovery = c.clock.Now().Since(start)
+	op := newOperator(c, c.random(streamCheck))
+	c.checkPropagation(ctx, op, report)
+	c.checkEvacuation(ctx, op)
+	c.checkControllerReads(ctx, op)
 	c.checkInvariantMetrics(ctx)
 	c.checkMemory(report)
 	c.history.check(c.addFinding)
-	for _, verdict := range c.oracle.Check() {
-		c.addFinding(verdict.Rule, "attempt %s: %s\n      %s", verdict.Attempt, verdict.Reason, strings.Join(verdict.History, "\n      "))
+	for _, violation := range c.checker.Check() {
+		c.addFinding(violation.Rule, "attempt %s: %s\n      %s", violation.Attempt, violation.Reason, strings.Join(violation.History, "\n      "))
 	}
 	c.checkLostRequests()
 	c.checkLogs()
 }
 
-// checkLostRequests looks for requests that ran and whose clients got no whole answer
-// though nothing but planned work went on.
-func (c *cluster) checkLostRequests() {
-	c.unanswered.Range(func(attempt any, how any) bool {
-		if _, ran := c.executed.Load(attempt); ran {
-			c.addFinding("LOST", "attempt %s ran and got no whole answer, %s", attempt, how)
-		}
-		return true
-	})
-}
-
-// waitUntilEmpty waits until nothing is left to say, at most for the span.
-func (c *cluster) waitUntilEmpty(ctx scope.Scope, limit clock.Span, left func() string) bool {
-	for begin := ctx.Now(); left() != ""; {
-		if ctx.Now().Since(begin) > limit || !ctx.Wait(20*clock.Millisecond) {
-			return false
-		}
+// endFaults ends the faults that may still be in force.
+func (c *cluster) endFaults() {
+	for _, m := range c.machines {
+		m.setLinkFaults(links.Faults{})
+		m.signal(syscall.SIGCONT)
 	}
-	return true
+	c.platform.Unavailable.Store(false)
 }
 
-// firstNotReady says which router is not ready; "" is none.
-func (c *cluster) firstNotReady() string {
-	for _, machine := range c.machinesByRole(router.Role) {
-		if status, _ := httpGet(machine.Address(localcluster.ReadyPort), "/ready"); status != http.StatusOK {
-			return fmt.Sprintf("%s is not ready: %d", machine.Name(), status)
+// eventually tries the condition until it returns nil, or the timeout has passed
+// or ctx ended; then it returns the condition's last error.
+func (c *cluster) eventually(ctx context.Context, timeout time.Duration, condition func() error) error {
+	for start := c.clock.Now(); ; {
+		err := condition()
+		if err == nil {
+			return nil
+		}
+		if c.clock.Now().Since(start) > timeout || !c.wait(ctx, pollInterval) {
+			return err
 		}
 	}
-	return ""
 }
 
-// httpGet asks for a page, in a second at most.
-func httpGet(address string, path string) (int, string) {
-	asking := http.Client{Timeout: clock.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := asking.Get("http://" + address + path)
-	if err != nil {
-		return 0, ""
-	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
-	if err != nil {
-		return 0, ""
+// checkReady returns an error that names a router which is not ready.
+func (c *cluster) checkReady(ctx context.Context) error {
+	for _, m := range c.machinesByRole(router.Role) {
+		if _, err := get(ctx, m.Address(localcluster.ReadyPort), "/ready"); err != nil {
+			return fmt.Errorf("%s is not ready: %w", m.Name(), err)
+		}
 	}
-	return response.StatusCode, string(text)
+	return nil
 }
 
-// checkPropagation wants a change acknowledged and in force at every router.
-func (c *cluster) checkPropagation(ctx scope.Scope, asker *operator, report *Report) {
-	if !c.waitUntilEmpty(ctx, recoverWithin, func() string {
-		if _, found := asker.readConfig(ctx); !found {
-			return "no read is answered"
-		}
-		asker.lastAcked = nil
-		asker.changeConfig(ctx)
-		if asker.lastAcked == nil {
-			return "no change is acknowledged"
-		}
-		return ""
-	}) {
-		c.addFinding("ACKS", "no change is acknowledged %v after all trouble", recoverWithin)
+// checkPropagation checks that a change is acknowledged, and then in force at
+// every router within its bound.
+func (c *cluster) checkPropagation(ctx context.Context, op *operator, report *Report) {
+	if err := c.eventually(ctx, localcluster.RecoverWithin, func() error { return op.makeChange(ctx) }); err != nil {
+		c.addFinding("ACKS", "%v after the last fault: %v", localcluster.RecoverWithin, err)
 		return
 	}
-	acked := ctx.Now()
-	path := markerPrefix + asker.lastAcked.id + "/exam"
-	var all sync.WaitGroup
-	for _, machine := range c.machinesByRole(router.Role) {
-		all.Add(1)
+	acked := c.clock.Now()
+	path := markerPrefix + op.lastAcked.id + "/exam"
+	var checks sync.WaitGroup
+	for _, m := range c.machinesByRole(router.Role) {
+		checks.Add(1)
 		go func() {
-			defer all.Done()
-			last := ""
-			if !c.waitUntilEmpty(ctx, applyWithin, func() string {
-				last = c.probeRouter(machine, path)
-				return last
-			}) {
-				c.addFinding("CONFIG", "%s does not serve the newest route %v after its acknowledgement: %s", machine.Name(), applyWithin, last)
+			defer checks.Done()
+			if err := c.eventually(ctx, localcluster.ApplyWithin, func() error { return probeRouter(ctx, m, path) }); err != nil {
+				c.addFinding("CONFIG", "%s does not serve the newest route %v after its acknowledgement: %v", m.Name(), localcluster.ApplyWithin, err)
 			}
 		}()
 	}
-	all.Wait()
-	report.Propagation = ctx.Now().Since(acked)
+	checks.Wait()
+	report.Propagation = c.clock.Now().Since(acked)
 }
 
-// probeRouter asks a router for a path; "" is a success.
-func (c *cluster) probeRouter(machine *machine, path string) string {
-	request, err := http.NewRequest(http.MethodGet, "http://"+machine.Address(frontPort)+path, nil)
-	if err != nil {
-		return err.Error()
-	}
-	request.Host = client.Host
-	request.Header.Set("Onyxwell-Attempt-Id", fmt.Sprintf("%s%x", checkAttemptPrefix, rand.Uint64()))
-	asking := http.Client{Timeout: clock.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := asking.Do(request)
-	if err != nil {
-		return err.Error()
-	}
-	defer response.Body.Close()
-	if response.StatusCode != http.StatusOK {
-		return response.Status
-	}
-	return ""
+// makeChange reads the configuration and changes it; afterwards the change is
+// lastAcked.
+func (o *operator) makeChange(ctx context.Context) error {
+	if !o.readConfig(ctx) {
+		return errors.New("no read is answered")
+	}
+	o.lastAcked = nil
+	o.changeConfig(ctx)
+	if o.lastAcked == nil {
+		return errors.New("no change is acknowledged")
+	}
+	return nil
 }
 
-// checkEvacuation wants a zone left alone once it is emptied.
-func (c *cluster) checkEvacuation(ctx scope.Scope, asker *operator) {
+// checkEvacuation checks that an evacuated zone gets no more requests after the
+// bound.
+func (c *cluster) checkEvacuation(ctx context.Context, op *operator) {
 	zone := c.layout.AllZones()[0].Name
-	if got := asker.do(ctx, http.MethodPost, "/empty/"+string(zone), -1, nil); got.status != http.StatusOK {
-		c.addFinding("EVAC", "an evacuation in calm gets %d", got.status)
+	path := evacuationPath + string(zone)
+	if resp := op.do(ctx, http.MethodPost, path, noVersion, nil); resp.status != http.StatusOK {
+		c.addFinding("EVAC", "an evacuation without faults gets %d", resp.status)
 		return
 	}
-	acked := ctx.Now()
-	for {
-		before := c.executionsIn(zone)
-		for _, machine := range c.machinesByRole(router.Role) {
-			for range 4 {
-				c.probeRouter(machine, "/"+serviceNames[0]+"/safe/exam")
-			}
-		}
-		if c.executionsIn(zone) == before {
-			break
-		}
-		if ctx.Now().Since(acked) > evacuateWithin || !ctx.Wait(100*clock.Millisecond) {
-			c.addFinding("EVAC", "%s still gets requests %v after its evacuation was acknowledged", zone, evacuateWithin)
+	acked := c.clock.Now()
+	for c.probesReach(ctx, zone) {
+		if c.clock.Now().Since(acked) > localcluster.EvacuateWithin || !c.wait(ctx, evacuationPollInterval) {
+			c.addFinding("EVAC", "%s still gets requests %v after its evacuation was acknowledged", zone, localcluster.EvacuateWithin)
 			break
 		}
 	}
-	if got := asker.do(ctx, http.MethodDelete, "/empty/"+string(zone), -1, nil); got.status != http.StatusOK {
-		c.addFinding("EVAC", "an evacuation's end in calm gets %d", got.status)
+	if resp := op.do(ctx, http.MethodDelete, path, noVersion, nil); resp.status != http.StatusOK {
+		c.addFinding("EVAC", "an evacuation's end without faults gets %d", resp.status)
 	}
 }
 
-func (c *cluster) executionsIn(zone any) int64 {
-	runs := int64(0)
-	for _, played := range c.runners {
-		if any(played.zone.Name) == zone {
-			runs += played.executions.Load()
+// probesReach sends requests to every router and reports whether runners of the
+// zone got some request meanwhile.
+func (c *cluster) probesReach(ctx context.Context, zone ids.Zone) bool {
+	before := c.executionsIn(zone)
+	for _, m := range c.machinesByRole(router.Role) {
+		for range probesPerRouter {
+			_ = probeRouter(ctx, m, "/"+serviceNames[0]+"/safe/exam")
 		}
 	}
-	return runs
+	return c.executionsIn(zone) != before
 }
 
-// checkControllerReads wants the newest configuration from every controller.
-func (c *cluster) checkControllerReads(ctx scope.Scope, asker *operator) {
-	for _, machine := range c.machinesByRole(controller.Role) {
-		begin := ctx.Now()
-		if !c.waitUntilEmpty(ctx, applyWithin, func() string {
-			begin = ctx.Now()
-			got := asker.doOnce(ctx, machine.Address(localcluster.ControlPort), http.MethodGet, "/settings", -1, nil)
-			if got.status != http.StatusOK {
-				return fmt.Sprint(got.status)
+// executionsIn returns how many requests the runners of the zone got.
+func (c *cluster) executionsIn(zone ids.Zone) int64 {
+	executions := int64(0)
+	for _, zr := range c.runners {
+		if zr.zone == zone {
+			executions += zr.executions.Load()
+		}
+	}
+	return executions
+}
+
+// checkControllerReads reads the configuration from every controller; the history
+// shows whether it was the newest one.
+func (c *cluster) checkControllerReads(ctx context.Context, op *operator) {
+	for _, m := range c.machinesByRole(controller.Role) {
+		if err := c.eventually(ctx, localcluster.ApplyWithin, func() error {
+			start := c.clock.Now()
+			resp := op.doOnce(ctx, m, http.MethodGet, configPath, noVersion, nil)
+			if resp.status != http.StatusOK {
+				return fmt.Errorf("status %d", resp.status)
 			}
-			asker.recordRead(begin, ctx.Now(), got)
-			return ""
-		}) {
-			c.addFinding("CONFIG", "%s answers no read in calm", machine.Name())
+			c.recordRead(start, resp.body)
+			return nil
+		}); err != nil {
+			c.addFinding("CONFIG", "%s answers no read without faults: %v", m.Name(), err)
 		}
 	}
 }
 
-// fillReport fills the report in.
-func (c *cluster) fillReport(report *Report) {
-	report.Requests, report.Served = c.requests.Load(), c.served.Load()
-	report.Acknowledged, report.Rejected, report.Unknown, report.LongestAck = c.history.counts()
-	report.Reads = len(c.history.reads)
-	for _, machine := range c.machines {
-		starts, _ := machine.stats()
-		report.ProcessStarts += starts
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	report.Findings = c.findings
+// checkLostRequests finds requests that ran and whose clients got no complete
+// response though only planned work was injected.
+func (c *cluster) checkLostRequests() {
+	c.unanswered.Range(func(attempt any, response any) bool {
+		if _, ok := c.executed.Load(attempt); ok {
+			c.addFinding("LOST", "attempt %s ran and got no complete response, %s", attempt, response)
+		}
+		return true
+	})
+}
+
+// probeClient opens a connection for every request.
+var probeClient = http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+
+// probeRouter sends a request to a router and returns an error unless the status
+// is 200.
+func probeRouter(ctx context.Context, m *machine, path string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Address(localcluster.FrontPort)+path, nil)
+	if err != nil {
+		return err
+	}
+	req.Host = client.Host
+	req.Header.Set(upstream.AttemptIDHeader, fmt.Sprintf("%s%x", checkAttemptPrefix, rand.Uint64()))
+	resp, err := probeClient.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return errors.New(resp.Status)
+	}
+	return nil
+}
+
+// get returns the body of a page; a status other than 200 is an error.
+func get(ctx context.Context, address string, path string) (string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
+	if err != nil {
+		return "", err
+	}
+	resp, err := probeClient.Do(req)
+	if err != nil {
+		return "", err
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return "", err
+	}
+	if resp.StatusCode != http.StatusOK {
+		return "", errors.New(resp.Status)
+	}
+	return string(body), nil
 }
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -1,197 +1,234 @@
 package soak
 
 import (
+	"context"
 	"fmt"
+	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"onyxwell/base/clock"
+	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 	"onyxwell/emulator/oracle"
 	"onyxwell/emulator/runner"
 	"onyxwell/soak/localcluster"
 )
 
-// Finding is a promise that was broken, or that could not be judged.
-type Finding struct {
-	// Rule names it: a rule, or EXIT, LEAVE, MEMORY, INVARIANT, SERVICE, SOAK.
-	Rule   string
-	Detail string
-}
-
-// cluster is all that runs: machines, runners, platform, clients and operators.
+// cluster is what a run starts: machines with daemons, runners and the platform,
+// and what is recorded for the checks.
 type cluster struct {
+	*recorder
 	options      Options
 	layout       localcluster.Layout
-	startedAt    clock.Instant
-	clock        clock.Clock
 	machines     []*machine
 	runners      []*zoneRunner
 	platform     *localcluster.Platform
 	stopPlatform func()
-	oracle       oracle.Checker
-	history      configHistory
-	// executed are the attempts that ran, unanswered those whose clients stayed and got
-	// no whole answer; both only where nothing but planned work is played.
+	// background are the supervisors of the machines and the memory sampler.
+	background sync.WaitGroup
+	// stopping is set once no process may be started any more.
+	stopping atomic.Bool
+
+	checker oracle.Checker
+	history configHistory
+	// executed holds the attempts that ran, unanswered those whose clients waited and
+	// got no complete response, with what they got. Both are filled only where just
+	// planned work is injected.
 	executed   sync.Map
 	unanswered sync.Map
 	requests   atomic.Int64
 	served     atomic.Int64
-
-	// lastDiskLoss is when the last disk was lost; 0 is never.
+	// lastDiskLoss is the instant at which the last disk was lost; 0 is never.
 	lastDiskLoss atomic.Int64
-	// stopping says that no process is started any more.
-	stopping atomic.Bool
-	mu       sync.Mutex
-	findings []Finding
-	eventLog *os.File
 }
 
-// serviceNames are those that the runners are dealt out to, in turn.
+// serviceNames are the services that the runners are dealt out to in turn.
 var serviceNames = []string{"desk", "shop"}
 
-// zoneRunner is a runner and the zone that it stands in.
+const (
+	// runnerSlots is how many requests a runner runs at once, and how many more may
+	// wait.
+	runnerSlots         = 64
+	runnerServiceTime   = 2 * time.Millisecond
+	runnerEventInterval = time.Millisecond
+
+	memorySampleInterval = 100 * time.Millisecond
+)
+
+// zoneRunner is a runner with its zone.
 type zoneRunner struct {
 	*runner.Runner
-	zone       localcluster.Zone
+	zone       ids.Zone
 	executions atomic.Int64
 }
 
-func newCluster(ctx scope.Scope, options Options) (*cluster, error) {
-	made := &cluster{options: options, layout: options.layout(), clock: ctx.Clock, startedAt: ctx.Now(), stopPlatform: func() {}}
-	if err := made.layout.CheckAddressesFree(); err != nil {
+// newCluster starts everything. Also after an error, close must be called on a
+// cluster that is not nil, once ctx has ended.
+func newCluster(ctx context.Context, clk clock.Clock, options Options) (*cluster, error) {
+	layout := options.layout()
+	if err := layout.CheckAddressesFree(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	events, err := os.Create(filepath.Join(options.Dir, "events.log"))
+	rec, err := newRecorder(clk, options.Dir)
 	if err != nil {
 		return nil, err
 	}
-	made.eventLog = events
-	if err := made.startRunners(ctx); err != nil {
-		return made, err
-	}
-	made.platform = &localcluster.Platform{ListRunners: made.listRunners}
-	if made.stopPlatform, err = localcluster.Serve(made.layout.PlatformAddress(), made.platform); err != nil {
-		return made, err
+	c := &cluster{recorder: rec, options: options, layout: layout, stopPlatform: func() {}}
+	if err := c.startRunners(ctx); err != nil {
+		return c, err
 	}
-	for _, place := range made.layout.Machines() {
-		machine, err := newMachine(made, place)
-		if err == nil {
-			err = machine.start()
-		}
-		if err != nil {
-			return made, err
-		}
-		made.machines = append(made.machines, machine)
-		go machine.supervise(ctx)
+	c.platform = &localcluster.Platform{ListRunners: c.listRunners}
+	stopPlatform, err := localcluster.Serve(layout.PlatformAddress(), c.platform)
+	if err != nil {
+		return c, err
 	}
-	return made, nil
+	c.stopPlatform = stopPlatform
+	return c, c.startMachines(ctx)
 }
 
-func (c *cluster) startRunners(ctx scope.Scope) error {
+func (c *cluster) startRunners(ctx context.Context) error {
 	zones := c.layout.AllZones()
 	for index := range c.options.Runners {
-		own := &zoneRunner{zone: zones[index%len(zones)]}
+		zr := &zoneRunner{zone: zones[index%len(zones)].Name}
 		settings := runner.Defaults(serviceNames[index/len(zones)%len(serviceNames)], fmt.Sprintf("i-%d", index+1))
 		settings.Seed, settings.Faults = c.options.Seed, c.options.RunnerFaults
-		settings.Capacity, settings.Queue = 64, 64
-		settings.ServiceTime, settings.EventInterval = 2*clock.Millisecond, clock.Millisecond
-		tell := func(run oracle.Run) {
-			own.executions.Add(1)
-			// What the examination sends is no client's.
-			if !strings.HasPrefix(run.Attempt, checkAttemptPrefix) {
-				c.oracle.RecordRun(run)
-				if c.options.plannedOnly() && !run.Rejected {
-					c.executed.Store(run.Attempt, true)
-				}
-			}
-		}
-		started, err := runner.Start(runner.Options{Scope: ctx, Settings: settings, Address: "127.0.0.1:0", OnRequest: tell, OnLateBody: c.oracle.RecordLateBody})
+		settings.Capacity, settings.Queue = runnerSlots, runnerSlots
+		settings.ServiceTime, settings.EventInterval = runnerServiceTime, runnerEventInterval
+		started, err := runner.Start(runner.Options{
+			Scope: c.scope(ctx), Settings: settings, Address: "127.0.0.1:0",
+			OnRequest:  func(run oracle.Run) { c.recordRun(zr, run) },
+			OnLateBody: c.checker.RecordLateBody,
+		})
 		if err != nil {
 			return err
 		}
-		own.Runner = started
-		c.runners = append(c.runners, own)
+		zr.Runner = started
+		c.runners = append(c.runners, zr)
 	}
 	return nil
 }
 
-// listRunners is the platform's list.
+// recordRun records what a runner got, but for requests of the checks, which no
+// client sent.
+func (c *cluster) recordRun(zr *zoneRunner, run oracle.Run) {
+	zr.executions.Add(1)
+	if strings.HasPrefix(run.Attempt, checkAttemptPrefix) {
+		return
+	}
+	c.checker.RecordRun(run)
+	if c.options.plannedOnly() && !run.Rejected {
+		c.executed.Store(run.Attempt, true)
+	}
+}
+
+// listRunners returns what the platform lists.
 func (c *cluster) listRunners() []localcluster.ListedRunner {
-	var list []localcluster.ListedRunner
-	for _, played := range c.runners {
-		life := played.Incarnation()
-		list = append(list, localcluster.ListedRunner{
-			ID: life.ID, Service: life.Service, Address: played.Address(), Zone: string(played.zone.Name),
-			Version: "v1", Capacity: 64, Condition: "ready",
+	var listed []localcluster.ListedRunner
+	for _, zr := range c.runners {
+		incarnation := zr.Incarnation()
+		listed = append(listed, localcluster.ListedRunner{
+			ID: incarnation.ID, Service: incarnation.Service, Address: zr.Address(), Zone: string(zr.zone),
+			Version: "v1", Capacity: runnerSlots, Condition: "ready",
 		})
 	}
-	return list
+	return listed
 }
 
-// machinesByRole gives the machines that run a daemon.
-func (c *cluster) machinesByRole(role string) []*machine {
-	var found []*machine
-	for _, machine := range c.machines {
-		if machine.Role() == role {
-			found = append(found, machine)
+func (c *cluster) startMachines(ctx context.Context) error {
+	for _, place := range c.layout.Machines() {
+		m, err := newMachine(c, place)
+		if err != nil {
+			return err
+		}
+		c.machines = append(c.machines, m)
+		if err := m.start(); err != nil {
+			return err
 		}
+		c.background.Add(1)
+		go func() {
+			defer c.background.Done()
+			m.supervise(ctx)
+		}()
 	}
-	return found
-}
-
-// addFinding notes a finding.
-func (c *cluster) addFinding(promise string, format string, facts ...any) {
-	finding := Finding{Rule: promise, Detail: fmt.Sprintf(format, facts...)}
-	c.mu.Lock()
-	c.findings = append(c.findings, finding)
-	c.mu.Unlock()
-	c.logEvent("FINDING %s: %s", finding.Rule, finding.Detail)
+	c.background.Add(1)
+	go func() {
+		defer c.background.Done()
+		c.sampleMemory(ctx)
+	}()
+	return nil
 }
 
-// logEvent writes a line of what happens.
-func (c *cluster) logEvent(format string, facts ...any) {
-	text := fmt.Sprintf("%8.3f  %s", c.clock.Now().Since(c.startedAt).Seconds(), fmt.Sprintf(format, facts...))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	fmt.Fprintln(c.eventLog, text)
+// sampleMemory samples the memory of all daemons until ctx ends.
+func (c *cluster) sampleMemory(ctx context.Context) {
+	for c.wait(ctx, memorySampleInterval) {
+		for _, m := range c.machines {
+			m.sampleMemory()
+		}
+	}
 }
 
-// sampleMemory looks at the memory of all daemons until the scope ends.
-func (c *cluster) sampleMemory(ctx scope.Scope) {
-	for ctx.Wait(100 * clock.Millisecond) {
-		for _, machine := range c.machines {
-			machine.sampleMemory()
+// machinesByRole returns the machines that run the daemon of the role.
+func (c *cluster) machinesByRole(role string) []*machine {
+	var machines []*machine
+	for _, m := range c.machines {
+		if m.Role() == role {
+			machines = append(machines, m)
 		}
 	}
+	return machines
+}
+
+// wait blocks for the duration, or until ctx ends; it reports whether the
+// duration has passed.
+func (c *cluster) wait(ctx context.Context, d time.Duration) bool { return clock.Wait(ctx, c.clock, d) }
+
+// scope returns ctx as the scope that the emulator takes.
+func (c *cluster) scope(ctx context.Context) scope.Scope {
+	return scope.New(scope.Options{Clock: c.clock}).WithContext(ctx)
+}
+
+// Streams of random numbers; each is seeded with the run's seed.
+const (
+	streamRedundancy = 0
+	streamBootstrap  = 1
+	streamFaults     = 2
+	// streamFault is the stream of one fault, seeded from streamFaults.
+	streamFault = 3
+	streamCheck = 4
+	// streamOperator is that of the first operator; the others have the next ones.
+	streamOperator = 100
+)
+
+// random returns the stream of random numbers.
+func (c *cluster) random(stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(c.options.Seed, stream))
 }
 
-// close ends all that was started.
+// close stops everything that was started. The context of newCluster must have
+// ended.
 func (c *cluster) close() {
 	c.stopping.Store(true)
-	var all []*localcluster.Process
-	for _, machine := range c.machines {
-		machine.mu.Lock()
-		machine.stopRequested = true
-		if machine.process != nil {
-			machine.process.Signal(continueSignal)
-			all = append(all, machine.process)
+	var processes []*localcluster.Process
+	for _, m := range c.machines {
+		if process := m.prepareStop(); process != nil {
+			processes = append(processes, process)
 		}
-		machine.mu.Unlock()
 	}
-	localcluster.StopAll(all, gracePeriod+clock.Second)
+	localcluster.StopAll(processes, gracePeriod+time.Second)
+	c.background.Wait()
 	c.stopPlatform()
-	for _, played := range c.runners {
-		played.Close()
+	for _, zr := range c.runners {
+		zr.Close()
 	}
-	for _, machine := range c.machines {
-		_ = machine.log.Close()
+	for _, m := range c.machines {
+		_ = m.log.Close()
 	}
-	_ = c.eventLog.Close()
+	c.recorder.close()
 }
--- a/soak/config.go
+++ b/soak/config.go
@@ -1,11 +1,22 @@
 package soak
 
-import "onyxwell/emulator/client"
+import (
+	"strings"
 
-// maxBodyBytes is the limit of the configuration that a soak begins with.
+	"onyxwell/emulator/client"
+)
+
+// maxBodyBytes is the body limit of the initial configuration.
 const maxBodyBytes = 4194304
 
-// route is a route of the configuration as it is sent.
+// document is a configuration as the admin API takes and returns it.
+type document struct {
+	Version  int64     `json:"config_version"`
+	Routes   []route   `json:"routes"`
+	Services []service `json:"services"`
+	Limits   limits    `json:"limits"`
+}
+
 type route struct {
 	Name        string   `json:"name"`
 	Hostname    string   `json:"hostname"`
@@ -33,18 +44,6 @@
 	IdleTimeoutMS   int `json:"idle_ms"`
 }
 
-// document is a whole configuration.
-type document struct {
-	Version  int64     `json:"config_version"`
-	Routes   []route   `json:"routes"`
-	Services []service `json:"services"`
-	Limits   limits    `json:"limits"`
-}
-
-type patchChanges struct {
-	Routes []route `json:"routes"`
-}
-
 // patch is a change of a configuration.
 type patch struct {
 	Version int64        `json:"config_version"`
@@ -52,33 +51,59 @@
 	Remove  struct{}     `json:"remove"`
 }
 
-func newRoute(name string, prefix string, kind string, service string) route {
+type patchChanges struct {
+	Routes []route `json:"routes"`
+}
+
+const streamingType = "streaming"
+
+func newRoute(name string, pathPrefix string, routeType string, service string) route {
 	return route{
-		Name: name, Hostname: client.Host, PathPrefix: prefix, Type: kind, TimeoutMS: 5000, TargetMS: 1000, GapTargetMS: 1000, MaxAttempts: 3,
-		Sticky: kind == "streaming", Service: service, HomeRegions: []string{},
+		Name: name, Hostname: client.Host, PathPrefix: pathPrefix, Type: routeType, TimeoutMS: 5000, TargetMS: 1000, GapTargetMS: 1000, MaxAttempts: 3,
+		Sticky: routeType == streamingType, Service: service, HomeRegions: []string{},
 	}
 }
 
+// initialDocument returns the configuration of version 1: routes of every type to
+// every service.
 func initialDocument() document {
-	made := document{Version: 1, Limits: limits{MaxHeaderBytes: 16384, MaxBodyBytes: maxBodyBytes, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}}
+	doc := document{Version: 1, Limits: limits{MaxHeaderBytes: 16384, MaxBodyBytes: maxBodyBytes, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}}
 	for _, name := range serviceNames {
-		for _, kind := range []string{"safe", "unsafe"} {
-			made.Routes = append(made.Routes, newRoute(name+"-"+kind, "/"+name+"/"+kind+"/", kind, name))
+		for _, routeType := range []string{"safe", "unsafe"} {
+			doc.Routes = append(doc.Routes, newRoute(name+"-"+routeType, "/"+name+"/"+routeType+"/", routeType, name))
 		}
-		stream := newRoute(name+"-stream", "/"+name+"/stream/", "streaming", name)
-		again := newRoute(name+"-resumable", "/"+name+"/resumable/", "streaming", name)
-		again.Resumable = true
-		made.Routes = append(made.Routes, stream, again)
-		made.Services = append(made.Services, service{Name: name, HealthPath: "/health"})
+		stream := newRoute(name+"-stream", "/"+name+"/stream/", streamingType, name)
+		resumable := newRoute(name+"-resumable", "/"+name+"/resumable/", streamingType, name)
+		resumable.Resumable = true
+		doc.Routes = append(doc.Routes, stream, resumable)
+		doc.Services = append(doc.Services, service{Name: name, HealthPath: "/health"})
 	}
-	made.Routes = append(made.Routes, markerRoute("first"))
-	return made
+	doc.Routes = append(doc.Routes, markerRoute(initialID))
+	return doc
 }
 
-// markerPrefix begins the path of the route by which a version is known again.
-const markerPrefix = "/mark/"
+const (
+	// initialID is the id of the change that made version 1.
+	initialID = "first"
+	// The path of the marker route is markerPrefix, the id of the change that made
+	// the version, and a slash.
+	markerName   = "mark"
+	markerPrefix = "/mark/"
+)
 
-// markerRoute is the route that names the change which made a version.
-func markerRoute(id string) route {
-	return newRoute("mark", markerPrefix+id+"/", "safe", serviceNames[0])
+// markerRoute returns the route that names the change which made a version.
+func markerRoute(changeID string) route {
+	return newRoute(markerName, markerPrefix+changeID+"/", "safe", serviceNames[0])
+}
+
+// changeID returns the id of the change that made the configuration; "" where it
+// has no marker route.
+func (d document) changeID() string {
+	id := ""
+	for _, r := range d.Routes {
+		if r.Name == markerName {
+			id = strings.Trim(strings.TrimPrefix(r.PathPrefix, markerPrefix), "/")
+		}
+	}
+	return id
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -1,209 +1,219 @@
 package soak
 
 import (
+	"context"
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"sync"
 	"syscall"
+	"time"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/control/controller"
 	"onyxwell/data/router"
 	"onyxwell/soak/localcluster"
 )
 
-const continueSignal = syscall.SIGCONT
-
-// fault is a sort of trouble: what it does, and whether it is planned work.
+// fault is a kind of fault, or of planned work, that a run injects.
 type fault struct {
-	name        string
+	name string
+	// planned says that it is planned work, which no client may notice.
 	planned     bool
 	description string
-	inject      func(e *cluster, inner scope.Scope, drawn *rand.Rand)
-}
-
-var faults []fault
-
-func init() {
-	// Filled here since the troubles speak of the estate, which speaks of them.
-	faults = []fault{
-		{"term", true, "a daemon is asked to leave and is started again", terminateDaemon},
-		{"hup", true, "a daemon's settings file changes, and it gets a SIGHUP", reloadSettings},
-		{"config", true, "three changes of the configuration come close to each other", burstConfigChanges},
-		{"kill", false, "a daemon is killed and started again", killDaemon},
-		{"herd", false, "all controllers, all routers or all daemons are killed at once", killGroup},
-		{"pause", false, "a daemon stands still for a while", pauseDaemon},
-		{"cut", false, "a daemon is cut off, one way or both, from all or from the controllers", partitionDaemon},
-		{"halves", false, "the controllers are cut into two halves", splitControllers},
-		{"late", false, "a daemon's bytes come late", delayDaemon},
-		{"lost", false, "a controller's answers are lost after the act", dropResponses},
-		{"datagrams", false, "datagrams of all daemons are lost", dropDatagrams},
-		{"wipe", false, "a controller loses its disk", wipeDisk},
-		{"platform", false, "the platform's list is not to be had", failPlatform},
-		{"runner", false, "the addresses of some runners go to new lives", replaceRunners},
-		{"hold", false, "clients hold the last byte of large bodies back", holdRequestBodies},
-		{"early-signal", false, "a daemon that was just started gets a SIGHUP or a SIGTERM", signalDuringStartup},
+	// inject returns once the fault is over, or ctx has ended. What it chooses is
+	// drawn from random.
+	inject func(c *cluster, ctx context.Context, random *rand.Rand)
+}
+
+// catalog returns all faults. Runs draw from it by index: a seed stands for other
+// faults once it is reordered.
+func catalog() []fault {
+	return []fault{
+		{"term", true, "a daemon is shut down gracefully and started again", (*cluster).terminateDaemon},
+		{"hup", true, "the boot file of a daemon changes, and it gets a SIGHUP", (*cluster).reloadSettings},
+		{"config", true, "the configuration changes three times in a row", (*cluster).burstConfigChanges},
+		{"kill", false, "a daemon is killed and started again", (*cluster).killDaemon},
+		{"herd", false, "all controllers, all routers or all daemons are killed at once", (*cluster).killGroup},
+		{"pause", false, "a daemon is stopped with SIGSTOP for a while", (*cluster).pauseDaemon},
+		{"cut", false, "a daemon is partitioned, in one direction or both, from all others or from controllers", (*cluster).partitionDaemon},
+		{"halves", false, "the controllers are partitioned into two groups", (*cluster).splitControllers},
+		{"late", false, "the traffic of a daemon is delayed", (*cluster).delayDaemon},
+		{"lost", false, "responses of a controller are lost after the request was executed", (*cluster).dropResponses},
+		{"datagrams", false, "datagrams of all daemons are lost", (*cluster).dropDatagrams},
+		{"wipe", false, "a controller loses its disk", (*cluster).wipeDisk},
+		{"platform", false, "the platform's API is unavailable", (*cluster).failPlatform},
+		{"runner", false, "the addresses of some runners go to new incarnations", (*cluster).replaceRunners},
+		{"hold", false, "clients hold back the last byte of large bodies", (*cluster).holdRequestBodies},
+		{"early-signal", false, "a daemon gets a SIGHUP or a SIGTERM just after its start", (*cluster).signalDuringStartup},
 	}
 }
 
-// FaultNames are the names of all troubles.
+// FaultNames returns the names of all faults.
 func FaultNames() []string {
 	var names []string
-	for _, kind := range faults {
-		names = append(names, kind.name)
+	for _, f := range catalog() {
+		names = append(names, f.name)
 	}
 	return names
 }
 
-// FaultDescription tells what a trouble does.
+// FaultDescription returns what a fault does; "" for an unknown name.
 func FaultDescription(name string) string {
-	kind, _ := faultByName(name)
-	return kind.description
+	f, _ := faultByName(name)
+	return f.description
 }
 
 func faultByName(name string) (fault, bool) {
-	for _, kind := range faults {
-		if kind.name == name {
-			return kind, true
+	for _, f := range catalog() {
+		if f.name == name {
+			return f, true
 		}
 	}
 	return fault{}, false
 }
 
-func pick[Thing any](drawn *rand.Rand, things []Thing) Thing { return things[drawn.IntN(len(things))] }
+func pick[T any](random *rand.Rand, items []T) T { return items[random.IntN(len(items))] }
 
-func randomDuration(drawn *rand.Rand, least clock.Span, most clock.Span) clock.Span {
-	return least + clock.Span(drawn.Int64N(int64(most-least)))
+// randomDuration returns a duration from least up to, but not including, limit.
+func randomDuration(random *rand.Rand, least time.Duration, limit time.Duration) time.Duration {
+	return least + time.Duration(random.Int64N(int64(limit-least)))
 }
 
-func terminateDaemon(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	machine := pick(drawn, e.machines)
-	e.logEvent("term %s", machine.Name())
-	machine.terminate(ctx)
+func (c *cluster) terminateDaemon(ctx context.Context, random *rand.Rand) {
+	target := pick(random, c.machines)
+	c.logEvent("term %s", target.Name())
+	target.terminate(ctx)
 }
 
-func reloadSettings(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	machine := pick(drawn, e.machines)
-	e.logEvent("hup %s", machine.Name())
-	if err := machine.writeSettings(false, drawn.IntN(3)); err != nil {
-		e.addFinding("SOAK", "settings of %s: %v", machine.Name(), err)
+func (c *cluster) reloadSettings(_ context.Context, random *rand.Rand) {
+	target := pick(random, c.machines)
+	c.logEvent("hup %s", target.Name())
+	if err := target.rewriteSettings(random.IntN(3)); err != nil {
+		c.addFinding("SOAK", "settings of %s: %v", target.Name(), err)
 	}
-	machine.signal(syscall.SIGHUP)
+	target.signal(syscall.SIGHUP)
 }
 
-func burstConfigChanges(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	e.logEvent("config")
-	own := newOperator(e, drawn)
+func (c *cluster) burstConfigChanges(ctx context.Context, random *rand.Rand) {
+	c.logEvent("config")
+	op := newOperator(c, random)
 	for range 3 {
-		own.changeConfig(ctx)
+		op.changeConfig(ctx)
 	}
 }
 
-func killDaemon(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	machine, down := pick(drawn, e.machines), randomDuration(drawn, 0, 2*clock.Second)
-	e.logEvent("kill %s, down for %v", machine.Name(), down)
-	machine.kill(down, false)
+func (c *cluster) killDaemon(_ context.Context, random *rand.Rand) {
+	target, downtime := pick(random, c.machines), randomDuration(random, 0, 2*time.Second)
+	c.logEvent("kill %s, down for %v", target.Name(), downtime)
+	target.kill(downtime, false)
 }
 
-func killGroup(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	chosen := pick(drawn, [][]*machine{e.machinesByRole(controller.Role), e.machinesByRole(router.Role), e.machines})
-	e.logEvent("kill %d at once, the first %s", len(chosen), chosen[0].Name())
-	for _, machine := range chosen {
-		machine.kill(randomDuration(drawn, 0, clock.Second), false)
+func (c *cluster) killGroup(_ context.Context, random *rand.Rand) {
+	targets := pick(random, [][]*machine{c.machinesByRole(controller.Role), c.machinesByRole(router.Role), c.machines})
+	c.logEvent("kill %d at once, the first %s", len(targets), targets[0].Name())
+	for _, target := range targets {
+		target.kill(randomDuration(random, 0, time.Second), false)
 	}
 }
 
-func pauseDaemon(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	machine, length := pick(drawn, e.machines), randomDuration(drawn, 200*clock.Millisecond, 5*clock.Second)
-	process := machine.currentProcess()
-	e.logEvent("pause %s for %v", machine.Name(), length)
+func (c *cluster) pauseDaemon(ctx context.Context, random *rand.Rand) {
+	target, length := pick(random, c.machines), randomDuration(random, 200*time.Millisecond, 5*time.Second)
+	process := target.currentProcess()
+	c.logEvent("pause %s for %v", target.Name(), length)
 	process.Signal(syscall.SIGSTOP)
-	ctx.Wait(length)
-	process.Signal(continueSignal)
-	e.logEvent("go on %s", machine.Name())
+	c.wait(ctx, length)
+	process.Signal(syscall.SIGCONT)
+	c.logEvent("resume %s", target.Name())
 }
 
-// maxDiskLossDowntime is how long a machine that lost its disk is down at the most.
-const maxDiskLossDowntime = 2 * clock.Second
+// maxDiskLossDowntime is the longest downtime of a machine that lost its disk.
+const maxDiskLossDowntime = 2 * time.Second
 
-// reserveDiskLoss tells whether a disk may be lost now, and notes that it is: no more are
-// lost at one time than the deployment bears. A controller's word that all is made
-// good may be older than the last loss, so that the loss has its time as well.
-func (c *cluster) reserveDiskLoss(ctx scope.Scope) bool {
-	now, last := ctx.Now(), c.lastDiskLoss.Load()
-	if last != 0 && now.Since(clock.Instant(last)) < maxDiskLossDowntime+catchUpWithin {
-		return false
+// wipeDisk takes the disk of a controller, where the cluster tolerates the loss
+// of one more.
+func (c *cluster) wipeDisk(ctx context.Context, random *rand.Rand) {
+	target := pick(random, c.machinesByRole(controller.Role))
+	if !c.reserveDiskLoss(ctx) {
+		c.logEvent("wipe %s: skipped, an earlier loss is not repaired yet", target.Name())
+		return
 	}
-	return c.toleratesLoss(ctx) && c.lastDiskLoss.CompareAndSwap(last, int64(now))
+	c.logEvent("wipe %s", target.Name())
+	target.kill(randomDuration(random, 0, maxDiskLossDowntime), true)
 }
 
-// wipeDisk takes the disk of a controller, where one may be lost now.
-func wipeDisk(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	machine := pick(drawn, e.machinesByRole(controller.Role))
-	if !e.reserveDiskLoss(ctx) {
-		e.logEvent("wipe %s: not now, an earlier loss has not been made good", machine.Name())
-		return
+// reserveDiskLoss reports whether a disk may be lost now, and if so counts it as
+// lost: never more are lost at a time than the cluster tolerates. Since a
+// controller's status may be older than the last loss, that loss also gets the
+// time to be repaired.
+func (c *cluster) reserveDiskLoss(ctx context.Context) bool {
+	now, last := c.clock.Now(), c.lastDiskLoss.Load()
+	if last != 0 && now.Since(clock.Instant(last)) < maxDiskLossDowntime+localcluster.CatchUpWithin {
+		return false
 	}
-	e.logEvent("wipe %s", machine.Name())
-	machine.kill(randomDuration(drawn, 0, maxDiskLossDowntime), true)
+	return c.toleratesLoss(ctx) && c.lastDiskLoss.CompareAndSwap(last, int64(now))
 }
 
-func failPlatform(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	length := randomDuration(drawn, clock.Second, 6*clock.Second)
-	e.logEvent("platform down for %v", length)
-	e.platform.Unavailable.Store(true)
-	ctx.Wait(length)
-	e.platform.Unavailable.Store(false)
+func (c *cluster) failPlatform(ctx context.Context, random *rand.Rand) {
+	length := randomDuration(random, time.Second, 6*time.Second)
+	c.logEvent("platform unavailable for %v", length)
+	c.platform.Unavailable.Store(true)
+	c.wait(ctx, length)
+	c.platform.Unavailable.Store(false)
 }
 
-func replaceRunners(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	for _, played := range e.runners {
-		if drawn.IntN(4) == 0 {
-			e.logEvent("runner %s: a new life", played.Incarnation().ID)
-			played.TakeOver(played.Incarnation().Service, drawn.IntN(2) == 0)
+func (c *cluster) replaceRunners(_ context.Context, random *rand.Rand) {
+	for _, zr := range c.runners {
+		if random.IntN(4) == 0 {
+			c.logEvent("runner %s: new incarnation", zr.Incarnation().ID)
+			zr.TakeOver(zr.Incarnation().Service, random.IntN(2) == 0)
 		}
 	}
 }
 
-// holdRequestBodies has many clients send all but the last byte of large bodies to one
-// router, each inside the limits.
-func holdRequestBodies(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	const count, size = 120, maxBodyBytes - 1
-	machine, length := pick(drawn, e.machinesByRole(router.Role)), randomDuration(drawn, clock.Second, 4*clock.Second)
-	e.logEvent("hold %d bodies at %s for %v", count, machine.Name(), length)
-	head := fmt.Sprintf("POST /desk/safe/held HTTP/1.1\r\nHost: emulator.example\r\nOnyxwell-Attempt-Id: held\r\nContent-Length: %d\r\n\r\n", size)
-	text := append([]byte(head), make([]byte, size-1)...)
-	var held []net.Conn
-	for range count {
-		conn, err := net.DialTimeout("tcp", machine.Address(localcluster.FrontPort), clock.Second)
+// holdRequestBodies has many clients send all but the last byte of large bodies
+// to one router, each within the limits of the configuration.
+func (c *cluster) holdRequestBodies(ctx context.Context, random *rand.Rand) {
+	const clients, bodyBytes = 120, maxBodyBytes - 1
+	target, length := pick(random, c.machinesByRole(router.Role)), randomDuration(random, time.Second, 4*time.Second)
+	c.logEvent("hold %d bodies at %s for %v", clients, target.Name(), length)
+	head := fmt.Sprintf("POST /desk/safe/held HTTP/1.1\r\nHost: emulator.example\r\nOnyxwell-Attempt-Id: held\r\nContent-Length: %d\r\n\r\n", bodyBytes)
+	request := append([]byte(head), make([]byte, bodyBytes-1)...)
+	var conns []net.Conn
+	var writes sync.WaitGroup
+	defer writes.Wait()
+	for range clients {
+		conn, err := net.DialTimeout("tcp", target.Address(localcluster.FrontPort), time.Second)
 		if err != nil {
 			continue
 		}
-		held = append(held, conn)
-		go func() { _, _ = conn.Write(text) }()
+		conns = append(conns, conn)
+		writes.Add(1)
+		go func() {
+			defer writes.Done()
+			_, _ = conn.Write(request)
+		}()
 	}
-	ctx.Wait(length)
-	for _, conn := range held {
+	c.wait(ctx, length)
+	for _, conn := range conns {
 		_ = conn.Close()
 	}
 }
 
-// signalDuringStartup has a daemon meet a signal soon after its start: what may come at
-// any time may come then.
-func signalDuringStartup(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	machine, signal := pick(drawn, e.machines), pick(drawn, []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM})
-	after := randomDuration(drawn, 15*clock.Millisecond, 400*clock.Millisecond)
-	old := machine.currentProcess()
-	machine.kill(0, false)
-	for process := old; process == old && ctx.Wait(clock.Millisecond); {
-		process = machine.currentProcess()
+// signalDuringStartup restarts a daemon and signals it soon after.
+func (c *cluster) signalDuringStartup(ctx context.Context, random *rand.Rand) {
+	target, signal := pick(random, c.machines), pick(random, []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM})
+	delay := randomDuration(random, 15*time.Millisecond, 400*time.Millisecond)
+	old := target.currentProcess()
+	target.kill(0, false)
+	for process := old; process == old && c.wait(ctx, time.Millisecond); {
+		process = target.currentProcess()
 	}
-	e.logEvent("early %v to %s after %v", signal, machine.Name(), after)
-	ctx.Wait(after)
+	c.logEvent("early-signal %v to %s, %v after its start", signal, target.Name(), delay)
+	c.wait(ctx, delay)
 	if signal == syscall.SIGTERM {
-		machine.terminate(ctx)
+		target.terminate(ctx)
 		return
 	}
-	machine.signal(signal)
+	target.signal(signal)
 }
--- a/soak/history.go
+++ b/soak/history.go
@@ -7,31 +7,36 @@
 	"onyxwell/base/clock"
 )
 
-// configChange is an order on the configuration.
+// configChange is a change of the configuration that an operator sent.
 type configChange struct {
-	id          string
+	// id is named by the marker route of the version that the change makes.
+	id string
+	// action is why it was sent, for the event log.
 	action      string
 	method      string
 	baseVersion int64
 	version     int64
 	body        []byte
-	valid       bool
-	sentAt      clock.Instant
-	// answeredAt is when the clear answer came; status 0 is none.
+	// valid says that the change may be acknowledged.
+	valid  bool
+	sentAt clock.Instant
+	// status is that of the clear answer, which came at answeredAt; 0 is none.
 	answeredAt clock.Instant
 	status     int
 }
 
 func (c *configChange) acknowledged() bool { return c.status == http.StatusOK }
 
-// configRead is what a read of the configuration told, and when.
+// configRead is a read of the configuration: between which instants it was in
+// flight, the version it returned, and the id of the change that made it.
 type configRead struct {
 	start, end clock.Instant
 	version    int64
 	changeID   string
 }
 
-// configHistory holds all orders and reads. The zero value is ready.
+// configHistory records all changes and reads of the configuration. The zero
+// value is ready; it is safe for concurrent use.
 type configHistory struct {
 	mu      sync.Mutex
 	changes []*configChange
@@ -39,107 +44,123 @@
 	latest  int64
 }
 
-func (c *configHistory) recordSent(sent *configChange) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.changes = append(c.changes, sent)
+// recordSent records a change before it is sent.
+func (h *configHistory) recordSent(change *configChange, now clock.Instant) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	change.sentAt = now
+	h.changes = append(h.changes, change)
 }
 
-func (c *configHistory) recordAnswer(sent *configChange, status int, now clock.Instant) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	sent.status, sent.answeredAt = status, now
-	if status == http.StatusOK && sent.valid {
-		c.latest = max(c.latest, sent.version)
+// recordAnswer records the clear answer to a change; status 0 is none.
+func (h *configHistory) recordAnswer(change *configChange, status int, now clock.Instant) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	change.status, change.answeredAt = status, now
+	if change.acknowledged() && change.valid {
+		h.latest = max(h.latest, change.version)
 	}
 }
 
-func (c *configHistory) recordRead(told configRead) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.reads = append(c.reads, told)
-	c.latest = max(c.latest, told.version)
+func (h *configHistory) recordRead(read configRead) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.reads = append(h.reads, read)
+	h.latest = max(h.latest, read.version)
 }
 
-// latestVersion is the newest version that anybody was told of.
-func (c *configHistory) latestVersion() int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.latest
+// latestVersion returns the highest version that was acknowledged or read.
+func (h *configHistory) latestVersion() int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.latest
 }
 
-// counts are how many orders were acknowledged, refused, and left unclear, and
-// the longest that an acknowledgement took.
-func (c *configHistory) counts() (acknowledged int, refused int, open int, longest clock.Span) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, sent := range c.changes {
+// fillReport counts the changes by outcome, and the reads.
+func (h *configHistory) fillReport(report *Report) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, change := range h.changes {
 		switch {
-		case sent.acknowledged():
-			acknowledged++
-			longest = max(longest, sent.answeredAt.Since(sent.sentAt))
-		case sent.status != 0:
-			refused++
+		case change.acknowledged():
+			report.Acknowledged++
+			report.LongestAck = max(report.LongestAck, change.answeredAt.Since(change.sentAt))
+		case change.status != 0:
+			report.Rejected++
 		default:
-			open++
+			report.Unknown++
 		}
 	}
-	return acknowledged, refused, open, longest
+	report.Reads = len(h.reads)
 }
 
-// check tells what no order of all acts explains.
-func (c *configHistory) check(find func(promise string, format string, facts ...any)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.checkChanges(find)
-	c.checkReads(find)
+// findingFunc takes a finding, as recorder.addFinding does.
+type findingFunc func(rule string, format string, args ...any)
+
+// check adds a finding for whatever no sequential order of the changes and reads
+// explains.
+func (h *configHistory) check(add findingFunc) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.checkChanges(add)
+	h.checkReads(add)
 }
 
-func (c *configHistory) checkChanges(find func(promise string, format string, facts ...any)) {
-	bases, versions := map[int64]*configChange{}, map[int64]*configChange{}
-	for _, sent := range c.changes {
-		if !sent.acknowledged() {
+// checkChanges finds acknowledged changes that are invalid, or that share their
+// base or their version with another: compare-and-set lets one of them win.
+func (h *configHistory) checkChanges(add findingFunc) {
+	byBase, byVersion := map[int64]*configChange{}, map[int64]*configChange{}
+	for _, change := range h.changes {
+		if !change.acknowledged() {
 			continue
 		}
-		if !sent.valid {
-			find("CONFIG", "invalid change %s to %d is acknowledged", sent.id, sent.version)
+		if !change.valid {
+			add("CONFIG", "invalid change %s to %d is acknowledged", change.id, change.version)
 		}
-		if other := bases[sent.baseVersion]; other != nil {
-			find("CONFIG", "changes %s and %s, both on version %d, are both acknowledged", other.id, sent.id, sent.baseVersion)
+		if other := byBase[change.baseVersion]; other != nil {
+			add("CONFIG", "changes %s and %s, both on version %d, are both acknowledged", other.id, change.id, change.baseVersion)
 		}
-		if other := versions[sent.version]; other != nil {
-			find("CONFIG", "changes %s and %s, both to version %d, are both acknowledged", other.id, sent.id, sent.version)
+		if other := byVersion[change.version]; other != nil {
+			add("CONFIG", "changes %s and %s, both to version %d, are both acknowledged", other.id, change.id, change.version)
 		}
-		bases[sent.baseVersion], versions[sent.version] = sent, sent
+		byBase[change.baseVersion], byVersion[change.version] = change, change
 	}
 }
 
-func (c *configHistory) checkReads(find func(promise string, format string, facts ...any)) {
-	made := map[int64]string{}
-	valid := map[string]bool{"first": true}
-	for _, sent := range c.changes {
-		valid[sent.id] = sent.valid
-		if sent.acknowledged() {
-			made[sent.version] = sent.id
+// checkReads finds versions that stand for two changes, versions made by an
+// invalid change, and stale reads.
+func (h *configHistory) checkReads(add findingFunc) {
+	madeBy := map[int64]string{}
+	valid := map[string]bool{initialID: true}
+	for _, change := range h.changes {
+		valid[change.id] = change.valid
+		if change.acknowledged() {
+			madeBy[change.version] = change.id
 		}
 	}
-	for _, told := range c.reads {
-		if id, known := made[told.version]; known && id != told.changeID {
-			find("CONFIG", "version %d is told as that of change %s, and was made by %s", told.version, told.changeID, id)
+	for _, read := range h.reads {
+		if id, ok := madeBy[read.version]; ok && id != read.changeID {
+			add("CONFIG", "version %d is read as made by change %s, and was made by %s", read.version, read.changeID, id)
 		}
-		made[told.version] = told.changeID
-		if !valid[told.changeID] {
-			find("CONFIG", "version %d of change %s is in force, which is invalid or unknown", told.version, told.changeID)
+		madeBy[read.version] = read.changeID
+		if !valid[read.changeID] {
+			add("CONFIG", "version %d of change %s is in force, which is invalid or unknown", read.version, read.changeID)
 		}
-		for _, sent := range c.changes {
-			if sent.acknowledged() && sent.answeredAt.Before(told.start) && sent.version > told.version {
-				find("STALE", "a read begun %v after the acknowledgement of version %d tells version %d", told.start.Since(sent.answeredAt), sent.version, told.version)
-			}
+		h.checkStale(read, add)
+	}
+}
+
+// checkStale finds newer versions that were acknowledged or read before the read
+// began.
+func (h *configHistory) checkStale(read configRead, add findingFunc) {
+	for _, change := range h.changes {
+		if change.acknowledged() && change.answeredAt.Before(read.start) && change.version > read.version {
+			add("STALE", "a read begun %v after the acknowledgement of version %d returns version %d", read.start.Since(change.answeredAt), change.version, read.version)
 		}
-		for _, earlier := range c.reads {
-			if earlier.end.Before(told.start) && earlier.version > told.version {
-				find("STALE", "a read begun %v after another had told version %d tells version %d", told.start.Since(earlier.end), earlier.version, told.version)
-			}
+	}
+	for _, earlier := range h.reads {
+		if earlier.end.Before(read.start) && earlier.version > read.version {
+			add("STALE", "a read begun %v after another had returned version %d returns version %d", read.start.Since(earlier.end), earlier.version, read.version)
 		}
 	}
 }
--- a/soak/link_faults.go
+++ b/soak/link_faults.go
@@ -1,68 +1,76 @@
 package soak
 
 import (
+	"context"
 	"math/rand/v2"
+	"time"
 
-	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/control/controller"
 	"onyxwell/emulator/links"
 )
 
-// withLinkFaults breaks links for a while.
-func (c *cluster) withLinkFaults(ctx scope.Scope, length clock.Span, what string, orders map[*machine]links.Faults) {
-	for machine, order := range orders {
-		c.logEvent("%s: %s %+v for %v", what, machine.Name(), order, length)
-		machine.setLinkFaults(order)
+// withLinkFaults puts faults on the links of machines for a while. Faults that
+// another call puts on the same machine meanwhile replace them.
+func (c *cluster) withLinkFaults(ctx context.Context, length time.Duration, name string, faults map[*machine]links.Faults) {
+	for target, f := range faults {
+		c.logEvent("%s: %s %+v for %v", name, target.Name(), f, length)
+		target.setLinkFaults(f)
 	}
-	ctx.Wait(length)
-	for machine := range orders {
-		machine.setLinkFaults(links.Faults{})
-		c.logEvent("%s: %s whole again", what, machine.Name())
+	c.wait(ctx, length)
+	for target := range faults {
+		target.setLinkFaults(links.Faults{})
+		c.logEvent("%s: %s healed", name, target.Name())
 	}
 }
 
-func partitionDaemon(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	target := pick(drawn, e.machines)
-	var all []string
-	for _, other := range e.machinesByRole(controller.Role) {
-		all = append(all, other.IP)
-	}
-	peers := pick(drawn, [][]string{{"*"}, all, all[:1], all[len(all)-1:]})
-	order := pick(drawn, []links.Faults{{BlockFrom: peers}, {BlockTo: peers}, {BlockFrom: peers, BlockTo: peers}})
-	e.withLinkFaults(ctx, randomDuration(drawn, 500*clock.Millisecond, 8*clock.Second), "cut", map[*machine]links.Faults{target: order})
+func (c *cluster) partitionDaemon(ctx context.Context, random *rand.Rand) {
+	target := pick(random, c.machines)
+	controllers := addresses(c.machinesByRole(controller.Role))
+	peers := pick(random, [][]string{{"*"}, controllers, controllers[:1], controllers[len(controllers)-1:]})
+	faults := pick(random, []links.Faults{{BlockFrom: peers}, {BlockTo: peers}, {BlockFrom: peers, BlockTo: peers}})
+	c.withLinkFaults(ctx, randomDuration(random, 500*time.Millisecond, 8*time.Second), "cut", map[*machine]links.Faults{target: faults})
 }
 
-func splitControllers(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	all := e.machinesByRole(controller.Role)
-	at := 1 + drawn.IntN(max(1, len(all)-1))
-	orders := map[*machine]links.Faults{}
-	for index, controller := range all {
-		var others []string
-		for place, other := range all {
-			if (place < at) != (index < at) {
-				others = append(others, other.IP)
-			}
-		}
-		orders[controller] = links.Faults{BlockFrom: others, BlockTo: others}
+func (c *cluster) splitControllers(ctx context.Context, random *rand.Rand) {
+	controllers := c.machinesByRole(controller.Role)
+	split := 1 + random.IntN(max(1, len(controllers)-1))
+	left, right := controllers[:split], controllers[split:]
+	faults := map[*machine]links.Faults{}
+	for _, m := range left {
+		faults[m] = links.Faults{BlockFrom: addresses(right), BlockTo: addresses(right)}
+	}
+	for _, m := range right {
+		faults[m] = links.Faults{BlockFrom: addresses(left), BlockTo: addresses(left)}
 	}
-	e.withLinkFaults(ctx, randomDuration(drawn, clock.Second, 6*clock.Second), "halves", orders)
+	c.withLinkFaults(ctx, randomDuration(random, time.Second, 6*time.Second), "halves", faults)
 }
 
-func delayDaemon(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	order := links.Faults{DelayMS: 20 + drawn.IntN(200)}
-	e.withLinkFaults(ctx, randomDuration(drawn, clock.Second, 6*clock.Second), "late", map[*machine]links.Faults{pick(drawn, e.machines): order})
+func (c *cluster) delayDaemon(ctx context.Context, random *rand.Rand) {
+	faults := links.Faults{DelayMS: 20 + random.IntN(200)}
+	length := randomDuration(random, time.Second, 6*time.Second)
+	target := pick(random, c.machines)
+	c.withLinkFaults(ctx, length, "late", map[*machine]links.Faults{target: faults})
 }
 
-func dropResponses(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	order := links.Faults{ResponseLoss: 0.3 + 0.6*drawn.Float64()}
-	e.withLinkFaults(ctx, randomDuration(drawn, clock.Second, 8*clock.Second), "lost", map[*machine]links.Faults{pick(drawn, e.machinesByRole(controller.Role)): order})
+func (c *cluster) dropResponses(ctx context.Context, random *rand.Rand) {
+	faults := links.Faults{ResponseLoss: 0.3 + 0.6*random.Float64()}
+	length := randomDuration(random, time.Second, 8*time.Second)
+	target := pick(random, c.machinesByRole(controller.Role))
+	c.withLinkFaults(ctx, length, "lost", map[*machine]links.Faults{target: faults})
+}
+
+func (c *cluster) dropDatagrams(ctx context.Context, random *rand.Rand) {
+	faults := map[*machine]links.Faults{}
+	for _, m := range c.machines {
+		faults[m] = links.Faults{DatagramLoss: 0.4}
+	}
+	c.withLinkFaults(ctx, randomDuration(random, time.Second, 6*time.Second), "datagrams", faults)
 }
 
-func dropDatagrams(e *cluster, ctx scope.Scope, drawn *rand.Rand) {
-	orders := map[*machine]links.Faults{}
-	for _, machine := range e.machines {
-		orders[machine] = links.Faults{DatagramLoss: 0.4}
+func addresses(machines []*machine) []string {
+	var ips []string
+	for _, m := range machines {
+		ips = append(ips, m.IP)
 	}
-	e.withLinkFaults(ctx, randomDuration(drawn, clock.Second, 6*clock.Second), "datagrams", orders)
+	return ips
 }
--- a/soak/machine.go
+++ b/soak/machine.go
@@ -1,20 +1,28 @@
 package soak
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 	"sync"
 	"syscall"
+	"time"
 
-	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/emulator/links"
 	"onyxwell/soak/localcluster"
 )
 
-// machine is one machine of the soak, on which a platform keeps a daemon running.
+const (
+	// restartDelay is how long after its end a daemon is started again.
+	restartDelay = 100 * time.Millisecond
+	// metricsPort is where each daemon serves its metrics.
+	metricsPort = 18170
+)
+
+// machine is a machine whose daemon is started again whenever it ends, as the
+// platform does.
 type machine struct {
 	localcluster.Machine
 	cluster *cluster
@@ -23,52 +31,49 @@
 
 	mu      sync.Mutex
 	process *localcluster.Process
-	// starts counts processes; asked says that the present one was asked to end,
-	// wipe that the disk is lost before the next start.
-	starts        int
+	// starts counts the processes so far.
+	starts int
+	// stopRequested says that the current process may end, downtime how long after
+	// that the next one starts, and diskLost that it starts with an empty disk.
 	stopRequested bool
+	downtime      time.Duration
 	diskLost      bool
-	downtime      clock.Span
 	linkFaults    links.Faults
-	// peakMemoryMB is the most resident memory that was seen.
+	// peakMemoryMB is the most resident memory that was sampled.
 	peakMemoryMB float64
 }
 
-const (
-	// restartDelay is after what time the platform starts a daemon again.
-	restartDelay = 100 * clock.Millisecond
-	// metricsPort is where each daemon tells its figures.
-	metricsPort = 18170
-)
-
-func newMachine(estate *cluster, layout localcluster.Machine) (*machine, error) {
-	made := &machine{Machine: layout, cluster: estate, dir: filepath.Join(estate.options.Dir, layout.Name())}
-	if _, err := estate.layout.WriteSettings(estate.options.Dir, layout); err != nil {
+func newMachine(c *cluster, place localcluster.Machine) (*machine, error) {
+	dir := c.options.Dir
+	if _, err := c.layout.WriteSettings(dir, place); err != nil {
+		return nil, err
+	}
+	log, err := os.Create(filepath.Join(dir, place.Name()+".log"))
+	if err != nil {
 		return nil, err
 	}
-	log, err := os.Create(filepath.Join(estate.options.Dir, layout.Name()+".log"))
-	made.log = log
-	return made, err
+	return &machine{Machine: place, cluster: c, dir: filepath.Join(dir, place.Name()), log: log}, nil
 }
 
-// dataDir is the folder that stands for the machine's disk.
+// dataDir is the directory that stands for the machine's disk.
 func (m *machine) dataDir() string { return filepath.Join(m.dir, "data") }
 
-func (m *machine) settingsFile() string { return filepath.Join(m.dir, "boot.toml") }
+func (m *machine) bootFile() string { return filepath.Join(m.dir, "boot.toml") }
 
-// writeSettings writes the settings file anew; seeds are turned, so that it changes.
-func (m *machine) writeSettings(first bool, turn int) error {
+// rewriteSettings replaces the boot file by one whose seeds are rotated, so that
+// its content changes.
+func (m *machine) rewriteSettings(rotation int) error {
 	seeds := m.cluster.layout.Seeds()
-	turn %= len(seeds)
-	seeds = append(append([]string{}, seeds[turn:]...), seeds[:turn]...)
-	next := m.settingsFile() + ".next"
-	if err := os.WriteFile(next, []byte(m.cluster.layout.Settings(m.Machine, m.dataDir(), first, seeds)), 0o644); err != nil {
+	rotation %= len(seeds)
+	seeds = append(append([]string{}, seeds[rotation:]...), seeds[:rotation]...)
+	next := m.bootFile() + ".next"
+	if err := os.WriteFile(next, []byte(m.cluster.layout.Settings(m.Machine, m.dataDir(), false, seeds)), 0o644); err != nil {
 		return err
 	}
-	return os.Rename(next, m.settingsFile())
+	return os.Rename(next, m.bootFile())
 }
 
-// start starts the daemon.
+// start starts the daemon, unless the run is being stopped.
 func (m *machine) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,19 +89,21 @@
 			return err
 		}
 	}
-	arguments := append(append([]string{}, m.cluster.options.DaemonCommand[1:]...), m.Role(), "--boot", m.settingsFile(),
+	command := m.cluster.options.DaemonCommand
+	arguments := append(append([]string{}, command[1:]...), m.Role(), "--boot", m.bootFile(),
 		"--log-level", "info", "--metrics", fmt.Sprintf("%d/metrics", metricsPort))
-	process, err := localcluster.Start(m.Machine, m.log, m.cluster.options.DaemonCommand[0], arguments...)
+	process, err := localcluster.Start(m.Machine, m.log, command[0], arguments...)
 	if err != nil {
 		return err
 	}
 	m.process, m.stopRequested, m.downtime = process, false, restartDelay
 	m.starts++
-	return json.NewEncoder(process.Stdin()).Encode(m.linkFaults)
+	return m.sendLinkFaults()
 }
 
-// supervise has the daemon started again whenever it ends, as the platform does.
-func (m *machine) supervise(ctx scope.Scope) {
+// supervise starts the daemon again whenever it ends, until ctx ends. An end that
+// nobody requested is a finding.
+func (m *machine) supervise(ctx context.Context) {
 	for ctx.Err() == nil {
 		process := m.currentProcess()
 		select {
@@ -105,16 +112,15 @@
 			return
 		}
 		m.mu.Lock()
-		asked, down := m.stopRequested, m.downtime
+		stopRequested, downtime, starts := m.stopRequested, m.downtime, m.starts
 		m.mu.Unlock()
-		if !asked {
+		if !stopRequested {
 			m.cluster.addFinding("EXIT", "%s of %s ended by itself: %v", m.Role(), m.Name(), process.Err())
 		}
-		if !ctx.Wait(down) {
+		if !m.cluster.wait(ctx, downtime) {
 			return
 		}
-		starts, _ := m.stats()
-		err := m.writeSettings(false, starts)
+		err := m.rewriteSettings(starts)
 		if err == nil {
 			err = m.start()
 		}
@@ -131,59 +137,82 @@
 	return m.process
 }
 
-// kill ends the daemon without asking; it stays down for the span.
-func (m *machine) kill(down clock.Span, wipe bool) {
+// signal sends the daemon a signal.
+func (m *machine) signal(signal syscall.Signal) { m.currentProcess().Signal(signal) }
+
+// kill kills the daemon, which is started again after the downtime; with loseDisk
+// it then has an empty disk.
+func (m *machine) kill(downtime time.Duration, loseDisk bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stopRequested, m.downtime, m.diskLost = true, down, m.diskLost || wipe
+	m.stopRequested, m.downtime, m.diskLost = true, downtime, m.diskLost || loseDisk
 	m.process.Signal(syscall.SIGKILL)
 }
 
-// terminate asks the daemon to leave; one that has not ended in its time is killed.
-func (m *machine) terminate(ctx scope.Scope) {
+// terminate has the daemon shut down gracefully, and kills it where it has not
+// ended within the grace period.
+func (m *machine) terminate(ctx context.Context) {
 	m.mu.Lock()
 	process := m.process
 	m.stopRequested = true
 	process.Signal(syscall.SIGTERM)
 	m.mu.Unlock()
+	plannedOnly := m.cluster.options.plannedOnly()
 	select {
 	case <-process.Done():
-		if err := process.Err(); err != nil && m.cluster.options.plannedOnly() {
-			m.cluster.addFinding("LEAVE", "%s left with %v", m.Name(), err)
+		if err := process.Err(); err != nil && plannedOnly {
+			m.cluster.addFinding("LEAVE", "%s shut down with %v", m.Name(), err)
 		}
-	case <-ctx.Clock.After(gracePeriod):
-		if m.cluster.options.plannedOnly() {
-			m.cluster.addFinding("LEAVE", "%s is still there %v after SIGTERM", m.Name(), gracePeriod)
+	case <-m.cluster.clock.After(gracePeriod):
+		if plannedOnly {
+			m.cluster.addFinding("LEAVE", "%s still runs %v after SIGTERM", m.Name(), gracePeriod)
 		}
 		process.Signal(syscall.SIGKILL)
 	case <-ctx.Done():
 	}
 }
 
-// signal sends the daemon a signal.
-func (m *machine) signal(signal syscall.Signal) { m.currentProcess().Signal(signal) }
+// prepareStop marks the end of the daemon as requested and wakes it where it is
+// paused. It returns the process, or nil where none was started.
+func (m *machine) prepareStop() *localcluster.Process {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stopRequested = true
+	if m.process != nil {
+		m.process.Signal(syscall.SIGCONT)
+	}
+	return m.process
+}
 
-// setLinkFaults replaces what is broken of the machine's links.
-func (m *machine) setLinkFaults(order links.Faults) {
+// setLinkFaults replaces the faults of the machine's links, also for the
+// processes that follow.
+func (m *machine) setLinkFaults(faults links.Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.linkFaults = order
-	_ = json.NewEncoder(m.process.Stdin()).Encode(order)
+	m.linkFaults = faults
+	// A process that has ended gets them when it is started again.
+	_ = m.sendLinkFaults()
+}
+
+// sendLinkFaults sends the faults to the current process. The caller holds m.mu.
+func (m *machine) sendLinkFaults() error {
+	return json.NewEncoder(m.process.Stdin()).Encode(m.linkFaults)
 }
 
-// stats gives how often the daemon was started and the most memory that it had.
-func (m *machine) stats() (starts int, peakMB float64) {
+// stats returns how often the daemon was started and the most memory it had.
+func (m *machine) stats() (starts int, peakMemoryMB float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.starts, m.peakMemoryMB
 }
 
-// sampleMemory notes how much memory the daemon has.
+// sampleMemory samples the memory of the daemon; one that has ended has none.
 func (m *machine) sampleMemory() {
 	residentMB, err := m.currentProcess().ResidentMB()
+	if err != nil {
+		return
+	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err == nil {
-		m.peakMemoryMB = max(m.peakMemoryMB, residentMB)
-	}
+	m.peakMemoryMB = max(m.peakMemoryMB, residentMB)
 }
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -2,220 +2,249 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/control/controller"
 	"onyxwell/soak/localcluster"
 )
 
-// operator sends orders as the protocol tells operators to.
+const (
+	configPath     = "/settings"
+	evacuationPath = "/empty/"
+	statusPath     = "/status"
+
+	// noVersion is the base version of requests without a precondition.
+	noVersion = -1
+	// callTimeout is how long a request is retried, attemptTimeout how long one
+	// attempt may take.
+	callTimeout    = 6 * time.Second
+	attemptTimeout = time.Second
+	// minBackoff is the pause after the first attempt; it doubles up to maxBackoff.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+)
+
+// retryableStatuses leave open whether the request was executed, or say that it
+// was not; it is sent again.
+var retryableStatuses = map[int]bool{
+	http.StatusRequestTimeout: true, http.StatusTooManyRequests: true, http.StatusInternalServerError: true,
+	http.StatusBadGateway: true, http.StatusServiceUnavailable: true, http.StatusGatewayTimeout: true,
+}
+
+// operator is a client of the admin API. It sends each request until it has a
+// clear answer. It is not safe for concurrent use.
 type operator struct {
 	cluster *cluster
 	random  *rand.Rand
 	client  http.Client
-	// lastAcked is the newest change of this operator that was acknowledged.
+	// lastAcked is the newest acknowledged change of this operator.
 	lastAcked *configChange
 }
 
-func newOperator(e *cluster, drawn *rand.Rand) *operator {
-	return &operator{cluster: e, random: drawn, client: http.Client{
-		Timeout: clock.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: clock.Second},
+func newOperator(c *cluster, random *rand.Rand) *operator {
+	return &operator{cluster: c, random: random, client: http.Client{
+		Timeout: attemptTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Second},
 	}}
 }
 
-// controlResponse is the clear answer to a call; status 0 is none.
+// controlResponse is the clear answer to a request; status 0 is none.
 type controlResponse struct {
 	status int
 	body   []byte
 }
 
-// callTimeout is how long a call is sent again, for want of a clear answer.
-const callTimeout = 6 * clock.Second
+// rejected reports whether the answer is clear and not 200.
+func (r controlResponse) rejected() bool { return r.status != 0 && r.status != http.StatusOK }
 
-// retryableStatuses are the statuses after which a call is sent again.
-var retryableStatuses = map[int]bool{408: true, 429: true, 500: true, 502: true, 503: true, 504: true}
-
-// do sends an order to one controller after another until it has a clear answer.
-func (o *operator) do(ctx scope.Scope, method string, path string, match int64, body []byte) controlResponse {
-	all := o.cluster.machinesByRole(controller.Role)
-	first, pause := o.random.IntN(len(all)), 20*clock.Millisecond
-	for begin, turn := ctx.Now(), 0; ctx.Now().Since(begin) < callTimeout; turn++ {
-		target := all[(first+turn)%len(all)].Address(localcluster.ControlPort)
-		if got := o.doOnce(ctx, target, method, path, match, body); got.status != 0 && !retryableStatuses[got.status] {
-			return got
+// do sends a request to one controller after another, with backoff, until it has
+// a clear answer.
+func (o *operator) do(ctx context.Context, method string, path string, baseVersion int64, body []byte) controlResponse {
+	controllers := o.cluster.machinesByRole(controller.Role)
+	first, backoff := o.random.IntN(len(controllers)), minBackoff
+	clk := o.cluster.clock
+	for start, attempt := clk.Now(), 0; clk.Now().Since(start) < callTimeout; attempt++ {
+		target := controllers[(first+attempt)%len(controllers)]
+		if resp := o.doOnce(ctx, target, method, path, baseVersion, body); resp.status != 0 && !retryableStatuses[resp.status] {
+			return resp
 		}
-		if !ctx.Wait(pause) {
+		if !o.cluster.wait(ctx, backoff) {
 			break
 		}
-		pause = min(2*pause, 400*clock.Millisecond)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return controlResponse{}
 }
 
-// doOnce sends an order to one controller.
-func (o *operator) doOnce(ctx scope.Scope, target string, method string, path string, match int64, body []byte) controlResponse {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+target+path, bytes.NewReader(body))
+// doOnce sends a request to one controller. The base version is sent as its
+// precondition, unless it is noVersion.
+func (o *operator) doOnce(ctx context.Context, target *machine, method string, path string, baseVersion int64, body []byte) controlResponse {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+target.Address(localcluster.ControlPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return controlResponse{}
 	}
-	if match >= 0 {
-		request.Header.Set("If-Match", strconv.FormatInt(match, 10))
-		request.Header.Set("Content-Type", "application/json")
+	if baseVersion >= 0 {
+		req.Header.Set("If-Match", strconv.FormatInt(baseVersion, 10))
+		req.Header.Set("Content-Type", "application/json")
 	}
-	response, err := o.client.Do(request)
+	resp, err := o.client.Do(req)
 	if err != nil {
 		return controlResponse{}
 	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return controlResponse{}
 	}
-	return controlResponse{status: response.StatusCode, body: text}
+	return controlResponse{status: resp.StatusCode, body: text}
+}
+
+// run sends one request after another until ctx ends.
+func (o *operator) run(ctx context.Context) {
+	actions := []func(context.Context){
+		o.changeConfig, o.changeConfig, o.raceChanges, o.resendLastAcked, o.sendInvalidChange, o.evacuateZone,
+		func(ctx context.Context) { o.readConfig(ctx) }, func(ctx context.Context) { o.readConfig(ctx) },
+	}
+	for o.cluster.wait(ctx, randomDuration(o.random, 20*time.Millisecond, 400*time.Millisecond)) {
+		pick(o.random, actions)(ctx)
+	}
 }
 
-// sendChange sends a change and notes what came of it.
-func (o *operator) sendChange(ctx scope.Scope, sent *configChange) controlResponse {
-	sent.sentAt = ctx.Now()
-	o.cluster.history.recordSent(sent)
-	got := o.do(ctx, sent.method, "/settings", sent.baseVersion, sent.body)
-	o.cluster.history.recordAnswer(sent, got.status, ctx.Now())
-	o.cluster.logEvent("%s %s on %d to %d (%s): %d after %v", sent.method, sent.id, sent.baseVersion, sent.version, sent.action, got.status, ctx.Now().Since(sent.sentAt))
-	return got
+// sendChange sends a change and records its outcome.
+func (o *operator) sendChange(ctx context.Context, change *configChange) controlResponse {
+	clk := o.cluster.clock
+	o.cluster.history.recordSent(change, clk.Now())
+	resp := o.do(ctx, change.method, configPath, change.baseVersion, change.body)
+	o.cluster.history.recordAnswer(change, resp.status, clk.Now())
+	o.cluster.logEvent("%s %s on %d to %d (%s): %d after %v", change.method, change.id, change.baseVersion, change.version, change.action, resp.status, clk.Now().Since(change.sentAt))
+	return resp
 }
 
-func (o *operator) newPatch(base int64, version int64, note string) *configChange {
+// newPatch returns a change that moves the marker route.
+func (o *operator) newPatch(baseVersion int64, version int64, action string) *configChange {
 	id := fmt.Sprintf("%x", o.random.Uint64())
 	body, _ := json.Marshal(patch{Version: version, Changes: patchChanges{Routes: []route{markerRoute(id)}}})
-	return &configChange{id: id, method: http.MethodPatch, baseVersion: base, version: version, body: body, valid: true, action: note}
+	return &configChange{id: id, action: action, method: http.MethodPatch, baseVersion: baseVersion, version: version, body: body, valid: true}
 }
 
-// changeConfig sends one proper change on the newest version that is known.
-func (o *operator) changeConfig(ctx scope.Scope) {
+// changeConfig sends a valid change of the latest known version.
+func (o *operator) changeConfig(ctx context.Context) {
 	base := o.cluster.history.latestVersion()
-	sent := o.newPatch(base, base+1+int64(o.random.IntN(3)), "change")
-	switch got := o.sendChange(ctx, sent); got.status {
+	change := o.newPatch(base, base+1+int64(o.random.IntN(3)), "change")
+	switch resp := o.sendChange(ctx, change); resp.status {
 	case http.StatusOK:
-		o.lastAcked = sent
+		o.lastAcked = change
 	case http.StatusPreconditionFailed:
 		o.readConfig(ctx)
 	}
 }
 
-// raceChanges has two change the same version at once.
-func (o *operator) raceChanges(ctx scope.Scope) {
+// raceChanges sends two changes of the same version at once.
+func (o *operator) raceChanges(ctx context.Context) {
 	base := o.cluster.history.latestVersion()
-	var both sync.WaitGroup
+	var racers sync.WaitGroup
 	for index := range 2 {
-		own := newOperator(o.cluster, rand.New(rand.NewPCG(o.random.Uint64(), uint64(index))))
-		sent := own.newPatch(base, base+1+int64(index*o.random.IntN(2)), "race")
-		both.Add(1)
+		racer := newOperator(o.cluster, rand.New(rand.NewPCG(o.random.Uint64(), uint64(index))))
+		change := racer.newPatch(base, base+1+int64(index*o.random.IntN(2)), "race")
+		racers.Add(1)
 		go func() {
-			defer both.Done()
-			own.sendChange(ctx, sent)
+			defer racers.Done()
+			racer.sendChange(ctx, change)
 		}()
 	}
-	both.Wait()
+	racers.Wait()
 }
 
-// sendInvalidChange sends a configuration that is invalid.
-func (o *operator) sendInvalidChange(ctx scope.Scope) {
+// sendInvalidChange sends a change that must be rejected: cut off, to an unknown
+// service, out of bounds, or to its own base version.
+func (o *operator) sendInvalidChange(ctx context.Context) {
 	base := o.cluster.history.latestVersion()
-	sent := o.newPatch(base, base+1, "invalid")
-	spoils := []func(){
-		func() { sent.body = sent.body[:len(sent.body)/2] },
+	change := o.newPatch(base, base+1, "invalid")
+	invalidate := []func(){
+		func() { change.body = change.body[:len(change.body)/2] },
+		func() {
+			change.body = bytes.Replace(change.body, []byte(`"service":"desk"`), []byte(`"service":"nobody"`), 1)
+		},
 		func() {
-			sent.body = bytes.Replace(sent.body, []byte(`"service":"desk"`), []byte(`"service":"nobody"`), 1)
+			change.body = bytes.Replace(change.body, []byte(`"give_up_ms":5000`), []byte(`"give_up_ms":0`), 1)
 		},
-		func() { sent.body = bytes.Replace(sent.body, []byte(`"give_up_ms":5000`), []byte(`"give_up_ms":0`), 1) },
-		func() { sent.version, sent.body = base, o.newPatch(base, base, "").body },
+		func() { change.version, change.body = base, o.newPatch(base, base, "").body },
 	}
-	pick(o.random, spoils)()
-	sent.valid = false
-	o.sendChange(ctx, sent)
+	pick(o.random, invalidate)()
+	change.valid = false
+	o.sendChange(ctx, change)
 }
 
-// resendLastAcked sends the last acknowledged change of this operator again.
-func (o *operator) resendLastAcked(ctx scope.Scope) {
-	if o.lastAcked == nil {
+// resendLastAcked sends the last acknowledged change again, which must be
+// acknowledged again.
+func (o *operator) resendLastAcked(ctx context.Context) {
+	change := o.lastAcked
+	if change == nil {
 		o.changeConfig(ctx)
 		return
 	}
-	got := o.do(ctx, o.lastAcked.method, "/settings", o.lastAcked.baseVersion, o.lastAcked.body)
-	if got.status != 0 && got.status != http.StatusOK {
-		o.cluster.addFinding("CONFIG", "change %s to %d was acknowledged, is sent again and gets %d: %s", o.lastAcked.id, o.lastAcked.version, got.status, got.body)
+	if resp := o.do(ctx, change.method, configPath, change.baseVersion, change.body); resp.rejected() {
+		o.cluster.addFinding("CONFIG", "change %s to %d was acknowledged, is sent again and gets %d: %s", change.id, change.version, resp.status, resp.body)
 	}
 }
 
-// readConfig reads the configuration.
-func (o *operator) readConfig(ctx scope.Scope) (version int64, found bool) {
-	begin := ctx.Now()
-	got := o.do(ctx, http.MethodGet, "/settings", -1, nil)
-	if got.status != http.StatusOK {
-		return 0, false
+// readConfig reads the configuration and records what it returned; it reports
+// whether there was an answer.
+func (o *operator) readConfig(ctx context.Context) bool {
+	start := o.cluster.clock.Now()
+	resp := o.do(ctx, http.MethodGet, configPath, noVersion, nil)
+	if resp.status != http.StatusOK {
+		return false
 	}
-	return o.recordRead(begin, ctx.Now(), got)
+	return o.cluster.recordRead(start, resp.body)
 }
 
-// recordRead keeps what a read told.
-func (o *operator) recordRead(begin clock.Instant, end clock.Instant, got controlResponse) (version int64, found bool) {
-	var told document
-	if err := json.Unmarshal(got.body, &told); err != nil {
-		o.cluster.addFinding("CONFIG", "a read is no configuration: %v", err)
-		return 0, false
-	}
-	id := ""
-	for _, route := range told.Routes {
-		if route.Name == "mark" {
-			id = strings.Trim(strings.TrimPrefix(route.PathPrefix, markerPrefix), "/")
-		}
+// recordRead records the answer to a read that was sent at start; it reports
+// whether the answer is a configuration.
+func (c *cluster) recordRead(start clock.Instant, body []byte) bool {
+	end := c.clock.Now()
+	var doc document
+	if err := json.Unmarshal(body, &doc); err != nil {
+		c.addFinding("CONFIG", "a read returns no configuration: %v", err)
+		return false
 	}
-	o.cluster.history.recordRead(configRead{start: begin, end: end, version: told.Version, changeID: id})
-	return told.Version, true
+	c.history.recordRead(configRead{start: start, end: end, version: doc.Version, changeID: doc.changeID()})
+	return true
 }
 
-// evacuateZone empties a zone for a moment.
-func (o *operator) evacuateZone(ctx scope.Scope) {
+// evacuateZone drains a zone for a moment.
+func (o *operator) evacuateZone(ctx context.Context) {
 	zone := pick(o.random, o.cluster.layout.AllZones()).Name
 	for _, method := range []string{http.MethodPost, http.MethodDelete} {
-		got := o.do(ctx, method, "/empty/"+string(zone), -1, nil)
-		if got.status != 0 && got.status != http.StatusOK {
-			o.cluster.addFinding("EVAC", "%s /empty/%s gets %d: %s", method, zone, got.status, got.body)
+		path := evacuationPath + string(zone)
+		if resp := o.do(ctx, method, path, noVersion, nil); resp.rejected() {
+			o.cluster.addFinding("EVAC", "%s %s gets %d: %s", method, path, resp.status, resp.body)
 		}
-		ctx.Wait(randomDuration(o.random, 100*clock.Millisecond, 2*clock.Second))
-	}
-}
-
-// run sends one order after another until the scope ends.
-func (o *operator) run(ctx scope.Scope) {
-	acts := []func(scope.Scope){o.changeConfig, o.changeConfig, o.raceChanges, o.resendLastAcked, o.sendInvalidChange, o.evacuateZone, func(ctx scope.Scope) { o.readConfig(ctx) }, func(ctx scope.Scope) { o.readConfig(ctx) }}
-	for ctx.Wait(randomDuration(o.random, 20*clock.Millisecond, 400*clock.Millisecond)) {
-		pick(o.random, acts)(ctx)
+		o.cluster.wait(ctx, randomDuration(o.random, 100*time.Millisecond, 2*time.Second))
 	}
 }
 
-// toleratesLoss tells whether some controller says that one more loss changes nothing
-// and all is made good.
-func (c *cluster) toleratesLoss(ctx scope.Scope) bool {
-	asker := newOperator(c, rand.New(rand.NewPCG(c.options.Seed, 0)))
-	for _, machine := range c.machinesByRole(controller.Role) {
-		got := asker.doOnce(ctx, machine.Address(localcluster.ControlPort), http.MethodGet, "/status", -1, nil)
-		var told struct {
+// toleratesLoss reports whether some controller says that all replicas are
+// complete and one more machine may be lost.
+func (c *cluster) toleratesLoss(ctx context.Context) bool {
+	op := newOperator(c, c.random(streamRedundancy))
+	for _, target := range c.machinesByRole(controller.Role) {
+		resp := op.doOnce(ctx, target, http.MethodGet, statusPath, noVersion, nil)
+		var status struct {
 			Redundancy struct {
-				Bears int  `json:"bears_losses"`
-				Whole bool `json:"whole"`
+				ToleratedLosses int  `json:"bears_losses"`
+				Complete        bool `json:"whole"`
 			} `json:"redundancy"`
 		}
-		if json.Unmarshal(got.body, &told) == nil && told.Redundancy.Bears >= 1 && told.Redundancy.Whole {
+		if json.Unmarshal(resp.body, &status) == nil && status.Redundancy.ToleratedLosses >= 1 && status.Redundancy.Complete {
 			return true
 		}
 	}
--- a/soak/options.go
+++ b/soak/options.go
@@ -1,116 +1,125 @@
-// Package soak runs the product's own daemons as real processes on loopback
-// sockets, lets troubles loose on them that overlap in time, has clients and
-// operators go on meanwhile, and judges afterwards whether every promise was
-// kept. What is drawn from a seed is drawn the same again; what the processes
-// make of it varies from run to run.
+// Package soak runs the daemons as real processes on loopback addresses, injects
+// faults that overlap in time while clients and operators go on, and checks
+// afterwards whether every guarantee held.
+//
+// Everything that is drawn at random is drawn from the seed, so a seed repeats
+// the same faults and the same requests. What the processes make of them varies
+// from run to run.
 package soak
 
 import (
 	"errors"
 	"fmt"
 	"strings"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/emulator/runner"
 	"onyxwell/soak/localcluster"
 )
 
-// Options are one run.
+// Options are the size, the load and the faults of a run.
 type Options struct {
 	Seed uint64
-	// Duration is the time in which troubles begin.
-	Duration clock.Span
-	// FaultsPerBurst is how many troubles begin close to each other, Every the time
-	// between such moments.
+	// Duration is the time in which faults are injected.
+	Duration time.Duration
+	// FaultsPerBurst is how many faults begin within a second of each other,
+	// BurstInterval the mean time between such bursts.
 	FaultsPerBurst int
-	BurstInterval  clock.Span
-	// Faults are the troubles that are drawn; none is all.
-	Faults    []string
-	Regions   int
-	Zones     int
-	Routers   int
-	Runners   int
+	BurstInterval  time.Duration
+	// Faults are the names of the faults to draw from; none is all.
+	Faults []string
+	// Zones counts the zones of each region, Routers the routers of each zone, and
+	// Runners those of the whole cluster.
+	Regions int
+	Zones   int
+	Routers int
+	Runners int
+	// Clients and Operators each have one request in flight.
 	Clients   int
 	Operators int
-	// RunnerFaults are the troubles of runners, Rude the part of rude requests.
-	RunnerFaults  runner.FaultRates
+	// RunnerFaults are the rates at which runners misbehave.
+	RunnerFaults runner.FaultRates
+	// MalformedRate is the fraction of requests, 0 to 1, that no client should send.
 	MalformedRate float64
-	// Subnet is the second byte of the loopback addresses.
+	// Subnet is the second byte of the loopback addresses; see localcluster.Layout.
 	Subnet int
-	// Dir is where logs and disks are kept.
+	// Dir is where logs and data directories are written.
 	Dir string
-	// DaemonCommand is the command line that runs one daemon of the soak (see Serve).
+	// DaemonCommand is the command line to which a role and its flags are appended,
+	// and which then calls RunDaemon with them.
 	DaemonCommand []string
-	// Say is told what happens, line by line.
-	Say func(text string)
 }
 
-// DefaultOptions are a run of three controllers and six routers.
+// DefaultOptions returns a run of three controllers and six routers.
 func DefaultOptions() Options {
 	return Options{
-		Seed: 1, Duration: 30 * clock.Second, FaultsPerBurst: 3, BurstInterval: 3 * clock.Second,
+		Seed: 1, Duration: 30 * time.Second, FaultsPerBurst: 3, BurstInterval: 3 * time.Second,
 		Regions: 3, Zones: 1, Routers: 2, Runners: 9, Clients: 12, Operators: 3, MalformedRate: 0.02, Subnet: 40,
 	}
 }
 
-// Validate tells all that is wrong with the options.
+const (
+	maxDaemons       = 60
+	minDuration      = time.Second
+	maxDuration      = 10 * time.Minute
+	minBurstInterval = 500 * time.Millisecond
+)
+
+// Validate returns an error that names every invalid option by its flag.
 func (o Options) Validate() error {
-	var found []error
-	for _, number := range []struct {
-		name        string
-		value       int
-		least, most int
+	var errs []error
+	for _, option := range []struct {
+		flag     string
+		value    int
+		min, max int
 	}{
 		{"overlap", o.FaultsPerBurst, 0, 10}, {"regions", o.Regions, 1, 9}, {"zones", o.Zones, 1, 9},
 		{"routers", o.Routers, 1, 10}, {"runners", o.Runners, 2, 100}, {"clients", o.Clients, 1, 500},
 		{"operators", o.Operators, 0, 20}, {"subnet", o.Subnet, 3, 200},
 	} {
-		if number.value < number.least || number.value > number.most {
-			found = append(found, fmt.Errorf("%s %d: %d to %d is wanted", number.name, number.value, number.least, number.most))
+		if option.value < option.min || option.value > option.max {
+			errs = append(errs, fmt.Errorf("%s %d: %d to %d is wanted", option.flag, option.value, option.min, option.max))
 		}
 	}
-	if daemons := o.Regions * o.Zones * (o.Routers + 1); daemons > 60 {
-		found = append(found, fmt.Errorf("%d daemons: 60 at the most", daemons))
+	if daemons := o.Regions * o.Zones * (o.Routers + 1); daemons > maxDaemons {
+		errs = append(errs, fmt.Errorf("%d daemons: %d at the most", daemons, maxDaemons))
 	}
-	if o.Duration < clock.Second || o.Duration > 10*60*clock.Second {
-		found = append(found, fmt.Errorf("length %v: 1s to 10m is wanted", o.Duration))
+	if o.Duration < minDuration || o.Duration > maxDuration {
+		errs = append(errs, fmt.Errorf("length %v: 1s to 10m is wanted", o.Duration))
 	}
-	if o.BurstInterval < clock.Second/2 {
-		found = append(found, fmt.Errorf("every %v: 500ms or more is wanted", o.BurstInterval))
+	if o.BurstInterval < minBurstInterval {
+		errs = append(errs, fmt.Errorf("every %v: 500ms or more is wanted", o.BurstInterval))
 	}
 	if !(o.MalformedRate >= 0 && o.MalformedRate <= 1) {
-		found = append(found, fmt.Errorf("rude %g: 0 to 1 is wanted", o.MalformedRate))
+		errs = append(errs, fmt.Errorf("rude %g: 0 to 1 is wanted", o.MalformedRate))
 	}
 	for _, name := range o.Faults {
-		if _, known := faultByName(name); !known {
-			found = append(found, fmt.Errorf("trouble %q: one of %s is wanted", name, strings.Join(FaultNames(), ", ")))
+		if _, ok := faultByName(name); !ok {
+			errs = append(errs, fmt.Errorf("trouble %q: one of %s is wanted", name, strings.Join(FaultNames(), ", ")))
 		}
 	}
-	return errors.Join(found...)
+	return errors.Join(errs...)
 }
 
-// ReproduceCommand is the command line that plays the run again.
+// ReproduceCommand returns the command line that runs the seed again.
 func (o Options) ReproduceCommand() string {
-	text := fmt.Sprintf("soak run --from %d --seeds 1 --length %v --overlap %d --every %v --regions %d --zones %d --routers %d --runners %d --clients %d --operators %d --rude %g",
+	command := fmt.Sprintf("soak run --from %d --seeds 1 --length %v --overlap %d --every %v --regions %d --zones %d --routers %d --runners %d --clients %d --operators %d --rude %g",
 		o.Seed, o.Duration, o.FaultsPerBurst, o.BurstInterval, o.Regions, o.Zones, o.Routers,
 		o.Runners, o.Clients, o.Operators, o.MalformedRate)
 	if len(o.RunnerFaults) > 0 {
-		text += " --mix all"
+		command += " --mix all"
 	}
-	for _, kind := range o.Faults {
-		text += " --trouble " + kind
+	for _, name := range o.Faults {
+		command += " --trouble " + name
 	}
-	return text
+	return command
 }
 
-// Bounds of the deployment that a soak runs; those of layout.Settings.
 const (
-	gracePeriod    = 4 * clock.Second
-	applyWithin    = 3 * clock.Second
-	evacuateWithin = 5 * clock.Second
-	recoverWithin  = 12 * clock.Second
-	catchUpWithin  = 4 * clock.Second
-	memoryLimitMB  = 184
+	// gracePeriod is the time that a daemon has to shut down.
+	gracePeriod = 4 * time.Second
+	// memoryLimitMB is the memory that a daemon may have.
+	memoryLimitMB = 184
 )
 
 func (o Options) layout() localcluster.Layout {
@@ -120,14 +129,14 @@
 	}
 }
 
-// plannedOnly tells whether nothing but planned work is played, so that no request
-// may be cut.
+// plannedOnly reports whether only planned work is injected. Then no request may
+// be lost and every daemon must shut down gracefully.
 func (o Options) plannedOnly() bool {
 	if len(o.Faults) == 0 || len(o.RunnerFaults) > 0 {
 		return false
 	}
 	for _, name := range o.Faults {
-		if kind, _ := faultByName(name); !kind.planned {
+		if f, _ := faultByName(name); !f.planned {
 			return false
 		}
 	}
--- a/soak/process_checks.go
+++ b/soak/process_checks.go
@@ -2,62 +2,73 @@
 
 import (
 	"bufio"
-	"fmt"
-	"net/http"
+	"context"
 	"os"
 	"strings"
+	"time"
+)
 
-	"onyxwell/base/clock"
-	"onyxwell/base/scope"
+const (
+	// metricsWithin is how long a daemon may take to serve its metrics.
+	metricsWithin = time.Second
+	// maxLogLineBytes is the length of the longest log line that is read.
+	maxLogLineBytes = 1 << 20
 )
 
-// checkInvariantMetrics wants every daemon's figures, and no violation among them.
-func (c *cluster) checkInvariantMetrics(ctx scope.Scope) {
-	for _, machine := range c.machines {
-		text := ""
-		if !c.waitUntilEmpty(ctx, clock.Second, func() string {
-			status := 0
-			if status, text = httpGet(machine.Address(metricsPort), "/metrics"); status != http.StatusOK {
-				return fmt.Sprint(status)
-			}
-			return ""
-		}) {
-			c.addFinding("SIGHT", "%s does not tell its figures", machine.Name())
+// checkInvariantMetrics checks that every daemon serves its metrics and counts no
+// violated invariant.
+func (c *cluster) checkInvariantMetrics(ctx context.Context) {
+	for _, m := range c.machines {
+		metrics := ""
+		if err := c.eventually(ctx, metricsWithin, func() (err error) {
+			metrics, err = get(ctx, m.Address(metricsPort), "/metrics")
+			return err
+		}); err != nil {
+			c.addFinding("SIGHT", "%s does not serve its metrics: %v", m.Name(), err)
 		}
-		for _, line := range strings.Split(text, "\n") {
+		for _, line := range strings.Split(metrics, "\n") {
 			if strings.HasPrefix(line, "onyxwell_invariant_violations_total") && !strings.HasSuffix(line, " 0") {
-				c.addFinding("INVARIANT", "%s: %s", machine.Name(), line)
+				c.addFinding("INVARIANT", "%s: %s", m.Name(), line)
 			}
 		}
 	}
 }
 
+// checkMemory checks the peak memory of every daemon against the limit of its
+// boot file.
 func (c *cluster) checkMemory(report *Report) {
-	for _, machine := range c.machines {
-		_, peakMB := machine.stats()
+	for _, m := range c.machines {
+		_, peakMB := m.stats()
 		report.PeakMemoryMB = max(report.PeakMemoryMB, peakMB)
 		if peakMB > memoryLimitMB {
-			c.addFinding("MEMORY", "%s had %.0f MB of %d", machine.Name(), peakMB, memoryLimitMB)
+			c.addFinding("MEMORY", "%s had %.0f MB of %d", m.Name(), peakMB, memoryLimitMB)
 		}
 	}
 }
 
-// checkLogs looks for violations and panics of processes that are gone.
+// checkLogs looks in the logs for violated invariants and panics, also those of
+// processes that have ended, whose metrics are gone.
 func (c *cluster) checkLogs() {
-	for _, machine := range c.machines {
-		file, err := os.Open(machine.log.Name())
-		if err != nil {
-			c.addFinding("SOAK", "the log of %s: %v", machine.Name(), err)
-			continue
+	for _, m := range c.machines {
+		if err := c.checkLog(m); err != nil {
+			c.addFinding("SOAK", "the log of %s: %v", m.Name(), err)
 		}
-		lines := bufio.NewScanner(file)
-		lines.Buffer(nil, 1<<20)
-		for lines.Scan() {
-			text := lines.Text()
-			if strings.Contains(text, `"part":"invariant"`) || strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
-				c.addFinding("INVARIANT", "%s: %.400s", machine.Name(), text)
-			}
+	}
+}
+
+func (c *cluster) checkLog(m *machine) error {
+	file, err := os.Open(m.log.Name())
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, maxLogLineBytes)
+	for lines.Scan() {
+		line := lines.Text()
+		if strings.Contains(line, `"part":"invariant"`) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
+			c.addFinding("INVARIANT", "%s: %.400s", m.Name(), line)
 		}
-		_ = file.Close()
 	}
+	return lines.Err()
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -1,185 +1,172 @@
 package soak
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net/http"
-	"os"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
+	"onyxwell/data/router"
 	"onyxwell/emulator/client"
+	"onyxwell/soak/localcluster"
 )
 
-// Report is what a run saw.
-type Report struct {
-	Options  Options
-	Findings []Finding
-	// Requests were sent by clients, Served had a whole success.
-	Requests, Served int64
-	// Acknowledged, Refused and Open count changes of the configuration; Longest
-	// is the longest that an acknowledgement took.
-	Acknowledged, Rejected, Unknown int
-	LongestAck                      clock.Span
-	Reads                           int
-	// ProcessStarts counts the processes that were started, Troubles what was played.
-	ProcessStarts int
-	Faults        map[string]int
-	// Recovery is how long after all trouble everything served again, Force how long
-	// the last change took to be in force everywhere, PeakMemoryMB the most memory that
-	// a daemon had.
-	Recovery, Propagation clock.Span
-	PeakMemoryMB          float64
-}
+const (
+	bootstrapInterval = 100 * time.Millisecond
+	// maxFaultDelay is the longest time from the start of a burst to a fault of it.
+	maxFaultDelay = time.Second
+	// settleTime is how long clients and operators go on after the last fault.
+	settleTime = time.Second
+
+	clientInterval = 4 * time.Millisecond
+	// clientTimeout is the deadline that most clients send, and how long they wait
+	// beyond it.
+	clientTimeout = 2 * time.Second
+)
 
-// Run plays one run. It ends all that it started, also when the scope ends.
-func Run(top scope.Scope, options Options) (Report, error) {
+// Run makes one run. When it returns, or ctx ends, everything that it started has
+// been stopped.
+func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Validate(); err != nil {
 		return Report{}, err
 	}
-	ctx, end := top.WithCancel()
-	e, err := newCluster(ctx, options)
-	defer func() {
-		end()
-		if e != nil {
-			e.close()
-		}
-	}()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	c, err := newCluster(ctx, clock.NewMonotonic(), options)
+	if c != nil {
+		defer c.close()
+		defer cancel() // before close
+	}
 	if err != nil {
 		return Report{}, err
 	}
 	report := Report{Options: options, Faults: map[string]int{}}
-	go e.sampleMemory(ctx)
-	if !e.bootstrap(ctx) {
-		return report, fmt.Errorf("soak: the deployment does not serve: see the logs in %s", options.Dir)
+	if err := c.bootstrap(ctx); err != nil {
+		return report, err
 	}
-	e.runWorkload(ctx, &report)
-	e.check(ctx, &report)
-	e.fillReport(&report)
+	c.runWorkload(ctx, &report)
+	c.checkGuarantees(ctx, &report)
+	c.fillReport(&report)
 	return report, nil
 }
 
-// bootstrap sends the first configuration and waits until all routers are ready.
-func (c *cluster) bootstrap(ctx scope.Scope) bool {
-	asker := newOperator(c, rand.New(rand.NewPCG(c.options.Seed, 1)))
+// bootstrap sends the initial configuration and waits until all routers are
+// ready.
+func (c *cluster) bootstrap(ctx context.Context) error {
 	body, err := json.Marshal(initialDocument())
 	if err != nil {
-		return false
+		return err
 	}
-	first := &configChange{id: "first", method: http.MethodPut, baseVersion: 0, version: 1, body: body, valid: true, action: "first"}
-	for begin := ctx.Now(); ctx.Now().Since(begin) < recoverWithin; {
+	op := newOperator(c, c.random(streamBootstrap))
+	initial := &configChange{id: initialID, method: http.MethodPut, baseVersion: 0, version: 1, body: body, valid: true, action: "initial"}
+	for start := c.clock.Now(); c.clock.Now().Since(start) < localcluster.RecoverWithin; {
 		if c.history.latestVersion() == 0 {
-			asker.sendChange(ctx, first)
+			op.sendChange(ctx, initial)
 		}
-		if c.history.latestVersion() > 0 && c.firstNotReady() == "" {
-			return true
+		if c.history.latestVersion() > 0 && c.checkReady(ctx) == nil {
+			return nil
 		}
-		if !ctx.Wait(100 * clock.Millisecond) {
-			return false
+		if !c.wait(ctx, bootstrapInterval) {
+			break
 		}
 	}
-	return false
+	return fmt.Errorf("soak: the cluster does not serve: see the logs in %s", c.options.Dir)
 }
 
-// runWorkload has clients, operators and troubles go on together until the length is over.
-func (c *cluster) runWorkload(ctx scope.Scope, report *Report) {
-	working, rest := ctx.WithCancel()
-	var workers, troubles sync.WaitGroup
-	for index := range c.options.Clients {
+// runWorkload runs clients, operators and faults together, and returns when all
+// have ended.
+func (c *cluster) runWorkload(ctx context.Context, report *Report) {
+	working, stop := context.WithCancel(ctx)
+	defer stop()
+	var workers, faults sync.WaitGroup
+	for range c.options.Clients {
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			c.runClient(working, index)
+			c.runClient(working)
 		}()
 	}
 	for index := range c.options.Operators {
-		own := newOperator(c, rand.New(rand.NewPCG(c.options.Seed, uint64(100+index))))
+		op := newOperator(c, c.random(streamOperator+uint64(index)))
 		workers.Add(1)
 		go func() {
 			defer workers.Done()
-			own.run(working)
+			op.run(working)
 		}()
 	}
-	c.injectFaults(ctx, report, &troubles)
-	troubles.Wait()
-	// Clients and operators go on a little when all is over.
-	ctx.Wait(clock.Second)
-	rest()
+	c.injectFaults(ctx, report.Faults, &faults)
+	faults.Wait()
+	c.wait(ctx, settleTime)
+	stop()
 	workers.Wait()
 }
 
-// injectFaults begins the troubles at their moments.
-func (c *cluster) injectFaults(ctx scope.Scope, report *Report, troubles *sync.WaitGroup) {
-	drawn := rand.New(rand.NewPCG(c.options.Seed, 2))
+// injectFaults begins a burst of faults after every interval, for the duration of
+// the run. It counts them by name and adds each to running until it is over.
+func (c *cluster) injectFaults(ctx context.Context, counts map[string]int, running *sync.WaitGroup) {
+	random := c.random(streamFaults)
 	names := c.options.Faults
 	if len(names) == 0 {
 		names = FaultNames()
 	}
-	for begin := ctx.Now(); ctx.Now().Since(begin) < c.options.Duration; {
+	interval := c.options.BurstInterval
+	for start := c.clock.Now(); c.clock.Now().Since(start) < c.options.Duration; {
 		for range c.options.FaultsPerBurst {
-			kind, _ := faultByName(pick(drawn, names))
-			own, after := rand.New(rand.NewPCG(drawn.Uint64(), 3)), randomDuration(drawn, 0, clock.Second)
-			report.Faults[kind.name]++
-			troubles.Add(1)
+			f, _ := faultByName(pick(random, names))
+			ownRandom, delay := rand.New(rand.NewPCG(random.Uint64(), streamFault)), randomDuration(random, 0, maxFaultDelay)
+			counts[f.name]++
+			running.Add(1)
 			go func() {
-				defer troubles.Done()
-				if ctx.Wait(after) {
-					kind.inject(c, ctx, own)
+				defer running.Done()
+				if c.wait(ctx, delay) {
+					f.inject(c, ctx, ownRandom)
 				}
 			}()
 		}
-		if !ctx.Wait(randomDuration(drawn, c.options.BurstInterval/2, c.options.BurstInterval*3/2)) {
+		if !c.wait(ctx, randomDuration(random, interval/2, interval*3/2)) {
 			return
 		}
 	}
 }
 
-// runClient sends one request after another.
-func (c *cluster) runClient(ctx scope.Scope, index int) {
-	routers := c.machinesByRole("router")
-	own := &client.Client{
-		RouterAddress: func(router int) string { return routers[router].Address(frontPort) },
-		Grace:         2 * clock.Second, Checker: &c.oracle,
+// runClient sends one request after another until ctx ends; the last one is
+// still completed.
+func (c *cluster) runClient(ctx context.Context) {
+	routers := c.machinesByRole(router.Role)
+	cl := &client.Client{
+		RouterAddress: func(index int) string { return routers[index].Address(localcluster.FrontPort) },
+		Grace:         clientTimeout, Checker: &c.checker,
 	}
-	defer own.Close()
-	draw := client.Generator{
-		Seed: c.options.Seed, Routers: len(routers), Services: serviceNames, Timeout: 2 * clock.Second, MalformedRate: c.options.MalformedRate,
+	defer cl.Close()
+	generator := client.Generator{
+		Seed: c.options.Seed, Routers: len(routers), Services: serviceNames, Timeout: clientTimeout, MalformedRate: c.options.MalformedRate,
 	}
-	finish := ctx.WithoutCancel()
-	for ctx.Wait(4 * clock.Millisecond) {
-		asked := draw.Request(int(c.requests.Add(1)))
-		begin := ctx.Now()
-		got := own.Send(finish, asked)
-		c.oracle.RecordResponse(got)
-		if got.Status == http.StatusOK && got.Complete {
+	sending := c.scope(context.WithoutCancel(ctx))
+	for c.wait(ctx, clientInterval) {
+		req := generator.Request(int(c.requests.Add(1)))
+		start := c.clock.Now()
+		resp := cl.Send(sending, req)
+		c.checker.RecordResponse(resp)
+		if resp.Status == http.StatusOK && resp.Complete {
 			c.served.Add(1)
 		}
-		if c.options.plannedOnly() && !got.Complete && !asked.Abandons && ctx.Now().Since(begin) < callTimeout {
-			c.unanswered.Store(asked.Record.Attempt, fmt.Sprintf("status %d at %s: %s", got.Status, routers[asked.Router].Name(), got.Note))
+		if c.options.plannedOnly() && !resp.Complete && !req.Abandons && c.clock.Now().Since(start) < callTimeout {
+			c.unanswered.Store(req.Record.Attempt, fmt.Sprintf("status %d at %s: %s", resp.Status, routers[req.Router].Name(), resp.Note))
 		}
 	}
 }
 
-// Print prints the report.
-func (r Report) Print(out io.Writer) {
-	fmt.Fprintf(out, "seed %d: %d requests, %d served; changes: %d acknowledged, %d refused, %d unclear, longest acknowledgement %.2f s; %d reads; %d processes started; troubles %v; all served %.2f s after trouble, a change in force everywhere after %.2f s; at most %.0f MB\n",
-		r.Options.Seed, r.Requests, r.Served, r.Acknowledged, r.Rejected, r.Unknown, r.LongestAck.Seconds(), r.Reads,
-		r.ProcessStarts, r.Faults, r.Recovery.Seconds(), r.Propagation.Seconds(), r.PeakMemoryMB)
-	for _, finding := range r.Findings {
-		fmt.Fprintf(out, "  %s: %s\n", finding.Rule, finding.Detail)
-	}
-	if len(r.Findings) > 0 {
-		fmt.Fprintf(out, "  again: %s\n  logs: %s\n", r.Options.ReproduceCommand(), r.Options.Dir)
-	}
-}
-
-// RemoveDirIfClean removes the folder of a run that found nothing.
-func (r Report) RemoveDirIfClean() error {
-	if len(r.Findings) > 0 {
-		return nil
+// fillReport sums up what the run recorded.
+func (c *cluster) fillReport(report *Report) {
+	report.Requests, report.Served = c.requests.Load(), c.served.Load()
+	c.history.fillReport(report)
+	for _, m := range c.machines {
+		starts, _ := m.stats()
+		report.ProcessStarts += starts
 	}
-	return os.RemoveAll(r.Options.Dir)
+	report.Findings = c.allFindings()
 }
