--- a/cmd/soak/run.go
+++ b/cmd/soak/run.go
@@ -31,7 +31,7 @@
 	Runners   int           `help:"Model runners." default:"9"`
 	Clients   int           `help:"Clients, each with one request in flight." default:"12"`
 	Operators int           `help:"Operators, each with one command in flight." default:"3"`
-	Rude      float64       `help:"The fraction of abusive requests: those that no client should send." default:"0.02"`
+	Rude      float64       `help:"The fraction of malformed requests, 0 to 1, which no client should send." default:"0.02"`
 	Mix       string        `help:"The faults of runners: none, or all at the emulator's rates." enum:"none,all" default:"none"`
 	Subnet    int           `help:"The second byte of the loopback addresses of the first job; further jobs have later ones." default:"40"`
 	Folder    string        `help:"Where logs and data directories are kept; those of runs without a finding are removed." default:"soak-logs"`
--- a/soak/run.go
+++ b/soak/run.go
@@ -28,8 +28,9 @@
 	clientTimeout = 2 * time.Second
 )
 
-// Run makes one run. When it returns, or ctx ends, everything that it started has
-// been stopped.
+// Run makes one run; it ends early when ctx ends. Everything that it started has
+// been stopped when it returns. An error says that the run could not be made, or
+// that the cluster did not come up; broken guarantees are findings of the report.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Validate(); err != nil {
 		return Report{}, err
@@ -39,7 +40,8 @@
 	c, err := newCluster(ctx, clock.NewMonotonic(), options)
 	if c != nil {
 		defer c.close()
-		defer cancel() // before close
+		// The supervisors that close awaits end with ctx, so it is cancelled first.
+		defer cancel()
 	}
 	if err != nil {
 		return Report{}, err
