--- a/emulator/piece/payload.go
+++ b/emulator/piece/payload.go
@@ -1,6 +1,6 @@
-// Package piece makes the bodies of emulated answers: every line and event
-// carries the attempt, the service and the seal of the run that made it, so that
-// one byte of another request is seen at once.
+// Package piece builds the bodies of emulated responses. Every line and event
+// carries the attempt, the service and the seal of the run that produced it, so
+// that a single byte of another run's response can be told.
 package piece
 
 import (
@@ -9,31 +9,33 @@
 	"strings"
 )
 
-// Source is the run that a body comes from.
+// Source is the run that produced a body.
 type Source struct {
 	Attempt string
 	Service string
-	// Seal is the run's own stamp, told apart from all others.
+	// Seal identifies the run. No two runs have the same.
 	Seal string
 }
 
-// Hash mixes words to one number, the same on every machine.
+// Hash returns a hash of the words that is the same on every machine. It is FNV-1a
+// with the finalizer of MurmurHash3, so that all bits depend on all input.
 func Hash(words ...string) uint64 {
 	digest := fnv.New64a()
 	for _, word := range words {
 		_, _ = digest.Write([]byte(word))
 		_, _ = digest.Write([]byte{0})
 	}
-	mixed := digest.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	mixed ^= mixed >> 33
-	mixed *= 0xc4ceb9fe1a85ec53
-	return mixed ^ mixed>>33
+	h := digest.Sum64()
+	h ^= h >> 33
+	h *= 0xff51afd7ed558ccd
+	h ^= h >> 33
+	h *= 0xc4ceb9fe1a85ec53
+	return h ^ h>>33
 }
 
-// maxLines and maxPadding bound bodies; one piece in longLineEvery is long enough
-// to reach over the buffers of whoever carries it.
+// Bounds of a body: at most maxLines lines, each with less than maxPadding bytes
+// of padding. One line in longLineEvery gets longPadding instead, which is more
+// than the buffers of the readers on the way hold.
 const (
 	maxLines      = 8
 	maxPadding    = 40
@@ -41,31 +43,32 @@
 	longPadding   = 5000
 )
 
-// LineCount is how many pieces the answer to an attempt has, whichever run makes it.
+// LineCount returns how many lines or events the complete response to an attempt
+// has. It does not depend on the run.
 func LineCount(attempt string) int { return 1 + int(Hash(attempt, "total")%maxLines) }
 
-// Line is the text of one piece, without an end of line.
+// Line returns the text of a line, counted from 1, without its end of line.
 func (s Source) Line(number int) string {
-	mark := Hash(s.Attempt, "padding", fmt.Sprint(number))
-	padding := int(mark % maxPadding)
-	if mark%longLineEvery == 0 {
+	hash := Hash(s.Attempt, "padding", fmt.Sprint(number))
+	padding := int(hash % maxPadding)
+	if hash%longLineEvery == 0 {
 		padding = longPadding
 	}
 	return fmt.Sprintf("%s %s %s %d/%d %s.", s.Attempt, s.Service, s.Seal, number, LineCount(s.Attempt),
 		strings.Repeat(string(rune('a'+number)), padding))
 }
 
-// Body is the whole body of an answer that is no stream.
+// Body returns the complete body of a response that is not streamed.
 func (s Source) Body() string {
-	var text strings.Builder
+	var body strings.Builder
 	for number := 1; number <= LineCount(s.Attempt); number++ {
-		text.WriteString(s.Line(number))
-		text.WriteByte('\n')
+		body.WriteString(s.Line(number))
+		body.WriteByte('\n')
 	}
-	return text.String()
+	return body.String()
 }
 
-// Event is one event of a stream, as its bytes go over the wire.
+// Event returns an event of a streamed response, as its bytes go over the wire.
 func (s Source) Event(number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", number, s.Line(number))
 }
