--- a/emulator/oracle/checker.go
+++ b/emulator/oracle/checker.go
@@ -1,6 +1,7 @@
-// Package oracle holds what clients asked, what ran at which runner and what the
-// clients got, by attempt id, and says afterwards which rules were broken. It
-// knows nothing of sockets and clocks.
+// Package oracle checks that routers keep every response with its request and
+// repeat nothing that must run once. It records, by attempt id, what clients
+// sent, what reached which runner and what the clients received, and reports the
+// violated rules. It uses neither sockets nor clocks.
 package oracle
 
 import (
@@ -10,31 +11,31 @@
 	"sync"
 )
 
-// Kind says what may be repeated, and how an attempt is answered.
+// Kind says whether an attempt may be repeated, and how it is answered.
 type Kind string
 
-// The kinds of attempts.
+// The kinds of attempts. Requests carry them in their paths.
 const (
 	Safe      Kind = "safe"
 	Unsafe    Kind = "unsafe"
 	Stream    Kind = "stream"
 	Resumable Kind = "resumable"
-	// Malformed requests are wrong in themselves: no runner may see them.
+	// Malformed requests must not reach any runner.
 	Malformed Kind = "rude"
 )
 
-// Idempotent tells whether an attempt of the kind may run more than once.
+// Idempotent reports whether an attempt of the kind may run more than once.
 func (k Kind) Idempotent() bool { return k == Safe || k == Resumable }
 
-// Streams tells whether the answer is a series of events.
+// Streams reports whether the response is a series of events.
 func (k Kind) Streams() bool { return k == Stream || k == Resumable }
 
-// Fingerprint is what must reach a runner as the client sent it.
+// Fingerprint is the part of a request that must reach a runner unchanged.
 type Fingerprint struct {
 	Method string
 	Target string
 	Host   string
-	// Body is a digest of the body.
+	// Body is a hash of the body.
 	Body uint64
 }
 
@@ -44,64 +45,63 @@
 	Kind        Kind
 	Service     string
 	Fingerprint Fingerprint
-	// LastEventID is the id of the last event that the client has; 0 is none.
+	// LastEventID is the id of the last event that the client has, 0 if it has
+	// none.
 	LastEventID int
-	// Note is shown with the history.
+	// Note is shown in the attempt's history.
 	Note string
 }
 
-func noteSuffix(text string) string {
-	if text == "" {
-		return ""
-	}
-	return ", " + text
-}
-
-// Run is a request that arrived whole at a runner.
+// Run is a request that arrived at a runner.
 type Run struct {
 	Attempt     string
 	Runner      string
 	Service     string
 	Seal        string
 	Fingerprint Fingerprint
-	// Rejected says that the runner turned it away and will never run it.
+	// Rejected says that the runner did not run the request and never will.
 	Rejected bool
 	// Status is what the runner answered, or would have.
 	Status int
 	// LastEventID is the event after which the run began.
 	LastEventID int
-	// DeclaredLength is the length that the runner gave its body where that's shorter
-	// than the body; 0 is the whole.
+	// DeclaredLength is the Content-Length of a response where that is shorter
+	// than the body, otherwise 0.
 	DeclaredLength int
-	// BodyUnread says that the runner answers before it has read the body.
+	// BodyUnread says that the runner responds before it has read the body.
 	BodyUnread bool
-	Faults     []string
+	// Faults are the names of those that were injected.
+	Faults []string
 }
 
-// Response is what a client got for an attempt.
+// Response is what a client received for an attempt.
 type Response struct {
 	Attempt string
-	// Status is 0 where no head of an answer came.
+	// Status is 0 where no head of a response came.
 	Status int
-	// EchoedAttempt and Seal are the heads with which runners mark their answers.
+	// EchoedAttempt and Seal are the headers by which runners mark their responses.
 	EchoedAttempt string
 	Seal          string
 	Body          string
-	// Complete says that the answer looked complete.
+	// Complete says that the response ended in the way its framing asks for.
 	Complete bool
-	// ExtraBytes are bytes that came on the connection while no request waited.
+	// ExtraBytes came on the connection while no request was pending.
 	ExtraBytes string
-	Note       string
+	// Note is shown in the attempt's history.
+	Note string
 }
 
-// Violation is a broken rule.
+// Violation is a violated rule.
 type Violation struct {
 	Rule    string
 	Attempt string
 	Reason  string
+	// History is what was recorded of the attempt, in order.
 	History []string
 }
 
+// attempt is what is known of an attempt. The request is nil until a client sent
+// it.
 type attempt struct {
 	request    *Request
 	runs       []Run
@@ -110,98 +110,127 @@
 	violations []Violation
 }
 
-// Checker holds the history. The zero value is ready.
+func (a *attempt) logf(format string, values ...any) {
+	a.history = append(a.history, fmt.Sprintf(format, values...))
+}
+
+// Checker holds what was recorded. The zero value is ready to use. It is safe for
+// concurrent use.
 type Checker struct {
 	mu       sync.Mutex
 	attempts map[string]*attempt
-	// previous are those that were forgotten last: a request of theirs may still
-	// have been on its way to a runner.
+	// previous are the attempts before the last Forget: a request of theirs may
+	// still have been on its way to a runner.
 	previous map[string]*attempt
 }
 
-func (c *Checker) withAttempt(id string, act func(known *attempt)) {
+// update calls apply with the attempt of an id, under the lock.
+func (c *Checker) update(id string, apply func(a *attempt)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.attempts == nil {
 		c.attempts = map[string]*attempt{}
 	}
-	known := c.attempts[id]
-	if known == nil {
-		known = c.previous[id]
+	a := c.attempts[id]
+	if a == nil {
+		a = c.previous[id]
 	}
-	if known == nil {
-		known = &attempt{}
-		c.attempts[id] = known
+	if a == nil {
+		a = &attempt{}
+		c.attempts[id] = a
 	}
-	act(known)
+	apply(a)
 }
 
-// RecordRequest notes an attempt right before the client sends it.
-func (c *Checker) RecordRequest(asked Request) {
-	c.withAttempt(asked.Attempt, func(known *attempt) {
-		known.request = &asked
-		known.history = append(known.history, fmt.Sprintf("asked: %s %s %s, service %s, after event %d",
-			asked.Kind, asked.Fingerprint.Method, asked.Fingerprint.Target, asked.Service, asked.LastEventID)+noteSuffix(asked.Note))
+// RecordRequest records an attempt. It has to be called before the client sends
+// the first byte.
+func (c *Checker) RecordRequest(req Request) {
+	c.update(req.Attempt, func(a *attempt) {
+		a.request = &req
+		note := req.Note
+		if note != "" {
+			note = ", " + note
+		}
+		a.logf("asked: %s %s %s, service %s, after event %d%s",
+			req.Kind, req.Fingerprint.Method, req.Fingerprint.Target, req.Service, req.LastEventID, note)
 	})
 }
 
-// RecordRun notes what arrived at a runner, before a byte of its answer is written.
+// RecordRun records what arrived at a runner. It has to be called before the
+// runner writes a byte of its response.
 func (c *Checker) RecordRun(run Run) {
-	c.withAttempt(run.Attempt, func(known *attempt) {
-		known.runs = append(known.runs, run)
+	c.update(run.Attempt, func(a *attempt) {
+		a.runs = append(a.runs, run)
 		what := "ran"
 		if run.Rejected {
 			what = "refused"
 		}
-		known.history = append(known.history, fmt.Sprintf("%s: at %s of %s, seal %s, status %d, after event %d, troubles [%s]",
-			what, run.Runner, run.Service, run.Seal, run.Status, run.LastEventID, strings.Join(run.Faults, " ")))
+		a.logf("%s: at %s of %s, seal %s, status %d, after event %d, troubles [%s]",
+			what, run.Runner, run.Service, run.Seal, run.Status, run.LastEventID, strings.Join(run.Faults, " "))
+	})
+}
+
+// RecordLateBody records the hash of a body that a runner finished reading after
+// it had responded.
+func (c *Checker) RecordLateBody(id string, body uint64) {
+	c.update(id, func(a *attempt) {
+		if a.request == nil || a.request.Fingerprint.Body == body {
+			return
+		}
+		a.logf("the runner read the body after its answer")
+		a.violations = append(a.violations, Violation{
+			Rule: UnsolicitedRun, Attempt: id, Reason: "after its answer the runner got other bytes where the rest of the body was due",
+		})
 	})
 }
 
-// RecordResponse notes what a client got. What can be told at once is: bodies are not kept.
-func (c *Checker) RecordResponse(got Response) {
-	c.withAttempt(got.Attempt, func(known *attempt) {
-		known.history = append(known.history, fmt.Sprintf("got: status %d, seal %s, echo %s, %d bytes, whole %v %s",
-			got.Status, got.Seal, got.EchoedAttempt, len(got.Body), got.Complete, got.Note))
+// RecordResponse records what a client received, and checks it at once, so that
+// bodies need not be kept. It has to be called after the runs that may have
+// produced it are recorded.
+func (c *Checker) RecordResponse(resp Response) {
+	c.update(resp.Attempt, func(a *attempt) {
+		a.logf("got: status %d, seal %s, echo %s, %d bytes, whole %v %s",
+			resp.Status, resp.Seal, resp.EchoedAttempt, len(resp.Body), resp.Complete, resp.Note)
 		for _, rule := range responseRules {
-			if why := rule.broken(known, got); why != "" {
-				known.violations = append(known.violations, Violation{Rule: rule.name, Attempt: got.Attempt, Reason: why})
+			if reason := rule.check(a, resp); reason != "" {
+				a.violations = append(a.violations, Violation{Rule: rule.name, Attempt: resp.Attempt, Reason: reason})
 			}
 		}
-		got.Body, got.ExtraBytes = "", ""
-		known.responses = append(known.responses, got)
+		resp.Body, resp.ExtraBytes = "", ""
+		a.responses = append(a.responses, resp)
 	})
 }
 
-// Check tells all broken rules; it is asked after all is over.
+// Check returns all violations, ordered by attempt. It has to be called once no
+// request is under way any more.
 func (c *Checker) Check() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := append(checkAll(c.previous), checkAll(c.attempts)...)
-	sort.SliceStable(found, func(left int, right int) bool { return found[left].Attempt < found[right].Attempt })
-	return found
+	violations := append(checkAll(c.previous), checkAll(c.attempts)...)
+	sort.SliceStable(violations, func(i int, j int) bool { return violations[i].Attempt < violations[j].Attempt })
+	return violations
 }
 
 func checkAll(attempts map[string]*attempt) []Violation {
-	var found []Violation
-	for id, known := range attempts {
-		broken := known.violations
+	var all []Violation
+	for id, a := range attempts {
+		violations := a.violations
 		for _, rule := range attemptRules {
-			if why := rule.broken(known); why != "" {
-				broken = append(broken, Violation{Rule: rule.name, Attempt: id, Reason: why})
+			if reason := rule.check(a); reason != "" {
+				violations = append(violations, Violation{Rule: rule.name, Attempt: id, Reason: reason})
 			}
 		}
-		for _, verdict := range broken {
-			verdict.History = append([]string(nil), known.history...)
-			found = append(found, verdict)
+		for _, violation := range violations {
+			violation.History = append([]string(nil), a.history...)
+			all = append(all, violation)
 		}
 	}
-	return found
+	return all
 }
 
-// Forget drops what was there at the last Forget, so that long experiments fit
-// into memory. What came since is judged once more: a straggler among its runs
-// is not one that nobody asked for.
+// Forget drops what was recorded before the last Forget, so that the history of a
+// long experiment fits into memory. What was recorded since is checked once more:
+// a straggler among its runs is not taken for one that no client sent.
 func (c *Checker) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/emulator/oracle/checker_test.go
+++ b/emulator/oracle/checker_test.go
@@ -6,7 +6,7 @@
 	"onyxwell/emulator/piece"
 )
 
-// attemptID is an attempt with several pieces.
+// attemptID is an attempt whose response has more than three lines.
 var attemptID = func() string {
 	for number := 'a'; ; number++ {
 		if piece.LineCount(string(number)) > 3 {
@@ -37,33 +37,33 @@
 	return text
 }
 
-func responseOf(status int, seal string, body string, whole bool) Response {
-	return Response{Attempt: attemptID, Status: status, EchoedAttempt: attemptID, Seal: seal, Body: body, Complete: whole}
+func responseOf(status int, seal string, body string, complete bool) Response {
+	return Response{Attempt: attemptID, Status: status, EchoedAttempt: attemptID, Seal: seal, Body: body, Complete: complete}
 }
 
 func TestChecker_plantedHistories(t *testing.T) {
 	last := piece.LineCount(attemptID)
 	body := sourceOf("s").Body()
-	refusal, failed, framed, elsewhere, changed := runOf("s"), runOf("s"), runOf("s"), runOf("s"), runOf("s")
-	refusal.Rejected, failed.Status, framed.DeclaredLength, elsewhere.Service, changed.Fingerprint.Target = true, 500, 9, "other", "/y"
+	rejected, failed, truncated, elsewhere, changed := runOf("s"), runOf("s"), runOf("s"), runOf("s"), runOf("s")
+	rejected.Rejected, failed.Status, truncated.DeclaredLength, elsewhere.Service, changed.Fingerprint.Target = true, 500, 9, "other", "/y"
 	foreign := piece.Source{Attempt: "b", Service: "desk", Seal: "s"}.Body()
-	marked := responseOf(200, "s", body, true)
-	marked.EchoedAttempt = "b"
-	more := responseOf(200, "s", body, true)
-	more.ExtraBytes = "HTTP/1.1 200"
+	mismarked := responseOf(200, "s", body, true)
+	mismarked.EchoedAttempt = "b"
+	withExtra := responseOf(200, "s", body, true)
+	withExtra.ExtraBytes = "HTTP/1.1 200"
 	cases := []struct {
 		name string
 		kind Kind
 		runs []Run
-		got  Response
+		resp Response
 		rule string
 	}{
 		{"whole", Unsafe, []Run{runOf("s")}, responseOf(200, "s", body, true), ""},
 		{"cut and looks so", Unsafe, []Run{runOf("s")}, responseOf(200, "s", body[:9], false), ""},
-		{"as short as the runner said", Unsafe, []Run{framed}, responseOf(200, "s", body[:9], true), ""},
+		{"as short as the runner said", Unsafe, []Run{truncated}, responseOf(200, "s", body[:9], true), ""},
 		{"a runner's failure", Unsafe, []Run{failed}, responseOf(500, "s", body, true), ""},
 		{"no answer", Unsafe, []Run{runOf("s")}, Response{Attempt: attemptID}, ""},
-		{"kept promise", Unsafe, []Run{refusal}, responseOf(503, "", "", true), ""},
+		{"kept promise", Unsafe, []Run{rejected}, responseOf(503, "", "", true), ""},
 		{"safe ran twice", Safe, []Run{runOf("r"), runOf("s")}, responseOf(200, "s", body, true), ""},
 		{"taken up elsewhere", Resumable, []Run{runOf("s"), runOf("r")}, responseOf(200, "s", events("s", 1, 2)+events("r", 3, last), true), ""},
 		{"whole stream", Stream, []Run{runOf("s")}, responseOf(200, "s", events("s", 1, last), true), ""},
@@ -77,12 +77,12 @@
 		{"another's body", Unsafe, []Run{runOf("s")}, responseOf(200, "s", foreign, true), ResponseMismatch},
 		{"a byte more", Unsafe, []Run{runOf("s")}, responseOf(200, "s", body+"x", true), ResponseMismatch},
 		{"another's byte in a cut answer", Unsafe, []Run{runOf("s")}, responseOf(200, "s", "x", false), ResponseMismatch},
-		{"another's mark", Unsafe, []Run{runOf("s")}, marked, ResponseMismatch},
+		{"another's mark", Unsafe, []Run{runOf("s")}, mismarked, ResponseMismatch},
 		{"another's seal", Unsafe, []Run{runOf("r")}, responseOf(200, "s", body, true), ResponseMismatch},
 		{"no seal", Unsafe, []Run{runOf("s")}, responseOf(200, "", body, true), ResponseMismatch},
 		{"failure as success", Unsafe, []Run{failed}, responseOf(200, "s", body, true), ResponseMismatch},
-		{"refused and answered", Unsafe, []Run{refusal}, responseOf(200, "s", body, true), ResponseMismatch},
-		{"bytes after the answer", Unsafe, []Run{runOf("s")}, more, ResponseMismatch},
+		{"refused and answered", Unsafe, []Run{rejected}, responseOf(200, "s", body, true), ResponseMismatch},
+		{"bytes after the answer", Unsafe, []Run{runOf("s")}, withExtra, ResponseMismatch},
 		{"ran twice", Unsafe, []Run{runOf("r"), runOf("s")}, responseOf(200, "s", body, true), DuplicateRun},
 		{"stream ran twice", Stream, []Run{runOf("r"), runOf("s")}, responseOf(502, "", "", true), DuplicateRun},
 		{"false promise", Unsafe, []Run{runOf("s")}, responseOf(503, "", "", true), FalseRejection},
@@ -97,55 +97,57 @@
 		{"spliced inside an event", Resumable, []Run{runOf("s"), runOf("r")}, responseOf(200, "s", events("s", 1, 1)+events("s", 2, 2)[:9]+events("r", 2, last), true), StreamOrder},
 		{"an event too many", Stream, []Run{runOf("s")}, responseOf(200, "s", events("s", 1, last+1), true), StreamOrder},
 	}
-	for _, example := range cases {
-		var history Checker
-		history.RecordRequest(requestOf(example.kind))
-		for _, run := range example.runs {
-			history.RecordRun(run)
-		}
-		history.RecordResponse(example.got)
-		found := history.Check()
-		if example.rule == "" && len(found) == 0 {
-			continue
-		}
-		if len(found) != 1 || found[0].Rule != example.rule || len(found[0].History) != len(example.runs)+2 {
-			t.Errorf("%s: wanted %q, found %+v", example.name, example.rule, found)
-		}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			var checker Checker
+			checker.RecordRequest(requestOf(test.kind))
+			for _, run := range test.runs {
+				checker.RecordRun(run)
+			}
+			checker.RecordResponse(test.resp)
+			violations := checker.Check()
+			if test.rule == "" && len(violations) == 0 {
+				return
+			}
+			if len(violations) != 1 || violations[0].Rule != test.rule || len(violations[0].History) != len(test.runs)+2 {
+				t.Errorf("want %q, got %+v", test.rule, violations)
+			}
+		})
 	}
 }
 
 func TestChecker_lateBody(t *testing.T) {
 	for body, rule := range map[uint64]string{fingerprint.Body: "", fingerprint.Body + 1: UnsolicitedRun} {
-		var history Checker
-		history.RecordLateBody(attemptID, body)
-		history.RecordRequest(requestOf(Unsafe))
-		history.RecordRun(runOf("s"))
-		history.RecordLateBody(attemptID, body)
-		if found := history.Check(); len(found) > 1 || (len(found) == 1) != (rule != "") || rule != "" && found[0].Rule != rule {
-			t.Errorf("%q: %+v", rule, found)
+		var checker Checker
+		checker.RecordLateBody(attemptID, body)
+		checker.RecordRequest(requestOf(Unsafe))
+		checker.RecordRun(runOf("s"))
+		checker.RecordLateBody(attemptID, body)
+		if violations := checker.Check(); len(violations) > 1 || (len(violations) == 1) != (rule != "") || rule != "" && violations[0].Rule != rule {
+			t.Errorf("%q: %+v", rule, violations)
 		}
 	}
 }
 
 func TestChecker_runAfterRejection(t *testing.T) {
-	var history Checker
-	history.RecordRequest(requestOf(Unsafe))
-	history.RecordResponse(responseOf(503, "", "", true))
-	if found := history.Check(); len(found) != 0 {
-		t.Fatalf("judged early: %+v", found)
+	var checker Checker
+	checker.RecordRequest(requestOf(Unsafe))
+	checker.RecordResponse(responseOf(503, "", "", true))
+	if violations := checker.Check(); len(violations) != 0 {
+		t.Fatalf("judged early: %+v", violations)
 	}
-	history.RecordRun(runOf("s"))
-	if found := history.Check(); len(found) != 1 || found[0].Rule != FalseRejection {
-		t.Fatalf("a run after the promise: %+v", found)
+	checker.RecordRun(runOf("s"))
+	if violations := checker.Check(); len(violations) != 1 || violations[0].Rule != FalseRejection {
+		t.Fatalf("a run after the promise: %+v", violations)
 	}
-	history.Forget()
-	history.RecordRun(runOf("r"))
-	if found := history.Check(); len(found) != 2 || found[0].Rule != DuplicateRun || found[1].Rule != FalseRejection || len(found[0].History) != 4 {
-		t.Fatalf("a straggler after the history was judged: %+v", found)
+	checker.Forget()
+	checker.RecordRun(runOf("r"))
+	if violations := checker.Check(); len(violations) != 2 || violations[0].Rule != DuplicateRun || violations[1].Rule != FalseRejection || len(violations[0].History) != 4 {
+		t.Fatalf("a straggler after the history was judged: %+v", violations)
 	}
-	history.Forget()
-	history.RecordRun(runOf("s"))
-	if found := history.Check(); len(found) != 1 || found[0].Rule != UnsolicitedRun {
-		t.Fatalf("a run that nobody sent: %+v", found)
+	checker.Forget()
+	checker.RecordRun(runOf("s"))
+	if violations := checker.Check(); len(violations) != 1 || violations[0].Rule != UnsolicitedRun {
+		t.Fatalf("a run that nobody sent: %+v", violations)
 	}
 }
--- a/emulator/oracle/rules.go
+++ b/emulator/oracle/rules.go
@@ -2,218 +2,228 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 
 	"onyxwell/emulator/piece"
 )
 
-// The rules, by the names that verdicts carry.
+// The rules, by the names that violations carry.
 const (
-	// ResponseMismatch is an answer or a byte that is not this attempt's, a success without
-	// its run's stamp, or one that is not whole and looks so.
+	// ResponseMismatch: a response or a byte of it belongs to another attempt, a
+	// success lacks its run's seal, or an incomplete response looks complete.
 	ResponseMismatch = "MIXED"
-	// StreamOrder is a stream with a piece missing, twice, or spliced in.
+	// StreamOrder: a stream has an event missing, repeated or spliced in.
 	StreamOrder = "ORDER"
-	// DuplicateRun is what may run once and ran again.
+	// DuplicateRun: an attempt that may run once ran again.
 	DuplicateRun = "TWICE"
-	// FalseRejection is a promise that nothing has run, said of what has.
+	// FalseRejection: a status says that nothing has run, of an attempt that has.
 	FalseRejection = "REFUSED"
-	// UnsolicitedRun is a run that no client sent, or that was changed on the way.
+	// UnsolicitedRun: no client sent what ran, or it was changed on the way.
 	UnsolicitedRun = "UNASKED"
-	// MalformedServed is a rude request that was answered with anything but a 4xx.
+	// MalformedServed: a malformed request was answered with anything but a 4xx.
 	MalformedServed = "SERVED"
-	// Misrouted is a run at a service that the attempt does not go to.
+	// Misrouted: an attempt ran at a service that its route does not name.
 	Misrouted = "ROUTE"
 )
 
-// responseRules are asked for each answer, attemptRules once all is over.
-var responseRules = []struct {
-	name   string
-	broken func(known *attempt, got Response) string
-}{
-	{ResponseMismatch, checkHead},
-	{ResponseMismatch, checkBody},
-	{StreamOrder, checkStream},
-	{MalformedServed, checkMalformed},
-}
+// responseRules are checked for each response, attemptRules for each attempt once
+// no request is under way any more. A check returns why the rule is violated, ""
+// where it holds.
+var (
+	responseRules = []struct {
+		name  string
+		check func(a *attempt, resp Response) string
+	}{
+		{ResponseMismatch, checkHead},
+		{ResponseMismatch, checkBody},
+		{StreamOrder, checkStream},
+		{MalformedServed, checkMalformed},
+	}
+	attemptRules = []struct {
+		name  string
+		check func(a *attempt) string
+	}{
+		{DuplicateRun, checkDuplicateRun},
+		{FalseRejection, checkRejection},
+		{UnsolicitedRun, checkForwarded},
+		{Misrouted, checkRoute},
+	}
+)
 
-var attemptRules = []struct {
-	name   string
-	broken func(known *attempt) string
-}{
-	{DuplicateRun, checkDuplicateRun},
-	{FalseRejection, checkRejection},
-	{UnsolicitedRun, checkForwarded},
-	{Misrouted, checkRoute},
+// rejectionStatuses say that a request has not run and never will.
+var rejectionStatuses = map[int]bool{
+	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
+	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// rejectionStatuses are the statuses that say: it has not run and never will.
-var rejectionStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
-
-func (a *attempt) executed() []Run {
-	var ran []Run
-	for _, run := range a.runs {
-		if !run.Rejected {
-			ran = append(ran, run)
+// executed returns the runs that were not rejected.
+func (a *attempt) executed() []*Run {
+	var executed []*Run
+	for i := range a.runs {
+		if !a.runs[i].Rejected {
+			executed = append(executed, &a.runs[i])
 		}
 	}
-	return ran
+	return executed
 }
 
+// runBySeal returns the run with a seal, or nil.
 func (a *attempt) runBySeal(seal string) *Run {
-	for index := range a.runs {
-		if run := &a.runs[index]; run.Seal == seal && !run.Rejected {
+	for _, run := range a.executed() {
+		if run.Seal == seal {
 			return run
 		}
 	}
 	return nil
 }
 
-func checkHead(known *attempt, got Response) string {
-	if got.ExtraBytes != "" {
-		return fmt.Sprintf("bytes came while no request waited: %.80q", got.ExtraBytes)
+func (a *attempt) streams() bool { return a.request != nil && a.request.Kind.Streams() }
+
+func sourceOfRun(run *Run) piece.Source {
+	return piece.Source{Attempt: run.Attempt, Service: run.Service, Seal: run.Seal}
+}
+
+func checkHead(a *attempt, resp Response) string {
+	if resp.ExtraBytes != "" {
+		return fmt.Sprintf("bytes came while no request waited: %.80q", resp.ExtraBytes)
 	}
-	if got.Status == 0 {
+	if resp.Status == 0 {
 		return ""
 	}
-	if got.EchoedAttempt != "" && got.EchoedAttempt != got.Attempt {
-		return "the answer is marked as that of " + got.EchoedAttempt
+	if resp.EchoedAttempt != "" && resp.EchoedAttempt != resp.Attempt {
+		return "the answer is marked as that of " + resp.EchoedAttempt
 	}
-	if got.Seal == "" {
-		if got.Status/100 == 2 {
+	if resp.Seal == "" {
+		if resp.Status/100 == 2 {
 			return "a success without a runner's seal"
 		}
 		return ""
 	}
-	run := known.runBySeal(got.Seal)
+	run := a.runBySeal(resp.Seal)
 	if run == nil {
-		return "no run of this attempt has the seal " + got.Seal
+		return "no run of this attempt has the seal " + resp.Seal
 	}
-	if run.Status != got.Status {
-		return fmt.Sprintf("the runner answered %d, the client got %d", run.Status, got.Status)
+	if run.Status != resp.Status {
+		return fmt.Sprintf("the runner answered %d, the client got %d", run.Status, resp.Status)
 	}
 	return ""
 }
 
-func (a *attempt) streams() bool { return a.request != nil && a.request.Kind.Streams() }
-
-func checkBody(known *attempt, got Response) string {
-	run := known.runBySeal(got.Seal)
-	if run == nil || got.Status == 0 || (known.streams() && got.Status == 200) {
+// checkBody checks a response that is not streamed.
+func checkBody(a *attempt, resp Response) string {
+	run := a.runBySeal(resp.Seal)
+	if run == nil || resp.Status == 0 || (a.streams() && resp.Status == http.StatusOK) {
 		return ""
 	}
-	whole := source(run).Body()
+	body := sourceOfRun(run).Body()
 	if run.DeclaredLength > 0 {
-		whole = whole[:min(run.DeclaredLength, len(whole))]
+		body = body[:min(run.DeclaredLength, len(body))]
 	}
-	if !strings.HasPrefix(whole, got.Body) {
-		return fmt.Sprintf("bytes that are not this run's: %.200q", got.Body)
+	if !strings.HasPrefix(body, resp.Body) {
+		return fmt.Sprintf("bytes that are not this run's: %.200q", resp.Body)
 	}
-	if got.Complete && len(got.Body) < len(whole) {
-		return fmt.Sprintf("%d of %d bytes look like the whole body", len(got.Body), len(whole))
+	if resp.Complete && len(resp.Body) < len(body) {
+		return fmt.Sprintf("%d of %d bytes look like the whole body", len(resp.Body), len(body))
 	}
 	return ""
 }
 
-func source(run *Run) piece.Source {
-	return piece.Source{Attempt: run.Attempt, Service: run.Service, Seal: run.Seal}
-}
-
-// checkStream walks through a stream, event by event. A resumable one may go on with
-// another run of the same attempt, all others only with the run that began.
-func checkStream(known *attempt, got Response) string {
-	first := known.runBySeal(got.Seal)
-	if first == nil || got.Status != 200 || !known.streams() {
+// checkStream checks a stream, event by event. The events of a resumable one may,
+// after the first, come from any run of the attempt; those of all others only from
+// the run whose seal is in the head.
+func checkStream(a *attempt, resp Response) string {
+	first := a.runBySeal(resp.Seal)
+	if first == nil || resp.Status != http.StatusOK || !a.streams() {
 		return ""
 	}
-	sources := []*Run{first}
-	rest, at := got.Body, known.request.LastEventID
+	runs := []*Run{first}
+	rest, last, total := resp.Body, a.request.LastEventID, piece.LineCount(resp.Attempt)
 	for rest != "" {
-		next := ""
-		for _, run := range sources {
-			event := source(run).Event(at + 1)
-			if strings.HasPrefix(rest, event) {
-				next = event
-				break
-			}
-			if !got.Complete && strings.HasPrefix(event, rest) {
-				next = rest
-			}
-		}
-		if next == "" || at >= piece.LineCount(got.Attempt) {
-			return fmt.Sprintf("after event %d comes %.120q", at, rest)
+		size := nextEvent(runs, last+1, rest, !resp.Complete)
+		if size == 0 || last >= total {
+			return fmt.Sprintf("after event %d comes %.120q", last, rest)
 		}
-		rest = rest[len(next):]
-		at++
-		if known.request.Kind == Resumable {
-			sources = known.executedPointers()
+		rest = rest[size:]
+		last++
+		if a.request.Kind == Resumable {
+			runs = a.executed()
 		}
 	}
-	if got.Complete && at != piece.LineCount(got.Attempt) {
-		return fmt.Sprintf("ended as complete after event %d of %d", at, piece.LineCount(got.Attempt))
+	if resp.Complete && last != total {
+		return fmt.Sprintf("ended as complete after event %d of %d", last, total)
 	}
 	return ""
 }
 
-func (a *attempt) executedPointers() []*Run {
-	var all []*Run
-	for index := range a.runs {
-		if !a.runs[index].Rejected {
-			all = append(all, &a.runs[index])
+// nextEvent returns how many bytes of text an event of one of the runs takes up,
+// 0 where it comes from none of them. A truncated event counts only where the
+// stream may end in one.
+func nextEvent(runs []*Run, number int, text string, mayBeTruncated bool) int {
+	size := 0
+	for _, run := range runs {
+		event := sourceOfRun(run).Event(number)
+		if strings.HasPrefix(text, event) {
+			return len(event)
+		}
+		if mayBeTruncated && strings.HasPrefix(event, text) {
+			size = len(text)
 		}
 	}
-	return all
+	return size
 }
 
-func checkMalformed(known *attempt, got Response) string {
-	if known.request != nil && known.request.Kind == Malformed && got.Status != 0 && got.Status/100 != 4 {
-		return fmt.Sprintf("a request that is wrong in itself is answered %d", got.Status)
+func checkMalformed(a *attempt, resp Response) string {
+	if a.request != nil && a.request.Kind == Malformed && resp.Status != 0 && resp.Status/100 != 4 {
+		return fmt.Sprintf("a request that is wrong in itself is answered %d", resp.Status)
 	}
 	return ""
 }
 
-func checkDuplicateRun(known *attempt) string {
-	if ran := known.executed(); known.request != nil && !known.request.Kind.Idempotent() && len(ran) > 1 {
-		return fmt.Sprintf("ran %d times and may run once", len(ran))
+func checkDuplicateRun(a *attempt) string {
+	if runs := a.executed(); a.request != nil && !a.request.Kind.Idempotent() && len(runs) > 1 {
+		return fmt.Sprintf("ran %d times and may run once", len(runs))
 	}
 	return ""
 }
 
-func checkRejection(known *attempt) string {
-	for _, got := range known.responses {
-		if rejectionStatuses[got.Status] && len(known.executed()) > 0 {
-			return fmt.Sprintf("%d promises that it has not run and never will; it ran %d times", got.Status, len(known.executed()))
+func checkRejection(a *attempt) string {
+	runs := a.executed()
+	for _, resp := range a.responses {
+		if rejectionStatuses[resp.Status] && len(runs) > 0 {
+			return fmt.Sprintf("%d promises that it has not run and never will; it ran %d times", resp.Status, len(runs))
 		}
 	}
 	return ""
 }
 
-func checkForwarded(known *attempt) string {
-	for _, run := range known.runs {
-		if known.request == nil {
+// checkForwarded checks that what reached the runners is what the client sent.
+func checkForwarded(a *attempt) string {
+	for _, run := range a.runs {
+		if a.request == nil {
 			return "no client sent it"
 		}
-		if known.request.Kind == Malformed {
+		if a.request.Kind == Malformed {
 			return "a request that is wrong in itself reached a runner"
 		}
-		arrived := run.Fingerprint
+		sent, arrived := a.request.Fingerprint, run.Fingerprint
 		if run.BodyUnread {
-			arrived.Body = known.request.Fingerprint.Body
+			arrived.Body = sent.Body
 		}
-		if arrived != known.request.Fingerprint {
-			return fmt.Sprintf("sent as %+v, arrived as %+v", known.request.Fingerprint, run.Fingerprint)
+		if arrived != sent {
+			return fmt.Sprintf("sent as %+v, arrived as %+v", sent, run.Fingerprint)
 		}
-		if run.LastEventID < known.request.LastEventID {
-			return fmt.Sprintf("asked for what follows event %d, sent on for what follows %d", known.request.LastEventID, run.LastEventID)
+		if run.LastEventID < a.request.LastEventID {
+			return fmt.Sprintf("asked for what follows event %d, sent on for what follows %d", a.request.LastEventID, run.LastEventID)
 		}
 	}
 	return ""
 }
 
-func checkRoute(known *attempt) string {
-	for _, run := range known.executed() {
-		if known.request != nil && run.Service != known.request.Service {
-			return fmt.Sprintf("goes to %s, ran at %s", known.request.Service, run.Service)
+func checkRoute(a *attempt) string {
+	for _, run := range a.executed() {
+		if a.request != nil && run.Service != a.request.Service {
+			return fmt.Sprintf("goes to %s, ran at %s", a.request.Service, run.Service)
 		}
 	}
 	return ""
