--- a/emulator/links/injector.go
+++ b/emulator/links/injector.go
@@ -1,7 +1,7 @@
-// Package links stands between a daemon and the machine's network, inside the
-// daemon's process, and breaks its links as it is told: cuts in one direction or
-// both, late bytes, lost datagrams, answers that are lost after the act. It is
-// for programs that try daemons out; those that ship do not contain it.
+// Package links injects network faults into a daemon's connections and datagrams,
+// inside the daemon's process: partitions in one direction or both, delays, lost
+// datagrams and responses lost after the request was carried out. Only test
+// programs use it; the programs that ship do not contain it.
 package links
 
 import (
@@ -9,65 +9,61 @@
 	"errors"
 	"io"
 	"math/rand/v2"
+	"slices"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 )
 
-// Faults is what links are told: from now on exactly this is broken.
+// Faults are the faults in force at a daemon.
 type Faults struct {
-	// BlockFrom are the addresses from which nothing arrives here, Mute those to
+	// BlockFrom are the IP addresses from which nothing arrives, BlockTo those to
 	// which nothing leaves. "*" stands for all.
 	BlockFrom []string `json:"deaf,omitempty"`
 	BlockTo   []string `json:"mute,omitempty"`
-	// DelayMS holds all bytes up for so long.
+	// DelayMS is by how long every read and write is delayed.
 	DelayMS int `json:"late_ms,omitempty"`
-	// ResponseLoss is the part of the answers, 0 to 1, that are lost after the act;
-	// DatagramLoss the part of the datagrams.
+	// ResponseLoss is the probability that a response is lost once the request was
+	// carried out, DatagramLoss that a datagram is.
 	ResponseLoss float64 `json:"lost_answers,omitempty"`
 	DatagramLoss float64 `json:"lost_datagrams,omitempty"`
 }
 
-// Injector are the links of one daemon. The zero value is whole.
+// Injector holds the faults in force at a daemon. The zero value injects none. It
+// is safe for concurrent use.
 type Injector struct {
 	mu      sync.Mutex
 	faults  Faults
-	changed chan struct{}
+	changed chan struct{} // closed by the next Set
 }
 
-// Follow takes orders, one JSON object after another, until they end.
-func (i *Injector) Follow(orders io.Reader) {
-	decoder := json.NewDecoder(orders)
+// Follow sets the faults that it reads, one JSON object after another, until the
+// reader ends or an object is invalid.
+func (i *Injector) Follow(reader io.Reader) {
+	decoder := json.NewDecoder(reader)
 	for {
-		var order Faults
-		if decoder.Decode(&order) != nil {
+		var faults Faults
+		if decoder.Decode(&faults) != nil {
 			return
 		}
-		i.Set(order)
+		i.Set(faults)
 	}
 }
 
-// Set replaces what is broken.
-func (i *Injector) Set(order Faults) {
+// Set replaces the faults. Whoever waits for a blocked link looks again.
+func (i *Injector) Set(faults Faults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.faults = order
+	i.faults = faults
 	if i.changed != nil {
 		close(i.changed)
 	}
 	i.changed = make(chan struct{})
 }
 
-func matches(list []string, peer string) bool {
-	for _, name := range list {
-		if name == "*" || name == peer {
-			return true
-		}
-	}
-	return false
-}
-
-// current gives what is broken, and a channel that is closed when that changes.
+// current returns the faults in force, and a channel that is closed when they are
+// replaced.
 func (i *Injector) current() (Faults, <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -77,59 +73,66 @@
 	return i.faults, i.changed
 }
 
-// direction is a way that bytes go, as seen from here.
+// direction returns the peers that are blocked in one direction, as seen from
+// this daemon.
 type direction func(Faults) []string
 
-func inbound(order Faults) []string  { return order.BlockFrom }
-func outbound(order Faults) []string { return order.BlockTo }
+func inbound(faults Faults) []string  { return faults.BlockFrom }
+func outbound(faults Faults) []string { return faults.BlockTo }
+
+func (d direction) blocked(faults Faults, peer string) bool {
+	peers := d(faults)
+	return slices.Contains(peers, "*") || slices.Contains(peers, peer)
+}
 
 var (
 	errClosed         = errors.New("links: the connection was closed here")
 	errUnacknowledged = errors.New("links: the other side confirms nothing")
 )
 
-// await waits until a way to a peer is whole. It gives up when the connection is
-// closed, or, where there is a limit, after that.
-func (i *Injector) await(way direction, peer string, closed <-chan struct{}, limit clock.Span) error {
-	var over <-chan struct{}
-	if limit > 0 {
-		over = clock.NewMonotonic().After(limit)
+// await waits until a direction to a peer is no longer blocked, and then for the
+// delay in force. It returns errClosed once closed is, and errUnacknowledged once
+// the direction has been blocked for the timeout; 0 is no timeout.
+func (i *Injector) await(dir direction, peer string, closed <-chan struct{}, timeout time.Duration) error {
+	var expired <-chan struct{}
+	if timeout > 0 {
+		expired = clock.NewMonotonic().After(timeout)
 	}
 	for {
-		order, changed := i.current()
-		if !matches(way(order), peer) {
-			return i.delay(order, closed)
+		faults, changed := i.current()
+		if !dir.blocked(faults, peer) {
+			return delay(faults, closed)
 		}
 		select {
 		case <-changed:
 		case <-closed:
 			return errClosed
-		case <-over:
+		case <-expired:
 			return errUnacknowledged
 		}
 	}
 }
 
-func (i *Injector) delay(order Faults, closed <-chan struct{}) error {
-	if order.DelayMS <= 0 {
+func delay(faults Faults, closed <-chan struct{}) error {
+	if faults.DelayMS <= 0 {
 		return nil
 	}
 	select {
-	case <-clock.NewMonotonic().After(clock.Span(order.DelayMS) * clock.Millisecond):
+	case <-clock.NewMonotonic().After(time.Duration(faults.DelayMS) * time.Millisecond):
 		return nil
 	case <-closed:
 		return errClosed
 	}
 }
 
-// dropsDatagram tells whether a datagram on a way to a peer is lost.
-func (i *Injector) dropsDatagram(way direction, peer string) bool {
-	order, _ := i.current()
-	return matches(way(order), peer) || rand.Float64() < order.DatagramLoss
+// dropsDatagram decides whether a datagram from or to a peer is lost.
+func (i *Injector) dropsDatagram(dir direction, peer string) bool {
+	faults, _ := i.current()
+	return dir.blocked(faults, peer) || rand.Float64() < faults.DatagramLoss
 }
 
-// dropsResponse tells whether the next answer is lost.
+// dropsResponse decides whether the next response is lost.
 func (i *Injector) dropsResponse() bool {
-	order, _ := i.current()
-	return rand.Float64() < order.ResponseLoss
+	faults, _ := i.current()
+	return rand.Float64() < faults.ResponseLoss
 }
--- a/emulator/links/injector_test.go
+++ b/emulator/links/injector_test.go
@@ -4,38 +4,42 @@
 	"errors"
 	"strings"
 	"testing"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
 func TestInjector_faultsOnNamedLinks(t *testing.T) {
-	l := &Injector{}
+	injector := &Injector{}
 	closed := make(chan struct{})
-	l.Follow(strings.NewReader(`{"mute":["127.0.0.2"],"lost_answers":1}`))
-	for _, example := range []struct {
-		way  direction
+	injector.Follow(strings.NewReader(`{"mute":["127.0.0.2"],"lost_answers":1}`))
+	for _, test := range []struct {
+		name string
+		dir  direction
 		peer string
 		want error
 	}{
-		{outbound, "127.0.0.2", errUnacknowledged}, {inbound, "127.0.0.2", nil}, {outbound, "127.0.0.3", nil},
+		{"blocked direction", outbound, "127.0.0.2", errUnacknowledged},
+		{"other direction", inbound, "127.0.0.2", nil},
+		{"other peer", outbound, "127.0.0.3", nil},
 	} {
-		if err := l.await(example.way, example.peer, closed, clock.Millisecond); !errors.Is(err, example.want) {
-			t.Errorf("%s: %v, not %v", example.peer, err, example.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if err := injector.await(test.dir, test.peer, closed, time.Millisecond); !errors.Is(err, test.want) {
+				t.Errorf("%s: got %v, want %v", test.peer, err, test.want)
+			}
+		})
 	}
-	if !l.dropsResponse() || !l.dropsDatagram(outbound, "127.0.0.2") || l.dropsDatagram(inbound, "127.0.0.2") {
-		t.Error("answers or datagrams do not go as they were told")
+	if !injector.dropsResponse() || !injector.dropsDatagram(outbound, "127.0.0.2") || injector.dropsDatagram(inbound, "127.0.0.2") {
+		t.Error("responses or datagrams are not lost as set")
 	}
-	passed := make(chan error, 1)
-	go func() { passed <- l.await(outbound, "127.0.0.2", closed, 0) }()
-	l.Set(Faults{})
-	if err := <-passed; err != nil {
-		t.Errorf("whole again, and %v", err)
+	awaited := make(chan error, 1)
+	go func() { awaited <- injector.await(outbound, "127.0.0.2", closed, 0) }()
+	injector.Set(Faults{})
+	if err := <-awaited; err != nil {
+		t.Errorf("no longer blocked, and still %v", err)
 	}
-	l.Set(Faults{BlockFrom: []string{"*"}})
-	go func() { passed <- l.await(inbound, "127.0.0.9", closed, 0) }()
+	injector.Set(Faults{BlockFrom: []string{"*"}})
+	go func() { awaited <- injector.await(inbound, "127.0.0.9", closed, 0) }()
 	close(closed)
-	if err := <-passed; !errors.Is(err, errClosed) {
-		t.Errorf("a closed connection waits on: %v", err)
+	if err := <-awaited; !errors.Is(err, errClosed) {
+		t.Errorf("a closed connection stays blocked: %v", err)
 	}
 }
--- a/emulator/links/network.go
+++ b/emulator/links/network.go
@@ -7,49 +7,63 @@
 	"net"
 	"net/http"
 	"sync"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 	"onyxwell/control/daemon"
 )
 
-// Network is the machine's network as seen through links; it is a
-// daemon.Network. Connections leave from the daemon's own address, so that the
-// other side knows who it is.
+const (
+	serverHeaderTimeout = 5 * time.Second
+	serverIdleTimeout   = 60 * time.Second
+)
+
+// Network is the host's network with faults injected; it is a daemon.Network.
+// Connections are dialed from the daemon's own address, by which the peer's
+// injector knows the daemon.
 type Network struct {
 	Injector *Injector
 	// IP is the daemon's own address.
 	IP string
 }
 
-// conn is a connection whose bytes go through the links.
+var _ daemon.Network = Network{}
+
+// conn is a connection with faults injected.
 type conn struct {
 	net.Conn
 	injector     *Injector
 	peer         string
-	writeTimeout clock.Span
+	writeTimeout time.Duration // how long a blocked write waits; 0 is for ever
 	closed       chan struct{}
 	closeOnce    sync.Once
 }
 
-func (n Network) wrap(opened net.Conn, silence clock.Span) net.Conn {
-	peer, _, _ := net.SplitHostPort(opened.RemoteAddr().String())
-	return &conn{Conn: opened, injector: n.Injector, peer: peer, writeTimeout: silence, closed: make(chan struct{})}
+func (n Network) wrap(opened net.Conn, writeTimeout time.Duration) net.Conn {
+	return &conn{
+		Conn: opened, injector: n.Injector, peer: hostOf(opened.RemoteAddr().String()), writeTimeout: writeTimeout, closed: make(chan struct{}),
+	}
+}
+
+func hostOf(address string) string {
+	host, _, _ := net.SplitHostPort(address)
+	return host
 }
 
-// Read hands bytes over once the way in is whole.
+// Read reads from the connection and returns once the inbound direction is not
+// blocked.
 func (c *conn) Read(buffer []byte) (int, error) {
 	size, err := c.Conn.Read(buffer)
-	if held := c.injector.await(inbound, c.peer, c.closed, 0); held != nil {
-		return 0, held
+	if blockErr := c.injector.await(inbound, c.peer, c.closed, 0); blockErr != nil {
+		return 0, blockErr
 	}
 	return size, err
 }
 
-// Write takes bytes once the way out is whole; like a connection whose bytes
-// nobody confirms, it breaks after a while.
+// Write writes once the outbound direction is not blocked. Like a connection
+// whose bytes are not acknowledged, it is closed after the write time-out.
 func (c *conn) Write(buffer []byte) (int, error) {
 	if err := c.injector.await(outbound, c.peer, c.closed, c.writeTimeout); err != nil {
 		_ = c.Close()
@@ -58,7 +72,7 @@
 	return c.Conn.Write(buffer)
 }
 
-// Close ends the connection and whoever waits in it.
+// Close closes the connection and ends blocked reads and writes.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
@@ -69,84 +83,85 @@
 	network Network
 }
 
-// Accept gives the next connection.
+// Accept returns the next connection, with faults injected.
 func (l listener) Accept() (net.Conn, error) {
-	opened, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.network.wrap(opened, 0), nil
+	return l.network.wrap(accepted, 0), nil
 }
 
-// Serve answers calls at an address until the scope ends. An answer that is
-// lost is made in full, and its connection ends in its place.
-func (n Network) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, count *httpcall.Traffic) error {
+// Serve serves calls at an address until the context ends. Where a response is
+// lost, the handler runs to its end and the connection is closed instead.
+func (n Network) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error {
 	opened, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
 	}
-	losing := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	lossy := http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if n.Injector.dropsResponse() {
-			handler.ServeHTTP(&discardWriter{header: http.Header{}}, request)
+			handler.ServeHTTP(&discardWriter{header: http.Header{}}, req)
 			panic(http.ErrAbortHandler)
 		}
-		handler.ServeHTTP(writer, request)
+		handler.ServeHTTP(w, req)
 	})
-	server := httpcall.NewServer(losing, 5*clock.Second, 60*clock.Second)
+	server := httpcall.NewServer(lossy, serverHeaderTimeout, serverIdleTimeout)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	err = server.Serve(httpcall.CountListener(listener{Listener: opened, network: n}, count))
+	err = server.Serve(httpcall.CountListener(listener{Listener: opened, network: n}, traffic))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// discardWriter takes an answer that nobody gets.
+// discardWriter takes a response that nobody receives.
 type discardWriter struct{ header http.Header }
 
-// Header gives the answer's heads.
+// Header returns the response's headers.
 func (d *discardWriter) Header() http.Header { return d.header }
 
-// Write takes a part of the body.
+// Write discards a part of the body.
 func (d *discardWriter) Write(body []byte) (int, error) { return len(body), nil }
 
-// WriteHeader takes the status.
+// WriteHeader discards the status.
 func (d *discardWriter) WriteHeader(int) {}
 
-// Client makes a client with connections of its own.
-func (n Network) Client(pooling httpcall.ClientOptions) *http.Client {
-	client := httpcall.NewClient(pooling)
-	dialing := pooling.Dialer
+// Client returns a client with its own connections. A dial waits, for as long as
+// the dialer's time-out, until both directions are not blocked.
+func (n Network) Client(options httpcall.ClientOptions) *http.Client {
+	client := httpcall.NewClient(options)
+	dialer := options.Dialer
 	client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network string, address string) (net.Conn, error) {
 		peer, _, err := net.SplitHostPort(address)
 		if err != nil {
 			return nil, err
 		}
-		limited, release := context.WithTimeout(ctx, dialing.Timeout)
-		defer release()
-		for _, way := range []direction{outbound, inbound} {
-			if err := n.Injector.await(way, peer, limited.Done(), 0); err != nil {
+		ctx, cancel := context.WithTimeout(ctx, dialer.Timeout)
+		defer cancel()
+		for _, dir := range []direction{outbound, inbound} {
+			if err := n.Injector.await(dir, peer, ctx.Done(), 0); err != nil {
 				return nil, fmt.Errorf("dial %s: %w", address, err)
 			}
 		}
-		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(n.IP)}}
-		opened, err := dialer.DialContext(limited, network, address)
+		local := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(n.IP)}}
+		opened, err := local.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return httpcall.CountConn(n.wrap(opened, dialing.UserTimeout), dialing.Traffic), nil
+		return httpcall.CountConn(n.wrap(opened, dialer.UserTimeout), dialer.Traffic), nil
 	}
 	return client
 }
 
-// socket is a datagram socket whose datagrams go through the links.
+// socket is a datagram socket with faults injected.
 type socket struct {
 	daemon.Socket
 	injector *Injector
 }
 
-// Datagrams opens an address for datagrams.
+// Datagrams opens a datagram socket at an address.
 func (n Network) Datagrams(address ids.Address) (daemon.Socket, error) {
 	opened, err := daemon.HostNetwork{}.Datagrams(address)
 	if err != nil {
@@ -157,21 +172,19 @@
 
 // Send sends a datagram, or loses it.
 func (s socket) Send(to ids.Address, body []byte) {
-	peer, _, _ := net.SplitHostPort(string(to))
-	if !s.injector.dropsDatagram(outbound, peer) {
+	if !s.injector.dropsDatagram(outbound, hostOf(string(to))) {
 		s.Socket.Send(to, body)
 	}
 }
 
-// Receive gives the next datagram that arrives.
+// Receive returns the next datagram that is not lost.
 func (s socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
 	for {
 		size, sender, err := s.Socket.Receive(buffer)
 		if err != nil {
 			return 0, sender, err
 		}
-		peer, _, _ := net.SplitHostPort(sender.String())
-		if !s.injector.dropsDatagram(inbound, peer) {
+		if !s.injector.dropsDatagram(inbound, hostOf(sender.String())) {
 			return size, sender, nil
 		}
 	}
