--- a/emulator/runner/conn.go
+++ b/emulator/runner/conn.go
@@ -6,119 +6,114 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
+	"time"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/settings"
-	"onyxwell/data/upstream"
 	"onyxwell/emulator/piece"
 )
 
-// serverConn is one connection; it serves one request at a time.
+const (
+	readBufferSize = 4096
+	// idleDelay is how long a connection is idle before unsolicited bytes come.
+	idleDelay = 2 * time.Millisecond
+	// maxResetBytes bounds how much of a body is read before ResetUnread.
+	maxResetBytes = 64
+)
+
+// serverConn is a connection from a client. It serves one request at a time.
 type serverConn struct {
 	runner *Runner
 	tcp    *net.TCPConn
 	reader *bufio.Reader
-	// lateBytes is written before the next answer, idle while no request is there.
+	// lateBytes are written before the next response, idleBytes before the next
+	// request has come.
 	lateBytes []byte
 	idleBytes []byte
 }
 
-func newServerConn(runner *Runner, conn *net.TCPConn) *serverConn {
-	return &serverConn{runner: runner, tcp: conn, reader: bufio.NewReaderSize(conn, 4096)}
+func newServerConn(runner *Runner, tcp *net.TCPConn) *serverConn {
+	return &serverConn{runner: runner, tcp: tcp, reader: bufio.NewReaderSize(tcp, readBufferSize)}
 }
 
-func (s *serverConn) reset() {
-	_ = s.tcp.SetLinger(0)
-	_ = s.tcp.Close()
+// reset closes the connection with a RST.
+func (c *serverConn) reset() {
+	_ = c.tcp.SetLinger(0)
+	_ = c.tcp.Close()
 }
 
-// discardInput reads what comes and heeds none of it, until the caller closes.
-func (s *serverConn) discardInput(span clock.Span) {
-	limited, release := s.runner.options.Scope.WithTimeout(span)
-	defer release()
-	stop := context.AfterFunc(limited, func() { _ = s.tcp.Close() })
+// discardInput reads and discards until the client closes the connection, at most
+// for MaxSilence.
+func (c *serverConn) discardInput() {
+	ctx, cancel := c.runner.withTimeout(c.runner.settings.MaxSilence)
+	defer cancel()
+	stop := context.AfterFunc(ctx, func() { _ = c.tcp.Close() })
 	defer stop()
-	_, _ = io.Copy(io.Discard, s.reader)
+	_, _ = io.Copy(io.Discard, c.reader)
 }
 
-// idleDelay is how long a connection is idle before loose bytes come.
-const idleDelay = 2 * clock.Millisecond
-
-// awaitRequest waits for the next request's first byte.
-func (s *serverConn) awaitRequest() bool {
-	if s.idleBytes != nil {
-		s.runner.options.Scope.Wait(idleDelay)
-		_, _ = s.tcp.Write(s.idleBytes)
-		s.idleBytes = nil
+// serve serves requests until one of them ends the connection.
+func (c *serverConn) serve() {
+	defer c.runner.unregister(c)
+	defer c.tcp.Close()
+	for c.awaitRequest() {
+		req, err := http.ReadRequest(c.reader)
+		if err != nil || !c.handle(req) {
+			return
+		}
 	}
-	limited, release := s.runner.options.Scope.WithTimeout(s.runner.settings.IdleTimeout)
-	defer release()
-	stop := context.AfterFunc(limited, func() { _ = s.tcp.Close() })
-	_, err := s.reader.Peek(1)
-	return stop() && err == nil
 }
 
-func (s *serverConn) serve() {
-	defer s.runner.unregister(s)
-	defer s.tcp.Close()
-	for s.awaitRequest() {
-		request, err := http.ReadRequest(s.reader)
-		if err != nil {
-			return
-		}
-		if !s.handle(request) {
-			return
-		}
+// awaitRequest waits for the next request's first byte. It returns false where the
+// connection ended or was idle for too long.
+func (c *serverConn) awaitRequest() bool {
+	if c.idleBytes != nil {
+		clock.Wait(c.runner.ctx, c.runner.clock, idleDelay)
+		_, _ = c.tcp.Write(c.idleBytes)
+		c.idleBytes = nil
 	}
+	ctx, cancel := c.runner.withTimeout(c.runner.settings.IdleTimeout)
+	defer cancel()
+	stop := context.AfterFunc(ctx, func() { _ = c.tcp.Close() })
+	_, err := c.reader.Peek(1)
+	return stop() && err == nil
 }
 
-// handle serves one request and tells whether the connection goes on.
-func (s *serverConn) handle(request *http.Request) bool {
-	attempt := request.Header.Get(upstream.AttemptIDHeader)
-	own := map[string]func(*http.Request) ([]byte, error){
-		s.runner.settings.HealthPath: s.runner.serveHealth,
-		"/report":                    s.runner.serveReport,
-	}[request.URL.Path]
-	if own != nil && attempt == "" && request.Method == http.MethodGet {
-		told, err := own(request)
+// handle serves a request and reports whether the connection stays open.
+func (c *serverConn) handle(httpReq *http.Request) bool {
+	req := c.runner.newRequest(httpReq)
+	if endpoint := c.runner.ownEndpoint(req); endpoint != nil {
+		resp, err := endpoint(httpReq)
 		if err == nil {
-			_, err = s.tcp.Write(told)
+			_, err = c.tcp.Write(resp)
 		}
-		return err == nil && !request.Close
+		return err == nil && !httpReq.Close
 	}
-	drawn := s.runner.settings.Faults.draw(s.runner.settings.Seed, s.runner.settings.ID, attempt)
-	if drawn.faults[ResetUnread] {
-		s.runner.countFaults([]string{ResetUnread})
-		_, _ = io.CopyN(io.Discard, request.Body, int64(drawn.IntN(64)))
-		s.reset()
+	if req.draw.has(ResetUnread) {
+		c.runner.countFaults([]string{ResetUnread})
+		_, _ = io.CopyN(io.Discard, httpReq.Body, int64(req.draw.IntN(maxResetBytes)))
+		c.reset()
 		return false
 	}
-	asked := inboundRequest{request: request, attemptID: attempt, faults: drawn, timeout: timeLeft(request)}
-	early := drawn.faults[EarlyAnswer]
-	if !early {
-		body, err := io.ReadAll(request.Body)
-		if err != nil {
-			return false
-		}
-		asked.body = body
+	if req.respondsEarly() {
+		return c.respond(req) && c.readLateBody(req) && !httpReq.Close
 	}
-	open := s.serveRequest(asked, early)
-	if open && early {
-		body, err := io.ReadAll(request.Body)
-		open = err == nil
-		if open && s.runner.options.OnLateBody != nil && attempt != "" {
-			s.runner.options.OnLateBody(attempt, piece.Hash(string(body)))
-		}
+	body, err := io.ReadAll(httpReq.Body)
+	if err != nil {
+		return false
 	}
-	return open && !request.Close
+	req.body = body
+	return c.respond(req) && !httpReq.Close
 }
 
-// timeLeft is how long the client waits; what says nothing waits for a minute.
-func timeLeft(request *http.Request) clock.Span {
-	left, err := strconv.ParseFloat(request.Header.Get(upstream.TimeLeftHeader), 64)
-	if err != nil || left <= 0 {
-		return 60 * clock.Second
+// readLateBody reads the body of a request that has its response already. It
+// reports whether the body was complete.
+func (c *serverConn) readLateBody(req *inboundRequest) bool {
+	body, err := io.ReadAll(req.http.Body)
+	if err != nil {
+		return false
+	}
+	if c.runner.options.OnLateBody != nil && req.attemptID != "" {
+		c.runner.options.OnLateBody(req.attemptID, piece.Hash(string(body)))
 	}
-	return settings.Milliseconds(left)
+	return true
 }
--- a/emulator/runner/fault.go
+++ b/emulator/runner/fault.go
@@ -1,6 +1,7 @@
 package runner
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"sort"
@@ -10,15 +11,21 @@
 	"onyxwell/emulator/piece"
 )
 
-// Fault is a way to misbehave.
+// Fault is a way in which a runner misbehaves.
 type Fault struct {
-	Name        string
+	// Name is what command lines and reports call the fault.
+	Name string
+	// Description is shown with the list of faults.
 	Description string
-	// defaultRate is the rate in the mix of all.
+	// defaultRate is the rate in AllFaults.
 	defaultRate float64
+	// inject changes the response, and reports whether the fault fits it. It is nil
+	// for faults that are injected before there is a response to a request.
+	inject func(i *injection) bool
 }
 
-// The names of the troubles.
+// The names of the faults. They are part of the command line, and of what a seed
+// stands for.
 const (
 	ExtraAnswer      = "extra-answer"
 	ExtraSame        = "extra-same"
@@ -59,125 +66,133 @@
 	ConnectionCloses = "connection-close"
 )
 
-// Faults are all of them, in the order in which they are shown.
+// Faults are all faults. Their order is that in which they are drawn, injected and
+// shown; a change of it changes what a seed stands for.
 var Faults = []Fault{
-	{NoSeal, "a success without a seal", 0.01},
-	{OtherAttempt, "the answer is marked as another attempt's", 0.01},
-	{Encoded, "a success whose body has a Content-Encoding", 0.01},
-	{Garbage, "bytes that are no answer in place of the answer", 0.01},
-	{FalseRefusal, "429, 503 or 408 after a run, without the word that it didn't run", 0.01},
-	{OwnFailure, "a 500 of the runner's own, after a run", 0.02},
-	{Refusal, "the request is turned away: 503, 429 or 421, and doesn't run", 0.05},
-	{ShortLength, "a length shorter than the body; its rest follows as loose bytes", 0.01},
-	{LongLength, "a length longer than the body, then a close", 0.01},
-	{TwoLengths, "two different lengths in one head", 0.01},
-	{LengthAndChunks, "a length and chunks in one head", 0.01},
-	{NoLength, "a whole body with neither length nor chunks, ended by a clean close, as runners may", 0.01},
-	{NoLengthCut, "a body with neither length nor chunks, reset before its end", 0.01},
-	{CutChunk, "a chunk that is shorter than the bytes that follow, or whose size is no number", 0.01},
-	{LongChunk, "a chunk that is said to be longer than its bytes", 0.01},
-	{ExtraAnswer, "a whole answer to another attempt right after an answer", 0.02},
-	{ExtraSame, "the same answer, with the same attempt id, right after an answer", 0.02},
-	{ExtraLate, "an answer to an earlier attempt where the next answer should come", 0.02},
-	{ExtraLateSame, "the last answer of the connection again where the next answer should come", 0.02},
-	{ExtraIdle, "an answer to another attempt while the connection is idle", 0.02},
-	{BytesBetween, "bytes that are no answer after a whole answer", 0.02},
-	{Interim, "one to three 1xx answers before the answer", 0.05},
-	{EarlyAnswer, "the answer before the request's body was read", 0.03},
-	{HalfClose, "after the answer the runner closes its side and goes on reading", 0.01},
-	{ResetHead, "a reset at any byte of the head", 0.01},
-	{ResetBody, "a reset at any byte of the body or of an event", 0.02},
-	{CloseHead, "a close at any byte of the head", 0.01},
-	{CloseBody, "a close at any byte of the body or of an event; a reset where nothing else tells its end", 0.02},
-	{SilenceHead, "silence from any byte of the head on", 0.002},
-	{SilenceBody, "silence from any byte of the body or of an event on", 0.002},
-	{ResetUnread, "a reset at any byte of the request, which doesn't run", 0.01},
-	{ResetUnanswered, "the request runs and the connection is reset at no byte of the answer", 0.01},
-	{IdleClose, "the connection is closed the moment after an answer, without notice", 0.03},
-	{Takeover, "a new life begins at the address, half the time of another service", 0.002},
-	{LyingHealth, "a health answer that is false: well or ill, or of another life", 0.05},
-	{Dribble, "the answer comes in many small pieces", 0.02},
-	{ConnectionCloses, "Connection: close in a good answer", 0.02},
+	{NoSeal, "a success without a seal", 0.01, omitSeal},
+	{OtherAttempt, "the answer is marked as another attempt's", 0.01, echoOtherAttempt},
+	{Encoded, "a success whose body has a Content-Encoding", 0.01, encodeBody},
+	{Garbage, "bytes that are no answer in place of the answer", 0.01, sendGarbage},
+	{FalseRefusal, "429, 503 or 408 after a run, without the word that it didn't run", 0.01, isFalseRejection},
+	{OwnFailure, "a 500 of the runner's own, after a run", 0.02, isOwnFailure},
+	{Refusal, "the request is turned away: 503, 429 or 421, and doesn't run", 0.05, isRejection},
+	{ShortLength, "a length shorter than the body; its rest follows as loose bytes", 0.01, declareShortLength},
+	{LongLength, "a length longer than the body, then a close", 0.01, declareLongLength},
+	{TwoLengths, "two different lengths in one head", 0.01, declareTwoLengths},
+	{LengthAndChunks, "a length and chunks in one head", 0.01, declareLengthAndChunks},
+	{NoLength, "a whole body with neither length nor chunks, ended by a clean close, as runners may", 0.01, omitLength},
+	{NoLengthCut, "a body with neither length nor chunks, reset before its end", 0.01, omitLengthAndCut},
+	{CutChunk, "a chunk that is shorter than the bytes that follow, or whose size is no number", 0.01, declareShortChunk},
+	{LongChunk, "a chunk that is said to be longer than its bytes", 0.01, declareLongChunk},
+	{ExtraAnswer, "a whole answer to another attempt right after an answer", 0.02, appendForeignResponse},
+	{ExtraSame, "the same answer, with the same attempt id, right after an answer", 0.02, repeatResponse},
+	{ExtraLate, "an answer to an earlier attempt where the next answer should come", 0.02, leaveForeignResponse},
+	{ExtraLateSame, "the last answer of the connection again where the next answer should come", 0.02, leaveResponse},
+	{ExtraIdle, "an answer to another attempt while the connection is idle", 0.02, sendForeignResponseWhileIdle},
+	{BytesBetween, "bytes that are no answer after a whole answer", 0.02, appendGarbage},
+	{Interim, "one to three 1xx answers before the answer", 0.05, sendInterimResponses},
+	{EarlyAnswer, "the answer before the request's body was read", 0.03, nil},
+	{HalfClose, "after the answer the runner closes its side and goes on reading", 0.01, halfClose},
+	{ResetHead, "a reset at any byte of the head", 0.01, cutHead((*serverConn).reset)},
+	{ResetBody, "a reset at any byte of the body or of an event", 0.02, cutBody((*serverConn).reset)},
+	{CloseHead, "a close at any byte of the head", 0.01, cutHead(closeConn)},
+	{CloseBody, "a close at any byte of the body or of an event; a reset where nothing else tells its end", 0.02, cutBody(closeConn)},
+	{SilenceHead, "silence from any byte of the head on", 0.002, cutHead((*serverConn).discardInput)},
+	{SilenceBody, "silence from any byte of the body or of an event on", 0.002, cutBody((*serverConn).discardInput)},
+	{ResetUnread, "a reset at any byte of the request, which doesn't run", 0.01, nil},
+	{ResetUnanswered, "the request runs and the connection is reset at no byte of the answer", 0.01, resetUnanswered},
+	{IdleClose, "the connection is closed the moment after an answer, without notice", 0.03, closeAfterResponse},
+	{Takeover, "a new life begins at the address, half the time of another service", 0.002, takeOver},
+	{LyingHealth, "a health answer that is false: well or ill, or of another life", 0.05, nil},
+	{Dribble, "the answer comes in many small pieces", 0.02, dribble},
+	{ConnectionCloses, "Connection: close in a good answer", 0.02, announceClose},
 }
 
-// FaultRates is the rate of each trouble, from 0 to 1.
+// FaultRates are the probabilities, from 0 to 1, with which each fault is injected
+// into an attempt, by name.
 type FaultRates map[string]float64
 
-// AllFaults is the mix of all troubles together, each at a rate of its own.
+// AllFaults returns the default rates of all faults.
 func AllFaults() FaultRates {
-	mix := FaultRates{}
-	for _, trouble := range Faults {
-		mix[trouble.Name] = trouble.defaultRate
+	rates := FaultRates{}
+	for _, fault := range Faults {
+		rates[fault.Name] = fault.defaultRate
 	}
-	return mix
+	return rates
 }
 
-// Set takes name=rate.
+// Set sets a rate that is given as NAME=RATE.
 func (f FaultRates) Set(text string) error {
-	name, rate, found := strings.Cut(text, "=")
-	value, err := strconv.ParseFloat(rate, 64)
-	if !found || err != nil {
+	name, rateText, ok := strings.Cut(text, "=")
+	rate, err := strconv.ParseFloat(rateText, 64)
+	if !ok || err != nil {
 		return fmt.Errorf("trouble %q: name=rate is wanted, as in %s=0.1", text, ExtraLate)
 	}
-	one := FaultRates{name: value}
-	f[name] = value
-	return one.Check()
+	f[name] = rate
+	return FaultRates{name: rate}.Check()
 }
 
-// Check names the troubles that don't exist and the rates that are out of bounds.
+// Check returns an error that names all unknown faults and all rates out of
+// bounds, in one line.
 func (f FaultRates) Check() error {
 	known := map[string]bool{}
-	for _, trouble := range Faults {
-		known[trouble.Name] = true
+	for _, fault := range Faults {
+		known[fault.Name] = true
 	}
-	var wrong []string
+	var problems []string
 	for name, rate := range f {
 		if !known[name] {
-			wrong = append(wrong, fmt.Sprintf("there is no trouble %q", name))
+			problems = append(problems, fmt.Sprintf("there is no trouble %q", name))
 		} else if !(rate >= 0 && rate <= 1) {
-			wrong = append(wrong, fmt.Sprintf("trouble %s: the rate %g is not from 0 to 1", name, rate))
+			problems = append(problems, fmt.Sprintf("trouble %s: the rate %g is not from 0 to 1", name, rate))
 		}
 	}
-	sort.Strings(wrong)
-	if len(wrong) > 0 {
-		return fmt.Errorf("%s", strings.Join(wrong, ", "))
+	if len(problems) == 0 {
+		return nil
 	}
-	return nil
+	sort.Strings(problems)
+	return errors.New(strings.Join(problems, ", "))
 }
 
-// String shows the troubles with a rate, in order.
+// String returns the rates above 0 as NAME=RATE, in the order of Faults.
 func (f FaultRates) String() string {
-	var shown []string
-	for _, trouble := range Faults {
-		if f[trouble.Name] > 0 {
-			shown = append(shown, fmt.Sprintf("%s=%g", trouble.Name, f[trouble.Name]))
+	var rates []string
+	for _, fault := range Faults {
+		if f[fault.Name] > 0 {
+			rates = append(rates, fmt.Sprintf("%s=%g", fault.Name, f[fault.Name]))
 		}
 	}
-	return strings.Join(shown, " ")
+	return strings.Join(rates, " ")
 }
 
-// faultDraw is what was drawn for one attempt at one runner.
+// faultDraw is what was drawn for an attempt at a runner: its faults, and the
+// random numbers that shape them.
 type faultDraw struct {
 	*rand.Rand
 	faults map[string]bool
 }
 
-// draw gives the same fortune for the same seed, runner and attempt.
+// draw draws the faults of an attempt. The same seed, runner and attempt give the
+// same draw.
 func (f FaultRates) draw(seed uint64, runner string, attempt string) *faultDraw {
-	drawn := &faultDraw{Rand: rand.New(rand.NewPCG(seed, piece.Hash(runner, attempt))), faults: map[string]bool{}}
-	for _, trouble := range Faults {
-		if drawn.Float64() < f[trouble.Name] {
-			drawn.faults[trouble.Name] = true
+	draw := &faultDraw{Rand: rand.New(rand.NewPCG(seed, piece.Hash(runner, attempt))), faults: map[string]bool{}}
+	for _, fault := range Faults {
+		if draw.Float64() < f[fault.Name] {
+			draw.faults[fault.Name] = true
 		}
 	}
-	return drawn
+	return draw
 }
 
-func (f *faultDraw) names() []string {
+// has reports whether a fault was drawn.
+func (d *faultDraw) has(name string) bool { return d.faults[name] }
+
+// names returns the drawn faults in the order of Faults.
+func (d *faultDraw) names() []string {
 	var names []string
-	for _, trouble := range Faults {
-		if f.faults[trouble.Name] {
-			names = append(names, trouble.Name)
+	for _, fault := range Faults {
+		if d.has(fault.Name) {
+			names = append(names, fault.Name)
 		}
 	}
 	return names
--- a/emulator/runner/health.go
+++ b/emulator/runner/health.go
@@ -9,50 +9,63 @@
 	"onyxwell/data/upstream"
 )
 
-// serveHealth waits for a place as a request does, and tells how the runner is, or
-// something else.
-func (r *Runner) serveHealth(request *http.Request) ([]byte, error) {
-	limited, release := r.options.Scope.WithTimeout(timeLeft(request))
-	defer release()
-	if !r.slots.acquire(limited, 0) {
-		return ownResponse(http.StatusServiceUnavailable, map[string]string{"Onyxwell-Not-Run": "1"}, ""), nil
+const reportPath = "/report"
+
+// ownEndpoint returns what answers a request to the runner itself, or nil for one
+// that is to run.
+func (r *Runner) ownEndpoint(req *inboundRequest) func(httpReq *http.Request) ([]byte, error) {
+	if req.attemptID != "" || req.http.Method != http.MethodGet {
+		return nil
+	}
+	switch req.http.URL.Path {
+	case reportPath:
+		return r.serveReport
+	case r.settings.HealthPath:
+		return r.serveHealth
+	}
+	return nil
+}
+
+// falseWarmupMS is the warm-up that a false health response states.
+const falseWarmupMS = 250
+
+// serveHealth answers a health check. It takes a slot like a request, so that a
+// full runner rejects it.
+func (r *Runner) serveHealth(httpReq *http.Request) ([]byte, error) {
+	ctx, cancel := r.withTimeout(timeoutOf(httpReq))
+	defer cancel()
+	if !r.slots.acquire(ctx, 0) {
+		return ownResponse(http.StatusServiceUnavailable, map[string]string{notRunHeader: "1"}, ""), nil
 	}
 	defer r.slots.release()
-	running, waiting, _ := r.slots.load()
 	r.mu.Lock()
 	r.healthProbes++
-	drawn := r.settings.Faults.draw(r.settings.Seed, r.settings.ID, fmt.Sprint("health ", r.healthProbes))
-	life, well := r.incarnation, !r.failed
+	draw := r.settings.Faults.draw(r.settings.Seed, r.settings.ID, fmt.Sprint("health ", r.healthProbes))
+	incarnation, healthy := r.incarnation, !r.failed
 	r.mu.Unlock()
-	heads := map[string]string{
-		upstream.RunnerIDHeader: life.ID,
-		upstream.LoadHeader:     fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity),
-	}
+	headers := map[string]string{upstream.RunnerIDHeader: incarnation.ID, upstream.LoadHeader: r.loadText()}
 	if left := r.warmupLeft(); left > 0 {
-		heads[upstream.WarmupHeader] = strconv.FormatInt(left.Milliseconds(), 10)
+		headers[upstream.WarmupHeader] = strconv.FormatInt(left.Milliseconds(), 10)
 	}
-	if drawn.faults[LyingHealth] {
+	if draw.has(LyingHealth) {
 		r.countFaults([]string{LyingHealth})
-		lies := []func(){
-			func() { well = !well },
-			func() { heads[upstream.RunnerIDHeader] = r.settings.ID + ".other" },
-			func() { heads[upstream.WarmupHeader] = "250" },
+		switch draw.IntN(3) {
+		case 0:
+			healthy = !healthy
+		case 1:
+			headers[upstream.RunnerIDHeader] = r.settings.ID + ".other"
+		case 2:
+			headers[upstream.WarmupHeader] = strconv.Itoa(falseWarmupMS)
 		}
-		lies[drawn.IntN(len(lies))]()
 	}
 	status := http.StatusOK
-	if !well {
+	if !healthy {
 		status = http.StatusServiceUnavailable
 	}
-	return ownResponse(status, heads, ""), nil
-}
-
-type model struct {
-	Name     string   `json:"name"`
-	Version  int      `json:"config_version"`
-	Adapters []string `json:"adapters"`
+	return ownResponse(status, headers, ""), nil
 }
 
+// report is the body of /report.
 type report struct {
 	Phase      string  `json:"phase"`
 	Models     []model `json:"models"`
@@ -65,19 +78,25 @@
 	Handled    int     `json:"handled"`
 }
 
+type model struct {
+	Name     string   `json:"name"`
+	Version  int      `json:"config_version"`
+	Adapters []string `json:"adapters"`
+}
+
 func (r *Runner) serveReport(*http.Request) ([]byte, error) {
-	running, waiting, handled := r.slots.load()
+	running, queued, handled := r.slots.load()
 	body, err := json.Marshal(report{
 		Phase: r.settings.Phase, Models: []model{{Name: "m", Version: max(1, r.settings.WeightsVersion), Adapters: []string{}}},
-		Queued: waiting, Active: running, CacheUsed: r.cache.used(), CacheTotal: r.settings.CacheTokens, Handled: handled,
+		Queued: queued, Active: running, CacheUsed: r.cache.used(), CacheTotal: r.settings.CacheTokens, Handled: handled,
 	})
 	return ownResponse(http.StatusOK, map[string]string{"Content-Type": "application/json"}, string(body)), err
 }
 
-// ownResponse makes an answer of the runner itself, that is no request's.
-func ownResponse(status int, heads map[string]string, body string) []byte {
+// ownResponse returns the bytes of a response that belongs to no attempt.
+func ownResponse(status int, headers map[string]string, body string) []byte {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
-	for name, value := range heads {
+	for name, value := range headers {
 		text += name + ": " + value + "\r\n"
 	}
 	return []byte(text + "\r\n" + body)
--- a/emulator/runner/mutate.go
+++ b/emulator/runner/mutate.go
@@ -2,161 +2,50 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 
 	"onyxwell/data/upstream"
 	"onyxwell/emulator/piece"
 )
 
-// mutators change an answer in the manner of one trouble; false says that the
-// trouble doesn't fit this answer.
-var mutators = map[string]func(told *response, link *serverConn, asked inboundRequest) bool{
-	// These two are made before: the status tells of them.
-	OwnFailure:   func(told *response, _ *serverConn, _ inboundRequest) bool { return told.status == 500 },
-	FalseRefusal: func(told *response, _ *serverConn, _ inboundRequest) bool { return told.status > 400 && told.hasSeal() },
-	Refusal: func(told *response, _ *serverConn, _ inboundRequest) bool {
-		return told.status > 400 && !told.hasSeal()
-	},
-
-	NoSeal: func(told *response, _ *serverConn, _ inboundRequest) bool {
-		return told.removeHeader(upstream.SealHeader)
-	},
-	OtherAttempt: func(told *response, link *serverConn, asked inboundRequest) bool {
-		return told.removeHeader(upstream.AttemptIDHeader) && told.addHeader(upstream.AttemptIDHeader, link.runner.swapForeign(asked.attemptID))
-	},
-	Encoded: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		if told.status != 200 {
-			return false
-		}
-		told.body, told.stream = []string{"\x1f\x8b encoded bytes of " + asked.attemptID}, false
-		return told.addHeader("Content-Encoding", "gzip")
-	},
-	Garbage: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		told.raw = []string{
-			"\x00\x01\x02\x03", "SSH-2.0-OpenSSH_9.6\r\n", "HTTP/1.1 \r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n", "ok\n",
-			"HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id " + asked.attemptID + "\r\n\r\n",
-		}[asked.faults.IntN(6)]
-		return told.endAt(-1, closeNormally)
-	},
-	Interim: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		for range 1 + asked.faults.IntN(3) {
-			status := []int{100, 102, 103, 199}[asked.faults.IntN(4)]
-			told.prefix += fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n\r\n", status, upstream.AttemptIDHeader, asked.attemptID)
-		}
-		return true
-	},
-	ShortLength: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		if told.stream || told.status != 200 || told.size() < 2 {
-			return false
-		}
-		told.chunked, told.lengthSet, told.declaredLength = false, true, 1+asked.faults.IntN(told.size()-1)
-		told.framedLength = told.declaredLength
-		return true
-	},
-	LongLength: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		told.chunked, told.lengthSet, told.framedLength = false, true, 0
-		told.declaredLength = told.size() + 1 + asked.faults.IntN(100)
-		return told.endAt(-1, closeNormally)
-	},
-	TwoLengths: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		told.chunked = false
-		return told.addHeader("Content-Length", fmt.Sprint(told.size()+1+asked.faults.IntN(100)))
-	},
-	LengthAndChunks: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		told.chunked = true
-		return told.addHeader("Content-Length", fmt.Sprint(asked.faults.IntN(100)))
-	},
-	NoLength: func(told *response, _ *serverConn, _ inboundRequest) bool { return told.unframe() },
-	NoLengthCut: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		return told.size() > 1 && told.unframe() && told.endAt(len(told.head())+asked.faults.IntN(told.size()), closeNormally)
-	},
-	CutChunk:  badChunk(func(size int, by int) string { return fmt.Sprintf("%x", max(0, size-1-by)) }, "zz"),
-	LongChunk: badChunk(func(size int, by int) string { return fmt.Sprintf("%x", size+1+by) }, ""),
-
-	ExtraAnswer: func(told *response, link *serverConn, asked inboundRequest) bool {
-		return told.appendBytes(foreignResponse(link, asked))
-	},
-	ExtraSame: func(told *response, _ *serverConn, _ inboundRequest) bool { return told.appendBytes(told.text()) },
-	ExtraLate: func(told *response, link *serverConn, asked inboundRequest) bool {
-		told.lateBytes = []byte(foreignResponse(link, asked))
-		return true
-	},
-	ExtraLateSame: func(told *response, _ *serverConn, _ inboundRequest) bool {
-		told.lateBytes = []byte(told.text())
-		return true
-	},
-	ExtraIdle: func(told *response, link *serverConn, asked inboundRequest) bool {
-		told.idleBytes = []byte(foreignResponse(link, asked))
-		return true
-	},
-	BytesBetween: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		return told.appendBytes([]string{"\r\n", "\x00", "loose bytes\r\n", "HTTP/1.1 ", "0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"}[asked.faults.IntN(6)])
-	},
-	HalfClose: func(told *response, _ *serverConn, _ inboundRequest) bool {
-		return told.endAt(-1, func(link *serverConn) {
-			_ = link.tcp.CloseWrite()
-			link.discardInput(link.runner.settings.MaxSilence)
-		})
-	},
-	IdleClose:        func(told *response, _ *serverConn, _ inboundRequest) bool { return told.endAt(-1, closeNormally) },
-	ConnectionCloses: func(told *response, _ *serverConn, _ inboundRequest) bool { told.closeAfter = true; return true },
-	Dribble:          func(told *response, _ *serverConn, _ inboundRequest) bool { told.dribble = true; return true },
-	Takeover: func(told *response, _ *serverConn, asked inboundRequest) bool {
-		service, reset := asked.faults.IntN(2), asked.faults.IntN(2) == 0
-		return told.endAt(-1, func(link *serverConn) {
-			services := link.runner.settings.Services
-			link.runner.TakeOver(services[service%len(services)], reset)
-		})
-	},
-
-	ResetHead:       cutHead((*serverConn).reset),
-	CloseHead:       cutHead(closeNormally),
-	SilenceHead:     cutHead(staySilent),
-	ResetBody:       cutBody((*serverConn).reset),
-	CloseBody:       cutBody(closeNormally),
-	SilenceBody:     cutBody(staySilent),
-	ResetUnanswered: func(told *response, _ *serverConn, _ inboundRequest) bool { return told.endAt(0, (*serverConn).reset) },
-}
-
-// applyFaults makes the answer what the attempt's troubles make of it.
-func (r *response) applyFaults(link *serverConn, asked inboundRequest) {
-	for _, trouble := range Faults {
-		if !asked.faults.faults[trouble.Name] || mutators[trouble.Name] == nil || r.raw != "" {
-			continue
-		}
-		if mutators[trouble.Name](r, link, asked) {
-			r.faults = append(r.faults, trouble.Name)
-		}
-	}
-	if r.chunked || r.unframed || r.raw != "" {
-		r.framedLength = 0
-	}
+// injection is what a fault works on: the response to a request on a connection.
+type injection struct {
+	*response
+	conn *serverConn
+	req  *inboundRequest
 }
 
-func closeNormally(*serverConn) {}
-
-func staySilent(link *serverConn) { link.discardInput(link.runner.settings.MaxSilence) }
+// intN draws from 0 to n-1.
+func (i *injection) intN(n int) int { return i.req.draw.IntN(n) }
 
-func (r *response) hasSeal() bool {
-	for _, pair := range r.headers {
-		if pair[0] == upstream.SealHeader {
-			return true
+// injectFaults changes a response by the faults that were drawn and fit it. Behind
+// one that replaces the response none fits.
+func (c *serverConn) injectFaults(req *inboundRequest, resp *response) {
+	i := &injection{response: resp, conn: c, req: req}
+	for _, fault := range Faults {
+		if req.draw.has(fault.Name) && fault.inject != nil && resp.raw == "" && fault.inject(i) {
+			resp.faults = append(resp.faults, fault.Name)
 		}
 	}
-	return false
+	if resp.chunked || resp.unframed || resp.raw != "" {
+		resp.framedLength = 0
+	}
 }
 
-func (r *response) removeHeader(name string) bool {
-	for index, pair := range r.headers {
-		if pair[0] == name {
-			r.headers = append(r.headers[:index:index], r.headers[index+1:]...)
-			return true
-		}
+// endAt has onEnd called before a byte of the response. The first call wins.
+func (r *response) endAt(cutAt int, onEnd func(conn *serverConn)) bool {
+	if r.onEnd != nil {
+		return false
 	}
-	return false
+	r.cutAt, r.onEnd = cutAt, onEnd
+	return true
 }
 
-// unframe leaves a run's body without length and chunks.
+// closeConn leaves the close to serve.
+func closeConn(*serverConn) {}
+
+// unframe leaves the body of a run without length and chunks.
 func (r *response) unframe() bool {
 	if !r.hasSeal() {
 		return false
@@ -167,86 +56,207 @@
 	return true
 }
 
-func (r *response) addHeader(name string, value string) bool {
-	r.headers = append(r.headers, [2]string{name, value})
+// appendBytes adds bytes right behind the response.
+func (r *response) appendBytes(text string) bool {
+	// Behind a body without a length, or with a length or chunk that is too long,
+	// they would be part of the body.
+	if r.unframed || r.corruptChunk != nil || (r.lengthSet && r.framedLength == 0) {
+		return false
+	}
+	r.suffix += text
 	return true
 }
 
-// endAt has something happen at a byte of the answer; the first that is set stays.
-func (r *response) endAt(cut int, end func(link *serverConn)) bool {
-	if r.onEnd != nil {
+// The status of the first three was chosen before; here it is only reported.
+
+func isOwnFailure(i *injection) bool { return i.status == http.StatusInternalServerError }
+
+func isFalseRejection(i *injection) bool { return i.status > http.StatusBadRequest && i.hasSeal() }
+
+func isRejection(i *injection) bool { return i.status > http.StatusBadRequest && !i.hasSeal() }
+
+func omitSeal(i *injection) bool { return i.removeHeader(upstream.SealHeader) }
+
+func echoOtherAttempt(i *injection) bool {
+	if !i.removeHeader(upstream.AttemptIDHeader) {
 		return false
 	}
-	r.cutAt, r.onEnd = cut, end
+	i.addHeader(upstream.AttemptIDHeader, i.conn.runner.swapForeign(i.req.attemptID))
 	return true
 }
 
-// appendBytes has bytes come right behind a whole answer.
-func (r *response) appendBytes(text string) bool {
-	// By a length or chunk that is too long, or none, they'd be part of the body.
-	if r.unframed || r.corruptChunk != nil || (r.lengthSet && r.framedLength == 0) {
+func encodeBody(i *injection) bool {
+	if i.status != http.StatusOK {
 		return false
 	}
-	r.suffix += text
+	i.body, i.stream = []string{"\x1f\x8b encoded bytes of " + i.req.attemptID}, false
+	i.addHeader("Content-Encoding", "gzip")
 	return true
 }
 
-func cutHead(end func(link *serverConn)) func(*response, *serverConn, inboundRequest) bool {
-	return func(told *response, _ *serverConn, asked inboundRequest) bool {
-		return told.endAt(asked.faults.IntN(len(told.head())), end)
+func sendGarbage(i *injection) bool {
+	i.raw = []string{
+		"\x00\x01\x02\x03", "SSH-2.0-OpenSSH_9.6\r\n", "HTTP/1.1 \r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n", "ok\n",
+		"HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id " + i.req.attemptID + "\r\n\r\n",
+	}[i.intN(6)]
+	return i.endAt(-1, closeConn)
+}
+
+func sendInterimResponses(i *injection) bool {
+	for range 1 + i.intN(3) {
+		status := []int{http.StatusContinue, http.StatusProcessing, http.StatusEarlyHints, 199}[i.intN(4)]
+		i.prefix += fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n\r\n", status, upstream.AttemptIDHeader, i.req.attemptID)
 	}
+	return true
 }
 
-func cutBody(end func(link *serverConn)) func(*response, *serverConn, inboundRequest) bool {
-	return func(told *response, _ *serverConn, asked inboundRequest) bool {
-		size := len(strings.Join(told.segments(), ""))
-		return size > 0 && told.endAt(len(told.head())+asked.faults.IntN(size), end)
+func declareShortLength(i *injection) bool {
+	if i.stream || i.status != http.StatusOK || i.size() < 2 {
+		return false
 	}
+	i.chunked, i.lengthSet, i.declaredLength = false, true, 1+i.intN(i.size()-1)
+	i.framedLength = i.declaredLength
+	return true
 }
 
-// badChunk gives the middle chunk a wrong size, or now and then one that is none.
-func badChunk(size func(size int, by int) string, other string) func(*response, *serverConn, inboundRequest) bool {
-	return func(told *response, _ *serverConn, asked inboundRequest) bool {
-		if len(told.body) == 0 || told.unframed {
-			return false
-		}
-		by, none := asked.faults.IntN(20), other != "" && asked.faults.IntN(3) == 0
-		told.chunked, told.lengthSet, told.framedLength = true, false, 0
-		told.corruptChunk = func(chunk string) string {
-			_, rest, _ := strings.Cut(chunk, "\r\n")
-			wrong := size(len(rest)-2, by)
-			if none {
-				wrong = other
-			}
-			return wrong + "\r\n" + rest
+func declareLongLength(i *injection) bool {
+	i.chunked, i.lengthSet, i.framedLength = false, true, 0
+	i.declaredLength = i.size() + 1 + i.intN(100)
+	return i.endAt(-1, closeConn)
+}
+
+func declareTwoLengths(i *injection) bool {
+	i.chunked = false
+	i.addHeader("Content-Length", fmt.Sprint(i.size()+1+i.intN(100)))
+	return true
+}
+
+func declareLengthAndChunks(i *injection) bool {
+	i.chunked = true
+	i.addHeader("Content-Length", fmt.Sprint(i.intN(100)))
+	return true
+}
+
+func omitLength(i *injection) bool { return i.unframe() }
+
+func omitLengthAndCut(i *injection) bool {
+	return i.size() > 1 && i.unframe() && i.endAt(len(i.head())+i.intN(i.size()), closeConn)
+}
+
+func declareShortChunk(i *injection) bool {
+	return i.corruptMiddleChunk(func(size int, by int) int { return max(0, size-1-by) }, "zz")
+}
+
+func declareLongChunk(i *injection) bool {
+	return i.corruptMiddleChunk(func(size int, by int) int { return size + 1 + by }, "")
+}
+
+// corruptMiddleChunk gives the middle chunk a wrong size or, in one case of three,
+// the text that is no size, if there is one.
+func (i *injection) corruptMiddleChunk(wrongSize func(size int, by int) int, noSize string) bool {
+	if len(i.body) == 0 || i.unframed {
+		return false
+	}
+	by, replace := i.intN(20), noSize != "" && i.intN(3) == 0
+	i.chunked, i.lengthSet, i.framedLength = true, false, 0
+	i.corruptChunk = func(chunk string) string {
+		_, rest, _ := strings.Cut(chunk, "\r\n")
+		if replace {
+			return noSize + "\r\n" + rest
 		}
-		return told.endAt(-1, closeNormally)
+		return fmt.Sprintf("%x\r\n%s", wrongSize(len(rest)-2, by), rest)
+	}
+	return i.endAt(-1, closeConn)
+}
+
+func appendForeignResponse(i *injection) bool { return i.appendBytes(i.foreignResponse()) }
+
+func repeatResponse(i *injection) bool { return i.appendBytes(i.text()) }
+
+func leaveForeignResponse(i *injection) bool {
+	i.lateBytes = []byte(i.foreignResponse())
+	return true
+}
+
+func leaveResponse(i *injection) bool {
+	i.lateBytes = []byte(i.text())
+	return true
+}
+
+func sendForeignResponseWhileIdle(i *injection) bool {
+	i.idleBytes = []byte(i.foreignResponse())
+	return true
+}
+
+func appendGarbage(i *injection) bool {
+	return i.appendBytes([]string{"\r\n", "\x00", "loose bytes\r\n", "HTTP/1.1 ", "0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"}[i.intN(6)])
+}
+
+func halfClose(i *injection) bool {
+	return i.endAt(-1, func(conn *serverConn) {
+		_ = conn.tcp.CloseWrite()
+		conn.discardInput()
+	})
+}
+
+func closeAfterResponse(i *injection) bool { return i.endAt(-1, closeConn) }
+
+func announceClose(i *injection) bool {
+	i.closeAfter = true
+	return true
+}
+
+func dribble(i *injection) bool {
+	i.dribble = true
+	return true
+}
+
+func takeOver(i *injection) bool {
+	service, reset := i.intN(2), i.intN(2) == 0
+	return i.endAt(-1, func(conn *serverConn) {
+		services := conn.runner.settings.Services
+		conn.runner.TakeOver(services[service%len(services)], reset)
+	})
+}
+
+func resetUnanswered(i *injection) bool { return i.endAt(0, (*serverConn).reset) }
+
+// cutHead returns a fault that ends the response in its head.
+func cutHead(onEnd func(conn *serverConn)) func(i *injection) bool {
+	return func(i *injection) bool { return i.endAt(i.intN(len(i.head())), onEnd) }
+}
+
+// cutBody returns a fault that ends the response in its body.
+func cutBody(onEnd func(conn *serverConn)) func(i *injection) bool {
+	return func(i *injection) bool {
+		size := i.framedSize()
+		return size > 0 && i.endAt(len(i.head())+i.intN(size), onEnd)
 	}
 }
 
-// foreignResponse is an answer to an earlier attempt, of any shape.
-func foreignResponse(link *serverConn, asked inboundRequest) string {
-	attempt := link.runner.swapForeign(asked.attemptID)
-	source := piece.Source{Attempt: attempt, Service: link.runner.Incarnation().Service, Seal: "extra." + fmt.Sprint(asked.faults.IntN(1000))}
-	extra := &response{status: 200, cutAt: -1, chunked: asked.faults.IntN(2) == 0, body: []string{source.Body()}}
-	extra.addHeader(upstream.AttemptIDHeader, attempt)
-	kinds := []func(){
-		func() { extra.addHeader(upstream.SealHeader, source.Seal) },
-		func() {
-			extra.addHeader(upstream.SealHeader, source.Seal)
-			extra.addHeader("Content-Type", "text/event-stream")
-			extra.body = []string{source.Event(1), source.Event(2)}
-		},
-		func() {
-			extra.status, extra.body, extra.chunked = 503, nil, false
-			extra.addHeader("Onyxwell-Not-Run", "1")
-		},
-		func() {
-			extra.status, extra.body, extra.chunked = 204, nil, false
-			extra.addHeader(upstream.SealHeader, source.Seal)
-		},
-		func() { extra.status = 500 },
+// foreignResponse returns a response to an earlier attempt, drawn from several
+// kinds.
+func (i *injection) foreignResponse() string {
+	runner := i.conn.runner
+	attempt := runner.swapForeign(i.req.attemptID)
+	source := piece.Source{Attempt: attempt, Service: runner.Incarnation().Service, Seal: "extra." + fmt.Sprint(i.intN(1000))}
+	foreign := &response{status: http.StatusOK, cutAt: -1, chunked: i.intN(2) == 0, body: []string{source.Body()}}
+	foreign.addHeader(upstream.AttemptIDHeader, attempt)
+	switch i.intN(5) {
+	case 0:
+		foreign.addHeader(upstream.SealHeader, source.Seal)
+	case 1:
+		foreign.addHeader(upstream.SealHeader, source.Seal)
+		foreign.addHeader("Content-Type", "text/event-stream")
+		foreign.body = []string{source.Event(1), source.Event(2)}
+	case 2:
+		foreign.status, foreign.body, foreign.chunked = http.StatusServiceUnavailable, nil, false
+		foreign.addHeader(notRunHeader, "1")
+	case 3:
+		foreign.status, foreign.body, foreign.chunked = http.StatusNoContent, nil, false
+		foreign.addHeader(upstream.SealHeader, source.Seal)
+	case 4:
+		foreign.status = http.StatusInternalServerError
 	}
-	kinds[asked.faults.IntN(len(kinds))]()
-	return extra.text()
+	return foreign.text()
 }
--- a/emulator/runner/request.go
+++ b/emulator/runner/request.go
@@ -1,184 +1,185 @@
 package runner
 
 import (
-	"fmt"
+	"context"
 	"net/http"
 	"strconv"
+	"strings"
+	"time"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
+	baseresponse "onyxwell/base/response"
+	"onyxwell/base/settings"
 	"onyxwell/data/upstream"
 	"onyxwell/emulator/oracle"
 	"onyxwell/emulator/piece"
 )
 
-// inboundRequest is one request with what was drawn for it.
+// Headers that only runners use.
+const (
+	notRunHeader          = baseresponse.NotRunHeader
+	modelHeader           = "Onyxwell-Model"
+	expectedVersionHeader = "Onyxwell-Expected-Version"
+	weightVersionsHeader  = "Onyxwell-Weight-Versions"
+)
+
+const (
+	// defaultTimeout and defaultUrgency are those of requests that state none.
+	defaultTimeout = 60 * time.Second
+	defaultUrgency = 5
+	// warmupSlowdown is by how much a request takes longer during warm-up.
+	warmupSlowdown = 4
+)
+
+// inboundRequest is a request with the faults that were drawn for it.
 type inboundRequest struct {
-	request   *http.Request
-	attemptID string
-	body      []byte
-	faults    *faultDraw
-	timeout   clock.Span
+	http      *http.Request
+	attemptID string // "" where it has none
+	body      []byte // nil until it is read
+	draw      *faultDraw
 }
 
-// lastEventID is the event after which the client wants to go on.
-func (i inboundRequest) lastEventID() int {
-	number, err := strconv.Atoi(i.request.Header.Get(upstream.LastEventIDHeader))
+func (r *Runner) newRequest(httpReq *http.Request) *inboundRequest {
+	attemptID := httpReq.Header.Get(upstream.AttemptIDHeader)
+	return &inboundRequest{http: httpReq, attemptID: attemptID, draw: r.settings.Faults.draw(r.settings.Seed, r.settings.ID, attemptID)}
+}
+
+// lastEventID returns the event after which the client resumes, 0 for the start.
+func (r *inboundRequest) lastEventID() int {
+	number, err := strconv.Atoi(r.http.Header.Get(upstream.LastEventIDHeader))
 	if err != nil {
 		return 0
 	}
 	return number
 }
 
-// streams tells whether the request wants events: its path says so.
-func (i inboundRequest) streams() bool { return IsStream(i.request.URL.Path) }
+// streams reports whether the request is answered with a stream of events, which
+// its path says.
+func (r *inboundRequest) streams() bool {
+	return strings.Contains(r.http.URL.Path, "/stream/") || strings.Contains(r.http.URL.Path, "/resumable/")
+}
+
+// respondsEarly reports whether the response comes before the body is read.
+func (r *inboundRequest) respondsEarly() bool { return r.draw.has(EarlyAnswer) }
 
-// IsStream tells whether a path is answered with a stream of events: its last
-// part, or one before it, is "stream" or "resumable".
-func IsStream(path string) bool {
-	for _, name := range []string{"/stream/", "/resumable/"} {
-		for at := 0; at+len(name) <= len(path); at++ {
-			if path[at:at+len(name)] == name {
-				return true
-			}
-		}
+// urgency returns the request's urgency; the lowest goes first.
+func (r *inboundRequest) urgency() int {
+	urgency, err := strconv.Atoi(r.http.Header.Get(upstream.UrgencyHeader))
+	if err != nil {
+		return defaultUrgency
 	}
-	return false
+	return urgency
 }
 
-// rejectStatus gives the status with which a request is refused; 0 takes it.
-func (r *Runner) rejectStatus(asked inboundRequest, life Incarnation) int {
-	if asked.attemptID == "" {
+// timeoutOf returns how long the client of a request waits.
+func timeoutOf(httpReq *http.Request) time.Duration {
+	ms, err := strconv.ParseFloat(httpReq.Header.Get(upstream.TimeLeftHeader), 64)
+	if err != nil || ms <= 0 {
+		return defaultTimeout
+	}
+	return settings.Milliseconds(ms)
+}
+
+// FingerprintOf returns the fingerprint of a request.
+func FingerprintOf(method string, target string, host string, body []byte) oracle.Fingerprint {
+	return oracle.Fingerprint{Method: method, Target: target, Host: host, Body: piece.Hash(string(body))}
+}
+
+// rejectStatus returns the status with which an incarnation rejects a request, or
+// 0 where it accepts it.
+func (r *Runner) rejectStatus(req *inboundRequest, incarnation Incarnation) int {
+	if req.attemptID == "" {
 		return http.StatusBadRequest
 	}
-	target := asked.request.Header.Get(upstream.TargetHeader)
-	expected := asked.request.Header.Get("Onyxwell-Expected-Version")
-	if (target != "" && target != life.ID) || (expected != "" && expected != strconv.Itoa(r.settings.WeightsVersion)) {
+	target, version := req.http.Header.Get(upstream.TargetHeader), req.http.Header.Get(expectedVersionHeader)
+	if (target != "" && target != incarnation.ID) || (version != "" && version != strconv.Itoa(r.settings.WeightsVersion)) {
 		return http.StatusMisdirectedRequest
 	}
-	if asked.faults.faults[Refusal] {
-		return []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest}[asked.faults.IntN(3)]
+	if req.draw.has(Refusal) {
+		return []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest}[req.draw.IntN(3)]
 	}
 	return 0
 }
 
-// serveRequest decides whether the request runs, runs it and answers; it tells whether
-// the connection goes on.
-func (s *serverConn) serveRequest(asked inboundRequest, early bool) bool {
-	runner := s.runner
-	limited, release := runner.options.Scope.WithTimeout(asked.timeout)
-	defer release()
-	status := runner.rejectStatus(asked, runner.Incarnation())
-	if status != 0 {
-		return s.reject(asked, status, early)
+// respond admits a request, runs it and writes the response. It reports whether
+// the connection stays open.
+func (c *serverConn) respond(req *inboundRequest) bool {
+	runner := c.runner
+	ctx, cancel := runner.withTimeout(timeoutOf(req.http))
+	defer cancel()
+	if status := runner.rejectStatus(req, runner.Incarnation()); status != 0 {
+		return c.reject(req, status)
 	}
 	if !runner.admitWhileCold() {
-		s.reset()
+		c.reset()
 		return false
 	}
-	urgency, err := strconv.Atoi(asked.request.Header.Get(upstream.UrgencyHeader))
-	if err != nil {
-		urgency = 5
-	}
-	if !runner.slots.acquire(limited, urgency) {
-		return s.reject(asked, http.StatusServiceUnavailable, early)
+	if !runner.slots.acquire(ctx, req.urgency()) {
+		return c.reject(req, http.StatusServiceUnavailable)
 	}
 	defer runner.slots.release()
-	// The life may have changed while the request was in the queue.
-	seal, life := runner.newSeal()
-	if status = runner.rejectStatus(asked, life); status != 0 {
-		return s.reject(asked, status, early)
+	// Another incarnation may have begun while the request was queued.
+	seal, incarnation := runner.newSeal()
+	if status := runner.rejectStatus(req, incarnation); status != 0 {
+		return c.reject(req, status)
 	}
-	return s.execute(limited, asked, early, seal, life)
+	return c.execute(ctx, req, seal, incarnation)
 }
 
-func (s *serverConn) reject(asked inboundRequest, status int, early bool) bool {
-	life := s.runner.Incarnation()
-	told := s.runner.compose(asked, life, "", status)
-	told.headers = append(told.headers, [2]string{"Onyxwell-Not-Run", "1"})
-	if asked.faults.faults[Refusal] && asked.faults.IntN(2) == 0 {
-		told.body = []string{"turned away\n"}
-	}
-	told.applyFaults(s, asked)
-	s.record(asked, oracle.Run{Runner: life.ID, Service: life.Service, Rejected: true, Status: status, LastEventID: asked.lastEventID(), BodyUnread: early}, told)
-	return s.writeResponse(s.runner.options.Scope, told)
+// reject answers a request that does not run.
+func (c *serverConn) reject(req *inboundRequest, status int) bool {
+	incarnation := c.runner.Incarnation()
+	resp := c.runner.newResponse(req, incarnation, "", status)
+	resp.addHeader(notRunHeader, "1")
+	if req.draw.has(Refusal) && req.draw.IntN(2) == 0 {
+		resp.body = []string{"turned away\n"}
+	}
+	c.injectFaults(req, resp)
+	c.record(req, resp, incarnation, "")
+	return c.writeResponse(c.runner.ctx, resp)
 }
 
-func (s *serverConn) execute(limited scope.Scope, asked inboundRequest, early bool, seal string, life Incarnation) bool {
-	runner := s.runner
-	unread := runner.cache.prefill(asked.request.Header.Get("Onyxwell-Model"), asked.request.Header.Get(upstream.PromptPrefixHeader))
-	work := runner.settings.ServiceTime + clock.Span(unread*float64(runner.settings.PrefillPerToken))
+// execute runs a request.
+func (c *serverConn) execute(ctx context.Context, req *inboundRequest, seal string, incarnation Incarnation) bool {
+	runner := c.runner
+	unread := runner.cache.prefill(req.http.Header.Get(modelHeader), req.http.Header.Get(upstream.PromptPrefixHeader))
+	serviceTime := runner.settings.ServiceTime + time.Duration(unread*float64(runner.settings.PrefillPerToken))
 	if runner.warmupLeft() > 0 {
-		work *= 4
+		serviceTime *= warmupSlowdown
 	}
 	status := http.StatusOK
-	if asked.faults.faults[OwnFailure] {
+	if req.draw.has(OwnFailure) {
 		status = http.StatusInternalServerError
 	}
-	if asked.faults.faults[FalseRefusal] {
-		status = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout}[asked.faults.IntN(3)]
-	}
-	told := runner.compose(asked, life, seal, status)
-	told.applyFaults(s, asked)
-	s.record(asked, oracle.Run{
-		Runner: life.ID, Service: life.Service, Seal: seal, Status: status, DeclaredLength: told.framedLength, LastEventID: asked.lastEventID(), BodyUnread: early,
-	}, told)
-	if !limited.Wait(work) {
-		// The deadline passed while it ran; nobody waits any more.
-		s.discardInput(runner.settings.MaxSilence)
+	if req.draw.has(FalseRefusal) {
+		status = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout}[req.draw.IntN(3)]
+	}
+	resp := runner.newResponse(req, incarnation, seal, status)
+	c.injectFaults(req, resp)
+	c.record(req, resp, incarnation, seal)
+	if !clock.Wait(ctx, runner.clock, serviceTime) {
+		// The client's time-out passed while the request ran.
+		c.discardInput()
 		return false
 	}
-	return s.writeResponse(limited, told)
+	return c.writeResponse(ctx, resp)
 }
 
-func (s *serverConn) record(asked inboundRequest, run oracle.Run, told *response) {
-	names := told.faults
-	if asked.faults.faults[EarlyAnswer] {
-		names = append(names, EarlyAnswer)
-	}
-	s.runner.countFaults(names)
-	if s.runner.options.OnRequest == nil || asked.attemptID == "" {
+// record counts a request's faults and reports it; an empty seal is that of a
+// rejected request. It has to be called before a byte of the response is written.
+func (c *serverConn) record(req *inboundRequest, resp *response, incarnation Incarnation, seal string) {
+	faults := resp.faults
+	if req.respondsEarly() {
+		faults = append(faults, EarlyAnswer)
+	}
+	c.runner.countFaults(faults)
+	if c.runner.options.OnRequest == nil || req.attemptID == "" {
 		return
 	}
-	run.Attempt, run.Faults = asked.attemptID, names
-	run.Fingerprint = FingerprintOf(asked.request.Method, asked.request.RequestURI, asked.request.Host, asked.body)
-	s.runner.options.OnRequest(run)
-}
-
-// FingerprintOf is what must reach a runner unchanged, for the oracle.
-func FingerprintOf(method string, target string, host string, body []byte) oracle.Fingerprint {
-	return oracle.Fingerprint{Method: method, Target: target, Host: host, Body: piece.Hash(string(body))}
-}
-
-// compose makes the answer that a runner without troubles gives.
-func (r *Runner) compose(asked inboundRequest, life Incarnation, seal string, status int) *response {
-	running, waiting, _ := r.slots.load()
-	made := &response{status: status, cutAt: -1, chunked: asked.faults.IntN(4) == 0}
-	made.headers = [][2]string{
-		{upstream.AttemptIDHeader, asked.attemptID},
-		{upstream.LoadHeader, fmt.Sprintf("%d,%d,%d", running, waiting, r.settings.Capacity)},
-		{"Keep-Alive", fmt.Sprintf("timeout=%d", max(1, int(r.settings.IdleTimeout/clock.Second)))},
-	}
-	if left := r.warmupLeft(); left > 0 {
-		made.headers = append(made.headers, [2]string{upstream.WarmupHeader, strconv.FormatInt(left.Milliseconds(), 10)})
-	}
-	if seal == "" {
-		return made
-	}
-	made.headers = append(made.headers, [2]string{upstream.SealHeader, seal})
-	if r.settings.WeightsVersion > 0 {
-		made.headers = append(made.headers, [2]string{"Onyxwell-Weight-Versions", strconv.Itoa(r.settings.WeightsVersion)})
-	}
-	source := piece.Source{Attempt: asked.attemptID, Service: life.Service, Seal: seal}
-	if !asked.streams() || status != http.StatusOK {
-		made.body = []string{source.Body()}
-		made.headers = append(made.headers, [2]string{"Content-Type", "text/plain"})
-		return made
-	}
-	made.gap, made.stream, made.chunked = r.settings.EventInterval, true, !made.chunked
-	made.headers = append(made.headers, [2]string{"Content-Type", "text/event-stream"})
-	for number := asked.lastEventID() + 1; number <= piece.LineCount(asked.attemptID); number++ {
-		made.body = append(made.body, source.Event(number))
-	}
-	return made
+	c.runner.options.OnRequest(oracle.Run{
+		Attempt: req.attemptID, Runner: incarnation.ID, Service: incarnation.Service, Seal: seal,
+		Fingerprint: FingerprintOf(req.http.Method, req.http.RequestURI, req.http.Host, req.body),
+		Rejected:    seal == "", Status: resp.status, LastEventID: req.lastEventID(),
+		DeclaredLength: resp.framedLength, BodyUnread: req.respondsEarly(), Faults: faults,
+	})
 }
--- a/emulator/runner/runner.go
+++ b/emulator/runner/runner.go
@@ -1,9 +1,16 @@
+// Package runner emulates a model runner over real connections. It answers as the
+// protocol between routers and runners asks, and injects faults at set rates. What
+// is injected into an attempt is drawn from the seed, the runner's id and the
+// attempt's id alone, so the same attempt meets the same faults again.
 package runner
 
 import (
+	"context"
 	"fmt"
+	"maps"
 	"net"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
@@ -12,28 +19,33 @@
 
 // Options are what a runner is started with.
 type Options struct {
+	// Scope gives the clock. Its end ends all pauses, but not the runner.
 	Scope    scope.Scope
 	Settings Settings
-	// Address is where it listens; 127.0.0.1:0 draws a port.
+	// Address is where it listens; 127.0.0.1:0 chooses a port.
 	Address string
-	// OnRequest is told of every request that arrived whole, before a byte of its
-	// answer is written; nil tells nobody.
+	// OnRequest is called with every request that arrived whole, or whose response
+	// comes before its body, before a byte of the response is written. It may be
+	// nil, and has to be safe for concurrent use.
 	OnRequest func(run oracle.Run)
-	// OnLateBody is told the digest of each body that was read whole after its answer;
-	// nil tells nobody.
+	// OnLateBody is called with the hash of each body that was read after the
+	// response. It may be nil, and has to be safe for concurrent use.
 	OnLateBody func(attempt string, body uint64)
 }
 
-// Incarnation is who has the address.
+// Incarnation is the server that has the runner's address. A takeover begins
+// another.
 type Incarnation struct {
 	ID      string
 	Service string
 }
 
-// Runner is a runner that listens.
+// Runner is an emulated runner. It is safe for concurrent use.
 type Runner struct {
 	options  Options
 	settings Settings
+	ctx      context.Context // of all pauses
+	clock    clock.Clock
 	listener net.Listener
 	slots    slots
 	cache    cache
@@ -41,132 +53,143 @@
 	mu          sync.Mutex
 	incarnation Incarnation
 	takeovers   int
-	startedAt   clock.Instant
-	failed      bool
-	// second is the second in which burden requests came while cold.
-	second       clock.Instant
+	startedAt   clock.Instant // of the incarnation
+	failed      bool          // the incarnation was overloaded during its warm-up
+	// coldRequests came since coldSince while the incarnation was warming up.
+	coldSince    clock.Instant
 	coldRequests float64
 	conns        map[*serverConn]bool
 	faultCounts  map[string]int
 	healthProbes int
 	runs         int
-	// foreign are the two last attempts that were swapped, for answers that come
-	// where they don't belong.
+	// foreign are the last two different attempts, the newest first, for responses
+	// that belong to another attempt.
 	foreign [2]string
 }
 
-// Start checks the settings and begins to listen.
+// noAttempt stands for an attempt that no client has sent.
+const noAttempt = "0000000000000000"
+
+// coldWindow is how long requests during warm-up are counted together.
+const coldWindow = time.Second
+
+// overloadFactor is at how many times WarmupRate an incarnation fails.
+const overloadFactor = 2
+
+// Start checks the settings and starts a runner. The caller has to close it.
 func Start(options Options) (*Runner, error) {
-	if err := options.Settings.Check(); err != nil {
+	settings := options.Settings
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
 		return nil, fmt.Errorf("runner: %w", err)
 	}
-	settings := options.Settings
-	made := &Runner{
-		options: options, settings: settings, listener: listener,
+	r := &Runner{
+		options: options, settings: settings, ctx: options.Scope, clock: options.Scope.Clock, listener: listener,
 		slots:       slots{capacity: settings.Capacity, queue: settings.Queue},
 		cache:       cache{limit: settings.CacheTokens},
 		incarnation: Incarnation{ID: settings.ID, Service: settings.Services[0]},
 		startedAt:   options.Scope.Now(), conns: map[*serverConn]bool{}, faultCounts: map[string]int{},
-		foreign: [2]string{"0000000000000000", "0000000000000000"},
+		foreign: [2]string{noAttempt, noAttempt},
 	}
-	go made.accept()
-	return made, nil
+	go r.accept()
+	return r, nil
 }
 
-// Address is where the runner listens.
+// Address returns the address on which the runner listens.
 func (r *Runner) Address() string { return r.listener.Addr().String() }
 
-// Incarnation tells who has the address now.
+// Incarnation returns the present incarnation.
 func (r *Runner) Incarnation() Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.incarnation
 }
 
-// FaultCounts tells how often each trouble befell a request.
+// FaultCounts returns how often each fault was injected, by name.
 func (r *Runner) FaultCounts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	met := map[string]int{}
-	for name, count := range r.faultCounts {
-		met[name] = count
-	}
-	return met
+	return maps.Clone(r.faultCounts)
 }
 
-// OpenConns tells how many connections are open.
+// OpenConns returns how many connections are served. After Close it falls to 0
+// once all requests were reported.
 func (r *Runner) OpenConns() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
 }
 
-// TakeOver gives the address to a new life; its connections are reset, or stay
-// with the new life as though nothing had been.
+// TakeOver begins another incarnation at the address. Connections are reset, or
+// stay open and are served by the new incarnation.
 func (r *Runner) TakeOver(service string, reset bool) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.takeovers++
 	r.incarnation = Incarnation{ID: fmt.Sprintf("%s.%d", r.settings.ID, r.takeovers), Service: service}
-	r.startedAt, r.failed = r.options.Scope.Now(), false
-	var ended []*serverConn
-	for link := range r.conns {
-		ended = append(ended, link)
-	}
-	r.mu.Unlock()
-	for _, link := range ended {
-		if reset {
-			link.reset()
-		}
+	r.startedAt, r.failed = r.clock.Now(), false
+	if reset {
+		r.resetConns()
 	}
 }
 
-// Close ends the runner and its connections.
+// Close closes the listener and resets all connections. It doesn't wait for the
+// requests that are running; see OpenConns.
 func (r *Runner) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for link := range r.conns {
-		link.reset()
+	r.resetConns()
+}
+
+// resetConns requires r.mu.
+func (r *Runner) resetConns() {
+	for conn := range r.conns {
+		conn.reset()
 	}
 }
 
+// accept serves connections until the listener is closed.
 func (r *Runner) accept() {
 	for {
-		opened, err := r.listener.Accept()
+		tcp, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		made := newServerConn(r, opened.(*net.TCPConn))
-		if !r.register(made) {
-			made.reset()
+		conn := newServerConn(r, tcp.(*net.TCPConn))
+		if !r.register(conn) {
+			conn.reset()
 			continue
 		}
-		go made.serve()
+		go conn.serve()
 	}
 }
 
-// register counts a connection; one too many is not taken.
-func (r *Runner) register(made *serverConn) bool {
+// register adds a connection, and reports whether MaxConns allows it.
+func (r *Runner) register(conn *serverConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if most := r.settings.MaxConns; most > 0 && len(r.conns) >= most {
+	if limit := r.settings.MaxConns; limit > 0 && len(r.conns) >= limit {
 		return false
 	}
-	r.conns[made] = true
+	r.conns[conn] = true
 	return true
 }
 
-func (r *Runner) unregister(made *serverConn) {
+func (r *Runner) unregister(conn *serverConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, made)
+	delete(r.conns, conn)
+}
+
+// withTimeout returns a context that ends after a time-out on the runner's clock.
+func (r *Runner) withTimeout(timeout time.Duration) (context.Context, context.CancelFunc) {
+	return r.clock.WithTimeout(r.ctx, timeout)
 }
 
-// countFaults notes which troubles befell a request.
 func (r *Runner) countFaults(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,31 +198,37 @@
 	}
 }
 
-// warmupLeft is how much longer this life is cold.
-func (r *Runner) warmupLeft() clock.Span {
+// loadText returns the value of the load header: running, queued, capacity.
+func (r *Runner) loadText() string {
+	running, queued, _ := r.slots.load()
+	return fmt.Sprintf("%d,%d,%d", running, queued, r.settings.Capacity)
+}
+
+// warmupLeft returns how much longer the incarnation is warming up.
+func (r *Runner) warmupLeft() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(0, r.settings.Warmup-r.options.Scope.Now().Since(r.startedAt))
+	return max(0, r.settings.Warmup-r.clock.Now().Since(r.startedAt))
 }
 
-// admitWhileCold counts a request against what a cold runner bears; false says that it
-// has fallen over.
+// admitWhileCold counts a request during warm-up. It returns false from the
+// request on that overloads the incarnation.
 func (r *Runner) admitWhileCold() bool {
 	if r.settings.WarmupRate == 0 || r.warmupLeft() == 0 {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.options.Scope.Now()
-	if now.Since(r.second) >= clock.Second {
-		r.second, r.coldRequests = now, 0
+	now := r.clock.Now()
+	if now.Since(r.coldSince) >= coldWindow {
+		r.coldSince, r.coldRequests = now, 0
 	}
 	r.coldRequests++
-	r.failed = r.failed || r.coldRequests > 2*r.settings.WarmupRate
+	r.failed = r.failed || r.coldRequests > overloadFactor*r.settings.WarmupRate
 	return !r.failed
 }
 
-// newSeal gives the stamp of a new run, and who runs it.
+// newSeal returns the seal of a new run, and the incarnation that runs it.
 func (r *Runner) newSeal() (string, Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,7 +236,7 @@
 	return fmt.Sprintf("%s.%d", r.settings.ID, r.runs), r.incarnation
 }
 
-// swapForeign gives an earlier attempt, never the same one, and remembers this one.
+// swapForeign remembers an attempt and returns the last one that differs from it.
 func (r *Runner) swapForeign(attempt string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/emulator/runner/runner_test.go
+++ b/emulator/runner/runner_test.go
@@ -2,23 +2,25 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"runtime"
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/scope"
 	"onyxwell/emulator/oracle"
 	"onyxwell/emulator/piece"
 )
 
+// testRunner is a runner whose requests are recorded.
 type testRunner struct {
 	*Runner
-	t    *testing.T
 	mu   sync.Mutex
 	runs []oracle.Run
 }
@@ -26,50 +28,52 @@
 func startRunner(t *testing.T, change func(settings *Settings)) *testRunner {
 	t.Helper()
 	settings := Defaults("desk", "i-1")
-	settings.Services, settings.MaxSilence = []string{"desk", "shop"}, 10*clock.Millisecond
+	settings.Services, settings.MaxSilence = []string{"desk", "shop"}, 10*time.Millisecond
 	change(&settings)
-	made := &testRunner{t: t}
-	begun, err := Start(Options{Scope: scope.New(scope.Options{}), Settings: settings, Address: "127.0.0.1:0", OnRequest: func(run oracle.Run) {
-		made.mu.Lock()
-		defer made.mu.Unlock()
-		made.runs = append(made.runs, run)
+	recorded := &testRunner{}
+	runner, err := Start(Options{Scope: scope.New(scope.Options{}), Settings: settings, Address: "127.0.0.1:0", OnRequest: func(run oracle.Run) {
+		recorded.mu.Lock()
+		defer recorded.mu.Unlock()
+		recorded.runs = append(recorded.runs, run)
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(begun.Close)
-	made.Runner = begun
-	return made
+	t.Cleanup(runner.Close)
+	recorded.Runner = runner
+	return recorded
 }
 
-// raw sends bytes on a new connection and gives all that comes back.
-func (t *testRunner) raw(text string) string {
-	t.t.Helper()
-	conn, err := net.Dial("tcp", t.Address())
+// exchange sends bytes on a new connection and returns all that comes back.
+func (r *testRunner) exchange(t *testing.T, text string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", r.Address())
 	if err != nil {
-		t.t.Fatal(err)
+		t.Fatal(err)
 	}
 	defer conn.Close()
 	_, _ = io.WriteString(conn, text)
-	heard, _ := io.ReadAll(conn)
-	return string(heard)
+	received, _ := io.ReadAll(conn)
+	return string(received)
 }
 
-func postRequest(path string, heads ...string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 4\r\n%s\r\nbody", path, strings.Join(append(heads, ""), "\r\n"))
+const healthCheck = "GET /health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
+
+func postRequest(path string, headers ...string) string {
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 4\r\n%s\r\nbody", path, strings.Join(append(headers, ""), "\r\n"))
 }
 
 func parseResponse(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 	if err != nil {
 		t.Fatalf("%v: %q", err, text)
 	}
-	body, err := io.ReadAll(response.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatalf("%v: %q", err, text)
 	}
-	return response, string(body)
+	return resp, string(body)
 }
 
 func TestRunner_withoutFaults(t *testing.T) {
@@ -93,23 +97,25 @@
 		{"another version", postRequest("/safe/1", id, "Onyxwell-Expected-Version: 2"), 421, "", true},
 		{"no attempt", postRequest("/safe/1"), 400, "", true},
 	}
-	for _, example := range cases {
-		response, body := parseResponse(t, runner.raw(example.text))
-		if response.StatusCode != example.status || body != example.body || (response.Header.Get("Onyxwell-Not-Run") != "") != example.notRun {
-			t.Errorf("%s: %d %q", example.name, response.StatusCode, body)
-		}
-		if response.Header.Get("Onyxwell-Server-Seal") == "" != example.notRun || (example.status != 400 && response.Header.Get("Onyxwell-Attempt-Id") != "a1") {
-			t.Errorf("%s: %v", example.name, response.Header)
-		}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			resp, body := parseResponse(t, runner.exchange(t, test.text))
+			if resp.StatusCode != test.status || body != test.body || (resp.Header.Get("Onyxwell-Not-Run") != "") != test.notRun {
+				t.Errorf("%d %q", resp.StatusCode, body)
+			}
+			if resp.Header.Get("Onyxwell-Server-Seal") == "" != test.notRun || (test.status != 400 && resp.Header.Get("Onyxwell-Attempt-Id") != "a1") {
+				t.Errorf("%v", resp.Header)
+			}
+		})
 	}
 	if len(runner.runs) != 4 || runner.runs[1].LastEventID != 1 || !runner.runs[2].Rejected || runner.runs[0].Fingerprint != FingerprintOf("POST", "/safe/1", "h", []byte("body")) {
-		t.Fatalf("told %+v", runner.runs)
+		t.Fatalf("recorded %+v", runner.runs)
 	}
-	health, _ := parseResponse(t, runner.raw("GET /health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+	health, _ := parseResponse(t, runner.exchange(t, healthCheck))
 	if health.StatusCode != 200 || health.Header.Get("Onyxwell-Server-Id") != "i-1" || health.Header.Get("Onyxwell-Server-Load") == "" {
 		t.Fatalf("health: %+v", health)
 	}
-	_, report := parseResponse(t, runner.raw("GET /report HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+	_, report := parseResponse(t, runner.exchange(t, "GET /report HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 	if !strings.Contains(report, `"handled":3`) || !strings.Contains(report, `"config_version":3`) {
 		t.Fatal(report)
 	}
@@ -118,55 +124,73 @@
 func TestRunner_overload(t *testing.T) {
 	full := startRunner(t, func(settings *Settings) { settings.Capacity, settings.Queue = 1, 0 })
 	if !full.slots.acquire(full.options.Scope, 0) {
-		t.Fatal("no place in an empty runner")
+		t.Fatal("no slot in an empty runner")
 	}
-	response, _ := parseResponse(t, full.raw(postRequest("/safe/1", "Onyxwell-Attempt-Id: a1")))
-	if response.StatusCode != 503 || response.Header.Get("Onyxwell-Not-Run") == "" {
-		t.Fatalf("full: %+v", response)
+	resp, _ := parseResponse(t, full.exchange(t, postRequest("/safe/1", "Onyxwell-Attempt-Id: a1")))
+	if resp.StatusCode != 503 || resp.Header.Get("Onyxwell-Not-Run") == "" {
+		t.Fatalf("full: %+v", resp)
 	}
-	cold := startRunner(t, func(settings *Settings) { settings.Warmup, settings.WarmupRate = 60*clock.Second, 1 })
+	cold := startRunner(t, func(settings *Settings) { settings.Warmup, settings.WarmupRate = 60*time.Second, 1 })
 	for number := 1; number <= 3; number++ {
-		heard := cold.raw(postRequest("/safe/1", fmt.Sprintf("Onyxwell-Attempt-Id: c%d", number)))
-		if (heard == "") != (number == 3) || (number < 3 && !strings.Contains(heard, "Onyxwell-Cold-Ms")) {
-			t.Fatalf("request %d while cold: %q", number, heard)
+		text := cold.exchange(t, postRequest("/safe/1", fmt.Sprintf("Onyxwell-Attempt-Id: c%d", number)))
+		if (text == "") != (number == 3) || (number < 3 && !strings.Contains(text, "Onyxwell-Cold-Ms")) {
+			t.Fatalf("request %d while cold: %q", number, text)
 		}
 	}
 	if len(cold.runs) != 2 {
-		t.Fatalf("told %+v", cold.runs)
+		t.Fatalf("recorded %+v", cold.runs)
 	}
 	cold.TakeOver("shop", true)
-	heard, _ := parseResponse(t, cold.raw("GET /health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
-	if heard.Header.Get("Onyxwell-Server-Id") != "i-1.1" || cold.Incarnation().Service != "shop" {
-		t.Fatal("the address has no new life")
+	health, _ := parseResponse(t, cold.exchange(t, healthCheck))
+	if health.Header.Get("Onyxwell-Server-Id") != "i-1.1" || cold.Incarnation().Service != "shop" {
+		t.Fatal("the address has no new incarnation")
 	}
 }
 
-func TestSlotsAndCache(t *testing.T) {
-	top := scope.New(scope.Options{})
-	places := &slots{capacity: 1, queue: 2}
-	places.acquire(top, 5)
+func TestSlots_urgencyOrder(t *testing.T) {
+	ctx := t.Context()
+	slots := &slots{capacity: 1, queue: 2}
+	slots.acquire(ctx, 5)
 	order := make(chan int, 2)
 	for count, urgency := range []int{7, 2} {
 		go func() {
-			places.acquire(top, urgency)
+			slots.acquire(ctx, urgency)
 			order <- urgency
-			places.release()
+			slots.release()
 		}()
-		for _, waiting, _ := places.load(); waiting <= count; _, waiting, _ = places.load() {
-			top.Wait(clock.Millisecond / 10)
+		for _, queued, _ := slots.load(); queued <= count; _, queued, _ = slots.load() {
+			runtime.Gosched()
 		}
 	}
-	places.release()
+	slots.release()
 	if first, second := <-order, <-order; first != 2 || second != 7 {
 		t.Fatalf("%d before %d", first, second)
 	}
-	kept := &cache{limit: 100}
-	for index, example := range []struct {
-		prompt string
-		unread float64
+}
+
+func TestSlots_endedContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	slots := &slots{capacity: 1, queue: 1}
+	if !slots.acquire(ctx, 5) {
+		t.Fatal("a free slot was not given")
+	}
+	if slots.acquire(ctx, 5) {
+		t.Fatal("a slot was given twice")
+	}
+	if running, queued, handled := slots.load(); running != 1 || queued != 0 || handled != 0 {
+		t.Fatalf("%d running, %d queued, %d handled", running, queued, handled)
+	}
+}
+
+func TestCache_prefill(t *testing.T) {
+	cache := &cache{limit: 100}
+	for i, test := range []struct {
+		prompt   string
+		uncached float64
 	}{{"a:40,b:10", 50}, {"a:40,c:10", 10}, {"a:40,b:10", 0}, {"d:90", 90}, {"a:40,b:10", 50}} {
-		if unread := kept.prefill("m", example.prompt); unread != example.unread || kept.used() > 100 {
-			t.Fatalf("prompt %d: %g unread, %g used", index, unread, kept.used())
+		if uncached := cache.prefill("m", test.prompt); uncached != test.uncached || cache.used() > 100 {
+			t.Fatalf("prompt %d: %g prefilled, %g used", i, uncached, cache.used())
 		}
 	}
 }
@@ -180,27 +204,31 @@
 			t.Fatal("the same seed drew something else")
 		}
 	}
-	for _, trouble := range Faults {
-		runner := startRunner(t, func(settings *Settings) { settings.Faults = FaultRates{trouble.Name: 1} })
-		for number := range 6 {
-			path := []string{"/safe/1", "/stream/1"}[number%2]
-			runner.raw(postRequest(path, fmt.Sprintf("Onyxwell-Attempt-Id: a%d", number)))
-		}
-		runner.raw("GET /health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-		if runner.FaultCounts()[trouble.Name] == 0 {
-			t.Errorf("%s befell nothing", trouble.Name)
-		}
+	for _, fault := range Faults {
+		t.Run(fault.Name, func(t *testing.T) {
+			runner := startRunner(t, func(settings *Settings) { settings.Faults = FaultRates{fault.Name: 1} })
+			for number := range 6 {
+				path := []string{"/safe/1", "/stream/1"}[number%2]
+				runner.exchange(t, postRequest(path, fmt.Sprintf("Onyxwell-Attempt-Id: a%d", number)))
+			}
+			runner.exchange(t, healthCheck)
+			if runner.FaultCounts()[fault.Name] == 0 {
+				t.Error("was not injected")
+			}
+		})
 	}
 }
 
-// The same attempt twice in a row: what is marked as another's is another's.
+// The attempt that a response is marked with differs from its own, also where the
+// same attempt comes twice in a row.
 func TestRunner_wrongAttempt(t *testing.T) {
 	runner := startRunner(t, func(settings *Settings) { settings.Faults = FaultRates{OtherAttempt: 1} })
-	for number, asked := range []string{"a1", "a1", "a2", "a1", "a1"} {
-		response, _ := parseResponse(t, runner.raw(postRequest("/safe/1", "Onyxwell-Attempt-Id: "+asked)))
-		wanted := []string{"0000000000000000", "0000000000000000", "a1", "a2", "a2"}[number]
-		if told := response.Header.Get("Onyxwell-Attempt-Id"); told != wanted {
-			t.Errorf("answer %d, to %s, is marked as that of %s, not %s", number, asked, told, wanted)
+	for number, test := range []struct{ attempt, echoed string }{
+		{"a1", "0000000000000000"}, {"a1", "0000000000000000"}, {"a2", "a1"}, {"a1", "a2"}, {"a1", "a2"},
+	} {
+		resp, _ := parseResponse(t, runner.exchange(t, postRequest("/safe/1", "Onyxwell-Attempt-Id: "+test.attempt)))
+		if echoed := resp.Header.Get("Onyxwell-Attempt-Id"); echoed != test.echoed {
+			t.Errorf("response %d, to %s, is marked as that of %s, not %s", number, test.attempt, echoed, test.echoed)
 		}
 	}
 }
@@ -214,13 +242,13 @@
 			t.Fatalf("%s is missing in: %v", part, err)
 		}
 	}
-	mix := FaultRates{}
+	rates := FaultRates{}
 	for _, text := range []string{"garbage", "garbage=x", "garbage=1.5", "none=1"} {
-		if err := mix.Set(text); err == nil {
+		if err := rates.Set(text); err == nil {
 			t.Errorf("%s was taken", text)
 		}
 	}
-	if err := mix.Set("garbage=0.5"); err != nil || mix[Garbage] != 0.5 {
+	if err := rates.Set("garbage=0.5"); err != nil || rates[Garbage] != 0.5 {
 		t.Fatal(err)
 	}
 }
--- a/emulator/runner/settings.go
+++ b/emulator/runner/settings.go
@@ -1,66 +1,67 @@
-// Package runner plays a model runner over real connections on the loopback. It
-// behaves as the pages say, and misbehaves as its settings say: each trouble has
-// a rate, and what befalls an attempt is drawn from the seed and the attempt's
-// id, so the same attempt meets the same troubles again.
 package runner
 
 import (
 	"fmt"
 	"strings"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
 // Settings are how a runner behaves.
 type Settings struct {
-	// Services are those that may have the address; the first has it at the start.
+	// Services are those that an incarnation may have; the first has the address at
+	// the start, a takeover draws one.
 	Services []string
-	// ID is the id of the first life; later lives add a count to it.
+	// ID is the id of the first incarnation; later ones add a count to it.
 	ID string
-	// Capacity is how many requests run at once, Queue how many more may wait,
-	// Connections how many connections are accepted; 0 is no bound.
+	// Capacity is how many requests run at once, Queue how many more may wait.
+	// MaxConns is how many connections are accepted; 0 is no bound.
 	Capacity int
 	Queue    int
 	MaxConns int
-	// ServiceTime is how long a request takes before its answer or first event, Gap the
-	// pause between events, and PrefillPerToken what each unread token of a prompt adds.
-	ServiceTime     clock.Span
-	EventInterval   clock.Span
-	PrefillPerToken clock.Span
-	// CacheTokens is how many tokens of kept prompt parts are held.
+	// ServiceTime is how long a request runs before its response or first event.
+	// PrefillPerToken is added to it for each token of the prompt that isn't cached.
+	// EventInterval is the pause between two events.
+	ServiceTime     time.Duration
+	EventInterval   time.Duration
+	PrefillPerToken time.Duration
+	// CacheTokens is the size of the prefix cache.
 	CacheTokens float64
-	// Warmup is how long a life stays cold from its start, WarmupRate how many
-	// requests a second it then bears; at twice that it falls over.
-	Warmup     clock.Span
+	// Warmup is how long an incarnation is warming up from its start. WarmupRate is
+	// how many requests per second it bears until then; above twice that it fails.
+	// 0 is no bound.
+	Warmup     time.Duration
 	WarmupRate float64
-	// IdleTimeout is how long an idle connection is kept; Silent is the longest that
-	// a runner which says nothing holds a connection.
-	IdleTimeout clock.Span
-	MaxSilence  clock.Span
-	// WeightsVersion is that of the weights, 0 for none; Phase is what /report tells.
+	// IdleTimeout is how long an idle connection is kept open. MaxSilence is how
+	// long a runner at most holds a connection on which it sends nothing.
+	IdleTimeout time.Duration
+	MaxSilence  time.Duration
+	// WeightsVersion is the version of the weights, 0 for none. Phase is what
+	// /report answers.
 	WeightsVersion int
 	Phase          string
-	// HealthPath is the path of the health answer.
+	// HealthPath is the path of health checks.
 	HealthPath string
-	Seed       uint64
-	Faults     FaultRates
+	// Seed is what the faults are drawn from, at the rates of Faults.
+	Seed   uint64
+	Faults FaultRates
 }
 
-// Defaults are settings of a runner that keeps to the pages.
+// Defaults returns the settings of a runner without faults.
 func Defaults(service string, id string) Settings {
 	return Settings{
 		Services: []string{service}, ID: id, Capacity: 32, Queue: 32, MaxConns: 256,
-		ServiceTime: clock.Millisecond, EventInterval: clock.Millisecond, CacheTokens: 100000,
-		IdleTimeout: 10 * clock.Second, MaxSilence: 5 * clock.Second, Phase: "both", HealthPath: "/health", Seed: 1,
+		ServiceTime: time.Millisecond, EventInterval: time.Millisecond, CacheTokens: 100000,
+		IdleTimeout: 10 * time.Second, MaxSilence: 5 * time.Second, Phase: "both", HealthPath: "/health", Seed: 1,
 	}
 }
 
-// Check tells in one line all that is wrong with the settings.
+// Check returns an error that names all invalid settings by their flags, in one
+// line.
 func (s Settings) Check() error {
-	var wrong []string
-	need := func(good bool, text string, values ...any) {
-		if !good {
-			wrong = append(wrong, fmt.Sprintf(text, values...))
+	var problems []string
+	need := func(ok bool, format string, values ...any) {
+		if !ok {
+			problems = append(problems, fmt.Sprintf(format, values...))
 		}
 	}
 	need(len(s.Services) > 0 && s.Services[0] != "", "a service is wanted")
@@ -70,19 +71,19 @@
 	need(s.MaxConns >= 0, "connections %d: 0 or more is wanted", s.MaxConns)
 	need(s.CacheTokens >= 0, "cache-tokens %g: 0 or more is wanted", s.CacheTokens)
 	need(s.WarmupRate >= 0, "cold-per-s %g: 0 or more is wanted", s.WarmupRate)
-	for name, span := range map[string]clock.Span{
+	for name, duration := range map[string]time.Duration{
 		"work": s.ServiceTime, "gap": s.EventInterval, "read-token": s.PrefillPerToken, "cold": s.Warmup,
 	} {
-		need(span >= 0, "%s %v: 0 or more is wanted", name, span)
+		need(duration >= 0, "%s %v: 0 or more is wanted", name, duration)
 	}
-	need(s.IdleTimeout >= clock.Millisecond, "keep-idle %v: 1ms or more is wanted", s.IdleTimeout)
-	need(s.MaxSilence >= clock.Millisecond, "silent %v: 1ms or more is wanted", s.MaxSilence)
+	need(s.IdleTimeout >= time.Millisecond, "keep-idle %v: 1ms or more is wanted", s.IdleTimeout)
+	need(s.MaxSilence >= time.Millisecond, "silent %v: 1ms or more is wanted", s.MaxSilence)
 	need(strings.HasPrefix(s.HealthPath, "/"), "health %q: a path is wanted", s.HealthPath)
 	if err := s.Faults.Check(); err != nil {
-		wrong = append(wrong, err.Error())
+		problems = append(problems, err.Error())
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("runner: %s", strings.Join(wrong, "; "))
+	if len(problems) > 0 {
+		return fmt.Errorf("runner: %s", strings.Join(problems, "; "))
 	}
 	return nil
 }
--- a/emulator/runner/slots.go
+++ b/emulator/runner/slots.go
@@ -1,65 +1,76 @@
 package runner
 
 import (
+	"context"
+	"slices"
 	"sort"
-	"strconv"
-	"strings"
 	"sync"
-
-	"onyxwell/base/scope"
 )
 
-// slots are the places of the requests that run, and the queue before them.
+// slots are the requests that run at once, and the queue before them.
 type slots struct {
 	mu       sync.Mutex
 	capacity int
-	queue    int
+	queue    int // how many may wait
 	running  int
 	handled  int
-	waiting  []*waiter
+	waiting  []*waiter // the next first
 }
 
 type waiter struct {
 	urgency int
-	ready   chan struct{}
+	ready   chan struct{} // closed once the waiter has a slot
 }
 
-// acquire waits for a place; the more urgent go in first. False says that there
-// is no room, or that the scope ended first.
-func (s *slots) acquire(ctx scope.Scope, urgency int) bool {
-	s.mu.Lock()
-	if s.running < s.capacity {
-		s.running++
-		s.mu.Unlock()
-		return true
-	}
-	if len(s.waiting) >= s.queue {
-		s.mu.Unlock()
+// acquire waits for a slot. Lower urgencies go first, equal ones in their order.
+// It returns false where the queue is full or the context ends first; otherwise
+// the caller must call release.
+func (s *slots) acquire(ctx context.Context, urgency int) bool {
+	own := s.enqueue(urgency)
+	if own == nil {
 		return false
 	}
-	mine := &waiter{urgency: urgency, ready: make(chan struct{})}
-	s.waiting = append(s.waiting, mine)
-	sort.SliceStable(s.waiting, func(left int, right int) bool { return s.waiting[left].urgency < s.waiting[right].urgency })
-	s.mu.Unlock()
 	select {
-	case <-mine.ready:
+	case <-own.ready: // also where the context has ended already
+		return true
+	default:
+	}
+	select {
+	case <-own.ready:
 		return true
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for index, waiting := range s.waiting {
-		if waiting == mine {
-			s.waiting = append(s.waiting[:index], s.waiting[index+1:]...)
-			return false
-		}
+	if i := slices.Index(s.waiting, own); i >= 0 {
+		s.waiting = slices.Delete(s.waiting, i, i+1)
+		return false
 	}
-	// The place came at the same moment.
+	// The slot came at the same moment.
 	s.handOver()
 	return false
 }
 
-// release frees a place.
+// enqueue returns a waiter that is ready where a slot is free, or nil where the
+// queue is full.
+func (s *slots) enqueue(urgency int) *waiter {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	own := &waiter{urgency: urgency, ready: make(chan struct{})}
+	if s.running < s.capacity {
+		s.running++
+		close(own.ready)
+		return own
+	}
+	if len(s.waiting) >= s.queue {
+		return nil
+	}
+	s.waiting = append(s.waiting, own)
+	sort.SliceStable(s.waiting, func(i int, j int) bool { return s.waiting[i].urgency < s.waiting[j].urgency })
+	return own
+}
+
+// release returns a slot whose request was handled.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,6 +78,7 @@
 	s.handOver()
 }
 
+// handOver gives a slot to the next waiter, or frees it. It requires s.mu.
 func (s *slots) handOver() {
 	if len(s.waiting) == 0 {
 		s.running--
@@ -76,70 +88,9 @@
 	s.waiting = s.waiting[1:]
 }
 
-// load gives what runs and what waits.
-func (s *slots) load() (running int, waiting int, handled int) {
+// load returns how many requests run and wait now, and how many were handled.
+func (s *slots) load() (running int, queued int, handled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running, len(s.waiting), s.handled
 }
-
-// cache holds the parts of prompts that were read; the parts unused for longest
-// give way.
-type cache struct {
-	mu      sync.Mutex
-	limit   float64
-	total   float64
-	recency []string
-	sizes   map[string]float64
-}
-
-// prefill notes a prompt as ID:TOKENS,ID:TOKENS and gives the tokens that had to be
-// read: a part is kept only if every part before it is kept as well.
-func (c *cache) prefill(model string, prompt string) float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	unread, whole := 0.0, true
-	for _, part := range strings.Split(prompt, ",") {
-		id, count, found := strings.Cut(strings.TrimSpace(part), ":")
-		tokens, err := strconv.ParseFloat(count, 64)
-		if !found || err != nil || tokens < 0 {
-			continue
-		}
-		key := model + " " + id
-		_, kept := c.sizes[key]
-		if whole = whole && kept; !whole {
-			unread += tokens
-		}
-		c.touch(key, tokens)
-	}
-	return unread
-}
-
-func (c *cache) touch(key string, tokens float64) {
-	if c.sizes == nil {
-		c.sizes = map[string]float64{}
-	}
-	if old, kept := c.sizes[key]; kept {
-		c.total -= old
-		for index, name := range c.recency {
-			if name == key {
-				c.recency = append(c.recency[:index], c.recency[index+1:]...)
-				break
-			}
-		}
-	}
-	c.sizes[key] = tokens
-	c.total += tokens
-	c.recency = append(c.recency, key)
-	for c.total > c.limit && len(c.recency) > 0 {
-		c.total -= c.sizes[c.recency[0]]
-		delete(c.sizes, c.recency[0])
-		c.recency = c.recency[1:]
-	}
-}
-
-func (c *cache) used() float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.total
-}
