--- a/cmd/simulate/availability.go
+++ b/cmd/simulate/availability.go
@@ -61,10 +61,10 @@
 func (s *summary) availabilityRow(name string) string {
 	measured := s.availability
 	row := fmt.Sprintf("| %s | %d, %d | ", name, len(s.played), len(s.violating))
-	if measured.Span == 0 || len(measured.Acks) == 0 {
+	if measured.Duration == 0 || len(measured.AckLatencies) == 0 {
 		return row + "none taken | | | | | |"
 	}
-	row += fmt.Sprintf("%.1f | %.3f | %.3f | ", float64(measured.Changes)/measured.Span.Seconds(), quantile(measured.Acks, 0.5), quantile(measured.Acks, 0.99))
+	row += fmt.Sprintf("%.1f | %.3f | %.3f | ", float64(measured.Changes)/measured.Duration.Seconds(), quantile(measured.AckLatencies, 0.5), quantile(measured.AckLatencies, 0.99))
 	if len(measured.Silences) == 0 {
 		return row + "0 | | |"
 	}
--- a/cmd/simulate/batches.go
+++ b/cmd/simulate/batches.go
@@ -146,23 +146,23 @@
 	for name, count := range result.Counts {
 		s.counts[name] += count
 	}
-	for _, span := range result.Whole {
+	for _, span := range result.RecoveryTimes {
 		s.recoverySeconds = append(s.recoverySeconds, span.Seconds())
 	}
-	for _, span := range result.Acks {
+	for _, span := range result.AckLatencies {
 		s.ackSeconds = append(s.ackSeconds, span.Seconds())
 	}
-	for name, spans := range result.Redundancy {
+	for name, spans := range result.RedundancyTimes {
 		for _, span := range spans {
 			s.redundancySeconds[name] = append(s.redundancySeconds[name], span.Seconds())
 		}
 	}
-	s.availability.Span += result.Service.Span
-	s.availability.Changes += result.Service.Changes
-	s.availability.Acks = append(s.availability.Acks, result.Service.Acks...)
-	s.availability.Silences = append(s.availability.Silences, result.Service.Silences...)
-	s.ackGapSeconds = append(s.ackGapSeconds, result.Gap.Seconds())
-	if len(result.Broken) > 0 {
+	s.availability.Duration += result.Availability.Duration
+	s.availability.Changes += result.Availability.Changes
+	s.availability.AckLatencies = append(s.availability.AckLatencies, result.Availability.AckLatencies...)
+	s.availability.Silences = append(s.availability.Silences, result.Availability.Silences...)
+	s.ackGapSeconds = append(s.ackGapSeconds, result.LongestAckGap.Seconds())
+	if len(result.Violations) > 0 {
 		s.violating = append(s.violating, result)
 	}
 }
@@ -177,7 +177,7 @@
 	printQuantiles("longest seconds of a run without an acknowledgement", s.ackGapSeconds)
 	sort.Slice(s.violating, func(left, right int) bool { return s.violating[left].Seed < s.violating[right].Seed })
 	for _, result := range s.violating {
-		for _, text := range result.Broken {
+		for _, text := range result.Violations {
 			fmt.Printf("BROKEN seed %d: %s\n", result.Seed, text)
 		}
 		fmt.Printf("  again: simulate seed %d %s --trace\n", result.Seed, strings.Join(set.arguments(), " "))
--- a/cmd/simulate/redundancy.go
+++ b/cmd/simulate/redundancy.go
@@ -99,7 +99,7 @@
 // printFailures prints which seeds broke a promise or were not played.
 func (s *summary) printFailures(name string, seeds int) int {
 	for _, result := range s.violating {
-		fmt.Printf("BROKEN %s, seed %d: %s\n", name, result.Seed, strings.Join(result.Broken, "; "))
+		fmt.Printf("BROKEN %s, seed %d: %s\n", name, result.Seed, strings.Join(result.Violations, "; "))
 	}
 	for _, text := range s.failures {
 		fmt.Printf("NOT PLAYED %s, %s\n", name, text)
--- a/cmd/simulate/seed.go
+++ b/cmd/simulate/seed.go
@@ -38,7 +38,7 @@
 		for _, name := range sortedKeys(result.Counts) {
 			fmt.Printf("%8d %s\n", result.Counts[name], name)
 		}
-		for _, text := range result.Broken {
+		for _, text := range result.Violations {
 			t.Errorf("seed %d: %s", result.Seed, text)
 		}
 	})
--- a/simulation/attempt.go
+++ b/simulation/attempt.go
@@ -3,80 +3,87 @@
 import (
 	"context"
 	"math"
+	"time"
 
 	"github.com/anishathalye/porcupine"
-
-	"onyxwell/base/clock"
 )
 
-// attempt is one of the times that an order was sent. An order on a zone has no
-// name by which it is known again, so each of its sendings is an act of its own:
-// one that was answered acts before its answer, one whose answer was lost before
-// its controller gave it, and one without a clear answer at any time: what is
-// unsettled may be kept by the key's next owner, and what nobody answered may
-// yet be read by a controller that stood still. What none ever read did nothing.
+// attempt is one of the times that a client sent a command. A command on a zone
+// has no identity by which a controller recognizes a repeat, so the checker takes
+// each of its attempts as an operation of its own:
+//
+//   - one that was answered took effect before its reply, also where the reply was
+//     lost on its way;
+//   - one without a decisive reply may take effect at any time after its start:
+//     the key's next owner may commit what was in flight, and a controller that was
+//     frozen may yet read the call;
+//   - one that no controller read had no effect.
 type attempt struct {
-	begin   clock.Span
-	end     clock.Span
+	start   time.Duration
+	end     time.Duration
 	outcome outcome
-	read    bool
+	// received says that a controller read the call.
+	received bool
 }
 
 type attemptKey struct{}
 
-// attempt finds which one a call is; there is none but for operators' calls.
-func (m *message) attempt() (*attempt, bool) {
-	one, found := m.request.Context().Value(attemptKey{}).(*attempt)
-	return one, found
+// withContext returns a context that carries the attempt to the network.
+func (a *attempt) withContext(parent context.Context) context.Context {
+	return context.WithValue(parent, attemptKey{}, a)
 }
 
-// markRead notes that a controller reads a sending.
-func (m *message) markRead() {
-	if one, found := m.attempt(); found {
-		one.read = true
+// resolve records the first decisive reply.
+func (a *attempt) resolve(outcome outcome, end time.Duration) {
+	if a.outcome == undecided {
+		a.outcome, a.end = outcome, end
 	}
 }
 
-// recordReply notes a controller's answer to a sending, also one that gets lost.
-func (m *message) recordReply(got reply, now clock.Span) {
-	one, found := m.attempt()
-	if outcome, clear := outcomeByStatus[got.status]; clear && found && got.err == nil {
-		one.resolve(outcome, now)
-	}
+// attempt returns the attempt that a call is; only calls of clients are one.
+func (m *message) attempt() (*attempt, bool) {
+	sent, ok := m.request.Context().Value(attemptKey{}).(*attempt)
+	return sent, ok
 }
 
-// resolve takes the first clear answer.
-func (a *attempt) resolve(ended outcome, end clock.Span) {
-	if a.outcome == undecided {
-		a.outcome, a.end = ended, end
+// markReceived records that a controller reads the call.
+func (m *message) markReceived() {
+	if sent, ok := m.attempt(); ok {
+		sent.received = true
 	}
 }
 
-// withContext gives a context that tells of the sending.
-func (a *attempt) withContext(parent context.Context) context.Context {
-	return context.WithValue(parent, attemptKey{}, a)
+// recordReply records a controller's reply, also one that gets lost.
+func (m *message) recordReply(resp reply, now time.Duration) {
+	sent, ok := m.attempt()
+	if outcome, decisive := outcomeByStatus[resp.status]; decisive && ok && resp.err == nil {
+		sent.resolve(outcome, now)
+	}
 }
 
-// porcupineOperations are what the checker takes an act for.
+// porcupineOperations returns what the checker takes the operation for.
 func (o operation) porcupineOperations() []porcupine.Operation {
-	made := func(one operation) porcupine.Operation {
-		end := int64(one.end)
-		if one.outcome == undecided {
-			end = math.MaxInt64
-		}
-		return porcupine.Operation{ClientId: one.commandID, Input: one, Call: int64(one.begin), Return: end}
+	if o.verb != verbChangeZone || len(o.attempts) == 0 {
+		return []porcupine.Operation{o.porcupineOperation()}
 	}
-	if o.verb != "zone" || len(o.attempts) == 0 {
-		return []porcupine.Operation{made(o)}
-	}
-	var each []porcupine.Operation
-	for _, one := range o.attempts {
-		if !one.read && one.outcome == undecided {
+	var operations []porcupine.Operation
+	for _, sent := range o.attempts {
+		if !sent.received && sent.outcome == undecided {
 			continue
 		}
-		sent := o
-		sent.begin, sent.end, sent.outcome = one.begin, one.end, one.outcome
-		each = append(each, made(sent))
+		single := o
+		single.start, single.end, single.outcome = sent.start, sent.end, sent.outcome
+		operations = append(operations, single.porcupineOperation())
+	}
+	return operations
+}
+
+// porcupineOperation returns the operation as one that may last for ever where its
+// outcome is undecided.
+func (o operation) porcupineOperation() porcupine.Operation {
+	end := int64(o.end)
+	if o.outcome == undecided {
+		end = math.MaxInt64
 	}
-	return each
+	return porcupine.Operation{ClientId: o.commandID, Input: o, Call: int64(o.start), Return: end}
 }
--- a/simulation/availability.go
+++ b/simulation/availability.go
@@ -1,105 +1,118 @@
 package simulation
 
 import (
-	"onyxwell/base/clock"
+	"time"
+
 	"onyxwell/base/ids"
 )
 
-// ownerFaults are what may befall the owner of the configuration, again and again;
-// "quiet" is nothing.
-var ownerFaults = map[string]func(world *Cluster, machine *Machine) func(){
-	"quiet": nil, "kill": takeDown((*Machine).kill), "freeze": freeze, "cut": cutOff(true, true),
+// ownerFaults holds what may befall the owner of the configuration while
+// availability is measured; "quiet" is nothing.
+var ownerFaults = map[string]func(cluster *Cluster, machine *Machine) func(){
+	"quiet": nil, "kill": takeDown((*Machine).kill), "freeze": freeze, "cut": isolate(true, true),
 }
 
-// OwnerFaults names what Options.Service may be.
+// OwnerFaults returns the values of Options.OwnerFault, sorted.
 func OwnerFaults() []string { return sortedKeys(ownerFaults) }
 
 const (
-	// sampleInterval is how often a run looks for acknowledgements, struck how long the
-	// owner is away.
-	sampleInterval     = 5 * clock.Millisecond
-	ownerFaultDuration = 6 * clock.Second
+	// sampleInterval is how often the meter looks for acknowledgements.
+	sampleInterval = 5 * time.Millisecond
+	// ownerFaultDuration is how long the owner is away.
+	ownerFaultDuration = 6 * time.Second
+	// configKey is the key of the configuration, to the clients and in the registers.
+	configKey = "spec"
+	// changesAccepted is the count of accepted changes.
+	changesAccepted = "change: taken"
 )
 
-// Availability is how orders were taken while a run measured.
+// Availability is how commands were served while a run measured.
 type Availability struct {
-	// Span is how long it measured, Changes how many changes of the
-	// configuration were taken meanwhile, Acks how long each order took.
-	Span    clock.Span
-	Changes int
-	Acks    []clock.Span
-	// Silences are the longest times without an acknowledgement after each loss
-	// of the owner, from the loss or a later acknowledgement on, until the next
-	// loss.
-	Silences []clock.Span
+	// Duration is how long was measured, Changes how many changes of the
+	// configuration were accepted meanwhile, AckLatencies how long each command
+	// took, those on zones included.
+	Duration     time.Duration `json:"Span"`
+	Changes      int
+	AckLatencies []time.Duration `json:"Acks"`
+	// Silences are, for each loss of the owner, the longest time without an
+	// acknowledgement until the next loss: from the loss or a later acknowledgement
+	// on.
+	Silences []time.Duration
 }
 
-// availabilityMeter is what a run that measures service remembers.
+// availabilityMeter measures Availability.
 type availabilityMeter struct {
 	Availability
-	start         clock.Span
+	start time.Duration
+	// acksBefore and changesBefore were counted before the start.
 	acksBefore    int
 	changesBefore int
-	// lastFault is when the owner was last lost, due when it may be again.
-	lastFault      clock.Span
-	nextFault      clock.Span
-	longestSilence clock.Span
+	// lastFault is when the owner was last lost; the next fault may come at
+	// nextFault.
+	lastFault      time.Duration
+	nextFault      time.Duration
+	longestSilence time.Duration
 }
 
-// startAvailabilityMeter begins to measure service in a run that does.
+// startAvailabilityMeter starts to measure in a run that does.
 func (c *Cluster) startAvailabilityMeter() {
-	if _, found := ownerFaults[c.options.OwnerFault]; !found {
+	if _, ok := ownerFaults[c.options.OwnerFault]; !ok {
 		return
 	}
 	c.mu.Lock()
-	c.meter = availabilityMeter{start: c.now(), acksBefore: len(c.observed.ackLatencies), changesBefore: c.counts["change: taken"], nextFault: c.now() + clock.Second}
+	c.meter = availabilityMeter{
+		start: c.now(), acksBefore: len(c.observed.ackLatencies), changesBefore: c.counts[changesAccepted], nextFault: c.now() + time.Second,
+	}
 	c.mu.Unlock()
 	c.after(0, c.sampleAvailability)
 }
 
-// sampleAvailability counts what was acknowledged, and strikes when it may.
+// sampleAvailability takes in what was acknowledged, and has the next fault befall
+// the owner when it may. What comes after a violation is not measured.
 func (c *Cluster) sampleAvailability() {
-	serving := &c.meter
-	// What comes after a broken promise is no service.
+	meter := &c.meter
 	if c.now() > c.options.Duration || c.stopping || c.hasViolation() {
-		if serving.lastFault > 0 {
-			serving.Silences = append(serving.Silences, serving.longestSilence)
-		}
+		meter.endSilence()
 		return
 	}
 	c.after(sampleInterval, c.sampleAvailability)
 	c.mu.Lock()
-	heard := c.observed.lastAck
-	serving.Span = c.now() - serving.start
-	serving.Changes = c.counts["change: taken"] - serving.changesBefore
-	serving.Acks = c.observed.ackLatencies[serving.acksBefore:]
+	lastAck := c.observed.lastAck
+	meter.Duration = c.now() - meter.start
+	meter.Changes = c.counts[changesAccepted] - meter.changesBefore
+	meter.AckLatencies = c.observed.ackLatencies[meter.acksBefore:]
 	c.mu.Unlock()
-	if serving.lastFault > 0 {
-		serving.longestSilence = max(serving.longestSilence, c.now()-max(heard, serving.lastFault))
+	if meter.lastFault > 0 {
+		meter.longestSilence = max(meter.longestSilence, c.now()-max(lastAck, meter.lastFault))
 	}
-	strike := ownerFaults[c.options.OwnerFault]
-	if strike == nil || c.now() < serving.nextFault || heard < serving.lastFault || c.now()+ownerFaultDuration+c.catchUpTime() > c.options.Duration {
+	inject := ownerFaults[c.options.OwnerFault]
+	recovered := c.now() + ownerFaultDuration + c.catchUpTime()
+	if inject == nil || c.now() < meter.nextFault || lastAck < meter.lastFault || recovered > c.options.Duration {
 		return
 	}
-	machine := c.ownerOf("spec")
-	if machine == nil {
+	owner := c.ownerOf(configKey)
+	if owner == nil {
 		return
 	}
-	if serving.lastFault > 0 {
-		serving.Silences = append(serving.Silences, serving.longestSilence)
-	}
-	serving.lastFault, serving.longestSilence, serving.nextFault = c.now(), 0, c.now()+ownerFaultDuration+c.catchUpTime()
+	meter.endSilence()
+	meter.lastFault, meter.longestSilence, meter.nextFault = c.now(), 0, recovered
 	c.count("owners lost")
-	c.trace("owner lost", machine)
-	end := strike(c, machine)
-	c.after(ownerFaultDuration, end)
+	c.trace("owner fault injected", owner, "fault", c.options.OwnerFault)
+	c.after(ownerFaultDuration, inject(c, owner))
+}
+
+// endSilence records the longest silence since the last loss of the owner.
+func (a *availabilityMeter) endSilence() {
+	if a.lastFault > 0 {
+		a.Silences = append(a.Silences, a.longestSilence)
+	}
 }
 
-// ownerOf is the machine that owns a key, nil where it is not there.
+// ownerOf returns the machine that owns a key; nil where it does not run.
 func (c *Cluster) ownerOf(key string) *Machine {
 	var newest ids.Epoch
 	for _, machine := range c.votingMachines() {
-		for _, slot := range machine.process.control.Slots() {
+		for _, slot := range machine.process.controller.Slots() {
 			if slot.Key == key && slot.Promised.Compare(newest) > 0 {
 				newest = slot.Promised
 			}
--- a/simulation/bugs_commands_test.go
+++ b/simulation/bugs_commands_test.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 	"net/http"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/control/config"
 	"onyxwell/control/config/evacuation"
 	"onyxwell/control/config/store"
@@ -14,49 +14,53 @@
 	"onyxwell/control/transport"
 )
 
+// forgetHistory has the configuration remember no command that it accepted.
 func forgetHistory() bug {
 	return interceptRequests("/accept", func(_ *Cluster, sent *message) (reply, bool) {
-		rewriteRequest(sent, func(asked *register.AcceptRequest) {
-			if asked.Key == config.Key {
-				kept, _ := store.DecodeCompressed(asked.Proposal.Value)
-				kept.History = store.History{BaseVersion: kept.Version}
-				asked.Proposal.Value, _ = transport.Marshal(kept)
+		rewriteRequest(sent, func(req *register.AcceptRequest) {
+			if req.Key == config.Key {
+				record, _ := store.DecodeCompressed(req.Proposal.Value)
+				record.History = store.History{BaseVersion: record.Version}
+				req.Proposal.Value, _ = transport.Marshal(record)
 			}
 		})
 		return reply{}, false
 	})
 }
 
+// acceptRivalAsRepeat acknowledges a change that lost against another.
 func acceptRivalAsRepeat() bug {
-	return bug{InterceptReply: func(_ *Cluster, _ *Machine, sent *message, got reply) reply {
-		if sent.path == "/settings" && got.status == http.StatusPreconditionFailed {
-			got.status = http.StatusOK
+	return bug{InterceptReply: func(_ *Cluster, _ *Machine, sent *message, resp reply) reply {
+		if sent.path == "/settings" && resp.status == http.StatusPreconditionFailed {
+			resp.status = http.StatusOK
 		}
-		return got
+		return resp
 	}}
 }
 
+// ignoreFencing has owners take a rejection by a higher epoch for an acceptance.
 func ignoreFencing() bug { return rewriteReplies("/accept", grantSuperseded) }
 
+// countUnwrittenAccepts has owners count accepts that were never sent.
 func countUnwrittenAccepts() bug {
-	return interceptRequests("/accept", func(world *Cluster, sent *message) (reply, bool) {
-		return okReply(register.AcceptResponse{Verdict: register.Granted}), world.drawOneIn("unwritten "+sent.from+string(sent.to), 2)
+	return interceptRequests("/accept", func(cluster *Cluster, sent *message) (reply, bool) {
+		return okReply(register.AcceptResponse{Verdict: register.Granted}), cluster.drawOneIn("unwritten "+sent.from+string(sent.to), 2)
 	})
 }
 
-// forgetPromises has voters tell what they hold without keeping the promise.
+// forgetPromises has acceptors answer a prepare without recording the promise.
 func forgetPromises() bug {
-	return interceptRequests("/promise", func(world *Cluster, sent *message) (reply, bool) {
-		rewriteRequest(sent, func(asked *register.PrepareRequest) { asked.Epoch.Number = 0 })
+	return interceptRequests("/promise", func(cluster *Cluster, sent *message) (reply, bool) {
+		rewriteRequest(sent, func(req *register.PrepareRequest) { req.Epoch.Number = 0 })
 		return reply{}, false
-	}).and(rewriteReplies("/promise", func(_ *Cluster, _ *Machine, _ *message, told *register.PrepareResponse) {
-		if told.Verdict == register.Superseded {
-			told.Verdict = register.Granted
+	}).and(rewriteReplies("/promise", func(_ *Cluster, _ *Machine, _ *message, response *register.PrepareResponse) {
+		if response.Verdict == register.Superseded {
+			response.Verdict = register.Granted
 		}
 	}))
 }
 
-// and has both meddle.
+// and plants both bugs.
 func (b bug) and(right bug) bug {
 	if b.InterceptRequest == nil {
 		b.InterceptRequest = right.InterceptRequest
@@ -67,40 +71,40 @@
 	return b
 }
 
-// replayZoneCommands delivers orders on zones again long after, with a later end and without
-// the serial, by which one that acted is known again.
+// replayZoneCommands delivers commands on zones again long after, with a later
+// deadline and without the zone version by which a repeat is recognized.
 func replayZoneCommands() bug {
-	return interceptRequests("/order", func(world *Cluster, sent *message) (reply, bool) {
+	return interceptRequests("/order", func(cluster *Cluster, sent *message) (reply, bool) {
 		late := &message{from: sent.from, to: sent.to, path: sent.path, request: sent.request.Clone(context.Background()), response: make(chan reply, 1)}
 		late.body = append(late.body, sent.body...)
-		rewriteRequest(late, func(asked *command.Command) {
-			asked.Deadline.End += int64(20 * clock.Second)
-			asked.ZoneVersion = 0
-			if _, zone := evacuation.ZoneFromKey(asked.Key); zone && asked.Verb != command.VerbRead {
-				world.after(5*clock.Second, func() { world.deliverRequest(late) })
+		rewriteRequest(late, func(req *command.Command) {
+			req.Deadline.End += int64(20 * time.Second)
+			req.ZoneVersion = 0
+			if _, zone := evacuation.ZoneFromKey(req.Key); zone && req.Verb != command.VerbRead {
+				cluster.after(5*time.Second, func() { cluster.deliverRequest(late) })
 			}
 		})
 		return reply{}, false
 	})
 }
 
-// countLearnsAsVotes has owners send copies in the place of what is to be voted on, and
-// count them.
+// countLearnsAsVotes has owners send what is to be accepted as values to learn, and
+// count those that were learnt as votes.
 func countLearnsAsVotes() bug {
 	const copied = "Copied"
-	made := interceptRequests("/accept", func(_ *Cluster, sent *message) (reply, bool) {
-		asked, _ := transport.Unmarshal[register.AcceptRequest](sent.body[headerLength:])
-		body, _ := transport.Marshal(voter.LearnRequest{Slots: []register.Slot{{Key: asked.Key, Accepted: asked.Proposal}}})
+	planted := interceptRequests("/accept", func(_ *Cluster, sent *message) (reply, bool) {
+		req, _ := transport.Unmarshal[register.AcceptRequest](sent.body[headerLength:])
+		body, _ := transport.Marshal(voter.LearnRequest{Slots: []register.Slot{{Key: req.Key, Accepted: req.Proposal}}})
 		sent.body = append(sent.body[:headerLength:headerLength], body...)
 		sent.request = sent.request.Clone(sent.request.Context())
 		sent.request.URL.Path, sent.path = "/learn", copied
 		return reply{}, false
 	})
-	made.InterceptReply = func(_ *Cluster, _ *Machine, sent *message, got reply) reply {
-		if sent.path != copied || got.status != http.StatusOK {
-			return got
+	planted.InterceptReply = func(_ *Cluster, _ *Machine, sent *message, resp reply) reply {
+		if sent.path != copied || resp.status != http.StatusOK {
+			return resp
 		}
 		return okReply(register.AcceptResponse{Verdict: register.Granted})
 	}
-	return made
+	return planted
 }
--- a/simulation/bugs_disks_test.go
+++ b/simulation/bugs_disks_test.go
@@ -2,159 +2,160 @@
 
 import (
 	"math"
+	"slices"
 	"sync"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/register"
 	"onyxwell/control/state/wal"
 	"onyxwell/control/transport"
 	"onyxwell/simulation/simdisk"
 )
 
-// countBlankVotes counts the votes of disks that don't vote.
+// countBlankVotes counts the votes of disks that have no vote.
 func countBlankVotes() bug {
-	verdict := func(told *register.Verdict) {
-		if *told == register.Fenced {
-			*told = register.Granted
+	grantFenced := func(verdict *register.Verdict) {
+		if *verdict == register.Fenced {
+			*verdict = register.Granted
 		}
 	}
-	accept := rewriteReplies("/accept", func(_ *Cluster, _ *Machine, _ *message, told *register.AcceptResponse) { verdict(&told.Verdict) })
-	promise := rewriteReplies("/promise", func(_ *Cluster, _ *Machine, _ *message, told *register.PrepareResponse) { verdict(&told.Verdict) })
-	return bug{InterceptReply: func(world *Cluster, target *Machine, sent *message, got reply) reply {
-		return promise.InterceptReply(world, target, sent, accept.InterceptReply(world, target, sent, got))
+	accept := rewriteReplies("/accept", func(_ *Cluster, _ *Machine, _ *message, response *register.AcceptResponse) {
+		grantFenced(&response.Verdict)
+	})
+	promise := rewriteReplies("/promise", func(_ *Cluster, _ *Machine, _ *message, response *register.PrepareResponse) {
+		grantFenced(&response.Verdict)
+	})
+	return bug{InterceptReply: func(cluster *Cluster, target *Machine, sent *message, resp reply) reply {
+		return promise.InterceptReply(cluster, target, sent, accept.InterceptReply(cluster, target, sent, resp))
 	}}
 }
 
 // keepIdentity leaves a wiped disk its identity, so that it votes at once.
 func keepIdentity() bug {
-	var lock sync.Mutex
-	known := map[*Machine]ids.Incarnation{}
+	var mu sync.Mutex
+	lostIdentity := map[*Machine]ids.Incarnation{}
 	return bug{
 		OnWipe: func(machine *Machine) {
-			for _, seat := range machine.cluster.newestVoters().Members {
-				if hostOf(seat.Address) == machine.ip {
-					lock.Lock()
-					known[machine] = seat.Incarnation
-					lock.Unlock()
+			for _, member := range machine.cluster.newestVoters().Members {
+				if hostOf(member.Address) == machine.ip {
+					mu.Lock()
+					lostIdentity[machine] = member.Incarnation
+					mu.Unlock()
 				}
 			}
 		},
-		BeforeStart: func(ctx scope.Scope, life *process) {
-			lock.Lock()
-			incarnation, wiped := known[life.machine]
-			delete(known, life.machine)
-			lock.Unlock()
+		BeforeStart: func(p *process) {
+			mu.Lock()
+			incarnation, wiped := lostIdentity[p.machine]
+			delete(lostIdentity, p.machine)
+			mu.Unlock()
 			if wiped {
-				rewriteDisk(life, func(*register.Acceptor) (ids.Incarnation, []register.Slot) { return incarnation, nil })
+				rewriteDisk(p, func(*register.Acceptor) (ids.Incarnation, []register.Slot) { return incarnation, nil })
 			}
 		},
 	}
 }
 
-// rewriteDisk has a disk hold something else than it does.
-func rewriteDisk(life *process, change func(was *register.Acceptor) (ids.Incarnation, []register.Slot)) {
-	disk := life.machine.disk.Mount()
-	opened, records, err := wal.Open(wal.Options{FS: disk, Name: "registers", Snapshot: func() [][]byte { return nil }})
+// rewriteDisk replaces what a disk holds.
+func rewriteDisk(p *process, change func(before *register.Acceptor) (ids.Incarnation, []register.Slot)) {
+	disk := p.machine.disk.Mount()
+	opened, records, err := wal.Open(wal.Options{FS: disk, Name: logFile, Snapshot: func() [][]byte { return nil }})
 	if err != nil {
 		return
 	}
 	opened.Close()
-	was, err := register.NewAcceptor("", records)
-	if err != nil || (len(records) > 0 && !was.Identified()) {
+	before, err := register.NewAcceptor("", records)
+	if err != nil || (len(records) > 0 && !before.Identified()) {
 		return
 	}
-	_ = disk.Remove("registers")
-	made, _ := register.NewAcceptor("", nil)
-	opened, _, err = wal.Open(wal.Options{FS: disk, Name: "registers", Snapshot: made.Snapshot})
+	_ = disk.Remove(logFile)
+	after, _ := register.NewAcceptor("", nil)
+	opened, _, err = wal.Open(wal.Options{FS: disk, Name: logFile, Snapshot: after.Snapshot})
 	if err != nil {
 		return
 	}
 	defer opened.Close()
-	made.Attach(opened)
-	incarnation, slots := change(was)
-	_ = made.Identify(incarnation)
-	_ = made.Learn(slots)
+	after.Attach(opened)
+	incarnation, slots := change(before)
+	_ = after.Identify(incarnation)
+	_ = after.Learn(slots)
 }
 
-// forgetAtStart has a process not know what its disk had promised and accepted,
-// but for the voters.
+// forgetAtStart has a process start without what its disk had promised and
+// accepted, but for the voter set.
 func forgetAtStart() bug {
-	return bug{BeforeStart: func(_ scope.Scope, life *process) {
-		if life.number == 1 {
+	return bug{BeforeStart: func(p *process) {
+		if p.number == 1 {
 			return
 		}
-		rewriteDisk(life, func(was *register.Acceptor) (ids.Incarnation, []register.Slot) {
-			return was.Incarnation(), []register.Slot{was.Slot(register.VotersKey)}
+		rewriteDisk(p, func(before *register.Acceptor) (ids.Incarnation, []register.Slot) {
+			return before.Incarnation(), []register.Slot{before.Slot(register.VotersKey)}
 		})
 	}}
 }
 
-// learnVotersOnly has a newcomer learn the voters and nothing else.
+// learnVotersOnly has a new voter learn the voter set and nothing else.
 func learnVotersOnly() bug {
-	return rewriteReplies("/held", func(_ *Cluster, _ *Machine, _ *message, told *register.DigestResponse) {
-		kept := told.Keys[:0]
-		for _, held := range told.Keys {
-			if held.Key == register.VotersKey {
-				kept = append(kept, held)
-			}
-		}
-		told.Keys = kept
+	return rewriteReplies("/held", func(_ *Cluster, _ *Machine, _ *message, response *register.DigestResponse) {
+		response.Keys = slices.DeleteFunc(response.Keys, func(digest register.KeyDigest) bool { return digest.Key != register.VotersKey })
 	})
 }
 
-// rejectVoterChanges has voters refuse every change of the voters.
+// rejectVoterChanges has acceptors reject every change of the voter set.
 func rejectVoterChanges() bug {
 	return interceptRequests("/accept", func(_ *Cluster, sent *message) (reply, bool) {
-		asked, _ := transport.Unmarshal[register.AcceptRequest](sent.body[headerLength:])
-		return okReply(register.AcceptResponse{Verdict: register.Superseded}), asked.Key == register.VotersKey
+		req, _ := transport.Unmarshal[register.AcceptRequest](sent.body[headerLength:])
+		return okReply(register.AcceptResponse{Verdict: register.Superseded}), req.Key == register.VotersKey
 	})
 }
 
-// learnFromLeastComplete has all answers to a newcomer tell what one voter holds: the one
-// that holds least.
+// learnFromLeastComplete has all digests that a new voter gets be those of one
+// voter: the one that holds least.
 func learnFromLeastComplete() bug {
-	return rewriteReplies("/held", func(world *Cluster, _ *Machine, sent *message, told *register.DigestResponse) {
-		if isVoter(world.machinesByName[sent.from]) {
+	return rewriteReplies("/held", func(cluster *Cluster, _ *Machine, sent *message, response *register.DigestResponse) {
+		if isVoter(cluster.machinesByName[sent.from]) {
 			return
 		}
 		least := int64(math.MaxInt64)
-		for _, seat := range world.newestVoters().Members {
-			one := world.machinesByIP[hostOf(seat.Address)]
-			if one.name == sent.from || !isVoter(one) {
+		for _, member := range cluster.newestVoters().Members {
+			machine := cluster.machinesByIP[hostOf(member.Address)]
+			if machine.name == sent.from || !isVoter(machine) {
 				continue
 			}
 			var keys []register.KeyDigest
 			sum := int64(0)
-			for _, slot := range one.process.control.Slots() {
+			for _, slot := range machine.process.controller.Slots() {
 				sum += slot.Accepted.Sequence
 				keys = append(keys, register.KeyDigest{Key: slot.Key, Promised: slot.Promised, Epoch: slot.Accepted.Epoch, Sequence: slot.Accepted.Sequence})
 			}
 			if sum < least {
-				least, told.Unchanged, told.Keys = sum, false, keys
+				least, response.Unchanged, response.Keys = sum, false, keys
 			}
 		}
 	})
 }
 
+// isVoter reports whether a controller runs on the machine and votes.
 func isVoter(machine *Machine) bool {
-	return machine.process != nil && machine.process.control != nil && machine.process.control.IsVoter()
+	return machine.process != nil && machine.process.controller != nil && machine.process.controller.IsVoter()
 }
 
-// noRepair has voters see no difference between what they hold.
+// noRepair has the digests of voters never differ, so that none is repaired.
 func noRepair() bug {
-	return rewriteReplies("/held", func(world *Cluster, _ *Machine, sent *message, told *register.DigestResponse) {
-		if isVoter(world.machinesByName[sent.from]) {
-			told.Unchanged, told.Keys = true, nil
+	return rewriteReplies("/held", func(cluster *Cluster, _ *Machine, sent *message, response *register.DigestResponse) {
+		if isVoter(cluster.machinesByName[sent.from]) {
+			response.Unchanged, response.Keys = true, nil
 		}
 	})
 }
 
+// syncSkippingFS skips the syncs of files, or those of the folder.
 type syncSkippingFS struct {
 	wal.FS
 	noSync, noFolder bool
 }
 
+// unsyncedFile is a file whose syncs do nothing.
 type unsyncedFile struct{ wal.File }
 
 func (unsyncedFile) Sync() error { return nil }
@@ -181,12 +182,12 @@
 	return s.FS.SyncDir()
 }
 
-// truncatingFS reads a damaged journal up to the damage, as if its tail were torn.
+// truncatingFS reads a damaged log up to the damage, as if its tail were torn.
 type truncatingFS struct{ wal.FS }
 
 func (t truncatingFS) Read(name string) ([]byte, error) {
 	content, err := t.FS.Read(name)
-	if err != nil || name != "registers" {
+	if err != nil || name != logFile {
 		return content, err
 	}
 	trial := simdisk.New(simdisk.Options{}).Mount()
--- a/simulation/bugs_messages_test.go
+++ b/simulation/bugs_messages_test.go
@@ -14,70 +14,72 @@
 	"onyxwell/control/transport"
 )
 
-// headerLength is how many bytes of the deployment's mark go ahead of a message.
+// headerLength is how many bytes of the deployment's mark precede a message.
 const headerLength = 4
 
-// rewriteRequest changes a message on its way.
-func rewriteRequest[Asked any](sent *message, change func(*Asked)) {
-	asked, err := transport.Unmarshal[Asked](sent.body[headerLength:])
+// rewriteRequest changes a request on its way.
+func rewriteRequest[Request any](sent *message, change func(*Request)) {
+	req, err := transport.Unmarshal[Request](sent.body[headerLength:])
 	if err != nil {
 		panic(err)
 	}
-	change(&asked)
-	body, _ := transport.Marshal(asked)
+	change(&req)
+	body, _ := transport.Marshal(req)
 	sent.body = append(sent.body[:headerLength:headerLength], body...)
 }
 
-// rewriteReply changes an answer on its way back.
-func rewriteReply[Told any](got reply, change func(*Told)) reply {
-	told, err := transport.Unmarshal[Told](got.body)
-	if got.status != http.StatusOK || err != nil {
-		return got
+// rewriteReply changes a successful reply on its way back.
+func rewriteReply[Response any](resp reply, change func(*Response)) reply {
+	response, err := transport.Unmarshal[Response](resp.body)
+	if resp.status != http.StatusOK || err != nil {
+		return resp
 	}
-	change(&told)
-	got.body, _ = transport.Marshal(told)
-	return got
+	change(&response)
+	resp.body, _ = transport.Marshal(response)
+	return resp
 }
 
-func okReply[Told any](told Told) reply {
-	body, _ := transport.Marshal(told)
+// okReply is a successful reply with a message.
+func okReply[Response any](response Response) reply {
+	body, _ := transport.Marshal(response)
 	return reply{status: http.StatusOK, header: http.Header{}, body: body}
 }
 
-// rewriteReplies changes the answers to one kind of message.
-func rewriteReplies[Told any](path string, change func(world *Cluster, target *Machine, sent *message, told *Told)) bug {
-	return bug{InterceptReply: func(world *Cluster, target *Machine, sent *message, got reply) reply {
+// rewriteReplies changes the replies to one kind of message.
+func rewriteReplies[Response any](path string, change func(cluster *Cluster, target *Machine, sent *message, response *Response)) bug {
+	return bug{InterceptReply: func(cluster *Cluster, target *Machine, sent *message, resp reply) reply {
 		if sent.path != path {
-			return got
+			return resp
 		}
-		return rewriteReply(got, func(told *Told) { change(world, target, sent, told) })
+		return rewriteReply(resp, func(response *Response) { change(cluster, target, sent, response) })
 	}}
 }
 
-// interceptRequests changes one kind of message, or answers it.
-func interceptRequests(path string, meddle func(world *Cluster, sent *message) (reply, bool)) bug {
-	return bug{InterceptRequest: func(world *Cluster, sent *message) (reply, bool) {
+// interceptRequests changes the requests of one kind, or answers them.
+func interceptRequests(path string, intercept func(cluster *Cluster, sent *message) (reply, bool)) bug {
+	return bug{InterceptRequest: func(cluster *Cluster, sent *message) (reply, bool) {
 		if sent.path != path {
 			return reply{}, false
 		}
-		return meddle(world, sent)
+		return intercept(cluster, sent)
 	}}
 }
 
-func grantSuperseded(_ *Cluster, _ *Machine, _ *message, told *register.AcceptResponse) {
-	if told.Verdict == register.Superseded {
-		told.Verdict = register.Granted
+func grantSuperseded(_ *Cluster, _ *Machine, _ *message, response *register.AcceptResponse) {
+	if response.Verdict == register.Superseded {
+		response.Verdict = register.Granted
 	}
 }
 
+// ownRecord returns the configuration record on a controller's own disk.
 func ownRecord(target *Machine) store.Record {
-	if target.process == nil || target.process.control == nil {
+	if target.process == nil || target.process.controller == nil {
 		return store.Record{}
 	}
-	for _, slot := range target.process.control.Slots() {
+	for _, slot := range target.process.controller.Slots() {
 		if slot.Key == config.Key {
-			kept, _ := store.Decode(slot.Accepted.Value)
-			return kept
+			record, _ := store.Decode(slot.Accepted.Value)
+			return record
 		}
 	}
 	return store.Record{}
@@ -90,29 +92,29 @@
 }
 
 func readLocalCopy() bug {
-	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, got reply) reply {
-		if kept := ownRecord(target); sent.path == "/settings" && sent.request.Method == http.MethodGet && kept.Version > 0 {
-			return reply{status: http.StatusOK, header: http.Header{}, body: kept.Document}
+	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, resp reply) reply {
+		if record := ownRecord(target); sent.path == "/settings" && sent.request.Method == http.MethodGet && record.Version > 0 {
+			return reply{status: http.StatusOK, header: http.Header{}, body: record.Document}
 		}
-		return got
+		return resp
 	}}
 }
 
 func rejectWithoutQuorum() bug {
-	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, got reply) reply {
+	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, resp reply) reply {
 		match := sent.request.Header.Get("If-Match")
-		if sent.path == "/settings" && match != "" && got.status >= 500 && fmt.Sprint(ownRecord(target).Version) != match {
+		if sent.path == "/settings" && match != "" && resp.status >= 500 && fmt.Sprint(ownRecord(target).Version) != match {
 			return reply{status: http.StatusPreconditionFailed, header: http.Header{}}
 		}
-		return got
+		return resp
 	}}
 }
 
 func grantToAll() bug {
-	return rewriteReplies("/hold", func(_ *Cluster, _ *Machine, _ *message, told *lease.Response) { told.Granted = true })
+	return rewriteReplies("/hold", func(_ *Cluster, _ *Machine, _ *message, response *lease.Response) { response.Granted = true })
 }
 
-// slowHolderClock has a machine's clock run at a quarter of its pace.
+// slowHolderClock has a machine's clock advance at a quarter of the right rate.
 func slowHolderClock() bug {
 	return bug{ClockRate: func(machine *Machine) float64 {
 		if machine.name == "m0" {
@@ -122,28 +124,29 @@
 	}}
 }
 
-// answerOwnReadIndex answers a starting router without asking the voters.
+// answerOwnReadIndex tells a starting router the controller's own version, without
+// asking the voters.
 func answerOwnReadIndex() bug {
-	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, got reply) reply {
+	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, resp reply) reply {
 		if sent.path != "/"+readindex.MessageName {
-			return got
+			return resp
 		}
 		return okReply(readindex.Response{Serial: ownRecord(target).Version})
 	}}
 }
 
-// replayOldUpdates has a router be told the first of each key again, now and then, as
-// if news could overtake each other.
+// replayOldUpdates has a router apply the first item of each key again, now and
+// then, as if updates could overtake each other.
 func replayOldUpdates() bug {
-	var lock sync.Mutex
-	first, heard := map[string]gossip.Item{}, 0
+	var mu sync.Mutex
+	first, count := map[string]gossip.Item{}, 0
 	return bug{InterceptUpdate: func(item gossip.Item) gossip.Item {
-		lock.Lock()
-		defer lock.Unlock()
+		mu.Lock()
+		defer mu.Unlock()
 		if _, known := first[item.Key]; !known {
 			first[item.Key] = item
 		}
-		if heard++; heard%5 == 0 {
+		if count++; count%5 == 0 {
 			return first[item.Key]
 		}
 		return item
--- a/simulation/bugs_test.go
+++ b/simulation/bugs_test.go
@@ -5,34 +5,34 @@
 	"fmt"
 	"strings"
 	"testing"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
 var (
-	plantedSeeds = flag.Int("planted.seeds", 0, "seeds to try for each planted fault; 0 takes those that CI does")
-	plantedAll   = flag.Bool("planted.all", false, "play all seeds, also after the first that finds the fault")
+	plantedSeeds = flag.Int("planted.seeds", 0, "seeds to try for each planted bug; 0 takes those that CI does")
+	plantedAll   = flag.Bool("planted.all", false, "play all seeds, also after the first that finds the bug")
 )
 
-// bugCase is a fault with the runs that find it.
+// bugCase is a planted bug with the runs that find it.
 type bugCase struct {
 	name       string
 	point      int
 	newBug     func() bug
 	site       string
 	onlyFaults []string
-	// firstSeed is the first seed, seeds how many are tried.
+	// seedCount seeds from firstSeed on are tried.
 	firstSeed uint64
 	seedCount int
-	// seconds is in seconds.
+	// seconds is Options.Duration.
 	seconds int
+	// clients defaults to 2.
 	clients int
-	// scenario brings about what chance does in few of many seeds.
-	scenario func(world *Cluster)
+	// scenario brings about what the faults do in few of many seeds.
+	scenario func(cluster *Cluster)
 }
 
-// plantedBugs are what the simulation must find. Where the seeds stand close to each
-// other, most others find it too.
+// plantedBugs are what the simulation must find. Where few seeds are tried, most
+// others find the bug too.
 var plantedBugs = []bugCase{
 	{name: "confirmation skipped", point: 1, newBug: skipConfirmation, onlyFaults: only("part"), seconds: 14, firstSeed: 3, seedCount: 8},
 	{name: "GET answered from the own copy", point: 1, newBug: readLocalCopy, onlyFaults: only("cut"), seconds: 14, firstSeed: 3, seedCount: 6},
@@ -63,7 +63,9 @@
 func only(names ...string) []string { return names }
 
 func (b bugCase) options(seed uint64) Options {
-	options := Options{Site: Sites["three"], Seed: seed, Point: b.point, OnlyFaults: b.onlyFaults, Duration: clock.Span(b.seconds) * clock.Second, Clients: 2, scenario: b.scenario}
+	options := Options{
+		Site: Sites["three"], Seed: seed, Point: b.point, OnlyFaults: b.onlyFaults, Duration: time.Duration(b.seconds) * time.Second, Clients: 2, scenario: b.scenario,
+	}
 	if b.site != "" {
 		options.Site = Sites[b.site]
 	}
@@ -73,36 +75,36 @@
 	return options
 }
 
-// TestPlantedBugs_areFound checks that the simulation can fail: each fault is
-// found within its seeds, and the same seeds find nothing without it.
+// TestPlantedBugs_areFound checks that the simulation can fail: each bug is found
+// within its seeds, and the same seeds find nothing without it.
 func TestPlantedBugs_areFound(t *testing.T) {
 	if runWithoutRaceDetector(t) {
 		return
 	}
-	clean := map[string]bool{}
-	for _, err := range plantedBugs {
-		t.Run(strings.ReplaceAll(err.name, " ", "-"), func(t *testing.T) {
-			seeds, found := err.seedCount, 0
+	checkedClean := map[string]bool{}
+	for _, test := range plantedBugs {
+		t.Run(strings.ReplaceAll(test.name, " ", "-"), func(t *testing.T) {
+			seeds, found := test.seedCount, 0
 			if *plantedSeeds > 0 {
 				seeds = *plantedSeeds
 			}
-			for seed := err.firstSeed; seed < err.firstSeed+uint64(seeds) && (found == 0 || *plantedAll); seed++ {
-				options := err.options(seed)
-				if name := fmt.Sprint(options); !clean[name] {
-					clean[name] = true
-					for _, text := range Run(t, options).Broken {
-						t.Errorf("without the fault, seed %d: %s", seed, text)
+			for seed := test.firstSeed; seed < test.firstSeed+uint64(seeds) && (found == 0 || *plantedAll); seed++ {
+				options := test.options(seed)
+				if name := fmt.Sprint(options); !checkedClean[name] {
+					checkedClean[name] = true
+					for _, violation := range Run(t, options).Violations {
+						t.Errorf("without the bug, seed %d: %s", seed, violation)
 					}
 				}
-				options.bug = err.newBug()
-				if result := Run(t, options); len(result.Broken) > 0 {
+				options.bug = test.newBug()
+				if result := Run(t, options); len(result.Violations) > 0 {
 					found++
-					t.Logf("seed %d: %.200s", seed, result.Broken[0])
+					t.Logf("seed %d: %.200s", seed, result.Violations[0])
 				}
 			}
 			t.Logf("found by %d of %d", found, seeds)
 			if found == 0 {
-				t.Errorf("not found in %d seeds from %d", seeds, err.firstSeed)
+				t.Errorf("not found in %d seeds from %d", seeds, test.firstSeed)
 			}
 		})
 	}
--- a/simulation/client.go
+++ b/simulation/client.go
@@ -7,135 +7,187 @@
 	"io"
 	"net/http"
 	"strconv"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
+	"onyxwell/base/scope"
+	"onyxwell/control/config/evacuation"
 )
 
-// clientCommand is what an operator sends, as often as it takes.
+// clientCommand is a command as a client sends it, in as many attempts as it
+// takes.
 type clientCommand struct {
 	operation
 	method string
 	path   string
 	body   []byte
-	// timeout is how long it is sent again, 0 until it is taken.
-	timeout clock.Span
+	// timeout is how long it is attempted; 0 until it is decided.
+	timeout time.Duration
 }
 
-// statuses that end an order; others are no clear answer.
-var outcomeByStatus = map[int]outcome{200: accepted, 400: rejected, 409: rejected, 412: rejected, 413: rejected, 422: rejected}
+// outcomeByStatus holds the statuses that decide a command.
+var outcomeByStatus = map[int]outcome{
+	http.StatusOK: accepted, http.StatusBadRequest: rejected, http.StatusConflict: rejected, http.StatusPreconditionFailed: rejected,
+	http.StatusRequestEntityTooLarge: rejected, http.StatusUnprocessableEntity: rejected,
+}
+
+const (
+	// retryBackoff is the first pause between two attempts; it doubles up to
+	// maxRetryBackoff.
+	retryBackoff    = 50 * time.Millisecond
+	maxRetryBackoff = time.Second
+	// attemptTimeout is how long a client waits for a reply.
+	attemptTimeout = time.Second
+	// maxHops is how many controllers an attempt goes to, by redirects.
+	maxHops = 3
+	// changeTimeout is the timeout of a command that changes something.
+	changeTimeout = 15 * time.Second
+)
 
-// execute sends an order to one controller after another until the answer is
-// clear; it gives the body of the last answer.
-func (c *Cluster) execute(asked clientCommand) (operation, []byte) {
-	did := asked.operation
-	did.begin = c.now()
-	pause := 50 * clock.Millisecond
-	for tries := 0; !c.stopping && (asked.timeout == 0 || c.now()-did.begin < asked.timeout); tries++ {
+// execute sends a command to one controller after another until a reply decides
+// it. It returns the operation and the body of the decisive reply.
+func (c *Cluster) execute(command clientCommand) (operation, []byte) {
+	op := command.operation
+	op.start = c.now()
+	backoff := retryBackoff
+	for tries := 0; !c.stopping && (command.timeout == 0 || c.now()-op.start < command.timeout); tries++ {
 		targets := c.controllers()
 		if len(targets) == 0 {
 			break
 		}
-		target := targets[c.drawBelow(fmt.Sprint("target ", did.commandID, tries), len(targets))]
-		sent := &attempt{begin: c.now()}
-		did.attempts = append(did.attempts, sent)
-		status, body := c.sendOnce(target, asked, sent)
-		did.end = c.now()
-		c.trace("answer", target, "order", did.commandID, "verb", did.verb, "status", status, "try", tries)
-		if ended, clear := outcomeByStatus[status]; clear {
-			did.outcome = ended
-			sent.resolve(ended, did.end)
-			return did, body
+		target := targets[c.drawBelow(fmt.Sprint("target ", op.commandID, tries), len(targets))]
+		sent := &attempt{start: c.now()}
+		op.attempts = append(op.attempts, sent)
+		status, body := c.sendOnce(target, command, sent)
+		op.end = c.now()
+		c.trace("reply", target, "command_id", op.commandID, "verb", op.verb, "status", status, "attempt", tries)
+		if outcome, decisive := outcomeByStatus[status]; decisive {
+			op.outcome = outcome
+			sent.resolve(outcome, op.end)
+			return op, body
 		}
 		c.count("tries without a clear answer")
-		c.sleep(c.drawBetween(fmt.Sprint("pause ", did.commandID, tries), pause/2, pause))
-		pause = min(2*pause, clock.Second)
+		c.sleep(c.drawBetween(fmt.Sprint("pause ", op.commandID, tries), backoff/2, backoff))
+		backoff = min(2*backoff, maxRetryBackoff)
 	}
-	did.end = c.now()
-	return did, nil
+	op.end = c.now()
+	return op, nil
 }
 
-// sendOnce sends an order once; redirects are followed twice.
-func (c *Cluster) sendOnce(target *Machine, asked clientCommand, sent *attempt) (int, []byte) {
-	place := "http://" + target.ip + ":" + strconv.Itoa(controlPort) + asked.path
-	for range 3 {
-		limited, cancel := context.WithCancel(context.Background())
-		limit := c.after(clock.Second, cancel)
-		end := func() {
-			cancel()
-			c.cancel(limit)
-		}
-		request, _ := http.NewRequestWithContext(sent.withContext(limited), asked.method, place, bytes.NewReader(asked.body))
-		if asked.verb == "change" {
-			request.Header.Set("If-Match", strconv.FormatInt(asked.match, 10))
-		}
-		begin := c.now()
-		response, err := c.roundTrip(nil, clientHost, request, nil)
-		if err != nil {
-			end()
-			return 0, nil
-		}
-		body, _ := io.ReadAll(response.Body)
-		end()
-		c.countResponse(target, asked, response.StatusCode, c.now()-begin)
-		if response.StatusCode != http.StatusTemporaryRedirect {
-			return response.StatusCode, body
+// sendOnce makes one attempt and follows its redirects; status 0 says that there
+// was no reply.
+func (c *Cluster) sendOnce(target *Machine, command clientCommand, sent *attempt) (int, []byte) {
+	url := "http://" + string(target.address(controlPort)) + command.path
+	for range maxHops {
+		status, location, body := c.sendHop(url, command, sent)
+		if status != http.StatusTemporaryRedirect {
+			return status, body
 		}
-		place = response.Header.Get("Location")
+		url = location
 	}
 	return 0, nil
 }
 
-func (c *Cluster) sleep(span clock.Span) {
+func (c *Cluster) sendHop(url string, command clientCommand, sent *attempt) (status int, location string, body []byte) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	timer := c.after(attemptTimeout, cancel)
+	defer c.cancel(timer)
+	req, _ := http.NewRequestWithContext(sent.withContext(ctx), command.method, url, bytes.NewReader(command.body))
+	if command.verb == verbChange {
+		req.Header.Set("If-Match", strconv.FormatInt(command.baseVersion, 10))
+	}
+	resp, err := c.roundTrip(nil, clientHost, req, nil)
+	if err != nil {
+		return 0, "", nil
+	}
+	body, _ = io.ReadAll(resp.Body)
+	c.count(fmt.Sprintf("answers %d", resp.StatusCode))
+	return resp.StatusCode, resp.Header.Get("Location"), body
+}
+
+// sleep blocks the caller, which must not run in an event, until d has passed.
+func (c *Cluster) sleep(d time.Duration) {
 	done := make(chan struct{})
-	c.after(span, func() { close(done) })
+	c.after(d, func() { close(done) })
 	<-done
 }
 
-// changeCommand is a change of the configuration on top of a version.
-func (c *Cluster) changeCommand(match int64, version int64, patched bool) clientCommand {
-	number := c.nextCommandID()
-	made := clientCommand{
-		operation: operation{commandID: number, key: "spec", verb: "change", match: match, version: version},
-		method:    http.MethodPut, path: "/settings", body: fullConfig(version, number), timeout: 15 * clock.Second,
+// changeCommand replaces the configuration of baseVersion by one of version: the
+// whole document or, if patched, the changes alone.
+func (c *Cluster) changeCommand(baseVersion int64, version int64, patched bool) clientCommand {
+	id := c.nextCommandID()
+	command := clientCommand{
+		operation: operation{commandID: id, key: configKey, verb: verbChange, baseVersion: baseVersion, version: version},
+		method:    http.MethodPut, path: "/settings", body: fullConfig(version, id), timeout: changeTimeout,
 	}
 	if patched {
-		made.method, made.body = http.MethodPatch, configPatch(version, number)
+		command.method, command.body = http.MethodPatch, configPatch(version, id)
 	}
-	return made
+	return command
 }
 
-// zoneCommand is an evacuation, or its end.
-func (c *Cluster) zoneCommand(zone ids.Zone, empty bool) clientCommand {
-	method := map[bool]string{true: http.MethodPost, false: http.MethodDelete}[empty]
+// zoneCommand drains a zone, or ends that.
+func (c *Cluster) zoneCommand(zone ids.Zone, drained bool) clientCommand {
+	method := http.MethodDelete
+	if drained {
+		method = http.MethodPost
+	}
 	return clientCommand{
-		operation: operation{commandID: c.nextCommandID(), key: "evacuation/" + string(zone), verb: "zone", drained: empty},
-		method:    method, path: "/empty/" + string(zone), timeout: 15 * clock.Second,
+		operation: operation{commandID: c.nextCommandID(), key: zoneKey(zone), verb: verbChangeZone, drained: drained},
+		method:    method, path: "/empty/" + string(zone), timeout: changeTimeout,
 	}
 }
 
-// readConfig reads the configuration and notes what was found.
-func (c *Cluster) readConfig(patience clock.Span) (int64, bool) {
-	did, body := c.execute(clientCommand{operation: operation{commandID: c.nextCommandID(), key: "spec", verb: "read"}, method: http.MethodGet, path: "/settings", timeout: patience})
-	if did.outcome == accepted {
-		version, marked, found := parseConfig(body)
-		if !found {
+// zoneKey is the key of a zone to the checker.
+func zoneKey(zone ids.Zone) string { return "evacuation/" + string(zone) }
+
+// readConfig reads the configuration and returns its version.
+func (c *Cluster) readConfig(timeout time.Duration) (version int64, ok bool) {
+	op, body := c.execute(clientCommand{
+		operation: operation{commandID: c.nextCommandID(), key: configKey, verb: verbRead}, method: http.MethodGet, path: "/settings", timeout: timeout,
+	})
+	if op.outcome == accepted {
+		version, marker, ok := parseConfig(body)
+		if !ok {
 			c.reportViolation("GET /settings answered what no order brought: %.200s", body)
 		}
-		did.version, did.mark = version, marked
+		op.version, op.marker = version, marker
+	}
+	c.record(op)
+	return op.version, op.outcome == accepted
+}
+
+// readZone reads at a controller whether a zone is drained. It does nothing at a
+// machine where no controller runs.
+func (c *Cluster) readZone(target *Machine, zone ids.Zone) {
+	if target.process == nil || target.process.controller == nil || target.frozen {
+		return
+	}
+	op := operation{commandID: c.nextCommandID(), key: zoneKey(zone), verb: verbReadZone, start: c.now()}
+	env := scope.New(scope.Options{Clock: machineClock{machine: target}})
+	ctx, cancel := env.WithTimeout(attemptTimeout)
+	defer cancel()
+	value, err := target.process.controller.Read(ctx, evacuation.Key(zone))
+	op.end = c.now()
+	if err == nil {
+		record, err := evacuation.Decode(value)
+		if err != nil {
+			c.reportViolation("the value of %s can't be read: %v", zone, err)
+		}
+		op.drained, op.outcome = record.Drained, accepted
 	}
-	c.record(did)
-	return did.version, did.outcome == accepted
+	c.record(op)
 }
 
-// record takes an act into the history and counts it.
-func (c *Cluster) record(did operation) {
+// record adds an operation to the history and counts it.
+func (c *Cluster) record(op operation) {
 	c.mu.Lock()
-	c.history.add(did)
+	c.history.add(op)
 	c.mu.Unlock()
-	c.count(fmt.Sprintf("%s: %s", did.verb, outcomeNames[did.outcome]))
-	c.trace("act", nil, "order", did.commandID, "key", did.key, "verb", did.verb, "match", did.match, "version", did.version, "empty", did.drained,
-		"mark", did.mark, "begin", did.begin.Seconds(), "outcome", outcomeNames[did.outcome])
+	c.count(fmt.Sprintf("%s: %s", op.verb, outcomeNames[op.outcome]))
+	c.trace("operation", nil, "command_id", op.commandID, "key", op.key, "verb", op.verb, "base_version", op.baseVersion, "version", op.version,
+		"drained", op.drained, "marker", op.marker, "start_s", op.start.Seconds(), "outcome", outcomeNames[op.outcome])
 }
 
 func (c *Cluster) nextCommandID() int {
--- a/simulation/clock.go
+++ b/simulation/clock.go
@@ -2,62 +2,77 @@
 
 import (
 	"context"
+	"time"
 
 	"onyxwell/base/clock"
 )
 
-// machineClock is a machine's steady clock: no two machines' can be compared, and it
-// runs on while the machine is frozen, though nobody there sees it.
+// clockSkewStart is when a planted clock rate takes effect.
+const clockSkewStart = 4 * time.Second
+
+// machineClock is the monotonic clock of one process. Those of two processes
+// differ by an unknown offset, so that nothing may compare them. It goes on while
+// the machine is frozen, though its timers fire only afterwards.
 type machineClock struct {
 	machine *Machine
-	offset  clock.Span
+	offset  time.Duration
 }
 
-// Now gives the present instant.
+// Now implements clock.Clock.
 func (m machineClock) Now() clock.Instant {
 	now := m.machine.cluster.now()
-	if pace := m.machine.clockRate(); pace != 1 {
-		now = clockSkewStart + clock.Span(float64(now-clockSkewStart)*pace)
+	if rate := m.machine.clockRate(); rate != 1 {
+		now = clockSkewStart + time.Duration(float64(now-clockSkewStart)*rate)
 	}
 	return clock.Instant(now + m.offset)
 }
 
-// After gives a channel that is closed once the span has passed.
-func (m machineClock) After(span clock.Span) <-chan struct{} {
+// After implements clock.Clock.
+func (m machineClock) After(d time.Duration) <-chan struct{} {
 	done := make(chan struct{})
-	m.machine.timer(m.realDuration(span), func() { close(done) })
+	m.machine.timer(m.realDuration(d), func() { close(done) })
 	return done
 }
 
-// WithTimeout gives a context that ends when the span has passed.
-func (m machineClock) WithTimeout(parent context.Context, span clock.Span) (context.Context, context.CancelFunc) {
+// WithTimeout implements clock.Clock.
+func (m machineClock) WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	growStack(0)
 	ctx, cancel := context.WithCancelCause(parent)
-	limit := m.machine.timer(m.realDuration(span), func() { cancel(context.DeadlineExceeded) })
+	timer := m.machine.timer(m.realDuration(timeout), func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
 		cancel(context.Canceled)
-		m.machine.cluster.cancel(limit)
+		m.machine.cluster.cancel(timer)
+	}
+}
+
+// realDuration returns the simulated time that passes while this clock advances
+// by d.
+func (m machineClock) realDuration(d time.Duration) time.Duration {
+	if rate := m.machine.clockRate(); rate != 1 {
+		return time.Duration(float64(d) / rate)
 	}
+	return d
 }
 
-// realDuration is how long a span of this clock really is.
-func (m machineClock) realDuration(span clock.Span) clock.Span {
-	if pace := m.machine.clockRate(); pace != 1 {
-		return clock.Span(float64(span) / pace)
+// clockRate is how fast the machine's clock advances; 1 unless a bug is planted.
+func (m *Machine) clockRate() float64 {
+	if m.cluster.options.bug.ClockRate == nil || m.cluster.now() < clockSkewStart {
+		return 1
 	}
-	return span
+	return m.cluster.options.bug.ClockRate(m)
 }
 
-// timer wakes somebody on the machine; one that is frozen wakes late.
-func (m *Machine) timer(span clock.Span, act func()) *event {
-	return m.cluster.after(span, func() { m.deliver(act) })
+// timer runs an action on the machine once d has passed, later if it is frozen
+// then.
+func (m *Machine) timer(d time.Duration, action func()) *event {
+	return m.cluster.after(d, func() { m.deliver(action) })
 }
 
-// deliver has something reach the machine: now, or when it thaws.
-func (m *Machine) deliver(act func()) {
+// deliver runs an action on the machine: now, or when it is no longer frozen.
+func (m *Machine) deliver(action func()) {
 	if m.frozen {
-		m.deferred = append(m.deferred, act)
+		m.deferred = append(m.deferred, action)
 		return
 	}
-	act()
+	action()
 }
--- a/simulation/cluster.go
+++ b/simulation/cluster.go
@@ -1,9 +1,18 @@
-// Package simulation runs whole controllers and the control side of routers in
-// one process: the real operator's calls, desk, register, seat, lease, journal,
-// members and news, on a simulated clock, network and disk, while operators
-// give orders and machines are cut off, frozen, killed, wiped and replaced.
-// What the operators were told is checked for linearizability, and further
-// promises are checked after each step. A seed fixes what happens.
+// Package simulation runs whole controllers, and the control side of routers, on
+// a simulated clock, network and disk in one process, while simulated operators
+// (the clients) issue commands and an injector makes machines, links and disks
+// fail. It checks that
+//
+//   - what the clients were answered is linearizable, key by key;
+//   - after each event no lease has two holders and no epoch of one has two;
+//   - a process starts with all that its disk had made durable;
+//   - no router's snapshot goes back;
+//   - once all faults have ended, redundancy is restored in time and commands are
+//     acknowledged again.
+//
+// A run follows from its seed: every draw depends on the seed, the name of the
+// draw and the simulated instant alone. The names of draws and of faults are
+// therefore data; changing one changes what the seeds play.
 package simulation
 
 import (
@@ -11,63 +20,76 @@
 	"io"
 	"sort"
 	"sync"
+	"time"
 
 	"github.com/phuslu/log"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/scope"
 	"onyxwell/simulation/simdisk"
 )
 
-// Options are what a run is made from.
+// seedCount is how many controllers the nodes' settings name as seeds.
+const seedCount = 3
+
+// Options say what a run plays.
 type Options struct {
 	Site Site
 	Seed uint64
-	// Point chooses the troubles that bring about one of the five points of
-	// docs/hardening.md; 0 takes all.
+	// Point restricts the faults to those that bring about one of the points of
+	// docs/hardening.md, 1 to 4; 0 takes all.
 	Point int
-	// Duration is how long troubles go on.
-	Duration clock.Span
-	// Clients is how many give orders; each may have several under way.
+	// Duration is the simulated time, from the start of the run, until which
+	// faults are injected.
+	Duration time.Duration
+	// Clients is how many issue commands, each up to maxInFlight at a time.
 	Clients int
-	// NoFaults leaves all troubles out; Only takes the named ones.
+	// NoFaults has the injector inject nothing.
 	NoFaults bool
-	// HighLoad has the operators give orders eight times as fast throughout.
-	HighLoad   bool
+	// HighLoad has the clients issue commands at eight times their rate
+	// throughout.
+	HighLoad bool
+	// OnlyFaults names the faults to draw from, whatever the Point; empty takes
+	// those of the Point.
 	OnlyFaults []string
-	// Drill is a kind of loss of Drills that comes again and again; "" for none.
+	// Drill names a kind of loss, one of Drills, that is played again and again to
+	// measure how long redundancy takes to be restored; "" for none.
 	Drill string
-	// OwnerFault has the run measure service, while one of Strikes befalls the owner
-	// of the configuration again and again; "" for neither.
+	// OwnerFault names what befalls the owner of the configuration again and again
+	// while availability is measured, one of OwnerFaults; "" measures nothing.
 	OwnerFault string
-	// Trace is written to, a JSON line for all that happens; nil for none.
+	// Trace receives a JSON line for each event; nil for none.
 	Trace io.Writer
-	// bug is a fault that tests put in; script goes in the place of operators
-	// and troubles.
+	// bug is a bug planted by a test; scenario runs in place of the clients and
+	// the injector.
 	bug      bug
-	scenario func(world *Cluster)
+	scenario func(cluster *Cluster)
 }
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
-	Seed   uint64
-	Broken []string
-	Counts map[string]int
-	// Whole are the times from the end of a loss until all seats were filled and
-	// all voters held the newest of each key; Acks those from an order's first
-	// sending to its acknowledgement.
-	Whole []clock.Span
-	Acks  []clock.Span
-	// Gap is the longest time in which orders were given and none was taken.
-	Gap clock.Span
-	// Redundancy are the times until all was whole again, by kind of loss: from
-	// the return or the start of the one in its place, else from the loss.
-	Redundancy map[string][]clock.Span
-	// Service is how orders were taken, where the run measures that.
-	Service Availability
+	Seed uint64
+	// Violations tell which checks failed, with the simulated time.
+	Violations []string `json:"Broken"`
+	Counts     map[string]int
+	// RecoveryTimes are the times from the end of all faults until the cluster was
+	// fully replicated.
+	RecoveryTimes []time.Duration `json:"Whole"`
+	// AckLatencies are the times from a command's first attempt to its
+	// acknowledgement.
+	AckLatencies []time.Duration `json:"Acks"`
+	// LongestAckGap is the longest time between two acknowledgements.
+	LongestAckGap time.Duration `json:"Gap"`
+	// RedundancyTimes are the times until the cluster was fully replicated again,
+	// by drill: from the return of the machine or the start of its successor, or
+	// from the loss where timedFromLoss says so.
+	RedundancyTimes map[string][]time.Duration `json:"Redundancy"`
+	// Availability is measured where Options.OwnerFault is set.
+	Availability Availability `json:"Service"`
 }
 
-// Cluster is a run.
+// Cluster is the state of a run: the machines, the links between them, the
+// clients and what was observed of them. All of it runs in one synctest bubble,
+// event after event; mu guards what goroutines of one event may share.
 type Cluster struct {
 	*scheduler
 	options        Options
@@ -82,67 +104,67 @@
 	history        history
 	observed       observations
 	traceLogger    *log.Logger
-	// replyLossRate is the share of answers to operators that get lost.
+	// replyLossRate is the share of replies to clients that are lost now.
 	replyLossRate float64
 	highLoad      bool
-	stopping      bool
-	drill         drill
-	meter         availabilityMeter
+	// stopping tells clients, injector, drill and meter to end.
+	stopping bool
+	drill    drill
+	meter    availabilityMeter
 	clientState
 }
 
 func newCluster(options Options) *Cluster {
-	made := &Cluster{
+	c := &Cluster{
 		scheduler: newScheduler(options.Seed), options: options, machinesByIP: map[string]*Machine{}, machinesByName: map[string]*Machine{},
-		links: map[[2]string]*link{}, counts: map[string]int{},
+		links: map[[2]string]*link{}, counts: map[string]int{}, observed: newObservations(), highLoad: options.HighLoad,
 	}
-	made.observed = newObservations()
-	made.highLoad = options.HighLoad
 	if options.Trace != nil {
-		made.traceLogger = scope.NewLogger("info", options.Trace)
+		c.traceLogger = scope.NewLogger("info", options.Trace)
 	}
-	for _, place := range options.Site.Locations {
-		made.addMachine(place, false)
+	locations := options.Site.Locations
+	for _, location := range locations {
+		c.addMachine(location, false)
 	}
 	for index := range options.Site.Routers {
-		made.addMachine(options.Site.Locations[index%len(options.Site.Locations)], true)
+		c.addMachine(locations[index%len(locations)], true)
 	}
-	made.seedMachines = append(made.seedMachines, made.machines[:min(3, len(options.Site.Locations))]...)
-	return made
+	c.seedMachines = append(c.seedMachines, c.machines[:min(seedCount, len(locations))]...)
+	return c
 }
 
-// addMachine gives the site another machine.
-func (c *Cluster) addMachine(place Location, carries bool) *Machine {
+// addMachine adds a machine with an empty disk and no process.
+func (c *Cluster) addMachine(location Location, isRouter bool) *Machine {
 	number := len(c.machines)
-	made := &Machine{
-		cluster: c, zone: place.Zone, region: place.Region, isRouter: carries,
+	machine := &Machine{
+		cluster: c, zone: location.Zone, region: location.Region, isRouter: isRouter,
 		name: fmt.Sprintf("m%d", number), ip: fmt.Sprintf("10.0.%d.%d", number/200, 1+number%200),
 	}
-	made.disk = simdisk.New(simdisk.Options{
+	machine.disk = simdisk.New(simdisk.Options{
 		OneIn: func(odds int) bool {
-			made.diskDraws++
-			return c.drawOneIn(fmt.Sprint("disk ", made.name, made.diskDraws), odds)
+			machine.diskDraws++
+			return c.drawOneIn(fmt.Sprint("disk ", machine.name, machine.diskDraws), odds)
 		},
-		Delay: made.diskDelay,
+		Delay: machine.diskDelay,
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.machines = append(c.machines, made)
-	c.machinesByIP[made.ip], c.machinesByName[made.name] = made, made
-	return made
+	c.machines = append(c.machines, machine)
+	c.machinesByIP[machine.ip], c.machinesByName[machine.name] = machine, machine
+	return machine
 }
 
-// controllers gives the machines with a controller that are not gone.
+// controllers returns the machines that run a controller and were not removed.
 func (c *Cluster) controllers() []*Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var found []*Machine
+	var controllers []*Machine
 	for _, machine := range c.machines {
 		if !machine.isRouter && !machine.removed {
-			found = append(found, machine)
+			controllers = append(controllers, machine)
 		}
 	}
-	return found
+	return controllers
 }
 
 func (c *Cluster) count(what string) {
@@ -151,14 +173,14 @@
 	c.counts[what]++
 }
 
-// reportViolation notes a broken promise; a run ends at its first.
+// reportViolation records that a check failed; the run ends at the first.
 func (c *Cluster) reportViolation(format string, values ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	text := fmt.Sprintf("%.3fs: ", c.now().Seconds()) + fmt.Sprintf(format, values...)
 	c.violations = append(c.violations, text)
 	if c.traceLogger != nil {
-		c.traceLogger.Error().Float64("at", c.now().Seconds()).Str("violation", text).Msg("violation")
+		c.traceLogger.Error().Float64("at_s", c.now().Seconds()).Str("violation", text).Msg("violation")
 	}
 }
 
@@ -168,34 +190,35 @@
 	return len(c.violations) > 0
 }
 
-// trace traces what happens: names and values in turn.
-func (c *Cluster) trace(what string, machine *Machine, values ...any) {
+// trace writes an event to Options.Trace; the values are keys and values in turn.
+func (c *Cluster) trace(event string, machine *Machine, values ...any) {
 	if c.traceLogger == nil {
 		return
 	}
-	entry := c.traceLogger.Info().Float64("at", c.now().Seconds())
+	entry := c.traceLogger.Info().Float64("at_s", c.now().Seconds())
 	if machine != nil {
 		entry = entry.Str("machine", machine.name)
 	}
 	for index := 0; index+1 < len(values); index += 2 {
 		entry = entry.Any(fmt.Sprint(values[index]), values[index+1])
 	}
-	entry.Msg(what)
+	entry.Msg(event)
 }
 
-// processLogger is the logger of a machine's process.
+// processLogger returns the logger of a machine's next process.
 func (c *Cluster) processLogger(machine *Machine) *log.Logger {
 	if c.options.Trace == nil {
 		return scope.NewLogger("fatal", io.Discard)
 	}
-	made := scope.NewLogger("info", c.options.Trace)
-	made.Context = log.NewContext(nil).Str("machine", machine.name).Value()
-	return made
+	logger := scope.NewLogger("info", c.options.Trace)
+	logger.Context = log.NewContext(nil).Str("machine", machine.name).Value()
+	return logger
 }
 
-func sortedKeys[Value any](from map[string]Value) []string {
+// sortedKeys returns the keys in an order that does not change between runs.
+func sortedKeys[Value any](values map[string]Value) []string {
 	var keys []string
-	for key := range from {
+	for key := range values {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
--- a/simulation/configdoc.go
+++ b/simulation/configdoc.go
@@ -7,40 +7,41 @@
 	"strings"
 )
 
-// markerRoute is the route by whose path an order is known again in a configuration.
+// markerRoute is the route whose path prefix holds the number of the command that
+// brought a configuration.
 const markerRoute = "mark"
 
-func markerRouteJSON(order int) string {
-	return fmt.Sprintf(`{"name":%q,"hostname":"h.example","path_prefix":"/o%d/","type":"safe","give_up_ms":1000,"goal_ms":400,"service":"desk","tries":1}`, markerRoute, order)
+func markerRouteJSON(commandID int) string {
+	return fmt.Sprintf(`{"name":%q,"hostname":"h.example","path_prefix":"/o%d/","type":"safe","give_up_ms":1000,"goal_ms":400,"service":"desk","tries":1}`, markerRoute, commandID)
 }
 
-// fullConfig is a configuration that carries an order's mark.
-func fullConfig(version int64, order int) []byte {
-	return fmt.Appendf(nil, `{"config_version":%d,"routes":[%s],"services":[{"name":"desk","health_path":"/health","max_conns":100,"warmup_s":3,"cold_per_s":10}],"limits":{"max_header_bytes":2000,"max_body_bytes":100,"header_wait_ms":3000,"idle_ms":15000}}`, version, markerRouteJSON(order))
+// fullConfig returns a configuration document with a command's marker.
+func fullConfig(version int64, commandID int) []byte {
+	return fmt.Appendf(nil, `{"config_version":%d,"routes":[%s],"services":[{"name":"desk","health_path":"/health","max_conns":100,"warmup_s":3,"cold_per_s":10}],"limits":{"max_header_bytes":2000,"max_body_bytes":100,"header_wait_ms":3000,"idle_ms":15000}}`, version, markerRouteJSON(commandID))
 }
 
-// configPatch changes the mark alone.
-func configPatch(version int64, order int) []byte {
-	return fmt.Appendf(nil, `{"config_version":%d,"changes":{"routes":[%s]}}`, version, markerRouteJSON(order))
+// configPatch returns a patch that changes the marker alone.
+func configPatch(version int64, commandID int) []byte {
+	return fmt.Appendf(nil, `{"config_version":%d,"changes":{"routes":[%s]}}`, version, markerRouteJSON(commandID))
 }
 
-// parseConfig finds the version and the mark of a configuration.
-func parseConfig(document []byte) (version int64, order int, found bool) {
-	var seen struct {
+// parseConfig returns the version and the marker of a configuration document.
+func parseConfig(document []byte) (version int64, commandID int, ok bool) {
+	var parsed struct {
 		Version int64 `json:"config_version"`
 		Routes  []struct {
 			Name   string `json:"name"`
 			Prefix string `json:"path_prefix"`
 		} `json:"routes"`
 	}
-	if json.Unmarshal(document, &seen) != nil {
+	if json.Unmarshal(document, &parsed) != nil {
 		return 0, 0, false
 	}
-	for _, route := range seen.Routes {
+	for _, route := range parsed.Routes {
 		if route.Name == markerRoute {
-			order, err := strconv.Atoi(strings.Trim(route.Prefix, "/o"))
-			return seen.Version, order, err == nil
+			commandID, err := strconv.Atoi(strings.Trim(route.Prefix, "/o"))
+			return parsed.Version, commandID, err == nil
 		}
 	}
-	return seen.Version, 0, false
+	return parsed.Version, 0, false
 }
--- a/simulation/datagram.go
+++ b/simulation/datagram.go
@@ -8,54 +8,64 @@
 	"onyxwell/control/daemon"
 )
 
-// datagram is one that arrived; a place names its sender.
+const (
+	// datagramOdds is of how many datagrams one is lost, and of how many of the
+	// others one is duplicated.
+	datagramOdds = 50
+	// datagramBuffer is how many datagrams a socket holds; further ones are lost.
+	datagramBuffer = 256
+)
+
+// datagram is a datagram that arrived.
 type datagram struct {
 	from senderName
 	body []byte
 }
 
+// senderName is the name of the host that sent a datagram.
 type senderName string
 
-// String names the place.
+// String implements fmt.Stringer.
 func (s senderName) String() string { return string(s) }
 
-// socket takes datagrams.
+// socket implements daemon.Socket.
 type socket struct {
 	process *process
 	inbox   chan datagram
 	closed  chan struct{}
 }
 
-// Datagrams opens an address for datagrams.
+// Datagrams implements daemon.Network.
 func (p *process) Datagrams(address ids.Address) (daemon.Socket, error) {
-	opened := &socket{process: p, inbox: make(chan datagram, 256), closed: make(chan struct{})}
+	opened := &socket{process: p, inbox: make(chan datagram, datagramBuffer), closed: make(chan struct{})}
 	p.machine.cluster.mu.Lock()
 	defer p.machine.cluster.mu.Unlock()
 	p.sockets[address] = opened
 	return opened, nil
 }
 
-// Send sends a datagram, which may be lost, doubled or late.
+// Send sends a datagram, which may be lost, duplicated or reordered.
 func (s *socket) Send(to ids.Address, body []byte) {
-	world, from := s.process.machine.cluster, s.process.machine.name
+	cluster, from := s.process.machine.cluster, s.process.machine.name
 	if s.process.isDead() {
 		return
 	}
 	copies := 1
-	if world.drawOneIn("datagram lost "+from+string(to), 50) {
+	if cluster.drawOneIn("datagram lost "+from+string(to), datagramOdds) {
 		copies = 0
-	} else if world.drawOneIn("datagram twice "+from+string(to), 50) {
+	} else if cluster.drawOneIn("datagram twice "+from+string(to), datagramOdds) {
 		copies = 2
 	}
-	kept := bytes.Clone(body)
+	body = bytes.Clone(body)
 	for range copies {
-		world.after(world.latency(from, to), func() { world.deliverDatagram(from, to, kept) })
+		cluster.after(cluster.latency(from, to), func() { cluster.deliverDatagram(from, to, body) })
 	}
 }
 
-// deliverDatagram brings a datagram to its machine.
+// deliverDatagram brings a datagram to its machine. One on a link that is cut is
+// lost.
 func (c *Cluster) deliverDatagram(from string, to ids.Address, body []byte) {
-	target, _ := c.resolve(to)
+	target := c.resolve(to)
 	if target == nil || target.poweredOff || target.removed || c.link(from, target.name).cut {
 		return
 	}
@@ -76,11 +86,11 @@
 	})
 }
 
-// Receive waits for the next datagram.
+// Receive implements daemon.Socket.
 func (s *socket) Receive(buffer []byte) (int, fmt.Stringer, error) {
 	select {
-	case got := <-s.inbox:
-		return copy(buffer, got.body), got.from, nil
+	case received := <-s.inbox:
+		return copy(buffer, received.body), received.from, nil
 	case <-s.closed:
 		return 0, nil, errDead
 	case <-s.process.dead:
@@ -88,7 +98,7 @@
 	}
 }
 
-// Close ends the socket.
+// Close implements daemon.Socket.
 func (s *socket) Close() error {
 	select {
 	case <-s.closed:
--- a/simulation/drill.go
+++ b/simulation/drill.go
@@ -3,16 +3,16 @@
 import (
 	"fmt"
 	"slices"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
-// drillCatalogue are the kinds of loss that a run may play again and again. The steps of
-// one follow each other as soon as catch_up_s allows, whole or not.
+// drillCatalogue holds the kinds of loss that a run may play again and again. Its
+// steps are names of faults, or stepRemove; each follows the one before as soon
+// as the catch-up time allows, whether or not redundancy is restored by then.
 var drillCatalogue = []struct {
 	name  string
 	steps []string
-	// losses is how many are lost at a time.
+	// losses is how many voters are lost at a time.
 	losses int
 }{
 	{"kill", []string{"kill"}, 1},
@@ -31,7 +31,7 @@
 	{"outage", []string{"outage"}, 1},
 	{"replace", []string{"replace"}, 1},
 	{"planned", []string{"planned"}, 1},
-	{"gone", []string{"gone"}, 1},
+	{"gone", []string{stepRemove}, 1},
 	{"replace, replace", []string{"replace", "replace"}, 1},
 	{"wipe, replace", []string{"wipe", "replace"}, 1},
 	{"two: kill", []string{"kill"}, 2},
@@ -40,58 +40,57 @@
 	{"two: replace", []string{"replace"}, 2},
 }
 
-// timedFromLoss are the losses whose time runs from the loss on: nothing comes back, or
-// what takes the place is there beforehand.
-var timedFromLoss = map[string]bool{"planned": true, "gone": true}
+// stepRemove is the step of a drill that removes a machine for good.
+const stepRemove = "gone"
+
+// timedFromLoss holds the steps whose recovery is timed from the loss: nothing
+// comes back, or the successor is there beforehand.
+var timedFromLoss = map[string]bool{"planned": true, stepRemove: true}
 
-// Drills names the kinds of loss that a run may play again and again, in order.
+// Drills returns the names of the drills in the order of their table.
 func Drills() []string {
 	var names []string
-	for _, one := range drillCatalogue {
-		names = append(names, one.name)
+	for _, drill := range drillCatalogue {
+		names = append(names, drill.name)
 	}
 	return names
 }
 
-// drillInterval is how often a drill looks whether all is whole.
-const drillInterval = 10 * clock.Millisecond
+// drillInterval is how often a drill looks at the cluster.
+const drillInterval = 10 * time.Millisecond
 
-// drill is the one kind of loss of a run, and what was measured.
+// drill is the state of the run's drill, and what it measured.
 type drill struct {
 	steps  []string
 	losses int
-	// recoveries are losses that nobody has made up for yet.
+	// recoveries are losses after which redundancy is not restored yet.
 	recoveries []pendingRecovery
-	// nextStep is the next one, due when it or the next round may begin.
+	// nextStep is due at nextDue; len(steps) once the round is complete.
 	nextStep int
-	nextDue  clock.Span
-	// down is how many are lost and not back yet.
+	nextDue  time.Duration
+	// down counts the machines that are lost and not back.
 	down          int
-	recoveryTimes map[string][]clock.Span
+	recoveryTimes map[string][]time.Duration
 }
 
-// pendingRecovery is a loss that counts from an instant on.
+// pendingRecovery is a loss that is timed from an instant on.
 type pendingRecovery struct {
-	name  string
-	since clock.Span
+	label string
+	since time.Duration
 }
 
-// catchUpTime is how long one that is back counts as lost.
-func (c *Cluster) catchUpTime() clock.Span {
-	return clock.Span(c.options.Site.Bounds.CatchUpS * float64(clock.Second))
-}
-
-// startDrill begins the drill of a run that has one.
+// startDrill starts the drill of a run that has one which the site tolerates.
 func (c *Cluster) startDrill() {
-	for _, one := range drillCatalogue {
-		if one.name == c.options.Drill && one.losses <= c.options.Site.MaxLosses {
-			c.drill = drill{steps: one.steps, losses: one.losses, recoveryTimes: map[string][]clock.Span{}}
+	for _, entry := range drillCatalogue {
+		if entry.name == c.options.Drill && entry.losses <= c.options.Site.MaxLosses {
+			c.drill = drill{steps: entry.steps, losses: entry.losses, recoveryTimes: map[string][]time.Duration{}}
 			c.after(0, c.tickDrill)
 		}
 	}
 }
 
-// tickDrill notes whether all is whole, and begins the next loss when it may.
+// tickDrill notes whether redundancy is restored, and starts the next loss when
+// it is due.
 func (c *Cluster) tickDrill() {
 	if c.stopping || c.hasViolation() {
 		return
@@ -106,47 +105,56 @@
 	}
 	if drill.nextStep == len(drill.steps) && len(drill.recoveries) == 0 {
 		drill.nextStep = 0
-		drill.nextDue = max(drill.nextDue, c.now()+c.drawBetween("calm", 0, clock.Second))
+		drill.nextDue = max(drill.nextDue, c.now()+c.drawBetween("calm", 0, time.Second))
 	}
 	if drill.nextStep < len(drill.steps) && c.now() >= drill.nextDue {
 		c.injectDrillFault(drill.steps[drill.nextStep])
 	}
 }
 
-// completeRecoveries notes how long all losses took that are made up for; one that takes
-// too long breaks a promise, and counts with the time until then.
+// completeRecoveries records how long the pending recoveries took once redundancy
+// is restored. One that takes longer than recoveryTimeout is a violation, and is
+// recorded with the time until then.
 func (c *Cluster) completeRecoveries() {
 	drill := &c.drill
-	whole, missing := c.fullyReplicated()
-	for _, seat := range c.newestVoters().Members {
-		machine := c.machinesByIP[hostOf(seat.Address)]
-		if whole && (machine == nil || machine.leaving || machine.removed) {
-			whole, missing = false, fmt.Sprintf("%s has a seat and leaves", seat.Address)
-		}
-	}
+	restored, missing := c.redundancyRestored()
 	first := drill.recoveries[0]
-	late := c.now()-first.since > recoveryTimeout
-	if !whole && !late {
+	timedOut := c.now()-first.since > recoveryTimeout
+	if !restored && !timedOut {
 		return
 	}
-	for _, one := range drill.recoveries {
-		drill.recoveryTimes[one.name] = append(drill.recoveryTimes[one.name], c.now()-one.since)
-		c.trace("waited", nil, "after", one.name, "seconds", (c.now() - one.since).Seconds(), "whole", whole)
+	for _, recovery := range drill.recoveries {
+		took := c.now() - recovery.since
+		drill.recoveryTimes[recovery.label] = append(drill.recoveryTimes[recovery.label], took)
+		c.trace("recovery measured", nil, "drill", recovery.label, "duration_s", took.Seconds(), "restored", restored)
 	}
 	drill.recoveries = nil
-	if !whole {
-		c.reportViolation("%s after %s still: %s", recoveryTimeout, first.name, missing)
+	if !restored {
+		c.reportViolation("%s after %s still: %s", recoveryTimeout, first.label, missing)
 	}
 }
 
-// injectDrillFault has some of those that vote lost in some way.
-func (c *Cluster) injectDrillFault(name string) {
-	drill, one := &c.drill, faultCatalogue[name]
-	if name == "gone" {
-		one = fault{inject: removeMachine}
+// redundancyRestored reports whether the cluster is fully replicated on machines
+// that stay; the reason says what is missing.
+func (c *Cluster) redundancyRestored() (restored bool, missing string) {
+	restored, missing = c.fullyReplicated()
+	for _, member := range c.newestVoters().Members {
+		machine := c.machinesByIP[hostOf(member.Address)]
+		if restored && (machine == nil || machine.leaving || machine.removed) {
+			restored, missing = false, fmt.Sprintf("%s has a seat and leaves", member.Address)
+		}
+	}
+	return restored, missing
+}
+
+// injectDrillFault has some of the voters lost by a step of the drill.
+func (c *Cluster) injectDrillFault(step string) {
+	drill, injected := &c.drill, faultCatalogue[step]
+	if step == stepRemove {
+		injected = fault{inject: removeMachine}
 	}
 	targets := c.votingMachines()
-	if len(targets) < drill.losses || c.now()+one.maxDuration > c.options.Duration || (name == "gone" && c.spareControllers() < 1) {
+	if len(targets) < drill.losses || c.now()+injected.maxDuration > c.options.Duration || (step == stepRemove && c.spareControllers() < 1) {
 		return
 	}
 	label := c.options.Drill
@@ -155,51 +163,45 @@
 	}
 	drill.nextStep++
 	for number := range drill.losses {
-		at := c.drawBelow(fmt.Sprint("victim ", number), len(targets))
-		machine := targets[at]
-		targets = slices.Delete(targets, at, at+1)
+		index := c.drawBelow(fmt.Sprint("victim ", number), len(targets))
+		target := targets[index]
+		targets = slices.Delete(targets, index, index+1)
 		drill.down++
-		c.count("trouble " + name)
-		c.trace("trouble", machine, "name", name)
-		if timedFromLoss[name] {
-			drill.recoveries = append(drill.recoveries, pendingRecovery{name: label, since: c.now()})
+		c.count("trouble " + step)
+		c.trace("fault injected", target, "fault", step)
+		if timedFromLoss[step] {
+			drill.recoveries = append(drill.recoveries, pendingRecovery{label: label, since: c.now()})
 		}
-		end := one.inject(c, machine)
-		c.after(c.drawBetween(fmt.Sprint("span ", name, number), one.minDuration, one.maxDuration), func() {
-			c.trace("trouble over", machine, "name", name)
+		end := injected.inject(c, target)
+		c.after(c.drawBetween(fmt.Sprint("span ", step, number), injected.minDuration, injected.maxDuration), func() {
+			c.trace("fault ended", target, "fault", step)
 			if end != nil {
 				end()
 			}
 			drill.down--
 			drill.nextDue = c.now() + c.catchUpTime()
-			// Where two are lost, time counts from the return of the last.
-			if !timedFromLoss[name] && drill.down == 0 {
-				drill.recoveries = append(drill.recoveries, pendingRecovery{name: label, since: c.now()})
+			// Where several are lost, time counts from the return of the last.
+			if !timedFromLoss[step] && drill.down == 0 {
+				drill.recoveries = append(drill.recoveries, pendingRecovery{label: label, since: c.now()})
 			}
 		})
 	}
 }
 
-// votingMachines are the machines that vote and are there.
+// votingMachines returns the machines of the voter set that run and stay.
 func (c *Cluster) votingMachines() []*Machine {
-	var found []*Machine
-	for _, seat := range c.newestVoters().Members {
-		machine := c.machinesByIP[hostOf(seat.Address)]
-		if machine != nil && machine.process != nil && machine.process.control != nil && !machine.removed && !machine.leaving {
-			found = append(found, machine)
+	var voting []*Machine
+	for _, member := range c.newestVoters().Members {
+		machine := c.machinesByIP[hostOf(member.Address)]
+		if machine != nil && machine.process != nil && machine.process.controller != nil && !machine.removed && !machine.leaving {
+			voting = append(voting, machine)
 		}
 	}
-	return found
+	return voting
 }
 
-// spareControllers is how many controllers there are beyond the seats.
-func (c *Cluster) spareControllers() int {
-	return len(c.controllers()) - max(3, 2*c.options.Site.MaxLosses+1)
-}
+// spareControllers is how many controllers there are beyond the voters.
+func (c *Cluster) spareControllers() int { return len(c.controllers()) - c.voterCount() }
 
-// removeMachine takes a machine away for good, with none in its place.
-func removeMachine(_ *Cluster, machine *Machine) func() {
-	machine.losePower()
-	machine.removed = true
-	return nil
-}
+// voterCount is how many voters the site is to have.
+func (c *Cluster) voterCount() int { return max(3, 2*c.options.Site.MaxLosses+1) }
--- a/simulation/drill_test.go
+++ b/simulation/drill_test.go
@@ -3,43 +3,44 @@
 import (
 	"strings"
 	"testing"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
-// TestRun_drillMeasuresRecovery checks that a run of one kind of loss measures each of them.
+// TestRun_drillMeasuresRecovery checks that a drill measures each loss, and that
+// it reports a cluster that never recovers.
 func TestRun_drillMeasuresRecovery(t *testing.T) {
 	if runWithoutRaceDetector(t) {
 		return
 	}
-	options := Options{Site: Sites["three"], Seed: 3, Duration: 24 * clock.Second, Clients: 2, NoFaults: true, Drill: "wipe"}
+	options := Options{Site: Sites["three"], Seed: 3, Duration: 24 * time.Second, Clients: 2, NoFaults: true, Drill: "wipe"}
 	result := Run(t, options)
-	for _, text := range result.Broken {
-		t.Error(text)
+	for _, violation := range result.Violations {
+		t.Error(violation)
 	}
-	bound := clock.Span(options.Site.Bounds.CatchUpS * float64(clock.Second))
-	if len(result.Redundancy["wipe"]) < 2 || result.Counts["trouble wipe"] != len(result.Redundancy["wipe"]) {
-		t.Errorf("%d losses, measured: %v", result.Counts["trouble wipe"], result.Redundancy)
+	limit := time.Duration(options.Site.Bounds.CatchUpS * float64(time.Second))
+	if len(result.RedundancyTimes["wipe"]) < 2 || result.Counts["trouble wipe"] != len(result.RedundancyTimes["wipe"]) {
+		t.Errorf("%d losses, measured: %v", result.Counts["trouble wipe"], result.RedundancyTimes)
 	}
-	for _, took := range result.Redundancy["wipe"] {
-		if took <= 0 || took > bound {
-			t.Errorf("whole after %s, catch_up_s is %s", took, bound)
+	for _, took := range result.RedundancyTimes["wipe"] {
+		if took <= 0 || took > limit {
+			t.Errorf("fully replicated after %s, catch_up_s is %s", took, limit)
 		}
 	}
-	// Where no seat is ever filled again, the same run says so.
+
 	options.bug = rejectVoterChanges()
 	result = Run(t, options)
-	if took := result.Redundancy["wipe"]; len(took) != 1 || took[0] < recoveryTimeout || len(result.Broken) == 0 || !strings.Contains(result.Broken[0], "after wipe still") {
-		t.Errorf("no seat is filled, and yet: %v, %v", result.Redundancy, result.Broken)
+	if took := result.RedundancyTimes["wipe"]; len(took) != 1 || took[0] < recoveryTimeout || len(result.Violations) == 0 || !strings.Contains(result.Violations[0], "after wipe still") {
+		t.Errorf("no voter is ever replaced, and yet: %v, %v", result.RedundancyTimes, result.Violations)
 	}
 }
 
-// TestDrillCatalogue_faultsExist checks that each kind of loss is one that there is.
+// TestDrillCatalogue_faultsExist checks that each step is a fault of the
+// catalogue.
 func TestDrillCatalogue_faultsExist(t *testing.T) {
-	for _, one := range drillCatalogue {
-		for _, step := range one.steps {
-			if _, found := faultCatalogue[step]; !found && step != "gone" {
-				t.Errorf("%s: %s is not known", one.name, step)
+	for _, drill := range drillCatalogue {
+		for _, step := range drill.steps {
+			if _, ok := faultCatalogue[step]; !ok && step != stepRemove {
+				t.Errorf("%s: there is no fault %s", drill.name, step)
 			}
 		}
 	}
--- a/simulation/durability.go
+++ b/simulation/durability.go
@@ -6,69 +6,78 @@
 	"onyxwell/control/transport"
 )
 
-// durableState is what a machine's disk must bear out when its next process begins.
+// durableState is what a machine's disk must still hold when its next process
+// starts.
 type durableState struct {
-	// slots are what the disk was known to hold when the last process ended.
+	// slots are what the last process had made durable, by key.
 	slots map[string]register.Slot
-	// diskLost says that the disk was lost since, under the identity that it had.
+	// diskLost says that the disk was lost since, on which it voted as identity.
 	diskLost bool
 	identity ids.Incarnation
 }
 
-// recordDurableState notes what the disk holds as its process ends.
+// recordDurableState records what the disk holds as its process is killed.
 func (m *Machine) recordDurableState() {
-	if m.process.control == nil {
-		return
+	if m.process.controller != nil {
+		m.durable.slots = slotsByKey(m.process)
 	}
-	kept := map[string]register.Slot{}
-	for _, slot := range m.process.control.Slots() {
-		kept[slot.Key] = slot
+}
+
+func slotsByKey(p *process) map[string]register.Slot {
+	slots := map[string]register.Slot{}
+	for _, slot := range p.controller.Slots() {
+		slots[slot.Key] = slot
 	}
-	m.durable.slots = kept
+	return slots
 }
 
-// recordDiskLoss notes that the disk is lost.
+// recordDiskLoss records that the disk was lost.
 func (m *Machine) recordDiskLoss() {
 	voters, err := transport.Unmarshal[register.VoterSet](m.durable.slots[register.VotersKey].Accepted.Value)
 	m.durable.slots = nil
-	if seat, found := memberOf(voters, m); err == nil && found {
-		m.durable.diskLost, m.durable.identity = true, seat.Incarnation
+	if member, ok := memberOf(voters, m); err == nil && ok {
+		m.durable.diskLost, m.durable.identity = true, member.Incarnation
 	}
 }
 
 func memberOf(voters register.VoterSet, machine *Machine) (register.Member, bool) {
-	for _, seat := range voters.Members {
-		if hostOf(seat.Address) == machine.ip {
-			return seat, true
+	for _, member := range voters.Members {
+		if hostOf(member.Address) == machine.ip {
+			return member, true
 		}
 	}
 	return register.Member{}, false
 }
 
-// checkDurableState checks that what a process promised and accepted outlasted it.
+// checkDurableState checks that a process starts with all that the one before it
+// had promised and accepted.
 func (m *Machine) checkDurableState() {
-	held := map[string]register.Slot{}
-	for _, slot := range m.process.control.Slots() {
-		held[slot.Key] = slot
-	}
+	slots := slotsByKey(m.process)
 	for _, key := range sortedKeys(m.durable.slots) {
-		was, now := m.durable.slots[key], held[key]
-		order := was.Accepted.Epoch.Compare(now.Accepted.Epoch)
-		older := order > 0 || (order == 0 && was.Accepted.Sequence > now.Accepted.Sequence)
-		if older || was.Promised.Compare(now.Promised) > 0 {
+		before, now := m.durable.slots[key], slots[key]
+		if isNewer(before.Accepted, now.Accepted) || before.Promised.Compare(now.Promised) > 0 {
 			m.cluster.reportViolation("%s starts without what its disk had for %s: epoch %d and %d, sequence %d, now %d and %d, %d", m.name, key,
-				was.Promised.Number, was.Accepted.Epoch.Number, was.Accepted.Sequence, now.Promised.Number, now.Accepted.Epoch.Number, now.Accepted.Sequence)
+				before.Promised.Number, before.Accepted.Epoch.Number, before.Accepted.Sequence,
+				now.Promised.Number, now.Accepted.Epoch.Number, now.Accepted.Sequence)
 			return
 		}
 	}
 }
 
-// checkLostDiskIdentity checks that a disk that was lost votes as another.
+// isNewer reports whether a proposal comes after another: by epoch, then by
+// sequence.
+func isNewer(proposal register.Proposal, other register.Proposal) bool {
+	order := proposal.Epoch.Compare(other.Epoch)
+	return order > 0 || (order == 0 && proposal.Sequence > other.Sequence)
+}
+
+// checkLostDiskIdentity checks that a disk that was lost votes under another
+// identity.
 func (m *Machine) checkLostDiskIdentity() {
-	if !m.durable.diskLost || !m.process.control.IsVoter() {
+	if !m.durable.diskLost || !m.process.controller.IsVoter() {
 		return
 	}
-	if seat, found := memberOf(m.process.control.Voters(), m); found && seat.Incarnation == m.durable.identity {
+	if member, ok := memberOf(m.process.controller.Voters(), m); ok && member.Incarnation == m.durable.identity {
 		m.cluster.reportViolation("%s lost its disk and votes as if it had not", m.name)
 	}
 	m.durable.diskLost = false
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -1,210 +1,247 @@
 package simulation
 
-// What troubles do; each gives back what ends it.
-
-func cutOff(in bool, out bool) func(*Cluster, *Machine) func() {
-	return func(world *Cluster, machine *Machine) func() {
-		others := world.machines
+import (
+	"time"
+)
+
+// fault is a kind of fault: it is injected at a machine that was drawn, and ended
+// by the function that inject returns; nil where there is nothing to end.
+type fault struct {
+	// points are the points of docs/hardening.md that it helps to bring about.
+	points []int
+	// countsAsLoss says that the machine counts as lost from the fault until it had
+	// the time to catch up; wholeRegion that all of its region does. Such faults
+	// are injected only while no more than Site.MaxLosses are lost.
+	countsAsLoss bool
+	wholeRegion  bool
+	// The fault lasts for a drawn time between the two.
+	minDuration time.Duration
+	maxDuration time.Duration
+	inject      func(cluster *Cluster, machine *Machine) (end func())
+}
+
+// faultCatalogue holds all kinds of faults by name. The names are drawn from, and
+// are those of the command line.
+var faultCatalogue = map[string]fault{
+	"cut":     {points: []int{1, 2, 3, 4}, countsAsLoss: true, minDuration: time.Second, maxDuration: 20 * time.Second, inject: isolate(true, true)},
+	"cut-in":  {points: []int{1}, countsAsLoss: true, minDuration: time.Second, maxDuration: 20 * time.Second, inject: isolate(true, false)},
+	"cut-out": {points: []int{1, 2}, countsAsLoss: true, minDuration: time.Second, maxDuration: 20 * time.Second, inject: isolate(false, true)},
+	"region":  {points: []int{1, 3}, countsAsLoss: true, wholeRegion: true, minDuration: time.Second, maxDuration: 12 * time.Second, inject: isolateRegion},
+	"part":    {points: []int{1, 2}, minDuration: time.Second, maxDuration: 10 * time.Second, inject: partitionPair},
+	"freeze":  {points: []int{1, 2, 4}, countsAsLoss: true, minDuration: 500 * time.Millisecond, maxDuration: 20 * time.Second, inject: freeze},
+	"kill":    {points: []int{2, 3, 4}, countsAsLoss: true, minDuration: 300 * time.Millisecond, maxDuration: 8 * time.Second, inject: takeDown((*Machine).kill)},
+	"power":   {points: []int{2, 3, 4}, countsAsLoss: true, minDuration: 300 * time.Millisecond, maxDuration: 8 * time.Second, inject: takeDown((*Machine).losePower)},
+	"wipe":    {points: []int{3, 4}, countsAsLoss: true, minDuration: 300 * time.Millisecond, maxDuration: 5 * time.Second, inject: takeDown((*Machine).wipe)},
+	"replace": {points: []int{3, 4}, countsAsLoss: true, minDuration: 200 * time.Millisecond, maxDuration: 4 * time.Second, inject: replace},
+	"planned": {points: []int{3}, countsAsLoss: true, minDuration: 2 * time.Second, maxDuration: 5 * time.Second, inject: replacePlanned},
+	"spoil":   {points: []int{4}, countsAsLoss: true, minDuration: 300 * time.Millisecond, maxDuration: 5 * time.Second, inject: takeDown((*Machine).corruptLog)},
+	"term":    {points: []int{2, 3, 4}, countsAsLoss: true, minDuration: 2 * time.Second, maxDuration: 4 * time.Second, inject: terminate},
+	"herd":    {points: []int{2, 3, 4}, minDuration: 300 * time.Millisecond, maxDuration: 2 * time.Second, inject: takeAllDown((*Machine).kill)},
+	"outage":  {points: []int{2, 3, 4}, minDuration: 300 * time.Millisecond, maxDuration: 2 * time.Second, inject: takeAllDown((*Machine).losePower)},
+	"stall":   {points: []int{1, 2, 4}, countsAsLoss: true, minDuration: time.Second, maxDuration: 8 * time.Second, inject: failDisk(func(disk *diskFault) { disk.stalled = true })},
+	"slow":    {points: []int{2, 4}, countsAsLoss: true, minDuration: 2 * time.Second, maxDuration: 8 * time.Second, inject: failDisk(func(disk *diskFault) { disk.slowdown = 30 })},
+	"full":    {points: []int{3, 4}, countsAsLoss: true, minDuration: 2 * time.Second, maxDuration: 10 * time.Second, inject: failDisk(func(disk *diskFault) { disk.full = true })},
+	"refuse":  {points: []int{4}, countsAsLoss: true, minDuration: 2 * time.Second, maxDuration: 10 * time.Second, inject: failDisk(func(disk *diskFault) { disk.refusesWrites = true })},
+	"lost":    {points: []int{2}, minDuration: 4 * time.Second, maxDuration: 20 * time.Second, inject: loseReplies},
+	"storm":   {points: []int{2, 4}, minDuration: 3 * time.Second, maxDuration: 15 * time.Second, inject: raiseLoad},
+	"reseed":  {points: []int{1, 3}, minDuration: time.Second, maxDuration: 2 * time.Second, inject: changeSeeds},
+	"routers": {points: []int{1}, minDuration: 500 * time.Millisecond, maxDuration: 2 * time.Second, inject: restartRouters},
+}
+
+// Faults returns the names of all kinds of faults, sorted.
+func Faults() []string { return sortedKeys(faultCatalogue) }
+
+// isolate cuts the links of a machine with all others, in one direction or both.
+func isolate(in bool, out bool) func(*Cluster, *Machine) func() {
+	return func(cluster *Cluster, machine *Machine) func() {
+		others := cluster.machines
 		for _, other := range others {
 			if other == machine {
 				continue
 			}
 			if in {
-				world.cutLink(other.name, machine.name)
+				cluster.cutLink(other.name, machine.name)
 			}
 			if out {
-				world.cutLink(machine.name, other.name)
+				cluster.cutLink(machine.name, other.name)
 			}
 		}
 		return func() {
 			for _, other := range others {
-				world.healLink(other.name, machine.name)
-				world.healLink(machine.name, other.name)
+				cluster.healLink(other.name, machine.name)
+				cluster.healLink(machine.name, other.name)
 			}
 		}
 	}
 }
 
-func cutRegion(world *Cluster, machine *Machine) func() {
-	oneWay := world.drawOneIn("one way", 3)
-	each := func(act func(from string, to string)) {
-		for _, near := range world.machines {
-			for _, far := range world.machines {
-				if near.region == machine.region && far.region != machine.region {
-					act(near.name, far.name)
-					if !oneWay {
-						act(far.name, near.name)
+// isolateRegion cuts a machine's region off from the others, in one run of three
+// in the outward direction alone.
+func isolateRegion(cluster *Cluster, machine *Machine) func() {
+	outwardOnly := cluster.drawOneIn("one way", 3)
+	eachLink := func(change func(from string, to string)) {
+		for _, inside := range cluster.machines {
+			for _, outside := range cluster.machines {
+				if inside.region == machine.region && outside.region != machine.region {
+					change(inside.name, outside.name)
+					if !outwardOnly {
+						change(outside.name, inside.name)
 					}
 				}
 			}
 		}
 	}
-	each(world.cutLink)
-	return func() { each(world.healLink) }
+	eachLink(cluster.cutLink)
+	return func() { eachLink(cluster.healLink) }
 }
 
-// cutPair cuts two machines from each other, which both reach the rest.
-func cutPair(world *Cluster, machine *Machine) func() {
-	targets := world.controllers()
-	other := targets[world.drawBelow("other", len(targets))]
+// partitionPair cuts two machines off from each other, which both reach the rest.
+func partitionPair(cluster *Cluster, machine *Machine) func() {
+	controllers := cluster.controllers()
+	other := controllers[cluster.drawBelow("other", len(controllers))]
 	if other == machine {
 		return nil
 	}
-	world.cutLink(machine.name, other.name)
-	world.cutLink(other.name, machine.name)
+	cluster.cutLink(machine.name, other.name)
+	cluster.cutLink(other.name, machine.name)
 	return func() {
-		world.healLink(machine.name, other.name)
-		world.healLink(other.name, machine.name)
+		cluster.healLink(machine.name, other.name)
+		cluster.healLink(other.name, machine.name)
 	}
 }
 
-func freeze(world *Cluster, machine *Machine) func() {
+// freeze suspends a machine: nothing there runs until it ends.
+func freeze(_ *Cluster, machine *Machine) func() {
 	machine.frozen = machine.process != nil
-	return func() {
-		if machine.frozen {
-			machine.frozen = false
-			machine.resume()
-		}
-	}
+	return machine.unfreeze
 }
 
-func (m *Machine) losePower() {
-	m.kill()
-	m.disk.LosePower()
-	m.poweredOff = true
+// takeDown has a machine go down in some way and start again.
+func takeDown(goDown func(*Machine)) func(*Cluster, *Machine) func() {
+	return func(_ *Cluster, machine *Machine) func() {
+		goDown(machine)
+		return machine.powerOn
+	}
 }
 
-func (m *Machine) wipe() {
-	m.losePower()
-	m.disk.Wipe()
-	m.recordDiskLoss()
-	if meddle := m.cluster.options.bug.OnWipe; meddle != nil {
-		meddle(m)
+// takeAllDown has all controllers go down at once.
+func takeAllDown(goDown func(*Machine)) func(*Cluster, *Machine) func() {
+	return func(cluster *Cluster, _ *Machine) func() {
+		controllers := cluster.controllers()
+		for _, machine := range controllers {
+			goDown(machine)
+		}
+		return func() {
+			for _, machine := range controllers {
+				machine.powerOn()
+			}
+		}
 	}
 }
 
-// tailMargin is how many bytes must follow a spoilt one: more than a frame has, since
-// the last frame can't be told from a torn one.
-const tailMargin = 32 << 10
+const (
+	// logFile is the file of a controller's write-ahead log.
+	logFile = "registers"
+	// tailMargin is how many bytes must follow a corrupted one: more than a frame
+	// has, since damage in the last frame can't be told from a torn write.
+	tailMargin = 32 << 10
+)
 
-// corruptLog damages the journal.
+// corruptLog goes down and has a bit flipped in the log.
 func (m *Machine) corruptLog() {
 	m.losePower()
-	if m.disk.FlipBitWithin("registers", int(m.disk.Size("registers"))-tailMargin) >= 0 {
+	if m.disk.FlipBitWithin(logFile, int(m.disk.Size(logFile))-tailMargin) >= 0 {
 		m.recordDiskLoss()
 		m.cluster.count("journals spoilt")
 	}
 }
 
-func takeDown(fall func(*Machine)) func(*Cluster, *Machine) func() {
-	return func(world *Cluster, machine *Machine) func() {
-		fall(machine)
-		return machine.powerOn
-	}
-}
-
-func (m *Machine) powerOn() {
-	m.poweredOff = false
-	m.start(false)
-}
-
-// replace takes a machine away for good; an empty one comes at another address.
-func replace(world *Cluster, machine *Machine) func() {
-	machine.losePower()
-	machine.removed = true
-	successor := world.addMachine(Location{Zone: machine.zone, Region: machine.region}, machine.isRouter)
-	successor.activeFaults, successor.lastFaultChange = 1, world.now()
+// replace removes a machine for good; an empty one starts at another address.
+func replace(cluster *Cluster, machine *Machine) func() {
+	removeMachine(cluster, machine)
+	successor := cluster.addMachine(Location{Zone: machine.zone, Region: machine.region}, machine.isRouter)
+	successor.activeFaults, successor.lastFaultChange = 1, cluster.now()
 	return func() {
 		successor.start(false)
-		successor.activeFaults, successor.lastFaultChange = 0, world.now()
+		successor.activeFaults, successor.lastFaultChange = 0, cluster.now()
 	}
 }
 
-// replacePlanned starts the successor first, then has the old one leave.
-func replacePlanned(world *Cluster, machine *Machine) func() {
-	successor := world.addMachine(Location{Zone: machine.zone, Region: machine.region}, machine.isRouter)
+// replacePlanned starts the successor before it has the old machine shut down.
+func replacePlanned(cluster *Cluster, machine *Machine) func() {
+	successor := cluster.addMachine(Location{Zone: machine.zone, Region: machine.region}, machine.isRouter)
 	successor.start(false)
-	successor.lastFaultChange = world.now()
+	successor.lastFaultChange = cluster.now()
 	machine.leaving = true
-	if machine.process != nil {
-		machine.process.cancel()
-	}
+	machine.shutDown()
 	return func() {
 		machine.kill()
 		machine.removed = true
 	}
 }
 
-// terminate is a SIGTERM, after which the machine starts again.
-func terminate(world *Cluster, machine *Machine) func() {
-	if machine.process != nil {
-		machine.process.cancel()
-	}
+// removeMachine removes a machine for good and puts none in its place.
+func removeMachine(_ *Cluster, machine *Machine) func() {
+	machine.losePower()
+	machine.removed = true
+	return nil
+}
+
+// terminate shuts a process down and starts another.
+func terminate(_ *Cluster, machine *Machine) func() {
+	machine.shutDown()
 	return func() {
 		machine.kill()
 		machine.start(false)
 	}
 }
 
-// strikeAll strikes all controllers at once; they are back soon.
-func strikeAll(fall func(*Machine)) func(*Cluster, *Machine) func() {
-	return func(world *Cluster, _ *Machine) func() {
-		struck := world.controllers()
-		for _, machine := range struck {
-			fall(machine)
-		}
-		return func() {
-			for _, machine := range struck {
-				machine.powerOn()
-			}
-		}
-	}
-}
-
-func injectDiskFault(begin func(*diskFault)) func(*Cluster, *Machine) func() {
-	return func(world *Cluster, machine *Machine) func() {
-		begin(&machine.diskFault)
+// failDisk has a disk fail in some way.
+func failDisk(fail func(*diskFault)) func(*Cluster, *Machine) func() {
+	return func(_ *Cluster, machine *Machine) func() {
+		fail(&machine.diskFault)
 		return func() {
-			machine.diskFault.stalled, machine.diskFault.slow, machine.diskFault.refuses, machine.diskFault.full = false, 0, false, false
+			machine.diskFault.clear()
 			machine.unstallDisk()
 		}
 	}
 }
 
-// loseReplies loses most answers to the operators on their way.
-func loseReplies(world *Cluster, _ *Machine) func() {
-	world.replyLossRate = 0.4 + 0.5*world.drawFraction("share lost")
-	return func() { world.replyLossRate = 0 }
+// loseReplies loses most replies to the clients on their way.
+func loseReplies(cluster *Cluster, _ *Machine) func() {
+	cluster.replyLossRate = 0.4 + 0.5*cluster.drawFraction("share lost")
+	return func() { cluster.replyLossRate = 0 }
 }
 
-// raiseLoad has the operators hurry.
-func raiseLoad(world *Cluster, _ *Machine) func() {
-	world.highLoad = true
-	return func() { world.highLoad = false }
+// raiseLoad has the clients issue commands faster.
+func raiseLoad(cluster *Cluster, _ *Machine) func() {
+	cluster.highLoad = true
+	return func() { cluster.highLoad = false }
 }
 
-// changeSeeds has boot files name other seeds from now on.
-func changeSeeds(world *Cluster, _ *Machine) func() {
-	targets := world.controllers()
-	first := world.drawBelow("seed", len(targets))
-	world.seedMachines = nil
-	for offset := range min(3, len(targets)) {
-		world.seedMachines = append(world.seedMachines, targets[(first+offset)%len(targets)])
+// changeSeeds has the settings of processes that start from now on name other
+// seeds.
+func changeSeeds(cluster *Cluster, _ *Machine) func() {
+	controllers := cluster.controllers()
+	first := cluster.drawBelow("seed", len(controllers))
+	cluster.seedMachines = nil
+	for offset := range min(seedCount, len(controllers)) {
+		cluster.seedMachines = append(cluster.seedMachines, controllers[(first+offset)%len(controllers)])
 	}
 	return nil
 }
 
-// restartRouters kills the routers, which start beside whatever is there.
-func restartRouters(world *Cluster, _ *Machine) func() {
-	var struck []*Machine
-	for _, machine := range world.machines {
+// restartRouters kills all routers, which start beside whatever is there.
+func restartRouters(cluster *Cluster, _ *Machine) func() {
+	var routers []*Machine
+	for _, machine := range cluster.machines {
 		if machine.isRouter {
 			machine.kill()
-			struck = append(struck, machine)
+			routers = append(routers, machine)
 		}
 	}
 	return func() {
-		for _, machine := range struck {
+		for _, machine := range routers {
 			machine.start(false)
 		}
 	}
--- a/simulation/history_test.go
+++ b/simulation/history_test.go
@@ -2,83 +2,90 @@
 
 import (
 	"testing"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
-// newOperation makes an act by what its operator was told.
-func newOperation(verb string, begin int, end int, outcome outcome, change func(*operation)) operation {
-	made := operation{key: "k", verb: verb, begin: clock.Span(begin), end: clock.Span(end), outcome: outcome}
-	change(&made)
-	return made
+// newOp returns an operation on the one key of these histories.
+func newOp(verb string, start int, end int, outcome outcome) operation {
+	return operation{key: "k", verb: verb, start: time.Duration(start), end: time.Duration(end), outcome: outcome}
 }
 
-func changeOperation(order int, match int64, version int64, begin int, end int, outcome outcome) operation {
-	return newOperation("change", begin, end, outcome, func(made *operation) { made.commandID, made.match, made.version = order, match, version })
+func changeOp(commandID int, baseVersion int64, version int64, start int, end int, outcome outcome) operation {
+	op := newOp(verbChange, start, end, outcome)
+	op.commandID, op.baseVersion, op.version = commandID, baseVersion, version
+	return op
 }
 
-func readOperation(version int64, mark int, begin int, end int) operation {
-	return newOperation("read", begin, end, accepted, func(made *operation) { made.version, made.mark = version, mark })
+func readOp(version int64, marker int, start int, end int) operation {
+	op := newOp(verbRead, start, end, accepted)
+	op.version, op.marker = version, marker
+	return op
 }
 
-func zoneOperation(verb string, empty bool, begin int, end int, outcome outcome) operation {
-	return newOperation(verb, begin, end, outcome, func(made *operation) { made.drained = empty })
+func zoneOp(verb string, drained bool, start int, end int, outcome outcome) operation {
+	op := newOp(verb, start, end, outcome)
+	op.drained = drained
+	return op
 }
 
-// retriedZoneOperation is an order on a zone that was sent several times.
-func retriedZoneOperation(empty bool, sendings ...*attempt) operation {
-	last := sendings[len(sendings)-1]
-	return newOperation("zone", int(sendings[0].begin), int(last.end), last.outcome, func(made *operation) { made.drained, made.attempts = empty, sendings })
+// retriedZoneOp is a command on a zone that was sent in several attempts.
+func retriedZoneOp(drained bool, attempts ...*attempt) operation {
+	last := attempts[len(attempts)-1]
+	op := zoneOp(verbChangeZone, drained, int(attempts[0].start), int(last.end), last.outcome)
+	op.attempts = attempts
+	return op
 }
 
-func readAttempt(begin int, end int, outcome outcome) *attempt {
-	return &attempt{begin: clock.Span(begin), end: clock.Span(end), outcome: outcome, read: true}
+func receivedAttempt(start int, end int, outcome outcome) *attempt {
+	return &attempt{start: time.Duration(start), end: time.Duration(end), outcome: outcome, received: true}
 }
 
-func unreadAttempt(begin int, end int) *attempt {
-	return &attempt{begin: clock.Span(begin), end: clock.Span(end)}
+func lostAttempt(start int, end int) *attempt {
+	return &attempt{start: time.Duration(start), end: time.Duration(end)}
 }
 
 // TestHistory_check checks histories made by hand.
 func TestHistory_check(t *testing.T) {
-	for _, one := range []struct {
-		name  string
-		wrong bool
-		acts  []operation
+	for _, test := range []struct {
+		name       string
+		violation  bool
+		operations []operation
 	}{
-		{"a change is read", false, []operation{changeOperation(1, 0, 1, 0, 10, accepted), readOperation(1, 1, 11, 20)}},
-		{"nothing is read while the change is under way", false, []operation{changeOperation(1, 0, 1, 0, 10, accepted), readOperation(0, 0, 5, 9)}},
-		{"a read that goes back", true, []operation{changeOperation(1, 0, 1, 0, 10, accepted), readOperation(0, 0, 11, 20)}},
-		{"a read between two that go on", true, []operation{changeOperation(1, 0, 1, 0, 50, accepted), readOperation(1, 1, 10, 20), readOperation(0, 0, 21, 30)}},
-		{"two taken on one version", true, []operation{changeOperation(1, 0, 1, 0, 10, accepted), changeOperation(2, 0, 1, 5, 15, accepted)}},
-		{"one of two refused", false, []operation{changeOperation(1, 0, 1, 0, 10, accepted), changeOperation(2, 0, 1, 5, 15, rejected)}},
-		{"another's change under the same number", true, []operation{changeOperation(1, 0, 1, 0, 10, accepted), changeOperation(2, 0, 1, 0, 10, rejected), readOperation(1, 2, 11, 20)}},
-		{"a refusal without a reason", true, []operation{changeOperation(1, 0, 1, 0, 10, accepted), changeOperation(2, 1, 2, 11, 20, rejected)}},
-		{"a refused change that is read", true, []operation{changeOperation(1, 0, 1, 0, 10, rejected), readOperation(1, 1, 11, 20)}},
-		{"an unclear change that is read", false, []operation{changeOperation(1, 0, 1, 0, 10, undecided), readOperation(1, 1, 11, 20)}},
-		{"an unclear change that comes late", false, []operation{changeOperation(1, 0, 1, 0, 10, undecided), readOperation(0, 0, 11, 20), readOperation(1, 1, 21, 30)}},
-		{"an unclear change that comes and goes", true, []operation{changeOperation(1, 0, 1, 0, 10, undecided), readOperation(1, 1, 11, 20), readOperation(0, 0, 21, 30)}},
-		{"an acknowledged change that is lost", true, []operation{changeOperation(1, 0, 1, 0, 10, accepted), changeOperation(2, 1, 2, 11, 20, accepted), readOperation(1, 1, 21, 30)}},
-		{"a zone is emptied and filled", false, []operation{zoneOperation("zone", true, 0, 10, accepted), zoneOperation("look", true, 11, 20, accepted), zoneOperation("zone", false, 21, 30, accepted), zoneOperation("look", false, 31, 40, accepted)}},
-		{"a zone that is not emptied", true, []operation{zoneOperation("zone", true, 0, 10, accepted), zoneOperation("look", false, 11, 20, accepted)}},
-		{"a late order that undoes a later one", true, []operation{zoneOperation("zone", true, 0, 10, accepted), zoneOperation("zone", false, 11, 20, accepted), zoneOperation("look", true, 21, 30, accepted)}},
-		{"an unclear order that may come late", false, []operation{zoneOperation("zone", true, 0, 10, undecided), zoneOperation("zone", false, 11, 20, accepted), zoneOperation("look", true, 21, 30, accepted)}},
-		{"a sending that acts twice", true, []operation{retriedZoneOperation(true, readAttempt(0, 40, accepted)), zoneOperation("look", true, 11, 14, accepted), zoneOperation("zone", false, 20, 25, accepted), zoneOperation("look", true, 41, 50, accepted)}},
-		{"two sendings that act", false, []operation{retriedZoneOperation(true, readAttempt(0, 10, undecided), readAttempt(11, 40, accepted)), zoneOperation("look", true, 12, 14, accepted), zoneOperation("zone", false, 20, 25, accepted), zoneOperation("look", true, 41, 50, accepted)}},
-		{"two sendings that act, of which none read one", true, []operation{retriedZoneOperation(true, unreadAttempt(0, 10), readAttempt(19, 40, accepted)), zoneOperation("look", true, 12, 14, accepted), zoneOperation("zone", false, 20, 25, accepted), zoneOperation("look", true, 41, 50, accepted)}},
-		{"a sending that acts after its answer", true, []operation{retriedZoneOperation(true, readAttempt(0, 10, accepted)), zoneOperation("zone", false, 11, 20, accepted), zoneOperation("look", true, 21, 30, accepted)}},
-		{"a sending that acts after an answer that was lost", true, []operation{retriedZoneOperation(true, readAttempt(0, 10, accepted), readAttempt(12, 20, accepted)), zoneOperation("zone", false, 21, 25, accepted), zoneOperation("look", true, 31, 40, accepted)}},
-		{"an unsettled sending that acts after the next", false, []operation{retriedZoneOperation(true, readAttempt(0, 10, undecided), readAttempt(12, 20, accepted)), zoneOperation("zone", false, 21, 25, accepted), zoneOperation("look", true, 31, 40, accepted)}},
-		{"an unsettled sending that acts twice", true, []operation{retriedZoneOperation(true, readAttempt(0, 10, undecided)), zoneOperation("look", true, 11, 12, accepted), zoneOperation("zone", false, 21, 25, accepted), zoneOperation("look", true, 31, 40, accepted)}},
-		{"a refused order", true, []operation{zoneOperation("zone", true, 0, 10, rejected), zoneOperation("look", true, 11, 20, accepted)}},
+		{"a change is read", false, []operation{changeOp(1, 0, 1, 0, 10, accepted), readOp(1, 1, 11, 20)}},
+		{"the old value is read while the change is in flight", false, []operation{changeOp(1, 0, 1, 0, 10, accepted), readOp(0, 0, 5, 9)}},
+		{"a read that goes back", true, []operation{changeOp(1, 0, 1, 0, 10, accepted), readOp(0, 0, 11, 20)}},
+		{"a read between two that go on", true, []operation{changeOp(1, 0, 1, 0, 50, accepted), readOp(1, 1, 10, 20), readOp(0, 0, 21, 30)}},
+		{"two accepted on one version", true, []operation{changeOp(1, 0, 1, 0, 10, accepted), changeOp(2, 0, 1, 5, 15, accepted)}},
+		{"one of two rejected", false, []operation{changeOp(1, 0, 1, 0, 10, accepted), changeOp(2, 0, 1, 5, 15, rejected)}},
+		{"another's change under the same number", true, []operation{changeOp(1, 0, 1, 0, 10, accepted), changeOp(2, 0, 1, 0, 10, rejected), readOp(1, 2, 11, 20)}},
+		{"a rejection without a reason", true, []operation{changeOp(1, 0, 1, 0, 10, accepted), changeOp(2, 1, 2, 11, 20, rejected)}},
+		{"a rejected change that is read", true, []operation{changeOp(1, 0, 1, 0, 10, rejected), readOp(1, 1, 11, 20)}},
+		{"an undecided change that is read", false, []operation{changeOp(1, 0, 1, 0, 10, undecided), readOp(1, 1, 11, 20)}},
+		{"an undecided change that takes effect late", false, []operation{changeOp(1, 0, 1, 0, 10, undecided), readOp(0, 0, 11, 20), readOp(1, 1, 21, 30)}},
+		{"an undecided change that comes and goes", true, []operation{changeOp(1, 0, 1, 0, 10, undecided), readOp(1, 1, 11, 20), readOp(0, 0, 21, 30)}},
+		{"an acknowledged change that is lost", true, []operation{changeOp(1, 0, 1, 0, 10, accepted), changeOp(2, 1, 2, 11, 20, accepted), readOp(1, 1, 21, 30)}},
+		{"a zone is drained and undrained", false, []operation{zoneOp(verbChangeZone, true, 0, 10, accepted), zoneOp(verbReadZone, true, 11, 20, accepted), zoneOp(verbChangeZone, false, 21, 30, accepted), zoneOp(verbReadZone, false, 31, 40, accepted)}},
+		{"a zone that is not drained", true, []operation{zoneOp(verbChangeZone, true, 0, 10, accepted), zoneOp(verbReadZone, false, 11, 20, accepted)}},
+		{"an earlier command that undoes a later one", true, []operation{zoneOp(verbChangeZone, true, 0, 10, accepted), zoneOp(verbChangeZone, false, 11, 20, accepted), zoneOp(verbReadZone, true, 21, 30, accepted)}},
+		{"an undecided command that may take effect late", false, []operation{zoneOp(verbChangeZone, true, 0, 10, undecided), zoneOp(verbChangeZone, false, 11, 20, accepted), zoneOp(verbReadZone, true, 21, 30, accepted)}},
+		{"an attempt that takes effect twice", true, []operation{retriedZoneOp(true, receivedAttempt(0, 40, accepted)), zoneOp(verbReadZone, true, 11, 14, accepted), zoneOp(verbChangeZone, false, 20, 25, accepted), zoneOp(verbReadZone, true, 41, 50, accepted)}},
+		{"two attempts that take effect", false, []operation{retriedZoneOp(true, receivedAttempt(0, 10, undecided), receivedAttempt(11, 40, accepted)), zoneOp(verbReadZone, true, 12, 14, accepted), zoneOp(verbChangeZone, false, 20, 25, accepted), zoneOp(verbReadZone, true, 41, 50, accepted)}},
+		{"two attempts that take effect, of which one was never received", true, []operation{retriedZoneOp(true, lostAttempt(0, 10), receivedAttempt(19, 40, accepted)), zoneOp(verbReadZone, true, 12, 14, accepted), zoneOp(verbChangeZone, false, 20, 25, accepted), zoneOp(verbReadZone, true, 41, 50, accepted)}},
+		{"an attempt that takes effect after its reply", true, []operation{retriedZoneOp(true, receivedAttempt(0, 10, accepted)), zoneOp(verbChangeZone, false, 11, 20, accepted), zoneOp(verbReadZone, true, 21, 30, accepted)}},
+		{"an attempt that takes effect after a reply that was lost", true, []operation{retriedZoneOp(true, receivedAttempt(0, 10, accepted), receivedAttempt(12, 20, accepted)), zoneOp(verbChangeZone, false, 21, 25, accepted), zoneOp(verbReadZone, true, 31, 40, accepted)}},
+		{"an undecided attempt that takes effect after the next", false, []operation{retriedZoneOp(true, receivedAttempt(0, 10, undecided), receivedAttempt(12, 20, accepted)), zoneOp(verbChangeZone, false, 21, 25, accepted), zoneOp(verbReadZone, true, 31, 40, accepted)}},
+		{"an undecided attempt that takes effect twice", true, []operation{retriedZoneOp(true, receivedAttempt(0, 10, undecided)), zoneOp(verbReadZone, true, 11, 12, accepted), zoneOp(verbChangeZone, false, 21, 25, accepted), zoneOp(verbReadZone, true, 31, 40, accepted)}},
+		{"a rejected command", true, []operation{zoneOp(verbChangeZone, true, 0, 10, rejected), zoneOp(verbReadZone, true, 11, 20, accepted)}},
 	} {
-		var known history
-		for _, did := range one.acts {
-			known.add(did)
-		}
-		wrong, unknown := known.check()
-		if (len(wrong) > 0) != one.wrong || unknown > 0 {
-			t.Errorf("%s: %v, %d unknown", one.name, wrong, unknown)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			var recorded history
+			for _, op := range test.operations {
+				recorded.add(op)
+			}
+			violations, undecidedKeys := recorded.check()
+			if (len(violations) > 0) != test.violation || undecidedKeys > 0 {
+				t.Errorf("%v, %d keys undecided", violations, undecidedKeys)
+			}
+		})
 	}
 }
--- a/simulation/invariants.go
+++ b/simulation/invariants.go
@@ -2,34 +2,35 @@
 
 import (
 	"fmt"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/control/state/register"
 )
 
-// observations is what the checks after each step remember.
+// observations are what the checks and the result need of what happened so far.
 type observations struct {
-	// leaseHolders are who acted under each epoch of a duty.
+	// leaseHolders are the machines that held a lease under an epoch.
 	leaseHolders map[leaseEpoch]string
-	// lastAck is when an order was last acknowledged, gap the longest time
-	// without one while orders were given.
-	lastAck       clock.Span
-	longestAckGap clock.Span
-	ackLatencies  []clock.Span
-	// recoveryTimes are the times until all was whole again.
-	recoveryTimes []clock.Span
+	// lastAck is when a command was last acknowledged; ackLatencies, longestAckGap
+	// and recoveryTimes are those of Result.
+	lastAck       time.Duration
+	longestAckGap time.Duration
+	ackLatencies  []time.Duration
+	recoveryTimes []time.Duration
 }
 
-// leaseEpoch is a duty under an epoch.
+// leaseEpoch is a lease under an epoch.
 type leaseEpoch struct {
 	lease string
 	epoch int64
 }
 
-func newObservations() observations { return observations{leaseHolders: map[leaseEpoch]string{}} }
+func newObservations() observations {
+	return observations{leaseHolders: map[leaseEpoch]string{}}
+}
 
-// recordAck notes an acknowledgement.
-func (c *Cluster) recordAck(did operation) {
+// recordAck records that a command was acknowledged now.
+func (c *Cluster) recordAck(op operation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
@@ -37,90 +38,89 @@
 		c.observed.longestAckGap = max(c.observed.longestAckGap, now-c.observed.lastAck)
 	}
 	c.observed.lastAck = now
-	c.observed.ackLatencies = append(c.observed.ackLatencies, now-did.begin)
-}
-
-// countResponse checks what a controller answered at once.
-func (c *Cluster) countResponse(target *Machine, asked clientCommand, status int, took clock.Span) {
-	c.count(fmt.Sprintf("answers %d", status))
+	c.observed.ackLatencies = append(c.observed.ackLatencies, now-op.start)
 }
 
-// leaseNames are what one controller does at a time.
+// leaseNames are the leases of which one controller at a time may hold each.
 var leaseNames = []string{"census", "plan"}
 
-// checkInvariants checks what must hold after each step.
+// checkInvariants checks what must hold after every event.
 func (c *Cluster) checkInvariants() {
 	for _, machine := range c.machines {
-		if machine.process != nil && machine.process.control != nil {
+		if machine.process != nil && machine.process.controller != nil {
 			machine.checkLostDiskIdentity()
 		}
 	}
-	for _, duty := range leaseNames {
-		holders := ""
-		for _, machine := range c.machines {
-			if machine.process == nil || machine.frozen || machine.process.control == nil {
-				continue
-			}
-			epoch, held := machine.process.control.HoldsLease(duty)
-			if !held {
-				continue
-			}
-			if holders != "" {
-				c.reportViolation("%s and %s both hold the duty %s", holders, machine.name, duty)
-			}
-			holders = machine.name
-			key := leaseEpoch{lease: duty, epoch: epoch}
-			if known := c.observed.leaseHolders[key]; known != "" && known != machine.name {
-				c.reportViolation("%s and %s both held %s under epoch %d", known, machine.name, duty, epoch)
-			}
-			c.observed.leaseHolders[key] = machine.name
+	for _, name := range leaseNames {
+		c.checkLease(name)
+	}
+}
+
+// checkLease checks that a lease has one holder, and that no two machines ever
+// held it under one epoch. A frozen machine may believe that it holds one, since
+// it can't act on it.
+func (c *Cluster) checkLease(name string) {
+	holder := ""
+	for _, machine := range c.machines {
+		if machine.process == nil || machine.frozen || machine.process.controller == nil {
+			continue
+		}
+		epoch, held := machine.process.controller.HoldsLease(name)
+		if !held {
+			continue
+		}
+		if holder != "" {
+			c.reportViolation("%s and %s both hold the duty %s", holder, machine.name, name)
+		}
+		holder = machine.name
+		key := leaseEpoch{lease: name, epoch: epoch}
+		if earlier := c.observed.leaseHolders[key]; earlier != "" && earlier != machine.name {
+			c.reportViolation("%s and %s both held %s under epoch %d", earlier, machine.name, name, epoch)
 		}
+		c.observed.leaseHolders[key] = machine.name
 	}
 }
 
-// newestVoters gives the newest voters that any disk knows.
+// newestVoters returns the newest voter set that any running controller knows.
 func (c *Cluster) newestVoters() register.VoterSet {
 	var newest register.VoterSet
 	for _, machine := range c.machines {
-		if machine.process != nil && machine.process.control != nil {
-			if known := machine.process.control.Voters(); known.Generation > newest.Generation {
-				newest = known
+		if machine.process != nil && machine.process.controller != nil {
+			if voters := machine.process.controller.Voters(); voters.Generation > newest.Generation {
+				newest = voters
 			}
 		}
 	}
 	return newest
 }
 
-// fullyReplicated tells whether all seats are filled by machines that are there and
-// vote, and every voter holds the newest of each key; the reason says what is
-// missing.
-func (c *Cluster) fullyReplicated() (bool, string) {
+// fullyReplicated reports whether the voter set is complete, all of its members
+// run and vote, and each holds the newest value of every key; the reason says
+// what is missing.
+func (c *Cluster) fullyReplicated() (replicated bool, missing string) {
 	voters := c.newestVoters()
-	wanted := min(max(3, 2*c.options.Site.MaxLosses+1), len(c.controllers()))
+	wanted := min(c.voterCount(), len(c.controllers()))
 	if len(voters.Members) < wanted {
 		return false, fmt.Sprintf("%d seats of %d", len(voters.Members), wanted)
 	}
-	newest, holders := map[string]register.Proposal{}, map[string]int{}
-	for _, seat := range voters.Members {
-		machine := c.machinesByIP[hostOf(seat.Address)]
-		if machine == nil || machine.process == nil || machine.process.control == nil || machine.frozen || !machine.process.control.IsVoter() {
-			return false, fmt.Sprintf("the seat of %s does not vote", seat.Address)
+	newest, copies := map[string]register.Proposal{}, map[string]int{}
+	for _, member := range voters.Members {
+		machine := c.machinesByIP[hostOf(member.Address)]
+		if machine == nil || machine.process == nil || machine.process.controller == nil || machine.frozen || !machine.process.controller.IsVoter() {
+			return false, fmt.Sprintf("the seat of %s does not vote", member.Address)
 		}
-		for _, slot := range machine.process.control.Slots() {
-			known := newest[slot.Key]
-			order := slot.Accepted.Epoch.Compare(known.Epoch)
-			if order > 0 || (order == 0 && slot.Accepted.Sequence > known.Sequence) {
-				newest[slot.Key], holders[slot.Key] = slot.Accepted, 0
-				known = slot.Accepted
+		for _, slot := range machine.process.controller.Slots() {
+			if isNewer(slot.Accepted, newest[slot.Key]) {
+				newest[slot.Key], copies[slot.Key] = slot.Accepted, 0
 			}
-			if slot.Accepted.Epoch == known.Epoch && slot.Accepted.Sequence == known.Sequence {
-				holders[slot.Key]++
+			if known := newest[slot.Key]; slot.Accepted.Epoch == known.Epoch && slot.Accepted.Sequence == known.Sequence {
+				copies[slot.Key]++
 			}
 		}
 	}
 	for _, key := range sortedKeys(newest) {
-		if newest[key].Sequence > 0 && holders[key] < len(voters.Members) {
-			return false, fmt.Sprintf("%s stands on %d of %d disks", key, holders[key], len(voters.Members))
+		if newest[key].Sequence > 0 && copies[key] < len(voters.Members) {
+			return false, fmt.Sprintf("%s stands on %d of %d disks", key, copies[key], len(voters.Members))
 		}
 	}
 	return true, ""
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -1,203 +1,167 @@
 package simulation
 
 import (
-	"context"
-	"fmt"
-	"net/http"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
-	"onyxwell/base/settings"
-	"onyxwell/control/controller"
 	"onyxwell/simulation/simdisk"
 )
 
-// Machine is one simulated machine; it outlives its processes.
+// Machine is a simulated machine. It outlives the processes that run on it, of
+// which it has one at a time. Its fields change in events alone.
 type Machine struct {
 	cluster *Cluster
 	name    string
 	ip      string
 	zone    ids.Zone
 	region  ids.Region
-	// isRouter says that it runs a router and no controller.
+	// isRouter says that it runs a router, not a controller.
 	isRouter  bool
 	disk      *simdisk.Disk
 	diskFault diskFault
-	process   *process
-	frozen    bool
-	deferred  []func()
-	// poweredOff machines have no power, gone ones never come back.
-	// One that leaves does not start again.
+	// process is nil while none runs.
+	process *process
+	// frozen machines run nothing; what reaches them meanwhile is deferred.
+	frozen   bool
+	deferred []func()
+	// A machine that is poweredOff may come back, one that was removed never does,
+	// and one that is leaving starts no further process.
 	poweredOff bool
 	removed    bool
 	leaving    bool
-	// lastFaultChange is when trouble on it last began or ended; troubled counts the
-	// troubles that it is in.
-	lastFaultChange clock.Span
+	// activeFaults is how many faults it is in that count as its loss;
+	// lastFaultChange is when one last began or ended.
 	activeFaults    int
-	starts          int
-	durable         durableState
-	diskDraws       int
+	lastFaultChange time.Duration
+	// starts counts its processes.
+	starts    int
+	durable   durableState
+	diskDraws int
 }
 
-// diskFault is what ails a disk now.
+// diskFault is what is wrong with a disk at present.
 type diskFault struct {
-	stalled bool
-	slow    float64
-	refuses bool
-	full    bool
-	waiting []func()
+	// stalled has every operation wait in waiting; a slowdown above 1 stretches
+	// each by that factor.
+	stalled       bool
+	waiting       []func()
+	slowdown      float64
+	refusesWrites bool
+	full          bool
 }
 
-// process is one process on a machine.
-type process struct {
-	machine  *Machine
-	number   int
-	dead     chan struct{}
-	cancel   context.CancelFunc
-	handlers map[ids.Address]http.Handler
-	sockets  map[ids.Address]*socket
-	control  *controller.Controller
-	router   *router
-	// ackedVersionAtStart is the newest version that was acknowledged before the start.
-	ackedVersionAtStart int64
-}
+// clear ends the faults; operations that wait still have to be let go on.
+func (d *diskFault) clear() { d.stalled, d.slowdown, d.refusesWrites, d.full = false, 0, false, false }
 
-func (p *process) isDead() bool {
-	select {
-	case <-p.dead:
-		return true
-	default:
-		return false
+// kill ends the process at once; all that it wrote stays on the disk.
+func (m *Machine) kill() {
+	if m.process == nil {
+		return
 	}
+	m.recordDurableState()
+	m.disk.Kill()
+	close(m.process.dead)
+	m.process.cancel()
+	m.process = nil
+	m.frozen = false
+	m.resume()
 }
 
-// start gives the machine a new process.
-func (m *Machine) start(first bool) {
-	if m.process != nil || m.poweredOff || m.removed || m.leaving {
-		return
-	}
-	m.starts++
-	ctx, end := context.WithCancel(context.Background())
-	born := &process{
-		machine: m, number: m.starts, dead: make(chan struct{}), cancel: end,
-		handlers: map[ids.Address]http.Handler{}, sockets: map[ids.Address]*socket{},
+// shutDown ends the process as SIGTERM does: it runs on until it has stopped.
+func (m *Machine) shutDown() {
+	if m.process != nil {
+		m.process.cancel()
 	}
-	m.cluster.mu.Lock()
-	born.ackedVersionAtStart = m.cluster.known.version
-	m.cluster.mu.Unlock()
-	m.process = born
-	settings := m.cluster.nodeSettings(m, first)
-	top := scope.New(scope.Options{
-		Clock:    machineClock{machine: m, offset: m.cluster.drawBetween("boot "+m.name, clock.Second, 1000*clock.Second) - m.cluster.now()},
-		Settings: settings, Log: m.cluster.processLogger(m),
-	}).WithContext(ctx)
-	m.cluster.trace("start", m, "life", born.number, "first", first)
-	run := born.runController
-	if m.isRouter {
-		run = born.runRouter
-	}
-	go func() {
-		err := run(top)
-		m.cluster.after(0, func() { m.handleExit(born, err) })
-	}()
 }
 
-func (p *process) runController(top scope.Scope) error {
-	made, err := controller.New(top, controller.Options{Network: p, Disk: p.mountDisk(top)})
-	if err != nil {
-		return err
-	}
-	p.machine.cluster.after(0, func() {
-		if !p.isDead() {
-			p.control = made
-			p.machine.checkDurableState()
-		}
-	})
-	return made.Run(top, make(chan *settings.Settings))
+// losePower kills the process and loses what no sync covered.
+func (m *Machine) losePower() {
+	m.kill()
+	m.disk.LosePower()
+	m.poweredOff = true
 }
 
-// handleExit starts a process again that ended by itself.
-func (m *Machine) handleExit(was *process, err error) {
-	if m.process != was {
-		return
+// wipe loses the disk with all it holds.
+func (m *Machine) wipe() {
+	m.losePower()
+	m.disk.Wipe()
+	m.recordDiskLoss()
+	if onWipe := m.cluster.options.bug.OnWipe; onWipe != nil {
+		onWipe(m)
 	}
-	m.cluster.trace("ended", m, "fault", fmt.Sprint(err))
-	m.kill()
-	m.timer(500*clock.Millisecond, func() { m.start(false) })
 }
 
-// kill ends the process at once; what it wrote stays.
-func (m *Machine) kill() {
-	if m.process == nil {
-		return
+// powerOn ends an outage and starts a process.
+func (m *Machine) powerOn() {
+	m.poweredOff = false
+	m.start(false)
+}
+
+func (m *Machine) unfreeze() {
+	if m.frozen {
+		m.frozen = false
+		m.resume()
 	}
-	m.recordDurableState()
-	m.disk.Kill()
-	close(m.process.dead)
-	m.process.cancel()
-	m.process = nil
-	m.frozen = false
-	m.resume()
 }
 
-// resume lets happen what waited while the machine stood still.
+// resume runs what was deferred while the machine was frozen.
 func (m *Machine) resume() {
-	late := m.deferred
+	deferred := m.deferred
 	m.deferred = nil
-	for _, act := range late {
-		act()
+	for _, action := range deferred {
+		action()
 	}
 	m.unstallDisk()
 }
 
+// unstallDisk lets the operations go on that wait for a stalled disk.
 func (m *Machine) unstallDisk() {
 	waiting := m.diskFault.waiting
 	m.diskFault.waiting = nil
-	for _, act := range waiting {
-		act()
+	for _, proceed := range waiting {
+		proceed()
 	}
 }
 
-// diskDelay is how long the disk takes for an act.
-func (m *Machine) diskDelay(act string, bytes int) error {
-	here := m.process
-	if here == nil || here.isDead() {
+// diskBytesPerSecond is the throughput of a disk.
+const diskBytesPerSecond = 120 << 20
+
+// diskDelay blocks a disk operation as long as the disk takes for it, or fails it.
+func (m *Machine) diskDelay(op string, bytes int) error {
+	process := m.process
+	if process == nil || process.isDead() {
 		return simdisk.ErrProcessDead
 	}
-	trouble, world := &m.diskFault, m.cluster
-	writing := act != simdisk.OpRead
-	if writing && trouble.refuses && act != simdisk.OpAppend {
+	fault, cluster := &m.diskFault, m.cluster
+	if fault.refusesWrites && op != simdisk.OpRead && op != simdisk.OpAppend {
 		return errDiskRefused
 	}
-	if trouble.full && act == simdisk.OpWrite {
+	if fault.full && op == simdisk.OpWrite {
 		return simdisk.ErrFull
 	}
-	span := clock.Span(bytes) * clock.Second / (120 << 20)
-	if act == simdisk.OpSync || act == simdisk.OpSyncFolder {
-		span += world.options.Site.SyncLatency
+	latency := time.Duration(bytes) * time.Second / diskBytesPerSecond
+	if op == simdisk.OpSync || op == simdisk.OpSyncFolder {
+		latency += cluster.options.Site.SyncLatency
 	}
-	if trouble.slow > 1 {
-		span = clock.Span(float64(span) * trouble.slow)
+	if fault.slowdown > 1 {
+		latency = time.Duration(float64(latency) * fault.slowdown)
 	}
-	if span == 0 && !trouble.stalled {
+	if latency == 0 && !fault.stalled {
 		return nil
 	}
 	done := make(chan struct{})
-	goOn := func() { close(done) }
-	if trouble.stalled {
-		goOn = func() { m.deliver(func() { close(done) }) }
-		world.mu.Lock()
-		trouble.waiting = append(trouble.waiting, goOn)
-		world.mu.Unlock()
+	proceed := func() { close(done) }
+	if fault.stalled {
+		cluster.mu.Lock()
+		fault.waiting = append(fault.waiting, func() { m.deliver(proceed) })
+		cluster.mu.Unlock()
 	} else {
-		m.timer(span, goOn)
+		m.timer(latency, proceed)
 	}
 	select {
 	case <-done:
 		return nil
-	case <-here.dead:
+	case <-process.dead:
 		return simdisk.ErrProcessDead
 	}
 }
--- a/simulation/main_test.go
+++ b/simulation/main_test.go
@@ -9,25 +9,27 @@
 	"testing"
 )
 
-// TestMain has one thread play, as the command does: many would only wait for
-// each other.
-func TestMain(tests *testing.M) {
+// TestMain runs the tests on one thread, as the command does: several would only
+// wait for each other.
+func TestMain(m *testing.M) {
 	flag.Parse()
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
-	os.Exit(tests.Run())
+	os.Exit(m.Run())
 }
 
-// runWithoutRaceDetector plays a test in another process where this one has the race detector,
-// under which a run takes twenty times as long. It tells whether it did.
+// runWithoutRaceDetector runs a test in another process if this one has the race
+// detector, under which a run takes twenty times as long. It reports whether it
+// did.
 func runWithoutRaceDetector(t *testing.T) bool {
+	t.Helper()
 	if !raceEnabled {
 		return false
 	}
 	t.Parallel()
-	said, err := exec.Command("go", "test", "-race=false", "-count=1", "-run", "^"+t.Name()+"$", ".").CombinedOutput()
+	output, err := exec.Command("go", "test", "-race=false", "-count=1", "-run", "^"+t.Name()+"$", ".").CombinedOutput()
 	if err != nil {
-		t.Errorf("%v\n%s", err, said)
+		t.Errorf("%v\n%s", err, output)
 	}
 	return true
 }
--- a/simulation/message.go
+++ b/simulation/message.go
@@ -5,32 +5,63 @@
 	"context"
 	"io"
 	"net/http"
+	"sync"
+
+	"onyxwell/base/ids"
 )
 
-// incomingRequest is the request as the one who serves it sees it.
-func (m *message) incomingRequest(inner context.Context) *http.Request {
-	place := *m.request.URL
-	made := &http.Request{
-		Method: m.request.Method, URL: &place, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+// message is a call on its way over a link, and its reply on the way back.
+type message struct {
+	// sender is nil for calls of clients.
+	sender   *process
+	from     string
+	to       ids.Address
+	path     string
+	request  *http.Request
+	body     []byte
+	response chan reply
+	// abandoned says that the caller no longer waits. It changes in events.
+	abandoned bool
+
+	// mu guards what follows: callerDone says that the caller has gone on, with a
+	// reply or without, which runs the callerDoneHook.
+	mu             sync.Mutex
+	callerDone     bool
+	callerDoneHook func()
+}
+
+// reply is a response on its way, or the failure of the connection.
+type reply struct {
+	status int
+	header http.Header
+	body   []byte
+	err    error
+}
+
+// incomingRequest returns the request as the handler sees it.
+func (m *message) incomingRequest(ctx context.Context) *http.Request {
+	url := *m.request.URL
+	req := &http.Request{
+		Method: m.request.Method, URL: &url, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: m.request.Header.Clone(), Body: io.NopCloser(bytes.NewReader(m.body)), ContentLength: int64(len(m.body)),
-		Host: string(m.to), RemoteAddr: "192.0.2.1:1234", RequestURI: place.RequestURI(),
+		Host: string(m.to), RemoteAddr: "192.0.2.1:1234", RequestURI: url.RequestURI(),
 	}
-	return made.WithContext(inner)
+	return req.WithContext(ctx)
 }
 
-// readBody reads what a call carries.
-func readBody(request *http.Request) []byte {
-	if request.Body == nil {
+// readBody reads the body of an outgoing request.
+func readBody(req *http.Request) []byte {
+	if req.Body == nil {
 		return nil
 	}
-	defer request.Body.Close()
+	defer req.Body.Close()
 	var body bytes.Buffer
-	body.Grow(int(max(0, request.ContentLength)) + bytes.MinRead)
-	_, _ = body.ReadFrom(request.Body)
+	body.Grow(int(max(0, req.ContentLength)) + bytes.MinRead)
+	_, _ = body.ReadFrom(req.Body)
 	return body.Bytes()
 }
 
-// notifyCallerDone has what waits for the asker's leaving happen.
+// notifyCallerDone runs the hook, now or as soon as there is one.
 func (m *message) notifyCallerDone() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,52 +71,51 @@
 	}
 }
 
-// setCallerDoneHook has something happen when the asker goes on; nil takes it back.
-func (m *message) setCallerDoneHook(act func()) {
+// setCallerDoneHook sets what runs when the caller goes on; nil for nothing.
+func (m *message) setCallerDoneHook(hook func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.callerDoneHook = act
-	if m.callerDone && act != nil {
-		go act()
+	m.callerDoneHook = hook
+	if m.callerDone && hook != nil {
+		go hook()
 	}
 }
 
-// responseRecorder keeps what a handler answers.
+// responseRecorder is an http.ResponseWriter that keeps what is written.
 type responseRecorder struct {
 	header http.Header
-	code   int
+	status int
 	body   []byte
 }
 
-// Header gives the header that is sent.
+// Header implements http.ResponseWriter.
 func (r *responseRecorder) Header() http.Header { return r.header }
 
-// WriteHeader keeps the first status.
+// WriteHeader implements http.ResponseWriter.
 func (r *responseRecorder) WriteHeader(status int) {
-	if r.code == 0 {
-		r.code = status
+	if r.status == 0 {
+		r.status = status
 	}
 }
 
-// Write keeps a part of the body.
+// Write implements http.ResponseWriter.
 func (r *responseRecorder) Write(part []byte) (int, error) {
 	r.WriteHeader(http.StatusOK)
 	r.body = append(r.body, part...)
 	return len(part), nil
 }
 
-func (r *responseRecorder) status() int {
-	if r.code == 0 {
-		return http.StatusOK
-	}
-	return r.code
+// reply returns what was written.
+func (r *responseRecorder) reply() reply {
+	r.WriteHeader(http.StatusOK)
+	return reply{status: r.status, header: r.header, body: r.body}
 }
 
-// callStackBytes is how deep the stack of a call's goroutine gets as a rule.
+// callStackBytes is how deep the stack of a call's goroutine usually gets.
 const callStackBytes = 6 << 10
 
 // growStack has a goroutine's stack grow at once, while there is little to copy,
-// and not by halves in the middle of its work.
+// instead of by halves in the middle of its work.
 //
 //go:noinline
 func growStack(index int) byte {
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -6,139 +6,111 @@
 	"errors"
 	"io"
 	"net/http"
-	"strings"
-	"sync"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
 
+// Errors that simulated processes see.
 var (
 	errDead        = errors.New("simulation: the process is dead")
 	errConnReset   = errors.New("simulation: connection reset")
 	errDiskRefused = errors.New("simulation: the disk refuses")
 )
 
-// message is a call on its way over a link, and its answer on the way back.
-type message struct {
-	sender   *process // nil for those outside
-	from     string
-	to       ids.Address
-	path     string
-	request  *http.Request
-	body     []byte
-	response chan reply
-	// abandoned says that the asker waits no longer.
-	abandoned bool
-	// left says that the asker has gone on, with an answer or without; leaving
-	// is done when it does.
-	mu             sync.Mutex
-	callerDone     bool
-	callerDoneHook func()
-}
-
-type reply struct {
-	status int
-	header http.Header
-	body   []byte
-	err    error
-}
-
-// Serve keeps a handler at an address until the scope ends.
+// Serve implements daemon.Network.
 func (p *process) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *httpcall.Traffic) error {
-	world := p.machine.cluster
-	world.afterQuiet(0, func() { p.handlers[address] = handler })
+	cluster := p.machine.cluster
+	cluster.afterQuiet(0, func() { p.handlers[address] = handler })
 	<-ctx.Done()
-	world.afterQuiet(0, func() { delete(p.handlers, address) })
+	cluster.afterQuiet(0, func() { delete(p.handlers, address) })
 	return nil
 }
 
-// Client makes a client whose calls go over the simulated links.
-func (p *process) Client(pooling httpcall.ClientOptions) *http.Client {
+// Client implements daemon.Network.
+func (p *process) Client(options httpcall.ClientOptions) *http.Client {
 	return &http.Client{
-		Transport:     roundTripper{process: p, dialer: pooling.Dialer},
+		Transport:     roundTripper{process: p, dialer: options.Dialer},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// roundTripper gives up on what is silent as connections do.
+// roundTripper carries the calls of a process. It resets a connection on which
+// nothing is heard, as the dialer's time-outs have TCP do.
 type roundTripper struct {
 	process *process
 	dialer  httpcall.Dialer
 }
 
-// RoundTrip carries a call and its answer.
-func (r roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
-	life, world := r.process, r.process.machine.cluster
+// RoundTrip implements http.RoundTripper.
+func (r roundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
+	machine, cluster := r.process.machine, r.process.machine.cluster
 	reset := make(chan struct{}, 2)
-	end := func() { reset <- struct{}{} }
-	silence := life.machine.timer(r.dialer.UserTimeout, end)
-	defer world.cancel(silence)
-	world.afterQuiet(0, func() {
-		if target, _ := world.resolve(ids.Address(request.URL.Host)); target != nil && (target.poweredOff || target.removed) {
-			life.machine.timer(r.dialer.Timeout, end)
+	resetConn := func() { reset <- struct{}{} }
+	userTimeout := machine.timer(r.dialer.UserTimeout, resetConn)
+	defer cluster.cancel(userTimeout)
+	cluster.afterQuiet(0, func() {
+		if target := cluster.resolve(ids.Address(req.URL.Host)); target != nil && (target.poweredOff || target.removed) {
+			machine.timer(r.dialer.Timeout, resetConn)
 		}
 	})
-	return world.roundTrip(life, life.machine.name, request, reset)
+	return cluster.roundTrip(r.process, machine.name, req, reset)
 }
 
-// roundTrip sends a call from a place and waits for its answer, or until the
-// connection is reset.
-func (c *Cluster) roundTrip(sender *process, from string, request *http.Request, reset <-chan struct{}) (*http.Response, error) {
+// roundTrip sends a call from a host and waits for its reply, or until the call
+// ends, the connection is reset or the sender is killed. Clients have no process.
+func (c *Cluster) roundTrip(sender *process, from string, req *http.Request, reset <-chan struct{}) (*http.Response, error) {
 	if sender != nil && sender.isDead() {
 		return nil, errDead
 	}
 	sent := &message{
-		sender: sender, from: from, to: ids.Address(request.URL.Host), path: request.URL.Path, request: request, body: readBody(request),
+		sender: sender, from: from, to: ids.Address(req.URL.Host), path: req.URL.Path, request: req, body: readBody(req),
 		response: make(chan reply, 1),
 	}
 	defer sent.notifyCallerDone()
 	c.count("messages")
-	var dead chan struct{}
+	var senderDead chan struct{}
 	if sender != nil {
-		dead = sender.dead
+		senderDead = sender.dead
 	}
-	if forged, done := c.interceptRequest(sent); done {
-		return forged.httpResponse(request), forged.err
+	if forged, ok := c.interceptRequest(sent); ok {
+		return forged.httpResponse(req), forged.err
 	}
 	c.after(c.latency(from, sent.to), func() { c.deliverRequest(sent) })
 	select {
-	case got := <-sent.response:
-		if got.err != nil {
-			return nil, got.err
-		}
-		return got.httpResponse(request), nil
-	case <-request.Context().Done():
+	case resp := <-sent.response:
+		return resp.httpResponse(req), resp.err
+	case <-req.Context().Done():
 		c.afterQuiet(0, func() { sent.abandoned = true })
-		return nil, request.Context().Err()
+		return nil, req.Context().Err()
 	case <-reset:
 		c.afterQuiet(0, func() { sent.abandoned = true })
 		return nil, errConnReset
-	case <-dead:
+	case <-senderDead:
 		return nil, errDead
 	}
 }
 
-func (r reply) httpResponse(request *http.Request) *http.Response {
+// httpResponse returns the reply as the caller sees it; nil with an error.
+func (r reply) httpResponse(req *http.Request) *http.Response {
 	if r.err != nil {
 		return nil
 	}
 	return &http.Response{
 		StatusCode: r.status, Header: r.header, Body: io.NopCloser(bytes.NewReader(r.body)), ContentLength: int64(len(r.body)),
-		Request: request, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Request: req, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 }
 
-// deliverRequest brings a call to its machine; what a cut holds up comes when it heals,
-// also when its asker has given up since.
+// deliverRequest brings a call to its machine. A call on a link that is cut
+// arrives when that heals, though its caller may have given up by then.
 func (c *Cluster) deliverRequest(sent *message) {
-	target, standing := c.resolve(sent.to)
-	if standing == platformHost {
+	if sent.to == platformAddress {
 		c.answerPlatform(sent)
 		return
 	}
+	target := c.resolve(sent.to)
 	if target == nil || target.poweredOff || target.removed {
 		return
 	}
@@ -150,43 +122,43 @@
 }
 
 func (c *Cluster) serveRequest(target *Machine, sent *message) {
-	here := target.process
+	process := target.process
 	var handler http.Handler
-	if here != nil {
-		handler = here.handlers[sent.to]
+	if process != nil {
+		handler = process.handlers[sent.to]
 	}
 	if handler == nil {
 		c.sendReply(target, sent, reply{err: errConnReset})
 		return
 	}
 	if sent.abandoned && c.drawOneIn("given "+sent.path, 2) {
-		// The asker's reset came before the call was read.
+		// The caller's reset came before the call was read.
 		return
 	}
-	sent.markRead()
-	inner, end := context.WithCancel(context.Background())
+	sent.markReceived()
+	ctx, cancel := context.WithCancel(context.Background())
 	sent.setCallerDoneHook(func() {
-		c.after(c.latency(sent.from, sent.to), func() { target.deliver(end) })
+		c.after(c.latency(sent.from, sent.to), func() { target.deliver(cancel) })
 	})
-	request := sent.incomingRequest(inner)
+	req := sent.incomingRequest(ctx)
 	go func() {
 		growStack(0)
-		written := &responseRecorder{header: http.Header{}}
-		handler.ServeHTTP(written, request)
+		recorder := &responseRecorder{header: http.Header{}}
+		handler.ServeHTTP(recorder, req)
 		sent.setCallerDoneHook(nil)
-		end()
-		got := reply{status: written.status(), header: written.header, body: written.body}
-		if here.isDead() {
-			got = reply{err: errConnReset}
+		cancel()
+		resp := recorder.reply()
+		if process.isDead() {
+			resp = reply{err: errConnReset}
 		}
-		c.afterQuiet(0, func() { c.sendReply(target, sent, got) })
+		c.afterQuiet(0, func() { c.sendReply(target, sent, resp) })
 	}()
 }
 
-// sendReply carries an answer to whoever asked.
-func (c *Cluster) sendReply(target *Machine, sent *message, got reply) {
-	got = c.interceptReply(target, sent, got)
-	sent.recordReply(got, c.now())
+// sendReply sends a reply back over the link.
+func (c *Cluster) sendReply(target *Machine, sent *message, resp reply) {
+	resp = c.interceptReply(target, sent, resp)
+	sent.recordReply(resp, c.now())
 	if c.losesReply(target, sent) {
 		c.count("answers lost")
 		return
@@ -194,34 +166,22 @@
 	c.after(c.latency(target.name, sent.to), func() {
 		link := c.link(target.name, sent.from)
 		if link.cut {
-			link.queued = append(link.queued, func() { c.deliverReply(sent, got) })
+			link.queued = append(link.queued, func() { c.deliverReply(sent, resp) })
 			return
 		}
-		c.deliverReply(sent, got)
+		c.deliverReply(sent, resp)
 	})
 }
 
-func (c *Cluster) deliverReply(sent *message, got reply) {
+func (c *Cluster) deliverReply(sent *message, resp reply) {
 	if sent.sender == nil {
-		sent.response <- got
+		sent.response <- resp
 		return
 	}
-	sent.sender.machine.deliver(func() { sent.response <- got })
-}
-
-func hostOf(address ids.Address) string {
-	host, _, _ := strings.Cut(string(address), ":")
-	return host
+	sent.sender.machine.deliver(func() { sent.response <- resp })
 }
 
-// latency is how long a way takes: by how far apart the places are, with some
-// spread, and now and then as long as a lost packet takes to be sent again.
-func (c *Cluster) latency(from string, to ids.Address) clock.Span {
-	target, _ := c.resolve(to)
-	span := c.baseLatency(from, target)
-	span += c.drawBetween("latency "+from+string(to), 0, span/4+clock.Millisecond)
-	if c.drawOneIn("packet "+from+string(to), 200) {
-		span += 200 * clock.Millisecond
-	}
-	return span
+// losesReply draws whether a reply to a client is lost.
+func (c *Cluster) losesReply(target *Machine, sent *message) bool {
+	return sent.sender == nil && c.replyLossRate > 0 && c.drawFraction("answer lost "+target.name) < c.replyLossRate
 }
--- a/simulation/race_test.go
+++ b/simulation/race_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = true
+const raceEnabled = true
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -15,85 +15,86 @@
 	"onyxwell/data/snapshot"
 )
 
-// router is the control side of a router: members, news and the snapshot that
-// requests would be served by.
+// router is the control side of a router: membership, gossip, and the snapshot
+// by which requests would be served.
 type router struct {
 	daemon    *daemon.Daemon
 	snapshots *snapshot.Store
-	gate      *readindex.Gate
-	// latestVersions is the highest serial that each key of news had here.
+	readIndex *readindex.Gate
+	// latestVersions are the highest versions applied, by gossip key.
 	latestVersions map[string]ids.Version
 }
 
-// runRouter runs a router's control side.
-func (p *process) runRouter(top scope.Scope) error {
-	world := p.machine.cluster
-	made := &router{latestVersions: map[string]ids.Version{}}
-	made.snapshots = snapshot.NewStore(snapshot.Options{Clock: top.Clock, Zones: top.Settings.Zones, Region: top.Settings.Region})
-	absorb := func(item gossip.Item) {
-		if heard := world.options.bug.InterceptUpdate; heard != nil {
-			item = heard(item)
+// runRouter runs a router's control side until the scope ends.
+func (p *process) runRouter(env scope.Scope) error {
+	cluster := p.machine.cluster
+	r := &router{
+		snapshots:      snapshot.NewStore(snapshot.Options{Clock: env.Clock, Zones: env.Settings.Zones, Region: env.Settings.Region}),
+		latestVersions: map[string]ids.Version{},
+	}
+	apply := func(item gossip.Item) {
+		if intercept := cluster.options.bug.InterceptUpdate; intercept != nil {
+			item = intercept(item)
 		}
-		before := made.snapshots.Current()
-		made.snapshots.Apply(item)
-		world.checkMonotonic(p, made, before, item)
+		before := r.snapshots.Current()
+		r.snapshots.Apply(item)
+		cluster.checkMonotonic(p, r, before, item)
 	}
 	var err error
-	made.daemon, err = daemon.New(top, daemon.Options{Role: daemon.RouterRole, OnUpdate: absorb, Network: p})
+	r.daemon, err = daemon.New(env, daemon.Options{Role: daemon.RouterRole, OnUpdate: apply, Network: p})
 	if err != nil {
 		return err
 	}
-	made.gate = made.daemon.NewReadIndexGate(made.snapshots.Ready(), made.configVersion)
-	made.daemon.AddOneShot("readindex", made.gate.Run)
-	world.after(0, func() { p.router = made })
-	made.daemon.AddService("ready", func(ctx scope.Scope) error {
+	r.readIndex = r.daemon.NewReadIndexGate(r.snapshots.Ready(), r.configVersion)
+	r.daemon.AddOneShot("readindex", r.readIndex.Run)
+	cluster.after(0, func() { p.router = r })
+	r.daemon.AddService("ready", func(ctx scope.Scope) error {
 		select {
-		case <-made.gate.Ready():
-			made.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
-			world.checkReadyVersion(p, made)
+		case <-r.readIndex.Ready():
+			r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
+			cluster.checkReadyVersion(p, r)
 		case <-ctx.Done():
 		}
 		<-ctx.Done()
 		return nil
 	})
-	return made.daemon.Run(top)
+	return r.daemon.Run(env)
 }
 
-// configVersion is the version that the router acts on.
+// configVersion is the configuration version that the router serves by; 0 for
+// none.
 func (r *router) configVersion() ids.Version {
-	if seen := r.snapshots.Current(); seen.Config != nil {
-		return seen.Config.Version
+	if current := r.snapshots.Current(); current.Config != nil {
+		return current.Config.Version
 	}
 	return 0
 }
 
-// checkReadyVersion checks with what a router begins to serve: no version older than
-// the newest that was acknowledged before it started, unless it says that no
-// majority could be had.
-func (c *Cluster) checkReadyVersion(life *process, made *router) {
-	c.mu.Lock()
-	newest := life.ackedVersionAtStart
-	c.mu.Unlock()
-	state := made.gate.State()
+// checkReadyVersion checks what a router becomes ready with: no version older
+// than the newest that was acknowledged before it started, unless it says that
+// none could be confirmed.
+func (c *Cluster) checkReadyVersion(process *process, r *router) {
+	acked := process.ackedVersionAtStart
+	state := r.readIndex.State()
 	c.count("routers ready, " + state)
-	c.trace("router ready", life.machine, "state", state, "version", made.configVersion(), "newest at start", newest)
-	if state == readindex.Confirmed && int64(made.configVersion()) < newest {
-		c.reportViolation("the router of %s is ready on version %d, though %d was acknowledged before it started", life.machine.name, made.configVersion(), newest)
+	c.trace("router ready", process.machine, "state", state, "version", r.configVersion(), "acked_version_at_start", acked)
+	if state == readindex.Confirmed && int64(r.configVersion()) < acked {
+		c.reportViolation("the router of %s is ready on version %d, though %d was acknowledged before it started", process.machine.name, r.configVersion(), acked)
 	}
 }
 
 // checkMonotonic checks that no part of a router's snapshot goes back.
-func (c *Cluster) checkMonotonic(life *process, made *router, before *snapshot.Snapshot, item gossip.Item) {
-	after := made.snapshots.Current()
+func (c *Cluster) checkMonotonic(process *process, r *router, before *snapshot.Snapshot, item gossip.Item) {
+	after := r.snapshots.Current()
 	if before.Config != nil && (after.Config == nil || after.Config.Version < before.Config.Version) {
-		c.reportViolation("the router of %s went back from version %d", life.machine.name, before.Config.Version)
+		c.reportViolation("the router of %s went back from version %d", process.machine.name, before.Config.Version)
 	}
-	if zone, found := evacuation.ZoneFromKey(item.Key); found {
+	if zone, ok := evacuation.ZoneFromKey(item.Key); ok {
 		c.count("evacuations heard")
-		if item.Version < made.latestVersions[item.Key] {
-			c.reportViolation("the router of %s went back on %s to %d", life.machine.name, zone, item.Version)
+		if item.Version < r.latestVersions[item.Key] {
+			c.reportViolation("the router of %s went back on %s to %d", process.machine.name, zone, item.Version)
 		}
-		made.latestVersions[item.Key] = item.Version
+		r.latestVersions[item.Key] = item.Version
 	}
 }
 
@@ -108,8 +109,3 @@
 		c.deliverReply(sent, reply{status: http.StatusOK, header: http.Header{}, body: body})
 	})
 }
-
-// losesReply tells whether an answer to an operator gets lost now.
-func (c *Cluster) losesReply(target *Machine, sent *message) bool {
-	return sent.sender == nil && c.replyLossRate > 0 && c.drawFraction("answer lost "+target.name) < c.replyLossRate
-}
--- a/simulation/run.go
+++ b/simulation/run.go
@@ -4,45 +4,70 @@
 	"fmt"
 	"testing"
 	"testing/synctest"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/random"
 )
 
-// recoveryTimeout is how long a run goes on after all trouble has ended.
-const recoveryTimeout = 25 * clock.Second
+const (
+	// workloadStart is when the clients start, faultStart when the first fault may
+	// come: the controllers have elected voters and owners by then.
+	workloadStart = 2 * time.Second
+	faultStart    = 8 * time.Second
+	// recoveryTimeout is how long the cluster may take to be fully replicated
+	// after the last fault.
+	recoveryTimeout = 25 * time.Second
+	// recoveryPoll is how often it is looked at meanwhile.
+	recoveryPoll = 100 * time.Millisecond
+	// clientTimeout is how long the last commands may take in a cluster without
+	// faults, drainTime how long the clients' open commands may.
+	clientTimeout = 30 * time.Second
+	drainTime     = 16 * time.Second
+	// readTimeout is how long a client tries to read where it must succeed.
+	readTimeout = 8 * time.Second
+	// leftoverTime is longer than any timer of a process that was killed.
+	leftoverTime = 120 * time.Second
+)
 
-// Run plays one run. It needs a test for the bubble of simulated time in which
-// everything goes on; the command makes one.
+// Run plays one run. It needs a test for the synctest bubble of simulated time;
+// the simulate command makes one. Runs must not overlap, since the process has
+// one source of randomness.
 func Run(t *testing.T, options Options) Result {
-	var world *Cluster
+	var cluster *Cluster
 	synctest.Test(t, func(*testing.T) {
-		world = newCluster(options)
-		random.SetSource(world.jitter)
+		cluster = newCluster(options)
+		random.SetSource(cluster.jitter)
 		defer random.SetSource(nil)
-		world.run()
+		cluster.run()
 	})
-	wrong, unknown := world.history.check()
-	world.violations = append(world.violations, wrong...)
-	if unknown > 0 {
-		world.counts["keys not decided by the checker"] += unknown
-	}
-	if len(wrong) > 0 {
-		for _, line := range world.history.describe() {
-			world.trace(line, nil)
-		}
-	}
+	cluster.checkHistory()
 	return Result{
-		Seed: options.Seed, Broken: world.violations, Counts: world.counts, Whole: world.observed.recoveryTimes, Acks: world.observed.ackLatencies, Gap: world.observed.longestAckGap,
-		Redundancy: world.drill.recoveryTimes, Service: world.meter.Availability,
+		Seed: options.Seed, Violations: cluster.violations, Counts: cluster.counts,
+		RecoveryTimes: cluster.observed.recoveryTimes, AckLatencies: cluster.observed.ackLatencies, LongestAckGap: cluster.observed.longestAckGap,
+		RedundancyTimes: cluster.drill.recoveryTimes, Availability: cluster.meter.Availability,
+	}
+}
+
+// checkHistory checks, after the run, that what the clients were answered is
+// linearizable.
+func (c *Cluster) checkHistory() {
+	violations, undecidedKeys := c.history.check()
+	c.violations = append(c.violations, violations...)
+	if undecidedKeys > 0 {
+		c.counts["keys not decided by the checker"] += undecidedKeys
+	}
+	if len(violations) > 0 {
+		for _, line := range c.history.describe() {
+			c.trace(line, nil)
+		}
 	}
 }
 
 func (c *Cluster) run() {
 	for _, machine := range c.machines {
-		c.after(c.drawBetween("first start "+machine.name, 0, 300*clock.Millisecond), func() { machine.start(true) })
+		c.after(c.drawBetween("first start "+machine.name, 0, 300*time.Millisecond), func() { machine.start(true) })
 	}
-	c.runUntil(2 * clock.Second)
+	c.runUntil(workloadStart)
 	if c.options.scenario != nil {
 		go c.options.scenario(c)
 	} else {
@@ -51,32 +76,37 @@
 	c.runUntil(c.options.Duration)
 	c.checkRecovery()
 	c.stopping = true
-	c.runUntil(c.now() + 16*clock.Second)
+	c.runUntil(c.now() + drainTime)
+	c.stop()
+}
+
+// stop kills all machines and lets the timers that are left run out, so that no
+// goroutine outlives the bubble. Nothing is checked any more.
+func (c *Cluster) stop() {
 	for _, machine := range c.machines {
 		machine.removed = true
 		machine.kill()
 	}
 	synctest.Wait()
-	// All that still waits for some time runs out; nothing is checked any more.
-	for c.step(c.now() + 120*clock.Second) {
+	for c.step(c.now() + leftoverTime) {
 	}
 }
 
-// startWorkload sets the operators and, later, the troubles going.
+// startWorkload starts the clients and, later, what injects faults.
 func (c *Cluster) startWorkload() {
 	for number := range max(1, c.options.Clients) {
 		go c.runClient(fmt.Sprint("operator ", number))
 	}
-	c.runUntil(8 * clock.Second)
+	c.runUntil(faultStart)
 	go c.injectFaults()
 	c.startDrill()
 	c.startAvailabilityMeter()
 }
 
-// runUntil goes on to an instant, and checks after each step; a broken promise
-// ends the run.
-func (c *Cluster) runUntil(end clock.Span) {
-	// Time passes also where nothing waits for it.
+// runUntil runs the events up to an instant and checks the invariants after each;
+// a violation ends the run.
+func (c *Cluster) runUntil(end time.Duration) {
+	// An event at the end has time pass also where nothing else is due.
 	c.after(end-c.now(), func() {})
 	synctest.Wait()
 	for !c.hasViolation() && c.step(end) {
@@ -84,70 +114,71 @@
 	}
 }
 
-// checkRecovery ends all trouble; within the time to catch up everything must be whole
-// again, an order be acknowledged, and all read the same.
+// checkRecovery ends all faults. Within recoveryTimeout the cluster must be fully
+// replicated; then a command must be acknowledged and every controller read.
 func (c *Cluster) checkRecovery() {
-	for _, one := range c.links {
-		one.cut = false
+	c.endFaults()
+	start := c.now()
+	c.waitFullyReplicated(start)
+	c.runUntil(start + recoveryTimeout)
+	if c.hasViolation() {
+		return
+	}
+	c.checkFinalState()
+}
+
+func (c *Cluster) endFaults() {
+	for _, link := range c.links {
+		link.cut = false
 	}
 	for key := range c.links {
 		c.healLink(key[0], key[1])
 	}
 	c.replyLossRate, c.highLoad = 0, false
 	for _, machine := range c.machines {
-		machine.diskFault.stalled, machine.diskFault.slow, machine.diskFault.refuses, machine.diskFault.full = false, 0, false, false
-		if machine.frozen {
-			machine.frozen = false
-			machine.resume()
-		}
+		machine.diskFault.clear()
+		machine.unfreeze()
 		machine.unstallDisk()
 		machine.powerOn()
 	}
-	begin := c.now()
-	c.waitFullyReplicated(begin)
-	c.runUntil(begin + recoveryTimeout)
-	if c.hasViolation() {
-		return
-	}
-	c.checkFinalState()
 }
 
-// waitFullyReplicated goes on until all seats are filled and every voter holds all.
-func (c *Cluster) waitFullyReplicated(begin clock.Span) {
-	whole, missing := false, ""
-	for c.now()-begin < recoveryTimeout && !whole && !c.hasViolation() {
-		c.runUntil(c.now() + 100*clock.Millisecond)
-		whole, missing = c.fullyReplicated()
+// waitFullyReplicated runs until every voter is there and holds all.
+func (c *Cluster) waitFullyReplicated(start time.Duration) {
+	replicated, missing := false, ""
+	for c.now()-start < recoveryTimeout && !replicated && !c.hasViolation() {
+		c.runUntil(c.now() + recoveryPoll)
+		replicated, missing = c.fullyReplicated()
 	}
 	if c.hasViolation() {
 		return
 	}
-	if !whole {
+	if !replicated {
 		c.reportViolation("%s after all trouble ended, still: %s", recoveryTimeout, missing)
 		return
 	}
-	c.observed.recoveryTimes = append(c.observed.recoveryTimes, c.now()-begin)
+	c.observed.recoveryTimes = append(c.observed.recoveryTimes, c.now()-start)
 }
 
-// checkFinalState reads at every controller and gives one more order.
+// checkFinalState issues one more command and reads at every controller.
 func (c *Cluster) checkFinalState() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		did, _ := c.execute(c.zoneCommand(c.options.Site.Locations[0].Zone, true))
-		c.record(did)
-		if did.outcome != accepted {
+		op, _ := c.execute(c.zoneCommand(c.options.Site.Locations[0].Zone, true))
+		c.record(op)
+		if op.outcome != accepted {
 			c.reportViolation("an order in calm got no acknowledgement")
 		}
 		for range len(c.controllers()) {
-			if _, found := c.readConfig(8 * clock.Second); !found {
+			if _, ok := c.readConfig(readTimeout); !ok {
 				c.reportViolation("GET /settings is not answered in calm")
 			}
 		}
 	}()
-	limit := c.now() + 30*clock.Second
-	for c.now() < limit && !c.hasViolation() {
-		c.runUntil(c.now() + 100*clock.Millisecond)
+	deadline := c.now() + clientTimeout
+	for c.now() < deadline && !c.hasViolation() {
+		c.runUntil(c.now() + recoveryPoll)
 		select {
 		case <-done:
 			return
--- a/simulation/scenario_test.go
+++ b/simulation/scenario_test.go
@@ -1,69 +1,70 @@
 package simulation
 
-import "onyxwell/base/clock"
+import "time"
 
-// wipeBesideStaleReplica brings about what a wipe must not: the first two of three controllers
-// hold an order that the third missed, and the second loses its disk. The links
-// of the third to the first stay cut.
-func wipeBesideStaleReplica(world *Cluster) (first *Machine, second *Machine, third *Machine) {
-	first, second, third = world.machines[0], world.machines[1], world.machines[2]
-	world.sleep(clock.Second)
-	world.executeChange(world.changeCommand(0, 1, false))
-	world.executeZone(true)
-	world.sleep(clock.Second)
-	cutOff(true, true)(world, third)
-	world.executeZone(false)
+// wipeBesideStaleReplica has a command be committed by the first two of three
+// controllers alone, and the second lose its disk. The links between the third and
+// the first stay cut.
+func wipeBesideStaleReplica(cluster *Cluster) (first *Machine, second *Machine, third *Machine) {
+	first, second, third = cluster.machines[0], cluster.machines[1], cluster.machines[2]
+	cluster.sleep(time.Second)
+	cluster.executeChange(cluster.changeCommand(0, 1, false))
+	cluster.executeZone(true)
+	cluster.sleep(time.Second)
+	isolate(true, true)(cluster, third)
+	cluster.executeZone(false)
 	second.wipe()
 	return first, second, third
 }
 
-// executeZone empties or refills the first zone.
-func (c *Cluster) executeZone(empty bool) {
-	did, _ := c.execute(c.zoneCommand(c.options.Site.Locations[0].Zone, empty))
-	c.record(did)
+// executeZone drains the first zone, or ends that.
+func (c *Cluster) executeZone(drained bool) {
+	op, _ := c.execute(c.zoneCommand(c.options.Site.Locations[0].Zone, drained))
+	c.record(op)
 }
 
-// reconnect opens the links between two; what they held up is lost with the
-// connections.
-func (c *Cluster) reconnect(one *Machine, other *Machine) {
-	c.link(one.name, other.name).queued, c.link(other.name, one.name).queued = nil, nil
-	c.healLink(one.name, other.name)
-	c.healLink(other.name, one.name)
+// reconnect opens the links between two machines; what they held back is lost with
+// the connections.
+func (c *Cluster) reconnect(machine *Machine, other *Machine) {
+	c.link(machine.name, other.name).queued, c.link(other.name, machine.name).queued = nil, nil
+	c.healLink(machine.name, other.name)
+	c.healLink(other.name, machine.name)
 }
 
-func (c *Cluster) disconnect(one *Machine, other *Machine) {
-	c.cutLink(one.name, other.name)
-	c.cutLink(other.name, one.name)
+// disconnect cuts the links between two machines.
+func (c *Cluster) disconnect(machine *Machine, other *Machine) {
+	c.cutLink(machine.name, other.name)
+	c.cutLink(other.name, machine.name)
 }
 
-// pollZone looks at the first zone until the run's troubles end.
+// pollZone reads the first zone at the targets until the run's faults end.
 func (c *Cluster) pollZone(targets ...*Machine) {
 	for c.now() < c.options.Duration {
 		for _, target := range targets {
 			c.readZone(target, c.options.Site.Locations[0].Zone)
 		}
-		c.sleep(50 * clock.Millisecond)
+		c.sleep(50 * time.Millisecond)
 	}
 }
 
-// blankDiskBesideStaleReplica leaves the wiped disk and the one that missed the order alone
-// with each other.
-func blankDiskBesideStaleReplica(world *Cluster) {
-	first, second, third := wipeBesideStaleReplica(world)
-	world.disconnect(first, second)
-	world.reconnect(second, third)
+// blankDiskBesideStaleReplica leaves the wiped disk and the machine that missed the
+// command alone with each other.
+func blankDiskBesideStaleReplica(cluster *Cluster) {
+	first, second, third := wipeBesideStaleReplica(cluster)
+	cluster.disconnect(first, second)
+	cluster.reconnect(second, third)
 	second.powerOn()
-	world.pollZone(third)
+	cluster.pollZone(third)
 }
 
 // newVoterBesideStaleReplica does so as soon as the wiped disk votes again.
-func newVoterBesideStaleReplica(world *Cluster) {
-	first, second, third := wipeBesideStaleReplica(world)
-	world.reconnect(second, third)
+func newVoterBesideStaleReplica(cluster *Cluster) {
+	first, second, third := wipeBesideStaleReplica(cluster)
+	cluster.reconnect(second, third)
 	second.powerOn()
-	for !isVoter(second) && world.now() < world.options.Duration {
-		world.sleep(2 * clock.Millisecond)
+	for !isVoter(second) && cluster.now() < cluster.options.Duration {
+		cluster.sleep(2 * time.Millisecond)
 	}
-	world.disconnect(first, second)
-	world.pollZone(second, third)
+	cluster.disconnect(first, second)
+	cluster.pollZone(second, third)
 }
--- a/simulation/workload.go
+++ b/simulation/workload.go
@@ -2,66 +2,81 @@
 
 import (
 	"net/http"
+	"time"
+)
 
-	"onyxwell/base/clock"
-	"onyxwell/base/ids"
-	"onyxwell/base/scope"
-	"onyxwell/control/config/evacuation"
+const (
+	// maxInFlight is how many commands a client has under way at most.
+	maxInFlight = 8
+	// A client's next command follows after a drawn pause between the two, divided
+	// by highLoadFactor at high load.
+	minCommandPause = 20 * time.Millisecond
+	maxCommandPause = 600 * time.Millisecond
+	highLoadFactor  = 8
+	// shortTimeout is the timeout of commands of which no effect is expected.
+	shortTimeout = 6 * time.Second
+	// maxRaceOffset is the longest drawn time between two changes that race.
+	maxRaceOffset = 30 * time.Millisecond
 )
 
-// maxInFlight is how many orders an operator has under way at most.
-const maxInFlight = 8
+// clientState is what the clients know together, and the last command's number.
+type clientState struct {
+	known         knownConfig
+	lastCommandID int
+}
 
-// knownConfig is what the operators know together of the configuration.
+// knownConfig is what the clients know of the configuration: the newest version
+// that was surely in force, and the changes that were accepted.
 type knownConfig struct {
 	version  int64
 	accepted []clientCommand
 }
 
-// runClient has an operator give orders until the run ends.
-func (c *Cluster) runClient(who string) {
-	under := make(chan struct{}, maxInFlight)
+// runClient issues commands until the run stops.
+func (c *Cluster) runClient(name string) {
+	inFlight := make(chan struct{}, maxInFlight)
 	for !c.stopping {
-		pause := c.drawBetween("order "+who, 20*clock.Millisecond, 600*clock.Millisecond)
+		pause := c.drawBetween("order "+name, minCommandPause, maxCommandPause)
 		if c.highLoad {
-			pause /= 8
+			pause /= highLoadFactor
 		}
 		c.sleep(pause)
 		if c.stopping {
 			return
 		}
-		under <- struct{}{}
-		work := c.drawOperation(who)
+		inFlight <- struct{}{}
+		perform := c.drawOperation(name)
 		go func() {
-			work(c, who)
-			<-under
+			perform(c, name)
+			<-inFlight
 		}()
 	}
 }
 
-// workload are what operators do, with how often of a hundred.
+// workload holds what clients do, with its share in percent. The name of the
+// client goes into the names of draws.
 var workload = []struct {
-	share int
-	work  func(world *Cluster, who string)
+	percent int
+	perform func(cluster *Cluster, client string)
 }{
-	{32, func(world *Cluster, who string) { world.changeConfig(who, false) }},
-	{12, func(world *Cluster, who string) { world.changeConfig(who, true) }},
+	{32, func(cluster *Cluster, client string) { cluster.changeConfig(client, false) }},
+	{12, func(cluster *Cluster, client string) { cluster.changeConfig(client, true) }},
 	{10, (*Cluster).raceChanges},
 	{8, (*Cluster).changeOnStaleVersion},
 	{14, (*Cluster).changeZone},
 	{8, (*Cluster).readDrawnZone},
-	{8, func(world *Cluster, _ string) { world.readConfigAndLearn() }},
+	{8, func(cluster *Cluster, _ string) { cluster.readConfigAndLearn() }},
 	{8, (*Cluster).repeatAccepted},
 }
 
-func (c *Cluster) drawOperation(who string) func(*Cluster, string) {
-	drawn := c.drawBelow("work "+who, 100)
-	for _, choice := range workload {
-		if drawn -= choice.share; drawn < 0 {
-			return choice.work
+func (c *Cluster) drawOperation(client string) func(*Cluster, string) {
+	drawn := c.drawBelow("work "+client, 100)
+	for _, entry := range workload {
+		if drawn -= entry.percent; drawn < 0 {
+			return entry.perform
 		}
 	}
-	return workload[0].work
+	return workload[0].perform
 }
 
 func (c *Cluster) knownVersion() int64 {
@@ -70,129 +85,111 @@
 	return c.known.version
 }
 
-// learnVersion notes a version that is surely in force or was.
-func (c *Cluster) learnVersion(version int64, by *clientCommand) {
+// learnVersion records a version that is surely in force, or was, and the change
+// that brought it; nil if that is not known.
+func (c *Cluster) learnVersion(version int64, change *clientCommand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.known.version = max(c.known.version, version)
-	if by != nil {
-		c.known.accepted = append(c.known.accepted, *by)
+	if change != nil {
+		c.known.accepted = append(c.known.accepted, *change)
 	}
 }
 
 func (c *Cluster) readConfigAndLearn() {
-	if version, found := c.readConfig(6 * clock.Second); found {
+	if version, ok := c.readConfig(shortTimeout); ok {
 		c.learnVersion(version, nil)
 	}
 }
 
-// executeChange gives a change and learns from the answer.
-func (c *Cluster) executeChange(asked clientCommand) outcome {
-	did, _ := c.execute(asked)
-	c.record(did)
-	if did.outcome == accepted {
-		c.recordAck(did)
-		c.learnVersion(did.version, &asked)
+// executeChange executes a change and learns from its outcome.
+func (c *Cluster) executeChange(change clientCommand) outcome {
+	op, _ := c.execute(change)
+	c.record(op)
+	if op.outcome == accepted {
+		c.recordAck(op)
+		c.learnVersion(op.version, &change)
 	} else {
 		c.readConfigAndLearn()
 	}
-	return did.outcome
+	return op.outcome
 }
 
-func (c *Cluster) changeConfig(who string, patched bool) {
-	match := c.knownVersion()
-	if match == 0 {
+// changeConfig changes the newest configuration that is known. The first can't be
+// a patch.
+func (c *Cluster) changeConfig(client string, patched bool) {
+	base := c.knownVersion()
+	if base == 0 {
 		patched = false
 	}
-	c.executeChange(c.changeCommand(match, match+1+int64(c.drawBelow("step "+who, 3)), patched))
+	c.executeChange(c.changeCommand(base, base+1+int64(c.drawBelow("step "+client, 3)), patched))
 }
 
-// raceChanges has two operators choose the same number for different changes.
-func (c *Cluster) raceChanges(who string) {
-	match := c.knownVersion()
-	version := match + 1 + int64(c.drawBelow("step "+who, 2))
+// raceChanges has two changes of one configuration choose the same version.
+func (c *Cluster) raceChanges(client string) {
+	base := c.knownVersion()
+	version := base + 1 + int64(c.drawBelow("step "+client, 2))
 	done := make(chan struct{})
 	go func() {
-		c.executeChange(c.changeCommand(match, version, false))
+		c.executeChange(c.changeCommand(base, version, false))
 		close(done)
 	}()
-	c.sleep(c.drawBetween("race "+who, 0, 30*clock.Millisecond))
-	c.executeChange(c.changeCommand(match, version, false))
+	c.sleep(c.drawBetween("race "+client, 0, maxRaceOffset))
+	c.executeChange(c.changeCommand(base, version, false))
 	<-done
 }
 
-// changeOnStaleVersion builds on a version that is no longer in force.
-func (c *Cluster) changeOnStaleVersion(who string) {
-	match := c.knownVersion() - 1 - int64(c.drawBelow("stale "+who, 4))
-	if match < 0 {
+// changeOnStaleVersion changes a version that is no longer in force.
+func (c *Cluster) changeOnStaleVersion(client string) {
+	base := c.knownVersion() - 1 - int64(c.drawBelow("stale "+client, 4))
+	if base < 0 {
 		return
 	}
-	asked := c.changeCommand(match, match+1+int64(c.drawBelow("ahead "+who, 8)), false)
-	asked.timeout = 6 * clock.Second
-	c.executeChange(asked)
+	change := c.changeCommand(base, base+1+int64(c.drawBelow("ahead "+client, 8)), false)
+	change.timeout = shortTimeout
+	c.executeChange(change)
 }
 
-// repeatAccepted sends an order again that was taken, however long ago: it is taken
-// again or left without a clear answer.
-func (c *Cluster) repeatAccepted(who string) {
+// repeatAccepted sends a change again that was accepted, however long ago. It must
+// be acknowledged again, or stay undecided.
+func (c *Cluster) repeatAccepted(client string) {
 	c.mu.Lock()
-	taken := c.known.accepted
+	changes := c.known.accepted
 	c.mu.Unlock()
-	if len(taken) == 0 {
+	if len(changes) == 0 {
 		return
 	}
-	asked := taken[c.drawBelow("repeat "+who, len(taken))]
+	change := changes[c.drawBelow("repeat "+client, len(changes))]
 	targets := c.controllers()
 	if len(targets) == 0 {
 		return
 	}
-	status, body := c.sendOnce(targets[c.drawBelow("target "+who, len(targets))], asked, &attempt{begin: c.now()})
+	status, body := c.sendOnce(targets[c.drawBelow("target "+client, len(targets))], change, &attempt{start: c.now()})
 	c.count("repeats")
 	if outcomeByStatus[status] == rejected {
-		c.reportViolation("order %d (version %d on %d) was acknowledged, and is refused when it is sent again: %d %.200s", asked.commandID, asked.version, asked.match, status, body)
+		c.reportViolation("order %d (version %d on %d) was acknowledged, and is refused when it is sent again: %d %.200s",
+			change.commandID, change.version, change.baseVersion, status, body)
 	}
 	if status == http.StatusOK {
 		c.count("repeats acknowledged")
 	}
 }
 
-func (c *Cluster) changeZone(who string) {
-	places := c.options.Site.Locations
-	asked := c.zoneCommand(places[c.drawBelow("zone "+who, len(places))].Zone, c.drawOneIn("empty "+who, 2))
-	did, _ := c.execute(asked)
-	c.record(did)
-	if did.outcome == accepted {
-		c.recordAck(did)
+func (c *Cluster) changeZone(client string) {
+	locations := c.options.Site.Locations
+	op, _ := c.execute(c.zoneCommand(locations[c.drawBelow("zone "+client, len(locations))].Zone, c.drawOneIn("empty "+client, 2)))
+	c.record(op)
+	if op.outcome == accepted {
+		c.recordAck(op)
 	}
 }
 
-// readDrawnZone reads whether a zone is emptied, at any controller.
-func (c *Cluster) readDrawnZone(who string) {
-	places, targets := c.options.Site.Locations, c.controllers()
+// readDrawnZone reads at a drawn controller whether a drawn zone is drained.
+func (c *Cluster) readDrawnZone(client string) {
+	locations, targets := c.options.Site.Locations, c.controllers()
 	if len(targets) == 0 {
 		return
 	}
-	zone := places[c.drawBelow("zone "+who, len(places))].Zone
-	c.readZone(targets[c.drawBelow("target "+who, len(targets))], zone)
-}
-
-// readZone reads whether a zone is emptied at a controller.
-func (c *Cluster) readZone(target *Machine, zone ids.Zone) {
-	if target.process == nil || target.process.control == nil || target.frozen {
-		return
-	}
-	did := operation{commandID: c.nextCommandID(), key: "evacuation/" + string(zone), verb: "look", begin: c.now()}
-	ctx := scope.New(scope.Options{Clock: machineClock{machine: target}})
-	limited, release := ctx.WithTimeout(clock.Second)
-	defer release()
-	value, err := target.process.control.Read(limited, evacuation.Key(zone))
-	did.end = c.now()
-	if err == nil {
-		kept, err := evacuation.Decode(value)
-		if err != nil {
-			c.reportViolation("the value of %s can't be read: %v", zone, err)
-		}
-		did.drained, did.outcome = kept.Drained, accepted
-	}
-	c.record(did)
+	zone := locations[c.drawBelow("zone "+client, len(locations))].Zone
+	c.readZone(targets[c.drawBelow("target "+client, len(targets))], zone)
 }
