--- a/simulation/simdisk/disk.go
+++ b/simulation/simdisk/disk.go
@@ -1,6 +1,7 @@
-// Package simdisk simulates the disk of a machine for journal.Disk: what no sync
-// covered, bytes and names alike, is kept, lost or torn by itself when the
-// power goes. It has no time and no chance of its own: both are its caller's.
+// Package simdisk simulates the disk of a machine as a wal.FS. It keeps apart
+// what processes wrote and what is durable: at a loss of power each write, length
+// and name that no sync covered is kept, lost or torn on its own. The package has
+// no clock and no randomness; both are the caller's.
 package simdisk
 
 import (
@@ -14,17 +15,17 @@
 	"onyxwell/control/state/wal"
 )
 
-// Faults of a simulated disk.
+// Errors of a simulated disk.
 var (
-	// ErrProcessDead is told to a process that was killed or lost its power.
+	// ErrProcessDead is returned to a process that was killed or lost its power.
 	ErrProcessDead = errors.New("disk: the process is dead")
-	// ErrFull is told to a write that goes beyond Options.Limit.
+	// ErrFull is returned for a write beyond Options.Capacity.
 	ErrFull = fmt.Errorf("disk: %w", syscall.ENOSPC)
-	// ErrNotExist is told to who names a file that is not there.
+	// ErrNotExist is returned for a file that does not exist.
 	ErrNotExist = errors.New("disk: no such file")
 )
 
-// Acts that Options.Pause is told of.
+// Operations that Options.Delay is called for.
 const (
 	OpRead       = "read"
 	OpCreate     = "create"
@@ -36,33 +37,36 @@
 	OpSyncFolder = "folder"
 )
 
-// Options are what a disk is made with.
+// Options set the randomness, the latency and the size of a disk.
 type Options struct {
-	// OneIn is true once in so many; all chance comes from it. It is asked with
-	// the disk locked.
+	// OneIn draws true once in odds calls; all that is random comes from it. It is
+	// called with the disk locked. Nil draws false.
 	OneIn func(odds int) bool
-	// Delay is called, with the disk unlocked, before an act takes effect, with
-	// the bytes that it moves. It may block as long as the disk takes. After an
-	// error the act has not happened; a write or a sync may have, or in part.
-	Delay func(act string, bytes int) error
+	// Delay is called before each operation, with the number of bytes that it
+	// moves and the disk unlocked, and may block as long as the disk takes. If it
+	// returns an error the operation fails and has no effect, but that a write or a
+	// sync may have taken effect, a write also in part. Nil delays nothing.
+	Delay func(op string, bytes int) error
 	// Capacity is how many bytes the disk holds; 0 is no limit.
 	Capacity int64
 }
 
-// Disk is the disk of one machine; it outlives the machine's processes.
+// Disk is the disk of a machine; it outlives the machine's processes. It is safe
+// for concurrent use.
 type Disk struct {
-	mu         sync.Mutex
-	options    Options
+	mu      sync.Mutex
+	options Options
+	// generation counts the deaths of processes; mounts of earlier ones are dead.
 	generation int64
-	// files are as a process sees them, lasting as the next start after a loss
-	// of power would at least find them; loose are the steps between the two.
+	// files are as processes see them, durable as they are found at least after a
+	// loss of power; unsynced are the changes of names between the two.
 	files        map[string]*fileContent
 	durable      map[string]*fileContent
 	unsynced     []nameChange
 	bytesWritten int64
 }
 
-// New makes an empty disk.
+// New returns an empty disk.
 func New(options Options) *Disk {
 	if options.OneIn == nil {
 		options.OneIn = func(int) bool { return false }
@@ -73,9 +77,9 @@
 	return &Disk{options: options, files: map[string]*fileContent{}, durable: map[string]*fileContent{}}
 }
 
-// Mount gives a process its view of the disk, which dies with the process: all
-// its acts, and those of the files it opened, return ErrProcessDead after a Kill,
-// LosePower or Wipe, also those that were under way.
+// Mount returns the disk as a process sees it. The mount dies with the process:
+// after Kill, LosePower or Wipe all of its operations and those of its files
+// return ErrProcessDead, also those in flight.
 func (d *Disk) Mount() wal.FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,7 +93,7 @@
 	d.generation++
 }
 
-// Wipe loses the disk: the next process finds an empty one.
+// Wipe ends the process and empties the disk.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,55 +101,64 @@
 	d.files, d.durable, d.unsynced = map[string]*fileContent{}, map[string]*fileContent{}, nil
 }
 
-// Size gives the size of a file as a process sees it; 0 for a missing one.
+// Size returns the size of a file as processes see it; 0 if it does not exist.
 func (d *Disk) Size(name string) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if found := d.files[name]; found != nil {
-		return int64(len(found.current))
+	if content := d.files[name]; content != nil {
+		return int64(len(content.current))
 	}
 	return 0
 }
 
-// BytesWritten gives the bytes that all processes wrote so far.
+// BytesWritten returns how many bytes were written to the disk so far.
 func (d *Disk) BytesWritten() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bytesWritten
 }
 
-// FlipBit flips a bit of a byte in the synced part of a file and tells where; -1
-// if the file has no such part.
+// FlipBit flips a bit of a random byte in the synced part of a file and returns
+// its offset; -1 if there is no such part.
 func (d *Disk) FlipBit(name string) int64 { return d.FlipBitWithin(name, math.MaxInt) }
 
-// FlipBitWithin is Spoil for the first bytes of a file.
+// FlipBitWithin is FlipBit within the first bytes of a file.
 func (d *Disk) FlipBitWithin(name string, length int) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	found := d.files[name]
-	if found == nil {
+	content := d.files[name]
+	if content == nil {
 		return -1
 	}
-	length = min(length, len(found.synced), len(found.current))
+	length = min(length, len(content.synced), len(content.current))
 	if length <= 0 {
 		return -1
 	}
-	at := d.drawBelow(length)
-	found.synced[at] ^= 0x10
-	found.current[at] ^= 0x10
-	return int64(at)
+	offset := d.drawBelow(length)
+	content.synced[offset] ^= 0x10
+	content.current[offset] ^= 0x10
+	return int64(offset)
 }
 
-// begin waits for the disk and locks it; the caller unlocks it where the act may
-// take effect. Partly tells that it failed but may have taken effect.
-func (d *Disk) begin(life int64, act string, bytes int) (partly bool, err error) {
-	err = d.options.Delay(act, bytes)
+// PutSynced puts a durable file on the disk, such as another build left.
+func (d *Disk) PutSynced(name string, body []byte) {
 	d.mu.Lock()
-	if d.generation != life {
+	defer d.mu.Unlock()
+	content := &fileContent{current: bytes.Clone(body), synced: bytes.Clone(body)}
+	d.files[name], d.durable[name] = content, content
+}
+
+// begin waits for the disk, and locks it if the operation may take effect; the
+// caller unlocks it then. That is so without an error, and if partial says that
+// the operation fails but may have taken effect.
+func (d *Disk) begin(generation int64, op string, bytes int) (partial bool, err error) {
+	err = d.options.Delay(op, bytes)
+	d.mu.Lock()
+	if d.generation != generation {
 		d.mu.Unlock()
 		return false, ErrProcessDead
 	}
-	if err != nil && (act != OpWrite && act != OpSync || d.options.OneIn(2)) {
+	if err != nil && (op != OpWrite && op != OpSync || d.options.OneIn(2)) {
 		d.mu.Unlock()
 		return false, fmt.Errorf("disk: %w", err)
 	}
@@ -168,16 +181,8 @@
 
 func (d *Disk) used() int64 {
 	used := int64(0)
-	for _, found := range d.files {
-		used += int64(len(found.current))
+	for _, content := range d.files {
+		used += int64(len(content.current))
 	}
 	return used
 }
-
-// PutSynced places a whole synced file, as a process of another build may have left it.
-func (d *Disk) PutSynced(name string, synced []byte) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	file := &fileContent{current: bytes.Clone(synced), synced: bytes.Clone(synced)}
-	d.files[name], d.durable[name] = file, file
-}
--- a/simulation/simdisk/mount.go
+++ b/simulation/simdisk/mount.go
@@ -7,133 +7,128 @@
 	"onyxwell/control/state/wal"
 )
 
-// mount is the disk as one process sees it.
+// mount implements wal.FS for one process.
 type mount struct {
 	disk       *Disk
 	generation int64
 }
 
-// Read gives a whole file; a missing one is empty.
+// Read implements wal.FS.
 func (m *mount) Read(name string) ([]byte, error) {
 	if _, err := m.disk.begin(m.generation, OpRead, int(m.disk.Size(name))); err != nil {
 		return nil, err
 	}
 	defer m.disk.mu.Unlock()
-	if found := m.disk.files[name]; found != nil {
-		return bytes.Clone(found.current), nil
+	if content := m.disk.files[name]; content != nil {
+		return bytes.Clone(content.current), nil
 	}
 	return nil, nil
 }
 
-// Create opens an empty file.
+// Create implements wal.FS.
 func (m *mount) Create(name string) (wal.File, error) {
-	disk := m.disk
-	if _, err := disk.begin(m.generation, OpCreate, 0); err != nil {
+	if _, err := m.disk.begin(m.generation, OpCreate, 0); err != nil {
 		return nil, err
 	}
-	defer disk.mu.Unlock()
-	found := disk.files[name]
-	if found == nil {
-		found = &fileContent{}
-		disk.changeName(nameChange{name: name, content: found})
+	defer m.disk.mu.Unlock()
+	content := m.disk.files[name]
+	if content == nil {
+		content = &fileContent{}
+		m.disk.changeName(nameChange{name: name, content: content})
 	} else {
-		found.apply(change{truncate: true})
+		content.apply(change{truncate: true})
 	}
-	return &file{mount: m, content: found}, nil
+	return &file{mount: m, content: content}, nil
 }
 
-// Append opens a file and cuts it to the length.
+// Append implements wal.FS.
 func (m *mount) Append(name string, length int64) (wal.File, error) {
-	disk := m.disk
-	if _, err := disk.begin(m.generation, OpAppend, 0); err != nil {
+	if _, err := m.disk.begin(m.generation, OpAppend, 0); err != nil {
 		return nil, err
 	}
-	defer disk.mu.Unlock()
-	found := disk.files[name]
-	if found == nil {
+	defer m.disk.mu.Unlock()
+	content := m.disk.files[name]
+	if content == nil {
 		return nil, fmt.Errorf("%w: %s", ErrNotExist, name)
 	}
-	if int64(len(found.current)) != length {
-		found.apply(change{truncate: true, offset: length})
+	if int64(len(content.current)) != length {
+		content.apply(change{truncate: true, offset: length})
 	}
-	return &file{mount: m, content: found, offset: length}, nil
+	return &file{mount: m, content: content, offset: length}, nil
 }
 
-// Rename gives a file another name.
+// Rename implements wal.FS.
 func (m *mount) Rename(from string, to string) error {
-	disk := m.disk
-	if _, err := disk.begin(m.generation, OpRename, 0); err != nil {
+	if _, err := m.disk.begin(m.generation, OpRename, 0); err != nil {
 		return err
 	}
-	defer disk.mu.Unlock()
-	found := disk.files[from]
-	if found == nil {
+	defer m.disk.mu.Unlock()
+	content := m.disk.files[from]
+	if content == nil {
 		return fmt.Errorf("%w: %s", ErrNotExist, from)
 	}
-	disk.changeName(nameChange{name: to, content: found})
-	disk.changeName(nameChange{name: from})
+	m.disk.changeName(nameChange{name: to, content: content})
+	m.disk.changeName(nameChange{name: from})
 	return nil
 }
 
-// Remove takes a file away; a missing one is no fault.
+// Remove implements wal.FS.
 func (m *mount) Remove(name string) error {
-	disk := m.disk
-	if _, err := disk.begin(m.generation, OpRemove, 0); err != nil {
+	if _, err := m.disk.begin(m.generation, OpRemove, 0); err != nil {
 		return err
 	}
-	defer disk.mu.Unlock()
-	if disk.files[name] != nil {
-		disk.changeName(nameChange{name: name})
+	defer m.disk.mu.Unlock()
+	if m.disk.files[name] != nil {
+		m.disk.changeName(nameChange{name: name})
 	}
 	return nil
 }
 
-// SyncDir makes all names last.
+// SyncDir implements wal.FS.
 func (m *mount) SyncDir() error {
-	disk := m.disk
-	if _, err := disk.begin(m.generation, OpSyncFolder, 0); err != nil {
+	if _, err := m.disk.begin(m.generation, OpSyncFolder, 0); err != nil {
 		return err
 	}
-	defer disk.mu.Unlock()
-	for _, step := range disk.unsynced {
-		step.applyTo(disk.durable)
+	defer m.disk.mu.Unlock()
+	for _, change := range m.disk.unsynced {
+		change.applyTo(m.disk.durable)
 	}
-	disk.unsynced = nil
+	m.disk.unsynced = nil
 	return nil
 }
 
-// file is an open file of a process.
+// file implements wal.File.
 type file struct {
 	mount   *mount
 	content *fileContent
 	offset  int64
 }
 
-// Write adds bytes after those that were written through this file.
-func (f *file) Write(written []byte) (int, error) {
+// Write implements wal.File: it writes after what was written through this file.
+func (f *file) Write(body []byte) (int, error) {
 	disk := f.mount.disk
-	partly, err := disk.begin(f.mount.generation, OpWrite, len(written))
-	if err != nil && !partly {
+	partial, err := disk.begin(f.mount.generation, OpWrite, len(body))
+	if err != nil && !partial {
 		return 0, err
 	}
 	defer disk.mu.Unlock()
-	if partly {
-		written = written[:disk.drawBelow(len(written)+1)]
+	if partial {
+		body = body[:disk.drawBelow(len(body)+1)]
 	}
-	if disk.options.Capacity > 0 && disk.used()+int64(len(written)) > disk.options.Capacity {
+	if disk.options.Capacity > 0 && disk.used()+int64(len(body)) > disk.options.Capacity {
 		return 0, ErrFull
 	}
-	f.content.apply(change{offset: f.offset, bytes: bytes.Clone(written)})
-	f.offset += int64(len(written))
-	disk.bytesWritten += int64(len(written))
-	return len(written), err
+	f.content.apply(change{offset: f.offset, bytes: bytes.Clone(body)})
+	f.offset += int64(len(body))
+	disk.bytesWritten += int64(len(body))
+	return len(body), err
 }
 
-// Sync makes all bytes of the file last.
+// Sync implements wal.File.
 func (f *file) Sync() error {
 	disk := f.mount.disk
-	partly, err := disk.begin(f.mount.generation, OpSync, 0)
-	if err != nil && !partly {
+	partial, err := disk.begin(f.mount.generation, OpSync, 0)
+	if err != nil && !partial {
 		return err
 	}
 	defer disk.mu.Unlock()
@@ -144,5 +139,5 @@
 	return err
 }
 
-// Close ends the use of the file and syncs nothing.
+// Close implements wal.File; it syncs nothing.
 func (f *file) Close() error { return nil }
