--- a/cmd/simulate/availability.go
+++ b/cmd/simulate/availability.go
@@ -1,16 +1,12 @@
 package main
 
 import (
-	"errors"
 	"fmt"
-	"slices"
 	"time"
-
-	"gonum.org/v1/gonum/stat"
 )
 
-// availabilityCommand is the command that measures how orders are taken, in simulated time:
-// without trouble, and while the owner of the configuration is lost again and
+// availabilityCommand measures, in simulated time, how commands are served:
+// without faults, and while the owner of the configuration is lost again and
 // again.
 type availabilityCommand struct {
 	Site      []string      `help:"Deployment that is played; may be given again." default:"three,five,nine"`
@@ -18,65 +14,51 @@
 	Seeds     int           `help:"How many seeds of each row." default:"4"`
 	Jobs      int           `help:"How many processes at once." default:"2"`
 	Length    time.Duration `help:"Simulated time of each run." default:"60s"`
-	Operators int           `help:"How many give orders; each has up to eight under way." default:"8"`
-	Hurry     bool          `help:"Have the operators give orders eight times as fast." default:"true" negatable:""`
+	Operators int           `help:"How many clients issue commands; each has up to eight in flight." default:"8"`
+	Hurry     bool          `help:"Have the clients issue commands eight times as fast." default:"true" negatable:""`
 	Within    time.Duration `help:"End after this time, whatever was played." default:"30m"`
 }
 
-// ownerFaults are the rows: what befalls the owner, or nothing.
+// ownerFaults are what befalls the owner in the rows of each site, those of
+// simulation.OwnerFaults in the order of the table.
 var ownerFaults = []string{"quiet", "kill", "freeze", "cut"}
 
 // run plays the seeds of each row and prints a table.
 func (a availabilityCommand) run() (int, error) {
 	if a.Seeds < 1 || a.Jobs < 1 {
-		return 0, errors.New("--seeds and --jobs want a number above 0")
+		return 0, errCounts
 	}
-	sets := map[string]runFlags{}
-	var order []string
+	var rows []row
 	for _, site := range a.Site {
-		for _, strike := range ownerFaults {
-			set := runFlags{Site: site, Length: a.Length, Operators: a.Operators, Quiet: true, Hurry: a.Hurry, Service: strike}
-			if _, err := set.options(); err != nil {
+		for _, ownerFault := range ownerFaults {
+			flags := runFlags{Site: site, Length: a.Length, Operators: a.Operators, Quiet: true, Hurry: a.Hurry, Service: ownerFault}
+			if _, err := flags.options(); err != nil {
 				return 0, err
 			}
-			name := site + ", " + strike
-			order, sets[name] = append(order, name), set
+			rows = append(rows, row{name: site + ", " + ownerFault, flags: flags})
 		}
 	}
-	totals := runAll(order, sets, a.From, a.Seeds, a.Jobs, a.Within)
-	fmt.Println("simulated seconds; orders are acknowledged after (median, 99 in 100); silence is the longest without an acknowledgement after a loss of the owner")
+	summaries := runRows(rows, a.From, a.Seeds, a.Jobs, a.Within)
+	fmt.Println("simulated seconds; commands are acknowledged after (median, 99 in 100); silence is the longest without an acknowledgement after a loss of the owner")
 	fmt.Println("| site, owner | seeds, broken | changes a second | median | 99 in 100 | losses | silence, median | worst |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
-	status := 0
-	for _, name := range order {
-		fmt.Println(totals[name].availabilityRow(name))
-	}
-	for _, name := range order {
-		status = max(status, totals[name].printFailures(name, a.Seeds))
+	for index, row := range rows {
+		fmt.Println(summaries[index].availabilityRow(row.name))
 	}
-	return status, nil
+	return printRowFailures(rows, summaries, a.Seeds), nil
 }
 
-// availabilityRow is a row of the table.
+// availabilityRow is the summary's row of the table.
 func (s *summary) availabilityRow(name string) string {
 	measured := s.availability
 	row := fmt.Sprintf("| %s | %d, %d | ", name, len(s.played), len(s.violating))
 	if measured.Duration == 0 || len(measured.AckLatencies) == 0 {
-		return row + "none taken | | | | | |"
+		return row + "none accepted | | | | | |"
 	}
-	row += fmt.Sprintf("%.1f | %.3f | %.3f | ", float64(measured.Changes)/measured.Duration.Seconds(), quantile(measured.AckLatencies, 0.5), quantile(measured.AckLatencies, 0.99))
-	if len(measured.Silences) == 0 {
+	acks, silences := appendSeconds(nil, measured.AckLatencies), appendSeconds(nil, measured.Silences)
+	row += fmt.Sprintf("%.1f | %.3f | %.3f | ", float64(measured.Changes)/measured.Duration.Seconds(), quantile(acks, 0.5), quantile(acks, 0.99))
+	if len(silences) == 0 {
 		return row + "0 | | |"
 	}
-	return row + fmt.Sprintf("%d | %.2f | %.2f |", len(measured.Silences), quantile(measured.Silences, 0.5), quantile(measured.Silences, 1))
-}
-
-// quantile is the quantile of some spans in seconds.
-func quantile(spans []time.Duration, share float64) float64 {
-	var values []float64
-	for _, span := range spans {
-		values = append(values, span.Seconds())
-	}
-	slices.Sort(values)
-	return stat.Quantile(share, stat.Empirical, values, nil)
+	return row + fmt.Sprintf("%d | %.2f | %.2f |", len(silences), quantile(silences, 0.5), quantile(silences, 1))
 }
--- a/cmd/simulate/seed.go
+++ b/cmd/simulate/seed.go
@@ -11,16 +11,19 @@
 	"onyxwell/simulation"
 )
 
-// inSimulatedTime runs something in a test, since only tests have simulated time. It
-// ends the process.
-func inSimulatedTime(act func(t *testing.T)) {
+// memoryLimit bounds the heap while the collector runs between seeds alone.
+const memoryLimit = 2 << 30
+
+// inSimulatedTime runs f in a test, since only tests have simulated time. It ends
+// the process.
+func inSimulatedTime(f func(t *testing.T)) {
 	runtime.GOMAXPROCS(1)
 	// The collector's own goroutines would change the order of the others.
 	debug.SetGCPercent(-1)
-	debug.SetMemoryLimit(2 << 30)
+	debug.SetMemoryLimit(memoryLimit)
 	os.Args = os.Args[:1]
-	every := func(string, string) (bool, error) { return true, nil }
-	testing.Main(every, []testing.InternalTest{{Name: "simulate", F: act}}, nil, nil)
+	matchAll := func(string, string) (bool, error) { return true, nil }
+	testing.Main(matchAll, []testing.InternalTest{{Name: "simulate", F: f}}, nil, nil)
 }
 
 // runSeed plays a seed again.
@@ -38,14 +41,15 @@
 		for _, name := range sortedKeys(result.Counts) {
 			fmt.Printf("%8d %s\n", result.Counts[name], name)
 		}
-		for _, text := range result.Violations {
-			t.Errorf("seed %d: %s", result.Seed, text)
+		for _, violation := range result.Violations {
+			t.Errorf("seed %d: %s", result.Seed, violation)
 		}
 	})
-	return 0, nil
+	return exitOK, nil
 }
 
-// runBatch plays some seeds for the run that started it, a line of JSON each.
+// runBatch plays some seeds for the process that started it, and writes each
+// Result as a line of JSON.
 func (c commandLine) runBatch() (int, error) {
 	options, err := c.Batch.options()
 	if err != nil {
@@ -54,13 +58,13 @@
 	inSimulatedTime(func(t *testing.T) {
 		for offset := range c.Batch.Seeds {
 			options.Seed = c.Batch.From + uint64(offset)
-			body, err := json.Marshal(simulation.Run(t, options))
+			line, err := json.Marshal(simulation.Run(t, options))
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Println(string(body))
+			fmt.Println(string(line))
 			runtime.GC()
 		}
 	})
-	return 0, nil
+	return exitOK, nil
 }
