--- a/base/httpcall/mux.go
+++ b/base/httpcall/mux.go
@@ -43,7 +43,7 @@
 	Enter(body []byte) ([]byte, error)
 	// Rejected is called for each call that is rejected before its handler runs,
 	// with the IP of the sender.
-	Rejected(ctx scope.Scope, sender string, err error)
+	Rejected(sender string, err error)
 }
 
 // handler serves a call whose body was read.
@@ -148,7 +148,7 @@
 func (m *Mux) reject(req *http.Request, err error) response.Response {
 	if m.Gate != nil {
 		sender, _, _ := net.SplitHostPort(req.RemoteAddr)
-		m.Gate.Rejected(m.Scope, sender, err)
+		m.Gate.Rejected(sender, err)
 	}
 	return response.FromError(err)
 }
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -150,7 +150,7 @@
 	d.Transport = transport.NewClientOnNetwork(d.Network, httpcall.Dialer{
 		Timeout: d.timing.ConnectTimeout, UserTimeout: d.timing.PeerTimeout, Traffic: &d.Traffic,
 	})
-	d.Transport.Guard, d.Transport.Stats = transport.NewGuard(d.Scope.Settings.Zones), &transport.MessageStats{}
+	d.Transport.Guard, d.Transport.Stats = transport.NewGuard(d.Scope.Settings.Zones, d.Scope.Log), &transport.MessageStats{}
 	d.BodyQuota = memquota.New(memory/bodyMemoryDivisor, d.Monitor)
 	d.Calls = httpcall.NewMux(d.Scope, memory/callBodyDivisor)
 	d.Calls.Gate, d.Calls.Metrics, d.Calls.Bodies = d.Transport.Guard, d.Metrics, d.BodyQuota
--- a/control/membership/datagram.go
+++ b/control/membership/datagram.go
@@ -6,7 +6,6 @@
 
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -35,14 +34,14 @@
 // Receive handles a datagram that arrived. One that can't be decoded, or is of an
 // unknown kind, is reported to the guard and dropped. ctx bounds what it starts:
 // an indirect probe, which ends after the ack timeout at the latest.
-func (p *Prober) Receive(ctx scope.Scope, sender fmt.Stringer, body []byte) {
+func (p *Prober) Receive(ctx context.Context, sender fmt.Stringer, body []byte) {
 	datagram, err := transport.Open[Datagram](p.Guard, body)
 	if err != nil {
-		p.Guard.Rejected(ctx, sender.String(), err)
+		p.Guard.Rejected(sender.String(), err)
 		return
 	}
 	if datagram.Kind < kindPing || datagram.Kind > kindPingRequest {
-		p.Guard.Rejected(ctx, sender.String(), errkind.Errorf(errkind.UnknownCall, "datagram of kind %d", datagram.Kind))
+		p.Guard.Rejected(sender.String(), errkind.Errorf(errkind.UnknownCall, "datagram of kind %d", datagram.Kind))
 		return
 	}
 	p.Table.Merge(datagram.Reports)
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -190,12 +190,12 @@
 func TestProberReceive_countsAndDropsRejectedDatagrams(t *testing.T) {
 	network := newFakeNetwork("a", "b")
 	prober := network.probers["a"]
-	prober.Guard = transport.NewGuard(map[ids.Zone]ids.Region{"hall": "north"})
+	prober.Guard = transport.NewGuard(map[ids.Zone]ids.Region{"hall": "north"}, nil)
 	answers := 0
 	prober.Send = func(ids.Address, []byte) { answers++ }
 	ping := Datagram{Kind: kindPing, Sequence: 1, From: "b", Reports: []Member{{Address: "odd", Incarnation: 3}}}
 	whole, _ := transport.Seal(prober.Guard, ping)
-	foreign, _ := transport.Seal(transport.NewGuard(nil), ping)
+	foreign, _ := transport.Seal(transport.NewGuard(nil, nil), ping)
 	otherSchema, _ := transport.Seal(prober.Guard, ping.Reports[0])
 	ping.Kind = 77
 	unknown, _ := transport.Seal(prober.Guard, ping)
--- a/control/transport/client.go
+++ b/control/transport/client.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"context"
 	"net/http"
 	"strconv"
 
@@ -8,7 +9,6 @@
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 )
 
 // contentType is that of every request and of every successful response.
@@ -97,7 +97,7 @@
 // waits for the response until ctx ends. An error that the other daemon answered
 // keeps its errkind.Kind; a response that can't be decoded is an error with a
 // RejectReason, and is counted by the client's guard.
-func Send[Response, Request any](ctx scope.Scope, client *Client, address ids.Address, name string, req Request) (Response, error) {
+func Send[Response, Request any](ctx context.Context, client *Client, address ids.Address, name string, req Request) (Response, error) {
 	var zero Response
 	body, err := Seal(client.Guard, req)
 	if err != nil {
@@ -113,7 +113,7 @@
 	client.Stats.Add(name, len(body), len(raw.body))
 	resp, err := Unmarshal[Response](raw.body)
 	if err != nil {
-		client.Guard.Rejected(ctx, string(address), err)
+		client.Guard.Rejected(string(address), err)
 	}
 	return resp, err
 }
--- a/control/transport/guard.go
+++ b/control/transport/guard.go
@@ -8,8 +8,9 @@
 	"sync"
 	"sync/atomic"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // maxLoggedRejections bounds how many pairs of reason and sender are remembered
@@ -28,6 +29,7 @@
 type Guard struct {
 	// Counts may be read at any time; only Rejected changes it.
 	Counts        RejectCounts
+	log           *log.Logger
 	deploymentTag []byte
 	mu            sync.Mutex
 	logged        map[string]bool
@@ -35,8 +37,8 @@
 
 // NewGuard returns the guard of a deployment. The deployment's tag is a hash of
 // all its zones and their regions: every daemon of a deployment is configured
-// with the same ones, and they don't change while it runs.
-func NewGuard(zones map[ids.Zone]ids.Region) *Guard {
+// with the same ones, and they don't change while it runs. A nil logger logs nothing.
+func NewGuard(zones map[ids.Zone]ids.Region, logger *log.Logger) *Guard {
 	var names []string
 	for zone, region := range zones {
 		names = append(names, fmt.Sprintf("%q in %q", zone, region))
@@ -44,7 +46,7 @@
 	slices.Sort(names)
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(strings.Join(names, ",")))
-	return &Guard{deploymentTag: hash.Sum(nil), logged: map[string]bool{}}
+	return &Guard{log: logger, deploymentTag: hash.Sum(nil), logged: map[string]bool{}}
 }
 
 // Enter strips the deployment's tag off a message. It fails with the reason
@@ -64,14 +66,14 @@
 
 // Rejected counts a message that was rejected with err, and logs the first of
 // each reason from each sender. Whoever drops the message calls it, once.
-func (g *Guard) Rejected(ctx scope.Scope, sender string, err error) {
+func (g *Guard) Rejected(sender string, err error) {
 	if g == nil {
 		return
 	}
 	reason := RejectReasonOf(err)
 	g.Counts[reason].Add(1)
-	if g.firstOf(reason, sender) {
-		ctx.Log.Warn().Str("part", "transport").Str("reason", reason.String()).Str("sender", sender).Err(err).Msg("message rejected")
+	if g.firstOf(reason, sender) && g.log != nil {
+		g.log.Warn().Str("part", "transport").Str("reason", reason.String()).Str("sender", sender).Err(err).Msg("message rejected")
 	}
 }
 
--- a/control/transport/transport_test.go
+++ b/control/transport/transport_test.go
@@ -52,12 +52,12 @@
 var sampleRequest = sampleMessage{Number: 700, Items: []sampleItem{{Name: "a", Bytes: []byte("xyz")}, {Name: "b"}}}
 
 func newTestGuard() *Guard {
-	return NewGuard(map[ids.Zone]ids.Region{"hall": "north", "yard": "south"})
+	return NewGuard(map[ids.Zone]ids.Region{"hall": "north", "yard": "south"}, nil)
 }
 
 func TestNewGuard_tagDependsOnDeploymentOnly(t *testing.T) {
-	again := NewGuard(map[ids.Zone]ids.Region{"yard": "south", "hall": "north"})
-	other := NewGuard(map[ids.Zone]ids.Region{"yard": "north", "hall": "south"})
+	again := NewGuard(map[ids.Zone]ids.Region{"yard": "south", "hall": "north"}, nil)
+	other := NewGuard(map[ids.Zone]ids.Region{"yard": "north", "hall": "south"}, nil)
 	if string(again.deploymentTag) != string(newTestGuard().deploymentTag) || string(other.deploymentTag) == string(newTestGuard().deploymentTag) {
 		t.Fatalf("%x, %x and %x", newTestGuard().deploymentTag, again.deploymentTag, other.deploymentTag)
 	}
@@ -105,13 +105,14 @@
 
 func TestGuard_countsRejectionsAndLogsOnce(t *testing.T) {
 	logged := &bytes.Buffer{}
-	top := scope.New(scope.Options{Log: scope.NewLogger("warn", logged)})
+	top := scope.New(scope.Options{})
 	mux, handled := httpcall.NewMux(top, 100), 0
 	guard := newTestGuard()
+	guard.log = scope.NewLogger("warn", logged)
 	mux.Gate = guard
 	Handle(mux, "sum", func(scope.Scope, sampleMessage) (sampleReply, error) { handled++; return sampleReply{Sum: 1}, nil })
 	good, _ := Seal(guard, sampleRequest)
-	foreign, _ := Seal(NewGuard(nil), sampleRequest)
+	foreign, _ := Seal(NewGuard(nil, nil), sampleRequest)
 	otherSchema, _ := Seal(guard, olderMessage{Number: 7})
 	tests := []struct {
 		name, call string
@@ -144,7 +145,7 @@
 		t.Errorf("%d lines:\n%s", lines, logged)
 	}
 	for sender := range 2 * maxLoggedRejections {
-		guard.Rejected(top, fmt.Sprint(sender), errkind.Errorf(errkind.BadRequest, "odd"))
+		guard.Rejected(fmt.Sprint(sender), errkind.Errorf(errkind.BadRequest, "odd"))
 	}
 	if lines := strings.Count(logged.String(), "\n"); lines != maxLoggedRejections {
 		t.Errorf("%d lines after many senders", lines)
@@ -171,7 +172,7 @@
 		t.Fatalf("%v", totals)
 	}
 	foreign := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
-	foreign.Guard = NewGuard(nil)
+	foreign.Guard = NewGuard(nil, nil)
 	if _, err := Send[olderMessage](top, foreign, address, "sum", sampleRequest); errkind.KindOf(err) != errkind.BadRequest {
 		t.Fatalf("a foreign message: %v", err)
 	}
