--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -5,6 +5,7 @@
 package admin
 
 import (
+	"context"
 	"net/http"
 	"regexp"
 	"strconv"
@@ -32,7 +33,7 @@
 // Dispatcher leads commands to the owners of their keys.
 type Dispatcher interface {
 	// Dispatch returns the register's value after the command.
-	Dispatch(ctx scope.Scope, cmd command.Command) ([]byte, error)
+	Dispatch(ctx context.Context, cmd command.Command) ([]byte, error)
 }
 
 // Serve registers the calls for the configuration and for drained zones.
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -1,6 +1,7 @@
 package admin
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -32,15 +33,15 @@
 // loopback is a register.VoterClient of a single voter.
 type loopback struct{ acceptor *register.Acceptor }
 
-func (l loopback) Prepare(_ scope.Scope, _ ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (l loopback) Prepare(_ context.Context, _ ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return l.acceptor.Prepare(req), nil
 }
 
-func (l loopback) Accept(_ scope.Scope, _ ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+func (l loopback) Accept(_ context.Context, _ ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
 	return l.acceptor.Accept(req), nil
 }
 
-func (l loopback) Confirm(_ scope.Scope, _ ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+func (l loopback) Confirm(_ context.Context, _ ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
 	return l.acceptor.Confirm(req), nil
 }
 
@@ -68,10 +69,12 @@
 	}
 	var dispatcher *command.Dispatcher
 	proposer := register.NewProposer(register.ProposerOptions{
+		Clock: fakeClock, Log: ctx.Log,
 		Address: "a", Client: loopback{acceptor: acceptor}, Voters: acceptor.Voters, MessageTimeout: clock.Second,
 		OnCommit: func(key string, committed register.Proposal) { dispatcher.Publish(key, committed) },
 	})
 	dispatcher = command.New(command.Options{
+		Clock: fakeClock, Log: ctx.Log,
 		Address: "a", Proposer: proposer, Acceptor: acceptor, Membership: membership.NewTable(fakeClock, membership.Member{Address: "a"}),
 		Updates: s.updates, Transport: transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
 		ForwardTimeout: 4, CommandTimeout: clock.Second, TakeoverBackoff: func() clock.Span { return 0 },
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -143,11 +143,13 @@
 // openVoter opens the disk's vote and the quorum tracker that it reports to.
 func (c *Controller) openVoter(env scope.Scope, disk wal.FS) error {
 	c.quorum = quorum.New(quorum.Options{
+		Clock: c.clock, Log: c.log,
 		Address: c.daemon.Address, Transport: c.daemon.Transport, MaxAge: c.timing.ForwardTimeout,
 		Voters: c.Voters,
 	})
 	var err error
 	c.voter, err = voter.Open(env, voter.Options{
+		Clock: c.clock, Log: c.log, Settings: c.settings,
 		Address: c.daemon.Address, Disk: disk, FirstStart: c.settings.FirstStart,
 		Seeds: c.settings.SeedAddresses(), Zones: c.settings.Zones,
 		Membership: c.daemon.Membership, Transport: c.daemon.Transport, Quorum: c.quorum,
@@ -168,6 +170,7 @@
 // and registers what they answer to other daemons.
 func (c *Controller) addCommands() {
 	c.proposer = register.NewProposer(register.ProposerOptions{
+		Clock: c.clock, Log: c.log,
 		Address: c.daemon.Address, Client: c.voter, Voters: c.voter.Acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return c.voter.Acceptor.Slot(key).Promised.Number },
 		OnCommit:       func(key string, accepted register.Proposal) { c.commands.Publish(key, accepted) },
@@ -176,6 +179,7 @@
 	})
 	c.voter.Attach(c.proposer)
 	c.commands = command.New(command.Options{
+		Clock: c.clock, Log: c.log,
 		Address: c.daemon.Address, Proposer: c.proposer, Acceptor: c.voter.Acceptor,
 		Membership: c.daemon.Membership, Updates: c.daemon.Updates, Transport: c.daemon.Transport, Quorum: c.quorum,
 		ForwardTimeout: c.timing.ForwardTimeout, CommandTimeout: c.timing.CommandTimeout,
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -44,6 +44,7 @@
 // lease of that name. newService is called once, before the supervisor starts.
 func (c *Controller) addSingleton(name string, newService func(*lease.Holder) func(scope.Scope)) {
 	holder := lease.NewHolder(lease.Options{
+		Clock: c.clock, Log: c.log,
 		Name: name, Address: c.daemon.Address, TTL: c.timing.LeaseDuration,
 		RequestGrant: c.voter.RequestLease, NextEpoch: c.commands.NextEpoch, Monitor: c.daemon.Monitor,
 	})
--- a/control/state/command/chunks.go
+++ b/control/state/command/chunks.go
@@ -1,11 +1,11 @@
 package command
 
 import (
+	"context"
 	"sync"
 
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/config"
 	"onyxwell/control/config/store"
 	"onyxwell/control/state/register"
@@ -50,7 +50,7 @@
 
 // resolveArchived decides by its chunk whether a change was applied before; nil
 // means that it was. The chunk is read as any key is: confirmed by a majority.
-func (d *Dispatcher) resolveArchived(ctx scope.Scope, archived *store.ArchivedError) error {
+func (d *Dispatcher) resolveArchived(ctx context.Context, archived *store.ArchivedError) error {
 	chunk, err := d.options.Proposer.Read(ctx, archived.Key())
 	if errkind.KindOf(err) == errkind.NoQuorum && ctx.Err() == nil {
 		// Another controller may own the chunk's key by now: the failed
@@ -66,7 +66,7 @@
 // sealChunks writes the chunks of the configuration's history that are due. Only
 // a chunk that a majority holds counts as sealed; the next change truncates the
 // history by it. It is idempotent: the next owner seals the same chunks again.
-func (d *Dispatcher) sealChunks(ctx scope.Scope) {
+func (d *Dispatcher) sealChunks(ctx context.Context) {
 	if !d.options.Proposer.Owns(config.Key) {
 		return
 	}
@@ -92,8 +92,8 @@
 
 // sealNextChunk writes one chunk of the history that a majority confirms, and
 // gives how many changes are sealed then.
-func (d *Dispatcher) sealNextChunk(ctx scope.Scope, sealed int64) (int64, error) {
-	ctx, cancel := ctx.WithTimeout(d.options.CommandTimeout)
+func (d *Dispatcher) sealNextChunk(ctx context.Context, sealed int64) (int64, error) {
+	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	value, err := d.options.Proposer.Read(ctx, config.Key)
 	if err != nil {
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -1,6 +1,7 @@
 package command
 
 import (
+	"context"
 	"fmt"
 	"sync"
 	"testing"
@@ -85,16 +86,18 @@
 		c.t.Fatal(err)
 	}
 	n.quorum = quorum.New(quorum.Options{
-		Address: address, Voters: n.acceptor.Voters, MaxAge: forwardTimeout,
-		Heartbeat: func(ctx scope.Scope, to ids.Address) (quorum.HeartbeatResponse, error) {
-			return deliver(n, ctx, to, func(other *node) quorum.HeartbeatResponse { return other.quorum.Respond(ctx.Now()) })
+		Clock: c.ctx.Clock, Log: c.ctx.Log, Address: address, Voters: n.acceptor.Voters, MaxAge: forwardTimeout,
+		Heartbeat: func(ctx context.Context, to ids.Address) (quorum.HeartbeatResponse, error) {
+			return deliver(n, ctx, to, func(other *node) quorum.HeartbeatResponse { return other.quorum.Respond(c.ctx.Now()) })
 		},
 	})
 	n.proposer = register.NewProposer(register.ProposerOptions{
+		Clock: c.ctx.Clock, Log: c.ctx.Log,
 		Address: address, Client: n, Voters: n.acceptor.Voters, MessageTimeout: 2 * clock.Second,
 		HighestEpoch: func(key string) int64 { return n.acceptor.Slot(key).Promised.Number },
 	})
 	n.dispatcher = New(Options{
+		Clock: c.ctx.Clock, Log: c.ctx.Log,
 		Address: address, Proposer: n.proposer, Acceptor: n.acceptor, Quorum: n.quorum,
 		Membership: membership.NewTable(c.ctx.Clock, membership.Member{Address: address}),
 		Updates:    gossip.NewStore(nil), ForwardTimeout: forwardTimeout, CommandTimeout: commandTimeout,
@@ -117,15 +120,15 @@
 
 // deliver delivers a message and its response. Across a partition the message or
 // the response is lost, and the sender waits until its context ends.
-func deliver[Response any](from *node, ctx scope.Scope, to ids.Address, serve func(*node) Response) (Response, error) {
+func deliver[Response any](from *node, ctx context.Context, to ids.Address, serve func(*node) Response) (Response, error) {
 	const linkDelay = 35 * clock.Millisecond
 	var resp Response
 	if from.address == to {
 		return serve(from), nil
 	}
-	if from.cluster.connected(from.address, to) && ctx.Wait(linkDelay) {
+	if from.cluster.connected(from.address, to) && clock.Wait(ctx, from.cluster.ctx.Clock, linkDelay) {
 		resp = serve(from.cluster.nodes[to])
-		if from.cluster.connected(from.address, to) && ctx.Wait(linkDelay) {
+		if from.cluster.connected(from.address, to) && clock.Wait(ctx, from.cluster.ctx.Clock, linkDelay) {
 			return resp, nil
 		}
 	}
@@ -133,20 +136,20 @@
 	return resp, ctx.Err()
 }
 
-func (n *node) Prepare(ctx scope.Scope, to ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (n *node) Prepare(ctx context.Context, to ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return deliver(n, ctx, to, func(other *node) register.PrepareResponse { return other.acceptor.Prepare(req) })
 }
 
-func (n *node) Accept(ctx scope.Scope, to ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+func (n *node) Accept(ctx context.Context, to ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
 	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Accept(req) })
 }
 
-func (n *node) Confirm(ctx scope.Scope, to ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+func (n *node) Confirm(ctx context.Context, to ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
 	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Confirm(req) })
 }
 
 // Forward delivers a command, unless those to the receiver are intercepted.
-func (n *node) Forward(ctx scope.Scope, to ids.Address, cmd Command) (Result, error) {
+func (n *node) Forward(ctx context.Context, to ids.Address, cmd Command) (Result, error) {
 	n.cluster.mu.Lock()
 	intercepted := n.cluster.intercepted[to]
 	if intercepted != nil {
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -15,8 +15,11 @@
 package command
 
 import (
+	"context"
 	"errors"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/httpcall"
@@ -42,11 +45,14 @@
 
 // PeerClient sends a command to another controller's HandleForwarded.
 type PeerClient interface {
-	Forward(ctx scope.Scope, to ids.Address, cmd Command) (Result, error)
+	Forward(ctx context.Context, to ids.Address, cmd Command) (Result, error)
 }
 
 // Options are the dependencies and settings of a Dispatcher.
 type Options struct {
+	// Clock measures all timeouts; it and Log are required.
+	Clock clock.Clock
+	Log   *log.Logger
 	// Address is this controller's own.
 	Address    ids.Address
 	Proposer   *register.Proposer
@@ -88,7 +94,7 @@
 	}
 	if options.Quorum == nil {
 		options.Quorum = quorum.New(quorum.Options{
-			Address: options.Address, Voters: options.Acceptor.Voters, Transport: options.Transport, MaxAge: options.ForwardTimeout,
+			Clock: options.Clock, Log: options.Log, Address: options.Address, Voters: options.Acceptor.Voters, Transport: options.Transport, MaxAge: options.ForwardTimeout,
 		})
 	}
 	return &Dispatcher{options: options, owners: newOwnerHealth(4 * options.ForwardTimeout)}
@@ -104,8 +110,8 @@
 // Dispatch leads a command to the owner of its key and returns the register's
 // value after it. An errkind.NoQuorum error leaves open whether the command was
 // executed: the caller may send it again, which executes it at most once.
-func (d *Dispatcher) Dispatch(ctx scope.Scope, cmd Command) ([]byte, error) {
-	ctx, cancel := ctx.WithTimeout(d.options.CommandTimeout)
+func (d *Dispatcher) Dispatch(ctx context.Context, cmd Command) ([]byte, error) {
+	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	ctx, release, err := d.options.Quorum.WithQuorum(ctx)
 	if err != nil {
@@ -117,8 +123,8 @@
 
 // HandleForwarded executes a command that another controller forwarded, if its
 // key is owned here. One from a controller without a vote is dispatched instead.
-func (d *Dispatcher) HandleForwarded(ctx scope.Scope, cmd Command) ([]byte, error) {
-	ctx, cancel := ctx.WithTimeout(d.options.CommandTimeout)
+func (d *Dispatcher) HandleForwarded(ctx context.Context, cmd Command) ([]byte, error) {
+	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	if !cmd.hasDeadline() {
 		return nil, errkind.Errorf(errkind.NoQuorum, "an order that was passed on without an end")
@@ -139,11 +145,11 @@
 }
 
 // checkDeadline refuses a command that may not be started any more.
-func (d *Dispatcher) checkDeadline(ctx scope.Scope, cmd Command) error {
+func (d *Dispatcher) checkDeadline(ctx context.Context, cmd Command) error {
 	if ctx.Err() != nil {
 		return errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
 	}
-	if cmd.hasDeadline() && !d.options.Quorum.WithinDeadline(cmd.Deadline, ctx.Now()) {
+	if cmd.hasDeadline() && !d.options.Quorum.WithinDeadline(cmd.Deadline, d.options.Clock.Now()) {
 		return errkind.Errorf(errkind.NoQuorum, "the order came too late")
 	}
 	return nil
@@ -151,7 +157,7 @@
 
 // routeWithRetries routes a command again while the outcome is open and another
 // controller took the key over meanwhile.
-func (d *Dispatcher) routeWithRetries(ctx scope.Scope, cmd Command) ([]byte, error) {
+func (d *Dispatcher) routeWithRetries(ctx context.Context, cmd Command) ([]byte, error) {
 	for attempt := 1; ; attempt++ {
 		value, err := d.route(ctx, cmd, attempt)
 		decided := errkind.KindOf(err) != errkind.NoQuorum
@@ -170,14 +176,14 @@
 
 // route executes a command if its key is owned here, and forwards it otherwise;
 // the key is taken over if its owner does not answer.
-func (d *Dispatcher) route(ctx scope.Scope, cmd Command, attempt int) ([]byte, error) {
+func (d *Dispatcher) route(ctx context.Context, cmd Command, attempt int) ([]byte, error) {
 	if d.options.Proposer.Owns(cmd.Key) {
 		return d.execute(ctx, cmd, d.options.Proposer.Update)
 	}
 	if !d.options.Acceptor.Voting() {
 		return d.forwardToVoter(ctx, cmd)
 	}
-	if owner, ok := d.reachableOwner(ctx, cmd.Key); ok {
+	if owner, ok := d.reachableOwner(cmd.Key); ok {
 		if value, ok, err := d.forwardToOwner(ctx, owner, cmd); ok {
 			return value, err
 		}
@@ -188,9 +194,9 @@
 // takeOver executes a command here and so takes its key over. Concurrent
 // takeovers preempt each other and delay all commands for the key; so it backs
 // off first, and leaves the key to a controller that took it meanwhile.
-func (d *Dispatcher) takeOver(ctx scope.Scope, cmd Command, attempt int) ([]byte, error) {
+func (d *Dispatcher) takeOver(ctx context.Context, cmd Command, attempt int) ([]byte, error) {
 	before := d.options.Acceptor.Slot(cmd.Key).Promised
-	if !ctx.Wait(clock.Span(min(attempt, maxBackoffFactor)) * d.options.TakeoverBackoff()) {
+	if !clock.Wait(ctx, d.options.Clock, clock.Span(min(attempt, maxBackoffFactor))*d.options.TakeoverBackoff()) {
 		return nil, errkind.Errorf(errkind.NoQuorum, "out of time")
 	}
 	if d.preempted(cmd.Key) && d.options.Acceptor.Slot(cmd.Key).Promised != before {
@@ -201,10 +207,10 @@
 
 // writeFunc is the proposer's Update, which takes the key over where needed, or
 // its UpdateIfOwned.
-type writeFunc func(ctx scope.Scope, key string, update register.UpdateFunc) ([]byte, error)
+type writeFunc func(ctx context.Context, key string, update register.UpdateFunc) ([]byte, error)
 
 // execute carries a command out at the local proposer.
-func (d *Dispatcher) execute(ctx scope.Scope, cmd Command, write writeFunc) ([]byte, error) {
+func (d *Dispatcher) execute(ctx context.Context, cmd Command, write writeFunc) ([]byte, error) {
 	update, err := d.updateFor(cmd)
 	if err != nil {
 		return nil, err
--- a/control/state/command/epoch.go
+++ b/control/state/command/epoch.go
@@ -1,8 +1,9 @@
 package command
 
 import (
+	"context"
+
 	"onyxwell/base/errkind"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -19,7 +20,7 @@
 func (EpochRecord) SchemaName() string { return "EpochKept_21" }
 
 // NextEpoch increments the epoch of the named lease and returns it.
-func (d *Dispatcher) NextEpoch(ctx scope.Scope, lease string) (int64, error) {
+func (d *Dispatcher) NextEpoch(ctx context.Context, lease string) (int64, error) {
 	value, err := d.Dispatch(ctx, Command{Key: leaseKeyPrefix + lease, Verb: VerbEpoch})
 	if err != nil {
 		return 0, err
--- a/control/state/command/forward.go
+++ b/control/state/command/forward.go
@@ -1,13 +1,13 @@
 package command
 
 import (
+	"context"
 	"slices"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 	"onyxwell/control/transport"
 )
@@ -19,14 +19,14 @@
 type transportPeers struct{ client *transport.Client }
 
 // Forward sends the command to the controller at the address.
-func (t transportPeers) Forward(ctx scope.Scope, to ids.Address, cmd Command) (Result, error) {
+func (t transportPeers) Forward(ctx context.Context, to ids.Address, cmd Command) (Result, error) {
 	return transport.Send[Result](ctx, t.client, to, forwardMessage, cmd)
 }
 
 // forwardToVoter forwards a command to one voter after another, in random order,
 // until one decides it. A controller without a vote does not know who owns a
 // key, and would take it over for each command.
-func (d *Dispatcher) forwardToVoter(ctx scope.Scope, cmd Command) ([]byte, error) {
+func (d *Dispatcher) forwardToVoter(ctx context.Context, cmd Command) ([]byte, error) {
 	cmd.FromNonVoter = true
 	voters := slices.Clone(d.options.Acceptor.Voters().Members)
 	random.Shuffle(voters)
@@ -46,8 +46,8 @@
 // forwardToOwner forwards a command to the owner of its key. It is not ok if the
 // outcome is open and the key may be taken over; an owner that is only busy
 // keeps its key.
-func (d *Dispatcher) forwardToOwner(ctx scope.Scope, owner ids.Address, cmd Command) (value []byte, ok bool, err error) {
-	sentAt := ctx.Now()
+func (d *Dispatcher) forwardToOwner(ctx context.Context, owner ids.Address, cmd Command) (value []byte, ok bool, err error) {
+	sentAt := d.options.Clock.Now()
 	result, err := d.forward(ctx, owner, cmd, d.options.ForwardTimeout)
 	if err == nil && result.decided() {
 		d.owners.recordAnswer(owner)
@@ -57,7 +57,7 @@
 		return nil, false, nil
 	}
 	answeredOther := d.options.Quorum.LastContact(owner) > sentAt
-	if d.owners.recordUnanswered(owner, answeredOther, ctx.Now()) {
+	if d.owners.recordUnanswered(owner, answeredOther, d.options.Clock.Now()) {
 		return nil, true, errkind.Errorf(errkind.NoQuorum, "the owner of %s is busy", cmd.Key)
 	}
 	return nil, false, nil
@@ -65,12 +65,12 @@
 
 // forward sends a command on. Its deadline, in the receiver's clock, is neither
 // later than this call's timeout nor than the deadline that it came with.
-func (d *Dispatcher) forward(ctx scope.Scope, to ids.Address, cmd Command, timeout clock.Span) (Result, error) {
+func (d *Dispatcher) forward(ctx context.Context, to ids.Address, cmd Command, timeout clock.Span) (Result, error) {
 	if cmd.hasDeadline() {
-		timeout = min(timeout, clock.Instant(cmd.Deadline.End).Since(ctx.Now()))
+		timeout = min(timeout, clock.Instant(cmd.Deadline.End).Since(d.options.Clock.Now()))
 	}
-	giveUpAt := ctx.Now().Add(timeout)
-	ctx, cancel := ctx.WithTimeout(timeout)
+	giveUpAt := d.options.Clock.Now().Add(timeout)
+	ctx, cancel := d.options.Clock.WithTimeout(ctx, timeout)
 	defer cancel()
 	deadline, err := d.options.Quorum.RemoteDeadline(ctx, to, giveUpAt)
 	if err != nil {
@@ -82,7 +82,7 @@
 
 // reachableOwner gives the owner of a key, as the local acceptor promised it
 // last, unless that is this controller, or not alive, or suspected.
-func (d *Dispatcher) reachableOwner(ctx scope.Scope, key string) (ids.Address, bool) {
+func (d *Dispatcher) reachableOwner(key string) (ids.Address, bool) {
 	owner := d.options.Acceptor.Slot(key).Promised.Owner
 	if owner == "" || owner == d.options.Address {
 		return "", false
@@ -90,5 +90,5 @@
 	if member, known := d.options.Membership.Find(owner); known && member.State != membership.Alive {
 		return "", false
 	}
-	return owner, !d.owners.suspected(owner, ctx.Now())
+	return owner, !d.owners.suspected(owner, d.options.Clock.Now())
 }
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -1,8 +1,9 @@
 package command
 
 import (
+	"context"
+
 	"onyxwell/base/errkind"
-	"onyxwell/base/scope"
 	"onyxwell/control/config/evacuation"
 )
 
@@ -16,7 +17,7 @@
 // write of a zone toggles it, so a higher version means that the zone was in the
 // wanted state at some time since the command arrived, and nothing is left to be
 // done, though others may have toggled it back.
-func (d *Dispatcher) dispatchOnce(ctx scope.Scope, cmd Command) ([]byte, error) {
+func (d *Dispatcher) dispatchOnce(ctx context.Context, cmd Command) ([]byte, error) {
 	drained, ok := drainVerbs[cmd.Verb]
 	if !ok || cmd.ZoneVersion > 0 {
 		return d.routeWithRetries(ctx, cmd)
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -1,6 +1,7 @@
 package command
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"strings"
@@ -61,15 +62,15 @@
 	return resp, nil
 }
 
-func (l *lossyCluster) Prepare(_ scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (l *lossyCluster) Prepare(_ context.Context, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.PrepareResponse { return acceptor.Prepare(req) })
 }
 
-func (l *lossyCluster) Accept(_ scope.Scope, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+func (l *lossyCluster) Accept(_ context.Context, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
 	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.AcceptResponse { return acceptor.Accept(req) })
 }
 
-func (l *lossyCluster) Confirm(_ scope.Scope, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+func (l *lossyCluster) Confirm(_ context.Context, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
 	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.AcceptResponse { return acceptor.Confirm(req) })
 }
 
@@ -96,6 +97,7 @@
 		}
 		c.acceptors[name] = acceptor
 		proposer := register.NewProposer(register.ProposerOptions{
+			Clock: c.ctx.Clock, Log: c.ctx.Log,
 			Address: name, Client: c, Voters: acceptor.Voters, MessageTimeout: clock.Second,
 			HighestEpoch: func(key string) int64 { return acceptor.Slot(key).Promised.Number },
 			Spawn:        func(send func()) { send() },
@@ -109,10 +111,11 @@
 			}
 		}
 		c.dispatchers[name] = New(Options{
+			Clock: c.ctx.Clock, Log: c.ctx.Log,
 			// Only the register's messages get lost, never heartbeats.
 			Quorum: quorum.New(quorum.Options{
-				Address: name, Voters: acceptor.Voters, MaxAge: clock.Second,
-				Heartbeat: func(scope.Scope, ids.Address) (quorum.HeartbeatResponse, error) {
+				Clock: c.ctx.Clock, Log: c.ctx.Log, Address: name, Voters: acceptor.Voters, MaxAge: clock.Second,
+				Heartbeat: func(context.Context, ids.Address) (quorum.HeartbeatResponse, error) {
 					return quorum.HeartbeatResponse{Incarnation: 1}, nil
 				},
 			}),
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -1,9 +1,10 @@
 package command
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/config"
 	"onyxwell/control/config/store"
 	"onyxwell/control/state/register"
@@ -11,7 +12,7 @@
 
 // LatestVersion gives the version of the newest configuration that a majority
 // confirms now; 0 if there is none yet.
-func (d *Dispatcher) LatestVersion(ctx scope.Scope) (ids.Version, error) {
+func (d *Dispatcher) LatestVersion(ctx context.Context) (ids.Version, error) {
 	value, err := d.Dispatch(ctx, Command{Key: config.Key, Verb: VerbRead})
 	if err != nil {
 		return 0, err
@@ -24,7 +25,7 @@
 // reached gossip here: their owner may have failed between commit and publish.
 // Each is read through its owner, which commits it. The owner of the
 // configuration also seals the chunks of its history.
-func (d *Dispatcher) Reconcile(ctx scope.Scope) {
+func (d *Dispatcher) Reconcile(ctx context.Context) {
 	d.sealChunks(ctx)
 	for _, slot := range d.options.Acceptor.Fetch(register.FetchRequest{}).Slots {
 		accepted, ok := gossipItem(slot.Key, slot.Accepted.Value)
@@ -45,10 +46,10 @@
 }
 
 // Run reconciles at an interval until the context ends.
-func (d *Dispatcher) Run(ctx scope.Scope, interval clock.Span) {
+func (d *Dispatcher) Run(ctx context.Context, interval clock.Span) {
 	for ctx.Err() == nil {
 		d.Reconcile(ctx)
-		if !ctx.Wait(interval) {
+		if !clock.Wait(ctx, d.options.Clock, interval) {
 			return
 		}
 	}
--- a/control/state/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -1,6 +1,7 @@
 package lease_test
 
 import (
+	"context"
 	"fmt"
 
 	"onyxwell/base/clock"
@@ -16,15 +17,15 @@
 	fake.Advance(3 * clock.Second)
 	epoch := int64(0)
 	holder := lease.NewHolder(lease.Options{
-		Name: "census", Address: "10.0.0.1:7721", TTL: 3 * clock.Second,
-		RequestGrant: func(_ scope.Scope, req lease.Request) lease.Outcome {
+		Clock: ctx.Clock, Log: ctx.Log, Name: "census", Address: "10.0.0.1:7721", TTL: 3 * clock.Second,
+		RequestGrant: func(_ context.Context, req lease.Request) lease.Outcome {
 			req.VotersFingerprint = 1
 			if lessor.Grant(req).Granted {
 				return lease.MajorityGranted
 			}
 			return lease.NoneGranted
 		},
-		NextEpoch: func(scope.Scope, string) (int64, error) { epoch++; return epoch, nil },
+		NextEpoch: func(context.Context, string) (int64, error) { epoch++; return epoch, nil },
 	})
 	holder.TryAcquireOrRenew(ctx)
 	fmt.Println(holder.Held(fake.Now()))
--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -1,13 +1,15 @@
 package lease
 
 import (
+	"context"
 	"sync"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 )
 
 // renewalsPerTTL is how often a lease is renewed in its TTL; one request may take
@@ -16,6 +18,9 @@
 
 // Options configure a Holder. All but Monitor and Incarnation are required.
 type Options struct {
+	// Clock measures all timeouts; it and Log are required.
+	Clock clock.Clock
+	Log   *log.Logger
 	// Name is the lease's, Address that of this daemon.
 	Name    string
 	Address ids.Address
@@ -23,9 +28,9 @@
 	TTL clock.Span
 	// RequestGrant sends a request to all voters, under the fingerprint of their
 	// set.
-	RequestGrant func(ctx scope.Scope, req Request) Outcome
+	RequestGrant func(ctx context.Context, req Request) Outcome
 	// NextEpoch durably raises the lease's epoch and returns it.
-	NextEpoch func(ctx scope.Scope, name string) (int64, error)
+	NextEpoch func(ctx context.Context, name string) (int64, error)
 	// Monitor counts broken invariants; it may be nil.
 	Monitor *invariant.Monitor
 	// Incarnation tells this process from the one before it on the same address;
@@ -74,14 +79,14 @@
 }
 
 // Run acquires the lease and renews it until ctx ends.
-func (h *Holder) Run(ctx scope.Scope) {
+func (h *Holder) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := h.options.TTL / renewalsPerTTL
 		if !h.TryAcquireOrRenew(ctx) {
 			// Daemons that split the votes must not meet again.
 			pause = pause/2 + random.Duration(h.options.TTL/renewalsPerTTL)
 		}
-		if !ctx.Wait(pause) {
+		if !clock.Wait(ctx, h.options.Clock, pause) {
 			return
 		}
 	}
@@ -90,10 +95,10 @@
 // TryAcquireOrRenew requests the lease once, or renews it. It reports whether a
 // majority granted it. It reports true after a failed renewal as well: the lease
 // is still held until it expires.
-func (h *Holder) TryAcquireOrRenew(ctx scope.Scope) bool {
-	limited, cancel := ctx.WithTimeout(h.options.TTL / renewalsPerTTL)
+func (h *Holder) TryAcquireOrRenew(ctx context.Context) bool {
+	limited, cancel := h.options.Clock.WithTimeout(ctx, h.options.TTL/renewalsPerTTL)
 	defer cancel()
-	start := ctx.Now()
+	start := h.options.Clock.Now()
 	sequence, renew, idle := h.beginAttempt(start)
 	if idle {
 		return false
@@ -107,7 +112,7 @@
 	}
 	// Counted from before the request, less a margin for clock drift.
 	expiry := start.Add(h.options.TTL * 9 / 10)
-	if renew && h.recordGrant(ctx, sequence, 0, expiry) {
+	if renew && h.recordGrant(sequence, 0, expiry) {
 		return true
 	}
 	return h.acquire(ctx, sequence, expiry)
@@ -115,10 +120,10 @@
 
 // acquire takes up a lease that was granted anew, with a new epoch: also one that
 // expired while it was renewed, which another may have held in between.
-func (h *Holder) acquire(ctx scope.Scope, sequence int64, expiry clock.Instant) bool {
+func (h *Holder) acquire(ctx context.Context, sequence int64, expiry clock.Instant) bool {
 	epoch, err := h.options.NextEpoch(ctx, h.options.Name)
-	ctx.Log.Info().Str("part", "lease").Str("lease", h.options.Name).Int64("epoch", epoch).Err(err).Msg("lease granted")
-	if err != nil || !h.recordGrant(ctx, sequence, epoch, expiry) {
+	h.options.Log.Info().Str("part", "lease").Str("lease", h.options.Name).Int64("epoch", epoch).Err(err).Msg("lease granted")
+	if err != nil || !h.recordGrant(sequence, epoch, expiry) {
 		h.Release(ctx)
 		return false
 	}
@@ -142,10 +147,10 @@
 // recordGrant takes up what a majority granted to a request, with a new epoch, or
 // with the current one where epoch is 0 and the lease has not expired. It reports
 // false where it does not, or where the request was released meanwhile.
-func (h *Holder) recordGrant(ctx scope.Scope, sequence int64, epoch int64, expiry clock.Instant) bool {
+func (h *Holder) recordGrant(sequence int64, epoch int64, expiry clock.Instant) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.releasedThrough >= sequence || (epoch == 0 && !h.heldAt(ctx.Now())) {
+	if h.releasedThrough >= sequence || (epoch == 0 && !h.heldAt(h.options.Clock.Now())) {
 		return false
 	}
 	if epoch > 0 && epoch <= h.epoch {
@@ -156,7 +161,7 @@
 }
 
 // Release gives the lease up; Run acquires it again where it can.
-func (h *Holder) Release(ctx scope.Scope) {
+func (h *Holder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.expiry, h.releasedThrough = 0, h.sequence
 	sequence := h.sequence
@@ -165,15 +170,15 @@
 }
 
 // StandDown releases the lease and leaves it to others for the span.
-func (h *Holder) StandDown(ctx scope.Scope, span clock.Span) {
+func (h *Holder) StandDown(ctx context.Context, span clock.Span) {
 	h.mu.Lock()
-	h.standDownUntil = ctx.Now().Add(span)
+	h.standDownUntil = h.options.Clock.Now().Add(span)
 	h.mu.Unlock()
 	h.Release(ctx)
 }
 
 // Resign releases the lease for good.
-func (h *Holder) Resign(ctx scope.Scope) {
+func (h *Holder) Resign(ctx context.Context) {
 	h.mu.Lock()
 	h.resigned = true
 	h.mu.Unlock()
--- a/control/state/lease/holder_test.go
+++ b/control/state/lease/holder_test.go
@@ -1,6 +1,7 @@
 package lease
 
 import (
+	"context"
 	"testing"
 
 	"onyxwell/base/clock"
@@ -9,8 +10,8 @@
 )
 
 // countEpochs is a NextEpoch that counts up from the counter.
-func countEpochs(counter *int64) func(scope.Scope, string) (int64, error) {
-	return func(scope.Scope, string) (int64, error) { *counter++; return *counter, nil }
+func countEpochs(counter *int64) func(context.Context, string) (int64, error) {
+	return func(context.Context, string) (int64, error) { *counter++; return *counter, nil }
 }
 
 // TestHolder_leaseExpiredDuringRenewalGetsNewEpoch has a renewal take so long that
@@ -21,8 +22,8 @@
 	ctx := scope.New(scope.Options{Clock: fake})
 	epoch, slow := int64(0), false
 	holder := NewHolder(Options{
-		Name: "plan", Address: "a", TTL: testTTL,
-		RequestGrant: func(scope.Scope, Request) Outcome {
+		Clock: ctx.Clock, Log: ctx.Log, Name: "plan", Address: "a", TTL: testTTL,
+		RequestGrant: func(context.Context, Request) Outcome {
 			if slow {
 				fake.Advance(testTTL * 9 / 10)
 				epoch++
@@ -54,8 +55,8 @@
 	duringRequest := func() {}
 	epoch := int64(0)
 	holder = NewHolder(Options{
-		Name: "plan", Address: "a", TTL: testTTL,
-		RequestGrant: func(_ scope.Scope, req Request) Outcome {
+		Clock: ctx.Clock, Log: ctx.Log, Name: "plan", Address: "a", TTL: testTTL,
+		RequestGrant: func(_ context.Context, req Request) Outcome {
 			if req.Release {
 				return MinorityGranted
 			}
@@ -108,7 +109,7 @@
 	ctx := scope.New(scope.Options{Clock: clock.NewFake()})
 	for outcome, want := range map[Outcome]int{NoneGranted: 0, MinorityGranted: 1} {
 		released := 0
-		holder := NewHolder(Options{Name: "plan", Address: "a", TTL: testTTL, RequestGrant: func(_ scope.Scope, req Request) Outcome {
+		holder := NewHolder(Options{Clock: ctx.Clock, Log: ctx.Log, Name: "plan", Address: "a", TTL: testTTL, RequestGrant: func(_ context.Context, req Request) Outcome {
 			if req.Release {
 				released++
 			}
@@ -121,11 +122,11 @@
 }
 
 func TestHolder_plantedNonRisingEpochIsCounted(t *testing.T) {
-	monitor := &invariant.Monitor{Tolerant: true}
-	holder := NewHolder(Options{Name: "census", Monitor: monitor})
 	ctx := scope.New(scope.Options{Clock: clock.NewFake()})
+	monitor := &invariant.Monitor{Tolerant: true}
+	holder := NewHolder(Options{Clock: ctx.Clock, Log: ctx.Log, Name: "census", Monitor: monitor})
 	for index, epoch := range []int64{4, 5, 5} {
-		holder.recordGrant(ctx, int64(index+1), epoch, clock.Instant(clock.Second))
+		holder.recordGrant(int64(index+1), epoch, clock.Instant(clock.Second))
 	}
 	if got := monitor.Count(invariant.EpochRises); got != 1 {
 		t.Errorf("counted %d", got)
--- a/control/state/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -1,6 +1,7 @@
 package lease
 
 import (
+	"context"
 	"fmt"
 	"testing"
 
@@ -35,8 +36,8 @@
 	for index := range 3 {
 		c.lessors = append(c.lessors, c.newLessor())
 		c.holders = append(c.holders, NewHolder(Options{
-			Name: "census", Address: ids.Address(fmt.Sprint(index)), TTL: testTTL,
-			RequestGrant: func(_ scope.Scope, req Request) Outcome {
+			Clock: c.clock, Log: c.ctx.Log, Name: "census", Address: ids.Address(fmt.Sprint(index)), TTL: testTTL,
+			RequestGrant: func(_ context.Context, req Request) Outcome {
 				granted := 0
 				req.VotersFingerprint = 1
 				for voter, lessor := range c.lessors {
--- a/control/state/quorum/deadline.go
+++ b/control/state/quorum/deadline.go
@@ -1,10 +1,11 @@
 package quorum
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 const (
@@ -29,9 +30,9 @@
 // RemoteDeadline converts the instant at which a forwarded command is given up
 // here into a deadline on the receiver's clock. Where no recent reading of that
 // clock is known, the receiver is asked for one.
-func (t *Tracker) RemoteDeadline(ctx scope.Scope, receiver ids.Address, giveUp clock.Instant) (Deadline, error) {
+func (t *Tracker) RemoteDeadline(ctx context.Context, receiver ids.Address, giveUp clock.Instant) (Deadline, error) {
 	p, ok := t.peerReading(receiver)
-	if !ok || ctx.Now().Since(p.readingAt) > readingLifetime*t.options.MaxAge {
+	if !ok || t.options.Clock.Now().Since(p.readingAt) > readingLifetime*t.options.MaxAge {
 		if err := t.heartbeat(ctx, receiver); err != nil {
 			return Deadline{}, err
 		}
--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -1,9 +1,10 @@
 package quorum
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
-	"onyxwell/base/scope"
 )
 
 // Errors of EnsureQuorum and WithQuorum; both are of the kind errkind.NoQuorum.
@@ -19,39 +20,39 @@
 
 // EnsureQuorum returns nil once contact with a majority is fresh. Where it is
 // not, it sends rounds of heartbeats, and returns ErrNoQuorum after RoundTimeout.
-func (t *Tracker) EnsureQuorum(ctx scope.Scope) error {
-	if t.HasQuorum(ctx.Now()) {
+func (t *Tracker) EnsureQuorum(ctx context.Context) error {
+	if t.HasQuorum(t.options.Clock.Now()) {
 		return checkCaller(ctx)
 	}
-	limited, cancel := ctx.WithTimeout(t.options.RoundTimeout)
+	limited, cancel := t.options.Clock.WithTimeout(ctx, t.options.RoundTimeout)
 	defer cancel()
 	for limited.Err() == nil {
 		t.mu.Lock()
 		changed := t.changed
 		t.mu.Unlock()
 		t.heartbeatRound(ctx)
-		if t.HasQuorum(ctx.Now()) {
-			t.logTransition(ctx, true)
+		if t.HasQuorum(t.options.Clock.Now()) {
+			t.logTransition(true)
 			return checkCaller(ctx)
 		}
 		select {
 		case <-changed:
 		case <-limited.Done():
-		case <-limited.Clock.After(t.heartbeatInterval()):
+		case <-t.options.Clock.After(t.heartbeatInterval()):
 		}
 	}
-	if t.HasQuorum(ctx.Now()) {
+	if t.HasQuorum(t.options.Clock.Now()) {
 		return checkCaller(ctx)
 	}
 	if err := checkCaller(ctx); err != nil {
 		return err
 	}
-	t.logTransition(ctx, false)
+	t.logTransition(false)
 	return ErrNoQuorum
 }
 
 // checkCaller returns ErrCallerGone once ctx has ended.
-func checkCaller(ctx scope.Scope) error {
+func checkCaller(ctx context.Context) error {
 	if ctx.Err() == nil {
 		return nil
 	}
@@ -62,16 +63,16 @@
 // contact is lost: SilenceTimeout after the call, or after the newest request
 // that a majority answered, whichever is later. The caller must call the returned
 // function, also after an error.
-func (t *Tracker) WithQuorum(ctx scope.Scope) (scope.Scope, func(), error) {
-	if t.recentlyStalled(ctx.Now()) {
+func (t *Tracker) WithQuorum(ctx context.Context) (context.Context, context.CancelFunc, error) {
+	if t.recentlyStalled(t.options.Clock.Now()) {
 		// Requests that arrived during the stall may be from callers that are
 		// gone; this lets their connections be seen to have closed first.
-		ctx.Wait(stallGrace)
+		clock.Wait(ctx, t.options.Clock, stallGrace)
 	}
 	if err := t.EnsureQuorum(ctx); err != nil {
 		return ctx, func() {}, err
 	}
-	guarded, cancel := ctx.WithCancel()
+	guarded, cancel := context.WithCancel(ctx)
 	t.options.Spawn(func() {
 		defer cancel()
 		t.watch(guarded)
--- a/control/state/quorum/heartbeat.go
+++ b/control/state/quorum/heartbeat.go
@@ -1,32 +1,34 @@
 package quorum
 
 import (
+	"context"
+
+	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // Run keeps contact fresh, or finds that it is lost, until ctx ends.
-func (t *Tracker) Run(ctx scope.Scope) {
+func (t *Tracker) Run(ctx context.Context) {
 	maxAge := t.options.MaxAge
 	t.mu.Lock()
-	t.lastTick = ctx.Now()
+	t.lastTick = t.options.Clock.Now()
 	t.mu.Unlock()
-	for ctx.Wait(maxAge * 2 / 3) {
-		t.recentlyStalled(ctx.Now())
-		_, _ = t.AllVotersAge(ctx.Now())
-		age, ok := t.MajorityAge(ctx.Now())
+	for clock.Wait(ctx, t.options.Clock, maxAge*2/3) {
+		t.recentlyStalled(t.options.Clock.Now())
+		_, _ = t.AllVotersAge(t.options.Clock.Now())
+		age, ok := t.MajorityAge(t.options.Clock.Now())
 		if !ok || age > maxAge/3 {
 			t.heartbeatRound(ctx)
 		}
-		t.logTransition(ctx, ok && age <= maxAge+t.options.RoundTimeout && t.answeredSinceSilence(ctx.Now().Add(-age)))
+		t.logTransition(ok && age <= maxAge+t.options.RoundTimeout && t.answeredSinceSilence(t.options.Clock.Now().Add(-age)))
 	}
 }
 
 // heartbeatRound sends a heartbeat to every other voter and does not wait for
 // the responses. It does nothing within one interval of the round before, so
 // concurrent commands share their rounds.
-func (t *Tracker) heartbeatRound(ctx scope.Scope) {
-	now := ctx.Now()
+func (t *Tracker) heartbeatRound(ctx context.Context) {
+	now := t.options.Clock.Now()
 	t.mu.Lock()
 	early := t.lastRound > 0 && now.Since(t.lastRound) < t.heartbeatInterval()
 	if !early {
@@ -41,7 +43,7 @@
 			t.options.Spawn(func() {
 				// A late response still shows contact as of when its request was
 				// sent, so it may outlive the caller.
-				ctx, cancel := ctx.WithoutCancel().WithTimeout(2 * t.options.MaxAge)
+				ctx, cancel := t.options.Clock.WithTimeout(context.WithoutCancel(ctx), 2*t.options.MaxAge)
 				defer cancel()
 				_ = t.heartbeat(ctx, member.Address)
 			})
@@ -50,13 +52,13 @@
 }
 
 // heartbeat sends a heartbeat to one voter and records its response.
-func (t *Tracker) heartbeat(ctx scope.Scope, address ids.Address) error {
-	sent := ctx.Now()
+func (t *Tracker) heartbeat(ctx context.Context, address ids.Address) error {
+	sent := t.options.Clock.Now()
 	resp, err := t.options.Heartbeat(ctx, address)
 	if err != nil {
 		return err
 	}
-	received := ctx.Now()
+	received := t.options.Clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[address]
--- a/control/state/quorum/messages.go
+++ b/control/state/quorum/messages.go
@@ -37,8 +37,8 @@
 
 // RegisterHandlers serves the heartbeat to other controllers.
 func (t *Tracker) RegisterHandlers(calls *httpcall.Mux) {
-	transport.Handle(calls, heartbeatCall, func(ctx scope.Scope, _ HeartbeatRequest) (HeartbeatResponse, error) {
-		return t.Respond(ctx.Now()), nil
+	transport.Handle(calls, heartbeatCall, func(_ scope.Scope, _ HeartbeatRequest) (HeartbeatResponse, error) {
+		return t.Respond(t.options.Clock.Now()), nil
 	})
 }
 
--- a/control/state/quorum/silence.go
+++ b/control/state/quorum/silence.go
@@ -1,8 +1,9 @@
 package quorum
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/register"
 )
 
@@ -57,22 +58,22 @@
 // silent for silenceTimeout since the call or since the newest request that it
 // answered, whichever is later. A command that is done within one interval costs
 // no heartbeat: its own requests count as contact.
-func (t *Tracker) watch(ctx scope.Scope) {
-	start := ctx.Now()
+func (t *Tracker) watch(ctx context.Context) {
+	start := t.options.Clock.Now()
 	for {
-		now := ctx.Now()
+		now := t.options.Clock.Now()
 		age, _ := t.MajorityAge(now)
 		contact := now.Add(-age)
 		remaining := t.silenceTimeout() - now.Since(max(start, contact))
 		if remaining <= 0 {
-			t.loseQuorum(ctx, contact)
+			t.loseQuorum(contact)
 			return
 		}
 		pause := min(remaining, t.heartbeatInterval())
-		if !ctx.Wait(pause) {
+		if !clock.Wait(ctx, t.options.Clock, pause) {
 			return
 		}
-		if woken := ctx.Now(); woken.Since(now) > pause+t.heartbeatInterval() {
+		if woken := t.options.Clock.Now(); woken.Since(now) > pause+t.heartbeatInterval() {
 			// This process stalled: the responses that arrived meanwhile are to be
 			// read before a majority is taken for silent.
 			start = woken
@@ -83,11 +84,11 @@
 
 // loseQuorum records that a majority, last in contact at the instant, fell
 // silent.
-func (t *Tracker) loseQuorum(ctx scope.Scope, contact clock.Instant) {
+func (t *Tracker) loseQuorum(contact clock.Instant) {
 	t.mu.Lock()
 	t.silentSince = max(t.silentSince, contact)
 	t.mu.Unlock()
-	t.logTransition(ctx, false)
+	t.logTransition(false)
 }
 
 // answeredSinceSilence reports whether contact at the instant is newer than that
--- a/control/state/quorum/silence_test.go
+++ b/control/state/quorum/silence_test.go
@@ -1,6 +1,7 @@
 package quorum
 
 import (
+	"context"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -22,18 +23,18 @@
 	delay func(number int64) clock.Span
 }
 
-func newTestLink(delay func(number int64) clock.Span) *testLink {
+func newTestLink(env scope.Scope, delay func(number int64) clock.Span) *testLink {
 	link := &testLink{delay: delay}
-	link.tracker = New(Options{Address: "0", Voters: testVoters(3), MaxAge: 375 * clock.Millisecond, Heartbeat: func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error) {
+	link.tracker = New(Options{Clock: env.Clock, Log: env.Log, Address: "0", Voters: testVoters(3), MaxAge: 375 * clock.Millisecond, Heartbeat: func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
 		if address == "2" {
 			<-ctx.Done()
 			return HeartbeatResponse{}, ctx.Err()
 		}
-		if link.partitioned.Load() || !ctx.Wait(link.delay(link.heartbeats.Add(1))) || link.partitioned.Load() {
+		if link.partitioned.Load() || !clock.Wait(ctx, env.Clock, link.delay(link.heartbeats.Add(1))) || link.partitioned.Load() {
 			<-ctx.Done()
 			return HeartbeatResponse{}, ctx.Err()
 		}
-		return HeartbeatResponse{Incarnation: 7, Reading: int64(ctx.Now())}, nil
+		return HeartbeatResponse{Incarnation: 7, Reading: int64(env.Now())}, nil
 	}})
 	return link
 }
@@ -50,7 +51,7 @@
 		for after := -200 * clock.Millisecond; after < 600*clock.Millisecond; after += 37 * clock.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := scope.New(scope.Options{}).WithCancel()
-				link := newTestLink(constantDelay(rtt))
+				link := newTestLink(ctx, constantDelay(rtt))
 				go link.tracker.Run(ctx)
 				ctx.Wait(clock.Second)
 				link.partitioned.Store(after < 0)
@@ -58,7 +59,7 @@
 				start := ctx.Now()
 				guarded, release, err := link.tracker.WithQuorum(ctx)
 				if err == nil {
-					guarded.Wait(max(0, after))
+					clock.Wait(guarded, ctx.Clock, max(0, after))
 					if guarded.Err() != nil {
 						t.Errorf("rtt %v: a command ended before the partition", rtt)
 					}
@@ -103,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := scope.New(scope.Options{}).WithCancel()
-				link := newTestLink(delay)
+				link := newTestLink(ctx, delay)
 				go link.tracker.Run(ctx)
 				ctx.Wait(2 * clock.Second)
 				for command := range 5 {
@@ -111,7 +112,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if start := ctx.Now(); !guarded.Wait(2 * clock.Second) {
+					if start := ctx.Now(); !clock.Wait(guarded, ctx.Clock, 2*clock.Second) {
 						t.Errorf("command %d ended after %v, at a round trip of %v", command, ctx.Now().Since(start), link.tracker.majorityRTT())
 					}
 					release()
@@ -129,7 +130,7 @@
 func TestTracker_heartbeatRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
-		link := newTestLink(constantDelay(70 * clock.Millisecond))
+		link := newTestLink(ctx, constantDelay(70*clock.Millisecond))
 		go link.tracker.Run(ctx)
 		count := func() int64 {
 			before := link.heartbeats.Load()
@@ -179,18 +180,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		jumping := &jumpingClock{Clock: scope.New(scope.Options{}).Clock}
 		ctx := scope.New(scope.Options{Clock: jumping})
-		link := newTestLink(constantDelay(70 * clock.Millisecond))
+		link := newTestLink(ctx, constantDelay(70*clock.Millisecond))
 		guarded, release, err := link.tracker.WithQuorum(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
-			guarded.Wait(500 * clock.Millisecond)
+			clock.Wait(guarded, ctx.Clock, 500*clock.Millisecond)
 			jumping.mu.Lock()
 			jumping.offset += clock.Second
 			jumping.mu.Unlock()
 		}
-		if !guarded.Wait(clock.Second) {
+		if !clock.Wait(guarded, ctx.Clock, clock.Second) {
 			t.Error("a command ended though its process alone stalled")
 		}
 		link.partitioned.Store(true)
--- a/control/state/quorum/status.go
+++ b/control/state/quorum/status.go
@@ -1,9 +1,6 @@
 package quorum
 
-import (
-	"onyxwell/base/clock"
-	"onyxwell/base/scope"
-)
+import "onyxwell/base/clock"
 
 // Status is the state of contact as the admin API shows it.
 type Status struct {
@@ -34,7 +31,7 @@
 var transitionMessages = map[bool]string{true: "quorum contact regained", false: "quorum contact lost"}
 
 // logTransition logs each change between contact and none once.
-func (t *Tracker) logTransition(ctx scope.Scope, majority bool) {
+func (t *Tracker) logTransition(majority bool) {
 	t.mu.Lock()
 	changed := t.lost == majority
 	t.lost = !majority
@@ -42,7 +39,7 @@
 	if !changed {
 		return
 	}
-	age, _ := t.MajorityAge(ctx.Now())
-	ctx.Log.Warn().Str("part", "quorum").Bool("majority", majority).Int64("age_ms", age.Milliseconds()).
-		Int64("all_voters_age_ms", t.Status(ctx.Now()).AllVotersAgeMS).Msg(transitionMessages[majority])
+	age, _ := t.MajorityAge(t.options.Clock.Now())
+	t.options.Log.Warn().Str("part", "quorum").Bool("majority", majority).Int64("age_ms", age.Milliseconds()).
+		Int64("all_voters_age_ms", t.Status(t.options.Clock.Now()).AllVotersAgeMS).Msg(transitionMessages[majority])
 }
--- a/control/state/quorum/status_test.go
+++ b/control/state/quorum/status_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
-		tracker := newTestTracker(3, delays)
+		tracker := newTestTracker(ctx, 3, delays)
 		mu, voters := sync.Mutex{}, testVoters(3)()
 		tracker.options.Voters = func() register.VoterSet { mu.Lock(); defer mu.Unlock(); return voters }
 		go tracker.Run(ctx)
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -1,13 +1,15 @@
 package quorum
 
 import (
+	"context"
 	"slices"
 	"sync"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/register"
 	"onyxwell/control/transport"
 )
@@ -20,9 +22,11 @@
 	maxSilenceTimeout = 240 * clock.Millisecond
 )
 
-// Options configure a Tracker. Address, Voters, MaxAge and one of Transport and
-// Heartbeat are required.
+// Options configure a Tracker. Clock, Log, Address, Voters, MaxAge and one of
+// Transport and Heartbeat are required.
 type Options struct {
+	Clock clock.Clock
+	Log   *log.Logger
 	// Address is this controller's own; it counts as in contact with itself.
 	Address ids.Address
 	// Voters returns the newest voter set known here. It is called without the
@@ -40,7 +44,7 @@
 	// effective time-out is longer.
 	SilenceTimeout clock.Span
 	// Heartbeat sends a heartbeat to one voter; by default over Transport.
-	Heartbeat func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error)
+	Heartbeat func(ctx context.Context, address ids.Address) (HeartbeatResponse, error)
 	// Spawn runs a function concurrently; by default in a goroutine.
 	Spawn func(run func())
 	// Incarnation tells this process from the one before it on the same address;
@@ -91,7 +95,7 @@
 		options.SilenceTimeout = min(options.MaxAge+options.RoundTimeout, maxSilenceTimeout)
 	}
 	if options.Heartbeat == nil {
-		options.Heartbeat = func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error) {
+		options.Heartbeat = func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
 			return transport.Send[HeartbeatResponse](ctx, options.Transport, address, heartbeatCall, HeartbeatRequest{From: options.Address})
 		}
 	}
--- a/control/state/quorum/tracker_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -1,6 +1,7 @@
 package quorum
 
 import (
+	"context"
 	"fmt"
 	"strings"
 	"sync"
@@ -36,17 +37,17 @@
 
 // newTestTracker is the tracker of the first of some voters; the others answer
 // after their delay, by address, or never where they have none.
-func newTestTracker(count int, delays *sync.Map) *Tracker {
-	return New(Options{Address: "0", Voters: testVoters(count), MaxAge: testMaxAge, Heartbeat: func(ctx scope.Scope, address ids.Address) (HeartbeatResponse, error) {
+func newTestTracker(env scope.Scope, count int, delays *sync.Map) *Tracker {
+	return New(Options{Clock: env.Clock, Log: env.Log, Address: "0", Voters: testVoters(count), MaxAge: testMaxAge, Heartbeat: func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
 		delay, ok := delays.Load(address)
 		if !ok {
 			<-ctx.Done()
 			return HeartbeatResponse{}, ctx.Err()
 		}
-		if !ctx.Wait(delay.(clock.Span)) {
+		if !clock.Wait(ctx, env.Clock, delay.(clock.Span)) {
 			return HeartbeatResponse{}, ctx.Err()
 		}
-		return HeartbeatResponse{Incarnation: 7, Reading: int64(ctx.Now())}, nil
+		return HeartbeatResponse{Incarnation: 7, Reading: int64(env.Now())}, nil
 	}})
 }
 
@@ -84,7 +85,7 @@
 		ctx := scope.New(scope.Options{Log: scope.NewLogger("info", log)})
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		tracker := newTestTracker(3, delays)
+		tracker := newTestTracker(ctx, 3, delays)
 		if err := tracker.EnsureQuorum(ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +129,7 @@
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
 		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		tracker := newTestTracker(3, delays)
+		tracker := newTestTracker(ctx, 3, delays)
 		go tracker.Run(ctx)
 		ctx.Wait(clock.Second)
 		for range 50 {
@@ -147,7 +148,7 @@
 func TestTracker_stalledProcessNoticesGoneCallerFirst(t *testing.T) {
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
-	tracker := New(Options{Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
+	tracker := New(Options{Clock: fake, Log: ctx.Log, Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
 	tracker.lastTick = fake.Now()
 	guard := func(callerLeaves bool) error {
 		caller, leave := ctx.WithCancel()
@@ -199,7 +200,7 @@
 		}
 		receiver := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge})
 		there, back := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
-		forwarder := New(Options{Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(scope.Scope, ids.Address) (HeartbeatResponse, error) {
+		forwarder := New(Options{Clock: fake, Log: ctx.Log, Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(context.Context, ids.Address) (HeartbeatResponse, error) {
 			fake.Advance(clock.Span(there) * clock.Millisecond)
 			resp := receiver.Respond(remoteNow())
 			fake.Advance(clock.Span(back) * clock.Millisecond)
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -1,6 +1,7 @@
 package readindex
 
 import (
+	"context"
 	"sync"
 
 	"onyxwell/base/httpcall"
@@ -33,7 +34,7 @@
 // confirms. Requests that wait together share the next read, which begins after
 // all of them arrived. It is safe for concurrent use.
 type Reader struct {
-	read func(ctx scope.Scope) (ids.Version, error)
+	read func(ctx context.Context) (ids.Version, error)
 
 	mu sync.Mutex
 	// reading reports that readLoop runs; pending is the read after the one that
@@ -52,7 +53,9 @@
 
 // NewReader returns a Reader on top of read, which returns the newest serial once
 // a majority has confirmed it.
-func NewReader(read func(ctx scope.Scope) (ids.Version, error)) *Reader { return &Reader{read: read} }
+func NewReader(read func(ctx context.Context) (ids.Version, error)) *Reader {
+	return &Reader{read: read}
+}
 
 // RegisterHandlers serves the read index to other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
@@ -63,7 +66,7 @@
 }
 
 // ReadIndex returns the newest serial that a majority confirmed after the call.
-func (r *Reader) ReadIndex(ctx scope.Scope) (ids.Version, error) {
+func (r *Reader) ReadIndex(ctx context.Context) (ids.Version, error) {
 	read := r.join(ctx)
 	select {
 	case <-read.done:
@@ -74,7 +77,7 @@
 }
 
 // join returns the read that begins next, and sees to it that it does.
-func (r *Reader) join(ctx scope.Scope) *sharedRead {
+func (r *Reader) join(ctx context.Context) *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.pending == nil {
@@ -83,13 +86,13 @@
 	if !r.reading {
 		r.reading = true
 		// The loop serves other callers too: it ends with the last of them.
-		go r.readLoop(ctx.WithoutCancel())
+		go r.readLoop(context.WithoutCancel(ctx))
 	}
 	return r.pending
 }
 
 // readLoop runs pending reads until there is none.
-func (r *Reader) readLoop(ctx scope.Scope) {
+func (r *Reader) readLoop(ctx context.Context) {
 	for {
 		r.mu.Lock()
 		read := r.pending
--- a/control/state/readindex/reader_test.go
+++ b/control/state/readindex/reader_test.go
@@ -1,6 +1,7 @@
 package readindex
 
 import (
+	"context"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -16,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := scope.New(scope.Options{})
 		var newest, reads atomic.Int64
-		reader := NewReader(func(ctx scope.Scope) (ids.Version, error) {
+		reader := NewReader(func(context.Context) (ids.Version, error) {
 			reads.Add(1)
 			serial := newest.Load()
 			ctx.Wait(100 * clock.Millisecond)
--- a/control/state/register/batch.go
+++ b/control/state/register/batch.go
@@ -1,20 +1,20 @@
 package register
 
 import (
+	"context"
 	"errors"
 	"sync/atomic"
 
 	"onyxwell/base/errkind"
-	"onyxwell/base/scope"
 )
 
 // pendingUpdate is a call that waits for the key's writer. value and err are set
 // before done is closed.
 type pendingUpdate struct {
-	ctx    scope.Scope
+	ctx    context.Context
 	update UpdateFunc
 	// exclusive is run by itself, instead of update.
-	exclusive func(ctx scope.Scope, state *keyState) error
+	exclusive func(ctx context.Context, state *keyState) error
 	// onlyIfOwned refuses the update unless the key is owned already.
 	onlyIfOwned bool
 
@@ -37,7 +37,7 @@
 // applied to the result of the one before, and all return once the write has its
 // quorum, those that the function refused too. So a key bears many updates at
 // once.
-func (p *Proposer) Update(ctx scope.Scope, key string, update UpdateFunc) ([]byte, error) {
+func (p *Proposer) Update(ctx context.Context, key string, update UpdateFunc) ([]byte, error) {
 	return p.submit(key, &pendingUpdate{ctx: ctx, update: update})
 }
 
@@ -45,17 +45,17 @@
 // one, so a command that was forwarded here long ago can't take the key from its
 // present owner. If the key is not owned under the newest voter set the error is
 // of kind NoQuorum, and the update has no effect.
-func (p *Proposer) UpdateIfOwned(ctx scope.Scope, key string, update UpdateFunc) ([]byte, error) {
+func (p *Proposer) UpdateIfOwned(ctx context.Context, key string, update UpdateFunc) ([]byte, error) {
 	return p.submit(key, &pendingUpdate{ctx: ctx, update: update, onlyIfOwned: true})
 }
 
 // Read returns the value that a quorum confirms to be the newest.
-func (p *Proposer) Read(ctx scope.Scope, key string) ([]byte, error) {
+func (p *Proposer) Read(ctx context.Context, key string) ([]byte, error) {
 	return p.Update(ctx, key, func([]byte) ([]byte, error) { return nil, nil })
 }
 
 // exclusively runs a function that shares its turn at the key with no update.
-func (p *Proposer) exclusively(ctx scope.Scope, key string, run func(scope.Scope, *keyState) error) error {
+func (p *Proposer) exclusively(ctx context.Context, key string, run func(context.Context, *keyState) error) error {
 	_, err := p.submit(key, &pendingUpdate{ctx: ctx, exclusive: run})
 	return err
 }
@@ -64,7 +64,7 @@
 func (p *Proposer) submit(key string, pending *pendingUpdate) ([]byte, error) {
 	pending.done = make(chan struct{})
 	if state, start := p.enqueue(key, pending); start {
-		p.options.Spawn(func() { p.processQueue(pending.ctx.WithoutCancel(), state) })
+		p.options.Spawn(func() { p.processQueue(context.WithoutCancel(pending.ctx), state) })
 	}
 	// A result that is there is preferred to the end of ctx.
 	select {
@@ -96,7 +96,7 @@
 }
 
 // processQueue is the key's writer: it works until the queue is empty.
-func (p *Proposer) processQueue(ctx scope.Scope, state *keyState) {
+func (p *Proposer) processQueue(ctx context.Context, state *keyState) {
 	for {
 		batch := p.nextBatch(state)
 		if len(batch) == 0 {
@@ -153,9 +153,9 @@
 	return queue
 }
 
-func (p *Proposer) commitWithTimeout(ctx scope.Scope, state *keyState, batch []*pendingUpdate) error {
+func (p *Proposer) commitWithTimeout(ctx context.Context, state *keyState, batch []*pendingUpdate) error {
 	if p.options.BatchTimeout > 0 {
-		limited, cancel := ctx.WithTimeout(p.options.BatchTimeout)
+		limited, cancel := p.options.Clock.WithTimeout(ctx, p.options.BatchTimeout)
 		defer cancel()
 		ctx = limited
 	}
@@ -164,7 +164,7 @@
 
 // commitBatch applies the updates one after the other and writes the result; if
 // nothing changes a quorum confirms that the value is the newest.
-func (p *Proposer) commitBatch(ctx scope.Scope, state *keyState, batch []*pendingUpdate) error {
+func (p *Proposer) commitBatch(ctx context.Context, state *keyState, batch []*pendingUpdate) error {
 	if run := batch[0].exclusive; run != nil {
 		return run(ctx, state)
 	}
@@ -213,13 +213,13 @@
 // given up. It bounds the acquisition: after a partition, one that nobody waits
 // for would hold up the updates that come since. A write is not bounded by it,
 // for it may have reached a voter.
-func untilAbandoned(ctx scope.Scope, batch []*pendingUpdate) (scope.Scope, func()) {
-	wanted, cancel := ctx.WithCancel()
+func untilAbandoned(ctx context.Context, batch []*pendingUpdate) (context.Context, context.CancelFunc) {
+	wanted, cancel := context.WithCancel(ctx)
 	var waiting atomic.Int64
 	waiting.Store(int64(len(batch)))
 	var stops []func() bool
 	for _, pending := range batch {
-		stops = append(stops, pending.ctx.AfterFunc(func() {
+		stops = append(stops, context.AfterFunc(pending.ctx, func() {
 			if waiting.Add(-1) == 0 {
 				cancel()
 			}
--- a/control/state/register/broadcast.go
+++ b/control/state/register/broadcast.go
@@ -1,14 +1,15 @@
 package register
 
 import (
+	"context"
+
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // sendFunc sends one request to a member; it returns the verdict and the number
 // of the epoch that the member had promised.
-type sendFunc func(ctx scope.Scope, member Member) (Verdict, int64)
+type sendFunc func(ctx context.Context, member Member) (Verdict, int64)
 
 type vote struct {
 	member  Member
@@ -20,12 +21,12 @@
 // broadcast sends a request to every member of the sets. It returns once each
 // set has its quorum, or can't get it any more, or ctx ends. The requests
 // themselves are bounded by MessageTimeout alone.
-func (p *Proposer) broadcast(ctx scope.Scope, state *keyState, sets [][]Member, minCopies int, send sendFunc) error {
+func (p *Proposer) broadcast(ctx context.Context, state *keyState, sets [][]Member, minCopies int, send sendFunc) error {
 	members := distinctMembers(sets)
 	votes := make(chan vote, len(members))
 	for _, member := range members {
 		p.options.Spawn(func() {
-			ctx, cancel := ctx.WithoutCancel().WithTimeout(p.options.MessageTimeout)
+			ctx, cancel := p.options.Clock.WithTimeout(context.WithoutCancel(ctx), p.options.MessageTimeout)
 			defer cancel()
 			verdict, promised := send(ctx, member)
 			votes <- vote{member: member, verdict: verdict, promised: promised}
@@ -59,7 +60,7 @@
 func (p *Proposer) sendAccept(state *keyState, proposal Proposal) sendFunc {
 	// The sending may outlast the writer's work under these voters.
 	voters := state.voters
-	return func(ctx scope.Scope, member Member) (Verdict, int64) {
+	return func(ctx context.Context, member Member) (Verdict, int64) {
 		resp, err := p.options.Client.Accept(ctx, member.Address, AcceptRequest{Fence: voters.FencingToken(member), Key: state.key, Proposal: proposal})
 		return verdictOf(resp.Verdict, err), resp.Promised.Number
 	}
--- a/control/state/register/cluster_test.go
+++ b/control/state/register/cluster_test.go
@@ -98,11 +98,13 @@
 	}
 	client := clusterClient{cluster: c, from: n.address}
 	n.proposer = NewProposer(ProposerOptions{
+		Clock: c.ctx.Clock, Log: c.ctx.Log,
 		Address: n.address, Client: client, Voters: acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return acceptor.Slot(key).Promised.Number },
 		MessageTimeout: 1, Spawn: func(send func()) { send() }, MinCopies: c.tolerated + 1,
 	})
 	n.joiner = &Joiner{
+		Clock:   c.ctx.Clock,
 		Address: n.address, Acceptor: acceptor, Proposer: n.proposer, Replicas: client,
 		Peers: func() []ids.Address {
 			var others []ids.Address
--- a/control/state/register/discovery.go
+++ b/control/state/register/discovery.go
@@ -1,11 +1,12 @@
 package register
 
 import (
+	"context"
 	"maps"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 )
 
 // replaceable reports whether a voter may be replaced: by what this machine
@@ -34,12 +35,12 @@
 // a newcomer hasn't observed them for long enough itself. If a majority votes
 // under the set known here it is the newest, for a majority of it would hold any
 // newer one. Otherwise all peers are asked.
-func (j *Joiner) discoverVoters(ctx scope.Scope) {
+func (j *Joiner) discoverVoters(ctx context.Context) {
 	j.missedByMajority.Store(nil)
 	for range maxDiscoveryRounds {
 		voters := j.Acceptor.Voters()
 		confirmed, contended := j.pollVoters(ctx, voters)
-		if contended && j.RequestTimeout > 0 && ctx.Wait(j.RequestTimeout/2+random.Duration(j.RequestTimeout)) {
+		if contended && j.RequestTimeout > 0 && clock.Wait(ctx, j.Clock, j.RequestTimeout/2+random.Duration(j.RequestTimeout)) {
 			continue
 		}
 		if confirmed {
@@ -56,14 +57,14 @@
 
 // askPeersForVoters asks all peers for their voter set. If none is known here the
 // first response suffices: its voters know a newer set if there is one.
-func (j *Joiner) askPeersForVoters(ctx scope.Scope, voters VoterSet) {
+func (j *Joiner) askPeersForVoters(ctx context.Context, voters VoterSet) {
 	optional := func(address ids.Address) bool { return voters.Generation == 0 || j.suspected(address) }
 	known := func() bool { return j.Acceptor.Voters().Generation > 0 }
 	gatherUntil(j, j.withoutReplaceable(j.Peers()), optional, known, j.requestVoters(ctx), discard)
 }
 
 // LearnVoters takes over the voter set that another controller knows.
-func (j *Joiner) LearnVoters(ctx scope.Scope, address ids.Address) {
+func (j *Joiner) LearnVoters(ctx context.Context, address ids.Address) {
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
 	resp, err := j.Replicas.Fetch(ctx, address, FetchRequest{Key: VotersKey})
@@ -77,7 +78,7 @@
 }
 
 // requestVoters returns LearnVoters as a request for gather.
-func (j *Joiner) requestVoters(ctx scope.Scope) func(address ids.Address) (struct{}, bool) {
+func (j *Joiner) requestVoters(ctx context.Context) func(address ids.Address) (struct{}, bool) {
 	return func(address ids.Address) (struct{}, bool) {
 		j.LearnVoters(ctx, address)
 		return struct{}{}, true
@@ -88,7 +89,7 @@
 
 // learnNewerVoters takes over the voter set of a replica whose digest names
 // another one than this, and not an older one.
-func (j *Joiner) learnNewerVoters(ctx scope.Scope, address ids.Address, voters VoterSet, digest DigestResponse) {
+func (j *Joiner) learnNewerVoters(ctx context.Context, address ids.Address, voters VoterSet, digest DigestResponse) {
 	if digest.Generation >= voters.Generation && digest.Fingerprint != voters.Fingerprint() {
 		j.LearnVoters(ctx, address)
 	}
@@ -98,7 +99,7 @@
 // under this set, and whether another proposer is changing it just now: two that
 // outbid each other both get nowhere. A pending epoch that was seen before is
 // taken for given up.
-func (j *Joiner) pollVoters(ctx scope.Scope, voters VoterSet) (confirmed bool, contended bool) {
+func (j *Joiner) pollVoters(ctx context.Context, voters VoterSet) (confirmed bool, contended bool) {
 	majority := quorum(len(voters.Members))
 	missedBy, votes, pending := map[ids.Address]int{}, 0, ids.Epoch{}
 	optional := func(address ids.Address) bool { return j.suspected(address) || missedBy[address] >= majority }
@@ -134,7 +135,7 @@
 // ReconcileVoters brings whichever side of a fenced request knows an older voter
 // set up to date; generation is that of the other side. Under one generation two
 // proposers may have proposed different sets, so both are exchanged.
-func (j *Joiner) ReconcileVoters(ctx scope.Scope, address ids.Address, generation int64) {
+func (j *Joiner) ReconcileVoters(ctx context.Context, address ids.Address, generation int64) {
 	own := j.Acceptor.Voters().Generation
 	if generation >= own {
 		j.LearnVoters(ctx, address)
--- a/control/state/register/gather.go
+++ b/control/state/register/gather.go
@@ -1,10 +1,10 @@
 package register
 
 import (
+	"context"
 	"slices"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // gather sends a request to all addresses at once and hands the responses to
@@ -59,7 +59,7 @@
 }
 
 // gatherDigests asks the other voters of a set for their digests.
-func (j *Joiner) gatherDigests(ctx scope.Scope, voters VoterSet, handle func(address ids.Address, digest DigestResponse)) {
+func (j *Joiner) gatherDigests(ctx context.Context, voters VoterSet, handle func(address ids.Address, digest DigestResponse)) {
 	gather(j, j.otherVoters(voters), func(address ids.Address) (DigestResponse, bool) {
 		digest, err := j.fetchDigest(ctx, address)
 		return digest, err == nil
@@ -67,18 +67,18 @@
 }
 
 // fetchDigest asks one replica for its digests, within RequestTimeout.
-func (j *Joiner) fetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error) {
+func (j *Joiner) fetchDigest(ctx context.Context, address ids.Address) (DigestResponse, error) {
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
 	return j.Replicas.FetchDigest(ctx, address)
 }
 
 // withRequestTimeout bounds one request.
-func (j *Joiner) withRequestTimeout(ctx scope.Scope) (scope.Scope, func()) {
+func (j *Joiner) withRequestTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if j.RequestTimeout == 0 {
 		return ctx, func() {}
 	}
-	return ctx.WithTimeout(j.RequestTimeout)
+	return j.Clock.WithTimeout(ctx, j.RequestTimeout)
 }
 
 // suspected reports whether a replica seems not to answer now.
--- a/control/state/register/gather_test.go
+++ b/control/state/register/gather_test.go
@@ -27,7 +27,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
-				j := &Joiner{Suspected: func(address ids.Address) bool { return test.suspected && address == "c" }}
+				j := &Joiner{Clock: ctx.Clock, Suspected: func(address ids.Address) bool { return test.suspected && address == "c" }}
 				begin, taken := ctx.Now(), 0
 				gatherUntil(j, []ids.Address{"a", "b", "c"}, j.suspected, func() bool { return taken >= test.wanted }, func(address ids.Address) (int, bool) {
 					ctx.Wait(map[ids.Address]clock.Span{"a": clock.Millisecond, "b": 70 * clock.Millisecond, "c": clock.Second}[address])
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -1,13 +1,13 @@
 package register
 
 import (
+	"context"
 	"errors"
 	"sync/atomic"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -17,9 +17,9 @@
 // ReplicaClient exchanges state with other controllers. Copy and Held only read;
 // Learn is Acceptor.Learn over there.
 type ReplicaClient interface {
-	Fetch(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error)
-	FetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error)
-	Learn(ctx scope.Scope, address ids.Address, slots []Slot) error
+	Fetch(ctx context.Context, address ids.Address, req FetchRequest) (FetchResponse, error)
+	FetchDigest(ctx context.Context, address ids.Address) (DigestResponse, error)
+	Learn(ctx context.Context, address ids.Address, slots []Slot) error
 }
 
 // Joiner makes a controller whose disk does not vote a voter.
@@ -43,6 +43,8 @@
 //
 // Join belongs to one goroutine; the other methods may be called from any.
 type Joiner struct {
+	// Clock measures RequestTimeout; it is required where that is set.
+	Clock    clock.Clock
 	Address  ids.Address
 	Acceptor *Acceptor
 	Proposer *Proposer
@@ -88,7 +90,7 @@
 // the state of its voters, take the place of this machine's former disk, of a
 // lost voter, or a further one while fewer than TargetVoters are there, learn
 // what came since, and only then vote. It returns nil once the disk votes.
-func (j *Joiner) Join(ctx scope.Scope) error {
+func (j *Joiner) Join(ctx context.Context) error {
 	j.returned.Store(nil)
 	j.discoverVoters(ctx)
 	j.noteStalledRun()
@@ -109,7 +111,7 @@
 }
 
 // joinStep makes one change of the voter set towards a vote.
-func (j *Joiner) joinStep(ctx scope.Scope, voters VoterSet) error {
+func (j *Joiner) joinStep(ctx context.Context, voters VoterSet) error {
 	index, ok := j.findVacancy(voters)
 	if !ok {
 		return ErrNoVacancy
@@ -150,7 +152,7 @@
 
 // retryLearning returns why learning from the voters failed; nil means that they
 // changed meanwhile, and that the next step starts from the newer set.
-func (j *Joiner) retryLearning(ctx scope.Scope, voters VoterSet) error {
+func (j *Joiner) retryLearning(ctx context.Context, voters VoterSet) error {
 	if j.Acceptor.Voters().Fingerprint() != voters.Fingerprint() {
 		// Whoever changed them may still be at it.
 		return nil
--- a/control/state/register/join_test.go
+++ b/control/state/register/join_test.go
@@ -27,6 +27,7 @@
 			standby := c.nodes[3].joiner
 			standby.RequestTimeout = 300 * clock.Millisecond
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
+			standby.Clock, standby.Proposer.options.Clock = ctx.Clock, ctx.Clock
 			spans := []clock.Span{}
 			for range 2 {
 				begin := ctx.Now()
@@ -72,6 +73,7 @@
 		synctest.Test(t, func(*testing.T) {
 			newcomer := c.nodes[3].joiner
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
+			newcomer.Clock, newcomer.Proposer.options.Clock = ctx.Clock, ctx.Clock
 			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", token: &sync.Mutex{}}
 			newcomer.Replicas, newcomer.RequestTimeout = network, 300*clock.Millisecond
 			newcomer.Spawn = func(send func()) {
--- a/control/state/register/learn.go
+++ b/control/state/register/learn.go
@@ -1,8 +1,9 @@
 package register
 
 import (
+	"context"
+
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // countAnswering counts the other voters that answer now: a replacement while too
@@ -10,7 +11,7 @@
 // member to be replaced answers itself and still votes; it is not lost then,
 // whatever others say. Suspected voters are not awaited: they have left several
 // requests of this machine unanswered.
-func (j *Joiner) countAnswering(ctx scope.Scope, voters VoterSet, index int) (answering int, returned bool) {
+func (j *Joiner) countAnswering(ctx context.Context, voters VoterSet, index int) (answering int, returned bool) {
 	j.gatherDigests(ctx, voters, func(address ids.Address, digest DigestResponse) {
 		member, _ := voters.member(address)
 		if !digest.Voting || member.Learner {
@@ -58,7 +59,7 @@
 // learnFromVoters takes over the newest state of each key from at least so many
 // other voters, all of which fence off older voter sets than this. Values travel
 // only if this disk lacks them. It reports whether all of it is durable here.
-func (j *Joiner) learnFromVoters(ctx scope.Scope, voters VoterSet, required int) bool {
+func (j *Joiner) learnFromVoters(ctx context.Context, voters VoterSet, required int) bool {
 	newest := newestCopies{copies: map[string]newestCopy{}}
 	// Voters that seem lost are asked too: they may be there all the same.
 	gatherUntil(j, j.otherVoters(voters), j.suspected, func() bool { return required <= 0 }, func(address ids.Address) (DigestResponse, bool) {
@@ -92,7 +93,7 @@
 
 // fetchSlot returns the slot to learn, with its value if this disk lacks it. It
 // fails if the source no longer holds the proposal or a newer one.
-func (j *Joiner) fetchSlot(ctx scope.Scope, key string, newest newestCopy) (Slot, bool) {
+func (j *Joiner) fetchSlot(ctx context.Context, key string, newest newestCopy) (Slot, bool) {
 	slot := Slot{Key: key, Promised: newest.promised}
 	if !newest.digest.proposal().newerThan(j.Acceptor.Slot(key).Accepted) {
 		return slot, true
--- a/control/state/register/network_test.go
+++ b/control/state/register/network_test.go
@@ -1,11 +1,11 @@
 package register
 
 import (
+	"context"
 	"errors"
 	"sync"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 var errMessageLost = errors.New("model: the message was lost")
@@ -60,33 +60,33 @@
 	}
 }
 
-func (c clusterClient) Prepare(_ scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error) {
+func (c clusterClient) Prepare(_ context.Context, address ids.Address, req PrepareRequest) (PrepareResponse, error) {
 	resp, err := deliver(c.cluster, c.from, address, func(voter *Acceptor) PrepareResponse { return voter.Prepare(req) })
 	c.reconcile(address, resp.Verdict, resp.Generation, err)
 	return resp, err
 }
 
-func (c clusterClient) Accept(_ scope.Scope, address ids.Address, req AcceptRequest) (AcceptResponse, error) {
+func (c clusterClient) Accept(_ context.Context, address ids.Address, req AcceptRequest) (AcceptResponse, error) {
 	resp, err := deliver(c.cluster, c.from, address, func(voter *Acceptor) AcceptResponse { return voter.Accept(req) })
 	c.reconcile(address, resp.Verdict, resp.Generation, err)
 	return resp, err
 }
 
-func (c clusterClient) Confirm(_ scope.Scope, address ids.Address, req ConfirmRequest) (AcceptResponse, error) {
+func (c clusterClient) Confirm(_ context.Context, address ids.Address, req ConfirmRequest) (AcceptResponse, error) {
 	resp, err := deliver(c.cluster, c.from, address, func(voter *Acceptor) AcceptResponse { return voter.Confirm(req) })
 	c.reconcile(address, resp.Verdict, resp.Generation, err)
 	return resp, err
 }
 
-func (c clusterClient) Fetch(_ scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error) {
+func (c clusterClient) Fetch(_ context.Context, address ids.Address, req FetchRequest) (FetchResponse, error) {
 	return deliver(c.cluster, c.from, address, func(voter *Acceptor) FetchResponse { return voter.Fetch(req) })
 }
 
-func (c clusterClient) FetchDigest(_ scope.Scope, address ids.Address) (DigestResponse, error) {
+func (c clusterClient) FetchDigest(_ context.Context, address ids.Address) (DigestResponse, error) {
 	return deliver(c.cluster, c.from, address, func(voter *Acceptor) DigestResponse { return voter.Digest() })
 }
 
-func (c clusterClient) Learn(_ scope.Scope, address ids.Address, slots []Slot) error {
+func (c clusterClient) Learn(_ context.Context, address ids.Address, slots []Slot) error {
 	err, lost := deliver(c.cluster, c.from, address, func(voter *Acceptor) error { return voter.Learn(slots) })
 	return errors.Join(err, lost)
 }
@@ -101,13 +101,13 @@
 	token *sync.Mutex
 }
 
-func (u unresponsiveClient) waitForTimeout(ctx scope.Scope) {
+func (u unresponsiveClient) waitForTimeout(ctx context.Context) {
 	u.token.Unlock()
 	defer u.token.Lock()
 	<-ctx.Done()
 }
 
-func (u unresponsiveClient) Fetch(ctx scope.Scope, address ids.Address, req FetchRequest) (FetchResponse, error) {
+func (u unresponsiveClient) Fetch(ctx context.Context, address ids.Address, req FetchRequest) (FetchResponse, error) {
 	if address == u.unresponsive {
 		u.waitForTimeout(ctx)
 		return FetchResponse{}, ctx.Err()
@@ -115,7 +115,7 @@
 	return u.ReplicaClient.Fetch(ctx, address, req)
 }
 
-func (u unresponsiveClient) FetchDigest(ctx scope.Scope, address ids.Address) (DigestResponse, error) {
+func (u unresponsiveClient) FetchDigest(ctx context.Context, address ids.Address) (DigestResponse, error) {
 	if address == u.unresponsive {
 		u.waitForTimeout(ctx)
 		return DigestResponse{}, ctx.Err()
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -1,13 +1,15 @@
 package register
 
 import (
+	"context"
 	"errors"
 	"sync"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -16,9 +18,9 @@
 
 // VoterClient sends requests to voters, the caller's own included.
 type VoterClient interface {
-	Prepare(ctx scope.Scope, address ids.Address, req PrepareRequest) (PrepareResponse, error)
-	Accept(ctx scope.Scope, address ids.Address, req AcceptRequest) (AcceptResponse, error)
-	Confirm(ctx scope.Scope, address ids.Address, req ConfirmRequest) (AcceptResponse, error)
+	Prepare(ctx context.Context, address ids.Address, req PrepareRequest) (PrepareResponse, error)
+	Accept(ctx context.Context, address ids.Address, req AcceptRequest) (AcceptResponse, error)
+	Confirm(ctx context.Context, address ids.Address, req ConfirmRequest) (AcceptResponse, error)
 }
 
 // UpdateFunc returns the next value of a key. With an error or a nil value the
@@ -28,6 +30,9 @@
 // ProposerOptions configure a Proposer. Address, Client, Voters and
 // MessageTimeout are required.
 type ProposerOptions struct {
+	// Clock measures all timeouts; it and Log are required.
+	Clock   clock.Clock
+	Log     *log.Logger
 	Address ids.Address
 	Client  VoterClient
 	// Voters returns the newest voter set known here.
@@ -100,8 +105,8 @@
 
 // Reacquire takes the key over under a new epoch, even from itself, and so
 // writes its newest value to all voters again.
-func (p *Proposer) Reacquire(ctx scope.Scope, key string) error {
-	return p.exclusively(ctx, key, func(ctx scope.Scope, state *keyState) error {
+func (p *Proposer) Reacquire(ctx context.Context, key string) error {
+	return p.exclusively(ctx, key, func(ctx context.Context, state *keyState) error {
 		state.owned = false
 		return p.acquire(ctx, state)
 	})
@@ -112,8 +117,8 @@
 // token, so a voter that promised another owner since refuses it. If the voter
 // set changed since, the key is acquired anew, which writes to all voters. The
 // error is ErrNotOwner if the key is not owned.
-func (p *Proposer) Repair(ctx scope.Scope, key string, lagging []Member) error {
-	return p.exclusively(ctx, key, func(ctx scope.Scope, state *keyState) error {
+func (p *Proposer) Repair(ctx context.Context, key string, lagging []Member) error {
+	return p.exclusively(ctx, key, func(ctx context.Context, state *keyState) error {
 		if !state.owned {
 			return ErrNotOwner
 		}
@@ -143,7 +148,7 @@
 const acquireAttempts = 2
 
 // acquire makes sure that the key is owned under the newest voter set.
-func (p *Proposer) acquire(ctx scope.Scope, state *keyState) error {
+func (p *Proposer) acquire(ctx context.Context, state *keyState) error {
 	if state.owned && p.votersCurrent(state) {
 		return nil
 	}
@@ -154,7 +159,7 @@
 		state.highestEpoch = max(state.highestEpoch, p.options.HighestEpoch(state.key)) + 1
 		state.epoch = ids.Epoch{Number: state.highestEpoch, Owner: p.options.Address}
 		err = p.takeOver(ctx, state)
-		event := ctx.Log.Info().Str("part", "register").Str("key", state.key).Int64("epoch", state.epoch.Number).Err(err)
+		event := p.options.Log.Info().Str("part", "register").Str("key", state.key).Int64("epoch", state.epoch.Number).Err(err)
 		if err == nil {
 			event.Msg("key acquired")
 			return nil
@@ -169,7 +174,7 @@
 
 // takeOver prepares the key under the state's epoch and commits its newest
 // proposal.
-func (p *Proposer) takeOver(ctx scope.Scope, state *keyState) error {
+func (p *Proposer) takeOver(ctx context.Context, state *keyState) error {
 	newest, err := p.prepare(ctx, state)
 	if err != nil {
 		return err
@@ -189,7 +194,7 @@
 // prepare has a quorum promise the state's epoch and returns the newest proposal
 // that one of them accepted. For VotersKey that may be a newer voter set, whose
 // quorum is then needed too.
-func (p *Proposer) prepare(ctx scope.Scope, state *keyState) (Proposal, error) {
+func (p *Proposer) prepare(ctx context.Context, state *keyState) (Proposal, error) {
 	for {
 		newest, err := p.prepareOnce(ctx, state)
 		if err != nil || state.key != VotersKey {
@@ -205,12 +210,12 @@
 	}
 }
 
-func (p *Proposer) prepareOnce(ctx scope.Scope, state *keyState) (Proposal, error) {
+func (p *Proposer) prepareOnce(ctx context.Context, state *keyState) (Proposal, error) {
 	// Responses that come after the quorum still write to newest.
 	var mu sync.Mutex
 	var newest Proposal
 	voters, epoch := state.voters, state.epoch
-	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx scope.Scope, member Member) (Verdict, int64) {
+	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx context.Context, member Member) (Verdict, int64) {
 		resp, err := p.options.Client.Prepare(ctx, member.Address, PrepareRequest{Fence: voters.FencingToken(member), Key: state.key, Epoch: epoch})
 		verdict := verdictOf(resp.Verdict, err)
 		mu.Lock()
@@ -229,7 +234,7 @@
 }
 
 // write has a quorum accept a value under the state's epoch.
-func (p *Proposer) write(ctx scope.Scope, state *keyState, value []byte) error {
+func (p *Proposer) write(ctx context.Context, state *keyState, value []byte) error {
 	next := Proposal{Epoch: state.epoch, Sequence: state.current.Sequence + 1, Value: value}
 	sets, minCopies := [][]Member{state.voters.Members}, p.options.MinCopies
 	if state.key == VotersKey {
@@ -252,9 +257,9 @@
 }
 
 // confirm asks a quorum whether the key is still owned.
-func (p *Proposer) confirm(ctx scope.Scope, state *keyState) error {
+func (p *Proposer) confirm(ctx context.Context, state *keyState) error {
 	voters, epoch := state.voters, state.epoch
-	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx scope.Scope, member Member) (Verdict, int64) {
+	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx context.Context, member Member) (Verdict, int64) {
 		resp, err := p.options.Client.Confirm(ctx, member.Address, ConfirmRequest{Fence: voters.FencingToken(member), Key: state.key, Epoch: epoch})
 		return verdictOf(resp.Verdict, err), resp.Promised.Number
 	})
--- a/control/state/register/redundancy.go
+++ b/control/state/register/redundancy.go
@@ -1,12 +1,12 @@
 package register
 
 import (
+	"context"
 	"fmt"
 	"sort"
 	"strings"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // Redundancy is how many further losses the control state tolerates, as one
@@ -50,7 +50,7 @@
 
 // Redundancy surveys the voters and repairs nothing; it is for a controller that
 // is no voter itself.
-func (j *Joiner) Redundancy(ctx scope.Scope) Redundancy {
+func (j *Joiner) Redundancy(ctx context.Context) Redundancy {
 	return (&Repairer{Joiner: j}).survey(ctx).redundancy()
 }
 
@@ -65,7 +65,7 @@
 
 // survey asks all voters for their digests. Those that don't answer, or with
 // another disk than the voter set names, are left out.
-func (r *Repairer) survey(ctx scope.Scope) clusterView {
+func (r *Repairer) survey(ctx context.Context) clusterView {
 	j := r.Joiner
 	view := clusterView{voters: j.Acceptor.Voters(), digests: map[ids.Address]DigestResponse{}, newest: map[string]KeyDigest{}}
 	view.add(j.Address, j.Acceptor.Digest())
--- a/control/state/register/repair.go
+++ b/control/state/register/repair.go
@@ -1,10 +1,10 @@
 package register
 
 import (
+	"context"
 	"errors"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // Repairer is the anti-entropy between voters: it compares their digests and has
@@ -36,7 +36,7 @@
 // Round surveys the voters, repairs what lags, and returns the redundancy that it
 // found. A voter lags if it is behind the newest proposal of the round before:
 // updates that are just being written are left alone.
-func (r *Repairer) Round(ctx scope.Scope) Redundancy {
+func (r *Repairer) Round(ctx context.Context) Redundancy {
 	view := r.survey(ctx)
 	before := r.newest
 	r.newest = view.newest
@@ -53,7 +53,7 @@
 }
 
 // repairKey repairs an owned key, and acquires one that its owner doesn't repair.
-func (r *Repairer) repairKey(ctx scope.Scope, key string, view clusterView, lagging []Member) {
+func (r *Repairer) repairKey(ctx context.Context, key string, view clusterView, lagging []Member) {
 	proposer := r.Joiner.Proposer
 	if r.laggingRounds == nil {
 		r.laggingRounds, r.takeovers = map[string]int{}, map[string]int{}
@@ -81,7 +81,7 @@
 
 // ownerReachable reports whether the owner of a key answers: the one that the
 // voters promised the highest epoch.
-func (r *Repairer) ownerReachable(ctx scope.Scope, key string, view clusterView) bool {
+func (r *Repairer) ownerReachable(ctx context.Context, key string, view clusterView) bool {
 	var highest ids.Epoch
 	for _, digest := range view.digests {
 		if promised := digest.key(key).Promised; promised.Compare(highest) > 0 {
@@ -102,7 +102,7 @@
 // HandOff has the newest proposals that this disk holds copied to MinCopies
 // others, or to all there are, and reports whether they were already. A voter
 // that leaves calls it until they are.
-func (r *Repairer) HandOff(ctx scope.Scope) bool {
+func (r *Repairer) HandOff(ctx context.Context) bool {
 	if !r.Joiner.Acceptor.Voting() {
 		return true
 	}
@@ -126,7 +126,7 @@
 // CatchUp takes over newer proposals from the voters, one voter a call in turn: a
 // standby then has little left to learn when a place is free. It takes over no
 // promise and casts no vote; both come with learning as a member.
-func (r *Repairer) CatchUp(ctx scope.Scope) {
+func (r *Repairer) CatchUp(ctx context.Context) {
 	j := r.Joiner
 	others := j.otherVoters(j.Acceptor.Voters())
 	if j.Acceptor.Voting() || len(others) == 0 {
--- a/control/state/voter/client.go
+++ b/control/state/voter/client.go
@@ -1,8 +1,9 @@
 package voter
 
 import (
+	"context"
+
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/register"
 	"onyxwell/control/transport"
 )
@@ -11,19 +12,19 @@
 // register.ReplicaClient of the joiner: both reach all controllers through it.
 
 // Prepare sends a prepare request to a voter.
-func (v *Voter) Prepare(ctx scope.Scope, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
+func (v *Voter) Prepare(ctx context.Context, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
 	return callVoter(ctx, v, address, prepareCall, req, v.Acceptor.Prepare, func(resp register.PrepareResponse) (register.Verdict, int64) {
 		return resp.Verdict, resp.Generation
 	})
 }
 
 // Accept sends an accept request to a voter.
-func (v *Voter) Accept(ctx scope.Scope, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
+func (v *Voter) Accept(ctx context.Context, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
 	return callVoter(ctx, v, address, acceptCall, req, v.Acceptor.Accept, acceptVerdict)
 }
 
 // Confirm sends a confirm request to a voter.
-func (v *Voter) Confirm(ctx scope.Scope, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
+func (v *Voter) Confirm(ctx context.Context, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
 	return callVoter(ctx, v, address, confirmCall, req, v.Acceptor.Confirm, acceptVerdict)
 }
 
@@ -34,7 +35,7 @@
 // callVoter calls the own voter in place and others by message. Where a voter
 // refuses the voter set of the request, whichever side knows the older one learns
 // the newer.
-func callVoter[Req, Resp any](ctx scope.Scope, v *Voter, address ids.Address, name string, req Req,
+func callVoter[Req, Resp any](ctx context.Context, v *Voter, address ids.Address, name string, req Req,
 	own func(Req) Resp, verdictOf func(Resp) (register.Verdict, int64)) (Resp, error) {
 	if address == v.options.Address {
 		return own(req), nil
@@ -47,8 +48,8 @@
 }
 
 // call sends a request to another controller and records a response as contact.
-func call[Resp, Req any](ctx scope.Scope, v *Voter, address ids.Address, name string, req Req) (Resp, error) {
-	sent := ctx.Now()
+func call[Resp, Req any](ctx context.Context, v *Voter, address ids.Address, name string, req Req) (Resp, error) {
+	sent := v.clock.Now()
 	resp, err := transport.Send[Resp](ctx, v.options.Transport, address, name, req)
 	if err == nil {
 		v.options.Quorum.RecordContact(address, sent)
@@ -57,13 +58,13 @@
 }
 
 // Fetch fetches the slots that a controller holds.
-func (v *Voter) Fetch(ctx scope.Scope, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
+func (v *Voter) Fetch(ctx context.Context, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
 	return transport.Send[register.FetchResponse](ctx, v.options.Transport, address, fetchCall, req)
 }
 
 // FetchDigest fetches the state of all keys on a controller's disk. Where it holds the
 // same as this one, which is the usual case, the keys are not sent.
-func (v *Voter) FetchDigest(ctx scope.Scope, address ids.Address) (register.DigestResponse, error) {
+func (v *Voter) FetchDigest(ctx context.Context, address ids.Address) (register.DigestResponse, error) {
 	own := v.Acceptor.Digest()
 	resp, err := call[register.DigestResponse](ctx, v, address, digestCall, register.DigestRequest{Hash: own.Hash()})
 	if err == nil && resp.Unchanged {
@@ -73,7 +74,7 @@
 }
 
 // Learn brings newer copies of slots to a controller.
-func (v *Voter) Learn(ctx scope.Scope, address ids.Address, slots []register.Slot) error {
+func (v *Voter) Learn(ctx context.Context, address ids.Address, slots []register.Slot) error {
 	_, err := transport.Send[LearnResponse](ctx, v.options.Transport, address, learnCall, LearnRequest{Slots: slots})
 	return err
 }
--- a/control/state/voter/handover.go
+++ b/control/state/voter/handover.go
@@ -1,8 +1,10 @@
 package voter
 
 import (
+	"context"
+
+	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/state/register"
 )
@@ -19,12 +21,12 @@
 // other disks hold what this one does and a standby has taken its place. Without a
 // standby it keeps the place: a controller that shuts down does not know whether
 // it will be restarted.
-func (v *Voter) HandOff(ctx scope.Scope) {
-	ctx, cancel := ctx.WithTimeout(settings.Seconds(v.settings.Bounds.GraceS) / handOverShare)
+func (v *Voter) HandOff(ctx context.Context) {
+	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOverShare)
 	defer cancel()
 	repairer := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(v.settings)}
 	replicated := repairer.HandOff(ctx)
-	for (!replicated || v.hasStandby()) && ctx.Wait(v.options.ReplaceAfter/handOversPerReplaceAfter) {
+	for (!replicated || v.hasStandby()) && clock.Wait(ctx, v.clock, v.options.ReplaceAfter/handOversPerReplaceAfter) {
 		replicated = repairer.HandOff(ctx)
 	}
 	v.log.Info().Str("part", "voter").Bool("replicated", replicated).Bool("voting", v.Voting()).Msg("hand-over ended")
--- a/control/state/voter/lease.go
+++ b/control/state/voter/lease.go
@@ -1,8 +1,9 @@
 package voter
 
 import (
+	"context"
+
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/lease"
 )
 
@@ -13,7 +14,7 @@
 // RequestLease sends a request for a lease to all voters, and returns once a
 // majority has granted it or none can. The own voter is asked first: while it
 // refuses a new lease, the others are not bothered.
-func (v *Voter) RequestLease(ctx scope.Scope, req lease.Request) lease.Outcome {
+func (v *Voter) RequestLease(ctx context.Context, req lease.Request) lease.Outcome {
 	voters := v.Acceptor.Voters()
 	members := voters.Members
 	req.VotersFingerprint = voters.Fingerprint()
@@ -45,11 +46,11 @@
 
 // requestLeaseFrom reports whether another voter granted the request. It goes on
 // after ctx has ended, so that a release reaches slow voters too.
-func (v *Voter) requestLeaseFrom(ctx scope.Scope, address ids.Address, req lease.Request) bool {
+func (v *Voter) requestLeaseFrom(ctx context.Context, address ids.Address, req lease.Request) bool {
 	if address == v.options.Address {
 		return false
 	}
-	ctx, cancel := ctx.WithoutCancel().WithTimeout(v.options.LeaseTTL / leaseRequestsPerTTL)
+	ctx, cancel := v.clock.WithTimeout(context.WithoutCancel(ctx), v.options.LeaseTTL/leaseRequestsPerTTL)
 	defer cancel()
 	resp, err := call[lease.Response](ctx, v, address, leaseCall, req)
 	if err != nil {
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -23,7 +23,7 @@
 	v := c.voters[index]
 	v.options.Timing = testTiming
 	v.options.Quorum = quorum.New(quorum.Options{
-		Address: v.options.Address, Voters: v.Acceptor.Voters, MaxAge: 500 * clock.Millisecond,
+		Clock: c.clock, Log: c.ctx.Log, Address: v.options.Address, Voters: v.Acceptor.Voters, MaxAge: 500 * clock.Millisecond,
 	})
 	return func() {
 		for _, voter := range v.Acceptor.Voters().Members {
--- a/control/state/voter/open.go
+++ b/control/state/voter/open.go
@@ -2,13 +2,13 @@
 
 import (
 	"cmp"
+	"context"
 	"errors"
 	"slices"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/lease"
 	"onyxwell/control/state/register"
 	"onyxwell/control/state/wal"
@@ -27,12 +27,12 @@
 // not vote until it has joined. Where the disk fails, Open tries again until ctx
 // ends; it returns wal.ErrUnsupportedVersion, and errors of records that can't be
 // read, at once.
-func Open(ctx scope.Scope, options Options) (*Voter, error) {
+func Open(ctx context.Context, options Options) (*Voter, error) {
 	options.Timing = options.Timing.withDefaults(cmp.Or(options.ReplaceAfter, options.Timeout))
 	corrupted := false
 	for {
 		v := &Voter{
-			options: options, clock: ctx.Clock, log: ctx.Log, settings: ctx.Settings,
+			options: options, clock: options.Clock, log: options.Log, settings: options.Settings,
 			unknownSince: map[ids.Address]clock.Instant{},
 		}
 		v.liveness.options, v.liveness.clock = &v.options, v.clock
@@ -52,7 +52,7 @@
 			v.Close()
 		}
 		v.log.Warn().Str("part", "voter").Err(err).Msg("write-ahead log failed to open")
-		if !ctx.Wait(options.Timing.SuspectAfter) {
+		if !clock.Wait(ctx, options.Clock, options.Timing.SuspectAfter) {
 			return nil, err
 		}
 	}
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -29,7 +29,7 @@
 		ctx := scope.New(scope.Options{Clock: fake, Settings: &settings.Settings{}})
 		opened := make(chan *Voter)
 		go func() {
-			v, err := Open(ctx, Options{Address: "a", Disk: disk.Mount(), FirstStart: firstStart, Seeds: []ids.Address{"a"}, Timeout: clock.Second})
+			v, err := Open(ctx, Options{Clock: fake, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), FirstStart: firstStart, Seeds: []ids.Address{"a"}, Timeout: clock.Second})
 			if err != nil {
 				t.Error(err)
 			}
@@ -81,7 +81,7 @@
 	opened := make(chan error)
 	go func() {
 		ctx := scope.New(scope.Options{Clock: fake, Settings: &settings.Settings{}})
-		v, err := Open(ctx, Options{Address: "a", Disk: disk.Mount(), FirstStart: true, Seeds: []ids.Address{"a"}, Timeout: 10 * clock.Second, Timing: testTiming})
+		v, err := Open(ctx, Options{Clock: fake, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), FirstStart: true, Seeds: []ids.Address{"a"}, Timeout: 10 * clock.Second, Timing: testTiming})
 		if err == nil {
 			v.Close()
 		}
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -1,11 +1,11 @@
 package voter
 
 import (
+	"context"
 	"errors"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/register"
 )
 
@@ -18,7 +18,7 @@
 // join them while it does not, until ctx ends. A standby catches up meanwhile, so
 // that little is left to learn once a place is free. That is done every interval,
 // and at each tick for a while after the view of the voters changed.
-func (v *Voter) Run(ctx scope.Scope, interval clock.Span) {
+func (v *Voter) Run(ctx context.Context, interval clock.Span) {
 	tick := min(v.options.Timing.Tick, interval)
 	next := v.clock.Now()
 	for ctx.Err() == nil {
@@ -29,7 +29,7 @@
 			next = start.Add(v.step(ctx, interval))
 		}
 		// Standbys that tried for the same place must not meet again.
-		if !ctx.Wait(tick - random.Duration(tick/2)) {
+		if !clock.Wait(ctx, v.clock, tick-random.Duration(tick/2)) {
 			return
 		}
 	}
@@ -75,7 +75,7 @@
 
 // step surveys, or tries to join, and returns how long to pause while the view is
 // stable.
-func (v *Voter) step(ctx scope.Scope, interval clock.Span) clock.Span {
+func (v *Voter) step(ctx context.Context, interval clock.Span) clock.Span {
 	if v.Voting() {
 		v.surveyOnce(ctx)
 		return interval
@@ -85,8 +85,8 @@
 
 // tryJoin tries to join the voters, or catches up with them where there is no
 // vacancy. It returns how many intervals to skip.
-func (v *Voter) tryJoin(ctx scope.Scope) int {
-	ctx, cancel := ctx.WithTimeout(v.options.Timeout)
+func (v *Voter) tryJoin(ctx context.Context) int {
+	ctx, cancel := v.clock.WithTimeout(ctx, v.options.Timeout)
 	defer cancel()
 	err := v.joiner.Join(ctx)
 	v.log.Info().Str("part", "voter").Err(err).Msg("join attempted")
@@ -100,8 +100,8 @@
 // surveyOnce surveys the voters and repairs what lags. It logs a change once two
 // surveys in a row show it: one that the next survey does not show was only in
 // progress.
-func (v *Voter) surveyOnce(ctx scope.Scope) {
-	ctx, cancel := ctx.WithTimeout(v.options.Timeout)
+func (v *Voter) surveyOnce(ctx context.Context) {
+	ctx, cancel := v.clock.WithTimeout(ctx, v.options.Timeout)
 	defer cancel()
 	start := v.clock.Now()
 	redundancy := v.repairer.Round(ctx)
@@ -127,7 +127,7 @@
 
 // QueryRedundancy returns the result of the last survey, or of a new one without
 // repairs where this disk does not vote.
-func (v *Voter) QueryRedundancy(ctx scope.Scope) register.Redundancy {
+func (v *Voter) QueryRedundancy(ctx context.Context) register.Redundancy {
 	if v.Voting() {
 		return v.Redundancy()
 	}
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -18,6 +18,10 @@
 
 // Options configure a Voter.
 type Options struct {
+	// Clock, Log and Settings are the machine's; all three are required.
+	Clock    clock.Clock
+	Log      *log.Logger
+	Settings *settings.Settings
 	// Address is this controller's own.
 	Address ids.Address
 	// Disk holds the write-ahead log.
@@ -77,6 +81,7 @@
 // repairs what lags. It must be called before Run and before any request is sent.
 func (v *Voter) Attach(proposer *register.Proposer) {
 	v.joiner = &register.Joiner{
+		Clock:   v.clock,
 		Address: v.options.Address, Acceptor: v.Acceptor, Proposer: proposer,
 		Replicas: v, Peers: v.controllers, Replaceable: v.isReplaceable, Suspected: v.liveness.suspected,
 		TargetVoters: v.options.TargetCount, PlacementAllowed: v.fitsPlacement, RequestTimeout: v.options.Timing.RequestTimeout,
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -50,6 +50,7 @@
 			}
 		}
 		v, err := Open(c.ctx, Options{
+			Clock: c.clock, Log: c.ctx.Log, Settings: node,
 			Address: address, Disk: wal.Dir(t.TempDir()), FirstStart: index < 3, Seeds: addresses[:3], Membership: members,
 			Transport:    transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
 			ReplaceAfter: clock.Second, Timeout: 100 * clock.Second, LeaseTTL: clock.Second, TargetCount: 3,
@@ -60,6 +61,7 @@
 		t.Cleanup(v.Close)
 		v.RegisterHandlers(muxes[index])
 		proposer := register.NewProposer(register.ProposerOptions{
+			Clock: c.clock, Log: c.ctx.Log,
 			Address: address, Client: v, Voters: v.Acceptor.Voters, MessageTimeout: 100 * clock.Second, MinCopies: 2,
 			HighestEpoch: func(key string) int64 { return v.Acceptor.Slot(key).Promised.Number },
 		})
