--- a/base/httpcall/deadline_test.go
+++ b/base/httpcall/deadline_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -9,7 +10,7 @@
 	"testing"
 	"time"
 
-	"onyxwell/base/scope"
+	"onyxwell/base/clock"
 )
 
 // deadlineListener accepts connections that report each read deadline that is
@@ -46,8 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mux := NewMux(scope.New(scope.Options{}), 1<<20)
-	Handle(mux, http.MethodPut, "/settings", func(scope.Scope, empty) (empty, error) { return empty{}, nil })
+	mux := NewMux(clock.NewMonotonic(), 1<<20)
+	Handle(mux, http.MethodPut, "/settings", func(context.Context, empty) (empty, error) { return empty{}, nil })
 	server := &httptest.Server{Listener: deadlineListener{Listener: listener, deadlines: deadlines}, Config: NewServer(mux, 5*time.Second, 60*time.Second)}
 	server.Start()
 	t.Cleanup(server.Close)
--- a/base/httpcall/mux.go
+++ b/base/httpcall/mux.go
@@ -1,6 +1,7 @@
 package httpcall
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -8,10 +9,10 @@
 	"strings"
 	"time"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/memquota"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/base/telemetry"
 )
 
@@ -47,13 +48,13 @@
 }
 
 // handler serves a call whose body was read.
-type handler func(ctx scope.Scope, incoming Incoming) response.Response
+type handler func(ctx context.Context, incoming Incoming) response.Response
 
 // Mux dispatches calls to handlers by method and path. Handlers are registered
 // before it serves; it is safe for concurrent calls from then on.
 type Mux struct {
-	// Scope is the parent of the scope that handlers get.
-	Scope scope.Scope
+	// Clock measures the calls for Metrics.
+	Clock clock.Clock
 	// BodyLimit is the largest body in bytes.
 	BodyLimit int64
 	// Gate may be nil.
@@ -67,8 +68,8 @@
 }
 
 // NewMux returns a mux without handlers; see Mux for the arguments.
-func NewMux(ctx scope.Scope, bodyLimit int64) *Mux {
-	return &Mux{Scope: ctx, BodyLimit: bodyLimit, handlers: map[string]handler{}}
+func NewMux(source clock.Clock, bodyLimit int64) *Mux {
+	return &Mux{Clock: source, BodyLimit: bodyLimit, handlers: map[string]handler{}}
 }
 
 // Handle registers a handler for a method and a path. A path that ends with a
@@ -77,8 +78,8 @@
 func Handle[Request any, Pointer interface {
 	*Request
 	RequestReader
-}, Response Responder](mux *Mux, method string, path string, serve func(scope.Scope, Request) (Response, error)) {
-	mux.handlers[method+" "+path] = func(ctx scope.Scope, incoming Incoming) response.Response {
+}, Response Responder](mux *Mux, method string, path string, serve func(context.Context, Request) (Response, error)) {
+	mux.handlers[method+" "+path] = func(ctx context.Context, incoming Incoming) response.Response {
 		var req Request
 		if err := Pointer(&req).Decode(incoming); err != nil {
 			return mux.reject(incoming.Request, err)
@@ -123,10 +124,9 @@
 			return
 		}
 	}
-	ctx := m.Scope.WithContext(req.Context())
-	start := ctx.Now()
-	resp := serve(ctx, Incoming{Request: req, Tail: tail, Body: body})
-	m.Metrics.ObserveCall(req.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(resp.Status), ctx.Now().Since(start))
+	start := m.Clock.Now()
+	resp := serve(req.Context(), Incoming{Request: req, Tail: tail, Body: body})
+	m.Metrics.ObserveCall(req.Method+" "+path[:len(path)-len(tail)], strconv.Itoa(resp.Status), m.Clock.Now().Since(start))
 	resp.Send(writer)
 }
 
--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -14,7 +14,6 @@
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/control/config"
 	"onyxwell/control/config/evacuation"
 	"onyxwell/control/config/store"
@@ -36,9 +35,10 @@
 	Dispatch(ctx context.Context, cmd command.Command) ([]byte, error)
 }
 
-// Serve registers the calls for the configuration and for drained zones.
-func Serve(calls *httpcall.Mux, dispatcher Dispatcher) {
-	a := api{dispatcher: dispatcher}
+// Serve registers the calls for the configuration and for drained zones. zones are
+// those of the deployment.
+func Serve(calls *httpcall.Mux, dispatcher Dispatcher, zones map[ids.Zone]ids.Region) {
+	a := api{dispatcher: dispatcher, zones: zones}
 	httpcall.Handle(calls, http.MethodPut, configPath, a.changeConfig)
 	httpcall.Handle(calls, http.MethodPatch, configPath, a.changeConfig)
 	httpcall.Handle(calls, http.MethodGet, configPath, a.readConfig)
@@ -49,7 +49,7 @@
 // ServeHeadroom registers the call for the newest headroom report that reached
 // gossip.
 func ServeHeadroom(calls *httpcall.Mux, updates *gossip.Store) {
-	httpcall.Handle(calls, http.MethodGet, headroomPath, func(scope.Scope, EmptyRequest) (HeadroomResponse, error) {
+	httpcall.Handle(calls, http.MethodGet, headroomPath, func(context.Context, EmptyRequest) (HeadroomResponse, error) {
 		item, ok := updates.Get(headroom.Key)
 		if !ok {
 			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no estimate was made yet")
@@ -59,14 +59,17 @@
 }
 
 // api holds what the handlers stand on.
-type api struct{ dispatcher Dispatcher }
+type api struct {
+	dispatcher Dispatcher
+	zones      map[ids.Zone]ids.Region
+}
 
-func (a api) changeConfig(ctx scope.Scope, req ConfigChangeRequest) (ConfigChangeResponse, error) {
+func (a api) changeConfig(ctx context.Context, req ConfigChangeRequest) (ConfigChangeResponse, error) {
 	_, err := a.dispatcher.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbChange, Change: req.Change})
 	return ConfigChangeResponse{Version: req.Change.Version()}, err
 }
 
-func (a api) readConfig(ctx scope.Scope, _ EmptyRequest) (ConfigResponse, error) {
+func (a api) readConfig(ctx context.Context, _ EmptyRequest) (ConfigResponse, error) {
 	value, err := a.dispatcher.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbRead})
 	if err != nil {
 		return ConfigResponse{}, err
@@ -78,8 +81,8 @@
 	return ConfigResponse{Document: record.Document}, err
 }
 
-func (a api) setZone(ctx scope.Scope, req ZoneRequest) (EmptyResponse, error) {
-	if _, ok := ctx.Settings.Zones[req.Zone]; !ok {
+func (a api) setZone(ctx context.Context, req ZoneRequest) (EmptyResponse, error) {
+	if _, ok := a.zones[req.Zone]; !ok {
 		return EmptyResponse{}, errkind.Errorf(errkind.UnknownZone, "%q", req.Zone)
 	}
 	_, err := a.dispatcher.Dispatch(ctx, command.Command{Key: evacuation.Key(req.Zone), Verb: req.Verb})
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -12,7 +12,6 @@
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
-	"onyxwell/base/settings"
 	"onyxwell/control/gossip"
 	"onyxwell/control/membership"
 	"onyxwell/control/state/command"
@@ -58,7 +57,7 @@
 	t.Helper()
 	s := &testServer{T: t, updates: gossip.NewStore(nil), disk: &fakeDisk{}}
 	fakeClock := clock.NewFake()
-	ctx := scope.New(scope.Options{Clock: fakeClock, Settings: &settings.Settings{Zones: map[ids.Zone]ids.Region{"hall": "north"}}})
+	ctx := scope.New(scope.Options{Clock: fakeClock})
 	acceptor, err := register.NewAcceptor("a", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -79,8 +78,8 @@
 		Updates: s.updates, Transport: transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
 		ForwardTimeout: 4, CommandTimeout: clock.Second, TakeoverBackoff: func() clock.Span { return 0 },
 	})
-	s.calls = httpcall.NewMux(ctx, 4000)
-	Serve(s.calls, dispatcher)
+	s.calls = httpcall.NewMux(fakeClock, 4000)
+	Serve(s.calls, dispatcher, map[ids.Zone]ids.Region{"hall": "north"})
 	s.server = httptest.NewServer(s.calls)
 	t.Cleanup(s.server.Close)
 	return s
--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -21,6 +21,7 @@
 // the same lease.
 func (c *Controller) newAutoscaler(holder *lease.Holder) func(scope.Scope) {
 	c.autoscaler = autoscaler.New(autoscaler.Options{
+		Clock:   c.clock,
 		Address: c.daemon.Address, Gossip: c.daemon.Updates, Lease: holder.Held, Now: c.clock.Now,
 		Runners: c.listRunners, NewSerial: discovery.FencedSerial,
 		Window: metricWindow, Interval: metricStep, PlanEvery: planSteps, GroupByLength: c.settings.Grouping,
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	c.addCommands()
-	c.addServices(env)
+	c.addServices()
 	return c, nil
 }
 
@@ -109,7 +109,7 @@
 		case err := <-ended:
 			return err
 		case <-ctx.Done():
-			c.shutDown(c.daemon.Scope.WithContext(context.WithoutCancel(ctx)))
+			c.shutDown(context.WithoutCancel(ctx))
 			return nil
 		}
 	}
@@ -117,13 +117,13 @@
 
 // shutDown leaves the fleet. Resignations are not awaited one by one: each is a
 // message to voters that may be unreachable, and the command timeout bounds all.
-func (c *Controller) shutDown(ctx scope.Scope) {
+func (c *Controller) shutDown(ctx context.Context) {
 	c.voter.Leave()
 	c.daemon.Leave(ctx)
 	for _, holder := range c.leases {
 		go holder.Resign(ctx)
 	}
-	ctx.Wait(c.timing.CommandTimeout)
+	clock.Wait(ctx, c.clock, c.timing.CommandTimeout)
 	c.voter.HandOff(ctx)
 }
 
@@ -131,6 +131,7 @@
 // file up to date. Without them the seeds have to answer.
 func (c *Controller) restoreMembership(disk wal.FS) {
 	members := &membership.Store{
+		Clock: c.clock, Log: c.log,
 		Table: c.daemon.Membership, Disk: disk, Name: membersFile,
 		ZoneSizes: c.daemon.Zones.Sizes, RestoreZoneSizes: c.daemon.Zones.MergeSizes,
 	}
@@ -141,14 +142,14 @@
 }
 
 // openVoter opens the disk's vote and the quorum tracker that it reports to.
-func (c *Controller) openVoter(env scope.Scope, disk wal.FS) error {
+func (c *Controller) openVoter(ctx context.Context, disk wal.FS) error {
 	c.quorum = quorum.New(quorum.Options{
 		Clock: c.clock, Log: c.log,
 		Address: c.daemon.Address, Transport: c.daemon.Transport, MaxAge: c.timing.ForwardTimeout,
 		Voters: c.Voters,
 	})
 	var err error
-	c.voter, err = voter.Open(env, voter.Options{
+	c.voter, err = voter.Open(ctx, voter.Options{
 		Clock: c.clock, Log: c.log, Settings: c.settings,
 		Address: c.daemon.Address, Disk: disk, FirstStart: c.settings.FirstStart,
 		Seeds: c.settings.SeedAddresses(), Zones: c.settings.Zones,
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -30,14 +30,14 @@
 )
 
 // addServices adds the services that the supervisor starts, in this order.
-func (c *Controller) addServices(env scope.Scope) {
+func (c *Controller) addServices() {
 	c.daemon.AddService("quorum", func(ctx scope.Scope) error { c.quorum.Run(ctx); return nil })
 	c.daemon.AddService("voter", func(ctx scope.Scope) error { c.voter.Run(ctx, c.timing.GossipInterval); return nil })
 	c.daemon.AddService("sweep", func(ctx scope.Scope) error { c.commands.Run(ctx, c.timing.SweepInterval); return nil })
 	c.addSingleton(discoveryLease, c.newPublisher)
 	c.addSingleton(planningLease, c.newAutoscaler)
-	c.addAdminAPI(env)
-	c.addDirectory(env)
+	c.addAdminAPI()
+	c.addDirectory()
 }
 
 // addSingleton adds a service that acts only while this controller holds the
@@ -59,7 +59,7 @@
 	publisher := &discovery.Publisher{
 		Platform: c.daemon.NewPlatformClient(), Updates: c.daemon.Updates, Held: holder.Held,
 		Resign: func(ctx context.Context) {
-			holder.StandDown(c.daemon.Scope.WithContext(ctx), c.timing.LeaseDuration)
+			holder.StandDown(ctx, c.timing.LeaseDuration)
 		},
 		Interval: c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
 		Clock: c.clock, Log: c.log, RatePerS: c.settings.Platform.RatePerS,
@@ -68,17 +68,17 @@
 }
 
 // addAdminAPI serves the operator's calls.
-func (c *Controller) addAdminAPI(env scope.Scope) {
-	mux := c.newMux(env, c.settings.Limits.MemoryMB<<20/adminBodyDivisor)
-	admin.Serve(mux, c.commands)
+func (c *Controller) addAdminAPI() {
+	mux := c.newMux(c.settings.Limits.MemoryMB << 20 / adminBodyDivisor)
+	admin.Serve(mux, c.commands, c.settings.Zones)
 	admin.ServeHeadroom(mux, c.daemon.Updates)
 	c.serveStatus(mux)
 	c.addListener("control", mux)
 }
 
 // addDirectory serves clients' look-ups.
-func (c *Controller) addDirectory(env scope.Scope) {
-	mux := c.newMux(env, lookupBodyLimit)
+func (c *Controller) addDirectory() {
+	mux := c.newMux(lookupBodyLimit)
 	clients := &directory.Directory{
 		Membership: c.daemon.Membership, OtherZones: c.daemon.Zones.RemoteEndpoints, Zones: c.settings.Zones,
 		LossTimeout: max(settings.Seconds(c.settings.Bounds.RecoveryS), c.timing.LeaseDuration),
@@ -90,8 +90,8 @@
 }
 
 // newMux makes a mux that shares the daemon's metrics and its quota for bodies.
-func (c *Controller) newMux(env scope.Scope, bodyLimit int64) *httpcall.Mux {
-	mux := httpcall.NewMux(env, bodyLimit)
+func (c *Controller) newMux(bodyLimit int64) *httpcall.Mux {
+	mux := httpcall.NewMux(c.clock, bodyLimit)
 	mux.Metrics, mux.Bodies = c.daemon.Metrics, c.daemon.BodyQuota
 	return mux
 }
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"strings"
@@ -8,7 +9,6 @@
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/control/admin"
 	"onyxwell/control/config/store"
 	"onyxwell/control/membership"
@@ -62,13 +62,13 @@
 
 // serveStatus adds GET /status to the admin API.
 func (c *Controller) serveStatus(mux *httpcall.Mux) {
-	httpcall.Handle(mux, http.MethodGet, "/status", func(ctx scope.Scope, _ admin.EmptyRequest) (status, error) {
+	httpcall.Handle(mux, http.MethodGet, "/status", func(ctx context.Context, _ admin.EmptyRequest) (status, error) {
 		return c.status(ctx), nil
 	})
 }
 
 // status queries the voters for the redundancy; all else is this controller's own.
-func (c *Controller) status(ctx scope.Scope) status {
+func (c *Controller) status(ctx context.Context) status {
 	gossiped, traffic := &c.daemon.Gossiper.Stats, &c.daemon.Traffic
 	return status{
 		Address: c.daemon.Address, Regions: c.daemon.Zones.Regions(), Voters: c.Voters().Members,
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -152,13 +152,14 @@
 	})
 	d.Transport.Guard, d.Transport.Stats = transport.NewGuard(d.Scope.Settings.Zones, d.Scope.Log), &transport.MessageStats{}
 	d.BodyQuota = memquota.New(memory/bodyMemoryDivisor, d.Monitor)
-	d.Calls = httpcall.NewMux(d.Scope, memory/callBodyDivisor)
+	d.Calls = httpcall.NewMux(d.Scope.Clock, memory/callBodyDivisor)
 	d.Calls.Gate, d.Calls.Metrics, d.Calls.Bodies = d.Transport.Guard, d.Metrics, d.BodyQuota
 }
 
 func (d *Daemon) initGossip() {
 	node := d.Scope.Settings
 	d.Gossiper = &gossip.Gossiper{
+		Clock: d.Scope.Clock,
 		Store: d.Updates, Table: d.Membership, Client: d.Transport,
 		Seeds: node.SeedAddresses(), Interval: d.timing.GossipInterval, Timeout: d.timing.PeerTimeout,
 		Rejoining: !node.FirstStart,
@@ -207,7 +208,7 @@
 }
 
 // AddOneShot adds a service that is not started again after run returns.
-func (d *Daemon) AddOneShot(name string, run func(ctx scope.Scope)) {
+func (d *Daemon) AddOneShot(name string, run func(ctx context.Context)) {
 	d.AddService(name, func(ctx scope.Scope) error {
 		run(ctx)
 		<-ctx.Done()
@@ -258,7 +259,7 @@
 // them; each ends with ctx or the gossiper's time-out.
 func (d *Daemon) GossipNow(ctx context.Context) {
 	for _, address := range d.Gossiper.AnnounceTargets() {
-		go d.Gossiper.Exchange(d.Scope.WithContext(ctx), address)
+		go d.Gossiper.Exchange(ctx, address)
 	}
 }
 
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -1,8 +1,9 @@
 package daemon
 
 import (
+	"context"
+
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 	"onyxwell/control/state/readindex"
 	"onyxwell/control/transport"
@@ -18,8 +19,9 @@
 // and serial gives it.
 func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, serial func() ids.Version) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
+		Clock: d.Scope.Clock, Log: d.Scope.Log,
 		Applied: applied, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
-		Query: func(ctx scope.Scope, address ids.Address) (readindex.Response, error) {
+		Query: func(ctx context.Context, address ids.Address) (readindex.Response, error) {
 			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.MessageName, readindex.Request{From: d.Address})
 		},
 		MaxWait: readIndexForwardTimeouts * d.timing.ForwardTimeout,
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -30,10 +30,10 @@
 // addReports takes the reports of the zone's routers, ejects outliers from the
 // zone by them, and forwards their aggregate to the planner.
 func (d *Daemon) addReports() {
-	transport.Handle(d.Calls, relayReport, func(ctx scope.Scope, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
+	transport.Handle(d.Calls, relayReport, func(_ context.Context, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
 		report, err := message.Decode()
 		if err == nil {
-			d.addReport(report, ctx.Now())
+			d.addReport(report, d.Scope.Now())
 		}
 		return autoscaler.ReportResponse{Owner: true}, err
 	})
@@ -93,7 +93,7 @@
 }
 
 func (d *Daemon) sendReport(ctx context.Context, to ids.Address, name string, report autoscaler.ReportRequest) error {
-	limited, cancel := d.Scope.WithContext(ctx).WithTimeout(d.Gossiper.Timeout)
+	limited, cancel := d.Scope.Clock.WithTimeout(ctx, d.Gossiper.Timeout)
 	defer cancel()
 	message, err := report.Encode()
 	if err != nil {
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -5,6 +5,7 @@
 package directory
 
 import (
+	"context"
 	"net/http"
 
 	"onyxwell/base/clock"
@@ -12,7 +13,6 @@
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/base/telemetry"
 	"onyxwell/control/membership"
 	"onyxwell/control/membership/zonesummary"
@@ -79,7 +79,7 @@
 
 // Serve adds GET /lookup to a mux.
 func (d *Directory) Serve(mux *httpcall.Mux) {
-	httpcall.Handle(mux, http.MethodGet, "/lookup", func(_ scope.Scope, req LookupRequest) (LookupResponse, error) {
+	httpcall.Handle(mux, http.MethodGet, "/lookup", func(_ context.Context, req LookupRequest) (LookupResponse, error) {
 		return LookupResponse{Addresses: d.Choose(req), TTLS: min(maxTTLS, d.TTLMaxS)}, nil
 	})
 }
--- a/control/gossip/exchange.go
+++ b/control/gossip/exchange.go
@@ -1,16 +1,17 @@
 package gossip
 
 import (
+	"context"
+
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 )
 
 // Exchange compares items and members with another daemon, and transfers what
 // either lacks. It gives up silently where the other doesn't answer in time: a
 // later exchange does the same.
-func (g *Gossiper) Exchange(ctx scope.Scope, address ids.Address) {
-	short, cancel := ctx.WithTimeout(g.Timeout)
+func (g *Gossiper) Exchange(ctx context.Context, address ids.Address) {
+	short, cancel := g.Clock.WithTimeout(ctx, g.Timeout)
 	defer cancel()
 	resp, err := g.requestExchange(short, address, false)
 	if err == nil && resp.Differs {
@@ -30,7 +31,7 @@
 }
 
 // requestExchange opens an exchange: with all versions, or with their digest alone.
-func (g *Gossiper) requestExchange(ctx scope.Scope, address ids.Address, withVersions bool) (ExchangeResponse, error) {
+func (g *Gossiper) requestExchange(ctx context.Context, address ids.Address, withVersions bool) (ExchangeResponse, error) {
 	partner, _ := g.Table.Find(address)
 	common := g.commonScope(partner)
 	req := ExchangeRequest{From: g.Table.Self(), MembershipDigest: g.Table.Digest(), HasVersions: withVersions}
--- a/control/gossip/gossiper.go
+++ b/control/gossip/gossiper.go
@@ -1,12 +1,12 @@
 package gossip
 
 import (
+	"context"
 	"sync"
 	"sync/atomic"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 	"onyxwell/control/transport"
 )
@@ -14,6 +14,7 @@
 // Gossiper pushes what is new in a store to other daemons, and runs the exchanges
 // with them. The exported fields but for Stats are set before its first use.
 type Gossiper struct {
+	Clock  clock.Clock
 	Store  *Store
 	Table  *membership.Table
 	Client *transport.Client
@@ -50,7 +51,7 @@
 
 // Run exchanges with a partner now and then and pushes whatever is new, until
 // ctx ends. It returns once all that it started has.
-func (g *Gossiper) Run(ctx scope.Scope) {
+func (g *Gossiper) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	for ctx.Err() == nil {
@@ -63,7 +64,7 @@
 		case <-g.Store.remoteUpdates.wake:
 			items := g.Store.takePending(g.Store.remoteUpdates)
 			tasks.Go(func() { g.forward(ctx, items) })
-		case <-ctx.Clock.After(g.nextDelay()):
+		case <-g.Clock.After(g.nextDelay()):
 			if partner, ok := g.choosePartner(); ok {
 				tasks.Go(func() { g.Exchange(ctx, partner) })
 			}
--- a/control/gossip/gossiper_test.go
+++ b/control/gossip/gossiper_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"context"
 	"runtime"
 	"testing"
 
@@ -22,7 +23,7 @@
 }
 
 // Push implements peers.
-func (h *hangingPeers) Push(ctx scope.Scope, _ ids.Address, _ PushRequest) error {
+func (h *hangingPeers) Push(ctx context.Context, _ ids.Address, _ PushRequest) error {
 	defer close(h.ended)
 	close(h.begun)
 	<-ctx.Done()
@@ -46,6 +47,7 @@
 	table.Merge([]membership.Member{newMember("near:1", "a", "home", true)})
 	hanging := &hangingPeers{begun: make(chan struct{}), returned: make(chan struct{}), ended: make(chan struct{})}
 	gossiper := &Gossiper{
+		Clock: source,
 		Store: NewStore(nil), Table: table, Zones: map[ids.Zone]ids.Region{"a": "home"},
 		RelaysPerZone: 2, Fanout: 8, Interval: clock.Second, Timeout: clock.Second, peers: hanging,
 	}
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -1,10 +1,11 @@
 package gossip
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 )
 
@@ -21,7 +22,7 @@
 // reports whether the exchange is done, or better repeated later: the nearer
 // daemons may be empty too, and it is the first relay of a zone that fetches for
 // it from far away.
-func (g *Gossiper) fetchFromNearer(ctx scope.Scope, address ids.Address, resp ExchangeResponse) bool {
+func (g *Gossiper) fetchFromNearer(ctx context.Context, address ids.Address, resp ExchangeResponse) bool {
 	if !g.Store.Empty() {
 		return false
 	}
@@ -40,8 +41,8 @@
 	return !first && g.emptyExchanges.Add(1) <= maxNearerAttempts
 }
 
-func (g *Gossiper) exchangeWithin(ctx scope.Scope, timeout clock.Span, address ids.Address) {
-	short, cancel := ctx.WithTimeout(timeout)
+func (g *Gossiper) exchangeWithin(ctx context.Context, timeout clock.Span, address ids.Address) {
+	short, cancel := g.Clock.WithTimeout(ctx, timeout)
 	defer cancel()
 	g.Exchange(short, address)
 }
--- a/control/gossip/nearer_test.go
+++ b/control/gossip/nearer_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"testing"
@@ -28,7 +29,7 @@
 		scope: scope.New(scope.Options{Clock: source}), others: map[ids.Address]*Gossiper{}, itemsFrom: map[ids.Address]int{},
 	}
 	newGossiper := func(self membership.Member) *Gossiper {
-		return &Gossiper{Store: NewStore(nil), Table: membership.NewTable(source, self), Interval: clock.Second, Timeout: clock.Second, RelaysPerZone: 2}
+		return &Gossiper{Clock: source, Store: NewStore(nil), Table: membership.NewTable(source, self), Interval: clock.Second, Timeout: clock.Second, RelaysPerZone: 2}
 	}
 	b.joiner = newGossiper(self)
 	b.joiner.peers = b
@@ -40,7 +41,7 @@
 }
 
 // Exchange implements peers.
-func (b *bootstrapPeers) Exchange(_ scope.Scope, address ids.Address, req ExchangeRequest) (ExchangeResponse, error) {
+func (b *bootstrapPeers) Exchange(_ context.Context, address ids.Address, req ExchangeRequest) (ExchangeResponse, error) {
 	other := b.others[address]
 	if other == nil {
 		return ExchangeResponse{}, errors.New("nobody at the address")
--- a/control/gossip/push.go
+++ b/control/gossip/push.go
@@ -1,13 +1,13 @@
 package gossip
 
 import (
+	"context"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // PushStats counts the pushes that this daemon sent, those that failed, and the
@@ -16,14 +16,14 @@
 
 // Push sends items to all targets that should hold them. It returns once each
 // part was handed on or given up; what is given up is left to exchanges.
-func (g *Gossiper) Push(ctx scope.Scope, items []Item, targets Targets) {
+func (g *Gossiper) Push(ctx context.Context, items []Item, targets Targets) {
 	for filter, group := range groupByFilter(items) {
 		g.pushGroup(ctx, group, filter.apply(g, targets))
 	}
 }
 
 // pushGroup sends items that the same members should hold.
-func (g *Gossiper) pushGroup(ctx scope.Scope, items []Item, targets Targets) {
+func (g *Gossiper) pushGroup(ctx context.Context, items []Item, targets Targets) {
 	var deliveries sync.WaitGroup
 	for _, part := range g.splitTargets(targets) {
 		deliveries.Add(1)
@@ -37,7 +37,7 @@
 
 // deliver sends one delivery to the first candidate that takes it; where none
 // does, what remains is split anew.
-func (g *Gossiper) deliver(ctx scope.Scope, items []Item, part delivery) {
+func (g *Gossiper) deliver(ctx context.Context, items []Item, part delivery) {
 	for _, candidate := range part.candidates[:min(maxDeliveryAttempts, len(part.candidates))] {
 		if err := g.sendPush(ctx, candidate, items, part.targets(candidate)); err == nil {
 			g.Stats.Pushed.Add(1)
@@ -53,8 +53,8 @@
 	}
 }
 
-func (g *Gossiper) sendPush(ctx scope.Scope, address ids.Address, items []Item, targets Targets) error {
-	short, cancel := ctx.WithTimeout(g.Interval)
+func (g *Gossiper) sendPush(ctx context.Context, address ids.Address, items []Item, targets Targets) error {
+	short, cancel := g.Clock.WithTimeout(ctx, g.Interval)
 	defer cancel()
 	return g.remote().Push(short, address, PushRequest{From: g.Table.Self().Address, Items: items, Targets: targets})
 }
@@ -63,7 +63,7 @@
 // doesn't wait for that, so that the sender need not; hence the sending outlasts
 // the call. It ends by itself: each attempt has a timeout, and each further level
 // less to reach.
-func (g *Gossiper) handlePush(ctx scope.Scope, req PushRequest) PushResponse {
+func (g *Gossiper) handlePush(ctx context.Context, req PushRequest) PushResponse {
 	resp := PushResponse{}
 	for _, item := range req.Items {
 		if g.Store.receive(item, nil) {
@@ -72,7 +72,7 @@
 	}
 	if !req.Targets.empty() {
 		g.Stats.Relayed.Add(1)
-		g.spawn(func() { g.Push(ctx.WithoutCancel(), req.Items, withoutSender(req)) })
+		g.spawn(func() { g.Push(context.WithoutCancel(ctx), req.Items, withoutSender(req)) })
 	}
 	return resp
 }
@@ -87,7 +87,7 @@
 
 // forward spreads what came by an exchange in the own zone: a relay pushes it to
 // the members, any other daemon exchanges with a relay.
-func (g *Gossiper) forward(ctx scope.Scope, items []Item) {
+func (g *Gossiper) forward(ctx context.Context, items []Item) {
 	self := g.Table.Self()
 	if self.Relay {
 		g.Push(ctx, items, Targets{Zones: []ids.Zone{self.Zone}})
--- a/control/gossip/push_test.go
+++ b/control/gossip/push_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"maps"
@@ -58,6 +59,7 @@
 
 func (c *cluster) add(self membership.Member, zones map[ids.Zone]ids.Region) {
 	c.gossipers[self.Address] = &Gossiper{
+		Clock: c.clock,
 		Store: NewStore(nil), Table: membership.NewTable(c.clock, self), Zones: zones,
 		RelaysPerZone: relaysPerZone, Fanout: 8, Interval: clock.Second, Timeout: clock.Second,
 		inline: true, peers: clusterPeers{cluster: c, self: self.Address},
@@ -74,7 +76,7 @@
 }
 
 // Push implements peers.
-func (cp clusterPeers) Push(ctx scope.Scope, address ids.Address, req PushRequest) error {
+func (cp clusterPeers) Push(ctx context.Context, address ids.Address, req PushRequest) error {
 	c := cp.cluster
 	c.messagesSent[cp.self]++
 	for _, item := range req.Items {
--- a/control/membership/store.go
+++ b/control/membership/store.go
@@ -1,9 +1,12 @@
 package membership
 
 import (
+	"context"
+
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/wal"
 	"onyxwell/control/transport"
 )
@@ -12,6 +15,9 @@
 // all of them were down at once: the shares of common limits depend on how many
 // routers there could be. Its methods are called by one goroutine at a time.
 type Store struct {
+	// Clock and Log are those of Run.
+	Clock clock.Clock
+	Log   *log.Logger
 	Table *Table
 	Disk  wal.FS
 	// Name is that of the file.
@@ -87,10 +93,10 @@
 }
 
 // Run saves once each interval until ctx ends.
-func (s *Store) Run(ctx scope.Scope, interval clock.Span) {
-	for ctx.Wait(interval) {
+func (s *Store) Run(ctx context.Context, interval clock.Span) {
+	for clock.Wait(ctx, s.Clock, interval) {
 		if err := s.Save(); err != nil {
-			ctx.Log.Warn().Str("part", "members").Err(err).Msg("saving members failed")
+			s.Log.Warn().Str("part", "members").Err(err).Msg("saving members failed")
 		}
 	}
 }
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -1,13 +1,13 @@
 package autoscaler
 
 import (
+	"context"
 	"sync"
 	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/gossip"
 	"onyxwell/control/planning/headroom"
 	"onyxwell/control/planning/lengthstats"
@@ -28,6 +28,8 @@
 
 // Options configure a Planner; all fields but Now and GroupByLength are required.
 type Options struct {
+	// Clock is required by Run and RegisterHandlers alone.
+	Clock clock.Clock
 	// Address is this daemon's.
 	Address ids.Address
 	// Gossip is where plans are published, and where the last one is found.
@@ -107,8 +109,8 @@
 // RegisterHandlers has the mux take reports for the planner. A daemon that
 // doesn't own the lease answers that it doesn't, and drops the report.
 func (p *Planner) RegisterHandlers(calls *httpcall.Mux) {
-	transport.Handle(calls, "report", func(ctx scope.Scope, message ReportMessage) (ReportResponse, error) {
-		if _, owned := p.options.Lease(ctx.Now()); !owned {
+	transport.Handle(calls, "report", func(_ context.Context, message ReportMessage) (ReportResponse, error) {
+		if _, owned := p.options.Lease(p.options.Clock.Now()); !owned {
 			return ReportResponse{}, nil
 		}
 		report, err := message.Decode()
@@ -128,10 +130,10 @@
 }
 
 // Run ticks once an interval until ctx ends.
-func (p *Planner) Run(ctx scope.Scope) {
-	last := ctx.Now()
-	for ctx.Wait(p.options.Interval) {
-		now := ctx.Now()
+func (p *Planner) Run(ctx context.Context) {
+	last := p.options.Clock.Now()
+	for clock.Wait(ctx, p.options.Clock, p.options.Interval) {
+		now := p.options.Clock.Now()
 		p.Tick(now, now.Since(last))
 		last = now
 	}
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -25,7 +25,6 @@
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 	"onyxwell/control/config/evacuation"
 	"onyxwell/control/config/store"
 	"onyxwell/control/gossip"
@@ -102,7 +101,7 @@
 
 // Serve registers the handler of forwarded commands.
 func (d *Dispatcher) Serve(calls *httpcall.Mux) {
-	transport.Handle(calls, forwardMessage, func(ctx scope.Scope, cmd Command) (Result, error) {
+	transport.Handle(calls, forwardMessage, func(ctx context.Context, cmd Command) (Result, error) {
 		return resultOf(d.HandleForwarded(ctx, cmd)), nil
 	})
 }
--- a/control/state/quorum/messages.go
+++ b/control/state/quorum/messages.go
@@ -1,10 +1,11 @@
 package quorum
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -37,7 +38,7 @@
 
 // RegisterHandlers serves the heartbeat to other controllers.
 func (t *Tracker) RegisterHandlers(calls *httpcall.Mux) {
-	transport.Handle(calls, heartbeatCall, func(_ scope.Scope, _ HeartbeatRequest) (HeartbeatResponse, error) {
+	transport.Handle(calls, heartbeatCall, func(_ context.Context, _ HeartbeatRequest) (HeartbeatResponse, error) {
 		return t.Respond(t.options.Clock.Now()), nil
 	})
 }
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -1,13 +1,15 @@
 package readindex
 
 import (
+	"context"
 	"sync"
 	"sync/atomic"
 
+	"github.com/phuslu/log"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
-	"onyxwell/base/scope"
 )
 
 // The states of a Gate, as the status and the log show them.
@@ -35,16 +37,18 @@
 
 // Options configure a Gate. All but Jitter are required.
 type Options struct {
+	Clock clock.Clock
+	Log   *log.Logger
 	// Controllers returns the addresses of the controllers that can be queried now.
 	Controllers func() []ids.Address
 	// Query asks one controller for the read index.
-	Query func(ctx scope.Scope, address ids.Address) (Response, error)
+	Query func(ctx context.Context, address ids.Address) (Response, error)
 	// Applied is closed once some version is applied here; AppliedSerial then
 	// returns which.
 	Applied       <-chan struct{}
 	AppliedSerial func() ids.Version
 	// Fetch exchanges updates with a controller that has a newer version.
-	Fetch func(ctx scope.Scope, address ids.Address)
+	Fetch func(ctx context.Context, address ids.Address)
 	// MaxWait is how long the gate stays closed without any confirmation.
 	MaxWait clock.Span
 	// Jitter randomizes a query interval, so that routers that start together do
@@ -99,15 +103,15 @@
 
 // Run queries controllers until the version is confirmed, and returns when ctx
 // has ended: a supervisor would start a service that returns earlier again.
-func (g *Gate) Run(ctx scope.Scope) {
+func (g *Gate) Run(ctx context.Context) {
 	defer g.queries.Wait()
 	maxWait := g.options.MaxWait
 	results := make(chan queryResult, maxQueuedResults)
 	interval := maxWait / firstIntervalDivisor
-	next := ctx.Now()
+	next := g.options.Clock.Now()
 	g.waitingSince = next
 	for ctx.Err() == nil && !g.evaluate(ctx) {
-		if now := ctx.Now(); !now.Before(next) && (!g.hasReadIndex || g.behind()) {
+		if now := g.options.Clock.Now(); !now.Before(next) && (!g.hasReadIndex || g.behind()) {
 			g.queryNext(ctx, results)
 			next = now.Add(g.options.Jitter(interval))
 			interval = min(interval*3/2, maxIntervalFactor*maxWait)
@@ -115,7 +119,7 @@
 		select {
 		case result := <-results:
 			g.handleResult(ctx, result)
-		case <-ctx.Clock.After(maxWait / checksPerMaxWait):
+		case <-g.options.Clock.After(maxWait / checksPerMaxWait):
 		case <-ctx.Done():
 		}
 	}
@@ -124,7 +128,7 @@
 
 // queryNext queries the next controller: each once, in random order, then all
 // again.
-func (g *Gate) queryNext(ctx scope.Scope, results chan<- queryResult) {
+func (g *Gate) queryNext(ctx context.Context, results chan<- queryResult) {
 	if len(g.candidates) == 0 {
 		g.candidates = append(g.candidates, g.options.Controllers()...)
 		random.Shuffle(g.candidates)
@@ -135,7 +139,7 @@
 	address := g.candidates[0]
 	g.candidates = g.candidates[1:]
 	g.queries.Go(func() {
-		ctx, cancel := ctx.WithTimeout(g.options.MaxWait)
+		ctx, cancel := g.options.Clock.WithTimeout(ctx, g.options.MaxWait)
 		defer cancel()
 		resp, err := g.options.Query(ctx, address)
 		select {
@@ -145,17 +149,17 @@
 	})
 }
 
-func (g *Gate) handleResult(ctx scope.Scope, result queryResult) {
+func (g *Gate) handleResult(ctx context.Context, result queryResult) {
 	if result.err != nil {
 		return
 	}
-	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, result.response.Serial), ctx.Now()
+	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, result.response.Serial), g.options.Clock.Now()
 	g.source = result.from
 	g.fetchIfBehind(ctx)
 }
 
 // fetchIfBehind fetches from the controller that responded last.
-func (g *Gate) fetchIfBehind(ctx scope.Scope) {
+func (g *Gate) fetchIfBehind(ctx context.Context) {
 	if g.behind() {
 		source := g.source
 		g.queries.Go(func() { g.options.Fetch(ctx, source) })
@@ -180,22 +184,22 @@
 
 // evaluate opens the gate where that is due, and reports whether the version is
 // confirmed.
-func (g *Gate) evaluate(ctx scope.Scope) bool {
+func (g *Gate) evaluate(ctx context.Context) bool {
 	if !g.applied() {
 		return false
 	}
 	if !g.wasApplied && g.hasReadIndex {
 		// The wait for a version that is behind starts once that is known.
-		g.waitingSince = ctx.Now()
+		g.waitingSince = g.options.Clock.Now()
 		g.fetchIfBehind(ctx)
 	}
 	g.wasApplied = true
 	if g.hasReadIndex && !g.behind() {
-		g.setState(ctx, Confirmed)
+		g.setState(Confirmed)
 		return true
 	}
-	if ctx.Now().Since(g.waitingSince) > g.options.MaxWait {
-		g.setState(ctx, Unconfirmed)
+	if g.options.Clock.Now().Since(g.waitingSince) > g.options.MaxWait {
+		g.setState(Unconfirmed)
 	}
 	return false
 }
@@ -207,14 +211,14 @@
 
 // setState opens the gate in the state. It logs only a router that became ready
 // unconfirmed, and its confirmation.
-func (g *Gate) setState(ctx scope.Scope, state string) {
+func (g *Gate) setState(state string) {
 	before := g.State()
 	if before == state {
 		return
 	}
 	g.state.Store(state)
 	if state == Unconfirmed || before == Unconfirmed {
-		ctx.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.AppliedSerial())).
+		g.options.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.AppliedSerial())).
 			Msg(stateMessages[state])
 	}
 	select {
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -1,6 +1,7 @@
 package readindex
 
 import (
+	"context"
 	"errors"
 	"strings"
 	"sync/atomic"
@@ -39,19 +40,20 @@
 	tg.ctx = ctx
 	t.Cleanup(func() { cancel(); scope.New(scope.Options{}).Wait(testMaxWait) })
 	tg.gate = NewGate(Options{
+		Clock: tg.ctx.Clock, Log: tg.ctx.Log,
 		Controllers: func() []ids.Address { return []ids.Address{"partitioned", "healthy"} },
-		Query: func(ctx scope.Scope, address ids.Address) (Response, error) {
+		Query: func(ctx context.Context, address ids.Address) (Response, error) {
 			tg.queries.Add(1)
 			if address == "partitioned" || tg.partitioned.Load() {
-				ctx.Wait(190 * clock.Millisecond)
+				clock.Wait(ctx, tg.ctx.Clock, 190*clock.Millisecond)
 				return Response{}, errors.New("no quorum")
 			}
-			ctx.Wait(80 * clock.Millisecond)
+			clock.Wait(ctx, tg.ctx.Clock, 80*clock.Millisecond)
 			return Response{Serial: ids.Version(tg.newest.Load())}, nil
 		},
 		Applied: tg.applied, AppliedSerial: func() ids.Version { return ids.Version(tg.serial.Load()) },
-		Fetch: func(ctx scope.Scope, _ ids.Address) {
-			if ctx.Wait(100 * clock.Millisecond); !tg.partitioned.Load() {
+		Fetch: func(ctx context.Context, _ ids.Address) {
+			if clock.Wait(ctx, tg.ctx.Clock, 100*clock.Millisecond); !tg.partitioned.Load() {
 				tg.serial.Store(tg.newest.Load())
 			}
 		},
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -6,7 +6,6 @@
 
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -59,7 +58,7 @@
 
 // RegisterHandlers serves the read index to other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
-	transport.Handle(calls, MessageName, func(ctx scope.Scope, _ Request) (Response, error) {
+	transport.Handle(calls, MessageName, func(ctx context.Context, _ Request) (Response, error) {
 		serial, err := r.ReadIndex(ctx)
 		return Response{Serial: serial}, err
 	})
--- a/control/state/voter/messages.go
+++ b/control/state/voter/messages.go
@@ -1,8 +1,9 @@
 package voter
 
 import (
+	"context"
+
 	"onyxwell/base/httpcall"
-	"onyxwell/base/scope"
 	"onyxwell/control/state/lease"
 	"onyxwell/control/state/register"
 	"onyxwell/control/transport"
@@ -43,7 +44,7 @@
 	handle(calls, fetchCall, v.Acceptor.Fetch)
 	handle(calls, digestCall, v.handleDigest)
 	handle(calls, leaseCall, v.handleLease)
-	transport.Handle(calls, learnCall, func(_ scope.Scope, req LearnRequest) (LearnResponse, error) {
+	transport.Handle(calls, learnCall, func(_ context.Context, req LearnRequest) (LearnResponse, error) {
 		err := v.Acceptor.Learn(req.Slots)
 		return LearnResponse{Applied: err == nil}, err
 	})
@@ -51,7 +52,7 @@
 
 // handle serves a request that can't fail.
 func handle[Req, Resp any](calls *httpcall.Mux, name string, serve func(Req) Resp) {
-	transport.Handle(calls, name, func(_ scope.Scope, req Req) (Resp, error) { return serve(req), nil })
+	transport.Handle(calls, name, func(_ context.Context, req Req) (Resp, error) { return serve(req), nil })
 }
 
 // handleDigest answers with the state of all keys on this disk, or with its hash
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -36,7 +36,7 @@
 	var muxes []*httpcall.Mux
 	var addresses []ids.Address
 	for range count {
-		mux := httpcall.NewMux(c.ctx, 1<<20)
+		mux := httpcall.NewMux(c.clock, 1<<20)
 		server := httptest.NewServer(mux)
 		t.Cleanup(server.Close)
 		muxes, c.servers = append(muxes, mux), append(c.servers, server)
--- a/control/transport/server.go
+++ b/control/transport/server.go
@@ -1,12 +1,12 @@
 package transport
 
 import (
+	"context"
 	"net/http"
 
 	"onyxwell/base/errkind"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 )
 
 // incomingRequest is a request on the server's side. The guard has taken the
@@ -34,8 +34,8 @@
 
 // Handle registers the handler of the message of that name. The kind of an error
 // that serve returns reaches the sender; its text does not.
-func Handle[Request, Response any](mux *httpcall.Mux, name string, serve func(scope.Scope, Request) (Response, error)) {
-	httpcall.Handle(mux, http.MethodPost, "/"+name, func(ctx scope.Scope, req incomingRequest[Request]) (outgoingResponse[Response], error) {
+func Handle[Request, Response any](mux *httpcall.Mux, name string, serve func(context.Context, Request) (Response, error)) {
+	httpcall.Handle(mux, http.MethodPost, "/"+name, func(ctx context.Context, req incomingRequest[Request]) (outgoingResponse[Response], error) {
 		resp, err := serve(ctx, req.message)
 		return outgoingResponse[Response]{message: resp}, err
 	})
--- a/control/transport/transport_test.go
+++ b/control/transport/transport_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -106,11 +107,11 @@
 func TestGuard_countsRejectionsAndLogsOnce(t *testing.T) {
 	logged := &bytes.Buffer{}
 	top := scope.New(scope.Options{})
-	mux, handled := httpcall.NewMux(top, 100), 0
+	mux, handled := httpcall.NewMux(top.Clock, 100), 0
 	guard := newTestGuard()
 	guard.log = scope.NewLogger("warn", logged)
 	mux.Gate = guard
-	Handle(mux, "sum", func(scope.Scope, sampleMessage) (sampleReply, error) { handled++; return sampleReply{Sum: 1}, nil })
+	Handle(mux, "sum", func(context.Context, sampleMessage) (sampleReply, error) { handled++; return sampleReply{Sum: 1}, nil })
 	good, _ := Seal(guard, sampleRequest)
 	foreign, _ := Seal(NewGuard(nil, nil), sampleRequest)
 	otherSchema, _ := Seal(guard, olderMessage{Number: 7})
@@ -154,9 +155,9 @@
 
 func TestSend_countsResponseOfOtherSchema(t *testing.T) {
 	top := scope.New(scope.Options{})
-	mux := httpcall.NewMux(top, 100)
+	mux := httpcall.NewMux(top.Clock, 100)
 	mux.Gate = newTestGuard()
-	Handle(mux, "sum", func(scope.Scope, sampleMessage) (olderMessage, error) { return olderMessage{Number: 9}, nil })
+	Handle(mux, "sum", func(context.Context, sampleMessage) (olderMessage, error) { return olderMessage{Number: 9}, nil })
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	client := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
