--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -1,8 +1,9 @@
 package controller
 
 import (
+	"context"
+
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 	"onyxwell/control/discovery"
 	"onyxwell/control/planning/autoscaler"
 	"onyxwell/control/state/lease"
@@ -19,7 +20,7 @@
 
 // newAutoscaler makes the planning singleton; the headroom estimate runs under
 // the same lease.
-func (c *Controller) newAutoscaler(holder *lease.Holder) func(scope.Scope) {
+func (c *Controller) newAutoscaler(holder *lease.Holder) func(context.Context) {
 	c.autoscaler = autoscaler.New(autoscaler.Options{
 		Clock:   c.clock,
 		Address: c.daemon.Address, Gossip: c.daemon.Updates, Lease: holder.Held, Now: c.clock.Now,
@@ -27,8 +28,8 @@
 		Window: metricWindow, Interval: metricStep, PlanEvery: planSteps, GroupByLength: c.settings.Grouping,
 	})
 	c.autoscaler.RegisterHandlers(c.daemon.Calls)
-	c.daemon.AddService("headroom", func(ctx scope.Scope) error { c.publishHeadroom(ctx, holder); return nil })
-	return func(ctx scope.Scope) { c.autoscaler.Run(ctx) }
+	c.daemon.AddService("headroom", func(ctx context.Context) error { c.publishHeadroom(ctx, holder); return nil })
+	return func(ctx context.Context) { c.autoscaler.Run(ctx) }
 }
 
 // listRunners gives the current endpoint list as the autoscaler sees it.
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -138,7 +138,7 @@
 	if err := members.Load(); err != nil {
 		c.log.Warn().Str("part", "members").Err(err).Msg("members file unreadable")
 	}
-	c.daemon.AddService("members", func(ctx scope.Scope) error { members.Run(ctx, c.timing.LeaseDuration); return nil })
+	c.daemon.AddService("members", func(ctx context.Context) error { members.Run(ctx, c.timing.LeaseDuration); return nil })
 }
 
 // openVoter opens the disk's vote and the quorum tracker that it reports to.
--- a/control/controller/inspect.go
+++ b/control/controller/inspect.go
@@ -1,7 +1,8 @@
 package controller
 
 import (
-	"onyxwell/base/scope"
+	"context"
+
 	"onyxwell/control/state/command"
 	"onyxwell/control/state/register"
 )
@@ -30,6 +31,6 @@
 
 // Read reads a key linearizably, as an operator's read does: the value is
 // confirmed by a majority of the voters.
-func (c *Controller) Read(ctx scope.Scope, key string) ([]byte, error) {
+func (c *Controller) Read(ctx context.Context, key string) ([]byte, error) {
 	return c.commands.Dispatch(ctx, command.Command{Key: key, Verb: command.VerbRead})
 }
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -4,7 +4,6 @@
 	"context"
 
 	"onyxwell/base/httpcall"
-	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/admin"
 	"onyxwell/control/directory"
@@ -31,9 +30,9 @@
 
 // addServices adds the services that the supervisor starts, in this order.
 func (c *Controller) addServices() {
-	c.daemon.AddService("quorum", func(ctx scope.Scope) error { c.quorum.Run(ctx); return nil })
-	c.daemon.AddService("voter", func(ctx scope.Scope) error { c.voter.Run(ctx, c.timing.GossipInterval); return nil })
-	c.daemon.AddService("sweep", func(ctx scope.Scope) error { c.commands.Run(ctx, c.timing.SweepInterval); return nil })
+	c.daemon.AddService("quorum", func(ctx context.Context) error { c.quorum.Run(ctx); return nil })
+	c.daemon.AddService("voter", func(ctx context.Context) error { c.voter.Run(ctx, c.timing.GossipInterval); return nil })
+	c.daemon.AddService("sweep", func(ctx context.Context) error { c.commands.Run(ctx, c.timing.SweepInterval); return nil })
 	c.addSingleton(discoveryLease, c.newPublisher)
 	c.addSingleton(planningLease, c.newAutoscaler)
 	c.addAdminAPI()
@@ -42,7 +41,7 @@
 
 // addSingleton adds a service that acts only while this controller holds the
 // lease of that name. newService is called once, before the supervisor starts.
-func (c *Controller) addSingleton(name string, newService func(*lease.Holder) func(scope.Scope)) {
+func (c *Controller) addSingleton(name string, newService func(*lease.Holder) func(context.Context)) {
 	holder := lease.NewHolder(lease.Options{
 		Clock: c.clock, Log: c.log,
 		Name: name, Address: c.daemon.Address, TTL: c.timing.LeaseDuration,
@@ -50,12 +49,12 @@
 	})
 	c.leases = append(c.leases, holder)
 	run := newService(holder)
-	c.daemon.AddService("lease "+name, func(ctx scope.Scope) error { holder.Run(ctx); return nil })
-	c.daemon.AddService(name, func(ctx scope.Scope) error { run(ctx); return nil })
+	c.daemon.AddService("lease "+name, func(ctx context.Context) error { holder.Run(ctx); return nil })
+	c.daemon.AddService(name, func(ctx context.Context) error { run(ctx); return nil })
 }
 
 // newPublisher makes the singleton that polls the platform's endpoint list.
-func (c *Controller) newPublisher(holder *lease.Holder) func(scope.Scope) {
+func (c *Controller) newPublisher(holder *lease.Holder) func(context.Context) {
 	publisher := &discovery.Publisher{
 		Platform: c.daemon.NewPlatformClient(), Updates: c.daemon.Updates, Held: holder.Held,
 		Resign: func(ctx context.Context) {
@@ -64,7 +63,7 @@
 		Interval: c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
 		Clock: c.clock, Log: c.log, RatePerS: c.settings.Platform.RatePerS,
 	}
-	return func(ctx scope.Scope) { publisher.Run(ctx) }
+	return func(ctx context.Context) { publisher.Run(ctx) }
 }
 
 // addAdminAPI serves the operator's calls.
@@ -98,7 +97,7 @@
 
 // addListener serves a mux at the address that the settings list under name.
 func (c *Controller) addListener(name string, mux *httpcall.Mux) {
-	c.daemon.AddService(name, func(ctx scope.Scope) error {
+	c.daemon.AddService(name, func(ctx context.Context) error {
 		return c.daemon.ServeHTTP(ctx, c.settings.Listen[name], mux)
 	})
 }
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -12,6 +12,7 @@
 
 	"github.com/thejerf/suture/v4"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
@@ -170,46 +171,45 @@
 
 // addServices adds the services that the supervisor starts, in this order.
 func (d *Daemon) addServices(view *discovery.View) {
-	d.AddService("calls", func(ctx scope.Scope) error { return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic) })
-	d.AddService("probe", func(ctx scope.Scope) error { d.prober.Run(ctx); return nil })
+	d.AddService("calls", func(ctx context.Context) error { return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic) })
+	d.AddService("probe", func(ctx context.Context) error { d.prober.Run(ctx); return nil })
 	d.AddService("datagrams", d.receiveDatagrams)
 	d.addReports()
 	d.addMetrics()
 	if view != nil {
 		d.addListFallback(view)
 	}
-	d.AddService("relays", func(ctx scope.Scope) error {
-		for ctx.Wait(d.timing.ZoneSummaryInterval) {
+	d.AddService("relays", func(ctx context.Context) error {
+		for clock.Wait(ctx, d.Scope.Clock, d.timing.ZoneSummaryInterval) {
 			d.Membership.UpdateRelayRole(d.timing.RelaysPerZone, d.timing.Probe.SuspicionTimeout)
 			d.Zones.Refresh()
 		}
 		return nil
 	})
-	d.AddService("gossip", func(ctx scope.Scope) error { d.Gossiper.Run(ctx); return nil })
+	d.AddService("gossip", func(ctx context.Context) error { d.Gossiper.Run(ctx); return nil })
 }
 
-// service is a suture.Service that runs in the daemon's scope.
+// service is a suture.Service.
 type service struct {
-	name  string
-	scope scope.Scope
-	run   func(ctx scope.Scope) error
+	name string
+	run  func(ctx context.Context) error
 }
 
 // Serve implements suture.Service.
-func (s service) Serve(ctx context.Context) error { return s.run(s.scope.WithContext(ctx)) }
+func (s service) Serve(ctx context.Context) error { return s.run(ctx) }
 
 // String names the service in the supervisor's log lines.
 func (s service) String() string { return s.name }
 
 // AddService adds a service that the supervisor starts, and starts again whenever
 // run returns before its ctx ends. It must not be called once Run was.
-func (d *Daemon) AddService(name string, run func(ctx scope.Scope) error) {
-	d.supervisor.Add(service{name: name, scope: d.Scope, run: run})
+func (d *Daemon) AddService(name string, run func(ctx context.Context) error) {
+	d.supervisor.Add(service{name: name, run: run})
 }
 
 // AddOneShot adds a service that is not started again after run returns.
 func (d *Daemon) AddOneShot(name string, run func(ctx context.Context)) {
-	d.AddService(name, func(ctx scope.Scope) error {
+	d.AddService(name, func(ctx context.Context) error {
 		run(ctx)
 		<-ctx.Done()
 		return nil
@@ -222,7 +222,7 @@
 // ServeHTTP serves a handler at an address until ctx ends. It does not count the
 // traffic, which is that of other daemons alone.
 func (d *Daemon) ServeHTTP(ctx context.Context, address ids.Address, handler http.Handler) error {
-	return d.Network.Serve(d.Scope.WithContext(ctx), address, handler, nil)
+	return d.Network.Serve(ctx, address, handler, nil)
 }
 
 func (d *Daemon) sendDatagram(to ids.Address, body []byte) {
@@ -234,7 +234,7 @@
 
 // receiveDatagrams passes datagrams to the prober until ctx ends, which closes the
 // socket.
-func (d *Daemon) receiveDatagrams(ctx scope.Scope) error {
+func (d *Daemon) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.socket.Close() })
 	defer stop()
 	buffer := make([]byte, maxDatagram)
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -1,6 +1,8 @@
 package daemon
 
 import (
+	"context"
+
 	"onyxwell/base/httpcall"
 	"onyxwell/base/scope"
 	"onyxwell/control/discovery"
@@ -43,5 +45,5 @@
 		RouterCount: d.Zones.RouterCount, Interval: d.timing.DiscoveryInterval, Restart: !d.Scope.Settings.FirstStart,
 	}
 	d.Gossiper.MissingData = func() bool { return !view.Complete() }
-	d.AddService("list", func(ctx scope.Scope) error { fallback.Run(ctx); return nil })
+	d.AddService("list", func(ctx context.Context) error { fallback.Run(ctx); return nil })
 }
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"maps"
 	"net"
 	"slices"
@@ -10,7 +11,6 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/transport"
 )
 
@@ -33,7 +33,7 @@
 		return
 	}
 	address := ids.Address(net.JoinHostPort(d.Scope.Settings.IP, strconv.Itoa(endpoint.Port)))
-	d.AddService("metrics", func(ctx scope.Scope) error {
+	d.AddService("metrics", func(ctx context.Context) error {
 		return d.ServeHTTP(ctx, address, d.Metrics.Handler(endpoint.Path))
 	})
 }
@@ -50,12 +50,12 @@
 }
 
 // logTraffic logs the traffic to other daemons since the start, by message.
-func (d *Daemon) logTraffic(ctx scope.Scope) error {
-	for ctx.Wait(trafficLogInterval) {
+func (d *Daemon) logTraffic(ctx context.Context) error {
+	for clock.Wait(ctx, d.Scope.Clock, trafficLogInterval) {
 		stats := d.Transport.Stats.Snapshot()
 		for _, name := range slices.Sorted(maps.Keys(stats)) {
 			message := stats[name]
-			ctx.Log.Debug().Str("part", "traffic").Str("message", name).Int64("messages", message.Messages).
+			d.Scope.Log.Debug().Str("part", "traffic").Str("message", name).Int64("messages", message.Messages).
 				Int64("request_bytes", message.RequestBytes).Int64("response_bytes", message.ResponseBytes).Msg("messages since start")
 		}
 	}
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -10,7 +10,6 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // Time-outs of HostNetwork's servers.
@@ -24,7 +23,7 @@
 type Network interface {
 	// Serve answers calls at an address until ctx ends, and counts the bytes where
 	// traffic is not nil.
-	Serve(ctx scope.Scope, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error
+	Serve(ctx context.Context, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error
 	// Client makes a client with connections of its own.
 	Client(options httpcall.ClientOptions) *http.Client
 	// Datagrams opens a socket at an address.
@@ -45,7 +44,7 @@
 type HostNetwork struct{}
 
 // Serve implements Network.
-func (HostNetwork) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error {
+func (HostNetwork) Serve(ctx context.Context, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -5,7 +5,6 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/outlier"
 	"onyxwell/control/planning/autoscaler"
 	"onyxwell/control/transport"
@@ -37,9 +36,9 @@
 		}
 		return autoscaler.ReportResponse{Owner: true}, err
 	})
-	d.AddService("reports", func(ctx scope.Scope) error {
-		for evaluation := 1; ctx.Wait(detectionInterval); evaluation++ {
-			d.detectOutliers(ctx.Now())
+	d.AddService("reports", func(ctx context.Context) error {
+		for evaluation := 1; clock.Wait(ctx, d.Scope.Clock, detectionInterval); evaluation++ {
+			d.detectOutliers(d.Scope.Clock.Now())
 			if evaluation%detectionsPerReport == 0 {
 				d.forwardReports(ctx)
 			}
--- a/data/router/drain.go
+++ b/data/router/drain.go
@@ -49,7 +49,7 @@
 	grace := settings.Seconds(r.settings.Bounds.GraceS)
 	startedAt := r.clock.Now()
 	endpoint := r.startDraining()
-	r.daemon.GossipNow(r.scope.WithContext(ctx))
+	r.daemon.GossipNow(ctx)
 	r.proxy.Drain(startedAt.Add(acceptWhileDraining))
 	r.proxy.CloseIdle()
 	moving := directoryTTLFactor * settings.Seconds(min(maxDirectoryTTL, r.settings.Bounds.TTLMaxS))
@@ -57,7 +57,7 @@
 	if endpoint != nil {
 		r.closeEndpoint(ctx, endpoint, grace*drainEndPercent/100-r.clock.Now().Since(startedAt))
 	}
-	r.daemon.Leave(r.scope.WithContext(ctx))
+	r.daemon.Leave(ctx)
 	clock.Wait(ctx, r.clock, r.timing.Probe.AckTimeout)
 }
 
--- a/data/router/health.go
+++ b/data/router/health.go
@@ -11,7 +11,6 @@
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/membership"
 	"onyxwell/data/snapshot"
@@ -60,7 +59,7 @@
 // probeSuspects probes suspected runners and lost zones until they answer, and
 // announces the router as degraded while it reaches no runner of some service.
 // It returns once the context has ended and all probes with it.
-func (r *Router) probeSuspects(ctx scope.Scope) error {
+func (r *Router) probeSuspects(ctx context.Context) error {
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: r.dialer(), IdleTimeout: r.timing.ConnectTimeout, MaxIdlePerHost: 1})
 	firstInterval := r.timing.ConnectTimeout / firstProbeDivisor
 	var probes sync.WaitGroup
@@ -93,7 +92,7 @@
 	ctx, cancel := r.clock.WithTimeout(ctx, r.timing.ConnectTimeout)
 	defer cancel()
 	request := healthRequest{path: current.Config.Service(runner.Service).HealthPath}
-	return httpcall.Do[healthReport](r.scope.WithContext(ctx), client, runner.Address, request)
+	return httpcall.Do[healthReport](ctx, client, runner.Address, request)
 }
 
 // isConfigured returns whether a runner's service is in the configuration in
--- a/data/router/health_test.go
+++ b/data/router/health_test.go
@@ -11,7 +11,6 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/daemon"
 	"onyxwell/control/discovery"
 	"onyxwell/control/gossip"
@@ -31,7 +30,7 @@
 	t.Helper()
 	fakeClock := clock.NewFake()
 	r := &Router{
-		clock: fakeClock, scope: scope.New(scope.Options{Clock: fakeClock}), timing: daemon.Timing{ConnectTimeout: clock.Second},
+		clock: fakeClock, timing: daemon.Timing{ConnectTimeout: clock.Second},
 		stats: runnerstats.New(), slowStart: slowstart.New(rand.Float64),
 	}
 	r.daemon = &daemon.Daemon{Membership: membership.NewTable(fakeClock, membership.Member{Address: "self", Role: Role, Region: "north"})}
--- a/data/router/report.go
+++ b/data/router/report.go
@@ -1,10 +1,10 @@
 package router
 
 import (
+	"context"
 	"sync"
 
 	"onyxwell/base/clock"
-	"onyxwell/base/scope"
 )
 
 const (
@@ -16,7 +16,7 @@
 
 // sendReports sends what this router measured of runners to its zone's relay
 // until the context ends.
-func (r *Router) sendReports(ctx scope.Scope) error {
+func (r *Router) sendReports(ctx context.Context) error {
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	last := r.clock.Now()
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -38,10 +38,8 @@
 
 // Router is a router's daemon, put together by New.
 type Router struct {
-	clock    clock.Clock
-	settings *settings.Settings
-	// scope is for calls that take one; its context is not used.
-	scope     scope.Scope
+	clock     clock.Clock
+	settings  *settings.Settings
 	daemon    *daemon.Daemon
 	timing    daemon.Timing
 	snapshots *snapshot.Store
@@ -70,7 +68,7 @@
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
 	r := &Router{
-		clock: top.Clock, settings: top.Settings, scope: top,
+		clock: top.Clock, settings: top.Settings,
 		timing: daemon.TimingOf(top.Settings), stats: runnerstats.New(), slowStart: slowstart.New(rand.Float64),
 	}
 	view := daemon.NewView(top)
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -8,7 +8,6 @@
 
 	"onyxwell/base/errkind"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/control/membership"
 	"onyxwell/control/state/readindex"
 	"onyxwell/data/proxy"
@@ -32,7 +31,7 @@
 }
 
 // serveReadiness serves the readiness check of the platform.
-func (r *Router) serveReadiness(ctx scope.Scope) error {
+func (r *Router) serveReadiness(ctx context.Context) error {
 	return r.daemon.ServeHTTP(ctx, r.settings.Listen["readiness"], http.HandlerFunc(r.handleReadiness))
 }
 
@@ -52,7 +51,7 @@
 
 // serveClients serves clients once the router has a configuration that is
 // confirmed as the newest, and the runners.
-func (r *Router) serveClients(ctx scope.Scope) error {
+func (r *Router) serveClients(ctx context.Context) error {
 	listener, err := r.listen(ctx)
 	if err != nil || listener == nil {
 		return err
--- a/emulator/links/network.go
+++ b/emulator/links/network.go
@@ -11,7 +11,6 @@
 
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/daemon"
 )
 
@@ -94,7 +93,7 @@
 
 // Serve serves calls at an address until the context ends. Where a response is
 // lost, the handler runs to its end and the connection is closed instead.
-func (n Network) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error {
+func (n Network) Serve(ctx context.Context, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error {
 	opened, err := net.Listen("tcp", string(address))
 	if err != nil {
 		return err
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -9,7 +9,6 @@
 
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 // Errors that simulated processes see.
@@ -20,7 +19,7 @@
 )
 
 // Serve implements daemon.Network.
-func (p *process) Serve(ctx scope.Scope, address ids.Address, handler http.Handler, _ *httpcall.Traffic) error {
+func (p *process) Serve(ctx context.Context, address ids.Address, handler http.Handler, _ *httpcall.Traffic) error {
 	cluster := p.machine.cluster
 	cluster.afterQuiet(0, func() { p.handlers[address] = handler })
 	<-ctx.Done()
--- a/simulation/router.go
+++ b/simulation/router.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"strconv"
@@ -48,7 +49,7 @@
 	r.readIndex = r.daemon.NewReadIndexGate(r.snapshots.Ready(), r.configVersion)
 	r.daemon.AddOneShot("readindex", r.readIndex.Run)
 	cluster.after(0, func() { p.router = r })
-	r.daemon.AddService("ready", func(ctx scope.Scope) error {
+	r.daemon.AddService("ready", func(ctx context.Context) error {
 		select {
 		case <-r.readIndex.Ready():
 			r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
