--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -15,7 +15,6 @@
 import (
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 	"onyxwell/control/config"
 	"onyxwell/data/retrybudget"
 	"onyxwell/data/runnerstats"
@@ -25,8 +24,7 @@
 
 // Options configure a Balancer. All but ZoneLost are needed.
 type Options struct {
-	// Scope gives the clock.
-	Scope       scope.Scope
+	Clock       clock.Clock
 	Snapshots   *snapshot.Store
 	Stats       *runnerstats.Collector
 	RetryBudget *retrybudget.Budget
@@ -54,7 +52,7 @@
 
 // New returns a balancer.
 func New(options Options) *Balancer {
-	return &Balancer{options: options, clock: options.Scope.Clock}
+	return &Balancer{options: options, clock: options.Clock}
 }
 
 // Admit begins the admission of a request: it picks its service and counts it as
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -223,7 +223,7 @@
 		return false
 	}
 	a := e.startAttempt(admission, runner, startedAt)
-	result := e.proxy.upstream.Send(e.proxy.scope.WithContext(ctx), a.request)
+	result := e.proxy.upstream.Send(ctx, a.request)
 	e.readRunnerHeaders(runner, result.Response)
 	outcome := result.Outcome
 	if outcome == upstream.Answered {
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"onyxwell/base/clock"
 	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/config"
@@ -162,8 +163,7 @@
 
 // TestRelay_endlessResponseIsGarbled has a runner send more than may be buffered.
 func TestRelay_endlessResponseIsGarbled(t *testing.T) {
-	sc := scope.New(scope.Options{Settings: &settings.Settings{Limits: settings.Limits{MemoryMB: 8}}})
-	e := &exchange{proxy: New(Options{Scope: sc}), route: &config.Route{}}
+	e := &exchange{proxy: New(Options{Clock: clock.NewMonotonic(), Log: scope.NewLogger("error", io.Discard), Limits: settings.Limits{MemoryMB: 8}}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
 		if outcome, done := e.relay(&http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); outcome != upstream.Garbled || done {
 			t.Errorf("length %d: %v, %v", length, outcome, done)
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -62,13 +62,12 @@
 	t.Helper()
 	fakeClock := clock.NewFake()
 	p := &testProxy{t: t, clock: fakeClock, stats: runnerstats.New(), log: &logtest.Buffer{}}
-	sc := scope.New(scope.Options{Clock: fakeClock, Settings: settings, Log: scope.NewLogger("warn", p.log)})
 	p.snapshots = snapshot.NewStore(snapshot.Options{Clock: fakeClock, Zones: map[ids.Zone]ids.Region{"n": "north", "s": "south"}})
 	p.updates = gossip.NewStore(p.snapshots.Apply)
 	one := func() int { return 1 }
 	slowStart := slowstart.New(func() float64 { return 0 })
 	lb := balancer.New(balancer.Options{
-		Scope: sc, Snapshots: p.snapshots, Stats: p.stats, SlowStart: slowStart, Region: "north", RouterCount: one,
+		Clock: fakeClock, Snapshots: p.snapshots, Stats: p.stats, SlowStart: slowStart, Region: "north", RouterCount: one,
 		SlowStartRouters: func(ids.Zone) int { return 1 },
 		Random:           func() float64 { return 0 },
 		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: retryReserve, Window: 10 * clock.Second, Routers: one}),
@@ -76,7 +75,7 @@
 	client := upstream.NewClient(upstream.Options{
 		Clock: fakeClock, Dialer: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
 	})
-	p.proxy = New(Options{Scope: sc, Snapshots: p.snapshots, Balancer: lb, Stats: p.stats, SlowStart: slowStart, Upstream: client})
+	p.proxy = New(Options{Clock: fakeClock, Log: scope.NewLogger("warn", p.log), Limits: settings.Limits, Snapshots: p.snapshots, Balancer: lb, Stats: p.stats, SlowStart: slowStart, Upstream: client})
 	p.server = httptest.NewUnstartedServer(p.proxy)
 	p.server.Listener = NewListener(p.proxy, p.server.Listener)
 	p.server.Config = NewServer(p.proxy)
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -58,7 +58,7 @@
 	for index, tc := range cases {
 		t.Run(fmt.Sprintf("%s %d", tc.name, index), func(t *testing.T) {
 			monitor := &invariant.Monitor{Tolerant: true}
-			p := New(Options{Scope: scope.New(scope.Options{Clock: clock.NewFake()}), Monitor: monitor})
+			p := New(Options{Clock: clock.NewFake(), Log: scope.NewLogger("error", io.Discard), Monitor: monitor})
 			planted := &exchange{
 				proxy: p, w: httptest.NewRecorder(), req: httptest.NewRequest("GET", "/", nil),
 				route: &tc.route, upstreamRequest: &upstream.Request{AttemptID: "a"}, attempts: tc.attempts,
--- a/data/proxy/proxy.go
+++ b/data/proxy/proxy.go
@@ -25,7 +25,6 @@
 	"onyxwell/base/invariant"
 	"onyxwell/base/memquota"
 	"onyxwell/base/response"
-	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/base/telemetry"
 	"onyxwell/control/config"
@@ -38,9 +37,10 @@
 
 // Options are what a Proxy is made from. Metrics and Monitor may be nil.
 type Options struct {
-	// Scope gives the clock, the logger and the machine's limits; its context is
-	// not used.
-	Scope     scope.Scope
+	Clock clock.Clock
+	Log   *log.Logger
+	// Limits are those of this machine.
+	Limits    settings.Limits
 	Snapshots *snapshot.Store
 	Balancer  *balancer.Balancer
 	Stats     *runnerstats.Collector
@@ -58,7 +58,6 @@
 	// machine are the limits of this machine; those for requests are in the
 	// configuration in force, see limits.
 	machine   settings.Limits
-	scope     scope.Scope
 	snapshots *snapshot.Store
 	balancer  *balancer.Balancer
 	stats     *runnerstats.Collector
@@ -87,7 +86,7 @@
 // New returns a Proxy that serves the snapshots of options.Snapshots.
 func New(options Options) *Proxy {
 	p := &Proxy{
-		clock: options.Scope.Clock, log: options.Scope.Log, machine: options.Scope.Settings.Limits, scope: options.Scope,
+		clock: options.Clock, log: options.Log, machine: options.Limits,
 		snapshots: options.Snapshots, balancer: options.Balancer, stats: options.Stats, slowStart: options.SlowStart,
 		upstream: options.Upstream, metrics: options.Metrics, monitor: options.Monitor,
 	}
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -81,9 +81,9 @@
 		return nil, err
 	}
 	r.proxy = proxy.New(proxy.Options{
-		Scope: top, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
+		Clock: r.clock, Log: top.Log, Limits: r.settings.Limits, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
 		Balancer: balancer.New(balancer.Options{
-			Scope: top, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
+			Clock: r.clock, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
 			RetryBudget: retrybudget.New(r.retryBudgetOptions()), Region: r.settings.Region,
 			SlowStartRouters: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: rand.Float64,
 		}),
--- a/emulator/experiment/dataplane.go
+++ b/emulator/experiment/dataplane.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -12,6 +13,7 @@
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
+	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/config"
 	"onyxwell/control/discovery"
@@ -65,7 +67,7 @@
 		d.snapshots.Apply(gossip.Item{Key: config.Key, Version: version, Body: document})
 	}
 	reload()
-	front := d.newProxy(ctx, dialer)
+	front := d.newProxy(dialer)
 	go d.probeLoop(ctx)
 	if options.ClearSuspicionInterval > 0 {
 		go d.clearSuspicionLoop(ctx, options.ClearSuspicionInterval)
@@ -78,13 +80,12 @@
 	}
 }
 
-func (d *dataPlane) newProxy(ctx context.Context, dialer httpcall.Dialer) *proxy.Proxy {
-	top := newScope(ctx, d.clock)
+func (d *dataPlane) newProxy(dialer httpcall.Dialer) *proxy.Proxy {
 	one := func() int { return 1 }
 	return proxy.New(proxy.Options{
-		Scope: top, Snapshots: d.snapshots, Stats: d.stats, SlowStart: d.slowStart,
+		Clock: d.clock, Log: scope.NewLogger("error", io.Discard), Snapshots: d.snapshots, Stats: d.stats, SlowStart: d.slowStart,
 		Balancer: balancer.New(balancer.Options{
-			Scope: top, Snapshots: d.snapshots, Stats: d.stats, SlowStart: d.slowStart, Region: region, RouterCount: one,
+			Clock: d.clock, Snapshots: d.snapshots, Stats: d.stats, SlowStart: d.slowStart, Region: region, RouterCount: one,
 			SlowStartRouters: func(ids.Zone) int { return 1 }, Random: rand.Float64,
 			RetryBudget: retrybudget.New(retrybudget.Options{Ratio: 4, Reserve: 1000, Window: 10 * time.Second, Routers: one}),
 		}),
