--- a/emulator/runner/conn.go
+++ b/emulator/runner/conn.go
@@ -63,9 +63,18 @@
 	}
 }
 
+// dropStrayBytes drops what an earlier fault left with the connection, once the
+// runner's faults are stopped.
+func (c *serverConn) dropStrayBytes() {
+	if c.runner.faultsStopped.Load() {
+		c.lateBytes, c.idleBytes = nil, nil
+	}
+}
+
 // awaitRequest waits for the next request's first byte. It returns false where the
 // connection ended or was idle for too long.
 func (c *serverConn) awaitRequest() bool {
+	c.dropStrayBytes()
 	if c.idleBytes != nil {
 		clock.Wait(c.runner.ctx, c.runner.clock, idleDelay)
 		_, _ = c.tcp.Write(c.idleBytes)
@@ -80,6 +89,7 @@
 
 // handle serves a request and reports whether the connection stays open.
 func (c *serverConn) handle(httpReq *http.Request) bool {
+	c.dropStrayBytes()
 	req := c.runner.newRequest(httpReq)
 	if endpoint := c.runner.ownEndpoint(req); endpoint != nil {
 		resp, err := endpoint(httpReq)
--- a/emulator/runner/health.go
+++ b/emulator/runner/health.go
@@ -40,7 +40,7 @@
 	defer r.slots.release()
 	r.mu.Lock()
 	r.healthProbes++
-	draw := r.settings.Faults.draw(r.settings.Seed, r.settings.ID, fmt.Sprint("health ", r.healthProbes))
+	draw := r.drawFaults(fmt.Sprint("health ", r.healthProbes))
 	incarnation, healthy := r.incarnation, !r.failed
 	r.mu.Unlock()
 	headers := map[string]string{upstream.RunnerIDHeader: incarnation.ID, upstream.LoadHeader: r.loadText()}
--- a/emulator/runner/request.go
+++ b/emulator/runner/request.go
@@ -41,7 +41,7 @@
 
 func (r *Runner) newRequest(httpReq *http.Request) *inboundRequest {
 	attemptID := httpReq.Header.Get(upstream.AttemptIDHeader)
-	return &inboundRequest{http: httpReq, attemptID: attemptID, draw: r.settings.Faults.draw(r.settings.Seed, r.settings.ID, attemptID)}
+	return &inboundRequest{http: httpReq, attemptID: attemptID, draw: r.drawFaults(attemptID)}
 }
 
 // lastEventID returns the event after which the client resumes, 0 for the start.
--- a/emulator/runner/runner.go
+++ b/emulator/runner/runner.go
@@ -10,6 +10,7 @@
 	"maps"
 	"net"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"onyxwell/base/clock"
@@ -49,6 +50,8 @@
 	listener net.Listener
 	slots    slots
 	cache    cache
+	// faultsStopped says that no fault is drawn any more.
+	faultsStopped atomic.Bool
 
 	mu          sync.Mutex
 	incarnation Incarnation
@@ -136,6 +139,19 @@
 	}
 }
 
+// StopFaults ends the faults of the settings: none is drawn any more, and the
+// bytes that an earlier one left with a connection are not written.
+func (r *Runner) StopFaults() { r.faultsStopped.Store(true) }
+
+// drawFaults draws the faults of an attempt.
+func (r *Runner) drawFaults(attempt string) *faultDraw {
+	rates := r.settings.Faults
+	if r.faultsStopped.Load() {
+		rates = nil
+	}
+	return rates.draw(r.settings.Seed, r.settings.ID, attempt)
+}
+
 // Close closes the listener and resets all connections. It doesn't wait for the
 // requests that are running; see OpenConns.
 func (r *Runner) Close() {
--- a/emulator/runner/runner_test.go
+++ b/emulator/runner/runner_test.go
@@ -195,6 +195,43 @@
 	}
 }
 
+// TestStopFaults_endsAllFaults checks that a runner whose faults are stopped answers as one without, also on a connection
+// with which a fault left something.
+func TestStopFaults_endsAllFaults(t *testing.T) {
+	for _, fault := range Faults {
+		t.Run(fault.Name, func(t *testing.T) {
+			runner := startRunner(t, func(settings *Settings) { settings.Faults = FaultRates{fault.Name: 1} })
+			conn, err := net.Dial("tcp", runner.Address())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer conn.Close()
+			reader := bufio.NewReader(conn)
+			if fault.Name == ExtraLate || fault.Name == ExtraLateSame {
+				// These leave an answer with a connection that goes on.
+				_, _ = io.WriteString(conn, strings.Replace(postRequest("/safe/1", "Onyxwell-Attempt-Id: before"), "Connection: close\r\n", "", 1))
+				response, err := http.ReadResponse(reader, nil)
+				if err != nil {
+					t.Fatal(err)
+				}
+				_, _ = io.Copy(io.Discard, response.Body)
+			}
+			runner.StopFaults()
+			for _, attempt := range []string{"a1", "a2"} {
+				_, _ = io.WriteString(conn, strings.Replace(postRequest("/safe/1", "Onyxwell-Attempt-Id: "+attempt), "Connection: close\r\n", "", 1))
+				response, err := http.ReadResponse(reader, nil)
+				if err != nil {
+					t.Fatal(err)
+				}
+				body, err := io.ReadAll(response.Body)
+				if err != nil || response.StatusCode != http.StatusOK || response.Header.Get("Onyxwell-Attempt-Id") != attempt || response.Header.Get("Onyxwell-Server-Seal") == "" {
+					t.Errorf("%d %v %q %v", response.StatusCode, response.Header, body, err)
+				}
+			}
+		})
+	}
+}
+
 func TestFaults_injectedFromSeed(t *testing.T) {
 	first, second := AllFaults(), AllFaults()
 	for number := range 200 {
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -30,18 +30,16 @@
 	// for requests to an evacuated zone.
 	probesPerRouter        = 4
 	evacuationPollInterval = 100 * time.Millisecond
+	// maxQuotedBody is how many bytes of a failed response a finding quotes.
+	maxQuotedBody = 200
 )
 
 // checkGuarantees ends all faults and checks that everything recovers, and that
 // what was recorded during the run kept every guarantee.
 func (c *cluster) checkGuarantees(ctx context.Context, report *Report) {
 	c.endFaults()
-	start := c.clock.Now()
-	if err := c.eventually(ctx, localcluster.RecoverWithin, func() error { return c.checkReady(ctx) }); err != nil {
-		c.addFinding("RECOVER", "%v after the last fault: %v", localcluster.RecoverWithin, err)
-	}
-	report.Recovery = c.clock.Now().Since(start)
 	op := newOperator(c, c.random(streamCheck))
+	c.checkRecovery(ctx, op, report)
 	c.checkPropagation(ctx, op, report)
 	c.checkEvacuation(ctx, op)
 	c.checkControllerReads(ctx, op)
@@ -62,6 +60,9 @@
 		m.signal(syscall.SIGCONT)
 	}
 	c.platform.Unavailable.Store(false)
+	for _, r := range c.runners {
+		r.StopFaults()
+	}
 }
 
 // eventually tries the condition until it returns nil, or the timeout has passed
@@ -78,6 +79,55 @@
 	}
 }
 
+// checkRecovery checks that every zone's evacuation is ended, every router is ready
+// and serves every service. An operator that was stopped, or got no clear answer,
+// may have left zones evacuated.
+func (c *cluster) checkRecovery(ctx context.Context, op *operator, report *Report) {
+	start, evacuated := c.clock.Now(), c.layout.AllZones()
+	err := c.eventually(ctx, localcluster.RecoverWithin, func() error {
+		for len(evacuated) > 0 {
+			if err := c.endEvacuation(ctx, op, evacuated[0]); err != nil {
+				return err
+			}
+			evacuated = evacuated[1:]
+		}
+		if err := c.checkReady(ctx); err != nil {
+			return err
+		}
+		return c.checkServing(ctx)
+	})
+	if err != nil {
+		c.addFinding("RECOVER", "%v after the last fault: %v", localcluster.RecoverWithin, err)
+	}
+	report.Recovery = c.clock.Now().Since(start)
+}
+
+// endEvacuation asks each controller once to end a zone's evacuation, until one
+// acknowledges it.
+func (c *cluster) endEvacuation(ctx context.Context, op *operator, zone localcluster.Zone) error {
+	status := 0
+	for _, m := range c.machinesByRole(controller.Role) {
+		resp := op.doOnce(ctx, m, http.MethodDelete, evacuationPath+string(zone.Name), noVersion, nil)
+		if status = resp.status; status == http.StatusOK {
+			return nil
+		}
+	}
+	return fmt.Errorf("the end of %s's evacuation gets %d", zone.Name, status)
+}
+
+// checkServing returns an error that names a router and a service that it does not
+// serve.
+func (c *cluster) checkServing(ctx context.Context) error {
+	for _, m := range c.machinesByRole(router.Role) {
+		for _, service := range serviceNames {
+			if err := probeRouter(ctx, m, "/"+service+"/safe/exam"); err != nil {
+				return fmt.Errorf("%s does not serve %s: %w", m.Name(), service, err)
+			}
+		}
+	}
+	return nil
+}
+
 // checkReady returns an error that names a router which is not ready.
 func (c *cluster) checkReady(ctx context.Context) error {
 	for _, m := range c.machinesByRole(router.Role) {
@@ -216,7 +266,8 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.New(resp.Status)
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxQuotedBody))
+		return fmt.Errorf("%s: %s", resp.Status, text)
 	}
 	return nil
 }
