--- a/control/config/evacuation/evacuation.go
+++ b/control/config/evacuation/evacuation.go
@@ -6,7 +6,6 @@
 import (
 	"strings"
 
-	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/control/transport"
 )
@@ -36,11 +35,11 @@
 // Update is the update of a zone's value to a state. It leaves the value as it is
 // if the zone is in that state, or if it was written after the version since: it
 // was in that state meanwhile then. A since of 0 stands for any version.
-func Update(drained bool, since ids.Version) func(current []byte) ([]byte, error) {
+func Update(key string, drained bool, since ids.Version) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		state, err := Decode(current)
 		if err != nil {
-			return nil, errkind.Errorf(errkind.Internal, "kept evacuation: %v", err)
+			return nil, transport.NewStoredValueError(key, err)
 		}
 		toggled := since > 0 && state.Version > since
 		if toggled || (state.Drained == drained && state.Version > 0) {
--- a/control/config/evacuation/evacuation_test.go
+++ b/control/config/evacuation/evacuation_test.go
@@ -29,7 +29,7 @@
 			if test.current.Version > 0 {
 				current, _ = transport.Marshal(test.current)
 			}
-			value, err := Update(test.drained, test.since)(current)
+			value, err := Update(Key("hall"), test.drained, test.since)(current)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,7 +38,7 @@
 			}
 		})
 	}
-	if _, err := Update(true, 0)([]byte("x")); errkind.KindOf(err) != errkind.Internal {
+	if _, err := Update(Key("hall"), true, 0)([]byte("x")); errkind.KindOf(err) != errkind.Internal {
 		t.Errorf("damaged value: %v", err)
 	}
 }
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -8,6 +8,7 @@
 	"onyxwell/base/compress"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
+	"onyxwell/control/config"
 	"onyxwell/control/transport"
 )
 
@@ -67,7 +68,7 @@
 func (c Change) apply(current []byte, sealed int64) ([]byte, error) {
 	record, err := Decode(current)
 	if err != nil {
-		return nil, errkind.Errorf(errkind.Internal, "kept spec: %v", err)
+		return nil, transport.NewStoredValueError(config.Key, err)
 	}
 	if c.Body, err = compress.Decode(c.Body, c.Compressed); err != nil {
 		return nil, errkind.Errorf(errkind.BadRequest, "packed change: %v", err)
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 
-	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/control/transport"
 )
@@ -38,7 +37,7 @@
 // one. The same chunk or a later one stays.
 func (c Chunk) Apply(current []byte) ([]byte, error) {
 	if len(current) > 0 {
-		present, err := decodeChunk(current)
+		present, err := decodeChunk(c.Key(), current)
 		if err != nil {
 			return nil, err
 		}
@@ -56,7 +55,7 @@
 	if len(value) == 0 {
 		return a
 	}
-	chunk, err := decodeChunk(value)
+	chunk, err := decodeChunk(chunkKey(a.index), value)
 	if err != nil {
 		return err
 	}
@@ -69,10 +68,11 @@
 	return &VersionConflictError{BaseVersion: a.baseVersion}
 }
 
-func decodeChunk(value []byte) (Chunk, error) {
+// decodeChunk decodes the value of a chunk's key.
+func decodeChunk(key string, value []byte) (Chunk, error) {
 	chunk, err := transport.Unmarshal[Chunk](value)
 	if err != nil {
-		return Chunk{}, errkind.Errorf(errkind.Internal, "kept page: %v", err)
+		return Chunk{}, transport.NewStoredValueError(key, err)
 	}
 	return chunk, nil
 }
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -239,9 +239,9 @@
 	case VerbChange:
 		return cmd.Change.ApplyTruncating(d.chunks.sealedCount()), nil
 	case VerbDrain, VerbUndrain:
-		return evacuation.Update(drainVerbs[cmd.Verb], cmd.ZoneVersion), nil
+		return evacuation.Update(cmd.Key, drainVerbs[cmd.Verb], cmd.ZoneVersion), nil
 	case VerbEpoch:
-		return nextEpoch, nil
+		return nextEpoch(cmd.Key), nil
 	default:
 		return nil, errkind.Errorf(errkind.UnknownCall, "verb %q", cmd.Verb)
 	}
--- a/control/state/command/epoch.go
+++ b/control/state/command/epoch.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
+	"onyxwell/control/state/register"
 
-	"onyxwell/base/errkind"
 	"onyxwell/control/transport"
 )
 
@@ -29,14 +29,16 @@
 	return record.Number, err
 }
 
-// nextEpoch is the update of an EpochRecord.
-func nextEpoch(current []byte) ([]byte, error) {
-	var record EpochRecord
-	if len(current) > 0 {
-		var err error
-		if record, err = transport.Unmarshal[EpochRecord](current); err != nil {
-			return nil, errkind.Errorf(errkind.Internal, "kept epoch: %v", err)
+// nextEpoch returns the update of the EpochRecord under a key.
+func nextEpoch(key string) register.UpdateFunc {
+	return func(current []byte) ([]byte, error) {
+		var record EpochRecord
+		if len(current) > 0 {
+			var err error
+			if record, err = transport.Unmarshal[EpochRecord](current); err != nil {
+				return nil, transport.NewStoredValueError(key, err)
+			}
 		}
+		return transport.Marshal(EpochRecord{Number: record.Number + 1})
 	}
-	return transport.Marshal(EpochRecord{Number: record.Number + 1})
 }
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
+	"onyxwell/control/transport"
 
-	"onyxwell/base/errkind"
 	"onyxwell/control/config/evacuation"
 )
 
@@ -28,7 +28,7 @@
 	}
 	state, err := evacuation.Decode(value)
 	if err != nil {
-		return nil, errkind.Errorf(errkind.Internal, "kept evacuation: %v", err)
+		return nil, transport.NewStoredValueError(cmd.Key, err)
 	}
 	if state.Version > 0 && state.Drained == drained {
 		return value, nil
--- a/control/state/voter/open.go
+++ b/control/state/voter/open.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"context"
 	"errors"
+	"fmt"
 	"slices"
 
 	"onyxwell/base/clock"
@@ -80,7 +81,7 @@
 func (v *Voter) restore(records [][]byte) error {
 	acceptor, err := register.NewAcceptor(v.options.Address, records)
 	if err != nil {
-		return err
+		return fmt.Errorf("%s: %w", logName, err)
 	}
 	acceptor.Attach(v.wal)
 	v.Acceptor = acceptor
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"runtime"
+	"strings"
 	"testing"
 
 	"onyxwell/base/clock"
@@ -10,6 +11,8 @@
 	"onyxwell/base/scope"
 	"onyxwell/base/settings"
 	"onyxwell/control/state/register"
+	"onyxwell/control/state/wal"
+	"onyxwell/control/transport"
 	"onyxwell/simulation/simdisk"
 )
 
@@ -100,3 +103,32 @@
 		}
 	}
 }
+
+// TestOpen_undecodableRecordNamesFile starts on a log whose record is in a form
+// that this build does not know: there is no voter, and the error says what to do.
+func TestOpen_undecodableRecordNamesFile(t *testing.T) {
+	disk := simdisk.New(simdisk.Options{})
+	log, _, err := wal.Open(wal.Options{FS: disk.Mount(), Name: logName, Snapshot: func() [][]byte { return nil }})
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := transport.Marshal(register.Slot{Key: "k"})
+	if err == nil {
+		err = log.Save(body)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	log.Close()
+	ctx := scope.New(scope.Options{Clock: clock.NewFake()})
+	v, err := Open(ctx, Options{Clock: ctx.Clock, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), Timeout: clock.Second})
+	var undecodable *register.RecordError
+	if v != nil || !errors.As(err, &undecodable) {
+		t.Fatalf("%v, %v", v, err)
+	}
+	for _, want := range []string{"registers: ", "stored record 1 of 1", "has form", "start the build that wrote the file"} {
+		if !strings.Contains(err.Error(), want) {
+			t.Errorf("%q does not say %q", err, want)
+		}
+	}
+}
