--- a/base/scope/scope.go
+++ b/base/scope/scope.go
@@ -67,10 +67,6 @@
 	return s.WithContext(ctx), cancel
 }
 
-// AfterFunc runs f in a goroutine of its own once the scope has ended. Calling
-// stop keeps that from happening; it reports whether it did.
-func (s Scope) AfterFunc(f func()) (stop func() bool) { return context.AfterFunc(s.Context, f) }
-
 // WithoutCancel returns a scope that does not end when s does.
 func (s Scope) WithoutCancel() Scope { return s.WithContext(context.WithoutCancel(s.Context)) }
 
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -10,6 +10,7 @@
 	"net/http"
 	"sync"
 
+	"github.com/phuslu/log"
 	"github.com/thejerf/suture/v4"
 
 	"onyxwell/base/clock"
@@ -47,9 +48,10 @@
 // Daemon is the common part of a router and a fleet-controller. Its exported
 // fields are set by New and must not be changed.
 type Daemon struct {
-	// Scope holds the clock, the log and the settings.
-	Scope   scope.Scope
-	Network Network
+	clock    clock.Clock
+	log      *log.Logger
+	settings *settings.Settings
+	Network  Network
 	// Address is where other daemons reach this one.
 	Address    ids.Address
 	Membership *membership.Table
@@ -100,7 +102,7 @@
 // Everything else starts with Run.
 func New(env scope.Scope, options Options) (*Daemon, error) {
 	d := &Daemon{
-		Scope: env, Network: options.Network, Monitor: options.Monitor,
+		clock: env.Clock, log: env.Log, settings: env.Settings, Network: options.Network, Monitor: options.Monitor,
 		Address: env.Settings.InternalAddress(env.Settings.IP, options.Role),
 		timing:  TimingOf(env.Settings),
 	}
@@ -130,8 +132,8 @@
 // initMembership makes the membership table, the zones' summaries and the gossip
 // store that feeds them.
 func (d *Daemon) initMembership(options Options) {
-	node := d.Scope.Settings
-	d.Membership = membership.NewTable(d.Scope.Clock, membership.Member{
+	node := d.settings
+	d.Membership = membership.NewTable(d.clock, membership.Member{
 		Address: d.Address, Role: options.Role, Zone: node.Zone, Region: node.Region,
 		ClientAddress: node.Listen["front"], ServesControl: node.Listen["control"] != "" && options.Role != RouterRole,
 		LinkMbps: int64(node.Limits.LinkMbps),
@@ -147,20 +149,20 @@
 // initTransport makes the client for calls to other daemons and the handlers for
 // theirs; one guard drops what is not of this fleet in both directions.
 func (d *Daemon) initTransport() {
-	memory := d.Scope.Settings.Limits.MemoryMB << 20
+	memory := d.settings.Limits.MemoryMB << 20
 	d.Transport = transport.NewClientOnNetwork(d.Network, httpcall.Dialer{
 		Timeout: d.timing.ConnectTimeout, UserTimeout: d.timing.PeerTimeout, Traffic: &d.Traffic,
 	})
-	d.Transport.Guard, d.Transport.Stats = transport.NewGuard(d.Scope.Settings.Zones, d.Scope.Log), &transport.MessageStats{}
+	d.Transport.Guard, d.Transport.Stats = transport.NewGuard(d.settings.Zones, d.log), &transport.MessageStats{}
 	d.BodyQuota = memquota.New(memory/bodyMemoryDivisor, d.Monitor)
-	d.Calls = httpcall.NewMux(d.Scope.Clock, memory/callBodyDivisor)
+	d.Calls = httpcall.NewMux(d.clock, memory/callBodyDivisor)
 	d.Calls.Gate, d.Calls.Metrics, d.Calls.Bodies = d.Transport.Guard, d.Metrics, d.BodyQuota
 }
 
 func (d *Daemon) initGossip() {
-	node := d.Scope.Settings
+	node := d.settings
 	d.Gossiper = &gossip.Gossiper{
-		Clock: d.Scope.Clock,
+		Clock: d.clock,
 		Store: d.Updates, Table: d.Membership, Client: d.Transport,
 		Seeds: node.SeedAddresses(), Interval: d.timing.GossipInterval, Timeout: d.timing.PeerTimeout,
 		Rejoining: !node.FirstStart,
@@ -180,7 +182,7 @@
 		d.addListFallback(view)
 	}
 	d.AddService("relays", func(ctx context.Context) error {
-		for clock.Wait(ctx, d.Scope.Clock, d.timing.ZoneSummaryInterval) {
+		for clock.Wait(ctx, d.clock, d.timing.ZoneSummaryInterval) {
 			d.Membership.UpdateRelayRole(d.timing.RelaysPerZone, d.timing.Probe.SuspicionTimeout)
 			d.Zones.Refresh()
 		}
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -31,8 +31,8 @@
 			Dialer:      httpcall.Dialer{Timeout: d.timing.ConnectTimeout, UserTimeout: d.timing.PeerTimeout},
 			IdleTimeout: platformIdlePeerTimeouts * d.timing.PeerTimeout, MaxIdlePerHost: discovery.MaxConcurrentReads,
 		}),
-		Clock: d.Scope.Clock, Interval: d.timing.DiscoveryInterval,
-		Address: d.Scope.Settings.Platform.Address, Zones: d.Scope.Settings.ZoneNames(),
+		Clock: d.clock, Interval: d.timing.DiscoveryInterval,
+		Address: d.settings.Platform.Address, Zones: d.settings.ZoneNames(),
 	}
 }
 
@@ -41,8 +41,8 @@
 func (d *Daemon) addListFallback(view *discovery.View) {
 	fallback := &discovery.Fallback{
 		Platform: d.NewPlatformClient(), View: view, Updates: d.Updates, Membership: d.Membership,
-		Clock: d.Scope.Clock, Log: d.Scope.Log, RatePerS: d.Scope.Settings.Platform.RatePerS,
-		RouterCount: d.Zones.RouterCount, Interval: d.timing.DiscoveryInterval, Restart: !d.Scope.Settings.FirstStart,
+		Clock: d.clock, Log: d.log, RatePerS: d.settings.Platform.RatePerS,
+		RouterCount: d.Zones.RouterCount, Interval: d.timing.DiscoveryInterval, Restart: !d.settings.FirstStart,
 	}
 	d.Gossiper.MissingData = func() bool { return !view.Complete() }
 	d.AddService("list", func(ctx context.Context) error { fallback.Run(ctx); return nil })
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -21,18 +21,18 @@
 // name a port and a path.
 func (d *Daemon) addMetrics() {
 	d.registerMetrics()
-	if d.Scope.Log.Level <= log.DebugLevel {
+	if d.log.Level <= log.DebugLevel {
 		d.AddService("traffic", d.logTraffic)
 	}
-	endpoint := d.Scope.Settings.Metrics
+	endpoint := d.settings.Metrics
 	if endpoint.Port == 0 {
 		return
 	}
-	if d.Scope.Settings.UsesPort(endpoint.Port) {
-		d.Scope.Log.Error().Str("part", "metrics").Int("port", endpoint.Port).Msg("metrics not served: port taken by another listener")
+	if d.settings.UsesPort(endpoint.Port) {
+		d.log.Error().Str("part", "metrics").Int("port", endpoint.Port).Msg("metrics not served: port taken by another listener")
 		return
 	}
-	address := ids.Address(net.JoinHostPort(d.Scope.Settings.IP, strconv.Itoa(endpoint.Port)))
+	address := ids.Address(net.JoinHostPort(d.settings.IP, strconv.Itoa(endpoint.Port)))
 	d.AddService("metrics", func(ctx context.Context) error {
 		return d.ServeHTTP(ctx, address, d.Metrics.Handler(endpoint.Path))
 	})
@@ -51,11 +51,11 @@
 
 // logTraffic logs the traffic to other daemons since the start, by message.
 func (d *Daemon) logTraffic(ctx context.Context) error {
-	for clock.Wait(ctx, d.Scope.Clock, trafficLogInterval) {
+	for clock.Wait(ctx, d.clock, trafficLogInterval) {
 		stats := d.Transport.Stats.Snapshot()
 		for _, name := range slices.Sorted(maps.Keys(stats)) {
 			message := stats[name]
-			d.Scope.Log.Debug().Str("part", "traffic").Str("message", name).Int64("messages", message.Messages).
+			d.log.Debug().Str("part", "traffic").Str("message", name).Int64("messages", message.Messages).
 				Int64("request_bytes", message.RequestBytes).Int64("response_bytes", message.ResponseBytes).Msg("messages since start")
 		}
 	}
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -19,7 +19,7 @@
 // and serial gives it.
 func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, serial func() ids.Version) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
-		Clock: d.Scope.Clock, Log: d.Scope.Log,
+		Clock: d.clock, Log: d.log,
 		Applied: applied, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
 		Query: func(ctx context.Context, address ids.Address) (readindex.Response, error) {
 			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.MessageName, readindex.Request{From: d.Address})
@@ -38,7 +38,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return d.Scope.Settings.SeedAddresses()
+		return d.settings.SeedAddresses()
 	}
 	return addresses
 }
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -32,13 +32,13 @@
 	transport.Handle(d.Calls, relayReport, func(_ context.Context, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
 		report, err := message.Decode()
 		if err == nil {
-			d.addReport(report, d.Scope.Now())
+			d.addReport(report, d.clock.Now())
 		}
 		return autoscaler.ReportResponse{Owner: true}, err
 	})
 	d.AddService("reports", func(ctx context.Context) error {
-		for evaluation := 1; clock.Wait(ctx, d.Scope.Clock, detectionInterval); evaluation++ {
-			d.detectOutliers(d.Scope.Clock.Now())
+		for evaluation := 1; clock.Wait(ctx, d.clock, detectionInterval); evaluation++ {
+			d.detectOutliers(d.clock.Now())
 			if evaluation%detectionsPerReport == 0 {
 				d.forwardReports(ctx)
 			}
@@ -79,7 +79,7 @@
 func (d *Daemon) Report(ctx context.Context, report autoscaler.ReportRequest) {
 	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, d.timing.RelaysPerZone) {
 		if relay.Address == d.Address {
-			d.addReport(report, d.Scope.Now())
+			d.addReport(report, d.clock.Now())
 			return
 		}
 		if d.sendReport(ctx, relay.Address, relayReport, report) == nil {
@@ -92,7 +92,7 @@
 }
 
 func (d *Daemon) sendReport(ctx context.Context, to ids.Address, name string, report autoscaler.ReportRequest) error {
-	limited, cancel := d.Scope.Clock.WithTimeout(ctx, d.Gossiper.Timeout)
+	limited, cancel := d.clock.WithTimeout(ctx, d.Gossiper.Timeout)
 	defer cancel()
 	message, err := report.Encode()
 	if err != nil {
