--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -88,7 +88,7 @@
 	n.quorum = quorum.New(quorum.Options{
 		Clock: c.ctx.Clock, Log: c.ctx.Log, Address: address, Voters: n.acceptor.Voters, MaxAge: forwardTimeout,
 		Heartbeat: func(ctx context.Context, to ids.Address) (quorum.HeartbeatResponse, error) {
-			return deliver(n, ctx, to, func(other *node) quorum.HeartbeatResponse { return other.quorum.Respond(c.ctx.Now()) })
+			return deliver(ctx, n, to, func(other *node) quorum.HeartbeatResponse { return other.quorum.Respond(c.ctx.Now()) })
 		},
 	})
 	n.proposer = register.NewProposer(register.ProposerOptions{
@@ -120,7 +120,7 @@
 
 // deliver delivers a message and its response. Across a partition the message or
 // the response is lost, and the sender waits until its context ends.
-func deliver[Response any](from *node, ctx context.Context, to ids.Address, serve func(*node) Response) (Response, error) {
+func deliver[Response any](ctx context.Context, from *node, to ids.Address, serve func(*node) Response) (Response, error) {
 	const linkDelay = 35 * clock.Millisecond
 	var resp Response
 	if from.address == to {
@@ -137,15 +137,15 @@
 }
 
 func (n *node) Prepare(ctx context.Context, to ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
-	return deliver(n, ctx, to, func(other *node) register.PrepareResponse { return other.acceptor.Prepare(req) })
+	return deliver(ctx, n, to, func(other *node) register.PrepareResponse { return other.acceptor.Prepare(req) })
 }
 
 func (n *node) Accept(ctx context.Context, to ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
-	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Accept(req) })
+	return deliver(ctx, n, to, func(other *node) register.AcceptResponse { return other.acceptor.Accept(req) })
 }
 
 func (n *node) Confirm(ctx context.Context, to ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
-	return deliver(n, ctx, to, func(other *node) register.AcceptResponse { return other.acceptor.Confirm(req) })
+	return deliver(ctx, n, to, func(other *node) register.AcceptResponse { return other.acceptor.Confirm(req) })
 }
 
 // Forward delivers a command, unless those to the receiver are intercepted.
@@ -160,7 +160,7 @@
 		<-ctx.Done()
 		return Result{}, ctx.Err()
 	}
-	result, err := deliver(n, ctx, to, func(other *node) Result { return resultOf(other.dispatcher.HandleForwarded(ctx, cmd)) })
+	result, err := deliver(ctx, n, to, func(other *node) Result { return resultOf(other.dispatcher.HandleForwarded(ctx, cmd)) })
 	n.cluster.mu.Lock()
 	afterForward := n.cluster.afterForward
 	n.cluster.mu.Unlock()
