--- a/base/clock/clock.go
+++ b/base/clock/clock.go
@@ -8,15 +8,6 @@
 	"time"
 )
 
-// Span is time.Duration, by its former name; new code uses time.Duration.
-type Span = time.Duration
-
-// Durations by their former names; new code uses those of package time.
-const (
-	Millisecond = time.Millisecond
-	Second      = time.Second
-)
-
 // Instant is a reading of a monotonic clock, in nanoseconds. Instants of
 // different processes can't be compared, and changes of the time of day have no
 // effect on them. The zero Instant is before every reading of a clock.
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -7,6 +7,7 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -69,14 +70,14 @@
 	var dispatcher *command.Dispatcher
 	proposer := register.NewProposer(register.ProposerOptions{
 		Clock: fakeClock, Log: ctx.Log,
-		Address: "a", Client: loopback{acceptor: acceptor}, Voters: acceptor.Voters, MessageTimeout: clock.Second,
+		Address: "a", Client: loopback{acceptor: acceptor}, Voters: acceptor.Voters, MessageTimeout: time.Second,
 		OnCommit: func(key string, committed register.Proposal) { dispatcher.Publish(key, committed) },
 	})
 	dispatcher = command.New(command.Options{
 		Clock: fakeClock, Log: ctx.Log,
 		Address: "a", Proposer: proposer, Acceptor: acceptor, Membership: membership.NewTable(fakeClock, membership.Member{Address: "a"}),
-		Updates: s.updates, Transport: transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
-		ForwardTimeout: 4, CommandTimeout: clock.Second, TakeoverBackoff: func() clock.Span { return 0 },
+		Updates: s.updates, Transport: transport.NewClient(httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}),
+		ForwardTimeout: 4, CommandTimeout: time.Second, TakeoverBackoff: func() time.Duration { return 0 },
 	})
 	s.calls = httpcall.NewMux(fakeClock, 4000)
 	Serve(s.calls, dispatcher, map[ids.Zone]ids.Region{"hall": "north"})
--- a/control/config/config.go
+++ b/control/config/config.go
@@ -8,8 +8,8 @@
 	"encoding/json"
 	"slices"
 	"strings"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
 
@@ -94,8 +94,8 @@
 }
 
 // LatencyTarget is LatencyTargetMS as a span; 0 if there is no target.
-func (r *Route) LatencyTarget() clock.Span {
-	return clock.Span(r.LatencyTargetMS * float64(clock.Millisecond))
+func (r *Route) LatencyTarget() time.Duration {
+	return time.Duration(r.LatencyTargetMS * float64(time.Millisecond))
 }
 
 // WeightedServices gives the services of the route with their weights; a single
--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/control/discovery"
 	"onyxwell/control/planning/autoscaler"
 	"onyxwell/control/state/lease"
@@ -11,9 +11,9 @@
 
 const (
 	// metricWindow is how far back the autoscaler's metrics go.
-	metricWindow = 600 * clock.Second
+	metricWindow = 600 * time.Second
 	// metricStep is the time between two evaluations of them.
-	metricStep = clock.Second
+	metricStep = time.Second
 	// planSteps is how many steps pass between two routine plans.
 	planSteps = 5
 )
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -6,6 +6,7 @@
 	"net"
 	"slices"
 	"strconv"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -15,7 +16,7 @@
 )
 
 // trafficLogInterval is the time between two debug lines on the traffic.
-const trafficLogInterval = 10 * clock.Second
+const trafficLogInterval = 10 * time.Second
 
 // addMetrics registers the daemon's metrics, and serves them where the settings
 // name a port and a path.
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -6,16 +6,16 @@
 	"fmt"
 	"net"
 	"net/http"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 )
 
 // Time-outs of HostNetwork's servers.
 const (
-	readHeaderTimeout = 5 * clock.Second
-	idleTimeout       = 60 * clock.Second
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 60 * time.Second
 )
 
 // Network is how a daemon reaches others and is reached by them. HostNetwork is
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -12,7 +13,7 @@
 
 const (
 	// detectionInterval is the time between two evaluations of the zone's runners.
-	detectionInterval = clock.Second / 2
+	detectionInterval = time.Second / 2
 	// detectionsPerReport is how many evaluations pass between two reports to the
 	// planner.
 	detectionsPerReport = 2
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -1,7 +1,8 @@
 package daemon
 
 import (
-	"onyxwell/base/clock"
+	"time"
+
 	"onyxwell/base/settings"
 	"onyxwell/control/membership"
 )
@@ -10,27 +11,27 @@
 // the settings, so that every daemon of a fleet agrees on them.
 type Timing struct {
 	// ConnectTimeout bounds connecting to another daemon.
-	ConnectTimeout clock.Span
+	ConnectTimeout time.Duration
 	// PeerTimeout is how long a peer may leave data unacknowledged before its
 	// connections are closed, and the time-out of a message.
-	PeerTimeout clock.Span
+	PeerTimeout time.Duration
 	// GossipInterval is the time between two anti-entropy exchanges.
-	GossipInterval clock.Span
+	GossipInterval time.Duration
 	// DiscoveryInterval is the time between two polls of the platform.
-	DiscoveryInterval clock.Span
+	DiscoveryInterval time.Duration
 	// LeaseDuration is the time to live of a lease.
-	LeaseDuration clock.Span
+	LeaseDuration time.Duration
 	// SweepInterval is the time between two sweeps for committed values that were
 	// never gossiped.
-	SweepInterval clock.Span
+	SweepInterval time.Duration
 	// ForwardTimeout bounds the answer of a key's owner to a forwarded command.
-	ForwardTimeout clock.Span
+	ForwardTimeout time.Duration
 	// CommandTimeout bounds an operator's command in all.
-	CommandTimeout clock.Span
+	CommandTimeout time.Duration
 	// Probe configures the membership's probes.
 	Probe membership.ProbeConfig
 	// ZoneSummaryInterval is the time between two relay elections and zone summaries.
-	ZoneSummaryInterval clock.Span
+	ZoneSummaryInterval time.Duration
 	// RelaysPerZone is how many daemons of a zone relay gossip.
 	RelaysPerZone int
 	// Fanout is how many others a relay pushes to at most.
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -7,8 +7,8 @@
 import (
 	"context"
 	"net/http"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
@@ -66,7 +66,7 @@
 	Zones map[ids.Zone]ids.Region
 	// LossTimeout is how long a region may be without a ready router, for no known
 	// reason, before it counts as lost.
-	LossTimeout clock.Span
+	LossTimeout time.Duration
 	// TTLMaxS is the settings' bound on a response's lifetime in seconds; the
 	// shorter of it and maxTTLS is answered.
 	TTLMaxS float64
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"slices"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -13,7 +14,7 @@
 	"onyxwell/control/transport"
 )
 
-const lossTimeout = 12 * clock.Second
+const lossTimeout = 12 * time.Second
 
 var zoneRegions = map[ids.Zone]ids.Region{"z1": "r1", "z2": "r1", "z3": "r2"}
 
--- a/control/directory/redirect_test.go
+++ b/control/directory/redirect_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/invariant"
 	"onyxwell/control/membership"
@@ -79,7 +79,7 @@
 	f.expect("router leaves gracefully", req)
 	f.clock.Advance(lossTimeout)
 	f.expect("absent for the time-out", req)
-	f.clock.Advance(clock.Millisecond)
+	f.clock.Advance(time.Millisecond)
 	f.expect("absent for longer", req, "fe")
 }
 
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -45,7 +46,7 @@
 
 // markUnready records that a region has no ready router now, and reports whether
 // it is lost: on evidence, or for having had none for longer than timeout.
-func (r *regionTracker) markUnready(region ids.Region, now clock.Instant, evidence bool, timeout clock.Span) (lost bool) {
+func (r *regionTracker) markUnready(region ids.Region, now clock.Instant, evidence bool, timeout time.Duration) (lost bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state := r.state(region, now)
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -4,6 +4,7 @@
 	"context"
 	"maps"
 	"slices"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -46,7 +47,7 @@
 	// RouterCount estimates the routers of the whole fleet.
 	RouterCount func() int
 	// Interval is the time between two polls by the lease's holder.
-	Interval clock.Span
+	Interval time.Duration
 	// Restart says that the fleet ran before, so that a list should exist already.
 	// At a first start the lease's holder is waited for.
 	Restart bool
@@ -84,7 +85,7 @@
 func (f *Fallback) restarting() bool { return f.Restart && !f.View.Complete() }
 
 // checkInterval is the time until the view's age is checked again.
-func (f *Fallback) checkInterval() clock.Span {
+func (f *Fallback) checkInterval() time.Duration {
 	if f.restarting() {
 		return f.Interval / restartDivisor
 	}
@@ -104,7 +105,7 @@
 }
 
 // startDelay is how long this daemon leaves the poll to others of its zone.
-func (f *Fallback) startDelay() clock.Span {
+func (f *Fallback) startDelay() time.Duration {
 	self := f.Membership.Self()
 	relays := f.Membership.Relays(self.Zone, relayReaders)
 	// A router that is its zone's only relay has most likely met nobody yet;
@@ -112,7 +113,7 @@
 	isolated := len(relays) == 1 && !self.ServesControl
 	for rank, relay := range relays {
 		if relay.Address == self.Address && !isolated {
-			return clock.Span(rank) * f.Interval
+			return time.Duration(rank) * f.Interval
 		}
 	}
 	jitter := random.Duration(settings.Seconds(rateDivisor * float64(max(1, f.RouterCount())) / max(1, f.RatePerS)))
--- a/control/discovery/fallback_test.go
+++ b/control/discovery/fallback_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -19,7 +20,7 @@
 	table.Merge(others)
 	return &Fallback{
 		Membership: table, View: NewView(ViewOptions{Clock: fake, MaxAge: maxAge}), Clock: fake,
-		Interval: clock.Second, RatePerS: 100, RouterCount: func() int { return 50 },
+		Interval: time.Second, RatePerS: 100, RouterCount: func() int { return 50 },
 	}
 }
 
@@ -33,16 +34,16 @@
 	for _, self := range []membership.Member{first, second} {
 		delay := newFallback(fake, self, controller, first, second).startDelay()
 		isRelay := self.Address == relays[1].Address
-		if (isRelay && delay != clock.Second) || (!isRelay && (delay < 2*clock.Second || delay > 3*clock.Second)) {
+		if (isRelay && delay != time.Second) || (!isRelay && (delay < 2*time.Second || delay > 3*time.Second)) {
 			t.Errorf("%s waits %v", self.Address, delay)
 		}
 	}
-	if delay := newFallback(fake, first).startDelay(); delay < 2*clock.Second {
+	if delay := newFallback(fake, first).startDelay(); delay < 2*time.Second {
 		t.Errorf("an isolated router waits %v", delay)
 	}
 	fallback := newFallback(fake, first)
 	fallback.Restart = true
-	if delay := fallback.startDelay(); delay < clock.Second/restartDelayDivisor || delay > clock.Second/restartDelayDivisor+clock.Second {
+	if delay := fallback.startDelay(); delay < time.Second/restartDelayDivisor || delay > time.Second/restartDelayDivisor+time.Second {
 		t.Errorf("a restarted router waits %v", delay)
 	}
 }
@@ -54,7 +55,7 @@
 	if fallback.due(fake.Now()) {
 		t.Error("due right at the restart")
 	}
-	fake.Advance(clock.Second / restartDivisor)
+	fake.Advance(time.Second / restartDivisor)
 	if !fallback.due(fake.Now()) {
 		t.Error("not due after a restart of the whole fleet")
 	}
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -7,6 +7,7 @@
 	"net/url"
 	"slices"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -101,7 +102,7 @@
 	Zones []ids.Zone
 	// Interval is the time between two polls. It is also the timeout of one page,
 	// and of a list that is read as a whole.
-	Interval clock.Span
+	Interval time.Duration
 
 	byZone      bool
 	listedZones map[ids.Zone]bool
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -4,6 +4,7 @@
 	"context"
 	"maps"
 	"slices"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -46,9 +47,9 @@
 	Resign func(ctx context.Context)
 	// Interval is the time from one poll to the next. It doubles while nothing
 	// changes, unless the list is read by zone.
-	Interval clock.Span
+	Interval time.Duration
 	// HeartbeatInterval is the time between two heartbeats of an unchanged list.
-	HeartbeatInterval clock.Span
+	HeartbeatInterval time.Duration
 
 	// epoch is the one under which the lists in published were published.
 	epoch     int64
@@ -69,7 +70,7 @@
 
 // Run polls until ctx ends. The interval includes the time that a poll takes.
 func (p *Publisher) Run(ctx context.Context) {
-	elapsed := clock.Span(0)
+	elapsed := time.Duration(0)
 	for clock.Wait(ctx, p.Clock, max(p.delay()-elapsed, p.Interval/minDelayDivisor)) {
 		started := p.Clock.Now()
 		p.Poll(ctx)
@@ -79,7 +80,7 @@
 
 // delay is the time from one poll to the next: the interval with its backoff, or
 // as much as the pages of one poll need under the platform's rate limit.
-func (p *Publisher) delay() clock.Span {
+func (p *Publisher) delay() time.Duration {
 	delay := p.Interval
 	if p.unchanged >= unchangedThreshold && !p.Platform.ByZone() {
 		delay *= unchangedBackoff
@@ -87,7 +88,7 @@
 	if p.RatePerS <= 0 {
 		return delay
 	}
-	return max(delay, clock.Span(float64(rateDivisor*p.Platform.LastPages)/p.RatePerS*float64(clock.Second)))
+	return max(delay, time.Duration(float64(rateDivisor*p.Platform.LastPages)/p.RatePerS*float64(time.Second)))
 }
 
 // Poll reads the list once and publishes what changed. A list that was read
--- a/control/discovery/publisher_lease_test.go
+++ b/control/discovery/publisher_lease_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -64,7 +65,7 @@
 			// The check was in time; all this happens before it is acted on.
 			epoch, held = 3, true
 			f.platform.condition = "ready"
-			f.clock.Advance(10 * clock.Second)
+			f.clock.Advance(10 * time.Second)
 			f.poll()
 		}
 		return 2, true
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -31,7 +32,7 @@
 	// down has each call rejected.
 	down bool
 	// pageDelay is how long a page takes on the clock.
-	pageDelay clock.Span
+	pageDelay time.Duration
 	calls     []string
 }
 
@@ -90,11 +91,11 @@
 	publisher := &Publisher{
 		Platform: &PlatformClient{
 			HTTP: server.Client(), Address: ids.Address(strings.TrimPrefix(server.URL, "http://")), Clock: fake,
-			Zones: []ids.Zone{"a", "b", "c"}, Interval: clock.Second,
+			Zones: []ids.Zone{"a", "b", "c"}, Interval: time.Second,
 		},
 		Updates: gossip.NewStore(nil), Clock: fake, Log: scope.New(scope.Options{}).Log, RatePerS: 100,
 		Held:     func(clock.Instant) (int64, bool) { return 3, true },
-		Interval: clock.Second, HeartbeatInterval: 2 * clock.Second,
+		Interval: time.Second, HeartbeatInterval: 2 * time.Second,
 	}
 	return &publisherFixture{Publisher: publisher, platform: platform, clock: fake}
 }
@@ -117,7 +118,7 @@
 	return item.Version
 }
 
-func (p *publisherFixture) expectDelay(t *testing.T, moment string, want clock.Span) {
+func (p *publisherFixture) expectDelay(t *testing.T, moment string, want time.Duration) {
 	t.Helper()
 	if delay := p.delay(); delay != want {
 		t.Fatalf("%s: delay %v, want %v", moment, delay, want)
@@ -145,7 +146,7 @@
 func TestPublisher_readsLongListByZone(t *testing.T) {
 	f := newPublisherFixture(t)
 	f.platform.zones = []string{"a", "a", "b", "b", "d"}
-	f.platform.pageDelay = 150 * clock.Millisecond
+	f.platform.pageDelay = 150 * time.Millisecond
 	f.poll()
 	before, serial := f.publishedList(t, "a")
 	f.platform.takeCalls()
@@ -158,14 +159,14 @@
 	if after, again := f.publishedList(t, "a"); again != serial || !after.equivalent(before) {
 		t.Fatal("an unchanged list was published again because it was read by zone")
 	}
-	f.expectDelay(t, "first read by zone", clock.Second)
+	f.expectDelay(t, "first read by zone", time.Second)
 	f.Platform.LastPages = 100
-	f.expectDelay(t, "100 pages at 100 calls a second", 2*clock.Second)
+	f.expectDelay(t, "100 pages at 100 calls a second", 2*time.Second)
 	for range unchangedThreshold {
 		f.poll()
 	}
 	f.Platform.LastPages = 6
-	f.expectDelay(t, "long list without a change", clock.Second)
+	f.expectDelay(t, "long list without a change", time.Second)
 	f.platform.down = true
 	f.poll()
 	if _, again := f.publishedList(t, "a"); again != serial {
@@ -178,7 +179,7 @@
 func TestPublisher_continuesTimedOutReadByZone(t *testing.T) {
 	f := newPublisherFixture(t)
 	f.platform.zones = []string{"a", "a", "a", "b", "b", "b", "c"}
-	f.platform.pageDelay = 150 * clock.Millisecond
+	f.platform.pageDelay = 150 * time.Millisecond
 	started := f.clock.Now()
 	f.poll()
 	if list, _ := f.publishedList(t, "a"); len(list.Runners) != 3 || !f.Platform.ByZone() {
@@ -195,7 +196,7 @@
 	if _, again := f.publishedList(t, "a"); again != first || f.heartbeatSerial() != heartbeat {
 		t.Fatal("an unchanged list was published at once")
 	}
-	f.clock.Advance(2 * clock.Second)
+	f.clock.Advance(2 * time.Second)
 	f.poll()
 	if _, again := f.publishedList(t, "a"); again != first || f.heartbeatSerial() <= heartbeat {
 		t.Fatal("no heartbeat after its interval")
@@ -206,10 +207,10 @@
 		t.Fatal("a draining runner was not published at once")
 	}
 	for range unchangedThreshold {
-		f.expectDelay(t, "few polls without a change", clock.Second)
+		f.expectDelay(t, "few polls without a change", time.Second)
 		f.poll()
 	}
-	f.expectDelay(t, "many polls without a change", unchangedBackoff*clock.Second)
+	f.expectDelay(t, "many polls without a change", unchangedBackoff*time.Second)
 }
 
 func TestPublisher_overridesPreviousHolder(t *testing.T) {
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -19,7 +20,7 @@
 	// zone's list does.
 	Zones []ids.Zone
 	// MaxAge is how long the list is fresh after it was last confirmed.
-	MaxAge clock.Span
+	MaxAge time.Duration
 }
 
 // View is a daemon's copy of the list of runners. It is assembled from the lists
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -14,7 +15,7 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-const maxAge = 3 * clock.Second
+const maxAge = 3 * time.Second
 
 // viewFixture is a view of zones a and b, with the serials of the lists that its
 // publisher published.
--- a/control/gossip/gossiper.go
+++ b/control/gossip/gossiper.go
@@ -4,6 +4,7 @@
 	"context"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -21,9 +22,9 @@
 	// Seeds are partners while no other member is known, and rarely after that.
 	Seeds []ids.Address
 	// Interval is the mean time between two exchanges, and the timeout of a push.
-	Interval clock.Span
+	Interval time.Duration
 	// Timeout is that of an exchange.
-	Timeout clock.Span
+	Timeout time.Duration
 	// Rejoining says that other daemons should hold items already, as they do
 	// except at the first start of a deployment.
 	Rejoining bool
--- a/control/gossip/gossiper_test.go
+++ b/control/gossip/gossiper_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"runtime"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -49,7 +50,7 @@
 	gossiper := &Gossiper{
 		Clock: source,
 		Store: NewStore(nil), Table: table, Zones: map[ids.Zone]ids.Region{"a": "home"},
-		RelaysPerZone: 2, Fanout: 8, Interval: clock.Second, Timeout: clock.Second, peers: hanging,
+		RelaysPerZone: 2, Fanout: 8, Interval: time.Second, Timeout: time.Second, peers: hanging,
 	}
 	ctx, cancel := scope.New(scope.Options{Clock: source}).WithCancel()
 	go func() {
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
 	"onyxwell/control/membership"
@@ -41,7 +41,7 @@
 	return !first && g.emptyExchanges.Add(1) <= maxNearerAttempts
 }
 
-func (g *Gossiper) exchangeWithin(ctx context.Context, timeout clock.Span, address ids.Address) {
+func (g *Gossiper) exchangeWithin(ctx context.Context, timeout time.Duration, address ids.Address) {
 	short, cancel := g.Clock.WithTimeout(ctx, timeout)
 	defer cancel()
 	g.Exchange(short, address)
--- a/control/gossip/nearer_test.go
+++ b/control/gossip/nearer_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -29,7 +30,7 @@
 		scope: scope.New(scope.Options{Clock: source}), others: map[ids.Address]*Gossiper{}, itemsFrom: map[ids.Address]int{},
 	}
 	newGossiper := func(self membership.Member) *Gossiper {
-		return &Gossiper{Clock: source, Store: NewStore(nil), Table: membership.NewTable(source, self), Interval: clock.Second, Timeout: clock.Second, RelaysPerZone: 2}
+		return &Gossiper{Clock: source, Store: NewStore(nil), Table: membership.NewTable(source, self), Interval: time.Second, Timeout: time.Second, RelaysPerZone: 2}
 	}
 	b.joiner = newGossiper(self)
 	b.joiner.peers = b
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -2,8 +2,8 @@
 
 import (
 	"slices"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/random"
 	"onyxwell/control/membership"
@@ -22,7 +22,7 @@
 
 // nextDelay returns the time until the next exchange: 3/4 to 5/4 of the interval,
 // and less while the daemon can't serve for want of items.
-func (g *Gossiper) nextDelay() clock.Span {
+func (g *Gossiper) nextDelay() time.Duration {
 	if g.Rejoining && g.Store.Empty() {
 		return g.Interval / emptyIntervalDivisor
 	}
--- a/control/gossip/push_test.go
+++ b/control/gossip/push_test.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"slices"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -61,7 +62,7 @@
 	c.gossipers[self.Address] = &Gossiper{
 		Clock: c.clock,
 		Store: NewStore(nil), Table: membership.NewTable(c.clock, self), Zones: zones,
-		RelaysPerZone: relaysPerZone, Fanout: 8, Interval: clock.Second, Timeout: clock.Second,
+		RelaysPerZone: relaysPerZone, Fanout: 8, Interval: time.Second, Timeout: time.Second,
 		inline: true, peers: clusterPeers{cluster: c, self: self.Address},
 	}
 	c.addresses = append(c.addresses, self.Address)
@@ -98,7 +99,7 @@
 	for _, gossiper := range c.gossipers {
 		gossiper.Table.Merge(all)
 	}
-	c.clock.Advance(clock.Second)
+	c.clock.Advance(time.Second)
 	all = nil
 	for _, address := range c.addresses {
 		c.gossipers[address].Table.UpdateRelayRole(relaysPerZone, 0)
--- a/control/membership/backbone_test.go
+++ b/control/membership/backbone_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -77,14 +78,14 @@
 		table.Merge(members)
 		views = append(views, table)
 	}
-	source.Advance(clock.Second)
+	source.Advance(time.Second)
 	chosen := 0
 	for _, view := range views {
 		relays := view.Relays("east", 2)
 		if len(relays) != 2 || relays[0].Address != "10.0.0.1:1" || relays[1].LinkMbps != 10 {
 			t.Fatalf("%v", relays)
 		}
-		view.UpdateRelayRole(2, clock.Second)
+		view.UpdateRelayRole(2, time.Second)
 		if view.Self().Relay {
 			chosen++
 		}
--- a/control/membership/dissemination.go
+++ b/control/membership/dissemination.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -13,9 +14,9 @@
 // member of another zone's backbone is remembered until nobody reports it as a
 // present one any more.
 const (
-	leftRetention           = 10 * 60 * clock.Second
-	removedRetention        = 60 * 60 * clock.Second
-	formerBackboneRetention = 60 * clock.Second
+	leftRetention           = 10 * 60 * time.Second
+	removedRetention        = 60 * 60 * time.Second
+	formerBackboneRetention = 60 * time.Second
 )
 
 const (
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -3,6 +3,7 @@
 import (
 	"runtime"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -92,7 +93,7 @@
 		network.probers[address] = &Prober{
 			Table:  newTestTable(network.clock, address),
 			inline: true,
-			Config: ProbeConfig{Interval: clock.Second, AckTimeout: 100 * clock.Millisecond, SuspicionTimeout: 2 * clock.Second, IndirectProbes: 2},
+			Config: ProbeConfig{Interval: time.Second, AckTimeout: 100 * time.Millisecond, SuspicionTimeout: 2 * time.Second, IndirectProbes: 2},
 			Send: func(to ids.Address, body []byte) {
 				if target := network.probers[to]; target != nil && !network.dead[to] && !network.dead[address] && !network.partitioned[[2]ids.Address{address, to}] {
 					target.Receive(network.scope, senderAddress(address), body)
@@ -144,7 +145,7 @@
 		t.Fatalf("state %d of a silent member", network.state("a", "b"))
 	}
 	network.probers["a"].removeExpiredSuspects(true)
-	network.clock.Advance(3 * clock.Second)
+	network.clock.Advance(3 * time.Second)
 	network.probers["a"].removeExpiredSuspects(true)
 	if network.state("a", "b") != Suspect {
 		t.Fatal("a daemon that was frozen itself removed another")
--- a/control/membership/prober.go
+++ b/control/membership/prober.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -12,12 +13,12 @@
 // ProbeConfig says how often a daemon probes and how long it waits.
 type ProbeConfig struct {
 	// Interval is the time between two probes of one group.
-	Interval clock.Span
+	Interval time.Duration
 	// AckTimeout is how long a direct probe waits; an indirect one waits twice
 	// as long.
-	AckTimeout clock.Span
+	AckTimeout time.Duration
 	// SuspicionTimeout is how long a suspected member has to refute.
-	SuspicionTimeout clock.Span
+	SuspicionTimeout time.Duration
 	// IndirectProbes is how many others are asked to probe a silent member.
 	IndirectProbes int
 }
@@ -121,7 +122,7 @@
 }
 
 // awaitAck reports whether the ack came before the timeout and before ctx ended.
-func (p *Prober) awaitAck(ctx context.Context, acked <-chan struct{}, timeout clock.Span) bool {
+func (p *Prober) awaitAck(ctx context.Context, acked <-chan struct{}, timeout time.Duration) bool {
 	// An ack that is there already counts, whatever else is ready too.
 	select {
 	case <-acked:
--- a/control/membership/prober_test.go
+++ b/control/membership/prober_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -12,12 +13,12 @@
 // span never does.
 type tickClock struct {
 	clock.Clock
-	interval clock.Span
+	interval time.Duration
 	ticks    chan struct{}
 }
 
 // After implements clock.Clock.
-func (t tickClock) After(span clock.Span) <-chan struct{} {
+func (t tickClock) After(span time.Duration) <-chan struct{} {
 	if span == t.interval {
 		return t.ticks
 	}
@@ -27,7 +28,7 @@
 // TestProberRun_awaitsItsProbes ends Run while probes wait for acks that never
 // come: none is left when Run has returned.
 func TestProberRun_awaitsItsProbes(t *testing.T) {
-	source := tickClock{Clock: clock.NewFake(), interval: clock.Second, ticks: make(chan struct{})}
+	source := tickClock{Clock: clock.NewFake(), interval: time.Second, ticks: make(chan struct{})}
 	table := NewTable(source, Member{Address: "a:1", Zone: "east", Relay: true})
 	table.Merge([]Member{
 		{Address: "b:1", Zone: "east", Incarnation: 1},
--- a/control/membership/relays.go
+++ b/control/membership/relays.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 	"slices"
 	"strings"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
 
@@ -30,7 +30,7 @@
 // UpdateRelayRole sets the own Relay flag by whether the daemon is one of the
 // first count relays of its zone. It does nothing within the warm-up span after
 // the start, in which the daemon may not know its zone yet.
-func (t *Table) UpdateRelayRole(count int, warmUp clock.Span) {
+func (t *Table) UpdateRelayRole(count int, warmUp time.Duration) {
 	self := t.Self()
 	if t.clock.Now().Since(t.startedAt) < warmUp || !self.Present() {
 		return
--- a/control/membership/store.go
+++ b/control/membership/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -93,7 +94,7 @@
 }
 
 // Run saves once each interval until ctx ends.
-func (s *Store) Run(ctx context.Context, interval clock.Span) {
+func (s *Store) Run(ctx context.Context, interval time.Duration) {
 	for clock.Wait(ctx, s.Clock, interval) {
 		if err := s.Save(); err != nil {
 			s.Log.Warn().Str("part", "members").Err(err).Msg("saving members failed")
--- a/control/membership/table.go
+++ b/control/membership/table.go
@@ -4,6 +4,7 @@
 	"hash/fnv"
 	"slices"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -168,7 +169,7 @@
 
 // StateAge returns for how long a member has been in its state, 0 where it is
 // unknown.
-func (t *Table) StateAge(address ids.Address) clock.Span {
+func (t *Table) StateAge(address ids.Address) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.members[address]
--- a/control/membership/zonesummary/zonesummary_test.go
+++ b/control/membership/zonesummary/zonesummary_test.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -39,7 +40,7 @@
 	if len(manager.Store.WithPrefix(EndpointsPrefix)) != 0 {
 		t.Fatal("one that does not relay published for its zone")
 	}
-	source.Advance(clock.Second)
+	source.Advance(time.Second)
 	manager.Table.UpdateRelayRole(4, 0)
 	manager.Refresh()
 	first := manager.Table.Relays("east", 1)[0].Address
@@ -114,14 +115,14 @@
 	source := clock.NewFake()
 	manager := newTestManager(source, "a:1", "east")
 	manager.MergeSizes([]membership.ZoneSize{{Zone: "east", Routers: 9}})
-	source.Advance(clock.Second)
+	source.Advance(time.Second)
 	manager.Table.UpdateRelayRole(2, 0)
 	manager.Refresh()
 	size, err := transport.Unmarshal[membership.ZoneSize](manager.Store.WithPrefix(SizePrefix)[0].Body)
 	if err != nil || size.Routers != 9 {
 		t.Fatalf("%+v %v", size, err)
 	}
-	source.Advance(2 * 60 * 60 * clock.Second)
+	source.Advance(2 * 60 * 60 * time.Second)
 	manager.Refresh()
 	if size, _ = transport.Unmarshal[membership.ZoneSize](manager.Store.WithPrefix(SizePrefix)[0].Body); size.Routers != 1 {
 		t.Fatalf("%+v long after the others are gone", size)
@@ -139,7 +140,7 @@
 	gone := backbone("z:1", 1)
 	gone.Zone, gone.State = "south", membership.Removed
 	manager.Table.Merge([]membership.Member{backbone("x:1", 1), backbone("y:1", 1), gone})
-	source.Advance(clock.Second)
+	source.Advance(time.Second)
 	manager.Table.UpdateRelayRole(2, 0)
 	refreshed := func() []ids.Zone {
 		manager.Refresh()
--- a/control/outlier/detector.go
+++ b/control/outlier/detector.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -21,14 +22,14 @@
 	// a time.
 	maxEjectedFraction = 1.0 / 3
 	// window is how long an outcome counts.
-	window = 2 * clock.Second
+	window = 2 * time.Second
 	// baseEjectionTime is how long the first ejection lasts. Each further one lasts
 	// twice as long, up to baseEjectionTime << maxBackoff.
-	baseEjectionTime = 2 * clock.Second
+	baseEjectionTime = 2 * time.Second
 	maxBackoff       = 4
 	// backoffDecay is how long a runner must go without an ejection for the backoff
 	// to fall by one.
-	backoffDecay = 30 * clock.Second
+	backoffDecay = 30 * time.Second
 )
 
 // outcome counts the requests of one sample.
--- a/control/outlier/detector_test.go
+++ b/control/outlier/detector_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -61,7 +62,7 @@
 			t.Fatalf("ejection %d lasts %d ms after one of %d", backoff, leftMS, previousMS)
 		}
 		previousMS = leftMS
-		fake.Advance(clock.Span(leftMS+1) * clock.Millisecond)
+		fake.Advance(time.Duration(leftMS+1) * time.Millisecond)
 		if ejections, changed := detector.Evaluate(fake.Now()); len(ejections.Runners) != 0 || !changed {
 			t.Fatal("an ejection does not end")
 		}
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"sync"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -23,8 +24,8 @@
 func TestMain(m *testing.M) { proptest.Run(m) }
 
 const (
-	forwardTimeout = 375 * clock.Millisecond
-	commandTimeout = 900 * clock.Millisecond
+	forwardTimeout = 375 * time.Millisecond
+	commandTimeout = 900 * time.Millisecond
 )
 
 // cluster is three controllers on links of 35 ms and slow disks. It runs in a
@@ -35,7 +36,7 @@
 	nodes       map[ids.Address]*node
 	mu          sync.Mutex
 	partitioned map[ids.Address]bool
-	diskDelay   clock.Span
+	diskDelay   time.Duration
 	// intercepted collects the commands forwarded to a controller instead of
 	// delivering them.
 	intercepted map[ids.Address]*[]Command
@@ -56,7 +57,7 @@
 // Save takes the cluster's disk delay.
 func (n *node) Save([]byte) error { <-n.cluster.ctx.Clock.After(n.cluster.diskDelay); return nil }
 
-func newCluster(t *testing.T, diskDelay clock.Span) *cluster {
+func newCluster(t *testing.T, diskDelay time.Duration) *cluster {
 	t.Helper()
 	c := &cluster{
 		t: t, ctx: scope.New(scope.Options{}), nodes: map[ids.Address]*node{},
@@ -69,7 +70,7 @@
 	// Bootstrapping took no disk time.
 	c.diskDelay = diskDelay
 	// Unanswered messages time out before the bubble ends.
-	t.Cleanup(func() { c.ctx.Wait(10 * clock.Second) })
+	t.Cleanup(func() { c.ctx.Wait(10 * time.Second) })
 	return c
 }
 
@@ -93,7 +94,7 @@
 	})
 	n.proposer = register.NewProposer(register.ProposerOptions{
 		Clock: c.ctx.Clock, Log: c.ctx.Log,
-		Address: address, Client: n, Voters: n.acceptor.Voters, MessageTimeout: 2 * clock.Second,
+		Address: address, Client: n, Voters: n.acceptor.Voters, MessageTimeout: 2 * time.Second,
 		HighestEpoch: func(key string) int64 { return n.acceptor.Slot(key).Promised.Number },
 	})
 	n.dispatcher = New(Options{
@@ -101,7 +102,7 @@
 		Address: address, Proposer: n.proposer, Acceptor: n.acceptor, Quorum: n.quorum,
 		Membership: membership.NewTable(c.ctx.Clock, membership.Member{Address: address}),
 		Updates:    gossip.NewStore(nil), ForwardTimeout: forwardTimeout, CommandTimeout: commandTimeout,
-		TakeoverBackoff: func() clock.Span { return 0 }, Peers: n,
+		TakeoverBackoff: func() time.Duration { return 0 }, Peers: n,
 	})
 }
 
@@ -121,7 +122,7 @@
 // deliver delivers a message and its response. Across a partition the message or
 // the response is lost, and the sender waits until its context ends.
 func deliver[Response any](ctx context.Context, from *node, to ids.Address, serve func(*node) Response) (Response, error) {
-	const linkDelay = 35 * clock.Millisecond
+	const linkDelay = 35 * time.Millisecond
 	var resp Response
 	if from.address == to {
 		return serve(from), nil
@@ -180,7 +181,7 @@
 }
 
 // dispatch dispatches a command at a controller and measures how long it takes.
-func (c *cluster) dispatch(at ids.Address, cmd Command) (kind errkind.Kind, value []byte, elapsed clock.Span) {
+func (c *cluster) dispatch(at ids.Address, cmd Command) (kind errkind.Kind, value []byte, elapsed time.Duration) {
 	start := c.ctx.Now()
 	value, err := c.nodes[at].dispatcher.Dispatch(c.ctx, cmd)
 	return errkind.KindOf(err), value, c.ctx.Now().Since(start)
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -17,6 +17,7 @@
 import (
 	"context"
 	"errors"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -67,13 +68,13 @@
 	Peers PeerClient
 	// ForwardTimeout bounds one forwarded attempt; an owner that exceeds it is
 	// suspected.
-	ForwardTimeout clock.Span
+	ForwardTimeout time.Duration
 	// CommandTimeout bounds a command as a whole, with all its attempts.
-	CommandTimeout clock.Span
+	CommandTimeout time.Duration
 	// TakeoverBackoff gives the delay before a takeover, multiplied by the
 	// attempt up to maxBackoffFactor; by default a random part of
 	// ForwardTimeout/4.
-	TakeoverBackoff func() clock.Span
+	TakeoverBackoff func() time.Duration
 }
 
 // Dispatcher executes commands or forwards them. It is safe for concurrent use.
@@ -86,7 +87,7 @@
 // New makes a dispatcher.
 func New(options Options) *Dispatcher {
 	if options.TakeoverBackoff == nil {
-		options.TakeoverBackoff = func() clock.Span { return random.Duration(options.ForwardTimeout / 4) }
+		options.TakeoverBackoff = func() time.Duration { return random.Duration(options.ForwardTimeout / 4) }
 	}
 	if options.Peers == nil {
 		options.Peers = transportPeers{client: options.Transport}
@@ -195,7 +196,7 @@
 // off first, and leaves the key to a controller that took it meanwhile.
 func (d *Dispatcher) takeOver(ctx context.Context, cmd Command, attempt int) ([]byte, error) {
 	before := d.options.Acceptor.Slot(cmd.Key).Promised
-	if !clock.Wait(ctx, d.options.Clock, clock.Span(min(attempt, maxBackoffFactor))*d.options.TakeoverBackoff()) {
+	if !clock.Wait(ctx, d.options.Clock, time.Duration(min(attempt, maxBackoffFactor))*d.options.TakeoverBackoff()) {
 		return nil, errkind.Errorf(errkind.NoQuorum, "out of time")
 	}
 	if d.preempted(cmd.Key) && d.options.Acceptor.Slot(cmd.Key).Promised != before {
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -4,8 +4,8 @@
 	"sync"
 	"testing"
 	"testing/synctest"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
 	"onyxwell/control/config"
@@ -18,7 +18,7 @@
 // soon.
 func TestDispatch_partitionedOwnerStaysUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 5*clock.Millisecond)
+		c := newCluster(t, 5*time.Millisecond)
 		c.mustDispatch("a", putCommand(0, 1))
 		c.mustDispatch("a", putCommand(1, 2))
 		c.mustDispatch("a", zoneCommand(VerbDrain))
@@ -30,20 +30,20 @@
 		for name, cmd := range commands {
 			// At first the last contact still counts as quorum.
 			kind, value, elapsed := c.dispatch("a", cmd)
-			if kind != errkind.NoQuorum || value != nil || elapsed > 250*clock.Millisecond {
+			if kind != errkind.NoQuorum || value != nil || elapsed > 250*time.Millisecond {
 				t.Errorf("%s, just partitioned: %v after %v", name, kind, elapsed)
 			}
 			c.setPartitioned("a", false)
-			c.ctx.Wait(clock.Second)
+			c.ctx.Wait(time.Second)
 			if err := c.nodes["a"].quorum.EnsureQuorum(c.ctx); err != nil {
 				t.Fatal(err)
 			}
 			c.setPartitioned("a", true)
 		}
-		c.ctx.Wait(clock.Second)
+		c.ctx.Wait(time.Second)
 		for name, cmd := range commands {
 			kind, value, elapsed := c.dispatch("a", cmd)
-			if kind != errkind.NoQuorum || value != nil || elapsed > 250*clock.Millisecond {
+			if kind != errkind.NoQuorum || value != nil || elapsed > 250*time.Millisecond {
 				t.Errorf("%s, long partitioned: %v after %v", name, kind, elapsed)
 			}
 		}
@@ -59,7 +59,7 @@
 // links of 35 ms: commands are acknowledged.
 func TestDispatch_slowDisksKeepQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 150*clock.Millisecond)
+		c := newCluster(t, 150*time.Millisecond)
 		for version := range 4 {
 			if kind, _, elapsed := c.dispatch("a", putCommand(ids.Version(version), version+1)); kind != errkind.None {
 				t.Errorf("command %d: %v after %v", version, kind, elapsed)
@@ -93,7 +93,7 @@
 		// The forwarder is partitioned; others go on through the same owner.
 		"same owner": func(t *testing.T, c *cluster) {
 			c.setPartitioned("a", true)
-			c.ctx.Wait(clock.Second)
+			c.ctx.Wait(time.Second)
 			c.setPartitioned("a", false)
 			c.intercept("b", nil)
 			c.mustDispatch("c", zoneCommand(VerbDrain))
@@ -106,7 +106,7 @@
 	for name, proceed := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCluster(t, 5*clock.Millisecond)
+				c := newCluster(t, 5*time.Millisecond)
 				c.mustDispatch("b", zoneCommand(VerbDrain))
 				c.mustDispatch("b", zoneCommand(VerbUndrain))
 				for _, node := range c.nodes {
@@ -114,12 +114,12 @@
 						t.Fatal(err)
 					}
 				}
-				c.ctx.Wait(50 * clock.Millisecond)
+				c.ctx.Wait(50 * time.Millisecond)
 				var delayed []Command
 				c.intercept("b", &delayed)
 				abandoned := make(chan struct{})
 				go func() { c.dispatch("a", zoneCommand(VerbDrain)); close(abandoned) }()
-				c.ctx.Wait(clock.Millisecond)
+				c.ctx.Wait(time.Millisecond)
 				proceed(t, c)
 				<-abandoned
 				if len(delayed) == 0 {
@@ -147,10 +147,10 @@
 // for its turn past its deadline.
 func TestHandleForwarded_takesNoKeyOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 5*clock.Millisecond)
+		c := newCluster(t, 5*time.Millisecond)
 		c.mustDispatch("a", zoneCommand(VerbDrain))
 		owner := c.nodes["b"]
-		withDeadline := func(timeout clock.Span) Command {
+		withDeadline := func(timeout time.Duration) Command {
 			t.Helper()
 			cmd := zoneCommand(VerbUndrain)
 			var err error
@@ -170,7 +170,7 @@
 		if err := owner.proposer.Reacquire(c.ctx, zoneCommand("").Key); err != nil {
 			t.Fatal(err)
 		}
-		late := withDeadline(200 * clock.Millisecond)
+		late := withDeadline(200 * time.Millisecond)
 		turn, started := make(chan struct{}), make(chan struct{})
 		go func() {
 			_, _ = owner.proposer.Update(c.ctx, late.Key, func([]byte) ([]byte, error) { close(started); <-turn; return nil, nil })
@@ -178,7 +178,7 @@
 		<-started
 		result := make(chan error)
 		go func() { _, err := owner.dispatcher.HandleForwarded(c.ctx, late); result <- err }()
-		c.ctx.Wait(300 * clock.Millisecond)
+		c.ctx.Wait(300 * time.Millisecond)
 		close(turn)
 		if err := <-result; errkind.KindOf(err) != errkind.NoQuorum || !c.drained("b") {
 			t.Errorf("started after its deadline: %v", err)
@@ -190,11 +190,11 @@
 // key: after the partition, commands do not wait behind that attempt.
 func TestProposer_abandonedPrepareIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, 5*clock.Millisecond)
+		c := newCluster(t, 5*time.Millisecond)
 		c.mustDispatch("b", zoneCommand(VerbDrain))
 		c.setPartitioned("a", true)
 		var reads sync.WaitGroup
-		for _, timeout := range []clock.Span{100 * clock.Millisecond, 300 * clock.Millisecond} {
+		for _, timeout := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond} {
 			reads.Go(func() {
 				ctx, cancel := c.ctx.WithTimeout(timeout)
 				defer cancel()
@@ -209,7 +209,7 @@
 		if _, err := c.nodes["a"].proposer.Read(c.ctx, zoneCommand("").Key); err != nil {
 			t.Error(err)
 		}
-		if elapsed := c.ctx.Now().Since(start); elapsed > 300*clock.Millisecond {
+		if elapsed := c.ctx.Now().Since(start); elapsed > 300*time.Millisecond {
 			t.Errorf("answered %v after the partition", elapsed)
 		}
 	})
--- a/control/state/command/epoch.go
+++ b/control/state/command/epoch.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"onyxwell/control/state/register"
 
 	"onyxwell/control/transport"
--- a/control/state/command/forward.go
+++ b/control/state/command/forward.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"slices"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -65,7 +66,7 @@
 
 // forward sends a command on. Its deadline, in the receiver's clock, is neither
 // later than this call's timeout nor than the deadline that it came with.
-func (d *Dispatcher) forward(ctx context.Context, to ids.Address, cmd Command, timeout clock.Span) (Result, error) {
+func (d *Dispatcher) forward(ctx context.Context, to ids.Address, cmd Command, timeout time.Duration) (Result, error) {
 	if cmd.hasDeadline() {
 		timeout = min(timeout, clock.Instant(cmd.Deadline.End).Since(d.options.Clock.Now()))
 	}
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"onyxwell/control/transport"
 
 	"onyxwell/control/config/evacuation"
--- a/control/state/command/idempotent_test.go
+++ b/control/state/command/idempotent_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 	"testing/synctest"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/control/config/evacuation"
 )
 
@@ -20,7 +20,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCluster(t, clock.Millisecond)
+				c := newCluster(t, time.Millisecond)
 				if test.before != "" {
 					c.mustDispatch("a", zoneCommand(test.before))
 				} else {
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"strings"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -98,7 +99,7 @@
 		c.acceptors[name] = acceptor
 		proposer := register.NewProposer(register.ProposerOptions{
 			Clock: c.ctx.Clock, Log: c.ctx.Log,
-			Address: name, Client: c, Voters: acceptor.Voters, MessageTimeout: clock.Second,
+			Address: name, Client: c, Voters: acceptor.Voters, MessageTimeout: time.Second,
 			HighestEpoch: func(key string) int64 { return acceptor.Slot(key).Promised.Number },
 			Spawn:        func(send func()) { send() },
 		})
@@ -114,13 +115,13 @@
 			Clock: c.ctx.Clock, Log: c.ctx.Log,
 			// Only the register's messages get lost, never heartbeats.
 			Quorum: quorum.New(quorum.Options{
-				Clock: c.ctx.Clock, Log: c.ctx.Log, Address: name, Voters: acceptor.Voters, MaxAge: clock.Second,
+				Clock: c.ctx.Clock, Log: c.ctx.Log, Address: name, Voters: acceptor.Voters, MaxAge: time.Second,
 				Heartbeat: func(context.Context, ids.Address) (quorum.HeartbeatResponse, error) {
 					return quorum.HeartbeatResponse{Incarnation: 1}, nil
 				},
 			}),
 			Address: name, Proposer: proposer, Acceptor: acceptor, Membership: table, Updates: gossip.NewStore(nil),
-			ForwardTimeout: 4, CommandTimeout: clock.Second, TakeoverBackoff: func() clock.Span { return 0 },
+			ForwardTimeout: 4, CommandTimeout: time.Second, TakeoverBackoff: func() time.Duration { return 0 },
 		})
 	}
 	return c
--- a/control/state/command/owner_health.go
+++ b/control/state/command/owner_health.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -16,13 +17,13 @@
 type ownerHealth struct {
 	mu sync.Mutex
 	// suspicion is how long an owner stays suspected.
-	suspicion      clock.Span
+	suspicion      time.Duration
 	suspectedUntil map[ids.Address]clock.Instant
 	// unanswered counts the commands in a row that an owner left unanswered.
 	unanswered map[ids.Address]int
 }
 
-func newOwnerHealth(suspicion clock.Span) *ownerHealth {
+func newOwnerHealth(suspicion time.Duration) *ownerHealth {
 	return &ownerHealth{suspicion: suspicion, suspectedUntil: map[ids.Address]clock.Instant{}, unanswered: map[ids.Address]int{}}
 }
 
--- a/control/state/command/owner_health_test.go
+++ b/control/state/command/owner_health_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 )
 
 func TestOwnerHealth_busyOwnerIsSuspectedInTheEnd(t *testing.T) {
-	const suspicion = 4 * clock.Second
+	const suspicion = 4 * time.Second
 	health := newOwnerHealth(suspicion)
 	now := clock.Instant(0)
 	requireBusy := func(answeredOther bool, want bool) {
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -46,7 +47,7 @@
 }
 
 // Run reconciles at an interval until the context ends.
-func (d *Dispatcher) Run(ctx context.Context, interval clock.Span) {
+func (d *Dispatcher) Run(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
 		d.Reconcile(ctx)
 		if !clock.Wait(ctx, d.options.Clock, interval) {
--- a/control/state/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/scope"
@@ -13,11 +14,11 @@
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
 	// A single voter is its own majority.
-	lessor := lease.NewLessor(fake, 3*clock.Second, func() (bool, int64) { return true, 1 })
-	fake.Advance(3 * clock.Second)
+	lessor := lease.NewLessor(fake, 3*time.Second, func() (bool, int64) { return true, 1 })
+	fake.Advance(3 * time.Second)
 	epoch := int64(0)
 	holder := lease.NewHolder(lease.Options{
-		Clock: ctx.Clock, Log: ctx.Log, Name: "census", Address: "10.0.0.1:7721", TTL: 3 * clock.Second,
+		Clock: ctx.Clock, Log: ctx.Log, Name: "census", Address: "10.0.0.1:7721", TTL: 3 * time.Second,
 		RequestGrant: func(_ context.Context, req lease.Request) lease.Outcome {
 			req.VotersFingerprint = 1
 			if lessor.Grant(req).Granted {
@@ -29,7 +30,7 @@
 	})
 	holder.TryAcquireOrRenew(ctx)
 	fmt.Println(holder.Held(fake.Now()))
-	fake.Advance(3 * clock.Second)
+	fake.Advance(3 * time.Second)
 	fmt.Println(holder.Held(fake.Now()))
 	// Output:
 	// 1 true
--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"sync"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -25,7 +26,7 @@
 	Name    string
 	Address ids.Address
 	// TTL is how long voters grant the lease for.
-	TTL clock.Span
+	TTL time.Duration
 	// RequestGrant sends a request to all voters, under the fingerprint of their
 	// set.
 	RequestGrant func(ctx context.Context, req Request) Outcome
@@ -170,7 +171,7 @@
 }
 
 // StandDown releases the lease and leaves it to others for the span.
-func (h *Holder) StandDown(ctx context.Context, span clock.Span) {
+func (h *Holder) StandDown(ctx context.Context, span time.Duration) {
 	h.mu.Lock()
 	h.standDownUntil = h.options.Clock.Now().Add(span)
 	h.mu.Unlock()
--- a/control/state/lease/holder_test.go
+++ b/control/state/lease/holder_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/invariant"
@@ -126,7 +127,7 @@
 	monitor := &invariant.Monitor{Tolerant: true}
 	holder := NewHolder(Options{Clock: ctx.Clock, Log: ctx.Log, Name: "census", Monitor: monitor})
 	for index, epoch := range []int64{4, 5, 5} {
-		holder.recordGrant(int64(index+1), epoch, clock.Instant(clock.Second))
+		holder.recordGrant(int64(index+1), epoch, clock.Instant(time.Second))
 	}
 	if got := monitor.Count(invariant.EpochRises); got != 1 {
 		t.Errorf("counted %d", got)
--- a/control/state/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -15,7 +16,7 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-const testTTL = 3 * clock.Second
+const testTTL = 3 * time.Second
 
 // cluster is three voters and three daemons that want one lease.
 type cluster struct {
@@ -92,7 +93,7 @@
 			events := []func(){
 				func() { c.holders[index].TryAcquireOrRenew(c.ctx) },
 				func() { c.holders[index].TryAcquireOrRenew(c.ctx) },
-				func() { c.clock.Advance(clock.Span(rapid.IntRange(1, 1500).Draw(t, "ms")) * clock.Millisecond) },
+				func() { c.clock.Advance(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond) },
 				func() { c.partitioned[[2]int{index, voter}] = rapid.Bool().Draw(t, "partitioned") },
 				func() { c.lessors[voter] = c.newLessor() },
 				func() { c.holders[index].Release(c.ctx) },
--- a/control/state/lease/lessor.go
+++ b/control/state/lease/lessor.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -33,7 +34,7 @@
 // time. It is safe for concurrent use.
 type Lessor struct {
 	clock clock.Clock
-	ttl   clock.Span
+	ttl   time.Duration
 	// votingState reports whether this daemon votes now, and the fingerprint of the
 	// voter set that it knows.
 	votingState func() (voting bool, fingerprint int64)
@@ -49,7 +50,7 @@
 
 // NewLessor returns a Lessor that makes no grant for a first TTL, since the
 // process before this one may have made some.
-func NewLessor(clock clock.Clock, ttl clock.Span, votingState func() (voting bool, fingerprint int64)) *Lessor {
+func NewLessor(clock clock.Clock, ttl time.Duration, votingState func() (voting bool, fingerprint int64)) *Lessor {
 	_, fingerprint := votingState()
 	return &Lessor{
 		clock: clock, ttl: ttl, votingState: votingState, grants: map[string]grant{}, latest: map[requester]requestID{},
--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -16,7 +17,7 @@
 )
 
 // stallGrace is how long a command waits in a process that has just stalled.
-const stallGrace = 20 * clock.Millisecond
+const stallGrace = 20 * time.Millisecond
 
 // EnsureQuorum returns nil once contact with a majority is fresh. Where it is
 // not, it sends rounds of heartbeats, and returns ErrNoQuorum after RoundTimeout.
--- a/control/state/quorum/silence.go
+++ b/control/state/quorum/silence.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/control/state/register"
@@ -13,13 +14,13 @@
 
 // rttSamples are the newest round-trip times, newest first; 0 is none. The least
 // of them counts: a packet that was lost and sent again tells nothing of the path.
-type rttSamples [3]clock.Span
+type rttSamples [3]time.Duration
 
-func (r rttSamples) with(rtt clock.Span) rttSamples { return rttSamples{rtt, r[0], r[1]} }
+func (r rttSamples) with(rtt time.Duration) rttSamples { return rttSamples{rtt, r[0], r[1]} }
 
 // min returns the least sample; 0 where there is none.
-func (r rttSamples) min() clock.Span {
-	least := clock.Span(0)
+func (r rttSamples) min() time.Duration {
+	least := time.Duration(0)
 	for _, rtt := range r {
 		if rtt > 0 && (least == 0 || rtt < least) {
 			least = rtt
@@ -30,8 +31,8 @@
 
 // majorityRTT returns how long it takes until a majority has answered a
 // heartbeat; 0 where the round trips of fewer are known.
-func (t *Tracker) majorityRTT() clock.Span {
-	rtt, _ := t.majority(t.options.Voters().Members, func(member register.Member, p peer) (clock.Span, bool) {
+func (t *Tracker) majorityRTT() time.Duration {
+	rtt, _ := t.majority(t.options.Voters().Members, func(member register.Member, p peer) (time.Duration, bool) {
 		if member.Address == t.options.Address {
 			return 0, true
 		}
@@ -42,14 +43,16 @@
 }
 
 // heartbeatInterval is the time between two rounds while a command is in flight.
-func (t *Tracker) heartbeatInterval() clock.Span { return t.options.SilenceTimeout / roundsPerSilence }
+func (t *Tracker) heartbeatInterval() time.Duration {
+	return t.options.SilenceTimeout / roundsPerSilence
+}
 
 // silenceTimeout is how old contact may get while a command is in flight:
 //
 //	max(SilenceTimeout, 3/2 RTT + 2 heartbeat intervals)
 //
 // with the majority's round-trip time, and never more than MaxAge + RoundTimeout.
-func (t *Tracker) silenceTimeout() clock.Span {
+func (t *Tracker) silenceTimeout() time.Duration {
 	needed := t.majorityRTT()*3/2 + 2*t.heartbeatInterval()
 	return min(max(t.options.SilenceTimeout, needed), t.options.MaxAge+t.options.RoundTimeout)
 }
--- a/control/state/quorum/silence_test.go
+++ b/control/state/quorum/silence_test.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -20,12 +21,12 @@
 	partitioned atomic.Bool
 	heartbeats  atomic.Int64
 	// delay is the round-trip time of the heartbeat of that number.
-	delay func(number int64) clock.Span
+	delay func(number int64) time.Duration
 }
 
-func newTestLink(env scope.Scope, delay func(number int64) clock.Span) *testLink {
+func newTestLink(env scope.Scope, delay func(number int64) time.Duration) *testLink {
 	link := &testLink{delay: delay}
-	link.tracker = New(Options{Clock: env.Clock, Log: env.Log, Address: "0", Voters: testVoters(3), MaxAge: 375 * clock.Millisecond, Heartbeat: func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
+	link.tracker = New(Options{Clock: env.Clock, Log: env.Log, Address: "0", Voters: testVoters(3), MaxAge: 375 * time.Millisecond, Heartbeat: func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
 		if address == "2" {
 			<-ctx.Done()
 			return HeartbeatResponse{}, ctx.Err()
@@ -39,21 +40,21 @@
 	return link
 }
 
-func constantDelay(span clock.Span) func(int64) clock.Span {
-	return func(int64) clock.Span { return span }
+func constantDelay(span time.Duration) func(int64) time.Duration {
+	return func(int64) time.Duration { return span }
 }
 
 // TestTracker_guardedContextEndsSoonAfterPartition partitions the link before a
 // command that is begun on contact still fresh, with its start, and at any moment
 // of it.
 func TestTracker_guardedContextEndsSoonAfterPartition(t *testing.T) {
-	for _, rtt := range []clock.Span{clock.Millisecond, 35 * clock.Millisecond, 70 * clock.Millisecond, 80 * clock.Millisecond} {
-		for after := -200 * clock.Millisecond; after < 600*clock.Millisecond; after += 37 * clock.Millisecond {
+	for _, rtt := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 70 * time.Millisecond, 80 * time.Millisecond} {
+		for after := -200 * time.Millisecond; after < 600*time.Millisecond; after += 37 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := scope.New(scope.Options{}).WithCancel()
 				link := newTestLink(ctx, constantDelay(rtt))
 				go link.tracker.Run(ctx)
-				ctx.Wait(clock.Second)
+				ctx.Wait(time.Second)
 				link.partitioned.Store(after < 0)
 				ctx.Wait(max(0, -after))
 				start := ctx.Now()
@@ -67,7 +68,7 @@
 					start = max(start, ctx.Now())
 					<-guarded.Done()
 				}
-				if took := ctx.Now().Since(start); took > 250*clock.Millisecond {
+				if took := ctx.Now().Since(start); took > 250*time.Millisecond {
 					t.Errorf("rtt %v, partitioned %v after the start: ended after %v", rtt, after, took)
 				}
 				for range 2 {
@@ -87,18 +88,18 @@
 // links that lose packets (which arrive 200 ms and more late, once sent again),
 // that are long, and that are congested for good.
 func TestTracker_packetLossAndHighLatencyKeepQuorum(t *testing.T) {
-	const rtt = 70 * clock.Millisecond
-	cases := map[string]func(int64) clock.Span{
-		"each second lost": func(number int64) clock.Span { return rtt + 270*clock.Millisecond*clock.Span(number%2) },
-		"two of three lost": func(number int64) clock.Span {
-			return rtt + 270*clock.Millisecond*clock.Span(min(1, number%3))
+	const rtt = 70 * time.Millisecond
+	cases := map[string]func(int64) time.Duration{
+		"each second lost": func(number int64) time.Duration { return rtt + 270*time.Millisecond*time.Duration(number%2) },
+		"two of three lost": func(number int64) time.Duration {
+			return rtt + 270*time.Millisecond*time.Duration(min(1, number%3))
 		},
-		"long":   constantDelay(180 * clock.Millisecond),
-		"longer": constantDelay(300 * clock.Millisecond),
-		"congested for good": func(number int64) clock.Span {
-			return rtt + min(150*clock.Millisecond, clock.Span(max(0, number-8))*10*clock.Millisecond)
+		"long":   constantDelay(180 * time.Millisecond),
+		"longer": constantDelay(300 * time.Millisecond),
+		"congested for good": func(number int64) time.Duration {
+			return rtt + min(150*time.Millisecond, time.Duration(max(0, number-8))*10*time.Millisecond)
 		},
-		"jitter": func(number int64) clock.Span { return rtt + clock.Span(number*37%101)*clock.Millisecond },
+		"jitter": func(number int64) time.Duration { return rtt + time.Duration(number*37%101)*time.Millisecond },
 	}
 	for name, delay := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -106,17 +107,17 @@
 				ctx, cancel := scope.New(scope.Options{}).WithCancel()
 				link := newTestLink(ctx, delay)
 				go link.tracker.Run(ctx)
-				ctx.Wait(2 * clock.Second)
+				ctx.Wait(2 * time.Second)
 				for command := range 5 {
 					guarded, release, err := link.tracker.WithQuorum(ctx)
 					if err != nil {
 						t.Fatal(err)
 					}
-					if start := ctx.Now(); !clock.Wait(guarded, ctx.Clock, 2*clock.Second) {
+					if start := ctx.Now(); !clock.Wait(guarded, ctx.Clock, 2*time.Second) {
 						t.Errorf("command %d ended after %v, at a round trip of %v", command, ctx.Now().Since(start), link.tracker.majorityRTT())
 					}
 					release()
-					ctx.Wait(300 * clock.Millisecond)
+					ctx.Wait(300 * time.Millisecond)
 				}
 				cancel()
 				drainPending()
@@ -130,14 +131,14 @@
 func TestTracker_heartbeatRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
-		link := newTestLink(ctx, constantDelay(70*clock.Millisecond))
+		link := newTestLink(ctx, constantDelay(70*time.Millisecond))
 		go link.tracker.Run(ctx)
 		count := func() int64 {
 			before := link.heartbeats.Load()
-			ctx.Wait(6 * clock.Second)
+			ctx.Wait(6 * time.Second)
 			return link.heartbeats.Load() - before
 		}
-		ctx.Wait(clock.Second)
+		ctx.Wait(time.Second)
 		idle := count()
 		var releases []func()
 		for range 40 {
@@ -148,7 +149,7 @@
 		for _, release := range releases {
 			release()
 		}
-		ctx.Wait(clock.Second)
+		ctx.Wait(time.Second)
 		after := count()
 		t.Logf("heartbeats to a voter in 6 s: %d idle, %d with commands in flight, %d after", idle, busy, after)
 		if busy > 130 || idle > 25 || after > idle+1 {
@@ -164,7 +165,7 @@
 type jumpingClock struct {
 	clock.Clock
 	mu     sync.Mutex
-	offset clock.Span
+	offset time.Duration
 }
 
 // Now is ahead by the offset.
@@ -180,23 +181,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		jumping := &jumpingClock{Clock: scope.New(scope.Options{}).Clock}
 		ctx := scope.New(scope.Options{Clock: jumping})
-		link := newTestLink(ctx, constantDelay(70*clock.Millisecond))
+		link := newTestLink(ctx, constantDelay(70*time.Millisecond))
 		guarded, release, err := link.tracker.WithQuorum(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
-			clock.Wait(guarded, ctx.Clock, 500*clock.Millisecond)
+			clock.Wait(guarded, ctx.Clock, 500*time.Millisecond)
 			jumping.mu.Lock()
-			jumping.offset += clock.Second
+			jumping.offset += time.Second
 			jumping.mu.Unlock()
 		}
-		if !clock.Wait(guarded, ctx.Clock, clock.Second) {
+		if !clock.Wait(guarded, ctx.Clock, time.Second) {
 			t.Error("a command ended though its process alone stalled")
 		}
 		link.partitioned.Store(true)
 		start := ctx.Now()
-		if <-guarded.Done(); ctx.Now().Since(start) > 250*clock.Millisecond {
+		if <-guarded.Done(); ctx.Now().Since(start) > 250*time.Millisecond {
 			t.Errorf("ended %v after a partition", ctx.Now().Since(start))
 		}
 		release()
--- a/control/state/quorum/status_test.go
+++ b/control/state/quorum/status_test.go
@@ -4,8 +4,8 @@
 	"sync"
 	"testing"
 	"testing/synctest"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 	"onyxwell/control/state/register"
@@ -21,31 +21,31 @@
 		mu, voters := sync.Mutex{}, testVoters(3)()
 		tracker.options.Voters = func() register.VoterSet { mu.Lock(); defer mu.Unlock(); return voters }
 		go tracker.Run(ctx)
-		expect := func(when string, atLeast clock.Span, atMost clock.Span) {
+		expect := func(when string, atLeast time.Duration, atMost time.Duration) {
 			t.Helper()
 			status := tracker.Status(ctx.Now())
-			if age := clock.Span(status.AllVotersAgeMS) * clock.Millisecond; !status.Majority || age < atLeast || age > atMost {
+			if age := time.Duration(status.AllVotersAgeMS) * time.Millisecond; !status.Majority || age < atLeast || age > atMost {
 				t.Errorf("%s: %+v", when, status)
 			}
 		}
-		delays.Store(ids.Address("1"), 70*clock.Millisecond)
-		ctx.Wait(clock.Second)
+		delays.Store(ids.Address("1"), 70*time.Millisecond)
+		ctx.Wait(time.Second)
 		if status := tracker.Status(ctx.Now()); !status.Majority || status.AllVotersAgeMS != -1 {
 			t.Errorf("one never answered: %+v", status)
 		}
-		delays.Store(ids.Address("2"), 70*clock.Millisecond)
-		ctx.Wait(clock.Second)
+		delays.Store(ids.Address("2"), 70*time.Millisecond)
+		ctx.Wait(time.Second)
 		expect("all answer", 0, testMaxAge)
 		delays.Delete(ids.Address("2"))
-		ctx.Wait(10 * clock.Second)
-		expect("one is silent", 10*clock.Second-testMaxAge, 10*clock.Second+testMaxAge)
+		ctx.Wait(10 * time.Second)
+		expect("one is silent", 10*time.Second-testMaxAge, 10*time.Second+testMaxAge)
 		mu.Lock()
 		voters = register.VoterSet{Generation: 2, Members: []register.Member{{Address: "0"}, {Address: "1"}, {Address: "3", Learner: true}}}
 		mu.Unlock()
-		ctx.Wait(clock.Second)
-		expect("replaced by one that is silent", 11*clock.Second-testMaxAge, 11*clock.Second+testMaxAge)
-		delays.Store(ids.Address("3"), 70*clock.Millisecond)
-		ctx.Wait(clock.Second)
+		ctx.Wait(time.Second)
+		expect("replaced by one that is silent", 11*time.Second-testMaxAge, 11*time.Second+testMaxAge)
+		delays.Store(ids.Address("3"), 70*time.Millisecond)
+		ctx.Wait(time.Second)
 		expect("replaced", 0, testMaxAge)
 		cancel()
 		drainPending()
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -4,6 +4,7 @@
 	"context"
 	"slices"
 	"sync"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -16,10 +17,10 @@
 
 const (
 	// maxRoundTimeout bounds how long a caller is kept waiting for contact.
-	maxRoundTimeout = 200 * clock.Millisecond
+	maxRoundTimeout = 200 * time.Millisecond
 	// maxSilenceTimeout is how long a command goes on without contact: a quarter
 	// of a second, less what its answer takes.
-	maxSilenceTimeout = 240 * clock.Millisecond
+	maxSilenceTimeout = 240 * time.Millisecond
 )
 
 // Options configure a Tracker. Clock, Log, Address, Voters, MaxAge and one of
@@ -34,15 +35,15 @@
 	Voters    func() register.VoterSet
 	Transport *transport.Client
 	// MaxAge is how old contact with a majority may be for a command to be begun.
-	MaxAge clock.Span
+	MaxAge time.Duration
 	// RoundTimeout bounds one round of heartbeats; by default half of MaxAge, and
 	// no more than 200 ms.
-	RoundTimeout clock.Span
+	RoundTimeout time.Duration
 	// SilenceTimeout is how long a majority may leave all heartbeats unanswered
 	// while a command is in flight; by default MaxAge plus RoundTimeout, and no
 	// more than 240 ms. Where the measured round trip takes too much of that, the
 	// effective time-out is longer.
-	SilenceTimeout clock.Span
+	SilenceTimeout time.Duration
 	// Heartbeat sends a heartbeat to one voter; by default over Transport.
 	Heartbeat func(ctx context.Context, address ids.Address) (HeartbeatResponse, error)
 	// Spawn runs a function concurrently; by default in a goroutine.
@@ -149,12 +150,12 @@
 // MajorityAge returns how long ago a majority of the voters was last known to
 // hear this controller; false where it never was. A controller that knows of no
 // voters has nobody to ask and counts as in contact.
-func (t *Tracker) MajorityAge(now clock.Instant) (clock.Span, bool) {
+func (t *Tracker) MajorityAge(now clock.Instant) (time.Duration, bool) {
 	members := t.options.Voters().Members
 	if len(members) == 0 {
 		return 0, true
 	}
-	return t.majority(members, func(member register.Member, p peer) (clock.Span, bool) {
+	return t.majority(members, func(member register.Member, p peer) (time.Duration, bool) {
 		if member.Address == t.options.Address {
 			p.lastContact = now
 		}
@@ -165,8 +166,8 @@
 // majority returns the least span that a majority of the members does not exceed,
 // where measure gives each its own, or leaves it out; false where too few have
 // one. The caller must not hold t.mu.
-func (t *Tracker) majority(members []register.Member, measure func(register.Member, peer) (clock.Span, bool)) (clock.Span, bool) {
-	var spans []clock.Span
+func (t *Tracker) majority(members []register.Member, measure func(register.Member, peer) (time.Duration, bool)) (time.Duration, bool) {
+	var spans []time.Duration
 	t.mu.Lock()
 	for _, member := range members {
 		if span, ok := measure(member, t.peers[member.Address]); ok {
@@ -185,7 +186,7 @@
 // AllVotersAge returns how long ago all voters, learners included, were last
 // known to hear this controller; false where they never were. Run keeps it
 // current, so it outlives voters that answered and were then replaced.
-func (t *Tracker) AllVotersAge(now clock.Instant) (clock.Span, bool) {
+func (t *Tracker) AllVotersAge(now clock.Instant) (time.Duration, bool) {
 	oldest := now
 	members := t.options.Voters().Members
 	t.mu.Lock()
--- a/control/state/quorum/tracker_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -7,6 +7,7 @@
 	"sync"
 	"testing"
 	"testing/synctest"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -22,8 +23,8 @@
 func TestMain(m *testing.M) { proptest.Run(m) }
 
 const (
-	testMaxAge       = 400 * clock.Millisecond
-	testRoundTimeout = 200 * clock.Millisecond
+	testMaxAge       = 400 * time.Millisecond
+	testRoundTimeout = 200 * time.Millisecond
 )
 
 // testVoters returns voters with the addresses 0, 1, 2 and so on.
@@ -44,7 +45,7 @@
 			<-ctx.Done()
 			return HeartbeatResponse{}, ctx.Err()
 		}
-		if !clock.Wait(ctx, env.Clock, delay.(clock.Span)) {
+		if !clock.Wait(ctx, env.Clock, delay.(time.Duration)) {
 			return HeartbeatResponse{}, ctx.Err()
 		}
 		return HeartbeatResponse{Incarnation: 7, Reading: int64(env.Now())}, nil
@@ -56,18 +57,18 @@
 
 func TestTracker_majorityAgeIsOldestOfNewestMajority(t *testing.T) {
 	tracker := New(Options{Address: "0", Voters: testVoters(5), MaxAge: testMaxAge})
-	now := clock.Instant(10 * clock.Second)
-	tracker.RecordContact("1", now.Add(-100*clock.Millisecond))
+	now := clock.Instant(10 * time.Second)
+	tracker.RecordContact("1", now.Add(-100*time.Millisecond))
 	if _, ok := tracker.MajorityAge(now); ok {
 		t.Fatal("two of five count as a majority")
 	}
-	tracker.RecordContact("2", now.Add(-300*clock.Millisecond))
-	tracker.RecordContact("3", now.Add(-900*clock.Millisecond))
-	if age, ok := tracker.MajorityAge(now); !ok || age != 300*clock.Millisecond {
+	tracker.RecordContact("2", now.Add(-300*time.Millisecond))
+	tracker.RecordContact("3", now.Add(-900*time.Millisecond))
+	if age, ok := tracker.MajorityAge(now); !ok || age != 300*time.Millisecond {
 		t.Fatalf("age %v, %v", age, ok)
 	}
-	tracker.RecordContact("2", now.Add(-800*clock.Millisecond))
-	if age, _ := tracker.MajorityAge(now); age != 300*clock.Millisecond {
+	tracker.RecordContact("2", now.Add(-800*time.Millisecond))
+	if age, _ := tracker.MajorityAge(now); age != 300*time.Millisecond {
 		t.Fatal("an older request made contact older")
 	}
 	voters := testVoters(3)()
@@ -84,7 +85,7 @@
 		log := &logtest.Buffer{}
 		ctx := scope.New(scope.Options{Log: scope.NewLogger("info", log)})
 		delays := &sync.Map{}
-		delays.Store(ids.Address("1"), 70*clock.Millisecond)
+		delays.Store(ids.Address("1"), 70*time.Millisecond)
 		tracker := newTestTracker(ctx, 3, delays)
 		if err := tracker.EnsureQuorum(ctx); err != nil {
 			t.Fatal(err)
@@ -97,7 +98,7 @@
 		delays.Delete(ids.Address("1"))
 		partitioned := ctx.Now()
 		<-guarded.Done()
-		if took := ctx.Now().Since(partitioned); took > 250*clock.Millisecond {
+		if took := ctx.Now().Since(partitioned); took > 250*time.Millisecond {
 			t.Errorf("a command in flight ended %v after the partition", took)
 		}
 		start := ctx.Now()
@@ -109,7 +110,7 @@
 		if took := ctx.Now().Since(start); took > 3*testRoundTimeout {
 			t.Errorf("three refusals took %v", took)
 		}
-		delays.Store(ids.Address("2"), 70*clock.Millisecond)
+		delays.Store(ids.Address("2"), 70*time.Millisecond)
 		if err := tracker.EnsureQuorum(ctx); err != nil {
 			t.Error(err)
 		}
@@ -128,12 +129,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
-		delays.Store(ids.Address("1"), 70*clock.Millisecond)
+		delays.Store(ids.Address("1"), 70*time.Millisecond)
 		tracker := newTestTracker(ctx, 3, delays)
 		go tracker.Run(ctx)
-		ctx.Wait(clock.Second)
+		ctx.Wait(time.Second)
 		for range 50 {
-			if ctx.Wait(61 * clock.Millisecond); !tracker.HasQuorum(ctx.Now()) {
+			if ctx.Wait(61 * time.Millisecond); !tracker.HasQuorum(ctx.Now()) {
 				age, _ := tracker.MajorityAge(ctx.Now())
 				t.Fatalf("contact is %v old", age)
 			}
@@ -191,7 +192,7 @@
 // refused, and one that arrives early enough is not.
 func TestTracker_remoteDeadlineNeverOutlivesForwarder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		offset := clock.Span(rapid.IntRange(0, 1<<40).Draw(t, "offset"))
+		offset := time.Duration(rapid.IntRange(0, 1<<40).Draw(t, "offset"))
 		rate := rapid.IntRange(995, 1000).Draw(t, "receiver's rate in thousandths")
 		fake := clock.NewFake()
 		ctx := scope.New(scope.Options{Clock: fake})
@@ -201,19 +202,19 @@
 		receiver := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge})
 		there, back := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
 		forwarder := New(Options{Clock: fake, Log: ctx.Log, Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(context.Context, ids.Address) (HeartbeatResponse, error) {
-			fake.Advance(clock.Span(there) * clock.Millisecond)
+			fake.Advance(time.Duration(there) * time.Millisecond)
 			resp := receiver.Respond(remoteNow())
-			fake.Advance(clock.Span(back) * clock.Millisecond)
+			fake.Advance(time.Duration(back) * time.Millisecond)
 			return resp, nil
 		}})
 		_ = forwarder.heartbeat(ctx, "1")
-		fake.Advance(clock.Span(rapid.IntRange(0, 3000).Draw(t, "age")) * clock.Millisecond)
-		giveUp := fake.Now().Add(testMaxAge + clock.Span(there+back)*clock.Millisecond)
+		fake.Advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond)
+		giveUp := fake.Now().Add(testMaxAge + time.Duration(there+back)*time.Millisecond)
 		deadline, err := forwarder.RemoteDeadline(ctx, "1", giveUp)
 		if err != nil {
 			t.Fatal(err)
 		}
-		early := fake.Now().Since(giveUp) < -clock.Span(back)*clock.Millisecond-100*clock.Millisecond
+		early := fake.Now().Since(giveUp) < -time.Duration(back)*time.Millisecond-100*time.Millisecond
 		if early && !receiver.WithinDeadline(deadline, remoteNow()) {
 			t.Fatal("an early command is refused")
 		}
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -4,6 +4,7 @@
 	"context"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -50,10 +51,10 @@
 	// Fetch exchanges updates with a controller that has a newer version.
 	Fetch func(ctx context.Context, address ids.Address)
 	// MaxWait is how long the gate stays closed without any confirmation.
-	MaxWait clock.Span
+	MaxWait time.Duration
 	// Jitter randomizes a query interval, so that routers that start together do
 	// not query together; by default it returns between 0.5 and 1.5 of it.
-	Jitter func(interval clock.Span) clock.Span
+	Jitter func(interval time.Duration) time.Duration
 }
 
 // Gate keeps a router from serving until its version is confirmed. Ready and
@@ -81,7 +82,7 @@
 // NewGate returns a closed Gate; Run opens it.
 func NewGate(options Options) *Gate {
 	if options.Jitter == nil {
-		options.Jitter = func(interval clock.Span) clock.Span { return interval/2 + random.Duration(interval) }
+		options.Jitter = func(interval time.Duration) time.Duration { return interval/2 + random.Duration(interval) }
 	}
 	g := &Gate{options: options, ready: make(chan struct{})}
 	g.state.Store(Waiting)
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -17,7 +18,7 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-const testMaxWait = 750 * clock.Millisecond
+const testMaxWait = 750 * time.Millisecond
 
 // testGate is a router's gate beside two controllers: one is partitioned, the
 // other is where the test says so.
@@ -45,15 +46,15 @@
 		Query: func(ctx context.Context, address ids.Address) (Response, error) {
 			tg.queries.Add(1)
 			if address == "partitioned" || tg.partitioned.Load() {
-				clock.Wait(ctx, tg.ctx.Clock, 190*clock.Millisecond)
+				clock.Wait(ctx, tg.ctx.Clock, 190*time.Millisecond)
 				return Response{}, errors.New("no quorum")
 			}
-			clock.Wait(ctx, tg.ctx.Clock, 80*clock.Millisecond)
+			clock.Wait(ctx, tg.ctx.Clock, 80*time.Millisecond)
 			return Response{Serial: ids.Version(tg.newest.Load())}, nil
 		},
 		Applied: tg.applied, AppliedSerial: func() ids.Version { return ids.Version(tg.serial.Load()) },
 		Fetch: func(ctx context.Context, _ ids.Address) {
-			if clock.Wait(ctx, tg.ctx.Clock, 100*clock.Millisecond); !tg.partitioned.Load() {
+			if clock.Wait(ctx, tg.ctx.Clock, 100*time.Millisecond); !tg.partitioned.Load() {
 				tg.serial.Store(tg.newest.Load())
 			}
 		},
@@ -64,7 +65,7 @@
 
 // run runs the gate, applies a first version after a while, and returns how long
 // after that the gate opened.
-func (t *testGate) run(appliedAfter clock.Span, serial int64) clock.Span {
+func (t *testGate) run(appliedAfter time.Duration, serial int64) time.Duration {
 	go func() { t.gate.Run(t.ctx); t.runEnded.Store(true) }()
 	t.ctx.Wait(appliedAfter)
 	t.serial.Store(serial)
@@ -75,7 +76,7 @@
 }
 
 func TestGate_staleVersionIsNotServed(t *testing.T) {
-	for _, after := range []clock.Span{0, 200 * clock.Millisecond, 3 * clock.Second} {
+	for _, after := range []time.Duration{0, 200 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tg := newTestGate(t)
@@ -91,13 +92,13 @@
 func TestGate_firstStartIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tg := newTestGate(t)
-		if took := tg.run(clock.Second, 1); took > testMaxWait/checksPerMaxWait || tg.gate.State() != Confirmed {
+		if took := tg.run(time.Second, 1); took > testMaxWait/checksPerMaxWait || tg.gate.State() != Confirmed {
 			t.Errorf("%s after %v", tg.gate.State(), took)
 		}
 		if queries := tg.queries.Load(); queries > 4 {
 			t.Errorf("%d queries", queries)
 		}
-		if tg.ctx.Wait(clock.Second); tg.runEnded.Load() {
+		if tg.ctx.Wait(time.Second); tg.runEnded.Load() {
 			t.Error("Run returned: a supervisor would start it again and again")
 		}
 	})
@@ -111,10 +112,10 @@
 		tg := newTestGate(t)
 		tg.partitioned.Store(true)
 		tg.newest.Store(6)
-		if took := tg.run(100*clock.Millisecond, 5); took > testMaxWait || tg.gate.State() != Unconfirmed {
+		if took := tg.run(100*time.Millisecond, 5); took > testMaxWait || tg.gate.State() != Unconfirmed {
 			t.Errorf("%s after %v", tg.gate.State(), took)
 		}
-		tg.ctx.Wait(60 * clock.Second)
+		tg.ctx.Wait(60 * time.Second)
 		if queries := tg.queries.Load(); queries > 40 {
 			t.Errorf("%d queries in a minute", queries)
 		}
--- a/control/state/readindex/reader_test.go
+++ b/control/state/readindex/reader_test.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/base/scope"
 )
@@ -20,13 +20,13 @@
 		reader := NewReader(func(context.Context) (ids.Version, error) {
 			reads.Add(1)
 			serial := newest.Load()
-			ctx.Wait(100 * clock.Millisecond)
+			ctx.Wait(100 * time.Millisecond)
 			return ids.Version(serial), nil
 		})
 		results := make(chan bool)
 		for index := range 300 {
 			go func() {
-				ctx.Wait(clock.Span(index) * clock.Millisecond)
+				ctx.Wait(time.Duration(index) * time.Millisecond)
 				atLeast := newest.Add(1)
 				serial, err := reader.ReadIndex(ctx)
 				results <- err == nil && int64(serial) >= atLeast
--- a/control/state/register/gather_test.go
+++ b/control/state/register/gather_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 	"testing/synctest"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -18,11 +19,11 @@
 		name      string
 		suspected bool
 		wanted    int
-		took      clock.Span
+		took      time.Duration
 	}{
-		{"suspected", true, 2, 70 * clock.Millisecond},
-		{"suspected, but needed", true, 3, clock.Second},
-		{"not suspected", false, 2, clock.Second},
+		{"suspected", true, 2, 70 * time.Millisecond},
+		{"suspected, but needed", true, 3, time.Second},
+		{"not suspected", false, 2, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -30,14 +31,14 @@
 				j := &Joiner{Clock: ctx.Clock, Suspected: func(address ids.Address) bool { return test.suspected && address == "c" }}
 				begin, taken := ctx.Now(), 0
 				gatherUntil(j, []ids.Address{"a", "b", "c"}, j.suspected, func() bool { return taken >= test.wanted }, func(address ids.Address) (int, bool) {
-					ctx.Wait(map[ids.Address]clock.Span{"a": clock.Millisecond, "b": 70 * clock.Millisecond, "c": clock.Second}[address])
+					ctx.Wait(map[ids.Address]time.Duration{"a": time.Millisecond, "b": 70 * time.Millisecond, "c": time.Second}[address])
 					return 1, address != "c"
 				}, func(_ ids.Address, resp int) { taken += resp })
 				if took := ctx.Now().Since(begin); took != test.took || taken != 2 {
 					t.Fatalf("%d responses after %v, wanted 2 after %v", taken, took, test.took)
 				}
 				synctest.Wait()
-				ctx.Wait(2 * clock.Second)
+				ctx.Wait(2 * time.Second)
 			})
 		})
 	}
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"sync/atomic"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -64,7 +65,7 @@
 	// zone or region with too many of them.
 	PlacementAllowed func(others []ids.Address) bool
 	// RequestTimeout bounds one request; 0 leaves the bound of the whole run.
-	RequestTimeout clock.Span
+	RequestTimeout time.Duration
 	// Spawn runs a request in the background; nil starts a goroutine. Tests run it
 	// in place.
 	Spawn func(send func())
--- a/control/state/register/join_test.go
+++ b/control/state/register/join_test.go
@@ -4,6 +4,7 @@
 	"sync"
 	"testing"
 	"testing/synctest"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -25,10 +26,10 @@
 		}
 		synctest.Test(t, func(*testing.T) {
 			standby := c.nodes[3].joiner
-			standby.RequestTimeout = 300 * clock.Millisecond
+			standby.RequestTimeout = 300 * time.Millisecond
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			standby.Clock, standby.Proposer.options.Clock = ctx.Clock, ctx.Clock
-			spans := []clock.Span{}
+			spans := []time.Duration{}
 			for range 2 {
 				begin := ctx.Now()
 				_ = standby.Join(ctx)
@@ -75,7 +76,7 @@
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			newcomer.Clock, newcomer.Proposer.options.Clock = ctx.Clock, ctx.Clock
 			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", token: &sync.Mutex{}}
-			newcomer.Replicas, newcomer.RequestTimeout = network, 300*clock.Millisecond
+			newcomer.Replicas, newcomer.RequestTimeout = network, 300*time.Millisecond
 			newcomer.Spawn = func(send func()) {
 				go func() {
 					network.token.Lock()
@@ -88,7 +89,7 @@
 			if took := ctx.Now().Since(begin); took != 0 || newcomer.Acceptor.Voters().Generation != 1 || !newcomer.replaceable("c") {
 				rapidT.Errorf("after %v the newcomer knows %+v, c replaceable: %v", took, newcomer.Acceptor.Voters(), newcomer.replaceable("c"))
 			}
-			ctx.Wait(clock.Second)
+			ctx.Wait(time.Second)
 		})
 	})
 }
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"sync"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -44,9 +45,9 @@
 	OnCommit func(key string, committed Proposal)
 	// MessageTimeout bounds one request to a voter. Requests go on after a quorum
 	// has answered, so that the other voters don't lag.
-	MessageTimeout clock.Span
+	MessageTimeout time.Duration
 	// BatchTimeout bounds one batch; 0 is no bound.
-	BatchTimeout clock.Span
+	BatchTimeout time.Duration
 	// MinCopies is how many disks must hold an update before it is acknowledged,
 	// if that is more than a majority: one more than may be lost at one time.
 	MinCopies int
--- a/control/state/voter/liveness.go
+++ b/control/state/voter/liveness.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -69,7 +70,7 @@
 // silentFor reports whether a voter has answered nothing for the span though a
 // majority answers here: a controller that is partitioned or stalled itself takes
 // nobody for silent.
-func (l *liveness) silentFor(address ids.Address, span clock.Span) bool {
+func (l *liveness) silentFor(address ids.Address, span time.Duration) bool {
 	now := l.clock.Now()
 	if l.options.Quorum == nil || address == l.options.Address || !l.options.Quorum.HasQuorum(now) {
 		return false
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/state/quorum"
 	"onyxwell/control/state/register"
@@ -13,8 +13,8 @@
 
 // testTiming is the timing of clusters with trackers.
 var testTiming = Timing{
-	Tick: 250 * clock.Millisecond, RequestTimeout: 300 * clock.Millisecond, SuspectAfter: 750 * clock.Millisecond,
-	LostAfter: 1500 * clock.Millisecond, ActiveFor: 12 * clock.Second,
+	Tick: 250 * time.Millisecond, RequestTimeout: 300 * time.Millisecond, SuspectAfter: 750 * time.Millisecond,
+	LostAfter: 1500 * time.Millisecond, ActiveFor: 12 * time.Second,
 }
 
 // attachTracker gives a voter a quorum tracker. The function that it returns has
@@ -23,7 +23,7 @@
 	v := c.voters[index]
 	v.options.Timing = testTiming
 	v.options.Quorum = quorum.New(quorum.Options{
-		Clock: c.clock, Log: c.ctx.Log, Address: v.options.Address, Voters: v.Acceptor.Voters, MaxAge: 500 * clock.Millisecond,
+		Clock: c.clock, Log: c.ctx.Log, Address: v.options.Address, Voters: v.Acceptor.Voters, MaxAge: 500 * time.Millisecond,
 	})
 	return func() {
 		for _, voter := range v.Acceptor.Voters().Members {
@@ -43,7 +43,7 @@
 	silent := map[ids.Address]bool{}
 	round, v := c.attachTracker(0, silent), c.voters[0]
 	lost, other := c.voters[1].options.Address, c.voters[2].options.Address
-	pass := func(span clock.Span) {
+	pass := func(span time.Duration) {
 		for ; span > 0; span -= testTiming.Tick {
 			c.clock.Advance(testTiming.Tick)
 			round()
@@ -104,7 +104,7 @@
 	if !v.checkDue(c.clock.Now()) {
 		t.Fatal("a new voter set triggers no survey")
 	}
-	pass := func(span clock.Span) (due int) {
+	pass := func(span time.Duration) (due int) {
 		for ; span > 0; span -= testTiming.Tick {
 			c.clock.Advance(testTiming.Tick)
 			round()
@@ -115,16 +115,16 @@
 		return due
 	}
 	pass(testTiming.ActiveFor)
-	if count := pass(clock.Second); count != 0 {
+	if count := pass(time.Second); count != 0 {
 		t.Fatalf("%d surveys due while stable", count)
 	}
 	silent[c.voters[1].options.Address] = true
 	pass(testTiming.SuspectAfter)
-	if count := pass(clock.Second); count != 4 {
+	if count := pass(time.Second); count != 4 {
 		t.Fatalf("%d of 4 surveys due for a silent voter", count)
 	}
 	pass(testTiming.ActiveFor)
-	if count := pass(clock.Second); count != 0 {
+	if count := pass(time.Second); count != 0 {
 		t.Fatalf("%d surveys due for a lasting loss", count)
 	}
 }
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -5,6 +5,7 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -32,7 +33,7 @@
 		ctx := scope.New(scope.Options{Clock: fake, Settings: &settings.Settings{}})
 		opened := make(chan *Voter)
 		go func() {
-			v, err := Open(ctx, Options{Clock: fake, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), FirstStart: firstStart, Seeds: []ids.Address{"a"}, Timeout: clock.Second})
+			v, err := Open(ctx, Options{Clock: fake, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), FirstStart: firstStart, Seeds: []ids.Address{"a"}, Timeout: time.Second})
 			if err != nil {
 				t.Error(err)
 			}
@@ -74,7 +75,7 @@
 // soon after that, however long a command may take.
 func TestOpen_retriesRefusingDiskSoon(t *testing.T) {
 	fake := clock.NewFake()
-	recovered := fake.Now().Add(clock.Second)
+	recovered := fake.Now().Add(time.Second)
 	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if fake.Now() < recovered {
 			return errors.New("refused")
@@ -84,7 +85,7 @@
 	opened := make(chan error)
 	go func() {
 		ctx := scope.New(scope.Options{Clock: fake, Settings: &settings.Settings{}})
-		v, err := Open(ctx, Options{Clock: fake, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), FirstStart: true, Seeds: []ids.Address{"a"}, Timeout: 10 * clock.Second, Timing: testTiming})
+		v, err := Open(ctx, Options{Clock: fake, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), FirstStart: true, Seeds: []ids.Address{"a"}, Timeout: 10 * time.Second, Timing: testTiming})
 		if err == nil {
 			v.Close()
 		}
@@ -121,7 +122,7 @@
 	}
 	log.Close()
 	ctx := scope.New(scope.Options{Clock: clock.NewFake()})
-	v, err := Open(ctx, Options{Clock: ctx.Clock, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), Timeout: clock.Second})
+	v, err := Open(ctx, Options{Clock: ctx.Clock, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), Timeout: time.Second})
 	var undecodable *register.RecordError
 	if v != nil || !errors.As(err, &undecodable) {
 		t.Fatalf("%v, %v", v, err)
--- a/control/state/voter/replaceable_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/membership"
 )
@@ -40,7 +40,7 @@
 			}
 			silent[other] = true
 			replaceable := false
-			for span := clock.Span(0); span < 4*v.options.ReplaceAfter; span += testTiming.Tick {
+			for span := time.Duration(0); span < 4*v.options.ReplaceAfter; span += testTiming.Tick {
 				round()
 				c.clock.Advance(testTiming.Tick)
 				replaceable = v.isReplaceable(other)
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/random"
@@ -18,7 +19,7 @@
 // join them while it does not, until ctx ends. A standby catches up meanwhile, so
 // that little is left to learn once a place is free. That is done every interval,
 // and at each tick for a while after the view of the voters changed.
-func (v *Voter) Run(ctx context.Context, interval clock.Span) {
+func (v *Voter) Run(ctx context.Context, interval time.Duration) {
 	tick := min(v.options.Timing.Tick, interval)
 	next := v.clock.Now()
 	for ctx.Err() == nil {
@@ -75,12 +76,12 @@
 
 // step surveys, or tries to join, and returns how long to pause while the view is
 // stable.
-func (v *Voter) step(ctx context.Context, interval clock.Span) clock.Span {
+func (v *Voter) step(ctx context.Context, interval time.Duration) time.Duration {
 	if v.Voting() {
 		v.surveyOnce(ctx)
 		return interval
 	}
-	return clock.Span(v.tryJoin(ctx)+1) * interval
+	return time.Duration(v.tryJoin(ctx)+1) * interval
 }
 
 // tryJoin tries to join the voters, or catches up with them where there is no
--- a/control/state/voter/timing.go
+++ b/control/state/voter/timing.go
@@ -2,23 +2,23 @@
 
 import (
 	"cmp"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/settings"
 )
 
 // Timing is how soon a lost voter is replaced.
 type Timing struct {
 	// Tick is the time between two checks while the view of the voters changes.
-	Tick clock.Span
+	Tick time.Duration
 	// RequestTimeout bounds one request to another controller.
-	RequestTimeout clock.Span
+	RequestTimeout time.Duration
 	// SuspectAfter is how long a voter may be silent before it is no longer waited
 	// for, LostAfter before a standby may take its place.
-	SuspectAfter clock.Span
-	LostAfter    clock.Span
+	SuspectAfter time.Duration
+	LostAfter    time.Duration
 	// ActiveFor is how long after a change the checks come at each tick.
-	ActiveFor clock.Span
+	ActiveFor time.Duration
 }
 
 // TimingOf divides the time to catch up, bounds.catch_up_s, or three lease
@@ -26,7 +26,7 @@
 // than all of it, also for two losses one after the other. A voter that answers is
 // never suspected: heartbeats are sent every 2/3 of forwardTimeout, and SuspectAfter
 // is 3/2 of it or more.
-func TimingOf(node *settings.Settings, leaseDuration clock.Span, forwardTimeout clock.Span) Timing {
+func TimingOf(node *settings.Settings, leaseDuration time.Duration, forwardTimeout time.Duration) Timing {
 	catchUp := settings.Seconds(node.Bounds.CatchUpS)
 	if catchUp == 0 {
 		catchUp = 3 * leaseDuration
@@ -41,7 +41,7 @@
 }
 
 // withDefaults returns the timing with what is not set as a part of the patience.
-func (t Timing) withDefaults(patience clock.Span) Timing {
+func (t Timing) withDefaults(patience time.Duration) Timing {
 	return Timing{
 		Tick:           cmp.Or(t.Tick, patience/8),
 		RequestTimeout: cmp.Or(t.RequestTimeout, patience/6),
--- a/control/state/voter/timing_test.go
+++ b/control/state/voter/timing_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/settings"
 	"onyxwell/control/daemon"
 )
@@ -34,7 +34,7 @@
 		if sum >= catchUp {
 			t.Errorf("the stages add up to %v of %v: %+v", sum, catchUp, timing)
 		}
-		if timing.SuspectAfter <= forward*2/3+clock.Span(timing.RequestTimeout)/4 || timing.LostAfter <= timing.SuspectAfter {
+		if timing.SuspectAfter <= forward*2/3+time.Duration(timing.RequestTimeout)/4 || timing.LostAfter <= timing.SuspectAfter {
 			t.Errorf("a voter that answers is suspected between two heartbeats: %+v, one every %v", timing, forward*2/3)
 		}
 	}
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"github.com/phuslu/log"
 
@@ -37,11 +38,11 @@
 	Quorum *quorum.Tracker
 	// ReplaceAfter is how long the membership must have a voter removed before its
 	// place may be taken.
-	ReplaceAfter clock.Span
+	ReplaceAfter time.Duration
 	// Timeout bounds one attempt to join, and one survey.
-	Timeout clock.Span
+	Timeout time.Duration
 	// LeaseTTL is how long a lease is granted for.
-	LeaseTTL clock.Span
+	LeaseTTL time.Duration
 	// TargetCount is how many voters there should be; they are spread over Zones,
 	// which are all zones with their regions.
 	TargetCount int
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -4,6 +4,7 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -52,8 +53,8 @@
 		v, err := Open(c.ctx, Options{
 			Clock: c.clock, Log: c.ctx.Log, Settings: node,
 			Address: address, Disk: wal.Dir(t.TempDir()), FirstStart: index < 3, Seeds: addresses[:3], Membership: members,
-			Transport:    transport.NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}),
-			ReplaceAfter: clock.Second, Timeout: 100 * clock.Second, LeaseTTL: clock.Second, TargetCount: 3,
+			Transport:    transport.NewClient(httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}),
+			ReplaceAfter: time.Second, Timeout: 100 * time.Second, LeaseTTL: time.Second, TargetCount: 3,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -62,7 +63,7 @@
 		v.RegisterHandlers(muxes[index])
 		proposer := register.NewProposer(register.ProposerOptions{
 			Clock: c.clock, Log: c.ctx.Log,
-			Address: address, Client: v, Voters: v.Acceptor.Voters, MessageTimeout: 100 * clock.Second, MinCopies: 2,
+			Address: address, Client: v, Voters: v.Acceptor.Voters, MessageTimeout: 100 * time.Second, MinCopies: 2,
 			HighestEpoch: func(key string) int64 { return v.Acceptor.Slot(key).Promised.Number },
 		})
 		v.Attach(proposer)
@@ -86,7 +87,7 @@
 	for _, v := range c.voters {
 		v.options.Membership.AdvanceState(c.voters[index].options.Address, membership.Removed)
 	}
-	c.clock.Advance(2 * clock.Second)
+	c.clock.Advance(2 * time.Second)
 }
 
 // TestVoter_standbyReplacesLostVoterInOneRun loses a voter: the standby has caught
@@ -143,13 +144,13 @@
 func TestVoter_forgottenVoterIsReplaced(t *testing.T) {
 	c := newCluster(t, 4)
 	c.removeVoter(2)
-	c.clock.Advance(2 * 60 * 60 * clock.Second)
+	c.clock.Advance(2 * 60 * 60 * time.Second)
 	for _, v := range c.voters {
 		v.options.Membership.Prune()
 	}
 	for range 2 {
 		c.voters[3].tryJoin(c.ctx)
-		c.clock.Advance(3 * clock.Second)
+		c.clock.Advance(3 * time.Second)
 	}
 	if !c.voters[3].Voting() {
 		t.Fatalf("a forgotten voter is not replaced: %+v", c.voters[3].Acceptor.Voters())
--- a/control/transport/transport_test.go
+++ b/control/transport/transport_test.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
@@ -160,7 +160,7 @@
 	Handle(mux, "sum", func(context.Context, sampleMessage) (olderMessage, error) { return olderMessage{Number: 9}, nil })
 	server := httptest.NewServer(mux)
 	defer server.Close()
-	client := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
+	client := NewClient(httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second})
 	client.Guard = newTestGuard()
 	address := ids.Address(strings.TrimPrefix(server.URL, "http://"))
 	if resp, err := Send[sampleReply](top, client, address, "sum", sampleRequest); err == nil || RejectReasonOf(err) != SchemaMismatch {
@@ -172,7 +172,7 @@
 	if totals := client.Guard.Totals(); totals["version"] != 1 || totals["torn"] != 0 {
 		t.Fatalf("%v", totals)
 	}
-	foreign := NewClient(httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second})
+	foreign := NewClient(httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second})
 	foreign.Guard = NewGuard(nil, nil)
 	if _, err := Send[olderMessage](top, foreign, address, "sum", sampleRequest); errkind.KindOf(err) != errkind.BadRequest {
 		t.Fatalf("a foreign message: %v", err)
--- a/data/balancer/admission.go
+++ b/data/balancer/admission.go
@@ -1,6 +1,8 @@
 package balancer
 
 import (
+	"time"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
 	"onyxwell/base/ids"
@@ -26,7 +28,7 @@
 type Decision struct {
 	Action Action
 	Runner *snapshot.Runner
-	Delay  clock.Span
+	Delay  time.Duration
 	Kind   errkind.Kind
 }
 
@@ -87,7 +89,7 @@
 
 // waitOrFail decides the step where there is no runner; delay is after how long
 // there may be one, 0 for unknown.
-func (a *Admission) waitOrFail(delay clock.Span, now clock.Instant) Decision {
+func (a *Admission) waitOrFail(delay time.Duration, now clock.Instant) Decision {
 	if delay > 0 && now.Add(delay).Since(a.request.ArrivedAt) < a.request.Route.LatencyTarget()/maxWaitFraction {
 		return Decision{Action: Wait, Delay: delay}
 	}
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -15,11 +16,11 @@
 const (
 	// recheckDelay is after how long a runner that cannot take a request now may do
 	// so.
-	recheckDelay = 20 * clock.Millisecond
+	recheckDelay = 20 * time.Millisecond
 	// minSilenceLimit is the least time without a sign of life that excludes a
 	// runner; otherwise it is the part of the latency target, one in
 	// silenceFraction.
-	minSilenceLimit = 50 * clock.Millisecond
+	minSilenceLimit = 50 * time.Millisecond
 	silenceFraction = 2
 	// minQueued is how many requests must be waiting at a runner before their
 	// waiting time counts.
@@ -40,7 +41,7 @@
 
 // selectRunner picks the runner for the next attempt. Where there is none now but
 // may be one soon, it returns nil and after how long to ask again.
-func (b *Balancer) selectRunner(admission *Admission, now clock.Instant) (*snapshot.Runner, clock.Span) {
+func (b *Balancer) selectRunner(admission *Admission, now clock.Instant) (*snapshot.Runner, time.Duration) {
 	snap := b.options.Snapshots.Current()
 	if snap.Config == nil {
 		return nil, 0
@@ -70,7 +71,7 @@
 // ejected or in a lost zone are returned only where there are no others. It
 // counts the runners that it leaves out in the admission's exclusions, and
 // returns after how long one of them may be a candidate, 0 for none.
-func (b *Balancer) candidates(snap *snapshot.Snapshot, admission *Admission, now clock.Instant) ([]candidate, clock.Span) {
+func (b *Balancer) candidates(snap *snapshot.Snapshot, admission *Admission, now clock.Instant) ([]candidate, time.Duration) {
 	check := readiness{
 		balancer: b, service: snap.Config.Service(admission.service), now: now,
 		silenceLimit: max(admission.request.Route.LatencyTarget()/silenceFraction, minSilenceLimit),
@@ -78,7 +79,7 @@
 	check.connectionShare = b.connectionShare(check.service)
 	admission.exclusions = Exclusions{}
 	var healthy, unhealthy []candidate
-	delay := clock.Span(0)
+	delay := time.Duration(0)
 	for _, runner := range snap.Runners[admission.service] {
 		if !admission.eligible(snap, runner) {
 			continue
@@ -127,7 +128,7 @@
 	service  *config.Service
 	now      clock.Instant
 	// silenceLimit is how long a request may wait for a sign of life of its runner.
-	silenceLimit clock.Span
+	silenceLimit time.Duration
 	// connectionShare is how many requests this router may have at a runner.
 	connectionShare float64
 }
@@ -175,7 +176,7 @@
 	if route.LatencyTargetMS <= 0 {
 		return candidates
 	}
-	limit := clock.Span(maxQueuedShare * float64(route.LatencyTarget()))
+	limit := time.Duration(maxQueuedShare * float64(route.LatencyTarget()))
 	timely := candidates[:0:0]
 	for _, cand := range candidates {
 		if count, oldest := b.options.Stats.QueuedFor(cand.runner.ID, route.Priority, now); count < minQueued || oldest <= limit {
--- a/data/balancer/selection_test.go
+++ b/data/balancer/selection_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -141,7 +142,7 @@
 	if timely := b.filterTimely(route, candidates, clk.Now()); len(timely) != 3 {
 		t.Fatalf("%d of 3 before any has waited", len(timely))
 	}
-	clk.Advance(700 * clock.Millisecond)
+	clk.Advance(700 * time.Millisecond)
 	timely := b.filterTimely(route, candidates, clk.Now())
 	if len(timely) != 2 || timely[0].runner.ID != "i1" || timely[1].runner.ID != "i2" {
 		t.Fatalf("%d left", len(timely))
--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -33,7 +34,7 @@
 	runner   ids.RunnerID
 	outcome  upstream.Outcome
 	cause    string
-	duration clock.Span
+	duration time.Duration
 }
 
 // mayHaveRun returns whether the runner may have begun to work.
@@ -96,13 +97,13 @@
 
 // completionTotals is what a completed attempt adds to the statistics of
 // lengths.
-func (e *exchange) completionTotals(a *attempt, duration clock.Span) lengthstats.Totals {
+func (e *exchange) completionTotals(a *attempt, duration time.Duration) lengthstats.Totals {
 	slow := 0.0
 	if a.slow {
 		slow = 1
 	}
 	return lengthstats.Totals{
-		Key: a.admission.LengthKey(), Count: 1, DurationMS: float64(duration) / float64(clock.Millisecond),
+		Key: a.admission.LengthKey(), Count: 1, DurationMS: float64(duration) / float64(time.Millisecond),
 		Tokens: max(0, e.balancerRequest.PartTokens-e.balancerRequest.SharedTokens), SlowFirstTokens: slow,
 	}
 }
@@ -113,7 +114,7 @@
 // left, only silence of more than the latency target does. Nothing was sent on a
 // stale connection or for want of this machine's descriptors: that says nothing
 // of the runner.
-func runnerFailed(result upstream.Result, late bool, ended runnerstats.EndedRequest, latencyTarget clock.Span) bool {
+func runnerFailed(result upstream.Result, late bool, ended runnerstats.EndedRequest, latencyTarget time.Duration) bool {
 	if result.StaleConn || result.LocalExhaustion {
 		return false
 	}
@@ -134,7 +135,7 @@
 
 // discardTimeout is how long the rest of a rejection is waited for, so that its
 // connection can be kept.
-const discardTimeout = 50 * clock.Millisecond
+const discardTimeout = 50 * time.Millisecond
 
 // discard reads a response that is not relayed to its end. One whose rest does
 // not come is left to the end of the exchange, which closes it.
@@ -155,7 +156,7 @@
 
 // checkAttempt counts the promises that an attempt would break, right before it
 // is sent: the balancer and the snapshot should have seen to them.
-func (e *exchange) checkAttempt(runner *snapshot.Runner, timeLeft clock.Span, now clock.Instant) {
+func (e *exchange) checkAttempt(runner *snapshot.Runner, timeLeft time.Duration, now clock.Instant) {
 	monitor, route, id := e.proxy.monitor, e.route, e.upstreamRequest.AttemptID
 	arrivals := 0
 	for _, record := range e.attempts {
--- a/data/proxy/conns.go
+++ b/data/proxy/conns.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -53,7 +54,7 @@
 // AwaitIdle closes connections as their responses go out, until no request is
 // read or served any more or the context ends.
 func (p *Proxy) AwaitIdle(ctx context.Context) {
-	const interval = 20 * clock.Millisecond
+	const interval = 20 * time.Millisecond
 	for p.hasRequests() && clock.Wait(ctx, p.clock, interval) {
 		p.CloseIdle()
 	}
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -35,7 +36,7 @@
 	snapshot        *snapshot.Snapshot
 	route           *config.Route
 	deadline        clock.Instant
-	clientTimeout   clock.Span // what the client allows; 0 where it does not say
+	clientTimeout   time.Duration // what the client allows; 0 where it does not say
 	requestBody     *memquota.Body
 	upstreamRequest *upstream.Request
 	balancerRequest balancer.Request
@@ -449,7 +450,7 @@
 }
 
 // minRetryAfter is the least time that a rejected client is asked to wait.
-const minRetryAfter = 20 * clock.Millisecond
+const minRetryAfter = 20 * time.Millisecond
 
 // reject answers with a failure of this router's own; one that promises that
 // nothing ran says when to retry. It aborts where a response has begun.
@@ -472,7 +473,7 @@
 
 // retryAfter is when a retry may find a free runner: soon where one is missing,
 // later where all are overloaded.
-func retryAfter(kind errkind.Kind, latencyTarget clock.Span) clock.Span {
+func retryAfter(kind errkind.Kind, latencyTarget time.Duration) time.Duration {
 	if kind == errkind.Overloaded {
 		return latencyTarget / 2
 	}
--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -8,6 +8,7 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/data/upstreamtest"
@@ -51,7 +52,7 @@
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/again/x"} {
 		for _, step := range []upstreamtest.Step{upstreamtest.Respond(200, "s", "id: 1\n\n"), upstreamtest.HangUp(), upstreamtest.Reset("H")} {
 			var p *testProxy
-			stall := func() { p.clock.Advance(6 * clock.Second) }
+			stall := func() { p.clock.Advance(6 * time.Second) }
 			one, two := upstreamtest.Start(t, upstreamtest.Before(func() { stall() }, step)), upstreamtest.Start(t, upstreamtest.Before(func() { stall() }, step))
 			p = newTestProxy(t, 10, one, two)
 			got := p.do(path, "x")
@@ -68,7 +69,7 @@
 func TestProxy_deadlineDuringRetry(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x"} {
 		var p *testProxy
-		p, one, two := newTestProxyWithPair(t, 10, upstreamtest.Reject(503), upstreamtest.Before(func() { p.clock.Advance(6 * clock.Second) }, upstreamtest.HangUp()))
+		p, one, two := newTestProxyWithPair(t, 10, upstreamtest.Reject(503), upstreamtest.Before(func() { p.clock.Advance(6 * time.Second) }, upstreamtest.HangUp()))
 		if got := p.do(path, "x"); got.status != 504 && got.status != 502 || countRequests(one) != 1 || countRequests(two) != 1 {
 			t.Errorf("%s: %+v after %d and %d arrivals", path, got, countRequests(one), countRequests(two))
 		}
@@ -140,7 +141,7 @@
 // instantClock is a clock whose waits are over at once.
 type instantClock struct{ clock.Clock }
 
-func (instantClock) After(clock.Span) <-chan struct{} {
+func (instantClock) After(time.Duration) <-chan struct{} {
 	over := make(chan struct{})
 	close(over)
 	return over
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -7,6 +7,7 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -70,10 +71,10 @@
 		Clock: fakeClock, Snapshots: p.snapshots, Stats: p.stats, SlowStart: slowStart, Region: "north", RouterCount: one,
 		SlowStartRouters: func(ids.Zone) int { return 1 },
 		Random:           func() float64 { return 0 },
-		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: retryReserve, Window: 10 * clock.Second, Routers: one}),
+		RetryBudget:      retrybudget.New(retrybudget.Options{Ratio: 0, Reserve: retryReserve, Window: 10 * time.Second, Routers: one}),
 	})
 	client := upstream.NewClient(upstream.Options{
-		Clock: fakeClock, Dialer: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
+		Clock: fakeClock, Dialer: httpcall.Dialer{Timeout: 5 * time.Second, UserTimeout: 5 * time.Second}, IdleTimeout: 60 * time.Second, MaxIdlePerHost: 4,
 	})
 	p.proxy = New(Options{Clock: fakeClock, Log: scope.NewLogger("warn", p.log), Limits: settings.Limits, Snapshots: p.snapshots, Balancer: lb, Stats: p.stats, SlowStart: slowStart, Upstream: client})
 	p.server = httptest.NewUnstartedServer(p.proxy)
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -7,6 +7,7 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -44,8 +45,8 @@
 		{invariant.AttemptLimit, config.Route{Type: config.Safe, MaxAttempts: 1}, ran, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 1},
 		{invariant.Home, config.Route{Type: config.Safe, HomeRegions: []ids.Region{"south"}}, nil, func(e *exchange) { e.checkAttempt(runner, 0, 0) }, 1},
 		{invariant.DeadlineNotExtended, config.Route{Type: config.Safe}, nil, func(e *exchange) {
-			e.clientTimeout = clock.Second
-			e.checkAttempt(runner, 2*clock.Second, 0)
+			e.clientTimeout = time.Second
+			e.checkAttempt(runner, 2*time.Second, 0)
 		}, 1},
 		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(e *exchange) { e.reject(errkind.Overloaded, "") }, 1},
 		{invariant.PromiseNotRun, config.Route{Type: config.Unsafe}, ran, func(e *exchange) { e.reject(errkind.RunnerLost, "") }, 0},
--- a/data/proxy/outcome.go
+++ b/data/proxy/outcome.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/errkind"
@@ -54,7 +55,7 @@
 // logFailure logs a request that failed: how it ended and why, and what came of
 // each attempt. The line's suppressed tells how many lines of that outcome were
 // left out before it.
-func (e *exchange) logFailure(outcome string, route string, duration clock.Span, suppressed int64) {
+func (e *exchange) logFailure(outcome string, route string, duration time.Duration, suppressed int64) {
 	entry := e.proxy.log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
 		Str("attempt_id", e.req.Header.Get(upstream.AttemptIDHeader)).
 		Dur("duration_ms", duration).Int("body_bytes", e.balancerRequest.BodyBytes).
@@ -94,7 +95,7 @@
 func (l *lineLimiter) allow(outcome string, now clock.Instant) (ok bool, suppressed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := int64(now) / int64(clock.Second); second != l.second || l.counts == nil {
+	if second := int64(now) / int64(time.Second); second != l.second || l.counts == nil {
 		l.second, l.counts = second, map[string]int{}
 	}
 	if l.suppressed == nil {
--- a/data/proxy/outcome_test.go
+++ b/data/proxy/outcome_test.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/data/upstreamtest"
@@ -38,7 +39,7 @@
 }
 
 func TestLineLimiter_outcomesAreIndependent(t *testing.T) {
-	limiter, now := &lineLimiter{}, clock.Instant(clock.Second)
+	limiter, now := &lineLimiter{}, clock.Instant(time.Second)
 	for range 40 {
 		limiter.allow("bad-request", now)
 	}
@@ -48,7 +49,7 @@
 	if ok, _ := limiter.allow("bad-request", now); ok {
 		t.Error("lines of one outcome are not limited")
 	}
-	if ok, suppressed := limiter.allow("bad-request", now.Add(clock.Second)); !ok || suppressed != 41-failureLinesPerSecond {
+	if ok, suppressed := limiter.allow("bad-request", now.Add(time.Second)); !ok || suppressed != 41-failureLinesPerSecond {
 		t.Errorf("allowed %v, %d suppressed", ok, suppressed)
 	}
 }
--- a/data/proxy/proxy_test.go
+++ b/data/proxy/proxy_test.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/data/upstreamtest"
 )
 
@@ -146,18 +146,18 @@
 func TestProxy_staleConnSuspectsNoRunner(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	p := newTestProxy(t, 10, runner)
-	p.clock.Advance(clock.Second)
+	p.clock.Advance(time.Second)
 	for range 3 {
 		if got := p.do("/once/x", "x"); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		p.clock.Advance(3 * clock.Second)
+		p.clock.Advance(3 * time.Second)
 	}
 	state := p.stats.State("i-1")
-	if countRequests(runner) != 3 || state.Suspect || len(p.stats.DueProbes(p.clock.Now(), clock.Second)) != 0 {
+	if countRequests(runner) != 3 || state.Suspect || len(p.stats.DueProbes(p.clock.Now(), time.Second)) != 0 {
 		t.Fatalf("%d arrivals, %+v", countRequests(runner), state)
 	}
-	if sample := p.stats.TakeReport(p.clock.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
+	if sample := p.stats.TakeReport(p.clock.Now(), time.Second).Samples[0]; sample.Failed != 0 {
 		t.Fatalf("%+v", sample)
 	}
 }
@@ -167,8 +167,8 @@
 func TestDrain_rejectsLateRequest(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	p := newTestProxy(t, 10, runner)
-	p.proxy.Drain(p.clock.Now().Add(clock.Second))
-	p.clock.Advance(clock.Second + clock.Millisecond)
+	p.proxy.Drain(p.clock.Now().Add(time.Second))
+	p.clock.Advance(time.Second + time.Millisecond)
 	got := p.do("/once/x", "")
 	if got.status != 503 || !got.closes || got.header.Get("Retry-After") == "" || countRequests(runner) != 0 {
 		t.Errorf("%+v, %d arrivals", got, countRequests(runner))
--- a/data/retrybudget/retrybudget.go
+++ b/data/retrybudget/retrybudget.go
@@ -7,6 +7,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -24,7 +25,7 @@
 	// for all routers together.
 	Reserve float64
 	// Window is the length of the sliding window.
-	Window clock.Span
+	Window time.Duration
 	// Routers returns among how many routers the reserve is shared.
 	Routers func() int
 	// ReserveFrom is from when on the reserve may be spent. A restarted process
--- a/data/retrybudget/retrybudget_test.go
+++ b/data/retrybudget/retrybudget_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -13,7 +14,7 @@
 
 const (
 	routers      = 4
-	windowLength = 10 * clock.Second
+	windowLength = 10 * time.Second
 	ratio        = 0.2
 	reserve      = 8.0
 )
@@ -36,7 +37,7 @@
 		var events []event
 		for range rapid.IntRange(20, 200).Draw(t, "length") {
 			budget := budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
-			clk.Advance(clock.Span(rapid.IntRange(0, 700).Draw(t, "ms")) * clock.Millisecond)
+			clk.Advance(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 			now := clk.Now()
 			if rapid.Bool().Draw(t, "request") {
 				budget.AddRequest("s", now)
@@ -78,7 +79,7 @@
 	if !budget.TrySpend("a", clk.Now()) || budget.TrySpend("a", clk.Now()) || !budget.TrySpend("b", clk.Now()) {
 		t.Fatal("the reserve is not one per service")
 	}
-	clk.Advance(windowLength + clock.Second)
+	clk.Advance(windowLength + time.Second)
 	if !budget.TrySpend("a", clk.Now()) {
 		t.Fatal("the window does not slide")
 	}
@@ -87,9 +88,9 @@
 // TestBudget_reserveAcrossRestart has a router spend its share of the reserve and
 // be restarted: both processes together stay within the bound in every window.
 func TestBudget_reserveAcrossRestart(t *testing.T) {
-	const reserve, window = 6, 10 * clock.Second
+	const reserve, window = 6, 10 * time.Second
 	one := func() int { return 1 }
-	now := clock.Instant(20 * clock.Second)
+	now := clock.Instant(20 * time.Second)
 	spent := 0
 	spend := func(budget *Budget, at clock.Instant) {
 		for budget.TrySpend("desk", at) {
@@ -97,7 +98,7 @@
 		}
 	}
 	spend(New(Options{Reserve: reserve, Window: window, Routers: one}), now)
-	restarted := now.Add(clock.Second)
+	restarted := now.Add(time.Second)
 	next := New(Options{Reserve: reserve, Window: window, Routers: one, ReserveFrom: restarted.Add(window)})
 	spend(next, restarted)
 	spend(next, now.Add(window))
--- a/data/router/drain.go
+++ b/data/router/drain.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/settings"
@@ -12,7 +13,7 @@
 	// acceptWhileDraining is how long a draining router accepts requests on
 	// connections that are open. Those that clients send more than three seconds
 	// after the signal may not be cut when the grace period is over.
-	acceptWhileDraining = 2750 * clock.Millisecond
+	acceptWhileDraining = 2750 * time.Millisecond
 	// maxDirectoryTTL bounds the time that clients may use an answer of the
 	// directory, in seconds, and directoryTTLFactor how often they may use it so
 	// long: clients hold an answer for up to three times its time to live.
@@ -63,7 +64,7 @@
 
 // closeEndpoint closes the listener, completes requests in flight within the
 // time-out, and cuts the rest.
-func (r *Router) closeEndpoint(ctx context.Context, endpoint *clientEndpoint, timeout clock.Span) {
+func (r *Router) closeEndpoint(ctx context.Context, endpoint *clientEndpoint, timeout time.Duration) {
 	_ = endpoint.listener.Close()
 	ctx, cancel := r.clock.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/data/router/health.go
+++ b/data/router/health.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"strconv"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -28,7 +29,7 @@
 // healthReport is a runner's answer to a health check.
 type healthReport struct {
 	runnerID   ids.RunnerID // "" where it does not say
-	warmupLeft clock.Span
+	warmupLeft time.Duration
 	unhealthy  bool
 }
 
--- a/data/router/health_test.go
+++ b/data/router/health_test.go
@@ -7,6 +7,7 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -30,7 +31,7 @@
 	t.Helper()
 	fakeClock := clock.NewFake()
 	r := &Router{
-		clock: fakeClock, timing: daemon.Timing{ConnectTimeout: clock.Second},
+		clock: fakeClock, timing: daemon.Timing{ConnectTimeout: time.Second},
 		stats: runnerstats.New(), slowStart: slowstart.New(rand.Float64),
 	}
 	r.daemon = &daemon.Daemon{Membership: membership.NewTable(fakeClock, membership.Member{Address: "self", Role: Role, Region: "north"})}
@@ -60,7 +61,7 @@
 	}
 	r.lostZones.remove("n")
 	r.stats.RequestSent("one", runnerstats.SentRequest{Service: "s", Number: 1, Tokens: 0}, fakeClock.Now())
-	fakeClock.Advance(2 * clock.Second)
+	fakeClock.Advance(2 * time.Second)
 	if r.reachesAllServices(fakeClock.Now()) {
 		t.Fatal("a silent runner counts as reachable")
 	}
@@ -96,7 +97,7 @@
 			r, fakeClock := newRouter(t, discovery.Runner{ID: "i", Service: "s", Zone: "n", Address: address})
 			r.slowStart.Update([]slowstart.Runner{{ID: "i"}}, 0, fakeClock.Now())
 			r.stats.Suspect("i", fakeClock.Now())
-			client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
+			client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}, MaxIdlePerHost: 1})
 			r.probeSuspect(context.Background(), client, "i")
 			if cleared := !r.stats.State("i").Suspect; cleared != tc.cleared || r.slowStart.Active("i", fakeClock.Now()) != tc.warming {
 				t.Errorf("cleared %v, warming up %v", cleared, r.slowStart.Active("i", fakeClock.Now()))
@@ -106,7 +107,7 @@
 	r, fakeClock := newRouter(t)
 	r.stats.Suspect("gone", fakeClock.Now())
 	r.probeSuspect(context.Background(), http.DefaultClient, "gone")
-	if len(r.stats.DueProbes(fakeClock.Now(), clock.Second)) != 0 {
+	if len(r.stats.DueProbes(fakeClock.Now(), time.Second)) != 0 {
 		t.Error("a runner that is listed no more is probed for ever")
 	}
 }
--- a/data/router/lostzones.go
+++ b/data/router/lostzones.go
@@ -2,6 +2,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -33,7 +34,7 @@
 	maxBackoffDoublings = 2
 	// recoveryTimeout is how long a zone that is reported as lost no more may be
 	// silent before its runners get requests all the same.
-	recoveryTimeout = 5 * clock.Second
+	recoveryTimeout = 5 * time.Second
 )
 
 // contains returns whether a zone's runners are avoided.
@@ -71,7 +72,7 @@
 
 // dueProbes returns the zones to probe now, and schedules their next probes with
 // exponential backoff from the first interval.
-func (l *lostZoneTracker) dueProbes(now clock.Instant, firstInterval clock.Span) []ids.Zone {
+func (l *lostZoneTracker) dueProbes(now clock.Instant, firstInterval time.Duration) []ids.Zone {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var due []ids.Zone
--- a/data/router/lostzones_test.go
+++ b/data/router/lostzones_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"sync/atomic"
 	"testing"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
 	"onyxwell/control/discovery"
@@ -41,10 +41,10 @@
 		discovery.Runner{ID: "far", Service: "s", Zone: "s", Address: address},
 		discovery.Runner{ID: "peer", Service: "s", Zone: "s", Address: address})
 	r.slowStart.Update([]slowstart.Runner{{ID: "near"}, {ID: "far"}, {ID: "peer"}}, 0, fakeClock.Now())
-	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, MaxIdlePerHost: 1})
+	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}, MaxIdlePerHost: 1})
 	probe := func() {
 		r.lostZones.update(r.snapshots.Current().LostZones, fakeClock.Now())
-		for _, zone := range r.lostZones.dueProbes(fakeClock.Now(), clock.Second) {
+		for _, zone := range r.lostZones.dueProbes(fakeClock.Now(), time.Second) {
 			for _, runner := range sampleRunners(r.snapshots.Current(), zone) {
 				r.probeZone(context.Background(), client, runner)
 			}
@@ -59,7 +59,7 @@
 	if probe(); !r.lostZones.contains("s") {
 		t.Fatal("probed again at once")
 	}
-	fakeClock.Advance(4 * clock.Second)
+	fakeClock.Advance(4 * time.Second)
 	if probe(); r.lostZones.contains("s") {
 		t.Fatal("a zone whose runners answer is avoided for ever")
 	}
@@ -97,10 +97,10 @@
 	r.lostZones.update(map[ids.Zone]bool{"s": true}, fakeClock.Now())
 	var tests []int
 	for range 4 {
-		for range r.lostZones.dueProbes(fakeClock.Now(), clock.Second) {
+		for range r.lostZones.dueProbes(fakeClock.Now(), time.Second) {
 			tests = append(tests, len(sampleRunners(r.snapshots.Current(), "s")))
 		}
-		fakeClock.Advance(2 * clock.Second)
+		fakeClock.Advance(2 * time.Second)
 	}
 	if !slices.Equal(tests, []int{1, 1, 1}) {
 		t.Fatalf("runners tested: %v", tests)
--- a/data/router/report.go
+++ b/data/router/report.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 )
 
 const (
 	// reportInterval is the time between two reports.
-	reportInterval = clock.Second / 2
+	reportInterval = time.Second / 2
 	// samplesPerReport is how often the requests in flight are counted for a report.
 	samplesPerReport = 3
 )
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -9,6 +9,7 @@
 	"context"
 	"math/rand/v2"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -163,7 +164,7 @@
 func (r *Router) updateSlowStart(next *snapshot.Snapshot) {
 	var runners []slowstart.Runner
 	for name, listed := range next.Runners {
-		warmup := clock.Span(0)
+		warmup := time.Duration(0)
 		if next.Config != nil && next.Config.Service(name) != nil {
 			warmup = settings.Seconds(next.Config.Service(name).WarmupSeconds)
 		}
--- a/data/runnerstats/collector.go
+++ b/data/runnerstats/collector.go
@@ -9,6 +9,7 @@
 import (
 	"hash/maphash"
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -129,7 +130,7 @@
 	// Priority is the priority of its route.
 	Priority int
 	// LatencyTarget is the latency target of the first event; 0 is none.
-	LatencyTarget clock.Span
+	LatencyTarget time.Duration
 }
 
 // RequestSent records a request that is sent to a runner.
@@ -167,7 +168,7 @@
 	Completed    bool
 	RunnerFailed bool
 	// Duration is how long the request was at the runner.
-	Duration clock.Span
+	Duration time.Duration
 }
 
 // RequestEnded records the end of a request. A completed one ends a suspicion, a
--- a/data/runnerstats/collector_test.go
+++ b/data/runnerstats/collector_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -15,16 +16,16 @@
 	collector.ObserveLoad("i", "3,1,8", clk.Now())
 	collector.ObserveLoad("i", "nonsense", clk.Now())
 	collector.ResponseBegan("i", 1, 100, clk.Now())
-	collector.ObserveFirstEvent("s", "long", 100, 40*clock.Millisecond)
-	collector.ObserveFirstEvent("s", "long", 50, 20*clock.Millisecond)
+	collector.ObserveFirstEvent("s", "long", 100, 40*time.Millisecond)
+	collector.ObserveFirstEvent("s", "long", 50, 20*time.Millisecond)
 	collector.SampleInFlight()
-	collector.RequestEnded("i", EndedRequest{Number: 1, Began: true, Completed: true, Duration: 200 * clock.Millisecond}, clk.Now())
+	collector.RequestEnded("i", EndedRequest{Number: 1, Began: true, Completed: true, Duration: 200 * time.Millisecond}, clk.Now())
 	collector.RequestEnded("i", EndedRequest{Number: 2, Tokens: 50, RunnerFailed: true}, clk.Now())
 	state := collector.State("i")
 	if state.InFlight != 0 || state.UnansweredTokens != 0 || state.Load.Running != 3 || state.Load.Waiting != 1 || !state.Suspect {
 		t.Fatalf("%+v", state)
 	}
-	report := collector.TakeReport(clk.Now(), clock.Second)
+	report := collector.TakeReport(clk.Now(), time.Second)
 	samples, demands := report.Samples, report.Demands
 	if len(samples) != 1 || len(demands) != 1 || demands[0].HomeRegions != "north," || demands[0].Arrived != 1 {
 		t.Fatalf("%+v %+v", samples, demands)
@@ -36,7 +37,7 @@
 	if sample.Arrived != 2 || sample.Finished != 1 || sample.Failed != 1 || sample.ExecutionMS != 200 || sample.Running != 2 || sample.Pending != 1.5 || sample.Utilization != 3.0/8 || sample.Units != 150 {
 		t.Fatalf("%+v", sample)
 	}
-	if again := collector.TakeReport(clk.Now(), clock.Second); len(again.Samples)+len(again.Demands)+len(again.Readings) != 0 {
+	if again := collector.TakeReport(clk.Now(), time.Second); len(again.Samples)+len(again.Demands)+len(again.Readings) != 0 {
 		t.Fatalf("counted twice: %+v", again)
 	}
 }
@@ -44,15 +45,15 @@
 func TestCollector_silenceOfOldestPending(t *testing.T) {
 	clk, collector := clock.NewFake(), New()
 	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, Tokens: 0}, clk.Now())
-	clk.Advance(clock.Second)
+	clk.Advance(time.Second)
 	collector.RequestSent("i", SentRequest{Service: "s", Number: 2, Tokens: 0}, clk.Now())
-	clk.Advance(clock.Second)
-	if silence := collector.SilentFor("i", clk.Now()); silence != 2*clock.Second {
+	clk.Advance(time.Second)
+	if silence := collector.SilentFor("i", clk.Now()); silence != 2*time.Second {
 		t.Fatalf("%v", silence)
 	}
 	collector.ResponseBegan("i", 2, 0, clk.Now())
-	clk.Advance(clock.Second)
-	if silence := collector.SilentFor("i", clk.Now()); silence != clock.Second {
+	clk.Advance(time.Second)
+	if silence := collector.SilentFor("i", clk.Now()); silence != time.Second {
 		t.Fatalf("a response does not count as a sign of life: %v", silence)
 	}
 	collector.RequestEnded("i", EndedRequest{Number: 1, Completed: true}, clk.Now())
@@ -64,19 +65,19 @@
 func TestCollector_suspicionEndsWithProbeOrResponse(t *testing.T) {
 	clk, collector := clock.NewFake(), New()
 	failRequest(collector, clk)
-	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 1 || due[0] != "i" {
+	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 1 || due[0] != "i" {
 		t.Fatalf("the first probe is not due at once: %v", due)
 	}
 	failRequest(collector, clk)
-	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 0 {
+	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 0 {
 		t.Fatalf("another failure hastens the probes: %v", due)
 	}
-	clk.Advance(clock.Second)
-	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 1 {
+	clk.Advance(time.Second)
+	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 1 {
 		t.Fatalf("%v", due)
 	}
-	clk.Advance(clock.Second)
-	if due := collector.DueProbes(clk.Now(), clock.Second); len(due) != 0 {
+	clk.Advance(time.Second)
+	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 0 {
 		t.Fatalf("the interval does not grow: %v", due)
 	}
 	collector.ClearSuspicion("i", clk.Now())
--- a/data/runnerstats/pending.go
+++ b/data/runnerstats/pending.go
@@ -1,6 +1,8 @@
 package runnerstats
 
 import (
+	"time"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
@@ -13,7 +15,7 @@
 type pendingRequest struct {
 	sentAt        clock.Instant
 	priority      int
-	latencyTarget clock.Span
+	latencyTarget time.Duration
 	// overdue says that it was counted as failed.
 	overdue bool
 }
@@ -21,8 +23,8 @@
 // SilentFor returns for how long the oldest pending request at a runner has waited
 // since it was sent or since the runner's last sign of life; 0 where none is
 // pending.
-func (c *Collector) SilentFor(id ids.RunnerID, now clock.Instant) clock.Span {
-	silence := clock.Span(0)
+func (c *Collector) SilentFor(id ids.RunnerID, now clock.Instant) time.Duration {
+	silence := time.Duration(0)
 	c.update(id, func(r *runner) {
 		for _, req := range r.pending {
 			since := req.sentAt
@@ -37,7 +39,7 @@
 
 // QueuedFor returns how many requests of a priority are pending at a runner, and
 // for how long the oldest of them.
-func (c *Collector) QueuedFor(id ids.RunnerID, priority int, now clock.Instant) (count int, oldest clock.Span) {
+func (c *Collector) QueuedFor(id ids.RunnerID, priority int, now clock.Instant) (count int, oldest time.Duration) {
 	c.update(id, func(r *runner) {
 		for _, req := range r.pending {
 			if req.priority == priority {
--- a/data/runnerstats/report.go
+++ b/data/runnerstats/report.go
@@ -1,6 +1,8 @@
 package runnerstats
 
 import (
+	"time"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 	"onyxwell/control/planning/autoscaler"
@@ -17,8 +19,8 @@
 
 // ObserveFirstEvent records how long the first event of a response took, for a
 // request of so many units of work.
-func (c *Collector) ObserveFirstEvent(service ids.Service, route string, units float64, latency clock.Span) {
-	latencyMS := float64(latency) / float64(clock.Millisecond)
+func (c *Collector) ObserveFirstEvent(service ids.Service, route string, units float64, latency time.Duration) {
+	latencyMS := float64(latency) / float64(time.Millisecond)
 	c.demandMu.Lock()
 	defer c.demandMu.Unlock()
 	key := readingKey{service: service, route: route}
@@ -49,7 +51,7 @@
 
 // TakeReport returns what was observed since the last report, which was elapsed
 // ago, and resets it. Runners of which nothing is to be remembered are forgotten.
-func (c *Collector) TakeReport(now clock.Instant, elapsed clock.Span) autoscaler.ReportRequest {
+func (c *Collector) TakeReport(now clock.Instant, elapsed time.Duration) autoscaler.ReportRequest {
 	var report autoscaler.ReportRequest
 	c.eachShard(func(runners map[ids.RunnerID]*runner) {
 		for id, r := range runners {
--- a/data/runnerstats/suspicion.go
+++ b/data/runnerstats/suspicion.go
@@ -1,6 +1,8 @@
 package runnerstats
 
 import (
+	"time"
+
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
@@ -13,8 +15,8 @@
 	// relapse. Its first probe is delayed, since the runner's health check may
 	// succeed all the while: by relapseBackoff, doubled with each further relapse,
 	// maxRelapses times at most.
-	relapseWindow  = 5 * clock.Second
-	relapseBackoff = clock.Second / 4
+	relapseWindow  = 5 * time.Second
+	relapseBackoff = time.Second / 4
 	maxRelapses    = 4
 	// unhealthyReplyLimit is after how many replies that call the runner unhealthy
 	// it is tried nevertheless: health checks can be wrong either way.
@@ -36,7 +38,7 @@
 
 // DueProbes returns the suspects whose next probe is due, and schedules the one
 // after it: the interval doubles from first up to eight times as long.
-func (c *Collector) DueProbes(now clock.Instant, first clock.Span) []ids.RunnerID {
+func (c *Collector) DueProbes(now clock.Instant, first time.Duration) []ids.RunnerID {
 	var due []ids.RunnerID
 	c.eachShard(func(runners map[ids.RunnerID]*runner) {
 		for id, r := range runners {
@@ -72,7 +74,7 @@
 }
 
 // clearedWithin reports whether a suspicion ended within the time before now.
-func (p *probing) clearedWithin(window clock.Span, now clock.Instant) bool {
+func (p *probing) clearedWithin(window time.Duration, now clock.Instant) bool {
 	return p.clearedAt != 0 && now.Since(p.clearedAt) <= window
 }
 
--- a/data/runnerstats/suspicion_test.go
+++ b/data/runnerstats/suspicion_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -16,14 +17,14 @@
 // every relapse delays the next probe for longer.
 func TestCollector_relapsesBackOff(t *testing.T) {
 	clk, collector := clock.NewFake(), New()
-	clk.Advance(clock.Second)
-	last := clock.Span(-1)
+	clk.Advance(time.Second)
+	last := time.Duration(-1)
 	for relapse := range 4 {
 		failRequest(collector, clk)
-		delay := clock.Span(0)
-		for len(collector.DueProbes(clk.Now(), clock.Second)) == 0 {
-			clk.Advance(10 * clock.Millisecond)
-			delay += 10 * clock.Millisecond
+		delay := time.Duration(0)
+		for len(collector.DueProbes(clk.Now(), time.Second)) == 0 {
+			clk.Advance(10 * time.Millisecond)
+			delay += 10 * time.Millisecond
 		}
 		if delay <= last {
 			t.Fatalf("relapse %d delays the probe by %v after %v", relapse, delay, last)
@@ -33,7 +34,7 @@
 	}
 	clk.Advance(2 * relapseWindow)
 	failRequest(collector, clk)
-	if len(collector.DueProbes(clk.Now(), clock.Second)) != 1 {
+	if len(collector.DueProbes(clk.Now(), time.Second)) != 1 {
 		t.Fatal("relapses of long ago still count")
 	}
 }
@@ -57,14 +58,14 @@
 // count as failed once, long before they end.
 func TestCollector_overdueRequestsCountOnce(t *testing.T) {
 	clk, collector := clock.NewFake(), New()
-	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, LatencyTarget: 300 * clock.Millisecond}, clk.Now())
+	collector.RequestSent("i", SentRequest{Service: "s", Number: 1, LatencyTarget: 300 * time.Millisecond}, clk.Now())
 	collector.RequestSent("i", SentRequest{Service: "s", Number: 2}, clk.Now())
-	clk.Advance(clock.Second)
-	if sample := collector.TakeReport(clk.Now(), clock.Second).Samples[0]; sample.Failed != 1 {
+	clk.Advance(time.Second)
+	if sample := collector.TakeReport(clk.Now(), time.Second).Samples[0]; sample.Failed != 1 {
 		t.Fatalf("%+v", sample)
 	}
 	collector.RequestEnded("i", EndedRequest{Number: 1, RunnerFailed: true}, clk.Now())
-	if sample := collector.TakeReport(clk.Now(), clock.Second).Samples[0]; sample.Failed != 0 {
+	if sample := collector.TakeReport(clk.Now(), time.Second).Samples[0]; sample.Failed != 0 {
 		t.Fatalf("counted twice: %+v", sample)
 	}
 }
--- a/data/slowstart/slowstart.go
+++ b/data/slowstart/slowstart.go
@@ -7,6 +7,7 @@
 
 import (
 	"sync"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -50,15 +51,15 @@
 type Runner struct {
 	ID ids.RunnerID
 	// Remaining is how much of its warm-up is left, as the list says.
-	Remaining clock.Span
+	Remaining time.Duration
 	// Warmup is how long a warm-up of its service takes.
-	Warmup clock.Span
+	Warmup time.Duration
 }
 
 // Update replaces the list of runners, which may be outdated by lag. A runner that
 // was not on the list before is in slow start for its whole warm-up, whatever the
 // list says, except on the first list.
-func (t *Tracker) Update(runners []Runner, lag clock.Span, now clock.Instant) {
+func (t *Tracker) Update(runners []Runner, lag time.Duration, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	listed := map[ids.RunnerID]bool{}
@@ -136,15 +137,15 @@
 	if limit.Routers <= 0 {
 		return false
 	}
-	interval := float64(clock.Second) * float64(limit.Routers) / limit.RequestsPerSecond
+	interval := float64(time.Second) * float64(limit.Routers) / limit.RequestsPerSecond
 	if !state.scheduled {
-		state.scheduled, state.nextAdmission = true, state.startedAt.Add(clock.Span(interval*t.random()))
+		state.scheduled, state.nextAdmission = true, state.startedAt.Add(time.Duration(interval*t.random()))
 	}
 	if now.Before(state.nextAdmission) {
 		return false
 	}
 	if take {
-		state.nextAdmission = now.Add(clock.Span(interval))
+		state.nextAdmission = now.Add(time.Duration(interval))
 	}
 	return true
 }
--- a/data/slowstart/slowstart_test.go
+++ b/data/slowstart/slowstart_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"pgregory.net/rapid"
 
@@ -23,12 +24,12 @@
 		var trackers []*Tracker
 		for range routers {
 			tracker := New(func() float64 { return rapid.Float64Range(0, 0.999).Draw(t, "turn") })
-			tracker.Update([]Runner{{ID: "i", Remaining: 60 * clock.Second}}, 0, clk.Now())
+			tracker.Update([]Runner{{ID: "i", Remaining: 60 * time.Second}}, 0, clk.Now())
 			trackers = append(trackers, tracker)
 		}
 		var admitted []clock.Instant
 		for range 300 {
-			clk.Advance(clock.Span(rapid.IntRange(0, 30).Draw(t, "ms")) * clock.Millisecond)
+			clk.Advance(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 			tracker := trackers[rapid.IntRange(0, routers-1).Draw(t, "router")]
 			for tracker.Admit("i", limit, clk.Now()) {
 				admitted = append(admitted, clk.Now())
@@ -37,7 +38,7 @@
 		for first := range admitted {
 			count := 0
 			for _, at := range admitted[first:] {
-				if at.Since(admitted[first]) < clock.Second {
+				if at.Since(admitted[first]) < time.Second {
 					count++
 				}
 			}
@@ -51,19 +52,19 @@
 func TestTracker_whichRunnersAreInSlowStart(t *testing.T) {
 	clk := clock.NewFake()
 	tracker := New(func() float64 { return 0 })
-	tracker.Update([]Runner{{ID: "old", Warmup: 3 * clock.Second}, {ID: "cold", Remaining: clock.Second, Warmup: 3 * clock.Second}}, clock.Second, clk.Now())
+	tracker.Update([]Runner{{ID: "old", Warmup: 3 * time.Second}, {ID: "cold", Remaining: time.Second, Warmup: 3 * time.Second}}, time.Second, clk.Now())
 	if tracker.Active("old", clk.Now()) || !tracker.Active("cold", clk.Now()) {
 		t.Fatal("the first list's remaining warm-ups do not count")
 	}
-	tracker.Update([]Runner{{ID: "old"}, {ID: "cold"}, {ID: "new", Warmup: 3 * clock.Second}}, clock.Second, clk.Now())
+	tracker.Update([]Runner{{ID: "old"}, {ID: "cold"}, {ID: "new", Warmup: 3 * time.Second}}, time.Second, clk.Now())
 	if tracker.Active("old", clk.Now()) || !tracker.Active("new", clk.Now()) {
 		t.Fatal("a runner that is new on the list is not in slow start")
 	}
-	clk.Advance(2 * clock.Second)
+	clk.Advance(2 * time.Second)
 	if tracker.Active("cold", clk.Now()) {
 		t.Fatal("still in slow start after its time and the list's lag")
 	}
-	tracker.Extend("old", clk.Now().Add(clock.Second), clk.Now())
+	tracker.Extend("old", clk.Now().Add(time.Second), clk.Now())
 	if !tracker.Active("old", clk.Now()) {
 		t.Fatal("not in slow start after Extend")
 	}
@@ -84,7 +85,7 @@
 	var trackers []*Tracker
 	for index := range routers {
 		tracker := New(func() float64 { return float64(index) / routers })
-		tracker.Update([]Runner{{ID: "i", Remaining: 60 * clock.Second}}, 0, clk.Now())
+		tracker.Update([]Runner{{ID: "i", Remaining: 60 * time.Second}}, 0, clk.Now())
 		trackers = append(trackers, tracker)
 	}
 	for second := range 10 {
@@ -95,7 +96,7 @@
 					count++
 				}
 			}
-			clk.Advance(50 * clock.Millisecond)
+			clk.Advance(50 * time.Millisecond)
 		}
 		if count > rate+1 {
 			t.Fatalf("%d requests in second %d", count, second)
--- a/data/snapshot/ejection_test.go
+++ b/data/snapshot/ejection_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/control/gossip"
@@ -18,7 +19,7 @@
 	if !store.Current().Ejected("i", fakeClock.Now()) || store.Current().Ejected("j", fakeClock.Now()) {
 		t.Fatal("not the runner that was reported is ejected")
 	}
-	fakeClock.Advance(1001 * clock.Millisecond)
+	fakeClock.Advance(1001 * time.Millisecond)
 	if store.Current().Ejected("i", fakeClock.Now()) {
 		t.Fatal("an ejection outlives its time while its relay is silent")
 	}
--- a/data/snapshot/store.go
+++ b/data/snapshot/store.go
@@ -6,6 +6,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -216,7 +217,7 @@
 	now := s.options.Clock.Now()
 	next.EjectedUntil = map[ids.RunnerID]clock.Instant{}
 	for _, ejection := range ejections.Runners {
-		next.EjectedUntil[ejection.Runner] = now.Add(clock.Span(ejection.LeftMS) * clock.Millisecond)
+		next.EjectedUntil[ejection.Runner] = now.Add(time.Duration(ejection.LeftMS) * time.Millisecond)
 	}
 	return true
 }
--- a/data/upstream/client.go
+++ b/data/upstream/client.go
@@ -18,6 +18,7 @@
 	"net/http"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -30,7 +31,7 @@
 	Dialer httpcall.Dialer
 	// IdleTimeout is after how long an idle connection is no longer reused; with 0
 	// none ever is.
-	IdleTimeout clock.Span
+	IdleTimeout time.Duration
 	// MaxIdlePerHost is how many idle connections to one address are kept; less
 	// than minIdlePerHost counts as that.
 	MaxIdlePerHost int
@@ -64,7 +65,7 @@
 	}
 	// Dialing may have taken a while: the runner is told the time left now.
 	elapsed := c.options.Clock.Now().Since(start)
-	if ctx.Err() != nil || elapsed >= max(attempt.TimeLeft, clock.Millisecond) {
+	if ctx.Err() != nil || elapsed >= max(attempt.TimeLeft, time.Millisecond) {
 		_ = pc.Conn.Close()
 		return deadlineExpired.result(nil, nil)
 	}
--- a/data/upstream/client_test.go
+++ b/data/upstream/client_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -15,7 +16,7 @@
 // newTestClient returns a client that dials for real.
 func newTestClient(clk clock.Clock) *Client {
 	return NewClient(Options{
-		Clock: clk, Dialer: httpcall.Dialer{Timeout: 5 * clock.Second, UserTimeout: 5 * clock.Second}, IdleTimeout: 60 * clock.Second, MaxIdlePerHost: 4,
+		Clock: clk, Dialer: httpcall.Dialer{Timeout: 5 * time.Second, UserTimeout: 5 * time.Second}, IdleTimeout: 60 * time.Second, MaxIdlePerHost: 4,
 	})
 }
 
@@ -26,7 +27,7 @@
 			Method: method, Target: "/a%2Fb/?q=1&q=2", Host: "shop.example",
 			Header: http.Header{"Onyxwell-Attempt-Id": {"a1"}, "X-Kept": {"yes"}}, Body: []byte(body), AttemptID: "a1",
 		},
-		RunnerID: "i-1", Address: address, TimeLeft: 1500 * clock.Millisecond, Priority: 2,
+		RunnerID: "i-1", Address: address, TimeLeft: 1500 * time.Millisecond, Priority: 2,
 	}
 }
 
@@ -108,7 +109,7 @@
 	client := newTestClient(clk)
 	first := send(client, attemptTo(runner.Address, "POST", "x"))
 	DrainAndClose(first.Response)
-	clk.Advance(4500 * clock.Millisecond)
+	clk.Advance(4500 * time.Millisecond)
 	if second := send(client, attemptTo(runner.Address, "POST", "x")); second.Outcome != Unsent {
 		t.Fatalf("outcome %v", second.Outcome)
 	}
--- a/data/upstream/conn.go
+++ b/data/upstream/conn.go
@@ -7,6 +7,7 @@
 	"net"
 	"slices"
 	"syscall"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -42,7 +43,7 @@
 	// lastRead is when bytes last arrived, in this or an earlier exchange.
 	lastRead clock.Instant
 	// idleFor is how long the connection was idle when the exchange began.
-	idleFor clock.Span
+	idleFor time.Duration
 	// headBytesLeft is how many bytes of a head may still be read.
 	headBytesLeft int
 	// recentAttempts is a ring of the last attempt ids; attemptCount counts all.
--- a/data/upstream/conn_test.go
+++ b/data/upstream/conn_test.go
@@ -7,6 +7,7 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/ids"
@@ -150,14 +151,14 @@
 	client, runner := newTestClient(clk), upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "own"))
 	readResult(t, client, attemptTo(runner.Address, "POST", "x"))
 	start, pool := clk.Now(), client.pool(string(runner.Address))
-	if pool.closeIdle(start, clock.Second) != 1 {
+	if pool.closeIdle(start, time.Second) != 1 {
 		t.Fatal("the connection is not pooled")
 	}
-	for pool.closeIdle(start, 100*clock.Second) > 0 {
+	for pool.closeIdle(start, 100*time.Second) > 0 {
 		clk.AdvanceToNext()
 		runtime.Gosched()
 	}
-	if elapsed := clk.Now().Since(start); elapsed < 60*clock.Second || elapsed > 75*clock.Second {
+	if elapsed := clk.Now().Since(start); elapsed < 60*time.Second || elapsed > 75*time.Second {
 		t.Fatalf("closed after %v", elapsed)
 	}
 }
--- a/data/upstream/exhaustion_test.go
+++ b/data/upstream/exhaustion_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"syscall"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/base/httpcall"
@@ -14,7 +15,7 @@
 // TestClient_localExhaustion has dials fail for reasons of this machine and of
 // the runner.
 func TestClient_localExhaustion(t *testing.T) {
-	client := NewClient(Options{Clock: clock.NewFake(), Dialer: httpcall.Dialer{Timeout: clock.Second, UserTimeout: clock.Second}, IdleTimeout: clock.Second, MaxIdlePerHost: 1})
+	client := NewClient(Options{Clock: clock.NewFake(), Dialer: httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}, IdleTimeout: time.Second, MaxIdlePerHost: 1})
 	for _, tc := range []struct {
 		err  error
 		want string
@@ -26,7 +27,7 @@
 		client.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: tc.err}
 		}
-		result := client.Send(context.Background(), Attempt{Request: &Request{Method: "GET", Target: "/", Host: "h", AttemptID: "a"}, Address: "127.0.0.1:1", TimeLeft: clock.Second})
+		result := client.Send(context.Background(), Attempt{Request: &Request{Method: "GET", Target: "/", Host: "h", AttemptID: "a"}, Address: "127.0.0.1:1", TimeLeft: time.Second})
 		if result.Outcome != Unsent || result.Cause != tc.want {
 			t.Errorf("%v: %v, %s, not %s", tc.err, result.Outcome, result.Cause, tc.want)
 		}
--- a/data/upstream/idleestimate.go
+++ b/data/upstream/idleestimate.go
@@ -2,15 +2,15 @@
 
 import (
 	"sync"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
 
 const (
 	// minTrustedIdle is the idle time that is always trusted: less would open a
 	// new connection for nearly every request.
-	minTrustedIdle = 500 * clock.Millisecond
+	minTrustedIdle = 500 * time.Millisecond
 	// failureFactor is the part of a failed connection's idle time that is
 	// trusted afterwards.
 	failureFactor = 0.6
@@ -25,14 +25,14 @@
 type idleEstimate struct {
 	mu sync.Mutex
 	// limit is the longest idle time that is trusted; 0 is none.
-	limit clock.Span
+	limit time.Duration
 	// provenIdle is the longest idle time after which a connection worked.
-	provenIdle clock.Span
+	provenIdle time.Duration
 }
 
 // allows reports whether a connection may be used after an idle time. Requests
 // that must not be executed twice need one that has been seen to work.
-func (i *idleEstimate) allows(idleFor clock.Span, atMostOnce bool) bool {
+func (i *idleEstimate) allows(idleFor time.Duration, atMostOnce bool) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.limit > 0 && idleFor > i.limit {
@@ -42,24 +42,24 @@
 }
 
 // recordSuccess notes that a connection worked after an idle time.
-func (i *idleEstimate) recordSuccess(idleFor clock.Span) {
+func (i *idleEstimate) recordSuccess(idleFor time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.provenIdle = max(i.provenIdle, idleFor)
 	if i.limit > 0 && idleFor > i.limit/2 {
-		i.limit += clock.Span(recoveryFactor * float64(i.limit))
+		i.limit += time.Duration(recoveryFactor * float64(i.limit))
 	}
 }
 
 // recordFailure notes that a connection failed after an idle time. A failure
 // within minTrustedIdle is not the idle time's.
-func (i *idleEstimate) recordFailure(idleFor clock.Span) {
+func (i *idleEstimate) recordFailure(idleFor time.Duration) {
 	if idleFor <= minTrustedIdle {
 		return
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	limit := max(minTrustedIdle, clock.Span(failureFactor*float64(idleFor)))
+	limit := max(minTrustedIdle, time.Duration(failureFactor*float64(idleFor)))
 	if i.limit == 0 || limit < i.limit {
 		i.limit = limit
 	}
--- a/data/upstream/idleestimate_test.go
+++ b/data/upstream/idleestimate_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 	"onyxwell/data/upstreamtest"
@@ -12,13 +13,13 @@
 // executed twice never uses an idle time that was not seen to work.
 func TestClient_learnsIdleLimit(t *testing.T) {
 	clk := clock.NewFake()
-	clk.Advance(clock.Second)
+	clk.Advance(time.Second)
 	client := newTestClient(clk)
 	dropping := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""), upstreamtest.HangUp())
 	attempt := attemptTo(dropping.Address, "POST", "x")
 	attempt.Service = "s"
 	DrainAndClose(send(client, attempt).Response)
-	clk.Advance(4 * clock.Second)
+	clk.Advance(4 * time.Second)
 	once := nextAttempt(attempt, "a2")
 	once.AtMostOnce = true
 	if result := send(client, once); result.Outcome != Unsent || !result.StaleConn {
@@ -28,7 +29,7 @@
 	other := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""))
 	attempt.Address = other.Address
 	DrainAndClose(send(client, attempt).Response)
-	clk.Advance(400 * clock.Millisecond)
+	clk.Advance(400 * time.Millisecond)
 	if result := send(client, nextAttempt(attempt, "a4")); result.Outcome != Answered || other.ConnCount() != 1 {
 		t.Fatalf("a young connection is not reused: %+v", result)
 	} else {
@@ -38,21 +39,21 @@
 
 func TestIdleEstimate_followsObservations(t *testing.T) {
 	estimate := &idleEstimate{}
-	if estimate.allows(2*clock.Second, true) || !estimate.allows(2*clock.Second, false) {
+	if estimate.allows(2*time.Second, true) || !estimate.allows(2*time.Second, false) {
 		t.Fatal("an unproven idle time is for idempotent requests only")
 	}
-	estimate.recordSuccess(2 * clock.Second)
-	if !estimate.allows(2*clock.Second, true) {
+	estimate.recordSuccess(2 * time.Second)
+	if !estimate.allows(2*time.Second, true) {
 		t.Fatal("a proven idle time is not trusted")
 	}
-	estimate.recordFailure(1500 * clock.Millisecond)
-	if estimate.allows(clock.Second, false) || estimate.allows(clock.Second, true) || !estimate.allows(800*clock.Millisecond, true) {
+	estimate.recordFailure(1500 * time.Millisecond)
+	if estimate.allows(time.Second, false) || estimate.allows(time.Second, true) || !estimate.allows(800*time.Millisecond, true) {
 		t.Fatal("a failure does not bound the idle time")
 	}
 	for range 100 {
-		estimate.recordSuccess(800 * clock.Millisecond)
+		estimate.recordSuccess(800 * time.Millisecond)
 	}
-	if !estimate.allows(clock.Second, false) {
+	if !estimate.allows(time.Second, false) {
 		t.Fatal("the limit never recovers")
 	}
 	estimate.recordFailure(minTrustedIdle / 2)
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -10,6 +10,7 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -26,7 +27,7 @@
 
 // hostPool holds the idle connections to one address.
 type hostPool struct {
-	// keepAlive is how long the runner keeps an idle connection, as a clock.Span;
+	// keepAlive is how long the runner keeps an idle connection, as a time.Duration;
 	// 0 where it does not say.
 	keepAlive atomic.Int64
 	// mu guards idle, which is ordered by the time of release.
@@ -61,14 +62,14 @@
 
 // exceedsKeepAlive reports whether a connection has been idle for longer than
 // the runner announced to keep it.
-func (h *hostPool) exceedsKeepAlive(idleFor clock.Span) bool {
-	keepAlive := clock.Span(h.keepAlive.Load())
+func (h *hostPool) exceedsKeepAlive(idleFor time.Duration) bool {
+	keepAlive := time.Duration(h.keepAlive.Load())
 	return keepAlive > 0 && idleFor > keepAlive
 }
 
 // closeIdle closes the connections that have been idle for at least maxIdle; it
 // returns how many are left.
-func (h *hostPool) closeIdle(now clock.Instant, maxIdle clock.Span) int {
+func (h *hostPool) closeIdle(now clock.Instant, maxIdle time.Duration) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.idle = slices.DeleteFunc(h.idle, func(pc *persistConn) bool {
@@ -91,7 +92,7 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
-			h.keepAlive.Store(int64(clock.Span(min(seconds, maxKeepAliveSeconds)) * clock.Second * 4 / 5))
+			h.keepAlive.Store(int64(time.Duration(min(seconds, maxKeepAliveSeconds)) * time.Second * 4 / 5))
 		}
 	}
 }
@@ -175,7 +176,7 @@
 
 // closeIdle closes the connections that have been idle for at least maxIdle; it
 // returns how many are left.
-func (c *Client) closeIdle(now clock.Instant, maxIdle clock.Span) int {
+func (c *Client) closeIdle(now clock.Instant, maxIdle time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left := 0
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
 
-	"onyxwell/base/clock"
 	"onyxwell/base/ids"
 )
 
@@ -33,7 +33,7 @@
 	RunnerID ids.RunnerID
 	Address  ids.Address
 	// TimeLeft is the time to the request's deadline when Send is called.
-	TimeLeft clock.Span
+	TimeLeft time.Duration
 	// Priority is the priority of the route, sent as UrgencyHeader within 0 to 9.
 	Priority int
 	// LastEventID is the event after which a stream is resumed; empty for none.
@@ -60,7 +60,7 @@
 
 // encodeHead returns the request line and header, with room for a small body.
 // The body is always sent with a Content-Length of our own.
-func (a Attempt) encodeHead(timeLeft clock.Span) ([]byte, error) {
+func (a Attempt) encodeHead(timeLeft time.Duration) ([]byte, error) {
 	req := a.Request
 	if !isPlainToken(req.Method) || !isPlainToken(req.Target) || !isPlainToken(req.Host) {
 		return nil, errInvalidRequest
--- a/data/upstream/response_test.go
+++ b/data/upstream/response_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"strings"
 	"testing"
+	"time"
 
 	"onyxwell/base/clock"
 )
@@ -59,7 +60,7 @@
 	clk, conn := clock.NewFake(), &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
 	client := newTestClient(clk)
 	client.dial = func(context.Context, string, string) (net.Conn, error) {
-		clk.Advance(700 * clock.Millisecond)
+		clk.Advance(700 * time.Millisecond)
 		return conn, nil
 	}
 	if result := send(client, attemptTo("r:1", "POST", "x")); result.Outcome != Answered || !strings.Contains(conn.written.String(), TimeLeftHeader+": 800\r\n") {
--- a/soak/localcluster/platform.go
+++ b/soak/localcluster/platform.go
@@ -7,8 +7,7 @@
 	"slices"
 	"strconv"
 	"sync/atomic"
-
-	"onyxwell/base/clock"
+	"time"
 )
 
 // ListedRunner is a runner as the platform lists it.
@@ -68,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * clock.Second}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
