--- a/simulation/client.go
+++ b/simulation/client.go
@@ -165,7 +165,7 @@
 		return
 	}
 	op := operation{commandID: c.nextCommandID(), key: zoneKey(zone), verb: verbReadZone, start: c.now()}
-	env := scope.New(scope.Options{Clock: machineClock{machine: target}})
+	env := scope.New(scope.Options{Clock: target.process.clock})
 	ctx, cancel := env.WithTimeout(attemptTimeout)
 	defer cancel()
 	value, err := target.process.controller.Read(ctx, evacuation.Key(zone))
