--- a/control/state/wal/bench_test.go
+++ b/control/state/wal/bench_test.go
@@ -73,7 +73,7 @@
 	busy := time.Duration(0)
 	disk := simdisk.New(simdisk.Options{Capacity: 64 << 20, Delay: func(act string, bytes int) error {
 		busy += 30 * time.Duration(bytes) * time.Second / 120e6
-		if act == simdisk.OpSync || act == simdisk.OpSyncFolder {
+		if act == simdisk.OpSync || act == simdisk.OpSyncDir {
 			busy += 30 * 5 * time.Millisecond
 		}
 		return nil
--- a/control/state/wal/crash_test.go
+++ b/control/state/wal/crash_test.go
@@ -52,7 +52,7 @@
 	powerLoss      bool
 }
 
-// beforeAct is simdisk.Options.Pause.
+// beforeAct is simdisk.Options.Delay.
 func (h *host) beforeAct(string, int) error {
 	if h.actsUntilCrash == 0 {
 		h.crash()
--- a/simulation/machine.go
+++ b/simulation/machine.go
@@ -140,7 +140,7 @@
 		return simdisk.ErrFull
 	}
 	latency := time.Duration(bytes) * time.Second / diskBytesPerSecond
-	if op == simdisk.OpSync || op == simdisk.OpSyncFolder {
+	if op == simdisk.OpSync || op == simdisk.OpSyncDir {
 		latency += cluster.options.Site.SyncLatency
 	}
 	if fault.slowdown > 1 {
--- a/simulation/simdisk/disk.go
+++ b/simulation/simdisk/disk.go
@@ -34,7 +34,7 @@
 	OpSync       = "sync"
 	OpRename     = "rename"
 	OpRemove     = "remove"
-	OpSyncFolder = "folder"
+	OpSyncDir = "folder"
 )
 
 // Options set the randomness, the latency and the size of a disk.
--- a/simulation/simdisk/disk_test.go
+++ b/simulation/simdisk/disk_test.go
@@ -103,7 +103,7 @@
 		OpCreate:     func() error { _, err := fs.Create("b"); return err },
 		OpRename:     func() error { return fs.Rename("a", "b") },
 		OpRemove:     func() error { return fs.Remove("a") },
-		OpSyncFolder: func() error { return fs.SyncDir() },
+		OpSyncDir: func() error { return fs.SyncDir() },
 	} {
 		refused = op
 		if perform() == nil {
--- a/simulation/simdisk/mount.go
+++ b/simulation/simdisk/mount.go
@@ -86,7 +86,7 @@
 
 // SyncDir implements wal.FS.
 func (m *mount) SyncDir() error {
-	if _, err := m.disk.begin(m.generation, OpSyncFolder, 0); err != nil {
+	if _, err := m.disk.begin(m.generation, OpSyncDir, 0); err != nil {
 		return err
 	}
 	defer m.disk.mu.Unlock()
