--- a/base/errkind/errkind.go
+++ b/base/errkind/errkind.go
@@ -15,7 +15,7 @@
 // Kind is an error kind. There are no others than the constants below.
 type Kind int
 
-// The kinds. One whose status is 408, 429 or 503 promises that the request has
+// The kinds. One whose status is 408 or 503 promises that the request has
 // not run and never will. NoQuorum and OutcomeExpired are the exceptions: they
 // answer commands alone, and leave open whether the command took effect.
 const (
--- a/base/memquota/memquota.go
+++ b/base/memquota/memquota.go
@@ -21,9 +21,9 @@
 	// a Content-Length alone reserves no more. It is also the largest body in the
 	// small pool.
 	initialSize = 64 << 10
-	// smallPoolFraction is the fraction of the quota, one in so many, for bodies of
+	// smallPoolDivisor is the fraction of the quota, one in so many, for bodies of
 	// at most initialSize: large bodies that are slow can't block small ones.
-	smallPoolFraction = 4
+	smallPoolDivisor = 4
 )
 
 // Quota is the memory for bodies, in bytes. It is safe for concurrent use. A nil
@@ -53,7 +53,7 @@
 // monitor is told of a release of more than was reserved; it may be nil.
 func New(limit int64, monitor *invariant.Monitor) *Quota {
 	quota := &Quota{monitor: monitor}
-	quota.small.limit = max(initialSize, limit/smallPoolFraction)
+	quota.small.limit = max(initialSize, limit/smallPoolDivisor)
 	quota.large.limit = max(0, limit-quota.small.limit)
 	return quota
 }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -107,13 +107,13 @@
 	return status
 }
 
-func (l *commandLine) execute(ctx context.Context, command string, stdout io.Writer, stderr io.Writer) (int, error) {
+func (c *commandLine) execute(ctx context.Context, command string, stdout io.Writer, stderr io.Writer) (int, error) {
 	switch command {
 	case "run":
-		return statusOK, l.Run.run(ctx, stdout)
+		return statusOK, c.Run.run(ctx, stdout)
 	case "experiment":
 		discardHTTPLog()
-		return l.Experiment.run(ctx, stdout, stderr)
+		return c.Experiment.run(ctx, stdout, stderr)
 	case "router":
 		discardHTTPLog()
 		return statusOK, experiment.Serve(ctx, os.Stdin, stdout)
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -58,7 +58,8 @@
 	return cfg, nil
 }
 
-// rules are what a JSON schema can't express.
+// rules check what schema.json can't express: relations between fields. Types and
+// ranges of a single field belong there.
 var rules = []func(*config.Config) error{uniqueNames, uniquePaths, knownServices, positiveWeights}
 
 func uniqueNames(cfg *config.Config) error {
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -185,7 +185,7 @@
 		Membership: c.daemon.Membership, Updates: c.daemon.Updates, Transport: c.daemon.Transport, Quorum: c.quorum,
 		ForwardTimeout: c.timing.ForwardTimeout, CommandTimeout: c.timing.CommandTimeout,
 	})
-	c.commands.Serve(c.daemon.Calls)
+	c.commands.RegisterHandlers(c.daemon.Calls)
 	c.quorum.RegisterHandlers(c.daemon.Calls)
 	readindex.NewReader(c.commands.LatestVersion).RegisterHandlers(c.daemon.Calls)
 }
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		body, err := json.Marshal(headroom.Estimate(input))
-		if now, held := holder.Held(c.clock.Now()); err != nil || !held || now != epoch {
+		if current, held := holder.Held(c.clock.Now()); err != nil || !held || current != epoch {
 			continue
 		}
 		c.daemon.Updates.Put(gossip.Item{Key: headroom.Key, Version: discovery.FencedSerial(epoch, sequence), Body: body})
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -22,7 +22,7 @@
 		Clock: d.clock, Log: d.log,
 		Applied: applied, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
 		Query: func(ctx context.Context, address ids.Address) (readindex.Response, error) {
-			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.MessageName, readindex.Request{From: d.Address})
+			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.ReadIndexMessage, readindex.Request{From: d.Address})
 		},
 		MaxWait: readIndexForwardTimeouts * d.timing.ForwardTimeout,
 	})
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -21,8 +21,8 @@
 
 // Names of the messages that carry a report. They are sent; they never change.
 const (
-	// relayReport goes from a router to its zone's relay, which aggregates it.
-	relayReport = "sum"
+	// relayReportMessage goes from a router to its zone's relay, which aggregates it.
+	relayReportMessage = "sum"
 	// plannerReport goes to the planner.
 	plannerReport = "report"
 )
@@ -30,7 +30,7 @@
 // addReports takes the reports of the zone's routers, ejects outliers from the
 // zone by them, and forwards their aggregate to the planner.
 func (d *Daemon) addReports() {
-	transport.Handle(d.Calls, relayReport, func(_ context.Context, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
+	transport.Handle(d.Calls, relayReportMessage, func(_ context.Context, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
 		report, err := message.Decode()
 		if err == nil {
 			d.addReport(report, d.clock.Now())
@@ -83,7 +83,7 @@
 			d.addReport(report, d.clock.Now())
 			return
 		}
-		if d.sendReport(ctx, relay.Address, relayReport, report) == nil {
+		if d.sendReport(ctx, relay.Address, relayReportMessage, report) == nil {
 			return
 		}
 	}
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -21,8 +21,8 @@
 const (
 	// maxAddresses is how many addresses a client reads.
 	maxAddresses = 64
-	// maxTTLS bounds how long a client may keep a response, in seconds.
-	maxTTLS = 1
+	// MaxTTLSeconds bounds how long a client may keep a response, in seconds.
+	MaxTTLSeconds = 1
 )
 
 // LookupRequest is GET /lookup: where the client is.
@@ -59,16 +59,16 @@
 // use once its fields are set.
 type Directory struct {
 	Membership *membership.Table
-	// OtherZones gives the routers of the other zones that are reachable, and the
-	// zones that are not; it may be nil.
-	OtherZones func() (reachable []zonesummary.RouterEndpoints, unreachable []ids.Zone)
+	// OtherZones gives the router endpoints of the other zones, and those zones that
+	// may be unreachable; a zone may be in both. It may be nil.
+	OtherZones func() (endpoints []zonesummary.RouterEndpoints, doubtful []ids.Zone)
 	// Zones gives the region of each zone of the deployment.
 	Zones map[ids.Zone]ids.Region
 	// LossTimeout is how long a region may be without a ready router, for no known
 	// reason, before it counts as lost.
 	LossTimeout time.Duration
 	// TTLMaxS is the settings' bound on a response's lifetime in seconds; the
-	// shorter of it and maxTTLS is answered.
+	// shorter of it and MaxTTLSeconds is answered.
 	TTLMaxS float64
 	// Metrics and Monitor may be nil.
 	Metrics *telemetry.Metrics
@@ -80,7 +80,7 @@
 // Serve adds GET /lookup to a mux.
 func (d *Directory) Serve(mux *httpcall.Mux) {
 	httpcall.Handle(mux, http.MethodGet, "/lookup", func(_ context.Context, req LookupRequest) (LookupResponse, error) {
-		return LookupResponse{Addresses: d.Choose(req), TTLS: min(maxTTLS, d.TTLMaxS)}, nil
+		return LookupResponse{Addresses: d.Choose(req), TTLS: min(MaxTTLSeconds, d.TTLMaxS)}, nil
 	})
 }
 
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -42,7 +42,8 @@
 	Membership *membership.Table
 	Clock      clock.Clock
 	Log        *log.Logger
-	// RatePerS is the platform's rate limit in calls a second; below 1 counts as 1.
+	// RatePerS is the platform's rate limit in calls a second; 0 (no limit) and
+	// anything below 1 count as 1, since all relays may poll at once.
 	RatePerS float64
 	// RouterCount estimates the routers of the whole fleet.
 	RouterCount func() int
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -13,7 +13,6 @@
 	"onyxwell/base/errkind"
 	"onyxwell/base/httpcall"
 	"onyxwell/base/ids"
-	"onyxwell/base/scope"
 )
 
 const (
@@ -212,5 +211,5 @@
 func (p *PlatformClient) fetchPage(ctx context.Context, req PageRequest) (Page, error) {
 	limited, cancel := p.Clock.WithTimeout(ctx, p.Interval)
 	defer cancel()
-	return httpcall.Do[Page](scope.Scope{Context: limited}, p.HTTP, p.Address, req)
+	return httpcall.Do[Page](limited, p.HTTP, p.Address, req)
 }
--- a/control/gossip/store.go
+++ b/control/gossip/store.go
@@ -89,7 +89,8 @@
 	return s.apply(entry{Item: plain, wire: item}, queue)
 }
 
-// newer spares the compression of an item that isn't; apply decides.
+// newer is a cheap check that saves (de)compressing an item that is not newer;
+// apply checks again under the lock.
 func (s *Store) newer(item Item) bool {
 	known, ok := s.Get(item.Key)
 	return !ok || item.Version > known.Version
--- a/control/gossip/version.go
+++ b/control/gossip/version.go
@@ -19,7 +19,7 @@
 // NextVersion returns a version above the known one, for keys that several
 // daemons may write: the counter in the high bits rises by one, a hash of the
 // writer's address fills the low writerBits. So two that write at once get
-// different versions, and the same one of them counts everywhere.
+// different versions, and the same one wins everywhere.
 func NextVersion(known ids.Version, writer ids.Address) ids.Version {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(writer))
--- a/control/membership/zonesummary/sizes.go
+++ b/control/membership/zonesummary/sizes.go
@@ -22,10 +22,10 @@
 	return m.recount()
 }
 
-// Sharers returns among how many routers the rate of a runner in slow start is
+// SlowStartRouters returns among how many routers the rate of a runner in slow start is
 // shared. The routers of the runner's own zone alone serve it, since they know
 // each other; for those of other zones it is 0, unless that zone has no routers.
-func (m *Manager) Sharers(zone ids.Zone) int {
+func (m *Manager) SlowStartRouters(zone ids.Zone) int {
 	if zone == m.Table.Self().Zone {
 		return max(1, int(m.localRouterCount.Load()))
 	}
--- a/control/membership/zonesummary/zonesummary_test.go
+++ b/control/membership/zonesummary/zonesummary_test.go
@@ -97,11 +97,11 @@
 	if count := manager.RouterCount(); count != 4+7+2 {
 		t.Fatalf("%d: a router that may be behind a partition does not count", count)
 	}
-	if own, other := manager.Sharers("east"), manager.Sharers("west"); own != 4 || other != 0 {
+	if own, other := manager.SlowStartRouters("east"), manager.SlowStartRouters("west"); own != 4 || other != 0 {
 		t.Fatalf("a cold runner here is shared among %d, one elsewhere among %d", own, other)
 	}
 	manager.MergeSizes([]membership.ZoneSize{{Zone: "west"}})
-	if manager.Sharers("west") == 0 {
+	if manager.SlowStartRouters("west") == 0 {
 		t.Fatal("nobody serves the cold runners of a zone without routers")
 	}
 	if sizes := manager.Sizes(); len(sizes) != 2 {
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -100,8 +100,8 @@
 	return &Dispatcher{options: options, owners: newOwnerHealth(4 * options.ForwardTimeout)}
 }
 
-// Serve registers the handler of forwarded commands.
-func (d *Dispatcher) Serve(calls *httpcall.Mux) {
+// RegisterHandlers registers the handler of forwarded commands.
+func (d *Dispatcher) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, forwardMessage, func(ctx context.Context, cmd Command) (Result, error) {
 		return resultOf(d.HandleForwarded(ctx, cmd)), nil
 	})
@@ -127,7 +127,7 @@
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	if !cmd.hasDeadline() {
-		return nil, errkind.Errorf(errkind.NoQuorum, "an order that was passed on without an end")
+		return nil, errkind.Errorf(errkind.NoQuorum, "a forwarded command without a deadline")
 	}
 	if err := d.checkDeadline(ctx, cmd); err != nil {
 		return nil, err
--- a/control/state/lease/forms_test.go
+++ b/control/state/lease/forms_test.go
@@ -7,7 +7,8 @@
 )
 
 // TestForms_keepTheirBytes covers each struct of this package that is stored or
-// sent: the golden files were written by the build before its forms had names.
+// sent. The golden files hold the bytes that other builds store or send: never
+// edit one.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Request](t, "ask")
 	transporttest.Golden[Response](t, "told")
--- a/control/state/quorum/messages.go
+++ b/control/state/quorum/messages.go
@@ -9,8 +9,8 @@
 	"onyxwell/control/transport"
 )
 
-// heartbeatCall names the heartbeat on the wire.
-const heartbeatCall = "contact"
+// heartbeatMessage names the heartbeat on the wire.
+const heartbeatMessage = "contact"
 
 // HeartbeatRequest asks a voter to show that it hears the sender.
 type HeartbeatRequest struct {
@@ -38,7 +38,7 @@
 
 // RegisterHandlers serves the heartbeat to other controllers.
 func (t *Tracker) RegisterHandlers(calls *httpcall.Mux) {
-	transport.Handle(calls, heartbeatCall, func(_ context.Context, _ HeartbeatRequest) (HeartbeatResponse, error) {
+	transport.Handle(calls, heartbeatMessage, func(_ context.Context, _ HeartbeatRequest) (HeartbeatResponse, error) {
 		return t.Respond(t.options.Clock.Now()), nil
 	})
 }
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -97,7 +97,7 @@
 	}
 	if options.Heartbeat == nil {
 		options.Heartbeat = func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
-			return transport.Send[HeartbeatResponse](ctx, options.Transport, address, heartbeatCall, HeartbeatRequest{From: options.Address})
+			return transport.Send[HeartbeatResponse](ctx, options.Transport, address, heartbeatMessage, HeartbeatRequest{From: options.Address})
 		}
 	}
 	if options.Spawn == nil {
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -9,8 +9,8 @@
 	"onyxwell/control/transport"
 )
 
-// MessageName names the request between daemons.
-const MessageName = "readindex"
+// ReadIndexMessage names the request between daemons.
+const ReadIndexMessage = "readindex"
 
 // Request asks a controller for the read index.
 type Request struct {
@@ -58,7 +58,7 @@
 
 // RegisterHandlers serves the read index to other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
-	transport.Handle(calls, MessageName, func(ctx context.Context, _ Request) (Response, error) {
+	transport.Handle(calls, ReadIndexMessage, func(ctx context.Context, _ Request) (Response, error) {
 		serial, err := r.ReadIndex(ctx)
 		return Response{Serial: serial}, err
 	})
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -13,9 +13,9 @@
 )
 
 // ErrNoVacancy is returned by Join if all places of the voter set are taken.
-var ErrNoVacancy = errors.New("register: no seat is free")
+var ErrNoVacancy = errors.New("register: no vacancy in the voter set")
 
-// ReplicaClient exchanges state with other controllers. Copy and Held only read;
+// ReplicaClient exchanges state with other controllers. Fetch and FetchDigest only read;
 // Learn is Acceptor.Learn over there.
 type ReplicaClient interface {
 	Fetch(ctx context.Context, address ids.Address, req FetchRequest) (FetchResponse, error)
@@ -138,7 +138,7 @@
 			return j.joinStep(ctx, voters)
 		}
 		if answering < max(learnQuorum(size), quorum(size)) {
-			return errkind.Errorf(errkind.NoQuorum, "too few others to take a seat")
+			return errkind.Errorf(errkind.NoQuorum, "too few other voters to join")
 		}
 	}
 	if !j.learnFromVoters(ctx, voters, learnQuorum(size)) {
--- a/control/state/voter/client.go
+++ b/control/state/voter/client.go
@@ -13,19 +13,19 @@
 
 // Prepare sends a prepare request to a voter.
 func (v *Voter) Prepare(ctx context.Context, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
-	return callVoter(ctx, v, address, prepareCall, req, v.Acceptor.Prepare, func(resp register.PrepareResponse) (register.Verdict, int64) {
+	return callVoter(ctx, v, address, prepareMessage, req, v.Acceptor.Prepare, func(resp register.PrepareResponse) (register.Verdict, int64) {
 		return resp.Verdict, resp.Generation
 	})
 }
 
 // Accept sends an accept request to a voter.
 func (v *Voter) Accept(ctx context.Context, address ids.Address, req register.AcceptRequest) (register.AcceptResponse, error) {
-	return callVoter(ctx, v, address, acceptCall, req, v.Acceptor.Accept, acceptVerdict)
+	return callVoter(ctx, v, address, acceptMessage, req, v.Acceptor.Accept, acceptVerdict)
 }
 
 // Confirm sends a confirm request to a voter.
 func (v *Voter) Confirm(ctx context.Context, address ids.Address, req register.ConfirmRequest) (register.AcceptResponse, error) {
-	return callVoter(ctx, v, address, confirmCall, req, v.Acceptor.Confirm, acceptVerdict)
+	return callVoter(ctx, v, address, confirmMessage, req, v.Acceptor.Confirm, acceptVerdict)
 }
 
 func acceptVerdict(resp register.AcceptResponse) (register.Verdict, int64) {
@@ -59,14 +59,14 @@
 
 // Fetch fetches the slots that a controller holds.
 func (v *Voter) Fetch(ctx context.Context, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
-	return transport.Send[register.FetchResponse](ctx, v.options.Transport, address, fetchCall, req)
+	return transport.Send[register.FetchResponse](ctx, v.options.Transport, address, fetchMessage, req)
 }
 
 // FetchDigest fetches the state of all keys on a controller's disk. Where it holds the
 // same as this one, which is the usual case, the keys are not sent.
 func (v *Voter) FetchDigest(ctx context.Context, address ids.Address) (register.DigestResponse, error) {
 	own := v.Acceptor.Digest()
-	resp, err := call[register.DigestResponse](ctx, v, address, digestCall, register.DigestRequest{Hash: own.Hash()})
+	resp, err := call[register.DigestResponse](ctx, v, address, digestMessage, register.DigestRequest{Hash: own.Hash()})
 	if err == nil && resp.Unchanged {
 		resp.Keys = own.Keys
 	}
@@ -75,6 +75,6 @@
 
 // Learn brings newer copies of slots to a controller.
 func (v *Voter) Learn(ctx context.Context, address ids.Address, slots []register.Slot) error {
-	_, err := transport.Send[LearnResponse](ctx, v.options.Transport, address, learnCall, LearnRequest{Slots: slots})
+	_, err := transport.Send[LearnResponse](ctx, v.options.Transport, address, learnMessage, LearnRequest{Slots: slots})
 	return err
 }
--- a/control/state/voter/handover.go
+++ b/control/state/voter/handover.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// handOverShare is the part of the graceful shutdown, one in so many, that a
+	// handOverDivisor is the part of the graceful shutdown, one in so many, that a
 	// hand-over may take.
-	handOverShare = 4
+	handOverDivisor = 4
 	// handOversPerReplaceAfter is how often in ReplaceAfter it is tried again.
 	handOversPerReplaceAfter = 10
 )
@@ -22,7 +22,7 @@
 // standby it keeps the place: a controller that shuts down does not know whether
 // it will be restarted.
 func (v *Voter) HandOff(ctx context.Context) {
-	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOverShare)
+	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOverDivisor)
 	defer cancel()
 	repairer := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(v.settings)}
 	replicated := repairer.HandOff(ctx)
--- a/control/state/voter/lease.go
+++ b/control/state/voter/lease.go
@@ -52,7 +52,7 @@
 	}
 	ctx, cancel := v.clock.WithTimeout(context.WithoutCancel(ctx), v.options.LeaseTTL/leaseRequestsPerTTL)
 	defer cancel()
-	resp, err := call[lease.Response](ctx, v, address, leaseCall, req)
+	resp, err := call[lease.Response](ctx, v, address, leaseMessage, req)
 	if err != nil {
 		return false
 	}
--- a/control/state/voter/messages.go
+++ b/control/state/voter/messages.go
@@ -11,13 +11,13 @@
 
 // The names of a voter's requests on the wire.
 const (
-	prepareCall = "promise"
-	acceptCall  = "accept"
-	confirmCall = "confirm"
-	fetchCall   = "copy"
-	digestCall  = "held"
-	learnCall   = "learn"
-	leaseCall   = "hold"
+	prepareMessage = "promise"
+	acceptMessage  = "accept"
+	confirmMessage = "confirm"
+	fetchMessage   = "copy"
+	digestMessage  = "held"
+	learnMessage   = "learn"
+	leaseMessage   = "hold"
 )
 
 // LearnRequest brings newer copies of slots to a replica.
@@ -38,13 +38,13 @@
 
 // RegisterHandlers serves the voter to other controllers.
 func (v *Voter) RegisterHandlers(calls *httpcall.Mux) {
-	handle(calls, prepareCall, v.Acceptor.Prepare)
-	handle(calls, acceptCall, v.Acceptor.Accept)
-	handle(calls, confirmCall, v.Acceptor.Confirm)
-	handle(calls, fetchCall, v.Acceptor.Fetch)
-	handle(calls, digestCall, v.handleDigest)
-	handle(calls, leaseCall, v.handleLease)
-	transport.Handle(calls, learnCall, func(_ context.Context, req LearnRequest) (LearnResponse, error) {
+	handle(calls, prepareMessage, v.Acceptor.Prepare)
+	handle(calls, acceptMessage, v.Acceptor.Accept)
+	handle(calls, confirmMessage, v.Acceptor.Confirm)
+	handle(calls, fetchMessage, v.Acceptor.Fetch)
+	handle(calls, digestMessage, v.handleDigest)
+	handle(calls, leaseMessage, v.handleLease)
+	transport.Handle(calls, learnMessage, func(_ context.Context, req LearnRequest) (LearnResponse, error) {
 		err := v.Acceptor.Learn(req.Slots)
 		return LearnResponse{Applied: err == nil}, err
 	})
--- a/control/state/voter/open.go
+++ b/control/state/voter/open.go
@@ -18,9 +18,9 @@
 const (
 	// logName is the file of the write-ahead log.
 	logName = "registers"
-	// logShare is the part of the disk, one in so many, that the log may take: the
+	// logDivisor is the part of the disk, one in so many, that the log may take: the
 	// rest is for the file that compacts it, one that was quarantined, and others.
-	logShare = 4
+	logDivisor = 4
 )
 
 // Open opens the write-ahead log and returns its Voter. A log that is blank (but
@@ -62,7 +62,7 @@
 // openLog opens the log and returns its records.
 func (v *Voter) openLog() ([][]byte, error) {
 	opened, records, err := wal.Open(wal.Options{
-		FS: v.options.Disk, Name: logName, MaxBytes: v.settings.Limits.DiskMB << 20 / logShare,
+		FS: v.options.Disk, Name: logName, MaxBytes: v.settings.Limits.DiskMB << 20 / logDivisor,
 		Snapshot: func() [][]byte { return v.Acceptor.Snapshot() },
 	})
 	if err != nil {
--- a/control/transport/client.go
+++ b/control/transport/client.go
@@ -15,7 +15,7 @@
 const contentType = "avro/binary"
 
 const (
-	// idleTimeoutFactor is how many user timeouts an idle connection is kept.
+	// idleTimeoutFactor is how many TCP user timeouts (Dialer.UserTimeout) an idle connection is kept.
 	idleTimeoutFactor  = 10
 	maxIdleConnections = 4
 )
@@ -90,7 +90,7 @@
 	if kind == errkind.None {
 		kind = errkind.Internal
 	}
-	return errkind.Errorf(kind, "told by another daemon")
+	return errkind.Errorf(kind, "error answered by another daemon")
 }
 
 // Send sends req to the daemon at an address as the message of that name, and
--- a/control/transport/guard.go
+++ b/control/transport/guard.go
@@ -59,7 +59,7 @@
 		return nil, rejectf(Malformed, "%d bytes", len(body))
 	}
 	if string(body[:deploymentTagLength]) != string(g.deploymentTag) {
-		return nil, rejectf(ForeignDeployment, "mark %x, not %x", body[:deploymentTagLength], g.deploymentTag)
+		return nil, rejectf(ForeignDeployment, "tag %x, not %x", body[:deploymentTagLength], g.deploymentTag)
 	}
 	return body[deploymentTagLength:], nil
 }
--- a/control/transport/stats.go
+++ b/control/transport/stats.go
@@ -14,7 +14,7 @@
 	ResponseBytes int64
 }
 
-// MessageStats counts the messages that a daemon sent, by name. The zero value
+// MessageStats counts the messages that a daemon sent and that were answered, by name. The zero value
 // is ready; it is safe for concurrent use.
 type MessageStats struct {
 	mu      sync.Mutex
--- a/data/balancer/admission.go
+++ b/data/balancer/admission.go
@@ -32,10 +32,10 @@
 	Kind   errkind.Kind
 }
 
-// maxWaitFraction is the part of a route's latency target, one in so many, that a
+// maxWaitDivisor is the part of a route's latency target, one in so many, that a
 // request may wait for a runner before it is rejected: a rejection that comes
 // late is worse than an early one.
-const maxWaitFraction = 4
+const maxWaitDivisor = 4
 
 // Admission is the state of one request from its arrival to its end. It belongs
 // to one goroutine.
@@ -90,7 +90,7 @@
 // waitOrFail decides the step where there is no runner; delay is after how long
 // there may be one, 0 for unknown.
 func (a *Admission) waitOrFail(delay time.Duration, now clock.Instant) Decision {
-	if delay > 0 && now.Add(delay).Since(a.request.ArrivedAt) < a.request.Route.LatencyTarget()/maxWaitFraction {
+	if delay > 0 && now.Add(delay).Since(a.request.ArrivedAt) < a.request.Route.LatencyTarget()/maxWaitDivisor {
 		return Decision{Action: Wait, Delay: delay}
 	}
 	if a.overloaded {
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -19,9 +19,9 @@
 	recheckDelay = 20 * time.Millisecond
 	// minSilenceLimit is the least time without a sign of life that excludes a
 	// runner; otherwise it is the part of the latency target, one in
-	// silenceFraction.
+	// silenceDivisor.
 	minSilenceLimit = 50 * time.Millisecond
-	silenceFraction = 2
+	silenceDivisor  = 2
 	// minQueued is how many requests must be waiting at a runner before their
 	// waiting time counts.
 	minQueued = 2
@@ -34,13 +34,15 @@
 type candidate struct {
 	runner *snapshot.Runner
 	weight float64
-	// load is how many requests it has per slot.
+	// load is its requests per slot, those of all routers as far as it reported them.
 	load        float64
 	lengthClass lengthstats.Class
 }
 
 // selectRunner picks the runner for the next attempt. Where there is none now but
-// may be one soon, it returns nil and after how long to ask again.
+// may be one soon, it returns nil and after how long to ask again. It narrows in
+// this order: available and not avoided, in time, region, length class; then
+// affinity, else the better of two drawn by weight.
 func (b *Balancer) selectRunner(admission *Admission, now clock.Instant) (*snapshot.Runner, time.Duration) {
 	snap := b.options.Snapshots.Current()
 	if snap.Config == nil {
@@ -74,7 +76,7 @@
 func (b *Balancer) candidates(snap *snapshot.Snapshot, admission *Admission, now clock.Instant) ([]candidate, time.Duration) {
 	check := readiness{
 		balancer: b, service: snap.Config.Service(admission.service), now: now,
-		silenceLimit: max(admission.request.Route.LatencyTarget()/silenceFraction, minSilenceLimit),
+		silenceLimit: max(admission.request.Route.LatencyTarget()/silenceDivisor, minSilenceLimit),
 	}
 	check.connectionShare = b.connectionShare(check.service)
 	admission.exclusions = Exclusions{}
@@ -95,7 +97,7 @@
 		cand := candidate{
 			runner: runner, weight: snap.Weight(runner), load: load(runner, &stats), lengthClass: snap.RunnerWeights[runner.ID].Group,
 		}
-		if snap.Ejected(runner.ID, now) || b.zoneLost(runner.Zone) {
+		if snap.Avoided(runner.ID, now) || b.zoneLost(runner.Zone) {
 			unhealthy = append(unhealthy, cand)
 		} else {
 			healthy = append(healthy, cand)
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -296,7 +296,7 @@
 // relayBuffered passes a response on once it is complete: one that breaks before
 // can be asked for again.
 func (e *exchange) relayBuffered(resp *http.Response) (outcome upstream.Outcome, done bool) {
-	maxBytes := e.proxy.maxResponseBytes()
+	maxBytes := e.proxy.responseSizeBound()
 	if resp.ContentLength >= maxBytes {
 		return upstream.Garbled, false
 	}
@@ -409,9 +409,9 @@
 // reaches, as 1/maxResponseDivisor.
 const maxResponseDivisor = 8
 
-// maxResponseBytes is a size that no proper response reaches: one without an end
+// responseSizeBound is the size that a response must stay below: one without an end
 // must not take all memory.
-func (p *Proxy) maxResponseBytes() int64 {
+func (p *Proxy) responseSizeBound() int64 {
 	if maxBytes := p.machine.MemoryMB << 20 / maxResponseDivisor; maxBytes > 0 {
 		return maxBytes
 	}
--- a/data/router/drain.go
+++ b/data/router/drain.go
@@ -6,6 +6,7 @@
 
 	"onyxwell/base/clock"
 	"onyxwell/base/settings"
+	"onyxwell/control/directory"
 	"onyxwell/control/membership"
 )
 
@@ -14,10 +15,8 @@
 	// connections that are open. Those that clients send more than three seconds
 	// after the signal may not be cut when the grace period is over.
 	acceptWhileDraining = 2750 * time.Millisecond
-	// maxDirectoryTTL bounds the time that clients may use an answer of the
-	// directory, in seconds, and directoryTTLFactor how often they may use it so
-	// long: clients hold an answer for up to three times its time to live.
-	maxDirectoryTTL    = 1
+	// directoryTTLFactor is for how many lifetimes of a directory's response the
+	// listener stays open: clients use one for up to three, and one is margin.
 	directoryTTLFactor = 4
 	// listenerClosePercent and drainEndPercent are the parts of the grace period
 	// after which the listener closes, and after which requests still in flight are
@@ -53,7 +52,7 @@
 	r.daemon.GossipNow(ctx)
 	r.proxy.Drain(startedAt.Add(acceptWhileDraining))
 	r.proxy.CloseIdle()
-	moving := directoryTTLFactor * settings.Seconds(min(maxDirectoryTTL, r.settings.Bounds.TTLMaxS))
+	moving := directoryTTLFactor * settings.Seconds(min(directory.MaxTTLSeconds, r.settings.Bounds.TTLMaxS))
 	clock.Wait(ctx, r.clock, min(moving, grace*listenerClosePercent/100))
 	if endpoint != nil {
 		r.closeEndpoint(ctx, endpoint, grace*drainEndPercent/100-r.clock.Now().Since(startedAt))
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -86,7 +86,7 @@
 		Balancer: balancer.New(balancer.Options{
 			Clock: r.clock, Snapshots: r.snapshots, Stats: r.stats, SlowStart: r.slowStart,
 			RetryBudget: retrybudget.New(r.retryBudgetOptions()), Region: r.settings.Region,
-			SlowStartRouters: r.daemon.Zones.Sharers, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: rand.Float64,
+			SlowStartRouters: r.daemon.Zones.SlowStartRouters, RouterCount: r.routerCount, ZoneLost: r.lostZones.contains, Random: rand.Float64,
 		}),
 		Upstream: upstream.NewClient(upstream.Options{
 			Clock: r.clock, Dialer: r.dialer(),
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -76,8 +76,9 @@
 	return !runner.Draining && !s.Evacuated[runner.Zone]
 }
 
-// Ejected returns whether a runner is to get requests only where no others can.
-func (s *Snapshot) Ejected(id ids.RunnerID, now clock.Instant) bool {
+// Avoided returns whether a runner is to get requests only where no others can:
+// outlier detection ejected it, or the plan quarantines it.
+func (s *Snapshot) Avoided(id ids.RunnerID, now clock.Instant) bool {
 	until, ok := s.EjectedUntil[id]
 	return s.RunnerWeights[id].Quarantined || (ok && now.Before(until))
 }
--- a/data/upstream/client_test.go
+++ b/data/upstream/client_test.go
@@ -59,7 +59,7 @@
 		t.Fatalf("the request was changed: %+v", req)
 	}
 	want := map[string]string{
-		TargetHeader: "i-1", TimeLeftHeader: "1500", UrgencyHeader: "2", LastEventIDHeader: "12", "X-Kept": "yes",
+		TargetRunnerHeader: "i-1", TimeLeftHeader: "1500", PriorityHeader: "2", LastEventIDHeader: "12", "X-Kept": "yes",
 		"Accept-Encoding": "", "User-Agent": "", AttemptIDHeader: "a1",
 	}
 	for name, value := range want {
--- a/data/upstream/header.go
+++ b/data/upstream/header.go
@@ -13,12 +13,12 @@
 	AttemptIDHeader = "Onyxwell-Attempt-Id"
 	// SealHeader marks a success as the runner's own.
 	SealHeader = "Onyxwell-Server-Seal"
-	// TargetHeader names the runner that a request is meant for.
-	TargetHeader = "Onyxwell-Target-Server"
+	// TargetRunnerHeader names the runner that a request is meant for.
+	TargetRunnerHeader = "Onyxwell-Target-Server"
 	// TimeLeftHeader is the time to the request's deadline, in milliseconds.
 	TimeLeftHeader = "Onyxwell-Time-Left-Ms"
-	// UrgencyHeader is a request's urgency, 0 to 9.
-	UrgencyHeader = "Onyxwell-Urgency"
+	// PriorityHeader is a request's priority, 0 to 9, the lower first.
+	PriorityHeader = "Onyxwell-Urgency"
 	// LoadHeader is a runner's load: running, waiting, slots.
 	LoadHeader = "Onyxwell-Server-Load"
 	// RunnerIDHeader names the runner that a response comes from.
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -34,7 +34,7 @@
 	Address  ids.Address
 	// TimeLeft is the time to the request's deadline when Send is called.
 	TimeLeft time.Duration
-	// Priority is the priority of the route, sent as UrgencyHeader within 0 to 9.
+	// Priority is the priority of the route, sent as PriorityHeader within 0 to 9.
 	Priority int
 	// LastEventID is the event after which a stream is resumed; empty for none.
 	LastEventID string
@@ -45,7 +45,8 @@
 	AtMostOnce bool
 }
 
-// header returns the header that is reported for the attempt's response.
+// header returns the header of the response's request: the id after which a resumed
+// attempt continues, else the client's own header.
 func (a Attempt) header() http.Header {
 	if a.LastEventID == "" {
 		return a.Request.Header
@@ -68,9 +69,9 @@
 	head := bytes.NewBuffer(make([]byte, 0, baseHeadSize+min(len(req.Body), maxInlineWrite)))
 	head.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	replacements := [...]struct{ name, value string }{
-		{TargetHeader, string(a.RunnerID)},
+		{TargetRunnerHeader, string(a.RunnerID)},
 		{TimeLeftHeader, strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)},
-		{UrgencyHeader, strconv.Itoa(min(9, max(0, a.Priority)))},
+		{PriorityHeader, strconv.Itoa(min(9, max(0, a.Priority)))},
 		{"Content-Length", req.contentLength()},
 		{LastEventIDHeader, a.LastEventID},
 	}
@@ -117,8 +118,8 @@
 var replacedHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, "Connection": true,
 	// The body has been received, so the expectation has been met.
-	"Expect":     true,
-	TargetHeader: true, TimeLeftHeader: true, UrgencyHeader: true,
+	"Expect":           true,
+	TargetRunnerHeader: true, TimeLeftHeader: true, PriorityHeader: true,
 }
 
 // replacedHeadersOnResume adds the id that a resumed attempt writes itself.
--- a/emulator/experiment/defective_router_test.go
+++ b/emulator/experiment/defective_router_test.go
@@ -247,7 +247,7 @@
 	}
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", req.Method, target, req.Host, upstream.AttemptIDHeader, req.Header.Get(upstream.AttemptIDHeader))
 	if !d.defects.noTarget {
-		head += fmt.Sprintf("%s: %s\r\n", upstream.TargetHeader, runnerID)
+		head += fmt.Sprintf("%s: %s\r\n", upstream.TargetRunnerHeader, runnerID)
 	}
 	if lastEventID := req.Header.Get(upstream.LastEventIDHeader); lastEventID != "" {
 		head += fmt.Sprintf("%s: %s\r\n", upstream.LastEventIDHeader, lastEventID)
--- a/emulator/experiment/endpoints.go
+++ b/emulator/experiment/endpoints.go
@@ -32,29 +32,29 @@
 }
 
 // refresh returns the list, and whether it changed since the last refresh.
-func (t *endpointTracker) refresh(now clock.Instant) (discovery.List, bool) {
+func (e *endpointTracker) refresh(now clock.Instant) (discovery.List, bool) {
 	var list discovery.List
-	changed := t.incarnations == nil
-	for i, r := range t.runners {
+	changed := e.incarnations == nil
+	for i, r := range e.runners {
 		incarnation := r.Incarnation()
-		if len(t.incarnations) <= i {
-			t.incarnations = append(t.incarnations, incarnation)
+		if len(e.incarnations) <= i {
+			e.incarnations = append(e.incarnations, incarnation)
 		}
-		if old := t.incarnations[i]; old != incarnation {
-			t.departed = append(t.departed, departedRunner{Runner: endpointOf(old, r), until: now.Add(departedRetention)})
-			t.incarnations[i], changed = incarnation, true
+		if old := e.incarnations[i]; old != incarnation {
+			e.departed = append(e.departed, departedRunner{Runner: endpointOf(old, r), until: now.Add(departedRetention)})
+			e.incarnations[i], changed = incarnation, true
 		}
 		list.Runners = append(list.Runners, endpointOf(incarnation, r))
 	}
 	var retained []departedRunner
-	for _, departed := range t.departed {
+	for _, departed := range e.departed {
 		if now.Before(departed.until) {
 			retained = append(retained, departed)
 			list.Runners = append(list.Runners, departed.Runner)
 		}
 	}
-	changed = changed || len(retained) != len(t.departed)
-	t.departed = retained
+	changed = changed || len(retained) != len(e.departed)
+	e.departed = retained
 	return list, changed
 }
 
--- a/emulator/runner/conn.go
+++ b/emulator/runner/conn.go
@@ -36,28 +36,28 @@
 }
 
 // reset closes the connection with a RST.
-func (c *serverConn) reset() {
-	_ = c.tcp.SetLinger(0)
-	_ = c.tcp.Close()
+func (s *serverConn) reset() {
+	_ = s.tcp.SetLinger(0)
+	_ = s.tcp.Close()
 }
 
 // discardInput reads and discards until the client closes the connection, at most
 // for MaxSilence.
-func (c *serverConn) discardInput() {
-	ctx, cancel := c.runner.withTimeout(c.runner.settings.MaxSilence)
+func (s *serverConn) discardInput() {
+	ctx, cancel := s.runner.withTimeout(s.runner.settings.MaxSilence)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = c.tcp.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = s.tcp.Close() })
 	defer stop()
-	_, _ = io.Copy(io.Discard, c.reader)
+	_, _ = io.Copy(io.Discard, s.reader)
 }
 
 // serve serves requests until one of them ends the connection.
-func (c *serverConn) serve() {
-	defer c.runner.unregister(c)
-	defer c.tcp.Close()
-	for c.awaitRequest() {
-		req, err := http.ReadRequest(c.reader)
-		if err != nil || !c.handle(req) {
+func (s *serverConn) serve() {
+	defer s.runner.unregister(s)
+	defer s.tcp.Close()
+	for s.awaitRequest() {
+		req, err := http.ReadRequest(s.reader)
+		if err != nil || !s.handle(req) {
 			return
 		}
 	}
@@ -65,65 +65,65 @@
 
 // dropStrayBytes drops what an earlier fault left with the connection, once the
 // runner's faults are stopped.
-func (c *serverConn) dropStrayBytes() {
-	if c.runner.faultsStopped.Load() {
-		c.lateBytes, c.idleBytes = nil, nil
+func (s *serverConn) dropStrayBytes() {
+	if s.runner.faultsStopped.Load() {
+		s.lateBytes, s.idleBytes = nil, nil
 	}
 }
 
 // awaitRequest waits for the next request's first byte. It returns false where the
 // connection ended or was idle for too long.
-func (c *serverConn) awaitRequest() bool {
-	c.dropStrayBytes()
-	if c.idleBytes != nil {
-		clock.Wait(c.runner.ctx, c.runner.clock, idleDelay)
-		_, _ = c.tcp.Write(c.idleBytes)
-		c.idleBytes = nil
+func (s *serverConn) awaitRequest() bool {
+	s.dropStrayBytes()
+	if s.idleBytes != nil {
+		clock.Wait(s.runner.ctx, s.runner.clock, idleDelay)
+		_, _ = s.tcp.Write(s.idleBytes)
+		s.idleBytes = nil
 	}
-	ctx, cancel := c.runner.withTimeout(c.runner.settings.IdleTimeout)
+	ctx, cancel := s.runner.withTimeout(s.runner.settings.IdleTimeout)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = c.tcp.Close() })
-	_, err := c.reader.Peek(1)
+	stop := context.AfterFunc(ctx, func() { _ = s.tcp.Close() })
+	_, err := s.reader.Peek(1)
 	return stop() && err == nil
 }
 
 // handle serves a request and reports whether the connection stays open.
-func (c *serverConn) handle(httpReq *http.Request) bool {
-	c.dropStrayBytes()
-	req := c.runner.newRequest(httpReq)
-	if endpoint := c.runner.ownEndpoint(req); endpoint != nil {
+func (s *serverConn) handle(httpReq *http.Request) bool {
+	s.dropStrayBytes()
+	req := s.runner.newRequest(httpReq)
+	if endpoint := s.runner.ownEndpoint(req); endpoint != nil {
 		resp, err := endpoint(httpReq)
 		if err == nil {
-			_, err = c.tcp.Write(resp)
+			_, err = s.tcp.Write(resp)
 		}
 		return err == nil && !httpReq.Close
 	}
 	if req.draw.has(ResetUnread) {
-		c.runner.countFaults([]string{ResetUnread})
+		s.runner.countFaults([]string{ResetUnread})
 		_, _ = io.CopyN(io.Discard, httpReq.Body, int64(req.draw.IntN(maxResetBytes)))
-		c.reset()
+		s.reset()
 		return false
 	}
 	if req.respondsEarly() {
-		return c.respond(req) && c.readLateBody(req) && !httpReq.Close
+		return s.respond(req) && s.readLateBody(req) && !httpReq.Close
 	}
 	body, err := io.ReadAll(httpReq.Body)
 	if err != nil {
 		return false
 	}
 	req.body = body
-	return c.respond(req) && !httpReq.Close
+	return s.respond(req) && !httpReq.Close
 }
 
 // readLateBody reads the body of a request that has its response already. It
 // reports whether the body was complete.
-func (c *serverConn) readLateBody(req *inboundRequest) bool {
+func (s *serverConn) readLateBody(req *inboundRequest) bool {
 	body, err := io.ReadAll(req.http.Body)
 	if err != nil {
 		return false
 	}
-	if c.runner.options.OnLateBody != nil && req.attemptID != "" {
-		c.runner.options.OnLateBody(req.attemptID, piece.Hash(string(body)))
+	if s.runner.options.OnLateBody != nil && req.attemptID != "" {
+		s.runner.options.OnLateBody(req.attemptID, piece.Hash(string(body)))
 	}
 	return true
 }
--- a/emulator/runner/fault.go
+++ b/emulator/runner/fault.go
@@ -185,13 +185,13 @@
 }
 
 // has reports whether a fault was drawn.
-func (d *faultDraw) has(name string) bool { return d.faults[name] }
+func (f *faultDraw) has(name string) bool { return f.faults[name] }
 
 // names returns the drawn faults in the order of Faults.
-func (d *faultDraw) names() []string {
+func (f *faultDraw) names() []string {
 	var names []string
 	for _, fault := range Faults {
-		if d.has(fault.Name) {
+		if f.has(fault.Name) {
 			names = append(names, fault.Name)
 		}
 	}
--- a/emulator/runner/mutate.go
+++ b/emulator/runner/mutate.go
@@ -21,8 +21,8 @@
 
 // injectFaults changes a response by the faults that were drawn and fit it. Behind
 // one that replaces the response none fits.
-func (c *serverConn) injectFaults(req *inboundRequest, resp *response) {
-	i := &injection{response: resp, conn: c, req: req}
+func (s *serverConn) injectFaults(req *inboundRequest, resp *response) {
+	i := &injection{response: resp, conn: s, req: req}
 	for _, fault := range Faults {
 		if req.draw.has(fault.Name) && fault.inject != nil && resp.raw == "" && fault.inject(i) {
 			resp.faults = append(resp.faults, fault.Name)
--- a/emulator/runner/request.go
+++ b/emulator/runner/request.go
@@ -45,8 +45,8 @@
 }
 
 // lastEventID returns the event after which the client resumes, 0 for the start.
-func (r *inboundRequest) lastEventID() int {
-	number, err := strconv.Atoi(r.http.Header.Get(upstream.LastEventIDHeader))
+func (i *inboundRequest) lastEventID() int {
+	number, err := strconv.Atoi(i.http.Header.Get(upstream.LastEventIDHeader))
 	if err != nil {
 		return 0
 	}
@@ -55,16 +55,16 @@
 
 // streams reports whether the request is answered with a stream of events, which
 // its path says.
-func (r *inboundRequest) streams() bool {
-	return strings.Contains(r.http.URL.Path, "/stream/") || strings.Contains(r.http.URL.Path, "/resumable/")
+func (i *inboundRequest) streams() bool {
+	return strings.Contains(i.http.URL.Path, "/stream/") || strings.Contains(i.http.URL.Path, "/resumable/")
 }
 
 // respondsEarly reports whether the response comes before the body is read.
-func (r *inboundRequest) respondsEarly() bool { return r.draw.has(EarlyAnswer) }
+func (i *inboundRequest) respondsEarly() bool { return i.draw.has(EarlyAnswer) }
 
 // urgency returns the request's urgency; the lowest goes first.
-func (r *inboundRequest) urgency() int {
-	urgency, err := strconv.Atoi(r.http.Header.Get(upstream.UrgencyHeader))
+func (i *inboundRequest) urgency() int {
+	urgency, err := strconv.Atoi(i.http.Header.Get(upstream.PriorityHeader))
 	if err != nil {
 		return defaultUrgency
 	}
@@ -91,7 +91,7 @@
 	if req.attemptID == "" {
 		return http.StatusBadRequest
 	}
-	target, version := req.http.Header.Get(upstream.TargetHeader), req.http.Header.Get(expectedVersionHeader)
+	target, version := req.http.Header.Get(upstream.TargetRunnerHeader), req.http.Header.Get(expectedVersionHeader)
 	if (target != "" && target != incarnation.ID) || (version != "" && version != strconv.Itoa(r.settings.WeightsVersion)) {
 		return http.StatusMisdirectedRequest
 	}
@@ -103,45 +103,45 @@
 
 // respond admits a request, runs it and writes the response. It reports whether
 // the connection stays open.
-func (c *serverConn) respond(req *inboundRequest) bool {
-	runner := c.runner
+func (s *serverConn) respond(req *inboundRequest) bool {
+	runner := s.runner
 	ctx, cancel := runner.withTimeout(timeoutOf(req.http))
 	defer cancel()
 	if status := runner.rejectStatus(req, runner.Incarnation()); status != 0 {
-		return c.reject(req, status)
+		return s.reject(req, status)
 	}
 	if !runner.admitWhileCold() {
-		c.reset()
+		s.reset()
 		return false
 	}
 	if !runner.slots.acquire(ctx, req.urgency()) {
-		return c.reject(req, http.StatusServiceUnavailable)
+		return s.reject(req, http.StatusServiceUnavailable)
 	}
 	defer runner.slots.release()
 	// Another incarnation may have begun while the request was queued.
 	seal, incarnation := runner.newSeal()
 	if status := runner.rejectStatus(req, incarnation); status != 0 {
-		return c.reject(req, status)
+		return s.reject(req, status)
 	}
-	return c.execute(ctx, req, seal, incarnation)
+	return s.execute(ctx, req, seal, incarnation)
 }
 
 // reject answers a request that does not run.
-func (c *serverConn) reject(req *inboundRequest, status int) bool {
-	incarnation := c.runner.Incarnation()
-	resp := c.runner.newResponse(req, incarnation, "", status)
+func (s *serverConn) reject(req *inboundRequest, status int) bool {
+	incarnation := s.runner.Incarnation()
+	resp := s.runner.newResponse(req, incarnation, "", status)
 	resp.addHeader(notRunHeader, "1")
 	if req.draw.has(Refusal) && req.draw.IntN(2) == 0 {
 		resp.body = []string{"turned away\n"}
 	}
-	c.injectFaults(req, resp)
-	c.record(req, resp, incarnation, "")
-	return c.writeResponse(c.runner.ctx, resp)
+	s.injectFaults(req, resp)
+	s.record(req, resp, incarnation, "")
+	return s.writeResponse(s.runner.ctx, resp)
 }
 
 // execute runs a request.
-func (c *serverConn) execute(ctx context.Context, req *inboundRequest, seal string, incarnation Incarnation) bool {
-	runner := c.runner
+func (s *serverConn) execute(ctx context.Context, req *inboundRequest, seal string, incarnation Incarnation) bool {
+	runner := s.runner
 	unread := runner.cache.prefill(req.http.Header.Get(modelHeader), req.http.Header.Get(upstream.PromptPrefixHeader))
 	serviceTime := runner.settings.ServiceTime + time.Duration(unread*float64(runner.settings.PrefillPerToken))
 	if runner.warmupLeft() > 0 {
@@ -155,28 +155,28 @@
 		status = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout}[req.draw.IntN(3)]
 	}
 	resp := runner.newResponse(req, incarnation, seal, status)
-	c.injectFaults(req, resp)
-	c.record(req, resp, incarnation, seal)
+	s.injectFaults(req, resp)
+	s.record(req, resp, incarnation, seal)
 	if !clock.Wait(ctx, runner.clock, serviceTime) {
 		// The client's time-out passed while the request ran.
-		c.discardInput()
+		s.discardInput()
 		return false
 	}
-	return c.writeResponse(ctx, resp)
+	return s.writeResponse(ctx, resp)
 }
 
 // record counts a request's faults and reports it; an empty seal is that of a
 // rejected request. It has to be called before a byte of the response is written.
-func (c *serverConn) record(req *inboundRequest, resp *response, incarnation Incarnation, seal string) {
+func (s *serverConn) record(req *inboundRequest, resp *response, incarnation Incarnation, seal string) {
 	faults := resp.faults
 	if req.respondsEarly() {
 		faults = append(faults, EarlyAnswer)
 	}
-	c.runner.countFaults(faults)
-	if c.runner.options.OnRequest == nil || req.attemptID == "" {
+	s.runner.countFaults(faults)
+	if s.runner.options.OnRequest == nil || req.attemptID == "" {
 		return
 	}
-	c.runner.options.OnRequest(oracle.Run{
+	s.runner.options.OnRequest(oracle.Run{
 		Attempt: req.attemptID, Runner: incarnation.ID, Service: incarnation.Service, Seal: seal,
 		Fingerprint: FingerprintOf(req.http.Method, req.http.RequestURI, req.http.Host, req.body),
 		Rejected:    seal == "", Status: resp.status, LastEventID: req.lastEventID(),
--- a/emulator/runner/response.go
+++ b/emulator/runner/response.go
@@ -162,9 +162,9 @@
 
 // writeResponse writes a response, with its faults. It reports whether the
 // connection stays open.
-func (c *serverConn) writeResponse(ctx context.Context, resp *response) bool {
-	ahead := string(c.lateBytes) + resp.prefix
-	c.lateBytes, c.idleBytes = resp.lateBytes, resp.idleBytes
+func (s *serverConn) writeResponse(ctx context.Context, resp *response) bool {
+	ahead := string(s.lateBytes) + resp.prefix
+	s.lateBytes, s.idleBytes = resp.lateBytes, resp.idleBytes
 	segments := append([]string{resp.head()}, resp.segments()...)
 	if resp.raw != "" {
 		segments = []string{resp.raw}
@@ -179,20 +179,20 @@
 		if i == len(segments)-1 && !cut {
 			segment += resp.suffix
 		}
-		if !c.writeBytes(ctx, ahead+segment, resp.dribble) {
+		if !s.writeBytes(ctx, ahead+segment, resp.dribble) {
 			return false
 		}
 		ahead = ""
 		if resp.interval > 0 && i+1 < len(segments) {
-			clock.Wait(ctx, c.runner.clock, resp.interval)
+			clock.Wait(ctx, s.runner.clock, resp.interval)
 		}
 	}
 	if resp.onEnd != nil {
 		if cut && resp.unframed {
 			// A clean close would end the body.
-			_ = c.tcp.SetLinger(0)
+			_ = s.tcp.SetLinger(0)
 		}
-		resp.onEnd(c)
+		resp.onEnd(s)
 		return false
 	}
 	return !cut && !resp.closeAfter && !resp.unframed
@@ -206,18 +206,18 @@
 )
 
 // writeBytes writes bytes, in one write or dribbled.
-func (c *serverConn) writeBytes(ctx context.Context, text string, dribble bool) bool {
+func (s *serverConn) writeBytes(ctx context.Context, text string, dribble bool) bool {
 	size := len(text)
 	if dribble {
 		size = max(1, len(text)/dribbleWrites)
 	}
 	for text != "" {
 		count := min(size, len(text))
-		if _, err := c.tcp.Write([]byte(text[:count])); err != nil {
+		if _, err := s.tcp.Write([]byte(text[:count])); err != nil {
 			return false
 		}
 		if text = text[count:]; text != "" {
-			clock.Wait(ctx, c.runner.clock, dribbleInterval)
+			clock.Wait(ctx, s.runner.clock, dribbleInterval)
 		}
 	}
 	return true
--- a/emulator/runner/runner_test.go
+++ b/emulator/runner/runner_test.go
@@ -45,9 +45,9 @@
 }
 
 // exchange sends bytes on a new connection and returns all that comes back.
-func (r *testRunner) exchange(t *testing.T, text string) string {
+func (tr *testRunner) exchange(t *testing.T, text string) string {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.Address())
+	conn, err := net.Dial("tcp", tr.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/simulation/bugs_messages_test.go
+++ b/simulation/bugs_messages_test.go
@@ -128,7 +128,7 @@
 // asking the voters.
 func answerOwnReadIndex() bug {
 	return bug{InterceptReply: func(_ *Cluster, target *Machine, sent *message, resp reply) reply {
-		if sent.path != "/"+readindex.MessageName {
+		if sent.path != "/"+readindex.ReadIndexMessage {
 			return resp
 		}
 		return okReply(readindex.Response{Serial: ownRecord(target).Version})
--- a/simulation/simdisk/disk.go
+++ b/simulation/simdisk/disk.go
@@ -27,13 +27,13 @@
 
 // Operations that Options.Delay is called for.
 const (
-	OpRead       = "read"
-	OpCreate     = "create"
-	OpAppend     = "append"
-	OpWrite      = "write"
-	OpSync       = "sync"
-	OpRename     = "rename"
-	OpRemove     = "remove"
+	OpRead    = "read"
+	OpCreate  = "create"
+	OpAppend  = "append"
+	OpWrite   = "write"
+	OpSync    = "sync"
+	OpRename  = "rename"
+	OpRemove  = "remove"
 	OpSyncDir = "folder"
 )
 
--- a/simulation/simdisk/disk_test.go
+++ b/simulation/simdisk/disk_test.go
@@ -100,9 +100,9 @@
 	fs := disk.Mount()
 	must(fs.Create("a"))
 	for op, perform := range map[string]func() error{
-		OpCreate:     func() error { _, err := fs.Create("b"); return err },
-		OpRename:     func() error { return fs.Rename("a", "b") },
-		OpRemove:     func() error { return fs.Remove("a") },
+		OpCreate:  func() error { _, err := fs.Create("b"); return err },
+		OpRename:  func() error { return fs.Rename("a", "b") },
+		OpRemove:  func() error { return fs.Remove("a") },
 		OpSyncDir: func() error { return fs.SyncDir() },
 	} {
 		refused = op
--- a/soak/history.go
+++ b/soak/history.go
@@ -45,42 +45,42 @@
 }
 
 // recordSent records a change before it is sent.
-func (h *configHistory) recordSent(change *configChange, now clock.Instant) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *configHistory) recordSent(change *configChange, now clock.Instant) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	change.sentAt = now
-	h.changes = append(h.changes, change)
+	c.changes = append(c.changes, change)
 }
 
 // recordAnswer records the clear answer to a change; status 0 is none.
-func (h *configHistory) recordAnswer(change *configChange, status int, now clock.Instant) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *configHistory) recordAnswer(change *configChange, status int, now clock.Instant) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	change.status, change.answeredAt = status, now
 	if change.acknowledged() && change.valid {
-		h.latest = max(h.latest, change.version)
+		c.latest = max(c.latest, change.version)
 	}
 }
 
-func (h *configHistory) recordRead(read configRead) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.reads = append(h.reads, read)
-	h.latest = max(h.latest, read.version)
+func (c *configHistory) recordRead(read configRead) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reads = append(c.reads, read)
+	c.latest = max(c.latest, read.version)
 }
 
 // latestVersion returns the highest version that was acknowledged or read.
-func (h *configHistory) latestVersion() int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.latest
+func (c *configHistory) latestVersion() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.latest
 }
 
 // fillReport counts the changes by outcome, and the reads.
-func (h *configHistory) fillReport(report *Report) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, change := range h.changes {
+func (c *configHistory) fillReport(report *Report) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, change := range c.changes {
 		switch {
 		case change.acknowledged():
 			report.Acknowledged++
@@ -91,7 +91,7 @@
 			report.Unknown++
 		}
 	}
-	report.Reads = len(h.reads)
+	report.Reads = len(c.reads)
 }
 
 // findingFunc takes a finding, as recorder.addFinding does.
@@ -99,18 +99,18 @@
 
 // check adds a finding for whatever no sequential order of the changes and reads
 // explains.
-func (h *configHistory) check(add findingFunc) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.checkChanges(add)
-	h.checkReads(add)
+func (c *configHistory) check(add findingFunc) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.checkChanges(add)
+	c.checkReads(add)
 }
 
 // checkChanges finds acknowledged changes that are invalid, or that share their
 // base or their version with another: compare-and-set lets one of them win.
-func (h *configHistory) checkChanges(add findingFunc) {
+func (c *configHistory) checkChanges(add findingFunc) {
 	byBase, byVersion := map[int64]*configChange{}, map[int64]*configChange{}
-	for _, change := range h.changes {
+	for _, change := range c.changes {
 		if !change.acknowledged() {
 			continue
 		}
@@ -129,16 +129,16 @@
 
 // checkReads finds versions that stand for two changes, versions made by an
 // invalid change, and stale reads.
-func (h *configHistory) checkReads(add findingFunc) {
+func (c *configHistory) checkReads(add findingFunc) {
 	madeBy := map[int64]string{}
 	valid := map[string]bool{initialID: true}
-	for _, change := range h.changes {
+	for _, change := range c.changes {
 		valid[change.id] = change.valid
 		if change.acknowledged() {
 			madeBy[change.version] = change.id
 		}
 	}
-	for _, read := range h.reads {
+	for _, read := range c.reads {
 		if id, ok := madeBy[read.version]; ok && id != read.changeID {
 			add("CONFIG", "version %d is read as made by change %s, and was made by %s", read.version, read.changeID, id)
 		}
@@ -146,19 +146,19 @@
 		if !valid[read.changeID] {
 			add("CONFIG", "version %d of change %s is in force, which is invalid or unknown", read.version, read.changeID)
 		}
-		h.checkStale(read, add)
+		c.checkStale(read, add)
 	}
 }
 
 // checkStale finds newer versions that were acknowledged or read before the read
 // began.
-func (h *configHistory) checkStale(read configRead, add findingFunc) {
-	for _, change := range h.changes {
+func (c *configHistory) checkStale(read configRead, add findingFunc) {
+	for _, change := range c.changes {
 		if change.acknowledged() && change.answeredAt.Before(read.start) && change.version > read.version {
 			add("STALE", "a read begun %v after the acknowledgement of version %d returns version %d", read.start.Since(change.answeredAt), change.version, read.version)
 		}
 	}
-	for _, earlier := range h.reads {
+	for _, earlier := range c.reads {
 		if earlier.end.Before(read.start) && earlier.version > read.version {
 			add("STALE", "a read begun %v after another had returned version %d returns version %d", read.start.Since(earlier.end), earlier.version, read.version)
 		}
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -63,7 +63,7 @@
 }
 
 // rejected reports whether the answer is clear and not 200.
-func (r controlResponse) rejected() bool { return r.status != 0 && r.status != http.StatusOK }
+func (c controlResponse) rejected() bool { return c.status != 0 && c.status != http.StatusOK }
 
 // do sends a request to one controller after another, with backoff, until it has
 // a clear answer.
--- a/tools/doccheck/names.go
+++ b/tools/doccheck/names.go
@@ -25,19 +25,19 @@
 
 // problem returns what is wrong with a qualified name, or with the name of a
 // test; "" for what is declared, and for what names no package of this module.
-func (n packageNames) problem(code string) string {
-	if testNamePattern.MatchString(code) && !n[anyPackage][code] {
+func (p packageNames) problem(code string) string {
+	if testNamePattern.MatchString(code) && !p[anyPackage][code] {
 		return "names " + code + ", but there is no such test"
 	}
 	parts := qualifiedNamePattern.FindStringSubmatch(code)
-	if parts == nil || n[parts[1]] == nil {
+	if parts == nil || p[parts[1]] == nil {
 		return ""
 	}
 	name := parts[2]
-	if !n[parts[1]][name] {
+	if !p[parts[1]][name] {
 		return fmt.Sprintf("names %s, but package %s has no %s", code, parts[1], name)
 	}
-	if member := parts[4]; member != "" && !n[parts[1]][name+"."+member] {
+	if member := parts[4]; member != "" && !p[parts[1]][name+"."+member] {
 		return fmt.Sprintf("names %s, but %s.%s has no %s", code, parts[1], name, member)
 	}
 	return ""
@@ -68,19 +68,19 @@
 }
 
 // add records the declarations of a file of the named package.
-func (n packageNames) add(name string, file *ast.File) {
+func (p packageNames) add(name string, file *ast.File) {
 	for _, key := range []string{name, anyPackage} {
-		if n[key] == nil {
-			n[key] = map[string]bool{}
+		if p[key] == nil {
+			p[key] = map[string]bool{}
 		}
 	}
-	declared := n[name]
+	declared := p[name]
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
 			if declaration.Recv == nil {
 				declared[declaration.Name.Name] = true
-				n[anyPackage][declaration.Name.Name] = true
+				p[anyPackage][declaration.Name.Name] = true
 			} else {
 				declared[receiverType(declaration)+"."+declaration.Name.Name] = true
 			}
