--- a/base/scope/scope.go
+++ b/base/scope/scope.go
@@ -67,9 +67,6 @@
 	return s.WithContext(ctx), cancel
 }
 
-// WithoutCancel returns a scope that does not end when s does.
-func (s Scope) WithoutCancel() Scope { return s.WithContext(context.WithoutCancel(s.Context)) }
-
 // Wait blocks until d has passed or the scope ends, and reports whether d has
 // passed.
 func (s Scope) Wait(d time.Duration) bool { return clock.Wait(s.Context, s.Clock, d) }
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -29,9 +29,6 @@
 	return compiler.Compile("spec.json")
 })
 
-// Schema gives the JSON schema of a whole document.
-func Schema() []byte { return schemaJSON }
-
 // Validate parses a whole document. An invalid one is refused with an error of
 // the kind errkind.InvalidConfig that names the field.
 func Validate(document []byte) (*config.Config, error) {
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -147,7 +147,7 @@
 // checkDeadline refuses a command that may not be started any more.
 func (d *Dispatcher) checkDeadline(ctx context.Context, cmd Command) error {
 	if ctx.Err() != nil {
-		return errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
+		return quorum.ErrCallerGone
 	}
 	if cmd.hasDeadline() && !d.options.Quorum.WithinDeadline(cmd.Deadline, d.options.Clock.Now()) {
 		return errkind.Errorf(errkind.NoQuorum, "the order came too late")
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -171,9 +171,6 @@
 	}
 }
 
-// CloseIdleConnections closes the connections that carry no request now.
-func (c *Client) CloseIdleConnections() { _ = c.closeIdle(c.options.Clock.Now(), 0) }
-
 // closeIdle closes the connections that have been idle for at least maxIdle; it
 // returns how many are left.
 func (c *Client) closeIdle(now clock.Instant, maxIdle time.Duration) int {
