--- a/control/daemon/quota.go
+++ b/control/daemon/quota.go
@@ -20,7 +20,7 @@
 	allow func(quota.AllowanceRequest, clock.Instant) quota.AllowanceResponse
 
 	// silent are the relays that did not answer this daemon.
-	silent quota.SilentRelays
+	silent quota.UnresponsiveRelays
 
 	mu sync.Mutex
 	// config was parsed from the gossiped item of that version.
@@ -40,10 +40,10 @@
 	if inForce == nil {
 		inForce = d.Config
 	}
-	d.quotas.policy = quota.PolicyOf(d.settings.Bounds)
+	d.quotas.policy = quota.NewPolicy(d.settings.Bounds)
 	d.quotaRelay = quota.NewRelay(quota.RelayOptions{
 		Clock: d.clock, Address: d.Address, Policy: d.quotas.policy, Zones: len(d.settings.Zones),
-		Config: inForce, Routers: d.Zones.LargestRouterCount, Issue: d.issueQuota, Allow: d.allowQuota,
+		Config: inForce, Routers: d.Zones.LargestRouterCount, Issue: d.issueQuota, RenewAllowances: d.allowQuota,
 	})
 	transport.Handle(d.Calls, quota.RelayMessage, d.quotaRelay.Acquire)
 	d.AddService("quota relay", func(ctx context.Context) error { d.quotaRelay.Run(ctx); return nil })
@@ -51,18 +51,18 @@
 
 // ServeQuotaIssuer has this daemon answer relays by an issuer.
 func (d *Daemon) ServeQuotaIssuer(issuer *quota.Issuer) {
-	d.quotas.issue, d.quotas.allow = issuer.Acquire, issuer.Allow
+	d.quotas.issue, d.quotas.allow = issuer.Acquire, issuer.RenewAllowances
 	transport.Handle(d.Calls, quota.IssueMessage, func(_ context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
 		return issuer.Acquire(req, d.clock.Now()), nil
 	})
 	transport.Handle(d.Calls, quota.AllowanceMessage, func(_ context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
-		return issuer.Allow(req, d.clock.Now()), nil
+		return issuer.RenewAllowances(req, d.clock.Now()), nil
 	})
 }
 
 // AcquireQuota asks the relays of the zone for credit, as quota.AskRelays does. Those that did
 // not answer of late come last.
-func (d *Daemon) AcquireQuota(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.Answer, error) {
+func (d *Daemon) AcquireQuota(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error) {
 	req.From = d.Address
 	var relays []ids.Address
 	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, d.timing.RelaysPerZone) {
@@ -75,13 +75,13 @@
 	if relay == d.Address {
 		return d.quotaRelay.Acquire(ctx, req)
 	}
-	limited, cancel := d.clock.WithTimeout(ctx, d.quotas.policy.RouterTimeout())
+	limited, cancel := d.clock.WithTimeout(ctx, d.quotas.policy.RelayTimeout())
 	defer cancel()
 	startedAt := d.clock.Now()
 	resp, err := transport.Send[quota.AcquireResponse](limited, d.Transport, relay, quota.RelayMessage, req)
 	if err == nil || ctx.Err() == nil {
 		// That the caller waited no longer says nothing of the relay.
-		d.quotas.silent.Note(relay, startedAt, err == nil)
+		d.quotas.silent.Record(relay, startedAt, err == nil)
 	}
 	return resp, err
 }
@@ -106,7 +106,7 @@
 	case issuer == d.Address && local != nil:
 		return local(req, d.clock.Now()), nil
 	}
-	limited, cancel := d.clock.WithTimeout(ctx, d.quotas.policy.Timeout())
+	limited, cancel := d.clock.WithTimeout(ctx, d.quotas.policy.IssuerTimeout())
 	defer cancel()
 	return transport.Send[Response](limited, d.Transport, issuer, message, req)
 }
--- a/control/quota/acquire.go
+++ b/control/quota/acquire.go
@@ -10,8 +10,8 @@
 	"onyxwell/base/ids"
 )
 
-// Answer is what relays answered, and which of them did.
-type Answer struct {
+// RelayAnswer is what relays answered, and which of them did.
+type RelayAnswer struct {
 	AcquireResponse
 	// Relay is the one that granted, or, out of contact with the issuer, the first that
 	// answered.
@@ -24,11 +24,11 @@
 // says that one did not answer before any did. What a router gives back goes to the first
 // of them alone: one that did not answer may have taken it.
 func AskRelays(ctx context.Context, relays []ids.Address, req AcquireRequest, delegate ids.Address,
-	ask func(ctx context.Context, relay ids.Address, req AcquireRequest) (AcquireResponse, error)) (Answer, error) {
+	ask func(ctx context.Context, relay ids.Address, req AcquireRequest) (AcquireResponse, error)) (RelayAnswer, error) {
 	if len(relays) == 0 {
-		return Answer{}, errkind.Errorf(errkind.NotReady, "no relay is known")
+		return RelayAnswer{}, errkind.Errorf(errkind.NotReady, "no relay is known")
 	}
-	var detached Answer
+	var detached RelayAnswer
 	var failed error
 	for index, relay := range relays {
 		if index == 1 {
@@ -43,9 +43,9 @@
 		case err != nil:
 			failed = err
 		case resp.Issuer:
-			return Answer{resp, relay}, nil
+			return RelayAnswer{resp, relay}, nil
 		case detached.Relay == "":
-			detached = Answer{resp, relay}
+			detached = RelayAnswer{resp, relay}
 			// What is granted already is not asked for again.
 			req.Needs = ungranted(req.Needs, resp.Amounts)
 		default:
@@ -80,16 +80,16 @@
 // silentTime is for how long a relay that did not answer is asked after the others.
 const silentTime = 5 * time.Second
 
-// SilentRelays remembers the relays that did not answer. Its zero value knows none. It is safe
+// UnresponsiveRelays remembers the relays that did not answer. Its zero value knows none. It is safe
 // for concurrent use.
-type SilentRelays struct {
+type UnresponsiveRelays struct {
 	mu sync.Mutex
 	// since has when a request that was not answered was sent.
 	since map[ids.Address]clock.Instant
 }
 
-// Note records whether a relay answered a request sent at an instant.
-func (s *SilentRelays) Note(relay ids.Address, sentAt clock.Instant, answered bool) {
+// Record records whether a relay answered a request sent at an instant.
+func (s *UnresponsiveRelays) Record(relay ids.Address, sentAt clock.Instant, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.since == nil {
@@ -104,7 +104,7 @@
 }
 
 // Order returns relays in their order, but for the silent ones, which come last.
-func (s *SilentRelays) Order(relays []ids.Address, now clock.Instant) []ids.Address {
+func (s *UnresponsiveRelays) Order(relays []ids.Address, now clock.Instant) []ids.Address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var answering, silent []ids.Address
--- a/control/quota/acquire_test.go
+++ b/control/quota/acquire_test.go
@@ -11,9 +11,9 @@
 	"onyxwell/base/ids"
 )
 
-// TestAskRelays_returnsToOneRelayOnly has the first relay take what a router gives back,
+// TestAskRelays_returnsCreditToOneRelayOnly has the first relay take what a router gives back,
 // and its answer be lost, or it refuse: the next must not be given the same again.
-func TestAskRelays_returnsToOneRelayOnly(t *testing.T) {
+func TestAskRelays_returnsCreditToOneRelayOnly(t *testing.T) {
 	for name, answer := range map[string]error{"the answer is lost": errors.New("lost"), "it refuses": nil} {
 		t.Run(name, func(t *testing.T) {
 			returned, asked := 0.0, 0
@@ -37,10 +37,10 @@
 	}
 }
 
-// TestSilentRelays_comeLast has a relay not answer, answer an older request late, and answer again.
-func TestSilentRelays_comeLast(t *testing.T) {
+// TestUnresponsiveRelays_areOrderedLast has a relay not answer, answer an older request late, and answer again.
+func TestUnresponsiveRelays_areOrderedLast(t *testing.T) {
 	relays, now := []ids.Address{"one", "two"}, clock.Instant(time.Hour)
-	var silent SilentRelays
+	var silent UnresponsiveRelays
 	expect := func(after time.Duration, want ...ids.Address) {
 		t.Helper()
 		if got := silent.Order(relays, now.Add(after)); !slices.Equal(got, want) {
@@ -48,11 +48,11 @@
 		}
 	}
 	expect(0, "one", "two")
-	silent.Note("one", now, false)
-	silent.Note("one", now.Add(-time.Second), true)
+	silent.Record("one", now, false)
+	silent.Record("one", now.Add(-time.Second), true)
 	expect(time.Second, "two", "one")
 	expect(silentTime, "one", "two")
-	silent.Note("one", now, false)
-	silent.Note("one", now.Add(time.Second), true)
+	silent.Record("one", now, false)
+	silent.Record("one", now.Add(time.Second), true)
 	expect(time.Second, "one", "two")
 }
--- a/control/quota/bucket.go
+++ b/control/quota/bucket.go
@@ -29,11 +29,11 @@
 	return true
 }
 
-// TakeOrDraw takes an amount if the bucket has it. Otherwise it empties the bucket
+// TakeRandomized takes an amount if the bucket has it. Otherwise it empties the bucket
 // and draws whether the amount is granted all the same, with the probability that
 // the rest was of the amount: over many buckets as much is granted as they held, in
 // whole requests, also where no bucket ever holds a whole one.
-func (b *Bucket) TakeOrDraw(amount float64, random func() float64) bool {
+func (b *Bucket) TakeRandomized(amount float64, random func() float64) bool {
 	if b.Take(amount) {
 		return true
 	}
@@ -49,10 +49,10 @@
 // for.
 const fillThreshold = 0.25
 
-// Missing compares the bucket with the stock that it may hold. It returns what is
+// Rebalance compares the bucket with the stock that it may hold. It returns what is
 // missing, below 0 for what it has to give back, which it takes out; due says that
 // there is enough of either to ask.
-func (b *Bucket) Missing(stock float64) (amount float64, due bool) {
+func (b *Bucket) Rebalance(stock float64) (amount float64, due bool) {
 	amount = stock - b.Tokens
 	if amount < 0 {
 		b.Tokens = stock
@@ -84,8 +84,8 @@
 // Clear ends the denial.
 func (d *Denial) Clear() { *d = Denial{} }
 
-// TakePart takes as much of an amount as a part of the bucket allows.
-func (b *Bucket) TakePart(amount float64, part float64) float64 {
+// TakeUpTo takes as much of an amount as a part of the bucket allows.
+func (b *Bucket) TakeUpTo(amount float64, part float64) float64 {
 	taken := max(0, min(amount, part*b.Tokens))
 	b.Tokens -= taken
 	return taken
--- a/control/quota/issuer.go
+++ b/control/quota/issuer.go
@@ -68,7 +68,7 @@
 // ends.
 func (i *Issuer) Run(ctx context.Context) {
 	announced := int64(0)
-	for clock.Wait(ctx, i.options.Clock, i.options.Policy.Interval()) {
+	for clock.Wait(ctx, i.options.Clock, i.options.Policy.RefillInterval()) {
 		epoch, held := i.options.Held(i.options.Clock.Now())
 		i.logIssued()
 		if !held || epoch == announced {
@@ -160,7 +160,7 @@
 	case need.Amount <= 0:
 		return 0
 	case !need.Immediate:
-		return bucket.TakePart(need.Amount, keptPart)
+		return bucket.TakeUpTo(need.Amount, keptPart)
 	case bucket.Tokens < min(need.Amount, limit.Burst):
 		return 0
 	}
@@ -172,7 +172,7 @@
 func (i *Issuer) partInContact(now clock.Instant) float64 {
 	routers := int64(0)
 	for address, contact := range i.relays {
-		if now.Since(contact.at) > i.options.Policy.HopTimeout() {
+		if now.Since(contact.at) > i.options.Policy.ContactTimeout() {
 			delete(i.relays, address)
 			continue
 		}
--- a/control/quota/issuerallowance.go
+++ b/control/quota/issuerallowance.go
@@ -27,9 +27,9 @@
 	expiry clock.Instant
 }
 
-// Allow grants and renews the allowances of a relay. All of a tenant's together never exceed
+// RenewAllowances grants and renews the allowances of a relay. All of a tenant's together never exceed
 // the part of its rate that falls to the routers in contact: the others may use their own.
-func (i *Issuer) Allow(req AllowanceRequest, now clock.Instant) AllowanceResponse {
+func (i *Issuer) RenewAllowances(req AllowanceRequest, now clock.Instant) AllowanceResponse {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.begin(now) {
@@ -94,7 +94,7 @@
 	sum := 0.0
 	for address, allowances := range i.allowances {
 		contact, known := i.relays[address]
-		inContact := known && contact.routers > 0 && now.Since(contact.at) <= i.options.Policy.HopTimeout()
+		inContact := known && contact.routers > 0 && now.Since(contact.at) <= i.options.Policy.ContactTimeout()
 		if !inContact && now.Before(allowances.expiry) {
 			sum += allowances.rates[tenant]
 		}
--- a/control/quota/policy.go
+++ b/control/quota/policy.go
@@ -75,30 +75,30 @@
 	return relayRequestBurst
 }
 
-// PolicyOf takes the policy from the settings' bounds.
-func PolicyOf(bounds settings.Bounds) Policy {
+// NewPolicy takes the policy from the settings' bounds.
+func NewPolicy(bounds settings.Bounds) Policy {
 	if bounds.QuotaWindowS <= 0 {
 		return Policy{Window: defaultWindow, Excess: defaultExcess}
 	}
 	return Policy{Window: settings.Seconds(bounds.QuotaWindowS), Excess: bounds.QuotaExcess, Slack: bounds.QuotaSlack}
 }
 
-// Interval is the time between two requests for credit to be kept.
-func (p Policy) Interval() time.Duration {
+// RefillInterval is the time between two requests for credit to be kept.
+func (p Policy) RefillInterval() time.Duration {
 	return min(max(p.Window/intervalsPerWindow, minInterval), maxInterval)
 }
 
-// HopTimeout is after how long without a request a relay counts a router, and the
+// ContactTimeout is after how long without a request a relay counts a router, and the
 // issuer a relay, as out of contact; a relay counts the issuer so likewise.
-func (p Policy) HopTimeout() time.Duration { return hopIntervals * p.Interval() }
+func (p Policy) ContactTimeout() time.Duration { return hopIntervals * p.RefillInterval() }
 
-// Timeout bounds how long an answer is waited for: the time after which whoever asks
+// IssuerTimeout bounds how long an answer is waited for: the time after which whoever asks
 // counts as out of contact.
-func (p Policy) Timeout() time.Duration { return p.HopTimeout() }
+func (p Policy) IssuerTimeout() time.Duration { return p.ContactTimeout() }
 
-// RouterTimeout bounds how long a router waits for a relay: longer than that waits for the
+// RelayTimeout bounds how long a router waits for a relay: longer than that waits for the
 // issuer, so that a late answer of the issuer is a need denied, and no relay that is silent.
-func (p Policy) RouterTimeout() time.Duration { return p.Timeout() + p.HopTimeout()/2 }
+func (p Policy) RelayTimeout() time.Duration { return p.IssuerTimeout() + p.ContactTimeout()/2 }
 
 // DetachTimeout is how long the issuer may count a router in after a request of it
 // failed: only then does the router's own part of the rate begin, so that contact which
@@ -107,38 +107,38 @@
 // no router any more.
 func (p Policy) DetachTimeout(refused bool) time.Duration {
 	if refused {
-		return p.HopTimeout()
+		return p.ContactTimeout()
 	}
-	return 2 * p.HopTimeout()
+	return 2 * p.ContactTimeout()
 }
 
-// DelegateTimeout is for how long a router goes on with its own part after it has left it
+// DelegationDelay is for how long a router goes on with its own part after it has left it
 // to a relay: that counts it in only once it has delegated for a DetachTimeout.
-func (p Policy) DelegateTimeout() time.Duration { return 3 * p.Interval() }
+func (p Policy) DelegationDelay() time.Duration { return 3 * p.RefillInterval() }
 
 // RetryAfter is when a client whose request was rejected may come back: credit has
 // been filled up by then.
-func (p Policy) RetryAfter() time.Duration { return p.Interval() }
+func (p Policy) RetryAfter() time.Duration { return p.RefillInterval() }
 
 // tolerated is what may run in a window beyond the quota.
 func (p Policy) tolerated(tenant *config.Tenant) float64 {
 	return p.Excess*(tenant.RatePerSecond*p.Window.Seconds()+tenant.Burst) + p.Slack
 }
 
-// RelayStock is how much unspent credit the relay of one zone of several may hold: a part
+// RelayCreditLimit is how much unspent credit the relay of one zone of several may hold: a part
 // of the burst, which the issuer's bucket lacks (IssueLimit), and of what is tolerated.
-func (p Policy) RelayStock(tenant *config.Tenant, zones int) float64 {
+func (p Policy) RelayCreditLimit(tenant *config.Tenant, zones int) float64 {
 	return (relayBurst(tenant)*tenant.Burst + relayStock*p.tolerated(tenant)) / float64(max(1, zones))
 }
 
-// RouterStock is how much unspent credit one router of several may hold.
-func (p Policy) RouterStock(tenant *config.Tenant, routers int) float64 {
+// RouterCreditLimit is how much unspent credit one router of several may hold.
+func (p Policy) RouterCreditLimit(tenant *config.Tenant, routers int) float64 {
 	return routerStock * p.tolerated(tenant) / float64(max(1, routers))
 }
 
-// RefundPart returns which part of a charge may be given back at that age: all of it at
+// RefundFraction returns which part of a charge may be given back at that age: all of it at
 // once, nothing once the requests of the time since make up what is tolerated.
-func (p Policy) RefundPart(tenant *config.Tenant, age time.Duration) float64 {
+func (p Policy) RefundFraction(tenant *config.Tenant, age time.Duration) float64 {
 	// On average, half of what is charged in the time is given back.
 	limit := 2 * refund * p.tolerated(tenant) / tenant.RatePerSecond
 	return max(0, 1-age.Seconds()/limit)
@@ -158,21 +158,21 @@
 	tolerated := p.tolerated(tenant) / p.Window.Seconds()
 	elsewhere := max((1-part)*tenant.RatePerSecond, allowed)
 	rate := min(tenant.RatePerSecond, max(0, tenant.RatePerSecond-elsewhere)+detachedReserve*tolerated)
-	burst := (1-relayBurst(tenant))*tenant.Burst - p.AllowedBurst(tenant, allowed)
+	burst := (1-relayBurst(tenant))*tenant.Burst - p.AllowanceBurst(tenant, allowed)
 	return Limit{RatePerSecond: rate + surplus*tolerated, Burst: max(0, burst)}
 }
 
-// AllowedBurst is what a relay with an allowed rate may grant at once when it loses the issuer,
+// AllowanceBurst is what a relay with an allowed rate may grant at once when it loses the issuer,
 // whose bucket lacks it from then on.
-func (p Policy) AllowedBurst(tenant *config.Tenant, allowed float64) float64 {
+func (p Policy) AllowanceBurst(tenant *config.Tenant, allowed float64) float64 {
 	return allowedBurst * (1 - relayBurst(tenant)) * tenant.Burst * min(1, allowed/tenant.RatePerSecond)
 }
 
-// Wait is how long a request may wait for the answer of a relay: half of its latency
+// MaxWait is how long a request may wait for the answer of a relay: half of its latency
 // target, since a late answer is worth more than a rejection, and at least an interval,
 // in which the issuer of another region answers.
-func (p Policy) Wait(latencyTarget time.Duration) time.Duration {
-	return max(latencyTarget/2, p.Interval())
+func (p Policy) MaxWait(latencyTarget time.Duration) time.Duration {
+	return max(latencyTarget/2, p.RefillInterval())
 }
 
 // IdleTimeout is after how long without a request of a tenant a relay gives its credit
@@ -185,15 +185,15 @@
 	Burst         float64
 }
 
-// LimitOf is the part of a tenant's quota that falls to some of all routers.
-func LimitOf(tenant *config.Tenant, part float64) Limit {
+// ShareLimit is the part of a tenant's quota that falls to some of all routers.
+func ShareLimit(tenant *config.Tenant, part float64) Limit {
 	return Limit{RatePerSecond: part * tenant.RatePerSecond, Burst: part * tenant.Burst}
 }
 
 // DetachedLimit is what a router that is out of contact goes on with: its part of
 // all routers' rate, and of the burst or what the rate makes in a second.
 func DetachedLimit(tenant *config.Tenant, part float64) Limit {
-	limit := LimitOf(tenant, part)
+	limit := ShareLimit(tenant, part)
 	limit.Burst = max(limit.Burst, limit.RatePerSecond)
 	return limit
 }
--- a/control/quota/relay.go
+++ b/control/quota/relay.go
@@ -32,8 +32,8 @@
 	Routers func() int
 	// Issue asks the issuer; its error says that none answered.
 	Issue func(ctx context.Context, req AcquireRequest) (AcquireResponse, error)
-	// Allow asks the issuer for allowances; its error says that none answered.
-	Allow func(ctx context.Context, req AllowanceRequest) (AllowanceResponse, error)
+	// RenewAllowances asks the issuer for allowances; its error says that none answered.
+	RenewAllowances func(ctx context.Context, req AllowanceRequest) (AllowanceResponse, error)
 }
 
 // Relay passes credit on to the routers of its zone, while the issuer is in contact.
@@ -97,8 +97,8 @@
 // Run fills the credit of tenants in use up, and tells the issuer that the relay is
 // in contact, until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
-	for clock.Wait(ctx, r.options.Clock, r.options.Policy.Interval()) {
-		r.FillUp(ctx)
+	for clock.Wait(ctx, r.options.Clock, r.options.Policy.RefillInterval()) {
+		r.Refill(ctx)
 	}
 }
 
@@ -195,12 +195,12 @@
 		if req.Routers == Withheld {
 			contact.delegatingSince = now.Add(-r.options.Policy.DetachTimeout(false) - 1)
 		}
-		if last, ok := r.routers[req.From]; ok && last.delegatingSince > 0 && now.Since(last.at) <= r.options.Policy.HopTimeout() {
+		if last, ok := r.routers[req.From]; ok && last.delegatingSince > 0 && now.Since(last.at) <= r.options.Policy.ContactTimeout() {
 			contact.delegatingSince = min(contact.delegatingSince, last.delegatingSince)
 		}
 	}
 	r.routers[req.From] = contact
-	return r.contact == issuerAnswers && now.Since(r.contactAt) <= r.options.Policy.HopTimeout()
+	return r.contact == issuerAnswers && now.Since(r.contactAt) <= r.options.Policy.ContactTimeout()
 }
 
 // grantUnspent grants what the pools hold. It returns the immediate needs for whose rest
@@ -221,13 +221,13 @@
 			p.Tokens -= need.Amount
 			p.granted += need.Amount
 		case !need.Immediate:
-			amounts[index] = p.TakePart(need.Amount, keptPart)
+			amounts[index] = p.TakeUpTo(need.Amount, keptPart)
 			p.granted += amounts[index]
 		case p.Take(need.Amount) || r.takeAllowed(p, tenant, need.Amount, now):
 			amounts[index] = need.Amount
 			p.granted += need.Amount
 		case !p.denial.Covers(need.Amount-p.Tokens, now):
-			uncovered = append(uncovered, uncoveredNeed{index: index, need: need, taken: p.TakePart(need.Amount, 1)})
+			uncovered = append(uncovered, uncoveredNeed{index: index, need: need, taken: p.TakeUpTo(need.Amount, 1)})
 		}
 	}
 	return uncovered
@@ -245,7 +245,7 @@
 func (r *Relay) countRouters(now clock.Instant, counts func(routerContact) bool) int64 {
 	count := int64(0)
 	for address, contact := range r.routers {
-		if now.Since(contact.at) > r.options.Policy.HopTimeout() {
+		if now.Since(contact.at) > r.options.Policy.ContactTimeout() {
 			delete(r.routers, address)
 		} else if counts(contact) {
 			count++
@@ -276,5 +276,5 @@
 	now := r.options.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.pool(need.Tenant, now).denial.Extend(need.Amount, now.Add(r.options.Policy.Interval()/denialDivisor), now)
+	r.pool(need.Tenant, now).denial.Extend(need.Amount, now.Add(r.options.Policy.RefillInterval()/denialDivisor), now)
 }
--- a/control/quota/relay_test.go
+++ b/control/quota/relay_test.go
@@ -48,7 +48,7 @@
 			}
 			return resp, nil
 		},
-		Allow: func(context.Context, AllowanceRequest) (AllowanceResponse, error) {
+		RenewAllowances: func(context.Context, AllowanceRequest) (AllowanceResponse, error) {
 			return AllowanceResponse{}, errors.New("no answer")
 		},
 	})
@@ -62,21 +62,21 @@
 	return h.relay.Acquire(ctx, AcquireRequest{From: "router", Routers: 1, Needs: []Need{{Tenant: relayTenant, Amount: 1, Immediate: true}}})
 }
 
-// TestRelay_requestsDoNotWaitForSilentIssuer cuts a relay off: once its own request failed, no
+// TestRelay_requestsDoNotWaitForUnavailableIssuer cuts a relay off: once its own request failed, no
 // router's waits for the issuer, since whoever waits is granted nothing in the end, and the
 // router takes this relay for silent, too. Every second one waited before, so that routers
 // never left their parts to the relay.
-func TestRelay_requestsDoNotWaitForSilentIssuer(t *testing.T) {
+func TestRelay_requestsDoNotWaitForUnavailableIssuer(t *testing.T) {
 	h := newRelayHarness(t)
 	ctx := context.Background()
 	if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer {
 		t.Fatalf("not granted in contact: %+v, %v", resp, err)
 	}
 	h.isSilent = true
-	h.relay.FillUp(ctx)
+	h.relay.Refill(ctx)
 	h.asked = 0
 	for range 20 {
-		h.clock.Advance(h.relay.options.Policy.Interval())
+		h.clock.Advance(h.relay.options.Policy.RefillInterval())
 		if resp, err := h.acquire(ctx, t); err != nil || resp.Issuer {
 			t.Fatalf("%+v, %v from a relay whose issuer is silent", resp, err)
 		}
@@ -85,16 +85,16 @@
 		t.Errorf("%d of 20 requests waited for a silent issuer", h.asked)
 	}
 	h.isSilent = false
-	h.relay.FillUp(ctx)
+	h.relay.Refill(ctx)
 	if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer {
 		t.Errorf("not granted in contact again: %+v, %v", resp, err)
 	}
 }
 
-// TestRelay_lateAnswerDeniesOneNeed has one answer of the issuer come too late, as that over a
+// TestRelay_lateResponseDeniesOneNeed has one answer of the issuer come too late, as that over a
 // new connection to another region may: the need is denied, and the zone's routers stay in
 // contact. They all went on with their own parts before, for several intervals.
-func TestRelay_lateAnswerDeniesOneNeed(t *testing.T) {
+func TestRelay_lateResponseDeniesOneNeed(t *testing.T) {
 	h := newRelayHarness(t)
 	ctx := context.Background()
 	if _, err := h.acquire(ctx, t); err != nil {
@@ -110,16 +110,16 @@
 	}
 }
 
-// TestRelay_ownPartWaitsAfterEachLoss loses the issuer twice, the second time long after the
+// TestRelay_zoneShareIsDelayedAfterEachLoss loses the issuer twice, the second time long after the
 // first: the zone's part must not be used at once, though it was free after the first loss.
-func TestRelay_ownPartWaitsAfterEachLoss(t *testing.T) {
+func TestRelay_zoneShareIsDelayedAfterEachLoss(t *testing.T) {
 	h := newRelayHarness(t)
 	ctx := context.Background()
 	// More than the relay holds unspent, and less than its part makes in a second.
 	need := AcquireRequest{From: "router", Routers: Delegating, Needs: []Need{{Tenant: relayTenant, Amount: 100, Immediate: true}}}
 	for range 2 {
 		h.isSilent = false
-		h.relay.FillUp(ctx)
+		h.relay.Refill(ctx)
 		if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer {
 			t.Fatalf("not granted in contact: %+v, %v", resp, err)
 		}
@@ -135,7 +135,7 @@
 		// The part is free after a while.
 		granted := 0.0
 		for range 40 {
-			h.clock.Advance(h.relay.options.Policy.Interval())
+			h.clock.Advance(h.relay.options.Policy.RefillInterval())
 			resp, err := h.relay.Acquire(ctx, need)
 			if err != nil {
 				t.Fatal(err)
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestRelay_callerThatGivesUpSaysNothingOfIssuer ends a router's wait before the issuer's
+// TestRelay_canceledCallerKeepsIssuerAvailable ends a router's wait before the issuer's
 // answer: the relay stays in contact, and counts the router in.
-func TestRelay_callerThatGivesUpSaysNothingOfIssuer(t *testing.T) {
+func TestRelay_canceledCallerKeepsIssuerAvailable(t *testing.T) {
 	h := newRelayHarness(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	if _, err := h.acquire(ctx, t); err != nil {
--- a/control/quota/relayallowance.go
+++ b/control/quota/relayallowance.go
@@ -53,7 +53,7 @@
 	if !due {
 		return
 	}
-	resp, err := r.options.Allow(ctx, req)
+	resp, err := r.options.RenewAllowances(ctx, req)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := &r.allowances
@@ -90,7 +90,7 @@
 	defer r.mu.Unlock()
 	r.measureDemand(now)
 	a := &r.allowances
-	if now.Since(a.renewedAt) < renewIntervals*r.options.Policy.Interval() {
+	if now.Since(a.renewedAt) < renewIntervals*r.options.Policy.RefillInterval() {
 		return AllowanceRequest{}, false
 	}
 	a.renewedAt = now
@@ -156,12 +156,12 @@
 	if r.isCounted || r.countedAt == 0 || rate <= 0 || now.Since(a.usedAt) > r.options.Policy.DetachTimeout(false) {
 		return false
 	}
-	if since := r.countedAt.Add(r.options.Policy.HopTimeout()); p.allowed.FilledAt < since {
+	if since := r.countedAt.Add(r.options.Policy.ContactTimeout()); p.allowed.FilledAt < since {
 		// Until then the issuer issues what the relay is allowed.
 		if now.Before(since) || !now.Before(a.expiry) {
 			return false
 		}
-		p.allowed = Bucket{FilledAt: since, Tokens: r.options.Policy.AllowedBurst(tenant, rate)}
+		p.allowed = Bucket{FilledAt: since, Tokens: r.options.Policy.AllowanceBurst(tenant, rate)}
 	}
 	if all := r.options.Routers(); all > 0 {
 		rate -= float64(r.missingRouters(now)) / float64(all) * tenant.RatePerSecond
--- a/control/quota/relayfill.go
+++ b/control/quota/relayfill.go
@@ -6,9 +6,9 @@
 	"onyxwell/control/config"
 )
 
-// FillUp asks the issuer for credit to be kept, for each tenant in use. It asks for
+// Refill asks the issuer for credit to be kept, for each tenant in use. It asks for
 // none but to be in contact, too, while routers ask here. Run calls it.
-func (r *Relay) FillUp(ctx context.Context) {
+func (r *Relay) Refill(ctx context.Context) {
 	cfg := r.options.Config()
 	if cfg == nil {
 		return
@@ -44,7 +44,7 @@
 // whole.
 func (r *Relay) missingCredit(cfg *config.Config) (needs []Need, active bool) {
 	now := r.options.Clock.Now()
-	idle := idleIntervals * r.options.Policy.Interval()
+	idle := idleIntervals * r.options.Policy.RefillInterval()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.routersInContact(now)
@@ -60,7 +60,7 @@
 			delete(r.pools, name)
 			needs = append(needs, Need{Tenant: name, Amount: -p.Tokens})
 		case now.Since(p.usedAt) <= idle:
-			if missing, due := p.Missing(r.options.Policy.RelayStock(tenant, r.options.Zones)); due {
+			if missing, due := p.Rebalance(r.options.Policy.RelayCreditLimit(tenant, r.options.Zones)); due {
 				needs = append(needs, Need{Tenant: name, Amount: missing})
 			}
 		}
--- a/data/ratelimit/cause_test.go
+++ b/data/ratelimit/cause_test.go
@@ -10,8 +10,10 @@
 )
 
 // acquireStub answers each request alike.
-func acquireStub(answer quota.Answer, err error) func(context.Context, quota.AcquireRequest, ids.Address) (quota.Answer, error) {
-	return func(context.Context, quota.AcquireRequest, ids.Address) (quota.Answer, error) { return answer, err }
+func acquireStub(answer quota.RelayAnswer, err error) func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
+	return func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
+		return answer, err
+	}
 }
 
 // TestLimiter_countsCauses rejects a request for each cause, and counts it under that alone.
@@ -21,17 +23,17 @@
 		cancel()
 		return ctx
 	}()
-	detached := quota.Answer{AcquireResponse: quota.AcquireResponse{Amounts: []float64{0}}, Relay: "relay"}
+	detached := quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Amounts: []float64{0}}, Relay: "relay"}
 	cases := []struct {
 		cause  Cause
 		ctx    context.Context
-		answer quota.Answer
+		answer quota.RelayAnswer
 		err    error
 	}{
-		{Denied, waiting, quota.Answer{AcquireResponse: quota.AcquireResponse{Issuer: true, Amounts: []float64{0}}, Relay: "relay"}, nil},
+		{Denied, waiting, quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Issuer: true, Amounts: []float64{0}}, Relay: "relay"}, nil},
 		{RelayDetached, waiting, detached, nil},
-		{NoRelay, waiting, quota.Answer{}, errCut},
-		{LateRelay, ended, quota.Answer{}, context.Canceled},
+		{NoRelay, waiting, quota.RelayAnswer{}, errCut},
+		{LateRelay, ended, quota.RelayAnswer{}, context.Canceled},
 	}
 	for _, test := range cases {
 		limiter, _, fakeClock, tenant := newStubbedLimiter()
--- a/data/ratelimit/contact.go
+++ b/data/ratelimit/contact.go
@@ -65,7 +65,7 @@
 // rate begins; those that follow don't put it off, since their requests don't count
 // this router in. The answer of a relay out of contact with the issuer does: the part is
 // left to that relay until it may count this router in no more.
-func (l *Limiter) noteContact(err error, refused bool, answer quota.Answer, answered bool) {
+func (l *Limiter) noteContact(err error, refused bool, answer quota.RelayAnswer, answered bool) {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,13 +90,13 @@
 		l.withholdOwn(now)
 		return
 	}
-	l.detachedUntil = now.Add(l.options.Policy.Interval())
+	l.detachedUntil = now.Add(l.options.Policy.RefillInterval())
 }
 
 // withholdOwn puts this router's own part off until the relay that it is left to counts it
 // in no more, if that may count it in by now. The caller holds l.mu.
 func (l *Limiter) withholdOwn(now clock.Instant) {
-	if l.delegate != "" && now.Since(l.delegateSince) >= l.options.Policy.DelegateTimeout() {
+	if l.delegate != "" && now.Since(l.delegateSince) >= l.options.Policy.DelegationDelay() {
 		l.ownSince = max(l.ownSince, now.Add(l.options.Policy.DetachTimeout(false)))
 	}
 }
--- a/data/ratelimit/fill.go
+++ b/data/ratelimit/fill.go
@@ -11,7 +11,7 @@
 // Run fills the credit of tenants in use up, and keeps in contact with a relay while
 // any tenant has a quota, until ctx ends.
 func (l *Limiter) Run(ctx context.Context) error {
-	for clock.Wait(ctx, l.options.Clock, l.options.Policy.Interval()) {
+	for clock.Wait(ctx, l.options.Clock, l.options.Policy.RefillInterval()) {
 		cfg := l.options.Config()
 		if cfg == nil || !cfg.HasQuotas() {
 			continue
@@ -44,7 +44,7 @@
 func (l *Limiter) missingCredit(cfg *config.Config) []quota.Need {
 	var needs []quota.Need
 	now := l.options.Clock.Now()
-	idle := idleIntervals * l.options.Policy.Interval()
+	idle := idleIntervals * l.options.Policy.RefillInterval()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	routers := l.routers()
@@ -56,9 +56,9 @@
 		}
 		stock := 0.0
 		if routers > 0 {
-			stock = l.options.Policy.RouterStock(tenant, routers)
+			stock = l.options.Policy.RouterCreditLimit(tenant, routers)
 		}
-		if missing, due := c.Missing(stock); due && (missing < 0 || now.Since(c.usedAt) <= idle) {
+		if missing, due := c.Rebalance(stock); due && (missing < 0 || now.Since(c.usedAt) <= idle) {
 			needs = append(needs, quota.Need{Tenant: name, Amount: missing})
 		}
 	}
--- a/data/ratelimit/fleet_test.go
+++ b/data/ratelimit/fleet_test.go
@@ -162,7 +162,7 @@
 func TestFleet_contactThatComesAndGoes(t *testing.T) {
 	for _, q := range fleetQuotas {
 		f := newFleet(3, q.policy, q.tenant, q.routers)
-		away := 3 * q.policy.Interval()
+		away := 3 * q.policy.RefillInterval()
 		for range 30 {
 			for _, isCut := range []bool{true, false} {
 				for index, router := range f.routers {
@@ -190,7 +190,7 @@
 					for number, relay := range f.relays {
 						relay.cut = isCut && number%fleetZones > 0
 					}
-					q.run(f, time.Duration(away)*q.policy.Interval(), 6)
+					q.run(f, time.Duration(away)*q.policy.RefillInterval(), 6)
 				}
 			}
 			if got := f.excess(); got > 0 {
@@ -310,11 +310,11 @@
 				for _, relay := range f.relays {
 					relay.frozen = true
 				}
-				q.run(f, 5*q.policy.Interval(), 6)
+				q.run(f, 5*q.policy.RefillInterval(), 6)
 				for _, relay := range f.relays {
 					relay.thaw()
 				}
-				q.run(f, q.policy.Interval()/2, 6)
+				q.run(f, q.policy.RefillInterval()/2, 6)
 			}
 			if got := f.excess(); got > 0 {
 				t.Errorf("%s, seed %d: the worst window exceeds what may run in one by %.3f", q.name, seed, got)
--- a/data/ratelimit/fleetharness_test.go
+++ b/data/ratelimit/fleetharness_test.go
@@ -120,7 +120,7 @@
 	router := f.routers[index]
 	router.limiter = New(Options{
 		Clock: f.clock, Policy: f.policy, Config: f.inForce, Routers: f.routerCount, Random: f.random.Float64,
-		Acquire: func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.Answer, error) {
+		Acquire: func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error) {
 			req.From = ids.Address(rune('A' + index))
 			return quota.AskRelays(ctx, f.relayAddresses(router.zone), req, delegate, func(ctx context.Context, address ids.Address, req quota.AcquireRequest) (quota.AcquireResponse, error) {
 				relay := f.relays[address[0]-'0']
@@ -175,11 +175,11 @@
 			}
 			return f.issuer.Acquire(req, f.clock.Now()), nil
 		},
-		Allow: func(_ context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
+		RenewAllowances: func(_ context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
 			if state.cut || f.epoch == 0 {
 				return quota.AllowanceResponse{}, errCut
 			}
-			return f.issuer.Allow(req, f.clock.Now()), nil
+			return f.issuer.RenewAllowances(req, f.clock.Now()), nil
 		},
 	})
 	f.relays[number] = state
@@ -214,7 +214,7 @@
 	f.clock.Advance(fleetStep)
 	f.refundHeld()
 	if now := f.clock.Now(); !now.Before(f.nextFill) {
-		f.nextFill = now.Add(f.policy.Interval())
+		f.nextFill = now.Add(f.policy.RefillInterval())
 		f.fillUp()
 	}
 	return admitted
@@ -256,7 +256,7 @@
 	}
 	for _, relay := range f.relays {
 		if !relay.down && !relay.frozen {
-			relay.relay.FillUp(context.Background())
+			relay.relay.Refill(context.Background())
 		}
 	}
 }
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -44,7 +44,7 @@
 	// one without a part of its own.
 	Routers func() int
 	// Acquire asks the relays of the zone for credit, as quota.AskRelays does.
-	Acquire func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.Answer, error)
+	Acquire func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error)
 	// Random returns a number in [0, 1).
 	Random func() float64
 	// Log is told at level debug what was admitted from where. It may be nil.
@@ -102,16 +102,16 @@
 // NewDetached returns the limiter of a router that is the only one and has no relay.
 func NewDetached(source clock.Clock, inForce func() *config.Config, random func() float64) *Limiter {
 	return New(Options{
-		Clock: source, Policy: quota.PolicyOf(settings.Bounds{}), Config: inForce, Routers: func() int { return 1 }, Random: random,
-		Acquire: func(context.Context, quota.AcquireRequest, ids.Address) (quota.Answer, error) {
-			return quota.Answer{}, errNoRelay
+		Clock: source, Policy: quota.NewPolicy(settings.Bounds{}), Config: inForce, Routers: func() int { return 1 }, Random: random,
+		Acquire: func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
+			return quota.RelayAnswer{}, errNoRelay
 		},
 	})
 }
 
 // Wait is how long Admit may take for a request with that latency target.
 func (l *Limiter) Wait(latencyTarget time.Duration) time.Duration {
-	return l.options.Policy.Wait(latencyTarget)
+	return l.options.Policy.MaxWait(latencyTarget)
 }
 
 // Charge is what a request was charged. Its zero value charges nothing.
@@ -192,7 +192,7 @@
 		return
 	}
 	now := l.options.Clock.Now()
-	refund := charge.cost * l.options.Policy.RefundPart(charge.tenant, now.Since(charge.at))
+	refund := charge.cost * l.options.Policy.RefundFraction(charge.tenant, now.Since(charge.at))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.credit(charge.tenant.Name, now)
@@ -267,13 +267,13 @@
 			c.own = quota.Bucket{FilledAt: l.ownSince}
 		}
 		c.own.Fill(quota.DetachedLimit(tenant, 1/float64(routers)), now)
-		if c.own.TakeOrDraw(cost, l.options.Random) {
+		if c.own.TakeRandomized(cost, l.options.Random) {
 			l.isUntouched = false
 			return Detached, true
 		}
 	}
 	c.grace.Fill(l.options.Policy.GraceLimit(tenant, routers), now)
-	return Grace, c.grace.TakeOrDraw(cost, l.options.Random)
+	return Grace, c.grace.TakeRandomized(cost, l.options.Random)
 }
 
 // noteDenial has the tenant's requests of at least that cost rejected for a moment.
@@ -281,7 +281,7 @@
 	now := l.options.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.credit(tenant.Name, now).denial.Extend(cost, now.Add(l.options.Policy.Interval()/denialDivisor), now)
+	l.credit(tenant.Name, now).denial.Extend(cost, now.Add(l.options.Policy.RefillInterval()/denialDivisor), now)
 }
 
 // credit returns a tenant's credit, none where there was none.
--- a/data/ratelimit/limiter_test.go
+++ b/data/ratelimit/limiter_test.go
@@ -19,9 +19,9 @@
 	needs     []quota.Need
 }
 
-func (r *relayStub) acquire(_ context.Context, req quota.AcquireRequest, _ ids.Address) (quota.Answer, error) {
+func (r *relayStub) acquire(_ context.Context, req quota.AcquireRequest, _ ids.Address) (quota.RelayAnswer, error) {
 	if !r.reachable {
-		return quota.Answer{}, errCut
+		return quota.RelayAnswer{}, errCut
 	}
 	r.needs = append(r.needs, req.Needs...)
 	resp := quota.AcquireResponse{Issuer: true, Amounts: make([]float64, len(req.Needs))}
@@ -30,7 +30,7 @@
 			resp.Amounts[index] = need.Amount
 		}
 	}
-	return quota.Answer{AcquireResponse: resp, Relay: "relay"}, nil
+	return quota.RelayAnswer{AcquireResponse: resp, Relay: "relay"}, nil
 }
 
 // admits reports whether a limiter admits a request.
@@ -99,7 +99,7 @@
 	limiter.Refund(charge)
 	stub.needs = nil
 	limiter.fillUp(ctx, limiter.options.Config())
-	stock := limiter.options.Policy.RouterStock(tenant, 1)
+	stock := limiter.options.Policy.RouterCreditLimit(tenant, 1)
 	if len(stub.needs) != 1 || stub.needs[0].Amount != stock-8 {
 		t.Errorf("asked for %+v with a stock of %g", stub.needs, stock)
 	}
@@ -119,7 +119,7 @@
 			t.Errorf("cost %g: asked %d times, not %d", step.cost, len(stub.needs), step.asked)
 		}
 	}
-	fakeClock.Advance(limiter.options.Policy.Interval())
+	fakeClock.Advance(limiter.options.Policy.RefillInterval())
 	stub.grants = true
 	if !admits(ctx, limiter, tenant, 5) {
 		t.Error("a denial outlives its time")
--- a/simulation/quota.go
+++ b/simulation/quota.go
@@ -83,7 +83,7 @@
 // checkQuota checks, after the run, that the requests admitted in no window exceed
 // what may run in one.
 func (c *Cluster) checkQuota() {
-	policy := quota.PolicyOf(c.options.Site.Bounds)
+	policy := quota.NewPolicy(c.options.Site.Bounds)
 	allowed := (quotaRate*policy.Window.Seconds()+quotaBurst)*(1+policy.Excess) + policy.Slack
 	sum, first, total := 0, 0, 0
 	for _, request := range c.admitted {
