--- a/control/quota/acquire.go
+++ b/control/quota/acquire.go
@@ -29,7 +29,7 @@
 		return RelayAnswer{}, errkind.Errorf(errkind.NotReady, "no relay is known")
 	}
 	var detached RelayAnswer
-	var failed error
+	var lastErr error
 	for index, relay := range relays {
 		if index == 1 {
 			req.Needs = withoutReturns(req.Needs)
@@ -41,7 +41,7 @@
 		resp, err := ask(ctx, relay, asked)
 		switch {
 		case err != nil:
-			failed = err
+			lastErr = err
 		case resp.Issuer:
 			return RelayAnswer{resp, relay}, nil
 		case detached.Relay == "":
@@ -52,7 +52,7 @@
 			detached.Routers = max(detached.Routers, resp.Routers)
 		}
 	}
-	return detached, failed
+	return detached, lastErr
 }
 
 // ungranted returns the needs with nothing asked for where it was granted; their order
@@ -77,29 +77,29 @@
 	return kept
 }
 
-// silentTime is for how long a relay that did not answer is asked after the others.
-const silentTime = 5 * time.Second
+// unresponsiveTime is for how long a relay that did not answer is asked after the others.
+const unresponsiveTime = 5 * time.Second
 
 // UnresponsiveRelays remembers the relays that did not answer. Its zero value knows none. It is safe
 // for concurrent use.
 type UnresponsiveRelays struct {
 	mu sync.Mutex
-	// since has when a request that was not answered was sent.
-	since map[ids.Address]clock.Instant
+	// unansweredAt has when a request that was not answered was sent.
+	unansweredAt map[ids.Address]clock.Instant
 }
 
 // Record records whether a relay answered a request sent at an instant.
 func (s *UnresponsiveRelays) Record(relay ids.Address, sentAt clock.Instant, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.since == nil {
-		s.since = map[ids.Address]clock.Instant{}
+	if s.unansweredAt == nil {
+		s.unansweredAt = map[ids.Address]clock.Instant{}
 	}
 	switch {
 	case !answered:
-		s.since[relay] = max(s.since[relay], sentAt)
-	case sentAt >= s.since[relay]:
-		delete(s.since, relay)
+		s.unansweredAt[relay] = max(s.unansweredAt[relay], sentAt)
+	case sentAt >= s.unansweredAt[relay]:
+		delete(s.unansweredAt, relay)
 	}
 }
 
@@ -107,13 +107,13 @@
 func (s *UnresponsiveRelays) Order(relays []ids.Address, now clock.Instant) []ids.Address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var answering, silent []ids.Address
+	var responsive, unresponsive []ids.Address
 	for _, relay := range relays {
-		if since, ok := s.since[relay]; ok && now.Since(since) < silentTime {
-			silent = append(silent, relay)
+		if since, ok := s.unansweredAt[relay]; ok && now.Since(since) < unresponsiveTime {
+			unresponsive = append(unresponsive, relay)
 		} else {
-			answering = append(answering, relay)
+			responsive = append(responsive, relay)
 		}
 	}
-	return append(answering, silent...)
+	return append(responsive, unresponsive...)
 }
--- a/control/quota/acquire_test.go
+++ b/control/quota/acquire_test.go
@@ -14,7 +14,7 @@
 // TestAskRelays_returnsCreditToOneRelayOnly has the first relay take what a router gives back,
 // and its answer be lost, or it refuse: the next must not be given the same again.
 func TestAskRelays_returnsCreditToOneRelayOnly(t *testing.T) {
-	for name, answer := range map[string]error{"the answer is lost": errors.New("lost"), "it refuses": nil} {
+	for name, relayErr := range map[string]error{"the answer is lost": errors.New("lost"), "it refuses": nil} {
 		t.Run(name, func(t *testing.T) {
 			returned, asked := 0.0, 0
 			req := AcquireRequest{Needs: []Need{{Tenant: "a", Amount: -5}, {Tenant: "b", Amount: 3}}}
@@ -25,12 +25,12 @@
 						t.Errorf("%s is asked for %+v", relay, req.Needs)
 					}
 					returned -= min(0, req.Needs[0].Amount)
-					return AcquireResponse{Issuer: relay == "three"}, answer
+					return AcquireResponse{Issuer: relay == "three"}, relayErr
 				})
 			if returned != 5 {
 				t.Errorf("%g are given back of 5", returned)
 			}
-			if answer == nil && (err != nil || !resp.Issuer || asked != 3) {
+			if relayErr == nil && (err != nil || !resp.Issuer || asked != 3) {
 				t.Errorf("%+v, %v after %d relays", resp, err, asked)
 			}
 		})
@@ -51,7 +51,7 @@
 	silent.Record("one", now, false)
 	silent.Record("one", now.Add(-time.Second), true)
 	expect(time.Second, "two", "one")
-	expect(silentTime, "one", "two")
+	expect(unresponsiveTime, "one", "two")
 	silent.Record("one", now, false)
 	silent.Record("one", now.Add(time.Second), true)
 	expect(time.Second, "one", "two")
--- a/control/quota/bucket.go
+++ b/control/quota/bucket.go
@@ -45,20 +45,20 @@
 	return granted
 }
 
-// fillThreshold is the part of a stock that has to be missing before more is asked
+// refillThreshold is the part of a stock that has to be missing before more is asked
 // for.
-const fillThreshold = 0.25
+const refillThreshold = 0.25
 
 // Rebalance compares the bucket with the stock that it may hold. It returns what is
 // missing, below 0 for what it has to give back, which it takes out; due says that
 // there is enough of either to ask.
-func (b *Bucket) Rebalance(stock float64) (amount float64, due bool) {
-	amount = stock - b.Tokens
+func (b *Bucket) Rebalance(limit float64) (amount float64, due bool) {
+	amount = limit - b.Tokens
 	if amount < 0 {
-		b.Tokens = stock
+		b.Tokens = limit
 		return amount, true
 	}
-	return amount, amount > fillThreshold*stock
+	return amount, amount > refillThreshold*limit
 }
 
 // Denial is that an amount could not be had, and until when that is taken to hold for
@@ -85,8 +85,8 @@
 func (d *Denial) Clear() { *d = Denial{} }
 
 // TakeUpTo takes as much of an amount as a part of the bucket allows.
-func (b *Bucket) TakeUpTo(amount float64, part float64) float64 {
-	taken := max(0, min(amount, part*b.Tokens))
+func (b *Bucket) TakeUpTo(amount float64, fraction float64) float64 {
+	taken := max(0, min(amount, fraction*b.Tokens))
 	b.Tokens -= taken
 	return taken
 }
--- a/control/quota/detached.go
+++ b/control/quota/detached.go
@@ -15,18 +15,18 @@
 // grantDetached grants immediate needs without the issuer.
 func (r *Relay) grantDetached(cfg *config.Config, req AcquireRequest) AcquireResponse {
 	resp := AcquireResponse{Routers: int64(r.options.Routers()), Amounts: make([]float64, len(req.Needs))}
-	return r.addDetached(cfg, req, resp)
+	return r.completeDetached(cfg, req, resp)
 }
 
-// addDetached grants the immediate needs that a response does not, without the issuer.
-func (r *Relay) addDetached(cfg *config.Config, req AcquireRequest, resp AcquireResponse) AcquireResponse {
+// completeDetached grants the immediate needs that a response does not, without the issuer.
+func (r *Relay) completeDetached(cfg *config.Config, req AcquireRequest, resp AcquireResponse) AcquireResponse {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	contact := r.routers[req.From]
 	contact.isAttached = false
 	r.routers[req.From] = contact
-	part := r.delegatedPart(now)
+	share := r.delegatedShare(now)
 	for index, need := range req.Needs {
 		tenant := cfg.Tenant(need.Tenant)
 		if tenant == nil || !need.Immediate || need.Amount <= 0 || resp.Amounts[index] > 0 {
@@ -34,16 +34,16 @@
 		}
 		p := r.pool(need.Tenant, now)
 		p.usedAt = now
-		if p.Take(need.Amount) || r.takeAllowed(p, tenant, need.Amount, now) || r.takeOwn(p, tenant, need.Amount, part, now) {
+		if p.Take(need.Amount) || r.takeAllowance(p, tenant, need.Amount, now) || r.takeZoneShare(p, tenant, need.Amount, share, now) {
 			resp.Amounts[index] = need.Amount
 		}
 	}
 	return resp
 }
 
-// delegatedPart is the part of all routers that have left their own part to this relay
+// delegatedShare is the part of all routers that have left their own part to this relay
 // for long enough. The caller holds r.mu.
-func (r *Relay) delegatedPart(now clock.Instant) float64 {
+func (r *Relay) delegatedShare(now clock.Instant) float64 {
 	all := r.options.Routers()
 	if all == 0 {
 		return 0
@@ -57,17 +57,17 @@
 	return contact.delegatingSince > 0 && now.Since(contact.delegatingSince) > r.options.Policy.DetachTimeout(false)
 }
 
-// takeOwn takes an amount out of what accrued of the zone's part for a tenant. The caller
+// takeZoneShare takes an amount out of what accrued of the zone's part for a tenant. The caller
 // holds r.mu.
-func (r *Relay) takeOwn(p *pool, tenant *config.Tenant, amount float64, part float64, now clock.Instant) bool {
-	since := r.ownPartSince(tenant.Name)
-	if r.contact == issuerAnswers || now.Before(since) {
+func (r *Relay) takeZoneShare(p *pool, tenant *config.Tenant, amount float64, share float64, now clock.Instant) bool {
+	since := r.zoneShareStart(tenant.Name)
+	if r.issuerState == issuerAvailable || now.Before(since) {
 		return false
 	}
-	if p.own.FilledAt < since {
+	if p.zoneShare.FilledAt < since {
 		// What accrued before the last contact is gone.
-		p.own = Bucket{FilledAt: since}
+		p.zoneShare = Bucket{FilledAt: since}
 	}
-	p.own.Fill(DetachedLimit(tenant, part), now)
-	return p.own.Take(amount)
+	p.zoneShare.Fill(DetachedLimit(tenant, share), now)
+	return p.zoneShare.Take(amount)
 }
--- a/control/quota/issuer.go
+++ b/control/quota/issuer.go
@@ -14,9 +14,9 @@
 	"onyxwell/control/transport"
 )
 
-// keptPart is the part of a bucket that credit to be kept may take at a time, so that
+// maxPrefetchFraction is the part of a bucket that credit to be kept may take at a time, so that
 // the first relay that asks does not take all.
-const keptPart = 0.5
+const maxPrefetchFraction = 0.5
 
 // IssuerOptions configure an Issuer. All are required.
 type IssuerOptions struct {
@@ -48,9 +48,9 @@
 	relays    map[ids.Address]relayContact
 	// allowances are those that relays hold, as far as this issuer knows.
 	allowances map[ids.Address]*grantedAllowances
-	// unknownUntil is until when relays may use allowances of the issuer before, also of one that
+	// priorAllowancesUntil is until when relays may use allowances of the issuer before, also of one that
 	// released the lease: as long as those last that this one could grant now.
-	unknownUntil clock.Instant
+	priorAllowancesUntil clock.Instant
 	// issued and returned add up the credit since the last line of the log.
 	issued, returned float64
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	entry.Str("part", "quota").Float64("issued", i.issued).Float64("returned", i.returned).
-		Float64("part_in_contact", i.partInContact(i.options.Clock.Now())).Int("routers", i.options.Routers()).Int64("epoch", i.epoch).
+		Float64("part_in_contact", i.shareInContact(i.options.Clock.Now())).Int("routers", i.options.Routers()).Int64("epoch", i.epoch).
 		Msg("credit issued")
 	i.issued, i.returned = 0, 0
 }
@@ -105,35 +105,35 @@
 func (i *Issuer) Acquire(req AcquireRequest, now clock.Instant) AcquireResponse {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !i.begin(now) {
+	if !i.enterEpoch(now) {
 		return AcquireResponse{}
 	}
 	i.relays[req.From] = relayContact{routers: req.Routers, at: now}
-	cfg, part := i.options.Config(), i.partInContact(now)
+	cfg, share := i.options.Config(), i.shareInContact(now)
 	resp := AcquireResponse{Issuer: true}
 	for _, need := range req.Needs {
-		amount := i.issue(cfg, need, part, now)
+		amount := i.issue(cfg, need, share, now)
 		i.issued, i.returned = i.issued+amount, i.returned+max(0, -need.Amount)
 		resp.Amounts = append(resp.Amounts, amount)
 	}
 	return resp
 }
 
-// begin reports whether this controller holds the lease, and starts anew under a new epoch.
+// enterEpoch reports whether this controller holds the lease, and starts anew under a new epoch.
 // The caller holds i.mu.
-func (i *Issuer) begin(now clock.Instant) bool {
+func (i *Issuer) enterEpoch(now clock.Instant) bool {
 	epoch, held := i.options.Held(now)
 	if held && epoch != i.epoch {
 		i.epoch, i.startedAt = epoch, now
 		i.buckets, i.relays = map[ids.Tenant]*Bucket{}, map[ids.Address]relayContact{}
 		i.allowances = map[ids.Address]*grantedAllowances{}
-		i.unknownUntil = now.Add(i.leaseLeft(now) + allowanceTail)
+		i.priorAllowancesUntil = now.Add(i.leaseRemaining(now) + allowanceLeaseMargin)
 	}
 	return held
 }
 
 // issue returns how much of a need is granted.
-func (i *Issuer) issue(cfg *config.Config, need Need, part float64, now clock.Instant) float64 {
+func (i *Issuer) issue(cfg *config.Config, need Need, share float64, now clock.Instant) float64 {
 	if cfg == nil {
 		return 0
 	}
@@ -149,8 +149,8 @@
 		bucket = &Bucket{FilledAt: i.startedAt}
 		i.buckets[tenant.Name] = bucket
 	}
-	limit := i.options.Policy.IssueLimit(tenant, part, i.allowedOutOfContact(tenant.Name, now))
-	limit.RatePerSecond = i.mostToIssue(tenant.Name, limit.RatePerSecond, part, now)
+	limit := i.options.Policy.IssueLimit(tenant, share, i.allowancesOutOfContact(tenant.Name, now))
+	limit.RatePerSecond = i.capIssueRate(tenant.Name, limit.RatePerSecond, share, now)
 	bucket.Fill(limit, now)
 	if need.Amount < 0 {
 		bucket.Tokens -= need.Amount
@@ -160,7 +160,7 @@
 	case need.Amount <= 0:
 		return 0
 	case !need.Immediate:
-		return bucket.TakeUpTo(need.Amount, keptPart)
+		return bucket.TakeUpTo(need.Amount, maxPrefetchFraction)
 	case bucket.Tokens < min(need.Amount, limit.Burst):
 		return 0
 	}
@@ -168,8 +168,8 @@
 	return need.Amount
 }
 
-// partInContact is the part of all routers that the relays in contact speak for.
-func (i *Issuer) partInContact(now clock.Instant) float64 {
+// shareInContact is the part of all routers that the relays in contact speak for.
+func (i *Issuer) shareInContact(now clock.Instant) float64 {
 	routers := int64(0)
 	for address, contact := range i.relays {
 		if now.Since(contact.at) > i.options.Policy.ContactTimeout() {
--- a/control/quota/issuerallowance.go
+++ b/control/quota/issuerallowance.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// allowanceTail is for how long a relay's allowances outlast the issuer's lease: until
+	// allowanceLeaseMargin is for how long a relay's allowances outlast the issuer's lease: until
 	// another has the lease and relays have heard of it.
-	allowanceTail = 2 * time.Second
-	// maxLeaseTime and leaseStep bound how far ahead the end of the lease is looked for, and
+	allowanceLeaseMargin = 2 * time.Second
+	// maxLeaseLookahead and leaseStep bound how far ahead the end of the lease is looked for, and
 	// how exactly.
-	maxLeaseTime = 10 * time.Second
-	leaseStep    = 100 * time.Millisecond
-	// wholeContact is the part of all routers from which on none is taken to be left to a relay
+	maxLeaseLookahead  = 10 * time.Second
+	leaseLookaheadStep = 100 * time.Millisecond
+	// fullContactShare is the part of all routers from which on none is taken to be left to a relay
 	// that the issuer does not know.
-	wholeContact = 0.995
+	fullContactShare = 0.995
 )
 
 // grantedAllowances are those of one relay, as the issuer knows them.
@@ -32,7 +32,7 @@
 func (i *Issuer) RenewAllowances(req AllowanceRequest, now clock.Instant) AllowanceResponse {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !i.begin(now) {
+	if !i.enterEpoch(now) {
 		return AllowanceResponse{}
 	}
 	relay := i.allowances[req.From]
@@ -46,39 +46,39 @@
 	maps.DeleteFunc(i.allowances, func(address ids.Address, granted *grantedAllowances) bool {
 		return address != req.From && !now.Before(granted.expiry)
 	})
-	cfg, part := i.options.Config(), i.partInContact(now)
+	cfg, share := i.options.Config(), i.shareInContact(now)
 	rates := make([]float64, len(req.Allowances))
 	for index, allowance := range req.Allowances {
 		if cfg == nil {
 			break
 		}
 		if tenant := cfg.Tenant(allowance.Tenant); tenant != nil && tenant.Limited() {
-			left := part*tenant.RatePerSecond - i.allowedToOthers(req.From, allowance.Tenant, now)
+			left := share*tenant.RatePerSecond - i.allowancesOfOthers(req.From, allowance.Tenant, now)
 			rates[index] = max(0, min(allowance.Wanted, left))
 		}
 		// Until the relay asks again it may go on with what it held.
 		relay.rates[allowance.Tenant] = max(rates[index], allowance.Held)
 	}
-	ttl := i.leaseLeft(now) + allowanceTail
+	ttl := i.leaseRemaining(now) + allowanceLeaseMargin
 	relay.expiry = max(relay.expiry, now.Add(ttl))
 	return AllowanceResponse{Issuer: true, Epoch: i.epoch, TTLMS: ttl.Milliseconds(), Rates: rates}
 }
 
-// leaseLeft returns for how long the lease is held from now on if it is not renewed.
-func (i *Issuer) leaseLeft(now clock.Instant) time.Duration {
-	left := time.Duration(0)
-	for next := leaseStep; next <= maxLeaseTime; next += leaseStep {
+// leaseRemaining returns for how long the lease is held from now on if it is not renewed.
+func (i *Issuer) leaseRemaining(now clock.Instant) time.Duration {
+	remaining := time.Duration(0)
+	for next := leaseLookaheadStep; next <= maxLeaseLookahead; next += leaseLookaheadStep {
 		epoch, held := i.options.Held(now.Add(next))
 		if !held || epoch != i.epoch {
 			break
 		}
-		left = next
+		remaining = next
 	}
-	return left
+	return remaining
 }
 
-// allowedToOthers adds up the allowances of a tenant at other relays. The caller holds i.mu.
-func (i *Issuer) allowedToOthers(relay ids.Address, tenant ids.Tenant, now clock.Instant) float64 {
+// allowancesOfOthers adds up the allowances of a tenant at other relays. The caller holds i.mu.
+func (i *Issuer) allowancesOfOthers(relay ids.Address, tenant ids.Tenant, now clock.Instant) float64 {
 	sum := 0.0
 	for address, allowances := range i.allowances {
 		if address != relay && now.Before(allowances.expiry) {
@@ -88,9 +88,9 @@
 	return sum
 }
 
-// allowedOutOfContact adds up the allowances of a tenant that relays may be using: those out
+// allowancesOutOfContact adds up the allowances of a tenant that relays may be using: those out
 // of contact with the issuer. The caller holds i.mu.
-func (i *Issuer) allowedOutOfContact(tenant ids.Tenant, now clock.Instant) float64 {
+func (i *Issuer) allowancesOutOfContact(tenant ids.Tenant, now clock.Instant) float64 {
 	sum := 0.0
 	for address, allowances := range i.allowances {
 		contact, known := i.relays[address]
@@ -102,12 +102,12 @@
 	return sum
 }
 
-// mostToIssue returns the rate up to which a tenant's credit may be issued though relays that
+// capIssueRate returns the rate up to which a tenant's credit may be issued though relays that
 // this issuer does not know may use allowances of the one before it: what the relays that it
 // knows held. There is no such bound where nobody held any, nor once all have ended. The caller
 // holds i.mu.
-func (i *Issuer) mostToIssue(tenant ids.Tenant, rate, part float64, now clock.Instant) float64 {
-	if part >= wholeContact || !now.Before(i.unknownUntil) {
+func (i *Issuer) capIssueRate(tenant ids.Tenant, rate, share float64, now clock.Instant) float64 {
+	if share >= fullContactShare || !now.Before(i.priorAllowancesUntil) {
 		return rate
 	}
 	known, held := 0.0, false
--- a/control/quota/policy.go
+++ b/control/quota/policy.go
@@ -28,51 +28,51 @@
 	intervalsPerWindow = 48
 	minInterval        = 100 * time.Millisecond
 	maxInterval        = 500 * time.Millisecond
-	// hopIntervals is after how many intervals of silence a relay counts a router as
+	// contactTimeoutIntervals is after how many intervals of silence a relay counts a router as
 	// out of contact, and the issuer a relay: each asks once an interval.
-	hopIntervals = 2
+	contactTimeoutIntervals = 2
 )
 
 // The tolerated excess of a window is divided among what may exceed the quota, in
 // parts of 1. What is left is for what no bucket counts: requests that are admitted in
 // one window and run in the next, and routers that start.
 const (
-	// relayStock and routerStock are what all relays and all routers hold unspent. Relays
+	// relayCreditShare and routerStock are what all relays and all routers hold unspent. Relays
 	// hold a part of the burst as well, relayBurst.
-	relayStock  = 0.12
-	routerStock = 0.12
-	// surplus is issued beyond the rate, for credit that is charged and not used: of
+	relayCreditShare  = 0.12
+	routerCreditShare = 0.12
+	// surplusShare is issued beyond the rate, for credit that is charged and not used: of
 	// requests that no runner got, and of processes that ended.
-	surplus = 0.12
-	// detachedReserve is issued though it falls to routers that are out of contact:
+	surplusShare = 0.12
+	// detachedReserveShare is issued though it falls to routers that are out of contact:
 	// most of them are gone and use none.
-	detachedReserve = 0.15
-	// refund is what may be charged at a time and given back later: it is spent in a later
+	detachedReserveShare = 0.15
+	// refundShare is what may be charged at a time and given back later: it is spent in a later
 	// window than the one in which it was issued.
-	refund = 0.12
-	// grace is what all routers together may use in a window while no relay answers
+	refundShare = 0.12
+	// graceShare is what all routers together may use in a window while no relay answers
 	// them, before the issuer is sure to count them as out of contact no more.
-	grace = 0.15
+	graceShare = 0.15
 )
 
-// relayRequestBurst and relayTokenBurst are the parts of a tenant's burst that the relays of
+// relayRequestBurstShare and relayTokenBurstShare are the parts of a tenant's burst that the relays of
 // all zones hold in advance, for quotas of requests and of tokens; the issuer's bucket holds
 // the rest. A request within the quota so finds credit in its own zone, and does not wait for
 // an issuer that may be far away, or lost. One long prompt may need more tokens than the
 // relay of a zone holds, so the issuer keeps more of these.
 const (
-	relayRequestBurst = 0.4
-	relayTokenBurst   = 0.2
-	// allowedBurst is the part of the issuer's burst that goes with allowances for a whole rate.
-	allowedBurst = 0.4
+	relayRequestBurstShare = 0.4
+	relayTokenBurstShare   = 0.2
+	// allowanceBurstShare is the part of the issuer's burst that goes with allowances for a whole rate.
+	allowanceBurstShare = 0.4
 )
 
-// relayBurst is the part of a tenant's burst that relays hold in advance.
-func relayBurst(tenant *config.Tenant) float64 {
+// relayBurstShare is the part of a tenant's burst that relays hold in advance.
+func relayBurstShare(tenant *config.Tenant) float64 {
 	if tenant.Unit == config.Tokens {
-		return relayTokenBurst
+		return relayTokenBurstShare
 	}
-	return relayRequestBurst
+	return relayRequestBurstShare
 }
 
 // NewPolicy takes the policy from the settings' bounds.
@@ -90,7 +90,7 @@
 
 // ContactTimeout is after how long without a request a relay counts a router, and the
 // issuer a relay, as out of contact; a relay counts the issuer so likewise.
-func (p Policy) ContactTimeout() time.Duration { return hopIntervals * p.RefillInterval() }
+func (p Policy) ContactTimeout() time.Duration { return contactTimeoutIntervals * p.RefillInterval() }
 
 // IssuerTimeout bounds how long an answer is waited for: the time after which whoever asks
 // counts as out of contact.
@@ -120,52 +120,52 @@
 // been filled up by then.
 func (p Policy) RetryAfter() time.Duration { return p.RefillInterval() }
 
-// tolerated is what may run in a window beyond the quota.
-func (p Policy) tolerated(tenant *config.Tenant) float64 {
+// toleratedExcess is what may run in a window beyond the quota.
+func (p Policy) toleratedExcess(tenant *config.Tenant) float64 {
 	return p.Excess*(tenant.RatePerSecond*p.Window.Seconds()+tenant.Burst) + p.Slack
 }
 
 // RelayCreditLimit is how much unspent credit the relay of one zone of several may hold: a part
 // of the burst, which the issuer's bucket lacks (IssueLimit), and of what is tolerated.
 func (p Policy) RelayCreditLimit(tenant *config.Tenant, zones int) float64 {
-	return (relayBurst(tenant)*tenant.Burst + relayStock*p.tolerated(tenant)) / float64(max(1, zones))
+	return (relayBurstShare(tenant)*tenant.Burst + relayCreditShare*p.toleratedExcess(tenant)) / float64(max(1, zones))
 }
 
 // RouterCreditLimit is how much unspent credit one router of several may hold.
 func (p Policy) RouterCreditLimit(tenant *config.Tenant, routers int) float64 {
-	return routerStock * p.tolerated(tenant) / float64(max(1, routers))
+	return routerCreditShare * p.toleratedExcess(tenant) / float64(max(1, routers))
 }
 
 // RefundFraction returns which part of a charge may be given back at that age: all of it at
 // once, nothing once the requests of the time since make up what is tolerated.
 func (p Policy) RefundFraction(tenant *config.Tenant, age time.Duration) float64 {
 	// On average, half of what is charged in the time is given back.
-	limit := 2 * refund * p.tolerated(tenant) / tenant.RatePerSecond
-	return max(0, 1-age.Seconds()/limit)
+	maxAge := 2 * refundShare * p.toleratedExcess(tenant) / tenant.RatePerSecond
+	return max(0, 1-age.Seconds()/maxAge)
 }
 
 // GraceLimit is what one router of several may use while no relay answers, whether it
 // is still counted in or not.
 func (p Policy) GraceLimit(tenant *config.Tenant, routers int) Limit {
-	stock := grace * p.tolerated(tenant) / float64(max(1, routers))
-	return Limit{RatePerSecond: stock / p.Window.Seconds(), Burst: stock}
+	credit := graceShare * p.toleratedExcess(tenant) / float64(max(1, routers))
+	return Limit{RatePerSecond: credit / p.Window.Seconds(), Burst: credit}
 }
 
 // IssueLimit is what the issuer fills a tenant's bucket by while the relays in contact speak
 // for a part of all routers, and relays out of contact go on with an allowed rate. A router
 // that is out of contact uses its own part, or its relay's allowance.
-func (p Policy) IssueLimit(tenant *config.Tenant, part, allowed float64) Limit {
-	tolerated := p.tolerated(tenant) / p.Window.Seconds()
-	elsewhere := max((1-part)*tenant.RatePerSecond, allowed)
-	rate := min(tenant.RatePerSecond, max(0, tenant.RatePerSecond-elsewhere)+detachedReserve*tolerated)
-	burst := (1-relayBurst(tenant))*tenant.Burst - p.AllowanceBurst(tenant, allowed)
-	return Limit{RatePerSecond: rate + surplus*tolerated, Burst: max(0, burst)}
+func (p Policy) IssueLimit(tenant *config.Tenant, share, allowance float64) Limit {
+	toleratedRate := p.toleratedExcess(tenant) / p.Window.Seconds()
+	elsewhere := max((1-share)*tenant.RatePerSecond, allowance)
+	rate := min(tenant.RatePerSecond, max(0, tenant.RatePerSecond-elsewhere)+detachedReserveShare*toleratedRate)
+	burst := (1-relayBurstShare(tenant))*tenant.Burst - p.AllowanceBurst(tenant, allowance)
+	return Limit{RatePerSecond: rate + surplusShare*toleratedRate, Burst: max(0, burst)}
 }
 
 // AllowanceBurst is what a relay with an allowed rate may grant at once when it loses the issuer,
 // whose bucket lacks it from then on.
-func (p Policy) AllowanceBurst(tenant *config.Tenant, allowed float64) float64 {
-	return allowedBurst * (1 - relayBurst(tenant)) * tenant.Burst * min(1, allowed/tenant.RatePerSecond)
+func (p Policy) AllowanceBurst(tenant *config.Tenant, allowance float64) float64 {
+	return allowanceBurstShare * (1 - relayBurstShare(tenant)) * tenant.Burst * min(1, allowance/tenant.RatePerSecond)
 }
 
 // MaxWait is how long a request may wait for the answer of a relay: half of its latency
@@ -186,14 +186,14 @@
 }
 
 // ShareLimit is the part of a tenant's quota that falls to some of all routers.
-func ShareLimit(tenant *config.Tenant, part float64) Limit {
-	return Limit{RatePerSecond: part * tenant.RatePerSecond, Burst: part * tenant.Burst}
+func ShareLimit(tenant *config.Tenant, share float64) Limit {
+	return Limit{RatePerSecond: share * tenant.RatePerSecond, Burst: share * tenant.Burst}
 }
 
 // DetachedLimit is what a router that is out of contact goes on with: its part of
 // all routers' rate, and of the burst or what the rate makes in a second.
-func DetachedLimit(tenant *config.Tenant, part float64) Limit {
-	limit := ShareLimit(tenant, part)
+func DetachedLimit(tenant *config.Tenant, share float64) Limit {
+	limit := ShareLimit(tenant, share)
 	limit.Burst = max(limit.Burst, limit.RatePerSecond)
 	return limit
 }
--- a/control/quota/relay.go
+++ b/control/quota/relay.go
@@ -45,18 +45,18 @@
 	// routers has when each router asked last, and whether it counts in.
 	routers map[ids.Address]routerContact
 	pools   map[ids.Tenant]*pool
-	// contactAt is when the issuer was asked last that answered; 0 is never.
-	contactAt clock.Instant
-	contact   issuerContact
-	// isDoubted says that the last request to the issuer was not answered.
-	isDoubted bool
-	// isCounted says that the issuer may count routers in by this relay, so that its allowances
+	// lastContactAt is when the issuer was asked last that answered; 0 is never.
+	lastContactAt clock.Instant
+	issuerState   issuerState
+	// lastIssueFailed says that the last request to the issuer was not answered.
+	lastIssueFailed bool
+	// routersCounted says that the issuer may count routers in by this relay, so that its allowances
 	// are not to be used; countedAt is when the last request said so.
-	isCounted bool
-	countedAt clock.Instant
-	// ownSince is from when on the zone's part accrues here while the issuer is out of
+	routersCounted   bool
+	routersCountedAt clock.Instant
+	// zoneShareFrom is from when on the zone's part accrues here while the issuer is out of
 	// contact: it counts in none of the routers any more.
-	ownSince clock.Instant
+	zoneShareFrom clock.Instant
 	// allowances are what the relay goes on with while the issuer is silent.
 	allowances relayAllowances
 }
@@ -64,9 +64,9 @@
 // routerContact is the last request of a router.
 type routerContact struct {
 	at clock.Instant
-	// isAttached says that the router got the answer to the request before it; usesOwn that it
+	// isAttached says that the router got the answer to the request before it; usesOwnShare that it
 	// may use its own part.
-	isAttached, usesOwn bool
+	isAttached, usesOwnShare bool
 	// delegatingSince is since when the router has left its own part to this relay without
 	// a break, 0 if it does not.
 	delegatingSince clock.Instant
@@ -75,11 +75,11 @@
 // pool is the unspent credit for a tenant.
 type pool struct {
 	Bucket
-	// own has what accrued of the zone's part. It is used while the issuer is out of
+	// zoneShare has what accrued of the zone's part. It is used while the issuer is out of
 	// contact alone, and never given back.
-	own Bucket
-	// allowed has what the tenant's allowance made since the issuer fell silent.
-	allowed Bucket
+	zoneShare Bucket
+	// allowance has what the tenant's allowance made since the issuer fell silent.
+	allowance Bucket
 	// granted was granted since demand, the average a second, was measured.
 	granted, demand float64
 	usedAt          clock.Instant
@@ -90,7 +90,7 @@
 func NewRelay(options RelayOptions) *Relay {
 	return &Relay{
 		options: options, routers: map[ids.Address]routerContact{}, pools: map[ids.Tenant]*pool{},
-		ownSince: options.Clock.Now().Add(options.Policy.DetachTimeout(false)),
+		zoneShareFrom: options.Clock.Now().Add(options.Policy.DetachTimeout(false)),
 	}
 }
 
@@ -111,10 +111,10 @@
 		return AcquireResponse{}, errkind.Errorf(errkind.NotReady, "no configuration")
 	}
 	if !r.inContact(req) {
-		if _, err := r.issueUnlessSilent(ctx, nil); err != nil && ctx.Err() != nil {
+		if _, err := r.issueIfAvailable(ctx, nil); err != nil && ctx.Err() != nil {
 			return AcquireResponse{}, ctx.Err()
 		} else if err != nil {
-			r.noteSilence()
+			r.markIssuerUnavailable()
 			return r.grantDetached(cfg, req), nil
 		}
 	}
@@ -124,38 +124,38 @@
 		return resp, nil
 	}
 	var needs []Need
-	for _, part := range uncovered {
-		needs = append(needs, part.rest())
+	for _, partial := range uncovered {
+		needs = append(needs, partial.remainder())
 	}
-	issued, err := r.issueUnlessSilent(ctx, needs)
+	issued, err := r.issueIfAvailable(ctx, needs)
 	if err != nil {
 		r.putBack(uncovered)
-		return r.withoutIssuer(ctx, cfg, req, resp)
+		return r.completeWithoutIssuer(ctx, cfg, req, resp)
 	}
-	for position, part := range uncovered {
+	for position, partial := range uncovered {
 		if issued[position] > 0 {
-			resp.Amounts[part.index] = part.need.Amount
-			r.noteGranted(part.need)
+			resp.Amounts[partial.index] = partial.need.Amount
+			r.recordGrant(partial.need)
 			continue
 		}
 		r.putBack(uncovered[position : position+1])
-		r.noteDenial(part.rest())
+		r.recordDenial(partial.remainder())
 	}
 	return resp, nil
 }
 
-// withoutIssuer completes a response where the issuer granted nothing of the rest: while it
+// completeWithoutIssuer completes a response where the issuer granted nothing of the rest: while it
 // is not known to be silent, what no allowance covers is denied, and the routers stay in contact.
-func (r *Relay) withoutIssuer(ctx context.Context, cfg *config.Config, req AcquireRequest, resp AcquireResponse) (AcquireResponse, error) {
+func (r *Relay) completeWithoutIssuer(ctx context.Context, cfg *config.Config, req AcquireRequest, resp AcquireResponse) (AcquireResponse, error) {
 	if ctx.Err() != nil {
 		return AcquireResponse{}, ctx.Err()
 	}
-	if !r.isSilent() {
-		r.addAllowed(cfg, req, resp.Amounts)
+	if !r.isIssuerUnavailable() {
+		r.grantFromAllowances(cfg, req, resp.Amounts)
 		return resp, nil
 	}
 	resp.Issuer = false
-	return r.addDetached(cfg, req, resp), nil
+	return r.completeDetached(cfg, req, resp), nil
 }
 
 // uncoveredNeed is an immediate need that the pool covers in part: what it had is taken
@@ -166,8 +166,8 @@
 	taken float64
 }
 
-// rest is what the issuer has to be asked for.
-func (u uncoveredNeed) rest() Need {
+// remainder is what the issuer has to be asked for.
+func (u uncoveredNeed) remainder() Need {
 	rest := u.need
 	rest.Amount -= u.taken
 	return rest
@@ -178,8 +178,8 @@
 	now := r.options.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, part := range uncovered {
-		r.pool(part.need.Tenant, now).Tokens += part.taken
+	for _, partial := range uncovered {
+		r.pool(partial.need.Tenant, now).Tokens += partial.taken
 	}
 }
 
@@ -189,7 +189,7 @@
 	now := r.options.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	contact := routerContact{at: now, isAttached: req.Routers > 0, usesOwn: req.Routers == 0}
+	contact := routerContact{at: now, isAttached: req.Routers > 0, usesOwnShare: req.Routers == 0}
 	if req.Routers < 0 {
 		contact.delegatingSince = now
 		if req.Routers == Withheld {
@@ -200,7 +200,7 @@
 		}
 	}
 	r.routers[req.From] = contact
-	return r.contact == issuerAnswers && now.Since(r.contactAt) <= r.options.Policy.ContactTimeout()
+	return r.issuerState == issuerAvailable && now.Since(r.lastContactAt) <= r.options.Policy.ContactTimeout()
 }
 
 // grantUnspent grants what the pools hold. It returns the immediate needs for whose rest
@@ -221,9 +221,9 @@
 			p.Tokens -= need.Amount
 			p.granted += need.Amount
 		case !need.Immediate:
-			amounts[index] = p.TakeUpTo(need.Amount, keptPart)
+			amounts[index] = p.TakeUpTo(need.Amount, maxPrefetchFraction)
 			p.granted += amounts[index]
-		case p.Take(need.Amount) || r.takeAllowed(p, tenant, need.Amount, now):
+		case p.Take(need.Amount) || r.takeAllowance(p, tenant, need.Amount, now):
 			amounts[index] = need.Amount
 			p.granted += need.Amount
 		case !p.denial.Covers(need.Amount-p.Tokens, now):
@@ -264,15 +264,15 @@
 	return p
 }
 
-// noteGranted counts what the issuer granted a router's need in addition to the pool's part.
-func (r *Relay) noteGranted(need Need) {
+// recordGrant counts what the issuer granted a router's need in addition to the pool's part.
+func (r *Relay) recordGrant(need Need) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pool(need.Tenant, r.options.Clock.Now()).granted += need.Amount
 }
 
-// noteDenial has the issuer not asked again for a moment for as much as it denied.
-func (r *Relay) noteDenial(need Need) {
+// recordDenial has the issuer not asked again for a moment for as much as it denied.
+func (r *Relay) recordDenial(need Need) {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/quota/relay_test.go
+++ b/control/quota/relay_test.go
@@ -11,16 +11,16 @@
 	"onyxwell/control/config"
 )
 
-const relayTenant ids.Tenant = "alpha"
+const testTenant ids.Tenant = "alpha"
 
 // relayHarness is a relay with an issuer that grants all, is silent, or outlasts its caller.
 type relayHarness struct {
 	clock *clock.Fake
 	relay *Relay
-	// isSilent has the issuer not answer; giveUp, if set, ends the caller's wait meanwhile.
-	isSilent bool
-	giveUp   context.CancelFunc
-	asked    int
+	// issuerFails has the issuer not answer; giveUp, if set, ends the caller's wait meanwhile.
+	issuerFails  bool
+	cancelCaller context.CancelFunc
+	issueCalls   int
 }
 
 func newRelayHarness(t *testing.T) *relayHarness {
@@ -29,17 +29,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg = cfg.WithTenants([]config.Tenant{{Name: relayTenant, RatePerSecond: 120, Burst: 120}})
+	cfg = cfg.WithTenants([]config.Tenant{{Name: testTenant, RatePerSecond: 120, Burst: 120}})
 	h := &relayHarness{clock: clock.NewFake()}
 	h.relay = NewRelay(RelayOptions{
 		Clock: h.clock, Address: "relay", Policy: Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20}, Zones: 1,
 		Config: func() *config.Config { return cfg }, Routers: func() int { return 1 },
 		Issue: func(_ context.Context, req AcquireRequest) (AcquireResponse, error) {
-			h.asked++
-			if h.giveUp != nil {
-				h.giveUp()
+			h.issueCalls++
+			if h.cancelCaller != nil {
+				h.cancelCaller()
 			}
-			if h.isSilent {
+			if h.issuerFails {
 				return AcquireResponse{}, errors.New("no answer")
 			}
 			resp := AcquireResponse{Issuer: true}
@@ -59,7 +59,7 @@
 // by its issuer.
 func (h *relayHarness) acquire(ctx context.Context, t *testing.T) (AcquireResponse, error) {
 	t.Helper()
-	return h.relay.Acquire(ctx, AcquireRequest{From: "router", Routers: 1, Needs: []Need{{Tenant: relayTenant, Amount: 1, Immediate: true}}})
+	return h.relay.Acquire(ctx, AcquireRequest{From: "router", Routers: 1, Needs: []Need{{Tenant: testTenant, Amount: 1, Immediate: true}}})
 }
 
 // TestRelay_requestsDoNotWaitForUnavailableIssuer cuts a relay off: once its own request failed, no
@@ -72,19 +72,19 @@
 	if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer {
 		t.Fatalf("not granted in contact: %+v, %v", resp, err)
 	}
-	h.isSilent = true
+	h.issuerFails = true
 	h.relay.Refill(ctx)
-	h.asked = 0
+	h.issueCalls = 0
 	for range 20 {
 		h.clock.Advance(h.relay.options.Policy.RefillInterval())
 		if resp, err := h.acquire(ctx, t); err != nil || resp.Issuer {
 			t.Fatalf("%+v, %v from a relay whose issuer is silent", resp, err)
 		}
 	}
-	if h.asked > 0 {
-		t.Errorf("%d of 20 requests waited for a silent issuer", h.asked)
+	if h.issueCalls > 0 {
+		t.Errorf("%d of 20 requests waited for a silent issuer", h.issueCalls)
 	}
-	h.isSilent = false
+	h.issuerFails = false
 	h.relay.Refill(ctx)
 	if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer {
 		t.Errorf("not granted in contact again: %+v, %v", resp, err)
@@ -100,11 +100,11 @@
 	if _, err := h.acquire(ctx, t); err != nil {
 		t.Fatal(err)
 	}
-	h.isSilent = true
+	h.issuerFails = true
 	if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer || resp.Amounts[0] != 0 {
 		t.Errorf("%+v, %v for a need whose answer is late", resp, err)
 	}
-	h.isSilent = false
+	h.issuerFails = false
 	if resp, err := h.acquire(ctx, t); err != nil || resp.Amounts[0] != 1 {
 		t.Errorf("%+v, %v afterwards", resp, err)
 	}
@@ -116,16 +116,16 @@
 	h := newRelayHarness(t)
 	ctx := context.Background()
 	// More than the relay holds unspent, and less than its part makes in a second.
-	need := AcquireRequest{From: "router", Routers: Delegating, Needs: []Need{{Tenant: relayTenant, Amount: 100, Immediate: true}}}
+	need := AcquireRequest{From: "router", Routers: Delegating, Needs: []Need{{Tenant: testTenant, Amount: 100, Immediate: true}}}
 	for range 2 {
-		h.isSilent = false
+		h.issuerFails = false
 		h.relay.Refill(ctx)
 		if resp, err := h.acquire(ctx, t); err != nil || !resp.Issuer {
 			t.Fatalf("not granted in contact: %+v, %v", resp, err)
 		}
 		// Longer than the contact lasts, so that the next request finds the loss.
 		h.clock.Advance(time.Minute)
-		h.isSilent = true
+		h.issuerFails = true
 		for range 3 {
 			resp, err := h.relay.Acquire(ctx, need)
 			if err != nil || resp.Issuer || resp.Amounts[0] > 0 {
@@ -156,11 +156,11 @@
 	if _, err := h.acquire(ctx, t); err != nil {
 		t.Fatal(err)
 	}
-	h.isSilent, h.giveUp = true, cancel
+	h.issuerFails, h.cancelCaller = true, cancel
 	if resp, err := h.acquire(ctx, t); err == nil {
 		t.Fatalf("%+v for a caller that gave up", resp)
 	}
-	h.isSilent, h.giveUp = false, nil
+	h.issuerFails, h.cancelCaller = false, nil
 	if resp, err := h.acquire(context.Background(), t); err != nil || !resp.Issuer {
 		t.Errorf("out of contact since a caller gave up: %+v, %v", resp, err)
 	}
--- a/control/quota/relayissuer.go
+++ b/control/quota/relayissuer.go
@@ -10,21 +10,21 @@
 // errNoIssuer says that no issuer answered.
 var errNoIssuer = errkind.Errorf(errkind.NotReady, "no issuer of quotas")
 
-// issuerContact is what came of a relay's last request to the issuer; 0 is that there was
+// issuerState is what came of a relay's last request to the issuer; 0 is that there was
 // none.
-type issuerContact int
+type issuerState int
 
 const (
-	// issuerAnswers: it was answered.
-	issuerAnswers issuerContact = iota + 1
-	// issuerSilent: it was not. No router's need is passed on until FillUp has an answer:
+	// issuerAvailable: it was answered.
+	issuerAvailable issuerState = iota + 1
+	// issuerUnavailable: it was not. No router's need is passed on until FillUp has an answer:
 	// a router would wait no longer than this relay, and be granted nothing.
-	issuerSilent
+	issuerUnavailable
 )
 
-// issueUnlessSilent is issue, but while the issuer is silent.
-func (r *Relay) issueUnlessSilent(ctx context.Context, needs []Need) ([]float64, error) {
-	if r.isSilent() {
+// issueIfAvailable is issue, but while the issuer is silent.
+func (r *Relay) issueIfAvailable(ctx context.Context, needs []Need) ([]float64, error) {
+	if r.isIssuerUnavailable() {
 		return nil, errNoIssuer
 	}
 	return r.issue(ctx, needs)
@@ -36,10 +36,10 @@
 func (r *Relay) issue(ctx context.Context, needs []Need) ([]float64, error) {
 	req := AcquireRequest{From: r.options.Address, Needs: needs}
 	r.mu.Lock()
-	if r.contact == issuerAnswers && !r.isDoubted {
+	if r.issuerState == issuerAvailable && !r.lastIssueFailed {
 		req.Routers = r.routersInContact(r.options.Clock.Now())
 		if req.Routers > 0 {
-			r.isCounted, r.countedAt = true, r.options.Clock.Now()
+			r.routersCounted, r.routersCountedAt = true, r.options.Clock.Now()
 		}
 	}
 	r.mu.Unlock()
@@ -49,42 +49,42 @@
 		err = errNoIssuer
 	}
 	if err != nil {
-		r.noteDoubt()
+		r.recordIssuerFailure()
 		return nil, err
 	}
-	r.noteAnswer(started)
+	r.recordIssuerResponse(started)
 	return resp.Amounts, nil
 }
 
-// noteAnswer takes over that the issuer answered a request.
-func (r *Relay) noteAnswer(askedAt clock.Instant) {
+// recordIssuerResponse takes over that the issuer answered a request.
+func (r *Relay) recordIssuerResponse(askedAt clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.contact, r.contactAt = issuerAnswers, max(r.contactAt, askedAt)
-	r.isDoubted = false
+	r.issuerState, r.lastContactAt = issuerAvailable, max(r.lastContactAt, askedAt)
+	r.lastIssueFailed = false
 }
 
-// noteDoubt takes over that a request was not answered: the next one counts no router in.
-func (r *Relay) noteDoubt() {
+// recordIssuerFailure takes over that a request was not answered: the next one counts no router in.
+func (r *Relay) recordIssuerFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.isDoubted, r.isCounted = true, false
+	r.lastIssueFailed, r.routersCounted = true, false
 }
 
-// noteSilence takes over that the issuer did not answer. The first time sets when the zone's
+// markIssuerUnavailable takes over that the issuer did not answer. The first time sets when the zone's
 // part begins.
-func (r *Relay) noteSilence() {
+func (r *Relay) markIssuerUnavailable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.contact == issuerAnswers {
-		r.ownSince = r.options.Clock.Now().Add(r.options.Policy.DetachTimeout(false))
+	if r.issuerState == issuerAvailable {
+		r.zoneShareFrom = r.options.Clock.Now().Add(r.options.Policy.DetachTimeout(false))
 	}
-	r.contact, r.isCounted = issuerSilent, false
+	r.issuerState, r.routersCounted = issuerUnavailable, false
 }
 
-// isSilent reports whether the issuer did not answer FillUp.
-func (r *Relay) isSilent() bool {
+// isIssuerUnavailable reports whether the issuer did not answer FillUp.
+func (r *Relay) isIssuerUnavailable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.contact == issuerSilent
+	return r.issuerState == issuerUnavailable
 }
--- a/control/quota/relayfill.go
+++ b/control/quota/relayrefill.go
@@ -13,22 +13,22 @@
 	if cfg == nil {
 		return
 	}
-	r.noteUse()
-	needs, active := r.missingCredit(cfg)
+	r.recordActivity()
+	needs, active := r.refillNeeds(cfg)
 	if !active {
 		return
 	}
 	issued, err := r.issue(ctx, needs)
 	if err != nil {
-		r.noteSilence()
+		r.markIssuerUnavailable()
 		return
 	}
-	r.keepIssued(needs, issued)
+	r.addIssued(needs, issued)
 	r.renewAllowances(ctx, cfg)
 }
 
-// keepIssued adds what was issued to the pools.
-func (r *Relay) keepIssued(needs []Need, issued []float64) {
+// addIssued adds what was issued to the pools.
+func (r *Relay) addIssued(needs []Need, issued []float64) {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,10 +39,10 @@
 	}
 }
 
-// missingCredit returns what the pools of tenants in use lack or have to give back,
+// refillNeeds returns what the pools of tenants in use lack or have to give back,
 // and whether any router asks here. Pools that were not used for long are given back
 // whole.
-func (r *Relay) missingCredit(cfg *config.Config) (needs []Need, active bool) {
+func (r *Relay) refillNeeds(cfg *config.Config) (needs []Need, active bool) {
 	now := r.options.Clock.Now()
 	idle := idleIntervals * r.options.Policy.RefillInterval()
 	r.mu.Lock()
@@ -60,8 +60,8 @@
 			delete(r.pools, name)
 			needs = append(needs, Need{Tenant: name, Amount: -p.Tokens})
 		case now.Since(p.usedAt) <= idle:
-			if missing, due := p.Rebalance(r.options.Policy.RelayCreditLimit(tenant, r.options.Zones)); due {
-				needs = append(needs, Need{Tenant: name, Amount: missing})
+			if amount, due := p.Rebalance(r.options.Policy.RelayCreditLimit(tenant, r.options.Zones)); due {
+				needs = append(needs, Need{Tenant: name, Amount: amount})
 			}
 		}
 	}
