--- a/control/quota/acquire.go
+++ b/control/quota/acquire.go
@@ -10,8 +10,7 @@
 	"onyxwell/base/ids"
 )
 
-// RelayAnswer is the combined response of the relays and the relay that it is attributed
-// to.
+// RelayAnswer is the response that AskRelays obtained, with the relay that sent it.
 type RelayAnswer struct {
 	AcquireResponse
 	// Relay is the relay in contact with the issuer that responded, or, if there was
@@ -20,11 +19,11 @@
 }
 
 // AskRelays requests credit from relays, one after another, until one that is in contact
-// with the issuer responds. If none is, it returns the response of the first relay that
-// responded, which holds the zone's credit, together with the error of the last relay that
-// did not respond, if any. delegate is the relay to which the router has delegated its own
-// share. Credit that the router returns is sent to the first relay alone: even if that
-// does not respond, it may have taken the credit.
+// with the issuer responds, and returns that relay's response. If there is none, it returns
+// the response of the first relay that responded, which holds the zone's credit, together
+// with the error of the last relay that did not respond, if any. delegate is the relay to
+// which the router has delegated its own share. Credit that the router returns is sent to
+// the first relay alone: even if that does not respond, it may have taken the credit.
 func AskRelays(ctx context.Context, relays []ids.Address, req AcquireRequest, delegate ids.Address,
 	ask func(ctx context.Context, relay ids.Address, req AcquireRequest) (AcquireResponse, error)) (RelayAnswer, error) {
 	if len(relays) == 0 {
@@ -80,7 +79,8 @@
 	return kept
 }
 
-// unresponsiveTime is how long a relay that did not respond is asked after the others.
+// unresponsiveTime is how long a relay is moved behind the others after an unanswered request
+// was sent to it.
 const unresponsiveTime = 5 * time.Second
 
 // UnresponsiveRelays tracks the relays that did not respond. Its zero value has none. It
@@ -92,27 +92,27 @@
 }
 
 // Record records whether a relay responded to a request that was sent at the given time.
-func (s *UnresponsiveRelays) Record(relay ids.Address, sentAt clock.Instant, answered bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.unansweredAt == nil {
-		s.unansweredAt = map[ids.Address]clock.Instant{}
+func (u *UnresponsiveRelays) Record(relay ids.Address, sentAt clock.Instant, answered bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.unansweredAt == nil {
+		u.unansweredAt = map[ids.Address]clock.Instant{}
 	}
 	switch {
 	case !answered:
-		s.unansweredAt[relay] = max(s.unansweredAt[relay], sentAt)
-	case sentAt >= s.unansweredAt[relay]:
-		delete(s.unansweredAt, relay)
+		u.unansweredAt[relay] = max(u.unansweredAt[relay], sentAt)
+	case sentAt >= u.unansweredAt[relay]:
+		delete(u.unansweredAt, relay)
 	}
 }
 
 // Order returns the relays in the given order, with the unresponsive ones moved to the end.
-func (s *UnresponsiveRelays) Order(relays []ids.Address, now clock.Instant) []ids.Address {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (u *UnresponsiveRelays) Order(relays []ids.Address, now clock.Instant) []ids.Address {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	var responsive, unresponsive []ids.Address
 	for _, relay := range relays {
-		if since, ok := s.unansweredAt[relay]; ok && now.Since(since) < unresponsiveTime {
+		if since, ok := u.unansweredAt[relay]; ok && now.Since(since) < unresponsiveTime {
 			unresponsive = append(unresponsive, relay)
 		} else {
 			responsive = append(responsive, relay)
--- a/control/quota/acquire_test.go
+++ b/control/quota/acquire_test.go
@@ -11,9 +11,9 @@
 	"onyxwell/base/ids"
 )
 
-// TestAskRelays_returnsCreditToOneRelayOnly covers credit that the first relay may have taken,
-// because its response was lost, or that it refused: the next relay must not be given the
-// same credit again.
+// TestAskRelays_returnsCreditToOneRelayOnly returns credit to a first relay whose response is
+// lost, or that refuses the request. The first relay may have taken the credit, so it must not
+// be returned to the next one again.
 func TestAskRelays_returnsCreditToOneRelayOnly(t *testing.T) {
 	for name, relayErr := range map[string]error{"response lost": errors.New("lost"), "refused": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -42,19 +42,19 @@
 // late to an older request, and that responds again.
 func TestUnresponsiveRelays_areOrderedLast(t *testing.T) {
 	relays, now := []ids.Address{"one", "two"}, clock.Instant(time.Hour)
-	var silent UnresponsiveRelays
+	var unresponsive UnresponsiveRelays
 	expect := func(after time.Duration, want ...ids.Address) {
 		t.Helper()
-		if got := silent.Order(relays, now.Add(after)); !slices.Equal(got, want) {
+		if got := unresponsive.Order(relays, now.Add(after)); !slices.Equal(got, want) {
 			t.Errorf("after %v: got %v, want %v", after, got, want)
 		}
 	}
 	expect(0, "one", "two")
-	silent.Record("one", now, false)
-	silent.Record("one", now.Add(-time.Second), true)
+	unresponsive.Record("one", now, false)
+	unresponsive.Record("one", now.Add(-time.Second), true)
 	expect(time.Second, "two", "one")
 	expect(unresponsiveTime, "one", "two")
-	silent.Record("one", now, false)
-	silent.Record("one", now.Add(time.Second), true)
+	unresponsive.Record("one", now, false)
+	unresponsive.Record("one", now.Add(time.Second), true)
 	expect(time.Second, "one", "two")
 }
--- a/control/quota/issuer.go
+++ b/control/quota/issuer.go
@@ -41,7 +41,8 @@
 	options IssuerOptions
 
 	mu sync.Mutex
-	// epoch is the lease epoch to which the state below belongs. It began at startedAt.
+	// epoch is the lease epoch to which the state below belongs. This issuer entered it at
+	// startedAt.
 	epoch     int64
 	startedAt clock.Instant
 	buckets   map[ids.Tenant]*Bucket
@@ -56,7 +57,7 @@
 	issued, returned float64
 }
 
-// relayContact is the content of a relay's last request.
+// relayContact describes the last request of a relay.
 type relayContact struct {
 	routers int64
 	at      clock.Instant
--- a/control/quota/issuerallowance.go
+++ b/control/quota/issuerallowance.go
@@ -17,8 +17,8 @@
 	// leaseRemaining looks for the end of the lease.
 	maxLeaseLookahead  = 10 * time.Second
 	leaseLookaheadStep = 100 * time.Millisecond
-	// fullContactShare is the share of all routers in contact at which no routers are
-	// assumed to be left with relays that the issuer does not know.
+	// fullContactShare is the share of all routers in contact from which the issuer assumes
+	// that no routers are left at relays that it does not know.
 	fullContactShare = 0.995
 )
 
--- a/control/quota/messages.go
+++ b/control/quota/messages.go
@@ -46,8 +46,8 @@
 // that uses its own share, and grant nothing.
 const Delegating = -1
 
-// Withheld is sent in place of Delegating by a router that has not used its own share
-// since it started at least DetachTimeout ago, and has delegated it to no other relay.
+// Withheld is sent in place of Delegating by a router that started at least DetachTimeout
+// ago and since then has neither used its own share nor delegated it to another relay.
 // Relays that do not know the value treat the sender as a router that uses its own share.
 const Withheld = -2
 
--- a/control/quota/policy.go
+++ b/control/quota/policy.go
@@ -17,33 +17,34 @@
 	Slack  float64
 }
 
-// Defaults for settings without bounds on quotas, where no rule measures them.
+// Defaults where the settings have no bounds for quotas because no rule measures them.
 const (
 	defaultWindow = 5 * time.Second
 	defaultExcess = 0.1
 )
 
 const (
-	// intervalsPerWindow is the number of refills of unspent credit per window.
+	// intervalsPerWindow is the number of refills of unspent credit per window, unless
+	// minInterval or maxInterval bounds the interval between them.
 	intervalsPerWindow = 48
 	minInterval        = 100 * time.Millisecond
 	maxInterval        = 500 * time.Millisecond
 	// contactTimeoutIntervals is the number of intervals without a request after which
-	// a relay counts a router, and the issuer a relay, as out of contact. Each sends one
-	// request per interval.
+	// a relay counts a router, and the issuer a relay, as out of contact. Routers and
+	// relays send one request per interval.
 	contactTimeoutIntervals = 2
 )
 
-// The tolerated excess of a window is divided among the causes of excess, as shares of
-// 1. The remainder covers what no bucket accounts for: requests that are admitted in one
-// window and run in the next, and routers that start.
+// The tolerated excess of a window is divided among the causes of excess. Each constant is
+// a fraction of it. The remainder covers what no bucket accounts for: requests that are
+// admitted in one window and run in the next, and routers that start.
 const (
 	// relayCreditShare and routerCreditShare bound the unspent credit of all relays and
 	// of all routers. Relays also hold a share of the burst, see relayBurstShare.
 	relayCreditShare  = 0.12
 	routerCreditShare = 0.12
 	// surplusShare is issued beyond the rate to make up for credit that is charged but
-	// not used: for requests that reached no runner, and by processes that ended.
+	// not used: that of requests that reached no runner, and of processes that ended.
 	surplusShare = 0.12
 	// detachedReserveShare is issued although it belongs to routers that are out of
 	// contact: most of them have terminated and use nothing.
@@ -57,7 +58,7 @@
 )
 
 // relayRequestBurstShare and relayTokenBurstShare are the shares of a tenant's burst that
-// the relays of all zones hold in advance, for quotas of requests and of tokens. The
+// the relays of all zones hold in advance, for quotas in requests and in tokens. The
 // issuer's bucket holds the rest. A request within the quota thus finds credit in its own
 // zone and does not wait for an issuer that may be far away or lost. A single long prompt
 // may need more tokens than the relay of a zone holds, so the issuer keeps a larger share
@@ -65,8 +66,8 @@
 const (
 	relayRequestBurstShare = 0.4
 	relayTokenBurstShare   = 0.2
-	// allowanceBurstShare is the share of the issuer's burst that comes with allowances
-	// for the whole rate.
+	// allowanceBurstShare is the share of the issuer's burst that is granted with
+	// allowances that amount to the whole rate.
 	allowanceBurstShare = 0.4
 )
 
@@ -101,7 +102,7 @@
 
 // RelayTimeout bounds how long a router waits for a relay. It is longer than the relay's
 // own wait for the issuer, so that a late response of the issuer results in a denied
-// need and not in a relay that appears unresponsive.
+// need rather than in a relay that appears unresponsive.
 func (p Policy) RelayTimeout() time.Duration { return p.IssuerTimeout() + p.ContactTimeout()/2 }
 
 // DetachTimeout is how long the issuer may still count a router after one of the router's
@@ -145,10 +146,10 @@
 }
 
 // RefundFraction returns the fraction of a charge that may be refunded at the given age.
-// It falls linearly from 1 to 0, which it reaches once the requests admitted since the
-// charge could use up the tolerated excess for refunds.
+// It falls linearly from 1 to 0, which it reaches when the credit issued at the full rate
+// since the charge amounts to twice refundShare of the tolerated excess.
 func (p Policy) RefundFraction(tenant *config.Tenant, age time.Duration) float64 {
-	// The fraction averages one half over this time, hence the factor 2.
+	// On average, half of what is charged in this time is refunded, hence the factor 2.
 	maxAge := 2 * refundShare * p.toleratedExcess(tenant) / tenant.RatePerSecond
 	return max(0, 1-age.Seconds()/maxAge)
 }
@@ -160,10 +161,10 @@
 	return Limit{RatePerSecond: credit / p.Window.Seconds(), Burst: credit}
 }
 
-// IssueLimit returns the limit by which the issuer fills a tenant's bucket. The relays in
-// contact represent the given share of all routers; relays out of contact go on with the
-// given total allowance rate. A router that is out of contact uses its own share, or the
-// allowance of its relay.
+// IssueLimit returns the limit by which the issuer fills a tenant's bucket, given the share
+// of all routers that the relays in contact represent, and the total allowance rate of the
+// relays that are out of contact. A router that is out of contact uses its own share, or
+// the allowance of its relay.
 func (p Policy) IssueLimit(tenant *config.Tenant, share, allowance float64) Limit {
 	toleratedRate := p.toleratedExcess(tenant) / p.Window.Seconds()
 	elsewhere := max((1-share)*tenant.RatePerSecond, allowance)
@@ -202,7 +203,7 @@
 
 // DetachedLimit returns the limit for the given share of all routers while they are out of
 // contact: that share of the rate, and the larger of that share of the burst and what
-// the rate yields in one second.
+// that share of the rate yields in one second.
 func DetachedLimit(tenant *config.Tenant, share float64) Limit {
 	limit := ShareLimit(tenant, share)
 	limit.Burst = max(limit.Burst, limit.RatePerSecond)
--- a/control/quota/relay.go
+++ b/control/quota/relay.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// denialDivisor is the fraction of an interval, one in so many, during which a relay
-	// does not ask the issuer again after the issuer denied a tenant's need.
+	// denialDivisor divides the refill interval into the time for which a relay does not
+	// ask the issuer again after the issuer denied a tenant's need.
 	denialDivisor = 4
 	// idleIntervals is the number of intervals without a need after which a tenant's
 	// credit is no longer refilled.
@@ -38,7 +38,7 @@
 }
 
 // Relay grants the issuer's credit to the routers of its zone. While the issuer is
-// unavailable, it goes on with its unspent credit, its allowances and its zone's share.
+// unavailable, it grants from its unspent credit, its allowances and its zone's share.
 // Every daemon has a relay; it is active while routers send requests to it. It is safe for
 // concurrent use.
 type Relay struct {
@@ -81,7 +81,7 @@
 type pool struct {
 	Bucket
 	// zoneShare holds what the zone's share has accrued. It is used only while the issuer
-	// is out of contact, and never returned to it.
+	// is out of contact, and is never returned to the issuer.
 	zoneShare Bucket
 	// allowance holds what the tenant's allowance has accrued since the issuer stopped
 	// counting this relay's routers.
@@ -152,9 +152,9 @@
 	return resp, nil
 }
 
-// completeWithoutIssuer completes a response when the request to the issuer for the
-// remainders failed. Unless the issuer is known to be unavailable, needs that no allowance
-// covers are denied and the routers stay in contact.
+// completeWithoutIssuer completes a response after the request to the issuer for the
+// uncovered needs failed. Unless the issuer is known to be unavailable, needs that no
+// allowance covers are denied and the routers stay in contact.
 func (r *Relay) completeWithoutIssuer(ctx context.Context, cfg *config.Config, req AcquireRequest, resp AcquireResponse) (AcquireResponse, error) {
 	if ctx.Err() != nil {
 		return AcquireResponse{}, ctx.Err()
@@ -167,8 +167,8 @@
 	return r.completeDetached(cfg, req, resp), nil
 }
 
-// uncoveredNeed is an immediate need that the pool covers only in part. The covered amount
-// is taken out of the pool until the issuer has answered for the remainder.
+// uncoveredNeed is an immediate need that the pool does not cover in full. What the pool
+// had is taken out until the issuer has responded to the request for the remainder.
 type uncoveredNeed struct {
 	index int
 	need  Need
@@ -249,8 +249,8 @@
 	return r.countRouters(now, func(contact routerContact) bool { return contact.isAttached || r.hasDelegated(contact, now) })
 }
 
-// countRouters counts the routers that sent a request within ContactTimeout and satisfy
-// counts. It removes those that sent none. The caller holds r.mu.
+// countRouters counts the routers that sent a request within ContactTimeout and for which
+// counts returns true. It removes those that sent none. The caller holds r.mu.
 func (r *Relay) countRouters(now clock.Instant, counts func(routerContact) bool) int64 {
 	count := int64(0)
 	for address, contact := range r.routers {
@@ -274,16 +274,15 @@
 	return p
 }
 
-// recordGrant adds a need that was granted with the issuer's help to the tenant's granted
-// credit.
+// recordGrant adds a need whose remainder the issuer granted to the tenant's granted credit.
 func (r *Relay) recordGrant(need Need) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pool(need.Tenant, r.options.Clock.Now()).granted += need.Amount
 }
 
-// recordDenial suppresses requests to the issuer for at least the denied amount for a
-// fraction of an interval.
+// recordDenial records that the issuer denied a need. For a fraction of an interval, the
+// issuer is not asked again for that amount or more.
 func (r *Relay) recordDenial(need Need) {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
--- a/control/quota/relay_test.go
+++ b/control/quota/relay_test.go
@@ -64,8 +64,8 @@
 
 // TestRelay_requestsDoNotWaitForUnavailableIssuer checks that no router's request waits for the
 // issuer once the relay's own request has failed. Such a request is granted nothing in the
-// end, and the router then takes the relay to be unresponsive, too. When every second
-// request waited, routers never delegated their shares to the relay.
+// end, and the router then takes the relay to be unresponsive, too. Every second request used
+// to wait, so that routers never delegated their shares to the relay.
 func TestRelay_requestsDoNotWaitForUnavailableIssuer(t *testing.T) {
 	h := newRelayHarness(t)
 	ctx := context.Background()
--- a/control/quota/relayallowance.go
+++ b/control/quota/relayallowance.go
@@ -18,8 +18,8 @@
 	demandTimeConstant = 2 * time.Second
 	// allowanceMargin is the ratio of the requested allowance to the average use.
 	allowanceMargin = 1.5
-	// A relay requests a new rate if that is more than allowanceRiseThreshold times, or
-	// less than allowanceFallThreshold times, the rate that it holds.
+	// A relay requests a new allowance if the wanted rate is more than
+	// allowanceRiseThreshold times, or less than allowanceFallThreshold times, the held one.
 	allowanceRiseThreshold = 1.1
 	allowanceFallThreshold = 0.5
 	// minAllowanceFraction is the lowest rate that is requested, as a fraction of the
@@ -42,8 +42,9 @@
 	renewedAt clock.Instant
 	// measuredAt is when the average use of credit was last updated.
 	measuredAt clock.Instant
-	// lastActiveAt is when the relay last ran a refill. A relay that was suspended for long
-	// gives up its allowances, since its routers may have gone on without it.
+	// lastActiveAt is when the relay last ran a refill. A relay that was suspended for
+	// longer than DetachTimeout gives up its allowances, since its routers may have carried
+	// on without it.
 	lastActiveAt clock.Instant
 }
 
@@ -138,8 +139,8 @@
 	}
 }
 
-// recordActivity records that the relay runs a refill. If the last one was too long ago, the
-// allowances expire.
+// recordActivity records that the relay runs a refill. If the last one was more than
+// DetachTimeout ago, the allowances expire.
 func (r *Relay) recordActivity() {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
@@ -174,9 +175,9 @@
 	return p.allowance.Take(amount)
 }
 
-// missingRouters returns by how much the number of routers that send requests here without
-// using their own share has fallen since the allowances were last renewed. The missing
-// routers may be using their own shares. The caller holds r.mu.
+// missingRouters returns how many fewer routers now send requests here without using their
+// own share than were in contact when the allowances were last renewed. The missing routers
+// may be using their own shares. The caller holds r.mu.
 func (r *Relay) missingRouters(now clock.Instant) int64 {
 	asking := r.countRouters(now, func(contact routerContact) bool { return !contact.usesOwnShare })
 	return max(0, r.allowances.routers-asking)
--- a/control/quota/relayissuer.go
+++ b/control/quota/relayissuer.go
@@ -18,8 +18,8 @@
 	// issuerAvailable: the issuer responded, and has not been found unavailable since.
 	issuerAvailable issuerState = iota + 1
 	// issuerUnavailable: a Refill, or an Acquire without recent contact, got no response.
-	// Until Refill gets one, no router's need is passed on to the issuer: the router's
-	// wait would end no later than the relay's, and nothing would be granted.
+	// Until Refill gets one, no router's need is passed on to the issuer: a router would
+	// wait no longer than this relay does, and be granted nothing.
 	issuerUnavailable
 )
 
