--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -24,8 +24,8 @@
 	arm       canary.Arm
 	number    uint64
 	startedAt clock.Instant
-	// firstByte is how long the head of the response took; 0 where there was none.
-	firstByte time.Duration
+	// timeToFirstByte is how long the head of the response took; 0 where there was none.
+	timeToFirstByte time.Duration
 	// resumes says that the rest of a stream is asked for.
 	resumes bool
 	// began says that the runner's response began, slow that it did so late.
@@ -67,7 +67,7 @@
 func (e *exchange) responseBegan(a *attempt) {
 	now := e.proxy.clock.Now()
 	a.began = true
-	a.firstByte = now.Since(a.startedAt)
+	a.timeToFirstByte = now.Since(a.startedAt)
 	a.slow = now.Since(e.arrivedAt) > e.route.LatencyTarget()/slowResponseDivisor
 	tokens := e.balancerRequest.PartTokens
 	e.proxy.stats.ResponseBegan(a.runner.ID, a.number, tokens, now)
@@ -111,9 +111,9 @@
 	}
 	observed := canary.Attempt{Service: a.admission.Service(), Route: e.route.Name, Runner: a.runner, Arm: a.arm, Failed: failed}
 	if !failed && !a.resumes && !e.proxy.slowStart.Active(a.runner.ID, now) {
-		observed.FirstByte, observed.Whole = a.firstByte, ended.Duration
+		observed.FirstByte, observed.Whole = a.timeToFirstByte, ended.Duration
 	}
-	e.proxy.versions.Observe(observed)
+	e.proxy.canary.Observe(observed)
 }
 
 // completionTotals is what a completed attempt adds to the statistics of
@@ -191,7 +191,7 @@
 	if arrivals >= max(1, route.MaxAttempts) {
 		monitor.Violated(invariant.AttemptLimit, "attempt %s of route %s is sent to %s after %d of %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
-	if !e.tenantChecked() {
+	if !e.hasConsistentTenant() {
 		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s as of tenant %q", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
 	}
 	if !e.balancerRequest.AllowsRegion(runner.Region) {
@@ -202,9 +202,9 @@
 	}
 }
 
-// tenantChecked returns whether the request goes out without a client's key and as
+// hasConsistentTenant returns whether the request goes out without a client's key and as
 // one of the tenant that holds it, where the configuration has tenants.
-func (e *exchange) tenantChecked() bool {
+func (e *exchange) hasConsistentTenant() bool {
 	cfg, req := e.snapshot.Config, e.upstreamRequest
 	switch {
 	case cfg.Tenants == nil:
--- a/data/proxy/deadlines.go
+++ b/data/proxy/deadlines.go
@@ -26,9 +26,9 @@
 	phaseClosed
 )
 
-// setByConn stands for the time-outs that net/http's server is made with: the
+// placeholderTimeout stands for the time-outs that net/http's server is made with: the
 // connection puts those of the configuration in force in their place.
-const setByConn = 24 * time.Hour
+const placeholderTimeout = 24 * time.Hour
 
 // connDeadlines holds a connection to the limits in force now. net/http's server
 // has its time-outs from when it is made, and a configuration may bring others.
@@ -87,9 +87,9 @@
 	return c.phase == phaseServing || (c.phase != phaseClosed && c.hasInput)
 }
 
-// keepsDeadline returns whether a deadline is set as net/http gives it. The
+// keepsServerDeadline returns whether a deadline is set as net/http gives it. The
 // caller holds the lock.
-func (c *connDeadlines) keepsDeadline() bool {
+func (c *connDeadlines) keepsServerDeadline() bool {
 	return c.phase == phaseServing || c.phase == phaseClosed
 }
 
@@ -97,7 +97,7 @@
 func (c *connDeadlines) readDeadline(deadline time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keepsDeadline() {
+	if c.keepsServerDeadline() {
 		return deadline
 	}
 	if deadline.IsZero() {
@@ -125,15 +125,15 @@
 	return c.since.Add(timeout)
 }
 
-// extended returns the new deadline, and true, where err is a time-out by limits
+// extendedDeadline returns the new deadline, and true, where err is a time-out by limits
 // that are in force no more and those in force leave time.
-func (c *connDeadlines) extended(err error) (time.Time, bool) {
+func (c *connDeadlines) extendedDeadline(err error) (time.Time, bool) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return time.Time{}, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keepsDeadline() {
+	if c.keepsServerDeadline() {
 		return time.Time{}, false
 	}
 	expiry := c.expiry()
--- a/data/proxy/drain_test.go
+++ b/data/proxy/drain_test.go
@@ -15,34 +15,34 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// crossingListener is a listener whose connections call onTrigger when certain
+// triggerListener is a listener whose connections call onTrigger when certain
 // bytes have arrived that nobody has read yet. After that they read no more until
 // over is closed: that the router closed them shows only once the request has
 // reached a runner, or nobody reads on.
-type crossingListener struct {
+type triggerListener struct {
 	net.Listener
 	trigger   string
 	onTrigger func()
-	over      chan struct{}
+	unblocked chan struct{}
 	once      *sync.Once
 }
 
-func (c crossingListener) end() { c.once.Do(func() { close(c.over) }) }
+func (c triggerListener) unblock() { c.once.Do(func() { close(c.unblocked) }) }
 
-type crossingConn struct {
+type triggerConn struct {
 	net.Conn
-	listener  crossingListener
+	listener  triggerListener
 	triggered atomic.Bool
 }
 
-func (c crossingListener) Accept() (net.Conn, error) {
+func (c triggerListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
-	return &crossingConn{Conn: conn, listener: c}, err
+	return &triggerConn{Conn: conn, listener: c}, err
 }
 
-func (c *crossingConn) Read(buffer []byte) (int, error) {
+func (c *triggerConn) Read(buffer []byte) (int, error) {
 	if c.triggered.Load() {
-		<-c.listener.over
+		<-c.listener.unblocked
 		return 0, net.ErrClosed
 	}
 	size, err := c.Conn.Read(buffer)
@@ -54,30 +54,30 @@
 }
 
 // SetReadDeadline ends the read that waits, as one in the past does.
-func (c *crossingConn) SetReadDeadline(until time.Time) error {
+func (c *triggerConn) SetReadDeadline(until time.Time) error {
 	if c.triggered.Load() && !until.IsZero() && until.Before(time.Now()) {
-		c.listener.end()
+		c.listener.unblock()
 	}
 	return c.Conn.SetReadDeadline(until)
 }
 
-// TestDrain_requestCrossingCloseIsNotForwarded starts draining at the moment at
+// TestDrain_requestRacingCloseIsNotForwarded starts draining at the moment at
 // which a request arrives on an idle connection: it is answered, or it reaches
 // no runner.
-func TestDrain_requestCrossingCloseIsNotForwarded(t *testing.T) {
-	listener := crossingListener{trigger: "/once/second", over: make(chan struct{}), once: &sync.Once{}}
-	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"), upstreamtest.Before(listener.end, upstreamtest.Respond(200, "s", "x")))
+func TestDrain_requestRacingCloseIsNotForwarded(t *testing.T) {
+	listener := triggerListener{trigger: "/once/second", unblocked: make(chan struct{}), once: &sync.Once{}}
+	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"), upstreamtest.Before(listener.unblock, upstreamtest.Respond(200, "s", "x")))
 	p := newTestProxy(t, 0, runner)
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &httptest.Server{Config: NewServer(p.proxy)}
-	listener.Listener, listener.onTrigger = plain, func() { startDraining(p) }
+	listener.Listener, listener.onTrigger = inner, func() { startDraining(p) }
 	server.Listener = NewListener(p.proxy, listener)
 	server.Start()
 	t.Cleanup(server.Close)
-	conn, err := net.Dial("tcp", plain.Addr().String())
+	conn, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -56,8 +56,8 @@
 	// clientGone says that a write to the client failed.
 	clientGone bool
 
-	// counted says that the request counts as begun by a runner.
-	counted bool
+	// usageCounted says that the request counts as begun by a runner.
+	usageCounted bool
 
 	// outcome is how the exchange ended, "" where it was aborted; reason says more
 	// of a rejection.
@@ -103,7 +103,7 @@
 	path, _, _ := strings.Cut(e.req.RequestURI, "?")
 	e.route = e.snapshot.Config.Match(e.req.Host, path)
 	if e.route == nil {
-		return e.unknown(errkind.NoRoute)
+		return e.unknownError(errkind.NoRoute)
 	}
 	if err := e.identifyTenant(); err != nil {
 		return err
@@ -151,7 +151,7 @@
 		return nil, errkind.Errorf(errkind.BodyTooLarge, "over %d bytes", maxBytes)
 	}
 	if maxBytes <= 0 {
-		maxBytes = e.proxy.machine.MemoryMB << 20 / defaultBodyDivisor
+		maxBytes = e.proxy.machineLimits.MemoryMB << 20 / defaultBodyDivisor
 	}
 	if e.req.ContentLength == 0 {
 		return nil, nil
--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestProxy_resumedAfterDeadline stalls the router past the deadline while the
+// TestProxy_stalledPastDeadline stalls the router past the deadline while the
 // runner's response, or its end, waits to be read: nothing that may have run is
 // sent again, and nothing is promised.
-func TestProxy_resumedAfterDeadline(t *testing.T) {
+func TestProxy_stalledPastDeadline(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/again/x"} {
 		for _, step := range []upstreamtest.Step{upstreamtest.Respond(200, "s", "id: 1\n\n"), upstreamtest.HangUp(), upstreamtest.Reset("H")} {
 			var p *testProxy
@@ -85,10 +85,10 @@
 		first = writer
 		return upstreamtest.Raw(head+"\r\n\r\n15\r\nid: 1\ndata: token 1\n\n\r\n15\r\nid: 9\ndata: token 9\n\n\r\n", true)(seen, writer)
 	}
-	talks := upstreamtest.Before(func() {
+	sendFromBoth := upstreamtest.Before(func() {
 		_, _ = io.WriteString(first, "15\r\nid: 2\ndata: another\n\n\r\n0\r\n\r\n")
 	}, upstreamtest.EventStream("seal-2", 2, 4, true))
-	p, _, two := newTestProxyWithPair(t, 10, started, talks)
+	p, _, two := newTestProxyWithPair(t, 10, started, sendFromBoth)
 	got := p.do("/again/x", "x")
 	if got.err != nil || got.body != eventText(1, 4) || two.Requests()[0].Header.Get("Last-Event-Id") != "1" {
 		t.Fatalf("%+v", got)
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestDrain_keepsResponseUnderWay drains the router and drops the route from the
+// TestDrain_completesResponseInProgress drains the router and drops the route from the
 // configuration while a response is under way: it comes complete all the same.
-func TestDrain_keepsResponseUnderWay(t *testing.T) {
+func TestDrain_completesResponseInProgress(t *testing.T) {
 	for _, path := range []string{"/once/x", "/stream/x"} {
 		var p *testProxy
 		drainThenRespond := func(seen upstreamtest.Request, writer io.Writer) bool {
@@ -142,9 +142,9 @@
 type instantClock struct{ clock.Clock }
 
 func (instantClock) After(time.Duration) <-chan struct{} {
-	over := make(chan struct{})
-	close(over)
-	return over
+	expired := make(chan struct{})
+	close(expired)
+	return expired
 }
 
 // TestDiscard_doesNotWaitForSilentBody has a runner reject a request and never
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -41,8 +41,8 @@
 }
 
 // doRaw sends bytes and returns all that comes back, and how it ended.
-func (t *testProxy) doRaw(text string) (string, error) {
-	conn := t.dial()
+func (p *testProxy) doRaw(text string) (string, error) {
+	conn := p.dial()
 	_, _ = io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
 	return string(got), err
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -43,16 +43,16 @@
 // testProxy is a router's data plane between scripted runners and a client, on a
 // clock that stands still.
 type testProxy struct {
-	t          testing.TB
-	clock      *clock.Fake
-	snapshots  *snapshot.Store
-	updates    *gossip.Store
-	stats      *runnerstats.Collector
-	proxy      *Proxy
-	server     *httptest.Server
-	log        *logtest.Buffer
-	runners    []discovery.Runner
-	listSerial ids.Version
+	t           testing.TB
+	clock       *clock.Fake
+	snapshots   *snapshot.Store
+	updates     *gossip.Store
+	stats       *runnerstats.Collector
+	proxy       *Proxy
+	server      *httptest.Server
+	log         *logtest.Buffer
+	runners     []discovery.Runner
+	listVersion ids.Version
 }
 
 // newTestProxy returns a testProxy whose retry budget is the reserve alone.
@@ -98,38 +98,38 @@
 }
 
 // setConfig publishes a configuration, a format with its version.
-func (t *testProxy) setConfig(version int, format string) {
-	t.updates.Put(gossip.Item{Key: "spec", Version: ids.Version(version), Body: []byte(fmt.Sprintf(format, version))})
+func (p *testProxy) setConfig(version int, format string) {
+	p.updates.Put(gossip.Item{Key: "spec", Version: ids.Version(version), Body: []byte(fmt.Sprintf(format, version))})
 }
 
 // publishRunners publishes p.runners as the list of endpoints.
-func (t *testProxy) publishRunners() {
-	t.t.Helper()
-	t.listSerial++
-	body, err := transport.Marshal(discovery.List{Runners: t.runners})
+func (p *testProxy) publishRunners() {
+	p.t.Helper()
+	p.listVersion++
+	body, err := transport.Marshal(discovery.List{Runners: p.runners})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: t.listSerial, Body: body})
+	p.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: p.listVersion, Body: body})
 }
 
 // setLostZones has the zones not answer this router's zone.
-func (t *testProxy) setLostZones(version ids.Version, zones ...ids.Zone) {
-	t.t.Helper()
+func (p *testProxy) setLostZones(version ids.Version, zones ...ids.Zone) {
+	p.t.Helper()
 	body, err := transport.Marshal(zonesummary.LostZones{Zones: zones})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
+	p.updates.Put(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
 }
 
-func (t *testProxy) setEvacuated(zone ids.Zone, version ids.Version, drained bool) {
-	t.t.Helper()
+func (p *testProxy) setEvacuated(zone ids.Zone, version ids.Version, drained bool) {
+	p.t.Helper()
 	body, err := transport.Marshal(evacuation.State{Version: version, Drained: drained})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
+	p.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
 }
 
 // clientResponse is what a client got.
@@ -143,11 +143,11 @@
 
 // do sends a request and reads the response to its end. Headers are pairs of
 // name and value.
-func (t *testProxy) do(path string, body string, headers ...string) clientResponse {
-	t.t.Helper()
-	req, err := http.NewRequest("POST", t.server.URL+path, strings.NewReader(body))
+func (p *testProxy) do(path string, body string, headers ...string) clientResponse {
+	p.t.Helper()
+	req, err := http.NewRequest("POST", p.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	req.Host = "shop.example"
 	req.Header.Set("Onyxwell-Attempt-Id", "v1")
@@ -160,8 +160,8 @@
 		return clientResponse{err: err}
 	}
 	defer resp.Body.Close()
-	format, err := io.ReadAll(resp.Body)
-	return clientResponse{status: resp.StatusCode, closes: resp.Close, header: resp.Header, body: string(format), err: err}
+	content, err := io.ReadAll(resp.Body)
+	return clientResponse{status: resp.StatusCode, closes: resp.Close, header: resp.Header, body: string(content), err: err}
 }
 
 // countRequests returns how many requests arrived at runners.
--- a/data/proxy/headbudget.go
+++ b/data/proxy/headbudget.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// freeHeadBytes of a head are not reserved: the connection's buffers hold them.
-	freeHeadBytes = 4 << 10
+	// unreservedHeadBytes of a head are not reserved: the connection's buffers hold them.
+	unreservedHeadBytes = 4 << 10
 	// headSlack is by how much more than the limit of the configuration a head may have
 	// before it is cut: white space that the limit does not count.
 	headSlack = 4 << 10
@@ -18,8 +18,8 @@
 	maxHeadBytes = 1 << 20
 )
 
-// headEnd ends a head that is cut. What is read then is a request that the proxy rejects.
-const headEnd = "\r\n\r\n"
+// headTerminator ends a head that is cut. What is read then is a request that the proxy rejects.
+const headTerminator = "\r\n\r\n"
 
 // headBudget bounds the bytes of a head while it is read: by the limit of the
 // configuration in force, and, together with all other heads and bodies, by the memory
@@ -29,9 +29,9 @@
 	quota *memquota.Quota
 
 	// size is what was read of the head.
-	size      int64
-	truncated bool
-	ended     bool
+	size           int64
+	truncated      bool
+	terminatorRead bool
 
 	mu       sync.Mutex
 	reserved *memquota.Reservation
@@ -39,8 +39,8 @@
 	closed   bool
 }
 
-// begin starts with another head.
-func (h *headBudget) begin() {
+// beginHead starts with another head.
+func (h *headBudget) beginHead() {
 	h.size = 0
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,7 +57,7 @@
 	switch {
 	case h.size > limit+headSlack:
 		h.truncate(errkind.HeaderTooLarge)
-	case h.size > freeHeadBytes && !h.reserve(h.size):
+	case h.size > unreservedHeadBytes && !h.reserve(h.size):
 		h.truncate(errkind.OutOfMemory)
 	}
 }
@@ -82,18 +82,18 @@
 	h.kind = kind
 }
 
-// endTruncated puts the end of a head that was cut into p, once, and returns its length.
-func (h *headBudget) endTruncated(p []byte) int {
-	if !h.truncated || h.ended {
+// readTerminator puts the end of a head that was cut into p, once, and returns its length.
+func (h *headBudget) readTerminator(p []byte) int {
+	if !h.truncated || h.terminatorRead {
 		return 0
 	}
-	h.ended = true
-	return copy(p, headEnd)
+	h.terminatorRead = true
+	return copy(p, headTerminator)
 }
 
-// problem returns why a head of the connection was cut, errkind.None if none was: no
+// rejectionKind returns why a head of the connection was cut, errkind.None if none was: no
 // further request is taken from it.
-func (h *headBudget) problem() errkind.Kind {
+func (h *headBudget) rejectionKind() errkind.Kind {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.kind
--- a/data/proxy/headbudget_test.go
+++ b/data/proxy/headbudget_test.go
@@ -13,9 +13,9 @@
 	"onyxwell/control/config"
 )
 
-// TestHeadBudget_endlessHeadIsCut has a client send a head that never ends: it is answered
+// TestHeadBudget_truncatesEndlessHead has a client send a head that never ends: it is answered
 // 431 as soon as the limit in force is passed, and nothing more is read.
-func TestHeadBudget_endlessHeadIsCut(t *testing.T) {
+func TestHeadBudget_truncatesEndlessHead(t *testing.T) {
 	p := newTestProxy(t, 0)
 	conn := p.dial()
 	defer conn.Close()
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestHeadBudget_headsAreBoundedTogether has many connections send heads that never end,
+// TestHeadBudget_sharesQuotaAcrossConnections has many connections send heads that never end,
 // while no limit is configured: together they take no more than the quota, those that find
 // no room are rejected, and all is given back when they close.
-func TestHeadBudget_headsAreBoundedTogether(t *testing.T) {
+func TestHeadBudget_sharesQuotaAcrossConnections(t *testing.T) {
 	const quotaBytes = 1 << 20
 	quota := memquota.New(quotaBytes, nil)
 	var heads []*headBudget
@@ -59,7 +59,7 @@
 		for head.size < 64<<10 && !head.truncated {
 			head.grow(1000, 0)
 		}
-		if head.problem() == errkind.OutOfMemory {
+		if head.rejectionKind() == errkind.OutOfMemory {
 			rejected++
 		}
 		if quota.Reserved() > quotaBytes {
@@ -77,12 +77,12 @@
 	}
 }
 
-// TestHeadBudget_nextHeadBeginsAnew has several requests with heads near the limit on one
+// TestHeadBudget_resetsForNextHead has several requests with heads near the limit on one
 // connection: none is cut.
-func TestHeadBudget_nextHeadBeginsAnew(t *testing.T) {
+func TestHeadBudget_resetsForNextHead(t *testing.T) {
 	head := &headBudget{quota: memquota.New(1<<20, nil)}
 	for range 10 {
-		head.begin()
+		head.beginHead()
 		head.grow(10_000, 16_384)
 		if head.truncated {
 			t.Fatal("a head within the limit is cut")
@@ -90,10 +90,10 @@
 	}
 	head.grow(20_000, 16_384)
 	buffer := make([]byte, 16)
-	if n := head.endTruncated(buffer); string(buffer[:n]) != headEnd || head.problem() != errkind.HeaderTooLarge {
-		t.Errorf("ended by %q, %v", buffer[:n], head.problem())
+	if n := head.readTerminator(buffer); string(buffer[:n]) != headTerminator || head.rejectionKind() != errkind.HeaderTooLarge {
+		t.Errorf("ended by %q, %v", buffer[:n], head.rejectionKind())
 	}
-	if head.endTruncated(buffer) != 0 {
+	if head.readTerminator(buffer) != 0 {
 		t.Error("ended twice")
 	}
 }
@@ -108,14 +108,14 @@
 	return len(buffer), nil
 }
 
-// TestHeadBudget_bodyAfterResponseBeganIsNoHead has a router write a response, as it does
+// TestHeadBudget_ignoresBodyAfterInterimResponse has a router write a response, as it does
 // for "Expect: 100-continue", before it reads a large body: the body is passed on as it is,
 // and the next head that never ends is cut all the same.
-func TestHeadBudget_bodyAfterResponseBeganIsNoHead(t *testing.T) {
+func TestHeadBudget_ignoresBodyAfterInterimResponse(t *testing.T) {
 	conn := &clientConn{Conn: bodyConn{}}
 	conn.head.quota = memquota.New(1<<20, nil)
 	conn.deadlines.limits = func() config.Limits { return config.Limits{MaxHeaderBytes: 16384} }
-	read := func() (cut bool) {
+	read := func() (truncated bool) {
 		buffer := make([]byte, 4096)
 		for range 64 {
 			n, err := conn.Read(buffer)
--- a/data/proxy/hostile_test.go
+++ b/data/proxy/hostile_test.go
@@ -55,12 +55,12 @@
 	{"no request at all", "\x16\x03\x01 hello\r\n\r\n", 400},
 }
 
-func (t *testProxy) dial() net.Conn {
-	conn, err := net.Dial("tcp", t.server.Listener.Addr().String())
+func (p *testProxy) dial() net.Conn {
+	conn, err := net.Dial("tcp", p.server.Listener.Addr().String())
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.t.Cleanup(func() { _ = conn.Close() })
+	p.t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -21,9 +21,9 @@
 	"onyxwell/data/upstream"
 )
 
-// TestInvariants_countPlantedViolations has an exchange do what the balancer keeps
+// TestInvariants_countViolations has an exchange do what the balancer keeps
 // it from; each must be counted.
-func TestInvariants_countPlantedViolations(t *testing.T) {
+func TestInvariants_countViolations(t *testing.T) {
 	runner := &snapshot.Runner{Runner: discovery.Runner{ID: "i"}, Region: "north"}
 	ran := []attemptRecord{{runner: "i", outcome: upstream.Indeterminate}}
 	responseOf := func(attempt string, seal string) *http.Response {
@@ -49,12 +49,12 @@
 			e.balancerRequest.Tenant = &config.Tenant{HomeRegions: []ids.Region{"south"}}
 			e.checkAttempt(runner, 0, 0)
 		}, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "a", "a", "") }, 0},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "a", "b", "") }, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "a", "a", "key") }, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "", "", "") }, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { sendAs(e, "", "", "") }, 0},
-		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { sendAs(e, "", "b", "") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "a", "a", "") }, 0},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "a", "b", "") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "a", "a", "key") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "", "", "") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { checkAttemptAs(e, "", "", "") }, 0},
+		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { checkAttemptAs(e, "", "b", "") }, 1},
 		{invariant.DeadlineNotExtended, config.Route{Type: config.Safe}, nil, func(e *exchange) {
 			e.clientTimeout = time.Second
 			e.checkAttempt(runner, 2*time.Second, 0)
@@ -64,19 +64,19 @@
 		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("other", "s"), 0) }, 1},
 		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", ""), 0) }, 1},
 		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", "s"), 0) }, 0},
-		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { resumeEvents(e, eventsFrom(9)) }, 1},
-		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { resumeEvents(e, eventsFrom(6)) }, 0},
+		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { relayResumedEvents(e, eventsFrom(9)) }, 1},
+		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { relayResumedEvents(e, eventsFrom(6)) }, 0},
 	}
 	for index, tc := range cases {
 		t.Run(fmt.Sprintf("%s %d", tc.name, index), func(t *testing.T) {
 			monitor := &invariant.Monitor{Tolerant: true}
 			p := New(Options{Clock: clock.NewFake(), Log: scope.NewLogger("error", io.Discard), Monitor: monitor})
-			planted := &exchange{
+			e := &exchange{
 				proxy: p, w: httptest.NewRecorder(), req: httptest.NewRequest("GET", "/", nil),
 				snapshot: &snapshot.Snapshot{Config: &config.Config{}},
 				route:    &tc.route, balancerRequest: balancer.Request{Route: &tc.route}, upstreamRequest: &upstream.Request{AttemptID: "a"}, attempts: tc.attempts,
 			}
-			tc.violate(planted)
+			tc.violate(e)
 			if got := monitor.Count(tc.name); got != tc.violations {
 				t.Errorf("counted %d, not %d", got, tc.violations)
 			}
@@ -84,9 +84,9 @@
 	}
 }
 
-// sendAs has an exchange of a tenant, empty for none, send its request as that of
+// checkAttemptAs has an exchange of a tenant, empty for none, send its request as that of
 // another, with the client's key unless it is empty.
-func sendAs(e *exchange, tenant ids.Tenant, sent ids.Tenant, key string) {
+func checkAttemptAs(e *exchange, tenant ids.Tenant, sent ids.Tenant, key string) {
 	e.snapshot.Config.Tenants = []config.Tenant{{Name: "a"}}
 	if tenant != "" {
 		e.tenant = &config.Tenant{Name: tenant}
@@ -98,8 +98,8 @@
 	e.checkAttempt(&snapshot.Runner{}, 0, 0)
 }
 
-// resumeEvents relays a response's events in an exchange that has relayed event 5.
-func resumeEvents(e *exchange, resp *http.Response) {
+// relayResumedEvents relays a response's events in an exchange that has relayed event 5.
+func relayResumedEvents(e *exchange, resp *http.Response) {
 	e.headerSent, e.hasLastEventID, e.lastEventID = true, true, 5
 	e.relayEvents(resp)
 }
--- a/data/proxy/limits_test.go
+++ b/data/proxy/limits_test.go
@@ -50,15 +50,15 @@
 	p := newTestProxy(t, 0, upstreamtest.Start(t, upstreamtest.Respond(200, "s", "ok")))
 	p.setConfig(2, configWithLimits(1000, 1500))
 	set := make(chan time.Duration, 64)
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &httptest.Server{Listener: NewListener(p.proxy, deadlineListener{Listener: plain, set: set}), Config: NewServer(p.proxy)}
+	server := &httptest.Server{Listener: NewListener(p.proxy, deadlineListener{Listener: inner, set: set}), Config: NewServer(p.proxy)}
 	server.Start()
 	t.Cleanup(server.Close)
 	p.setConfig(3, configWithLimits(60000, 90000))
-	conn, err := net.Dial("tcp", plain.Addr().String())
+	conn, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/data/proxy/listener.go
+++ b/data/proxy/listener.go
@@ -19,7 +19,7 @@
 // out past the proxy. The time-outs of heads and idle connections are those of
 // the configuration in force.
 func NewServer(p *Proxy) *http.Server {
-	server := httpcall.NewServer(p, setByConn, setByConn)
+	server := httpcall.NewServer(p, placeholderTimeout, placeholderTimeout)
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
 		if client, ok := conn.(*clientConn); ok && state == http.StateIdle {
 			client.deadlines.enter(phaseIdle)
@@ -40,7 +40,7 @@
 // heads that frame their body twice, which net/http mends silently, keep to the
 // limits in force, and leave descriptors for the connections to runners.
 func NewListener(p *Proxy, listener net.Listener) net.Listener {
-	return limitListener{Listener: listener, proxy: p, slots: newConnSlots(p.machine.OpenFiles)}
+	return limitListener{Listener: listener, proxy: p, slots: newConnSlots(p.machineLimits.OpenFiles)}
 }
 
 type limitListener struct {
@@ -98,8 +98,8 @@
 	responseBegun atomic.Bool
 	// headEnded says that the head is scanned to its end; line is the beginning of
 	// its present line, of maxFieldName bytes at most.
-	headEnded bool
-	line      []byte
+	headEnded  bool
+	linePrefix []byte
 	// head bounds the bytes of the head that is read.
 	head headBudget
 	// contentLengths and transferEncodings count the scanned head's fields that
@@ -107,19 +107,19 @@
 	contentLengths, transferEncodings, requests atomic.Int32
 }
 
-// maxFieldName is the length of the longest field name that frames a body.
-const maxFieldName = len("transfer-encoding:")
+// maxFramingFieldLen is the length of the longest field name that frames a body.
+const maxFramingFieldLen = len("transfer-encoding:")
 
 // Read implements net.Conn. It reads on after a time-out of limits that are in
 // force no more.
 func (c *clientConn) Read(p []byte) (int, error) {
-	if n := c.head.endTruncated(p); n > 0 {
+	if n := c.head.readTerminator(p); n > 0 {
 		c.headEnded = true
 		return n, nil
 	}
 	n, err := c.Conn.Read(p)
 	for n == 0 {
-		deadline, ok := c.deadlines.extended(err)
+		deadline, ok := c.deadlines.extendedDeadline(err)
 		if !ok {
 			break
 		}
@@ -130,11 +130,11 @@
 	if n > 0 {
 		c.deadlines.inputArrived()
 		if c.responseBegun.Swap(false) {
-			c.headEnded, c.line = false, c.line[:0]
+			c.headEnded, c.linePrefix = false, c.linePrefix[:0]
 			c.contentLengths.Store(0)
 			c.transferEncodings.Store(0)
 			c.requests.Store(0)
-			c.head.begin()
+			c.head.beginHead()
 		}
 		if !c.headEnded {
 			c.scanHead(p[:n])
@@ -189,12 +189,12 @@
 func (c *clientConn) scanHead(text []byte) {
 	for len(text) > 0 && !c.headEnded {
 		part, rest, ended := bytes.Cut(text, []byte("\n"))
-		c.line = append(c.line, part[:min(len(part), maxFieldName-min(maxFieldName, len(c.line)))]...)
+		c.linePrefix = append(c.linePrefix, part[:min(len(part), maxFramingFieldLen-min(maxFramingFieldLen, len(c.linePrefix)))]...)
 		text = rest
 		if !ended {
 			return
 		}
-		line := strings.ToLower(string(c.line))
+		line := strings.ToLower(string(c.linePrefix))
 		c.headEnded = strings.TrimRight(line, "\r") == ""
 		if strings.HasPrefix(line, "content-length:") {
 			c.contentLengths.Add(1)
@@ -202,13 +202,13 @@
 		if strings.HasPrefix(line, "transfer-encoding:") {
 			c.transferEncodings.Add(1)
 		}
-		c.line = c.line[:0]
+		c.linePrefix = c.linePrefix[:0]
 	}
 }
 
-// takeRequest counts a request as taken. It returns whether its head was
+// recordRequest counts a request as taken. It returns whether its head was
 // scanned, and whether that frames the body twice.
-func (c *clientConn) takeRequest() (ambiguous bool, scanned bool) {
+func (c *clientConn) recordRequest() (ambiguous bool, scanned bool) {
 	framings := c.contentLengths.Load() + c.transferEncodings.Load()
 	scanned = c.requests.Add(1) == 1
 	return scanned && framings > 1, scanned
@@ -217,16 +217,16 @@
 // checkHead rejects heads that net/http accepts and that could mean another
 // request to a runner than to this router.
 func checkHead(req *http.Request, conn *clientConn) error {
-	if problem := targetProblem(req); problem != "" {
+	if problem := invalidTargetReason(req); problem != "" {
 		return errkind.Errorf(errkind.BadRequest, "%s", problem)
 	}
 	if conn == nil {
 		return nil
 	}
-	if kind := conn.head.problem(); kind != errkind.None {
+	if kind := conn.head.rejectionKind(); kind != errkind.None {
 		return errkind.Errorf(kind, "")
 	}
-	ambiguous, scanned := conn.takeRequest()
+	ambiguous, scanned := conn.recordRequest()
 	if ambiguous {
 		return errkind.Errorf(errkind.BadRequest, "the body's length is told twice")
 	}
--- a/data/proxy/outcome.go
+++ b/data/proxy/outcome.go
@@ -48,7 +48,7 @@
 	if unloggedOutcomes[outcome] {
 		return
 	}
-	if ok, suppressed := e.proxy.failureLog.allow(outcome, now); ok {
+	if ok, suppressed := e.proxy.failureLogLimiter.allow(outcome, now); ok {
 		e.logFailure(outcome, route, duration, suppressed)
 	}
 }
@@ -81,9 +81,9 @@
 // outcome: each outcome has its own bound, so that none hides another.
 const failureLinesPerSecond = 2
 
-// lineLimiter counts the log lines of the present second, by outcome. Its zero
+// logRateLimiter counts the log lines of the present second, by outcome. Its zero
 // value is ready for use.
-type lineLimiter struct {
+type logRateLimiter struct {
 	mu     sync.Mutex
 	second int64
 	counts map[string]int
@@ -93,7 +93,7 @@
 
 // allow returns whether another line of an outcome may be written now, and then
 // how many were suppressed since the last.
-func (l *lineLimiter) allow(outcome string, now clock.Instant) (ok bool, suppressed int64) {
+func (l *logRateLimiter) allow(outcome string, now clock.Instant) (ok bool, suppressed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := int64(now) / int64(time.Second); second != l.second || l.counts == nil {
--- a/data/proxy/outcome_test.go
+++ b/data/proxy/outcome_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-func TestLineLimiter_outcomesAreIndependent(t *testing.T) {
-	limiter, now := &lineLimiter{}, clock.Instant(time.Second)
+func TestLogRateLimiter_outcomesAreIndependent(t *testing.T) {
+	limiter, now := &logRateLimiter{}, clock.Instant(time.Second)
 	for range 40 {
 		limiter.allow("bad-request", now)
 	}
--- a/data/proxy/proxy.go
+++ b/data/proxy/proxy.go
@@ -51,16 +51,16 @@
 	SlowStart *slowstart.Tracker
 	Upstream  *upstream.Client
 	Limiter   *ratelimit.Limiter
-	// Versions is told of each attempt's outcome; it may be nil.
-	Versions *canary.Gate
+	// Canary is told of each attempt's outcome; it may be nil.
+	Canary *canary.Gate
 	// QuotaRetryAfter is when a client whose tenant's quota is used up may come back.
 	QuotaRetryAfter time.Duration
 	// RevokedKeyTimeout is after how long a router that is cut off serves no keys; 0 is never.
 	RevokedKeyTimeout time.Duration
-	// Began is told of each request that a runner began, and how long ago; it may be nil.
-	Began   func(tenant ids.Tenant, age time.Duration)
-	Metrics *telemetry.Metrics
-	Monitor *invariant.Monitor
+	// OnRequestBegan is told of each request that a runner began, and how long ago; it may be nil.
+	OnRequestBegan func(tenant ids.Tenant, age time.Duration)
+	Metrics        *telemetry.Metrics
+	Monitor        *invariant.Monitor
 }
 
 // Proxy is the handler of clients' requests. Its methods may be called at the
@@ -68,22 +68,22 @@
 type Proxy struct {
 	clock clock.Clock
 	log   *log.Logger
-	// machine are the limits of this machine; those for requests are in the
+	// machineLimits are the limits of this machineLimits; those for requests are in the
 	// configuration in force, see limits.
-	machine   settings.Limits
-	snapshots *snapshot.Store
-	balancer  *balancer.Balancer
-	stats     *runnerstats.Collector
-	slowStart *slowstart.Tracker
-	upstream  *upstream.Client
-	limiter   *ratelimit.Limiter
-	versions  *canary.Gate
+	machineLimits settings.Limits
+	snapshots     *snapshot.Store
+	balancer      *balancer.Balancer
+	stats         *runnerstats.Collector
+	slowStart     *slowstart.Tracker
+	upstream      *upstream.Client
+	limiter       *ratelimit.Limiter
+	canary        *canary.Gate
 	// quotaRetryAfter is Options.QuotaRetryAfter.
 	quotaRetryAfter time.Duration
 	// revokedKeyTimeout is Options.RevokedKeyTimeout.
 	revokedKeyTimeout time.Duration
-	// began is Options.Began.
-	began func(tenant ids.Tenant, age time.Duration)
+	// onRequestBegan is Options.Began.
+	onRequestBegan func(tenant ids.Tenant, age time.Duration)
 
 	metrics *telemetry.Metrics
 	monitor *invariant.Monitor
@@ -92,9 +92,9 @@
 	// acceptUntil is the clock.Instant until which a draining proxy takes requests.
 	acceptUntil atomic.Int64
 	// attemptSeq numbers the attempts for the statistics of runners.
-	attemptSeq atomic.Uint64
-	inFlight   atomic.Int64
-	failureLog lineLimiter
+	attemptSeq        atomic.Uint64
+	inFlight          atomic.Int64
+	failureLogLimiter logRateLimiter
 	// bodyQuota bounds the memory of all bodies together; nil is unbounded.
 	bodyQuota *memquota.Quota
 	conns     connSet
@@ -108,11 +108,11 @@
 // New returns a Proxy that serves the snapshots of options.Snapshots.
 func New(options Options) *Proxy {
 	p := &Proxy{
-		clock: options.Clock, log: options.Log, machine: options.Limits,
+		clock: options.Clock, log: options.Log, machineLimits: options.Limits,
 		snapshots: options.Snapshots, balancer: options.Balancer, stats: options.Stats, slowStart: options.SlowStart,
-		upstream: options.Upstream, limiter: options.Limiter, versions: options.Versions, quotaRetryAfter: options.QuotaRetryAfter, revokedKeyTimeout: options.RevokedKeyTimeout, began: options.Began, metrics: options.Metrics, monitor: options.Monitor,
+		upstream: options.Upstream, limiter: options.Limiter, canary: options.Canary, quotaRetryAfter: options.QuotaRetryAfter, revokedKeyTimeout: options.RevokedKeyTimeout, onRequestBegan: options.OnRequestBegan, metrics: options.Metrics, monitor: options.Monitor,
 	}
-	if memory := p.machine.MemoryMB << 20; memory > 0 {
+	if memory := p.machineLimits.MemoryMB << 20; memory > 0 {
 		p.bodyQuota = memquota.New(memory/bodyMemoryDivisor, p.monitor)
 		p.metrics.GaugeFunc("body_bytes", "Bytes reserved for the bodies of requests and answers.", nil, func() float64 { return float64(p.bodyQuota.Reserved()) })
 	}
--- a/data/proxy/proxy_test.go
+++ b/data/proxy/proxy_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestProxy_homeRegionsBind(t *testing.T) {
+func TestProxy_enforcesHomeRegions(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	p := newTestProxy(t, 10, runner)
 	if got := p.do("/home/x", "x"); got.status != 503 || countRequests(runner) != 0 {
--- a/data/proxy/relay.go
+++ b/data/proxy/relay.go
@@ -30,7 +30,7 @@
 // relayBuffered passes a response on once it is complete: one that breaks before
 // can be asked for again.
 func (e *exchange) relayBuffered(resp *http.Response) (outcome upstream.Outcome, done bool) {
-	maxBytes := e.proxy.responseSizeBound()
+	maxBytes := e.proxy.responseSizeLimit()
 	if resp.ContentLength >= maxBytes {
 		return upstream.Garbled, false
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return e.endResponse(err)
 	}
-	source := &upstreamReader{source: rest}
+	source := &errorRecordingReader{source: rest}
 	if _, err = io.Copy(e.w, source); source.err != nil {
 		return upstream.Indeterminate, false
 	}
@@ -84,7 +84,7 @@
 		event, readErr := events.Next()
 		end := errors.Is(readErr, io.EOF)
 		if readErr != nil && !end {
-			return eventOutcome(readErr), false
+			return outcomeOfReadError(readErr), false
 		}
 		if !e.headerSent {
 			e.beginResponse(resp, e.streamLength(resp))
@@ -116,22 +116,22 @@
 	return resp.ContentLength
 }
 
-func eventOutcome(err error) upstream.Outcome {
+func outcomeOfReadError(err error) upstream.Outcome {
 	if errors.Is(err, upstream.ErrEventOrder) {
 		return upstream.Garbled
 	}
 	return upstream.Indeterminate
 }
 
-// upstreamReader keeps the error of its source apart from that of a copy's
+// errorRecordingReader keeps the error of its source apart from that of a copy's
 // destination.
-type upstreamReader struct {
+type errorRecordingReader struct {
 	source io.Reader
 	err    error
 }
 
 // Read implements io.Reader.
-func (u *upstreamReader) Read(p []byte) (int, error) {
+func (u *errorRecordingReader) Read(p []byte) (int, error) {
 	n, err := u.source.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		u.err = err
@@ -139,14 +139,14 @@
 	return n, err
 }
 
-// maxResponseDivisor says which part of the machine's memory no response
-// reaches, as 1/maxResponseDivisor.
-const maxResponseDivisor = 8
+// responseSizeDivisor says which part of the machine's memory no response
+// reaches, as 1/responseSizeDivisor.
+const responseSizeDivisor = 8
 
-// responseSizeBound is the size that a response must stay below: one without an end
+// responseSizeLimit is the size that a response must stay below: one without an end
 // must not take all memory.
-func (p *Proxy) responseSizeBound() int64 {
-	if maxBytes := p.machine.MemoryMB << 20 / maxResponseDivisor; maxBytes > 0 {
+func (p *Proxy) responseSizeLimit() int64 {
+	if maxBytes := p.machineLimits.MemoryMB << 20 / responseSizeDivisor; maxBytes > 0 {
 		return maxBytes
 	}
 	return math.MaxInt64
--- a/data/proxy/stream_test.go
+++ b/data/proxy/stream_test.go
@@ -10,16 +10,16 @@
 
 // newTestProxyWithPair starts two runners; the second is ready only once the
 // first has a request, so that the first attempt goes to the first.
-func newTestProxyWithPair(t *testing.T, extra float64, first upstreamtest.Step, second upstreamtest.Step) (*testProxy, *upstreamtest.Runner, *upstreamtest.Runner) {
+func newTestProxyWithPair(t *testing.T, retryReserve float64, first upstreamtest.Step, second upstreamtest.Step) (*testProxy, *upstreamtest.Runner, *upstreamtest.Runner) {
 	t.Helper()
 	var p *testProxy
-	open := func() {
+	markReady := func() {
 		p.runners[1].Draining = false
 		p.publishRunners()
 	}
-	one := upstreamtest.Start(t, upstreamtest.Before(open, first))
+	one := upstreamtest.Start(t, upstreamtest.Before(markReady, first))
 	two := upstreamtest.Start(t, second)
-	p = newTestProxy(t, extra, one, two)
+	p = newTestProxy(t, retryReserve, one, two)
 	p.runners[1].Draining = true
 	p.publishRunners()
 	return p, one, two
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestStream_brokenIsResumed has one runner break off after three events: another
+// TestStream_resumesAfterBreak has one runner break off after three events: another
 // resumes after the third, under the first one's head.
-func TestStream_brokenIsResumed(t *testing.T) {
+func TestStream_resumesAfterBreak(t *testing.T) {
 	p, _, second := newTestProxyWithPair(t, 10, upstreamtest.EventStream("seal-1", 1, 3, false), upstreamtest.EventStream("seal-2", 4, 6, true))
 	got := p.do("/again/x", "x")
 	if got.err != nil || got.body != eventText(1, 6) || got.header.Get("Onyxwell-Server-Seal") != "seal-1" {
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestStream_unresumableLooksBroken breaks streams in ways that can't be
+// TestStream_abortsUnresumable breaks streams in ways that can't be
 // resumed; the client must see that they are not complete.
-func TestStream_unresumableLooksBroken(t *testing.T) {
+func TestStream_abortsUnresumable(t *testing.T) {
 	cases := []struct {
 		name          string
 		path          string
--- a/data/proxy/target.go
+++ b/data/proxy/target.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// targetProblem returns what is wrong with a request's target, "" where it is
+// invalidTargetReason returns what is wrong with a request's target, "" where it is
 // well formed. Runners get the target as it is, so routes must be matched by it
 // as it is.
-func targetProblem(req *http.Request) string {
+func invalidTargetReason(req *http.Request) string {
 	target := req.RequestURI
 	path, _, _ := strings.Cut(target, "?")
 	if req.Method == http.MethodConnect || !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "//") {
--- a/data/proxy/tenant.go
+++ b/data/proxy/tenant.go
@@ -21,23 +21,23 @@
 		return nil
 	}
 	if e.tenant == nil {
-		return e.unknown(errkind.UnknownKey)
+		return e.unknownError(errkind.UnknownKey)
 	}
-	if e.proxy.mayBeRevoked(e.snapshot, e.arrivedAt) {
+	if e.proxy.keysMayBeRevoked(e.snapshot, e.arrivedAt) {
 		return errkind.Errorf(errkind.OutOfContact, "the key may have been revoked")
 	}
 	return nil
 }
 
-// mayBeRevoked reports whether this router has been cut off for so long that it must serve no
+// keysMayBeRevoked reports whether this router has been cut off for so long that it must serve no
 // keys.
-func (p *Proxy) mayBeRevoked(snap *snapshot.Snapshot, now clock.Instant) bool {
+func (p *Proxy) keysMayBeRevoked(snap *snapshot.Snapshot, now clock.Instant) bool {
 	return p.revokedKeyTimeout > 0 && snap.CutOffSince > 0 && now.Since(snap.CutOffSince) >= p.revokedKeyTimeout
 }
 
-// unknown returns the error of a request whose route or key the configuration in force here
+// unknownError returns the error of a request whose route or key the configuration in force here
 // does not have. While this router is cut off a newer one may have it.
-func (e *exchange) unknown(kind errkind.Kind) error {
+func (e *exchange) unknownError(kind errkind.Kind) error {
 	if e.snapshot.CutOffSince > 0 {
 		kind = errkind.OutOfContact
 	}
@@ -67,9 +67,9 @@
 // countUsage counts the request once a runner has begun it, at the head of its first
 // response: whatever comes of it later, and wherever it is resumed, it counts once.
 func (e *exchange) countUsage(resp *http.Response) {
-	if e.proxy.began == nil || e.tenant == nil || e.counted || resp.StatusCode != http.StatusOK {
+	if e.proxy.onRequestBegan == nil || e.tenant == nil || e.usageCounted || resp.StatusCode != http.StatusOK {
 		return
 	}
-	e.counted = true
-	e.proxy.began(e.tenant.Name, 0)
+	e.usageCounted = true
+	e.proxy.onRequestBegan(e.tenant.Name, 0)
 }
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -114,8 +114,8 @@
 			Clock: r.clock, Dialer: r.dialer(),
 			IdleTimeout: upstreamIdleFactor * r.timing.PeerTimeout, MaxIdlePerHost: r.settings.Limits.OpenFiles / idlePerHostDivisor,
 		}),
-		Began: r.usage.began, RevokedKeyTimeout: revokedKeyTimeout(r.settings.Bounds),
-		Limiter: r.limiter, Versions: r.versions, QuotaRetryAfter: r.daemon.QuotaPolicy().RetryAfter(),
+		OnRequestBegan: r.usage.began, RevokedKeyTimeout: revokedKeyTimeout(r.settings.Bounds),
+		Limiter: r.limiter, Canary: r.versions, QuotaRetryAfter: r.daemon.QuotaPolicy().RetryAfter(),
 		Metrics: r.daemon.Metrics, Monitor: r.daemon.Monitor,
 	})
 	r.readIndex = r.daemon.NewReadIndexGate(r.snapshots.Ready(), r.configVersion)
