--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -16,7 +16,7 @@
 	"onyxwell/data/upstream"
 )
 
-// attempt is one sending of a request that is under way.
+// attempt is an attempt in progress to have a runner execute the request.
 type attempt struct {
 	request   upstream.Attempt
 	admission *balancer.Admission
@@ -24,16 +24,18 @@
 	arm       canary.Arm
 	number    uint64
 	startedAt clock.Instant
-	// timeToFirstByte is how long the head of the response took; 0 where there was none.
+	// timeToFirstByte is the time until the head of the response arrived; 0 if none
+	// did.
 	timeToFirstByte time.Duration
-	// resumes says that the rest of a stream is asked for.
+	// resumes reports whether the attempt asks for the rest of a stream.
 	resumes bool
-	// began says that the runner's response began, slow that it did so late.
+	// began reports whether the head of a response arrived.
 	began bool
-	slow  bool
+	// slow reports whether the head arrived late; see slowResponseDivisor.
+	slow bool
 }
 
-// attemptRecord is an attempt that has ended.
+// attemptRecord is the result of an attempt that has ended.
 type attemptRecord struct {
 	runner   ids.RunnerID
 	outcome  upstream.Outcome
@@ -41,15 +43,15 @@
 	duration time.Duration
 }
 
-// mayHaveRun returns whether the runner may have begun to work.
+// mayHaveRun reports whether the runner may have executed the request.
 func (a attemptRecord) mayHaveRun() bool {
 	return a.outcome != upstream.Unsent && a.outcome != upstream.Rejected
 }
 
-// reachedRunner returns whether the runner counts it as an arrival.
+// reachedRunner reports whether the request may have arrived at the runner.
 func (a attemptRecord) reachedRunner() bool { return a.outcome != upstream.Unsent }
 
-// mayHaveRun returns whether any attempt so far may have run.
+// mayHaveRun reports whether any ended attempt may have been executed.
 func (e *exchange) mayHaveRun() bool {
 	for _, record := range e.attempts {
 		if record.mayHaveRun() {
@@ -59,11 +61,11 @@
 	return false
 }
 
-// slowResponseDivisor says after which part of its latency target a response
-// counts as slow, as 1/slowResponseDivisor.
+// slowResponseDivisor is the divisor of the latency target that gives the time
+// from a request's arrival after which a response that begins counts as slow.
 const slowResponseDivisor = 4
 
-// responseBegan counts the head of a runner's response.
+// responseBegan records that the head of a runner's response has arrived.
 func (e *exchange) responseBegan(a *attempt) {
 	now := e.proxy.clock.Now()
 	a.began = true
@@ -76,8 +78,8 @@
 	}
 }
 
-// endAttempt counts what came of an attempt. Its outcome differs from the
-// result's where the body broke.
+// endAttempt records the outcome of an attempt. It differs from the outcome in
+// result if relaying the body failed.
 func (e *exchange) endAttempt(a *attempt, result upstream.Result, outcome upstream.Outcome) {
 	now, stats := e.proxy.clock.Now(), e.proxy.stats
 	ended := runnerstats.EndedRequest{
@@ -101,8 +103,9 @@
 	e.observeVersion(a, result, ended, now)
 }
 
-// observeVersion counts an attempt for or against its runner's version. One that did not
-// run, or that its client or its deadline ended, says nothing of it.
+// observeVersion reports the success or failure of an attempt to the canary gate, which
+// compares runner versions. Attempts that were not executed or that ended because of the
+// client or the deadline are not reported.
 func (e *exchange) observeVersion(a *attempt, result upstream.Result, ended runnerstats.EndedRequest, now clock.Instant) {
 	serverError := result.Response != nil && result.Response.StatusCode >= http.StatusInternalServerError
 	failed := ended.RunnerFailed || (ended.Completed && serverError)
@@ -116,8 +119,8 @@
 	e.proxy.canary.Observe(observed)
 }
 
-// completionTotals is what a completed attempt adds to the statistics of
-// lengths.
+// completionTotals returns what a completed attempt adds to the statistics of
+// request lengths.
 func (e *exchange) completionTotals(a *attempt, duration time.Duration) lengthstats.Totals {
 	slow := 0.0
 	if a.slow {
@@ -129,12 +132,15 @@
 	}
 }
 
-// runnerFailed returns whether an attempt that was not completed speaks against
-// its runner. One that only rejected the request is healthy, unless it is
-// another than the one that was meant. Where the time ran out or the client
-// left, only silence of more than the latency target does. Nothing was sent on a
-// stale connection or for want of this machine's descriptors: that says nothing
-// of the runner.
+// runnerFailed reports whether an attempt that was not completed counts as a
+// failure of its runner:
+//   - If nothing was sent because connections were stale or this machine lacked
+//     resources such as file descriptors, it does not.
+//   - A rejection counts only if its status is 421, which means that another
+//     runner than the intended one was reached.
+//   - If the deadline passed or the client left (late), it counts only if no
+//     response began for longer than the latency target.
+//   - Anything else counts.
 func runnerFailed(result upstream.Result, late bool, ended runnerstats.EndedRequest, latencyTarget time.Duration) bool {
 	if result.StaleConn || result.LocalExhaustion {
 		return false
@@ -148,18 +154,20 @@
 	return true
 }
 
-// recordAttempt keeps an attempt for the log and the checks that follow.
+// recordAttempt stores the result of an attempt for the checks before the next
+// one and for the log, and counts it in the metrics.
 func (e *exchange) recordAttempt(record attemptRecord) {
 	e.attempts = append(e.attempts, record)
 	e.proxy.metrics.CountAttempt(record.outcome.String(), record.cause)
 }
 
-// discardTimeout is how long the rest of a rejection is waited for, so that its
-// connection can be kept.
+// discardTimeout bounds the wait for the rest of a response that is not relayed.
+// A connection can be reused only after the response has been read to its end.
 const discardTimeout = 50 * time.Millisecond
 
-// discard reads a response that is not relayed to its end. One whose rest does
-// not come is left to the end of the exchange, which closes it.
+// discard drains and closes a response that is not relayed. After discardTimeout
+// it returns without waiting further: the goroutine that drains ends when the
+// exchange does, which closes the connection.
 func discard(source clock.Clock, resp *http.Response) {
 	if resp == nil || resp.Body == http.NoBody {
 		return
@@ -175,8 +183,9 @@
 	}
 }
 
-// checkAttempt counts the promises that an attempt would break, right before it
-// is sent: the balancer and the snapshot should have seen to them.
+// checkAttempt counts the invariants that an attempt is about to violate. The
+// balancer and the snapshot are responsible for upholding them, so that none
+// should be violated here.
 func (e *exchange) checkAttempt(runner *snapshot.Runner, timeLeft time.Duration, now clock.Instant) {
 	monitor, route, id := e.proxy.monitor, e.route, e.upstreamRequest.AttemptID
 	arrivals := 0
@@ -186,24 +195,25 @@
 		}
 	}
 	if !route.Idempotent() && e.mayHaveRun() {
-		monitor.Violated(invariant.RunOnce, "attempt %s of route %s is sent to %s after %v", id, route.Name, runner.ID, e.attempts)
+		monitor.Violated(invariant.RunOnce, "attempt %s of route %s may have been executed already and is sent to %s, after %v", id, route.Name, runner.ID, e.attempts)
 	}
 	if arrivals >= max(1, route.MaxAttempts) {
-		monitor.Violated(invariant.AttemptLimit, "attempt %s of route %s is sent to %s after %d of %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
+		monitor.Violated(invariant.AttemptLimit, "attempt %s of route %s is sent to %s after %d attempts of at most %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
 	if !e.hasConsistentTenant() {
-		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s as of tenant %q", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
+		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s for tenant %q, which its key did not identify, or with that key", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
 	}
 	if !e.balancerRequest.AllowsRegion(runner.Region) {
-		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in %s", id, route.Name, runner.ID, runner.Region)
+		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in region %s, which is no home region", id, route.Name, runner.ID, runner.Region)
 	}
 	if timeout := e.clientTimeout; timeout > 0 && now.Add(timeLeft).Since(e.arrivedAt) > timeout {
-		monitor.Violated(invariant.DeadlineNotExtended, "attempt %s: %v left of %v", id, timeLeft, timeout)
+		monitor.Violated(invariant.DeadlineNotExtended, "attempt %s is sent with %v left, past the client's timeout of %v", id, timeLeft, timeout)
 	}
 }
 
-// hasConsistentTenant returns whether the request goes out without a client's key and as
-// one of the tenant that holds it, where the configuration has tenants.
+// hasConsistentTenant reports whether the request to runners carries no client key and
+// names the tenant that the key identified, or no tenant if there was none and the route
+// requires no key. It reports true if the configuration has no tenants.
 func (e *exchange) hasConsistentTenant() bool {
 	cfg, req := e.snapshot.Config, e.upstreamRequest
 	switch {
@@ -217,25 +227,27 @@
 	return req.Tenant == e.tenant.Name
 }
 
-// checkResponse counts a response that is another attempt's, or a success
-// without a runner's seal.
+// checkResponse counts a violation if a response has the id of another attempt or
+// is a success without a runner's seal.
 func (e *exchange) checkResponse(resp *http.Response) {
 	id, sealed := resp.Header.Get(upstream.AttemptIDHeader), resp.Header.Get(upstream.SealHeader) != ""
 	if id != e.upstreamRequest.AttemptID || (resp.StatusCode/100 == 2 && !sealed) {
-		e.proxy.monitor.Violated(invariant.ResponseSeal, "attempt %s gets an answer of %q, status %d, sealed %v", e.upstreamRequest.AttemptID, id, resp.StatusCode, sealed)
+		e.proxy.monitor.Violated(invariant.ResponseSeal, "attempt %s gets a response with attempt id %q, status %d, sealed %v", e.upstreamRequest.AttemptID, id, resp.StatusCode, sealed)
 	}
 }
 
-// checkEventOrder counts an event that does not follow the last one passed on.
+// checkEventOrder counts a violation if an event does not follow the last one
+// forwarded.
 func (e *exchange) checkEventOrder(events *upstream.EventReader) {
 	if e.hasLastEventID && events.HasLastID && events.LastID != e.lastEventID && events.LastID != e.lastEventID+1 {
 		e.proxy.monitor.Violated(invariant.EventOrder, "attempt %s gets event %d after %d", e.upstreamRequest.AttemptID, events.LastID, e.lastEventID)
 	}
 }
 
-// checkRejection counts a promise that nothing ran where something may have.
+// checkRejection counts a violation if a rejection promises that the request was
+// not executed although it may have been.
 func (e *exchange) checkRejection(kind errkind.Kind) {
 	if kind.Response().NotRun && e.mayHaveRun() {
-		e.proxy.monitor.Violated(invariant.PromiseNotRun, "attempt %s is answered %s after %v", e.upstreamRequest.AttemptID, kind, e.attempts)
+		e.proxy.monitor.Violated(invariant.PromiseNotRun, "attempt %s is rejected as %s, which promises no execution, after %v", e.upstreamRequest.AttemptID, kind, e.attempts)
 	}
 }
--- a/data/proxy/conns.go
+++ b/data/proxy/conns.go
@@ -8,8 +8,8 @@
 	"onyxwell/base/clock"
 )
 
-// connSet is the set of a proxy's clients' connections. Its zero value is ready
-// for use.
+// connSet is the set of open client connections of a proxy. The zero value is
+// ready to use. It is safe for concurrent use.
 type connSet struct {
 	mu    sync.Mutex
 	conns map[*clientConn]bool
@@ -30,6 +30,7 @@
 	delete(c.conns, conn)
 }
 
+// list returns a copy of the set.
 func (c *connSet) list() []*clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,9 +41,10 @@
 	return conns
 }
 
-// CloseIdle closes the connections on which no request is read or served.
-// http.Server would do that too, but also close one whose next request it is
-// reading, and then serve that request without a way to answer it.
+// CloseIdle closes the connections on which no request is being read or served.
+// http.Server can close idle connections itself, but it also closes one whose next
+// request it is reading, and then serves that request without being able to send
+// the response.
 func (p *Proxy) CloseIdle() {
 	for _, conn := range p.conns.list() {
 		if conn.deadlines.closeIfIdle() {
@@ -51,8 +53,8 @@
 	}
 }
 
-// AwaitIdle closes connections as their responses go out, until no request is
-// read or served any more or the context ends.
+// AwaitIdle closes connections as they become idle, until no request is being read
+// or served or the context ends.
 func (p *Proxy) AwaitIdle(ctx context.Context) {
 	const interval = 20 * time.Millisecond
 	for p.hasRequests() && clock.Wait(ctx, p.clock, interval) {
--- a/data/proxy/deadlines.go
+++ b/data/proxy/deadlines.go
@@ -10,39 +10,41 @@
 	"onyxwell/control/config"
 )
 
-// connPhase is what a client's connection is at.
+// connPhase is the state of a client's connection.
 type connPhase int
 
 const (
-	// phaseReadingHead is from the first byte of a request's head, or from the
-	// accept, to its last.
+	// phaseReadingHead lasts from the accept, or the first byte of a further request,
+	// to the end of the request's head.
 	phaseReadingHead connPhase = iota
-	// phaseIdle is after a response while no further request has begun.
+	// phaseIdle lasts from the end of a response to the next request's first byte.
 	phaseIdle
-	// phaseServing is while a request is served; its deadlines are its own.
+	// phaseServing lasts while a request is served, which sets its own deadlines.
 	phaseServing
-	// phaseClosed is after the router closed it while idle. What is still read of
-	// it is not acted on.
+	// phaseClosed begins when the router closes the connection while it is idle.
+	// Requests that are still read from it are not served.
 	phaseClosed
 )
 
-// placeholderTimeout stands for the time-outs that net/http's server is made with: the
-// connection puts those of the configuration in force in their place.
+// placeholderTimeout is the timeout that net/http's server is configured with.
+// Connections replace it by those of the current configuration.
 const placeholderTimeout = 24 * time.Hour
 
-// connDeadlines holds a connection to the limits in force now. net/http's server
-// has its time-outs from when it is made, and a configuration may bring others.
+// connDeadlines applies the timeouts of the current configuration to a
+// connection. Those of net/http's server are fixed when it is created, whereas the
+// configuration may change.
 type connDeadlines struct {
 	limits func() config.Limits
 	mu     sync.Mutex
 	phase  connPhase
 	// since is when the phase began.
 	since time.Time
-	// hasInput says that bytes of the next request are here.
+	// hasInput reports whether bytes have been read since the connection was last
+	// idle.
 	hasInput bool
 }
 
-// enter begins a phase. It returns false where the connection is closed.
+// enter begins a phase. It returns false if the connection is in phaseClosed.
 func (c *connDeadlines) enter(next connPhase) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,15 +56,15 @@
 	return true
 }
 
-// inputArrived notes that bytes were read.
+// inputArrived records that bytes were read.
 func (c *connDeadlines) inputArrived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hasInput = true
 }
 
-// closeIfIdle enters phaseClosed unless a request is being read or served, and
-// returns whether it did.
+// closeIfIdle enters phaseClosed unless a request is being read or served. It
+// reports whether the connection is now in phaseClosed.
 func (c *connDeadlines) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,27 +75,28 @@
 	return true
 }
 
-// serving returns whether a request is being served, of which only a body may still come.
+// serving reports whether a request is being served, so that further input may be its
+// body.
 func (c *connDeadlines) serving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == phaseServing
 }
 
-// hasRequest returns whether a request is being read or served.
+// hasRequest reports whether a request is being read or served.
 func (c *connDeadlines) hasRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == phaseServing || (c.phase != phaseClosed && c.hasInput)
 }
 
-// keepsServerDeadline returns whether a deadline is set as net/http gives it. The
-// caller holds the lock.
+// keepsServerDeadline reports whether deadlines set by net/http apply unchanged.
+// The caller must hold mu.
 func (c *connDeadlines) keepsServerDeadline() bool {
 	return c.phase == phaseServing || c.phase == phaseClosed
 }
 
-// readDeadline returns the deadline to set where net/http sets one.
+// readDeadline returns the deadline to use in place of one that net/http sets.
 func (c *connDeadlines) readDeadline(deadline time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,15 +104,15 @@
 		return deadline
 	}
 	if deadline.IsZero() {
-		// net/http ends the idle time so: a request has begun.
+		// net/http clears the deadline of an idle connection when a request begins.
 		c.phase, c.since = phaseReadingHead, time.Now()
 		return deadline
 	}
 	return c.expiry()
 }
 
-// expiry returns when the present phase times out by the limits in force; the
-// zero time is never. The caller holds the lock.
+// expiry returns when the current phase times out by the current limits; the zero
+// time means never. The caller must hold mu.
 func (c *connDeadlines) expiry() time.Time {
 	limits, timeoutMS := c.limits(), 0.0
 	switch c.phase {
@@ -125,8 +128,8 @@
 	return c.since.Add(timeout)
 }
 
-// extendedDeadline returns the new deadline, and true, where err is a time-out by limits
-// that are in force no more and those in force leave time.
+// extendedDeadline returns a new deadline and true if err is a timeout and the
+// current limits, which may have been raised since it was set, allow more time.
 func (c *connDeadlines) extendedDeadline(err error) (time.Time, bool) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return time.Time{}, false
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -21,52 +21,54 @@
 	"onyxwell/data/upstream"
 )
 
-// exchange is one request of a client and what became of it. It belongs to the
-// goroutine of its handler.
+// exchange holds the state of one client request: its attempts and its outcome.
+// It is used only by the goroutine of its handler.
 type exchange struct {
 	proxy *Proxy
 	w     http.ResponseWriter
 	req   *http.Request
-	// conn is the client's connection; nil where it did not come by NewListener.
+	// conn is the client's connection; nil if it was not accepted by a listener of
+	// NewListener.
 	conn      *clientConn
 	arrivedAt clock.Instant
 
 	// Set by readRequest.
 	snapshot        *snapshot.Snapshot
 	route           *config.Route
-	tenant          *config.Tenant // nil where none is known
+	tenant          *config.Tenant // nil if the request has no key of a tenant
 	charge          ratelimit.Charge
 	deadline        clock.Instant
-	clientTimeout   time.Duration // what the client allows; 0 where it does not say
+	clientTimeout   time.Duration // the timeout set by the client; 0 if none
 	requestBody     *memquota.Body
 	upstreamRequest *upstream.Request
 	balancerRequest balancer.Request
 
 	attempts []attemptRecord
 
-	// headerSent says that the head of a runner's response is with the client,
-	// rejected that a response of this router's own is.
-	headerSent     bool
+	// headerSent reports whether the head of a runner's response was sent to the
+	// client.
+	headerSent bool
+	// rejected reports whether an error response of this router was sent.
 	rejected       bool
 	upstreamStatus int
-	// lastEventID is that of the last event passed on, or of the last that the
-	// client has of a stream that it resumes.
+	// lastEventID is the id of the last event forwarded, or, before any is, the
+	// Last-Event-ID of a client that resumes a stream.
 	lastEventID    int64
 	hasLastEventID bool
-	// clientGone says that a write to the client failed.
+	// clientGone reports whether a write to the client failed.
 	clientGone bool
 
-	// usageCounted says that the request counts as begun by a runner.
+	// usageCounted reports whether the request was counted for its tenant's usage.
 	usageCounted bool
 
-	// outcome is how the exchange ended, "" where it was aborted; reason says more
-	// of a rejection.
+	// outcome is how the exchange ended; empty if it was aborted.
 	outcome string
-	reason  string
+	// reason is the detail of a rejection; it may be empty.
+	reason string
 }
 
-// serve carries the exchange through its life: read, attempt until one response
-// is relayed or the request is rejected, record.
+// serve reads the request, attempts it until a response is relayed or the
+// request is rejected, and records the outcome.
 func (e *exchange) serve() {
 	defer e.recordOutcome()
 	defer e.requestBody.Release()
@@ -81,13 +83,14 @@
 	defer e.refundQuota()
 	e.forward()
 	if !e.headerSent && !e.rejected {
-		// Without a head, net/http would answer with an empty success.
+		// If the handler returned without a response, net/http would send an empty
+		// 200.
 		response.Abort()
 	}
 }
 
-// readRequest reads the request within the limits of the configuration in force
-// and finds its route. An error is one of package errkind.
+// readRequest reads the request within the limits of the current configuration
+// and finds its route and tenant. Its errors have a kind of package errkind.
 func (e *exchange) readRequest() error {
 	e.snapshot = e.proxy.snapshots.Current()
 	if e.snapshot.Config == nil {
@@ -127,8 +130,8 @@
 	return nil
 }
 
-// headerBytes returns the size of a request's head as HTTP/1.1 writes it, without
-// the empty line at its end.
+// headerBytes returns the size of a request's head as serialized in HTTP/1.1,
+// without the empty line at its end.
 func headerBytes(req *http.Request) int64 {
 	size := len(req.Method) + len(req.RequestURI) + len("  HTTP/1.1\r\n") + len("Host: \r\n") + len(req.Host)
 	for name, values := range req.Header {
@@ -139,12 +142,12 @@
 	return int64(size)
 }
 
-// defaultBodyDivisor says which part of the machine's memory one body may take
-// where the configuration sets no limit, as 1/defaultBodyDivisor.
+// defaultBodyDivisor limits a request body to 1/defaultBodyDivisor of the
+// machine's memory if the configuration sets no limit.
 const defaultBodyDivisor = 64
 
-// readBody reads the complete body into requestBody, so that it can be sent
-// again.
+// readBody reads the complete body into requestBody, so that it can be sent again
+// in a retry.
 func (e *exchange) readBody(limits config.Limits) ([]byte, error) {
 	maxBytes := limits.MaxBodyBytes
 	if maxBytes > 0 && e.req.ContentLength > maxBytes {
@@ -175,8 +178,8 @@
 	return nil, errkind.Errorf(errkind.BadRequest, "the body is not whole")
 }
 
-// setDeadline sets the deadline to the route's time-out after the arrival, or to
-// the client's own where that is shorter.
+// setDeadline sets the deadline to the arrival time plus the route's timeout or
+// the client's, whichever is shorter.
 func (e *exchange) setDeadline() {
 	timeout := settings.Milliseconds(e.route.TimeoutMS)
 	if ms, err := strconv.ParseFloat(e.req.Header.Get(upstream.TimeLeftHeader), 64); err == nil && ms > 0 {
@@ -186,7 +189,8 @@
 	e.deadline = e.arrivedAt.Add(timeout)
 }
 
-// setRequests sets what runners and the balancer are to know of the request.
+// setRequests sets the request as it is sent to runners and as the balancer sees
+// it. The client's key is not sent to runners if the configuration has tenants.
 func (e *exchange) setRequests(body []byte) {
 	e.upstreamRequest = &upstream.Request{
 		Method: e.req.Method, Target: e.req.RequestURI, Host: e.req.Host,
@@ -204,8 +208,8 @@
 	e.balancerRequest.ParseTokenCount(e.req.Header.Get(upstream.TokenCountHeader))
 }
 
-// forward does what the balancer decides until the client has a complete
-// response, or aborts where the client has left.
+// forward carries out the balancer's decisions until the exchange is over. It
+// aborts if the client has disconnected.
 func (e *exchange) forward() {
 	ctx, cancel := e.proxy.clock.WithTimeout(e.req.Context(), e.deadline.Since(e.arrivedAt))
 	defer cancel()
@@ -230,11 +234,11 @@
 	}
 }
 
-// attempt sends the request to a runner and relays its response. It returns
+// attempt sends the request to a runner and relays its response. It reports
 // whether the exchange is over.
 func (e *exchange) attempt(ctx context.Context, admission *balancer.Admission, runner *snapshot.Runner) (done bool) {
 	if e.headerSent && !e.hasLastEventID {
-		// The events passed on had no ids: no other runner can resume after them.
+		// What was forwarded had no event ids, so no runner can resume after it.
 		e.abort()
 	}
 	startedAt := e.proxy.clock.Now()
@@ -263,7 +267,8 @@
 	return done
 }
 
-// startAttempt prepares an attempt and counts it as sent to the runner.
+// startAttempt prepares an attempt and records it as sent in the runner
+// statistics.
 func (e *exchange) startAttempt(admission *balancer.Admission, runner *snapshot.Runner, startedAt clock.Instant) attempt {
 	a := attempt{
 		admission: admission, runner: runner, arm: admission.Arm(), startedAt: startedAt, number: e.proxy.attemptSeq.Add(1), resumes: e.hasLastEventID,
@@ -284,8 +289,8 @@
 	return a
 }
 
-// readRunnerHeaders takes over what a runner says of itself: its load and how
-// long it is still warming up.
+// readRunnerHeaders records what a runner reports in its response headers: its
+// load and its remaining warm-up time.
 func (e *exchange) readRunnerHeaders(runner *snapshot.Runner, resp *http.Response) {
 	if resp == nil {
 		return
@@ -299,8 +304,9 @@
 	}
 }
 
-// reject answers with a failure of this router's own; one that promises that
-// nothing ran says when to retry. It aborts where a response has begun.
+// reject sends an error response of this router. It has a Retry-After header if
+// the quota is exhausted, the router is cut off, or the status is 503 and the
+// route is known. If a runner's response has already begun, reject aborts.
 func (e *exchange) reject(kind errkind.Kind, detail string) {
 	if e.headerSent {
 		e.abort()
@@ -323,8 +329,8 @@
 	resp.Send(e.w)
 }
 
-// retryAfter is when a retry may find a free runner: soon where one is missing,
-// later where all are overloaded.
+// retryAfter returns the delay after which a retry may find a free runner: longer
+// if all runners are overloaded than if none is available.
 func retryAfter(kind errkind.Kind, latencyTarget time.Duration) time.Duration {
 	if kind == errkind.Overloaded {
 		return latencyTarget / 2
@@ -332,15 +338,15 @@
 	return latencyTarget / 8
 }
 
-// closesConn returns whether the connection ends with the response: the router
-// drains, or other clients wait for a slot.
+// closesConn reports whether the connection is closed after the response: the
+// router is draining, or few connection slots are free for other clients.
 func (e *exchange) closesConn() bool {
 	return e.proxy.draining.Load() || (e.conn != nil && e.conn.slots.nearlyFull())
 }
 
-// abort ends the connection so that a response that was begun does not look
-// complete. To a client of HTTP/1.0 the connection's end may be the response's,
-// so there it has to be a reset.
+// abort closes the connection so that a partly sent response does not look
+// complete. An HTTP/1.0 client may take the end of the connection for the end of
+// the response, so its connection is reset.
 func (e *exchange) abort() {
 	if e.conn != nil && e.headerSent && !e.req.ProtoAtLeast(1, 1) {
 		e.conn.resetOnClose()
--- a/data/proxy/headbudget.go
+++ b/data/proxy/headbudget.go
@@ -8,38 +8,43 @@
 )
 
 const (
-	// unreservedHeadBytes of a head are not reserved: the connection's buffers hold them.
+	// unreservedHeadBytes is the size up to which a head is not reserved from the quota,
+	// because the connection's buffers hold it.
 	unreservedHeadBytes = 4 << 10
-	// headSlack is by how much more than the limit of the configuration a head may have
-	// before it is cut: white space that the limit does not count.
+	// headSlack is how many bytes a head may exceed the configured limit by before it is
+	// truncated, for white space that the limit does not count.
 	headSlack = 4 << 10
-	// maxHeadBytes bounds a head where the configuration sets no limit or a larger one; it
-	// is what net/http reads.
+	// maxHeadBytes bounds a head if the configuration sets no limit or a larger one. It
+	// is the limit of net/http.
 	maxHeadBytes = 1 << 20
 )
 
-// headTerminator ends a head that is cut. What is read then is a request that the proxy rejects.
+// headTerminator ends a truncated head for net/http, so that the request is passed to the
+// proxy, which rejects it.
 const headTerminator = "\r\n\r\n"
 
-// headBudget bounds the bytes of a head while it is read: by the limit of the
-// configuration in force, and, together with all other heads and bodies, by the memory
-// quota. A head that exceeds either is read no further. begin, grow and endTruncated are
-// called by the reader alone.
+// headBudget bounds the size of a request head while it is read: by the limit of the
+// current configuration and, together with all other heads and bodies, by the memory
+// quota. A head that exceeds either is truncated and read no further. Only the
+// connection's reader may call beginHead, grow and readTerminator.
 type headBudget struct {
 	quota *memquota.Quota
 
-	// size is what was read of the head.
-	size           int64
-	truncated      bool
+	// size is the number of bytes of the head read so far.
+	size int64
+	// truncated reports whether a head exceeded a bound.
+	truncated bool
+	// terminatorRead reports whether headTerminator was passed to the reader.
 	terminatorRead bool
 
 	mu       sync.Mutex
 	reserved *memquota.Reservation
-	kind     errkind.Kind
-	closed   bool
+	// kind is the error kind with which requests are rejected once a head is truncated.
+	kind   errkind.Kind
+	closed bool
 }
 
-// beginHead starts with another head.
+// beginHead resets the size and the reservation for the next head.
 func (h *headBudget) beginHead() {
 	h.size = 0
 	h.mu.Lock()
@@ -48,7 +53,8 @@
 	h.reserved = nil
 }
 
-// grow counts bytes of a head that has not ended.
+// grow adds n bytes to a head that has not ended, and truncates it if it exceeds the
+// limit or the quota.
 func (h *headBudget) grow(n int, limit int64) {
 	h.size += int64(n)
 	if limit <= 0 || limit > maxHeadBytes {
@@ -62,7 +68,7 @@
 	}
 }
 
-// reserve has so many bytes be reserved.
+// reserve raises the reservation to size bytes. It reports whether the quota has room.
 func (h *headBudget) reserve(size int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -75,6 +81,7 @@
 	return h.reserved.Grow(size)
 }
 
+// truncate ends the reading of the head. The request is rejected with kind.
 func (h *headBudget) truncate(kind errkind.Kind) {
 	h.truncated = true
 	h.mu.Lock()
@@ -82,7 +89,8 @@
 	h.kind = kind
 }
 
-// readTerminator puts the end of a head that was cut into p, once, and returns its length.
+// readTerminator copies headTerminator into p after a head was truncated, and returns its
+// length. It does so once per connection, and returns 0 otherwise.
 func (h *headBudget) readTerminator(p []byte) int {
 	if !h.truncated || h.terminatorRead {
 		return 0
@@ -91,15 +99,16 @@
 	return copy(p, headTerminator)
 }
 
-// rejectionKind returns why a head of the connection was cut, errkind.None if none was: no
-// further request is taken from it.
+// rejectionKind returns the error kind for which a head of the connection was truncated, or
+// errkind.None. After a truncation no request of the connection is served.
 func (h *headBudget) rejectionKind() errkind.Kind {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.kind
 }
 
-// release gives back what is reserved; the connection is closed.
+// release returns the reservation to the quota when the connection is closed. Nothing can
+// be reserved afterwards.
 func (h *headBudget) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/data/proxy/listener.go
+++ b/data/proxy/listener.go
@@ -14,10 +14,11 @@
 	"onyxwell/base/httpcall"
 )
 
-// NewServer returns the server of a proxy, to serve a listener of NewListener.
-// What it can't read gets a 4xx and a closed connection; no other answer goes
-// out past the proxy. The time-outs of heads and idle connections are those of
-// the configuration in force.
+// NewServer returns a proxy's HTTP server, which has to serve a listener of
+// NewListener. It responds to requests that it can't parse with a 4xx, or a 501
+// for an unsupported transfer coding, and closes their connections; all other
+// responses are the proxy's. The timeouts of request heads and idle connections
+// are those of the current configuration.
 func NewServer(p *Proxy) *http.Server {
 	server := httpcall.NewServer(p, placeholderTimeout, placeholderTimeout)
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
@@ -25,7 +26,8 @@
 			client.deadlines.enter(phaseIdle)
 		}
 	}
-	// Its answer to "OPTIONS *" would be a success that no runner gave.
+	// The general handler would respond to "OPTIONS *" with a success that comes
+	// from no runner.
 	server.DisableGeneralOptionsHandler = true
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		if client, ok := conn.(*clientConn); ok {
@@ -36,26 +38,28 @@
 	return server
 }
 
-// NewListener wraps a listener for a proxy's server. Its connections watch for
-// heads that frame their body twice, which net/http mends silently, keep to the
-// limits in force, and leave descriptors for the connections to runners.
+// NewListener wraps a listener for a proxy's server. Its connections detect
+// request heads that frame the body more than once, which net/http normalizes
+// silently, and apply the limits of the current configuration. Their number is
+// bounded, to leave file descriptors for connections to runners.
 func NewListener(p *Proxy, listener net.Listener) net.Listener {
 	return limitListener{Listener: listener, proxy: p, slots: newConnSlots(p.machineLimits.OpenFiles)}
 }
 
+// limitListener is a listener whose connections are clientConns, one per slot.
 type limitListener struct {
 	net.Listener
 	proxy *Proxy
 	slots *connSlots
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener; it unblocks an Accept that waits for a slot.
 func (l limitListener) Close() error {
 	l.slots.close()
 	return l.Listener.Close()
 }
 
-// Accept implements net.Listener; it waits for a free slot first.
+// Accept implements net.Listener; it first waits for a free slot.
 func (l limitListener) Accept() (net.Conn, error) {
 	if err := l.slots.acquire(); err != nil {
 		return nil, err
@@ -73,45 +77,50 @@
 	return conn, nil
 }
 
+// connKey is the context key of a request's clientConn.
 type connKey struct{}
 
-// clientConnOf returns the connection that a request came by; nil where it did
-// not come by a listener of NewListener.
+// clientConnOf returns the connection of a request; nil if it was not accepted by
+// a listener of NewListener.
 func clientConnOf(req *http.Request) *clientConn {
 	conn, _ := req.Context().Value(connKey{}).(*clientConn)
 	return conn
 }
 
-// clientConn is a client's connection. It scans the first head after each
-// response. A pipelined request, sent before the response to the one before it,
-// is not scanned, and rejected where that leaves its framing in doubt.
+// clientConn is a client's connection. It scans the first request head after each
+// response for the fields that frame the body. The head of a pipelined request,
+// which is sent before the previous response, is not scanned; the request is
+// rejected if its framing is therefore uncertain.
 //
-// net/http reads and writes it on different goroutines: headEnded and line are
-// the reader's alone.
+// net/http reads and writes it on different goroutines; headEnded and linePrefix
+// are used only by the reader.
 type clientConn struct {
 	net.Conn
 	deadlines connDeadlines
 	slots     *connSlots
 	conns     *connSet
 	closeOnce sync.Once
-	// responseBegun says that something was written since the last head began.
+	// responseBegun reports whether anything was written since the scan of the last
+	// head began.
 	responseBegun atomic.Bool
-	// headEnded says that the head is scanned to its end; line is the beginning of
-	// its present line, of maxFieldName bytes at most.
-	headEnded  bool
+	// headEnded reports whether the head is scanned to its end.
+	headEnded bool
+	// linePrefix holds the beginning of the current line of the head, at most
+	// maxFramingFieldLen bytes.
 	linePrefix []byte
-	// head bounds the bytes of the head that is read.
+	// head bounds the size of the head being read.
 	head headBudget
-	// contentLengths and transferEncodings count the scanned head's fields that
-	// frame a body, requests those that were taken since it began.
+	// contentLengths and transferEncodings count the fields of these names in the
+	// scanned head; requests counts the requests recorded since its scan began.
 	contentLengths, transferEncodings, requests atomic.Int32
 }
 
-// maxFramingFieldLen is the length of the longest field name that frames a body.
+// maxFramingFieldLen is the length of the longest name of a field that frames a
+// body, with its colon.
 const maxFramingFieldLen = len("transfer-encoding:")
 
-// Read implements net.Conn. It reads on after a time-out of limits that are in
-// force no more.
+// Read implements net.Conn. After a timeout by limits that have been replaced it
+// continues to read until the timeout by the current ones.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if n := c.head.readTerminator(p); n > 0 {
 		c.headEnded = true
@@ -138,7 +147,8 @@
 		}
 		if !c.headEnded {
 			c.scanHead(p[:n])
-			// What follows a response that has begun, such as 100, may be the rest of a body.
+			// While a request is served, input after a response has begun, such as 100
+			// Continue, may be the request's body.
 			if !c.headEnded && !c.deadlines.serving() {
 				c.head.grow(n, c.deadlines.limits().MaxHeaderBytes)
 			}
@@ -147,8 +157,8 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. While no request is served, the deadline
-// is that of the limits in force in place of net/http's.
+// SetReadDeadline implements net.Conn. While no request is served, it replaces
+// net/http's deadline by that of the current limits.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	return c.Conn.SetReadDeadline(c.deadlines.readDeadline(deadline))
 }
@@ -159,7 +169,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn; it gives the slot back once.
+// Close implements net.Conn. The first call releases the connection's slot and
+// memory.
 func (c *clientConn) Close() error {
 	c.closeOnce.Do(func() {
 		c.conns.remove(c)
@@ -169,8 +180,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite closes the router's side alone, so that the last response is not
-// lost by a reset.
+// CloseWrite closes the write side only. net/http does so before it closes a
+// connection with unread input, so that a reset does not discard the last response.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
@@ -178,14 +189,14 @@
 	return c.Conn.Close()
 }
 
-// resetOnClose makes the connection end with a reset.
+// resetOnClose makes Close reset the connection.
 func (c *clientConn) resetOnClose() {
 	if conn, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = conn.SetLinger(0)
 	}
 }
 
-// scanHead counts the fields of a head that frame its body.
+// scanHead counts the fields in the next bytes of a head that frame the body.
 func (c *clientConn) scanHead(text []byte) {
 	for len(text) > 0 && !c.headEnded {
 		part, rest, ended := bytes.Cut(text, []byte("\n"))
@@ -206,16 +217,16 @@
 	}
 }
 
-// recordRequest counts a request as taken. It returns whether its head was
-// scanned, and whether that frames the body twice.
+// recordRequest counts a request whose head was read. It reports whether that head
+// was scanned, and if so, whether it frames the body more than once.
 func (c *clientConn) recordRequest() (ambiguous bool, scanned bool) {
 	framings := c.contentLengths.Load() + c.transferEncodings.Load()
 	scanned = c.requests.Add(1) == 1
 	return scanned && framings > 1, scanned
 }
 
-// checkHead rejects heads that net/http accepts and that could mean another
-// request to a runner than to this router.
+// checkHead rejects heads that net/http accepts and that a runner could interpret
+// as another request than this router does.
 func checkHead(req *http.Request, conn *clientConn) error {
 	if problem := invalidTargetReason(req); problem != "" {
 		return errkind.Errorf(errkind.BadRequest, "%s", problem)
@@ -231,7 +242,8 @@
 		return errkind.Errorf(errkind.BadRequest, "the body's length is told twice")
 	}
 	if !scanned && len(req.TransferEncoding) > 0 {
-		// net/http drops a Content-Length beside chunks, so there may have been one.
+		// net/http removes a Content-Length next to a chunked Transfer-Encoding, so the
+		// head may have had both.
 		return errkind.Errorf(errkind.EarlyRequest, "")
 	}
 	return nil
--- a/data/proxy/outcome.go
+++ b/data/proxy/outcome.go
@@ -10,26 +10,29 @@
 	"onyxwell/data/upstream"
 )
 
-// Outcomes of requests beside the names of the kinds of failures. They are
-// values of a label of metrics.
+// Outcomes of requests besides the names of error kinds. They are values of a
+// metric label.
 const (
+	// outcomeAnswered is a runner's response below 500, completely forwarded.
 	outcomeAnswered = "answered"
-	// outcomeUpstreamError is a runner's own 5xx, passed on.
+	// outcomeUpstreamError is a runner's own 5xx, completely forwarded.
 	outcomeUpstreamError = "runner-failed"
-	// outcomeAborted is a connection that ended without a complete response.
+	// outcomeAborted is a connection closed by the router without a complete response.
 	outcomeAborted = "cut"
-	// outcomeClientGone is a client that left first.
+	// outcomeClientGone is a client that disconnected before the response was complete.
 	outcomeClientGone = "left"
 )
 
-// unloggedOutcomes are those that are no failure of this router.
+// unloggedOutcomes are the outcomes that are no failures of this router and are not
+// logged.
 var unloggedOutcomes = map[string]bool{
 	outcomeAnswered: true, outcomeUpstreamError: true, outcomeClientGone: true,
 	errkind.NoRoute.String(): true, errkind.OutOfContact.String(): true, errkind.Overloaded.String(): true,
 	errkind.UnknownKey.String(): true, errkind.QuotaExceeded.String(): true,
 }
 
-// recordOutcome counts how the exchange ended, and logs a failure.
+// recordOutcome counts the outcome of the exchange in the metrics, and logs a
+// failure.
 func (e *exchange) recordOutcome() {
 	now := e.proxy.clock.Now()
 	duration := now.Since(e.arrivedAt)
@@ -53,9 +56,9 @@
 	}
 }
 
-// logFailure logs a request that failed: how it ended and why, and what came of
-// each attempt. The line's suppressed tells how many lines of that outcome were
-// left out before it.
+// logFailure logs a failed request with its outcome, the reason and the result of
+// each attempt. suppressed is the number of lines with the same outcome that were
+// suppressed since the last one.
 func (e *exchange) logFailure(outcome string, route string, duration time.Duration, suppressed int64) {
 	entry := e.proxy.log.Warn().Str("part", "request").Str("outcome", outcome).Str("route", route).
 		Str("attempt_id", e.req.Header.Get(upstream.AttemptIDHeader)).
@@ -77,22 +80,22 @@
 	entry.Msg("request failed")
 }
 
-// failureLinesPerSecond bounds the log lines of failed requests with one
-// outcome: each outcome has its own bound, so that none hides another.
+// failureLinesPerSecond bounds the log lines for failed requests per outcome, so
+// that frequent failures of one kind don't suppress the lines of another.
 const failureLinesPerSecond = 2
 
-// logRateLimiter counts the log lines of the present second, by outcome. Its zero
-// value is ready for use.
+// logRateLimiter limits the log lines per second by outcome. The zero value is
+// ready to use. It is safe for concurrent use.
 type logRateLimiter struct {
 	mu     sync.Mutex
 	second int64
 	counts map[string]int
-	// suppressed are the lines left out since the last of the outcome.
+	// suppressed counts the suppressed lines of each outcome since its last line.
 	suppressed map[string]int64
 }
 
-// allow returns whether another line of an outcome may be written now, and then
-// how many were suppressed since the last.
+// allow reports whether another line of an outcome may be written now, and if so,
+// how many were suppressed since the last one.
 func (l *logRateLimiter) allow(outcome string, now clock.Instant) (ok bool, suppressed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/data/proxy/proxy.go
+++ b/data/proxy/proxy.go
@@ -1,18 +1,20 @@
-// Package proxy is the client-facing side of a router: it reads requests,
-// attempts them at the runners that the balancer names, and relays a runner's
-// response or answers with a failure.
+// Package proxy implements the client-facing side of a router: it reads
+// requests, sends them to the runners that the balancer selects, and relays a
+// runner's response or responds with an error of its own.
 //
-// It keeps these promises to clients, and counts each that is broken:
-//   - a request that may run only once is sent to no second runner unless the
-//     first surely did not run it;
-//   - a failure that promises that nothing ran is sent only where that is sure;
-//   - a response that is not complete never looks complete: its connection is
-//     aborted instead;
-//   - of an event stream, events are passed on in order and without gaps, also
-//     where another runner resumes it.
+// It guarantees the following to clients and counts every violation that it
+// detects:
+//   - A request that must not be executed twice is sent to a second runner only
+//     if the first certainly did not execute it.
+//   - An error response that promises that the request was not executed is sent
+//     only if that is certain.
+//   - An incomplete response is never taken for a complete one: its connection
+//     is aborted.
+//   - The events of a stream are forwarded in order and without gaps, also when
+//     another runner resumes the stream.
 //
-// The life of a request is in exchange.go. A connection's side of it is in
-// listener.go (framing of request heads) and deadlines.go (time-outs).
+// Requests are processed in exchange.go. Connections are handled in listener.go
+// (framing of request heads) and deadlines.go (timeouts).
 package proxy
 
 import (
@@ -39,11 +41,11 @@
 	"onyxwell/data/upstream"
 )
 
-// Options are what a Proxy is made from. Metrics and Monitor may be nil.
+// Options configure a Proxy. Metrics and Monitor may be nil.
 type Options struct {
 	Clock clock.Clock
 	Log   *log.Logger
-	// Limits are those of this machine.
+	// Limits are the resource limits of this machine.
 	Limits    settings.Limits
 	Snapshots *snapshot.Store
 	Balancer  *balancer.Balancer
@@ -51,58 +53,59 @@
 	SlowStart *slowstart.Tracker
 	Upstream  *upstream.Client
 	Limiter   *ratelimit.Limiter
-	// Canary is told of each attempt's outcome; it may be nil.
+	// Canary receives the outcomes of attempts by runner version; it may be nil.
 	Canary *canary.Gate
-	// QuotaRetryAfter is when a client whose tenant's quota is used up may come back.
+	// QuotaRetryAfter is the Retry-After of requests rejected because their
+	// tenant's quota is exhausted, unless it is below minRetryAfter.
 	QuotaRetryAfter time.Duration
-	// RevokedKeyTimeout is after how long a router that is cut off serves no keys; 0 is never.
+	// RevokedKeyTimeout is how long a router that is cut off still accepts API
+	// keys, which may have been revoked meanwhile; 0 is no limit.
 	RevokedKeyTimeout time.Duration
-	// OnRequestBegan is told of each request that a runner began, and how long ago; it may be nil.
+	// OnRequestBegan is called once for each request of a tenant that a runner
+	// has begun to execute, with the time since then; it may be nil.
 	OnRequestBegan func(tenant ids.Tenant, age time.Duration)
 	Metrics        *telemetry.Metrics
 	Monitor        *invariant.Monitor
 }
 
-// Proxy is the handler of clients' requests. Its methods may be called at the
-// same time.
+// Proxy is the HTTP handler for clients' requests. It is safe for concurrent use.
 type Proxy struct {
 	clock clock.Clock
 	log   *log.Logger
-	// machineLimits are the limits of this machineLimits; those for requests are in the
-	// configuration in force, see limits.
-	machineLimits settings.Limits
-	snapshots     *snapshot.Store
-	balancer      *balancer.Balancer
-	stats         *runnerstats.Collector
-	slowStart     *slowstart.Tracker
-	upstream      *upstream.Client
-	limiter       *ratelimit.Limiter
-	canary        *canary.Gate
-	// quotaRetryAfter is Options.QuotaRetryAfter.
-	quotaRetryAfter time.Duration
-	// revokedKeyTimeout is Options.RevokedKeyTimeout.
+	// machineLimits are the resource limits of this machine. The limits for
+	// requests are part of the current configuration; see limits.
+	machineLimits     settings.Limits
+	snapshots         *snapshot.Store
+	balancer          *balancer.Balancer
+	stats             *runnerstats.Collector
+	slowStart         *slowstart.Tracker
+	upstream          *upstream.Client
+	limiter           *ratelimit.Limiter
+	canary            *canary.Gate
+	quotaRetryAfter   time.Duration
 	revokedKeyTimeout time.Duration
-	// onRequestBegan is Options.Began.
-	onRequestBegan func(tenant ids.Tenant, age time.Duration)
+	onRequestBegan    func(tenant ids.Tenant, age time.Duration)
 
 	metrics *telemetry.Metrics
 	monitor *invariant.Monitor
 
 	draining atomic.Bool
-	// acceptUntil is the clock.Instant until which a draining proxy takes requests.
+	// acceptUntil is the clock.Instant until which a draining proxy accepts requests.
 	acceptUntil atomic.Int64
-	// attemptSeq numbers the attempts for the statistics of runners.
+	// attemptSeq is the number of the last attempt, by which the runner statistics
+	// identify attempts.
 	attemptSeq        atomic.Uint64
 	inFlight          atomic.Int64
 	failureLogLimiter logRateLimiter
-	// bodyQuota bounds the memory of all bodies together; nil is unbounded.
+	// bodyQuota bounds the total memory of all bodies and large request heads; nil
+	// is unlimited.
 	bodyQuota *memquota.Quota
 	conns     connSet
 }
 
-// bodyMemoryDivisor says which part of the machine's memory bodies may take
-// together, as 1/bodyMemoryDivisor: what is freed waits for the garbage
-// collector, and connections need memory too.
+// bodyMemoryDivisor sets the share of the machine's memory for all bodies
+// together to 1/bodyMemoryDivisor. The rest is for freed buffers that are not
+// yet collected as garbage, and for connections.
 const bodyMemoryDivisor = 4
 
 // New returns a Proxy that serves the snapshots of options.Snapshots.
@@ -119,7 +122,7 @@
 	return p
 }
 
-// limits returns the limits for requests of the configuration in force.
+// limits returns the limits for requests in the current configuration.
 func (p *Proxy) limits() config.Limits {
 	if current := p.snapshots.Current(); current.Config != nil {
 		return current.Config.Limits
@@ -127,24 +130,25 @@
 	return config.Limits{}
 }
 
-// Drain makes every response from now on ask its client to close the
-// connection, and rejects requests that arrive after acceptUntil.
+// Drain makes every further response close its connection, and rejects requests
+// that arrive after acceptUntil.
 func (p *Proxy) Drain(acceptUntil clock.Instant) {
 	p.acceptUntil.Store(int64(acceptUntil))
 	p.draining.Store(true)
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests being served.
 func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
 
-// ServeHTTP serves one request. It panics with http.ErrAbortHandler where the
-// connection is to end without a complete response.
+// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler to close
+// the connection without a complete response.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
 	conn := clientConnOf(req)
 	if conn != nil && !conn.deadlines.enter(phaseServing) {
-		// It was closed as the request arrived: nobody would get the response.
+		// CloseIdle closed the connection as the request arrived, so that no response
+		// could be delivered.
 		response.Abort()
 	}
 	e := &exchange{proxy: p, w: w, req: req, conn: conn, arrivedAt: p.clock.Now(), requestBody: p.bodyQuota.NewBody()}
--- a/data/proxy/relay.go
+++ b/data/proxy/relay.go
@@ -13,22 +13,22 @@
 	"onyxwell/data/upstream"
 )
 
-// relay passes a runner's response on to the client. It returns what the
-// attempt came to and whether the exchange is over.
+// relay forwards a runner's response to the client. It returns the attempt's
+// outcome and whether the exchange is over.
 func (e *exchange) relay(resp *http.Response) (outcome upstream.Outcome, done bool) {
 	defer resp.Body.Close()
 	if e.route.Type == config.Streaming && resp.StatusCode == http.StatusOK {
 		return e.relayEvents(resp)
 	}
 	if e.headerSent {
-		// The rest of a stream was asked for, and this is none.
+		// The attempt was to resume a stream, and this is not one.
 		return upstream.Garbled, false
 	}
 	return e.relayBuffered(resp)
 }
 
-// relayBuffered passes a response on once it is complete: one that breaks before
-// can be asked for again.
+// relayBuffered reads a response to its end before forwarding it, so that the
+// request can be retried if the response breaks off.
 func (e *exchange) relayBuffered(resp *http.Response) (outcome upstream.Outcome, done bool) {
 	maxBytes := e.proxy.responseSizeLimit()
 	if resp.ContentLength >= maxBytes {
@@ -52,8 +52,9 @@
 	return e.endResponse(err)
 }
 
-// relayUnbuffered passes a response on as it comes where there is no memory for
-// it: after a break it can't be asked for again, and the exchange is aborted.
+// relayUnbuffered forwards a response as it arrives, for lack of memory to buffer
+// it. If the response breaks off, the request can't be retried and the exchange
+// is aborted.
 func (e *exchange) relayUnbuffered(resp *http.Response, body *memquota.Body, rest *io.LimitedReader) (outcome upstream.Outcome, done bool) {
 	e.beginResponse(resp, max(unknownLength, resp.ContentLength))
 	_, err := e.w.Write(body.Bytes)
@@ -71,8 +72,8 @@
 	return e.endResponse(err)
 }
 
-// relayEvents passes complete events on as they come. Where the runner breaks
-// off, the next attempt resumes after the last event passed on.
+// relayEvents forwards complete events as they arrive. If the stream breaks off,
+// the next attempt resumes after the last event forwarded.
 func (e *exchange) relayEvents(resp *http.Response) (outcome upstream.Outcome, done bool) {
 	resumeAfter := ""
 	if e.hasLastEventID {
@@ -104,11 +105,12 @@
 	}
 }
 
-// unknownLength is the length of a body that is sent in chunks.
+// unknownLength stands for the length of a body that is sent without a
+// Content-Length.
 const unknownLength = -1
 
-// streamLength returns the length that a stream's head tells. One that may be
-// resumed has none: the events of another run have other lengths.
+// streamLength returns the body length to announce for a stream. A resumable
+// stream has none, because the events of another execution may differ in length.
 func (e *exchange) streamLength(resp *http.Response) int64 {
 	if e.route.Resumable {
 		return unknownLength
@@ -116,6 +118,8 @@
 	return resp.ContentLength
 }
 
+// outcomeOfReadError returns the outcome of an attempt whose event stream could
+// not be read further.
 func outcomeOfReadError(err error) upstream.Outcome {
 	if errors.Is(err, upstream.ErrEventOrder) {
 		return upstream.Garbled
@@ -123,8 +127,8 @@
 	return upstream.Indeterminate
 }
 
-// errorRecordingReader keeps the error of its source apart from that of a copy's
-// destination.
+// errorRecordingReader records a read error of its source, so that it can be told
+// from a write error after io.Copy.
 type errorRecordingReader struct {
 	source io.Reader
 	err    error
@@ -139,12 +143,12 @@
 	return n, err
 }
 
-// responseSizeDivisor says which part of the machine's memory no response
-// reaches, as 1/responseSizeDivisor.
+// responseSizeDivisor limits a buffered response to less than
+// 1/responseSizeDivisor of the machine's memory.
 const responseSizeDivisor = 8
 
-// responseSizeLimit is the size that a response must stay below: one without an end
-// must not take all memory.
+// responseSizeLimit returns the size that a response must stay below, so that an
+// endless one does not exhaust the memory.
 func (p *Proxy) responseSizeLimit() int64 {
 	if maxBytes := p.machineLimits.MemoryMB << 20 / responseSizeDivisor; maxBytes > 0 {
 		return maxBytes
@@ -152,7 +156,8 @@
 	return math.MaxInt64
 }
 
-// beginResponse sends the head of a runner's response to the client.
+// beginResponse sends the head of a runner's response to the client. A length
+// below 0 is unknown.
 func (e *exchange) beginResponse(resp *http.Response, length int64) {
 	e.checkResponse(resp)
 	e.upstreamStatus = resp.StatusCode
@@ -160,7 +165,8 @@
 	upstreamLength := header["Content-Length"]
 	delete(header, "Content-Length")
 	if e.req.Method == http.MethodHead {
-		// The length is that of a body which is not sent.
+		// A response to HEAD has no body; its Content-Length is that which the body
+		// would have.
 		length = unknownLength
 		if len(upstreamLength) > 0 {
 			header["Content-Length"] = upstreamLength[:1]
@@ -170,7 +176,8 @@
 	e.headerSent = true
 }
 
-// endResponse ends a response whose last write gave err.
+// endResponse sets the outcome after the response has been written; err is the
+// error of the last write.
 func (e *exchange) endResponse(err error) (outcome upstream.Outcome, done bool) {
 	if err != nil {
 		e.clientGone = true
@@ -183,8 +190,9 @@
 	return upstream.Answered, true
 }
 
-// outOfContactRetryAfter is when a router that is cut off may know a route or a key.
+// outOfContactRetryAfter is the Retry-After for a request whose route or key a
+// router that is cut off does not know or may not trust.
 const outOfContactRetryAfter = time.Second
 
-// minRetryAfter is the least time that a rejected client is asked to wait.
+// minRetryAfter is the lower bound of Retry-After.
 const minRetryAfter = 20 * time.Millisecond
--- a/data/proxy/slots.go
+++ b/data/proxy/slots.go
@@ -6,25 +6,28 @@
 )
 
 const (
-	// reservedFiles are the descriptors kept for other uses than connections.
+	// reservedFiles is the number of file descriptors reserved for other uses than
+	// connections.
 	reservedFiles = 200
-	// clientFilesDivisor says which part of the others clients' connections may
-	// take, as 1/clientFilesDivisor; attempts at runners need as many.
+	// clientFilesDivisor limits client connections to 1/clientFilesDivisor of the
+	// remaining descriptors: attempts at runners need as many.
 	clientFilesDivisor = 2
-	// nearlyFullQuarters is from how many quarters of the slots on connections end
-	// with their responses, so that waiting clients get their turn.
+	// nearlyFullQuarters is how many quarters of the slots must be in use for
+	// connections to be closed after their responses, so that waiting clients get
+	// slots.
 	nearlyFullQuarters = 3
 )
 
-// connSlots bounds the number of clients' connections. A nil one has no bound.
+// connSlots bounds the number of client connections. It is safe for concurrent
+// use. A nil connSlots is unlimited.
 type connSlots struct {
 	tokens    chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// newConnSlots returns the slots of a process that may open openFiles files; 0
-// is no bound.
+// newConnSlots returns the slots for a process that may open openFiles files; 0
+// is unlimited.
 func newConnSlots(openFiles int) *connSlots {
 	if openFiles <= 0 {
 		return nil
@@ -46,21 +49,21 @@
 	}
 }
 
-// release gives a slot back.
+// release frees a slot.
 func (c *connSlots) release() {
 	if c != nil {
 		<-c.tokens
 	}
 }
 
-// close ends the wait of all who acquire.
+// close unblocks all calls of acquire that wait.
 func (c *connSlots) close() {
 	if c != nil {
 		c.closeOnce.Do(func() { close(c.closed) })
 	}
 }
 
-// nearlyFull returns whether few slots are free.
+// nearlyFull reports whether at least nearlyFullQuarters of the slots are in use.
 func (c *connSlots) nearlyFull() bool {
 	return c != nil && len(c.tokens) >= max(1, cap(c.tokens)*nearlyFullQuarters/4)
 }
--- a/data/proxy/target.go
+++ b/data/proxy/target.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// invalidTargetReason returns what is wrong with a request's target, "" where it is
-// well formed. Runners get the target as it is, so routes must be matched by it
-// as it is.
+// invalidTargetReason returns why a request's target is rejected, or "" if it is
+// valid. Targets are forwarded to runners unchanged and routes are matched by the
+// unchanged target, so targets that a runner might normalize are rejected.
 func invalidTargetReason(req *http.Request) string {
 	target := req.RequestURI
 	path, _, _ := strings.Cut(target, "?")
@@ -23,14 +23,18 @@
 	return ""
 }
 
+// forbiddenInTarget reports whether a character must not occur in a target:
+// controls and the space, "#" and "\".
 func forbiddenInTarget(char rune) bool {
 	return char <= ' ' || char == 0x7f || char == '#' || char == '\\'
 }
 
+// dotDecoder decodes percent-encoded dots.
 var dotDecoder = strings.NewReplacer("%2e", ".", "%2E", ".")
 
-// hasDotSegments returns whether a path has a segment "." or "..", in either
-// spelling: behind a route's prefix it would reach what another route is for.
+// hasDotSegments reports whether a path has a segment "." or "..", percent-encoded
+// or not. A path with the prefix of one route could use it to reach the resources
+// of another.
 func hasDotSegments(path string) bool {
 	if !strings.Contains(path, "/.") && !strings.Contains(path, "/%2") {
 		return false
--- a/data/proxy/tenant.go
+++ b/data/proxy/tenant.go
@@ -9,9 +9,9 @@
 	"onyxwell/data/upstream"
 )
 
-// identifyTenant finds the tenant that holds the request's key. It reads the
-// configuration in force for every request, also on a connection that was let in
-// before: a key may be taken away in between.
+// identifyTenant finds the tenant to which the request's key belongs, and checks
+// the key if the route requires one. Keys are looked up for every request, not once
+// per connection, because a key may be revoked while a connection is open.
 func (e *exchange) identifyTenant() error {
 	cfg := e.snapshot.Config
 	if keys := e.req.Header[upstream.KeyHeader]; len(keys) == 1 {
@@ -29,14 +29,15 @@
 	return nil
 }
 
-// keysMayBeRevoked reports whether this router has been cut off for so long that it must serve no
-// keys.
+// keysMayBeRevoked reports whether this router has been cut off for revokedKeyTimeout or
+// longer, so that it must not accept keys any more.
 func (p *Proxy) keysMayBeRevoked(snap *snapshot.Snapshot, now clock.Instant) bool {
 	return p.revokedKeyTimeout > 0 && snap.CutOffSince > 0 && now.Since(snap.CutOffSince) >= p.revokedKeyTimeout
 }
 
-// unknownError returns the error of a request whose route or key the configuration in force here
-// does not have. While this router is cut off a newer one may have it.
+// unknownError returns the error for a request whose route or key is not in this router's
+// configuration. While the router is cut off, a newer configuration that it has not
+// received may have it, so the kind is errkind.OutOfContact then.
 func (e *exchange) unknownError(kind errkind.Kind) error {
 	if e.snapshot.CutOffSince > 0 {
 		kind = errkind.OutOfContact
@@ -44,8 +45,8 @@
 	return errkind.Errorf(kind, "")
 }
 
-// chargeQuota charges the request to its tenant's quota. It returns false where that
-// is used up.
+// chargeQuota charges the request to its tenant's quota. It reports false if the quota
+// is exhausted.
 func (e *exchange) chargeQuota() bool {
 	if e.tenant == nil || !e.tenant.Limited() {
 		return true
@@ -57,15 +58,15 @@
 	return ok
 }
 
-// refundQuota gives the charge of a request back that no runner ran.
+// refundQuota refunds the charge of a request that no runner has executed.
 func (e *exchange) refundQuota() {
 	if !e.mayHaveRun() {
 		e.proxy.limiter.Refund(e.charge)
 	}
 }
 
-// countUsage counts the request once a runner has begun it, at the head of its first
-// response: whatever comes of it later, and wherever it is resumed, it counts once.
+// countUsage counts a tenant's request when a runner's response with status 200 begins.
+// A request counts once, also if it fails later or is retried or resumed at another runner.
 func (e *exchange) countUsage(resp *http.Response) {
 	if e.proxy.onRequestBegan == nil || e.tenant == nil || e.usageCounted || resp.StatusCode != http.StatusOK {
 		return
