--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -24,12 +24,12 @@
 	arm       canary.Arm
 	number    uint64
 	startedAt clock.Instant
-	// timeToFirstByte is the time until the head of the response arrived; 0 if none
-	// did.
+	// timeToFirstByte is the time until the head of the response arrived; 0 if there
+	// was no response to relay.
 	timeToFirstByte time.Duration
 	// resumes reports whether the attempt asks for the rest of a stream.
 	resumes bool
-	// began reports whether the head of a response arrived.
+	// began reports whether the head of a response to relay arrived.
 	began bool
 	// slow reports whether the head arrived late; see slowResponseDivisor.
 	slow bool
@@ -61,8 +61,8 @@
 	return false
 }
 
-// slowResponseDivisor is the divisor of the latency target that gives the time
-// from a request's arrival after which a response that begins counts as slow.
+// slowResponseDivisor defines slow responses: those that begin later than
+// 1/slowResponseDivisor of the latency target after the request's arrival.
 const slowResponseDivisor = 4
 
 // responseBegan records that the head of a runner's response has arrived.
@@ -183,9 +183,8 @@
 	}
 }
 
-// checkAttempt counts the invariants that an attempt is about to violate. The
-// balancer and the snapshot are responsible for upholding them, so that none
-// should be violated here.
+// checkAttempt counts the invariants that an attempt is about to violate, right
+// before it is sent. The balancer and the snapshot should have prevented that.
 func (e *exchange) checkAttempt(runner *snapshot.Runner, timeLeft time.Duration, now clock.Instant) {
 	monitor, route, id := e.proxy.monitor, e.route, e.upstreamRequest.AttemptID
 	arrivals := 0
@@ -201,7 +200,7 @@
 		monitor.Violated(invariant.AttemptLimit, "attempt %s of route %s is sent to %s after %d attempts of at most %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
 	if !e.hasConsistentTenant() {
-		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s for tenant %q, which its key did not identify, or with that key", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
+		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s with the client's key, or for tenant %q instead of the key's", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
 	}
 	if !e.balancerRequest.AllowsRegion(runner.Region) {
 		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in region %s, which is no home region", id, route.Name, runner.ID, runner.Region)
@@ -236,8 +235,9 @@
 	}
 }
 
-// checkEventOrder counts a violation if an event does not follow the last one
-// forwarded.
+// checkEventOrder counts a violation if the id of the event just forwarded does
+// not follow that of the previous one. An event without an id leaves the last id
+// unchanged.
 func (e *exchange) checkEventOrder(events *upstream.EventReader) {
 	if e.hasLastEventID && events.HasLastID && events.LastID != e.lastEventID && events.LastID != e.lastEventID+1 {
 		e.proxy.monitor.Violated(invariant.EventOrder, "attempt %s gets event %d after %d", e.upstreamRequest.AttemptID, events.LastID, e.lastEventID)
--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -28,10 +28,10 @@
 		done := make(chan clientResponse)
 		go func() { done <- p.do(path, "x", "Onyxwell-Time-Left-Ms", "50") }()
 		var got clientResponse
-		for over := false; !over; {
+		for responded := false; !responded; {
 			select {
 			case got = <-done:
-				over = true
+				responded = true
 			default:
 				if status == 503 || countRequests(one) > 0 && p.stats.State("i-1").InFlight == 0 {
 					p.clock.AdvanceToNext()
@@ -100,12 +100,12 @@
 // rejects the request: it must not be retried.
 func TestProxy_clientDisconnects(t *testing.T) {
 	var p *testProxy
-	var leave func()
-	one := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
-	two := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
+	var disconnect func()
+	one := upstreamtest.Start(t, upstreamtest.Before(func() { disconnect() }, upstreamtest.Reject(503)))
+	two := upstreamtest.Start(t, upstreamtest.Before(func() { disconnect() }, upstreamtest.Reject(503)))
 	p = newTestProxy(t, 10, one, two)
 	conn := p.dial()
-	leave = func() {
+	disconnect = func() {
 		_ = conn.Close()
 		for p.proxy.InFlight() > 0 {
 			runtime.Gosched()
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -31,6 +31,8 @@
 	"onyxwell/data/upstreamtest"
 )
 
+// configDocument is the default configuration of the tests, with a verb for its
+// version.
 const configDocument = `{"config_version":%d,"routes":[
  {"name":"plain","hostname":"shop.example","path_prefix":"/safe/","type":"safe","give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
  {"name":"once","hostname":"shop.example","path_prefix":"/once/","type":"unsafe","give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
--- a/data/proxy/headbudget_test.go
+++ b/data/proxy/headbudget_test.go
@@ -47,7 +47,7 @@
 
 // TestHeadBudget_sharesQuotaAcrossConnections reads large heads on many connections while no
 // limit is configured: together they must not exceed the memory quota, heads that do not fit
-// are rejected, and everything is released when the connections close.
+// must be rejected, and everything must be released when the connections close.
 func TestHeadBudget_sharesQuotaAcrossConnections(t *testing.T) {
 	const quotaBytes = 1 << 20
 	quota := memquota.New(quotaBytes, nil)
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -21,17 +21,16 @@
 	"onyxwell/data/upstream"
 )
 
-// TestInvariants_countViolations makes an exchange violate each invariant that the
-// balancer otherwise upholds, or come close: each violation must be counted, and
-// nothing else.
+// TestInvariants_countViolations makes an exchange violate invariants that other
+// packages uphold in operation, or comply with them: only violations are counted.
 func TestInvariants_countViolations(t *testing.T) {
 	runner := &snapshot.Runner{Runner: discovery.Runner{ID: "i"}, Region: "north"}
 	ran := []attemptRecord{{runner: "i", outcome: upstream.Indeterminate}}
 	responseOf := func(attempt string, seal string) *http.Response {
 		return &http.Response{StatusCode: 200, Header: http.Header{upstream.AttemptIDHeader: {attempt}, upstream.SealHeader: {seal}}}
 	}
-	// eventsFrom returns an event stream whose request has no Last-Event-ID and whose
-	// first event has the id first.
+	// eventsFrom returns an event stream that begins with the id first. Its request has
+	// no Last-Event-ID, so that the event reader accepts any first id.
 	eventsFrom := func(first int) *http.Response {
 		text := fmt.Sprintf("id: %d\ndata: x\n\n", first)
 		return &http.Response{StatusCode: 200, Body: io.NopCloser(strings.NewReader(text)), Request: &http.Request{Header: http.Header{}}}
--- a/data/proxy/proxy.go
+++ b/data/proxy/proxy.go
@@ -55,8 +55,8 @@
 	Limiter   *ratelimit.Limiter
 	// Canary receives the outcomes of attempts by runner version; it may be nil.
 	Canary *canary.Gate
-	// QuotaRetryAfter is the Retry-After of requests rejected because their
-	// tenant's quota is exhausted, unless it is below minRetryAfter.
+	// QuotaRetryAfter is the Retry-After sent when a tenant's quota is exhausted; at
+	// least minRetryAfter is sent.
 	QuotaRetryAfter time.Duration
 	// RevokedKeyTimeout is how long a router that is cut off still accepts API
 	// keys, which may have been revoked meanwhile; 0 is no limit.
--- a/data/proxy/proxy_test.go
+++ b/data/proxy/proxy_test.go
@@ -47,11 +47,11 @@
 // executed or may be executed again.
 func TestProxy_runnerFailureByRouteType(t *testing.T) {
 	cases := []struct {
-		name   string
-		path   string
-		step   upstreamtest.Step
-		status int
-		second bool
+		name    string
+		path    string
+		step    upstreamtest.Step
+		status  int
+		retried bool
 	}{
 		{"rejected as full, safe route", "/safe/x", upstreamtest.Reject(503), 200, true},
 		{"rejected as full, unsafe route", "/once/x", upstreamtest.Reject(503), 200, true},
@@ -85,7 +85,7 @@
 			}
 			p, bad, good := newTestProxyWithPair(t, 10, tc.step, finish)
 			got := p.do(tc.path, "x")
-			if got.status != tc.status || (len(good.Requests()) == 1) != tc.second || countRequests(bad) != 1 {
+			if got.status != tc.status || (len(good.Requests()) == 1) != tc.retried || countRequests(bad) != 1 {
 				t.Errorf("status %d; %d and %d requests reached the runners", got.status, countRequests(bad), countRequests(good))
 			}
 		})
@@ -141,8 +141,9 @@
 }
 
 // TestProxy_staleConnSuspectsNoRunner sends requests that must not be executed twice
-// after a connection was idle for longer than one was ever reused: they go to the
-// same runner on new connections, and the runner must not be suspected of failure.
+// while the pooled connection has been idle for longer than any that was known to
+// work: they must go to the same runner on new connections, without the runner being
+// suspected of failure.
 func TestProxy_staleConnSuspectsNoRunner(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "s", "x"))
 	p := newTestProxy(t, 10, runner)
--- a/data/proxy/relay.go
+++ b/data/proxy/relay.go
@@ -135,20 +135,20 @@
 }
 
 // Read implements io.Reader.
-func (u *errorRecordingReader) Read(p []byte) (int, error) {
-	n, err := u.source.Read(p)
+func (r *errorRecordingReader) Read(p []byte) (int, error) {
+	n, err := r.source.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		u.err = err
+		r.err = err
 	}
 	return n, err
 }
 
-// responseSizeDivisor limits a buffered response to less than
+// responseSizeDivisor limits a response other than an event stream to less than
 // 1/responseSizeDivisor of the machine's memory.
 const responseSizeDivisor = 8
 
-// responseSizeLimit returns the size that a response must stay below, so that an
-// endless one does not exhaust the memory.
+// responseSizeLimit returns the size that a response other than an event stream
+// must stay below, so that an endless one does not exhaust the memory.
 func (p *Proxy) responseSizeLimit() int64 {
 	if maxBytes := p.machineLimits.MemoryMB << 20 / responseSizeDivisor; maxBytes > 0 {
 		return maxBytes
@@ -165,8 +165,8 @@
 	upstreamLength := header["Content-Length"]
 	delete(header, "Content-Length")
 	if e.req.Method == http.MethodHead {
-		// A response to HEAD has no body; its Content-Length is that which the body
-		// would have.
+		// A response to HEAD has no body. Its Content-Length is that of the body of a
+		// response to GET, and is forwarded.
 		length = unknownLength
 		if len(upstreamLength) > 0 {
 			header["Content-Length"] = upstreamLength[:1]
