--- a/data/proxy/tenant.go
+++ b/data/proxy/tenant.go
@@ -23,15 +23,15 @@
 	if e.tenant == nil {
 		return e.unknownError(errkind.UnknownKey)
 	}
-	if e.proxy.keysMayBeRevoked(e.snapshot, e.arrivedAt) {
+	if e.proxy.mayBeRevoked(e.snapshot, e.arrivedAt) {
 		return errkind.Errorf(errkind.OutOfContact, "the key may have been revoked")
 	}
 	return nil
 }
 
-// keysMayBeRevoked reports whether this router has been cut off for revokedKeyTimeout or
+// mayBeRevoked reports whether this router has been cut off for revokedKeyTimeout or
 // longer, so that it must not accept keys any more.
-func (p *Proxy) keysMayBeRevoked(snap *snapshot.Snapshot, now clock.Instant) bool {
+func (p *Proxy) mayBeRevoked(snap *snapshot.Snapshot, now clock.Instant) bool {
 	return p.revokedKeyTimeout > 0 && snap.CutOffSince > 0 && now.Since(snap.CutOffSince) >= p.revokedKeyTimeout
 }
 
