--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -14,9 +14,9 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestProxy_deadlineDuringWait has all runners suspected when the deadline passes:
-// the client gets a promise that nothing ran, and a stream that was begun looks
-// broken.
+// TestProxy_deadlineDuringWait lets the deadline pass while all runners are
+// suspected of failure: a client whose request was not executed gets a 503, which
+// promises that, and a stream that had begun is broken off.
 func TestProxy_deadlineDuringWait(t *testing.T) {
 	for path, status := range map[string]int{"/safe/x": 503, "/again/x": 200} {
 		one, two := upstreamtest.Start(t, upstreamtest.EventStream("s", 1, 2, false)), upstreamtest.Start(t, upstreamtest.HangUp())
@@ -28,10 +28,10 @@
 		done := make(chan clientResponse)
 		go func() { done <- p.do(path, "x", "Onyxwell-Time-Left-Ms", "50") }()
 		var got clientResponse
-		for over := false; !over; {
+		for responded := false; !responded; {
 			select {
 			case got = <-done:
-				over = true
+				responded = true
 			default:
 				if status == 503 || countRequests(one) > 0 && p.stats.State("i-1").InFlight == 0 {
 					p.clock.AdvanceToNext()
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestProxy_resumedAfterDeadline stalls the router past the deadline while the
-// runner's response, or its end, waits to be read: nothing that may have run is
-// sent again, and nothing is promised.
-func TestProxy_resumedAfterDeadline(t *testing.T) {
+// TestProxy_stalledPastDeadline stalls the router past the deadline before it reads
+// the runner's response or disconnect: the request, which may have been executed,
+// must not be sent again, and the response must not promise that it was not executed.
+func TestProxy_stalledPastDeadline(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x", "/again/x"} {
 		for _, step := range []upstreamtest.Step{upstreamtest.Respond(200, "s", "id: 1\n\n"), upstreamtest.HangUp(), upstreamtest.Reset("H")} {
 			var p *testProxy
@@ -58,26 +58,27 @@
 			got := p.do(path, "x")
 			complete := got.status == 200 && got.header.Get("Onyxwell-Server-Seal") == "s" && (got.body == "id: 1\n\n" || got.err != nil)
 			if countRequests(one, two) != 1 || !complete && got.status != 502 && got.status != 504 {
-				t.Errorf("%s: %+v after %d arrivals", path, got, countRequests(one, two))
+				t.Errorf("%s: %+v after %d requests to runners, want 1", path, got, countRequests(one, two))
 			}
 		}
 	}
 }
 
-// TestProxy_deadlineDuringRetry has the first runner reject the request and the
-// second be at work on it when the deadline passes.
+// TestProxy_deadlineDuringRetry lets the first runner reject the request and the
+// deadline pass while the second executes it: the response must not promise that it
+// was not executed.
 func TestProxy_deadlineDuringRetry(t *testing.T) {
 	for _, path := range []string{"/once/x", "/safe/x", "/stream/x"} {
 		var p *testProxy
 		p, one, two := newTestProxyWithPair(t, 10, upstreamtest.Reject(503), upstreamtest.Before(func() { p.clock.Advance(6 * time.Second) }, upstreamtest.HangUp()))
 		if got := p.do(path, "x"); got.status != 504 && got.status != 502 || countRequests(one) != 1 || countRequests(two) != 1 {
-			t.Errorf("%s: %+v after %d and %d arrivals", path, got, countRequests(one), countRequests(two))
+			t.Errorf("%s: %+v after %d and %d requests to the runners, want 1 each", path, got, countRequests(one), countRequests(two))
 		}
 	}
 }
 
 // TestStream_ignoresAbandonedRunner resumes a stream at a second runner while the
-// first, whose stream had a gap, sends more: none of that is relayed.
+// first, whose stream had a gap, sends another event: that must not be relayed.
 func TestStream_ignoresAbandonedRunner(t *testing.T) {
 	var first io.Writer
 	head, _, _ := strings.Cut(gappedStream, "\r\n\r\n")
@@ -85,26 +86,26 @@
 		first = writer
 		return upstreamtest.Raw(head+"\r\n\r\n15\r\nid: 1\ndata: token 1\n\n\r\n15\r\nid: 9\ndata: token 9\n\n\r\n", true)(seen, writer)
 	}
-	talks := upstreamtest.Before(func() {
+	sendFromBoth := upstreamtest.Before(func() {
 		_, _ = io.WriteString(first, "15\r\nid: 2\ndata: another\n\n\r\n0\r\n\r\n")
 	}, upstreamtest.EventStream("seal-2", 2, 4, true))
-	p, _, two := newTestProxyWithPair(t, 10, started, talks)
+	p, _, two := newTestProxyWithPair(t, 10, started, sendFromBoth)
 	got := p.do("/again/x", "x")
 	if got.err != nil || got.body != eventText(1, 4) || two.Requests()[0].Header.Get("Last-Event-Id") != "1" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestProxy_clientDisconnects closes the client's connection while a runner is at
-// work, which then rejects the request: there is no retry.
+// TestProxy_clientDisconnects closes the client's connection before the runner
+// rejects the request: it must not be retried.
 func TestProxy_clientDisconnects(t *testing.T) {
 	var p *testProxy
-	var leave func()
-	one := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
-	two := upstreamtest.Start(t, upstreamtest.Before(func() { leave() }, upstreamtest.Reject(503)))
+	var disconnect func()
+	one := upstreamtest.Start(t, upstreamtest.Before(func() { disconnect() }, upstreamtest.Reject(503)))
+	two := upstreamtest.Start(t, upstreamtest.Before(func() { disconnect() }, upstreamtest.Reject(503)))
 	p = newTestProxy(t, 10, one, two)
 	conn := p.dial()
-	leave = func() {
+	disconnect = func() {
 		_ = conn.Close()
 		for p.proxy.InFlight() > 0 {
 			runtime.Gosched()
@@ -115,13 +116,13 @@
 		runtime.Gosched()
 	}
 	if count := countRequests(one, two); count != 1 {
-		t.Fatalf("%d arrivals", count)
+		t.Fatalf("%d requests arrived at runners, want 1", count)
 	}
 }
 
-// TestDrain_keepsResponseUnderWay drains the router and drops the route from the
-// configuration while a response is under way: it comes complete all the same.
-func TestDrain_keepsResponseUnderWay(t *testing.T) {
+// TestDrain_completesResponseInProgress drains the router and removes the route from the
+// configuration while a runner executes the request: the response must still be complete.
+func TestDrain_completesResponseInProgress(t *testing.T) {
 	for _, path := range []string{"/once/x", "/stream/x"} {
 		var p *testProxy
 		drainThenRespond := func(seen upstreamtest.Request, writer io.Writer) bool {
@@ -138,17 +139,17 @@
 	}
 }
 
-// instantClock is a clock whose waits are over at once.
+// instantClock is a clock whose timers expire at once.
 type instantClock struct{ clock.Clock }
 
 func (instantClock) After(time.Duration) <-chan struct{} {
-	over := make(chan struct{})
-	close(over)
-	return over
+	expired := make(chan struct{})
+	close(expired)
+	return expired
 }
 
-// TestDiscard_doesNotWaitForSilentBody has a runner reject a request and never
-// send the rest of that response: the request does not wait for it.
+// TestDiscard_doesNotWaitForSilentBody discards a response whose body never
+// arrives, and responses without a body: discard must return.
 func TestDiscard_doesNotWaitForSilentBody(t *testing.T) {
 	silent, runner := net.Pipe()
 	defer runner.Close()
--- a/data/proxy/harness_test.go
+++ b/data/proxy/harness_test.go
@@ -31,6 +31,8 @@
 	"onyxwell/data/upstreamtest"
 )
 
+// configDocument is the default configuration of the tests, with a verb for its
+// version.
 const configDocument = `{"config_version":%d,"routes":[
  {"name":"plain","hostname":"shop.example","path_prefix":"/safe/","type":"safe","give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
  {"name":"once","hostname":"shop.example","path_prefix":"/once/","type":"unsafe","give_up_ms":5000,"goal_ms":400,"service":"desk","tries":3},
@@ -40,28 +42,29 @@
  "services":[{"name":"desk","health_path":"/health","max_conns":100,"warmup_s":3,"cold_per_s":10}],
  "limits":{"max_header_bytes":2000,"max_body_bytes":100,"header_wait_ms":3000,"idle_ms":15000}}`
 
-// testProxy is a router's data plane between scripted runners and a client, on a
-// clock that stands still.
+// testProxy is a proxy with its data plane between scripted runners and a client,
+// on a fake clock that advances only when the test does so.
 type testProxy struct {
-	t          testing.TB
-	clock      *clock.Fake
-	snapshots  *snapshot.Store
-	updates    *gossip.Store
-	stats      *runnerstats.Collector
-	proxy      *Proxy
-	server     *httptest.Server
-	log        *logtest.Buffer
-	runners    []discovery.Runner
-	listSerial ids.Version
+	t           testing.TB
+	clock       *clock.Fake
+	snapshots   *snapshot.Store
+	updates     *gossip.Store
+	stats       *runnerstats.Collector
+	proxy       *Proxy
+	server      *httptest.Server
+	log         *logtest.Buffer
+	runners     []discovery.Runner
+	listVersion ids.Version
 }
 
-// newTestProxy returns a testProxy whose retry budget is the reserve alone.
+// newTestProxy returns a testProxy whose retry budget consists only of the reserve.
 func newTestProxy(t testing.TB, retryReserve float64, runners ...*upstreamtest.Runner) *testProxy {
 	t.Helper()
 	return newTestProxyWithSettings(t, &settings.Settings{}, retryReserve, runners...)
 }
 
-// newTestProxyWithSettings returns a testProxy on a machine of those settings.
+// newTestProxyWithSettings returns a testProxy with the resource limits of the
+// settings.
 func newTestProxyWithSettings(t testing.TB, settings *settings.Settings, retryReserve float64, runners ...*upstreamtest.Runner) *testProxy {
 	t.Helper()
 	fakeClock := clock.NewFake()
@@ -97,42 +100,44 @@
 	return p
 }
 
-// setConfig publishes a configuration, a format with its version.
-func (t *testProxy) setConfig(version int, format string) {
-	t.updates.Put(gossip.Item{Key: "spec", Version: ids.Version(version), Body: []byte(fmt.Sprintf(format, version))})
+// setConfig publishes a configuration. format is its document with a verb for the
+// version.
+func (p *testProxy) setConfig(version int, format string) {
+	p.updates.Put(gossip.Item{Key: "spec", Version: ids.Version(version), Body: []byte(fmt.Sprintf(format, version))})
 }
 
-// publishRunners publishes p.runners as the list of endpoints.
-func (t *testProxy) publishRunners() {
-	t.t.Helper()
-	t.listSerial++
-	body, err := transport.Marshal(discovery.List{Runners: t.runners})
+// publishRunners publishes p.runners as the list of discovered runners.
+func (p *testProxy) publishRunners() {
+	p.t.Helper()
+	p.listVersion++
+	body, err := transport.Marshal(discovery.List{Runners: p.runners})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: t.listSerial, Body: body})
+	p.updates.Put(gossip.Item{Key: discovery.ZoneKey("all"), Version: p.listVersion, Body: body})
 }
 
-// setLostZones has the zones not answer this router's zone.
-func (t *testProxy) setLostZones(version ids.Version, zones ...ids.Zone) {
-	t.t.Helper()
+// setLostZones publishes which zones the router's zone gets no response from.
+func (p *testProxy) setLostZones(version ids.Version, zones ...ids.Zone) {
+	p.t.Helper()
 	body, err := transport.Marshal(zonesummary.LostZones{Zones: zones})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
+	p.updates.Put(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
 }
 
-func (t *testProxy) setEvacuated(zone ids.Zone, version ids.Version, drained bool) {
-	t.t.Helper()
+// setEvacuated publishes whether a zone is evacuated.
+func (p *testProxy) setEvacuated(zone ids.Zone, version ids.Version, drained bool) {
+	p.t.Helper()
 	body, err := transport.Marshal(evacuation.State{Version: version, Drained: drained})
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	t.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
+	p.updates.Put(gossip.Item{Key: evacuation.Key(zone), Version: version, Body: body})
 }
 
-// clientResponse is what a client got.
+// clientResponse is the response that a client received, or the error.
 type clientResponse struct {
 	status int
 	closes bool
@@ -141,13 +146,13 @@
 	err    error
 }
 
-// do sends a request and reads the response to its end. Headers are pairs of
-// name and value.
-func (t *testProxy) do(path string, body string, headers ...string) clientResponse {
-	t.t.Helper()
-	req, err := http.NewRequest("POST", t.server.URL+path, strings.NewReader(body))
+// do sends a request and reads the response to its end. headers alternates names
+// and values.
+func (p *testProxy) do(path string, body string, headers ...string) clientResponse {
+	p.t.Helper()
+	req, err := http.NewRequest("POST", p.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		t.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	req.Host = "shop.example"
 	req.Header.Set("Onyxwell-Attempt-Id", "v1")
@@ -160,11 +165,11 @@
 		return clientResponse{err: err}
 	}
 	defer resp.Body.Close()
-	format, err := io.ReadAll(resp.Body)
-	return clientResponse{status: resp.StatusCode, closes: resp.Close, header: resp.Header, body: string(format), err: err}
+	content, err := io.ReadAll(resp.Body)
+	return clientResponse{status: resp.StatusCode, closes: resp.Close, header: resp.Header, body: string(content), err: err}
 }
 
-// countRequests returns how many requests arrived at runners.
+// countRequests returns how many requests arrived at the runners in total.
 func countRequests(runners ...*upstreamtest.Runner) int {
 	count := 0
 	for _, runner := range runners {
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -21,15 +21,16 @@
 	"onyxwell/data/upstream"
 )
 
-// TestInvariants_countPlantedViolations has an exchange do what the balancer keeps
-// it from; each must be counted.
-func TestInvariants_countPlantedViolations(t *testing.T) {
+// TestInvariants_countViolations makes an exchange violate invariants that other
+// packages uphold in operation, or comply with them: only violations are counted.
+func TestInvariants_countViolations(t *testing.T) {
 	runner := &snapshot.Runner{Runner: discovery.Runner{ID: "i"}, Region: "north"}
 	ran := []attemptRecord{{runner: "i", outcome: upstream.Indeterminate}}
 	responseOf := func(attempt string, seal string) *http.Response {
 		return &http.Response{StatusCode: 200, Header: http.Header{upstream.AttemptIDHeader: {attempt}, upstream.SealHeader: {seal}}}
 	}
-	// A stream that goes on though its beginning was asked for.
+	// eventsFrom returns an event stream that begins with the id first. Its request has
+	// no Last-Event-ID, so that the event reader accepts any first id.
 	eventsFrom := func(first int) *http.Response {
 		text := fmt.Sprintf("id: %d\ndata: x\n\n", first)
 		return &http.Response{StatusCode: 200, Body: io.NopCloser(strings.NewReader(text)), Request: &http.Request{Header: http.Header{}}}
@@ -49,12 +50,12 @@
 			e.balancerRequest.Tenant = &config.Tenant{HomeRegions: []ids.Region{"south"}}
 			e.checkAttempt(runner, 0, 0)
 		}, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "a", "a", "") }, 0},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "a", "b", "") }, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "a", "a", "key") }, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { sendAs(e, "", "", "") }, 1},
-		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { sendAs(e, "", "", "") }, 0},
-		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { sendAs(e, "", "b", "") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "a", "a", "") }, 0},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "a", "b", "") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "a", "a", "key") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe}, nil, func(e *exchange) { checkAttemptAs(e, "", "", "") }, 1},
+		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { checkAttemptAs(e, "", "", "") }, 0},
+		{invariant.TenantKnown, config.Route{Type: config.Safe, Public: true}, nil, func(e *exchange) { checkAttemptAs(e, "", "b", "") }, 1},
 		{invariant.DeadlineNotExtended, config.Route{Type: config.Safe}, nil, func(e *exchange) {
 			e.clientTimeout = time.Second
 			e.checkAttempt(runner, 2*time.Second, 0)
@@ -64,29 +65,30 @@
 		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("other", "s"), 0) }, 1},
 		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", ""), 0) }, 1},
 		{invariant.ResponseSeal, config.Route{}, nil, func(e *exchange) { e.beginResponse(responseOf("a", "s"), 0) }, 0},
-		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { resumeEvents(e, eventsFrom(9)) }, 1},
-		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { resumeEvents(e, eventsFrom(6)) }, 0},
+		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { relayResumedEvents(e, eventsFrom(9)) }, 1},
+		{invariant.EventOrder, config.Route{}, nil, func(e *exchange) { relayResumedEvents(e, eventsFrom(6)) }, 0},
 	}
 	for index, tc := range cases {
 		t.Run(fmt.Sprintf("%s %d", tc.name, index), func(t *testing.T) {
 			monitor := &invariant.Monitor{Tolerant: true}
 			p := New(Options{Clock: clock.NewFake(), Log: scope.NewLogger("error", io.Discard), Monitor: monitor})
-			planted := &exchange{
+			e := &exchange{
 				proxy: p, w: httptest.NewRecorder(), req: httptest.NewRequest("GET", "/", nil),
 				snapshot: &snapshot.Snapshot{Config: &config.Config{}},
 				route:    &tc.route, balancerRequest: balancer.Request{Route: &tc.route}, upstreamRequest: &upstream.Request{AttemptID: "a"}, attempts: tc.attempts,
 			}
-			tc.violate(planted)
+			tc.violate(e)
 			if got := monitor.Count(tc.name); got != tc.violations {
-				t.Errorf("counted %d, not %d", got, tc.violations)
+				t.Errorf("%d violations counted, want %d", got, tc.violations)
 			}
 		})
 	}
 }
 
-// sendAs has an exchange of a tenant, empty for none, send its request as that of
-// another, with the client's key unless it is empty.
-func sendAs(e *exchange, tenant ids.Tenant, sent ids.Tenant, key string) {
+// checkAttemptAs checks an attempt of an exchange that belongs to tenant and names the
+// tenant sent to the runner; either may be empty for none. The request also carries the
+// client's key unless that is empty.
+func checkAttemptAs(e *exchange, tenant ids.Tenant, sent ids.Tenant, key string) {
 	e.snapshot.Config.Tenants = []config.Tenant{{Name: "a"}}
 	if tenant != "" {
 		e.tenant = &config.Tenant{Name: tenant}
@@ -98,8 +100,9 @@
 	e.checkAttempt(&snapshot.Runner{}, 0, 0)
 }
 
-// resumeEvents relays a response's events in an exchange that has relayed event 5.
-func resumeEvents(e *exchange, resp *http.Response) {
+// relayResumedEvents relays a response's events in an exchange that has already
+// relayed event 5.
+func relayResumedEvents(e *exchange, resp *http.Response) {
 	e.headerSent, e.hasLastEventID, e.lastEventID = true, true, 5
 	e.relayEvents(resp)
 }
