--- a/cmd/room/main.go
+++ b/cmd/room/main.go
@@ -130,10 +130,10 @@
 			fmt.Fprintf(table, "%s\ttoo few answers seen for an estimate\n", service.Service)
 			continue
 		}
-		fmt.Fprintf(table, "%s\tload %.1f/s\tused %.0f%%\troom for %.1f times the load\n", service.Service, service.LoadPerS, 100*service.Utilization, service.GrowthTogether)
+		fmt.Fprintf(table, "%s\tload %.1f/s\tused %.0f%%\troom for %.1f times the load\n", service.Service, service.RequestsPerS, 100*service.Utilization, service.MaxGrowth)
 		for _, route := range service.Routes {
 			fmt.Fprintf(table, "  %s\tload %.1f/s\tfirst %.0f of %.0f ms\talone %.1f times, with all others %.1f times\n",
-				route.Name, route.LoadPerS, route.FirstTokenMS, route.TargetMS, route.GrowthAlone, route.GrowthTogether)
+				route.Name, route.RequestsPerS, route.FirstTokenMS, route.TargetMS, route.MaxRouteGrowth, route.MaxGrowth)
 		}
 		for _, region := range service.Regions {
 			fmt.Fprintf(table, "  in %s\t%d ready\t%d not\tused %.0f%%\n", region.Region, region.Ready, region.NotReady, 100*region.Utilization)
--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -67,7 +67,7 @@
 // gossip.
 func ServeHeadroom(calls *httpcall.Mux, updates *gossip.Store) {
 	httpcall.Handle(calls, http.MethodGet, headroomPath, func(context.Context, EmptyRequest) (HeadroomResponse, error) {
-		item, ok := updates.Get(headroom.Key)
+		item, ok := updates.Get(headroom.ReportKey)
 		if !ok {
 			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no estimate was made yet")
 		}
--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -27,11 +27,11 @@
 		scaled = c.scaledServices
 	}
 	c.autoscaler = autoscaler.New(autoscaler.Options{
-		Scaled:  scaled,
-		Clock:   c.clock,
-		Address: c.daemon.Address, Gossip: c.daemon.Updates, Lease: holder.Held, Now: c.clock.Now,
+		ScaledServices: scaled,
+		Clock:          c.clock,
+		Address:        c.daemon.Address, Gossip: c.daemon.Updates, Lease: holder.Held, Now: c.clock.Now,
 		Runners: c.listRunners, NewSerial: discovery.FencedSerial,
-		Window: metricWindow, Interval: metricStep, PlanEvery: planSteps, GroupByLength: c.settings.Grouping,
+		Window: metricWindow, Interval: metricStep, TicksPerPlan: planSteps, GroupByLength: c.settings.Grouping,
 	})
 	c.autoscaler.RegisterHandlers(c.daemon.Calls)
 	c.daemon.AddService("headroom", func(ctx context.Context) error { c.publishHeadroom(ctx, holder); return nil })
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -19,7 +19,7 @@
 const headroomSteps = 5
 
 // Conditions of a runner that keep its capacity out of the estimate; only
-// headroom.Ready counts. They are part of the published report.
+// headroom.StateReady counts. They are part of the published report.
 const (
 	conditionDraining    = "draining"
 	conditionEvacuated   = "emptied"
@@ -44,7 +44,7 @@
 		if current, held := holder.Held(c.clock.Now()); err != nil || !held || current != epoch {
 			continue
 		}
-		c.daemon.Updates.Put(gossip.Item{Key: headroom.Key, Version: discovery.FencedSerial(epoch, sequence), Body: body})
+		c.daemon.Updates.Put(gossip.Item{Key: headroom.ReportKey, Version: discovery.FencedSerial(epoch, sequence), Body: body})
 		c.log.Info().Str("part", "headroom").RawJSON("report", body).Msg("headroom estimated")
 	}
 }
@@ -87,7 +87,7 @@
 	case runner.WarmupLeftMS > 0:
 		return conditionWarmingUp
 	}
-	return headroom.Ready
+	return headroom.StateReady
 }
 
 // zoneEvacuated reports whether the operator has drained the zone.
@@ -113,10 +113,10 @@
 }
 
 // routerCounts counts the routers of each region, lost ones included.
-func (c *Controller) routerCounts() []headroom.Routers {
-	var counts []headroom.Routers
+func (c *Controller) routerCounts() []headroom.RouterCount {
+	var counts []headroom.RouterCount
 	for _, region := range c.daemon.Zones.Regions() {
-		counts = append(counts, headroom.Routers{Region: region.Name, Known: region.Known, Ready: region.Ready})
+		counts = append(counts, headroom.RouterCount{Region: region.Name, Known: region.Known, Ready: region.Ready})
 	}
 	return counts
 }
--- a/control/planning/autoscaler/build.go
+++ b/control/planning/autoscaler/build.go
@@ -32,9 +32,9 @@
 	slowStartFactor = 0.5
 )
 
-// Plan returns a plan for the runners, from the metrics in the window and the
+// buildPlan returns a plan for the runners, from the metrics in the window and the
 // last plan. The caller holds the lock, as Tick does.
-func (p *Planner) Plan(runners []Runner) Plan {
+func (p *Planner) buildPlan(runners []Runner) Plan {
 	plan := Plan{Owner: p.options.Address}
 	types := p.typeCapacities(runners)
 	services := map[ids.Service]map[ids.Region]*regionCapacity{}
--- a/control/planning/autoscaler/group.go
+++ b/control/planning/autoscaler/group.go
@@ -54,7 +54,7 @@
 			}
 		}
 		for _, service := range sortedKeys(services) {
-			split, ok := estimator.Split(service)
+			split, ok := estimator.UpdateSplit(service)
 			if ok && len(services[service]) >= minGroupedRunners {
 				lengths.Splits = append(lengths.Splits, split)
 				assignClasses(services[service], min(maxShortShare, shortClassMargin*split.ShortWorkShare))
--- a/control/planning/autoscaler/group_test.go
+++ b/control/planning/autoscaler/group_test.go
@@ -24,7 +24,7 @@
 	for index := range runners {
 		listed = append(listed, Runner{ID: ids.RunnerID(fmt.Sprint("i", index)), Service: "s", Version: "v", Region: "north", Ready: true})
 	}
-	planner := New(Options{GroupByLength: true, Window: time.Second, Interval: time.Second, PlanEvery: 1})
+	planner := New(Options{GroupByLength: true, Window: time.Second, Interval: time.Second, TicksPerPlan: 1})
 	for _, runner := range listed {
 		planner.runnerPlans[runner.ID] = RunnerPlan{Runner: runner.ID, RateLimit: 10, Weight: 10}
 	}
@@ -46,7 +46,7 @@
 func TestGroupByLength_classesGetWorkShare(t *testing.T) {
 	planner, listed := newGroupingPlanner(20)
 	planner.AddReport(lengthReport("north", 300, 70))
-	plan := planner.Plan(listed)
+	plan := planner.buildPlan(listed)
 	short, long := countClasses(plan)
 	// 540,000 of 1,002,000 tokens are those of short requests, and a fifth more.
 	if short != 13 || long != 7 {
@@ -61,7 +61,7 @@
 	}
 	moved := 0
 	planner.AddReport(lengthReport("north", 10, 1))
-	for _, planned := range planner.Plan(listed[1:]).Runners {
+	for _, planned := range planner.buildPlan(listed[1:]).Runners {
 		if before[planned.Runner] != planned.Group {
 			moved++
 		}
@@ -94,7 +94,7 @@
 	for name, setUp := range cases {
 		t.Run(name, func(t *testing.T) {
 			planner, listed := setUp()
-			if short, long := countClasses(planner.Plan(listed)); short+long != 0 {
+			if short, long := countClasses(planner.buildPlan(listed)); short+long != 0 {
 				t.Errorf("%d and %d runners are grouped", short, long)
 			}
 		})
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -49,11 +49,11 @@
 	Window time.Duration
 	// Interval is the time between two ticks.
 	Interval time.Duration
-	// PlanEvery is the number of ticks between two plans for which there is no
+	// TicksPerPlan is the number of ticks between two plans for which there is no
 	// other cause.
-	PlanEvery int
-	// Scaled returns the services whose runners are ordered; nil leaves sizes alone.
-	Scaled func() []ScaledService
+	TicksPerPlan int
+	// ScaledServices returns the services whose runners are ordered; nil leaves sizes alone.
+	ScaledServices func() []ScaledService
 	// GroupByLength has runners grouped by the expected duration of requests.
 	GroupByLength bool
 }
@@ -144,7 +144,7 @@
 }
 
 // Tick closes the interval that took elapsed. It publishes a new plan if a runner
-// shows an anomaly, if the set of ready runners changed, or if PlanEvery ticks
+// shows an anomaly, if the set of ready runners changed, or if TicksPerPlan ticks
 // have passed. It does nothing on a daemon that doesn't own the lease.
 func (p *Planner) Tick(now clock.Instant, elapsed time.Duration) {
 	epoch, owned := p.options.Lease(now)
@@ -165,9 +165,9 @@
 	anomaly := p.detectAnomalies()
 	runners := p.options.Runners()
 	changed := p.readyChanged(runners)
-	scheduled := p.steps%p.options.PlanEvery == 0
+	scheduled := p.steps%p.options.TicksPerPlan == 0
 	if anomaly || changed || scheduled {
-		p.publish(p.Plan(runners), runners)
+		p.publish(p.buildPlan(runners), runners)
 	}
 	p.planSizes(now, runners)
 	if scheduled {
--- a/control/planning/autoscaler/planner_test.go
+++ b/control/planning/autoscaler/planner_test.go
@@ -41,7 +41,7 @@
 		Now:       h.clock.Now,
 		Lease:     func(clock.Instant) (int64, bool) { return h.epoch, h.leased },
 		NewSerial: func(epoch int64, counter int64) ids.Version { return ids.Version(epoch<<32 | counter) },
-		Window:    60 * time.Second, Interval: time.Second, PlanEvery: 5,
+		Window:    60 * time.Second, Interval: time.Second, TicksPerPlan: 5,
 	})
 }
 
--- a/control/planning/autoscaler/sizing.go
+++ b/control/planning/autoscaler/sizing.go
@@ -305,10 +305,10 @@
 // planSizes decides the sizes of the services that are scaled and publishes them if they
 // changed. The caller holds the lock, as Tick does.
 func (p *Planner) planSizes(now clock.Instant, runners []Runner) {
-	if p.options.Scaled == nil {
+	if p.options.ScaledServices == nil {
 		return
 	}
-	for _, service := range p.options.Scaled() {
+	for _, service := range p.options.ScaledServices() {
 		p.sizer.observe(service, p.window.regionLoads(service.Service), now)
 		if limit := p.replicaLimit(service, runners); limit.rate > 0 {
 			p.sizer.decide(service, limit, now)
--- a/control/planning/headroom/estimate.go
+++ b/control/planning/headroom/estimate.go
@@ -8,8 +8,8 @@
 	"onyxwell/control/config"
 )
 
-// Ready is the State of a runner that requests may go to.
-const Ready = "ready"
+// StateReady is the State of a runner that requests may go to.
+const StateReady = "ready"
 
 // Runner is a listed runner.
 type Runner struct {
@@ -31,7 +31,7 @@
 	Config   *config.Config
 	Runners  []Runner
 	Readings []Reading
-	Routers  []Routers
+	Routers  []RouterCount
 }
 
 // Estimate returns the headroom of every service in the configuration.
@@ -94,12 +94,12 @@
 func (e *estimator) estimate() Service {
 	service := Service{Service: e.service.Name, HasData: e.hasData, Regions: e.regions()}
 	for _, reading := range e.readings {
-		service.LoadPerS += reading.Count / e.seconds
+		service.RequestsPerS += reading.Count / e.seconds
 	}
 	if !e.hasData {
 		return service
 	}
-	service.GrowthTogether = growthCap
+	service.MaxGrowth = growthCap
 	for _, reading := range e.readings {
 		route := e.findRoute(reading.Route)
 		if route == nil {
@@ -107,7 +107,7 @@
 		}
 		load := e.load(route, reading)
 		growth := e.route(route, reading, load)
-		service.GrowthTogether = min(service.GrowthTogether, growth.GrowthTogether)
+		service.MaxGrowth = min(service.MaxGrowth, growth.MaxGrowth)
 		service.Utilization = max(service.Utilization, load.Utilization)
 		service.Routes = append(service.Routes, growth)
 	}
@@ -123,9 +123,9 @@
 		Name:           route.Name,
 		TargetMS:       route.LatencyTargetMS,
 		FirstTokenMS:   reading.FirstTokenMS / reading.Count,
-		LoadPerS:       reading.Count / e.seconds,
-		GrowthAlone:    load.MaxRouteGrowth(spareMS),
-		GrowthTogether: load.MaxGrowth(spareMS),
+		RequestsPerS:   reading.Count / e.seconds,
+		MaxRouteGrowth: load.MaxRouteGrowth(spareMS),
+		MaxGrowth:      load.MaxGrowth(spareMS),
 	}
 }
 
@@ -149,7 +149,7 @@
 			continue
 		}
 		unitsPerS += runner.UnitsPerS
-		if runner.State == Ready {
+		if runner.State == StateReady {
 			ready++
 		}
 	}
@@ -171,7 +171,7 @@
 			byName[runner.Region] = region
 		}
 		region.UnitsPerS += runner.UnitsPerS
-		if runner.State == Ready {
+		if runner.State == StateReady {
 			region.Ready++
 		} else {
 			region.NotReady++
--- a/control/planning/headroom/headroom_test.go
+++ b/control/planning/headroom/headroom_test.go
@@ -118,36 +118,36 @@
 // Of four runners, all are ready; or one region gets no work, which the other
 // does; or the runners of a region are not ready.
 func TestEstimate_countsRunnersByState(t *testing.T) {
-	full := estimate(t, newInput(Ready, Ready, Ready, Ready))
-	idleRegion := newInput(Ready, Ready, Ready, Ready)
+	full := estimate(t, newInput(StateReady, StateReady, StateReady, StateReady))
+	idleRegion := newInput(StateReady, StateReady, StateReady, StateReady)
 	idleRegion.Runners[0].UnitsPerS, idleRegion.Runners[1].UnitsPerS = 40000, 40000
 	idleRegion.Runners[2].UnitsPerS, idleRegion.Runners[3].UnitsPerS = 0, 0
 	absorbed := estimate(t, idleRegion)
-	if math.Abs(full.Routes[0].GrowthTogether-absorbed.Routes[0].GrowthTogether) > 0.01 {
-		t.Errorf("an idle region's runners count for less: %v, %v", full.Routes[0].GrowthTogether, absorbed.Routes[0].GrowthTogether)
+	if math.Abs(full.Routes[0].MaxGrowth-absorbed.Routes[0].MaxGrowth) > 0.01 {
+		t.Errorf("an idle region's runners count for less: %v, %v", full.Routes[0].MaxGrowth, absorbed.Routes[0].MaxGrowth)
 	}
-	if absorbed.Routes[1].GrowthTogether > 0.7*full.Routes[1].GrowthTogether {
+	if absorbed.Routes[1].MaxGrowth > 0.7*full.Routes[1].MaxGrowth {
 		t.Errorf("runners outside of its home region count for a route: %v", absorbed.Routes[1])
 	}
 	if region := absorbed.Regions[1]; region.Ready != 2 || region.Utilization != 0 {
 		t.Errorf("idle region: %+v", region)
 	}
 	for _, state := range []string{"draining", "emptied", "resting", "cold"} {
-		lost := estimate(t, newInput(Ready, Ready, state, state))
-		if lost.Routes[0].GrowthTogether > 0.6*full.Routes[0].GrowthTogether || lost.Regions[1].NotReady != 2 {
-			t.Errorf("%s runners count: %v of %v", state, lost.Routes[0].GrowthTogether, full.Routes[0].GrowthTogether)
+		lost := estimate(t, newInput(StateReady, StateReady, state, state))
+		if lost.Routes[0].MaxGrowth > 0.6*full.Routes[0].MaxGrowth || lost.Regions[1].NotReady != 2 {
+			t.Errorf("%s runners count: %v of %v", state, lost.Routes[0].MaxGrowth, full.Routes[0].MaxGrowth)
 		}
 	}
-	if none := estimate(t, newInput("draining", "draining", Ready, Ready)); none.Routes[1].GrowthTogether > 1 {
-		t.Errorf("a route without a ready runner: growth %v", none.Routes[1].GrowthTogether)
+	if none := estimate(t, newInput("draining", "draining", StateReady, StateReady)); none.Routes[1].MaxGrowth > 1 {
+		t.Errorf("a route without a ready runner: growth %v", none.Routes[1].MaxGrowth)
 	}
 }
 
 func TestEstimate_noReadings(t *testing.T) {
-	input := newInput(Ready)
+	input := newInput(StateReady)
 	input.Readings = nil
 	service := Estimate(input).Services[0]
-	if service.HasData || len(service.Routes) != 0 || service.GrowthTogether != 0 {
+	if service.HasData || len(service.Routes) != 0 || service.MaxGrowth != 0 {
 		t.Fatalf("%+v", service)
 	}
 }
--- a/control/planning/lengthstats/estimator_test.go
+++ b/control/planning/lengthstats/estimator_test.go
@@ -31,12 +31,12 @@
 // no longer seen is forgotten.
 func TestEstimator_followsTrafficShift(t *testing.T) {
 	estimator := newMixedEstimator(100, 50)
-	before, _ := estimator.Split("s")
+	before, _ := estimator.UpdateSplit("s")
 	for range 120 {
 		estimator.Decay(1)
 		estimator.Add([]Totals{{Key: key("check", 1800), Count: 20, DurationMS: 2600, Tokens: 36000, SlowFirstTokens: 2}, {Key: key("manifest", 6600), Count: 2, DurationMS: 3200, Tokens: 13200}})
 	}
-	after, ok := estimator.Split("s")
+	after, ok := estimator.UpdateSplit("s")
 	if !ok || after.ShortWorkShare < before.ShortWorkShare+0.3 {
 		t.Fatalf("%+v, then %+v", before, after)
 	}
@@ -46,7 +46,7 @@
 	if expectations := estimator.Expectations(); len(expectations) != 0 {
 		t.Fatalf("expectations without traffic: %+v", expectations)
 	}
-	if split, ok := estimator.Split("s"); ok {
+	if split, ok := estimator.UpdateSplit("s"); ok {
 		t.Fatalf("split without traffic: %+v", split)
 	}
 }
--- a/control/planning/lengthstats/split.go
+++ b/control/planning/lengthstats/split.go
@@ -48,9 +48,9 @@
 	slowShare float64
 }
 
-// Split returns the split of a service, and false if there is none. It must be
+// UpdateSplit returns the split of a service, and false if there is none. It must be
 // called once for each plan: a split depends on the one before.
-func (e *Estimator) Split(service ids.Service) (Split, bool) {
+func (e *Estimator) UpdateSplit(service ids.Service) (Split, bool) {
 	var keys []Totals
 	count, work := 0.0, 0.0
 	for key, totals := range e.totals {
--- a/control/planning/lengthstats/split_test.go
+++ b/control/planning/lengthstats/split_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSplit_thresholdBetweenClusters(t *testing.T) {
-	split, ok := newMixedEstimator(100, 25).Split("s")
+	split, ok := newMixedEstimator(100, 25).UpdateSplit("s")
 	if !ok || split.ThresholdMS < 200 || split.ThresholdMS > 1500 || math.Abs(split.ShortWorkShare-0.29) > 0.01 {
 		t.Fatalf("%+v %v", split, ok)
 	}
@@ -22,7 +22,7 @@
 	}
 	for name, estimator := range cases {
 		t.Run(name, func(t *testing.T) {
-			if split, ok := estimator.Split("s"); ok {
+			if split, ok := estimator.UpdateSplit("s"); ok {
 				t.Errorf("%+v", split)
 			}
 		})
@@ -42,7 +42,7 @@
 				{Key: key("check", 1800), Count: 30, DurationMS: 3900, Tokens: 54000, SlowFirstTokens: slow},
 				{Key: key("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
 			})
-			_, split = estimator.Split("s")
+			_, split = estimator.UpdateSplit("s")
 		}
 		return split
 	}
--- a/control/planning/lengthstats/table.go
+++ b/control/planning/lengthstats/table.go
@@ -43,10 +43,10 @@
 // anyRoute returns the key of a bucket over all routes of the service.
 func (k Key) anyRoute() Key { return Key{Service: k.Service, Bucket: k.Bucket} }
 
-// Expect returns the expected duration of a request in milliseconds: that of its
+// ExpectedDuration returns the expected duration of a request in milliseconds: that of its
 // key, else the mean over the service's routes for prompts of that length. It
 // returns false if there is neither, or if the length is unknown.
-func (t *Table) Expect(key Key) (durationMS float64, ok bool) {
+func (t *Table) ExpectedDuration(key Key) (durationMS float64, ok bool) {
 	if t == nil || key.Bucket == 0 {
 		return 0, false
 	}
@@ -60,7 +60,7 @@
 // Class returns the class of a request, Unknown if its service is not split or
 // nothing is expected of it.
 func (t *Table) Class(key Key) Class {
-	expected, ok := t.Expect(key)
+	expected, ok := t.ExpectedDuration(key)
 	if !ok {
 		return Unknown
 	}
--- a/control/planning/lengthstats/table_test.go
+++ b/control/planning/lengthstats/table_test.go
@@ -7,7 +7,7 @@
 
 func TestTable_class(t *testing.T) {
 	estimator := newMixedEstimator(100, 25)
-	split, _ := estimator.Split("s")
+	split, _ := estimator.UpdateSplit("s")
 	table := NewTable(estimator.Expectations(), []Split{split})
 	cases := []struct {
 		route  string
