--- a/control/planning/autoscaler/build.go
+++ b/control/planning/autoscaler/build.go
@@ -44,7 +44,7 @@
 		}
 		key := runner.runnerType()
 		capacity := p.runnerCapacity(runner, types[key])
-		planned := p.planRunner(runner, capacity, p.typeWeight(key, types[key]))
+		planned := p.planRunner(runner, capacity, p.updateTypeWeight(key, types[key]))
 		plan.Runners = append(plan.Runners, planned)
 		if services[runner.Service] == nil {
 			services[runner.Service] = map[ids.Region]*regionCapacity{}
@@ -108,24 +108,24 @@
 // runnerCapacity shrinks a runner's own estimate towards that of its type, the
 // more the fewer samples it has: without fresh metrics it decays to the type's
 // as the samples leave the window.
-func (p *Planner) runnerCapacity(runner Runner, ofType Capacity) Capacity {
+func (p *Planner) runnerCapacity(runner Runner, typeCapacity Capacity) Capacity {
 	var own sampleSet
 	if series := p.window.runners[runner.ID]; series != nil {
 		own.add(series.points)
 	}
 	capacity, ok := own.estimate()
 	if !ok {
-		return ofType
+		return typeCapacity
 	}
-	if ofType.RateLimit <= 0 {
+	if typeCapacity.RateLimit <= 0 {
 		return capacity
 	}
 	weight := float64(capacity.Samples) / (float64(capacity.Samples) + priorWeight)
 	shrunk := capacity
-	shrunk.RateLimit = weight*capacity.RateLimit + (1-weight)*ofType.RateLimit
-	shrunk.ExecutionS = weight*capacity.ExecutionS + (1-weight)*ofType.ExecutionS
+	shrunk.RateLimit = weight*capacity.RateLimit + (1-weight)*typeCapacity.RateLimit
+	shrunk.ExecutionS = weight*capacity.ExecutionS + (1-weight)*typeCapacity.ExecutionS
 	shrunk.ConcurrencyLimit = shrunk.RateLimit * shrunk.ExecutionS
-	shrunk.MemoryUtilization = weight*capacity.MemoryUtilization + (1-weight)*ofType.MemoryUtilization
+	shrunk.MemoryUtilization = weight*capacity.MemoryUtilization + (1-weight)*typeCapacity.MemoryUtilization
 	return shrunk
 }
 
@@ -165,15 +165,15 @@
 	var replicas []Replicas
 	for _, region := range sortedKeys(regions) {
 		runners := regions[region].runners
-		kind := ReplicaType{Max: float64(len(runners))}
+		replicaType := ReplicaType{Max: float64(len(runners))}
 		memory := 0.0
 		for _, planned := range runners {
-			kind.RateLimit += planned.RateLimit / kind.Max
-			memory += planned.MemoryUtilization / kind.Max
+			replicaType.RateLimit += planned.RateLimit / replicaType.Max
+			memory += planned.MemoryUtilization / replicaType.Max
 		}
-		kind.Cost = memoryMismatchCost(memory)
-		types = append(types, kind)
-		replicas = append(replicas, Replicas{Service: service, Region: region, Ready: int64(kind.Max), RateLimit: roundSignificant(kind.RateLimit)})
+		replicaType.Cost = memoryMismatchCost(memory)
+		types = append(types, replicaType)
+		replicas = append(replicas, Replicas{Service: service, Region: region, Ready: int64(replicaType.Max), RateLimit: roundSignificant(replicaType.RateLimit)})
 	}
 	for index, needed := range SolveReplicas(types, load) {
 		replicas[index].Needed, replicas[index].Load = needed, roundSignificant(load)
--- a/control/planning/autoscaler/group_test.go
+++ b/control/planning/autoscaler/group_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestAssignClasses_eachKeepsRunner(t *testing.T) {
+func TestAssignClasses_noClassIsEmpty(t *testing.T) {
 	for _, shortShare := range []float64{0, 0.001, 0.5, 0.999, 2} {
 		var pool []*RunnerPlan
 		for index := range 4 {
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -81,8 +81,8 @@
 	sizer       *sizer
 	// counter numbers the published items.
 	counter int64
-	// steps counts the ticks, planCount the plans.
-	steps     int
+	// ticks counts the ticks, planCount the plans.
+	ticks     int
 	planCount int
 	lastPlan  Plan
 	// published is the routing that was published last.
@@ -107,7 +107,7 @@
 	p.quarantined = map[ids.RunnerID]int{}
 	p.lengths = map[ids.Region]*lengthstats.Estimator{}
 	p.sizer = newSizer()
-	p.steps, p.planCount, p.published, p.readyRunners = 0, 0, nil, ""
+	p.ticks, p.planCount, p.published, p.readyRunners = 0, 0, nil, ""
 }
 
 // RegisterHandlers has the mux take reports for the planner. A daemon that
@@ -165,7 +165,7 @@
 	anomaly := p.detectAnomalies()
 	runners := p.options.Runners()
 	changed := p.readyChanged(runners)
-	scheduled := p.steps%p.options.TicksPerPlan == 0
+	scheduled := p.ticks%p.options.TicksPerPlan == 0
 	if anomaly || changed || scheduled {
 		p.publish(p.buildPlan(runners), runners)
 	}
@@ -173,7 +173,7 @@
 	if scheduled {
 		p.updateProfiles()
 	}
-	p.steps++
+	p.ticks++
 }
 
 // RecentWork returns the readings of every route over the last seconds, and each
--- a/control/planning/autoscaler/planner_test.go
+++ b/control/planning/autoscaler/planner_test.go
@@ -153,10 +153,10 @@
 	h := newHarness()
 	h.run(58, map[ids.RunnerID]float64{"i0": 10, "i1": 10, "i2": 30, "i3": 10}, 60)
 	before := h.lastPlan(t).runner("i2").RateLimit
-	silent := h.runners[2]
+	unreported := h.runners[2]
 	h.runners = append(h.runners[:2:2], h.runners[3])
 	h.run(1, map[ids.RunnerID]float64{"i0": 10, "i1": 10, "i3": 10}, 60)
-	h.runners = append(h.runners, silent)
+	h.runners = append(h.runners, unreported)
 	for range 70 {
 		report := ReportRequest{Region: "north"}
 		for _, id := range []ids.RunnerID{"i0", "i1", "i3"} {
@@ -203,7 +203,7 @@
 	if !h.lastPlan(t).runner("i1").Quarantined {
 		t.Fatal("a runner at which everything fails is not quarantined")
 	}
-	h.run(quarantineSteps+1, rates, 20)
+	h.run(quarantineTicks+1, rates, 20)
 	if h.lastPlan(t).runner("i1").Quarantined {
 		t.Fatal("the quarantine never ends")
 	}
--- a/control/planning/autoscaler/profile.go
+++ b/control/planning/autoscaler/profile.go
@@ -95,12 +95,12 @@
 func (p *Profile) fitBasis(vectors [][]float64) bool {
 	width := len(p.mean)
 	dimensions := min(latentDimensions, width)
-	table := mat.NewDense(len(vectors), width, nil)
+	matrix := mat.NewDense(len(vectors), width, nil)
 	for index, vector := range vectors {
-		table.SetRow(index, p.normalise(vector))
+		matrix.SetRow(index, p.normalise(vector))
 	}
 	var svd mat.SVD
-	if !svd.Factorize(table, mat.SVDThin) {
+	if !svd.Factorize(matrix, mat.SVDThin) {
 		return false
 	}
 	var components mat.Dense
--- a/control/planning/autoscaler/quarantine.go
+++ b/control/planning/autoscaler/quarantine.go
@@ -2,9 +2,9 @@
 
 import "onyxwell/base/ids"
 
-// quarantineSteps is the number of ticks for which a runner stays quarantined.
+// quarantineTicks is the number of ticks for which a runner stays quarantined.
 // Routers check its health meanwhile.
-const quarantineSteps = 2
+const quarantineTicks = 2
 
 // updateProfiles fits the profiles of all services to the window. A service with
 // too few metrics keeps its profile.
@@ -38,7 +38,7 @@
 		}
 		detected = true
 		if anomaly == Overload && newest.finished == 0 && newest.failed > 0 && p.canQuarantine(series.service) {
-			p.quarantined[id] = quarantineSteps
+			p.quarantined[id] = quarantineTicks
 		}
 	}
 	return detected
@@ -48,9 +48,9 @@
 // ended.
 func (p *Planner) releaseQuarantined() bool {
 	released := false
-	for id, steps := range p.quarantined {
-		p.quarantined[id] = steps - 1
-		if steps <= 1 {
+	for id, ticks := range p.quarantined {
+		p.quarantined[id] = ticks - 1
+		if ticks <= 1 {
 			delete(p.quarantined, id)
 			released = true
 		}
--- a/control/planning/autoscaler/replicas.go
+++ b/control/planning/autoscaler/replicas.go
@@ -36,9 +36,9 @@
 func SolveReplicas(types []ReplicaType, load float64) []float64 {
 	needed := make([]float64, len(types))
 	total := 0.0
-	for index, kind := range types {
-		needed[index] = kind.Max
-		total += kind.Max * kind.RateLimit
+	for index, replicaType := range types {
+		needed[index] = replicaType.Max
+		total += replicaType.Max * replicaType.RateLimit
 	}
 	if len(types) == 0 || total <= load {
 		return needed
@@ -49,11 +49,11 @@
 	constraints := mat.NewDense(2*len(types)+1, len(types), nil)
 	bounds := make([]float64, 2*len(types)+1)
 	bounds[0] = -load
-	for index, kind := range types {
-		costs[index] = kind.Cost
-		constraints.Set(0, index, -kind.RateLimit)
+	for index, replicaType := range types {
+		costs[index] = replicaType.Cost
+		constraints.Set(0, index, -replicaType.RateLimit)
 		constraints.Set(index+1, index, 1)
-		bounds[index+1] = kind.Max
+		bounds[index+1] = replicaType.Max
 		constraints.Set(len(types)+index+1, index, -1)
 	}
 	cost, equalities, values := lp.Convert(costs, constraints, bounds, nil, nil)
--- a/control/planning/autoscaler/routing.go
+++ b/control/planning/autoscaler/routing.go
@@ -84,9 +84,9 @@
 	return routing
 }
 
-// typeWeight returns the weight of a type: its rate limit, or the last weight if
+// updateTypeWeight returns the weight of a type: its rate limit, or the last weight if
 // the limit is close to that or unknown.
-func (p *Planner) typeWeight(key runnerType, capacity Capacity) float64 {
+func (p *Planner) updateTypeWeight(key runnerType, capacity Capacity) float64 {
 	limit := roundSignificant(capacity.RateLimit)
 	if last := p.typeWeights[key]; limit <= 0 || withinTolerance(limit, last) {
 		return last
--- a/control/planning/autoscaler/sizing.go
+++ b/control/planning/autoscaler/sizing.go
@@ -58,28 +58,28 @@
 }
 
 const (
-	// unsaturatedConcurrency is the part of its slots that a runner is taken to bear while
+	// unsaturatedUtilization is the part of its slots that a runner is taken to bear while
 	// its rate limit was never reached.
-	unsaturatedConcurrency = 0.4
+	unsaturatedUtilization = 0.4
 	// saturatedUtilization is the part of its slots in use above which the test for a rate
 	// limit is believed: a load that hardly varies looks like a limit.
 	saturatedUtilization = 0.5
 	// loadHeadroom is added to the forecast.
 	loadHeadroom = 1.15
-	// forecastHorizons is for how many horizons the highest load counts.
-	forecastHorizons = 2
-	// increaseDivisor is the part of a zone's runners, one in so many, by which the load
+	// historyHorizons is for how many horizons the highest load counts.
+	historyHorizons = 2
+	// minIncreaseDivisor is the part of a zone's runners, one in so many, by which the load
 	// must exceed them before more are ordered: new runners take prompts away from those
 	// that have their prefixes cached. Saturated runners do not wait for that.
-	increaseDivisor = 5
+	minIncreaseDivisor = 5
 	// increaseUtilization is the part of a region's runners that the load of late must take, at
 	// the rate that they are planned with, before more are ordered: what is provided for bursts
 	// and losses bears a rise until then, and a load that goes up and down would have runners
 	// ordered at each rise.
 	increaseUtilization = 0.75
-	// decreaseDivisor is the part of a zone's runners, one in so many, by which an order
+	// maxDecreaseDivisor is the part of a zone's runners, one in so many, by which an order
 	// lowers its size at most; decreasesPerHorizon is how often it may.
-	decreaseDivisor     = 3
+	maxDecreaseDivisor  = 3
 	decreasesPerHorizon = 4
 )
 
@@ -87,8 +87,8 @@
 // learnt rate limits and forecast load, up early and in one step, down late and in
 // bounded steps. It is not safe for concurrent use.
 type sizer struct {
-	// loads has the recent loads of each service by region, oldest first.
-	loads map[ids.Service][]regionLoads
+	// history has the recent history of each service by region, oldest first.
+	history map[ids.Service][]loadSample
 	// ordered are the sizes in force; loweredAt and raisedAt are when they changed.
 	ordered   map[sizeKey]int64
 	loweredAt map[sizeKey]clock.Instant
@@ -101,15 +101,15 @@
 	zone    ids.Zone
 }
 
-// regionLoads are the requests a second of each region at an instant.
-type regionLoads struct {
+// loadSample are the requests a second of each region at an instant.
+type loadSample struct {
 	at    clock.Instant
 	loads map[ids.Region]float64
 }
 
 func newSizer() *sizer {
 	return &sizer{
-		loads: map[ids.Service][]regionLoads{}, ordered: map[sizeKey]int64{},
+		history: map[ids.Service][]loadSample{}, ordered: map[sizeKey]int64{},
 		loweredAt: map[sizeKey]clock.Instant{}, raisedAt: map[ids.Service]clock.Instant{},
 	}
 }
@@ -127,36 +127,36 @@
 	for _, load := range loads {
 		total += load
 	}
-	known := s.loads[service.Service]
-	if total < 1 && len(known) == 0 {
+	history := s.history[service.Service]
+	if total < 1 && len(history) == 0 {
 		return
 	}
-	known = append(known, regionLoads{at: now, loads: loads})
-	for len(known) > 1 && now.Since(known[1].at) > forecastHorizons*service.Horizon {
-		known = known[1:]
+	history = append(history, loadSample{at: now, loads: loads})
+	for len(history) > 1 && now.Since(history[1].at) > historyHorizons*service.Horizon {
+		history = history[1:]
 	}
-	s.loads[service.Service] = known
+	s.history[service.Service] = history
 }
 
 // coversHorizon reports whether the loads of a service were seen for long enough to
 // order fewer runners.
 func (s *sizer) coversHorizon(service ScaledService, now clock.Instant) bool {
-	known := s.loads[service.Service]
-	return len(known) > 0 && now.Since(known[0].at) >= service.Horizon
+	history := s.history[service.Service]
+	return len(history) > 0 && now.Since(history[0].at) >= service.Horizon
 }
 
 // forecast returns the load of a region that is to be expected within the horizon: the
 // highest of late, or what its rise leads to, unless that comes from a region that is lost.
 func (s *sizer) forecast(service ScaledService, region ids.Region, now clock.Instant) float64 {
-	known := s.loads[service.Service]
-	if len(known) == 0 {
+	history := s.history[service.Service]
+	if len(history) == 0 {
 		return 0
 	}
-	peak, last := s.recentLoad(service, region), known[len(known)-1]
-	earlier := known[0]
-	for _, at := range known {
-		if now.Since(at.at) >= service.Horizon/2 {
-			earlier = at
+	peak, last := s.peakLoad(service, region), history[len(history)-1]
+	earlier := history[0]
+	for _, sample := range history {
+		if now.Since(sample.at) >= service.Horizon/2 {
+			earlier = sample
 		}
 	}
 	if span := last.at.Since(earlier.at); span > 0 && s.coversHorizon(service, now) && !hasLostRegion(service) {
@@ -166,25 +166,25 @@
 	return peak * loadHeadroom
 }
 
-// recentLoad returns the highest load of a region of late.
-func (s *sizer) recentLoad(service ScaledService, region ids.Region) float64 {
+// peakLoad returns the highest load of a region of late.
+func (s *sizer) peakLoad(service ScaledService, region ids.Region) float64 {
 	peak := 0.0
-	for _, at := range s.loads[service.Service] {
-		peak = max(peak, at.loads[region])
+	for _, sample := range s.history[service.Service] {
+		peak = max(peak, sample.loads[region])
 	}
 	return peak
 }
 
-// isCrowded reports whether the load of a region takes so much of the sizes in force of its
+// needsIncrease reports whether the load of a region takes so much of the sizes in force of its
 // usable zones that more are to be ordered.
-func (s *sizer) isCrowded(service ScaledService, region ids.Region, rateLimit float64) bool {
+func (s *sizer) needsIncrease(service ScaledService, region ids.Region, rateLimit float64) bool {
 	size := int64(0)
 	for _, zone := range service.Zones {
 		if zone.Region == region && zone.Usable {
 			size += s.current(service.Service, zone)
 		}
 	}
-	return s.recentLoad(service, region) >= increaseUtilization*rateLimit*float64(size)
+	return s.peakLoad(service, region) >= increaseUtilization*rateLimit*float64(size)
 }
 
 // current returns the size in force of a zone, within its bounds.
@@ -210,9 +210,9 @@
 	return false
 }
 
-// reserve is by how much more than the load is provided for, so that one region, or one
+// redundancyFactor is by how much more than the load is provided for, so that one region, or one
 // zone, may be lost. A region that is lost already is not provided for once more.
-func reserve(service ScaledService) float64 {
+func redundancyFactor(service ScaledService) float64 {
 	regions, zones := map[ids.Region]bool{}, 0
 	for _, zone := range service.Zones {
 		regions[zone.Region] = true
@@ -234,9 +234,9 @@
 	return float64(count) / float64(count-1)
 }
 
-// replicas returns how many runners each region's usable zones need: the linear program's,
+// requiredSizes returns how many runners each region's usable zones need: the linear program's,
 // dealt evenly to the zones, since each is a failure domain.
-func (s *sizer) replicas(service ScaledService, rateLimit float64, now clock.Instant) map[ids.Zone]int64 {
+func (s *sizer) requiredSizes(service ScaledService, rateLimit float64, now clock.Instant) map[ids.Zone]int64 {
 	byRegion := map[ids.Region][]ScaledZone{}
 	for _, zone := range service.Zones {
 		if zone.Usable {
@@ -250,7 +250,7 @@
 			types = append(types, ReplicaType{Cost: 1, RateLimit: rateLimit, Max: float64(zone.Max)})
 		}
 		total := 0.0
-		for _, needed := range SolveReplicas(types, s.forecast(service, region, now)*reserve(service)) {
+		for _, needed := range SolveReplicas(types, s.forecast(service, region, now)*redundancyFactor(service)) {
 			total += needed
 		}
 		for _, zone := range zones {
@@ -260,14 +260,14 @@
 	return wanted
 }
 
-// decide updates the sizes in force. Nothing is ordered before the loads cover the
+// updateSizes updates the sizes in force. Nothing is ordered before the loads cover the
 // horizon, unless runners are saturated; nothing is lowered while a zone can't be used, or
 // soon after a rise.
-func (s *sizer) decide(service ScaledService, limit replicaLimit, now clock.Instant) {
+func (s *sizer) updateSizes(service ScaledService, limit replicaLimit, now clock.Instant) {
 	if !limit.saturated && !s.coversHorizon(service, now) {
 		return
 	}
-	wanted := s.replicas(service, limit.rate, now)
+	wanted := s.requiredSizes(service, limit.rateLimit, now)
 	mayLower := s.coversHorizon(service, now) && now.Since(s.raisedAt[service.Service]) >= service.Horizon &&
 		!slices.ContainsFunc(service.Zones, func(zone ScaledZone) bool { return !zone.Usable })
 	for _, zone := range service.Zones {
@@ -275,14 +275,14 @@
 		target, planned := wanted[zone.Zone]
 		_, ordered := s.ordered[key]
 		current := s.current(service.Service, zone)
-		mayRaise := limit.saturated || (target-current >= (current+increaseDivisor-1)/increaseDivisor && s.isCrowded(service, zone.Region, limit.rate))
+		mayRaise := limit.saturated || (target-current >= (current+minIncreaseDivisor-1)/minIncreaseDivisor && s.needsIncrease(service, zone.Region, limit.rateLimit))
 		switch {
 		case !planned:
 			continue
 		case target > current && mayRaise:
 			s.ordered[key], s.raisedAt[service.Service] = target, now
 		case target < current && mayLower && now.Since(s.loweredAt[key]) >= service.Horizon/decreasesPerHorizon:
-			step := max(1, current/decreaseDivisor)
+			step := max(1, current/maxDecreaseDivisor)
 			s.ordered[key], s.loweredAt[key] = max(target, current-step), now
 		case ordered:
 			s.ordered[key] = current
@@ -310,8 +310,8 @@
 	}
 	for _, service := range p.options.ScaledServices() {
 		p.sizer.observe(service, p.window.regionLoads(service.Service), now)
-		if limit := p.replicaLimit(service, runners); limit.rate > 0 {
-			p.sizer.decide(service, limit, now)
+		if limit := p.replicaLimit(service, runners); limit.rateLimit > 0 {
+			p.sizer.updateSizes(service, limit, now)
 		}
 	}
 	sizes := p.sizer.sizes()
@@ -326,7 +326,7 @@
 
 // replicaLimit is the rate that one runner of a service is planned with.
 type replicaLimit struct {
-	rate float64
+	rateLimit float64
 	// saturated says that the rate is a limit that was reached.
 	saturated bool
 }
@@ -354,9 +354,9 @@
 		}
 	}
 	if utilization := running / points / max(1, service.Slots); utilization >= saturatedUtilization {
-		return replicaLimit{rate: limit, saturated: true}
+		return replicaLimit{rateLimit: limit, saturated: true}
 	}
-	return replicaLimit{rate: max(limit, unsaturatedConcurrency*service.Slots*finished/running)}
+	return replicaLimit{rateLimit: max(limit, unsaturatedUtilization*service.Slots*finished/running)}
 }
 
 // regionLoads returns the demand for a service by the region of the routers that received
--- a/control/planning/headroom/estimate.go
+++ b/control/planning/headroom/estimate.go
@@ -69,7 +69,7 @@
 		}
 	}
 	slices.SortFunc(e.readings, func(left, right Reading) int { return cmp.Compare(left.Route, right.Route) })
-	e.total = sum(e.readings)
+	e.total = sumReadings(e.readings)
 	e.model, e.hasData = e.fitModel()
 	return e
 }
@@ -92,7 +92,7 @@
 }
 
 func (e *estimator) estimate() Service {
-	service := Service{Service: e.service.Name, HasData: e.hasData, Regions: e.regions()}
+	service := Service{Service: e.service.Name, HasData: e.hasData, Regions: e.summarizeRegions()}
 	for _, reading := range e.readings {
 		service.RequestsPerS += reading.Count / e.seconds
 	}
@@ -105,8 +105,8 @@
 		if route == nil {
 			continue
 		}
-		load := e.load(route, reading)
-		growth := e.route(route, reading, load)
+		load := e.routeLoad(route, reading)
+		growth := e.estimateRoute(route, reading, load)
 		service.MaxGrowth = min(service.MaxGrowth, growth.MaxGrowth)
 		service.Utilization = max(service.Utilization, load.Utilization)
 		service.Routes = append(service.Routes, growth)
@@ -114,18 +114,18 @@
 	return service
 }
 
-// route estimates the headroom of one route. What its target leaves beyond the
+// estimateRoute estimates the headroom of one estimateRoute. What its target leaves beyond the
 // latency of a request that does not queue may be spent queueing.
-func (e *estimator) route(route *config.Route, reading Reading, load Load) Route {
+func (e *estimator) estimateRoute(route *config.Route, reading Reading, load Load) Route {
 	unqueuedMS := e.model.BaseMS + e.model.PerUnitMS*reading.Units/reading.Count
-	spareMS := route.LatencyTargetMS - unqueuedMS
+	queueBudgetMS := route.LatencyTargetMS - unqueuedMS
 	return Route{
 		Name:           route.Name,
 		TargetMS:       route.LatencyTargetMS,
 		FirstTokenMS:   reading.FirstTokenMS / reading.Count,
 		RequestsPerS:   reading.Count / e.seconds,
-		MaxRouteGrowth: load.MaxRouteGrowth(spareMS),
-		MaxGrowth:      load.MaxGrowth(spareMS),
+		MaxRouteGrowth: load.MaxRouteGrowth(queueBudgetMS),
+		MaxGrowth:      load.MaxGrowth(queueBudgetMS),
 	}
 }
 
@@ -139,10 +139,10 @@
 	return nil
 }
 
-// load returns the load of the runners in the regions that the route allows. Work
+// routeLoad returns the routeLoad of the runners in the regions that the route allows. Work
 // that went to runners which are no longer ready counts: the others have to take
 // it.
-func (e *estimator) load(route *config.Route, reading Reading) Load {
+func (e *estimator) routeLoad(route *config.Route, reading Reading) Load {
 	ready, unitsPerS := 0.0, 0.0
 	for _, runner := range e.runners {
 		if !route.AllowsRegion(runner.Region) {
@@ -161,8 +161,8 @@
 	return load
 }
 
-// regions returns what the service has in each region with a runner of it.
-func (e *estimator) regions() []Region {
+// summarizeRegions returns what the service has in each region with a runner of it.
+func (e *estimator) summarizeRegions() []Region {
 	byName := map[ids.Region]*Region{}
 	for _, runner := range e.runners {
 		region := byName[runner.Region]
--- a/control/planning/headroom/headroom_test.go
+++ b/control/planning/headroom/headroom_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-func TestFitLatencyModel_noFit(t *testing.T) {
+func TestFitLatencyModel_insufficientData(t *testing.T) {
 	cases := map[string]Reading{
-		"too few requests": syntheticReading("long", minCount-1, 12000, LatencyModel{BaseMS: 40, PerUnitMS: 0.01}),
+		"too few requests": syntheticReading("long", minRequests-1, 12000, LatencyModel{BaseMS: 40, PerUnitMS: 0.01}),
 		"requests alike":   {Count: 100, Units: 100, UnitsSquared: 100, FirstTokenMS: 5, UnitsFirstTokenMS: 5},
 	}
 	for name, reading := range cases {
@@ -46,28 +46,28 @@
 // In a simulated queue whose load has grown by MaxGrowth, about maxLateFraction of
 // the requests wait for longer than the spare time; with a fifth more, many do.
 func TestMaxGrowth_boundsLateFraction(t *testing.T) {
-	const service, spare = 50.0, 400.0
-	load := Load{Utilization: 0.2, RouteUtilization: 0.2, ResidualMS: service}
-	growth := load.MaxGrowth(spare)
-	if late := lateFraction(0.2*growth, service, spare); late > 0.08 || late < 0.02 {
+	const meanService, queueBudget = 50.0, 400.0
+	load := Load{Utilization: 0.2, RouteUtilization: 0.2, ResidualMS: meanService}
+	growth := load.MaxGrowth(queueBudget)
+	if late := lateFraction(0.2*growth, meanService, queueBudget); late > 0.08 || late < 0.02 {
 		t.Errorf("at growth %.2f, %.3f wait too long", growth, late)
 	}
-	if late := lateFraction(math.Min(0.99, 0.2*growth*1.2), service, spare); late < 0.1 {
+	if late := lateFraction(math.Min(0.99, 0.2*growth*1.2), meanService, queueBudget); late < 0.1 {
 		t.Errorf("well above that, only %.3f wait too long", late)
 	}
 }
 
 // lateFraction simulates a queue at a utilization and returns the fraction of
 // requests that wait for longer than spare.
-func lateFraction(utilization float64, service float64, spare float64) float64 {
+func lateFraction(utilization float64, meanService float64, queueBudget float64) float64 {
 	random := rand.New(rand.NewPCG(7, 8))
 	wait, late := 0.0, 0.0
 	const count = 400000
 	for range count {
-		if wait > spare {
+		if wait > queueBudget {
 			late++
 		}
-		wait = math.Max(0, wait+random.ExpFloat64()*service-random.ExpFloat64()*service/utilization)
+		wait = math.Max(0, wait+random.ExpFloat64()*meanService-random.ExpFloat64()*meanService/utilization)
 	}
 	return late / count
 }
@@ -105,8 +105,8 @@
 	return input
 }
 
-// estimate returns the headroom of service s, for which there is data.
-func estimate(t *testing.T, input Input) Service {
+// estimateService returns the headroom of service s, for which there is data.
+func estimateService(t *testing.T, input Input) Service {
 	t.Helper()
 	report := Estimate(input)
 	if len(report.Services) != 2 || !report.Services[0].HasData || len(report.Services[0].Routes) != 2 {
@@ -118,27 +118,27 @@
 // Of four runners, all are ready; or one region gets no work, which the other
 // does; or the runners of a region are not ready.
 func TestEstimate_countsRunnersByState(t *testing.T) {
-	full := estimate(t, newInput(StateReady, StateReady, StateReady, StateReady))
+	full := estimateService(t, newInput(StateReady, StateReady, StateReady, StateReady))
 	idleRegion := newInput(StateReady, StateReady, StateReady, StateReady)
 	idleRegion.Runners[0].UnitsPerS, idleRegion.Runners[1].UnitsPerS = 40000, 40000
 	idleRegion.Runners[2].UnitsPerS, idleRegion.Runners[3].UnitsPerS = 0, 0
-	absorbed := estimate(t, idleRegion)
-	if math.Abs(full.Routes[0].MaxGrowth-absorbed.Routes[0].MaxGrowth) > 0.01 {
-		t.Errorf("an idle region's runners count for less: %v, %v", full.Routes[0].MaxGrowth, absorbed.Routes[0].MaxGrowth)
+	shifted := estimateService(t, idleRegion)
+	if math.Abs(full.Routes[0].MaxGrowth-shifted.Routes[0].MaxGrowth) > 0.01 {
+		t.Errorf("an idle region's runners count for less: %v, %v", full.Routes[0].MaxGrowth, shifted.Routes[0].MaxGrowth)
 	}
-	if absorbed.Routes[1].MaxGrowth > 0.7*full.Routes[1].MaxGrowth {
-		t.Errorf("runners outside of its home region count for a route: %v", absorbed.Routes[1])
+	if shifted.Routes[1].MaxGrowth > 0.7*full.Routes[1].MaxGrowth {
+		t.Errorf("runners outside of its home region count for a route: %v", shifted.Routes[1])
 	}
-	if region := absorbed.Regions[1]; region.Ready != 2 || region.Utilization != 0 {
+	if region := shifted.Regions[1]; region.Ready != 2 || region.Utilization != 0 {
 		t.Errorf("idle region: %+v", region)
 	}
 	for _, state := range []string{"draining", "emptied", "resting", "cold"} {
-		lost := estimate(t, newInput(StateReady, StateReady, state, state))
+		lost := estimateService(t, newInput(StateReady, StateReady, state, state))
 		if lost.Routes[0].MaxGrowth > 0.6*full.Routes[0].MaxGrowth || lost.Regions[1].NotReady != 2 {
 			t.Errorf("%s runners count: %v of %v", state, lost.Routes[0].MaxGrowth, full.Routes[0].MaxGrowth)
 		}
 	}
-	if none := estimate(t, newInput("draining", "draining", StateReady, StateReady)); none.Routes[1].MaxGrowth > 1 {
+	if none := estimateService(t, newInput("draining", "draining", StateReady, StateReady)); none.Routes[1].MaxGrowth > 1 {
 		t.Errorf("a route without a ready runner: growth %v", none.Routes[1].MaxGrowth)
 	}
 }
--- a/control/planning/headroom/model.go
+++ b/control/planning/headroom/model.go
@@ -51,7 +51,7 @@
 	return r
 }
 
-func sum(readings []Reading) Reading {
+func sumReadings(readings []Reading) Reading {
 	total := Reading{}
 	for _, reading := range readings {
 		total = total.Add(reading)
@@ -67,8 +67,8 @@
 }
 
 const (
-	// minCount is the number of requests that an estimate needs.
-	minCount = 30
+	// minRequests is the number of requests that an estimate needs.
+	minRequests = 30
 	// minRelativeSpread is the spread of the units, relative to their square, below
 	// which all requests count as equally long.
 	minRelativeSpread = 1e-9
@@ -76,10 +76,10 @@
 	maxLateFraction = 0.05
 	// growthCap bounds growth: no estimate holds so far from what was measured.
 	growthCap = 64.0
-	// maxSearched is the highest utilization that is searched, in so many
+	// maxSearchedUtilization is the highest utilization that is searched, in so many
 	// bisections.
-	maxSearched = 0.995
-	bisections  = 40
+	maxSearchedUtilization = 0.995
+	bisectionSteps         = 40
 	// minResidualMS keeps the residual time, a divisor, above 0.
 	minResidualMS = 1e-6
 )
@@ -89,8 +89,8 @@
 // returns false if there are too few requests, if all are equally long, or if
 // longer ones don't take longer.
 func FitLatencyModel(readings []Reading) (LatencyModel, bool) {
-	total := sum(readings)
-	if total.Count < minCount {
+	total := sumReadings(readings)
+	if total.Count < minRequests {
 		return LatencyModel{}, false
 	}
 	spread := total.UnitsSquared - total.Units*total.Units/total.Count
@@ -135,35 +135,35 @@
 // MaxRouteGrowth returns by what factor the route's own load may grow while only
 // a small fraction of requests queue for longer than spareMS. It is below 1 if
 // the target is missed already, and 0 if no load at all would keep it.
-func (l Load) MaxRouteGrowth(spareMS float64) float64 {
-	return l.maxGrowth(l.RouteUtilization, spareMS)
+func (l Load) MaxRouteGrowth(queueBudgetMS float64) float64 {
+	return l.maxGrowth(l.RouteUtilization, queueBudgetMS)
 }
 
 // MaxGrowth is MaxRouteGrowth for the load of all routes.
-func (l Load) MaxGrowth(spareMS float64) float64 {
-	return l.maxGrowth(l.Utilization, spareMS)
+func (l Load) MaxGrowth(queueBudgetMS float64) float64 {
+	return l.maxGrowth(l.Utilization, queueBudgetMS)
 }
 
 // maxGrowth returns the factor on the growing part of the utilization.
-func (l Load) maxGrowth(growing float64, spareMS float64) float64 {
+func (l Load) maxGrowth(growing float64, queueBudgetMS float64) float64 {
 	if growing <= 0 {
 		return growthCap
 	}
-	growth := (maxUtilization(l.ResidualMS, spareMS) - (l.Utilization - growing)) / growing
+	growth := (maxUtilization(l.ResidualMS, queueBudgetMS) - (l.Utilization - growing)) / growing
 	return math.Min(growthCap, math.Max(0, growth))
 }
 
 // maxUtilization returns the utilization u at which all but maxLateFraction of the
 // requests queue for less than spareMS. The queueing time W of a server with
 // Poisson arrivals has an exponential tail: P(W > t) ≈ u·exp(-t(1-u)/residual).
-func maxUtilization(residualMS float64, spareMS float64) float64 {
-	if spareMS <= 0 {
+func maxUtilization(residualMS float64, queueBudgetMS float64) float64 {
+	if queueBudgetMS <= 0 {
 		return 0
 	}
-	low, high := 0.0, maxSearched
-	for range bisections {
+	low, high := 0.0, maxSearchedUtilization
+	for range bisectionSteps {
 		middle := (low + high) / 2
-		if middle*math.Exp(-spareMS*(1-middle)/math.Max(residualMS, minResidualMS)) > maxLateFraction {
+		if middle*math.Exp(-queueBudgetMS*(1-middle)/math.Max(residualMS, minResidualMS)) > maxLateFraction {
 			high = middle
 		} else {
 			low = middle
--- a/control/planning/lengthstats/estimator.go
+++ b/control/planning/lengthstats/estimator.go
@@ -21,18 +21,18 @@
 func (Expected) SchemaName() string { return "Expected_24" }
 
 const (
-	// minPerKey is the number of requests that an expectation needs, minPerSplit
+	// minRequestsPerKey is the number of requests that an expectation needs, minPerSplit
 	// the number that a split does.
-	minPerKey   = 6.0
-	minPerSplit = 60.0
+	minRequestsPerKey   = 6.0
+	minRequestsPerSplit = 60.0
 	// decaySeconds is the time constant of the decay: after it 1/e is left.
 	decaySeconds = 30.0
 	// minCount is the count below which a key is dropped.
 	minCount = 0.05
 	// maxExpectations bounds the expectations that are published.
 	maxExpectations = 96
-	// changeTolerance is the relative change below which the last value is kept.
-	changeTolerance = 0.3
+	// durationTolerance is the relative change below which the last value is kept.
+	durationTolerance = 0.3
 )
 
 // Estimator holds the totals of one region, and what was published of them. The
@@ -74,7 +74,7 @@
 func (e *Estimator) Expectations() []Expected {
 	var expectations []Expected
 	for key, totals := range e.totals {
-		if totals.Count >= minPerKey {
+		if totals.Count >= minRequestsPerKey {
 			expectations = append(expectations, Expected{Key: key, DurationMS: e.stabilize(key, totals.meanMS()), Count: totals.Count})
 		}
 	}
@@ -93,7 +93,7 @@
 // else the new one in whole milliseconds.
 func (e *Estimator) stabilize(key Key, durationMS float64) float64 {
 	last, known := e.published[key]
-	if known && math.Abs(durationMS-last) <= changeTolerance*last {
+	if known && math.Abs(durationMS-last) <= durationTolerance*last {
 		return last
 	}
 	e.published[key] = math.Round(durationMS)
--- a/control/planning/lengthstats/estimator_test.go
+++ b/control/planning/lengthstats/estimator_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-func key(route string, tokens float64) Key {
+func newKey(route string, tokens float64) Key {
 	return Key{Service: "s", Route: route, Bucket: BucketOf(tokens)}
 }
 
@@ -19,10 +19,10 @@
 func newMixedEstimator(short float64, long float64) *Estimator {
 	estimator := &Estimator{}
 	estimator.Add([]Totals{
-		{Key: key("check", 1800), Count: short, DurationMS: 130 * short, Tokens: 1800 * short, SlowFirstTokens: 0.2 * short},
-		{Key: key("check", 900), Count: short, DurationMS: 100 * short, Tokens: 900 * short},
-		{Key: key("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
-		{Key: key("manifest", 20000), Count: long, DurationMS: 2400 * long, Tokens: 20000 * long},
+		{Key: newKey("check", 1800), Count: short, DurationMS: 130 * short, Tokens: 1800 * short, SlowFirstTokens: 0.2 * short},
+		{Key: newKey("check", 900), Count: short, DurationMS: 100 * short, Tokens: 900 * short},
+		{Key: newKey("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
+		{Key: newKey("manifest", 20000), Count: long, DurationMS: 2400 * long, Tokens: 20000 * long},
 	})
 	return estimator
 }
@@ -34,7 +34,7 @@
 	before, _ := estimator.UpdateSplit("s")
 	for range 120 {
 		estimator.Decay(1)
-		estimator.Add([]Totals{{Key: key("check", 1800), Count: 20, DurationMS: 2600, Tokens: 36000, SlowFirstTokens: 2}, {Key: key("manifest", 6600), Count: 2, DurationMS: 3200, Tokens: 13200}})
+		estimator.Add([]Totals{{Key: newKey("check", 1800), Count: 20, DurationMS: 2600, Tokens: 36000, SlowFirstTokens: 2}, {Key: newKey("manifest", 6600), Count: 2, DurationMS: 3200, Tokens: 13200}})
 	}
 	after, ok := estimator.UpdateSplit("s")
 	if !ok || after.ShortWorkShare < before.ShortWorkShare+0.3 {
@@ -58,7 +58,7 @@
 		sums := map[Key]Totals{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			totals := Totals{
-				Key:   key(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"), float64(rapid.IntRange(0, 50000).Draw(t, "tokens"))),
+				Key:   newKey(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"), float64(rapid.IntRange(0, 50000).Draw(t, "tokens"))),
 				Count: 1, DurationMS: float64(rapid.IntRange(1, 5000).Draw(t, "duration")), Tokens: 8,
 			}
 			separate.Add([]Totals{totals})
@@ -76,7 +76,7 @@
 func TestExpectations_smallChangesAreSuppressed(t *testing.T) {
 	estimator := newMixedEstimator(100, 25)
 	before := estimator.Expectations()
-	estimator.Add([]Totals{{Key: key("check", 1800), Count: 20, DurationMS: 3200, Tokens: 1}})
+	estimator.Add([]Totals{{Key: newKey("check", 1800), Count: 20, DurationMS: 3200, Tokens: 1}})
 	for index, expected := range estimator.Expectations() {
 		if expected != before[index] {
 			t.Fatalf("%+v became %+v", before[index], expected)
--- a/control/planning/lengthstats/split.go
+++ b/control/planning/lengthstats/split.go
@@ -17,12 +17,12 @@
 	// minSlowShare is the fraction of short requests with a slow first token from
 	// which a split begins.
 	minSlowShare = 0.04
-	// releaseWorkShare is the fraction of the long work at a split's beginning below
+	// minRetainedLongWork is the fraction of the long work at a split's beginning below
 	// which the split ends.
-	releaseWorkShare = 0.6
-	// shareTolerance is the change of the short class's share of the work below
+	minRetainedLongWork = 0.6
+	// workShareTolerance is the change of the short class's share of the work below
 	// which a split is kept.
-	shareTolerance = 0.1
+	workShareTolerance = 0.1
 	// minMeanMS keeps a mean duration, as a divisor, above 0.
 	minMeanMS = 1e-9
 )
@@ -51,21 +51,21 @@
 // UpdateSplit returns the split of a service, and false if there is none. It must be
 // called once for each plan: a split depends on the one before.
 func (e *Estimator) UpdateSplit(service ids.Service) (Split, bool) {
-	var keys []Totals
+	var candidates []Totals
 	count, work := 0.0, 0.0
 	for key, totals := range e.totals {
 		if key.Service == service && key.Bucket > 0 && totals.Count > 0 {
-			keys = append(keys, totals)
+			candidates = append(candidates, totals)
 			count, work = count+totals.Count, work+totals.Tokens
 		}
 	}
-	if count < minPerSplit || work <= 0 {
+	if count < minRequestsPerSplit || work <= 0 {
 		return Split{}, false
 	}
-	slices.SortFunc(keys, func(left, right Totals) int {
+	slices.SortFunc(candidates, func(left, right Totals) int {
 		return cmp.Or(cmp.Compare(left.meanMS(), right.meanMS()), compareKeys(left.Key, right.Key))
 	})
-	best, ok := bestSplit(keys, count, work)
+	best, ok := bestSplit(candidates, count, work)
 	best.Service = service
 	return e.applyHysteresis(best, ok)
 }
@@ -74,13 +74,13 @@
 // separates the classes best: the one that maximises n_short·n_long·ln²(ratio of
 // the mean durations), the variance between two classes of log durations. It
 // returns false if no split meets the least ratio and work shares.
-func bestSplit(keys []Totals, count float64, work float64) (best activeSplit, ok bool) {
+func bestSplit(sorted []Totals, count float64, work float64) (best activeSplit, ok bool) {
 	bestVariance := 0.0
 	short := Totals{}
-	for index := range keys[:len(keys)-1] {
-		short = short.Add(keys[index])
+	for index := range sorted[:len(sorted)-1] {
+		short = short.Add(sorted[index])
 		long := Totals{Count: count - short.Count}
-		for _, longer := range keys[index+1:] {
+		for _, longer := range sorted[index+1:] {
 			long.DurationMS += longer.DurationMS
 		}
 		ratio := long.meanMS() / max(minMeanMS, short.meanMS())
@@ -88,7 +88,7 @@
 		variance := short.Count * long.Count * math.Pow(math.Log(max(1, ratio)), 2)
 		if ratio >= minDurationRatio && share >= minWorkShare && share <= 1-minWorkShare && variance > bestVariance {
 			bestVariance = variance
-			best.ThresholdMS, best.ShortWorkShare = math.Sqrt(keys[index].meanMS()*keys[index+1].meanMS()), share
+			best.ThresholdMS, best.ShortWorkShare = math.Sqrt(sorted[index].meanMS()*sorted[index+1].meanMS()), share
 			best.longWork, best.slowShare = work-short.Tokens, short.SlowFirstTokens/short.Count
 		}
 	}
@@ -101,14 +101,14 @@
 // another class moves prompts away from where their prefixes are cached.
 func (e *Estimator) applyHysteresis(split activeSplit, ok bool) (Split, bool) {
 	last, active := e.splits[split.Service]
-	begins := split.slowShare >= minSlowShare
-	lasts := active && split.longWork >= releaseWorkShare*last.longWork
-	if !ok || !(begins || lasts) {
+	starts := split.slowShare >= minSlowShare
+	continues := active && split.longWork >= minRetainedLongWork*last.longWork
+	if !ok || !(starts || continues) {
 		delete(e.splits, split.Service)
 		return Split{}, false
 	}
-	if active && math.Abs(split.ThresholdMS-last.ThresholdMS) <= changeTolerance*last.ThresholdMS &&
-		math.Abs(split.ShortWorkShare-last.ShortWorkShare) <= shareTolerance {
+	if active && math.Abs(split.ThresholdMS-last.ThresholdMS) <= durationTolerance*last.ThresholdMS &&
+		math.Abs(split.ShortWorkShare-last.ShortWorkShare) <= workShareTolerance {
 		return last.Split, true
 	}
 	split.ThresholdMS, split.ShortWorkShare = math.Round(split.ThresholdMS), math.Round(split.ShortWorkShare*100)/100
--- a/control/planning/lengthstats/split_test.go
+++ b/control/planning/lengthstats/split_test.go
@@ -12,9 +12,9 @@
 	}
 }
 
-func TestSplit_noneForFewOrSimilar(t *testing.T) {
+func TestSplit_noneForFewOrSimilarRequests(t *testing.T) {
 	similar := &Estimator{}
-	similar.Add([]Totals{{Key: key("a", 100), Count: 200, DurationMS: 20000, Tokens: 1}, {Key: key("b", 5000), Count: 200, DurationMS: 30000, Tokens: 1}})
+	similar.Add([]Totals{{Key: newKey("a", 100), Count: 200, DurationMS: 20000, Tokens: 1}, {Key: newKey("b", 5000), Count: 200, DurationMS: 30000, Tokens: 1}})
 	cases := map[string]*Estimator{
 		"twenty requests":          newMixedEstimator(5, 5),
 		"hardly any long work":     newMixedEstimator(1000, 0.5),
@@ -39,8 +39,8 @@
 		for range seconds {
 			estimator.Decay(1)
 			estimator.Add([]Totals{
-				{Key: key("check", 1800), Count: 30, DurationMS: 3900, Tokens: 54000, SlowFirstTokens: slow},
-				{Key: key("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
+				{Key: newKey("check", 1800), Count: 30, DurationMS: 3900, Tokens: 54000, SlowFirstTokens: slow},
+				{Key: newKey("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
 			})
 			_, split = estimator.UpdateSplit("s")
 		}
--- a/control/planning/lengthstats/table.go
+++ b/control/planning/lengthstats/table.go
@@ -31,7 +31,7 @@
 	table := &Table{byKey: map[Key]float64{}, byBucket: map[Key]mean{}, splits: map[ids.Service]Split{}}
 	for _, expected := range expectations {
 		table.byKey[expected.Key] = expected.DurationMS
-		bucket := expected.Key.anyRoute()
+		bucket := expected.Key.withoutRoute()
 		table.byBucket[bucket] = table.byBucket[bucket].add(expected.DurationMS)
 	}
 	for _, split := range splits {
@@ -40,8 +40,8 @@
 	return table
 }
 
-// anyRoute returns the key of a bucket over all routes of the service.
-func (k Key) anyRoute() Key { return Key{Service: k.Service, Bucket: k.Bucket} }
+// withoutRoute returns the key of a bucket over all routes of the service.
+func (k Key) withoutRoute() Key { return Key{Service: k.Service, Bucket: k.Bucket} }
 
 // ExpectedDuration returns the expected duration of a request in milliseconds: that of its
 // key, else the mean over the service's routes for prompts of that length. It
@@ -53,7 +53,7 @@
 	if expected, ok := t.byKey[key]; ok {
 		return expected, true
 	}
-	bucket, ok := t.byBucket[key.anyRoute()]
+	bucket, ok := t.byBucket[key.withoutRoute()]
 	return bucket.sum / max(1, bucket.count), ok
 }
 
--- a/control/planning/lengthstats/table_test.go
+++ b/control/planning/lengthstats/table_test.go
@@ -23,15 +23,15 @@
 		{"check", 1 << 40, Unknown},
 	}
 	for _, c := range cases {
-		if got := table.Class(key(c.route, c.tokens)); got != c.want {
+		if got := table.Class(newKey(c.route, c.tokens)); got != c.want {
 			t.Errorf("route %s with %v tokens: class %d, want %d", c.route, c.tokens, got, c.want)
 		}
 	}
 }
 
-func TestTable_nilKnowsNoClass(t *testing.T) {
+func TestTable_nilClassifiesAsUnknown(t *testing.T) {
 	var table *Table
-	if got := table.Class(key("check", 1800)); got != Unknown {
+	if got := table.Class(newKey("check", 1800)); got != Unknown {
 		t.Errorf("class %d", got)
 	}
 }
