--- a/control/planning/headroom/estimate.go
+++ b/control/planning/headroom/estimate.go
@@ -8,25 +8,26 @@
 	"onyxwell/control/config"
 )
 
-// StateReady is the State of a runner that requests may go to.
+// StateReady is the State of a runner that can receive requests.
 const StateReady = "ready"
 
-// Runner is a listed runner.
+// Runner is a runner in the current runner list.
 type Runner struct {
 	ID      ids.RunnerID
 	Service ids.Service
 	Region  ids.Region
-	// Slots is the number of requests that it serves at once.
+	// Slots is the number of requests that the runner serves concurrently.
 	Slots float64
-	// State is Ready, or why the runner is not: cold, draining, emptied, resting.
+	// State is StateReady, or the reason why the runner is not ready: cold (warming
+	// up), draining, emptied (its zone is evacuated) or resting (quarantined).
 	State string
-	// UnitsPerS is the work that was recently sent to it.
+	// UnitsPerS is the recent rate at which work was sent to the runner.
 	UnitsPerS float64
 }
 
-// Input is what an estimate is made from.
+// Input holds the measurements and the configuration that an estimate is based on.
 type Input struct {
-	// Seconds is the time that Readings are sums over; it is above 0.
+	// Seconds is the time span that Readings cover. It must be positive.
 	Seconds  float64
 	Config   *config.Config
 	Runners  []Runner
@@ -48,7 +49,7 @@
 	service config.Service
 	config  *config.Config
 	seconds float64
-	// runners and readings are those of the service, readings by route.
+	// runners and readings are those of the service; readings are sorted by route.
 	runners  []Runner
 	readings []Reading
 	total    Reading
@@ -74,8 +75,9 @@
 	return e
 }
 
-// fitModel fits the latency model. Requests of a service without an engine have
-// no lengths: there a unit is a request, and takes its part of a runner's slots.
+// fitModel fits the latency model. Requests of a service without an engine have no
+// prompt length: each counts as one unit and occupies one of the runner's slots, so
+// that PerUnitMS is the mean time to first token divided by the slots of a runner.
 func (e *estimator) fitModel() (LatencyModel, bool) {
 	if e.service.Engine != nil {
 		return FitLatencyModel(e.readings)
@@ -114,8 +116,9 @@
 	return service
 }
 
-// estimateRoute estimates the headroom of one estimateRoute. What its target leaves beyond the
-// latency of a request that does not queue may be spent queueing.
+// estimateRoute estimates the headroom of one route. The difference between its
+// latency target and the mean latency of a request that does not queue is the time
+// that requests may spend queueing.
 func (e *estimator) estimateRoute(route *config.Route, reading Reading, load Load) Route {
 	unqueuedMS := e.model.BaseMS + e.model.PerUnitMS*reading.Units/reading.Count
 	queueBudgetMS := route.LatencyTargetMS - unqueuedMS
@@ -129,7 +132,7 @@
 	}
 }
 
-// findRoute returns the route of that name, nil if the configuration has none.
+// findRoute returns the route with a name, or nil if the configuration has none.
 func (e *estimator) findRoute(name string) *config.Route {
 	for index := range e.config.Routes {
 		if e.config.Routes[index].Name == name {
@@ -139,9 +142,9 @@
 	return nil
 }
 
-// routeLoad returns the routeLoad of the runners in the regions that the route allows. Work
-// that went to runners which are no longer ready counts: the others have to take
-// it.
+// routeLoad returns the load of the runners in the regions that the route allows. It
+// includes the work that was sent to runners that are not ready, since the ready
+// ones have to take it over.
 func (e *estimator) routeLoad(route *config.Route, reading Reading) Load {
 	ready, unitsPerS := 0.0, 0.0
 	for _, runner := range e.runners {
@@ -161,7 +164,7 @@
 	return load
 }
 
-// summarizeRegions returns what the service has in each region with a runner of it.
+// summarizeRegions summarizes each region in which the service has a runner.
 func (e *estimator) summarizeRegions() []Region {
 	byName := map[ids.Region]*Region{}
 	for _, runner := range e.runners {
--- a/control/planning/headroom/headroom_test.go
+++ b/control/planning/headroom/headroom_test.go
@@ -9,7 +9,8 @@
 	"onyxwell/control/config"
 )
 
-// syntheticReading sums requests of a mean length at a runner with a known model.
+// syntheticReading returns the reading of count requests with a mean length in units,
+// at a runner whose latency follows a known model with some noise.
 func syntheticReading(route string, count int, mean float64, model LatencyModel) Reading {
 	random := rand.New(rand.NewPCG(5, uint64(count)))
 	total := Reading{Service: "s", Route: route}
@@ -25,40 +26,41 @@
 	want := LatencyModel{BaseMS: 40, PerUnitMS: 0.01}
 	model, ok := FitLatencyModel([]Reading{syntheticReading("long", 200, 12000, want), syntheticReading("short", 400, 2000, want)})
 	if !ok || math.Abs(model.BaseMS-40) > 2 || math.Abs(model.PerUnitMS-0.01) > 0.0005 {
-		t.Fatalf("%+v %v", model, ok)
+		t.Fatalf("model %+v, ok %v", model, ok)
 	}
 }
 
 func TestFitLatencyModel_insufficientData(t *testing.T) {
 	cases := map[string]Reading{
 		"too few requests": syntheticReading("long", minRequests-1, 12000, LatencyModel{BaseMS: 40, PerUnitMS: 0.01}),
-		"requests alike":   {Count: 100, Units: 100, UnitsSquared: 100, FirstTokenMS: 5, UnitsFirstTokenMS: 5},
+		"equal lengths":    {Count: 100, Units: 100, UnitsSquared: 100, FirstTokenMS: 5, UnitsFirstTokenMS: 5},
 	}
 	for name, reading := range cases {
 		t.Run(name, func(t *testing.T) {
 			if model, ok := FitLatencyModel([]Reading{reading}); ok {
-				t.Fatalf("%+v", model)
+				t.Fatalf("unexpected fit %+v", model)
 			}
 		})
 	}
 }
 
 // In a simulated queue whose load has grown by MaxGrowth, about maxLateFraction of
-// the requests wait for longer than the spare time; with a fifth more, many do.
+// the requests must wait for longer than the queue budget. At 1.2 times that load,
+// more than a tenth must.
 func TestMaxGrowth_boundsLateFraction(t *testing.T) {
 	const meanService, queueBudget = 50.0, 400.0
 	load := Load{Utilization: 0.2, RouteUtilization: 0.2, ResidualMS: meanService}
 	growth := load.MaxGrowth(queueBudget)
 	if late := lateFraction(0.2*growth, meanService, queueBudget); late > 0.08 || late < 0.02 {
-		t.Errorf("at growth %.2f, %.3f wait too long", growth, late)
+		t.Errorf("at growth %.2f, a fraction %.3f of the requests exceeds the queue budget", growth, late)
 	}
 	if late := lateFraction(math.Min(0.99, 0.2*growth*1.2), meanService, queueBudget); late < 0.1 {
-		t.Errorf("well above that, only %.3f wait too long", late)
+		t.Errorf("at 1.2 times that load, only a fraction %.3f of the requests exceeds the queue budget", late)
 	}
 }
 
-// lateFraction simulates a queue at a utilization and returns the fraction of
-// requests that wait for longer than spare.
+// lateFraction simulates a queue at a utilization and returns the fraction of the
+// requests that wait for longer than queueBudget.
 func lateFraction(utilization float64, meanService float64, queueBudget float64) float64 {
 	random := rand.New(rand.NewPCG(7, 8))
 	wait, late := 0.0, 0.0
@@ -74,18 +76,18 @@
 
 func TestMaxGrowth_limits(t *testing.T) {
 	if got := (Load{Utilization: 0.5, RouteUtilization: 0.5, ResidualMS: 50}).MaxGrowth(-1); got != 0 {
-		t.Errorf("a target that no load keeps: growth %v", got)
+		t.Errorf("growth %v for a target that cannot be met at any load, want 0", got)
 	}
 	if got := (Load{Utilization: 0.9, RouteUtilization: 0.1, ResidualMS: 200}).MaxRouteGrowth(300); got != 0 {
-		t.Errorf("a route beside an overload: growth %v", got)
+		t.Errorf("growth %v for a route whose runners other routes overload, want 0", got)
 	}
 	if got := (Load{}).MaxGrowth(300); got != growthCap {
-		t.Errorf("no load: growth %v", got)
+		t.Errorf("growth %v without load", got)
 	}
 }
 
-// newInput returns an input with runners in these states, two in region r0 and the
-// others in r1, to which route short may not go.
+// newInput returns an input with a runner in each of the given states. The first two
+// runners are in region r0, the others in r1, which route short may not use.
 func newInput(states ...string) Input {
 	model := LatencyModel{BaseMS: 40, PerUnitMS: 0.01}
 	input := Input{Seconds: 10, Config: &config.Config{
@@ -105,7 +107,8 @@
 	return input
 }
 
-// estimateService returns the headroom of service s, for which there is data.
+// estimateService returns the headroom of service s, and fails the test if there is
+// no data for it.
 func estimateService(t *testing.T, input Input) Service {
 	t.Helper()
 	report := Estimate(input)
@@ -115,8 +118,9 @@
 	return report.Services[0]
 }
 
-// Of four runners, all are ready; or one region gets no work, which the other
-// does; or the runners of a region are not ready.
+// The headroom of a service with four runners must not depend on how the work is
+// distributed over the regions that a route may use, and must fall if the runners of
+// a region are not ready.
 func TestEstimate_countsRunnersByState(t *testing.T) {
 	full := estimateService(t, newInput(StateReady, StateReady, StateReady, StateReady))
 	idleRegion := newInput(StateReady, StateReady, StateReady, StateReady)
@@ -124,22 +128,22 @@
 	idleRegion.Runners[2].UnitsPerS, idleRegion.Runners[3].UnitsPerS = 0, 0
 	shifted := estimateService(t, idleRegion)
 	if math.Abs(full.Routes[0].MaxGrowth-shifted.Routes[0].MaxGrowth) > 0.01 {
-		t.Errorf("an idle region's runners count for less: %v, %v", full.Routes[0].MaxGrowth, shifted.Routes[0].MaxGrowth)
+		t.Errorf("growth differs between an even load (%v) and one idle region (%v)", full.Routes[0].MaxGrowth, shifted.Routes[0].MaxGrowth)
 	}
 	if shifted.Routes[1].MaxGrowth > 0.7*full.Routes[1].MaxGrowth {
-		t.Errorf("runners outside of its home region count for a route: %v", shifted.Routes[1])
+		t.Errorf("runners outside of the route's home region count for it: %v", shifted.Routes[1])
 	}
 	if region := shifted.Regions[1]; region.Ready != 2 || region.Utilization != 0 {
-		t.Errorf("idle region: %+v", region)
+		t.Errorf("idle region %+v, want 2 ready runners and utilization 0", region)
 	}
 	for _, state := range []string{"draining", "emptied", "resting", "cold"} {
 		lost := estimateService(t, newInput(StateReady, StateReady, state, state))
 		if lost.Routes[0].MaxGrowth > 0.6*full.Routes[0].MaxGrowth || lost.Regions[1].NotReady != 2 {
-			t.Errorf("%s runners count: %v of %v", state, lost.Routes[0].MaxGrowth, full.Routes[0].MaxGrowth)
+			t.Errorf("%s runners count as ready: growth %v, with all runners ready %v", state, lost.Routes[0].MaxGrowth, full.Routes[0].MaxGrowth)
 		}
 	}
 	if none := estimateService(t, newInput("draining", "draining", StateReady, StateReady)); none.Routes[1].MaxGrowth > 1 {
-		t.Errorf("a route without a ready runner: growth %v", none.Routes[1].MaxGrowth)
+		t.Errorf("growth %v for a route without a ready runner", none.Routes[1].MaxGrowth)
 	}
 }
 
--- a/control/planning/lengthstats/estimator.go
+++ b/control/planning/lengthstats/estimator.go
@@ -8,43 +8,46 @@
 	"onyxwell/base/ids"
 )
 
-// Expected is the expected duration of requests with a key.
+// Expected is the expected duration of the requests with a key.
 type Expected struct {
 	Key        Key     `avro:"Kind"`
 	DurationMS float64 `avro:"MS"`
-	// Count is the number of recent requests that it rests on; it is 0 in what
-	// Expectations returns.
+	// Count is the number of recent requests that the estimate is based on. It is 0
+	// in the results of Expectations.
 	Count float64 `avro:"Count"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Expected) SchemaName() string { return "Expected_24" }
 
 const (
-	// minRequestsPerKey is the number of requests that an expectation needs, minPerSplit
-	// the number that a split does.
+	// minRequestsPerKey is the minimum number of requests for an expected duration,
+	// minRequestsPerSplit that for a split.
 	minRequestsPerKey   = 6.0
 	minRequestsPerSplit = 60.0
-	// decaySeconds is the time constant of the decay: after it 1/e is left.
+	// decaySeconds is the time constant of the decay, after which 1/e is left.
 	decaySeconds = 30.0
-	// minCount is the count below which a key is dropped.
+	// minCount is the decayed request count below which a key is dropped.
 	minCount = 0.05
-	// maxExpectations bounds the expectations that are published.
+	// maxExpectations bounds the number of expected durations that are published.
 	maxExpectations = 96
-	// durationTolerance is the relative change below which the last value is kept.
+	// durationTolerance is the largest relative change of an expected duration or of
+	// a split's threshold for which the last value is kept.
 	durationTolerance = 0.3
 )
 
-// Estimator holds the totals of one region, and what was published of them. The
-// zero value is ready to use; it is not safe for concurrent use.
+// Estimator holds the decaying totals of one region, and the expected durations and
+// splits that were last derived from them. The zero value is ready to use. It is not
+// safe for concurrent use.
 type Estimator struct {
 	totals map[Key]Totals
-	// published are the expected durations that were returned last.
+	// published holds the last expected duration of each key in milliseconds.
 	published map[Key]float64
 	splits    map[ids.Service]activeSplit
 }
 
-// Add adds totals, of different keys or of the same.
+// Add adds totals. Several of them may have the same key.
 func (e *Estimator) Add(totals []Totals) {
 	if e.totals == nil {
 		e.totals, e.published, e.splits = map[Key]Totals{}, map[Key]float64{}, map[ids.Service]activeSplit{}
@@ -54,7 +57,8 @@
 	}
 }
 
-// Decay ages the totals by the time in seconds.
+// Decay lets the totals decay for a time in seconds, and drops keys whose count
+// becomes negligible.
 func (e *Estimator) Decay(seconds float64) {
 	retained := math.Exp(-seconds / decaySeconds)
 	for key, totals := range e.totals {
@@ -68,9 +72,9 @@
 	}
 }
 
-// Expectations returns the expected durations that rest on enough requests,
-// ordered by key: those with the most requests if there are too many. One that
-// hardly changed is returned as the last time.
+// Expectations returns the expected durations of the keys with enough requests,
+// ordered by key. If there are more than maxExpectations, it returns those with the
+// most requests. A duration that hardly changed keeps its last value.
 func (e *Estimator) Expectations() []Expected {
 	var expectations []Expected
 	for key, totals := range e.totals {
@@ -89,8 +93,8 @@
 	return expectations
 }
 
-// stabilize returns the last duration of the key if the new one is close to it,
-// else the new one in whole milliseconds.
+// stabilize returns the key's last duration if the new one is close to it, or else
+// the new one rounded to whole milliseconds.
 func (e *Estimator) stabilize(key Key, durationMS float64) float64 {
 	last, known := e.published[key]
 	if known && math.Abs(durationMS-last) <= durationTolerance*last {
--- a/control/planning/lengthstats/estimator_test.go
+++ b/control/planning/lengthstats/estimator_test.go
@@ -14,8 +14,8 @@
 	return Key{Service: "s", Route: route, Bucket: BucketOf(tokens)}
 }
 
-// newMixedEstimator returns an estimator with so many requests of each of two
-// short and two long keys.
+// newMixedEstimator returns an estimator with two short keys of short requests each,
+// and two long keys of long requests each.
 func newMixedEstimator(short float64, long float64) *Estimator {
 	estimator := &Estimator{}
 	estimator.Add([]Totals{
@@ -27,8 +27,8 @@
 	return estimator
 }
 
-// The work shifts from long prompts to short ones: the shares follow, and what is
-// no longer seen is forgotten.
+// The work shifts from long prompts to short ones: the work shares must follow, and
+// keys without traffic must be dropped.
 func TestEstimator_followsTrafficShift(t *testing.T) {
 	estimator := newMixedEstimator(100, 50)
 	before, _ := estimator.UpdateSplit("s")
@@ -38,7 +38,7 @@
 	}
 	after, ok := estimator.UpdateSplit("s")
 	if !ok || after.ShortWorkShare < before.ShortWorkShare+0.3 {
-		t.Fatalf("%+v, then %+v", before, after)
+		t.Fatalf("split before the shift %+v, after it %+v", before, after)
 	}
 	for range 300 {
 		estimator.Decay(1)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Reports that are added one by one or as sums give the same expectations.
+// Adding totals one by one or as sums must give equally many expected durations.
 func TestEstimator_addIsAssociative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		separate, summed := &Estimator{}, &Estimator{}
@@ -68,7 +68,7 @@
 			summed.Add([]Totals{totals})
 		}
 		if want, got := separate.Expectations(), summed.Expectations(); len(want) != len(got) {
-			t.Fatalf("%v and %v", want, got)
+			t.Fatalf("expectations from separate totals %v, from summed totals %v", want, got)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	estimator.Add([]Totals{{Key: newKey("check", 1800), Count: 20, DurationMS: 3200, Tokens: 1}})
 	for index, expected := range estimator.Expectations() {
 		if expected != before[index] {
-			t.Fatalf("%+v became %+v", before[index], expected)
+			t.Fatalf("expectation %+v changed to %+v", before[index], expected)
 		}
 	}
 }
--- a/control/planning/lengthstats/split.go
+++ b/control/planning/lengthstats/split.go
@@ -9,47 +9,49 @@
 )
 
 const (
-	// minDurationRatio is the least ratio of the mean durations of the long and the
-	// short class.
+	// minDurationRatio is the minimum ratio of the long class's mean duration to that
+	// of the short class.
 	minDurationRatio = 3.0
-	// minWorkShare is the least share of the work in each class.
+	// minWorkShare is the minimum share of the work in each class.
 	minWorkShare = 0.1
-	// minSlowShare is the fraction of short requests with a slow first token from
-	// which a split begins.
+	// minSlowShare is the minimum fraction of short requests with a slow first token
+	// at which a split starts.
 	minSlowShare = 0.04
-	// minRetainedLongWork is the fraction of the long work at a split's beginning below
-	// which the split ends.
+	// minRetainedLongWork is the fraction of the long class's work at the start of a
+	// split below which the split ends, unless short requests are still slow.
 	minRetainedLongWork = 0.6
-	// workShareTolerance is the change of the short class's share of the work below
-	// which a split is kept.
+	// workShareTolerance is the largest change of the short class's share of the work
+	// for which the last split is kept.
 	workShareTolerance = 0.1
-	// minMeanMS keeps a mean duration, as a divisor, above 0.
+	// minMeanMS prevents a division by a mean duration of 0.
 	minMeanMS = 1e-9
 )
 
 // Split divides the requests of a service into short and long ones.
 type Split struct {
 	Service ids.Service `avro:"Service"`
-	// ThresholdMS is the expected duration from which a request is long.
+	// ThresholdMS is the expected duration at and above which a request is long.
 	ThresholdMS float64 `avro:"CutMS"`
 	// ShortWorkShare is the short class's share of the work, from 0 to 1.
 	ShortWorkShare float64 `avro:"ShortPart"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Split) SchemaName() string { return "Split_24" }
 
-// activeSplit is a split and what its hysteresis depends on.
+// activeSplit is a split with the state that its hysteresis depends on.
 type activeSplit struct {
 	Split
-	// longWork is the work of the long class when the split began.
+	// longWork is the work of the long class when the split started.
 	longWork float64
 	// slowShare is the fraction of short requests with a slow first token.
 	slowShare float64
 }
 
-// UpdateSplit returns the split of a service, and false if there is none. It must be
-// called once for each plan: a split depends on the one before.
+// UpdateSplit returns the split of a service, or false if its requests should not be
+// split. It must be called exactly once for each plan, because each split depends on
+// the one before.
 func (e *Estimator) UpdateSplit(service ids.Service) (Split, bool) {
 	var candidates []Totals
 	count, work := 0.0, 0.0
@@ -70,10 +72,11 @@
 	return e.applyHysteresis(best, ok)
 }
 
-// bestSplit returns the split between two keys, ordered by mean duration, that
-// separates the classes best: the one that maximises n_short·n_long·ln²(ratio of
-// the mean durations), the variance between two classes of log durations. It
-// returns false if no split meets the least ratio and work shares.
+// bestSplit returns the split that separates the two classes best. It considers each
+// boundary between two adjacent totals, which must be sorted by mean duration, and
+// maximises n_short·n_long·ln²(ratio of the mean durations), the between-class
+// variance of the log durations. It returns false if no split reaches the minimum
+// duration ratio and work shares.
 func bestSplit(sorted []Totals, count float64, work float64) (best activeSplit, ok bool) {
 	bestVariance := 0.0
 	short := Totals{}
@@ -95,10 +98,11 @@
 	return best, bestVariance > 0
 }
 
-// applyHysteresis begins a split only if short requests are slow: else one group
-// serves both classes better, since long prompts then queue less for each other.
-// A split lasts until the long work has shrunk, and is kept if it hardly moved:
-// another class moves prompts away from where their prefixes are cached.
+// applyHysteresis starts a split only if short requests are slow. Otherwise a single
+// group of runners serves both classes better, since long prompts then queue less
+// behind each other. A split continues until the work of the long class has shrunk.
+// It is left unchanged if it hardly moved, because a prompt whose class changes goes
+// to runners that do not have its prefix cached.
 func (e *Estimator) applyHysteresis(split activeSplit, ok bool) (Split, bool) {
 	last, active := e.splits[split.Service]
 	starts := split.slowShare >= minSlowShare
--- a/control/planning/lengthstats/split_test.go
+++ b/control/planning/lengthstats/split_test.go
@@ -8,7 +8,7 @@
 func TestSplit_thresholdBetweenClusters(t *testing.T) {
 	split, ok := newMixedEstimator(100, 25).UpdateSplit("s")
 	if !ok || split.ThresholdMS < 200 || split.ThresholdMS > 1500 || math.Abs(split.ShortWorkShare-0.29) > 0.01 {
-		t.Fatalf("%+v %v", split, ok)
+		t.Fatalf("split %+v, ok %v", split, ok)
 	}
 }
 
@@ -16,24 +16,25 @@
 	similar := &Estimator{}
 	similar.Add([]Totals{{Key: newKey("a", 100), Count: 200, DurationMS: 20000, Tokens: 1}, {Key: newKey("b", 5000), Count: 200, DurationMS: 30000, Tokens: 1}})
 	cases := map[string]*Estimator{
-		"twenty requests":          newMixedEstimator(5, 5),
-		"hardly any long work":     newMixedEstimator(1000, 0.5),
-		"durations that are close": similar,
+		"twenty requests":      newMixedEstimator(5, 5),
+		"hardly any long work": newMixedEstimator(1000, 0.5),
+		"similar durations":    similar,
 	}
 	for name, estimator := range cases {
 		t.Run(name, func(t *testing.T) {
 			if split, ok := estimator.UpdateSplit("s"); ok {
-				t.Errorf("%+v", split)
+				t.Errorf("unexpected split %+v", split)
 			}
 		})
 	}
 }
 
-// Short requests are fast, then slow, then fast again: the split begins when they
-// are slow, and lasts until the long work has shrunk.
+// Short requests are fast, then slow, then fast again: the split must start when they
+// become slow, and continue until the work of the long class has shrunk.
 func TestSplit_hysteresis(t *testing.T) {
 	estimator := &Estimator{}
-	// run returns whether there is a split after so many seconds.
+	// run adds 30 short requests per second, slow of them with a slow first token, and
+	// long long requests per second. It reports whether there is a split at the end.
 	run := func(seconds int, long float64, slow float64) bool {
 		split := false
 		for range seconds {
@@ -47,15 +48,15 @@
 		return split
 	}
 	if run(30, 5, 0) {
-		t.Fatal("split though no short request is slow")
+		t.Fatal("split although no short request is slow")
 	}
 	if !run(20, 20, 6) {
-		t.Fatal("not split though short requests are slow")
+		t.Fatal("no split although short requests are slow")
 	}
 	if !run(60, 20, 0) {
-		t.Fatal("not split any more though the long work is still there")
+		t.Fatal("split ended although the long work has not shrunk")
 	}
 	if run(120, 3, 0) {
-		t.Fatal("split though the long work has shrunk")
+		t.Fatal("split continues although the long work has shrunk")
 	}
 }
--- a/control/planning/lengthstats/table_test.go
+++ b/control/planning/lengthstats/table_test.go
@@ -32,6 +32,6 @@
 func TestTable_nilClassifiesAsUnknown(t *testing.T) {
 	var table *Table
 	if got := table.Class(newKey("check", 1800)); got != Unknown {
-		t.Errorf("class %d", got)
+		t.Errorf("a nil table returned class %d", got)
 	}
 }
--- a/control/planning/lengthstats/totals.go
+++ b/control/planning/lengthstats/totals.go
@@ -1,9 +1,10 @@
-// Package lengthstats learns from the traffic how long requests take, and splits
-// those of a service into short and long ones.
+// Package lengthstats learns from observed traffic how long requests take, and
+// splits the requests of a service into short and long ones.
 //
-// Its state is bounded: sums by service, route and power of two of the prompt's
-// length. Sums of sums are sums, so zones can add up what their routers report.
-// They decay exponentially. docs/lengths.md has the design and its measurements.
+// Its state is bounded: it keeps one set of sums for each service, route and power
+// of two of the prompt length. The sums are additive, so a zone can aggregate the
+// reports of its routers. They decay exponentially. docs/lengths.md describes the
+// design and the measurements behind it.
 package lengthstats
 
 import (
@@ -13,15 +14,17 @@
 	"onyxwell/base/ids"
 )
 
-// Key identifies requests that are taken to be alike before they run.
+// Key groups requests that are expected to take equally long. All of its fields are
+// known before a request runs.
 type Key struct {
 	Service ids.Service `avro:"Service"`
 	Route   string      `avro:"Route"`
-	// Bucket is that of the prompt's length; see BucketOf.
+	// Bucket is the bucket of the prompt length; see BucketOf.
 	Bucket int64 `avro:"Bucket"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Key) SchemaName() string { return "Kind_24" }
 
 func compareKeys(left Key, right Key) int {
@@ -29,15 +32,15 @@
 }
 
 const (
-	// maxBucket is that of all longer prompts.
+	// maxBucket also holds all longer prompts.
 	maxBucket = 20
-	// maxTokens bounds a length before its logarithm is taken.
+	// maxTokens bounds a prompt length before its logarithm is taken.
 	maxTokens = 1 << 30
 )
 
-// BucketOf returns the bucket of a prompt's length in tokens: 1 plus the binary
-// logarithm, rounded down. It is 0 for a length that is unknown: below 1, or not a
-// number.
+// BucketOf returns the bucket of a prompt length in tokens: 1 plus the binary
+// logarithm, rounded down, and at most maxBucket. It returns 0 for an unknown
+// length, which is one below 1 or NaN.
 func BucketOf(tokens float64) int64 {
 	if !(tokens >= 1) {
 		return 0
@@ -45,22 +48,23 @@
 	return min(maxBucket, 1+int64(math.Log2(min(tokens, maxTokens))))
 }
 
-// Totals are the sums over the requests with a key.
+// Totals holds sums over the requests with the same key.
 type Totals struct {
 	Key Key `avro:"Kind"`
-	// Count is the number of requests, DurationMS the time that they took together.
+	// Count is the number of requests, DurationMS the sum of their durations.
 	Count      float64 `avro:"Count"`
 	DurationMS float64 `avro:"SpentMS"`
-	// Tokens is the work: prompt tokens that were not cached.
+	// Tokens measures the work: prompt tokens that were not cached.
 	Tokens float64 `avro:"Tokens"`
 	// SlowFirstTokens is the number of requests whose first token was slow.
 	SlowFirstTokens float64 `avro:"Slow"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Totals) SchemaName() string { return "Sum_24" }
 
-// Add returns the sum of two totals of one key.
+// Add returns the sum of two totals with the same key.
 func (t Totals) Add(other Totals) Totals {
 	t.Count += other.Count
 	t.DurationMS += other.DurationMS
@@ -77,5 +81,5 @@
 	return t
 }
 
-// meanMS returns the mean duration of the requests.
+// meanMS returns the mean duration of the requests in milliseconds.
 func (t Totals) meanMS() float64 { return t.DurationMS / t.Count }
