--- a/control/planning/autoscaler/aggregator.go
+++ b/control/planning/autoscaler/aggregator.go
@@ -8,9 +8,9 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// Aggregator sums the reports of a zone's routers, so that the planner receives one
-// report from each zone. The zero value is ready to use; it is safe for concurrent
-// use.
+// Aggregator sums the reports of a zone's routers, so that the planner receives a
+// single report from each zone. The zero value is ready to use. It is safe for
+// concurrent use.
 type Aggregator struct {
 	mu       sync.Mutex
 	samples  map[ids.RunnerID]Sample
@@ -20,7 +20,7 @@
 	region   ids.Region
 }
 
-// Add adds a report. All reports must be of one region.
+// Add adds a report. All reports must be from the same region.
 func (a *Aggregator) Add(report ReportRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,8 +46,9 @@
 	}
 }
 
-// merge returns the sample of two routers for one runner: counts add up; of what
-// the runner reports of itself, the higher value counts.
+// merge combines the samples of two routers for the same runner. It sums what the
+// routers counted, and takes the maximum of the utilizations, which the runner itself
+// reports to each router.
 func (s Sample) merge(other Sample) Sample {
 	s.Arrived += other.Arrived
 	s.Finished += other.Finished
@@ -61,8 +62,8 @@
 	return s
 }
 
-// Flush returns the sum of the reports since the last call, and false if there
-// were none. The order of its entries is not defined.
+// Flush returns the sum of the reports since the last call, and false if there were
+// none. The entries of the sum are in no particular order, and its From is empty.
 func (a *Aggregator) Flush() (ReportRequest, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/control/planning/autoscaler/build.go
+++ b/control/planning/autoscaler/build.go
@@ -8,8 +8,8 @@
 	"onyxwell/base/ids"
 )
 
-// runnerType stands for the paper's GPU type: runners of one service and version
-// are taken to be alike.
+// runnerType corresponds to the GPU type of the paper: runners of the same service and
+// version are assumed to have similar capacities.
 type runnerType struct {
 	service ids.Service
 	version string
@@ -20,20 +20,20 @@
 }
 
 const (
-	// priorWeight is the number of samples at which a runner's own estimate weighs
-	// as much as that of its type.
+	// priorWeight is the number of samples at which a runner's own estimate has the
+	// same weight as the estimate of its type.
 	priorWeight = 30.0
-	// weightTolerance is the relative change of a weight below which it is kept:
-	// each change moves prompts away from the runners that have their prefixes
-	// cached.
+	// weightTolerance is the largest relative change of a weight for which the last
+	// weight is kept: each change moves prompts away from the runners that have their
+	// prefixes cached.
 	weightTolerance = 0.25
-	// slowStartFactor is the fraction of its weight that a runner has while it
-	// warms up.
+	// slowStartFactor is the fraction of its normal weight that a runner has while it is
+	// warming up.
 	slowStartFactor = 0.5
 )
 
-// buildPlan returns a plan for the runners, from the metrics in the window and the
-// last plan. The caller holds the lock, as Tick does.
+// buildPlan returns a plan for the ready runners, based on the metrics in the window and
+// on the last plan. The caller must hold p.mu.
 func (p *Planner) buildPlan(runners []Runner) Plan {
 	plan := Plan{Owner: p.options.Address}
 	types := p.typeCapacities(runners)
@@ -68,7 +68,7 @@
 }
 
 // typeCapacities estimates the capacity of each type from the metrics of all its
-// runners. A type with too few has none.
+// runners. Types with too few metrics are left out.
 func (p *Planner) typeCapacities(runners []Runner) map[runnerType]Capacity {
 	samples := map[runnerType]*sampleSet{}
 	for _, runner := range runners {
@@ -89,7 +89,7 @@
 	return capacities
 }
 
-// sampleSet holds the metrics for an estimate, each index an interval.
+// sampleSet holds the metrics for an estimate. Equal indexes are the same interval.
 type sampleSet struct{ finished, running, executionS, memoryUtilization []float64 }
 
 func (s *sampleSet) add(points []metrics) {
@@ -105,9 +105,9 @@
 	return EstimateCapacity(s.finished, s.running, s.executionS, s.memoryUtilization)
 }
 
-// runnerCapacity shrinks a runner's own estimate towards that of its type, the
-// more the fewer samples it has: without fresh metrics it decays to the type's
-// as the samples leave the window.
+// runnerCapacity returns a runner's own estimate, shrunk towards that of its type. The
+// fewer samples the runner has, the more the type counts. Without new metrics, the
+// estimate therefore approaches that of the type as samples leave the window.
 func (p *Planner) runnerCapacity(runner Runner, typeCapacity Capacity) Capacity {
 	var own sampleSet
 	if series := p.window.runners[runner.ID]; series != nil {
@@ -129,9 +129,10 @@
 	return shrunk
 }
 
-// planRunner weighs a runner by its rate limit, reduced while it warms up. A
-// weight close to that of the type, or else to the runner's last one, is replaced
-// by it.
+// planRunner returns the plan for a runner. Its weight is its rate limit, reduced while
+// it is warming up. A weight that is close to that of the type, or else to the runner's
+// last weight, is replaced by that weight. A runner without an estimate keeps its last
+// limits.
 func (p *Planner) planRunner(runner Runner, capacity Capacity, typeWeight float64) RunnerPlan {
 	planned := RunnerPlan{
 		Runner:            runner.ID,
@@ -158,8 +159,8 @@
 	return planned
 }
 
-// planReplicas returns how many of a service's ready runners in each region the
-// load needs; to the linear program each region is a type.
+// planReplicas returns how many of a service's ready runners in each region the load
+// needs. Each region is a type of the linear program.
 func planReplicas(service ids.Service, regions map[ids.Region]*regionCapacity, load float64) []Replicas {
 	var types []ReplicaType
 	var replicas []Replicas
@@ -185,8 +186,8 @@
 	return slices.Sorted(maps.Keys(table))
 }
 
-// roundSignificant rounds to two significant digits, so that noise doesn't
-// change a plan. What is no finite number becomes 0.
+// roundSignificant rounds to two significant digits, so that noise does not change a
+// plan. It returns 0 for NaN and infinities.
 func roundSignificant(value float64) float64 {
 	if value == 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 		return 0
--- a/control/planning/autoscaler/capacity.go
+++ b/control/planning/autoscaler/capacity.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Capacity is what one runner, or one runner of a type, can serve. The symbols
-// are those of the ENOVA paper.
+// Capacity is the estimated capacity of one runner, or of any runner of a type. The
+// symbols in the comments are those of the ENOVA paper.
 type Capacity struct {
-	// RateLimit is n_limit, the most requests that finish in a second.
+	// RateLimit is n_limit, the maximum rate of finished requests per second.
 	RateLimit float64
 	// ExecutionS is t_limit, the execution time at the rate limit, in seconds.
 	ExecutionS float64
@@ -19,39 +19,40 @@
 	ConcurrencyLimit float64
 	// MemoryUtilization is the fraction of memory in use at the concurrency limit.
 	MemoryUtilization float64
-	// Saturated is true if the rate of finished requests did not follow the number
-	// of running ones: the limit was reached. Else RateLimit is a lower bound.
+	// Saturated is true if the rate of finished requests did not increase with the
+	// number of running ones, which means that the limit was reached. Otherwise
+	// RateLimit is only a lower bound.
 	Saturated bool
-	// Samples is the number of intervals that the estimate rests on.
+	// Samples is the number of intervals that the estimate is based on.
 	Samples int
 }
 
 const (
-	// minSamples is the number of intervals that an estimate needs.
+	// minSamples is the minimum number of intervals for an estimate.
 	minSamples = 8
-	// significance is the level of the t-test.
+	// significance is the significance level of the t-test.
 	significance = 0.05
-	// blockSize is the number of intervals in a block, of which only the maximum
-	// counts.
+	// blockSize is the number of consecutive intervals in a block, of which only the
+	// maximum is used.
 	blockSize = 3
-	// upperQuantile is the quantile of block maxima that is taken as the limit.
+	// upperQuantile is the quantile of the block maxima that is used as the limit.
 	upperQuantile = 0.95
 	// kernelWidth is the factor of Silverman's rule of thumb.
 	kernelWidth = 0.9
-	// kernelReach is how far beyond the sample a quantile is searched, in kernel
-	// widths.
+	// kernelReach is how far beyond the range of the sample a quantile is searched, in
+	// kernel widths.
 	kernelReach = 4
-	// bisections bounds the search for a quantile.
+	// bisections is the number of bisection steps in the search for a quantile.
 	bisections = 40
 )
 
-// EstimateCapacity estimates a capacity from metrics that are equally long and
-// ordered by time: requests finished a second, requests running, execution times
-// in seconds, and memory utilization. It follows section IV-A-1 of the paper:
-// the t-test of a least squares fit decides whether the limit was reached; if so,
-// n_limit and t_limit are medians of the samples, else an upper quantile of their
-// block maxima; both are smoothed by a kernel density estimate. It returns false
-// if there are too few samples, or if nothing finished.
+// EstimateCapacity estimates a capacity from series of equal length, ordered by time:
+// requests finished per second, requests running, execution times in seconds, and
+// memory utilization. It follows section IV-A-1 of the paper: a t-test on the slope of
+// a least squares fit decides whether the limit was reached. If so, n_limit and
+// t_limit are the medians of the samples, otherwise an upper quantile of their block
+// maxima. These quantiles are taken from a kernel density estimate. It returns false
+// if there are too few samples, or if the rate limit is 0.
 func EstimateCapacity(finished []float64, running []float64, executionS []float64, memoryUtilization []float64) (Capacity, bool) {
 	if len(finished) < minSamples {
 		return Capacity{Samples: len(finished)}, false
@@ -73,8 +74,8 @@
 	return capacity, capacity.RateLimit > 0
 }
 
-// significantSlope reports whether finished rises with running: the least squares
-// slope is positive, and a two-sided t-test rejects that it is 0.
+// significantSlope reports whether finished increases with running: the least squares
+// slope is positive, and a two-sided t-test rejects a slope of 0.
 func significantSlope(running []float64, finished []float64) bool {
 	count := float64(len(running))
 	offset, slope := stat.LinearRegression(running, finished, nil, false)
@@ -104,7 +105,7 @@
 	return maxima
 }
 
-// positiveValues returns the values above 0.
+// positiveValues returns the positive values, in their order.
 func positiveValues(values []float64) []float64 {
 	var positive []float64
 	for _, value := range values {
@@ -116,8 +117,8 @@
 }
 
 // kdeQuantile returns a quantile of the Gaussian kernel density estimate of a
-// sample, with Silverman's bandwidth 0.9·σ·n^(-1/5). It is 0 for an empty sample
-// and never below 0.
+// sample, with Silverman's bandwidth 0.9·σ·n^(-1/5). It returns 0 for an empty sample,
+// the mean for a sample without variation, and otherwise never a negative value.
 func kdeQuantile(values []float64, quantile float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/control/planning/autoscaler/flows.go
+++ b/control/planning/autoscaler/flows.go
@@ -7,16 +7,16 @@
 	"onyxwell/base/ids"
 )
 
-// regionCapacity is what the ready runners of a service in one region can finish
-// a second.
+// regionCapacity is the capacity of the ready runners of a service in one region, in
+// requests per second.
 type regionCapacity struct {
 	runners   []RunnerPlan
 	rateLimit float64
-	// remaining is what is left of rateLimit while flows are allocated; it may
-	// fall below 0.
+	// remaining is the part of rateLimit that is not allocated to flows yet. It can
+	// become negative.
 	remaining float64
-	// saturated is true if a runner has reached its limit. Else rateLimit is a
-	// lower bound, and does not limit the region's own demand.
+	// saturated is true if any runner has reached its limit. Otherwise rateLimit is
+	// only a lower bound, and does not limit the region's own demand.
 	saturated bool
 }
 
@@ -28,21 +28,22 @@
 }
 
 const (
-	// minSpillDivisor: one part in so many of a region's rate limit counts as
-	// remaining at the least.
+	// minSpillDivisor is the divisor of a region's rate limit that gives the lower
+	// bound of its remaining capacity in spillWeight.
 	minSpillDivisor = 20
-	// minSpillWeight keeps weights above 0.
+	// minSpillWeight keeps spill weights positive.
 	minSpillWeight = 1e-6
 )
 
-// spillWeight returns the region's weight for demand of other regions.
+// spillWeight returns the weight by which the region takes excess demand of other
+// regions.
 func (r *regionCapacity) spillWeight() float64 {
 	return max(r.remaining, r.rateLimit/minSpillDivisor, minSpillWeight)
 }
 
-// allocateFlows splits the demand for a service: each origin's goes to its own
-// region up to the limit there, the excess to other regions in proportion to
-// what they have left. It changes the remaining capacities.
+// allocateFlows distributes the demand for a service. The demand of each origin goes
+// to its own region up to the rate limit there, and the excess to other regions in
+// proportion to their remaining capacities. It updates the remaining capacities.
 func allocateFlows(demands map[demandKey]*demandRate, service ids.Service, regions map[ids.Region]*regionCapacity) []Flow {
 	var keys []demandKey
 	for key := range demands {
@@ -76,7 +77,7 @@
 	return flows
 }
 
-// spillover splits the excess of an origin's demand among the other regions.
+// spillover distributes the excess of an origin's demand over the other regions.
 func spillover(key demandKey, demand float64, excess float64, regions map[ids.Region]*regionCapacity) []Flow {
 	if excess <= 0 {
 		return nil
@@ -101,8 +102,8 @@
 	return Flow{Service: key.service, HomeRegions: key.homeRegions, Origin: key.origin, Target: target, Share: share}
 }
 
-// isHomeRegion reports whether a region is in the list of home regions, each
-// followed by a comma; an empty list holds all regions.
+// isHomeRegion reports whether a region is in a list of home regions, in the format of
+// Demand.HomeRegions. An empty list contains all regions.
 func isHomeRegion(homeRegions string, region ids.Region) bool {
 	return homeRegions == "" || strings.Contains(","+homeRegions, ","+string(region)+",")
 }
--- a/control/planning/autoscaler/group.go
+++ b/control/planning/autoscaler/group.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// minGroupedRunners is the number of runners of a service below which a region
-	// is not grouped.
+	// minGroupedRunners is the minimum number of a service's runners in a region for
+	// which they are grouped.
 	minGroupedRunners = 4
-	// shortClassMargin is the factor by which the short class's share of the
-	// runners exceeds its share of the work: it is the one that must not queue.
+	// shortClassMargin is the ratio of the short class's share of the runners to its
+	// share of the work. It is above 1 because short requests must not queue.
 	shortClassMargin = 1.2
 	// maxShortShare bounds the short class's share of the runners.
 	maxShortShare = 0.8
-	// minGroupWeight keeps the weights of a group above 0.
+	// minGroupWeight is the minimum weight of a runner when shares are computed.
 	minGroupWeight = 1e-9
 )
 
-// recordLengths adds the request durations of a report to its region's.
+// recordLengths adds the request durations of a report to the estimator of its region.
 func (p *Planner) recordLengths(report ReportRequest) {
 	estimator := p.lengths[report.Region]
 	if estimator == nil {
@@ -32,9 +32,9 @@
 	estimator.Add(report.Lengths)
 }
 
-// groupByLength splits the requests of each region into short and long ones and
-// assigns each class a share of the runners that follows its share of the work.
-// Weights stay as they are.
+// groupByLength splits the requests of each service in each region into short and long
+// ones, and assigns each class a share of the runners that follows its share of the
+// work. It does not change weights.
 func (p *Planner) groupByLength(plan *Plan, listed []Runner) {
 	if !p.options.GroupByLength {
 		return
@@ -64,10 +64,10 @@
 	}
 }
 
-// assignClasses assigns runners to the short class until its share of the weights
-// is reached, and the others to the long class. Each class gets at least one of
-// two or more runners. The order is that of a hash, so that a runner that comes or
-// goes hardly changes the class of the others.
+// assignClasses assigns runners to the short class until their share of the total
+// weight reaches shortShare, and the others to the long class. Of two or more runners,
+// each class gets at least one. It sorts the pool by a hash of the runner's ID, so that
+// adding or removing a runner hardly changes the classes of the others.
 func assignClasses(pool []*RunnerPlan, shortShare float64) {
 	slices.SortFunc(pool, func(left, right *RunnerPlan) int {
 		return cmp.Or(cmp.Compare(hashRunner(left.Runner), hashRunner(right.Runner)), cmp.Compare(left.Runner, right.Runner))
@@ -85,7 +85,7 @@
 	}
 }
 
-// hashRunner returns 63 bits of a runner's hash.
+// hashRunner returns a 63-bit hash of a runner's ID.
 func hashRunner(id ids.RunnerID) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(id))
--- a/control/planning/autoscaler/message.go
+++ b/control/planning/autoscaler/message.go
@@ -10,16 +10,18 @@
 	"onyxwell/control/transport"
 )
 
-// ReportMessage is a report as it is sent: integers in place of floating point
-// numbers, each service's name once, and the body compressed if it is long. It
-// takes about a fifth of a ReportRequest. Values are rounded: counts, units and
-// milliseconds to integers, the others to thousandths.
+// ReportMessage is the compact encoding in which a report is sent. It has integers in
+// place of floating point numbers in samples, names each service of the samples once,
+// and compresses the body if it is long. It takes about a fifth of the size of an
+// encoded ReportRequest. Values in samples are rounded: counts, units and milliseconds
+// to integers, the others to thousandths.
 type ReportMessage struct {
 	Compressed bool   `avro:"Packed"`
 	Body       []byte `avro:"Body"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (ReportMessage) SchemaName() string { return "ReportMessage_23" }
 
 // compactReport is the decoded body of a ReportMessage.
@@ -33,11 +35,12 @@
 	Lengths  []lengthstats.Totals `avro:"Lengths"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (compactReport) SchemaName() string { return "compactReport_23" }
 
-// compactSample is a Sample. Service is an index into Services; Running, Pending
-// and the utilizations are in thousandths.
+// compactSample is the compact encoding of a Sample. Service is an index into Services
+// of the report. Running, Pending and the utilizations are in thousandths.
 type compactSample struct {
 	Runner            ids.RunnerID `avro:"Runner"`
 	Service           int64        `avro:"Service"`
@@ -52,7 +55,8 @@
 	Units             int64        `avro:"Units"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (compactSample) SchemaName() string { return "compactSample_23" }
 
 // milli is the number of thousandths in one.
@@ -76,7 +80,8 @@
 	}
 }
 
-// expand returns the sample; a service that is not listed stays empty.
+// expand returns the sample that is encoded. Its service is empty if the index is not in
+// services.
 func (c compactSample) expand(services []ids.Service) Sample {
 	sample := Sample{
 		Runner:            c.Runner,
@@ -96,7 +101,7 @@
 	return sample
 }
 
-// Encode returns the report as it is sent.
+// Encode returns the report in the encoding in which it is sent.
 func (r ReportRequest) Encode() (ReportMessage, error) {
 	compact := compactReport{
 		From: r.From, Region: r.Region, Demands: r.Demands, Readings: r.Readings, Lengths: r.Lengths,
@@ -120,7 +125,7 @@
 	return message, nil
 }
 
-// Decode returns the report of a message.
+// Decode returns the report that is encoded in the message.
 func (r ReportMessage) Decode() (ReportRequest, error) {
 	body, err := compress.Decode(r.Body, r.Compressed)
 	if err != nil {
--- a/control/planning/autoscaler/plan.go
+++ b/control/planning/autoscaler/plan.go
@@ -1,14 +1,15 @@
-// Package autoscaler plans how requests are shared among runners and regions,
-// after the ENOVA paper: it estimates the rate and concurrency limits of each
-// runner from the requests that finish while others run, solves a linear program
-// for the replicas that the load needs, weighs runners by their limits, and
-// detects anomalous runners, which has it plan anew. docs/enova.md says where it
-// differs from the paper, and why.
+// Package autoscaler plans how requests are distributed over runners and regions,
+// following the ENOVA paper. It estimates the rate and concurrency limits of each
+// runner from its rates of finished and running requests, solves a linear program
+// for the replicas that the load needs, weights runners by their rate limits, and
+// makes a new plan when it detects an anomalous runner. docs/enova.md describes
+// where it differs from the paper, and why. The package also decides how many
+// runners each zone of a scaled service should have.
 //
-// One daemon plans: the owner of the planner's lease, to whom the zones' reports
-// go. What it publishes carries the lease's epoch, so that a former owner can't
-// overwrite a later plan. A plan changes only where that is worth more than the
-// prefix caches that are lost.
+// Only one daemon plans: the owner of the planner's lease, to which all zones send
+// their reports. Published items carry the epoch of the lease, so that a former owner
+// cannot overwrite a later plan. Small changes to a plan are suppressed, because
+// each change moves prompts away from the runners that have their prefixes cached.
 package autoscaler
 
 import (
@@ -18,52 +19,59 @@
 	"onyxwell/control/transport"
 )
 
-// Plan is how routers share requests among runners, and the estimates it rests on.
+// Plan describes how routers distribute requests over runners, with the estimates
+// that this is based on.
 type Plan struct {
 	Owner    ids.Address  `avro:"Holder"`
 	Runners  []RunnerPlan `avro:"Runners"`
 	Flows    []Flow       `avro:"Flows"`
 	Replicas []Replicas   `avro:"Replicas"`
-	// Lengths are the expected durations in each region, for its routers.
+	// Lengths holds the expected request durations of each region, for its routers.
 	Lengths []RegionLengths `avro:"Lengths"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Plan) SchemaName() string { return "Plan_23" }
 
-// RegionLengths are the expected durations of requests in a region, and the
-// thresholds between short and long ones.
+// RegionLengths holds the expected request durations of a region, and the splits of
+// its services into short and long requests.
 type RegionLengths struct {
 	Region   ids.Region             `avro:"Region"`
 	Expected []lengthstats.Expected `avro:"Expected"`
 	Splits   []lengthstats.Split    `avro:"Splits"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (RegionLengths) SchemaName() string { return "RegionLengths_23" }
 
 // RunnerPlan is the plan for one runner.
 type RunnerPlan struct {
 	Runner ids.RunnerID `avro:"Runner"`
-	// RateLimit is n_limit, the most requests that finish in a second.
+	// RateLimit is n_limit, the maximum rate of finished requests per second.
 	RateLimit float64 `avro:"Limit"`
-	// ConcurrencyLimit is max_num_seqs, the most requests that should run at once.
+	// ConcurrencyLimit is max_num_seqs, the maximum number of requests that should
+	// run concurrently.
 	ConcurrencyLimit float64 `avro:"Cap"`
-	// MemoryUtilization is the fraction of its memory that it needs at that limit.
+	// MemoryUtilization is the fraction of its memory that the runner needs at
+	// ConcurrencyLimit.
 	MemoryUtilization float64 `avro:"Memory"`
-	// Weight is its weight in load balancing, in requests a second.
+	// Weight is the runner's weight in load balancing, in requests per second.
 	Weight float64 `avro:"Weight"`
-	// Group is the class of requests that prefer it, Unknown if its region is not
-	// grouped by length.
+	// Group is the class of the requests that prefer this runner. It is Unknown if
+	// the service's runners in the region are not grouped by length.
 	Group lengthstats.Class `avro:"Group"`
-	// Quarantined takes it out of rotation for some ticks.
+	// Quarantined temporarily takes the runner out of rotation.
 	Quarantined bool `avro:"Resting"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (RunnerPlan) SchemaName() string { return "RunnerPlan_23" }
 
-// Flow is the fraction of an origin's requests that a region's runners take.
+// Flow is the fraction of the requests received in the origin region that are sent to
+// runners in the target region. HomeRegions has the format described at Demand.
 type Flow struct {
 	Service     ids.Service `avro:"Service"`
 	HomeRegions string      `avro:"Homes"`
@@ -72,10 +80,13 @@
 	Share       float64     `avro:"Share"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Flow) SchemaName() string { return "Flow_23" }
 
-// Replicas is how many of a region's ready runners the load needs. It is advisory.
+// Replicas is the number of a region's ready runners that the load needs. It is
+// advisory. Load is the load on all regions, RateLimit the mean rate limit of the
+// region's runners, both in requests per second.
 type Replicas struct {
 	Service   ids.Service `avro:"Service"`
 	Region    ids.Region  `avro:"Region"`
@@ -85,11 +96,13 @@
 	RateLimit float64     `avro:"Ceiling"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Replicas) SchemaName() string { return "Replicas_23" }
 
-// Sample is what one router, or the routers of a zone, measured of one runner in
-// an interval. Running and Pending are integrals over time, in request seconds.
+// Sample holds what one router, or all routers of a zone, measured for one runner
+// during an interval. Running and Pending are integrals over time, in
+// request-seconds; Arrived, Finished and Failed count requests.
 type Sample struct {
 	Runner   ids.RunnerID `avro:"Runner"`
 	Service  ids.Service  `avro:"Service"`
@@ -98,53 +111,60 @@
 	Running  float64      `avro:"Running"`
 	Pending  float64      `avro:"Pending"`
 	Failed   float64      `avro:"Failed"`
-	// ExecutionMS is the execution time of the finished requests, summed.
+	// ExecutionMS is the sum of the execution times of the finished requests.
 	ExecutionMS float64 `avro:"SpentMS"`
-	// MemoryUtilization and Utilization are of memory and of slots, from 0 to 1, and
-	// 0 if unknown.
+	// MemoryUtilization and Utilization are the fractions of memory and of slots in
+	// use, from 0 to 1. They are 0 if unknown.
 	MemoryUtilization float64 `avro:"Memory"`
 	Utilization       float64 `avro:"Busy"`
-	// Units is the work sent: prompt tokens, or one for a request without any.
+	// Units is the work that was sent to the runner: prompt tokens, or 1 for a request
+	// without any.
 	Units float64 `avro:"Units"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Sample) SchemaName() string { return "Sample_23" }
 
-// Demand is the requests of clients for a service, by the home regions of their
-// routes: a list in which a comma follows each, empty for all regions.
+// Demand counts the client requests for a service whose routes have the same home
+// regions. HomeRegions lists these, each followed by a comma; it is empty if all
+// regions are allowed.
 type Demand struct {
 	Service     ids.Service `avro:"Service"`
 	HomeRegions string      `avro:"Homes"`
 	Arrived     float64     `avro:"Arrived"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Demand) SchemaName() string { return "Demand_23" }
 
-// ReportRequest reports an interval to the owner of the planner's lease.
+// ReportRequest reports the measurements of an interval to the owner of the planner's
+// lease. It is sent as a ReportMessage.
 type ReportRequest struct {
 	From    ids.Address `avro:"From"`
 	Region  ids.Region  `avro:"Region"`
 	Samples []Sample    `avro:"Samples"`
 	Demands []Demand    `avro:"Demands"`
-	// Readings are the times to first token, by route.
+	// Readings holds the times to first token of each route.
 	Readings []headroom.Reading `avro:"Readings"`
-	// Lengths are the durations of requests, by key.
+	// Lengths holds the request durations of each key.
 	Lengths []lengthstats.Totals `avro:"Lengths"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (ReportRequest) SchemaName() string { return "ReportAsk_23" }
 
-// ReportResponse answers a report: Owner is false if the receiver does not own the
-// lease, and so dropped it.
+// ReportResponse is the response to a report. Owner is false if the receiver does not
+// own the lease and dropped the report.
 type ReportResponse struct {
 	Owner bool `avro:"Holding"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (ReportResponse) SchemaName() string { return "ReportTold_23" }
 
-// ReadPlan decodes the body of the item with PlanKey.
+// ReadPlan decodes the body of the gossiped item with the key PlanKey.
 func ReadPlan(body []byte) (Plan, error) { return transport.Unmarshal[Plan](body) }
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -14,91 +14,95 @@
 	"onyxwell/control/transport"
 )
 
-// Runner is what the planner needs to know of a listed runner.
+// Runner describes a runner in the current runner list.
 type Runner struct {
 	ID      ids.RunnerID
 	Service ids.Service
-	// Version is that of the runner's software.
+	// Version is the version of the runner's software.
 	Version string
 	Region  ids.Region
-	// Ready is false for a runner that drains: it is not planned for.
+	// Ready is false for a draining runner, which is left out of plans.
 	Ready     bool
 	WarmingUp bool
 }
 
-// Options configure a Planner; all fields but Now, Scaled and GroupByLength are required.
+// Options configures a Planner. All fields except Now, ScaledServices and
+// GroupByLength are required.
 type Options struct {
-	// Clock is required by Run and RegisterHandlers alone.
+	// Clock is required only by Run and RegisterHandlers.
 	Clock clock.Clock
-	// Address is this daemon's.
+	// Address is the address of this daemon.
 	Address ids.Address
-	// Gossip is where plans are published, and where the last one is found.
+	// Gossip is the store in which plans are published, and from which a new owner of
+	// the lease restores the last one.
 	Gossip *gossip.Store
-	// Lease returns the epoch of the planner's lease, and whether this daemon owns
-	// it.
+	// Lease returns the epoch of the planner's lease, and whether this daemon owns the
+	// lease.
 	Lease func(now clock.Instant) (epoch int64, owned bool)
-	// Now returns the present; it is used to check the lease again right before a
-	// plan is published. If it is nil, that check is left out.
+	// Now returns the current time. It is used to check the lease again immediately
+	// before an item is published; if it is nil, there is no second check.
 	Now func() clock.Instant
-	// Runners returns the runners of the newest list.
+	// Runners returns the current runner list.
 	Runners func() []Runner
-	// NewSerial returns the version of a published item. It must order by epoch
-	// first, then by counter.
+	// NewSerial returns the version of a published item. Versions must be ordered by
+	// epoch first, then by counter.
 	NewSerial func(epoch int64, counter int64) ids.Version
-	// Window is for how long metrics are kept.
+	// Window is how long metrics are retained.
 	Window time.Duration
 	// Interval is the time between two ticks.
 	Interval time.Duration
-	// TicksPerPlan is the number of ticks between two plans for which there is no
-	// other cause.
+	// TicksPerPlan is the number of ticks between two scheduled plans.
 	TicksPerPlan int
-	// ScaledServices returns the services whose runners are ordered; nil leaves sizes alone.
+	// ScaledServices returns the services whose number of runners the planner
+	// decides. If it is nil, the planner publishes no sizes.
 	ScaledServices func() []ScaledService
-	// GroupByLength has runners grouped by the expected duration of requests.
+	// GroupByLength enables separate groups of runners for requests with a short and
+	// with a long expected duration.
 	GroupByLength bool
 }
 
-// Planner plans while this daemon owns the planner's lease. It is safe for
+// Planner publishes plans while this daemon owns the planner's lease. It is safe for
 // concurrent use.
 //
-// Everything but options and mu is state of the present epoch: it is dropped when
-// the lease is acquired again.
+// All fields except options and mu are state of the current epoch of the lease, and
+// are reset when the lease is acquired again.
 type Planner struct {
 	options Options
 	mu      sync.Mutex
 	epoch   int64
 	window  *window
-	// profiles hold what is normal for the runners of a service.
+	// profiles holds the normal behavior of the runners of each service.
 	profiles map[ids.Service]*Profile
-	// runnerPlans, typeWeights and flows are those of the last plan, from which a
-	// new one differs only where that is worth it.
+	// runnerPlans, typeWeights and flows are those of the last plan. A new plan keeps
+	// their values where the change would be small.
 	runnerPlans map[ids.RunnerID]RunnerPlan
 	typeWeights map[runnerType]float64
 	flows       map[flowKey][]Flow
-	// quarantined counts the ticks for which a runner stays quarantined.
+	// quarantined holds the remaining ticks of each runner's quarantine.
 	quarantined map[ids.RunnerID]int
 	lengths     map[ids.Region]*lengthstats.Estimator
 	sizer       *sizer
-	// counter numbers the published items.
+	// counter is the counter of the last published item's version.
 	counter int64
-	// ticks counts the ticks, planCount the plans.
+	// ticks and planCount are the numbers of ticks and plans in this epoch.
 	ticks     int
 	planCount int
 	lastPlan  Plan
-	// published is the routing that was published last.
+	// published is the encoded routing that was published last.
 	published []byte
-	// readyRunners lists the ready runners of the last tick.
+	// readyRunners is the space-separated list of the runners that were ready in the
+	// last tick.
 	readyRunners string
 }
 
-// New returns a planner. It does nothing before Run or Tick.
+// New returns a planner. It publishes nothing until Run or Tick is called.
 func New(options Options) *Planner {
 	planner := &Planner{options: options}
 	planner.reset()
 	return planner
 }
 
-// reset drops the state of an epoch.
+// reset clears the state of an epoch.
 func (p *Planner) reset() {
 	p.window = newWindow(p.options.Window)
 	p.profiles = map[ids.Service]*Profile{}
@@ -110,8 +114,8 @@
 	p.ticks, p.planCount, p.published, p.readyRunners = 0, 0, nil, ""
 }
 
-// RegisterHandlers has the mux take reports for the planner. A daemon that
-// doesn't own the lease answers that it doesn't, and drops the report.
+// RegisterHandlers registers the handler for reports. A daemon that does not own the
+// lease drops the report and responds with Owner false.
 func (p *Planner) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, "report", func(_ context.Context, message ReportMessage) (ReportResponse, error) {
 		if _, owned := p.options.Lease(p.options.Clock.Now()); !owned {
@@ -125,7 +129,7 @@
 	})
 }
 
-// AddReport adds a report to the interval that Tick closes next.
+// AddReport adds a report to the current interval, which the next Tick closes.
 func (p *Planner) AddReport(report ReportRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +137,7 @@
 	p.recordLengths(report)
 }
 
-// Run ticks once an interval until ctx ends.
+// Run calls Tick once per interval until ctx is done.
 func (p *Planner) Run(ctx context.Context) {
 	last := p.options.Clock.Now()
 	for clock.Wait(ctx, p.options.Clock, p.options.Interval) {
@@ -143,9 +147,10 @@
 	}
 }
 
-// Tick closes the interval that took elapsed. It publishes a new plan if a runner
-// shows an anomaly, if the set of ready runners changed, or if TicksPerPlan ticks
-// have passed. It does nothing on a daemon that doesn't own the lease.
+// Tick closes the current interval, whose length is elapsed. It makes and publishes
+// a new plan if a runner shows an anomaly, if a quarantine ended, if the set of
+// ready runners changed, or if TicksPerPlan ticks have passed since the last
+// scheduled plan. It does nothing on a daemon that does not own the lease.
 func (p *Planner) Tick(now clock.Instant, elapsed time.Duration) {
 	epoch, owned := p.options.Lease(now)
 	p.mu.Lock()
@@ -176,8 +181,8 @@
 	p.ticks++
 }
 
-// RecentWork returns the readings of every route over the last seconds, and each
-// runner's work in units a second.
+// RecentWork returns the decayed readings of every route, each runner's work in
+// units per second, and the time span in seconds that the readings stand for.
 func (p *Planner) RecentWork() (readings []headroom.Reading, unitsPerS map[ids.RunnerID]float64, seconds float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,8 +197,8 @@
 	return readings, unitsPerS, seconds
 }
 
-// readyChanged reports whether the ready runners are others than at the last
-// call.
+// readyChanged reports whether the set of ready runners, or their order in the list,
+// changed since the last call.
 func (p *Planner) readyChanged(runners []Runner) bool {
 	ready := ""
 	for _, runner := range runners {
--- a/control/planning/autoscaler/profile.go
+++ b/control/planning/autoscaler/profile.go
@@ -7,42 +7,42 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Anomaly is how a runner differs from what is normal.
+// Anomaly is the way in which a runner deviates from its profile.
 type Anomaly int
 
-// The anomalies.
+// Anomalies.
 const (
 	NoAnomaly Anomaly = iota
-	// Overload is a runner that does more than normal.
+	// Overload means that the metrics of the runner are higher than normal.
 	Overload
-	// Underload is a runner that does less than normal.
+	// Underload means that the metrics of the runner are lower than normal.
 	Underload
 )
 
 const (
 	// latentDimensions is the number of principal components of a profile.
 	latentDimensions = 2
-	// minProfileSamples is the number of vectors that a profile needs.
+	// minProfileSamples is the minimum number of vectors for a profile.
 	minProfileSamples = 24
-	// anomalyThreshold is by how many deviations the reconstruction error of an
-	// anomaly exceeds the mean.
+	// anomalyThreshold is the number of standard deviations above the mean at which a
+	// reconstruction error counts as an anomaly.
 	anomalyThreshold = 6.0
-	// minErrorDeviation bounds the deviation of the reconstruction error from
-	// below, as a fraction of the mean.
+	// minErrorDeviation is the lower bound of the standard deviation of the
+	// reconstruction error, as a fraction of its mean.
 	minErrorDeviation = 0.1
-	// constantDeviation is the deviation below which a metric counts as constant;
-	// minScale bounds what it is then scaled by.
+	// constantDeviation is the standard deviation below which a metric counts as
+	// constant. Such a metric is scaled by its mean, but at least by minScale.
 	constantDeviation = 1e-9
 	minScale          = 1e-3
 )
 
-// Profile is what is normal for the runners of a service: the mean and deviation
-// of each metric, and the principal components in which the metrics move
-// together. It is a linear auto-encoder in the place of the paper's: the latent
-// variables are held to the range that they had in the normal vectors, as the
-// paper's prior holds them. So an overloaded runner is reconstructed as a normal
-// one, and the sign of the difference tells an overload from an underload. A
-// Profile is immutable; a nil one finds no anomalies.
+// Profile models the normal metrics of a service's runners: the mean and standard
+// deviation of each metric, and the principal components along which the metrics vary
+// together. It is a linear autoencoder in place of the one in the paper: the latent
+// variables are clamped to the range that they have in the normal vectors, as the prior
+// constrains them in the paper. An overloaded runner is therefore reconstructed as a
+// normal one, and the sign of the difference distinguishes an overload from an
+// underload. A Profile is immutable; a nil Profile detects no anomalies.
 type Profile struct {
 	mean      []float64
 	deviation []float64
@@ -50,14 +50,15 @@
 	basis *mat.Dense
 	// latentBound is the largest absolute value of each latent variable.
 	latentBound []float64
-	// errorMean and errorDeviation are those of the reconstruction error.
+	// errorMean and errorDeviation are the mean and the standard deviation of the
+	// reconstruction error.
 	errorMean      float64
 	errorDeviation float64
 }
 
-// FitProfile returns the profile of normal metric vectors, which are equally
-// long. It returns nil if there are too few, or if they have no principal
-// components.
+// FitProfile fits a profile to normal metric vectors, which must have the same length.
+// It returns nil if there are too few vectors, or if the singular value decomposition
+// fails.
 func FitProfile(vectors [][]float64) *Profile {
 	if len(vectors) < minProfileSamples {
 		return nil
@@ -75,7 +76,7 @@
 	return profile
 }
 
-// fitScale fits the mean and the deviation of each metric.
+// fitScale fits the mean and the standard deviation of each metric.
 func (p *Profile) fitScale(vectors [][]float64) {
 	width := len(vectors[0])
 	p.mean, p.deviation = make([]float64, width), make([]float64, width)
@@ -91,7 +92,8 @@
 	}
 }
 
-// fitBasis fits the principal components and the range of the latent variables.
+// fitBasis fits the principal components and the bounds of the latent variables. It
+// returns false if the singular value decomposition fails.
 func (p *Profile) fitBasis(vectors [][]float64) bool {
 	width := len(p.mean)
 	dimensions := min(latentDimensions, width)
--- a/control/planning/autoscaler/publish.go
+++ b/control/planning/autoscaler/publish.go
@@ -5,12 +5,13 @@
 	"onyxwell/control/transport"
 )
 
-// fullPlanInterval is the number of plans for each that is published complete:
-// only the next owner of the lease needs it.
+// fullPlanInterval is the interval, in plans, at which a complete plan is published.
+// Only the next owner of the lease needs it.
 const fullPlanInterval = 6
 
-// restore takes rate limits and weights over from what another owner published.
-// What can't be read is ignored: it is estimated anew.
+// restore restores rate limits, weights and sizes from the items that another owner
+// published. It ignores items that cannot be decoded, whose values are then estimated
+// again.
 func (p *Planner) restore() {
 	if item, ok := p.options.Gossip.Get(PlanKey); ok {
 		if plan, err := ReadPlan(item.Body); err == nil {
@@ -33,8 +34,8 @@
 	}
 }
 
-// publish publishes the routing of a plan if it changed, and now and then the
-// plan itself.
+// publish publishes the routing of a plan if it changed, and every fullPlanInterval
+// plans also the plan itself.
 func (p *Planner) publish(plan Plan, runners []Runner) {
 	p.lastPlan = plan
 	body, err := transport.Marshal(p.buildRouting(plan, runners))
@@ -52,8 +53,8 @@
 	p.planCount++
 }
 
-// put publishes an item under the next version. It returns false if the lease was
-// lost while the plan was made, or if the store has a later version.
+// put publishes an item with the next version. It returns false if the lease was lost
+// since the start of the tick, or if the store holds a later version.
 func (p *Planner) put(key string, body []byte) bool {
 	if p.options.Now != nil {
 		if epoch, owned := p.options.Lease(p.options.Now()); !owned || epoch != p.epoch {
--- a/control/planning/autoscaler/quarantine.go
+++ b/control/planning/autoscaler/quarantine.go
@@ -2,12 +2,12 @@
 
 import "onyxwell/base/ids"
 
-// quarantineTicks is the number of ticks for which a runner stays quarantined.
-// Routers check its health meanwhile.
+// quarantineTicks is the number of ticks for which a runner is quarantined. Routers
+// check its health in the meantime.
 const quarantineTicks = 2
 
-// updateProfiles fits the profiles of all services to the window. A service with
-// too few metrics keeps its profile.
+// updateProfiles fits the profiles of all services to the metrics in the window. A
+// service with too few metrics keeps its last profile.
 func (p *Planner) updateProfiles() {
 	vectors := map[ids.Service][][]float64{}
 	for _, series := range p.window.runners {
@@ -22,9 +22,9 @@
 	}
 }
 
-// detectAnomalies reports whether a runner shows an anomaly in the newest
-// interval, or ends its quarantine. An overloaded runner that finished nothing
-// while requests failed at it is quarantined: the paper would relaunch it.
+// detectAnomalies reports whether any runner shows an anomaly in its newest interval
+// with requests, or any quarantine ended. An overloaded runner that finished no request
+// while requests failed at it is quarantined; the paper would relaunch it.
 func (p *Planner) detectAnomalies() bool {
 	detected := p.releaseQuarantined()
 	for id, series := range p.window.runners {
@@ -44,8 +44,8 @@
 	return detected
 }
 
-// releaseQuarantined counts a tick of each quarantine, and reports whether one
-// ended.
+// releaseQuarantined decrements the remaining ticks of each quarantine, and reports
+// whether any of them ended.
 func (p *Planner) releaseQuarantined() bool {
 	released := false
 	for id, ticks := range p.quarantined {
@@ -58,8 +58,8 @@
 	return released
 }
 
-// canQuarantine reports whether, with one more, less than a third of a service's
-// runners would be quarantined.
+// canQuarantine reports whether fewer than a third of a service's runners would be
+// quarantined if one more were.
 func (p *Planner) canQuarantine(service ids.Service) bool {
 	runners, quarantined := 0, 0
 	for id, series := range p.window.runners {
--- a/control/planning/autoscaler/replicas.go
+++ b/control/planning/autoscaler/replicas.go
@@ -7,32 +7,34 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// ReplicaType is a kind of replica to the linear program: a service's runners in
-// one region.
+// ReplicaType is a type of replicas in the linear program, such as the runners of a
+// service in one region or in one zone.
 type ReplicaType struct {
-	// Cost is that of one replica.
+	// Cost is the cost of one replica.
 	Cost float64
-	// RateLimit is n_limit of one replica, in requests a second.
+	// RateLimit is n_limit of one replica, in requests per second.
 	RateLimit float64
-	// Max is the number of replicas that there are.
+	// Max is the maximum number of replicas.
 	Max float64
 }
 
 const (
 	// simplexTolerance is the tolerance of the simplex method.
 	simplexTolerance = 1e-9
-	// roundingSlack keeps a whole number of replicas from being rounded up.
+	// roundingSlack prevents numerical errors from rounding a whole number of replicas
+	// up to the next one.
 	roundingSlack = 1e-6
 )
 
-// SolveReplicas returns how many replicas of each type carry a load in requests a
-// second at the least cost. It is the linear program (8) of the paper,
+// SolveReplicas returns the number of replicas of each type that serve a load, in
+// requests per second, at the lowest cost. It solves the linear program (8) of the
+// paper,
 //
 //	minimise Σ cost·n  subject to  Σ rateLimit·n ≥ load,  0 ≤ n ≤ max,
 //
-// with the first constraint turned: as printed, no replica at all is optimal.
-// Solutions are rounded up. If all replicas together don't carry the load, or the
-// method fails, it returns all of them.
+// with the first inequality reversed: as printed in the paper, the optimum is to have
+// no replicas at all. Solutions are rounded up. If all replicas together cannot serve
+// more than the load, or if the simplex method fails, it returns Max for each type.
 func SolveReplicas(types []ReplicaType, load float64) []float64 {
 	needed := make([]float64, len(types))
 	total := 0.0
@@ -43,8 +45,9 @@
 	if len(types) == 0 || total <= load {
 		return needed
 	}
-	// One row says that the load is carried; one for each type bounds it from
-	// above, one from below, since Convert takes variables that may be negative.
+	// The first row requires that the load is served. Each type has one row for its
+	// upper bound, and one for its lower bound because Convert assumes that variables
+	// may be negative.
 	costs := make([]float64, len(types))
 	constraints := mat.NewDense(2*len(types)+1, len(types), nil)
 	bounds := make([]float64, 2*len(types)+1)
@@ -68,12 +71,13 @@
 	return needed
 }
 
-// replicaCost is the part of a replica's cost that does not depend on its memory:
-// of two solutions that fit alike, the one with fewer replicas is better.
+// replicaCost is the part of a replica's cost that does not depend on its memory. It
+// makes the solution with fewer replicas the better one of two that match equally well.
 const replicaCost = 0.1
 
-// memoryMismatchCost is the paper's matching score: the gap between the memory
-// that a replica needs and what its type has, both as fractions.
+// memoryMismatchCost returns the cost of a replica: replicaCost plus the paper's
+// matching score, which is the difference between the memory that a replica needs and
+// the memory that its type has, as a fraction of the latter.
 func memoryMismatchCost(memoryUtilization float64) float64 {
 	return replicaCost + math.Abs(1-memoryUtilization)
 }
--- a/control/planning/autoscaler/routing.go
+++ b/control/planning/autoscaler/routing.go
@@ -10,43 +10,46 @@
 	"onyxwell/control/transport"
 )
 
-// Keys of published items.
+// Gossip keys of published items.
 const (
-	// RoutingKey is that of the Routing, which every daemon holds.
+	// RoutingKey is the key of the Routing, which every daemon holds.
 	RoutingKey = "plan"
-	// PlanKey is that of the Plan, from which the next owner of the lease goes on.
-	// Only the gossip backbone holds it.
+	// PlanKey is the key of the Plan, from which the next owner of the lease restores
+	// its state. Only the gossip backbone holds it.
 	PlanKey = gossip.BackbonePrefix + "plan"
 )
 
-// Routing is the part of a plan that routers need: the weight of each type of
-// runner, and of the runners that differ from their type. Its size grows with
-// the differences, not with the runners, and it is the same while nothing
-// relevant changes.
+// Routing is the part of a plan that routers need. It holds the weight of each type of
+// runner, and of each runner that differs from its type, so that its size depends on
+// the number of differences and not on the number of runners. It stays the same until
+// something relevant to routers changes.
 type Routing struct {
 	Owner   ids.Address    `avro:"Holder"`
 	Types   []TypeWeight   `avro:"Types"`
 	Runners []RunnerWeight `avro:"Runners"`
 	Flows   []Flow         `avro:"Flows"`
-	// Lengths are the expected durations in each region, for its routers.
+	// Lengths holds the expected request durations of each region, for its routers.
 	Lengths []RegionLengths `avro:"Lengths"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (Routing) SchemaName() string { return "Routing_23" }
 
-// TypeWeight is the weight of each runner of a service and a version of software.
+// TypeWeight is the weight of a runner type: each runner of a service that runs a
+// version of the software, unless Routing has a RunnerWeight for it.
 type TypeWeight struct {
 	Service ids.Service `avro:"Service"`
 	Version string      `avro:"Version"`
 	Weight  float64     `avro:"Weight"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (TypeWeight) SchemaName() string { return "TypeWeight_23" }
 
-// RunnerWeight is the weight of a runner that differs from its type, has a class,
-// or is quarantined.
+// RunnerWeight is the weight of a runner whose weight differs from that of its type,
+// that is assigned to a class, or that is quarantined.
 type RunnerWeight struct {
 	Runner      ids.RunnerID      `avro:"Runner"`
 	Weight      float64           `avro:"Weight"`
@@ -54,10 +57,11 @@
 	Quarantined bool              `avro:"Resting"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is stored and sent
+// between daemons. It must never change.
 func (RunnerWeight) SchemaName() string { return "RunnerWeight_23" }
 
-// ReadRouting decodes the body of the item with RoutingKey.
+// ReadRouting decodes the body of the gossiped item with the key RoutingKey.
 func ReadRouting(body []byte) (Routing, error) { return transport.Unmarshal[Routing](body) }
 
 // buildRouting returns the routing of a plan.
@@ -84,8 +88,8 @@
 	return routing
 }
 
-// updateTypeWeight returns the weight of a type: its rate limit, or the last weight if
-// the limit is close to that or unknown.
+// updateTypeWeight updates and returns the weight of a type: its rate limit, or the last
+// weight if the limit is unknown or close to that weight.
 func (p *Planner) updateTypeWeight(key runnerType, capacity Capacity) float64 {
 	limit := roundSignificant(capacity.RateLimit)
 	if last := p.typeWeights[key]; limit <= 0 || withinTolerance(limit, last) {
@@ -95,16 +99,16 @@
 	return limit
 }
 
-// withinTolerance reports whether a weight is so close to another that the other
-// can stand for it.
+// withinTolerance reports whether a weight is close enough to another one to be replaced
+// by it.
 func withinTolerance(weight float64, other float64) bool {
 	return other > 0 && math.Abs(weight-other) <= weightTolerance*other
 }
 
-// flowTolerance is the change of a flow's share below which it is kept.
+// flowTolerance is the change of a flow's share below which the last share is kept.
 const flowTolerance = 0.05
 
-// flowKey identifies the flows that share the same demand.
+// flowKey identifies the flows that split the same demand.
 type flowKey struct {
 	service     ids.Service
 	homeRegions string
@@ -115,8 +119,8 @@
 	return flowKey{service: f.Service, homeRegions: f.HomeRegions, origin: f.Origin}
 }
 
-// stabilizeFlows rounds the shares, and keeps the last ones of a demand where
-// none of them changed much.
+// stabilizeFlows rounds the shares of flows. If no share of a demand changed much, it
+// returns the demand's last flows.
 func (p *Planner) stabilizeFlows(flows []Flow) []Flow {
 	groups := map[flowKey][]Flow{}
 	for _, flow := range flows {
@@ -140,7 +144,8 @@
 	return stable
 }
 
-// similarFlows reports whether the same regions take nearly the same shares.
+// similarFlows reports whether two lists of flows have the same targets with nearly the
+// same shares.
 func similarFlows(last []Flow, flows []Flow) bool {
 	return slices.EqualFunc(last, flows, func(old Flow, flow Flow) bool {
 		return old.Target == flow.Target && math.Abs(old.Share-flow.Share) < flowTolerance
--- a/control/planning/autoscaler/sizing.go
+++ b/control/planning/autoscaler/sizing.go
@@ -11,38 +11,41 @@
 	"onyxwell/control/transport"
 )
 
-// SizesKey is the key of the gossiped Sizes. It never changes.
+// SizesKey is the gossip key of Sizes. It must never change.
 const SizesKey = "sizes"
 
-// Sizes are how many runners zones should have, where that is to be ordered.
+// Sizes holds the number of runners that zones of scaled services should have.
 type Sizes struct {
 	Sizes []Size `avro:"Sizes"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is sent between
+// daemons. It must never change.
 func (Sizes) SchemaName() string { return "ZoneSizes" }
 
-// Size is how many runners of a service a zone should have.
+// Size is the number of runners of a service that a zone should have.
 type Size struct {
 	Service ids.Service `avro:"Service"`
 	Zone    ids.Zone    `avro:"Zone"`
 	Wanted  int64       `avro:"Wanted"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the Avro record name of the encoding, which is sent between
+// daemons. It must never change.
 func (Size) SchemaName() string { return "ZoneSize" }
 
-// ReadSizes decodes the body of the item with SizesKey.
+// ReadSizes decodes the body of the gossiped item with the key SizesKey.
 func ReadSizes(body []byte) (Sizes, error) { return transport.Unmarshal[Sizes](body) }
 
-// ScaledService is a service whose runners are ordered.
+// ScaledService is a service whose number of runners the planner decides.
 type ScaledService struct {
 	Service ids.Service
-	// Slots is how many requests a runner takes at once.
+	// Slots is the number of requests that a runner serves concurrently.
 	Slots float64
-	// Horizon is how long it takes from a decision until a new runner serves at its rate.
+	// Horizon is the time from a decision until a new runner serves at its full rate.
 	Horizon time.Duration
-	// TolerateRegion and TolerateZone say that the loss of one must be borne.
+	// TolerateRegion and TolerateZone require enough runners to serve the load after
+	// the loss of a region or of a zone.
 	TolerateRegion, TolerateZone bool
 	Zones                        []ScaledZone
 }
@@ -51,45 +54,49 @@
 type ScaledZone struct {
 	Zone   ids.Zone
 	Region ids.Region
-	// Min and Max bound the runners; Present are those that are listed and do not drain.
+	// Min and Max bound the number of runners. Present is the number of listed runners
+	// that are not draining.
 	Min, Max, Present int64
-	// Usable is false for a zone that is evacuated or lost.
+	// Usable is false for a zone that is evacuated or unreachable.
 	Usable bool
 }
 
 const (
-	// unsaturatedUtilization is the part of its slots that a runner is taken to bear while
-	// its rate limit was never reached.
+	// unsaturatedUtilization is the fraction of its slots that a runner is assumed to be
+	// able to use as long as its rate limit was not reached.
 	unsaturatedUtilization = 0.4
-	// saturatedUtilization is the part of its slots in use above which the test for a rate
-	// limit is believed: a load that hardly varies looks like a limit.
+	// saturatedUtilization is the mean fraction of slots in use at and above which runners
+	// count as saturated. The test of EstimateCapacity alone does not suffice, because a
+	// load that hardly varies looks like a rate limit.
 	saturatedUtilization = 0.5
-	// loadHeadroom is added to the forecast.
+	// loadHeadroom is the factor on the forecast load.
 	loadHeadroom = 1.15
-	// historyHorizons is for how many horizons the highest load counts.
+	// historyHorizons is the length of the load history, over which the peak load is
+	// taken, in horizons.
 	historyHorizons = 2
-	// minIncreaseDivisor is the part of a zone's runners, one in so many, by which the load
-	// must exceed them before more are ordered: new runners take prompts away from those
-	// that have their prefixes cached. Saturated runners do not wait for that.
+	// minIncreaseDivisor is the divisor of a zone's size that gives its minimum increase.
+	// Smaller increases are not worth it, since new runners receive prompts whose prefixes
+	// other runners have cached. It does not apply to saturated runners.
 	minIncreaseDivisor = 5
-	// increaseUtilization is the part of a region's runners that the load of late must take, at
-	// the rate that they are planned with, before more are ordered: what is provided for bursts
-	// and losses bears a rise until then, and a load that goes up and down would have runners
-	// ordered at each rise.
+	// increaseUtilization is the minimum ratio of a region's peak load to the rate limit of
+	// its sizes in force at which they are increased. Until then, the capacity reserved for
+	// bursts and losses absorbs an increase in load; otherwise, an oscillating load would
+	// lead to an order at each rise. It does not apply to saturated runners.
 	increaseUtilization = 0.75
-	// maxDecreaseDivisor is the part of a zone's runners, one in so many, by which an order
-	// lowers its size at most; decreasesPerHorizon is how often it may.
+	// maxDecreaseDivisor is the divisor of a zone's size that gives its maximum decrease in
+	// one step. decreasesPerHorizon is the maximum number of these steps per horizon.
 	maxDecreaseDivisor  = 3
 	decreasesPerHorizon = 4
 )
 
-// sizer decides how many runners zones should have: the linear program's replicas over
-// learnt rate limits and forecast load, up early and in one step, down late and in
-// bounded steps. It is not safe for concurrent use.
+// sizer decides how many runners zones should have, by solving the linear program for
+// the forecast load and the estimated rate limit. It increases sizes early and in one
+// step, and decreases them late and in bounded steps. It is not safe for concurrent use.
 type sizer struct {
-	// history has the recent history of each service by region, oldest first.
+	// history holds the recent loads of each service, oldest first.
 	history map[ids.Service][]loadSample
-	// ordered are the sizes in force; loweredAt and raisedAt are when they changed.
+	// ordered holds the sizes in force. loweredAt is when each was last decreased, and
+	// raisedAt when a size of the service was last increased.
 	ordered   map[sizeKey]int64
 	loweredAt map[sizeKey]clock.Instant
 	raisedAt  map[ids.Service]clock.Instant
@@ -101,7 +108,7 @@
 	zone    ids.Zone
 }
 
-// loadSample are the requests a second of each region at an instant.
+// loadSample is the load of each region at an instant, in requests per second.
 type loadSample struct {
 	at    clock.Instant
 	loads map[ids.Region]float64
@@ -114,14 +121,15 @@
 	}
 }
 
-// restore takes the sizes in force over from what another planner published.
+// restore adopts the sizes that another planner published.
 func (s *sizer) restore(sizes Sizes) {
 	for _, size := range sizes.Sizes {
 		s.ordered[sizeKey{size.Service, size.Zone}] = size.Wanted
 	}
 }
 
-// observe records the load of a service. What precedes the first request is no load.
+// observe records the load of a service. The history starts once the total load reaches
+// one request per second: the time before that must not count as low load.
 func (s *sizer) observe(service ScaledService, loads map[ids.Region]float64, now clock.Instant) {
 	total := 0.0
 	for _, load := range loads {
@@ -138,15 +146,17 @@
 	s.history[service.Service] = history
 }
 
-// coversHorizon reports whether the loads of a service were seen for long enough to
-// order fewer runners.
+// coversHorizon reports whether the load history of a service spans at least one
+// horizon.
 func (s *sizer) coversHorizon(service ScaledService, now clock.Instant) bool {
 	history := s.history[service.Service]
 	return len(history) > 0 && now.Since(history[0].at) >= service.Horizon
 }
 
-// forecast returns the load of a region that is to be expected within the horizon: the
-// highest of late, or what its rise leads to, unless that comes from a region that is lost.
+// forecast returns the load of a region to provision for: the peak of the history, or
+// the linear extrapolation over one horizon if that is higher, times loadHeadroom. It
+// does not extrapolate while a region is lost, because the rise is then the load that
+// moves from that region to the others.
 func (s *sizer) forecast(service ScaledService, region ids.Region, now clock.Instant) float64 {
 	history := s.history[service.Service]
 	if len(history) == 0 {
@@ -166,7 +176,7 @@
 	return peak * loadHeadroom
 }
 
-// peakLoad returns the highest load of a region of late.
+// peakLoad returns the highest load of a region in the history.
 func (s *sizer) peakLoad(service ScaledService, region ids.Region) float64 {
 	peak := 0.0
 	for _, sample := range s.history[service.Service] {
@@ -175,8 +185,8 @@
 	return peak
 }
 
-// needsIncrease reports whether the load of a region takes so much of the sizes in force of its
-// usable zones that more are to be ordered.
+// needsIncrease reports whether the peak load of a region reaches increaseUtilization of
+// the capacity of its usable zones at their sizes in force.
 func (s *sizer) needsIncrease(service ScaledService, region ids.Region, rateLimit float64) bool {
 	size := int64(0)
 	for _, zone := range service.Zones {
@@ -187,7 +197,8 @@
 	return s.peakLoad(service, region) >= increaseUtilization*rateLimit*float64(size)
 }
 
-// current returns the size in force of a zone, within its bounds.
+// current returns the size of a zone that is in force, or else the number of its present
+// runners, limited to the bounds of the zone.
 func (s *sizer) current(service ids.Service, zone ScaledZone) int64 {
 	current, ordered := s.ordered[sizeKey{service, zone.Zone}]
 	if !ordered {
@@ -196,7 +207,7 @@
 	return min(zone.Max, max(zone.Min, current))
 }
 
-// hasLostRegion reports whether no zone of some region can be used.
+// hasLostRegion reports whether there is a region without a usable zone.
 func hasLostRegion(service ScaledService) bool {
 	usable := map[ids.Region]bool{}
 	for _, zone := range service.Zones {
@@ -210,8 +221,9 @@
 	return false
 }
 
-// redundancyFactor is by how much more than the load is provided for, so that one region, or one
-// zone, may be lost. A region that is lost already is not provided for once more.
+// redundancyFactor returns the factor on the load that leaves enough capacity after the
+// loss of a region or of a zone, if the service has to tolerate that. It is 1 while a
+// region is already lost: the loss of another one is not provided for.
 func redundancyFactor(service ScaledService) float64 {
 	regions, zones := map[ids.Region]bool{}, 0
 	for _, zone := range service.Zones {
@@ -234,8 +246,9 @@
 	return float64(count) / float64(count-1)
 }
 
-// requiredSizes returns how many runners each region's usable zones need: the linear program's,
-// dealt evenly to the zones, since each is a failure domain.
+// requiredSizes returns the number of runners that each usable zone needs. The linear
+// program gives the total of a region, which is divided evenly among its usable zones,
+// since each zone is a failure domain.
 func (s *sizer) requiredSizes(service ScaledService, rateLimit float64, now clock.Instant) map[ids.Zone]int64 {
 	byRegion := map[ids.Region][]ScaledZone{}
 	for _, zone := range service.Zones {
@@ -260,9 +273,9 @@
 	return wanted
 }
 
-// updateSizes updates the sizes in force. Nothing is ordered before the loads cover the
-// horizon, unless runners are saturated; nothing is lowered while a zone can't be used, or
-// soon after a rise.
+// updateSizes updates the sizes in force of a service's usable zones. Unless runners are
+// saturated, it does nothing until the history covers the horizon. It decreases no size
+// until then, while any zone is unusable, or within one horizon of an increase.
 func (s *sizer) updateSizes(service ScaledService, limit replicaLimit, now clock.Instant) {
 	if !limit.saturated && !s.coversHorizon(service, now) {
 		return
@@ -290,7 +303,7 @@
 	}
 }
 
-// sizes returns the sizes in force in a stable order.
+// sizes returns the sizes in force, sorted by service and zone.
 func (s *sizer) sizes() Sizes {
 	var sizes Sizes
 	for key, wanted := range s.ordered {
@@ -302,8 +315,8 @@
 	return sizes
 }
 
-// planSizes decides the sizes of the services that are scaled and publishes them if they
-// changed. The caller holds the lock, as Tick does.
+// planSizes updates the sizes of the scaled services and publishes them if they changed.
+// The caller must hold p.mu.
 func (p *Planner) planSizes(now clock.Instant, runners []Runner) {
 	if p.options.ScaledServices == nil {
 		return
@@ -324,16 +337,19 @@
 	}
 }
 
-// replicaLimit is the rate that one runner of a service is planned with.
+// replicaLimit is the rate limit that one runner of a service is planned with, in
+// requests per second.
 type replicaLimit struct {
 	rateLimit float64
-	// saturated says that the rate is a limit that was reached.
+	// saturated is true if the runners are saturated, so that rateLimit is an actual
+	// limit and not a lower bound.
 	saturated bool
 }
 
-// replicaLimit returns the learnt limit where it was reached, else at least the rate at
-// which a part of the slots would be in use, by Little's law over the present execution
-// time. Its rate is 0 before any metrics.
+// replicaLimit returns the estimated rate limit of a runner of the service. If the
+// runners are not saturated, the limit is at least the rate at which
+// unsaturatedUtilization of the slots would be in use, by Little's law with the current
+// execution time. The limit is 0 if there are no recent metrics.
 func (p *Planner) replicaLimit(service ScaledService, runners []Runner) replicaLimit {
 	finished, running, points := 0.0, 0.0, 0.0
 	for _, series := range p.window.runners {
@@ -359,8 +375,8 @@
 	return replicaLimit{rateLimit: max(limit, unsaturatedUtilization*service.Slots*finished/running)}
 }
 
-// regionLoads returns the demand for a service by the region of the routers that received
-// it, in requests a second.
+// regionLoads returns the demand for a service in requests per second, by the region of
+// the routers that received it.
 func (w *window) regionLoads(service ids.Service) map[ids.Region]float64 {
 	loads := map[ids.Region]float64{}
 	for key, rate := range w.demand {
--- a/control/planning/autoscaler/window.go
+++ b/control/planning/autoscaler/window.go
@@ -10,17 +10,20 @@
 )
 
 const (
-	// minSeconds bounds the length of an interval from below, as a divisor.
+	// minSeconds is the minimum length of an interval, which is used as a divisor.
 	minSeconds = 0.001
-	// retainedPerSecond is the fraction of readings and units that is left after a
-	// second.
+	// retainedPerSecond is the fraction of readings and units that is left after one
+	// second of decay.
 	retainedPerSecond = 0.9
-	// demandSmoothing is the weight of the newest interval in a demand rate.
+	// demandSmoothing is the weight of the newest interval in an exponentially
+	// smoothed demand rate.
 	demandSmoothing = 0.3
 )
 
-// metrics are those of one runner over one interval; counts are per second once
-// the interval is closed.
+// metrics holds the metrics of one runner over one interval. Once the interval is
+// closed, all of them but failed and the utilizations are normalized: executionMS is
+// the mean per finished request, running and pending are means over the interval, and
+// arrived and finished are rates per second.
 type metrics struct {
 	at                clock.Instant
 	arrived           float64
@@ -33,34 +36,35 @@
 	utilization       float64
 }
 
-// vector returns the metrics that a Profile is fitted to.
+// vector returns the metrics as a vector for a Profile.
 func (m metrics) vector() []float64 {
 	return []float64{
 		m.finished, m.running, m.arrived, m.pending, m.executionMS, m.memoryUtilization, m.utilization,
 	}
 }
 
-// series are the metrics of one runner over the window.
+// series holds the metrics of one runner over the window.
 type series struct {
 	service ids.Service
-	// points are the closed intervals, oldest first; those without a request are
+	// points holds the closed intervals, oldest first. Intervals without a request are
 	// left out.
 	points []metrics
-	// current sums the open interval, executionMS the execution time in it.
+	// current accumulates the open interval, executionMS the sum of its execution
+	// times.
 	current     metrics
 	executionMS float64
-	// units is the recent work, decaying.
+	// units is the recent work, which decays.
 	units float64
 }
 
-// window keeps the metrics of all runners and the demand of all regions. It is
-// not safe for concurrent use.
+// window retains the recent metrics of all runners and the demand of all regions. It
+// is not safe for concurrent use.
 type window struct {
 	length  time.Duration
 	runners map[ids.RunnerID]*series
 	demand  map[demandKey]*demandRate
-	// readings decay, as the units of the runners do; seconds is the time that
-	// they stand for.
+	// readings decay like the units of the runners. seconds is the time span that both
+	// stand for, and decays with them.
 	readings map[readingKey]headroom.Reading
 	seconds  float64
 }
@@ -70,10 +74,11 @@
 	route   string
 }
 
-// demandKey identifies requests that may use the same runners.
+// demandKey identifies requests that may use the same runners and were received in
+// the same region.
 type demandKey struct {
 	service ids.Service
-	// homeRegions is that of Demand.
+	// homeRegions has the format of Demand.HomeRegions.
 	homeRegions string
 	// origin is the region of the routers that received the requests.
 	origin ids.Region
@@ -82,7 +87,7 @@
 // demandRate is an exponentially smoothed arrival rate.
 type demandRate struct {
 	perS float64
-	// count is that of the open interval.
+	// count is the number of requests in the open interval.
 	count float64
 }
 
@@ -126,7 +131,8 @@
 	s.current.utilization = max(s.current.utilization, sample.Utilization)
 }
 
-// closeInterval closes the open interval and drops points older than the window.
+// closeInterval closes the open interval. It drops points that are older than the
+// window, and runners without points.
 func (w *window) closeInterval(now clock.Instant, elapsed time.Duration) {
 	seconds := max(elapsed.Seconds(), minSeconds)
 	w.decay(seconds)
@@ -145,7 +151,7 @@
 	}
 }
 
-// decay ages readings and units.
+// decay lets readings and units decay for a time in seconds.
 func (w *window) decay(seconds float64) {
 	retained := math.Pow(retainedPerSecond, seconds)
 	for key, reading := range w.readings {
@@ -173,7 +179,7 @@
 	}
 }
 
-// hasDemand reports whether requests for the service were ever reported.
+// hasDemand reports whether any demand for the service was reported in this epoch.
 func (w *window) hasDemand(service ids.Service) bool {
 	for key := range w.demand {
 		if key.service == service {
@@ -183,7 +189,7 @@
 	return false
 }
 
-// load returns the demand for the service in requests a second.
+// load returns the demand for the service in requests per second.
 func (w *window) load(service ids.Service) float64 {
 	load := 0.0
 	for key, rate := range w.demand {
