--- a/control/planning/autoscaler/aggregator_test.go
+++ b/control/planning/autoscaler/aggregator_test.go
@@ -10,7 +10,8 @@
 	"onyxwell/control/transport"
 )
 
-// A window holds the same after the sum of some reports as after each of them.
+// A window must hold the same after adding the sum of several reports as after adding
+// each of them.
 func TestAggregator_equalsSeparateReports(t *testing.T) {
 	reports := []ReportRequest{
 		{Region: "north", Samples: []Sample{{Runner: "a", Arrived: 3, Finished: 2, Running: 1.5, Utilization: 0.2}, {Runner: "b", Arrived: 1, Units: 40}},
@@ -25,7 +26,7 @@
 	}
 	sum, ok := aggregator.Flush()
 	if !ok {
-		t.Fatal("no sum")
+		t.Fatal("Flush returned no sum")
 	}
 	aggregated.add(sum)
 	for id, series := range separate.runners {
@@ -44,12 +45,12 @@
 		}
 	}
 	if _, ok := aggregator.Flush(); ok {
-		t.Error("a second sum of the same reports")
+		t.Error("the second Flush returned the same reports again")
 	}
 }
 
-// The message of a report with many runners decodes to the same report, where
-// that has no parts smaller than a thousandth, and takes less than a fifth of it.
+// The message of a report with many runners must decode to the same report, if its
+// values are multiples of a thousandth, and must take at most a fifth of its size.
 func TestReportMessage_roundTrip(t *testing.T) {
 	report := ReportRequest{From: "r:1", Region: "north", Demands: []Demand{{Service: "s", HomeRegions: "north,", Arrived: 4}}}
 	for index := range 200 {
@@ -72,6 +73,6 @@
 	}
 	message.Body = message.Body[:len(message.Body)/2]
 	if _, err := message.Decode(); err == nil {
-		t.Error("half a message is decoded")
+		t.Error("a truncated message was decoded without an error")
 	}
 }
--- a/control/planning/autoscaler/capacity_test.go
+++ b/control/planning/autoscaler/capacity_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// syntheticSeries returns the metrics of a runner that runs low to high requests
-// at once and finishes them in proportion, up to a rate limit.
+// syntheticSeries returns the metrics of a runner with between low and high running
+// requests. It finishes requests at twice the number of running ones per second, up to a
+// rate limit, with some noise.
 func syntheticSeries(limit float64, low float64, high float64, count int) (finished, running, executionS, memory []float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range count {
@@ -28,7 +29,7 @@
 		t.Fatalf("%+v", capacity)
 	}
 	if math.Abs(capacity.ConcurrencyLimit-capacity.RateLimit*capacity.ExecutionS) > 1e-9 || math.Abs(capacity.MemoryUtilization-capacity.ConcurrencyLimit/100) > 0.01 {
-		t.Fatalf("concurrency limit or memory utilization is off: %+v", capacity)
+		t.Fatalf("inconsistent concurrency limit or memory utilization: %+v", capacity)
 	}
 }
 
--- a/control/planning/autoscaler/forms_test.go
+++ b/control/planning/autoscaler/forms_test.go
@@ -6,9 +6,9 @@
 	"onyxwell/control/transport/transporttest"
 )
 
-// TestForms_keepTheirBytes covers each struct of this package that is stored or
-// sent. The golden files hold the bytes that other builds store or send: never
-// edit one.
+// TestForms_keepTheirBytes checks the encoding of the structs of this package that are
+// stored or sent against golden files. The golden files hold the bytes that other
+// builds store or send, and must never be edited.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Demand](t, "demand")
 	transporttest.Golden[Flow](t, "flow")
--- a/control/planning/autoscaler/group_test.go
+++ b/control/planning/autoscaler/group_test.go
@@ -9,7 +9,8 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// lengthReport reports durations of requests of two keys, a short and a long one.
+// lengthReport returns a report with so many short and long requests, each with a key of
+// their own.
 func lengthReport(region ids.Region, short float64, long float64) ReportRequest {
 	return ReportRequest{Region: region, Lengths: []lengthstats.Totals{
 		{Key: lengthstats.Key{Service: "s", Route: "check", Bucket: 11}, Count: short, DurationMS: 120 * short, Tokens: 1800 * short, SlowFirstTokens: 0.1 * short},
@@ -17,8 +18,8 @@
 	}}
 }
 
-// newGroupingPlanner returns a planner that groups, and runners of equal weight in
-// region north.
+// newGroupingPlanner returns a planner that groups runners by length, and a number of
+// runners of equal weight in region north.
 func newGroupingPlanner(runners int) (*Planner, []Runner) {
 	var listed []Runner
 	for index := range runners {
@@ -48,12 +49,13 @@
 	planner.AddReport(lengthReport("north", 300, 70))
 	plan := planner.buildPlan(listed)
 	short, long := countClasses(plan)
-	// 540,000 of 1,002,000 tokens are those of short requests, and a fifth more.
+	// Short requests have 540,000 of 1,002,000 tokens; their share of the runners is
+	// 1.2 times that.
 	if short != 13 || long != 7 {
 		t.Fatalf("%d runners for short requests, %d for long ones", short, long)
 	}
 	if len(plan.Lengths) != 1 || len(plan.Lengths[0].Splits) != 1 || len(plan.Lengths[0].Expected) != 2 {
-		t.Fatalf("%+v", plan.Lengths)
+		t.Fatalf("lengths %+v, want one split and two expectations in one region", plan.Lengths)
 	}
 	before := map[ids.RunnerID]lengthstats.Class{}
 	for _, planned := range plan.Runners {
@@ -67,7 +69,7 @@
 		}
 	}
 	if moved > 1 {
-		t.Fatalf("%d runners changed their class when one left", moved)
+		t.Fatalf("%d runners changed their class when one was removed", moved)
 	}
 }
 
@@ -84,7 +86,7 @@
 			return planner, listed
 		},
 		"no requests": func() (*Planner, []Runner) { return newGroupingPlanner(20) },
-		"switched off": func() (*Planner, []Runner) {
+		"disabled": func() (*Planner, []Runner) {
 			planner, listed := newGroupingPlanner(20)
 			planner.options.GroupByLength = false
 			planner.AddReport(lengthReport("north", 300, 70))
@@ -95,7 +97,7 @@
 		t.Run(name, func(t *testing.T) {
 			planner, listed := setUp()
 			if short, long := countClasses(planner.buildPlan(listed)); short+long != 0 {
-				t.Errorf("%d and %d runners are grouped", short, long)
+				t.Errorf("%d runners in the short group, %d in the long group, want none", short, long)
 			}
 		})
 	}
--- a/control/planning/autoscaler/planner_test.go
+++ b/control/planning/autoscaler/planner_test.go
@@ -11,8 +11,8 @@
 	"onyxwell/control/gossip"
 )
 
-// harness reports to a planner on a fake clock, as routers do. Runners i0 to i2 are
-// in region north, i3 in south.
+// harness runs a planner on a fake clock and sends it reports as routers do. Runners i0
+// to i2 are in region north, i3 is in region south.
 type harness struct {
 	clock   *clock.Fake
 	gossip  *gossip.Store
@@ -45,20 +45,20 @@
 	})
 }
 
-// tick lets a second pass.
+// tick advances the clock by a second and calls Tick.
 func (h *harness) tick() {
 	h.clock.Advance(time.Second)
 	h.planner.Tick(h.clock.Now(), time.Second)
 }
 
-// report reports a second.
+// report adds a report for the current second and ends that second.
 func (h *harness) report(report ReportRequest) {
 	h.planner.AddReport(report)
 	h.tick()
 }
 
-// run lets seconds pass in which each runner finishes requests at its rate, which
-// is its limit: there is no correlation with the number that run.
+// run simulates seconds in which each runner finishes requests at its rate. The rate is
+// the runner's limit, since it does not increase with the number of running requests.
 func (h *harness) run(seconds int, rates map[ids.RunnerID]float64, demand float64) {
 	for second := range seconds {
 		report := ReportRequest{From: "r", Region: "north"}
@@ -75,13 +75,13 @@
 	}
 }
 
-// lastPlan returns the last plan, and fails if the published routing is not that
-// of it.
+// lastPlan returns the last plan. It fails the test if the published routing does not
+// match that plan.
 func (h *harness) lastPlan(t *testing.T) Plan {
 	t.Helper()
 	item, ok := h.gossip.Get(RoutingKey)
 	if !ok {
-		t.Fatal("no routing is published")
+		t.Fatal("no routing was published")
 	}
 	routing, err := ReadRouting(item.Body)
 	if err != nil {
@@ -90,7 +90,7 @@
 	plan := h.planner.lastPlan
 	for _, planned := range plan.Runners {
 		if weight, quarantined := routing.weightOf(planned.Runner, Runner{Service: "s", Version: "v1"}); weight != planned.Weight || quarantined != planned.Quarantined {
-			t.Fatalf("%+v is published with weight %v, quarantined %v", planned, weight, quarantined)
+			t.Fatalf("planned %+v, published weight %v, quarantined %v", planned, weight, quarantined)
 		}
 	}
 	return plan
@@ -111,15 +111,15 @@
 	plan := h.lastPlan(t)
 	slow, fast := plan.runner("i0"), plan.runner("i2")
 	if fast.Weight != fast.RateLimit && math.Abs(fast.Weight-fast.RateLimit) > weightTolerance*fast.RateLimit {
-		t.Fatalf("the weight is not the rate limit: %+v", fast)
+		t.Fatalf("weight differs from the rate limit: %+v", fast)
 	}
 	if fast.Weight < 1.6*slow.Weight {
-		t.Fatalf("a runner three times as fast has %v against %v", fast.Weight, slow.Weight)
+		t.Fatalf("a runner three times as fast has weight %v, the others %v", fast.Weight, slow.Weight)
 	}
 	h.runners[2].WarmingUp = true
 	h.run(5, map[ids.RunnerID]float64{"i0": 10, "i1": 10, "i2": 30, "i3": 10}, 60)
 	if warming := h.lastPlan(t).runner("i2"); warming.Weight > 0.6*fast.Weight {
-		t.Fatalf("a runner that warms up has its full weight: %+v", warming)
+		t.Fatalf("weight of a runner that is warming up is not reduced: %+v", warming)
 	}
 }
 
@@ -129,7 +129,7 @@
 	h.run(40, rates, 15)
 	for _, flow := range h.lastPlan(t).Flows {
 		if flow.Target != "north" || flow.Share != 1 {
-			t.Fatalf("a region below its limits spills: %+v", flow)
+			t.Fatalf("demand below the region's limit spills over: %+v", flow)
 		}
 	}
 	h.run(40, rates, 60)
@@ -138,14 +138,14 @@
 		shares[flow.Target] += flow.Share
 	}
 	if shares["north"] > 0.7 || shares["south"] < 0.3 || math.Abs(shares["north"]+shares["south"]-1) > 0.02 {
-		t.Fatalf("the excess does not spill: %v", shares)
+		t.Fatalf("excess demand does not spill over: shares %v", shares)
 	}
 	needed := 0.0
 	for _, replicas := range h.lastPlan(t).Replicas {
 		needed += replicas.Needed
 	}
 	if needed != 4 {
-		t.Fatalf("%v replicas for a load above all limits", needed)
+		t.Fatalf("%v replicas for a load above all limits, want 4", needed)
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	after := h.lastPlan(t).runner("i2").RateLimit
 	if after <= 0 || after >= before*0.8 {
-		t.Fatalf("the rate limit of a runner without metrics went from %v to %v", before, after)
+		t.Fatalf("rate limit of a runner without metrics changed from %v to %v", before, after)
 	}
 }
 
@@ -185,12 +185,12 @@
 	h.tick()
 	second, _ := h.gossip.Get(RoutingKey)
 	if second.Version <= first.Version || h.lastPlan(t).runner("i0").RateLimit != before {
-		t.Fatalf("version %d, then %d with rate limit %v", first.Version, second.Version, h.lastPlan(t).runner("i0").RateLimit)
+		t.Fatalf("first owner published version %d, second version %d with rate limit %v", first.Version, second.Version, h.lastPlan(t).runner("i0").RateLimit)
 	}
 	h.leased = false
 	h.tick()
 	if third, _ := h.gossip.Get(RoutingKey); third.Version != second.Version {
-		t.Fatal("a daemon without the lease published")
+		t.Fatal("a daemon without the lease published a routing")
 	}
 }
 
@@ -201,27 +201,28 @@
 	report := ReportRequest{Region: "north", Samples: []Sample{{Runner: "i1", Service: "s", Arrived: 40, Failed: 30, Running: 90, Pending: 90, MemoryUtilization: 1, Utilization: 1}}}
 	h.report(report)
 	if !h.lastPlan(t).runner("i1").Quarantined {
-		t.Fatal("a runner at which everything fails is not quarantined")
+		t.Fatal("a runner at which all requests fail is not quarantined")
 	}
 	h.run(quarantineTicks+1, rates, 20)
 	if h.lastPlan(t).runner("i1").Quarantined {
-		t.Fatal("the quarantine never ends")
+		t.Fatal("the quarantine did not end")
 	}
 }
 
-// The lease is lost between its check and the plan.
+// The lease is lost between the first check and the publication of the plan: nothing
+// must be published.
 func TestPlanner_leaseLostWhilePlanning(t *testing.T) {
 	h := newHarness()
 	runners := h.runners
 	h.planner.options.Runners = func() []Runner { h.leased = false; return runners }
 	h.run(1, nil, 1)
 	if _, ok := h.gossip.Get(RoutingKey); ok {
-		t.Fatal("a routing is published after the lease was lost")
+		t.Fatal("a routing was published after the lease was lost")
 	}
 }
 
-// A planner freezes between its last check of the lease and its plan, and goes on
-// after the next owner has published.
+// A planner stalls in its last check of the lease, and continues to publish after the
+// next owner has published: it must not overwrite the next owner's routing.
 func TestPlanner_staleOwnerDoesNotOverwrite(t *testing.T) {
 	h := newHarness()
 	rates := map[ids.RunnerID]float64{"i0": 10, "i1": 10, "i2": 10, "i3": 10}
@@ -238,6 +239,6 @@
 	h.runners = h.runners[:2]
 	frozen.Tick(h.clock.Now(), time.Second)
 	if item, _ := h.gossip.Get(RoutingKey); checks != 2 || item.Version>>32 != 2 {
-		t.Fatalf("after %d checks of the lease, epoch %d is published", checks, item.Version>>32)
+		t.Fatalf("%d checks of the lease, published epoch %d, want 2 and 2", checks, item.Version>>32)
 	}
 }
--- a/control/planning/autoscaler/profile_test.go
+++ b/control/planning/autoscaler/profile_test.go
@@ -14,7 +14,7 @@
 	}
 	profile := FitProfile(normal)
 	if profile == nil {
-		t.Fatal("no profile")
+		t.Fatal("FitProfile returned nil")
 	}
 	falsePositives := 0
 	for _, vector := range normal {
@@ -23,17 +23,17 @@
 		}
 	}
 	if falsePositives > 1 {
-		t.Errorf("%d of 80 normal vectors are anomalies", falsePositives)
+		t.Errorf("%d of 80 normal vectors detected as anomalies", falsePositives)
 	}
 	overloaded := []float64{5, 60, 9, 40, 3000, 0.9, 0.9}
 	if got := profile.Detect(overloaded); got != Overload {
-		t.Errorf("an overloaded runner shows %v", got)
+		t.Errorf("anomaly %v for an overloaded runner", got)
 	}
 	idle := []float64{6.5, 0.1, 6.5, 0, 20, 0, 0}
 	if got := profile.Detect(idle); got != Underload {
-		t.Errorf("an idle runner shows %v", got)
+		t.Errorf("anomaly %v for an idle runner", got)
 	}
 	if FitProfile(normal[:minProfileSamples-1]).Detect(overloaded) != NoAnomaly {
-		t.Error("too few vectors make a profile")
+		t.Error("a profile was fitted to too few vectors")
 	}
 }
--- a/control/planning/autoscaler/replicas_test.go
+++ b/control/planning/autoscaler/replicas_test.go
@@ -11,7 +11,7 @@
 	for _, c := range cases {
 		got := SolveReplicas(types, c.load)
 		if got[0] != c.want[0] || got[1] != c.want[1] {
-			t.Errorf("load %v needs %v, want %v", c.load, got, c.want)
+			t.Errorf("load %v: replicas %v, want %v", c.load, got, c.want)
 		}
 	}
 }
--- a/control/planning/autoscaler/routing_test.go
+++ b/control/planning/autoscaler/routing_test.go
@@ -6,7 +6,8 @@
 	"onyxwell/base/ids"
 )
 
-// weightOf returns what routers read from the routing for a runner of a type.
+// weightOf returns the weight and the quarantine of a runner, as routers derive them from
+// the routing.
 func (r Routing) weightOf(id ids.RunnerID, runner Runner) (weight float64, quarantined bool) {
 	for _, typeWeight := range r.Types {
 		if typeWeight.Service == runner.Service && typeWeight.Version == runner.Version {
@@ -21,8 +22,8 @@
 	return weight, false
 }
 
-// Runners that differ by noise alone share the weight of their type, and the
-// routing is not published again; one that is slow has its own.
+// Runners that differ only by noise must share the weight of their type, and the routing
+// must not be published again. A slow runner must have a weight of its own.
 func TestRouting_similarRunnersShareOneWeight(t *testing.T) {
 	h := newHarness()
 	rates := map[ids.RunnerID]float64{"i0": 10, "i1": 10.4, "i2": 9.8, "i3": 10.2}
@@ -35,7 +36,7 @@
 	}
 	h.run(20, rates, 15.3)
 	if again, _ := h.gossip.Get(RoutingKey); again.Version != item.Version {
-		t.Fatal("an unchanged routing is published again")
+		t.Fatal("an unchanged routing was published again")
 	}
 	h = newHarness()
 	h.run(58, map[ids.RunnerID]float64{"i0": 10, "i1": 10.4, "i2": 2, "i3": 10.2}, 15)
--- a/control/planning/autoscaler/sizing_test.go
+++ b/control/planning/autoscaler/sizing_test.go
@@ -12,8 +12,8 @@
 
 func TestSizes_keepTheirBytes(t *testing.T) { transporttest.Golden[Sizes](t, "sizes") }
 
-// newScaledService is a service in two regions of two zones each, with 10 runners in each
-// zone at first.
+// newScaledService returns a service in two regions of two zones each, with 10 runners in
+// each zone.
 func newScaledService() ScaledService {
 	service := ScaledService{Service: "s", Slots: 64, Horizon: 12 * time.Second, TolerateRegion: true}
 	for zone, region := range map[ids.Zone]ids.Region{"a": "north", "b": "north", "c": "south", "d": "south"} {
@@ -22,7 +22,8 @@
 	return service
 }
 
-// simulateLoad lets the sizer decide once a second for a time, at a load of each region.
+// simulateLoad simulates a time during which each region has the given load, and updates
+// the sizes once per second.
 func simulateLoad(s *sizer, service ScaledService, now *clock.Instant, length time.Duration, load func(second float64) float64) {
 	for range int(length / time.Second) {
 		*now = now.Add(time.Second)
@@ -34,7 +35,8 @@
 
 func constantLoad(perS float64) func(float64) float64 { return func(float64) float64 { return perS } }
 
-// totalSize adds the sizes in force up; a zone without an order has what it had.
+// totalSize returns the sum of the sizes in force. A zone without one counts with its
+// present runners.
 func totalSize(s *sizer, service ScaledService) (sum int64) {
 	for _, zone := range service.Zones {
 		wanted, ordered := s.ordered[sizeKey{service.Service, zone.Zone}]
@@ -46,8 +48,8 @@
 	return sum
 }
 
-// TestSizer_waitsForHorizonOfMetrics gives a new planner metrics for less than the
-// horizon, and none at all: it orders nothing.
+// TestSizer_waitsForHorizonOfMetrics gives a new sizer no load and then load for less than
+// a horizon: it must not order any size.
 func TestSizer_waitsForHorizonOfMetrics(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	simulateLoad(s, service, &now, 30*time.Second, constantLoad(0))
@@ -57,8 +59,8 @@
 	}
 }
 
-// TestSizer_decreasesInSteps has a load that needs few runners: sizes go down in
-// bounded steps to what the load and the loss of a region need, and not below.
+// TestSizer_decreasesInSteps applies a load that needs few runners: sizes must decrease in
+// bounded steps, down to what the load and the loss of a region require.
 func TestSizer_decreasesInSteps(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	before := totalSize(s, service)
@@ -66,18 +68,19 @@
 		simulateLoad(s, service, &now, time.Second, constantLoad(20))
 		after := totalSize(s, service)
 		if lowered := before - after; lowered > before/maxDecreaseDivisor {
-			t.Fatalf("from %d to %d in one step", before, after)
+			t.Fatalf("decreased from %d to %d in one step", before, after)
 		}
 		before = after
 	}
-	// 20 a second in each region, 1.15 of it, twice for the loss of a region, 10 a runner.
+	// Each region has a load of 20 per second, times 1.15 for headroom, times 2 for the
+	// loss of a region. A runner serves 10 per second, and a region has two zones.
 	if want := 4 * int64(math.Ceil(20*loadHeadroom*2/10/2)); before != want {
-		t.Errorf("%d runners in all, want %d", before, want)
+		t.Errorf("%d runners in total, want %d", before, want)
 	}
 }
 
-// TestSizer_increasesAheadOfRisingLoad has the load rise: what is ordered is there a horizon
-// before it is needed, in one step, and is not lowered at once.
+// TestSizer_increasesAheadOfRisingLoad applies a rising load: sizes must cover the load of
+// one horizon later, and must not decrease right after the rise.
 func TestSizer_increasesAheadOfRisingLoad(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	simulateLoad(s, service, &now, 40*time.Second, constantLoad(20))
@@ -87,17 +90,18 @@
 	simulateLoad(s, service, &now, 10*time.Second, rising)
 	needed := 2 * (rising(time.Duration(now).Seconds()+12) / 10)
 	if got := totalSize(s, service); float64(got) < needed || got <= low {
-		t.Errorf("%d runners, %g are needed a horizon later", got, needed)
+		t.Errorf("%d runners, the load of a horizon later needs %g", got, needed)
 	}
 	raised := totalSize(s, service)
 	simulateLoad(s, service, &now, service.Horizon/2, constantLoad(20))
 	if got := totalSize(s, service); got < raised {
-		t.Errorf("lowered to %d from %d within the horizon", got, raised)
+		t.Errorf("decreased to %d from %d within the horizon", got, raised)
 	}
 }
 
-// TestSizer_oscillatingLoadOrdersNothing has the load go up and down by two fifths within two horizons, as
-// the runners of the start bear it: none are ordered beyond these.
+// TestSizer_oscillatingLoadOrdersNothing applies a load that oscillates by 40 percent with
+// a period of about two horizons, and that the initial runners can serve: no more runners
+// must be ordered.
 func TestSizer_oscillatingLoadOrdersNothing(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	before := totalSize(s, service)
@@ -105,13 +109,13 @@
 	for range 60 {
 		simulateLoad(s, service, &now, time.Second, wave)
 		if got := totalSize(s, service); got > before {
-			t.Fatalf("%d runners ordered at %v, %d bear the load", got, now, before)
+			t.Fatalf("%d runners ordered at %v, although %d are enough for the load", got, now, before)
 		}
 	}
 }
 
-// TestSizer_lostRegionNeedsNoReserve loses one region of two: the other gets what all of the
-// load needs, and not twice that.
+// TestSizer_lostRegionNeedsNoReserve loses one region of two: the other one must get the
+// runners that the whole load needs, but no reserve for the loss of another region.
 func TestSizer_lostRegionNeedsNoReserve(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	simulateLoad(s, service, &now, 60*time.Second, constantLoad(60))
@@ -125,12 +129,12 @@
 	}
 	got := s.ordered[sizeKey{"s", "c"}] + s.ordered[sizeKey{"s", "d"}]
 	if needed := 120 * loadHeadroom / 10; float64(got) < needed || float64(got) > needed+2 {
-		t.Errorf("%d runners in the region that is left, %g are needed", got, needed)
+		t.Errorf("%d runners in the remaining region, %g are needed", got, needed)
 	}
 }
 
-// TestSizer_unusableZones has a zone be evacuated: nothing is lowered meanwhile, and the
-// other zone of its region grows at once.
+// TestSizer_unusableZones evacuates a zone: no size may decrease in the meantime, and the
+// other zone of its region must grow immediately.
 func TestSizer_unusableZones(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	simulateLoad(s, service, &now, 60*time.Second, constantLoad(40))
@@ -141,26 +145,27 @@
 	previous := s.ordered[sizeKey{"s", "b"}]
 	simulateLoad(s, service, &now, 2*time.Second, constantLoad(40))
 	if got := s.ordered[sizeKey{"s", "b"}]; got <= previous {
-		t.Errorf("the other zone has %d of %d", got, previous)
+		t.Errorf("the other zone has size %d, want more than %d", got, previous)
 	}
 	simulateLoad(s, service, &now, 30*time.Second, constantLoad(5))
 	if got := totalSize(s, service); got < before {
-		t.Errorf("lowered to %d from %d while a zone is evacuated", got, before)
+		t.Errorf("decreased to %d from %d while a zone is evacuated", got, before)
 	}
 }
 
-// TestSizer_bounds keeps to the configuration's bounds, also where they change.
+// TestSizer_bounds checks that sizes stay within the configured bounds, also after these
+// change.
 func TestSizer_bounds(t *testing.T) {
 	s, service, now := newSizer(), newScaledService(), clock.Instant(0)
 	simulateLoad(s, service, &now, 60*time.Second, constantLoad(1000))
 	if got := totalSize(s, service); got != 4*20 {
-		t.Errorf("%d runners at a load beyond all", got)
+		t.Errorf("%d runners at a load above the capacity of all zones, want the maximum", got)
 	}
 	for index := range service.Zones {
 		service.Zones[index].Max = 12
 	}
 	simulateLoad(s, service, &now, time.Second, constantLoad(1000))
 	if got := totalSize(s, service); got != 4*12 {
-		t.Errorf("%d runners after the largest size was lowered to 12", got)
+		t.Errorf("%d runners after the maximum of each zone was reduced to 12", got)
 	}
 }
