--- a/control/planning/autoscaler/aggregator_test.go
+++ b/control/planning/autoscaler/aggregator_test.go
@@ -10,8 +10,8 @@
 	"onyxwell/control/transport"
 )
 
-// A window must hold the same after adding the sum of several reports as after adding
-// each of them.
+// TestAggregator_equalsSeparateReports checks that a window holds the same after adding
+// the sum of several reports as after adding each of them.
 func TestAggregator_equalsSeparateReports(t *testing.T) {
 	reports := []ReportRequest{
 		{Region: "north", Samples: []Sample{{Runner: "a", Arrived: 3, Finished: 2, Running: 1.5, Utilization: 0.2}, {Runner: "b", Arrived: 1, Units: 40}},
@@ -49,8 +49,9 @@
 	}
 }
 
-// The message of a report with many runners must decode to the same report, if its
-// values are multiples of a thousandth, and must take at most a fifth of its size.
+// TestReportMessage_roundTrip checks that the message of a report with many runners
+// decodes to the same report, if its values are multiples of a thousandth, and takes at
+// most a fifth of its size.
 func TestReportMessage_roundTrip(t *testing.T) {
 	report := ReportRequest{From: "r:1", Region: "north", Demands: []Demand{{Service: "s", HomeRegions: "north,", Arrived: 4}}}
 	for index := range 200 {
--- a/control/planning/autoscaler/build.go
+++ b/control/planning/autoscaler/build.go
@@ -89,7 +89,8 @@
 	return capacities
 }
 
-// sampleSet holds the metrics for an estimate. Equal indexes are the same interval.
+// sampleSet holds the metrics for an estimate. Values with the same index belong to the
+// same interval.
 type sampleSet struct{ finished, running, executionS, memoryUtilization []float64 }
 
 func (s *sampleSet) add(points []metrics) {
--- a/control/planning/autoscaler/group_test.go
+++ b/control/planning/autoscaler/group_test.go
@@ -9,8 +9,8 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// lengthReport returns a report with so many short and long requests, each with a key of
-// their own.
+// lengthReport returns a report with one key of short requests and one of long requests.
+// The parameters short and long are the numbers of requests.
 func lengthReport(region ids.Region, short float64, long float64) ReportRequest {
 	return ReportRequest{Region: region, Lengths: []lengthstats.Totals{
 		{Key: lengthstats.Key{Service: "s", Route: "check", Bucket: 11}, Count: short, DurationMS: 120 * short, Tokens: 1800 * short, SlowFirstTokens: 0.1 * short},
--- a/control/planning/autoscaler/plan.go
+++ b/control/planning/autoscaler/plan.go
@@ -1,10 +1,10 @@
 // Package autoscaler plans how requests are distributed over runners and regions,
 // following the ENOVA paper. It estimates the rate and concurrency limits of each
-// runner from its rates of finished and running requests, solves a linear program
-// for the replicas that the load needs, weights runners by their rate limits, and
-// makes a new plan when it detects an anomalous runner. docs/enova.md describes
-// where it differs from the paper, and why. The package also decides how many
-// runners each zone of a scaled service should have.
+// runner from how its rate of finished requests depends on the number of running
+// ones, solves a linear program for the replicas that the load needs, weights runners
+// by their rate limits, and makes a new plan when it detects an anomalous runner.
+// docs/enova.md describes where it differs from the paper, and why. The package also
+// decides how many runners of a scaled service each zone should have.
 //
 // Only one daemon plans: the owner of the planner's lease, to which all zones send
 // their reports. Published items carry the epoch of the lease, so that a former owner
@@ -19,8 +19,8 @@
 	"onyxwell/control/transport"
 )
 
-// Plan describes how routers distribute requests over runners, with the estimates
-// that this is based on.
+// Plan describes how routers distribute requests over runners, and holds the estimates
+// that it is based on.
 type Plan struct {
 	Owner    ids.Address  `avro:"Holder"`
 	Runners  []RunnerPlan `avro:"Runners"`
--- a/control/planning/autoscaler/planner.go
+++ b/control/planning/autoscaler/planner.go
@@ -82,7 +82,8 @@
 	quarantined map[ids.RunnerID]int
 	lengths     map[ids.Region]*lengthstats.Estimator
 	sizer       *sizer
-	// counter is the counter of the last published item's version.
+	// counter numbers the items that are published in an epoch. It is part of their
+	// versions.
 	counter int64
 	// ticks and planCount are the numbers of ticks and plans in this epoch.
 	ticks     int
--- a/control/planning/autoscaler/planner_test.go
+++ b/control/planning/autoscaler/planner_test.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// The lease is lost between the first check and the publication of the plan: nothing
-// must be published.
+// TestPlanner_leaseLostWhilePlanning loses the lease between the first check and the
+// publication of the plan: nothing must be published.
 func TestPlanner_leaseLostWhilePlanning(t *testing.T) {
 	h := newHarness()
 	runners := h.runners
@@ -221,8 +221,9 @@
 	}
 }
 
-// A planner stalls in its last check of the lease, and continues to publish after the
-// next owner has published: it must not overwrite the next owner's routing.
+// TestPlanner_staleOwnerDoesNotOverwrite has a planner stall in its last check of the
+// lease, and publish after the next owner has published: it must not overwrite the next
+// owner's routing.
 func TestPlanner_staleOwnerDoesNotOverwrite(t *testing.T) {
 	h := newHarness()
 	rates := map[ids.RunnerID]float64{"i0": 10, "i1": 10, "i2": 10, "i3": 10}
--- a/control/planning/autoscaler/profile.go
+++ b/control/planning/autoscaler/profile.go
@@ -10,7 +10,7 @@
 // Anomaly is the way in which a runner deviates from its profile.
 type Anomaly int
 
-// Anomalies.
+// The kinds of Anomaly.
 const (
 	NoAnomaly Anomaly = iota
 	// Overload means that the metrics of the runner are higher than normal.
@@ -99,7 +99,7 @@
 	dimensions := min(latentDimensions, width)
 	matrix := mat.NewDense(len(vectors), width, nil)
 	for index, vector := range vectors {
-		matrix.SetRow(index, p.normalise(vector))
+		matrix.SetRow(index, p.normalize(vector))
 	}
 	var svd mat.SVD
 	if !svd.Factorize(matrix, mat.SVDThin) {
@@ -110,7 +110,7 @@
 	p.basis = mat.DenseCopyOf(components.Slice(0, width, 0, dimensions))
 	p.latentBound = make([]float64, dimensions)
 	for _, vector := range vectors {
-		latent := p.encode(mat.NewVecDense(width, p.normalise(vector)))
+		latent := p.encode(mat.NewVecDense(width, p.normalize(vector)))
 		for dimension := range p.latentBound {
 			p.latentBound[dimension] = math.Max(p.latentBound[dimension], math.Abs(latent.AtVec(dimension)))
 		}
@@ -118,25 +118,25 @@
 	return true
 }
 
-func (p *Profile) normalise(vector []float64) []float64 {
-	normalised := make([]float64, len(vector))
+func (p *Profile) normalize(vector []float64) []float64 {
+	normalized := make([]float64, len(vector))
 	for metric, value := range vector {
-		normalised[metric] = (value - p.mean[metric]) / p.deviation[metric]
+		normalized[metric] = (value - p.mean[metric]) / p.deviation[metric]
 	}
-	return normalised
+	return normalized
 }
 
-// encode returns the latent variables of a normalised vector.
+// encode returns the latent variables of a normalized vector.
 func (p *Profile) encode(input *mat.VecDense) *mat.VecDense {
 	var latent mat.VecDense
 	latent.MulVec(p.basis.T(), input)
 	return &latent
 }
 
-// reconstruct returns the Euclidean distance of the normalised vector from its
+// reconstruct returns the Euclidean distance of the normalized vector from its
 // reconstruction, and the mean difference between the two.
 func (p *Profile) reconstruct(vector []float64) (distance float64, meanDifference float64) {
-	input := mat.NewVecDense(len(vector), p.normalise(vector))
+	input := mat.NewVecDense(len(vector), p.normalize(vector))
 	latent := p.encode(input)
 	for dimension, bound := range p.latentBound {
 		latent.SetVec(dimension, math.Min(bound, math.Max(-bound, latent.AtVec(dimension))))
--- a/control/planning/autoscaler/replicas.go
+++ b/control/planning/autoscaler/replicas.go
@@ -30,7 +30,7 @@
 // requests per second, at the lowest cost. It solves the linear program (8) of the
 // paper,
 //
-//	minimise Σ cost·n  subject to  Σ rateLimit·n ≥ load,  0 ≤ n ≤ max,
+//	minimize Σ cost·n  subject to  Σ rateLimit·n ≥ load,  0 ≤ n ≤ max,
 //
 // with the first inequality reversed: as printed in the paper, the optimum is to have
 // no replicas at all. Solutions are rounded up. If all replicas together cannot serve
--- a/control/planning/autoscaler/routing.go
+++ b/control/planning/autoscaler/routing.go
@@ -36,8 +36,8 @@
 // between daemons. It must never change.
 func (Routing) SchemaName() string { return "Routing_23" }
 
-// TypeWeight is the weight of a runner type: each runner of a service that runs a
-// version of the software, unless Routing has a RunnerWeight for it.
+// TypeWeight is the weight of a runner type. It applies to every runner of the service
+// that has this software version and no RunnerWeight.
 type TypeWeight struct {
 	Service ids.Service `avro:"Service"`
 	Version string      `avro:"Version"`
--- a/control/planning/autoscaler/routing_test.go
+++ b/control/planning/autoscaler/routing_test.go
@@ -22,8 +22,9 @@
 	return weight, false
 }
 
-// Runners that differ only by noise must share the weight of their type, and the routing
-// must not be published again. A slow runner must have a weight of its own.
+// TestRouting_similarRunnersShareOneWeight checks that runners which differ only by noise
+// share the weight of their type without the routing being published again, and that a
+// slow runner has a weight of its own.
 func TestRouting_similarRunnersShareOneWeight(t *testing.T) {
 	h := newHarness()
 	rates := map[ids.RunnerID]float64{"i0": 10, "i1": 10.4, "i2": 9.8, "i3": 10.2}
--- a/control/planning/autoscaler/sizing.go
+++ b/control/planning/autoscaler/sizing.go
@@ -349,7 +349,7 @@
 // replicaLimit returns the estimated rate limit of a runner of the service. If the
 // runners are not saturated, the limit is at least the rate at which
 // unsaturatedUtilization of the slots would be in use, by Little's law with the current
-// execution time. The limit is 0 if there are no recent metrics.
+// execution time. The limit is 0 if there are too few metrics for an estimate.
 func (p *Planner) replicaLimit(service ScaledService, runners []Runner) replicaLimit {
 	finished, running, points := 0.0, 0.0, 0.0
 	for _, series := range p.window.runners {
--- a/control/planning/headroom/headroom_test.go
+++ b/control/planning/headroom/headroom_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// In a simulated queue whose load has grown by MaxGrowth, about maxLateFraction of
-// the requests must wait for longer than the queue budget. At 1.2 times that load,
-// more than a tenth must.
+// TestMaxGrowth_boundsLateFraction simulates a queue whose load has grown by MaxGrowth:
+// about maxLateFraction of the requests must wait for longer than the queue budget. At
+// 1.2 times that load, at least a tenth must.
 func TestMaxGrowth_boundsLateFraction(t *testing.T) {
 	const meanService, queueBudget = 50.0, 400.0
 	load := Load{Utilization: 0.2, RouteUtilization: 0.2, ResidualMS: meanService}
@@ -118,9 +118,9 @@
 	return report.Services[0]
 }
 
-// The headroom of a service with four runners must not depend on how the work is
-// distributed over the regions that a route may use, and must fall if the runners of
-// a region are not ready.
+// TestEstimate_countsRunnersByState checks a service with four runners. Its headroom must
+// not depend on how the work is distributed over the regions that a route may use, and
+// must decrease if the runners of a region are not ready.
 func TestEstimate_countsRunnersByState(t *testing.T) {
 	full := estimateService(t, newInput(StateReady, StateReady, StateReady, StateReady))
 	idleRegion := newInput(StateReady, StateReady, StateReady, StateReady)
--- a/control/planning/headroom/report.go
+++ b/control/planning/headroom/report.go
@@ -15,14 +15,15 @@
 // factor by which the current load can be multiplied.
 type Service struct {
 	Service ids.Service `json:"service"`
-	// HasData is false if there are too few readings for an estimate.
+	// HasData is false if the readings do not suffice for an estimate, for example
+	// because there are too few requests.
 	HasData bool `json:"enough_seen"`
 	// RequestsPerS is the rate of requests on all routes.
 	RequestsPerS float64 `json:"load_per_s"`
-	// Utilization is the highest utilization of the runners that any of Routes may
-	// use.
+	// Utilization is the highest value, over all Routes, of the utilization of the
+	// runners that the route may use.
 	Utilization float64 `json:"used"`
-	// MaxGrowth is the lowest MaxGrowth of Routes.
+	// MaxGrowth is the lowest MaxGrowth of all Routes.
 	MaxGrowth float64  `json:"room_together"`
 	Routes    []Route  `json:"routes"`
 	Regions   []Region `json:"regions"`
--- a/control/planning/lengthstats/estimator_test.go
+++ b/control/planning/lengthstats/estimator_test.go
@@ -14,8 +14,8 @@
 	return Key{Service: "s", Route: route, Bucket: BucketOf(tokens)}
 }
 
-// newMixedEstimator returns an estimator with two short keys of short requests each,
-// and two long keys of long requests each.
+// newMixedEstimator returns an estimator that has two keys with fast requests and two
+// keys with slow ones. The parameters are the numbers of requests per key.
 func newMixedEstimator(short float64, long float64) *Estimator {
 	estimator := &Estimator{}
 	estimator.Add([]Totals{
@@ -27,8 +27,8 @@
 	return estimator
 }
 
-// The work shifts from long prompts to short ones: the work shares must follow, and
-// keys without traffic must be dropped.
+// TestEstimator_followsTrafficShift shifts the work from long prompts to short ones: the
+// work shares must follow, and keys without traffic must be dropped.
 func TestEstimator_followsTrafficShift(t *testing.T) {
 	estimator := newMixedEstimator(100, 50)
 	before, _ := estimator.UpdateSplit("s")
@@ -51,7 +51,8 @@
 	}
 }
 
-// Adding totals one by one or as sums must give equally many expected durations.
+// TestEstimator_addIsAssociative checks that adding totals one by one or as sums gives
+// equally many expected durations.
 func TestEstimator_addIsAssociative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		separate, summed := &Estimator{}, &Estimator{}
--- a/control/planning/lengthstats/split.go
+++ b/control/planning/lengthstats/split.go
@@ -74,7 +74,7 @@
 
 // bestSplit returns the split that separates the two classes best. It considers each
 // boundary between two adjacent totals, which must be sorted by mean duration, and
-// maximises n_short·n_long·ln²(ratio of the mean durations), the between-class
+// maximizes n_short·n_long·ln²(ratio of the mean durations), the between-class
 // variance of the log durations. It returns false if no split reaches the minimum
 // duration ratio and work shares.
 func bestSplit(sorted []Totals, count float64, work float64) (best activeSplit, ok bool) {
--- a/control/planning/lengthstats/split_test.go
+++ b/control/planning/lengthstats/split_test.go
@@ -29,12 +29,14 @@
 	}
 }
 
-// Short requests are fast, then slow, then fast again: the split must start when they
-// become slow, and continue until the work of the long class has shrunk.
+// TestSplit_hysteresis has short requests be fast, then slow, then fast again: the split
+// must start when they become slow, and continue until the work of the long class has
+// shrunk.
 func TestSplit_hysteresis(t *testing.T) {
 	estimator := &Estimator{}
-	// run adds 30 short requests per second, slow of them with a slow first token, and
-	// long long requests per second. It reports whether there is a split at the end.
+	// run simulates seconds with 30 short requests each. The parameter long is the number
+	// of long requests per second, slow that of short ones with a slow first token. It
+	// reports whether there is a split at the end.
 	run := func(seconds int, long float64, slow float64) bool {
 		split := false
 		for range seconds {
--- a/control/planning/lengthstats/totals.go
+++ b/control/planning/lengthstats/totals.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	// maxBucket also holds all longer prompts.
+	// maxBucket is the highest bucket, which also holds all longer prompts.
 	maxBucket = 20
 	// maxTokens bounds a prompt length before its logarithm is taken.
 	maxTokens = 1 << 30
