--- a/control/planning/autoscaler/build.go
+++ b/control/planning/autoscaler/build.go
@@ -8,8 +8,8 @@
 	"onyxwell/base/ids"
 )
 
-// runnerType stands for the paper's GPU type: runners of one service and version
-// are taken to be alike.
+// runnerType corresponds to the GPU type of the paper: runners of the same service and
+// version are assumed to have similar capacities.
 type runnerType struct {
 	service ids.Service
 	version string
@@ -20,21 +20,21 @@
 }
 
 const (
-	// priorWeight is the number of samples at which a runner's own estimate weighs
-	// as much as that of its type.
+	// priorWeight is the number of samples at which a runner's own estimate has the
+	// same weight as the estimate of its type.
 	priorWeight = 30.0
-	// weightTolerance is the relative change of a weight below which it is kept:
-	// each change moves prompts away from the runners that have their prefixes
-	// cached.
+	// weightTolerance is the largest relative change of a weight for which the last
+	// weight is kept: each change moves prompts away from the runners that have their
+	// prefixes cached.
 	weightTolerance = 0.25
-	// slowStartFactor is the fraction of its weight that a runner has while it
-	// warms up.
+	// slowStartFactor is the fraction of its normal weight that a runner has while it is
+	// warming up.
 	slowStartFactor = 0.5
 )
 
-// Plan returns a plan for the runners, from the metrics in the window and the
-// last plan. The caller holds the lock, as Tick does.
-func (p *Planner) Plan(runners []Runner) Plan {
+// buildPlan returns a plan for the ready runners, based on the metrics in the window and
+// on the last plan. The caller must hold p.mu.
+func (p *Planner) buildPlan(runners []Runner) Plan {
 	plan := Plan{Owner: p.options.Address}
 	types := p.typeCapacities(runners)
 	services := map[ids.Service]map[ids.Region]*regionCapacity{}
@@ -44,7 +44,7 @@
 		}
 		key := runner.runnerType()
 		capacity := p.runnerCapacity(runner, types[key])
-		planned := p.planRunner(runner, capacity, p.typeWeight(key, types[key]))
+		planned := p.planRunner(runner, capacity, p.updateTypeWeight(key, types[key]))
 		plan.Runners = append(plan.Runners, planned)
 		if services[runner.Service] == nil {
 			services[runner.Service] = map[ids.Region]*regionCapacity{}
@@ -68,7 +68,7 @@
 }
 
 // typeCapacities estimates the capacity of each type from the metrics of all its
-// runners. A type with too few has none.
+// runners. Types with too few metrics are left out.
 func (p *Planner) typeCapacities(runners []Runner) map[runnerType]Capacity {
 	samples := map[runnerType]*sampleSet{}
 	for _, runner := range runners {
@@ -89,7 +89,8 @@
 	return capacities
 }
 
-// sampleSet holds the metrics for an estimate, each index an interval.
+// sampleSet holds the metrics for an estimate. Values with the same index belong to the
+// same interval.
 type sampleSet struct{ finished, running, executionS, memoryUtilization []float64 }
 
 func (s *sampleSet) add(points []metrics) {
@@ -105,33 +106,34 @@
 	return EstimateCapacity(s.finished, s.running, s.executionS, s.memoryUtilization)
 }
 
-// runnerCapacity shrinks a runner's own estimate towards that of its type, the
-// more the fewer samples it has: without fresh metrics it decays to the type's
-// as the samples leave the window.
-func (p *Planner) runnerCapacity(runner Runner, ofType Capacity) Capacity {
+// runnerCapacity returns a runner's own estimate, shrunk towards that of its type. The
+// fewer samples the runner has, the more the type counts. Without new metrics, the
+// estimate therefore approaches that of the type as samples leave the window.
+func (p *Planner) runnerCapacity(runner Runner, typeCapacity Capacity) Capacity {
 	var own sampleSet
 	if series := p.window.runners[runner.ID]; series != nil {
 		own.add(series.points)
 	}
 	capacity, ok := own.estimate()
 	if !ok {
-		return ofType
+		return typeCapacity
 	}
-	if ofType.RateLimit <= 0 {
+	if typeCapacity.RateLimit <= 0 {
 		return capacity
 	}
 	weight := float64(capacity.Samples) / (float64(capacity.Samples) + priorWeight)
 	shrunk := capacity
-	shrunk.RateLimit = weight*capacity.RateLimit + (1-weight)*ofType.RateLimit
-	shrunk.ExecutionS = weight*capacity.ExecutionS + (1-weight)*ofType.ExecutionS
+	shrunk.RateLimit = weight*capacity.RateLimit + (1-weight)*typeCapacity.RateLimit
+	shrunk.ExecutionS = weight*capacity.ExecutionS + (1-weight)*typeCapacity.ExecutionS
 	shrunk.ConcurrencyLimit = shrunk.RateLimit * shrunk.ExecutionS
-	shrunk.MemoryUtilization = weight*capacity.MemoryUtilization + (1-weight)*ofType.MemoryUtilization
+	shrunk.MemoryUtilization = weight*capacity.MemoryUtilization + (1-weight)*typeCapacity.MemoryUtilization
 	return shrunk
 }
 
-// planRunner weighs a runner by its rate limit, reduced while it warms up. A
-// weight close to that of the type, or else to the runner's last one, is replaced
-// by it.
+// planRunner returns the plan for a runner. Its weight is its rate limit, reduced while
+// it is warming up. A weight that is close to that of the type, or else to the runner's
+// last weight, is replaced by that weight. A runner without an estimate keeps its last
+// limits.
 func (p *Planner) planRunner(runner Runner, capacity Capacity, typeWeight float64) RunnerPlan {
 	planned := RunnerPlan{
 		Runner:            runner.ID,
@@ -158,22 +160,22 @@
 	return planned
 }
 
-// planReplicas returns how many of a service's ready runners in each region the
-// load needs; to the linear program each region is a type.
+// planReplicas returns how many of a service's ready runners in each region the load
+// needs. Each region is a type of the linear program.
 func planReplicas(service ids.Service, regions map[ids.Region]*regionCapacity, load float64) []Replicas {
 	var types []ReplicaType
 	var replicas []Replicas
 	for _, region := range sortedKeys(regions) {
 		runners := regions[region].runners
-		kind := ReplicaType{Max: float64(len(runners))}
+		replicaType := ReplicaType{Max: float64(len(runners))}
 		memory := 0.0
 		for _, planned := range runners {
-			kind.RateLimit += planned.RateLimit / kind.Max
-			memory += planned.MemoryUtilization / kind.Max
+			replicaType.RateLimit += planned.RateLimit / replicaType.Max
+			memory += planned.MemoryUtilization / replicaType.Max
 		}
-		kind.Cost = memoryMismatchCost(memory)
-		types = append(types, kind)
-		replicas = append(replicas, Replicas{Service: service, Region: region, Ready: int64(kind.Max), RateLimit: roundSignificant(kind.RateLimit)})
+		replicaType.Cost = memoryMismatchCost(memory)
+		types = append(types, replicaType)
+		replicas = append(replicas, Replicas{Service: service, Region: region, Ready: int64(replicaType.Max), RateLimit: roundSignificant(replicaType.RateLimit)})
 	}
 	for index, needed := range SolveReplicas(types, load) {
 		replicas[index].Needed, replicas[index].Load = needed, roundSignificant(load)
@@ -185,8 +187,8 @@
 	return slices.Sorted(maps.Keys(table))
 }
 
-// roundSignificant rounds to two significant digits, so that noise doesn't
-// change a plan. What is no finite number becomes 0.
+// roundSignificant rounds to two significant digits, so that noise does not change a
+// plan. It returns 0 for NaN and infinities.
 func roundSignificant(value float64) float64 {
 	if value == 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 		return 0
--- a/control/planning/lengthstats/estimator_test.go
+++ b/control/planning/lengthstats/estimator_test.go
@@ -10,35 +10,35 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-func key(route string, tokens float64) Key {
+func newKey(route string, tokens float64) Key {
 	return Key{Service: "s", Route: route, Bucket: BucketOf(tokens)}
 }
 
-// newMixedEstimator returns an estimator with so many requests of each of two
-// short and two long keys.
+// newMixedEstimator returns an estimator that has two keys with fast requests and two
+// keys with slow ones. The parameters are the numbers of requests per key.
 func newMixedEstimator(short float64, long float64) *Estimator {
 	estimator := &Estimator{}
 	estimator.Add([]Totals{
-		{Key: key("check", 1800), Count: short, DurationMS: 130 * short, Tokens: 1800 * short, SlowFirstTokens: 0.2 * short},
-		{Key: key("check", 900), Count: short, DurationMS: 100 * short, Tokens: 900 * short},
-		{Key: key("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
-		{Key: key("manifest", 20000), Count: long, DurationMS: 2400 * long, Tokens: 20000 * long},
+		{Key: newKey("check", 1800), Count: short, DurationMS: 130 * short, Tokens: 1800 * short, SlowFirstTokens: 0.2 * short},
+		{Key: newKey("check", 900), Count: short, DurationMS: 100 * short, Tokens: 900 * short},
+		{Key: newKey("manifest", 6600), Count: long, DurationMS: 1600 * long, Tokens: 6600 * long},
+		{Key: newKey("manifest", 20000), Count: long, DurationMS: 2400 * long, Tokens: 20000 * long},
 	})
 	return estimator
 }
 
-// The work shifts from long prompts to short ones: the shares follow, and what is
-// no longer seen is forgotten.
+// TestEstimator_followsTrafficShift shifts the work from long prompts to short ones: the
+// work shares must follow, and keys without traffic must be dropped.
 func TestEstimator_followsTrafficShift(t *testing.T) {
 	estimator := newMixedEstimator(100, 50)
-	before, _ := estimator.Split("s")
+	before, _ := estimator.UpdateSplit("s")
 	for range 120 {
 		estimator.Decay(1)
-		estimator.Add([]Totals{{Key: key("check", 1800), Count: 20, DurationMS: 2600, Tokens: 36000, SlowFirstTokens: 2}, {Key: key("manifest", 6600), Count: 2, DurationMS: 3200, Tokens: 13200}})
+		estimator.Add([]Totals{{Key: newKey("check", 1800), Count: 20, DurationMS: 2600, Tokens: 36000, SlowFirstTokens: 2}, {Key: newKey("manifest", 6600), Count: 2, DurationMS: 3200, Tokens: 13200}})
 	}
-	after, ok := estimator.Split("s")
+	after, ok := estimator.UpdateSplit("s")
 	if !ok || after.ShortWorkShare < before.ShortWorkShare+0.3 {
-		t.Fatalf("%+v, then %+v", before, after)
+		t.Fatalf("split before the shift %+v, after it %+v", before, after)
 	}
 	for range 300 {
 		estimator.Decay(1)
@@ -46,19 +46,20 @@
 	if expectations := estimator.Expectations(); len(expectations) != 0 {
 		t.Fatalf("expectations without traffic: %+v", expectations)
 	}
-	if split, ok := estimator.Split("s"); ok {
+	if split, ok := estimator.UpdateSplit("s"); ok {
 		t.Fatalf("split without traffic: %+v", split)
 	}
 }
 
-// Reports that are added one by one or as sums give the same expectations.
+// TestEstimator_addIsAssociative checks that adding totals one by one or as sums gives
+// equally many expected durations.
 func TestEstimator_addIsAssociative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		separate, summed := &Estimator{}, &Estimator{}
 		sums := map[Key]Totals{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			totals := Totals{
-				Key:   key(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"), float64(rapid.IntRange(0, 50000).Draw(t, "tokens"))),
+				Key:   newKey(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"), float64(rapid.IntRange(0, 50000).Draw(t, "tokens"))),
 				Count: 1, DurationMS: float64(rapid.IntRange(1, 5000).Draw(t, "duration")), Tokens: 8,
 			}
 			separate.Add([]Totals{totals})
@@ -68,7 +69,7 @@
 			summed.Add([]Totals{totals})
 		}
 		if want, got := separate.Expectations(), summed.Expectations(); len(want) != len(got) {
-			t.Fatalf("%v and %v", want, got)
+			t.Fatalf("expectations from separate totals %v, from summed totals %v", want, got)
 		}
 	})
 }
@@ -76,10 +77,10 @@
 func TestExpectations_smallChangesAreSuppressed(t *testing.T) {
 	estimator := newMixedEstimator(100, 25)
 	before := estimator.Expectations()
-	estimator.Add([]Totals{{Key: key("check", 1800), Count: 20, DurationMS: 3200, Tokens: 1}})
+	estimator.Add([]Totals{{Key: newKey("check", 1800), Count: 20, DurationMS: 3200, Tokens: 1}})
 	for index, expected := range estimator.Expectations() {
 		if expected != before[index] {
-			t.Fatalf("%+v became %+v", before[index], expected)
+			t.Fatalf("expectation %+v changed to %+v", before[index], expected)
 		}
 	}
 }
--- a/control/planning/lengthstats/table_test.go
+++ b/control/planning/lengthstats/table_test.go
@@ -7,7 +7,7 @@
 
 func TestTable_class(t *testing.T) {
 	estimator := newMixedEstimator(100, 25)
-	split, _ := estimator.Split("s")
+	split, _ := estimator.UpdateSplit("s")
 	table := NewTable(estimator.Expectations(), []Split{split})
 	cases := []struct {
 		route  string
@@ -23,15 +23,15 @@
 		{"check", 1 << 40, Unknown},
 	}
 	for _, c := range cases {
-		if got := table.Class(key(c.route, c.tokens)); got != c.want {
+		if got := table.Class(newKey(c.route, c.tokens)); got != c.want {
 			t.Errorf("route %s with %v tokens: class %d, want %d", c.route, c.tokens, got, c.want)
 		}
 	}
 }
 
-func TestTable_nilKnowsNoClass(t *testing.T) {
+func TestTable_nilClassifiesAsUnknown(t *testing.T) {
 	var table *Table
-	if got := table.Class(key("check", 1800)); got != Unknown {
-		t.Errorf("class %d", got)
+	if got := table.Class(newKey("check", 1800)); got != Unknown {
+		t.Errorf("a nil table returned class %d", got)
 	}
 }
