--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -149,7 +149,7 @@
 // checkDeadline refuses a command that may not be started any more.
 func (d *Dispatcher) checkDeadline(ctx context.Context, cmd Command) error {
 	if ctx.Err() != nil {
-		return quorum.ErrCallerGone
+		return quorum.ErrContextDone
 	}
 	if cmd.hasDeadline() && !d.options.Quorum.WithinDeadline(cmd.Deadline, d.options.Clock.Now()) {
 		return errkind.Errorf(errkind.NoQuorum, "the order came too late")
--- a/control/state/quorum/silence_test.go
+++ b/control/state/quorum/contact_timeout_test.go
@@ -40,14 +40,14 @@
 	return link
 }
 
-func constantDelay(span time.Duration) func(int64) time.Duration {
-	return func(int64) time.Duration { return span }
+func constantDelay(delay time.Duration) func(int64) time.Duration {
+	return func(int64) time.Duration { return delay }
 }
 
-// TestTracker_guardedContextEndsSoonAfterPartition partitions the link before a
+// TestWithQuorum_contextEndsSoonAfterPartition partitions the link before a
 // command that is begun on contact still fresh, with its start, and at any moment
 // of it.
-func TestTracker_guardedContextEndsSoonAfterPartition(t *testing.T) {
+func TestWithQuorum_contextEndsSoonAfterPartition(t *testing.T) {
 	for _, rtt := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 70 * time.Millisecond, 80 * time.Millisecond} {
 		for after := -200 * time.Millisecond; after < 600*time.Millisecond; after += 37 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
@@ -78,7 +78,7 @@
 				}
 				release()
 				cancel()
-				drainPending()
+				awaitPendingHeartbeats()
 			})
 		}
 	}
@@ -120,7 +120,7 @@
 					ctx.Wait(300 * time.Millisecond)
 				}
 				cancel()
-				drainPending()
+				awaitPendingHeartbeats()
 			})
 		})
 	}
@@ -156,7 +156,7 @@
 			t.Errorf("%d idle, %d with commands in flight, %d after", idle, busy, after)
 		}
 		cancel()
-		drainPending()
+		awaitPendingHeartbeats()
 	})
 }
 
@@ -175,9 +175,9 @@
 	return j.Clock.Now().Add(j.offset)
 }
 
-// TestTracker_stalledProcessReadsPendingAnswersFirst stalls a process during a
+// TestTracker_stalledProcessReadsPendingResponsesFirst stalls a process during a
 // command: contact seems as old as the stall, but a voter that answers shows it.
-func TestTracker_stalledProcessReadsPendingAnswersFirst(t *testing.T) {
+func TestTracker_stalledProcessReadsPendingResponsesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		jumping := &jumpingClock{Clock: scope.New(scope.Options{}).Clock}
 		ctx := scope.New(scope.Options{Clock: jumping})
@@ -201,6 +201,6 @@
 			t.Errorf("ended %v after a partition", ctx.Now().Since(start))
 		}
 		release()
-		drainPending()
+		awaitPendingHeartbeats()
 	})
 }
--- a/control/state/quorum/deadline.go
+++ b/control/state/quorum/deadline.go
@@ -12,9 +12,9 @@
 	// readingLifetime is how many times MaxAge a clock reading is used before a
 	// new one is requested.
 	readingLifetime = 4
-	// driftDivisor is the part of a deadline, one in so many, that is taken off
+	// clockDriftDivisor is the part of a deadline, one in so many, that is taken off
 	// for clocks that run at different rates.
-	driftDivisor = 100
+	clockDriftDivisor = 100
 )
 
 // Deadline is the instant from which a forwarded command must not be begun, as a
@@ -30,7 +30,7 @@
 // RemoteDeadline converts the instant at which a forwarded command is given up
 // here into a deadline on the receiver's clock. Where no recent reading of that
 // clock is known, the receiver is asked for one.
-func (t *Tracker) RemoteDeadline(ctx context.Context, receiver ids.Address, giveUp clock.Instant) (Deadline, error) {
+func (t *Tracker) RemoteDeadline(ctx context.Context, receiver ids.Address, giveUpAt clock.Instant) (Deadline, error) {
 	p, ok := t.peerReading(receiver)
 	if !ok || t.options.Clock.Now().Since(p.readingAt) > readingLifetime*t.options.MaxAge {
 		if err := t.heartbeat(ctx, receiver); err != nil {
@@ -40,8 +40,8 @@
 			return Deadline{}, errkind.Errorf(errkind.NoQuorum, "%s tells no reading of its clock", receiver)
 		}
 	}
-	remaining := giveUp.Since(p.readingAt)
-	return Deadline{Incarnation: p.reading.Incarnation, End: p.reading.Reading + int64(remaining-remaining/driftDivisor)}, nil
+	remaining := giveUpAt.Since(p.readingAt)
+	return Deadline{Incarnation: p.reading.Incarnation, End: p.reading.Reading + int64(remaining-remaining/clockDriftDivisor)}, nil
 }
 
 // peerReading returns the peer's entry; false where its clock was never read.
--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -12,8 +12,8 @@
 var (
 	// ErrNoQuorum says that no majority of the voters answered within a round.
 	ErrNoQuorum = errkind.Errorf(errkind.NoQuorum, "no contact with a majority of the voters")
-	// ErrCallerGone says that the caller's context had ended.
-	ErrCallerGone = errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
+	// ErrContextDone says that the caller's context had ended.
+	ErrContextDone = errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
 )
 
 // stallGrace is how long a command waits in a process that has just stalled.
@@ -23,7 +23,7 @@
 // not, it sends rounds of heartbeats, and returns ErrNoQuorum after RoundTimeout.
 func (t *Tracker) EnsureQuorum(ctx context.Context) error {
 	if t.HasQuorum(t.options.Clock.Now()) {
-		return checkCaller(ctx)
+		return checkContext(ctx)
 	}
 	limited, cancel := t.options.Clock.WithTimeout(ctx, t.options.RoundTimeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 		t.heartbeatRound(ctx)
 		if t.HasQuorum(t.options.Clock.Now()) {
 			t.logTransition(true)
-			return checkCaller(ctx)
+			return checkContext(ctx)
 		}
 		select {
 		case <-changed:
@@ -43,21 +43,21 @@
 		}
 	}
 	if t.HasQuorum(t.options.Clock.Now()) {
-		return checkCaller(ctx)
+		return checkContext(ctx)
 	}
-	if err := checkCaller(ctx); err != nil {
+	if err := checkContext(ctx); err != nil {
 		return err
 	}
 	t.logTransition(false)
 	return ErrNoQuorum
 }
 
-// checkCaller returns ErrCallerGone once ctx has ended.
-func checkCaller(ctx context.Context) error {
+// checkContext returns ErrCallerGone once ctx has ended.
+func checkContext(ctx context.Context) error {
 	if ctx.Err() == nil {
 		return nil
 	}
-	return ErrCallerGone
+	return ErrContextDone
 }
 
 // WithQuorum ensures a quorum and returns a copy of ctx that is cancelled when
@@ -65,7 +65,7 @@
 // that a majority answered, whichever is later. The caller must call the returned
 // function, also after an error.
 func (t *Tracker) WithQuorum(ctx context.Context) (context.Context, context.CancelFunc, error) {
-	if t.recentlyStalled(t.options.Clock.Now()) {
+	if t.detectStall(t.options.Clock.Now()) {
 		// Requests that arrived during the stall may be from callers that are
 		// gone; this lets their connections be seen to have closed first.
 		clock.Wait(ctx, t.options.Clock, stallGrace)
@@ -81,9 +81,9 @@
 	return guarded, cancel, nil
 }
 
-// recentlyStalled records that this process runs, and reports whether it had
+// detectStall records that this process runs, and reports whether it had
 // stalled until a moment ago. A stall can be found only while Run runs.
-func (t *Tracker) recentlyStalled(now clock.Instant) bool {
+func (t *Tracker) detectStall(now clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lastTick > 0 && now.Since(t.lastTick) > t.options.MaxAge {
--- a/control/state/quorum/heartbeat.go
+++ b/control/state/quorum/heartbeat.go
@@ -14,13 +14,13 @@
 	t.lastTick = t.options.Clock.Now()
 	t.mu.Unlock()
 	for clock.Wait(ctx, t.options.Clock, maxAge*2/3) {
-		t.recentlyStalled(t.options.Clock.Now())
-		_, _ = t.AllVotersAge(t.options.Clock.Now())
-		age, ok := t.MajorityAge(t.options.Clock.Now())
+		t.detectStall(t.options.Clock.Now())
+		_, _ = t.AllVotersContactAge(t.options.Clock.Now())
+		age, ok := t.MajorityContactAge(t.options.Clock.Now())
 		if !ok || age > maxAge/3 {
 			t.heartbeatRound(ctx)
 		}
-		t.logTransition(ok && age <= maxAge+t.options.RoundTimeout && t.answeredSinceSilence(t.options.Clock.Now().Add(-age)))
+		t.logTransition(ok && age <= maxAge+t.options.RoundTimeout && t.contactAfterLoss(t.options.Clock.Now().Add(-age)))
 	}
 }
 
@@ -30,12 +30,12 @@
 func (t *Tracker) heartbeatRound(ctx context.Context) {
 	now := t.options.Clock.Now()
 	t.mu.Lock()
-	early := t.lastRound > 0 && now.Since(t.lastRound) < t.heartbeatInterval()
-	if !early {
+	tooSoon := t.lastRound > 0 && now.Since(t.lastRound) < t.heartbeatInterval()
+	if !tooSoon {
 		t.lastRound = now
 	}
 	t.mu.Unlock()
-	if early {
+	if tooSoon {
 		return
 	}
 	for _, member := range t.options.Voters().Members {
@@ -67,7 +67,7 @@
 		// of a lost packet than of the path.
 		p.lastContact, p.rtts = sent, p.rtts.with(received.Since(sent))
 	}
-	if p.reading.Incarnation != resp.Incarnation || resp.clockLead(received) >= p.reading.clockLead(p.readingAt) ||
+	if p.reading.Incarnation != resp.Incarnation || resp.clockOffset(received) >= p.reading.clockOffset(p.readingAt) ||
 		received.Since(p.readingAt) > t.options.MaxAge {
 		p.readingAt, p.reading = received, resp
 	}
--- a/control/state/quorum/messages.go
+++ b/control/state/quorum/messages.go
@@ -30,9 +30,9 @@
 // SchemaName names the stored and sent form; it must never change.
 func (HeartbeatResponse) SchemaName() string { return "Told_24" }
 
-// clockLead is how far the responder's clock was ahead of the own one when its
+// clockOffset is how far the responder's clock was ahead of the own one when its
 // response arrived. The response that travelled the least has the largest lead.
-func (h HeartbeatResponse) clockLead(received clock.Instant) int64 {
+func (h HeartbeatResponse) clockOffset(received clock.Instant) int64 {
 	return h.Reading - int64(received)
 }
 
--- a/control/state/quorum/status.go
+++ b/control/state/quorum/status.go
@@ -19,10 +19,10 @@
 	if t == nil {
 		return status
 	}
-	if age, ok := t.MajorityAge(now); ok {
+	if age, ok := t.MajorityContactAge(now); ok {
 		status.Majority, status.AgeMS = t.HasQuorum(now), age.Milliseconds()
 	}
-	if age, ok := t.AllVotersAge(now); ok {
+	if age, ok := t.AllVotersContactAge(now); ok {
 		status.AllVotersAgeMS = age.Milliseconds()
 	}
 	return status
@@ -39,7 +39,7 @@
 	if !changed {
 		return
 	}
-	age, _ := t.MajorityAge(t.options.Clock.Now())
+	age, _ := t.MajorityContactAge(t.options.Clock.Now())
 	t.options.Log.Warn().Str("part", "quorum").Bool("majority", majority).Int64("age_ms", age.Milliseconds()).
 		Int64("all_voters_age_ms", t.Status(t.options.Clock.Now()).AllVotersAgeMS).Msg(transitionMessages[majority])
 }
--- a/control/state/quorum/status_test.go
+++ b/control/state/quorum/status_test.go
@@ -11,9 +11,9 @@
 	"onyxwell/control/state/register"
 )
 
-// TestTracker_allVotersAgeCoversEveryVoter has one of three voters silent for a
+// TestTracker_allVotersContactAgeCoversEveryVoter has one of three voters silent for a
 // while, and then replaced.
-func TestTracker_allVotersAgeCoversEveryVoter(t *testing.T) {
+func TestTracker_allVotersContactAgeCoversEveryVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
 		delays := &sync.Map{}
@@ -48,7 +48,7 @@
 		ctx.Wait(time.Second)
 		expect("replaced", 0, testMaxAge)
 		cancel()
-		drainPending()
+		awaitPendingHeartbeats()
 	})
 	if status := (*Tracker)(nil).Status(7); status.Majority || status.AgeMS != -1 || status.AllVotersAgeMS != -1 {
 		t.Errorf("no contact: %+v", status)
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -18,9 +18,9 @@
 const (
 	// maxRoundTimeout bounds how long a caller is kept waiting for contact.
 	maxRoundTimeout = 200 * time.Millisecond
-	// maxSilenceTimeout is how long a command goes on without contact: a quarter
+	// maxContactTimeout is how long a command goes on without contact: a quarter
 	// of a second, less what its answer takes.
-	maxSilenceTimeout = 240 * time.Millisecond
+	maxContactTimeout = 240 * time.Millisecond
 )
 
 // Options configure a Tracker. Clock, Log, Address, Voters, MaxAge and one of
@@ -39,11 +39,11 @@
 	// RoundTimeout bounds one round of heartbeats; by default half of MaxAge, and
 	// no more than 200 ms.
 	RoundTimeout time.Duration
-	// SilenceTimeout is how long a majority may leave all heartbeats unanswered
+	// ContactTimeout is how long a majority may leave all heartbeats unanswered
 	// while a command is in flight; by default MaxAge plus RoundTimeout, and no
 	// more than 240 ms. Where the measured round trip takes too much of that, the
 	// effective time-out is longer.
-	SilenceTimeout time.Duration
+	ContactTimeout time.Duration
 	// Heartbeat sends a heartbeat to one voter; by default over Transport.
 	Heartbeat func(ctx context.Context, address ids.Address) (HeartbeatResponse, error)
 	// Spawn runs a function concurrently; by default in a goroutine.
@@ -64,10 +64,10 @@
 	changed chan struct{}
 	// lost is the state that was logged last.
 	lost bool
-	// silentSince is the newest contact with a majority at the time when a command
+	// contactAtLoss is the newest contact with a majority at the time when a command
 	// in flight last found that it fell silent. Only a request that was sent later
 	// shows contact again.
-	silentSince clock.Instant
+	contactAtLoss clock.Instant
 	// allAnsweredAt is the newest instant for which every voter has answered a
 	// request that was sent then or later.
 	allAnsweredAt clock.Instant
@@ -92,8 +92,8 @@
 	if options.RoundTimeout == 0 {
 		options.RoundTimeout = min(options.MaxAge/2, maxRoundTimeout)
 	}
-	if options.SilenceTimeout == 0 {
-		options.SilenceTimeout = min(options.MaxAge+options.RoundTimeout, maxSilenceTimeout)
+	if options.ContactTimeout == 0 {
+		options.ContactTimeout = min(options.MaxAge+options.RoundTimeout, maxContactTimeout)
 	}
 	if options.Heartbeat == nil {
 		options.Heartbeat = func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
@@ -143,19 +143,19 @@
 // HasQuorum reports whether contact with a majority is recent enough for a
 // command to be begun.
 func (t *Tracker) HasQuorum(now clock.Instant) bool {
-	age, ok := t.MajorityAge(now)
-	return ok && age <= t.options.MaxAge && t.answeredSinceSilence(now.Add(-age))
+	age, ok := t.MajorityContactAge(now)
+	return ok && age <= t.options.MaxAge && t.contactAfterLoss(now.Add(-age))
 }
 
-// MajorityAge returns how long ago a majority of the voters was last known to
+// MajorityContactAge returns how long ago a majority of the voters was last known to
 // hear this controller; false where it never was. A controller that knows of no
 // voters has nobody to ask and counts as in contact.
-func (t *Tracker) MajorityAge(now clock.Instant) (time.Duration, bool) {
+func (t *Tracker) MajorityContactAge(now clock.Instant) (time.Duration, bool) {
 	members := t.options.Voters().Members
 	if len(members) == 0 {
 		return 0, true
 	}
-	return t.majority(members, func(member register.Member, p peer) (time.Duration, bool) {
+	return t.majorityDuration(members, func(member register.Member, p peer) (time.Duration, bool) {
 		if member.Address == t.options.Address {
 			p.lastContact = now
 		}
@@ -163,30 +163,30 @@
 	})
 }
 
-// majority returns the least span that a majority of the members does not exceed,
+// majorityDuration returns the least span that a majorityDuration of the members does not exceed,
 // where measure gives each its own, or leaves it out; false where too few have
 // one. The caller must not hold t.mu.
-func (t *Tracker) majority(members []register.Member, measure func(register.Member, peer) (time.Duration, bool)) (time.Duration, bool) {
-	var spans []time.Duration
+func (t *Tracker) majorityDuration(members []register.Member, measure func(register.Member, peer) (time.Duration, bool)) (time.Duration, bool) {
+	var durations []time.Duration
 	t.mu.Lock()
 	for _, member := range members {
-		if span, ok := measure(member, t.peers[member.Address]); ok {
-			spans = append(spans, span)
+		if duration, ok := measure(member, t.peers[member.Address]); ok {
+			durations = append(durations, duration)
 		}
 	}
 	t.mu.Unlock()
 	quorum := len(members)/2 + 1
-	if len(spans) < quorum {
+	if len(durations) < quorum {
 		return 0, false
 	}
-	slices.Sort(spans)
-	return spans[quorum-1], true
+	slices.Sort(durations)
+	return durations[quorum-1], true
 }
 
-// AllVotersAge returns how long ago all voters, learners included, were last
+// AllVotersContactAge returns how long ago all voters, learners included, were last
 // known to hear this controller; false where they never were. Run keeps it
 // current, so it outlives voters that answered and were then replaced.
-func (t *Tracker) AllVotersAge(now clock.Instant) (time.Duration, bool) {
+func (t *Tracker) AllVotersContactAge(now clock.Instant) (time.Duration, bool) {
 	oldest := now
 	members := t.options.Voters().Members
 	t.mu.Lock()
--- a/control/state/quorum/tracker_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -52,30 +52,30 @@
 	}})
 }
 
-// drainPending lets heartbeats that nobody answers time out.
-func drainPending() { scope.New(scope.Options{}).Wait(4 * testMaxAge) }
+// awaitPendingHeartbeats lets heartbeats that nobody answers time out.
+func awaitPendingHeartbeats() { scope.New(scope.Options{}).Wait(4 * testMaxAge) }
 
-func TestTracker_majorityAgeIsOldestOfNewestMajority(t *testing.T) {
+func TestTracker_majorityContactAgeIsOldestOfNewestMajority(t *testing.T) {
 	tracker := New(Options{Address: "0", Voters: testVoters(5), MaxAge: testMaxAge})
 	now := clock.Instant(10 * time.Second)
 	tracker.RecordContact("1", now.Add(-100*time.Millisecond))
-	if _, ok := tracker.MajorityAge(now); ok {
+	if _, ok := tracker.MajorityContactAge(now); ok {
 		t.Fatal("two of five count as a majority")
 	}
 	tracker.RecordContact("2", now.Add(-300*time.Millisecond))
 	tracker.RecordContact("3", now.Add(-900*time.Millisecond))
-	if age, ok := tracker.MajorityAge(now); !ok || age != 300*time.Millisecond {
+	if age, ok := tracker.MajorityContactAge(now); !ok || age != 300*time.Millisecond {
 		t.Fatalf("age %v, %v", age, ok)
 	}
 	tracker.RecordContact("2", now.Add(-800*time.Millisecond))
-	if age, _ := tracker.MajorityAge(now); age != 300*time.Millisecond {
+	if age, _ := tracker.MajorityContactAge(now); age != 300*time.Millisecond {
 		t.Fatal("an older request made contact older")
 	}
 	voters := testVoters(3)()
 	voters.Members[1].Learner = true
 	tracker = New(Options{Address: "0", Voters: func() register.VoterSet { return voters }, MaxAge: testMaxAge})
 	tracker.RecordContact("1", now)
-	if _, ok := tracker.MajorityAge(now); ok {
+	if _, ok := tracker.MajorityContactAge(now); ok {
 		t.Fatal("a learner counts")
 	}
 }
@@ -121,7 +121,7 @@
 			t.Errorf("%d lines for one loss and one return:\n%s", lines, log)
 		}
 		cancel()
-		drainPending()
+		awaitPendingHeartbeats()
 	})
 }
 
@@ -135,33 +135,33 @@
 		ctx.Wait(time.Second)
 		for range 50 {
 			if ctx.Wait(61 * time.Millisecond); !tracker.HasQuorum(ctx.Now()) {
-				age, _ := tracker.MajorityAge(ctx.Now())
+				age, _ := tracker.MajorityContactAge(ctx.Now())
 				t.Fatalf("contact is %v old", age)
 			}
 		}
 		cancel()
-		drainPending()
+		awaitPendingHeartbeats()
 	})
 }
 
-// TestTracker_stalledProcessNoticesGoneCallerFirst stalls a process: a caller
+// TestWithQuorum_checksCallerAfterStall stalls a process: a caller
 // that went away in the meantime is noticed before its command is begun.
-func TestTracker_stalledProcessNoticesGoneCallerFirst(t *testing.T) {
+func TestWithQuorum_checksCallerAfterStall(t *testing.T) {
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
 	tracker := New(Options{Clock: fake, Log: ctx.Log, Address: "0", Voters: testVoters(1), MaxAge: testMaxAge})
 	tracker.lastTick = fake.Now()
-	guard := func(callerLeaves bool) error {
-		caller, leave := ctx.WithCancel()
-		defer leave()
+	callWithQuorum := func(callerCanceled bool) error {
+		caller, cancelCaller := ctx.WithCancel()
+		defer cancelCaller()
 		result := make(chan error)
 		go func() {
 			_, cancel, err := tracker.WithQuorum(caller)
 			cancel()
 			result <- err
 		}()
-		if callerLeaves {
-			leave()
+		if callerCanceled {
+			cancelCaller()
 		}
 		for {
 			select {
@@ -172,25 +172,25 @@
 			}
 		}
 	}
-	if err := guard(false); err != nil {
+	if err := callWithQuorum(false); err != nil {
 		t.Fatal(err)
 	}
 	fake.Advance(2 * testMaxAge)
-	if !tracker.recentlyStalled(fake.Now()) {
+	if !tracker.detectStall(fake.Now()) {
 		t.Fatal("the stall was not noticed")
 	}
-	if err := guard(true); errkind.KindOf(err) != errkind.NoQuorum {
+	if err := callWithQuorum(true); errkind.KindOf(err) != errkind.NoQuorum {
 		t.Fatalf("begun for a caller that is gone: %v", err)
 	}
-	if err := guard(false); err != nil {
+	if err := callWithQuorum(false); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestTracker_remoteDeadlineNeverOutlivesForwarder draws clocks that differ by
+// TestTracker_remoteDeadlineExpiresBeforeForwarderGivesUp draws clocks that differ by
 // any offset and drift a little, and any delays: a command that arrives late is
 // refused, and one that arrives early enough is not.
-func TestTracker_remoteDeadlineNeverOutlivesForwarder(t *testing.T) {
+func TestTracker_remoteDeadlineExpiresBeforeForwarderGivesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offset := time.Duration(rapid.IntRange(0, 1<<40).Draw(t, "offset"))
 		rate := rapid.IntRange(995, 1000).Draw(t, "receiver's rate in thousandths")
@@ -200,21 +200,21 @@
 			return clock.Instant(offset) + fake.Now()*clock.Instant(rate)/1000
 		}
 		receiver := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge})
-		there, back := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
+		requestDelay, responseDelay := rapid.IntRange(0, 300).Draw(t, "there"), rapid.IntRange(0, 300).Draw(t, "back")
 		forwarder := New(Options{Clock: fake, Log: ctx.Log, Address: "0", Voters: testVoters(3), MaxAge: testMaxAge, Heartbeat: func(context.Context, ids.Address) (HeartbeatResponse, error) {
-			fake.Advance(time.Duration(there) * time.Millisecond)
+			fake.Advance(time.Duration(requestDelay) * time.Millisecond)
 			resp := receiver.Respond(remoteNow())
-			fake.Advance(time.Duration(back) * time.Millisecond)
+			fake.Advance(time.Duration(responseDelay) * time.Millisecond)
 			return resp, nil
 		}})
 		_ = forwarder.heartbeat(ctx, "1")
 		fake.Advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "age")) * time.Millisecond)
-		giveUp := fake.Now().Add(testMaxAge + time.Duration(there+back)*time.Millisecond)
+		giveUp := fake.Now().Add(testMaxAge + time.Duration(requestDelay+responseDelay)*time.Millisecond)
 		deadline, err := forwarder.RemoteDeadline(ctx, "1", giveUp)
 		if err != nil {
 			t.Fatal(err)
 		}
-		early := fake.Now().Since(giveUp) < -time.Duration(back)*time.Millisecond-100*time.Millisecond
+		early := fake.Now().Since(giveUp) < -time.Duration(responseDelay)*time.Millisecond-100*time.Millisecond
 		if early && !receiver.WithinDeadline(deadline, remoteNow()) {
 			t.Fatal("an early command is refused")
 		}
