--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -134,7 +134,7 @@
 func (a *Acceptor) Prepare(req PrepareRequest) PrepareResponse {
 	resp := a.prepareInMemory(req)
 	if resp.Verdict == Granted {
-		resp.Verdict = a.grantDurably(req.Key)
+		resp.Verdict = a.persistGrant(req.Key)
 	}
 	return resp
 }
@@ -158,7 +158,7 @@
 func (a *Acceptor) Accept(req AcceptRequest) AcceptResponse {
 	resp := a.acceptInMemory(req)
 	if resp.Verdict == Granted {
-		resp.Verdict = a.grantDurably(req.Key)
+		resp.Verdict = a.persistGrant(req.Key)
 	}
 	return resp
 }
--- a/control/state/register/batch.go
+++ b/control/state/register/batch.go
@@ -54,8 +54,8 @@
 	return p.Update(ctx, key, func([]byte) ([]byte, error) { return nil, nil })
 }
 
-// exclusively runs a function that shares its turn at the key with no update.
-func (p *Proposer) exclusively(ctx context.Context, key string, run func(context.Context, *keyState) error) error {
+// runExclusive runs a function that shares its turn at the key with no update.
+func (p *Proposer) runExclusive(ctx context.Context, key string, run func(context.Context, *keyState) error) error {
 	_, err := p.submit(key, &pendingUpdate{ctx: ctx, exclusive: run})
 	return err
 }
@@ -171,10 +171,10 @@
 	if batch = p.rejectUnowned(state, batch); len(batch) == 0 {
 		return nil
 	}
-	wanted, cancel := untilAbandoned(ctx, batch)
+	acquireCtx, cancel := contextUntilAbandoned(ctx, batch)
 	defer cancel()
-	if err := p.acquire(wanted, state); err != nil {
-		if wanted.Err() != nil && ctx.Err() == nil {
+	if err := p.acquire(acquireCtx, state); err != nil {
+		if acquireCtx.Err() != nil && ctx.Err() == nil {
 			return errAbandoned
 		}
 		return err
@@ -209,11 +209,11 @@
 	return rest
 }
 
-// untilAbandoned returns a scope that ends once all callers of the batch have
+// contextUntilAbandoned returns a scope that ends once all callers of the batch have
 // given up. It bounds the acquisition: after a partition, one that nobody waits
 // for would hold up the updates that come since. A write is not bounded by it,
 // for it may have reached a voter.
-func untilAbandoned(ctx context.Context, batch []*pendingUpdate) (context.Context, context.CancelFunc) {
+func contextUntilAbandoned(ctx context.Context, batch []*pendingUpdate) (context.Context, context.CancelFunc) {
 	wanted, cancel := context.WithCancel(ctx)
 	var waiting atomic.Int64
 	waiting.Store(int64(len(batch)))
--- a/control/state/register/broadcast.go
+++ b/control/state/register/broadcast.go
@@ -36,12 +36,12 @@
 	refused := map[ids.Address]bool{}
 	for range members {
 		select {
-		case cast := <-votes:
-			state.highestEpoch = max(state.highestEpoch, cast.promised)
-			if cast.verdict == Granted {
-				granted[cast.member.Address] = true
+		case received := <-votes:
+			state.highestEpoch = max(state.highestEpoch, received.promised)
+			if received.verdict == Granted {
+				granted[received.member.Address] = true
 			} else {
-				refused[cast.member.Address] = true
+				refused[received.member.Address] = true
 			}
 		case <-ctx.Done():
 			return errkind.Errorf(errkind.NoQuorum, "the voters did not answer in time")
@@ -56,8 +56,8 @@
 	return errkind.Errorf(errkind.NoQuorum, "no majority")
 }
 
-// sendAccept returns the sending of one proposal for the key of the state.
-func (p *Proposer) sendAccept(state *keyState, proposal Proposal) sendFunc {
+// acceptSender returns the sending of one proposal for the key of the state.
+func (p *Proposer) acceptSender(state *keyState, proposal Proposal) sendFunc {
 	// The sending may outlast the writer's work under these voters.
 	voters := state.voters
 	return func(ctx context.Context, member Member) (Verdict, int64) {
--- a/control/state/register/cluster_test.go
+++ b/control/state/register/cluster_test.go
@@ -44,20 +44,20 @@
 	// hook runs once, before the message that hookAfter counts down to.
 	hookAfter int
 	hook      func()
-	// tolerated is how many disks may be lost at one time.
-	tolerated int
+	// tolerableLosses is how many disks may be lost at one time.
+	tolerableLosses int
 }
 
 // newCluster starts three voters, and standbys up to the voters that tolerate
 // so many losses, and one more.
 func newCluster(t *rapid.T, losses int) *cluster {
-	c := &cluster{t: t, ctx: scope.New(scope.Options{}), partitions: map[[2]ids.Address]bool{}, tolerated: losses, faultFree: true}
+	c := &cluster{t: t, ctx: scope.New(scope.Options{}), partitions: map[[2]ids.Address]bool{}, tolerableLosses: losses, faultFree: true}
 	voters := VoterSet{Generation: 1}
 	for _, name := range []ids.Address{"a", "b", "c"} {
 		voters.Members = append(voters.Members, Member{Address: name})
 	}
 	for index := range 2*losses + 2 {
-		n := &node{address: ids.Address(fmt.Sprintf("%c", 'a'+index)), disk: &fakeDisk{draw: c.draw}}
+		n := &node{address: ids.Address(fmt.Sprintf("%c", 'a'+index)), disk: &fakeDisk{oneIn: c.oneIn}}
 		c.nodes = append(c.nodes, n)
 		c.bootstrapped = index >= 3
 		c.restart(n)
@@ -101,7 +101,7 @@
 		Clock: c.ctx.Clock, Log: c.ctx.Log,
 		Address: n.address, Client: client, Voters: acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return acceptor.Slot(key).Promised.Number },
-		MessageTimeout: 1, Spawn: func(send func()) { send() }, MinCopies: c.tolerated + 1,
+		MessageTimeout: 1, Spawn: func(send func()) { send() }, MinCopies: c.tolerableLosses + 1,
 	})
 	n.joiner = &Joiner{
 		Clock:   c.ctx.Clock,
@@ -116,15 +116,15 @@
 			return others
 		},
 		Replaceable:      func(address ids.Address) bool { return c.find(address).replaceable },
-		TargetVoters:     2*c.tolerated + 1,
+		TargetVoters:     2*c.tolerableLosses + 1,
 		PlacementAllowed: func([]ids.Address) bool { return true },
 		Spawn:            func(send func()) { send() },
 	}
-	n.repairer = &Repairer{Joiner: n.joiner, MinCopies: c.tolerated + 1}
+	n.repairer = &Repairer{Joiner: n.joiner, MinCopies: c.tolerableLosses + 1}
 }
 
-func (c *cluster) draw(odds int) bool {
-	return !c.faultFree && rapid.IntRange(0, odds-1).Draw(c.t, "chance") == 0
+func (c *cluster) oneIn(n int) bool {
+	return !c.faultFree && rapid.IntRange(0, n-1).Draw(c.t, "chance") == 0
 }
 
 func (c *cluster) find(address ids.Address) *node {
@@ -180,12 +180,12 @@
 	defer func() { n.busy = false }()
 	before := c.acknowledged
 	c.writes++
-	mark := string(rune('A'+c.writes%26)) + string(n.address) + ";"
+	entry := string(rune('A'+c.writes%26)) + string(n.address) + ";"
 	value, err := n.proposer.Update(c.ctx, "spec", func(current []byte) ([]byte, error) {
 		if reads {
 			return nil, nil
 		}
-		return append(append([]byte(nil), current...), mark...), nil
+		return append(append([]byte(nil), current...), entry...), nil
 	})
 	if err != nil {
 		return false
--- a/control/state/register/discovery.go
+++ b/control/state/register/discovery.go
@@ -15,8 +15,8 @@
 	if returned := j.returned.Load(); returned != nil && (*returned)[address] {
 		return false
 	}
-	missed := j.missedByMajority.Load()
-	return (missed != nil && (*missed)[address]) || j.Replaceable(address)
+	unreachable := j.unreachableByMajority.Load()
+	return (unreachable != nil && (*unreachable)[address]) || j.Replaceable(address)
 }
 
 // markReturned notes that a voter which seemed lost answered in this run.
@@ -36,7 +36,7 @@
 // under the set known here it is the newest, for a majority of it would hold any
 // newer one. Otherwise all peers are asked.
 func (j *Joiner) discoverVoters(ctx context.Context) {
-	j.missedByMajority.Store(nil)
+	j.unreachableByMajority.Store(nil)
 	for range maxDiscoveryRounds {
 		voters := j.Acceptor.Voters()
 		confirmed, contended := j.pollVoters(ctx, voters)
@@ -60,7 +60,7 @@
 func (j *Joiner) askPeersForVoters(ctx context.Context, voters VoterSet) {
 	optional := func(address ids.Address) bool { return voters.Generation == 0 || j.suspected(address) }
 	known := func() bool { return j.Acceptor.Voters().Generation > 0 }
-	gatherUntil(j, j.withoutReplaceable(j.Peers()), optional, known, j.requestVoters(ctx), discard)
+	gatherUntil(j, j.withoutReplaceable(j.Peers()), optional, known, j.voterSetRequest(ctx), ignoreResponse)
 }
 
 // LearnVoters takes over the voter set that another controller knows.
@@ -77,15 +77,15 @@
 	}
 }
 
-// requestVoters returns LearnVoters as a request for gather.
-func (j *Joiner) requestVoters(ctx context.Context) func(address ids.Address) (struct{}, bool) {
+// voterSetRequest returns LearnVoters as a request for gather.
+func (j *Joiner) voterSetRequest(ctx context.Context) func(address ids.Address) (struct{}, bool) {
 	return func(address ids.Address) (struct{}, bool) {
 		j.LearnVoters(ctx, address)
 		return struct{}{}, true
 	}
 }
 
-func discard(ids.Address, struct{}) {}
+func ignoreResponse(ids.Address, struct{}) {}
 
 // learnNewerVoters takes over the voter set of a replica whose digest names
 // another one than this, and not an older one.
@@ -101,8 +101,8 @@
 // taken for given up.
 func (j *Joiner) pollVoters(ctx context.Context, voters VoterSet) (confirmed bool, contended bool) {
 	majority := quorum(len(voters.Members))
-	missedBy, votes, pending := map[ids.Address]int{}, 0, ids.Epoch{}
-	optional := func(address ids.Address) bool { return j.suspected(address) || missedBy[address] >= majority }
+	unreachableCounts, votes, pending := map[ids.Address]int{}, 0, ids.Epoch{}
+	optional := func(address ids.Address) bool { return j.suspected(address) || unreachableCounts[address] >= majority }
 	always := func() bool { return true }
 	gatherUntil(j, j.withoutReplaceable(j.otherVoters(voters)), optional, always, func(address ids.Address) (DigestResponse, bool) {
 		digest, err := j.fetchDigest(ctx, address)
@@ -118,15 +118,15 @@
 		if slot := digest.key(VotersKey); slot.Promised != slot.Epoch && slot.Promised.Compare(pending) > 0 {
 			pending = slot.Promised
 		}
-		for _, missed := range digest.Unreachable {
-			missedBy[missed]++
+		for _, unreachable := range digest.Unreachable {
+			unreachableCounts[unreachable]++
 		}
 	})
-	missed := map[ids.Address]bool{}
-	for address, count := range missedBy {
-		missed[address] = count >= majority
+	unreachable := map[ids.Address]bool{}
+	for address, count := range unreachableCounts {
+		unreachable[address] = count >= majority
 	}
-	j.missedByMajority.Store(&missed)
+	j.unreachableByMajority.Store(&unreachable)
 	contended = pending.Number > 0 && pending.Owner != j.Address && pending != j.pendingEpoch
 	j.pendingEpoch = pending
 	return voters.Generation > 0 && votes >= majority, contended
--- a/control/state/register/disk_test.go
+++ b/control/state/register/disk_test.go
@@ -13,13 +13,13 @@
 	dirty      bool
 	generation int
 	snapshot   func() [][]byte
-	draw       func(odds int) bool
+	oneIn      func(n int) bool
 }
 
 func (f *fakeDisk) Save(record []byte) error {
 	if f.failing {
 		f.dirty = true
-		if f.draw(2) {
+		if f.oneIn(2) {
 			f.records = append(f.records, record)
 		}
 		return errors.New("model: the save failed")
@@ -43,7 +43,7 @@
 }
 
 func (d *diskSession) Save(record []byte) error {
-	if d.running && d.cluster.eventDepth < 2 && d.cluster.draw(10) {
+	if d.running && d.cluster.eventDepth < 2 && d.cluster.oneIn(10) {
 		d.cluster.eventDepth++
 		d.cluster.randomEvent()
 		d.cluster.eventDepth--
--- a/control/state/register/faults_test.go
+++ b/control/state/register/faults_test.go
@@ -53,7 +53,7 @@
 // itself: a real one does so for some seconds, and may just be being
 // replaced.
 func (c *cluster) canLoseDisk(n *node) bool {
-	sound := 0
+	healthy := 0
 	for _, other := range c.nodes {
 		if other == n {
 			continue
@@ -61,10 +61,10 @@
 		member, ok := c.currentVoters().member(other.address)
 		voting := other.up && !other.replaceable && !member.Learner && member.Incarnation == other.acceptor.Incarnation()
 		if ok && voting && other.acceptor.Voters().Fingerprint() == c.currentVoters().Fingerprint() {
-			sound++
+			healthy++
 		}
 	}
-	return sound >= quorum(len(c.currentVoters().Members))
+	return healthy >= quorum(len(c.currentVoters().Members))
 }
 
 // loseVoters makes so many voters fail: lost, lost with their disks,
@@ -84,9 +84,9 @@
 	}
 }
 
-// loseNewcomer makes the node that is just joining fail; its disk stays or is
+// loseJoiningNode makes the node that is just joining fail; its disk stays or is
 // lost.
-func (c *cluster) loseNewcomer() {
+func (c *cluster) loseJoiningNode() {
 	for _, n := range c.nodes {
 		if n.up && n.busy && !n.acceptor.Voting() {
 			n.up, n.replaceable = false, true
--- a/control/state/register/gather.go
+++ b/control/state/register/gather.go
@@ -26,7 +26,7 @@
 	}
 	spawn := j.Spawn
 	if spawn == nil {
-		spawn = func(send func()) { go send() }
+		spawn = func(task func()) { go task() }
 	}
 	results := make(chan result, len(addresses))
 	for _, address := range addresses {
--- a/control/state/register/gather_test.go
+++ b/control/state/register/gather_test.go
@@ -29,13 +29,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 				j := &Joiner{Clock: ctx.Clock, Suspected: func(address ids.Address) bool { return test.suspected && address == "c" }}
-				begin, taken := ctx.Now(), 0
-				gatherUntil(j, []ids.Address{"a", "b", "c"}, j.suspected, func() bool { return taken >= test.wanted }, func(address ids.Address) (int, bool) {
+				start, responses := ctx.Now(), 0
+				gatherUntil(j, []ids.Address{"a", "b", "c"}, j.suspected, func() bool { return responses >= test.wanted }, func(address ids.Address) (int, bool) {
 					ctx.Wait(map[ids.Address]time.Duration{"a": time.Millisecond, "b": 70 * time.Millisecond, "c": time.Second}[address])
 					return 1, address != "c"
-				}, func(_ ids.Address, resp int) { taken += resp })
-				if took := ctx.Now().Since(begin); took != test.took || taken != 2 {
-					t.Fatalf("%d responses after %v, wanted 2 after %v", taken, took, test.took)
+				}, func(_ ids.Address, resp int) { responses += resp })
+				if took := ctx.Now().Since(start); took != test.took || responses != 2 {
+					t.Fatalf("%d responses after %v, wanted 2 after %v", responses, took, test.took)
 				}
 				synctest.Wait()
 				ctx.Wait(2 * time.Second)
--- a/control/state/register/invariant_test.go
+++ b/control/state/register/invariant_test.go
@@ -7,8 +7,8 @@
 	"onyxwell/base/invariant"
 )
 
-// TestAcceptor_countsLoweredPromise plants a promise that falls.
-func TestAcceptor_countsLoweredPromise(t *testing.T) {
+// TestAcceptor_reportsLoweredPromise plants a promise that falls.
+func TestAcceptor_reportsLoweredPromise(t *testing.T) {
 	acceptor, err := NewAcceptor("a", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -68,13 +68,13 @@
 	RequestTimeout time.Duration
 	// Spawn runs a request in the background; nil starts a goroutine. Tests run it
 	// in place.
-	Spawn func(send func())
+	Spawn func(task func())
 
-	// missedByMajority are the voters that a majority of them misses, returned
+	// unreachableByMajority are the voters that a majority of them misses, returned
 	// those that seemed lost and answered in this run. A key's writer reads both,
 	// perhaps during the next run, so the maps are replaced, never changed.
-	missedByMajority atomic.Pointer[map[ids.Address]bool]
-	returned         atomic.Pointer[map[ids.Address]bool]
+	unreachableByMajority atomic.Pointer[map[ids.Address]bool]
+	returned              atomic.Pointer[map[ids.Address]bool]
 	// stalledRuns counts the runs since the voter set became the present one.
 	stalledRuns        int
 	stalledFingerprint int64
@@ -94,7 +94,7 @@
 func (j *Joiner) Join(ctx context.Context) error {
 	j.returned.Store(nil)
 	j.discoverVoters(ctx)
-	j.noteStalledRun()
+	j.countStalledRun()
 	for range maxMembershipChanges {
 		voters := j.Acceptor.Voters()
 		if voters.Generation == 0 {
@@ -106,7 +106,7 @@
 		if err := j.joinStep(ctx, voters); err != nil {
 			return err
 		}
-		gather(j, j.withoutReplaceable(j.otherVoters(voters)), j.requestVoters(ctx), discard)
+		gather(j, j.withoutReplaceable(j.otherVoters(voters)), j.voterSetRequest(ctx), ignoreResponse)
 	}
 	return nil
 }
--- a/control/state/register/join_test.go
+++ b/control/state/register/join_test.go
@@ -29,14 +29,14 @@
 			standby.RequestTimeout = 300 * time.Millisecond
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			standby.Clock, standby.Proposer.options.Clock = ctx.Clock, ctx.Clock
-			spans := []time.Duration{}
+			durations := []time.Duration{}
 			for range 2 {
-				begin := ctx.Now()
+				start := ctx.Now()
 				_ = standby.Join(ctx)
-				spans = append(spans, ctx.Now().Since(begin))
+				durations = append(durations, ctx.Now().Since(start))
 			}
-			if spans[0] < standby.RequestTimeout/2 || spans[0] > 2*standby.RequestTimeout || spans[1] != 0 {
-				rapidT.Fatalf("a pending epoch was awaited for %v", spans)
+			if durations[0] < standby.RequestTimeout/2 || durations[0] > 2*standby.RequestTimeout || durations[1] != 0 {
+				rapidT.Fatalf("a pending epoch was awaited for %v", durations)
 			}
 		})
 	})
@@ -48,10 +48,10 @@
 func TestJoin_doesNotProposeAfterVotersChanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
-		newcomer, rival := c.nodes[3], c.nodes[4]
+		newcomer, otherNode := c.nodes[3], c.nodes[4]
 		newcomer.joiner.discoverVoters(c.ctx)
 		voters := newcomer.acceptor.Voters()
-		own := Member{Address: rival.address, Incarnation: rival.acceptor.Incarnation(), Learner: true}
+		own := Member{Address: otherNode.address, Incarnation: otherNode.acceptor.Incarnation(), Learner: true}
 		if _, err := c.nodes[0].proposer.Update(c.ctx, VotersKey, c.nodes[0].joiner.replaceMember(voters, 3, own)); err != nil {
 			t.Fatal(err)
 		}
@@ -65,28 +65,28 @@
 	})
 }
 
-// TestJoin_doesNotAwaitVotersMissedByMajority has a newcomer ask nodes of
+// TestJoin_doesNotAwaitVotersUnreachableByMajority has a newcomer ask nodes of
 // which one never answers in time: the voter set it takes from the first that
 // answers, and a voter that a majority misses it does not await.
-func TestJoin_doesNotAwaitVotersMissedByMajority(t *testing.T) {
+func TestJoin_doesNotAwaitVotersUnreachableByMajority(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		c := newFaultFreeCluster(rapidT, 1)
 		synctest.Test(t, func(*testing.T) {
 			newcomer := c.nodes[3].joiner
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			newcomer.Clock, newcomer.Proposer.options.Clock = ctx.Clock, ctx.Clock
-			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", token: &sync.Mutex{}}
+			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", turn: &sync.Mutex{}}
 			newcomer.Replicas, newcomer.RequestTimeout = network, 300*time.Millisecond
 			newcomer.Spawn = func(send func()) {
 				go func() {
-					network.token.Lock()
-					defer network.token.Unlock()
+					network.turn.Lock()
+					defer network.turn.Unlock()
 					send()
 				}()
 			}
-			begin := ctx.Now()
+			start := ctx.Now()
 			newcomer.discoverVoters(ctx)
-			if took := ctx.Now().Since(begin); took != 0 || newcomer.Acceptor.Voters().Generation != 1 || !newcomer.replaceable("c") {
+			if took := ctx.Now().Since(start); took != 0 || newcomer.Acceptor.Voters().Generation != 1 || !newcomer.replaceable("c") {
 				rapidT.Errorf("after %v the newcomer knows %+v, c replaceable: %v", took, newcomer.Acceptor.Voters(), newcomer.replaceable("c"))
 			}
 			ctx.Wait(time.Second)
--- a/control/state/register/messages_test.go
+++ b/control/state/register/messages_test.go
@@ -15,8 +15,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := transport.Unmarshal[Message](body); err != nil || !reflect.DeepEqual(read, message) {
-		t.Fatalf("%+v came as %+v, %v", message, read, err)
+	if decoded, err := transport.Unmarshal[Message](body); err != nil || !reflect.DeepEqual(decoded, message) {
+		t.Fatalf("%+v came as %+v, %v", message, decoded, err)
 	}
 }
 
--- a/control/state/register/network_test.go
+++ b/control/state/register/network_test.go
@@ -12,9 +12,9 @@
 
 // deliver brings a request from one node to another, or loses it or its
 // response; on the way another event may happen.
-func deliver[Response any](c *cluster, from ids.Address, to ids.Address, act func(*Acceptor) Response) (Response, error) {
-	var nothing Response
-	if c.eventDepth < 2 && c.draw(8) {
+func deliver[Response any](c *cluster, from ids.Address, to ids.Address, handle func(*Acceptor) Response) (Response, error) {
+	var zero Response
+	if c.eventDepth < 2 && c.oneIn(8) {
 		c.eventDepth++
 		c.randomEvent()
 		c.eventDepth--
@@ -26,24 +26,24 @@
 		c.hook()
 	}
 	target := c.find(to)
-	if target == nil || !target.up || c.partitions[[2]ids.Address{from, to}] || (from != to && c.draw(12)) {
-		if target != nil && c.draw(3) {
+	if target == nil || !target.up || c.partitions[[2]ids.Address{from, to}] || (from != to && c.oneIn(12)) {
+		if target != nil && c.oneIn(3) {
 			// Not lost, but late: it is delivered when nobody awaits the response.
 			c.delayed = append(c.delayed, func() {
 				if target.up {
-					act(target.acceptor)
+					handle(target.acceptor)
 				}
 			})
 		}
-		return nothing, errMessageLost
+		return zero, errMessageLost
 	}
 	acceptor := target.acceptor
-	resp := act(acceptor)
+	resp := handle(acceptor)
 	if target.acceptor != acceptor {
-		return nothing, errMessageLost
+		return zero, errMessageLost
 	}
-	if c.partitions[[2]ids.Address{to, from}] || (from != to && c.draw(12)) {
-		return nothing, errMessageLost
+	if c.partitions[[2]ids.Address{to, from}] || (from != to && c.oneIn(12)) {
+		return zero, errMessageLost
 	}
 	return resp, nil
 }
@@ -54,9 +54,9 @@
 	from    ids.Address
 }
 
-func (c clusterClient) reconcile(address ids.Address, verdict Verdict, theirs int64, err error) {
+func (c clusterClient) reconcile(address ids.Address, verdict Verdict, generation int64, err error) {
 	if err == nil && verdict == Fenced && address != c.from {
-		c.cluster.find(c.from).joiner.ReconcileVoters(c.cluster.ctx, address, theirs)
+		c.cluster.find(c.from).joiner.ReconcileVoters(c.cluster.ctx, address, generation)
 	}
 }
 
@@ -96,14 +96,14 @@
 type unresponsiveClient struct {
 	ReplicaClient
 	unresponsive ids.Address
-	// token admits one request at a time, since a cluster belongs to one goroutine;
+	// turn admits one request at a time, since a cluster belongs to one goroutine;
 	// the request without a response passes it on.
-	token *sync.Mutex
+	turn *sync.Mutex
 }
 
 func (u unresponsiveClient) waitForTimeout(ctx context.Context) {
-	u.token.Unlock()
-	defer u.token.Lock()
+	u.turn.Unlock()
+	defer u.turn.Lock()
 	<-ctx.Done()
 }
 
--- a/control/state/register/persist.go
+++ b/control/state/register/persist.go
@@ -25,10 +25,10 @@
 	return nil
 }
 
-// grantDurably returns the verdict on a request that was carried out in memory.
+// persistGrant returns the verdict on a request that was carried out in memory.
 // The voter set is saved with the key: a voter that fell back to an older
 // generation would grant what the newer one fences off.
-func (a *Acceptor) grantDurably(key string) Verdict {
+func (a *Acceptor) persistGrant(key string) Verdict {
 	if a.persist(VotersKey, key) != nil {
 		return Failed
 	}
--- a/control/state/register/persist_test.go
+++ b/control/state/register/persist_test.go
@@ -76,13 +76,13 @@
 func TestFetch_returnsOnlyDurableState(t *testing.T) {
 	acceptor, store, voters := newBootstrappedAcceptor(t)
 	next := VoterSet{Generation: 2, Members: []Member{{Address: "a"}, {Address: "b"}, {Address: "d", Incarnation: 9, Learner: true}}}
-	var between FetchResponse
-	store.saves = []func() error{func() error { between = acceptor.Fetch(FetchRequest{}); return failSave() }}
+	var duringSave FetchResponse
+	store.saves = []func() error{func() error { duringSave = acceptor.Fetch(FetchRequest{}); return failSave() }}
 	value := Proposal{Epoch: ids.Epoch{Number: 1, Owner: "b"}, Sequence: 2, Value: encode(next)}
 	if resp := acceptor.Accept(AcceptRequest{Fence: voters.FencingToken(voters.Members[0]), Key: VotersKey, Proposal: value}); resp.Verdict != Failed {
 		t.Fatalf("verdict %d though the save failed", resp.Verdict)
 	}
-	for _, resp := range []FetchResponse{between, acceptor.Fetch(FetchRequest{})} {
+	for _, resp := range []FetchResponse{duringSave, acceptor.Fetch(FetchRequest{})} {
 		if resp.Fingerprint != voters.Fingerprint() || resp.Slots[0].Accepted.Sequence != 1 {
 			t.Fatalf("fetched %+v, which is not durable", resp)
 		}
@@ -92,7 +92,7 @@
 	if resp := acceptor.Prepare(req); resp.Verdict != Granted {
 		t.Fatalf("verdict %d", resp.Verdict)
 	}
-	if known := store.reopen(t).Voters(); known.Generation != 2 {
+	if reopened := store.reopen(t).Voters(); reopened.Generation != 2 {
 		t.Fatalf("a vote outlived the generation %d that it was given under", next.Generation)
 	}
 }
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -53,7 +53,7 @@
 	MinCopies int
 	// Spawn runs a function in the background; nil starts a goroutine. Tests run
 	// it in place.
-	Spawn func(send func())
+	Spawn func(task func())
 }
 
 // Proposer owns keys: it acquires them, updates them and confirms that it still
@@ -84,7 +84,7 @@
 // NewProposer returns a proposer that owns no key.
 func NewProposer(options ProposerOptions) *Proposer {
 	if options.Spawn == nil {
-		options.Spawn = func(send func()) { go send() }
+		options.Spawn = func(task func()) { go task() }
 	}
 	if options.HighestEpoch == nil {
 		options.HighestEpoch = func(string) int64 { return 0 }
@@ -107,7 +107,7 @@
 // Reacquire takes the key over under a new epoch, even from itself, and so
 // writes its newest value to all voters again.
 func (p *Proposer) Reacquire(ctx context.Context, key string) error {
-	return p.exclusively(ctx, key, func(ctx context.Context, state *keyState) error {
+	return p.runExclusive(ctx, key, func(ctx context.Context, state *keyState) error {
 		state.owned = false
 		return p.acquire(ctx, state)
 	})
@@ -119,7 +119,7 @@
 // set changed since, the key is acquired anew, which writes to all voters. The
 // error is ErrNotOwner if the key is not owned.
 func (p *Proposer) Repair(ctx context.Context, key string, lagging []Member) error {
-	return p.exclusively(ctx, key, func(ctx context.Context, state *keyState) error {
+	return p.runExclusive(ctx, key, func(ctx context.Context, state *keyState) error {
 		if !state.owned {
 			return ErrNotOwner
 		}
@@ -132,7 +132,7 @@
 		// Each voter stands for itself: there is no majority to await.
 		var errs []error
 		for _, member := range lagging {
-			errs = append(errs, p.broadcast(ctx, state, [][]Member{{member}}, 0, p.sendAccept(state, state.current)))
+			errs = append(errs, p.broadcast(ctx, state, [][]Member{{member}}, 0, p.acceptSender(state, state.current)))
 		}
 		return errors.Join(errs...)
 	})
@@ -248,7 +248,7 @@
 		}
 		sets = append(sets, voters.Members)
 	}
-	if err := p.broadcast(ctx, state, sets, minCopies, p.sendAccept(state, next)); err != nil {
+	if err := p.broadcast(ctx, state, sets, minCopies, p.acceptSender(state, next)); err != nil {
 		state.owned = false
 		return err
 	}
--- a/control/state/register/redundancy.go
+++ b/control/state/register/redundancy.go
@@ -136,14 +136,14 @@
 	redundancy.TolerableLosses = redundancy.CurrentVotes - quorum(redundancy.Voters)
 	redundancy.Complete = redundancy.Voters > 0 && redundancy.CurrentVotes == redundancy.Voters
 	for _, key := range c.keys {
-		held := KeyRedundancy{Key: key, Copies: c.copies(key), Lagging: []ids.Address{}}
+		keyRedundancy := KeyRedundancy{Key: key, Copies: c.copies(key), Lagging: []ids.Address{}}
 		for _, member := range c.lagging(key, c.newest[key]) {
-			held.Lagging = append(held.Lagging, member.Address)
+			keyRedundancy.Lagging = append(keyRedundancy.Lagging, member.Address)
 		}
 		// One copy must remain after as many losses.
-		redundancy.TolerableLosses = min(redundancy.TolerableLosses, held.Copies-1)
-		redundancy.Complete = redundancy.Complete && held.Copies == redundancy.Voters
-		redundancy.Keys = append(redundancy.Keys, held)
+		redundancy.TolerableLosses = min(redundancy.TolerableLosses, keyRedundancy.Copies-1)
+		redundancy.Complete = redundancy.Complete && keyRedundancy.Copies == redundancy.Voters
+		redundancy.Keys = append(redundancy.Keys, keyRedundancy)
 	}
 	return redundancy
 }
--- a/control/state/register/repair.go
+++ b/control/state/register/repair.go
@@ -15,8 +15,8 @@
 	// MinCopies is how many other disks must hold what a leaving voter holds.
 	MinCopies int
 
-	// newest is that of the last round, per key.
-	newest map[string]KeyDigest
+	// lastNewest is that of the last round, per key.
+	lastNewest map[string]KeyDigest
 	// laggingRounds counts the successive rounds in which a key lagged,
 	// takeovers the times that it was acquired here to repair it.
 	laggingRounds map[string]int
@@ -38,8 +38,8 @@
 // updates that are just being written are left alone.
 func (r *Repairer) Round(ctx context.Context) Redundancy {
 	view := r.survey(ctx)
-	before := r.newest
-	r.newest = view.newest
+	before := r.lastNewest
+	r.lastNewest = view.newest
 	for _, key := range view.keys {
 		lagging := view.lagging(key, before[key])
 		if len(lagging) == 0 {
@@ -64,15 +64,15 @@
 			return
 		}
 	}
-	patience := takeoverRounds + 2*view.rank(r.Joiner.Address)
+	requiredRounds := takeoverRounds + 2*view.rank(r.Joiner.Address)
 	if !r.ownerReachable(ctx, key, view) {
-		patience -= takeoverRounds - 1
+		requiredRounds -= takeoverRounds - 1
 	}
 	if r.Joiner.Acceptor.Slot(key).Promised.Owner == r.Joiner.Address {
 		// This machine owned the key before a restart: nobody else repairs it.
-		patience = 1
+		requiredRounds = 1
 	}
-	if r.laggingRounds[key] >= patience<<min(r.takeovers[key], maxTakeoverBackoff) {
+	if r.laggingRounds[key] >= requiredRounds<<min(r.takeovers[key], maxTakeoverBackoff) {
 		r.takeovers[key]++
 		r.laggingRounds[key] = 0
 		_ = proposer.Reacquire(ctx, key)
--- a/control/state/register/repair_test.go
+++ b/control/state/register/repair_test.go
@@ -18,39 +18,39 @@
 		c.joinAll(4)
 		c.repairAll()
 		members := c.currentVoters().Members
-		owner, away := c.find(members[0].Address), c.find(members[1].Address)
-		away.up = false
+		owner, returned := c.find(members[0].Address), c.find(members[1].Address)
+		returned.up = false
 		for range rapid.IntRange(1, 200).Draw(t, "changes") {
 			if !c.update(owner, false) {
 				t.Fatal("no update is acknowledged with one voter away")
 			}
 		}
 		c.repairAll()
-		c.restart(away)
-		bound, epoch := 1, owner.acceptor.Slot("spec").Promised
+		c.restart(returned)
+		maxRounds, epoch := 1, owner.acceptor.Slot("spec").Promised
 		if rapid.Bool().Draw(t, "owner restarts") {
 			c.restart(owner)
-			bound = 2
-		} else if c.tolerated == 2 && rapid.Bool().Draw(t, "owner is lost") {
-			owner.up, bound = false, takeoverRounds+2*4+1
+			maxRounds = 2
+		} else if c.tolerableLosses == 2 && rapid.Bool().Draw(t, "owner is lost") {
+			owner.up, maxRounds = false, takeoverRounds+2*4+1
 		}
-		before := c.messages
-		for range bound {
+		messagesBeforeRepair := c.messages
+		for range maxRounds {
 			c.repairAll()
 		}
 		if c.countLagging() > 0 && (owner.up || c.countLagging() > 1) {
-			t.Fatalf("%d voters lag after %d rounds", c.countLagging(), bound)
+			t.Fatalf("%d voters lag after %d rounds", c.countLagging(), maxRounds)
 		}
-		if all := len(c.nodes) * bound * (2*len(members) + 6); c.messages-before > all {
-			t.Fatalf("%d messages in %d rounds", c.messages-before, bound)
+		if maxMessages := len(c.nodes) * maxRounds * (2*len(members) + 6); c.messages-messagesBeforeRepair > maxMessages {
+			t.Fatalf("%d messages in %d rounds", c.messages-messagesBeforeRepair, maxRounds)
 		}
-		if bound == 1 && owner.acceptor.Slot("spec").Promised != epoch {
+		if maxRounds == 1 && owner.acceptor.Slot("spec").Promised != epoch {
 			t.Fatal("the key was taken over though its owner repairs it")
 		}
-		quiet := c.messages
+		messagesBefore := c.messages
 		c.repairAll()
-		if all := len(members)*(len(members)-1) + len(c.nodes); owner.up && c.messages-quiet > all {
-			t.Fatalf("%d messages in a round with nothing to repair, wanted %d", c.messages-quiet, all)
+		if maxMessages := len(members)*(len(members)-1) + len(c.nodes); owner.up && c.messages-messagesBefore > maxMessages {
+			t.Fatalf("%d messages in a round with nothing to repair, wanted %d", c.messages-messagesBefore, maxMessages)
 		}
 	})
 }
@@ -64,11 +64,11 @@
 		c.joinAll(4)
 		c.repairAll()
 		members := c.currentVoters().Members
-		owner, behind := c.find(members[rapid.IntRange(0, 1).Draw(t, "owner")].Address), c.find(members[4].Address)
-		behind.up = false
+		owner, lagging := c.find(members[rapid.IntRange(0, 1).Draw(t, "owner")].Address), c.find(members[4].Address)
+		lagging.up = false
 		c.update(owner, false)
 		c.repairAll()
-		behind.up = true
+		lagging.up = true
 		owner.up = false
 		if rapid.Bool().Draw(t, "replaced") {
 			owner.replaceable = true
@@ -116,15 +116,15 @@
 func TestHandOff_beforeLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
-		leaver, third := c.nodes[0], c.nodes[2]
+		leaving, third := c.nodes[0], c.nodes[2]
 		third.up = false
 		c.update(c.nodes[rapid.IntRange(0, 1).Draw(t, "owner")], false)
-		if leaver.repairer.HandOff(c.ctx) {
+		if leaving.repairer.HandOff(c.ctx) {
 			t.Fatal("a leaving voter takes two copies, one of them its own, for enough")
 		}
 		third.up = true
-		for tries := 0; !leaver.repairer.HandOff(c.ctx); tries++ {
-			if tries > 2 {
+		for attempts := 0; !leaving.repairer.HandOff(c.ctx); attempts++ {
+			if attempts > 2 {
 				t.Fatal("the proposal is not handed off")
 			}
 		}
@@ -134,9 +134,9 @@
 	})
 }
 
-// TestCatchUp_standbyHoldsNewest has a standby catch up: it holds the newest
+// TestCatchUp_standbyHoldsNewestProposals has a standby catch up: it holds the newest
 // of each key before any place is free, and has promised nothing.
-func TestCatchUp_standbyHoldsNewest(t *testing.T) {
+func TestCatchUp_standbyHoldsNewestProposals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
 		standby := c.nodes[3]
--- a/control/state/register/replacement_test.go
+++ b/control/state/register/replacement_test.go
@@ -8,12 +8,12 @@
 	"onyxwell/base/ids"
 )
 
-// TestJoin_replacementsInEveryOrder lets as many voters as are tolerated be
+// TestJoin_replacesLostVotersInAnyOrder lets as many voters as are tolerated be
 // lost for good, lose their disks, or be away for a while, in every order and
 // right after one another, with newcomers lost after any request on their
 // way: at every moment the others serve, and a run or two of each newcomer
 // completes the voter set.
-func TestJoin_replacementsInEveryOrder(t *testing.T) {
+func TestJoin_replacesLostVotersInAnyOrder(t *testing.T) {
 	for losses := 1; losses <= 2; losses++ {
 		rapid.Check(t, func(t *rapid.T) {
 			c := newFaultFreeCluster(t, losses)
@@ -21,7 +21,7 @@
 			for range rapid.IntRange(1, 4).Draw(t, "rounds") {
 				c.loseVoters(rapid.IntRange(1, losses).Draw(t, "lost"))
 				c.requireServing("while as many are lost as may be")
-				c.hookAfter, c.hook = rapid.IntRange(0, 60).Draw(t, "after"), c.loseNewcomer
+				c.hookAfter, c.hook = rapid.IntRange(0, 60).Draw(t, "after"), c.loseJoiningNode
 				c.joinAll(1)
 				c.hookAfter = 0
 				c.requireServing("while a newcomer is lost")
@@ -54,22 +54,22 @@
 			lost := c.find(members[index].Address)
 			lost.up, lost.replaceable = false, true
 		}
-		stuck := c.find("f")
+		stalled := c.find("f")
 		voters := c.currentVoters()
-		own := Member{Address: "f", Incarnation: stuck.acceptor.Incarnation(), Learner: true}
-		if _, err := stuck.proposer.Update(c.ctx, VotersKey, stuck.joiner.replaceMember(voters, 3, own)); err != nil {
+		own := Member{Address: "f", Incarnation: stalled.acceptor.Incarnation(), Learner: true}
+		if _, err := stalled.proposer.Update(c.ctx, VotersKey, stalled.joiner.replaceMember(voters, 3, own)); err != nil {
 			t.Fatal(err)
 		}
 		for _, other := range c.nodes {
-			c.partitions[[2]ids.Address{"f", other.address}] = other != stuck
+			c.partitions[[2]ids.Address{"f", other.address}] = other != stalled
 		}
-		spare := c.find(members[3].Address)
-		spare.disk.records = nil
-		c.restart(spare)
-		for range stalledLearnerRuns + 2 {
-			c.join(spare)
+		replacement := c.find(members[3].Address)
+		replacement.disk.records = nil
+		c.restart(replacement)
+		for range maxStalledLearnerRuns + 2 {
+			c.join(replacement)
 		}
-		if !spare.acceptor.Voting() {
+		if !replacement.acceptor.Voting() {
 			t.Fatalf("the learner that makes no progress was not replaced: %+v", c.currentVoters())
 		}
 		c.requireServing("with a newcomer that makes no progress")
@@ -128,15 +128,15 @@
 		c.joinAll(4)
 		members := c.currentVoters().Members
 		lost := rapid.IntRange(0, len(members)-1).Draw(t, "lost")
-		there := (lost + rapid.IntRange(1, len(members)-1).Draw(t, "there")) % len(members)
-		left, back := c.find(members[lost].Address), c.find(members[there].Address)
-		left.up, left.replaceable, back.replaceable = false, true, true
+		answering := (lost + rapid.IntRange(1, len(members)-1).Draw(t, "there")) % len(members)
+		lostNode, answeringNode := c.find(members[lost].Address), c.find(members[answering].Address)
+		lostNode.up, lostNode.replaceable, answeringNode.replaceable = false, true, true
 		c.joinAll(4)
-		if _, ok := c.currentVoters().member(left.address); ok {
-			t.Fatalf("%s was never replaced: %+v", left.address, c.currentVoters())
+		if _, ok := c.currentVoters().member(lostNode.address); ok {
+			t.Fatalf("%s was never replaced: %+v", lostNode.address, c.currentVoters())
 		}
-		if member, ok := c.currentVoters().member(back.address); !ok || member.Learner {
-			t.Fatalf("%s answers and was replaced: %+v", back.address, c.currentVoters())
+		if member, ok := c.currentVoters().member(answeringNode.address); !ok || member.Learner {
+			t.Fatalf("%s answers and was replaced: %+v", answeringNode.address, c.currentVoters())
 		}
 	})
 }
--- a/control/state/register/vacancy.go
+++ b/control/state/register/vacancy.go
@@ -6,15 +6,15 @@
 	"onyxwell/base/ids"
 )
 
-// stalledLearnerRuns is how many runs a standby waits for another's learner.
-const stalledLearnerRuns = 8
+// maxStalledLearnerRuns is how many runs a standby waits for another's learner.
+const maxStalledLearnerRuns = 8
 
-// placementDeferralRuns is how many runs a standby leaves a free place to others
+// maxPlacementDeferralRuns is how many runs a standby leaves a free place to others
 // if its zone or region has voters enough.
-const placementDeferralRuns = 2
+const maxPlacementDeferralRuns = 2
 
-// noteStalledRun counts the runs under one voter set.
-func (j *Joiner) noteStalledRun() {
+// countStalledRun counts the runs under one voter set.
+func (j *Joiner) countStalledRun() {
 	if fingerprint := j.Acceptor.Voters().Fingerprint(); fingerprint != j.stalledFingerprint {
 		j.stalledFingerprint, j.stalledRuns = fingerprint, 0
 	}
@@ -40,11 +40,11 @@
 		}
 	}
 	if learner >= 0 {
-		return learner, j.stalledRuns > stalledLearnerRuns
+		return learner, j.stalledRuns > maxStalledLearnerRuns
 	}
 	if lost >= 0 {
 		// Standbys where fewer voters are go first.
-		return lost, j.PlacementAllowed(slices.Delete(others, lost, lost+1)) || j.stalledRuns > placementDeferralRuns
+		return lost, j.PlacementAllowed(slices.Delete(others, lost, lost+1)) || j.stalledRuns > maxPlacementDeferralRuns
 	}
 	return len(others), len(others) < j.TargetVoters && j.PlacementAllowed(others)
 }
--- a/control/state/register/voterset.go
+++ b/control/state/register/voterset.go
@@ -81,9 +81,9 @@
 	if last := lastFingerprint.Load(); last != nil && last.voters.equal(v) {
 		return last.fingerprint
 	}
-	owned := VoterSet{Generation: v.Generation, Members: slices.Clone(v.Members)}
+	copied := VoterSet{Generation: v.Generation, Members: slices.Clone(v.Members)}
 	fingerprint := v.computeFingerprint()
-	lastFingerprint.Store(&cachedFingerprint{voters: owned, fingerprint: fingerprint})
+	lastFingerprint.Store(&cachedFingerprint{voters: copied, fingerprint: fingerprint})
 	return fingerprint
 }
 
@@ -130,11 +130,11 @@
 // quorumImpossible reports whether the refusals leave some set without a quorum.
 func quorumImpossible(sets [][]Member, refused map[ids.Address]bool, minCopies int) bool {
 	for _, set := range sets {
-		open := map[ids.Address]bool{}
+		possible := map[ids.Address]bool{}
 		for _, member := range set {
-			open[member.Address] = !refused[member.Address]
+			possible[member.Address] = !refused[member.Address]
 		}
-		if len(set) > 0 && !hasQuorum(set, open, minCopies) {
+		if len(set) > 0 && !hasQuorum(set, possible, minCopies) {
 			return true
 		}
 	}
