--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -11,11 +11,11 @@
 	"onyxwell/control/transport"
 )
 
-// Store is the durable storage of an acceptor. Save returns once the record is
-// on the disk; after an error the record may or may not be there.
+// Store is an acceptor's durable storage. Save returns once the record is on
+// disk; after an error the record may or may not have been written.
 type Store interface{ Save(record []byte) error }
 
-// record is what the store holds: a slot, or the identity of the disk.
+// record is the unit of storage: a slot, or the identity of the disk.
 type record struct {
 	Identity    bool            `avro:"Identity"`
 	Incarnation ids.Incarnation `avro:"Incarnation"`
@@ -26,15 +26,15 @@
 func (record) SchemaName() string { return "record_25" }
 
 // RecordError reports a stored record that this build can't decode. Err names
-// the form expected and the one found; the file is the one that the records were
-// read from.
+// the expected schema and the one found. "The file" in its message is the one
+// that the records were read from.
 type RecordError struct {
 	// Index counts the records from 0, of Count.
 	Index, Count int
 	Err          error
 }
 
-// Error says which record it is, what is wrong with it and what to do.
+// Error names the record, the decoding error and the remedy.
 func (r *RecordError) Error() string {
 	return fmt.Sprintf("register: stored record %d of %d: %v: start the build that wrote the file", r.Index+1, r.Count, r.Err)
 }
@@ -42,10 +42,11 @@
 // Unwrap returns the decoder's error.
 func (r *RecordError) Unwrap() error { return r.Err }
 
-// Acceptor is one voter: what it promised and accepted for each key. Its methods
-// may be called from any goroutine.
+// Acceptor is the voter's side of the protocol: it holds the promised epoch and
+// the accepted proposal of each key. It is safe for concurrent use.
 type Acceptor struct {
-	// Monitor may be nil; it is set before the first call.
+	// Monitor records invariant violations. It may be nil, and must be set before
+	// the first method call.
 	Monitor *invariant.Monitor
 
 	mu          sync.Mutex
@@ -53,15 +54,16 @@
 	address     ids.Address
 	incarnation ids.Incarnation
 	identified  bool
-	// slots is the state in memory, durable what of it the store is known to have.
+	// slots is the state in memory; durable is the state that the store is known to
+	// hold.
 	slots   map[string]Slot
 	durable map[string]Slot
 	voters  VoterSet
 	leaving bool
 }
 
-// NewAcceptor returns the acceptor that the records of its store stand for. The
-// error is a *RecordError.
+// NewAcceptor restores an acceptor from the records of its store. Any error is a
+// *RecordError.
 func NewAcceptor(address ids.Address, records [][]byte) (*Acceptor, error) {
 	a := &Acceptor{address: address, slots: map[string]Slot{}, durable: map[string]Slot{}}
 	for index, body := range records {
@@ -81,14 +83,14 @@
 	return a, nil
 }
 
-// Attach sets the store. Until then the acceptor fences off all requests.
+// Attach sets the store. Until then Prepare, Accept and Confirm answer Fenced.
 func (a *Acceptor) Attach(store Store) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.store = store
 }
 
-// Snapshot returns records that stand for the whole state in memory.
+// Snapshot returns records from which NewAcceptor restores the state in memory.
 func (a *Acceptor) Snapshot() [][]byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,7 +104,7 @@
 	return records
 }
 
-// Identify gives a new disk its incarnation.
+// Identify assigns an incarnation to a new disk and saves it.
 func (a *Acceptor) Identify(incarnation ids.Incarnation) error {
 	a.mu.Lock()
 	a.incarnation, a.identified = incarnation, true
@@ -111,8 +113,8 @@
 	return store.Save(encode(record{Identity: true, Incarnation: incarnation}))
 }
 
-// Bootstrap sets the first voter set of a cluster; on a disk that holds any slot
-// it does nothing.
+// Bootstrap stores the initial voter set of a cluster. It does nothing if any
+// slot is stored.
 func (a *Acceptor) Bootstrap(voters VoterSet) error {
 	a.mu.Lock()
 	if len(a.slots) > 0 {
@@ -130,7 +132,8 @@
 	return a.persist(VotersKey)
 }
 
-// Prepare answers a proposer that wants to own a key.
+// Prepare handles a proposer's request to own a key: it promises the epoch unless
+// it has already promised that epoch or a higher one.
 func (a *Acceptor) Prepare(req PrepareRequest) PrepareResponse {
 	resp := a.prepareInMemory(req)
 	if resp.Verdict == Granted {
@@ -154,7 +157,8 @@
 	return PrepareResponse{Verdict: verdict, Generation: a.voters.Generation, Slot: slot}
 }
 
-// Accept answers an owner's proposal.
+// Accept handles an owner's proposal: it accepts it unless it has promised a
+// higher epoch or holds a newer proposal.
 func (a *Acceptor) Accept(req AcceptRequest) AcceptResponse {
 	resp := a.acceptInMemory(req)
 	if resp.Verdict == Granted {
@@ -180,7 +184,8 @@
 	return resp
 }
 
-// Confirm answers an owner that asks whether it still owns a key.
+// Confirm tells an owner whether its epoch is still the highest that this
+// acceptor has promised for a key. It changes no state.
 func (a *Acceptor) Confirm(req ConfirmRequest) AcceptResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,10 +197,11 @@
 	return resp
 }
 
-// Learn takes over slots of other replicas: the newest proposal and the highest
-// promise of each key. A voter ignores a proposal older than its promise, as if
-// the owner's request had come too late; one that doesn't vote takes all. If err
-// is nil all that was taken is durable.
+// Learn merges the slots of other replicas into this one: the newest proposal and
+// the highest promised epoch of each key. A voter ignores a proposal older than
+// its promise, as if the owner's request had arrived too late; a replica that
+// does not vote takes any newer proposal. If the error is nil, all that was
+// learned is durable.
 func (a *Acceptor) Learn(slots []Slot) error {
 	keys := a.learnInMemory(slots)
 	return a.persist(keys...)
@@ -222,23 +228,24 @@
 	return keys
 }
 
-// Leave has the voter give its place to whoever asks for it; it votes until then.
+// Leave marks the voter as leaving: any joining controller may replace it. It
+// continues to vote until it is replaced.
 func (a *Acceptor) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leaving = true
 }
 
-// Slot returns the state in memory of a key.
+// Slot returns the state of a key in memory.
 func (a *Acceptor) Slot(key string) Slot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.slotOf(key)
 }
 
-// Fetch returns durable slots and the voter set that is durable beside them.
-// State that is not durable is left out: whoever learns here relies on this voter
-// to go on fencing off older generations, even after a crash.
+// Fetch returns durable slots and the durable voter set. State that is not yet
+// durable is left out: a replica that learns from this voter relies on it to keep
+// fencing off older generations, even after a crash.
 func (a *Acceptor) Fetch(req FetchRequest) FetchResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -292,8 +299,8 @@
 	return a.incarnation
 }
 
-// Identified reports whether the disk has an identity; one without it counts as
-// blank, whatever slots it holds.
+// Identified reports whether the disk has an identity. A disk without one counts
+// as blank, even if it holds slots.
 func (a *Acceptor) Identified() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -308,24 +315,25 @@
 	return slot
 }
 
-// setSlot replaces a slot in memory. A promise must not fall.
+// setSlot replaces a slot in memory. The promised epoch must not decrease.
 func (a *Acceptor) setSlot(slot Slot) {
 	if before := a.slots[slot.Key].Promised; slot.Promised.Compare(before) < 0 {
-		a.Monitor.Violated(invariant.PromiseRises, "key %s: promised %v after %v", slot.Key, slot.Promised, before)
+		a.Monitor.Violated(invariant.PromiseRises, "key %s: promised epoch %v is lower than the earlier promise %v", slot.Key, slot.Promised, before)
 	}
 	a.slots[slot.Key] = slot
 }
 
-// refreshVoters reads the voter set out of its slot.
+// refreshVoters updates the cached voter set from its slot.
 func (a *Acceptor) refreshVoters() {
 	if voters, ok := decodeVoters(a.slots[VotersKey]); ok {
 		a.voters = voters
 	}
 }
 
-// checkFence decides whether a request may be acted on. VotersKey is open to
-// proposers of any generation: their quorums are counted over the old and the
-// new voter set, so they find the newest.
+// checkFence returns Granted if a request's fencing token is valid, or else
+// Fenced. For VotersKey a token of any generation is valid: a change of voters
+// needs a quorum of both the old and the new voter set, so its proposer finds the
+// newest.
 func (a *Acceptor) checkFence(fence FencingToken, key string) Verdict {
 	if a.store == nil || !a.voting() || fence.Incarnation != a.incarnation {
 		return Fenced
--- a/control/state/register/batch.go
+++ b/control/state/register/batch.go
@@ -8,14 +8,14 @@
 	"onyxwell/base/errkind"
 )
 
-// pendingUpdate is a call that waits for the key's writer. value and err are set
-// before done is closed.
+// pendingUpdate is a queued call that waits for the key's writer. value and err
+// are set before done is closed.
 type pendingUpdate struct {
 	ctx    context.Context
 	update UpdateFunc
-	// exclusive is run by itself, instead of update.
+	// exclusive, if set, is run instead of update, in a batch of its own.
 	exclusive func(ctx context.Context, state *keyState) error
-	// onlyIfOwned refuses the update unless the key is owned already.
+	// onlyIfOwned makes the update fail unless the key is already owned.
 	onlyIfOwned bool
 
 	value []byte
@@ -23,50 +23,53 @@
 	done  chan struct{}
 }
 
-// maxBatchSize bounds the updates of one write; the rest waits for the next.
+// maxBatchSize limits the updates that share one write; further ones wait for the
+// next.
 const maxBatchSize = 64
 
-// errAbandoned ends an acquisition that nobody waits for any more; updates that
-// came since start one anew.
-var errAbandoned = errors.New("register: nobody waits for the bid any more")
+// errAbandoned ends an acquisition whose callers have all given up. Updates that
+// were queued since then start a new one.
+var errAbandoned = errors.New("register: acquisition abandoned: all callers gave up")
 
 // Update acquires the key if needed, applies the function to its value and
-// returns the value that is then committed. If err is nil a quorum of disks has
-// it. After an error of kind NoQuorum the update may or may not take effect;
-// the next owner decides. Updates that wait together share one write: each is
-// applied to the result of the one before, and all return once the write has its
-// quorum, those that the function refused too. So a key bears many updates at
-// once.
+// returns the committed value. If the error is nil, a quorum of disks holds that
+// value. After an error of kind NoQuorum the update may or may not take effect,
+// depending on what the key's next owner finds. Concurrent updates share one
+// write, so that many fit into the time of one: each is applied to the result of
+// the previous one, and all return once the write has its quorum, including those
+// whose function returned an error.
 func (p *Proposer) Update(ctx context.Context, key string, update UpdateFunc) ([]byte, error) {
 	return p.submit(key, &pendingUpdate{ctx: ctx, update: update})
 }
 
-// UpdateIfOwned is Update for a key that is owned already: it never acquires
-// one, so a command that was forwarded here long ago can't take the key from its
-// present owner. If the key is not owned under the newest voter set the error is
-// of kind NoQuorum, and the update has no effect.
+// UpdateIfOwned is Update for a key that is already owned. It never acquires the
+// key, so a command that was forwarded here long ago can't take the key from its
+// current owner. If the key is not owned under the newest voter set, the error is
+// of kind NoQuorum and the update has no effect.
 func (p *Proposer) UpdateIfOwned(ctx context.Context, key string, update UpdateFunc) ([]byte, error) {
 	return p.submit(key, &pendingUpdate{ctx: ctx, update: update, onlyIfOwned: true})
 }
 
-// Read returns the value that a quorum confirms to be the newest.
+// Read returns the key's value after a quorum has confirmed that it is the newest.
+// Like Update, it acquires the key if needed.
 func (p *Proposer) Read(ctx context.Context, key string) ([]byte, error) {
 	return p.Update(ctx, key, func([]byte) ([]byte, error) { return nil, nil })
 }
 
-// runExclusive runs a function that shares its turn at the key with no update.
+// runExclusive runs a function on the key's writer, in a batch of its own.
 func (p *Proposer) runExclusive(ctx context.Context, key string, run func(context.Context, *keyState) error) error {
 	_, err := p.submit(key, &pendingUpdate{ctx: ctx, exclusive: run})
 	return err
 }
 
-// submit queues an update, starts a writer if the key has none, and waits.
+// submit queues an update, starts a writer if the key has none, and waits for the
+// result.
 func (p *Proposer) submit(key string, pending *pendingUpdate) ([]byte, error) {
 	pending.done = make(chan struct{})
 	if state, start := p.enqueue(key, pending); start {
 		p.options.Spawn(func() { p.processQueue(context.WithoutCancel(pending.ctx), state) })
 	}
-	// A result that is there is preferred to the end of ctx.
+	// If both are ready, the result takes precedence over the end of ctx.
 	select {
 	case <-pending.done:
 		return pending.value, pending.err
@@ -76,11 +79,12 @@
 	case <-pending.done:
 		return pending.value, pending.err
 	case <-pending.ctx.Done():
-		return nil, errkind.Errorf(errkind.NoQuorum, "%s: no majority answered in time", key)
+		return nil, errkind.Errorf(errkind.NoQuorum, "key %s: no majority of the voters answered in time", key)
 	}
 }
 
-// enqueue reports whether the caller has to start the key's writer.
+// enqueue queues an update; start reports whether the caller has to start the
+// key's writer.
 func (p *Proposer) enqueue(key string, pending *pendingUpdate) (state *keyState, start bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +99,7 @@
 	return state, start
 }
 
-// processQueue is the key's writer: it works until the queue is empty.
+// processQueue is the key's writer: it commits batches until the queue is empty.
 func (p *Proposer) processQueue(ctx context.Context, state *keyState) {
 	for {
 		batch := p.nextBatch(state)
@@ -104,8 +108,9 @@
 		}
 		err := p.commitWithTimeout(ctx, state, batch)
 		if err != nil && !state.owned && !errors.Is(err, errAbandoned) {
-			// Whoever took the key acts on it now: to acquire it again for those
-			// that wait here would keep it from both.
+			// Another proposer may have taken the key. If the queued updates
+			// acquired it again, the two would preempt each other and neither
+			// would make progress, so the queued updates fail as well.
 			batch = append(batch, p.drainQueue(state)...)
 		}
 		for _, pending := range batch {
@@ -117,9 +122,9 @@
 	}
 }
 
-// nextBatch takes updates off the queue, or one exclusive call. Those whose
-// callers gave up before are answered and left out. With an empty batch the
-// writer has ended.
+// nextBatch dequeues either a batch of updates or a single exclusive call. Calls
+// whose context has ended are completed with an error and left out. An empty
+// batch marks the writer as ended.
 func (p *Proposer) nextBatch(state *keyState) []*pendingUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,7 +136,7 @@
 		}
 		state.queue = state.queue[1:]
 		if next.ctx.Err() != nil {
-			next.err = errkind.Errorf(errkind.NoQuorum, "out of time before it was begun")
+			next.err = errkind.Errorf(errkind.NoQuorum, "the caller's context ended before the update was started")
 			close(next.done)
 			continue
 		}
@@ -144,7 +149,7 @@
 	return batch
 }
 
-// drainQueue takes all that waits off the queue.
+// drainQueue empties the queue and returns what it held.
 func (p *Proposer) drainQueue(state *keyState) []*pendingUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,8 +167,8 @@
 	return p.commitBatch(ctx, state, batch)
 }
 
-// commitBatch applies the updates one after the other and writes the result; if
-// nothing changes a quorum confirms that the value is the newest.
+// commitBatch applies the updates in order and writes the result. If no update
+// changes the value, a quorum confirms that the value is still the newest.
 func (p *Proposer) commitBatch(ctx context.Context, state *keyState, batch []*pendingUpdate) error {
 	if run := batch[0].exclusive; run != nil {
 		return run(ctx, state)
@@ -193,7 +198,8 @@
 	return p.confirm(ctx, state)
 }
 
-// rejectUnowned leaves out the updates that need the key owned if it is not.
+// rejectUnowned fails the updates marked onlyIfOwned if the key is not owned
+// under the newest voter set, and returns the others.
 func (p *Proposer) rejectUnowned(state *keyState, batch []*pendingUpdate) []*pendingUpdate {
 	if state.owned && p.votersCurrent(state) {
 		return batch
@@ -201,7 +207,7 @@
 	var rest []*pendingUpdate
 	for _, pending := range batch {
 		if pending.onlyIfOwned {
-			pending.err = errkind.Errorf(errkind.NoQuorum, "%s is not owned here", state.key)
+			pending.err = errkind.Errorf(errkind.NoQuorum, "key %s is not owned by this proposer", state.key)
 		} else {
 			rest = append(rest, pending)
 		}
@@ -209,10 +215,10 @@
 	return rest
 }
 
-// contextUntilAbandoned returns a scope that ends once all callers of the batch have
-// given up. It bounds the acquisition: after a partition, one that nobody waits
-// for would hold up the updates that come since. A write is not bounded by it,
-// for it may have reached a voter.
+// contextUntilAbandoned returns a context that is canceled once the contexts of
+// all callers of the batch have ended. It bounds the acquisition: after a
+// partition, an acquisition that no caller waits for would delay the updates
+// queued since. It does not bound a write, which may already have reached a voter.
 func contextUntilAbandoned(ctx context.Context, batch []*pendingUpdate) (context.Context, context.CancelFunc) {
 	wanted, cancel := context.WithCancel(ctx)
 	var waiting atomic.Int64
--- a/control/state/register/broadcast.go
+++ b/control/state/register/broadcast.go
@@ -7,10 +7,11 @@
 	"onyxwell/base/ids"
 )
 
-// sendFunc sends one request to a member; it returns the verdict and the number
+// sendFunc sends one request to a member. It returns the verdict and the number
 // of the epoch that the member had promised.
 type sendFunc func(ctx context.Context, member Member) (Verdict, int64)
 
+// vote is the result of one request of a broadcast.
 type vote struct {
 	member  Member
 	verdict Verdict
@@ -18,9 +19,10 @@
 	promised int64
 }
 
-// broadcast sends a request to every member of the sets. It returns once each
-// set has its quorum, or can't get it any more, or ctx ends. The requests
-// themselves are bounded by MessageTimeout alone.
+// broadcast sends a request to every member of the sets. It returns nil once each
+// set has its quorum, and an error once some set can no longer reach it or ctx
+// ends. The requests themselves are bounded by MessageTimeout only, so they may
+// outlive the call.
 func (p *Proposer) broadcast(ctx context.Context, state *keyState, sets [][]Member, minCopies int, send sendFunc) error {
 	members := distinctMembers(sets)
 	votes := make(chan vote, len(members))
@@ -44,7 +46,7 @@
 				refused[received.member.Address] = true
 			}
 		case <-ctx.Done():
-			return errkind.Errorf(errkind.NoQuorum, "the voters did not answer in time")
+			return errkind.Errorf(errkind.NoQuorum, "no quorum of the voters answered in time")
 		}
 		if allQuorums(sets, granted, minCopies) {
 			return nil
@@ -53,12 +55,12 @@
 			return errkind.Errorf(errkind.NoQuorum, "too many voters refused")
 		}
 	}
-	return errkind.Errorf(errkind.NoQuorum, "no majority")
+	return errkind.Errorf(errkind.NoQuorum, "no quorum of the voters granted the request")
 }
 
-// acceptSender returns the sending of one proposal for the key of the state.
+// acceptSender returns a sendFunc that sends a proposal for the state's key.
 func (p *Proposer) acceptSender(state *keyState, proposal Proposal) sendFunc {
-	// The sending may outlast the writer's work under these voters.
+	// The requests may still run when the writer has set a newer state.voters.
 	voters := state.voters
 	return func(ctx context.Context, member Member) (Verdict, int64) {
 		resp, err := p.options.Client.Accept(ctx, member.Address, AcceptRequest{Fence: voters.FencingToken(member), Key: state.key, Proposal: proposal})
@@ -66,7 +68,7 @@
 	}
 }
 
-// verdictOf is Failed for a request that got no response.
+// verdictOf returns the verdict of a response, or Failed if none came.
 func verdictOf(verdict Verdict, err error) Verdict {
 	if err != nil {
 		return Failed
--- a/control/state/register/discovery.go
+++ b/control/state/register/discovery.go
@@ -9,8 +9,9 @@
 	"onyxwell/base/random"
 )
 
-// replaceable reports whether a voter may be replaced: by what this machine
-// observed itself, or because a majority of the voters miss it.
+// replaceable reports whether a voter may be replaced: because this machine itself
+// found it lost, or because a majority of the voters can't reach it. A voter that
+// answered during this run may not be replaced.
 func (j *Joiner) replaceable(address ids.Address) bool {
 	if returned := j.returned.Load(); returned != nil && (*returned)[address] {
 		return false
@@ -19,7 +20,7 @@
 	return (unreachable != nil && (*unreachable)[address]) || j.Replaceable(address)
 }
 
-// markReturned notes that a voter which seemed lost answered in this run.
+// markReturned records that a voter that seemed lost has answered during this run.
 func (j *Joiner) markReturned(address ids.Address) {
 	returned := map[ids.Address]bool{address: true}
 	if before := j.returned.Load(); before != nil {
@@ -28,13 +29,14 @@
 	j.returned.Store(&returned)
 }
 
-// maxDiscoveryRounds bounds how often one run follows a voter set that changes.
+// maxDiscoveryRounds limits how often one run repeats the discovery because the
+// voter set changed or is being changed.
 const maxDiscoveryRounds = 3
 
-// discoverVoters learns the newest voter set, and which voters the others miss:
-// a newcomer hasn't observed them for long enough itself. If a majority votes
-// under the set known here it is the newest, for a majority of it would hold any
-// newer one. Otherwise all peers are asked.
+// discoverVoters learns the newest voter set, and which voters a majority can't
+// reach, since a joining controller has not observed them for long enough itself.
+// If a majority votes under the set known here, that set is the newest: a majority
+// of it would hold any newer one. Otherwise all peers are asked.
 func (j *Joiner) discoverVoters(ctx context.Context) {
 	j.unreachableByMajority.Store(nil)
 	for range maxDiscoveryRounds {
@@ -55,15 +57,15 @@
 	}
 }
 
-// askPeersForVoters asks all peers for their voter set. If none is known here the
-// first response suffices: its voters know a newer set if there is one.
+// askPeersForVoters asks all peers for their voter set. If none is known here, the
+// first one received suffices: its voters know any newer one.
 func (j *Joiner) askPeersForVoters(ctx context.Context, voters VoterSet) {
 	optional := func(address ids.Address) bool { return voters.Generation == 0 || j.suspected(address) }
 	known := func() bool { return j.Acceptor.Voters().Generation > 0 }
 	gatherUntil(j, j.withoutReplaceable(j.Peers()), optional, known, j.voterSetRequest(ctx), ignoreResponse)
 }
 
-// LearnVoters takes over the voter set that another controller knows.
+// LearnVoters fetches the voter set that another controller knows and learns it.
 func (j *Joiner) LearnVoters(ctx context.Context, address ids.Address) {
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
@@ -77,7 +79,7 @@
 	}
 }
 
-// voterSetRequest returns LearnVoters as a request for gather.
+// voterSetRequest adapts LearnVoters to the request argument of gather.
 func (j *Joiner) voterSetRequest(ctx context.Context) func(address ids.Address) (struct{}, bool) {
 	return func(address ids.Address) (struct{}, bool) {
 		j.LearnVoters(ctx, address)
@@ -85,20 +87,22 @@
 	}
 }
 
+// ignoreResponse is the handle argument of gather for voterSetRequest, which has
+// no response to handle.
 func ignoreResponse(ids.Address, struct{}) {}
 
-// learnNewerVoters takes over the voter set of a replica whose digest names
-// another one than this, and not an older one.
+// learnNewerVoters learns the voter set of a replica if its digest names a set
+// other than the given one, of the same or a newer generation.
 func (j *Joiner) learnNewerVoters(ctx context.Context, address ids.Address, voters VoterSet, digest DigestResponse) {
 	if digest.Generation >= voters.Generation && digest.Fingerprint != voters.Fingerprint() {
 		j.LearnVoters(ctx, address)
 	}
 }
 
-// pollVoters asks the voters whom they miss. It reports whether a majority votes
-// under this set, and whether another proposer is changing it just now: two that
-// outbid each other both get nowhere. A pending epoch that was seen before is
-// taken for given up.
+// pollVoters asks the voters which others they can't reach. confirmed reports
+// whether a majority votes under this set. contended reports whether another
+// proposer seems to be changing it: two proposers that preempt each other make no
+// progress. A pending epoch that the previous poll saw too is taken for abandoned.
 func (j *Joiner) pollVoters(ctx context.Context, voters VoterSet) (confirmed bool, contended bool) {
 	majority := quorum(len(voters.Members))
 	unreachableCounts, votes, pending := map[ids.Address]int{}, 0, ids.Epoch{}
@@ -132,9 +136,10 @@
 	return voters.Generation > 0 && votes >= majority, contended
 }
 
-// ReconcileVoters brings whichever side of a fenced request knows an older voter
-// set up to date; generation is that of the other side. Under one generation two
-// proposers may have proposed different sets, so both are exchanged.
+// ReconcileVoters exchanges voter sets with a peer that fenced off a request, so
+// that the side with the older one learns the newer; generation is the peer's. If
+// the generations are equal, two proposers may have proposed different sets, so
+// each side sends its own.
 func (j *Joiner) ReconcileVoters(ctx context.Context, address ids.Address, generation int64) {
 	own := j.Acceptor.Voters().Generation
 	if generation >= own {
--- a/control/state/register/gather.go
+++ b/control/state/register/gather.go
@@ -7,16 +7,16 @@
 	"onyxwell/base/ids"
 )
 
-// gather sends a request to all addresses at once and hands the responses to
-// handle, one at a time, on the caller's goroutine. It does not await suspected
-// replicas.
+// gather sends a request to all addresses concurrently and passes the responses
+// to handle, one at a time, on the caller's goroutine. It does not wait for
+// suspected replicas.
 func gather[Response any](j *Joiner, addresses []ids.Address, request func(address ids.Address) (Response, bool), handle func(address ids.Address, resp Response)) {
 	gatherUntil(j, addresses, j.suspected, func() bool { return true }, request, handle)
 }
 
-// gatherUntil is gather with conditions of its own: optional replicas are awaited
-// only until the responses suffice. Both are asked after each response. So a
-// lost replica doesn't cost each request its whole timeout.
+// gatherUntil is gather with explicit conditions: it waits for optional replicas
+// only until the responses are sufficient, so that a lost replica does not cost
+// its whole timeout every time. Both conditions are evaluated after each response.
 func gatherUntil[Response any](j *Joiner, addresses []ids.Address, optional func(address ids.Address) bool, sufficient func() bool,
 	request func(address ids.Address) (Response, bool), handle func(address ids.Address, resp Response)) {
 	type result struct {
@@ -48,7 +48,7 @@
 			receive(<-results)
 			continue
 		}
-		// Responses that have come meanwhile are handled all the same.
+		// Responses that have already arrived are still handled.
 		select {
 		case r := <-results:
 			receive(r)
@@ -58,7 +58,7 @@
 	}
 }
 
-// gatherDigests asks the other voters of a set for their digests.
+// gatherDigests requests the digests of the other voters of a set.
 func (j *Joiner) gatherDigests(ctx context.Context, voters VoterSet, handle func(address ids.Address, digest DigestResponse)) {
 	gather(j, j.otherVoters(voters), func(address ids.Address) (DigestResponse, bool) {
 		digest, err := j.fetchDigest(ctx, address)
@@ -66,14 +66,14 @@
 	}, handle)
 }
 
-// fetchDigest asks one replica for its digests, within RequestTimeout.
+// fetchDigest requests the digests of one replica, within RequestTimeout.
 func (j *Joiner) fetchDigest(ctx context.Context, address ids.Address) (DigestResponse, error) {
 	ctx, cancel := j.withRequestTimeout(ctx)
 	defer cancel()
 	return j.Replicas.FetchDigest(ctx, address)
 }
 
-// withRequestTimeout bounds one request.
+// withRequestTimeout applies RequestTimeout, if set, to a request's context.
 func (j *Joiner) withRequestTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if j.RequestTimeout == 0 {
 		return ctx, func() {}
@@ -81,12 +81,12 @@
 	return j.Clock.WithTimeout(ctx, j.RequestTimeout)
 }
 
-// suspected reports whether a replica seems not to answer now.
+// suspected reports whether a replica is suspected of not answering at present.
 func (j *Joiner) suspected(address ids.Address) bool {
 	return j.Suspected != nil && j.Suspected(address)
 }
 
-// otherVoters returns the addresses of the voters but this machine's.
+// otherVoters returns the addresses of all voters except this machine's.
 func (j *Joiner) otherVoters(voters VoterSet) []ids.Address {
 	var others []ids.Address
 	for _, member := range voters.Members {
@@ -97,7 +97,8 @@
 	return others
 }
 
-// withoutReplaceable leaves out the voters that are lost, unless all are.
+// withoutReplaceable removes the addresses of replaceable voters, unless all are
+// replaceable.
 func (j *Joiner) withoutReplaceable(addresses []ids.Address) []ids.Address {
 	present := slices.DeleteFunc(slices.Clone(addresses), j.replaceable)
 	if len(present) == 0 {
--- a/control/state/register/learn.go
+++ b/control/state/register/learn.go
@@ -6,11 +6,12 @@
 	"onyxwell/base/ids"
 )
 
-// countAnswering counts the other voters that answer now: a replacement while too
-// few do would leave the cluster without a quorum. It also reports whether the
-// member to be replaced answers itself and still votes; it is not lost then,
-// whatever others say. Suspected voters are not awaited: they have left several
-// requests of this machine unanswered.
+// countAnswering counts the other voters that answer at present: replacing a voter
+// while too few do would leave the cluster without a quorum. returned reports
+// whether the member at index, which is to be replaced, answers itself, still
+// votes and is not leaving; it is not lost then, whatever others report. The call
+// does not wait for suspected voters, which have left several requests of this
+// machine unanswered.
 func (j *Joiner) countAnswering(ctx context.Context, voters VoterSet, index int) (answering int, returned bool) {
 	j.gatherDigests(ctx, voters, func(address ids.Address, digest DigestResponse) {
 		member, _ := voters.member(address)
@@ -26,15 +27,16 @@
 	return answering, returned
 }
 
-// newestCopy is the newest digest of one key among the replicas, the replica that
-// holds it, and the highest epoch that any of them promised.
+// newestCopy is the newest digest of a key among the replicas, the replica that
+// sent it, and the highest epoch that any replica has promised for the key.
 type newestCopy struct {
 	digest   KeyDigest
 	promised ids.Epoch
 	source   ids.Address
 }
 
-// newestCopies are the newest digests of all keys, in the order of their arrival.
+// newestCopies collects the newest copy of every key; keys is in the order in
+// which they were first received.
 type newestCopies struct {
 	keys   []string
 	copies map[string]newestCopy
@@ -56,12 +58,13 @@
 	}
 }
 
-// learnFromVoters takes over the newest state of each key from at least so many
-// other voters, all of which fence off older voter sets than this. Values travel
-// only if this disk lacks them. It reports whether all of it is durable here.
+// learnFromVoters learns the newest state of each key from at least the required
+// number of other voters, all of which fence off older voter sets than this one.
+// It fetches only the values that this disk lacks, and reports whether all that it
+// learned is durable here.
 func (j *Joiner) learnFromVoters(ctx context.Context, voters VoterSet, required int) bool {
 	newest := newestCopies{copies: map[string]newestCopy{}}
-	// Voters that seem lost are asked too: they may be there all the same.
+	// Replaceable voters are asked too: they may still answer.
 	gatherUntil(j, j.otherVoters(voters), j.suspected, func() bool { return required <= 0 }, func(address ids.Address) (DigestResponse, bool) {
 		member, _ := voters.member(address)
 		if member.Learner {
@@ -91,8 +94,9 @@
 	return j.Acceptor.Learn(slots) == nil
 }
 
-// fetchSlot returns the slot to learn, with its value if this disk lacks it. It
-// fails if the source no longer holds the proposal or a newer one.
+// fetchSlot returns the slot to learn, with the proposal fetched from the source if
+// this disk lacks it. It returns false if the fetch fails, or if the source no
+// longer holds that proposal or a newer one.
 func (j *Joiner) fetchSlot(ctx context.Context, key string, newest newestCopy) (Slot, bool) {
 	slot := Slot{Key: key, Promised: newest.promised}
 	if !newest.digest.proposal().newerThan(j.Acceptor.Slot(key).Accepted) {
--- a/control/state/register/persist.go
+++ b/control/state/register/persist.go
@@ -1,9 +1,10 @@
 package register
 
-// persist makes the state in memory of the keys durable. A change is made in
-// memory first, so that requests meanwhile are judged by it; but nothing may be
-// answered on it before the store has it, even while another call's save of it
-// is under way or has failed: each caller saves for itself.
+// persist makes the in-memory state of the keys durable. A change is made in
+// memory first, so that concurrent requests are checked against it, but no request
+// that depends on it may be answered before the store holds it. That includes the
+// case that another call's save of the same change is in progress or has failed,
+// so each caller saves the state itself.
 func (a *Acceptor) persist(keys ...string) error {
 	a.mu.Lock()
 	store := a.store
--- a/control/state/register/vacancy.go
+++ b/control/state/register/vacancy.go
@@ -6,14 +6,15 @@
 	"onyxwell/base/ids"
 )
 
-// maxStalledLearnerRuns is how many runs a standby waits for another's learner.
+// maxStalledLearnerRuns is the number of runs that a standby waits for another
+// machine's learner to become a voter before it replaces it.
 const maxStalledLearnerRuns = 8
 
-// maxPlacementDeferralRuns is how many runs a standby leaves a free place to others
-// if its zone or region has voters enough.
+// maxPlacementDeferralRuns is the number of runs for which a standby whose zone or
+// region has enough voters leaves a lost voter's place to other standbys.
 const maxPlacementDeferralRuns = 2
 
-// countStalledRun counts the runs under one voter set.
+// countStalledRun increments stalledRuns, which starts at 0 for each voter set.
 func (j *Joiner) countStalledRun() {
 	if fingerprint := j.Acceptor.Voters().Fingerprint(); fingerprint != j.stalledFingerprint {
 		j.stalledFingerprint, j.stalledRuns = fingerprint, 0
@@ -21,10 +22,11 @@
 	j.stalledRuns++
 }
 
-// findVacancy returns the index of the member to replace, or the one behind the
-// last: this machine's own; or, while no other is a learner, that of a lost voter
-// or a further one. A learner that makes no progress is replaced, for its vote is
-// missing anyway: two replacements don't wait for each other for ever.
+// findVacancy returns the index of the place for this machine in the voter set:
+// that of its own address if there is one; otherwise, while no other member is a
+// learner, that of a lost voter or, if the set is to grow, the index after the
+// last. A learner that makes no progress is replaced: its vote is missing anyway,
+// and two concurrent replacements would otherwise wait for each other forever.
 func (j *Joiner) findVacancy(voters VoterSet) (int, bool) {
 	lost, learner := -1, -1
 	var others []ids.Address
@@ -43,20 +45,21 @@
 		return learner, j.stalledRuns > maxStalledLearnerRuns
 	}
 	if lost >= 0 {
-		// Standbys where fewer voters are go first.
+		// Standbys in zones and regions with fewer voters take precedence.
 		return lost, j.PlacementAllowed(slices.Delete(others, lost, lost+1)) || j.stalledRuns > maxPlacementDeferralRuns
 	}
 	return len(others), len(others) < j.TargetVoters && j.PlacementAllowed(others)
 }
 
-// HasVacancy reports, without a request, whether there seems to be a place in the
-// voter set for this machine.
+// HasVacancy reports whether, by the state known here, the voter set has a place
+// for this machine. It sends no request.
 func (j *Joiner) HasVacancy() bool {
 	_, ok := j.findVacancy(j.Acceptor.Voters())
 	return ok
 }
 
-// learnQuorum is how many other voters a new one must learn from, so that every
-// majority which its vote could have been part of is met. If as many disks are
-// blank as leave a majority, that is every disk which is not.
+// learnQuorum is the number of other voters that a new voter must learn from, so
+// that they include a member of every majority to which the place's earlier vote
+// could have belonged. If only a bare majority of the disks is not blank, these
+// are all of them.
 func learnQuorum(voters int) int { return voters - quorum(voters) + 1 }
