--- a/control/state/quorum/deadline.go
+++ b/control/state/quorum/deadline.go
@@ -24,7 +24,7 @@
 	End         int64 `avro:"End"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Deadline) SchemaName() string { return "Stamp_24" }
 
 // RemoteDeadline converts the instant at which a forwarded command is given up
--- a/control/state/quorum/messages.go
+++ b/control/state/quorum/messages.go
@@ -17,7 +17,7 @@
 	From ids.Address `avro:"From"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (HeartbeatRequest) SchemaName() string { return "Ask_24" }
 
 // HeartbeatResponse carries the responder's monotonic clock, in nanoseconds, and
@@ -27,7 +27,7 @@
 	Reading     int64 `avro:"Reading"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (HeartbeatResponse) SchemaName() string { return "Told_24" }
 
 // clockOffset is how far the responder's clock was ahead of the own one when its
--- a/control/state/register/acceptor.go
+++ b/control/state/register/acceptor.go
@@ -22,7 +22,7 @@
 	Slot        Slot            `avro:"Slot"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (record) SchemaName() string { return "record_25" }
 
 // RecordError reports a stored record that this build can't decode. Err names
@@ -113,8 +113,8 @@
 	return store.Save(encode(record{Identity: true, Incarnation: incarnation}))
 }
 
-// Bootstrap stores the initial voter set of a cluster. It does nothing if any
-// slot is stored.
+// Bootstrap stores the initial voter set of a cluster. It does nothing if the
+// acceptor holds any slot.
 func (a *Acceptor) Bootstrap(voters VoterSet) error {
 	a.mu.Lock()
 	if len(a.slots) > 0 {
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -95,8 +95,8 @@
 // Join runs once through all steps to becoming a voter: learn the newest voter
 // set; learn the state of its voters; take the place of this machine's former
 // disk or of a lost voter, or a further one while there are fewer than
-// TargetVoters; learn what was written since; and only then vote. If it returns
-// an error, the caller may call it again.
+// TargetVoters; learn what was written since; and only then vote. It returns nil
+// once the disk votes, or after maxMembershipChanges steps without an error.
 func (j *Joiner) Join(ctx context.Context) error {
 	j.returned.Store(nil)
 	j.discoverVoters(ctx)
--- a/control/state/register/messages.go
+++ b/control/state/register/messages.go
@@ -7,19 +7,19 @@
 	"onyxwell/control/transport"
 )
 
-// Proposal is a value under the epoch of the owner that proposed it. Epoch and
-// Sequence together name one value: Sequence counts the writes to a key and
-// continues under the next owner.
+// Proposal is a value with the epoch of the owner that proposed it. Epoch and
+// Sequence together identify one value: Sequence counts the writes to a key, and
+// the next owner continues the count.
 type Proposal struct {
 	Epoch    ids.Epoch `avro:"Epoch"`
 	Sequence int64     `avro:"Sequence"`
 	Value    []byte    `avro:"Value"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Proposal) SchemaName() string { return "Accepted_25" }
 
-// newerThan reports whether p was written after other.
+// newerThan reports whether p is newer than other: by epoch, then by sequence.
 func (p Proposal) newerThan(other Proposal) bool {
 	if order := p.Epoch.Compare(other.Epoch); order != 0 {
 		return order > 0
@@ -27,25 +27,25 @@
 	return p.Sequence > other.Sequence
 }
 
-// Slot is the state of one acceptor for one key: the highest epoch that it
-// promised and the newest proposal that it accepted.
+// Slot is the state of one acceptor for one key: the highest epoch that it has
+// promised and the newest proposal that it has accepted.
 type Slot struct {
 	Key      string    `avro:"Key"`
 	Promised ids.Epoch `avro:"Promised"`
 	Accepted Proposal  `avro:"Accepted"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Slot) SchemaName() string { return "Slot_25" }
 
-// equalSlots reports whether two states of a slot are the same; an epoch and a
-// sequence name one value, so values are not compared.
+// equalSlots reports whether two states of a slot are the same. Epoch and sequence
+// identify a value, so the values themselves are not compared.
 func equalSlots(left Slot, right Slot) bool {
 	return left.Promised == right.Promised && left.Accepted.Epoch == right.Accepted.Epoch && left.Accepted.Sequence == right.Accepted.Sequence
 }
 
-// mergeSlots returns the higher promise and the newer proposal of two states of
-// a slot: records of one key may stand in the log in either order.
+// mergeSlots combines the higher promise and the newer proposal of two states of a
+// slot. The log may hold the records of a key in any order.
 func mergeSlots(left Slot, right Slot) Slot {
 	if left.Promised.Compare(right.Promised) > 0 {
 		right.Promised = left.Promised
@@ -62,35 +62,37 @@
 const (
 	// Granted means that the request was carried out and is durable.
 	Granted Verdict = iota
-	// Superseded means that the acceptor promised a newer epoch or holds a newer
-	// proposal.
+	// Superseded means that the acceptor has promised a newer epoch or holds a
+	// newer proposal.
 	Superseded
 	// Fenced means that the fencing token names another generation or
 	// incarnation, or that the acceptor does not vote.
 	Fenced
-	// Failed means that the storage refused, or that no response came; the
-	// request may have been carried out.
+	// Failed means that the storage returned an error or that no response came. The
+	// request may or may not have been carried out.
 	Failed
 )
 
-// PrepareRequest asks an acceptor to refuse epochs below this one for the key.
+// PrepareRequest asks an acceptor to promise an epoch for a key, that is, to refuse
+// lower ones from then on.
 type PrepareRequest struct {
 	Fence FencingToken `avro:"Fence"`
 	Key   string       `avro:"Key"`
 	Epoch ids.Epoch    `avro:"Epoch"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (PrepareRequest) SchemaName() string { return "PromiseAsk_25" }
 
-// PrepareResponse answers a PrepareRequest with the slot of the acceptor.
+// PrepareResponse answers a PrepareRequest. Slot is the acceptor's state after it,
+// and Generation that of the acceptor's voter set.
 type PrepareResponse struct {
 	Verdict    Verdict `avro:"Verdict"`
 	Generation int64   `avro:"Generation"`
 	Slot       Slot    `avro:"Slot"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (PrepareResponse) SchemaName() string { return "PromiseTold_25" }
 
 // AcceptRequest asks an acceptor to accept a proposal for the key.
@@ -100,29 +102,29 @@
 	Proposal Proposal     `avro:"Accepted"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (AcceptRequest) SchemaName() string { return "AcceptAsk_25" }
 
-// AcceptResponse answers an AcceptRequest and a ConfirmRequest. Promised is the
-// epoch that was promised before the request.
+// AcceptResponse answers an AcceptRequest or a ConfirmRequest. Promised is the
+// epoch that the acceptor had promised before the request.
 type AcceptResponse struct {
 	Verdict    Verdict   `avro:"Verdict"`
 	Generation int64     `avro:"Generation"`
 	Promised   ids.Epoch `avro:"Promised"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (AcceptResponse) SchemaName() string { return "AcceptTold_25" }
 
-// ConfirmRequest asks an acceptor whether this epoch is still the highest that
-// it promised for the key.
+// ConfirmRequest asks an acceptor whether an epoch is still the highest that it
+// has promised for a key.
 type ConfirmRequest struct {
 	Fence FencingToken `avro:"Fence"`
 	Key   string       `avro:"Key"`
 	Epoch ids.Epoch    `avro:"Epoch"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (ConfirmRequest) SchemaName() string { return "ConfirmAsk_25" }
 
 // FetchRequest asks for the durable slot of one key, or for all slots if Key is
@@ -131,11 +133,11 @@
 	Key string `avro:"Key"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (FetchRequest) SchemaName() string { return "CopyAsk_25" }
 
-// FetchResponse carries durable slots and the voter set that is durable beside
-// them.
+// FetchResponse carries durable slots. Generation, Fingerprint and Voting refer to
+// the durable voter set.
 type FetchResponse struct {
 	Incarnation ids.Incarnation `avro:"Incarnation"`
 	Generation  int64           `avro:"Generation"`
@@ -144,10 +146,10 @@
 	Slots       []Slot          `avro:"Slots"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (FetchResponse) SchemaName() string { return "CopyTold_25" }
 
-// KeyDigest is the durable state of one key on one disk, without its value.
+// KeyDigest describes the durable state of one key on one disk, without its value.
 type KeyDigest struct {
 	Key      string    `avro:"Key"`
 	Promised ids.Epoch `avro:"Promised"`
@@ -155,20 +157,20 @@
 	Sequence int64     `avro:"Sequence"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (KeyDigest) SchemaName() string { return "Held_25" }
 
-// proposal is the proposal that the digest stands for, to compare by; it has no
-// value and must never be learned.
+// proposal returns the digest's proposal for comparison. It has no value and must
+// never be learned.
 func (k KeyDigest) proposal() Proposal { return Proposal{Epoch: k.Epoch, Sequence: k.Sequence} }
 
-// DigestRequest asks for the digests of all keys; Hash is that of the caller's
-// own digests.
+// DigestRequest asks for the digests of all keys. Hash is the hash of the digests
+// that the caller already has.
 type DigestRequest struct {
 	Hash int64 `avro:"Sum"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (DigestRequest) SchemaName() string { return "HeldAsk_25" }
 
 // DigestResponse carries the digests of all keys on a voter's disk.
@@ -177,20 +179,20 @@
 	Generation  int64           `avro:"Generation"`
 	Fingerprint int64           `avro:"Mark"`
 	Voting      bool            `avro:"Voting"`
-	// Leaving means that the voter gives its place to whoever asks for it.
+	// Leaving means that any joining controller may replace the voter.
 	Leaving bool `avro:"Leaving"`
-	// Unreachable are the voters that have not answered this one for a while.
+	// Unreachable are the voters that have not answered this one recently.
 	Unreachable []ids.Address `avro:"Away"`
-	// Unchanged means that the digests equal those of the caller; Keys is empty
+	// Unchanged means that the digests have the hash of the request; Keys is empty
 	// then.
 	Unchanged bool        `avro:"Same"`
 	Keys      []KeyDigest `avro:"Keys"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (DigestResponse) SchemaName() string { return "HeldTold_25" }
 
-// Hash is the FNV-1a hash of the digests of all keys.
+// Hash returns the 64-bit FNV-1a hash of the digests of all keys.
 func (d DigestResponse) Hash() int64 {
 	hash := fnv.New64a()
 	for _, digest := range d.Keys {
@@ -199,7 +201,7 @@
 	return int64(hash.Sum64())
 }
 
-// key returns the digest of a key, or a zero one.
+// key returns the digest of a key, or the zero KeyDigest if there is none.
 func (d DigestResponse) key(key string) KeyDigest {
 	for _, digest := range d.Keys {
 		if digest.Key == key {
@@ -209,7 +211,8 @@
 	return KeyDigest{}
 }
 
-// encode cannot fail: the types are this package's own, and a test encodes each.
+// encode encodes a message or record. It ignores the error: only types of this
+// package are passed to it, and a test checks that each can be encoded.
 func encode[Message any](message Message) []byte {
 	body, _ := transport.Marshal(message)
 	return body
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -15,17 +15,17 @@
 )
 
 // ErrNotOwner is returned by Repair if this proposer does not own the key.
-var ErrNotOwner = errors.New("register: another owns the key")
+var ErrNotOwner = errors.New("register: the key is not owned by this proposer")
 
-// VoterClient sends requests to voters, the caller's own included.
+// VoterClient sends requests to voters, including the local one.
 type VoterClient interface {
 	Prepare(ctx context.Context, address ids.Address, req PrepareRequest) (PrepareResponse, error)
 	Accept(ctx context.Context, address ids.Address, req AcceptRequest) (AcceptResponse, error)
 	Confirm(ctx context.Context, address ids.Address, req ConfirmRequest) (AcceptResponse, error)
 }
 
-// UpdateFunc returns the next value of a key. With an error or a nil value the
-// key keeps its value. It must not block.
+// UpdateFunc returns the next value of a key. If it returns an error or a nil
+// value, the key keeps its value. It must not block.
 type UpdateFunc func(current []byte) ([]byte, error)
 
 // ProposerOptions configure a Proposer. Address, Client, Voters and
@@ -38,42 +38,44 @@
 	Client  VoterClient
 	// Voters returns the newest voter set known here.
 	Voters func() VoterSet
-	// HighestEpoch returns the highest epoch that the local acceptor promised for
-	// a key; nil means 0.
+	// HighestEpoch returns the number of the highest epoch that the local acceptor
+	// has promised for a key; a nil func stands for 0.
 	HighestEpoch func(key string) int64
 	// OnCommit is called with each proposal that a quorum is known to hold.
 	OnCommit func(key string, committed Proposal)
-	// MessageTimeout bounds one request to a voter. Requests go on after a quorum
-	// has answered, so that the other voters don't lag.
+	// MessageTimeout bounds one request to a voter. Pending requests continue after
+	// a quorum has answered, so that the other voters don't lag.
 	MessageTimeout time.Duration
-	// BatchTimeout bounds one batch; 0 is no bound.
+	// BatchTimeout bounds one batch of updates; 0 means no bound.
 	BatchTimeout time.Duration
-	// MinCopies is how many disks must hold an update before it is acknowledged,
-	// if that is more than a majority: one more than may be lost at one time.
+	// MinCopies is the number of disks that must hold an update before it is
+	// acknowledged, if that is more than a majority. It should be one more than the
+	// number of disks that may be lost at one time.
 	MinCopies int
-	// Spawn runs a function in the background; nil starts a goroutine. Tests run
-	// it in place.
+	// Spawn runs a function concurrently; nil starts a goroutine. Tests run it
+	// synchronously.
 	Spawn func(task func())
 }
 
-// Proposer owns keys: it acquires them, updates them and confirms that it still
-// owns them. Its methods may be called from any goroutine.
+// Proposer acquires keys, updates them and confirms that it still owns them. It
+// is safe for concurrent use.
 type Proposer struct {
 	options ProposerOptions
 	mu      sync.Mutex
 	keys    map[string]*keyState
 }
 
-// keyState is the proposer's state for one key. One writer at a time works on a
-// key, for all updates that wait.
+// keyState is the proposer's state for one key. At most one writer per key is
+// active; it processes all queued updates.
 type keyState struct {
 	key string
-	// writerActive and queue are guarded by Proposer.mu, the rest belongs to the
-	// writer.
+	// writerActive and queue are guarded by Proposer.mu; the other fields belong to
+	// the writer.
 	writerActive bool
 	queue        []*pendingUpdate
 
-	// owned means that a quorum of voters promised epoch.
+	// owned means that a quorum of the voters has promised epoch, and that no write
+	// or confirmation has failed since.
 	owned        bool
 	highestEpoch int64
 	epoch        ids.Epoch
@@ -95,8 +97,8 @@
 	return &Proposer{options: options, keys: map[string]*keyState{}}
 }
 
-// Owns reports whether this proposer believes that it owns the key, or is at
-// work on it.
+// Owns reports whether this proposer believes that it owns the key, or has a
+// writer active for it.
 func (p *Proposer) Owns(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,8 +106,8 @@
 	return state != nil && (state.writerActive || state.owned)
 }
 
-// Reacquire takes the key over under a new epoch, even from itself, and so
-// writes its newest value to all voters again.
+// Reacquire acquires the key under a new epoch, even if it is already owned, and
+// thereby writes its newest value to all voters again.
 func (p *Proposer) Reacquire(ctx context.Context, key string) error {
 	return p.runExclusive(ctx, key, func(ctx context.Context, state *keyState) error {
 		state.owned = false
@@ -113,11 +115,11 @@
 	})
 }
 
-// Repair sends the newest proposal of an owned key to lagging voters once more.
-// It is the very request that they missed, under the same epoch and fencing
-// token, so a voter that promised another owner since refuses it. If the voter
-// set changed since, the key is acquired anew, which writes to all voters. The
-// error is ErrNotOwner if the key is not owned.
+// Repair resends the newest proposal of an owned key to lagging voters. The request
+// is the one that they missed, with the same epoch and fencing token, so a voter
+// that has promised another owner since refuses it. If the voter set has changed
+// since, the key is acquired again, which writes to all voters. The error is
+// ErrNotOwner if the key is not owned.
 func (p *Proposer) Repair(ctx context.Context, key string, lagging []Member) error {
 	return p.runExclusive(ctx, key, func(ctx context.Context, state *keyState) error {
 		if !state.owned {
@@ -129,7 +131,7 @@
 		if state.current.Sequence == 0 {
 			return nil
 		}
-		// Each voter stands for itself: there is no majority to await.
+		// Each voter is its own set, since no majority is needed.
 		var errs []error
 		for _, member := range lagging {
 			errs = append(errs, p.broadcast(ctx, state, [][]Member{{member}}, 0, p.acceptSender(state, state.current)))
@@ -138,17 +140,17 @@
 	})
 }
 
-// votersCurrent reports whether the voter set that the key was acquired under is
-// the newest known here.
+// votersCurrent reports whether the key was acquired under the newest voter set
+// known here.
 func (p *Proposer) votersCurrent(state *keyState) bool {
 	return state.voters.Fingerprint() == p.options.Voters().Fingerprint()
 }
 
-// acquireAttempts bounds the prepares of one call: a second one where the first
-// was below the epoch that some voter had promised.
+// acquireAttempts limits the attempts of one acquire call. The second one is made
+// if some voter had promised a higher epoch than that of the first.
 const acquireAttempts = 2
 
-// acquire makes sure that the key is owned under the newest voter set.
+// acquire ensures that the key is owned under the newest voter set.
 func (p *Proposer) acquire(ctx context.Context, state *keyState) error {
 	if state.owned && p.votersCurrent(state) {
 		return nil
@@ -182,8 +184,8 @@
 	}
 	state.current = newest
 	if newest.Sequence > 0 {
-		// The proposal may be on a minority only: it is written again under the
-		// new epoch before anything is built on it.
+		// Only a minority may hold the proposal, so it is written again under the new
+		// epoch before any update is applied to it.
 		if err := p.write(ctx, state, newest.Value); err != nil {
 			return err
 		}
@@ -192,9 +194,9 @@
 	return nil
 }
 
-// prepare has a quorum promise the state's epoch and returns the newest proposal
-// that one of them accepted. For VotersKey that may be a newer voter set, whose
-// quorum is then needed too.
+// prepare makes a quorum promise the state's epoch and returns the newest proposal
+// that any of its members has accepted. For VotersKey that may be a newer voter
+// set; prepare is then repeated under that set with a higher epoch.
 func (p *Proposer) prepare(ctx context.Context, state *keyState) (Proposal, error) {
 	for {
 		newest, err := p.prepareOnce(ctx, state)
@@ -212,7 +214,7 @@
 }
 
 func (p *Proposer) prepareOnce(ctx context.Context, state *keyState) (Proposal, error) {
-	// Responses that come after the quorum still write to newest.
+	// mu guards newest, which responses that arrive after the quorum still update.
 	var mu sync.Mutex
 	var newest Proposal
 	voters, epoch := state.voters, state.epoch
@@ -234,17 +236,18 @@
 	return newest, nil
 }
 
-// write has a quorum accept a value under the state's epoch.
+// write makes a quorum accept a value under the state's epoch. A change of the
+// voter set needs a quorum of both the old and the new set.
 func (p *Proposer) write(ctx context.Context, state *keyState, value []byte) error {
 	next := Proposal{Epoch: state.epoch, Sequence: state.current.Sequence + 1, Value: value}
 	sets, minCopies := [][]Member{state.voters.Members}, p.options.MinCopies
 	if state.key == VotersKey {
-		// A voter must be replaceable even while too few disks are there for
-		// other updates.
+		// It must be possible to replace a voter even while there are too few
+		// disks for other updates.
 		minCopies = 0
 		voters, err := transport.Unmarshal[VoterSet](value)
 		if err != nil {
-			return errkind.Errorf(errkind.Internal, "voters: %v", err)
+			return errkind.Errorf(errkind.Internal, "decoding the new voter set: %v", err)
 		}
 		sets = append(sets, voters.Members)
 	}
@@ -257,7 +260,7 @@
 	return nil
 }
 
-// confirm asks a quorum whether the key is still owned.
+// confirm returns nil if a quorum confirms that the key is still owned.
 func (p *Proposer) confirm(ctx context.Context, state *keyState) error {
 	voters, epoch := state.voters, state.epoch
 	err := p.broadcast(ctx, state, [][]Member{voters.Members}, 0, func(ctx context.Context, member Member) (Verdict, int64) {
--- a/control/state/register/redundancy.go
+++ b/control/state/register/redundancy.go
@@ -9,26 +9,29 @@
 	"onyxwell/base/ids"
 )
 
-// Redundancy is how many further losses the control state tolerates, as one
-// controller sees it.
+// Redundancy describes how many further losses the control state tolerates, as
+// seen by one controller.
 type Redundancy struct {
 	Voters int `json:"seats"`
-	// CurrentVotes counts the voters that answered, with the disk that the voter
-	// set names and under the newest set; Unreachable are those that did not
-	// answer, Learners those that don't vote yet.
+	// CurrentVotes counts the voters that answered with the disk that the voter set
+	// names and under the newest set known here. Unreachable are the voters that did
+	// not answer, or answered without a vote or with another disk; Learners are the
+	// members that don't vote yet.
 	CurrentVotes int           `json:"votes_that_count"`
 	Learners     []ids.Address `json:"learning"`
 	Unreachable  []ids.Address `json:"away"`
-	// Keys lists for each key how many disks hold the newest proposal.
+	// Keys lists how many disks hold the newest proposal of each key.
 	Keys []KeyRedundancy `json:"keys"`
-	// TolerableLosses is how many more voters may be lost with every acknowledged
-	// update kept and the next one possible; below 0 none is possible now.
+	// TolerableLosses is the number of further voters that may be lost while every
+	// acknowledged update is kept and further updates are possible. Below 0, no
+	// update is possible now.
 	TolerableLosses int `json:"bears_losses"`
-	// Complete means that all voters answered and hold the newest of all keys.
+	// Complete means that all voters answered and hold the newest proposal of every
+	// key.
 	Complete bool `json:"whole"`
 }
 
-// KeyRedundancy is how many disks hold the newest proposal of a key, and which
+// KeyRedundancy tells how many disks hold the newest proposal of a key, and which
 // voters lag.
 type KeyRedundancy struct {
 	Key     string        `json:"key"`
@@ -36,7 +39,7 @@
 	Lagging []ids.Address `json:"behind"`
 }
 
-// String is the redundancy in one line.
+// String formats the redundancy as one line of text.
 func (r Redundancy) String() string {
 	var lagging []string
 	for _, key := range r.Keys {
@@ -48,14 +51,14 @@
 		r.CurrentVotes, r.Voters, r.Learners, r.Unreachable, strings.Join(lagging, ", "))
 }
 
-// Redundancy surveys the voters and repairs nothing; it is for a controller that
-// is no voter itself.
+// Redundancy surveys the voters without repairing anything. It is meant for a
+// controller that is not a voter.
 func (j *Joiner) Redundancy(ctx context.Context) Redundancy {
 	return (&Repairer{Joiner: j}).survey(ctx).redundancy()
 }
 
 // clusterView is the result of one survey: the digests of the voters that
-// answered, and the newest of each key.
+// answered, and the newest digest of each key.
 type clusterView struct {
 	voters  VoterSet
 	digests map[ids.Address]DigestResponse
@@ -63,8 +66,8 @@
 	keys    []string
 }
 
-// survey asks all voters for their digests. Those that don't answer, or with
-// another disk than the voter set names, are left out.
+// survey requests the digests of all voters. Voters that don't answer, or that
+// answer with a disk other than the one that the voter set names, are left out.
 func (r *Repairer) survey(ctx context.Context) clusterView {
 	j := r.Joiner
 	view := clusterView{voters: j.Acceptor.Voters(), digests: map[ids.Address]DigestResponse{}, newest: map[string]KeyDigest{}}
@@ -90,7 +93,7 @@
 	}
 }
 
-// lagging returns the voters that hold an older proposal of the key than digest.
+// lagging returns the voters whose proposal of the key is older than the digest's.
 func (c clusterView) lagging(key string, digest KeyDigest) []Member {
 	var lagging []Member
 	for _, member := range c.voters.Members {
@@ -106,7 +109,8 @@
 	return len(c.digests) - len(c.lagging(key, c.newest[key]))
 }
 
-// rank is the position of a voter among those that answered.
+// rank returns the position of a voter in the voter set, counting only those that
+// answered.
 func (c clusterView) rank(address ids.Address) int {
 	rank := 0
 	for _, member := range c.voters.Members {
@@ -140,7 +144,7 @@
 		for _, member := range c.lagging(key, c.newest[key]) {
 			keyRedundancy.Lagging = append(keyRedundancy.Lagging, member.Address)
 		}
-		// One copy must remain after as many losses.
+		// At least one copy must remain after that many losses.
 		redundancy.TolerableLosses = min(redundancy.TolerableLosses, keyRedundancy.Copies-1)
 		redundancy.Complete = redundancy.Complete && keyRedundancy.Copies == redundancy.Voters
 		redundancy.Keys = append(redundancy.Keys, keyRedundancy)
--- a/control/state/register/repair.go
+++ b/control/state/register/repair.go
@@ -7,35 +7,37 @@
 	"onyxwell/base/ids"
 )
 
-// Repairer is the anti-entropy between voters: it compares their digests and has
-// lagging ones brought up to date. While none lags only digests travel. It
-// belongs to one goroutine.
+// Repairer runs the anti-entropy between voters: it compares their digests and
+// brings lagging voters up to date. While none lags, only digests are exchanged.
+// It must be used from one goroutine at a time.
 type Repairer struct {
 	Joiner *Joiner
-	// MinCopies is how many other disks must hold what a leaving voter holds.
+	// MinCopies is the number of other disks that must hold a leaving voter's
+	// proposals before it may stop.
 	MinCopies int
 
-	// lastNewest is that of the last round, per key.
+	// lastNewest is the newest digest of each key in the last round.
 	lastNewest map[string]KeyDigest
-	// laggingRounds counts the successive rounds in which a key lagged,
-	// takeovers the times that it was acquired here to repair it.
+	// laggingRounds counts the successive rounds in which a key lagged, from 0 again
+	// after a takeover; takeovers counts how often the key was acquired here for
+	// repair while it lagged.
 	laggingRounds map[string]int
 	takeovers     map[string]int
 	nextPeer      int
 }
 
-// takeoverRounds is how many successive rounds a key may lag before another voter
-// than its owner acquires it. Each voter waits two more for every one that
-// precedes it in the voter set, and twice as long after each takeover, up to
-// 1<<maxTakeoverBackoff times.
+// takeoverRounds is the number of successive rounds that a key may lag before a
+// voter other than its owner acquires it. A voter waits two more rounds for each
+// voter that precedes it in the voter set, and doubles its wait after each
+// takeover, up to 1<<maxTakeoverBackoff times the initial one.
 const (
 	takeoverRounds     = 3
 	maxTakeoverBackoff = 6
 )
 
-// Round surveys the voters, repairs what lags, and returns the redundancy that it
-// found. A voter lags if it is behind the newest proposal of the round before:
-// updates that are just being written are left alone.
+// Round surveys the voters, repairs lagging keys, and returns the redundancy found
+// by the survey. A voter lags if its proposal of a key is older than the newest one
+// of the previous round, so updates that are still being written are left alone.
 func (r *Repairer) Round(ctx context.Context) Redundancy {
 	view := r.survey(ctx)
 	before := r.lastNewest
@@ -52,7 +54,8 @@
 	return view.redundancy()
 }
 
-// repairKey repairs an owned key, and acquires one that its owner doesn't repair.
+// repairKey repairs a key that is owned here, and acquires one that its owner does
+// not repair.
 func (r *Repairer) repairKey(ctx context.Context, key string, view clusterView, lagging []Member) {
 	proposer := r.Joiner.Proposer
 	if r.laggingRounds == nil {
@@ -69,7 +72,7 @@
 		requiredRounds -= takeoverRounds - 1
 	}
 	if r.Joiner.Acceptor.Slot(key).Promised.Owner == r.Joiner.Address {
-		// This machine owned the key before a restart: nobody else repairs it.
+		// This machine owned the key before it restarted, so no other repairs it.
 		requiredRounds = 1
 	}
 	if r.laggingRounds[key] >= requiredRounds<<min(r.takeovers[key], maxTakeoverBackoff) {
@@ -79,8 +82,8 @@
 	}
 }
 
-// ownerReachable reports whether the owner of a key answers: the one that the
-// voters promised the highest epoch.
+// ownerReachable reports whether the owner of a key answers. The owner is the
+// controller to which the voters have promised the highest epoch.
 func (r *Repairer) ownerReachable(ctx context.Context, key string, view clusterView) bool {
 	var highest ids.Epoch
 	for _, digest := range view.digests {
@@ -99,9 +102,9 @@
 // HasLagging reports whether some key lagged in the last round.
 func (r *Repairer) HasLagging() bool { return len(r.laggingRounds) > 0 }
 
-// HandOff has the newest proposals that this disk holds copied to MinCopies
-// others, or to all there are, and reports whether they were already. A voter
-// that leaves calls it until they are.
+// HandOff reports whether MinCopies other disks, or all if there are fewer, hold
+// each newest proposal that this disk holds. Where they do not, it starts copying.
+// A leaving voter calls it until it returns true.
 func (r *Repairer) HandOff(ctx context.Context) bool {
 	if !r.Joiner.Acceptor.Voting() {
 		return true
@@ -117,15 +120,15 @@
 		if err := r.Joiner.Proposer.Repair(ctx, digest.Key, lagging); errors.Is(err, ErrNotOwner) {
 			_ = r.Joiner.Proposer.Reacquire(ctx, digest.Key)
 		}
-		// The next survey tells whether that was enough.
+		// The survey of the next call shows whether this was sufficient.
 		complete = false
 	}
 	return complete
 }
 
-// CatchUp takes over newer proposals from the voters, one voter a call in turn: a
-// standby then has little left to learn when a place is free. It takes over no
-// promise and casts no vote; both come with learning as a member.
+// CatchUp learns newer proposals from one voter per call, in rotation, so that a
+// standby has little left to learn when a place becomes free. It learns no promise
+// and casts no vote; both follow when the standby joins.
 func (r *Repairer) CatchUp(ctx context.Context) {
 	j := r.Joiner
 	others := j.otherVoters(j.Acceptor.Voters())
--- a/control/state/register/vacancy.go
+++ b/control/state/register/vacancy.go
@@ -60,6 +60,6 @@
 
 // learnQuorum is the number of other voters that a new voter must learn from, so
 // that they include a member of every majority to which the place's earlier vote
-// could have belonged. If only a bare majority of the disks is not blank, these
-// are all of them.
+// could have belonged. If the disks that are not blank are a bare majority, that
+// is all of them.
 func learnQuorum(voters int) int { return voters - quorum(voters) + 1 }
--- a/control/state/register/voterset.go
+++ b/control/state/register/voterset.go
@@ -9,44 +9,45 @@
 	"onyxwell/control/transport"
 )
 
-// VotersKey is the key of the voter set itself.
+// VotersKey is the key under which the voter set itself is stored.
 const VotersKey = "cohort"
 
-// Member is one voter of a voter set. A voter that lost its disk comes back
-// under another incarnation, as a learner: its votes don't count until it has
-// learned what its disk may have voted for.
+// Member is one member of a voter set. A voter that has lost its disk returns
+// under another incarnation as a learner: its votes don't count until it has
+// learned what its former disk may have voted for.
 type Member struct {
 	Address     ids.Address     `avro:"Address" json:"Address"`
 	Incarnation ids.Incarnation `avro:"Incarnation" json:"Incarnation"`
 	Learner     bool            `avro:"Learning" json:"Learning"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Member) SchemaName() string { return "Seat_25" }
 
-// VoterSet is the value under VotersKey. From one generation to the next a
-// single member changes, and a replacement learns before it votes, so every
-// majority of the one meets every majority of the other.
+// VoterSet is the value under VotersKey. A single member changes from one
+// generation to the next, and a replacement learns before it votes, so every
+// majority of one generation intersects every majority of the next.
 type VoterSet struct {
 	Generation int64    `avro:"Generation"`
 	Members    []Member `avro:"Seats"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (VoterSet) SchemaName() string { return "Voters_25" }
 
-// FencingToken goes with every request to a voter: one of another incarnation or
-// generation refuses it.
+// FencingToken is part of every request to a voter. A voter with another
+// incarnation, generation or fingerprint refuses the request; for VotersKey only
+// the incarnation is compared.
 type FencingToken struct {
 	Generation  int64           `avro:"Generation"`
 	Fingerprint int64           `avro:"Mark"`
 	Incarnation ids.Incarnation `avro:"Incarnation"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (FencingToken) SchemaName() string { return "Fence_25" }
 
-// FencingToken returns the token of requests to one member.
+// FencingToken returns the token for requests to a member.
 func (v VoterSet) FencingToken(member Member) FencingToken {
 	return FencingToken{Generation: v.Generation, Fingerprint: v.Fingerprint(), Incarnation: member.Incarnation}
 }
@@ -65,18 +66,18 @@
 	return v.Generation == other.Generation && slices.Equal(v.Members, other.Members)
 }
 
-// cachedFingerprint is a voter set, with members of its own, and its fingerprint.
+// cachedFingerprint is a copy of a voter set and its fingerprint.
 type cachedFingerprint struct {
 	voters      VoterSet
 	fingerprint int64
 }
 
-// lastFingerprint is the voter set asked for last: the set rarely changes, and
-// each request carries its fingerprint.
+// lastFingerprint caches the fingerprint that was computed last: the voter set
+// rarely changes, and each request carries its fingerprint.
 var lastFingerprint atomic.Pointer[cachedFingerprint]
 
-// Fingerprint tells apart voter sets of one generation that two proposers
-// proposed at once.
+// Fingerprint returns a hash that distinguishes voter sets of the same generation
+// that two proposers proposed concurrently.
 func (v VoterSet) Fingerprint() int64 {
 	if last := lastFingerprint.Load(); last != nil && last.voters.equal(v) {
 		return last.fingerprint
@@ -93,7 +94,7 @@
 	return int64(hash.Sum64())
 }
 
-// decodeVoters reads the voter set out of its slot.
+// decodeVoters decodes the voter set from the slot of VotersKey.
 func decodeVoters(slot Slot) (VoterSet, bool) {
 	if len(slot.Accepted.Value) == 0 {
 		return VoterSet{}, false
@@ -102,11 +103,11 @@
 	return voters, err == nil
 }
 
-// quorum is the size of a majority of so many voters.
+// quorum returns the size of a majority of the given number of voters.
 func quorum(voters int) int { return voters/2 + 1 }
 
 // hasQuorum reports whether the votes are a majority of the members and at least
-// minCopies. A learner counts as a member that did not vote.
+// minCopies. Learners count as members that did not vote.
 func hasQuorum(members []Member, votes map[ids.Address]bool, minCopies int) bool {
 	granted := 0
 	for _, member := range members {
@@ -117,7 +118,7 @@
 	return granted >= max(quorum(len(members)), minCopies)
 }
 
-// allQuorums reports whether each of the sets has its quorum.
+// allQuorums reports whether each set has a quorum; empty sets are ignored.
 func allQuorums(sets [][]Member, granted map[ids.Address]bool, minCopies int) bool {
 	for _, set := range sets {
 		if len(set) > 0 && !hasQuorum(set, granted, minCopies) {
@@ -127,7 +128,8 @@
 	return true
 }
 
-// quorumImpossible reports whether the refusals leave some set without a quorum.
+// quorumImpossible reports whether the refusals make a quorum of some set
+// impossible; empty sets are ignored.
 func quorumImpossible(sets [][]Member, refused map[ids.Address]bool, minCopies int) bool {
 	for _, set := range sets {
 		possible := map[ids.Address]bool{}
@@ -141,8 +143,8 @@
 	return false
 }
 
-// distinctMembers returns each address of the sets once. The newer set comes
-// second: the incarnation that it names is the one in force.
+// distinctMembers returns one member per address: that of the first set which
+// names the address, unless it is a learner there and a voter in a later set.
 func distinctMembers(sets [][]Member) []Member {
 	var members []Member
 	indexes := map[ids.Address]int{}
