--- a/control/state/quorum/contact_timeout.go
+++ b/control/state/quorum/contact_timeout.go
@@ -8,17 +8,18 @@
 	"onyxwell/control/state/register"
 )
 
-// roundsPerContactTimeout is how many heartbeat rounds fall into SilenceTimeout, so that
-// no command ends for a single lost packet.
+// roundsPerContactTimeout is the number of heartbeat rounds per ContactTimeout.
+// There are several, so that a single lost packet does not cancel a command.
 const roundsPerContactTimeout = 5
 
-// rttSamples are the newest round-trip times, newest first; 0 is none. The least
-// of them counts: a packet that was lost and sent again tells nothing of the path.
+// rttSamples holds the last three round-trip times, newest first; 0 means none.
+// Their minimum is used, as the time of a packet that was lost and retransmitted
+// does not reflect the latency of the path.
 type rttSamples [3]time.Duration
 
 func (r rttSamples) with(rtt time.Duration) rttSamples { return rttSamples{rtt, r[0], r[1]} }
 
-// min returns the least sample; 0 where there is none.
+// min returns the smallest sample, or 0 if there is none.
 func (r rttSamples) min() time.Duration {
 	minimum := time.Duration(0)
 	for _, rtt := range r {
@@ -29,8 +30,8 @@
 	return minimum
 }
 
-// majorityRTT returns how long it takes until a majority has answered a
-// heartbeat; 0 where the round trips of fewer are known.
+// majorityRTT returns the time in which a majority answers a heartbeat, or 0 if the
+// round-trip times of too few voters are known.
 func (t *Tracker) majorityRTT() time.Duration {
 	rtt, _ := t.majorityDuration(t.options.Voters().Members, func(member register.Member, p peer) (time.Duration, bool) {
 		if member.Address == t.options.Address {
@@ -42,25 +43,27 @@
 	return rtt
 }
 
-// heartbeatInterval is the time between two rounds while a command is in flight.
+// heartbeatInterval returns the time between two rounds while a command is in
+// flight.
 func (t *Tracker) heartbeatInterval() time.Duration {
 	return t.options.ContactTimeout / roundsPerContactTimeout
 }
 
-// effectiveContactTimeout is how old contact may get while a command is in flight:
+// effectiveContactTimeout returns the maximum age of contact while a command is in
+// flight:
 //
-//	max(SilenceTimeout, 3/2 RTT + 2 heartbeat intervals)
+//	max(ContactTimeout, 3/2 RTT + 2 heartbeat intervals)
 //
-// with the majority's round-trip time, and never more than MaxAge + RoundTimeout.
+// where RTT is majorityRTT, but never more than MaxAge + RoundTimeout.
 func (t *Tracker) effectiveContactTimeout() time.Duration {
 	required := t.majorityRTT()*3/2 + 2*t.heartbeatInterval()
 	return min(max(t.options.ContactTimeout, required), t.options.MaxAge+t.options.RoundTimeout)
 }
 
-// watch sends heartbeat rounds until ctx ends, or until a majority has been
-// silent for silenceTimeout since the call or since the newest request that it
-// answered, whichever is later. A command that is done within one interval costs
-// no heartbeat: its own requests count as contact.
+// watch sends heartbeat rounds until ctx ends or contact with a majority is lost:
+// effectiveContactTimeout after the call, or after the newest request that a
+// majority answered was sent, whichever is later. A command that ends within one
+// interval costs no heartbeat, since its own requests count as contact.
 func (t *Tracker) watch(ctx context.Context) {
 	start := t.options.Clock.Now()
 	for {
@@ -77,16 +80,16 @@
 			return
 		}
 		if woken := t.options.Clock.Now(); woken.Since(now) > wait+t.heartbeatInterval() {
-			// This process stalled: the responses that arrived meanwhile are to be
-			// read before a majority is taken for silent.
+			// This process stalled. Responses that arrived meanwhile must be read
+			// before contact can be considered lost.
 			start = woken
 		}
 		t.heartbeatRound(ctx)
 	}
 }
 
-// recordQuorumLoss records that a majority, last in contact at the instant, fell
-// silent.
+// recordQuorumLoss records that contact with a majority, which dates from the given
+// instant, has been lost.
 func (t *Tracker) recordQuorumLoss(contact clock.Instant) {
 	t.mu.Lock()
 	t.contactAtLoss = max(t.contactAtLoss, contact)
@@ -94,8 +97,8 @@
 	t.logTransition(false)
 }
 
-// contactAfterLoss reports whether contact at the instant is newer than that
-// at which a majority last fell silent.
+// contactAfterLoss reports whether contact at the given instant is newer than the
+// contact that was last recorded as lost.
 func (t *Tracker) contactAfterLoss(contact clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/control/state/quorum/contact_timeout_test.go
+++ b/control/state/quorum/contact_timeout_test.go
@@ -14,13 +14,14 @@
 	"onyxwell/base/scope"
 )
 
-// testLink is a tracker of the first of three voters, with a MaxAge of 375 ms, and
-// its link to the second; the third never answers.
+// testLink is the tracker of voter 0 of three, with a MaxAge of 375 ms, and its
+// link to voter 1; voter 2 never answers.
 type testLink struct {
 	tracker     *Tracker
 	partitioned atomic.Bool
 	heartbeats  atomic.Int64
-	// delay is the round-trip time of the heartbeat of that number.
+	// delay returns the round-trip time of the heartbeat with the given number,
+	// counted from 1.
 	delay func(number int64) time.Duration
 }
 
@@ -44,9 +45,9 @@
 	return func(int64) time.Duration { return delay }
 }
 
-// TestWithQuorum_contextEndsSoonAfterPartition partitions the link before a
-// command that is begun on contact still fresh, with its start, and at any moment
-// of it.
+// TestWithQuorum_contextEndsSoonAfterPartition partitions the link up to 200 ms
+// before the start of a command, while contact is still recent, and at various
+// moments after it.
 func TestWithQuorum_contextEndsSoonAfterPartition(t *testing.T) {
 	for _, rtt := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 70 * time.Millisecond, 80 * time.Millisecond} {
 		for after := -200 * time.Millisecond; after < 600*time.Millisecond; after += 37 * time.Millisecond {
@@ -62,18 +63,18 @@
 				if err == nil {
 					clock.Wait(guarded, ctx.Clock, max(0, after))
 					if guarded.Err() != nil {
-						t.Errorf("rtt %v: a command ended before the partition", rtt)
+						t.Errorf("rtt %v: a command was canceled before the partition", rtt)
 					}
 					link.partitioned.Store(true)
 					start = max(start, ctx.Now())
 					<-guarded.Done()
 				}
 				if took := ctx.Now().Since(start); took > 250*time.Millisecond {
-					t.Errorf("rtt %v, partitioned %v after the start: ended after %v", rtt, after, took)
+					t.Errorf("rtt %v, partitioned %v after the start: canceled after %v, want at most 250ms", rtt, after, took)
 				}
 				for range 2 {
 					if _, _, err := link.tracker.WithQuorum(ctx); errkind.KindOf(err) != errkind.NoQuorum || link.tracker.Status(ctx.Now()).Majority {
-						t.Errorf("begun after a majority fell silent: %v", err)
+						t.Errorf("a command was started after contact was lost: %v", err)
 					}
 				}
 				release()
@@ -84,19 +85,19 @@
 	}
 }
 
-// TestTracker_packetLossAndHighLatencyKeepQuorum runs commands of two seconds on
-// links that lose packets (which arrive 200 ms and more late, once sent again),
-// that are long, and that are congested for good.
+// TestTracker_packetLossAndHighLatencyKeepQuorum runs commands of two seconds over
+// links with packet loss (a retransmitted packet arrives at least 200 ms late), with
+// high latency, and with permanent congestion: none may be canceled.
 func TestTracker_packetLossAndHighLatencyKeepQuorum(t *testing.T) {
 	const rtt = 70 * time.Millisecond
 	cases := map[string]func(int64) time.Duration{
-		"each second lost": func(number int64) time.Duration { return rtt + 270*time.Millisecond*time.Duration(number%2) },
-		"two of three lost": func(number int64) time.Duration {
+		"every second packet lost": func(number int64) time.Duration { return rtt + 270*time.Millisecond*time.Duration(number%2) },
+		"two of three packets lost": func(number int64) time.Duration {
 			return rtt + 270*time.Millisecond*time.Duration(min(1, number%3))
 		},
-		"long":   constantDelay(180 * time.Millisecond),
-		"longer": constantDelay(300 * time.Millisecond),
-		"congested for good": func(number int64) time.Duration {
+		"latency of 180 ms": constantDelay(180 * time.Millisecond),
+		"latency of 300 ms": constantDelay(300 * time.Millisecond),
+		"permanent congestion": func(number int64) time.Duration {
 			return rtt + min(150*time.Millisecond, time.Duration(max(0, number-8))*10*time.Millisecond)
 		},
 		"jitter": func(number int64) time.Duration { return rtt + time.Duration(number*37%101)*time.Millisecond },
@@ -114,7 +115,7 @@
 						t.Fatal(err)
 					}
 					if start := ctx.Now(); !clock.Wait(guarded, ctx.Clock, 2*time.Second) {
-						t.Errorf("command %d ended after %v, at a round trip of %v", command, ctx.Now().Since(start), link.tracker.majorityRTT())
+						t.Errorf("command %d was canceled after %v, at a round-trip time of %v", command, ctx.Now().Since(start), link.tracker.majorityRTT())
 					}
 					release()
 					ctx.Wait(300 * time.Millisecond)
@@ -126,8 +127,8 @@
 	}
 }
 
-// TestTracker_heartbeatRateIsBounded counts heartbeats: concurrent commands share
-// their rounds, which end with them.
+// TestTracker_heartbeatRateIsBounded counts heartbeats: concurrent commands must
+// share rounds, and the short interval must end with the last of them.
 func TestTracker_heartbeatRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := scope.New(scope.Options{}).WithCancel()
@@ -153,30 +154,31 @@
 		after := count()
 		t.Logf("heartbeats to a voter in 6 s: %d idle, %d with commands in flight, %d after", idle, busy, after)
 		if busy > 130 || idle > 25 || after > idle+1 {
-			t.Errorf("%d idle, %d with commands in flight, %d after", idle, busy, after)
+			t.Errorf("heartbeats in 6 s: %d idle, %d with commands in flight, %d after; want at most 25, 130 and idle+1", idle, busy, after)
 		}
 		cancel()
 		awaitPendingHeartbeats()
 	})
 }
 
-// jumpingClock is a clock that can jump ahead, as clocks seem to after a stall of
-// the process.
+// jumpingClock is a clock that can jump ahead, which simulates a stall of the
+// process.
 type jumpingClock struct {
 	clock.Clock
 	mu     sync.Mutex
 	offset time.Duration
 }
 
-// Now is ahead by the offset.
+// Now returns the time of the underlying clock plus the offset.
 func (j *jumpingClock) Now() clock.Instant {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.Clock.Now().Add(j.offset)
 }
 
-// TestTracker_stalledProcessReadsPendingResponsesFirst stalls a process during a
-// command: contact seems as old as the stall, but a voter that answers shows it.
+// TestTracker_stalledProcessReadsPendingResponsesFirst stalls the process during a
+// command: contact then appears to be as old as the stall, but the command must not
+// be canceled while a voter answers.
 func TestTracker_stalledProcessReadsPendingResponsesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		jumping := &jumpingClock{Clock: scope.New(scope.Options{}).Clock}
@@ -193,12 +195,12 @@
 			jumping.mu.Unlock()
 		}
 		if !clock.Wait(guarded, ctx.Clock, time.Second) {
-			t.Error("a command ended though its process alone stalled")
+			t.Error("a command was canceled though only its own process stalled")
 		}
 		link.partitioned.Store(true)
 		start := ctx.Now()
 		if <-guarded.Done(); ctx.Now().Since(start) > 250*time.Millisecond {
-			t.Errorf("ended %v after a partition", ctx.Now().Since(start))
+			t.Errorf("a command was canceled %v after the partition, want at most 250ms", ctx.Now().Since(start))
 		}
 		release()
 		awaitPendingHeartbeats()
--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -10,17 +10,20 @@
 
 // Errors of EnsureQuorum and WithQuorum; both are of the kind errkind.NoQuorum.
 var (
-	// ErrNoQuorum says that no majority of the voters answered within a round.
+	// ErrNoQuorum reports that no majority of the voters answered within
+	// RoundTimeout.
 	ErrNoQuorum = errkind.Errorf(errkind.NoQuorum, "no contact with a majority of the voters")
-	// ErrContextDone says that the caller's context had ended.
-	ErrContextDone = errkind.Errorf(errkind.NoQuorum, "the caller is gone, or out of time")
+	// ErrContextDone reports that the caller's context was canceled or its deadline
+	// had passed.
+	ErrContextDone = errkind.Errorf(errkind.NoQuorum, "the caller's context was canceled or its deadline passed")
 )
 
-// stallGrace is how long a command waits in a process that has just stalled.
+// stallGrace is how long a command waits before it is started if the process has
+// just stalled.
 const stallGrace = 20 * time.Millisecond
 
-// EnsureQuorum returns nil once contact with a majority is fresh. Where it is
-// not, it sends rounds of heartbeats, and returns ErrNoQuorum after RoundTimeout.
+// EnsureQuorum returns nil once contact with a majority is recent enough. Until
+// then it sends rounds of heartbeats; after RoundTimeout it returns ErrNoQuorum.
 func (t *Tracker) EnsureQuorum(ctx context.Context) error {
 	if t.HasQuorum(t.options.Clock.Now()) {
 		return checkContext(ctx)
@@ -60,14 +63,14 @@
 	return ErrContextDone
 }
 
-// WithQuorum ensures a quorum and returns a copy of ctx that is cancelled when
-// contact is lost: SilenceTimeout after the call, or after the newest request
-// that a majority answered, whichever is later. The caller must call the returned
-// function, also after an error.
+// WithQuorum calls EnsureQuorum and returns a copy of ctx that is canceled when
+// contact is lost: effectiveContactTimeout after this call, or after the newest
+// request that a majority answered was sent, whichever is later. The caller must
+// call the returned function, even after an error.
 func (t *Tracker) WithQuorum(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	if t.detectStall(t.options.Clock.Now()) {
-		// Requests that arrived during the stall may be from callers that are
-		// gone; this lets their connections be seen to have closed first.
+		// The callers of requests that arrived during the stall may have
+		// disconnected; the wait lets the process detect that first.
 		clock.Wait(ctx, t.options.Clock, stallGrace)
 	}
 	if err := t.EnsureQuorum(ctx); err != nil {
@@ -81,8 +84,9 @@
 	return guarded, cancel, nil
 }
 
-// detectStall records that this process runs, and reports whether it had
-// stalled until a moment ago. A stall can be found only while Run runs.
+// detectStall records that this process is running, and reports whether the end of
+// a stall was detected within the last RoundTimeout. Stalls are detected only while
+// Run is running.
 func (t *Tracker) detectStall(now clock.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/control/state/quorum/heartbeat.go
+++ b/control/state/quorum/heartbeat.go
@@ -7,7 +7,8 @@
 	"onyxwell/base/ids"
 )
 
-// Run keeps contact fresh, or finds that it is lost, until ctx ends.
+// Run sends heartbeats to keep contact recent, and logs its loss and return, until
+// ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	maxAge := t.options.MaxAge
 	t.mu.Lock()
@@ -24,9 +25,9 @@
 	}
 }
 
-// heartbeatRound sends a heartbeat to every other voter and does not wait for
-// the responses. It does nothing within one interval of the round before, so
-// concurrent commands share their rounds.
+// heartbeatRound sends a heartbeat to every other voter without waiting for the
+// responses. It does nothing within one heartbeat interval of the previous round,
+// so that concurrent commands share rounds.
 func (t *Tracker) heartbeatRound(ctx context.Context) {
 	now := t.options.Clock.Now()
 	t.mu.Lock()
@@ -41,8 +42,8 @@
 	for _, member := range t.options.Voters().Members {
 		if member.Address != t.options.Address {
 			t.options.Spawn(func() {
-				// A late response still shows contact as of when its request was
-				// sent, so it may outlive the caller.
+				// A late response still proves contact as of when its request was
+				// sent, so the heartbeat may outlive the caller.
 				ctx, cancel := t.options.Clock.WithTimeout(context.WithoutCancel(ctx), 2*t.options.MaxAge)
 				defer cancel()
 				_ = t.heartbeat(ctx, member.Address)
@@ -63,8 +64,8 @@
 	defer t.mu.Unlock()
 	p := t.peers[address]
 	if p.lastContact < sent {
-		// Otherwise a later request was answered first: this round trip says more
-		// of a lost packet than of the path.
+		// Otherwise a later request was answered first, and this round-trip time
+		// reflects a lost packet rather than the latency of the path.
 		p.lastContact, p.rtts = sent, p.rtts.with(received.Since(sent))
 	}
 	if p.reading.Incarnation != resp.Incarnation || resp.clockOffset(received) >= p.reading.clockOffset(p.readingAt) ||
--- a/control/state/quorum/status.go
+++ b/control/state/quorum/status.go
@@ -2,18 +2,18 @@
 
 import "onyxwell/base/clock"
 
-// Status is the state of contact as the admin API shows it.
+// Status is the state of contact as reported by the admin API.
 type Status struct {
-	// Majority reports whether commands may be begun.
+	// Majority reports whether commands may be started.
 	Majority bool `json:"majority"`
-	// AgeMS is how long ago a majority of the voters was known to hear this
-	// controller, AllVotersAgeMS how long ago all of them were, in milliseconds;
-	// -1 is never.
+	// AgeMS is the age in milliseconds of the contact with a majority of the voters;
+	// AllVotersAgeMS is that of the contact with all of them. -1 means that there
+	// was none.
 	AgeMS          int64 `json:"age_ms"`
 	AllVotersAgeMS int64 `json:"whole_age_ms"`
 }
 
-// Status returns the state of contact; a nil Tracker never had any.
+// Status returns the state of contact. A nil Tracker reports that there was none.
 func (t *Tracker) Status(now clock.Instant) Status {
 	status := Status{AgeMS: -1, AllVotersAgeMS: -1}
 	if t == nil {
@@ -30,7 +30,8 @@
 
 var transitionMessages = map[bool]string{true: "quorum contact regained", false: "quorum contact lost"}
 
-// logTransition logs each change between contact and none once.
+// logTransition logs when contact with a majority is lost or regained, once per
+// change.
 func (t *Tracker) logTransition(majority bool) {
 	t.mu.Lock()
 	changed := t.lost == majority
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -16,40 +16,43 @@
 )
 
 const (
-	// maxRoundTimeout bounds how long a caller is kept waiting for contact.
+	// maxRoundTimeout limits the default RoundTimeout, and thereby how long a caller
+	// waits for contact.
 	maxRoundTimeout = 200 * time.Millisecond
-	// maxContactTimeout is how long a command goes on without contact: a quarter
-	// of a second, less what its answer takes.
+	// maxContactTimeout limits the default ContactTimeout: a command without contact
+	// should end within 250 ms, including the time its response takes.
 	maxContactTimeout = 240 * time.Millisecond
 )
 
-// Options configure a Tracker. Clock, Log, Address, Voters, MaxAge and one of
-// Transport and Heartbeat are required.
+// Options configures a Tracker. Clock, Log, Address, Voters, MaxAge and either
+// Transport or Heartbeat are required.
 type Options struct {
 	Clock clock.Clock
 	Log   *log.Logger
-	// Address is this controller's own; it counts as in contact with itself.
+	// Address is this controller's own address. A controller always counts as in
+	// contact with itself.
 	Address ids.Address
 	// Voters returns the newest voter set known here. It is called without the
 	// tracker's lock held.
 	Voters    func() register.VoterSet
 	Transport *transport.Client
-	// MaxAge is how old contact with a majority may be for a command to be begun.
+	// MaxAge is the maximum age of the contact with a majority at which a command
+	// may be started.
 	MaxAge time.Duration
-	// RoundTimeout bounds one round of heartbeats; by default half of MaxAge, and
-	// no more than 200 ms.
+	// RoundTimeout bounds how long EnsureQuorum waits for contact. The default is
+	// half of MaxAge, but at most 200 ms.
 	RoundTimeout time.Duration
-	// ContactTimeout is how long a majority may leave all heartbeats unanswered
-	// while a command is in flight; by default MaxAge plus RoundTimeout, and no
-	// more than 240 ms. Where the measured round trip takes too much of that, the
-	// effective time-out is longer.
+	// ContactTimeout is how long a command in flight continues while no majority
+	// answers its heartbeats. The default is MaxAge plus RoundTimeout, but at most
+	// 240 ms. If the measured round-trip time is too long for it, the effective
+	// timeout is longer.
 	ContactTimeout time.Duration
-	// Heartbeat sends a heartbeat to one voter; by default over Transport.
+	// Heartbeat sends a heartbeat to one voter. The default uses Transport.
 	Heartbeat func(ctx context.Context, address ids.Address) (HeartbeatResponse, error)
-	// Spawn runs a function concurrently; by default in a goroutine.
+	// Spawn runs a function concurrently. The default starts a goroutine.
 	Spawn func(run func())
-	// Incarnation tells this process from the one before it on the same address;
-	// by default a random number.
+	// Incarnation distinguishes this process from earlier ones at the same address.
+	// The default is a random number.
 	Incarnation int64
 }
 
@@ -62,32 +65,32 @@
 	lastRound clock.Instant
 	// changed is closed, and replaced, whenever a peer's entry changes.
 	changed chan struct{}
-	// lost is the state that was logged last.
+	// lost is the state that was logged last: true after a loss of contact.
 	lost bool
-	// contactAtLoss is the newest contact with a majority at the time when a command
-	// in flight last found that it fell silent. Only a request that was sent later
-	// shows contact again.
+	// contactAtLoss is the instant of the newest contact with a majority when a
+	// command in flight was last canceled for lack of contact. Only a request that
+	// was sent later proves contact again.
 	contactAtLoss clock.Instant
-	// allAnsweredAt is the newest instant for which every voter has answered a
-	// request that was sent then or later.
+	// allAnsweredAt is the newest instant such that every voter has answered a
+	// request sent at or after it.
 	allAnsweredAt clock.Instant
-	// lastTick is when this process was last seen to run, stalledAt when it was
-	// last found to have stalled before.
+	// lastTick is when this process last recorded that it was running; stalledAt is
+	// when it last detected that it had stalled.
 	lastTick  clock.Instant
 	stalledAt clock.Instant
 }
 
-// peer is what is known of another controller.
+// peer is the tracker's state for another controller.
 type peer struct {
-	// lastContact is when the newest request that the peer answered was sent.
+	// lastContact is when the newest request that the peer has answered was sent.
 	lastContact clock.Instant
-	// reading is its clock as of readingAt, the instant at which it arrived here.
+	// reading is a reading of the peer's clock, which arrived here at readingAt.
 	reading   HeartbeatResponse
 	readingAt clock.Instant
 	rtts      rttSamples
 }
 
-// New returns a Tracker that has had no contact yet.
+// New returns a Tracker without any recorded contact.
 func New(options Options) *Tracker {
 	if options.RoundTimeout == 0 {
 		options.RoundTimeout = min(options.MaxAge/2, maxRoundTimeout)
@@ -109,8 +112,8 @@
 	return &Tracker{options: options, peers: map[ids.Address]peer{}, changed: make(chan struct{})}
 }
 
-// RecordContact records that a peer answered a request of any kind that was sent
-// at the instant. A nil Tracker records nothing.
+// RecordContact records that a peer has answered a request, of any kind, that was
+// sent at the given instant. It does nothing on a nil Tracker.
 func (t *Tracker) RecordContact(address ids.Address, sent clock.Instant) {
 	if t == nil {
 		return
@@ -124,32 +127,32 @@
 	}
 }
 
-// updatePeer stores a peer's entry and wakes those who wait for contact. The
-// caller holds t.mu.
+// updatePeer stores a peer's entry and wakes the callers that wait for contact. The
+// caller must hold t.mu.
 func (t *Tracker) updatePeer(address ids.Address, p peer) {
 	t.peers[address] = p
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// LastContact returns when the newest request that the peer answered was sent; 0
-// where it never answered.
+// LastContact returns when the newest request that the peer has answered was sent,
+// or 0 if it has never answered.
 func (t *Tracker) LastContact(address ids.Address) clock.Instant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peers[address].lastContact
 }
 
-// HasQuorum reports whether contact with a majority is recent enough for a
-// command to be begun.
+// HasQuorum reports whether contact with a majority is recent enough to start a
+// command.
 func (t *Tracker) HasQuorum(now clock.Instant) bool {
 	age, ok := t.MajorityContactAge(now)
 	return ok && age <= t.options.MaxAge && t.contactAfterLoss(now.Add(-age))
 }
 
-// MajorityContactAge returns how long ago a majority of the voters was last known to
-// hear this controller; false where it never was. A controller that knows of no
-// voters has nobody to ask and counts as in contact.
+// MajorityContactAge returns the age of the contact with a majority of the voters,
+// or false if there was none. A controller that knows no voters has none to contact
+// and counts as in contact.
 func (t *Tracker) MajorityContactAge(now clock.Instant) (time.Duration, bool) {
 	members := t.options.Voters().Members
 	if len(members) == 0 {
@@ -183,9 +186,9 @@
 	return durations[quorum-1], true
 }
 
-// AllVotersContactAge returns how long ago all voters, learners included, were last
-// known to hear this controller; false where they never were. Run keeps it
-// current, so it outlives voters that answered and were then replaced.
+// AllVotersContactAge returns the age of the contact with all voters, including
+// learners, or false if there was none. Run updates it regularly, so the contact is
+// still known after a voter that answered has been replaced.
 func (t *Tracker) AllVotersContactAge(now clock.Instant) (time.Duration, bool) {
 	oldest := now
 	members := t.options.Voters().Members
--- a/control/state/quorum/tracker_test.go
+++ b/control/state/quorum/tracker_test.go
@@ -36,8 +36,8 @@
 	return func() register.VoterSet { return voters }
 }
 
-// newTestTracker is the tracker of the first of some voters; the others answer
-// after their delay, by address, or never where they have none.
+// newTestTracker returns the tracker of voter 0 of count voters. The others answer
+// after their delay, by address, or never if they have none.
 func newTestTracker(env scope.Scope, count int, delays *sync.Map) *Tracker {
 	return New(Options{Clock: env.Clock, Log: env.Log, Address: "0", Voters: testVoters(count), MaxAge: testMaxAge, Heartbeat: func(ctx context.Context, address ids.Address) (HeartbeatResponse, error) {
 		delay, ok := delays.Load(address)
@@ -52,7 +52,7 @@
 	}})
 }
 
-// awaitPendingHeartbeats lets heartbeats that nobody answers time out.
+// awaitPendingHeartbeats waits until unanswered heartbeats have timed out.
 func awaitPendingHeartbeats() { scope.New(scope.Options{}).Wait(4 * testMaxAge) }
 
 func TestTracker_majorityContactAgeIsOldestOfNewestMajority(t *testing.T) {
@@ -60,23 +60,23 @@
 	now := clock.Instant(10 * time.Second)
 	tracker.RecordContact("1", now.Add(-100*time.Millisecond))
 	if _, ok := tracker.MajorityContactAge(now); ok {
-		t.Fatal("two of five count as a majority")
+		t.Fatal("two of five voters count as a majority")
 	}
 	tracker.RecordContact("2", now.Add(-300*time.Millisecond))
 	tracker.RecordContact("3", now.Add(-900*time.Millisecond))
 	if age, ok := tracker.MajorityContactAge(now); !ok || age != 300*time.Millisecond {
-		t.Fatalf("age %v, %v", age, ok)
+		t.Fatalf("contact age %v, %v; want 300ms, true", age, ok)
 	}
 	tracker.RecordContact("2", now.Add(-800*time.Millisecond))
 	if age, _ := tracker.MajorityContactAge(now); age != 300*time.Millisecond {
-		t.Fatal("an older request made contact older")
+		t.Fatal("the answer to an older request increased the contact age")
 	}
 	voters := testVoters(3)()
 	voters.Members[1].Learner = true
 	tracker = New(Options{Address: "0", Voters: func() register.VoterSet { return voters }, MaxAge: testMaxAge})
 	tracker.RecordContact("1", now)
 	if _, ok := tracker.MajorityContactAge(now); ok {
-		t.Fatal("a learner counts")
+		t.Fatal("a learner counts towards the majority")
 	}
 }
 
@@ -99,26 +99,26 @@
 		partitioned := ctx.Now()
 		<-guarded.Done()
 		if took := ctx.Now().Since(partitioned); took > 250*time.Millisecond {
-			t.Errorf("a command in flight ended %v after the partition", took)
+			t.Errorf("a command in flight was canceled %v after the partition, want at most 250ms", took)
 		}
 		start := ctx.Now()
 		for range 3 {
 			if err := tracker.EnsureQuorum(ctx); errkind.KindOf(err) != errkind.NoQuorum {
-				t.Errorf("partitioned: %v", err)
+				t.Errorf("EnsureQuorum while partitioned: %v, want an error of kind NoQuorum", err)
 			}
 		}
 		if took := ctx.Now().Since(start); took > 3*testRoundTimeout {
-			t.Errorf("three refusals took %v", took)
+			t.Errorf("three calls while partitioned took %v, want at most three round timeouts", took)
 		}
 		delays.Store(ids.Address("2"), 70*time.Millisecond)
 		if err := tracker.EnsureQuorum(ctx); err != nil {
 			t.Error(err)
 		}
 		if status := tracker.Status(ctx.Now()); !status.Majority || status.AgeMS != 70 {
-			t.Errorf("%+v", status)
+			t.Errorf("status %+v, want a majority with an age of 70 ms", status)
 		}
 		if lines := strings.Count(log.String(), "\n"); lines != 2 {
-			t.Errorf("%d lines for one loss and one return:\n%s", lines, log)
+			t.Errorf("%d log lines for one loss and one return of contact, want 2:\n%s", lines, log)
 		}
 		cancel()
 		awaitPendingHeartbeats()
@@ -136,7 +136,7 @@
 		for range 50 {
 			if ctx.Wait(61 * time.Millisecond); !tracker.HasQuorum(ctx.Now()) {
 				age, _ := tracker.MajorityContactAge(ctx.Now())
-				t.Fatalf("contact is %v old", age)
+				t.Fatalf("no quorum while idle: contact is %v old", age)
 			}
 		}
 		cancel()
@@ -144,8 +144,9 @@
 	})
 }
 
-// TestWithQuorum_checksCallerAfterStall stalls a process: a caller
-// that went away in the meantime is noticed before its command is begun.
+// TestWithQuorum_checksCallerAfterStall guards against starting a command after a
+// stall of the process for a caller that disconnected meanwhile: only the wait after
+// the stall lets the process detect that.
 func TestWithQuorum_checksCallerAfterStall(t *testing.T) {
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
@@ -177,19 +178,19 @@
 	}
 	fake.Advance(2 * testMaxAge)
 	if !tracker.detectStall(fake.Now()) {
-		t.Fatal("the stall was not noticed")
+		t.Fatal("the stall was not detected")
 	}
 	if err := callWithQuorum(true); errkind.KindOf(err) != errkind.NoQuorum {
-		t.Fatalf("begun for a caller that is gone: %v", err)
+		t.Fatalf("WithQuorum for a caller that disconnected: %v, want an error of kind NoQuorum", err)
 	}
 	if err := callWithQuorum(false); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestTracker_remoteDeadlineExpiresBeforeForwarderGivesUp draws clocks that differ by
-// any offset and drift a little, and any delays: a command that arrives late is
-// refused, and one that arrives early enough is not.
+// TestTracker_remoteDeadlineExpiresBeforeForwarderGivesUp draws the clocks' offset, a
+// small drift and the delays of the heartbeat: a command that arrives after the
+// forwarder gave up is refused, and one that arrives early enough is not.
 func TestTracker_remoteDeadlineExpiresBeforeForwarderGivesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offset := time.Duration(rapid.IntRange(0, 1<<40).Draw(t, "offset"))
@@ -216,14 +217,14 @@
 		}
 		early := fake.Now().Since(giveUp) < -time.Duration(responseDelay)*time.Millisecond-100*time.Millisecond
 		if early && !receiver.WithinDeadline(deadline, remoteNow()) {
-			t.Fatal("an early command is refused")
+			t.Fatal("a command was refused long before the forwarder gave up")
 		}
 		fake.Advance(giveUp.Since(fake.Now()))
 		if receiver.WithinDeadline(deadline, remoteNow()) {
-			t.Fatal("accepted after the forwarder gave up")
+			t.Fatal("a command was accepted after the forwarder gave up")
 		}
 		if restarted := New(Options{Address: "1", Voters: testVoters(3), MaxAge: testMaxAge}); restarted.WithinDeadline(deadline, 0) {
-			t.Fatal("accepted by another incarnation")
+			t.Fatal("a command was accepted by another incarnation of the receiver")
 		}
 	})
 }
--- a/control/state/register/messages.go
+++ b/control/state/register/messages.go
@@ -164,8 +164,8 @@
 // never be learned.
 func (k KeyDigest) proposal() Proposal { return Proposal{Epoch: k.Epoch, Sequence: k.Sequence} }
 
-// DigestRequest asks for the digests of all keys. Hash is the hash of the digests
-// that the caller already has.
+// DigestRequest asks for the digests of all keys. Hash is the hash of the caller's
+// own digests.
 type DigestRequest struct {
 	Hash int64 `avro:"Sum"`
 }
