--- a/control/state/quorum/ensure.go
+++ b/control/state/quorum/ensure.go
@@ -55,7 +55,7 @@
 	return ErrNoQuorum
 }
 
-// checkContext returns ErrCallerGone once ctx has ended.
+// checkContext returns ErrContextDone once ctx has ended.
 func checkContext(ctx context.Context) error {
 	if ctx.Err() == nil {
 		return nil
--- a/control/state/quorum/tracker.go
+++ b/control/state/quorum/tracker.go
@@ -166,9 +166,9 @@
 	})
 }
 
-// majorityDuration returns the least span that a majorityDuration of the members does not exceed,
-// where measure gives each its own, or leaves it out; false where too few have
-// one. The caller must not hold t.mu.
+// majorityDuration returns the smallest duration that is not exceeded for a majority
+// of the members, or false if measure returns one for fewer than a majority. The
+// caller must not hold t.mu.
 func (t *Tracker) majorityDuration(members []register.Member, measure func(register.Member, peer) (time.Duration, bool)) (time.Duration, bool) {
 	var durations []time.Duration
 	t.mu.Lock()
--- a/control/state/register/cluster_test.go
+++ b/control/state/register/cluster_test.go
@@ -23,8 +23,8 @@
 	busy        bool
 }
 
-// cluster is a simulated network of controllers on one goroutine. All
-// randomness is drawn from rapid.
+// cluster is a network of controllers simulated on one goroutine. All randomness
+// is drawn from rapid.
 type cluster struct {
 	t               *rapid.T
 	ctx             scope.Scope
@@ -33,23 +33,23 @@
 	eventDepth      int
 	lastIncarnation int64
 	bootstrapped    bool
-	// acknowledged is the longest history that was acknowledged.
+	// acknowledged is the longest acknowledged history of the test's key.
 	acknowledged string
 	writes       int
-	// delayed are requests that are still under way.
+	// delayed are requests that are still in transit.
 	delayed []func()
 	// messages counts the requests from one node to another.
 	messages  int
 	faultFree bool
-	// hook runs once, before the message that hookAfter counts down to.
+	// hook runs once, before the hookAfter-th message from now.
 	hookAfter int
 	hook      func()
-	// tolerableLosses is how many disks may be lost at one time.
+	// tolerableLosses is the number of disks that may be lost at one time.
 	tolerableLosses int
 }
 
-// newCluster starts three voters, and standbys up to the voters that tolerate
-// so many losses, and one more.
+// newCluster starts three voters, as many standbys as complete the voter set that
+// tolerates the given number of losses, and one more standby.
 func newCluster(t *rapid.T, losses int) *cluster {
 	c := &cluster{t: t, ctx: scope.New(scope.Options{}), partitions: map[[2]ids.Address]bool{}, tolerableLosses: losses, faultFree: true}
 	voters := VoterSet{Generation: 1}
@@ -71,18 +71,19 @@
 	return c
 }
 
-// newFaultFreeCluster is a newCluster in which only the test makes faults.
+// newFaultFreeCluster returns a cluster without random faults; the test injects
+// its own.
 func newFaultFreeCluster(t *rapid.T, losses int) *cluster {
 	c := newCluster(t, losses)
 	c.faultFree = true
 	return c
 }
 
-// restart starts a new process of the node on the disk that it has.
+// restart starts a new process of the node on the node's disk.
 func (c *cluster) restart(n *node) {
 	acceptor, err := NewAcceptor(n.address, n.disk.records)
 	if err != nil {
-		c.t.Fatalf("the records of %s can't be read: %v", n.address, err)
+		c.t.Fatalf("the records of node %s can't be decoded: %v", n.address, err)
 	}
 	n.acceptor = acceptor
 	n.disk.snapshot, n.disk.dirty = acceptor.Snapshot, false
@@ -93,7 +94,7 @@
 	n.up, n.replaceable = true, false
 	if !acceptor.Identified() && c.bootstrapped {
 		c.lastIncarnation++
-		// A process that can't write its identity ends; it is restarted later.
+		// A process that can't save its incarnation exits and is restarted later.
 		n.up = acceptor.Identify(ids.Incarnation(c.lastIncarnation)) == nil
 	}
 	client := clusterClient{cluster: c, from: n.address}
@@ -123,6 +124,7 @@
 	n.repairer = &Repairer{Joiner: n.joiner, MinCopies: c.tolerableLosses + 1}
 }
 
+// oneIn returns true with a probability of 1/n, or never in a fault-free cluster.
 func (c *cluster) oneIn(n int) bool {
 	return !c.faultFree && rapid.IntRange(0, n-1).Draw(c.t, "chance") == 0
 }
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// currentVoters is the newest voter set that any node holds.
+// currentVoters returns the newest voter set that any node holds.
 func (c *cluster) currentVoters() VoterSet {
 	var newest Proposal
 	voters := VoterSet{}
@@ -148,7 +150,7 @@
 	return voters
 }
 
-// newestProposal is the newest that any node holds for the key.
+// newestProposal returns the newest proposal that any node holds for the key.
 func (c *cluster) newestProposal(key string) Proposal {
 	var newest Proposal
 	for _, n := range c.nodes {
@@ -159,7 +161,7 @@
 	return newest
 }
 
-// countLagging counts the voters that lack the newest proposal.
+// countLagging counts the voters that lack the newest proposal of the test's key.
 func (c *cluster) countLagging() int {
 	count := 0
 	for _, member := range c.currentVoters().Members {
@@ -170,8 +172,9 @@
 	return count
 }
 
-// update appends a mark to the history under the key, or only reads it, and
-// checks the result against all that was acknowledged before it began.
+// update appends an entry to the history stored under the test's key, or only
+// reads it if reads is true. It fails the test if the result lacks an entry that
+// was acknowledged before, and reports whether the call was acknowledged.
 func (c *cluster) update(n *node, reads bool) bool {
 	if !n.up || n.busy {
 		return false
@@ -191,10 +194,10 @@
 		return false
 	}
 	if !strings.HasPrefix(string(value), before) {
-		c.t.Fatalf("acknowledged %q is gone: %s now answers %q", before, n.address, value)
+		c.t.Fatalf("acknowledged history %q was lost: node %s now returns %q", before, n.address, value)
 	}
 	if !strings.HasPrefix(string(value), c.acknowledged) && !strings.HasPrefix(c.acknowledged, string(value)) {
-		c.t.Fatalf("two histories were acknowledged: %q and %q", c.acknowledged, value)
+		c.t.Fatalf("two diverging histories were acknowledged: %q and %q", c.acknowledged, value)
 	}
 	if len(value) > len(c.acknowledged) {
 		c.acknowledged = string(value)
@@ -202,19 +205,20 @@
 	return true
 }
 
-// requireServing has an update acknowledged by whichever voter can; the first
-// attempt may only spread the newer generation.
+// requireServing fails the test unless some voter gets an update acknowledged.
+// Every node is tried twice, as the first attempt may only propagate a newer voter
+// set.
 func (c *cluster) requireServing(when string) {
 	served := false
 	for _, n := range append(c.nodes, c.nodes...) {
 		served = served || (n.acceptor.Voting() && c.update(n, false))
 	}
 	if !served {
-		c.t.Fatalf("no update is acknowledged %s: %+v", when, c.currentVoters())
+		c.t.Fatalf("no update was acknowledged %s, voters %+v", when, c.currentVoters())
 	}
 }
 
-// join runs the joiner of a node that doesn't vote.
+// join runs the joiner of a node, unless the node votes already.
 func (c *cluster) join(n *node) {
 	if !n.up || n.busy || n.acceptor.Voting() {
 		return
@@ -224,7 +228,7 @@
 	n.busy = false
 }
 
-// joinAll runs all joiners so many times.
+// joinAll runs the joiner of every node the given number of times.
 func (c *cluster) joinAll(times int) {
 	for range times {
 		for _, n := range c.nodes {
@@ -233,7 +237,7 @@
 	}
 }
 
-// repairRound runs a round of a voter's repairer; a standby catches up.
+// repairRound runs a round of a voter's repairer, or CatchUp on a standby.
 func (c *cluster) repairRound(n *node) {
 	if !n.up || n.busy {
 		return
@@ -247,7 +251,7 @@
 	n.busy = false
 }
 
-// repairAll runs a round on every node.
+// repairAll runs a repair round on every node.
 func (c *cluster) repairAll() {
 	for _, n := range c.nodes {
 		c.repairRound(n)
--- a/control/state/register/disk_test.go
+++ b/control/state/register/disk_test.go
@@ -4,9 +4,9 @@
 	"errors"
 )
 
-// fakeDisk is a simulated Store: what was synced survives everything but a
-// wipe. A failing save may or may not reach it; the save after a failed one
-// writes the whole state, as the write-ahead log does.
+// fakeDisk simulates a Store: records that were saved survive everything except
+// the loss of the disk. The record of a failed save may or may not be stored; the
+// next successful save writes the whole state, as the write-ahead log does.
 type fakeDisk struct {
 	records    [][]byte
 	failing    bool
@@ -22,7 +22,7 @@
 		if f.oneIn(2) {
 			f.records = append(f.records, record)
 		}
-		return errors.New("model: the save failed")
+		return errors.New("simulation: the save failed")
 	}
 	f.records = append(f.records, record)
 	if f.dirty {
@@ -31,14 +31,13 @@
 	return nil
 }
 
-// diskSession is a disk as one process sees it. During a save other events
-// may happen, a crash of the process among them; what was not synced by then
-// is lost.
+// diskSession is the Store of one process on a disk. During a save other events
+// may happen, including a crash of the process; the record is lost then.
 type diskSession struct {
 	disk       *fakeDisk
 	cluster    *cluster
 	generation int
-	// running means that the process is past its start.
+	// running means that the process has finished starting.
 	running bool
 }
 
@@ -49,7 +48,7 @@
 		d.cluster.eventDepth--
 	}
 	if d.generation != d.disk.generation {
-		return errors.New("model: the process ended before the sync")
+		return errors.New("simulation: the process ended before the sync")
 	}
 	return d.disk.Save(record)
 }
--- a/control/state/register/faults_test.go
+++ b/control/state/register/faults_test.go
@@ -6,7 +6,7 @@
 	"onyxwell/base/ids"
 )
 
-// randomEvent makes one event happen on a random node.
+// randomEvent runs a random event on a random node.
 func (c *cluster) randomEvent() {
 	n := c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(c.t, "node")]
 	other := c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(c.t, "other")]
@@ -19,19 +19,19 @@
 		func() { c.repairRound(n) },
 		func() { c.repairRound(n) },
 		func() {
-			// A request is delivered late, perhaps once more later.
+			// A request is delivered late, possibly more than once.
 			if len(c.delayed) > 0 {
 				c.delayed[rapid.IntRange(0, len(c.delayed)-1).Draw(c.t, "late")]()
 			}
 		},
 		func() {
-			// Crash and restart, with the disk.
+			// The process crashes and restarts; the disk is kept.
 			if !n.busy {
 				c.restart(n)
 			}
 		},
 		func() {
-			// The disk is lost, within what is tolerated.
+			// The disk is lost, if the cluster tolerates that.
 			if !n.busy && c.canLoseDisk(n) {
 				n.disk.records = nil
 				c.restart(n)
@@ -46,12 +46,12 @@
 	events[rapid.IntRange(0, len(events)-1).Draw(c.t, "event")]()
 }
 
-// canLoseDisk reports whether one more disk may be lost: a majority of the
-// members is left that is up, complete, and knows the same voter set. With
-// all members present that is as many disks at one time as are tolerated. A
-// node that is back but that others still take for lost counts as lost
-// itself: a real one does so for some seconds, and may just be being
-// replaced.
+// canLoseDisk reports whether the cluster tolerates the loss of the node's disk:
+// whether a majority of the members remains that are up, vote with the disk that
+// the voter set names, and know the newest voter set. If all members are healthy,
+// that permits tolerableLosses lost disks at one time. A node that has returned
+// but is still considered lost by others counts as lost: in a real cluster that
+// lasts some seconds, and the node may be about to be replaced.
 func (c *cluster) canLoseDisk(n *node) bool {
 	healthy := 0
 	for _, other := range c.nodes {
@@ -67,8 +67,8 @@
 	return healthy >= quorum(len(c.currentVoters().Members))
 }
 
-// loseVoters makes so many voters fail: lost, lost with their disks,
-// restarted with blank disks, or away for a while.
+// loseVoters makes the given number of voters fail. Each is lost, is lost with its
+// disk, restarts with a blank disk, or is down temporarily.
 func (c *cluster) loseVoters(count int) {
 	members := c.currentVoters().Members
 	first, gap := rapid.IntRange(0, len(members)-1).Draw(c.t, "first"), rapid.IntRange(1, len(members)-1).Draw(c.t, "gap")
@@ -84,8 +84,8 @@
 	}
 }
 
-// loseJoiningNode makes the node that is just joining fail; its disk stays or is
-// lost.
+// loseJoiningNode makes the node that is currently joining fail; its disk is kept
+// or lost.
 func (c *cluster) loseJoiningNode() {
 	for _, n := range c.nodes {
 		if n.up && n.busy && !n.acceptor.Voting() {
@@ -98,8 +98,8 @@
 	}
 }
 
-// healAndVerify ends all faults; within some rounds every member must vote
-// and the key must be served again.
+// healAndVerify ends all faults and checks that within eight rounds every member
+// votes and an update is acknowledged.
 func (c *cluster) healAndVerify() {
 	c.faultFree = true
 	c.partitions = map[[2]ids.Address]bool{}
@@ -118,10 +118,10 @@
 	}
 	for _, member := range c.currentVoters().Members {
 		if voter := c.find(member.Address); member.Learner || !voter.acceptor.Voting() {
-			c.t.Fatalf("%s does not vote after all faults ended: %+v", member.Address, c.currentVoters())
+			c.t.Fatalf("node %s does not vote after all faults ended, voters %+v", member.Address, c.currentVoters())
 		}
 	}
 	if !served {
-		c.t.Fatalf("the key is not served after all faults ended: %+v", c.currentVoters())
+		c.t.Fatalf("no update was acknowledged after all faults ended, voters %+v", c.currentVoters())
 	}
 }
--- a/control/state/register/gather_test.go
+++ b/control/state/register/gather_test.go
@@ -11,9 +11,9 @@
 	"onyxwell/base/settings"
 )
 
-// TestGather_doesNotAwaitSuspected asks three replicas of which one never
-// answers in time: if it is suspected the others' responses suffice at once;
-// if it is not, or they are too few, its whole timeout is awaited.
+// TestGather_doesNotAwaitSuspected sends requests to three replicas, one of which
+// does not answer in time. If it is suspected and the other responses suffice, the
+// call must return with them; otherwise it must wait until that request times out.
 func TestGather_doesNotAwaitSuspected(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -35,7 +35,7 @@
 					return 1, address != "c"
 				}, func(_ ids.Address, resp int) { responses += resp })
 				if took := ctx.Now().Since(start); took != test.took || responses != 2 {
-					t.Fatalf("%d responses after %v, wanted 2 after %v", responses, took, test.took)
+					t.Fatalf("%d responses after %v, want 2 after %v", responses, took, test.took)
 				}
 				synctest.Wait()
 				ctx.Wait(2 * time.Second)
--- a/control/state/register/invariant_test.go
+++ b/control/state/register/invariant_test.go
@@ -7,7 +7,8 @@
 	"onyxwell/base/invariant"
 )
 
-// TestAcceptor_reportsLoweredPromise plants a promise that falls.
+// TestAcceptor_reportsLoweredPromise lowers a promised epoch: the monitor must count
+// one violation.
 func TestAcceptor_reportsLoweredPromise(t *testing.T) {
 	acceptor, err := NewAcceptor("a", nil)
 	if err != nil {
@@ -18,6 +19,6 @@
 		acceptor.setSlot(Slot{Key: "spec", Promised: ids.Epoch{Number: number}})
 	}
 	if got := acceptor.Monitor.Count(invariant.PromiseRises); got != 1 {
-		t.Errorf("counted %d", got)
+		t.Errorf("counted %d violations, want 1", got)
 	}
 }
--- a/control/state/register/join_test.go
+++ b/control/state/register/join_test.go
@@ -14,9 +14,9 @@
 	"onyxwell/base/settings"
 )
 
-// TestJoin_yieldsToPendingPrepare has a standby find VotersKey promised to
-// another that wrote nothing yet: it gives the other time once, and goes on
-// if the epoch was given up.
+// TestJoin_yieldsToPendingPrepare has a standby find that VotersKey is promised to
+// another proposer that has not written yet. The first run must wait for that
+// proposer; the second must take the epoch for abandoned and not wait.
 func TestJoin_yieldsToPendingPrepare(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		c := newFaultFreeCluster(rapidT, 1)
@@ -36,15 +36,15 @@
 				durations = append(durations, ctx.Now().Since(start))
 			}
 			if durations[0] < standby.RequestTimeout/2 || durations[0] > 2*standby.RequestTimeout || durations[1] != 0 {
-				rapidT.Fatalf("a pending epoch was awaited for %v", durations)
+				rapidT.Fatalf("the two runs waited %v for the pending epoch", durations)
 			}
 		})
 	})
 }
 
-// TestJoin_doesNotProposeAfterVotersChanged has the voter set change between
-// a newcomer's discovery and its learning: it does not prepare VotersKey,
-// which would stop whoever is just joining.
+// TestJoin_doesNotProposeAfterVotersChanged changes the voter set between a joining
+// node's discovery and its learning: the node must not prepare VotersKey, since that
+// would preempt the other node that is joining.
 func TestJoin_doesNotProposeAfterVotersChanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
@@ -57,17 +57,18 @@
 		}
 		promised := c.nodes[1].acceptor.Slot(VotersKey).Promised
 		if err := newcomer.joiner.joinStep(c.ctx, voters); err != nil {
-			t.Fatalf("a changed voter set is no error: %v", err)
+			t.Fatalf("joinStep failed after a change of the voter set: %v", err)
 		}
 		if now := c.nodes[1].acceptor.Slot(VotersKey).Promised; now != promised || newcomer.acceptor.Voters().Generation != 2 {
-			t.Fatalf("the newcomer prepared %+v against %+v, voters %+v", now, promised, newcomer.acceptor.Voters())
+			t.Fatalf("the promised epoch is %+v, want %+v unchanged; voters %+v", now, promised, newcomer.acceptor.Voters())
 		}
 	})
 }
 
-// TestJoin_doesNotAwaitVotersUnreachableByMajority has a newcomer ask nodes of
-// which one never answers in time: the voter set it takes from the first that
-// answers, and a voter that a majority misses it does not await.
+// TestJoin_doesNotAwaitVotersUnreachableByMajority has a joining node discover the
+// voters while one of them does not answer: it must take the voter set from the
+// first node that answers, and must not wait for a voter that a majority can't
+// reach.
 func TestJoin_doesNotAwaitVotersUnreachableByMajority(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		c := newFaultFreeCluster(rapidT, 1)
@@ -87,7 +88,7 @@
 			start := ctx.Now()
 			newcomer.discoverVoters(ctx)
 			if took := ctx.Now().Since(start); took != 0 || newcomer.Acceptor.Voters().Generation != 1 || !newcomer.replaceable("c") {
-				rapidT.Errorf("after %v the newcomer knows %+v, c replaceable: %v", took, newcomer.Acceptor.Voters(), newcomer.replaceable("c"))
+				rapidT.Errorf("after %v the joining node knows %+v, c replaceable: %v", took, newcomer.Acceptor.Voters(), newcomer.replaceable("c"))
 			}
 			ctx.Wait(time.Second)
 		})
--- a/control/state/register/losses_test.go
+++ b/control/state/register/losses_test.go
@@ -6,16 +6,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestUpdate_survivesTwoLostDisks grows the voter set, and loses two of the
-// disks that hold an acknowledged update right after its acknowledgement: the
-// update must stay, and both blank disks must learn and vote again.
+// TestUpdate_survivesTwoLostDisks loses two of five disks right after an update
+// was acknowledged, with some voters down during the update: the update must be
+// kept, and both voters must learn and vote again with blank disks.
 func TestUpdate_survivesTwoLostDisks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
 		c.joinAll(4)
 		members := c.currentVoters().Members
 		if len(members) != 5 {
-			t.Fatalf("%d voters, wanted 5", len(members))
+			t.Fatalf("%d voters, want 5", len(members))
 		}
 		for _, member := range members {
 			c.find(member.Address).up = rapid.IntRange(0, 4).Draw(t, "down") > 0
@@ -32,20 +32,20 @@
 		}
 		c.healAndVerify()
 		if len(c.currentVoters().Members) != 5 {
-			t.Fatalf("members were lost: %+v", c.currentVoters())
+			t.Fatalf("the voter set does not have 5 members: %+v", c.currentVoters())
 		}
 	})
 }
 
-// TestUpdate_refusedBelowMinCopies has one of three voters down where two
-// disks may be lost at one time: no update may be acknowledged on the two
-// that are left.
+// TestUpdate_refusedBelowMinCopies takes one of three voters down in a cluster that
+// must tolerate the loss of two disks: no update may be acknowledged that only the
+// two remaining disks hold.
 func TestUpdate_refusedBelowMinCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
 		c.nodes[rapid.IntRange(1, 2).Draw(t, "down")].up = false
 		if c.update(c.nodes[0], false) {
-			t.Fatal("an update was acknowledged on two disks, both of which may be lost")
+			t.Fatal("an update was acknowledged on only two disks, both of which may be lost")
 		}
 	})
 }
--- a/control/state/register/messages_test.go
+++ b/control/state/register/messages_test.go
@@ -8,7 +8,8 @@
 	"onyxwell/control/transport"
 )
 
-// requireRoundTrip encodes and decodes a message.
+// requireRoundTrip fails the test unless a message is the same after encoding and
+// decoding.
 func requireRoundTrip[Message any](t *testing.T, message Message) {
 	t.Helper()
 	body, err := transport.Marshal(message)
@@ -16,11 +17,11 @@
 		t.Fatal(err)
 	}
 	if decoded, err := transport.Unmarshal[Message](body); err != nil || !reflect.DeepEqual(decoded, message) {
-		t.Fatalf("%+v came as %+v, %v", message, decoded, err)
+		t.Fatalf("%+v was decoded as %+v, error %v", message, decoded, err)
 	}
 }
 
-// TestMessages_roundTrip encodes and decodes each message and record.
+// TestMessages_roundTrip encodes and decodes each message and the stored record.
 func TestMessages_roundTrip(t *testing.T) {
 	epoch := ids.Epoch{Number: 3, Owner: "a"}
 	fence := FencingToken{Generation: 2, Fingerprint: -7, Incarnation: 9}
--- a/control/state/register/network_test.go
+++ b/control/state/register/network_test.go
@@ -8,10 +8,11 @@
 	"onyxwell/base/ids"
 )
 
-var errMessageLost = errors.New("model: the message was lost")
+var errMessageLost = errors.New("simulation: the message was lost")
 
-// deliver brings a request from one node to another, or loses it or its
-// response; on the way another event may happen.
+// deliver sends a request from one node to another and returns the response, or
+// loses the request or the response. Another random event may happen before the
+// delivery.
 func deliver[Response any](c *cluster, from ids.Address, to ids.Address, handle func(*Acceptor) Response) (Response, error) {
 	var zero Response
 	if c.eventDepth < 2 && c.oneIn(8) {
@@ -28,7 +29,8 @@
 	target := c.find(to)
 	if target == nil || !target.up || c.partitions[[2]ids.Address{from, to}] || (from != to && c.oneIn(12)) {
 		if target != nil && c.oneIn(3) {
-			// Not lost, but late: it is delivered when nobody awaits the response.
+			// The request is late instead of lost: it is delivered when the sender
+			// no longer waits for the response.
 			c.delayed = append(c.delayed, func() {
 				if target.up {
 					handle(target.acceptor)
@@ -48,12 +50,13 @@
 	return resp, nil
 }
 
-// clusterClient is a node's VoterClient and ReplicaClient.
+// clusterClient is a node's VoterClient and ReplicaClient in the simulated network.
 type clusterClient struct {
 	cluster *cluster
 	from    ids.Address
 }
 
+// reconcile exchanges voter sets with another node that fenced off a request.
 func (c clusterClient) reconcile(address ids.Address, verdict Verdict, generation int64, err error) {
 	if err == nil && verdict == Fenced && address != c.from {
 		c.cluster.find(c.from).joiner.ReconcileVoters(c.cluster.ctx, address, generation)
@@ -92,12 +95,13 @@
 }
 
 // unresponsiveClient is a ReplicaClient of a network in which one node never
-// answers, and all others miss it.
+// answers and all others report it as unreachable.
 type unresponsiveClient struct {
 	ReplicaClient
 	unresponsive ids.Address
-	// turn admits one request at a time, since a cluster belongs to one goroutine;
-	// the request without a response passes it on.
+	// turn is held by the request that is running, since a cluster must be used by
+	// one goroutine at a time. A request that gets no response releases it while it
+	// waits.
 	turn *sync.Mutex
 }
 
--- a/control/state/register/persist.go
+++ b/control/state/register/persist.go
@@ -26,9 +26,10 @@
 	return nil
 }
 
-// persistGrant returns the verdict on a request that was carried out in memory.
-// The voter set is saved with the key: a voter that fell back to an older
-// generation would grant what the newer one fences off.
+// persistGrant makes a request that was granted in memory durable, and returns
+// Failed if that fails. The voter set is saved with the key: after a restart, a
+// voter with an older generation would grant requests that the newer one fences
+// off.
 func (a *Acceptor) persistGrant(key string) Verdict {
 	if a.persist(VotersKey, key) != nil {
 		return Failed
--- a/control/state/register/repair_test.go
+++ b/control/state/register/repair_test.go
@@ -8,10 +8,11 @@
 	"onyxwell/base/ids"
 )
 
-// TestRepairer_bringsReturnedVoterUpToDate has a voter away during many
-// updates: two rounds after its return it holds the newest of each key,
-// without an update, by digests and one value. If the owner is lost others
-// take its keys over.
+// TestRepairer_bringsReturnedVoterUpToDate takes a voter down during many updates.
+// After its return it must hold the newest proposal without a further update: after
+// one round, after two if the owner has restarted, and later if the owner is lost
+// and another voter has to take the key over. The message counts bound the cost:
+// digests, and each value once.
 func TestRepairer_bringsReturnedVoterUpToDate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, rapid.IntRange(1, 2).Draw(t, "losses"))
@@ -22,7 +23,7 @@
 		returned.up = false
 		for range rapid.IntRange(1, 200).Draw(t, "changes") {
 			if !c.update(owner, false) {
-				t.Fatal("no update is acknowledged with one voter away")
+				t.Fatal("no update was acknowledged with one voter down")
 			}
 		}
 		c.repairAll()
@@ -42,22 +43,22 @@
 			t.Fatalf("%d voters lag after %d rounds", c.countLagging(), maxRounds)
 		}
 		if maxMessages := len(c.nodes) * maxRounds * (2*len(members) + 6); c.messages-messagesBeforeRepair > maxMessages {
-			t.Fatalf("%d messages in %d rounds", c.messages-messagesBeforeRepair, maxRounds)
+			t.Fatalf("%d messages in %d rounds, more than expected", c.messages-messagesBeforeRepair, maxRounds)
 		}
 		if maxRounds == 1 && owner.acceptor.Slot("spec").Promised != epoch {
-			t.Fatal("the key was taken over though its owner repairs it")
+			t.Fatal("the key was taken over though its owner was repairing it")
 		}
 		messagesBefore := c.messages
 		c.repairAll()
 		if maxMessages := len(members)*(len(members)-1) + len(c.nodes); owner.up && c.messages-messagesBefore > maxMessages {
-			t.Fatalf("%d messages in a round with nothing to repair, wanted %d", c.messages-messagesBefore, maxMessages)
+			t.Fatalf("%d messages in a round with nothing to repair, want at most %d", c.messages-messagesBefore, maxMessages)
 		}
 	})
 }
 
-// TestRepairer_takesOverKeysOfLostOwner has the owner of a key be lost for
-// good while a voter lags, as a member and after its replacement: the first
-// voter takes the key over a round after it saw the lag.
+// TestRepairer_takesOverKeysOfLostOwner loses the owner of a key for good while a
+// voter lags, with and without replacing the owner: a remaining voter must take the
+// key over and repair the lagging one within two rounds.
 func TestRepairer_takesOverKeysOfLostOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
@@ -79,14 +80,15 @@
 		}
 		for _, member := range c.currentVoters().Members {
 			if voter := c.find(member.Address); voter.up && voter.acceptor.Slot("spec").Accepted.Sequence < c.newestProposal("spec").Sequence {
-				t.Fatalf("%s still lags", member.Address)
+				t.Fatalf("voter %s still lags", member.Address)
 			}
 		}
 	})
 }
 
-// TestRedundancy_matchesCluster compares the redundancy with the state of the
-// cluster.
+// TestRedundancy_matchesCluster compares the reported redundancy with the state of
+// the cluster: with a lagging voter, with an unreachable one too, and after the
+// repair.
 func TestRedundancy_matchesCluster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
@@ -97,22 +99,22 @@
 		c.partitions = map[[2]ids.Address]bool{}
 		redundancy := reporter.repairer.survey(c.ctx).redundancy()
 		if redundancy.CurrentVotes != 3 || redundancy.TolerableLosses != 1 || redundancy.Complete || redundancy.Keys[1].Copies != 2 || redundancy.Keys[1].Lagging[0] != lagging.address {
-			t.Fatalf("%+v", redundancy)
+			t.Fatalf("redundancy %+v with one lagging voter", redundancy)
 		}
 		third.up = false
 		if redundancy = reporter.repairer.Round(c.ctx); redundancy.TolerableLosses != 0 || redundancy.Unreachable[0] != third.address {
-			t.Fatalf("%+v with one unreachable and one lagging", redundancy)
+			t.Fatalf("redundancy %+v with one unreachable and one lagging voter", redundancy)
 		}
 		third.up = true
 		c.repairAll()
 		if redundancy = reporter.repairer.Round(c.ctx); !redundancy.Complete || redundancy.TolerableLosses != 1 {
-			t.Fatalf("%+v after the repair", redundancy)
+			t.Fatalf("redundancy %+v after the repair", redundancy)
 		}
 	})
 }
 
-// TestHandOff_beforeLeaving has a voter leave that, with one other, holds the
-// newest proposal: the third must hold it before it goes.
+// TestHandOff_beforeLeaving has one of the only two voters that hold the newest
+// proposal leave: before HandOff reports completion, the third must hold it too.
 func TestHandOff_beforeLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
@@ -120,22 +122,22 @@
 		third.up = false
 		c.update(c.nodes[rapid.IntRange(0, 1).Draw(t, "owner")], false)
 		if leaving.repairer.HandOff(c.ctx) {
-			t.Fatal("a leaving voter takes two copies, one of them its own, for enough")
+			t.Fatal("HandOff reports completion with only one copy beside the leaving voter's")
 		}
 		third.up = true
 		for attempts := 0; !leaving.repairer.HandOff(c.ctx); attempts++ {
 			if attempts > 2 {
-				t.Fatal("the proposal is not handed off")
+				t.Fatal("HandOff does not report completion after several calls")
 			}
 		}
 		if c.countLagging() > 0 {
-			t.Fatal("a voter that left took one of two copies with it")
+			t.Fatal("HandOff reported completion while a voter lacked the newest proposal")
 		}
 	})
 }
 
-// TestCatchUp_standbyHoldsNewestProposals has a standby catch up: it holds the newest
-// of each key before any place is free, and has promised nothing.
+// TestCatchUp_standbyHoldsNewestProposals runs CatchUp on a standby: it must hold
+// the newest proposal before any place is free, and must have promised no epoch.
 func TestCatchUp_standbyHoldsNewestProposals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
@@ -147,7 +149,7 @@
 		c.repairAll()
 		held := standby.acceptor.Slot("spec")
 		if held.Accepted.Sequence != c.newestProposal("spec").Sequence || held.Promised.Number != 0 {
-			t.Fatalf("a standby holds %+v", held)
+			t.Fatalf("the standby's slot is %+v, want the newest proposal and no promise", held)
 		}
 	})
 }
--- a/control/state/register/replacement_test.go
+++ b/control/state/register/replacement_test.go
@@ -8,11 +8,11 @@
 	"onyxwell/base/ids"
 )
 
-// TestJoin_replacesLostVotersInAnyOrder lets as many voters as are tolerated be
-// lost for good, lose their disks, or be away for a while, in every order and
-// right after one another, with newcomers lost after any request on their
-// way: at every moment the others serve, and a run or two of each newcomer
-// completes the voter set.
+// TestJoin_replacesLostVotersInAnyOrder lets up to the tolerated number of voters be
+// lost for good, lose their disks or be down temporarily, in any order and several
+// times in succession, and loses joining nodes after any of their requests. The
+// remaining voters must serve updates throughout, and a few runs of each joining
+// node must complete the voter set.
 func TestJoin_replacesLostVotersInAnyOrder(t *testing.T) {
 	for losses := 1; losses <= 2; losses++ {
 		rapid.Check(t, func(t *rapid.T) {
@@ -20,21 +20,21 @@
 			c.joinAll(4)
 			for range rapid.IntRange(1, 4).Draw(t, "rounds") {
 				c.loseVoters(rapid.IntRange(1, losses).Draw(t, "lost"))
-				c.requireServing("while as many are lost as may be")
+				c.requireServing("with up to the tolerated number of voters lost")
 				c.hookAfter, c.hook = rapid.IntRange(0, 60).Draw(t, "after"), c.loseJoiningNode
 				c.joinAll(1)
 				c.hookAfter = 0
-				c.requireServing("while a newcomer is lost")
+				c.requireServing("after a joining node may have been lost")
 				for _, n := range c.nodes {
 					if !n.up {
-						// A replaced voter comes back as a standby.
+						// A replaced voter returns as a standby.
 						c.restart(n)
 					}
 				}
 				c.joinAll(2)
 				for _, member := range c.currentVoters().Members {
 					if voter := c.find(member.Address); member.Learner || !voter.acceptor.Voting() {
-						t.Fatalf("%s does not vote: %+v", member.Address, c.currentVoters())
+						t.Fatalf("member %s does not vote, voters %+v", member.Address, c.currentVoters())
 					}
 				}
 			}
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestJoin_stalledLearnerIsReplaced partitions a newcomer right after it
-// became a learner: another must take its place, and two replacements at once
-// must end.
+// TestJoin_stalledLearnerIsReplaced partitions a node right after it has become a
+// learner, while another lost voter is to be replaced too: another node must take
+// the learner's place, so that the two replacements don't block each other.
 func TestJoin_stalledLearnerIsReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
@@ -70,16 +70,16 @@
 			c.join(replacement)
 		}
 		if !replacement.acceptor.Voting() {
-			t.Fatalf("the learner that makes no progress was not replaced: %+v", c.currentVoters())
+			t.Fatalf("the replacement of the stalled learner does not vote, voters %+v", c.currentVoters())
 		}
-		c.requireServing("with a newcomer that makes no progress")
+		c.requireServing("with a stalled learner")
 	})
 }
 
-// TestJoin_learnsUpdatesDuringReplacement has a voter that others take for
-// lost acknowledge updates at any moment of its replacement, each on the
-// disks of itself and one other alone: the newcomer and the one that missed
-// them must know of them.
+// TestJoin_learnsUpdatesDuringReplacement has a voter that others consider lost get
+// an update acknowledged at any moment of its own replacement, on its own disk and
+// one other. With those two voters down, the new voter and the voter that missed the
+// update must still know it.
 func TestJoin_learnsUpdatesDuringReplacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
@@ -102,26 +102,26 @@
 			c.update(newcomer, false)
 		}
 		if !newcomer.acceptor.Voting() {
-			t.Fatalf("the newcomer never votes: %+v", c.currentVoters())
+			t.Fatalf("the joining node does not vote, voters %+v", c.currentVoters())
 		}
 	})
 }
 
-// TestJoin_answeringVoterIsNotReplaced has a voter that others take for lost,
-// but that answers the newcomer.
+// TestJoin_answeringVoterIsNotReplaced marks a voter as lost although it answers the
+// joining nodes: it must not be replaced.
 func TestJoin_answeringVoterIsNotReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
 		c.nodes[rapid.IntRange(0, 2).Draw(t, "taken for lost")].replaceable = true
 		c.joinAll(3)
 		if c.currentVoters().Generation != 1 {
-			t.Fatalf("a voter that answers was replaced: %+v", c.currentVoters())
+			t.Fatalf("a voter that answers was replaced, voters %+v", c.currentVoters())
 		}
 	})
 }
 
-// TestJoin_replacesOnlyTheLostVoter has two voters taken for lost, of which
-// one answers: the other is replaced, whatever their order.
+// TestJoin_replacesOnlyTheLostVoter marks two voters as lost, one of which answers:
+// only the other may be replaced, whatever their order in the voter set.
 func TestJoin_replacesOnlyTheLostVoter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
@@ -133,10 +133,10 @@
 		lostNode.up, lostNode.replaceable, answeringNode.replaceable = false, true, true
 		c.joinAll(4)
 		if _, ok := c.currentVoters().member(lostNode.address); ok {
-			t.Fatalf("%s was never replaced: %+v", lostNode.address, c.currentVoters())
+			t.Fatalf("the lost voter %s was not replaced, voters %+v", lostNode.address, c.currentVoters())
 		}
 		if member, ok := c.currentVoters().member(answeringNode.address); !ok || member.Learner {
-			t.Fatalf("%s answers and was replaced: %+v", answeringNode.address, c.currentVoters())
+			t.Fatalf("the voter %s answers but was replaced, voters %+v", answeringNode.address, c.currentVoters())
 		}
 	})
 }
--- a/control/state/register/safety_test.go
+++ b/control/state/register/safety_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestUpdate_acknowledgedSurvivesFaults lets nodes crash, lose their disks,
-// be partitioned, be replaced and join, with failing disks and duelling
-// owners: acknowledged updates stay, and of two on one value only one wins.
+// TestUpdate_acknowledgedSurvivesFaults lets nodes crash, lose their disks, be
+// partitioned, be replaced and join, with failing disks and competing owners.
+// Acknowledged updates must be kept, and of two competing updates of one value only
+// one may be acknowledged.
 func TestUpdate_acknowledgedSurvivesFaults(t *testing.T) {
 	for losses := 1; losses <= 2; losses++ {
 		rapid.Check(t, func(t *rapid.T) {
@@ -22,33 +23,34 @@
 	}
 }
 
-// TestProposer_staleOwnerIsFenced has another node take a key over: the
-// former owner's write must not be acknowledged on top of the other's.
+// TestProposer_staleOwnerIsFenced has another node take a key over: the former owner
+// must not return a value from before the takeover.
 func TestProposer_staleOwnerIsFenced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
 		first, second := c.nodes[0], c.nodes[1]
 		if !c.update(first, false) || !c.update(second, false) {
-			t.Fatal("a calm write failed")
+			t.Fatal("an update without any fault failed")
 		}
 		value, err := first.proposer.Read(c.ctx, "spec")
 		if err == nil && !strings.HasPrefix(string(value), c.acknowledged) {
-			t.Fatalf("a fenced owner read %q after %q was acknowledged", value, c.acknowledged)
+			t.Fatalf("the former owner read %q after %q was acknowledged", value, c.acknowledged)
 		}
 		if !c.update(first, false) {
-			t.Fatal("the key can't be taken back")
+			t.Fatal("the former owner can't acquire the key again")
 		}
 	})
 }
 
-// TestJoin_blankDiskLearnsBeforeVoting wipes a voter right after its vote
-// made a majority: it votes again only once it has learned from both others.
+// TestJoin_blankDiskLearnsBeforeVoting wipes a voter's disk right after its vote
+// completed a majority: it must not vote again before it has learned from both other
+// voters.
 func TestJoin_blankDiskLearnsBeforeVoting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
 		c.nodes[2].up = false
 		if !c.update(c.nodes[0], false) {
-			t.Fatal("a write on two of three failed")
+			t.Fatal("an update with two of three voters up failed")
 		}
 		wiped := c.nodes[0]
 		wiped.disk.records = nil
@@ -57,17 +59,17 @@
 		c.nodes[2].up = true
 		c.join(wiped)
 		if c.update(c.nodes[2], false) {
-			t.Fatal("a blank disk and one that missed the write made a majority")
+			t.Fatal("a blank disk and a voter that missed the update formed a majority")
 		}
 		c.nodes[1].up = true
 		for range 4 {
 			c.join(wiped)
 		}
 		if !wiped.acceptor.Voting() {
-			t.Fatal("the new disk never votes")
+			t.Fatal("the voter with the new disk does not vote")
 		}
 		if !c.update(c.nodes[2], false) {
-			t.Fatal("the key is not served")
+			t.Fatal("no update was acknowledged after the voter has learned")
 		}
 	})
 }
