--- a/control/state/register/batch.go
+++ b/control/state/register/batch.go
@@ -34,10 +34,10 @@
 // Update acquires the key if needed, applies the function to its value and
 // returns the committed value. If the error is nil, a quorum of disks holds that
 // value. After an error of kind NoQuorum the update may or may not take effect,
-// depending on what the key's next owner finds. Concurrent updates share one
-// write, so that many fit into the time of one: each is applied to the result of
-// the previous one, and all return once the write has its quorum, including those
-// whose function returned an error.
+// depending on what the key's next owner finds. Concurrent updates share one write,
+// so a key sustains many of them: each is applied to the result of the previous
+// one, and all return once the write has its quorum, including those whose function
+// returned an error.
 func (p *Proposer) Update(ctx context.Context, key string, update UpdateFunc) ([]byte, error) {
 	return p.submit(key, &pendingUpdate{ctx: ctx, update: update})
 }
--- a/control/state/register/cluster_test.go
+++ b/control/state/register/cluster_test.go
@@ -12,15 +12,17 @@
 
 // node is one simulated controller.
 type node struct {
-	address     ids.Address
-	disk        *fakeDisk
-	acceptor    *Acceptor
-	proposer    *Proposer
-	joiner      *Joiner
-	repairer    *Repairer
-	up          bool
+	address  ids.Address
+	disk     *fakeDisk
+	acceptor *Acceptor
+	proposer *Proposer
+	joiner   *Joiner
+	repairer *Repairer
+	up       bool
+	// replaceable means that the other nodes consider this one lost.
 	replaceable bool
-	busy        bool
+	// busy means that an operation of this node is in progress.
+	busy bool
 }
 
 // cluster is a network of controllers simulated on one goroutine. All randomness
--- a/control/state/register/join.go
+++ b/control/state/register/join.go
@@ -188,7 +188,7 @@
 		if index < len(voters.Members) {
 			replaced := voters.Members[index]
 			if replaced.Address != j.Address && !replaced.Learner && !j.replaceable(replaced.Address) {
-				return nil, errkind.Errorf(errkind.NoQuorum, "voter %s answers again and is not replaced", replaced.Address)
+				return nil, errkind.Errorf(errkind.NoQuorum, "voter %s is no longer considered lost", replaced.Address)
 			}
 		}
 		next := VoterSet{Generation: voters.Generation + 1}
--- a/control/state/register/join_test.go
+++ b/control/state/register/join_test.go
@@ -48,19 +48,19 @@
 func TestJoin_doesNotProposeAfterVotersChanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
-		newcomer, otherNode := c.nodes[3], c.nodes[4]
-		newcomer.joiner.discoverVoters(c.ctx)
-		voters := newcomer.acceptor.Voters()
-		own := Member{Address: otherNode.address, Incarnation: otherNode.acceptor.Incarnation(), Learner: true}
-		if _, err := c.nodes[0].proposer.Update(c.ctx, VotersKey, c.nodes[0].joiner.replaceMember(voters, 3, own)); err != nil {
+		joining, otherNode := c.nodes[3], c.nodes[4]
+		joining.joiner.discoverVoters(c.ctx)
+		voters := joining.acceptor.Voters()
+		learner := Member{Address: otherNode.address, Incarnation: otherNode.acceptor.Incarnation(), Learner: true}
+		if _, err := c.nodes[0].proposer.Update(c.ctx, VotersKey, c.nodes[0].joiner.replaceMember(voters, 3, learner)); err != nil {
 			t.Fatal(err)
 		}
 		promised := c.nodes[1].acceptor.Slot(VotersKey).Promised
-		if err := newcomer.joiner.joinStep(c.ctx, voters); err != nil {
+		if err := joining.joiner.joinStep(c.ctx, voters); err != nil {
 			t.Fatalf("joinStep failed after a change of the voter set: %v", err)
 		}
-		if now := c.nodes[1].acceptor.Slot(VotersKey).Promised; now != promised || newcomer.acceptor.Voters().Generation != 2 {
-			t.Fatalf("the promised epoch is %+v, want %+v unchanged; voters %+v", now, promised, newcomer.acceptor.Voters())
+		if now := c.nodes[1].acceptor.Slot(VotersKey).Promised; now != promised || joining.acceptor.Voters().Generation != 2 {
+			t.Fatalf("the promised epoch is %+v, want %+v unchanged; voters %+v", now, promised, joining.acceptor.Voters())
 		}
 	})
 }
@@ -73,12 +73,12 @@
 	rapid.Check(t, func(rapidT *rapid.T) {
 		c := newFaultFreeCluster(rapidT, 1)
 		synctest.Test(t, func(*testing.T) {
-			newcomer := c.nodes[3].joiner
+			joiner := c.nodes[3].joiner
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
-			newcomer.Clock, newcomer.Proposer.options.Clock = ctx.Clock, ctx.Clock
-			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", turn: &sync.Mutex{}}
-			newcomer.Replicas, newcomer.RequestTimeout = network, 300*time.Millisecond
-			newcomer.Spawn = func(send func()) {
+			joiner.Clock, joiner.Proposer.options.Clock = ctx.Clock, ctx.Clock
+			network := unresponsiveClient{ReplicaClient: joiner.Replicas, unresponsive: "c", turn: &sync.Mutex{}}
+			joiner.Replicas, joiner.RequestTimeout = network, 300*time.Millisecond
+			joiner.Spawn = func(send func()) {
 				go func() {
 					network.turn.Lock()
 					defer network.turn.Unlock()
@@ -86,9 +86,9 @@
 				}()
 			}
 			start := ctx.Now()
-			newcomer.discoverVoters(ctx)
-			if took := ctx.Now().Since(start); took != 0 || newcomer.Acceptor.Voters().Generation != 1 || !newcomer.replaceable("c") {
-				rapidT.Errorf("after %v the joining node knows %+v, c replaceable: %v", took, newcomer.Acceptor.Voters(), newcomer.replaceable("c"))
+			joiner.discoverVoters(ctx)
+			if took := ctx.Now().Since(start); took != 0 || joiner.Acceptor.Voters().Generation != 1 || !joiner.replaceable("c") {
+				rapidT.Errorf("after %v the joining node knows %+v, c replaceable: %v", took, joiner.Acceptor.Voters(), joiner.replaceable("c"))
 			}
 			ctx.Wait(time.Second)
 		})
--- a/control/state/register/messages.go
+++ b/control/state/register/messages.go
@@ -65,7 +65,7 @@
 	// Superseded means that the acceptor has promised a newer epoch or holds a
 	// newer proposal.
 	Superseded
-	// Fenced means that the fencing token names another generation or
+	// Fenced means that the fencing token names another generation, fingerprint or
 	// incarnation, or that the acceptor does not vote.
 	Fenced
 	// Failed means that the storage returned an error or that no response came. The
--- a/control/state/register/proposer.go
+++ b/control/state/register/proposer.go
@@ -28,7 +28,7 @@
 // value, the key keeps its value. It must not block.
 type UpdateFunc func(current []byte) ([]byte, error)
 
-// ProposerOptions configure a Proposer. Address, Client, Voters and
+// ProposerOptions configures a Proposer. Address, Client, Voters and
 // MessageTimeout are required.
 type ProposerOptions struct {
 	// Clock measures all timeouts; it and Log are required.
--- a/control/state/register/replacement_test.go
+++ b/control/state/register/replacement_test.go
@@ -56,8 +56,8 @@
 		}
 		stalled := c.find("f")
 		voters := c.currentVoters()
-		own := Member{Address: "f", Incarnation: stalled.acceptor.Incarnation(), Learner: true}
-		if _, err := stalled.proposer.Update(c.ctx, VotersKey, stalled.joiner.replaceMember(voters, 3, own)); err != nil {
+		learner := Member{Address: "f", Incarnation: stalled.acceptor.Incarnation(), Learner: true}
+		if _, err := stalled.proposer.Update(c.ctx, VotersKey, stalled.joiner.replaceMember(voters, 3, learner)); err != nil {
 			t.Fatal(err)
 		}
 		for _, other := range c.nodes {
@@ -83,7 +83,7 @@
 func TestJoin_learnsUpdatesDuringReplacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
-		kept, missed, replaced, newcomer := c.nodes[0], c.nodes[1], c.nodes[2], c.nodes[3]
+		kept, missed, replaced, joining := c.nodes[0], c.nodes[1], c.nodes[2], c.nodes[3]
 		c.update(replaced, false)
 		replaced.replaceable = true
 		c.partitions[[2]ids.Address{"d", "c"}] = true
@@ -93,15 +93,15 @@
 			c.update(replaced, false)
 			delete(c.partitions, [2]ids.Address{"c", "b"})
 		}
-		c.join(newcomer)
+		c.join(joining)
 		c.hookAfter = 0
-		c.join(newcomer)
+		c.join(joining)
 		replaced.up, kept.up = false, false
 		for range 2 {
 			c.update(missed, false)
-			c.update(newcomer, false)
+			c.update(joining, false)
 		}
-		if !newcomer.acceptor.Voting() {
+		if !joining.acceptor.Voting() {
 			t.Fatalf("the joining node does not vote, voters %+v", c.currentVoters())
 		}
 	})
--- a/control/state/register/safety_test.go
+++ b/control/state/register/safety_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// TestProposer_staleOwnerIsFenced has another node take a key over: the former owner
+// TestProposer_staleOwnerIsSuperseded has another node take a key over: the former owner
 // must not return a value from before the takeover.
-func TestProposer_staleOwnerIsFenced(t *testing.T) {
+func TestProposer_staleOwnerIsSuperseded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
 		first, second := c.nodes[0], c.nodes[1]
