--- a/control/state/register/cluster_test.go
+++ b/control/state/register/cluster_test.go
@@ -12,19 +12,21 @@
 
 // node is one simulated controller.
 type node struct {
-	address     ids.Address
-	disk        *fakeDisk
-	acceptor    *Acceptor
-	proposer    *Proposer
-	joiner      *Joiner
-	repairer    *Repairer
-	up          bool
+	address  ids.Address
+	disk     *fakeDisk
+	acceptor *Acceptor
+	proposer *Proposer
+	joiner   *Joiner
+	repairer *Repairer
+	up       bool
+	// replaceable means that the other nodes consider this one lost.
 	replaceable bool
-	busy        bool
+	// busy means that an operation of this node is in progress.
+	busy bool
 }
 
-// cluster is a simulated network of controllers on one goroutine. All
-// randomness is drawn from rapid.
+// cluster is a network of controllers simulated on one goroutine. All randomness
+// is drawn from rapid.
 type cluster struct {
 	t               *rapid.T
 	ctx             scope.Scope
@@ -33,31 +35,31 @@
 	eventDepth      int
 	lastIncarnation int64
 	bootstrapped    bool
-	// acknowledged is the longest history that was acknowledged.
+	// acknowledged is the longest acknowledged history of the test's key.
 	acknowledged string
 	writes       int
-	// delayed are requests that are still under way.
+	// delayed are requests that are still in transit.
 	delayed []func()
 	// messages counts the requests from one node to another.
 	messages  int
 	faultFree bool
-	// hook runs once, before the message that hookAfter counts down to.
+	// hook runs once, before the hookAfter-th message from now.
 	hookAfter int
 	hook      func()
-	// tolerated is how many disks may be lost at one time.
-	tolerated int
+	// tolerableLosses is the number of disks that may be lost at one time.
+	tolerableLosses int
 }
 
-// newCluster starts three voters, and standbys up to the voters that tolerate
-// so many losses, and one more.
+// newCluster starts three voters, as many standbys as complete the voter set that
+// tolerates the given number of losses, and one more standby.
 func newCluster(t *rapid.T, losses int) *cluster {
-	c := &cluster{t: t, ctx: scope.New(scope.Options{}), partitions: map[[2]ids.Address]bool{}, tolerated: losses, faultFree: true}
+	c := &cluster{t: t, ctx: scope.New(scope.Options{}), partitions: map[[2]ids.Address]bool{}, tolerableLosses: losses, faultFree: true}
 	voters := VoterSet{Generation: 1}
 	for _, name := range []ids.Address{"a", "b", "c"} {
 		voters.Members = append(voters.Members, Member{Address: name})
 	}
 	for index := range 2*losses + 2 {
-		n := &node{address: ids.Address(fmt.Sprintf("%c", 'a'+index)), disk: &fakeDisk{draw: c.draw}}
+		n := &node{address: ids.Address(fmt.Sprintf("%c", 'a'+index)), disk: &fakeDisk{oneIn: c.oneIn}}
 		c.nodes = append(c.nodes, n)
 		c.bootstrapped = index >= 3
 		c.restart(n)
@@ -71,18 +73,19 @@
 	return c
 }
 
-// newFaultFreeCluster is a newCluster in which only the test makes faults.
+// newFaultFreeCluster returns a cluster without random faults; the test injects
+// its own.
 func newFaultFreeCluster(t *rapid.T, losses int) *cluster {
 	c := newCluster(t, losses)
 	c.faultFree = true
 	return c
 }
 
-// restart starts a new process of the node on the disk that it has.
+// restart starts a new process of the node on the node's disk.
 func (c *cluster) restart(n *node) {
 	acceptor, err := NewAcceptor(n.address, n.disk.records)
 	if err != nil {
-		c.t.Fatalf("the records of %s can't be read: %v", n.address, err)
+		c.t.Fatalf("the records of node %s can't be decoded: %v", n.address, err)
 	}
 	n.acceptor = acceptor
 	n.disk.snapshot, n.disk.dirty = acceptor.Snapshot, false
@@ -93,7 +96,7 @@
 	n.up, n.replaceable = true, false
 	if !acceptor.Identified() && c.bootstrapped {
 		c.lastIncarnation++
-		// A process that can't write its identity ends; it is restarted later.
+		// A process that can't save its incarnation exits and is restarted later.
 		n.up = acceptor.Identify(ids.Incarnation(c.lastIncarnation)) == nil
 	}
 	client := clusterClient{cluster: c, from: n.address}
@@ -101,7 +104,7 @@
 		Clock: c.ctx.Clock, Log: c.ctx.Log,
 		Address: n.address, Client: client, Voters: acceptor.Voters,
 		HighestEpoch:   func(key string) int64 { return acceptor.Slot(key).Promised.Number },
-		MessageTimeout: 1, Spawn: func(send func()) { send() }, MinCopies: c.tolerated + 1,
+		MessageTimeout: 1, Spawn: func(send func()) { send() }, MinCopies: c.tolerableLosses + 1,
 	})
 	n.joiner = &Joiner{
 		Clock:   c.ctx.Clock,
@@ -116,15 +119,16 @@
 			return others
 		},
 		Replaceable:      func(address ids.Address) bool { return c.find(address).replaceable },
-		TargetVoters:     2*c.tolerated + 1,
+		TargetVoters:     2*c.tolerableLosses + 1,
 		PlacementAllowed: func([]ids.Address) bool { return true },
 		Spawn:            func(send func()) { send() },
 	}
-	n.repairer = &Repairer{Joiner: n.joiner, MinCopies: c.tolerated + 1}
+	n.repairer = &Repairer{Joiner: n.joiner, MinCopies: c.tolerableLosses + 1}
 }
 
-func (c *cluster) draw(odds int) bool {
-	return !c.faultFree && rapid.IntRange(0, odds-1).Draw(c.t, "chance") == 0
+// oneIn returns true with a probability of 1/n, or never in a fault-free cluster.
+func (c *cluster) oneIn(n int) bool {
+	return !c.faultFree && rapid.IntRange(0, n-1).Draw(c.t, "chance") == 0
 }
 
 func (c *cluster) find(address ids.Address) *node {
@@ -136,7 +140,7 @@
 	return nil
 }
 
-// currentVoters is the newest voter set that any node holds.
+// currentVoters returns the newest voter set that any node holds.
 func (c *cluster) currentVoters() VoterSet {
 	var newest Proposal
 	voters := VoterSet{}
@@ -148,7 +152,7 @@
 	return voters
 }
 
-// newestProposal is the newest that any node holds for the key.
+// newestProposal returns the newest proposal that any node holds for the key.
 func (c *cluster) newestProposal(key string) Proposal {
 	var newest Proposal
 	for _, n := range c.nodes {
@@ -159,7 +163,7 @@
 	return newest
 }
 
-// countLagging counts the voters that lack the newest proposal.
+// countLagging counts the voters that lack the newest proposal of the test's key.
 func (c *cluster) countLagging() int {
 	count := 0
 	for _, member := range c.currentVoters().Members {
@@ -170,8 +174,9 @@
 	return count
 }
 
-// update appends a mark to the history under the key, or only reads it, and
-// checks the result against all that was acknowledged before it began.
+// update appends an entry to the history stored under the test's key, or only
+// reads it if reads is true. It fails the test if the result lacks an entry that
+// was acknowledged before, and reports whether the call was acknowledged.
 func (c *cluster) update(n *node, reads bool) bool {
 	if !n.up || n.busy {
 		return false
@@ -180,21 +185,21 @@
 	defer func() { n.busy = false }()
 	before := c.acknowledged
 	c.writes++
-	mark := string(rune('A'+c.writes%26)) + string(n.address) + ";"
+	entry := string(rune('A'+c.writes%26)) + string(n.address) + ";"
 	value, err := n.proposer.Update(c.ctx, "spec", func(current []byte) ([]byte, error) {
 		if reads {
 			return nil, nil
 		}
-		return append(append([]byte(nil), current...), mark...), nil
+		return append(append([]byte(nil), current...), entry...), nil
 	})
 	if err != nil {
 		return false
 	}
 	if !strings.HasPrefix(string(value), before) {
-		c.t.Fatalf("acknowledged %q is gone: %s now answers %q", before, n.address, value)
+		c.t.Fatalf("acknowledged history %q was lost: node %s now returns %q", before, n.address, value)
 	}
 	if !strings.HasPrefix(string(value), c.acknowledged) && !strings.HasPrefix(c.acknowledged, string(value)) {
-		c.t.Fatalf("two histories were acknowledged: %q and %q", c.acknowledged, value)
+		c.t.Fatalf("two diverging histories were acknowledged: %q and %q", c.acknowledged, value)
 	}
 	if len(value) > len(c.acknowledged) {
 		c.acknowledged = string(value)
@@ -202,19 +207,20 @@
 	return true
 }
 
-// requireServing has an update acknowledged by whichever voter can; the first
-// attempt may only spread the newer generation.
+// requireServing fails the test unless some voter gets an update acknowledged.
+// Every node is tried twice, as the first attempt may only propagate a newer voter
+// set.
 func (c *cluster) requireServing(when string) {
 	served := false
 	for _, n := range append(c.nodes, c.nodes...) {
 		served = served || (n.acceptor.Voting() && c.update(n, false))
 	}
 	if !served {
-		c.t.Fatalf("no update is acknowledged %s: %+v", when, c.currentVoters())
+		c.t.Fatalf("no update was acknowledged %s, voters %+v", when, c.currentVoters())
 	}
 }
 
-// join runs the joiner of a node that doesn't vote.
+// join runs the joiner of a node, unless the node votes already.
 func (c *cluster) join(n *node) {
 	if !n.up || n.busy || n.acceptor.Voting() {
 		return
@@ -224,7 +230,7 @@
 	n.busy = false
 }
 
-// joinAll runs all joiners so many times.
+// joinAll runs the joiner of every node the given number of times.
 func (c *cluster) joinAll(times int) {
 	for range times {
 		for _, n := range c.nodes {
@@ -233,7 +239,7 @@
 	}
 }
 
-// repairRound runs a round of a voter's repairer; a standby catches up.
+// repairRound runs a round of a voter's repairer, or CatchUp on a standby.
 func (c *cluster) repairRound(n *node) {
 	if !n.up || n.busy {
 		return
@@ -247,7 +253,7 @@
 	n.busy = false
 }
 
-// repairAll runs a round on every node.
+// repairAll runs a repair round on every node.
 func (c *cluster) repairAll() {
 	for _, n := range c.nodes {
 		c.repairRound(n)
--- a/control/state/register/invariant_test.go
+++ b/control/state/register/invariant_test.go
@@ -7,8 +7,9 @@
 	"onyxwell/base/invariant"
 )
 
-// TestAcceptor_countsLoweredPromise plants a promise that falls.
-func TestAcceptor_countsLoweredPromise(t *testing.T) {
+// TestAcceptor_reportsLoweredPromise lowers a promised epoch: the monitor must count
+// one violation.
+func TestAcceptor_reportsLoweredPromise(t *testing.T) {
 	acceptor, err := NewAcceptor("a", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -18,6 +19,6 @@
 		acceptor.setSlot(Slot{Key: "spec", Promised: ids.Epoch{Number: number}})
 	}
 	if got := acceptor.Monitor.Count(invariant.PromiseRises); got != 1 {
-		t.Errorf("counted %d", got)
+		t.Errorf("counted %d violations, want 1", got)
 	}
 }
--- a/control/state/register/join_test.go
+++ b/control/state/register/join_test.go
@@ -14,9 +14,9 @@
 	"onyxwell/base/settings"
 )
 
-// TestJoin_yieldsToPendingPrepare has a standby find VotersKey promised to
-// another that wrote nothing yet: it gives the other time once, and goes on
-// if the epoch was given up.
+// TestJoin_yieldsToPendingPrepare has a standby find that VotersKey is promised to
+// another proposer that has not written yet. The first run must wait for that
+// proposer; the second must take the epoch for abandoned and not wait.
 func TestJoin_yieldsToPendingPrepare(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		c := newFaultFreeCluster(rapidT, 1)
@@ -29,65 +29,66 @@
 			standby.RequestTimeout = 300 * time.Millisecond
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
 			standby.Clock, standby.Proposer.options.Clock = ctx.Clock, ctx.Clock
-			spans := []time.Duration{}
+			durations := []time.Duration{}
 			for range 2 {
-				begin := ctx.Now()
+				start := ctx.Now()
 				_ = standby.Join(ctx)
-				spans = append(spans, ctx.Now().Since(begin))
+				durations = append(durations, ctx.Now().Since(start))
 			}
-			if spans[0] < standby.RequestTimeout/2 || spans[0] > 2*standby.RequestTimeout || spans[1] != 0 {
-				rapidT.Fatalf("a pending epoch was awaited for %v", spans)
+			if durations[0] < standby.RequestTimeout/2 || durations[0] > 2*standby.RequestTimeout || durations[1] != 0 {
+				rapidT.Fatalf("the two runs waited %v for the pending epoch", durations)
 			}
 		})
 	})
 }
 
-// TestJoin_doesNotProposeAfterVotersChanged has the voter set change between
-// a newcomer's discovery and its learning: it does not prepare VotersKey,
-// which would stop whoever is just joining.
+// TestJoin_doesNotProposeAfterVotersChanged changes the voter set between a joining
+// node's discovery and its learning: the node must not prepare VotersKey, since that
+// would preempt the other node that is joining.
 func TestJoin_doesNotProposeAfterVotersChanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
-		newcomer, rival := c.nodes[3], c.nodes[4]
-		newcomer.joiner.discoverVoters(c.ctx)
-		voters := newcomer.acceptor.Voters()
-		own := Member{Address: rival.address, Incarnation: rival.acceptor.Incarnation(), Learner: true}
-		if _, err := c.nodes[0].proposer.Update(c.ctx, VotersKey, c.nodes[0].joiner.replaceMember(voters, 3, own)); err != nil {
+		joining, otherNode := c.nodes[3], c.nodes[4]
+		joining.joiner.discoverVoters(c.ctx)
+		voters := joining.acceptor.Voters()
+		learner := Member{Address: otherNode.address, Incarnation: otherNode.acceptor.Incarnation(), Learner: true}
+		if _, err := c.nodes[0].proposer.Update(c.ctx, VotersKey, c.nodes[0].joiner.replaceMember(voters, 3, learner)); err != nil {
 			t.Fatal(err)
 		}
 		promised := c.nodes[1].acceptor.Slot(VotersKey).Promised
-		if err := newcomer.joiner.joinStep(c.ctx, voters); err != nil {
-			t.Fatalf("a changed voter set is no error: %v", err)
+		if err := joining.joiner.joinStep(c.ctx, voters); err != nil {
+			t.Fatalf("joinStep failed after a change of the voter set: %v", err)
 		}
-		if now := c.nodes[1].acceptor.Slot(VotersKey).Promised; now != promised || newcomer.acceptor.Voters().Generation != 2 {
-			t.Fatalf("the newcomer prepared %+v against %+v, voters %+v", now, promised, newcomer.acceptor.Voters())
+		if now := c.nodes[1].acceptor.Slot(VotersKey).Promised; now != promised || joining.acceptor.Voters().Generation != 2 {
+			t.Fatalf("the promised epoch is %+v, want %+v unchanged; voters %+v", now, promised, joining.acceptor.Voters())
 		}
 	})
 }
 
-// TestJoin_doesNotAwaitVotersMissedByMajority has a newcomer ask nodes of
-// which one never answers in time: the voter set it takes from the first that
-// answers, and a voter that a majority misses it does not await.
-func TestJoin_doesNotAwaitVotersMissedByMajority(t *testing.T) {
+// TestJoin_doesNotAwaitVotersUnreachableByMajority has a joining node discover the
+// voters while one of them does not answer: it must take the voter set from the
+// first node that answers, and must not wait for a voter that a majority can't
+// reach.
+func TestJoin_doesNotAwaitVotersUnreachableByMajority(t *testing.T) {
 	rapid.Check(t, func(rapidT *rapid.T) {
 		c := newFaultFreeCluster(rapidT, 1)
 		synctest.Test(t, func(*testing.T) {
-			newcomer := c.nodes[3].joiner
+			joiner := c.nodes[3].joiner
 			ctx := scope.New(scope.Options{Clock: clock.NewMonotonic(), Settings: &settings.Settings{}})
-			newcomer.Clock, newcomer.Proposer.options.Clock = ctx.Clock, ctx.Clock
-			network := unresponsiveClient{ReplicaClient: newcomer.Replicas, unresponsive: "c", token: &sync.Mutex{}}
-			newcomer.Replicas, newcomer.RequestTimeout = network, 300*time.Millisecond
-			newcomer.Spawn = func(send func()) {
+			joiner.Clock, joiner.Proposer.options.Clock = ctx.Clock, ctx.Clock
+			network := unresponsiveClient{ReplicaClient: joiner.Replicas, unresponsive: "c", turn: &sync.Mutex{}}
+			joiner.Replicas, joiner.RequestTimeout = network, 300*time.Millisecond
+			joiner.Spawn = func(send func()) {
 				go func() {
-					network.token.Lock()
-					defer network.token.Unlock()
+					network.turn.Lock()
+					defer network.turn.Unlock()
 					send()
 				}()
 			}
-			begin := ctx.Now()
-			newcomer.discoverVoters(ctx)
-			if took := ctx.Now().Since(begin); took != 0 || newcomer.Acceptor.Voters().Generation != 1 || !newcomer.replaceable("c") {
-				rapidT.Errorf("after %v the newcomer knows %+v, c replaceable: %v", took, newcomer.Acceptor.Voters(), newcomer.replaceable("c"))
+			start := ctx.Now()
+			joiner.discoverVoters(ctx)
+			if took := ctx.Now().Since(start); took != 0 || joiner.Acceptor.Voters().Generation != 1 || !joiner.replaceable("c") {
+				rapidT.Errorf("after %v the joining node knows %+v, c replaceable: %v", took, joiner.Acceptor.Voters(), joiner.replaceable("c"))
 			}
 			ctx.Wait(time.Second)
 		})
--- a/control/state/register/messages_test.go
+++ b/control/state/register/messages_test.go
@@ -8,19 +8,20 @@
 	"onyxwell/control/transport"
 )
 
-// requireRoundTrip encodes and decodes a message.
+// requireRoundTrip fails the test unless a message is the same after encoding and
+// decoding.
 func requireRoundTrip[Message any](t *testing.T, message Message) {
 	t.Helper()
 	body, err := transport.Marshal(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, err := transport.Unmarshal[Message](body); err != nil || !reflect.DeepEqual(read, message) {
-		t.Fatalf("%+v came as %+v, %v", message, read, err)
+	if decoded, err := transport.Unmarshal[Message](body); err != nil || !reflect.DeepEqual(decoded, message) {
+		t.Fatalf("%+v was decoded as %+v, error %v", message, decoded, err)
 	}
 }
 
-// TestMessages_roundTrip encodes and decodes each message and record.
+// TestMessages_roundTrip encodes and decodes each message and the stored record.
 func TestMessages_roundTrip(t *testing.T) {
 	epoch := ids.Epoch{Number: 3, Owner: "a"}
 	fence := FencingToken{Generation: 2, Fingerprint: -7, Incarnation: 9}
--- a/control/state/register/network_test.go
+++ b/control/state/register/network_test.go
@@ -8,13 +8,14 @@
 	"onyxwell/base/ids"
 )
 
-var errMessageLost = errors.New("model: the message was lost")
-
-// deliver brings a request from one node to another, or loses it or its
-// response; on the way another event may happen.
-func deliver[Response any](c *cluster, from ids.Address, to ids.Address, act func(*Acceptor) Response) (Response, error) {
-	var nothing Response
-	if c.eventDepth < 2 && c.draw(8) {
+var errMessageLost = errors.New("simulation: the message was lost")
+
+// deliver sends a request from one node to another and returns the response, or
+// loses the request or the response. Another random event may happen before the
+// delivery.
+func deliver[Response any](c *cluster, from ids.Address, to ids.Address, handle func(*Acceptor) Response) (Response, error) {
+	var zero Response
+	if c.eventDepth < 2 && c.oneIn(8) {
 		c.eventDepth++
 		c.randomEvent()
 		c.eventDepth--
@@ -26,37 +27,39 @@
 		c.hook()
 	}
 	target := c.find(to)
-	if target == nil || !target.up || c.partitions[[2]ids.Address{from, to}] || (from != to && c.draw(12)) {
-		if target != nil && c.draw(3) {
-			// Not lost, but late: it is delivered when nobody awaits the response.
+	if target == nil || !target.up || c.partitions[[2]ids.Address{from, to}] || (from != to && c.oneIn(12)) {
+		if target != nil && c.oneIn(3) {
+			// The request is late instead of lost: it is delivered when the sender
+			// no longer waits for the response.
 			c.delayed = append(c.delayed, func() {
 				if target.up {
-					act(target.acceptor)
+					handle(target.acceptor)
 				}
 			})
 		}
-		return nothing, errMessageLost
+		return zero, errMessageLost
 	}
 	acceptor := target.acceptor
-	resp := act(acceptor)
+	resp := handle(acceptor)
 	if target.acceptor != acceptor {
-		return nothing, errMessageLost
+		return zero, errMessageLost
 	}
-	if c.partitions[[2]ids.Address{to, from}] || (from != to && c.draw(12)) {
-		return nothing, errMessageLost
+	if c.partitions[[2]ids.Address{to, from}] || (from != to && c.oneIn(12)) {
+		return zero, errMessageLost
 	}
 	return resp, nil
 }
 
-// clusterClient is a node's VoterClient and ReplicaClient.
+// clusterClient is a node's VoterClient and ReplicaClient in the simulated network.
 type clusterClient struct {
 	cluster *cluster
 	from    ids.Address
 }
 
-func (c clusterClient) reconcile(address ids.Address, verdict Verdict, theirs int64, err error) {
+// reconcile exchanges voter sets with another node that fenced off a request.
+func (c clusterClient) reconcile(address ids.Address, verdict Verdict, generation int64, err error) {
 	if err == nil && verdict == Fenced && address != c.from {
-		c.cluster.find(c.from).joiner.ReconcileVoters(c.cluster.ctx, address, theirs)
+		c.cluster.find(c.from).joiner.ReconcileVoters(c.cluster.ctx, address, generation)
 	}
 }
 
@@ -92,18 +95,19 @@
 }
 
 // unresponsiveClient is a ReplicaClient of a network in which one node never
-// answers, and all others miss it.
+// answers and all others report it as unreachable.
 type unresponsiveClient struct {
 	ReplicaClient
 	unresponsive ids.Address
-	// token admits one request at a time, since a cluster belongs to one goroutine;
-	// the request without a response passes it on.
-	token *sync.Mutex
+	// turn is held by the request that is running, since a cluster must be used by
+	// one goroutine at a time. A request that gets no response releases it while it
+	// waits.
+	turn *sync.Mutex
 }
 
 func (u unresponsiveClient) waitForTimeout(ctx context.Context) {
-	u.token.Unlock()
-	defer u.token.Lock()
+	u.turn.Unlock()
+	defer u.turn.Lock()
 	<-ctx.Done()
 }
 
--- a/control/state/register/persist.go
+++ b/control/state/register/persist.go
@@ -1,9 +1,10 @@
 package register
 
-// persist makes the state in memory of the keys durable. A change is made in
-// memory first, so that requests meanwhile are judged by it; but nothing may be
-// answered on it before the store has it, even while another call's save of it
-// is under way or has failed: each caller saves for itself.
+// persist makes the in-memory state of the keys durable. A change is made in
+// memory first, so that concurrent requests are checked against it, but no request
+// that depends on it may be answered before the store holds it. That includes the
+// case that another call's save of the same change is in progress or has failed,
+// so each caller saves the state itself.
 func (a *Acceptor) persist(keys ...string) error {
 	a.mu.Lock()
 	store := a.store
@@ -25,10 +26,11 @@
 	return nil
 }
 
-// grantDurably returns the verdict on a request that was carried out in memory.
-// The voter set is saved with the key: a voter that fell back to an older
-// generation would grant what the newer one fences off.
-func (a *Acceptor) grantDurably(key string) Verdict {
+// persistGrant makes a request that was granted in memory durable, and returns
+// Failed if that fails. The voter set is saved with the key: after a restart, a
+// voter with an older generation would grant requests that the newer one fences
+// off.
+func (a *Acceptor) persistGrant(key string) Verdict {
 	if a.persist(VotersKey, key) != nil {
 		return Failed
 	}
--- a/control/state/register/repair_test.go
+++ b/control/state/register/repair_test.go
@@ -8,67 +8,68 @@
 	"onyxwell/base/ids"
 )
 
-// TestRepairer_bringsReturnedVoterUpToDate has a voter away during many
-// updates: two rounds after its return it holds the newest of each key,
-// without an update, by digests and one value. If the owner is lost others
-// take its keys over.
+// TestRepairer_bringsReturnedVoterUpToDate takes a voter down during many updates.
+// After its return it must hold the newest proposal without a further update: after
+// one round, after two if the owner has restarted, and later if the owner is lost
+// and another voter has to take the key over. The message counts bound the cost:
+// digests, and each value once.
 func TestRepairer_bringsReturnedVoterUpToDate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, rapid.IntRange(1, 2).Draw(t, "losses"))
 		c.joinAll(4)
 		c.repairAll()
 		members := c.currentVoters().Members
-		owner, away := c.find(members[0].Address), c.find(members[1].Address)
-		away.up = false
+		owner, returned := c.find(members[0].Address), c.find(members[1].Address)
+		returned.up = false
 		for range rapid.IntRange(1, 200).Draw(t, "changes") {
 			if !c.update(owner, false) {
-				t.Fatal("no update is acknowledged with one voter away")
+				t.Fatal("no update was acknowledged with one voter down")
 			}
 		}
 		c.repairAll()
-		c.restart(away)
-		bound, epoch := 1, owner.acceptor.Slot("spec").Promised
+		c.restart(returned)
+		maxRounds, epoch := 1, owner.acceptor.Slot("spec").Promised
 		if rapid.Bool().Draw(t, "owner restarts") {
 			c.restart(owner)
-			bound = 2
-		} else if c.tolerated == 2 && rapid.Bool().Draw(t, "owner is lost") {
-			owner.up, bound = false, takeoverRounds+2*4+1
+			maxRounds = 2
+		} else if c.tolerableLosses == 2 && rapid.Bool().Draw(t, "owner is lost") {
+			owner.up, maxRounds = false, takeoverRounds+2*4+1
 		}
-		before := c.messages
-		for range bound {
+		messagesBeforeRepair := c.messages
+		for range maxRounds {
 			c.repairAll()
 		}
 		if c.countLagging() > 0 && (owner.up || c.countLagging() > 1) {
-			t.Fatalf("%d voters lag after %d rounds", c.countLagging(), bound)
+			t.Fatalf("%d voters lag after %d rounds", c.countLagging(), maxRounds)
 		}
-		if all := len(c.nodes) * bound * (2*len(members) + 6); c.messages-before > all {
-			t.Fatalf("%d messages in %d rounds", c.messages-before, bound)
+		if maxMessages := len(c.nodes) * maxRounds * (2*len(members) + 6); c.messages-messagesBeforeRepair > maxMessages {
+			t.Fatalf("%d messages in %d rounds, more than expected", c.messages-messagesBeforeRepair, maxRounds)
 		}
-		if bound == 1 && owner.acceptor.Slot("spec").Promised != epoch {
-			t.Fatal("the key was taken over though its owner repairs it")
+		if maxRounds == 1 && owner.acceptor.Slot("spec").Promised != epoch {
+			t.Fatal("the key was taken over though its owner was repairing it")
 		}
-		quiet := c.messages
+		messagesBefore := c.messages
 		c.repairAll()
-		if all := len(members)*(len(members)-1) + len(c.nodes); owner.up && c.messages-quiet > all {
-			t.Fatalf("%d messages in a round with nothing to repair, wanted %d", c.messages-quiet, all)
+		if maxMessages := len(members)*(len(members)-1) + len(c.nodes); owner.up && c.messages-messagesBefore > maxMessages {
+			t.Fatalf("%d messages in a round with nothing to repair, want at most %d", c.messages-messagesBefore, maxMessages)
 		}
 	})
 }
 
-// TestRepairer_takesOverKeysOfLostOwner has the owner of a key be lost for
-// good while a voter lags, as a member and after its replacement: the first
-// voter takes the key over a round after it saw the lag.
+// TestRepairer_takesOverKeysOfLostOwner loses the owner of a key for good while a
+// voter lags, with and without replacing the owner: a remaining voter must take the
+// key over and repair the lagging one within two rounds.
 func TestRepairer_takesOverKeysOfLostOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 2)
 		c.joinAll(4)
 		c.repairAll()
 		members := c.currentVoters().Members
-		owner, behind := c.find(members[rapid.IntRange(0, 1).Draw(t, "owner")].Address), c.find(members[4].Address)
-		behind.up = false
+		owner, lagging := c.find(members[rapid.IntRange(0, 1).Draw(t, "owner")].Address), c.find(members[4].Address)
+		lagging.up = false
 		c.update(owner, false)
 		c.repairAll()
-		behind.up = true
+		lagging.up = true
 		owner.up = false
 		if rapid.Bool().Draw(t, "replaced") {
 			owner.replaceable = true
@@ -79,14 +80,15 @@
 		}
 		for _, member := range c.currentVoters().Members {
 			if voter := c.find(member.Address); voter.up && voter.acceptor.Slot("spec").Accepted.Sequence < c.newestProposal("spec").Sequence {
-				t.Fatalf("%s still lags", member.Address)
+				t.Fatalf("voter %s still lags", member.Address)
 			}
 		}
 	})
 }
 
-// TestRedundancy_matchesCluster compares the redundancy with the state of the
-// cluster.
+// TestRedundancy_matchesCluster compares the reported redundancy with the state of
+// the cluster: with a lagging voter, with an unreachable one too, and after the
+// repair.
 func TestRedundancy_matchesCluster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
@@ -97,46 +99,46 @@
 		c.partitions = map[[2]ids.Address]bool{}
 		redundancy := reporter.repairer.survey(c.ctx).redundancy()
 		if redundancy.CurrentVotes != 3 || redundancy.TolerableLosses != 1 || redundancy.Complete || redundancy.Keys[1].Copies != 2 || redundancy.Keys[1].Lagging[0] != lagging.address {
-			t.Fatalf("%+v", redundancy)
+			t.Fatalf("redundancy %+v with one lagging voter", redundancy)
 		}
 		third.up = false
 		if redundancy = reporter.repairer.Round(c.ctx); redundancy.TolerableLosses != 0 || redundancy.Unreachable[0] != third.address {
-			t.Fatalf("%+v with one unreachable and one lagging", redundancy)
+			t.Fatalf("redundancy %+v with one unreachable and one lagging voter", redundancy)
 		}
 		third.up = true
 		c.repairAll()
 		if redundancy = reporter.repairer.Round(c.ctx); !redundancy.Complete || redundancy.TolerableLosses != 1 {
-			t.Fatalf("%+v after the repair", redundancy)
+			t.Fatalf("redundancy %+v after the repair", redundancy)
 		}
 	})
 }
 
-// TestHandOff_beforeLeaving has a voter leave that, with one other, holds the
-// newest proposal: the third must hold it before it goes.
+// TestHandOff_beforeLeaving has one of the only two voters that hold the newest
+// proposal leave: before HandOff reports completion, the third must hold it too.
 func TestHandOff_beforeLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
-		leaver, third := c.nodes[0], c.nodes[2]
+		leaving, third := c.nodes[0], c.nodes[2]
 		third.up = false
 		c.update(c.nodes[rapid.IntRange(0, 1).Draw(t, "owner")], false)
-		if leaver.repairer.HandOff(c.ctx) {
-			t.Fatal("a leaving voter takes two copies, one of them its own, for enough")
+		if leaving.repairer.HandOff(c.ctx) {
+			t.Fatal("HandOff reports completion with only one copy beside the leaving voter's")
 		}
 		third.up = true
-		for tries := 0; !leaver.repairer.HandOff(c.ctx); tries++ {
-			if tries > 2 {
-				t.Fatal("the proposal is not handed off")
+		for attempts := 0; !leaving.repairer.HandOff(c.ctx); attempts++ {
+			if attempts > 2 {
+				t.Fatal("HandOff does not report completion after several calls")
 			}
 		}
 		if c.countLagging() > 0 {
-			t.Fatal("a voter that left took one of two copies with it")
+			t.Fatal("HandOff reported completion while a voter lacked the newest proposal")
 		}
 	})
 }
 
-// TestCatchUp_standbyHoldsNewest has a standby catch up: it holds the newest
-// of each key before any place is free, and has promised nothing.
-func TestCatchUp_standbyHoldsNewest(t *testing.T) {
+// TestCatchUp_standbyHoldsNewestProposals runs CatchUp on a standby: it must hold
+// the newest proposal before any place is free, and must have promised no epoch.
+func TestCatchUp_standbyHoldsNewestProposals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
 		standby := c.nodes[3]
@@ -147,7 +149,7 @@
 		c.repairAll()
 		held := standby.acceptor.Slot("spec")
 		if held.Accepted.Sequence != c.newestProposal("spec").Sequence || held.Promised.Number != 0 {
-			t.Fatalf("a standby holds %+v", held)
+			t.Fatalf("the standby's slot is %+v, want the newest proposal and no promise", held)
 		}
 	})
 }
