--- a/cmd/fleet-controller/rollout.go
+++ b/cmd/fleet-controller/rollout.go
@@ -98,7 +98,7 @@
 			fmt.Println(line)
 			last = line
 		}
-		if state.Condition != rollout.Serving.String() {
+		if state.Condition != rollout.InProgress.String() {
 			return nil
 		}
 		time.Sleep(watchInterval)
--- a/control/admin/rollouts_test.go
+++ b/control/admin/rollouts_test.go
@@ -89,7 +89,7 @@
 	if answer := callRollouts(rollouts, http.MethodGet, "/rollouts/readers", ""); answer.Code != 404 {
 		t.Errorf("without an order: %d", answer.Code)
 	}
-	for condition, word := range map[rollout.Condition]string{rollout.Serving: "serving", rollout.Finished: "finished", rollout.Reverted: "reverted"} {
+	for condition, word := range map[rollout.Condition]string{rollout.InProgress: "serving", rollout.Finished: "finished", rollout.Reverted: "reverted"} {
 		rollouts.record = rollout.Record{Order: 1, Target: `"v2"`, Condition: int64(condition)}
 		answer := callRollouts(rollouts, http.MethodGet, "/rollouts/readers", "")
 		if want := `{"condition":"` + word + `","target_version":"v2"}`; answer.Code != 200 || strings.TrimSpace(answer.Body.String()) != want {
--- a/control/controller/rollouts.go
+++ b/control/controller/rollouts.go
@@ -36,7 +36,7 @@
 	c.daemon.ServeRolloutDirector(func(req rollout.ExchangeRequest) rollout.ExchangeResponse {
 		return c.director.Exchange(req, c.clock.Now())
 	})
-	for _, condition := range []rollout.Condition{rollout.Serving, rollout.Finished, rollout.Reverted} {
+	for _, condition := range []rollout.Condition{rollout.InProgress, rollout.Finished, rollout.Reverted} {
 		c.daemon.Metrics.GaugeFunc("rollouts", "Services by the condition of their newest rollout.",
 			map[string]string{"condition": condition.String()}, func() float64 { return float64(c.director.Count(condition)) })
 	}
@@ -61,9 +61,9 @@
 		return false
 	}
 	switch c.director.Condition(service) {
-	case rollout.Unordered:
+	case rollout.NoRollout:
 		return false
-	case rollout.Serving:
+	case rollout.InProgress:
 		return true
 	}
 	versions := map[string]bool{}
--- a/control/rollout/analysis.go
+++ b/control/rollout/analysis.go
@@ -12,9 +12,9 @@
 // Relays of earlier builds keep such counts apart as those of another route.
 const loadedSuffix = "\x00loaded"
 
-// LoadedRoute returns the route under which attempts at the pair of runners under load are
+// LoadTestRoute returns the route under which attempts at the pair of runners under load are
 // reported.
-func LoadedRoute(route string) string { return route + loadedSuffix }
+func LoadTestRoute(route string) string { return route + loadedSuffix }
 
 // analysis is the evidence on a rollout: from the canary, and from a pair of runners, one of
 // either version, that get as much load as a runner may.
@@ -91,7 +91,7 @@
 }
 
 // isDoubtful reports whether something speaks against the version.
-func (a *analysis) isDoubtful() bool { return a.canary.IsDoubtful() || a.loaded.IsDoubtful() }
+func (a *analysis) isDoubtful() bool { return a.canary.IsSuspect() || a.loaded.IsSuspect() }
 
 const (
 	// settleTime is for how long the first reports have attempts from before; those of routers
--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -16,7 +16,7 @@
 	case t.stage() == Waiting:
 		return d.nextOfWaiting(t, now)
 	case t.epoch != epoch:
-		return Transition{To: Serving, Stage: t.stage(), Reason: "another director goes on"}, true
+		return Transition{To: InProgress, Stage: t.stage(), Reason: "another director goes on"}, true
 	case t.stage() == Full:
 		return d.nextOfFull(t, now)
 	case t.isClosing(now) && t.analysis.isDoubtful():
@@ -75,7 +75,7 @@
 	if t.load.shown {
 		return true
 	}
-	_, ok := NewLoadPair(d.options.Runners(t.service), t.record.Target, t.record.Order)
+	_, ok := SelectLoadTestPair(d.options.Runners(t.service), t.record.Target, t.record.Order)
 	return !ok && t.isPastTerm(now)
 }
 
@@ -107,7 +107,7 @@
 // begin returns the step into a stage, whose exposure is reserved.
 func (d *Director) begin(t *trial, stage Stage, reason string) Transition {
 	reserve := d.shape(t, stage).Exposure
-	return Transition{To: Serving, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
+	return Transition{To: InProgress, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
 }
 
 // affords reports whether exposure and time are left for a stage, and for all that follows.
@@ -177,8 +177,8 @@
 	for _, region := range d.options.Zones {
 		regions[region] = true
 	}
-	division := Division{Target: t.record.Target, Order: t.record.Order, Part: part, Load: load}
-	return NewSpread(d.options.Runners(t.service), division).MeanShare(len(regions))
+	division := SplitSpec{Target: t.record.Target, Order: t.record.Order, RunnerFraction: part, LoadFactor: load}
+	return NewTrafficSplit(d.options.Runners(t.service), division).MeanShare(len(regions))
 }
 
 // unconfirmedZone returns a zone with routers that have not confirmed yet that they send
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -206,7 +206,7 @@
 	}
 	resumes := trial.isResumedBy(step)
 	trial.record = record
-	if record.Epoch == step.Epoch && Stage(record.Stage) == step.Stage && step.To == Serving {
+	if record.Epoch == step.Epoch && Stage(record.Stage) == step.Stage && step.To == InProgress {
 		trial.enter(step.Epoch, d.shape(trial, step.Stage), now)
 		if resumes {
 			trial.resume(known, now)
@@ -296,7 +296,7 @@
 	if t.pace.loadedLocal <= 0 {
 		return []Permit{stage}
 	}
-	loaded.Stage = int64(Loaded)
+	loaded.Stage = int64(LoadTest)
 	loaded.LoadMilli, loaded.RunnersMilli = thousandths(t.pace.loadedLocal), thousandths(t.pace.loadedRemote)
 	return []Permit{loaded, stage}
 }
--- a/control/rollout/judge.go
+++ b/control/rollout/judge.go
@@ -235,8 +235,8 @@
 	return e.failures.cusum > doubtPart*failureLimit || e.slowFirst.cusum > doubtPart*slowLimit || e.slowWhole.cusum > doubtPart*slowLimit
 }
 
-// IsDoubtful reports whether something speaks against the version on some route.
-func (j *Judge) IsDoubtful() bool {
+// IsSuspect reports whether something speaks against the version on some route.
+func (j *Judge) IsSuspect() bool {
 	for _, evidence := range j.routes {
 		if evidence.isDoubtful() {
 			return true
--- a/control/rollout/judge_test.go
+++ b/control/rollout/judge_test.go
@@ -185,7 +185,7 @@
 			}
 			return
 		}
-		if !judge.IsDoubtful() && attempts > 3 {
+		if !judge.IsSuspect() && attempts > 3 {
 			t.Fatalf("no doubt after %d attempts, half of which failed", 2*attempts)
 		}
 	}
--- a/control/rollout/load.go
+++ b/control/rollout/load.go
@@ -36,9 +36,9 @@
 	longestLoad = 1.75
 )
 
-// MaxControlShare is up to which part of a router's requests the old runner of the pair under
+// MaxBaselineShare is up to which part of a router's requests the old runner of the pair under
 // load gets as many as the new one.
-const MaxControlShare = 0.4
+const MaxBaselineShare = 0.4
 
 // loadTrial is how far the pair of runners under load has come.
 type loadTrial struct {
@@ -131,7 +131,7 @@
 // spare, and while too little is known.
 func (d *Director) planLoad(t *trial, rate, budget float64) loadPlan {
 	runners := d.options.Runners(t.service)
-	pair, ok := NewLoadPair(runners, t.record.Target, t.record.Order)
+	pair, ok := SelectLoadTestPair(runners, t.record.Target, t.record.Order)
 	whole := t.analysis.canary.meanOldWhole()
 	if !ok || rate <= 0 || whole <= 0 {
 		return loadPlan{}
@@ -160,7 +160,7 @@
 func (t *trial) hasBorne(plan loadPlan, rate float64, now clock.Instant) bool {
 	loaded := t.analysis.loaded
 	since, ok := loaded.TimedSince()
-	if !ok || loaded.IsDoubtful() || now.Since(since) < plan.hold {
+	if !ok || loaded.IsSuspect() || now.Since(since) < plan.hold {
 		return false
 	}
 	attempts := loadAttemptsPart * plan.share * rate * plan.hold.Seconds()
--- a/control/rollout/loadpair.go
+++ b/control/rollout/loadpair.go
@@ -2,9 +2,9 @@
 
 import "onyxwell/base/ids"
 
-// LoadPair is a runner of the target version, and one of the old version beside it, that get
+// LoadTestPair is a runner of the target version, and one of the old version beside it, that get
 // as many requests as a runner may: what a version shows only under load is to show there.
-type LoadPair struct {
+type LoadTestPair struct {
 	Target Runner
 	// Old is the control; its ID is empty where the region has no old runner to spare.
 	Old Runner
@@ -14,9 +14,9 @@
 // control.
 const minOldForControl = 2
 
-// NewLoadPair returns the pair of a rollout; ok is false where the target version has no
+// SelectLoadTestPair returns the pair of a rollout; ok is false where the target version has no
 // runner to spare. All that have the same list choose alike.
-func NewLoadPair(runners []Runner, target string, order int64) (pair LoadPair, ok bool) {
+func SelectLoadTestPair(runners []Runner, target string, order int64) (pair LoadTestPair, ok bool) {
 	targets, old := map[ids.Region][]Runner{}, map[ids.Region][]Runner{}
 	for _, runner := range runners {
 		if runner.Version == target {
@@ -27,7 +27,7 @@
 	}
 	ranked := rankRunners(targets, order)
 	if len(ranked) < 2 {
-		return LoadPair{}, false
+		return LoadTestPair{}, false
 	}
 	// The canary takes the first ones. Of the others, one beside many old runners: that region
 	// has the requests.
--- a/control/rollout/pace.go
+++ b/control/rollout/pace.go
@@ -45,11 +45,11 @@
 	canaryBudget = 0.9
 )
 
-// Emphasis returns by how much more of a route's requests go to the canary than of all
+// OversamplingFactor returns by how much more of a route's requests go to the canary than of all
 // requests, for a route with a part of them among so many routes: rare routes are to be in
 // the sample, too. Over all routes it makes no more. Where the canary has a large part of the
 // runners, requests are few, and each route gets as many attempts.
-func Emphasis(part float64, routes int, canaryPart float64) float64 {
+func OversamplingFactor(part float64, routes int, canaryPart float64) float64 {
 	if part <= 0 || routes == 0 {
 		return 1
 	}
@@ -127,7 +127,7 @@
 		if part < relevantRoute || lacking <= 0 {
 			continue
 		}
-		wanted = max(wanted, float64(lacking)/(part*Emphasis(part, len(canary.routes), t.pace.part)))
+		wanted = max(wanted, float64(lacking)/(part*OversamplingFactor(part, len(canary.routes), t.pace.part)))
 	}
 	inTime := max(minEvidenceTime, time.Duration(evidenceTime*float64(t.shape.Least)))
 	if rate <= 0 {
--- a/control/rollout/record.go
+++ b/control/rollout/record.go
@@ -26,10 +26,10 @@
 
 // The conditions. They are stored; their numbers never change.
 const (
-	// Unordered is a service without a rollout.
-	Unordered Condition = iota
-	// Serving is a rollout in progress.
-	Serving
+	// NoRollout is a service without a rollout.
+	NoRollout Condition = iota
+	// InProgress is a rollout in progress.
+	InProgress
 	// Finished: all traffic goes to the target version, for good.
 	Finished
 	// Reverted: the target version gets nothing, for good.
@@ -59,9 +59,9 @@
 	Partial
 	// Full: the target version gets everything; the old one ends what it has.
 	Full
-	// Loaded is no stage of a record: a permit for it allows load at a pair of runners beside
+	// LoadTest is no stage of a record: a permit for it allows load at a pair of runners beside
 	// the canary.
-	Loaded
+	LoadTest
 )
 
 var stageNames = [...]string{"waiting", "canary", "partial", "full", "loaded"}
@@ -107,7 +107,7 @@
 const maxRejected = 32
 
 // InProgress reports whether the rollout has no verdict yet.
-func (r Record) InProgress() bool { return Condition(r.Condition) == Serving }
+func (r Record) InProgress() bool { return Condition(r.Condition) == InProgress }
 
 // IsFinished reports whether the target version has replaced the others.
 func (r Record) IsFinished() bool { return Condition(r.Condition) == Finished }
@@ -141,7 +141,7 @@
 			return nil, err
 		}
 		if record.Order > 0 && record.Target == order.Target {
-			return nil, repeatedOrder(record, order)
+			return nil, checkRepeatedOrder(record, order)
 		}
 		if record.InProgress() {
 			return nil, errkind.Errorf(errkind.RolloutConflict, "target_version: %s is being rolled out", record.Target)
@@ -153,14 +153,14 @@
 		}
 		return transport.Marshal(Record{
 			Version: record.Version + 1, Order: record.Order + 1, Target: order.Target, TermMS: order.TermMS,
-			OrderedUnixMS: order.UnixMS, Condition: int64(Serving), Rejected: record.Rejected,
+			OrderedUnixMS: order.UnixMS, Condition: int64(InProgress), Rejected: record.Rejected,
 		})
 	}
 }
 
-// repeatedOrder returns nil for an order that repeats the newest one, else what is in its
+// checkRepeatedOrder returns nil for an order that repeats the newest one, else what is in its
 // way.
-func repeatedOrder(record Record, order Order) error {
+func checkRepeatedOrder(record Record, order Order) error {
 	switch {
 	case record.TermMS == order.TermMS:
 		return nil
@@ -195,7 +195,7 @@
 		if err != nil {
 			return nil, err
 		}
-		outdated := record.Order != t.Order || !record.InProgress() || record.Epoch > t.Epoch || (t.To == Serving && Stage(record.Stage) > t.Stage)
+		outdated := record.Order != t.Order || !record.InProgress() || record.Epoch > t.Epoch || (t.To == InProgress && Stage(record.Stage) > t.Stage)
 		if outdated {
 			return nil, nil
 		}
--- a/control/rollout/record_test.go
+++ b/control/rollout/record_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestBegin_takesOrRefuses(t *testing.T) {
-	inProgress := Record{Version: 3, Order: 1, Target: `"v2"`, TermMS: 12000, Condition: int64(Serving)}
+	inProgress := Record{Version: 3, Order: 1, Target: `"v2"`, TermMS: 12000, Condition: int64(InProgress)}
 	reverted := inProgress
 	reverted.Condition, reverted.Rejected = int64(Reverted), []string{`"v2"`}
 	finished := inProgress
@@ -79,7 +79,7 @@
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			step := Transition{
 				Order: int64(rapid.IntRange(0, 2).Draw(t, "order")), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")),
-				To: Condition(rapid.IntRange(int(Serving), int(Reverted)).Draw(t, "to")), Stage: Stage(rapid.IntRange(int(Waiting), int(Full)).Draw(t, "stage")),
+				To: Condition(rapid.IntRange(int(InProgress), int(Reverted)).Draw(t, "to")), Stage: Stage(rapid.IntRange(int(Waiting), int(Full)).Draw(t, "stage")),
 				ReserveMS: int64(rapid.IntRange(0, 500).Draw(t, "reserve")),
 			}
 			next, err := step.Apply()(value)
--- a/control/rollout/spread.go
+++ b/control/rollout/spread.go
@@ -20,21 +20,21 @@
 	Slots int64
 }
 
-// Division says how the traffic of a service is to be divided.
-type Division struct {
+// SplitSpec says how the traffic of a service is to be divided.
+type SplitSpec struct {
 	Target string
 	Order  int64
-	// Part is the part of the target version's runners that get requests, Load how much each
+	// RunnerFraction is the part of the target version's runners that get requests, LoadFactor how much each
 	// gets, in parts of what an old one gets. With Full the target version gets everything.
-	Part, Load float64
+	RunnerFraction, LoadFactor float64
 	Full       bool
-	// LoadedTarget and LoadedOld are the pair under load, which gets nothing else; empty is
+	// LoadTestTarget and LoadTestOld are the pair under load, which gets nothing else; empty is
 	// none.
-	LoadedTarget, LoadedOld ids.RunnerID
+	LoadTestTarget, LoadTestOld ids.RunnerID
 }
 
-// Spread is how the traffic of a service is divided under a permit.
-type Spread struct {
+// TrafficSplit is how the traffic of a service is divided under a permit.
+type TrafficSplit struct {
 	// Active are the runners of the target version that get requests.
 	Active map[ids.RunnerID]bool
 	// Share is the part of a region's requests that goes to them.
@@ -43,15 +43,15 @@
 	HasOld bool
 }
 
-// NewSpread divides the traffic among the runners of a service. Each active runner gets
+// NewTrafficSplit divides the traffic among the runners of a service. Each active runner gets
 // the division's load times what an old one would. All that have the same list divide it
 // alike.
-func NewSpread(runners []Runner, division Division) Spread {
+func NewTrafficSplit(runners []Runner, division SplitSpec) TrafficSplit {
 	old, targets := map[ids.Region]int{}, map[ids.Region][]Runner{}
-	spread := Spread{Active: map[ids.RunnerID]bool{}, Share: map[ids.Region]float64{}}
+	spread := TrafficSplit{Active: map[ids.RunnerID]bool{}, Share: map[ids.Region]float64{}}
 	for _, runner := range runners {
 		switch {
-		case runner.ID == division.LoadedTarget:
+		case runner.ID == division.LoadTestTarget:
 		case runner.Version == division.Target:
 			targets[runner.Region] = append(targets[runner.Region], runner)
 		default:
@@ -67,7 +67,7 @@
 	for region, count := range active {
 		spread.Share[region] = 1
 		if !division.Full && old[region] > 0 {
-			spread.Share[region] = min(1, division.Load*float64(count)/float64(old[region]))
+			spread.Share[region] = min(1, division.LoadFactor*float64(count)/float64(old[region]))
 		}
 	}
 	return spread
@@ -75,7 +75,7 @@
 
 // MeanShare returns the part of all requests that goes to the target version, where each of
 // the regions has as many.
-func (s Spread) MeanShare(regions int) float64 {
+func (s TrafficSplit) MeanShare(regions int) float64 {
 	total := 0.0
 	for _, share := range s.Share {
 		total += share
@@ -92,12 +92,12 @@
 
 // firstRunners returns the part of the target's runners that is active, at least one: in an
 // order that takes regions in turn, and differs from rollout to rollout.
-func firstRunners(targets map[ids.Region][]Runner, division Division) []rankedRunner {
+func firstRunners(targets map[ids.Region][]Runner, division SplitSpec) []rankedRunner {
 	all := rankRunners(targets, division.Order)
 	if division.Full {
 		return all
 	}
-	count := max(1, int(math.Round(division.Part*float64(len(all)))))
+	count := max(1, int(math.Round(division.RunnerFraction*float64(len(all)))))
 	return all[:min(count, len(all))]
 }
 
--- a/control/rollout/status.go
+++ b/control/rollout/status.go
@@ -45,7 +45,7 @@
 	if t := d.trials[service]; t != nil {
 		return Condition(t.record.Condition)
 	}
-	return Unordered
+	return NoRollout
 }
 
 // Count returns how many services' newest rollouts have a condition.
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -100,7 +100,7 @@
 
 // isResumedBy reports whether a step goes on with the present stage under another epoch.
 func (t *trial) isResumedBy(step Transition) bool {
-	return step.To == Serving && t.stage() == step.Stage && t.epoch != step.Epoch
+	return step.To == InProgress && t.stage() == step.Stage && t.epoch != step.Epoch
 }
 
 // resume goes on with what a former director knew. Without that, all that was reserved counts
--- a/data/canary/arrivals.go
+++ b/data/canary/arrivals.go
@@ -52,5 +52,5 @@
 		return 1
 	}
 	part := float64(a.byRoute[route]) / float64(a.total)
-	return rollout.Emphasis(part, len(a.byRoute), float64(permit.RunnersMilli)/milli)
+	return rollout.OversamplingFactor(part, len(a.byRoute), float64(permit.RunnersMilli)/milli)
 }
--- a/data/canary/division.go
+++ b/data/canary/division.go
@@ -9,7 +9,7 @@
 
 // division is how a router divides the traffic of a service under its present permits.
 type division struct {
-	spread rollout.Spread
+	spread rollout.TrafficSplit
 	// loadedTarget and loadedOld are the pair under load, empty where there is none; loadedPart
 	// and loadedOldPart are the parts of this router's requests that go there.
 	loadedTarget, loadedOld   ids.RunnerID
@@ -58,24 +58,24 @@
 	}
 	divided := division{snap: snap, permit: permit, loadPermit: loadPermit}
 	target := snap.Rollouts[service].Target
-	if pair, ok := rollout.NewLoadPair(runners, target, t.order); ok && loadPermit.Order == t.order {
+	if pair, ok := rollout.SelectLoadTestPair(runners, target, t.order); ok && loadPermit.Order == t.order {
 		divided.setPair(pair, g.options.Region)
 	}
-	divided.spread = rollout.NewSpread(runners, rollout.Division{
-		Target: target, Order: t.order, Part: float64(permit.RunnersMilli) / milli, Load: float64(permit.LoadMilli) / milli,
-		Full: t.isFull(), LoadedTarget: divided.loadedTarget, LoadedOld: divided.loadedOld,
+	divided.spread = rollout.NewTrafficSplit(runners, rollout.SplitSpec{
+		Target: target, Order: t.order, RunnerFraction: float64(permit.RunnersMilli) / milli, LoadFactor: float64(permit.LoadMilli) / milli,
+		Full: t.isFull(), LoadTestTarget: divided.loadedTarget, LoadTestOld: divided.loadedOld,
 	})
 	return divided
 }
 
 // setPair has a part of this router's requests go to the pair under load.
-func (d *division) setPair(pair rollout.LoadPair, region ids.Region) {
+func (d *division) setPair(pair rollout.LoadTestPair, region ids.Region) {
 	part := d.loadPermit.RunnersMilli
 	if pair.Target.Region == region {
 		part = d.loadPermit.LoadMilli
 	}
 	d.loadedTarget, d.loadedPart = pair.Target.ID, float64(part)/milli
-	if pair.Old.ID != "" && d.loadedPart <= rollout.MaxControlShare {
+	if pair.Old.ID != "" && d.loadedPart <= rollout.MaxBaselineShare {
 		d.loadedOld, d.loadedOldPart = pair.Old.ID, float64(part)/milli
 	}
 }
--- a/data/canary/evidence.go
+++ b/data/canary/evidence.go
@@ -50,7 +50,7 @@
 	}
 	key := countKey{route: attempt.Route, target: attempt.Runner.Version == record.Target}
 	if attempt.Arm.IsLoaded() {
-		key.route = rollout.LoadedRoute(attempt.Route)
+		key.route = rollout.LoadTestRoute(attempt.Route)
 	}
 	counts := t.counts[key]
 	if counts == nil {
--- a/data/canary/gate.go
+++ b/data/canary/gate.go
@@ -354,7 +354,7 @@
 }
 
 func (t *trial) grant(permit rollout.Permit, expiry clock.Instant) {
-	if rollout.Stage(permit.Stage) == rollout.Loaded {
+	if rollout.Stage(permit.Stage) == rollout.LoadTest {
 		t.loadPermit, t.loadExpiry = permit, expiry
 		return
 	}
--- a/data/canary/gate_test.go
+++ b/data/canary/gate_test.go
@@ -65,7 +65,7 @@
 		listed    []string
 		want      map[string]int
 	}{
-		{"in progress without a permit", rollout.Serving, []string{"v1", "v2"}, map[string]int{"v1": 1}},
+		{"in progress without a permit", rollout.InProgress, []string{"v1", "v2"}, map[string]int{"v1": 1}},
 		{"reverted", rollout.Reverted, []string{"v1", "v2"}, map[string]int{"v1": 1}},
 		{"reverted, the old gone", rollout.Reverted, []string{"v2"}, map[string]int{}},
 		{"finished", rollout.Finished, []string{"v1", "v2"}, map[string]int{"v2": 1}},
@@ -92,7 +92,7 @@
 func TestGate_evacuatedCanary(t *testing.T) {
 	gate, store, fake := newGate()
 	store.ApplyRunners(listOf("v1", "v2"))
-	body, err := transport.Marshal(rollout.Record{Version: 1, Order: 1, Target: "v2", Condition: int64(rollout.Serving)})
+	body, err := transport.Marshal(rollout.Record{Version: 1, Order: 1, Target: "v2", Condition: int64(rollout.InProgress)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/soak/rollout.go
+++ b/soak/rollout.go
@@ -86,7 +86,7 @@
 	if len(r.conditions) == 0 || r.conditions[len(r.conditions)-1] != condition {
 		r.conditions = append(r.conditions, condition)
 	}
-	if r.verdictAt == 0 && condition != rollout.Serving.String() {
+	if r.verdictAt == 0 && condition != rollout.InProgress.String() {
 		r.verdictAt = now
 	}
 }
@@ -240,7 +240,7 @@
 // r.mu.
 func (r *rolloutRecord) broken() []string {
 	var broken []string
-	serving, verdicts := rollout.Serving.String(), 0
+	serving, verdicts := rollout.InProgress.String(), 0
 	for index, condition := range r.conditions {
 		if condition != serving {
 			verdicts++
