--- a/control/rollout/analysis.go
+++ b/control/rollout/analysis.go
@@ -8,37 +8,37 @@
 	"onyxwell/base/clock"
 )
 
-// loadedSuffix marks the route of a count that comes from the pair of runners under load.
+// loadTestSuffix marks the route of a count that comes from the pair of runners under load.
 // Relays of earlier builds keep such counts apart as those of another route.
-const loadedSuffix = "\x00loaded"
+const loadTestSuffix = "\x00loaded"
 
 // LoadTestRoute returns the route under which attempts at the pair of runners under load are
 // reported.
-func LoadTestRoute(route string) string { return route + loadedSuffix }
+func LoadTestRoute(route string) string { return route + loadTestSuffix }
 
 // analysis is the evidence on a rollout: from the canary, and from a pair of runners, one of
 // either version, that get as much load as a runner may.
 type analysis struct {
-	canary, loaded *Judge
-	stage          Stage
+	canary, loadTest *Judge
+	stage            Stage
 	// ended counts all attempts since countedFrom: the first reports have what was made before.
 	ended       int64
 	settleTime  time.Duration
 	countedFrom clock.Instant
 	// rate is the highest rate of requests a second so far.
 	rate float64
-	// exposed and loadedExposed count attempts at the target version, the second those of the
+	// exposed and loadTestExposed count attempts at the target version, the second those of the
 	// runner under load alone.
-	exposed, loadedExposed int64
+	exposed, loadTestExposed int64
 }
 
 func newAnalysis() *analysis {
-	return &analysis{canary: NewJudge(), loaded: newLoadedJudge(), settleTime: settleTime}
+	return &analysis{canary: NewJudge(), loadTest: newLoadTestJudge(), settleTime: settleTime}
 }
 
-// newLoadedJudge returns a Judge of the pair under load. Only its failures are judged: under
+// newLoadTestJudge returns a Judge of the pair under load. Only its failures are judged: under
 // load, a runner whose prompt cache is cold takes longer than one whose cache is warm.
-func newLoadedJudge() *Judge {
+func newLoadTestJudge() *Judge {
 	judge := NewJudge()
 	judge.failuresOnly = true
 	return judge
@@ -49,27 +49,27 @@
 	if a.countedFrom == 0 {
 		a.countedFrom = now.Add(a.settleTime)
 	}
-	var ordinary, loaded []RouteCount
+	var canary, loadTest []RouteCount
 	for _, count := range counts {
 		if now >= a.countedFrom {
 			a.ended += count.Ended
 		}
-		route, isLoaded := strings.CutSuffix(count.Route, loadedSuffix)
+		route, isLoadTest := strings.CutSuffix(count.Route, loadTestSuffix)
 		if count.Target {
 			a.exposed += count.Ended
 		}
-		if !isLoaded {
-			ordinary = append(ordinary, count)
+		if !isLoadTest {
+			canary = append(canary, count)
 			continue
 		}
 		if count.Target {
-			a.loadedExposed += count.Ended
+			a.loadTestExposed += count.Ended
 		}
 		count.Route = route
-		loaded = append(loaded, count)
+		loadTest = append(loadTest, count)
 	}
-	a.canary.Add(ordinary, now)
-	a.loaded.Add(loaded, now)
+	a.canary.Add(canary, now)
+	a.loadTest.Add(loadTest, now)
 }
 
 // beginStage has the version be found good by what comes from now on alone.
@@ -81,17 +81,17 @@
 // verdict returns what all evidence says now. In the canary's stage, attempts under load speak
 // for the version, too.
 func (a *analysis) verdict() Verdict {
-	if reason := a.loaded.against(); reason != "" {
+	if reason := a.loadTest.rejectionReason(); reason != "" {
 		return Verdict{Finding: Bad, Reason: "under load: " + reason}
 	}
 	if a.stage == Canary {
-		return a.canary.verdictWith(a.loaded)
+		return a.canary.verdictWith(a.loadTest)
 	}
 	return a.canary.Verdict()
 }
 
-// isDoubtful reports whether something speaks against the version.
-func (a *analysis) isDoubtful() bool { return a.canary.IsSuspect() || a.loaded.IsSuspect() }
+// isSuspect reports whether something speaks against the version.
+func (a *analysis) isSuspect() bool { return a.canary.IsSuspect() || a.loadTest.IsSuspect() }
 
 const (
 	// settleTime is for how long the first reports have attempts from before; those of routers
@@ -116,16 +116,16 @@
 // was counted.
 const rateDeviations = 2
 
-// mostRequestsPerS is requestsPerS as it may be, where attempts at the target version were sent
+// maxRequestsPerS is requestsPerS as it may be, where attempts at the target version were sent
 // for as long as paced is of the whole traffic: few attempts say little of their rate, and those
 // at a slow version have not ended.
-func (a *analysis) mostRequestsPerS(paced time.Duration, now clock.Instant) float64 {
+func (a *analysis) maxRequestsPerS(allocated time.Duration, now clock.Instant) float64 {
 	rate := a.requestsPerS(now)
 	elapsed := now.Since(a.countedFrom)
 	if rate <= 0 || elapsed < minRateTime {
 		return rate
 	}
-	running := max(0, rate*paced.Seconds()-float64(a.exposed))
+	running := max(0, rate*allocated.Seconds()-float64(a.exposed))
 	counted := float64(a.ended)
 	return max(rate, (counted+running+rateDeviations*math.Sqrt(counted))/elapsed.Seconds())
 }
@@ -134,7 +134,7 @@
 // is false where none was.
 func (a *analysis) timedSince() (since clock.Instant, ok bool) {
 	since, ok = a.canary.TimedSince()
-	if loadedSince, loadedOK := a.loaded.TimedSince(); loadedOK && (!ok || loadedSince < since) {
+	if loadedSince, loadedOK := a.loadTest.TimedSince(); loadedOK && (!ok || loadedSince < since) {
 		return loadedSince, true
 	}
 	return since, ok
--- a/control/rollout/control.go
+++ b/control/rollout/control.go
@@ -4,35 +4,35 @@
 
 const (
 	// The part of attempts that fail at a good version is taken to be what the old one shows
-	// twice over, and goodFailures; at a bad one it is badFailures higher.
-	goodFailures = 0.03
-	badFailures  = 0.17
+	// twice over, and goodFailureRate; at a bad one it is badFailures higher.
+	goodFailureRate        = 0.03
+	badFailureRateIncrease = 0.17
 	// Without a control, a good version may fail through what befalls all runners alike.
-	goodFailuresAlone = 0.10
-	badFailuresAlone  = 0.25
+	goodFailureRateWithoutBaseline        = 0.10
+	badFailureRateIncreaseWithoutBaseline = 0.25
 	// An attempt is slow where it takes slowFactor times as long as the middle one of the old
 	// version, and slowMargin more.
 	slowFactor = 2.5
 	slowMargin = 20 * time.Millisecond
 	// The part of slow attempts at a good and at a bad version.
-	goodSlow = 0.25
-	badSlow  = 0.70
-	// maxGood bounds what is taken for good: a test needs some room above it.
-	maxGood = 0.6
-	maxBad  = 0.9
-	// minControl is how many attempts of the old version a comparison needs.
-	minControl = 12
-	// controlWindow is for how long the old version's attempts count, once to twice.
-	controlWindow = 2 * time.Second
+	goodSlowRate = 0.25
+	badSlowRate  = 0.70
+	// maxGoodRate bounds what is taken for good: a test needs some room above it.
+	maxGoodRate = 0.6
+	maxBadRate  = 0.9
+	// minBaselineAttempts is how many attempts of the old version a comparison needs.
+	minBaselineAttempts = 12
+	// baselineWindow is for how long the old version's attempts count, once to twice.
+	baselineWindow = 2 * time.Second
 )
 
-// control is what a version showed of late on a route, in two windows.
-type control struct {
+// recentOutcomes is what a version showed of late on a route, in two windows.
+type recentOutcomes struct {
 	ended, failed    [2]int64
 	firstByte, whole [2]Histogram
 }
 
-func (c *control) add(count RouteCount) {
+func (c *recentOutcomes) add(count RouteCount) {
 	c.ended[0] += count.Ended
 	c.failed[0] += count.Failed
 	c.firstByte[0].Merge(count.FirstByte)
@@ -40,8 +40,8 @@
 }
 
 // rotate begins a new window, unless the present one says too little.
-func (c *control) rotate() {
-	if c.ended[0] < minControl {
+func (c *recentOutcomes) rotate() {
+	if c.ended[0] < minBaselineAttempts {
 		return
 	}
 	c.ended[1], c.failed[1] = c.ended[0], c.failed[0]
@@ -50,7 +50,7 @@
 	c.firstByte[0], c.whole[0] = Histogram{}, Histogram{}
 }
 
-func (c *control) totals() (ended, failed int64) {
+func (c *recentOutcomes) totals() (ended, failed int64) {
 	return c.ended[0] + c.ended[1], c.failed[0] + c.failed[1]
 }
 
@@ -67,26 +67,26 @@
 	return both.Quantile(0.5)
 }
 
-// failureParts returns the parts of failed attempts that a good and a bad version show on a
+// expectedFailureRates returns the parts of failed attempts that a good and a bad version show on a
 // route: what befalls the control at the time is no fault of the new version.
-func (j *Judge) failureParts(evidence *routeEvidence) (good, bad float64) {
-	least, step := goodFailures, badFailures
-	part, known := j.controlPart(evidence)
+func (j *Judge) expectedFailureRates(evidence *routeEvidence) (good, bad float64) {
+	minGood, increase := goodFailureRate, badFailureRateIncrease
+	rate, known := j.baselineFailureRate(evidence)
 	if !known {
-		least, step = goodFailuresAlone, badFailuresAlone
+		minGood, increase = goodFailureRateWithoutBaseline, badFailureRateIncreaseWithoutBaseline
 	}
-	good = min(max(least, 2*part+goodFailures/2), maxGood)
-	return good, min(good+step, maxBad)
+	good = min(max(minGood, 2*rate+goodFailureRate/2), maxGoodRate)
+	return good, min(good+increase, maxBadRate)
 }
 
-// controlPart returns the part of attempts that fail at the control: the old version, or,
+// baselineFailureRate returns the part of attempts that fail at the control: the old version, or,
 // where that gets nothing any more, the other routes at the target version; known is false
 // where that has none.
-func (j *Judge) controlPart(evidence *routeEvidence) (part float64, known bool) {
+func (j *Judge) baselineFailureRate(evidence *routeEvidence) (rate float64, known bool) {
 	ended, failed := int64(0), int64(0)
 	for _, other := range j.routes {
 		routeEnded, routeFailed := other.old.totals()
-		if j.alone {
+		if j.withoutBaseline {
 			routeEnded, routeFailed = other.target.totals()
 			if other == evidence {
 				continue
@@ -94,44 +94,44 @@
 		}
 		ended, failed = ended+routeEnded, failed+routeFailed
 	}
-	part = partOf(failed, ended)
-	if j.alone {
-		return part, ended >= minControl
+	rate = ratio(failed, ended)
+	if j.withoutBaseline {
+		return rate, ended >= minBaselineAttempts
 	}
-	if routeEnded, routeFailed := evidence.old.totals(); routeEnded >= minControl {
-		part = max(part, partOf(routeFailed, routeEnded))
+	if routeEnded, routeFailed := evidence.old.totals(); routeEnded >= minBaselineAttempts {
+		rate = max(rate, ratio(routeFailed, routeEnded))
 	}
-	return part, true
+	return rate, true
 }
 
-// addSlow weighs how long attempts at the target version took against the old one's; it
+// addSlowAttempts weighs how long attempts at the target version took against the old one's; it
 // reports whether there was enough to compare.
-func addSlow(test *sequentialTest, old *[2]Histogram, target *Histogram) bool {
+func addSlowAttempts(test *sequentialTest, old *[2]Histogram, target *Histogram) bool {
 	reference := merged(old)
-	if reference.Total() < minControl || target.Total() == 0 {
+	if reference.Total() < minBaselineAttempts || target.Total() == 0 {
 		return false
 	}
 	limit := time.Duration(slowFactor*float64(reference.Quantile(0.5))) + slowMargin
-	good := min(max(goodSlow, 2*partOf(reference.Above(limit), reference.Total())), maxGood)
+	good := min(max(goodSlowRate, 2*ratio(reference.Above(limit), reference.Total())), maxGoodRate)
 	slow := target.Above(limit)
-	test.add(slow, target.Total()-slow, good, min(max(badSlow, good+badFailures), maxBad))
+	test.add(slow, target.Total()-slow, good, min(max(badSlowRate, good+badFailureRateIncrease), maxBadRate))
 	return true
 }
 
-// meanOldWhole returns how long attempts at the old version take on average, 0 where that is
+// meanOldDuration returns how long attempts at the old version take on average, 0 where that is
 // not known.
-func (j *Judge) meanOldWhole() time.Duration {
-	all := j.oldWhole()
+func (j *Judge) meanOldDuration() time.Duration {
+	all := j.oldDurations()
 	return all.Mean()
 }
 
-// oldWholeQuantile returns how long a part of the attempts at the old version take at most.
-func (j *Judge) oldWholeQuantile(part float64) time.Duration {
-	all := j.oldWhole()
-	return all.Quantile(part)
+// oldDurationQuantile returns how long a part of the attempts at the old version take at most.
+func (j *Judge) oldDurationQuantile(q float64) time.Duration {
+	all := j.oldDurations()
+	return all.Quantile(q)
 }
 
-func (j *Judge) oldWhole() Histogram {
+func (j *Judge) oldDurations() Histogram {
 	var all Histogram
 	for _, evidence := range j.routes {
 		for window := range evidence.old.whole {
--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -9,17 +9,17 @@
 
 // next returns the step of a rollout that is due now: on a finding, on the time of its stage,
 // or at the end of the term. The caller holds d.mu.
-func (d *Director) next(t *trial, epoch int64, now clock.Instant) (Transition, bool) {
+func (d *Director) next(t *trackedRollout, epoch int64, now clock.Instant) (Transition, bool) {
 	switch {
-	case t.rejected != "":
-		return t.revert(t.rejected)
+	case t.rejectionReason != "":
+		return t.revert(t.rejectionReason)
 	case t.stage() == Waiting:
 		return d.nextOfWaiting(t, now)
 	case t.epoch != epoch:
 		return Transition{To: InProgress, Stage: t.stage(), Reason: "another director goes on"}, true
 	case t.stage() == Full:
 		return d.nextOfFull(t, now)
-	case t.isClosing(now) && t.analysis.isDoubtful():
+	case t.isClosing(now) && t.analysis.isSuspect():
 		return t.revert("something speaks against the version at the end of the term: " + t.analysis.verdict().Reason)
 	case t.isOverdue(now):
 		return t.revert("no finding long after the term: " + d.waitsFor(t, now))
@@ -29,21 +29,21 @@
 	return d.nextOfPartial(t, now)
 }
 
-func (t *trial) revert(reason string) (Transition, bool) {
+func (t *trackedRollout) revert(reason string) (Transition, bool) {
 	return Transition{To: Reverted, Stage: t.stage(), Reason: reason}, true
 }
 
 // isClosing reports whether the last moment has come at which the old version can still be
 // restored in the term.
-func (t *trial) isClosing(now clock.Instant) bool {
+func (t *trackedRollout) isClosing(now clock.Instant) bool {
 	return now.Since(t.orderedAt) >= t.term()-bounded(closingTime, t.term(), minClosing, t.term())
 }
 
-func (t *trial) isOverdue(now clock.Instant) bool {
+func (t *trackedRollout) isOverdue(now clock.Instant) bool {
 	return now.Since(t.orderedAt) >= max(overdueTime*t.term(), t.term()+minOverdue)
 }
 
-func (d *Director) nextOfWaiting(t *trial, now clock.Instant) (Transition, bool) {
+func (d *Director) nextOfWaiting(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	if d.targetStarted(t, now) {
 		return d.begin(t, Canary, "runners of the target version have started"), true
 	}
@@ -57,9 +57,9 @@
 // is good and was tried under load. A version that could not be brought under load gets no
 // more than the canary's exposure in the term, and is tried again after it. Where too little exposure
 // or time is left for a larger part, all traffic follows at once.
-func (d *Director) nextOfCanary(t *trial, now clock.Instant) (Transition, bool) {
+func (d *Director) nextOfCanary(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict := t.analysis.verdict()
-	if verdict.Finding != Good || now.Since(t.enteredAt) < t.shape.Least || !t.timedLongEnough(now) || !d.hasBorneLoad(t, now) {
+	if verdict.Finding != Good || now.Since(t.enteredAt) < t.plan.Least || !t.timedLongEnough(now) || !d.hasBorneLoad(t, now) {
 		return Transition{}, false
 	}
 	stage := Partial
@@ -71,8 +71,8 @@
 
 // hasBorneLoad reports whether the version was tried under load. Where it has too few runners
 // for that, it goes on once the term is over.
-func (d *Director) hasBorneLoad(t *trial, now clock.Instant) bool {
-	if t.load.shown {
+func (d *Director) hasBorneLoad(t *trackedRollout, now clock.Instant) bool {
+	if t.loadTest.passed {
 		return true
 	}
 	_, ok := SelectLoadTestPair(d.options.Runners(t.service), t.record.Target, t.record.Order)
@@ -81,14 +81,14 @@
 
 // nextOfPartial returns the step after the larger part. Where it brought too few attempts, the
 // canary's finding stands unless something speaks against the version.
-func (d *Director) nextOfPartial(t *trial, now clock.Instant) (Transition, bool) {
+func (d *Director) nextOfPartial(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict, lasted := t.analysis.verdict(), now.Since(t.enteredAt)
 	switch {
-	case verdict.Finding == Good && lasted >= t.shape.Least:
+	case verdict.Finding == Good && lasted >= t.plan.Least:
 		return d.begin(t, Full, verdict.Reason), true
-	case lasted < t.shape.Longest:
+	case lasted < t.plan.Longest:
 		return Transition{}, false
-	case !t.analysis.isDoubtful():
+	case !t.analysis.isSuspect():
 		return d.begin(t, Full, "nothing speaks against it in the larger part"), true
 	case !d.isWithinBudget(t, 0, now):
 		return t.revert("something speaks against the version, and the exposure is used up: " + verdict.Reason)
@@ -96,22 +96,22 @@
 	return Transition{}, false
 }
 
-func (d *Director) nextOfFull(t *trial, now clock.Instant) (Transition, bool) {
+func (d *Director) nextOfFull(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	_, waits := d.unconfirmedZone(t, now)
-	if now.Since(t.enteredAt) >= t.shape.Least && !t.analysis.isDoubtful() && !waits {
+	if now.Since(t.enteredAt) >= t.plan.Least && !t.analysis.isSuspect() && !waits {
 		return Transition{To: Finished, Stage: Full, Reason: "nothing runs at the old version any more"}, true
 	}
 	return Transition{}, false
 }
 
 // begin returns the step into a stage, whose exposure is reserved.
-func (d *Director) begin(t *trial, stage Stage, reason string) Transition {
+func (d *Director) begin(t *trackedRollout, stage Stage, reason string) Transition {
 	reserve := d.shape(t, stage).Exposure
 	return Transition{To: InProgress, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
 }
 
 // affords reports whether exposure and time are left for a stage, and for all that follows.
-func (d *Director) affords(t *trial, stage Stage, now clock.Instant) bool {
+func (d *Director) affords(t *trackedRollout, stage Stage, now clock.Instant) bool {
 	shape := d.shape(t, stage)
 	after := shapeOf(Full, t.term(), 0, nil).Least + d.drainTime(t)
 	inTime := now.Since(t.orderedAt)+shape.Least+after <= t.term() || t.isPastTerm(now)
@@ -120,16 +120,16 @@
 
 // isWithinBudget reports whether some more exposure is within the budget; there is none once
 // the term is over.
-func (d *Director) isWithinBudget(t *trial, more time.Duration, now clock.Instant) bool {
+func (d *Director) isWithinBudget(t *trackedRollout, more time.Duration, now clock.Instant) bool {
 	if t.isPastTerm(now) {
 		return true
 	}
-	return t.used(t.analysis.requestsPerS(now))+more <= d.budget(t)
+	return t.usedExposure(t.analysis.requestsPerS(now))+more <= d.budget(t)
 }
 
 // budget returns the exposure that a rollout may cause. The caller holds d.mu.
-func (d *Director) budget(t *trial) time.Duration {
-	return d.options.Policy.Budget(t.term(), t.analysis.mostRequestsPerS(t.paced, d.options.Clock.Now()))
+func (d *Director) budget(t *trackedRollout) time.Duration {
+	return d.options.Policy.Budget(t.term(), t.analysis.maxRequestsPerS(t.allocatedExposure, d.options.Clock.Now()))
 }
 
 // drainQuantile is the part of the requests at old runners that end within the time for which
@@ -138,18 +138,18 @@
 
 // drainTime returns how long the last stage is planned to take beyond its least time: permits
 // and confirmations on their way, and the requests at old runners.
-func (d *Director) drainTime(t *trial) time.Duration {
-	return 4*d.options.Policy.ExchangeInterval + t.analysis.canary.oldWholeQuantile(drainQuantile)
+func (d *Director) drainTime(t *trackedRollout) time.Duration {
+	return 4*d.options.Policy.ExchangeInterval + t.analysis.canary.oldDurationQuantile(drainQuantile)
 }
 
 // timedLongEnough reports whether attempts at warm runners were timed for long enough.
-func (t *trial) timedLongEnough(now clock.Instant) bool {
+func (t *trackedRollout) timedLongEnough(now clock.Instant) bool {
 	since, ok := t.analysis.timedSince()
 	return ok && now.Since(since) >= bounded(timedTime, t.term(), minTimedTime, maxTimedTime)
 }
 
 // targetStarted reports whether enough runners of the target version are listed.
-func (d *Director) targetStarted(t *trial, now clock.Instant) bool {
+func (d *Director) targetStarted(t *trackedRollout, now clock.Instant) bool {
 	old, target := 0, 0
 	for _, runner := range d.options.Runners(t.service) {
 		if runner.Version == t.record.Target {
@@ -166,13 +166,13 @@
 }
 
 // shape returns the shape of a stage by the runners that are listed now.
-func (d *Director) shape(t *trial, stage Stage) stageShape {
+func (d *Director) shape(t *trackedRollout, stage Stage) stageShape {
 	return shapeOf(stage, t.term(), d.budget(t), func(part, load float64) float64 {
 		return d.meanShare(t, part, load)
 	})
 }
 
-func (d *Director) meanShare(t *trial, part, load float64) float64 {
+func (d *Director) meanShare(t *trackedRollout, part, load float64) float64 {
 	regions := map[ids.Region]bool{}
 	for _, region := range d.options.Zones {
 		regions[region] = true
@@ -184,7 +184,7 @@
 // unconfirmedZone returns a zone with routers that have not confirmed yet that they send
 // nothing to old runners, and have nothing there; ok is false where there is none. A zone that
 // has been silent for long has no permits, and is not waited for.
-func (d *Director) unconfirmedZone(t *trial, now clock.Instant) (zone ids.Zone, ok bool) {
+func (d *Director) unconfirmedZone(t *trackedRollout, now clock.Instant) (zone ids.Zone, ok bool) {
 	for zone := range d.options.Zones {
 		if d.options.HasRouters(zone) && !d.zoneConfirmed(t, zone, now) {
 			return zone, true
@@ -193,7 +193,7 @@
 	return "", false
 }
 
-func (d *Director) zoneConfirmed(t *trial, zone ids.Zone, now clock.Instant) bool {
+func (d *Director) zoneConfirmed(t *trackedRollout, zone ids.Zone, now clock.Instant) bool {
 	heardAt, fresh, confirmed := t.enteredAt, false, false
 	for _, relay := range t.zones[zone] {
 		heardAt = max(heardAt, relay.at)
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -45,33 +45,33 @@
 	options   DirectorOptions
 	announced int64
 
-	mu     sync.Mutex
-	trials map[ids.Service]*trial
+	mu       sync.Mutex
+	rollouts map[ids.Service]*trackedRollout
 }
 
-// trial is a rollout in progress, as this controller sees it.
-type trial struct {
+// trackedRollout is a rollout in progress, as this controller sees it.
+type trackedRollout struct {
 	service ids.Service
 	record  Record
 	// orderedAt is when the order was given, or was first seen here.
 	orderedAt clock.Instant
 	// epoch is the one under which the stage was entered here; 0 is none. Permits are granted
 	// for the stage entered, since enteredAt, unless the version was found bad.
-	epoch     int64
-	enteredAt clock.Instant
-	shape     stageShape
-	rejected  string
-	analysis  *analysis
-	zones     map[ids.Zone]map[ids.Address]relayState
-	pace      pace
-	pacedAt   clock.Instant
-	// paced is what the paces so far have exposed until accountedAt, as a time of the whole
+	epoch           int64
+	enteredAt       clock.Instant
+	plan            stageShape
+	rejectionReason string
+	analysis        *analysis
+	zones           map[ids.Zone]map[ids.Address]relayState
+	allocation      allocation
+	allocatedAt     clock.Instant
+	// allocatedExposure is what the paces so far have exposed until accountedAt, as a time of the whole
 	// traffic.
-	paced       time.Duration
-	accountedAt clock.Instant
-	// usedBefore is the exposure that former directors caused (see Evidence).
-	usedBefore time.Duration
-	load       loadTrial
+	allocatedExposure time.Duration
+	accountedAt       clock.Instant
+	// inheritedExposure is the exposure that former directors caused (see Evidence).
+	inheritedExposure time.Duration
+	loadTest          loadTestState
 	// savedAt is when the evidence was stored last.
 	savedAt clock.Instant
 	// note says that the term is too short, if it is.
@@ -86,7 +86,7 @@
 
 // NewDirector returns a Director that knows of no rollouts.
 func NewDirector(options DirectorOptions) *Director {
-	return &Director{options: options, trials: map[ids.Service]*trial{}}
+	return &Director{options: options, rollouts: map[ids.Service]*trackedRollout{}}
 }
 
 // Run takes steps until ctx ends.
@@ -132,29 +132,29 @@
 	defer d.mu.Unlock()
 	for _, item := range items {
 		service, ok := ServiceOfKey(item.Key)
-		if known := d.trials[service]; !ok || (known != nil && known.record.Version >= item.Version) {
+		if known := d.rollouts[service]; !ok || (known != nil && known.record.Version >= item.Version) {
 			continue
 		}
 		if record, err := Decode(service, item.Body); err == nil {
-			d.takeOver(service, record, now)
+			d.adoptRecord(service, record, now)
 		}
 	}
 }
 
-// takeOver takes a newer record over. The caller holds d.mu.
-func (d *Director) takeOver(service ids.Service, record Record, now clock.Instant) {
-	current := d.trials[service]
+// adoptRecord takes a newer record over. The caller holds d.mu.
+func (d *Director) adoptRecord(service ids.Service, record Record, now clock.Instant) {
+	current := d.rollouts[service]
 	if current == nil || current.record.Order != record.Order {
-		current = &trial{
-			service: service, orderedAt: now.Add(-d.ageOf(record)), analysis: newAnalysis(), zones: map[ids.Zone]map[ids.Address]relayState{},
+		current = &trackedRollout{
+			service: service, orderedAt: now.Add(-d.orderAge(record)), analysis: newAnalysis(), zones: map[ids.Zone]map[ids.Address]relayState{},
 		}
-		d.trials[service] = current
+		d.rollouts[service] = current
 	}
 	current.record = record
 }
 
-// ageOf returns how long ago an order was given, as far as the agreed time is known.
-func (d *Director) ageOf(record Record) time.Duration {
+// orderAge returns how long ago an order was given, as far as the agreed time is known.
+func (d *Director) orderAge(record Record) time.Duration {
 	if d.options.UnixMS == nil || record.OrderedUnixMS == 0 {
 		return 0
 	}
@@ -170,8 +170,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var due []Transition
-	for _, service := range slices.Sorted(maps.Keys(d.trials)) {
-		trial := d.trials[service]
+	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
+		trial := d.rollouts[service]
 		if !trial.record.InProgress() {
 			continue
 		}
@@ -199,19 +199,19 @@
 	now := d.options.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	trial := d.trials[step.Service]
+	trial := d.rollouts[step.Service]
 	record, err := Decode(step.Service, value)
 	if err != nil || trial.record.Order != record.Order || trial.record.Version > record.Version {
 		return
 	}
-	resumes := trial.isResumedBy(step)
+	isResumed := trial.isResumedBy(step)
 	trial.record = record
 	if record.Epoch == step.Epoch && Stage(record.Stage) == step.Stage && step.To == InProgress {
 		trial.enter(step.Epoch, d.shape(trial, step.Stage), now)
-		if resumes {
+		if isResumed {
 			trial.resume(known, now)
 		}
-		d.setPace(trial, now)
+		d.updateAllocation(trial, now)
 		// No permit is granted before the evidence has what it may use.
 		trial.savedAt = 0
 	}
@@ -221,11 +221,11 @@
 func (d *Director) logUnstored(step Transition, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.log(d.trials[step.Service], "step not stored: "+err.Error())
+	d.log(d.rollouts[step.Service], "step not stored: "+err.Error())
 }
 
 // log logs what became of a rollout, or what it waits for.
-func (d *Director) log(trial *trial, reason string) {
+func (d *Director) log(trial *trackedRollout, reason string) {
 	if d.options.Log == nil {
 		return
 	}
@@ -236,8 +236,8 @@
 }
 
 // enter begins a stage, whose permits may be granted from now on.
-func (t *trial) enter(epoch int64, shape stageShape, now clock.Instant) {
-	t.epoch, t.enteredAt, t.shape = epoch, now, shape
+func (t *trackedRollout) enter(epoch int64, shape stageShape, now clock.Instant) {
+	t.epoch, t.enteredAt, t.plan = epoch, now, shape
 	t.analysis.beginStage(t.stage())
 }
 
@@ -250,7 +250,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, report := range req.Services {
-		trial := d.trials[report.Service]
+		trial := d.rollouts[report.Service]
 		if trial == nil || trial.record.Order != report.Order {
 			continue
 		}
@@ -265,18 +265,18 @@
 }
 
 // checkVerdict withholds permits from a version that is found bad.
-func (t *trial) checkVerdict() {
-	if verdict := t.analysis.verdict(); verdict.Finding == Bad && t.rejected == "" {
-		t.rejected = verdict.Reason
+func (t *trackedRollout) checkVerdict() {
+	if verdict := t.analysis.verdict(); verdict.Finding == Bad && t.rejectionReason == "" {
+		t.rejectionReason = verdict.Reason
 	}
 }
 
 // permits returns what may be granted under an epoch. The caller holds d.mu.
 func (d *Director) permits(epoch int64, now clock.Instant) []Permit {
 	var permits []Permit
-	for _, service := range slices.Sorted(maps.Keys(d.trials)) {
-		trial := d.trials[service]
-		if !trial.record.InProgress() || trial.epoch != epoch || trial.rejected != "" || trial.stage() == Waiting {
+	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
+		trial := d.rollouts[service]
+		if !trial.record.InProgress() || trial.epoch != epoch || trial.rejectionReason != "" || trial.stage() == Waiting {
 			continue
 		}
 		if trial.stage() != Full && now.Since(trial.savedAt) > maxSaveAge {
@@ -289,26 +289,28 @@
 
 // permits returns the permits for the present pace. That for the pair under load comes first:
 // routers of earlier builds keep the last one.
-func (t *trial) permits(ttl time.Duration) []Permit {
+func (t *trackedRollout) permits(ttl time.Duration) []Permit {
 	stage := Permit{Service: t.service, Order: t.record.Order, Stage: t.record.Stage, TTLMS: ttl.Milliseconds()}
-	loaded := stage
-	stage.RunnersMilli, stage.LoadMilli = thousandths(t.pace.part), thousandths(t.pace.load)
-	if t.pace.loadedLocal <= 0 {
+	loadTest := stage
+	stage.RunnersMilli, stage.LoadMilli = thousandths(t.allocation.runnerFraction), thousandths(t.allocation.loadFactor)
+	if t.allocation.loadTestLocal <= 0 {
 		return []Permit{stage}
 	}
-	loaded.Stage = int64(LoadTest)
-	loaded.LoadMilli, loaded.RunnersMilli = thousandths(t.pace.loadedLocal), thousandths(t.pace.loadedRemote)
-	return []Permit{loaded, stage}
+	loadTest.Stage = int64(LoadTest)
+	loadTest.LoadMilli, loadTest.RunnersMilli = thousandths(t.allocation.loadTestLocal), thousandths(t.allocation.loadTestRemote)
+	return []Permit{loadTest, stage}
 }
 
-func thousandths(part float64) int64 { return int64(math.Round(part * milli)) }
+func thousandths(value float64) int64 { return int64(math.Round(value * milli)) }
 
 // milli is the number of thousandths in one.
 const milli = 1000
 
-func (t *trial) stage() Stage { return Stage(t.record.Stage) }
+func (t *trackedRollout) stage() Stage { return Stage(t.record.Stage) }
 
 // isPastTerm reports whether the term is over: exposure is not limited any more.
-func (t *trial) isPastTerm(now clock.Instant) bool { return now.Since(t.orderedAt) > t.term() }
+func (t *trackedRollout) isPastTerm(now clock.Instant) bool { return now.Since(t.orderedAt) > t.term() }
 
-func (t *trial) term() time.Duration { return time.Duration(t.record.TermMS) * time.Millisecond }
+func (t *trackedRollout) term() time.Duration {
+	return time.Duration(t.record.TermMS) * time.Millisecond
+}
--- a/control/rollout/evidence.go
+++ b/control/rollout/evidence.go
@@ -71,9 +71,9 @@
 // SchemaName names the stored form; it must never change.
 func (RouteEvidence) SchemaName() string { return "RolloutRouteEvidence" }
 
-// write returns the update of the key that stores the evidence, unless a later epoch or order
+// update returns the update of the key that stores the evidence, unless a later epoch or order
 // has written there.
-func (e Evidence) write() func(current []byte) ([]byte, error) {
+func (e Evidence) update() func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		stored, err := decodeEvidence(current)
 		if err == nil && (stored.Order > e.Order || (stored.Order == e.Order && stored.Epoch > e.Epoch)) {
@@ -105,9 +105,9 @@
 	return stored
 }
 
-// judgeWith returns a Judge without evidence that goes on with what another knew.
-func judgeWith(j *Judge, stored JudgeEvidence, stage Stage, now clock.Instant) *Judge {
-	j.alone = stage == Full
+// restoreJudge returns a Judge without evidence that goes on with what another knew.
+func restoreJudge(j *Judge, stored JudgeEvidence, stage Stage, now clock.Instant) *Judge {
+	j.withoutBaseline = stage == Full
 	j.pooled = sequentialTest{sum: stored.PooledSum, cusum: stored.PooledCusum}
 	if stored.TimedMS >= 0 {
 		j.timedSince = now.Add(-time.Duration(stored.TimedMS) * time.Millisecond)
@@ -118,9 +118,9 @@
 			failures:  sequentialTest{sum: route.FailuresSum, cusum: route.FailuresCusum},
 			slowFirst: sequentialTest{cusum: route.SlowFirst}, slowWhole: sequentialTest{cusum: route.SlowWhole},
 		}
-		if route.Timed >= minTimed && route.SlowFirst == 0 {
+		if route.Timed >= minTimedAttempts && route.SlowFirst == 0 {
 			// The last ones were in time.
-			evidence.slowFirst.sum = slowAcceptSum
+			evidence.slowFirst.sum = slowAcceptThreshold
 		}
 		j.routes[route.Route] = evidence
 	}
--- a/control/rollout/histogram.go
+++ b/control/rollout/histogram.go
@@ -65,8 +65,8 @@
 
 // Quantile returns the duration that a part of all is not above, to the end of its bucket; 0
 // where none was counted.
-func (h *Histogram) Quantile(part float64) time.Duration {
-	rank := int64(math.Ceil(part * float64(h.total)))
+func (h *Histogram) Quantile(q float64) time.Duration {
+	rank := int64(math.Ceil(q * float64(h.total)))
 	for index, count := range h.counts {
 		if rank -= count; rank <= 0 && h.total > 0 {
 			return bucketStart(index + 1)
--- a/control/rollout/judge.go
+++ b/control/rollout/judge.go
@@ -30,25 +30,25 @@
 }
 
 const (
-	// acceptSum is the sum over all routes at which failures speak for the version.
-	acceptSum = -3.5
-	// relevantRoute is the part of the service's requests from which on a route must have
+	// acceptThreshold is the sum over all routes at which failures speak for the version.
+	acceptThreshold = -3.5
+	// minRouteShare is the part of the service's requests from which on a route must have
 	// evidence of its own: a sum of failures as of ten attempts without one, and minTimed
 	// that were timed at warm runners. Of ten attempts at a version that fails half of them,
 	// all succeed once in a thousand times.
-	relevantRoute  = 0.03
-	routeAcceptSum = -1.9
-	minTimed       = 3
-	// slowAcceptSum is the sum of late first bytes at which they speak for the version: as of
+	minRouteShare        = 0.03
+	routeAcceptThreshold = -1.9
+	minTimedAttempts     = 3
+	// slowAcceptThreshold is the sum of late first bytes at which they speak for the version: as of
 	// three attempts more that were in time than late.
-	slowAcceptSum = -2.5
+	slowAcceptThreshold = -2.5
 )
 
 // routeEvidence is what is known of one route.
 type routeEvidence struct {
-	old control
+	old recentOutcomes
 	// target is what the target version showed of late.
-	target control
+	target recentOutcomes
 	// ended, failed and timed count attempts at the target version since the stage began,
 	// oldEnded those at the old one since the rollout did.
 	ended, failed, timed int64
@@ -65,8 +65,8 @@
 	// timedSince is when the first attempt at a warm runner of the target version was timed;
 	// 0 is never.
 	timedSince clock.Instant
-	// alone says that the old version gets nothing any more.
-	alone bool
+	// withoutBaseline says that the old version gets nothing any more.
+	withoutBaseline bool
 	// failuresOnly has times not be compared.
 	failuresOnly bool
 }
@@ -77,7 +77,7 @@
 // BeginStage has the version be found good by what comes from now on alone. What speaks
 // against it stays.
 func (j *Judge) BeginStage(stage Stage) {
-	j.alone = stage == Full
+	j.withoutBaseline = stage == Full
 	j.pooled.sum = 0
 	for _, evidence := range j.routes {
 		evidence.ended, evidence.failed, evidence.timed = 0, 0, 0
@@ -85,8 +85,8 @@
 	}
 }
 
-// forgetAcceptance is BeginStage within a stage: times count from the next attempt on, too.
-func (j *Judge) forgetAcceptance() {
+// resetAcceptance is BeginStage within a stage: times count from the next attempt on, too.
+func (j *Judge) resetAcceptance() {
 	j.BeginStage(Canary)
 	j.timedSince = 0
 }
@@ -105,7 +105,7 @@
 			j.addTarget(count, now)
 		}
 	}
-	if now.Since(j.rotatedAt) >= controlWindow {
+	if now.Since(j.rotatedAt) >= baselineWindow {
 		j.rotatedAt = now
 		for _, evidence := range j.routes {
 			evidence.old.rotate()
@@ -129,7 +129,7 @@
 	evidence := j.route(count.Route)
 	evidence.ended += count.Ended
 	evidence.failed += count.Failed
-	good, bad := j.failureParts(evidence)
+	good, bad := j.expectedFailureRates(evidence)
 	evidence.target.add(RouteCount{Ended: count.Ended, Failed: count.Failed})
 	evidence.failures.add(count.Failed, count.Ended-count.Failed, good, bad)
 	j.pooled.add(count.Failed, count.Ended-count.Failed, good, bad)
@@ -138,10 +138,10 @@
 	whole.Merge(count.Whole)
 	compared := true
 	if !j.failuresOnly {
-		compared = addSlow(&evidence.slowFirst, &evidence.old.firstByte, &firstByte)
-		addSlow(&evidence.slowWhole, &evidence.old.whole, &whole)
+		compared = addSlowAttempts(&evidence.slowFirst, &evidence.old.firstByte, &firstByte)
+		addSlowAttempts(&evidence.slowWhole, &evidence.old.whole, &whole)
 	}
-	if total := firstByte.Total(); total > 0 && (compared || j.alone) {
+	if total := firstByte.Total(); total > 0 && (compared || j.withoutBaseline) {
 		evidence.timed += total
 		j.timedSince = cmp.Or(j.timedSince, now)
 	}
@@ -153,66 +153,66 @@
 // verdictWith is Verdict where another Judge's evidence speaks for the version, too; nil is
 // none.
 func (j *Judge) verdictWith(other *Judge) Verdict {
-	if reason := j.against(); reason != "" {
+	if reason := j.rejectionReason(); reason != "" {
 		return Verdict{Finding: Bad, Reason: reason}
 	}
-	if lacking := j.lacking(other); lacking != "" {
-		return Verdict{Finding: Undecided, Reason: lacking}
+	if missing := j.missingEvidence(other); missing != "" {
+		return Verdict{Finding: Undecided, Reason: missing}
 	}
 	return Verdict{Finding: Good, Reason: "does as the old version on every route"}
 }
 
-// against returns what makes the version bad, empty if nothing does.
-func (j *Judge) against() string {
+// rejectionReason returns what makes the version bad, empty if nothing does.
+func (j *Judge) rejectionReason() string {
 	for _, name := range j.routeNames() {
-		if reason := j.routes[name].against(); reason != "" {
+		if reason := j.routes[name].rejectionReason(); reason != "" {
 			return "route " + name + ": " + reason
 		}
 	}
-	if j.pooled.cusum >= failureLimit {
+	if j.pooled.cusum >= failureRejectThreshold {
 		return "failed attempts over all routes"
 	}
 	return ""
 }
 
-// against returns what speaks against the version on a route, empty if nothing decides.
-func (e *routeEvidence) against() string {
+// rejectionReason returns what speaks rejectionReason the version on a route, empty if nothing decides.
+func (e *routeEvidence) rejectionReason() string {
 	switch {
-	case e.failures.cusum >= failureLimit:
+	case e.failures.cusum >= failureRejectThreshold:
 		ended, failed := e.old.totals()
 		return fmt.Sprintf("%d of %d attempts failed, %d of %d at the old version", e.failed, e.ended, failed, ended)
-	case e.slowFirst.cusum >= slowLimit:
+	case e.slowFirst.cusum >= slowRejectThreshold:
 		return fmt.Sprintf("first bytes come late, in the middle %v at the old version", median(&e.old.firstByte))
-	case e.slowWhole.cusum >= slowLimit:
+	case e.slowWhole.cusum >= slowRejectThreshold:
 		return fmt.Sprintf("responses take long, in the middle %v at the old version", median(&e.old.whole))
 	}
 	return ""
 }
 
-// lacking returns what is missing for the version to be good, with what another Judge saw;
+// missingEvidence returns what is missing for the version to be good, with what another Judge saw;
 // empty if nothing is.
-func (j *Judge) lacking(other *Judge) string {
-	if j.pooled.sum+other.pooledSum() > acceptSum {
+func (j *Judge) missingEvidence(other *Judge) string {
+	if j.pooled.sum+other.pooledSum() > acceptThreshold {
 		return "too few attempts at the target version"
 	}
-	all := int64(0)
+	total := int64(0)
 	for _, evidence := range j.routes {
-		all += evidence.oldEnded
+		total += evidence.oldEnded
 	}
 	for _, name := range j.routeNames() {
 		evidence := j.routes[name]
-		relevant := partOf(evidence.oldEnded, all) >= relevantRoute
-		if evidence.isDoubtful() || (relevant && evidence.isScarce(other.routeOrEmpty(name))) {
+		relevant := ratio(evidence.oldEnded, total) >= minRouteShare
+		if evidence.isSuspect() || (relevant && evidence.needsMoreAttempts(other.routeOrEmpty(name))) {
 			return "route " + name + ": more attempts are needed"
 		}
 	}
 	return ""
 }
 
-// isScarce reports whether the evidence of a route, and the failures that another Judge saw
+// needsMoreAttempts reports whether the evidence of a route, and the failures that another Judge saw
 // there, are too little for the version to be good. Times under load are not compared.
-func (e *routeEvidence) isScarce(other *routeEvidence) bool {
-	return e.failures.sum+other.failures.sum > routeAcceptSum || e.timed < minTimed || e.slowFirst.sum > slowAcceptSum
+func (e *routeEvidence) needsMoreAttempts(other *routeEvidence) bool {
+	return e.failures.sum+other.failures.sum > routeAcceptThreshold || e.timed < minTimedAttempts || e.slowFirst.sum > slowAcceptThreshold
 }
 
 func (j *Judge) pooledSum() float64 {
@@ -230,15 +230,15 @@
 	return &routeEvidence{}
 }
 
-// isDoubtful reports whether something speaks against the version, though not enough.
-func (e *routeEvidence) isDoubtful() bool {
-	return e.failures.cusum > doubtPart*failureLimit || e.slowFirst.cusum > doubtPart*slowLimit || e.slowWhole.cusum > doubtPart*slowLimit
+// isSuspect reports whether something speaks against the version, though not enough.
+func (e *routeEvidence) isSuspect() bool {
+	return e.failures.cusum > suspectFraction*failureRejectThreshold || e.slowFirst.cusum > suspectFraction*slowRejectThreshold || e.slowWhole.cusum > suspectFraction*slowRejectThreshold
 }
 
 // IsSuspect reports whether something speaks against the version on some route.
 func (j *Judge) IsSuspect() bool {
 	for _, evidence := range j.routes {
-		if evidence.isDoubtful() {
+		if evidence.isSuspect() {
 			return true
 		}
 	}
@@ -274,8 +274,8 @@
 		status := RouteStatus{
 			Route: name, Ended: evidence.ended, Failed: evidence.failed,
 			OldFirstByteMS: median(&evidence.old.firstByte).Milliseconds(),
-			Failures:       evidence.failures.cusum / failureLimit,
-			SlowFirst:      evidence.slowFirst.cusum / slowLimit, SlowWhole: evidence.slowWhole.cusum / slowLimit,
+			Failures:       evidence.failures.cusum / failureRejectThreshold,
+			SlowFirst:      evidence.slowFirst.cusum / slowRejectThreshold, SlowWhole: evidence.slowWhole.cusum / slowRejectThreshold,
 		}
 		status.OldEnded, status.OldFailed = evidence.old.totals()
 		statuses = append(statuses, status)
--- a/control/rollout/load.go
+++ b/control/rollout/load.go
@@ -40,79 +40,79 @@
 // load gets as many as the new one.
 const MaxBaselineShare = 0.4
 
-// loadTrial is how far the pair of runners under load has come.
-type loadTrial struct {
-	// tried says that the runner got what it may; shown that this was as much as a runner may
+// loadTestState is how far the pair of runners under load has come.
+type loadTestState struct {
+	// done says that the runner got what it may; passed that this was as much as a runner may
 	// get, and that the version bore it.
-	tried, shown bool
-	// begun says that the runner gets its requests, or has had them.
-	begun bool
-	// overdue says that the version is tried again after the term, when exposure is not limited.
-	overdue bool
-	// paced is the exposure that the pace has planned for the runner so far, usedBefore what
+	done, passed bool
+	// started says that the runner gets its requests, or has had them.
+	started bool
+	// retried says that the version is tried again after the term, when exposure is not limited.
+	retried bool
+	// allocatedExposure is the exposure that the pace has planned for the runner so far, usedBefore what
 	// former directors caused, as in trial.
-	paced, usedBefore time.Duration
+	allocatedExposure, usedBefore time.Duration
 }
 
 // setLoad sets what the pair of runners under load gets, until the version was tried for long
 // enough, and returns the exposure that is set aside for it.
-func (d *Director) setLoad(t *trial, next *pace, rate, budget float64, now clock.Instant) float64 {
+func (d *Director) setLoad(t *trackedRollout, next *allocation, rate, budget float64, now clock.Instant) float64 {
 	t.retryLoadAfterTerm(now)
-	used := float64(t.loadedUsed(rate))
+	used := float64(t.loadTestExposure(rate))
 	plan := d.planLoad(t, rate, budget)
 	_, warm := t.analysis.canary.TimedSince()
-	if t.load.tried || plan.share <= 0 || !warm {
+	if t.loadTest.done || plan.share <= 0 || !warm {
 		return max(used, plan.exposure)
 	}
-	if !t.load.begun && float64(t.used(rate))+plan.exposure > budget/usableExposure {
+	if !t.loadTest.started && float64(t.usedExposure(rate))+plan.exposure > budget/usableExposure {
 		// Former directors have left too little.
-		t.load.tried = true
+		t.loadTest.done = true
 		return used
 	}
-	t.load.begun = true
+	t.loadTest.started = true
 	borne := t.hasBorne(plan, rate, now)
 	if borne || t.isLoadSpent(plan, rate, budget, now) {
-		t.load.tried = true
-		t.load.shown = plan.isEnough && borne
-		d.log(t, fmt.Sprintf("tried under load: %t, %d attempts at %.1f a second timed", t.load.shown, t.analysis.loaded.timedTotal(), plan.share*rate))
+		t.loadTest.done = true
+		t.loadTest.passed = plan.isEnough && borne
+		d.log(t, fmt.Sprintf("tried under load: %t, %d attempts at %.1f a second timed", t.loadTest.passed, t.analysis.loadTest.timedTotal(), plan.share*rate))
 		return used
 	}
-	next.loadedShare = plan.share
+	next.loadTestShare = plan.share
 	if local := plan.share * plan.regions; local <= maxLocalShare {
-		next.loadedLocal = local
+		next.loadTestLocal = local
 	} else {
-		next.loadedLocal, next.loadedRemote = plan.share, plan.share
+		next.loadTestLocal, next.loadTestRemote = plan.share, plan.share
 	}
 	return max(used, plan.exposure)
 }
 
 // retryLoadAfterTerm has a version that could not be brought under load in its term be tried
 // again after it.
-func (t *trial) retryLoadAfterTerm(now clock.Instant) {
-	if !t.isPastTerm(now) || t.load.overdue || t.load.shown {
+func (t *trackedRollout) retryLoadAfterTerm(now clock.Instant) {
+	if !t.isPastTerm(now) || t.loadTest.retried || t.loadTest.passed {
 		return
 	}
-	t.load.overdue, t.load.tried, t.load.begun = true, false, false
-	t.analysis.loaded.forgetAcceptance()
+	t.loadTest.retried, t.loadTest.done, t.loadTest.started = true, false, false
+	t.analysis.loadTest.resetAcceptance()
 }
 
 // isLoadSpent reports whether the runner under load has had what it may get.
-func (t *trial) isLoadSpent(plan loadPlan, rate, budget float64, now clock.Instant) bool {
+func (t *trackedRollout) isLoadSpent(plan loadPlan, rate, budget float64, now clock.Instant) bool {
 	if t.isPastTerm(now) {
 		return false
 	}
-	used := float64(t.loadedUsed(rate))
-	overBudget := used >= loadBudget*budget && float64(t.used(rate)) >= t.mostUsed()*budget
-	return used >= longestLoad*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.shape.Longest
+	used := float64(t.loadTestExposure(rate))
+	overBudget := used >= loadBudget*budget && float64(t.usedExposure(rate)) >= t.mostUsed()*budget
+	return used >= longestLoad*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.plan.Longest
 }
 
 // mostUsed returns the part of the exposure up to which a runner is kept under load. What a
 // former director had written as used ahead was used in part.
-func (t *trial) mostUsed() float64 {
-	if t.usedBefore > 0 {
+func (t *trackedRollout) mostUsed() float64 {
+	if t.inheritedExposure > 0 {
 		return resumedBudget
 	}
-	return canaryBudget
+	return canaryBudgetFraction
 }
 
 // loadPlan is how a runner is brought under load.
@@ -129,10 +129,10 @@
 
 // planLoad plans how a runner is brought under load. The share is 0 where there is none to
 // spare, and while too little is known.
-func (d *Director) planLoad(t *trial, rate, budget float64) loadPlan {
+func (d *Director) planLoad(t *trackedRollout, rate, budget float64) loadPlan {
 	runners := d.options.Runners(t.service)
 	pair, ok := SelectLoadTestPair(runners, t.record.Target, t.record.Order)
-	whole := t.analysis.canary.meanOldWhole()
+	whole := t.analysis.canary.meanOldDuration()
 	if !ok || rate <= 0 || whole <= 0 {
 		return loadPlan{}
 	}
@@ -144,7 +144,7 @@
 		}
 	}
 	usual := rate * whole.Seconds() / float64(max(1, old))
-	underLoad := max(whole, t.analysis.loaded.meanOldWhole())
+	underLoad := max(whole, t.analysis.loadTest.meanOldDuration())
 	ramp := 2*d.options.Policy.ExchangeInterval + underLoad
 	plan := loadPlan{hold: loadHold + underLoad, regions: float64(len(regions))}
 	lasts := float64(ramp + plan.hold)
@@ -157,8 +157,8 @@
 }
 
 // hasBorne reports whether the version has borne the planned load for long enough.
-func (t *trial) hasBorne(plan loadPlan, rate float64, now clock.Instant) bool {
-	loaded := t.analysis.loaded
+func (t *trackedRollout) hasBorne(plan loadPlan, rate float64, now clock.Instant) bool {
+	loaded := t.analysis.loadTest
 	since, ok := loaded.TimedSince()
 	if !ok || loaded.IsSuspect() || now.Since(since) < plan.hold {
 		return false
@@ -174,7 +174,7 @@
 
 // pacedBudget returns the exposure that a rollout may cause until its term, without bound once
 // that is over.
-func (d *Director) pacedBudget(t *trial, now clock.Instant) float64 {
+func (d *Director) pacedBudget(t *trackedRollout, now clock.Instant) float64 {
 	if t.isPastTerm(now) {
 		return math.Inf(1)
 	}
--- a/control/rollout/schedule.go
+++ b/control/rollout/schedule.go
@@ -66,7 +66,7 @@
 		least := min(bounded(canaryTime, term, minCanaryTime, maxCanaryTime), time.Duration(shortCanaryTime*float64(term)))
 		shape := stageShape{Least: least}
 		shape.Longest = max(shape.Least, time.Duration(canaryLongest*float64(term)))
-		shape.Exposure = time.Duration(canaryBudget * float64(budget))
+		shape.Exposure = time.Duration(canaryBudgetFraction * float64(budget))
 		return shape
 	case Partial:
 		least := bounded(partialTime, term, minPartial, maxPartial)
--- a/control/rollout/sequential.go
+++ b/control/rollout/sequential.go
@@ -5,13 +5,13 @@
 // The sequential tests are Wald's, as cumulative sums that restart at 0 (CUSUM): each
 // attempt adds the logarithm of how much likelier it is at a bad version than at a good one.
 const (
-	// failureLimit and slowLimit are the sums at which a version is bad. At a good one, a sum
+	// failureRejectThreshold and slowLimit are the sums at which a version is bad. At a good one, a sum
 	// is passed with a probability of about its exponential, negated, for each restart.
-	failureLimit = 9.0
-	slowLimit    = 8.0
-	// doubtPart is the part of a limit under which a sum must lie on every route for the
+	failureRejectThreshold = 9.0
+	slowRejectThreshold    = 8.0
+	// suspectFraction is the part of a limit under which a sum must lie on every route for the
 	// version to be good.
-	doubtPart = 0.3
+	suspectFraction = 0.3
 )
 
 // sequentialTest weighs attempts that have, or have not, what a bad version shows more
@@ -29,9 +29,9 @@
 	t.cusum = max(0, t.cusum+change)
 }
 
-func partOf(some, all int64) float64 {
-	if all == 0 {
+func ratio(count, total int64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(some) / float64(all)
+	return float64(count) / float64(total)
 }
--- a/control/rollout/spread.go
+++ b/control/rollout/spread.go
@@ -27,7 +27,7 @@
 	// RunnerFraction is the part of the target version's runners that get requests, LoadFactor how much each
 	// gets, in parts of what an old one gets. With Full the target version gets everything.
 	RunnerFraction, LoadFactor float64
-	Full       bool
+	Full                       bool
 	// LoadTestTarget and LoadTestOld are the pair under load, which gets nothing else; empty is
 	// none.
 	LoadTestTarget, LoadTestOld ids.RunnerID
--- a/control/rollout/status.go
+++ b/control/rollout/status.go
@@ -8,7 +8,7 @@
 )
 
 // waitsFor says what a rollout waits for.
-func (d *Director) waitsFor(t *trial, now clock.Instant) string {
+func (d *Director) waitsFor(t *trackedRollout, now clock.Instant) string {
 	switch t.stage() {
 	case Waiting:
 		return "runners of the target version"
@@ -21,7 +21,7 @@
 		}
 		return "the time of the stage"
 	}
-	if t.analysis.isDoubtful() {
+	if t.analysis.isSuspect() {
 		return "more attempts: something speaks against the version"
 	}
 	if zone, ok := d.unconfirmedZone(t, now); ok {
@@ -31,8 +31,8 @@
 }
 
 // lacksLoad says why a version was not tried under load yet.
-func (t *trial) lacksLoad() string {
-	if t.load.tried {
+func (t *trackedRollout) lacksLoad() string {
+	if t.loadTest.done {
 		return "the end of the term: too few requests, or too little exposure, to bring a runner under load"
 	}
 	return "attempts under load"
@@ -42,7 +42,7 @@
 func (d *Director) Condition(service ids.Service) Condition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if t := d.trials[service]; t != nil {
+	if t := d.rollouts[service]; t != nil {
 		return Condition(t.record.Condition)
 	}
 	return NoRollout
@@ -53,7 +53,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	count := 0
-	for _, t := range d.trials {
+	for _, t := range d.rollouts {
 		if Condition(t.record.Condition) == condition {
 			count++
 		}
@@ -65,7 +65,7 @@
 func (d *Director) AwaitsRunners() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, t := range d.trials {
+	for _, t := range d.rollouts {
 		if t.record.InProgress() && t.stage() == Waiting {
 			return true
 		}
@@ -97,7 +97,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var statuses []Status
-	for _, t := range d.trials {
+	for _, t := range d.rollouts {
 		status := Status{
 			Service: t.service, Target: t.record.Target, Condition: Condition(t.record.Condition).String(), Stage: t.stage().String(),
 			TermMS: t.record.TermMS, ElapsedMS: now.Since(t.orderedAt).Milliseconds(), ReservedMS: t.record.ReservedMS, Reason: t.record.Reason,
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -29,13 +29,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var due []savedEvidence
-	for service, trial := range d.trials {
+	for service, trial := range d.rollouts {
 		if !trial.record.InProgress() || trial.stage() == Waiting || trial.epoch != epoch {
 			continue
 		}
-		if now.Since(trial.pacedAt) >= d.options.Policy.ExchangeInterval {
-			trial.pacedAt = now
-			d.setPace(trial, now)
+		if now.Since(trial.allocatedAt) >= d.options.Policy.ExchangeInterval {
+			trial.allocatedAt = now
+			d.updateAllocation(trial, now)
 			d.noteShortTerm(trial, now)
 		}
 		if now.Since(trial.savedAt) >= saveInterval {
@@ -48,31 +48,31 @@
 // save stores evidence. Where that fails it is due again, and permits end meanwhile.
 func (d *Director) save(ctx context.Context, save savedEvidence) {
 	startedAt := d.options.Clock.Now()
-	if _, err := d.options.Update(ctx, evidenceKey(save.service), save.evidence.write()); err != nil {
+	if _, err := d.options.Update(ctx, evidenceKey(save.service), save.evidence.update()); err != nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if trial := d.trials[save.service]; trial.record.Order == save.evidence.Order && trial.epoch == save.evidence.Epoch {
+	if trial := d.rollouts[save.service]; trial.record.Order == save.evidence.Order && trial.epoch == save.evidence.Epoch {
 		trial.savedAt = max(trial.savedAt, startedAt)
 	}
 }
 
 // evidence returns what is known of a rollout, with the exposure that may come until permits
 // are granted no longer. The caller holds d.mu.
-func (d *Director) evidence(t *trial, now clock.Instant) Evidence {
+func (d *Director) evidence(t *trackedRollout, now clock.Instant) Evidence {
 	rate := t.analysis.requestsPerS(now)
 	ahead := float64(maxSaveAge)
 	if t.stage() == Full {
 		ahead = 0
 	}
-	loadedAhead := time.Duration(t.pace.loadedShare * ahead)
+	loadedAhead := time.Duration(t.allocation.loadTestShare * ahead)
 	return Evidence{
 		Order: t.record.Order, Epoch: t.epoch, Stage: t.record.Stage, LastedMS: now.Since(t.enteredAt).Milliseconds(),
-		UsedMS:       (t.used(rate) + time.Duration(t.pace.share*ahead) + loadedAhead).Milliseconds(),
-		LoadedUsedMS: (t.loadedUsed(rate) + loadedAhead).Milliseconds(),
-		RequestsPerS: t.analysis.mostRequestsPerS(t.paced, now), LoadTried: t.load.tried, LoadShown: t.load.shown,
-		Canary: t.analysis.canary.evidence(now), Loaded: t.analysis.loaded.evidence(now),
+		UsedMS:       (t.usedExposure(rate) + time.Duration(t.allocation.share*ahead) + loadedAhead).Milliseconds(),
+		LoadedUsedMS: (t.loadTestExposure(rate) + loadedAhead).Milliseconds(),
+		RequestsPerS: t.analysis.maxRequestsPerS(t.allocatedExposure, now), LoadTried: t.loadTest.done, LoadShown: t.loadTest.passed,
+		Canary: t.analysis.canary.evidence(now), Loaded: t.analysis.loadTest.evidence(now),
 	}
 }
 
@@ -80,7 +80,7 @@
 // zero Evidence for any other step.
 func (d *Director) recover(ctx context.Context, step Transition) (Evidence, error) {
 	d.mu.Lock()
-	trial := d.trials[step.Service]
+	trial := d.rollouts[step.Service]
 	resumes := trial.isResumedBy(step)
 	d.mu.Unlock()
 	if !resumes {
@@ -99,48 +99,48 @@
 }
 
 // isResumedBy reports whether a step goes on with the present stage under another epoch.
-func (t *trial) isResumedBy(step Transition) bool {
+func (t *trackedRollout) isResumedBy(step Transition) bool {
 	return step.To == InProgress && t.stage() == step.Stage && t.epoch != step.Epoch
 }
 
 // resume goes on with what a former director knew. Without that, all that was reserved counts
 // as used.
-func (t *trial) resume(known Evidence, now clock.Instant) {
+func (t *trackedRollout) resume(known Evidence, now clock.Instant) {
 	t.analysis = newAnalysis()
 	t.analysis.settleTime = resumedSettleTime
-	t.paced, t.accountedAt, t.pace, t.load = 0, 0, pace{}, loadTrial{}
+	t.allocatedExposure, t.accountedAt, t.allocation, t.loadTest = 0, 0, allocation{}, loadTestState{}
 	t.analysis.beginStage(t.stage())
 	if known.Order == 0 {
-		t.usedBefore = time.Duration(t.record.ReservedMS) * time.Millisecond
+		t.inheritedExposure = time.Duration(t.record.ReservedMS) * time.Millisecond
 		return
 	}
-	t.usedBefore = time.Duration(known.UsedMS) * time.Millisecond
+	t.inheritedExposure = time.Duration(known.UsedMS) * time.Millisecond
 	t.analysis.rate = known.RequestsPerS
-	t.load = loadTrial{tried: known.LoadTried, shown: known.LoadShown, usedBefore: time.Duration(known.LoadedUsedMS) * time.Millisecond}
-	t.analysis.loaded = judgeWith(newLoadedJudge(), known.Loaded, t.stage(), now)
+	t.loadTest = loadTestState{done: known.LoadTried, passed: known.LoadShown, usedBefore: time.Duration(known.LoadedUsedMS) * time.Millisecond}
+	t.analysis.loadTest = restoreJudge(newLoadTestJudge(), known.Loaded, t.stage(), now)
 	if !known.LoadShown {
 		// The load ended with the former director's permits: it is to be borne anew.
-		t.analysis.loaded.forgetAcceptance()
+		t.analysis.loadTest.resetAcceptance()
 	}
 	if Stage(known.Stage) != t.stage() {
 		return
 	}
 	t.enteredAt = now.Add(-time.Duration(known.LastedMS) * time.Millisecond)
-	t.analysis.canary = judgeWith(NewJudge(), known.Canary, t.stage(), now)
+	t.analysis.canary = restoreJudge(NewJudge(), known.Canary, t.stage(), now)
 }
 
 // noteShortTerm says where a rollout can't finish in its term, as soon as that is known.
-func (d *Director) noteShortTerm(t *trial, now clock.Instant) {
+func (d *Director) noteShortTerm(t *trackedRollout, now clock.Instant) {
 	rate := t.analysis.requestsPerS(now)
 	if t.note != "" || rate <= 0 || t.stage() != Canary {
 		return
 	}
 	evidence := time.Duration(0)
-	if limit := float64(d.budget(t)) * canaryBudget / float64(t.shape.Least); limit > 0 {
-		inTime := max(minEvidenceTime, time.Duration(evidenceTime*float64(t.shape.Least)))
+	if limit := float64(d.budget(t)) * canaryBudgetFraction / float64(t.plan.Least); limit > 0 {
+		inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.Least)))
 		evidence = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(inTime))
 	}
-	least := t.enteredAt.Since(t.orderedAt) + max(t.shape.Least, evidence) + minFull + d.drainTime(t)
+	least := t.enteredAt.Since(t.orderedAt) + max(t.plan.Least, evidence) + minFull + d.drainTime(t)
 	if least <= t.term() {
 		return
 	}
