--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -19,10 +19,10 @@
 		return Transition{To: InProgress, Stage: t.stage(), Reason: "another director goes on"}, true
 	case t.stage() == Full:
 		return d.nextOfFull(t, now)
-	case t.isClosing(now) && t.analysis.isSuspect():
+	case t.isInRollbackMargin(now) && t.analysis.isSuspect():
 		return t.revert("something speaks against the version at the end of the term: " + t.analysis.verdict().Reason)
 	case t.isOverdue(now):
-		return t.revert("no finding long after the term: " + d.waitsFor(t, now))
+		return t.revert("no finding long after the term: " + d.waitReason(t, now))
 	case t.stage() == Canary:
 		return d.nextOfCanary(t, now)
 	}
@@ -33,21 +33,21 @@
 	return Transition{To: Reverted, Stage: t.stage(), Reason: reason}, true
 }
 
-// isClosing reports whether the last moment has come at which the old version can still be
+// isInRollbackMargin reports whether the last moment has come at which the old version can still be
 // restored in the term.
-func (t *trackedRollout) isClosing(now clock.Instant) bool {
-	return now.Since(t.orderedAt) >= t.term()-bounded(closingTime, t.term(), minClosing, t.term())
+func (t *trackedRollout) isInRollbackMargin(now clock.Instant) bool {
+	return now.Since(t.orderedAt) >= t.term()-clampedFraction(rollbackMarginFraction, t.term(), minRollbackMargin, t.term())
 }
 
 func (t *trackedRollout) isOverdue(now clock.Instant) bool {
-	return now.Since(t.orderedAt) >= max(overdueTime*t.term(), t.term()+minOverdue)
+	return now.Since(t.orderedAt) >= max(overdueTerms*t.term(), t.term()+minOverdue)
 }
 
 func (d *Director) nextOfWaiting(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	if d.targetStarted(t, now) {
-		return d.begin(t, Canary, "runners of the target version have started"), true
+		return d.beginStage(t, Canary, "runners of the target version have started"), true
 	}
-	if t.isClosing(now) {
+	if t.isInRollbackMargin(now) {
 		return t.revert("no runner of the target version by the term")
 	}
 	return Transition{}, false
@@ -59,19 +59,19 @@
 // or time is left for a larger part, all traffic follows at once.
 func (d *Director) nextOfCanary(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict := t.analysis.verdict()
-	if verdict.Finding != Good || now.Since(t.enteredAt) < t.plan.Least || !t.timedLongEnough(now) || !d.hasBorneLoad(t, now) {
+	if verdict.Finding != Good || now.Since(t.enteredAt) < t.plan.MinDuration || !t.timedLongEnough(now) || !d.passedLoadTest(t, now) {
 		return Transition{}, false
 	}
 	stage := Partial
-	if !d.affords(t, Partial, now) {
+	if !d.canAfford(t, Partial, now) {
 		stage = Full
 	}
-	return d.begin(t, stage, verdict.Reason), true
+	return d.beginStage(t, stage, verdict.Reason), true
 }
 
-// hasBorneLoad reports whether the version was tried under load. Where it has too few runners
+// passedLoadTest reports whether the version was tried under load. Where it has too few runners
 // for that, it goes on once the term is over.
-func (d *Director) hasBorneLoad(t *trackedRollout, now clock.Instant) bool {
+func (d *Director) passedLoadTest(t *trackedRollout, now clock.Instant) bool {
 	if t.loadTest.passed {
 		return true
 	}
@@ -84,12 +84,12 @@
 func (d *Director) nextOfPartial(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict, lasted := t.analysis.verdict(), now.Since(t.enteredAt)
 	switch {
-	case verdict.Finding == Good && lasted >= t.plan.Least:
-		return d.begin(t, Full, verdict.Reason), true
-	case lasted < t.plan.Longest:
+	case verdict.Finding == Good && lasted >= t.plan.MinDuration:
+		return d.beginStage(t, Full, verdict.Reason), true
+	case lasted < t.plan.MaxDuration:
 		return Transition{}, false
 	case !t.analysis.isSuspect():
-		return d.begin(t, Full, "nothing speaks against it in the larger part"), true
+		return d.beginStage(t, Full, "nothing speaks against it in the larger part"), true
 	case !d.isWithinBudget(t, 0, now):
 		return t.revert("something speaks against the version, and the exposure is used up: " + verdict.Reason)
 	}
@@ -97,24 +97,24 @@
 }
 
 func (d *Director) nextOfFull(t *trackedRollout, now clock.Instant) (Transition, bool) {
-	_, waits := d.unconfirmedZone(t, now)
-	if now.Since(t.enteredAt) >= t.plan.Least && !t.analysis.isSuspect() && !waits {
+	_, hasUnconfirmed := d.unconfirmedZone(t, now)
+	if now.Since(t.enteredAt) >= t.plan.MinDuration && !t.analysis.isSuspect() && !hasUnconfirmed {
 		return Transition{To: Finished, Stage: Full, Reason: "nothing runs at the old version any more"}, true
 	}
 	return Transition{}, false
 }
 
-// begin returns the step into a stage, whose exposure is reserved.
-func (d *Director) begin(t *trackedRollout, stage Stage, reason string) Transition {
-	reserve := d.shape(t, stage).Exposure
+// beginStage returns the step into a stage, whose exposure is reserved.
+func (d *Director) beginStage(t *trackedRollout, stage Stage, reason string) Transition {
+	reserve := d.planStage(t, stage).Exposure
 	return Transition{To: InProgress, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
 }
 
-// affords reports whether exposure and time are left for a stage, and for all that follows.
-func (d *Director) affords(t *trackedRollout, stage Stage, now clock.Instant) bool {
-	shape := d.shape(t, stage)
-	after := shapeOf(Full, t.term(), 0, nil).Least + d.drainTime(t)
-	inTime := now.Since(t.orderedAt)+shape.Least+after <= t.term() || t.isPastTerm(now)
+// canAfford reports whether exposure and time are left for a stage, and for all that follows.
+func (d *Director) canAfford(t *trackedRollout, stage Stage, now clock.Instant) bool {
+	shape := d.planStage(t, stage)
+	remaining := newStagePlan(Full, t.term(), 0, nil).MinDuration + d.drainTime(t)
+	inTime := now.Since(t.orderedAt)+shape.MinDuration+remaining <= t.term() || t.isPastTerm(now)
 	return inTime && d.isWithinBudget(t, shape.Exposure, now)
 }
 
@@ -145,7 +145,7 @@
 // timedLongEnough reports whether attempts at warm runners were timed for long enough.
 func (t *trackedRollout) timedLongEnough(now clock.Instant) bool {
 	since, ok := t.analysis.timedSince()
-	return ok && now.Since(since) >= bounded(timedTime, t.term(), minTimedTime, maxTimedTime)
+	return ok && now.Since(since) >= clampedFraction(timedTimeFraction, t.term(), minTimedTime, maxTimedTime)
 }
 
 // targetStarted reports whether enough runners of the target version are listed.
@@ -161,13 +161,13 @@
 	if target == 0 {
 		return false
 	}
-	late := now.Since(t.orderedAt) >= time.Duration(startTime*float64(t.term()))
-	return late || float64(target) >= startedPart*float64(old)
+	late := now.Since(t.orderedAt) >= time.Duration(startTimeFraction*float64(t.term()))
+	return late || float64(target) >= startedFraction*float64(old)
 }
 
-// shape returns the shape of a stage by the runners that are listed now.
-func (d *Director) shape(t *trackedRollout, stage Stage) stageShape {
-	return shapeOf(stage, t.term(), d.budget(t), func(part, load float64) float64 {
+// planStage returns the planStage of a stage by the runners that are listed now.
+func (d *Director) planStage(t *trackedRollout, stage Stage) stagePlan {
+	return newStagePlan(stage, t.term(), d.budget(t), func(part, load float64) float64 {
 		return d.meanShare(t, part, load)
 	})
 }
@@ -177,8 +177,8 @@
 	for _, region := range d.options.Zones {
 		regions[region] = true
 	}
-	division := SplitSpec{Target: t.record.Target, Order: t.record.Order, RunnerFraction: part, LoadFactor: load}
-	return NewTrafficSplit(d.options.Runners(t.service), division).MeanShare(len(regions))
+	spec := SplitSpec{Target: t.record.Target, Order: t.record.Order, RunnerFraction: part, LoadFactor: load}
+	return NewTrafficSplit(d.options.Runners(t.service), spec).MeanShare(len(regions))
 }
 
 // unconfirmedZone returns a zone with routers that have not confirmed yet that they send
@@ -197,7 +197,7 @@
 	heardAt, fresh, confirmed := t.enteredAt, false, false
 	for _, relay := range t.zones[zone] {
 		heardAt = max(heardAt, relay.at)
-		if now.Since(relay.at) <= freshExchanges*d.options.Policy.ExchangeInterval {
+		if now.Since(relay.at) <= freshIntervals*d.options.Policy.ExchangeInterval {
 			fresh, confirmed = true, confirmed || relay.unconfirmed == 0
 		}
 	}
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -59,7 +59,7 @@
 	// for the stage entered, since enteredAt, unless the version was found bad.
 	epoch           int64
 	enteredAt       clock.Instant
-	plan            stageShape
+	plan            stagePlan
 	rejectionReason string
 	analysis        *analysis
 	zones           map[ids.Zone]map[ids.Address]relayState
@@ -108,7 +108,7 @@
 	for _, step := range d.transitions(epoch, now) {
 		d.store(ctx, step)
 	}
-	for _, save := range d.paceAll(epoch, d.options.Clock.Now()) {
+	for _, save := range d.updateAllocations(epoch, d.options.Clock.Now()) {
 		d.save(ctx, save)
 	}
 }
@@ -171,12 +171,12 @@
 	defer d.mu.Unlock()
 	var due []Transition
 	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
-		trial := d.rollouts[service]
-		if !trial.record.InProgress() {
+		tracked := d.rollouts[service]
+		if !tracked.record.InProgress() {
 			continue
 		}
-		if step, ok := d.next(trial, epoch, now); ok {
-			step.Service, step.Order, step.Epoch = service, trial.record.Order, epoch
+		if step, ok := d.next(tracked, epoch, now); ok {
+			step.Service, step.Order, step.Epoch = service, tracked.record.Order, epoch
 			due = append(due, step)
 		}
 	}
@@ -186,7 +186,7 @@
 // store stores a step, and takes its outcome over at once. A step that is not stored is due
 // again; one after which the target version is to get less is not waited for: permits end.
 func (d *Director) store(ctx context.Context, step Transition) {
-	known, err := d.recover(ctx, step)
+	known, err := d.loadEvidence(ctx, step)
 	if err != nil {
 		d.logUnstored(step, err)
 		return
@@ -199,23 +199,23 @@
 	now := d.options.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	trial := d.rollouts[step.Service]
+	tracked := d.rollouts[step.Service]
 	record, err := Decode(step.Service, value)
-	if err != nil || trial.record.Order != record.Order || trial.record.Version > record.Version {
+	if err != nil || tracked.record.Order != record.Order || tracked.record.Version > record.Version {
 		return
 	}
-	isResumed := trial.isResumedBy(step)
-	trial.record = record
+	isResumed := tracked.isResumedBy(step)
+	tracked.record = record
 	if record.Epoch == step.Epoch && Stage(record.Stage) == step.Stage && step.To == InProgress {
-		trial.enter(step.Epoch, d.shape(trial, step.Stage), now)
+		tracked.enter(step.Epoch, d.planStage(tracked, step.Stage), now)
 		if isResumed {
-			trial.resume(known, now)
+			tracked.resume(known, now)
 		}
-		d.updateAllocation(trial, now)
+		d.updateAllocation(tracked, now)
 		// No permit is granted before the evidence has what it may use.
-		trial.savedAt = 0
+		tracked.savedAt = 0
 	}
-	d.log(trial, step.Reason)
+	d.log(tracked, step.Reason)
 }
 
 func (d *Director) logUnstored(step Transition, err error) {
@@ -236,7 +236,7 @@
 }
 
 // enter begins a stage, whose permits may be granted from now on.
-func (t *trackedRollout) enter(epoch int64, shape stageShape, now clock.Instant) {
+func (t *trackedRollout) enter(epoch int64, shape stagePlan, now clock.Instant) {
 	t.epoch, t.enteredAt, t.plan = epoch, now, shape
 	t.analysis.beginStage(t.stage())
 }
@@ -250,16 +250,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, report := range req.Services {
-		trial := d.rollouts[report.Service]
-		if trial == nil || trial.record.Order != report.Order {
+		tracked := d.rollouts[report.Service]
+		if tracked == nil || tracked.record.Order != report.Order {
 			continue
 		}
-		if trial.zones[req.Zone] == nil {
-			trial.zones[req.Zone] = map[ids.Address]relayState{}
+		if tracked.zones[req.Zone] == nil {
+			tracked.zones[req.Zone] = map[ids.Address]relayState{}
 		}
-		trial.zones[req.Zone][req.From] = relayState{unconfirmed: report.Unconfirmed, at: now}
-		trial.analysis.add(report.Routes, now)
-		trial.checkVerdict()
+		tracked.zones[req.Zone][req.From] = relayState{unconfirmed: report.Unconfirmed, at: now}
+		tracked.analysis.add(report.Routes, now)
+		tracked.checkVerdict()
 	}
 	return ExchangeResponse{Directing: true, Permits: d.permits(epoch, now)}
 }
@@ -275,14 +275,14 @@
 func (d *Director) permits(epoch int64, now clock.Instant) []Permit {
 	var permits []Permit
 	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
-		trial := d.rollouts[service]
-		if !trial.record.InProgress() || trial.epoch != epoch || trial.rejectionReason != "" || trial.stage() == Waiting {
+		tracked := d.rollouts[service]
+		if !tracked.record.InProgress() || tracked.epoch != epoch || tracked.rejectionReason != "" || tracked.stage() == Waiting {
 			continue
 		}
-		if trial.stage() != Full && now.Since(trial.savedAt) > maxSaveAge {
+		if tracked.stage() != Full && now.Since(tracked.savedAt) > maxSaveAge {
 			continue
 		}
-		permits = append(permits, trial.permits(d.options.Policy.PermitTTL)...)
+		permits = append(permits, tracked.permits(d.options.Policy.PermitTTL)...)
 	}
 	return permits
 }
--- a/control/rollout/judge_test.go
+++ b/control/rollout/judge_test.go
@@ -8,46 +8,46 @@
 	"onyxwell/base/clock"
 )
 
-// badness is how a version's attempts differ from a good one's.
-type badness struct {
+// defect is how a version's attempts differ from a good one's.
+type defect struct {
 	name string
-	// fails is the part of attempts that fail, slower by how much all take longer, on the
+	// failureRate is the part of attempts that fail, slower by how much all take longer, on the
 	// routes for which only is true; nil are all.
-	fails  float64
-	slower float64
-	only   func(route string) bool
-	from   time.Duration
+	failureRate float64
+	slowdown    float64
+	onRoute     func(route string) bool
+	from        time.Duration
 }
 
-func (b badness) applies(route string, since time.Duration) bool {
-	return since >= b.from && (b.only == nil || b.only(route))
+func (b defect) applies(route string, since time.Duration) bool {
+	return since >= b.from && (b.onRoute == nil || b.onRoute(route))
 }
 
-// evidence draws what routers report of one tick.
-type evidence struct {
+// attemptGenerator draws what routers report of one tick.
+type attemptGenerator struct {
 	random *rand.Rand
-	// background is the part of attempts that fail at either version.
-	background float64
-	badness    badness
+	// baseFailureRate is the part of attempts that fail at either version.
+	baseFailureRate float64
+	defect          defect
 }
 
-func (e evidence) counts(route string, target bool, attempts int, since time.Duration) RouteCount {
+func (e attemptGenerator) counts(route string, target bool, attempts int, since time.Duration) RouteCount {
 	count := RouteCount{Route: route, Target: target}
 	var firstByte, whole Histogram
-	bad := target && e.badness.applies(route, since)
+	bad := target && e.defect.applies(route, since)
 	for range attempts {
 		count.Ended++
-		fails := e.background
+		fails := e.baseFailureRate
 		if bad {
-			fails += e.badness.fails
+			fails += e.defect.failureRate
 		}
 		if e.random.Float64() < fails {
 			count.Failed++
 			continue
 		}
 		factor := 1.0
-		if bad && e.badness.slower > 0 {
-			factor = e.badness.slower
+		if bad && e.defect.slowdown > 0 {
+			factor = e.defect.slowdown
 		}
 		spread := 0.6 + 0.8*e.random.Float64() + 0.5*e.random.ExpFloat64()
 		firstByte.Add(time.Duration(factor * spread * float64(80*time.Millisecond)))
@@ -57,23 +57,23 @@
 	return count
 }
 
-// judgedRoutes are the routes of judgeFor, with their parts of the requests. Their order is that
+// simulatedRoutes are the routes of judgeFor, with their parts of the requests. Their order is that
 // in which random numbers are drawn.
-var judgedRoutes = []struct {
-	name string
-	part float64
+var simulatedRoutes = []struct {
+	name  string
+	share float64
 }{{"long", 0.16}, {"short", 0.84}}
 
-// judgeFor plays a rollout's canary with so many requests a second on two routes, a share
+// simulateCanary plays a rollout's canary with so many requests a second on two routes, a share
 // of which goes to the target version, and returns the first finding and when it was made.
-func judgeFor(seed uint64, perS, share float64, drawn evidence, lasts time.Duration) (Finding, time.Duration) {
+func simulateCanary(seed uint64, perS, share float64, generator attemptGenerator, lasts time.Duration) (Finding, time.Duration) {
 	const tick = 100 * time.Millisecond
-	drawn.random = rand.New(rand.NewPCG(seed, 1))
+	generator.random = rand.New(rand.NewPCG(seed, 1))
 	judge := NewJudge()
 	now := clock.Instant(time.Hour)
 	attempts := func(rate float64) int {
 		whole := int(rate * tick.Seconds())
-		if drawn.random.Float64() < rate*tick.Seconds()-float64(whole) {
+		if generator.random.Float64() < rate*tick.Seconds()-float64(whole) {
 			whole++
 		}
 		return whole
@@ -84,10 +84,10 @@
 			judge.BeginStage(Canary)
 		}
 		var counts []RouteCount
-		for _, route := range judgedRoutes {
-			counts = append(counts, drawn.counts(route.name, false, attempts(perS*route.part*(1-share)), since))
+		for _, route := range simulatedRoutes {
+			counts = append(counts, generator.counts(route.name, false, attempts(perS*route.share*(1-share)), since))
 			if since >= 0 {
-				counts = append(counts, drawn.counts(route.name, true, attempts(perS*route.part*share), since))
+				counts = append(counts, generator.counts(route.name, true, attempts(perS*route.share*share), since))
 			}
 		}
 		judge.Add(counts, now)
@@ -98,17 +98,17 @@
 	return judge.Verdict().Finding, lasts
 }
 
-// canaryTimeOfTest is how long the canary of a term of 12 s may last (canaryLongest).
-const canaryTimeOfTest = 6600 * time.Millisecond
+// simulatedCanaryTime is how long the canary of a term of 12 s may last (canaryLongest).
+const simulatedCanaryTime = 6600 * time.Millisecond
 
-// TestJudge_revertsNoGoodVersion bounds how often a version that does as the old one does
+// TestJudge_acceptsGoodVersions bounds how often a version that does as the old one does
 // is found bad, with what befalls all runners alike beside it.
-func TestJudge_revertsNoGoodVersion(t *testing.T) {
-	for _, background := range []float64{0, 0.01, 0.05, 0.2} {
+func TestJudge_acceptsGoodVersions(t *testing.T) {
+	for _, baseFailureRate := range []float64{0, 0.01, 0.05, 0.2} {
 		wrong, undecided := 0, 0
 		const seeds = 1000
 		for seed := range uint64(seeds) {
-			finding, _ := judgeFor(seed, 300, 0.12, evidence{background: background}, canaryTimeOfTest)
+			finding, _ := simulateCanary(seed, 300, 0.12, attemptGenerator{baseFailureRate: baseFailureRate}, simulatedCanaryTime)
 			switch finding {
 			case Bad:
 				wrong++
@@ -117,10 +117,10 @@
 			}
 		}
 		if wrong > 1 {
-			t.Errorf("background %.2f: %d of %d good versions are found bad", background, wrong, seeds)
+			t.Errorf("background %.2f: %d of %d good versions are found bad", baseFailureRate, wrong, seeds)
 		}
-		if background <= 0.01 && undecided > seeds/100 {
-			t.Errorf("background %.2f: %d of %d good versions have no finding after %v", background, undecided, seeds, canaryTimeOfTest)
+		if baseFailureRate <= 0.01 && undecided > seeds/100 {
+			t.Errorf("background %.2f: %d of %d good versions have no finding after %v", baseFailureRate, undecided, seeds, simulatedCanaryTime)
 		}
 	}
 }
@@ -129,23 +129,23 @@
 func TestJudge_findsBadVersions(t *testing.T) {
 	long := func(route string) bool { return route == "long" }
 	cases := []struct {
-		badness
+		defect
 		perS   float64
 		within time.Duration
 	}{
-		{badness{name: "half fail", fails: 0.5}, 1382, 500 * time.Millisecond},
-		{badness{name: "half fail, few requests", fails: 0.5}, 100, 3500 * time.Millisecond},
-		{badness{name: "three in ten fail", fails: 0.3}, 1382, time.Second},
-		{badness{name: "eight times slower", slower: 8}, 1382, 500 * time.Millisecond},
-		{badness{name: "five times slower", slower: 5}, 1382, 500 * time.Millisecond},
-		{badness{name: "half fail on the rare route", fails: 0.5, only: long}, 1382, 2 * time.Second},
-		{badness{name: "slow on the rare route", slower: 8, only: long}, 1382, 2 * time.Second},
-		{badness{name: "half fail from 3.3 s on", fails: 0.5, from: 3300 * time.Millisecond}, 1382, 4 * time.Second},
+		{defect{name: "half fail", failureRate: 0.5}, 1382, 500 * time.Millisecond},
+		{defect{name: "half fail, few requests", failureRate: 0.5}, 100, 3500 * time.Millisecond},
+		{defect{name: "three in ten fail", failureRate: 0.3}, 1382, time.Second},
+		{defect{name: "eight times slower", slowdown: 8}, 1382, 500 * time.Millisecond},
+		{defect{name: "five times slower", slowdown: 5}, 1382, 500 * time.Millisecond},
+		{defect{name: "half fail on the rare route", failureRate: 0.5, onRoute: long}, 1382, 2 * time.Second},
+		{defect{name: "slow on the rare route", slowdown: 8, onRoute: long}, 1382, 2 * time.Second},
+		{defect{name: "half fail from 3.3 s on", failureRate: 0.5, from: 3300 * time.Millisecond}, 1382, 4 * time.Second},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(200) {
-				finding, at := judgeFor(seed, test.perS, 0.12, evidence{background: 0.01, badness: test.badness}, 8*time.Second)
+				finding, at := simulateCanary(seed, test.perS, 0.12, attemptGenerator{baseFailureRate: 0.01, defect: test.defect}, 8*time.Second)
 				if finding != Bad || at > test.within {
 					t.Fatalf("seed %d: finding %d after %v, not within %v", seed, finding, at, test.within)
 				}
@@ -156,7 +156,7 @@
 
 // TestJudge_needsEvidence has no finding be made of too little.
 func TestJudge_needsEvidence(t *testing.T) {
-	if finding, _ := judgeFor(1, 300, 0.12, evidence{}, 300*time.Millisecond); finding != Undecided {
+	if finding, _ := simulateCanary(1, 300, 0.12, attemptGenerator{}, 300*time.Millisecond); finding != Undecided {
 		t.Errorf("finding %d after 0.3 s", finding)
 	}
 	judge := NewJudge()
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestJudge_aloneFindsOneRoute has a route that fails be found at once where the others at the
+// TestJudge_withoutBaselineFindsFailingRoute has a route that fails be found at once where the others at the
 // same version do not.
-func TestJudge_aloneFindsOneRoute(t *testing.T) {
+func TestJudge_withoutBaselineFindsFailingRoute(t *testing.T) {
 	judge := NewJudge()
 	judge.BeginStage(Full)
 	now := clock.Instant(time.Hour)
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestJudge_aloneBearsWhatBefallsAll has no version be found bad for what befalls all runners
+// TestJudge_withoutBaselineToleratesCommonFailures has no version be found bad for what befalls all runners
 // once there is no other to compare with.
-func TestJudge_aloneBearsWhatBefallsAll(t *testing.T) {
+func TestJudge_withoutBaselineToleratesCommonFailures(t *testing.T) {
 	judge := NewJudge()
 	judge.BeginStage(Full)
 	now := clock.Instant(time.Hour)
@@ -213,17 +213,17 @@
 	}
 }
 
-// TestJudge_timesCountOnlyBesideControl has a Judge that knows nothing of the old version, as
+// TestJudge_timesCountOnlyWithBaseline has a Judge that knows nothing of the old version, as
 // after a takeover, get attempts at a slow one: they do not speak for it.
-func TestJudge_timesCountOnlyBesideControl(t *testing.T) {
-	drawn := evidence{random: rand.New(rand.NewPCG(1, 1)), badness: badness{slower: 8}}
+func TestJudge_timesCountOnlyWithBaseline(t *testing.T) {
+	generator := attemptGenerator{random: rand.New(rand.NewPCG(1, 1)), defect: defect{slowdown: 8}}
 	judge, now := NewJudge(), clock.Instant(time.Hour)
 	judge.BeginStage(Canary)
-	judge.Add([]RouteCount{drawn.counts("short", true, 40, 0)}, now)
+	judge.Add([]RouteCount{generator.counts("short", true, 40, 0)}, now)
 	if _, ok := judge.TimedSince(); ok || judge.timedTotal() > 0 {
 		t.Errorf("%d attempts timed without a control", judge.timedTotal())
 	}
-	judge.Add([]RouteCount{drawn.counts("short", false, 40, 0), drawn.counts("short", true, 40, 0)}, now.Add(time.Second))
+	judge.Add([]RouteCount{generator.counts("short", false, 40, 0), generator.counts("short", true, 40, 0)}, now.Add(time.Second))
 	if verdict := judge.Verdict(); verdict.Finding != Bad {
 		t.Errorf("%+v beside a control, should be found bad", verdict)
 	}
--- a/control/rollout/load.go
+++ b/control/rollout/load.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// A runner is brought to peakSlots times its slots, or to peakFactor times the load of an old
+	// A runner is brought to targetSlotsFactor times its slots, or to peakFactor times the load of an old
 	// one if that is more. The version was tried under load at leastSlots times the slots and
 	// leastFactor times the load: more than what is left after the loss of a region, in a burst. One
 	// runner that gets maxLoadedShare of all requests was tried with all that there is.
-	peakSlots   = 1.25
-	peakFactor  = 3
-	leastSlots  = 1
-	leastFactor = 2.4
-	// loadBudget is the part of the exposure that the runner under load may take at most.
-	loadBudget = 0.65
-	// resumedBudget is canaryBudget after a takeover.
-	resumedBudget = 1.1
-	// maxLocalShare bounds what each runner under load gets of its region's requests, where the
+	targetSlotsFactor = 1.25
+	targetLoadFactor  = 3
+	minSlotsFactor    = 1
+	minLoadFactor     = 2.4
+	// loadTestBudgetFraction is the part of the exposure that the runner under load may take at most.
+	loadTestBudgetFraction = 0.65
+	// resumedBudgetFraction is canaryBudget after a takeover.
+	resumedBudgetFraction = 1.1
+	// maxLoadTestLocalShare bounds what each runner under load gets of its region's requests, where the
 	// other regions send it none; maxLoadedShare is that of all requests.
-	maxLocalShare  = 0.35
-	maxLoadedShare = 0.9
-	// loadHold is for how long the load stays once it is reached; loadAttemptsPart is the part
+	maxLoadTestLocalShare = 0.35
+	maxLoadTestShare      = 0.9
+	// loadTestHold is for how long the load stays once it is reached; loadAttemptsPart is the part
 	// of the attempts of that time that are to be timed, minLoadAttempts how many at least.
-	loadHold         = 300 * time.Millisecond
-	loadAttemptsPart = 0.7
-	minLoadAttempts  = 16
-	// longestLoad is for how long the load may stay until reports have come, in parts of the
+	loadTestHold          = 300 * time.Millisecond
+	loadTestTimedFraction = 0.7
+	minLoadTestAttempts   = 16
+	// maxLoadTestOverrun is for how long the load may stay until reports have come, in parts of the
 	// time planned.
-	longestLoad = 1.75
+	maxLoadTestOverrun = 1.75
 )
 
 // MaxBaselineShare is up to which part of a router's requests the old runner of the pair under
@@ -49,17 +49,17 @@
 	started bool
 	// retried says that the version is tried again after the term, when exposure is not limited.
 	retried bool
-	// allocatedExposure is the exposure that the pace has planned for the runner so far, usedBefore what
+	// allocatedExposure is the exposure that the pace has planned for the runner so far, inheritedExposure what
 	// former directors caused, as in trial.
-	allocatedExposure, usedBefore time.Duration
+	allocatedExposure, inheritedExposure time.Duration
 }
 
-// setLoad sets what the pair of runners under load gets, until the version was tried for long
+// allocateLoadTest sets what the pair of runners under load gets, until the version was tried for long
 // enough, and returns the exposure that is set aside for it.
-func (d *Director) setLoad(t *trackedRollout, next *allocation, rate, budget float64, now clock.Instant) float64 {
-	t.retryLoadAfterTerm(now)
+func (d *Director) allocateLoadTest(t *trackedRollout, next *allocation, rate, budget float64, now clock.Instant) float64 {
+	t.retryLoadTestAfterTerm(now)
 	used := float64(t.loadTestExposure(rate))
-	plan := d.planLoad(t, rate, budget)
+	plan := d.planLoadTest(t, rate, budget)
 	_, warm := t.analysis.canary.TimedSince()
 	if t.loadTest.done || plan.share <= 0 || !warm {
 		return max(used, plan.exposure)
@@ -70,15 +70,15 @@
 		return used
 	}
 	t.loadTest.started = true
-	borne := t.hasBorne(plan, rate, now)
-	if borne || t.isLoadSpent(plan, rate, budget, now) {
+	sustained := t.sustainedLoad(plan, rate, now)
+	if sustained || t.isLoadTestExhausted(plan, rate, budget, now) {
 		t.loadTest.done = true
-		t.loadTest.passed = plan.isEnough && borne
+		t.loadTest.passed = plan.isSufficient && sustained
 		d.log(t, fmt.Sprintf("tried under load: %t, %d attempts at %.1f a second timed", t.loadTest.passed, t.analysis.loadTest.timedTotal(), plan.share*rate))
 		return used
 	}
 	next.loadTestShare = plan.share
-	if local := plan.share * plan.regions; local <= maxLocalShare {
+	if local := plan.share * plan.regions; local <= maxLoadTestLocalShare {
 		next.loadTestLocal = local
 	} else {
 		next.loadTestLocal, next.loadTestRemote = plan.share, plan.share
@@ -86,9 +86,9 @@
 	return max(used, plan.exposure)
 }
 
-// retryLoadAfterTerm has a version that could not be brought under load in its term be tried
+// retryLoadTestAfterTerm has a version that could not be brought under load in its term be tried
 // again after it.
-func (t *trackedRollout) retryLoadAfterTerm(now clock.Instant) {
+func (t *trackedRollout) retryLoadTestAfterTerm(now clock.Instant) {
 	if !t.isPastTerm(now) || t.loadTest.retried || t.loadTest.passed {
 		return
 	}
@@ -96,45 +96,45 @@
 	t.analysis.loadTest.resetAcceptance()
 }
 
-// isLoadSpent reports whether the runner under load has had what it may get.
-func (t *trackedRollout) isLoadSpent(plan loadPlan, rate, budget float64, now clock.Instant) bool {
+// isLoadTestExhausted reports whether the runner under load has had what it may get.
+func (t *trackedRollout) isLoadTestExhausted(plan loadTestPlan, rate, budget float64, now clock.Instant) bool {
 	if t.isPastTerm(now) {
 		return false
 	}
 	used := float64(t.loadTestExposure(rate))
-	overBudget := used >= loadBudget*budget && float64(t.usedExposure(rate)) >= t.mostUsed()*budget
-	return used >= longestLoad*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.plan.Longest
+	overBudget := used >= loadTestBudgetFraction*budget && float64(t.usedExposure(rate)) >= t.loadTestUsageLimit()*budget
+	return used >= maxLoadTestOverrun*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.plan.MaxDuration
 }
 
-// mostUsed returns the part of the exposure up to which a runner is kept under load. What a
+// loadTestUsageLimit returns the part of the exposure up to which a runner is kept under load. What a
 // former director had written as used ahead was used in part.
-func (t *trackedRollout) mostUsed() float64 {
+func (t *trackedRollout) loadTestUsageLimit() float64 {
 	if t.inheritedExposure > 0 {
-		return resumedBudget
+		return resumedBudgetFraction
 	}
 	return canaryBudgetFraction
 }
 
-// loadPlan is how a runner is brought under load.
-type loadPlan struct {
+// loadTestPlan is how a runner is brought under load.
+type loadTestPlan struct {
 	// share is what it gets, in parts of all requests, hold for how long its attempts are timed
 	// at least, exposure how long the whole traffic would have to go to it for as many.
 	share    float64
 	hold     time.Duration
 	exposure float64
 	regions  float64
-	// isEnough says that the version is tried under load then.
-	isEnough bool
+	// isSufficient says that the version is tried under load then.
+	isSufficient bool
 }
 
-// planLoad plans how a runner is brought under load. The share is 0 where there is none to
+// planLoadTest plans how a runner is brought under load. The share is 0 where there is none to
 // spare, and while too little is known.
-func (d *Director) planLoad(t *trackedRollout, rate, budget float64) loadPlan {
+func (d *Director) planLoadTest(t *trackedRollout, rate, budget float64) loadTestPlan {
 	runners := d.options.Runners(t.service)
 	pair, ok := SelectLoadTestPair(runners, t.record.Target, t.record.Order)
-	whole := t.analysis.canary.meanOldDuration()
-	if !ok || rate <= 0 || whole <= 0 {
-		return loadPlan{}
+	duration := t.analysis.canary.meanOldDuration()
+	if !ok || rate <= 0 || duration <= 0 {
+		return loadTestPlan{}
 	}
 	regions, old := map[ids.Region]bool{}, 0
 	for _, runner := range runners {
@@ -143,38 +143,38 @@
 			old++
 		}
 	}
-	usual := rate * whole.Seconds() / float64(max(1, old))
-	underLoad := max(whole, t.analysis.loadTest.meanOldDuration())
-	ramp := 2*d.options.Policy.ExchangeInterval + underLoad
-	plan := loadPlan{hold: loadHold + underLoad, regions: float64(len(regions))}
-	lasts := float64(ramp + plan.hold)
+	usualLoad := rate * duration.Seconds() / float64(max(1, old))
+	loadedDuration := max(duration, t.analysis.loadTest.meanOldDuration())
+	ramp := 2*d.options.Policy.ExchangeInterval + loadedDuration
+	plan := loadTestPlan{hold: loadTestHold + loadedDuration, regions: float64(len(regions))}
+	testDuration := float64(ramp + plan.hold)
 	// What few attempts under load took says too little to plan with fewer requests.
-	slots, all := float64(pair.Target.Slots), whole.Seconds()*rate
-	plan.share = min(max(peakFactor*usual, peakSlots*slots)/all, maxLoadedShare, loadBudget*budget/lasts)
-	plan.exposure = plan.share * lasts
-	plan.isEnough = plan.share >= maxLoadedShare || plan.share*all >= max(leastFactor*usual, leastSlots*slots)
+	slots, totalLoad := float64(pair.Target.Slots), duration.Seconds()*rate
+	plan.share = min(max(targetLoadFactor*usualLoad, targetSlotsFactor*slots)/totalLoad, maxLoadTestShare, loadTestBudgetFraction*budget/testDuration)
+	plan.exposure = plan.share * testDuration
+	plan.isSufficient = plan.share >= maxLoadTestShare || plan.share*totalLoad >= max(minLoadFactor*usualLoad, minSlotsFactor*slots)
 	return plan
 }
 
-// hasBorne reports whether the version has borne the planned load for long enough.
-func (t *trackedRollout) hasBorne(plan loadPlan, rate float64, now clock.Instant) bool {
-	loaded := t.analysis.loadTest
-	since, ok := loaded.TimedSince()
-	if !ok || loaded.IsSuspect() || now.Since(since) < plan.hold {
+// sustainedLoad reports whether the version has borne the planned load for long enough.
+func (t *trackedRollout) sustainedLoad(plan loadTestPlan, rate float64, now clock.Instant) bool {
+	loadTest := t.analysis.loadTest
+	since, ok := loadTest.TimedSince()
+	if !ok || loadTest.IsSuspect() || now.Since(since) < plan.hold {
 		return false
 	}
-	attempts := loadAttemptsPart * plan.share * rate * plan.hold.Seconds()
-	least := float64(minLoadAttempts)
-	if plan.share >= maxLoadedShare {
+	attempts := loadTestTimedFraction * plan.share * rate * plan.hold.Seconds()
+	minAttempts := float64(minLoadTestAttempts)
+	if plan.share >= maxLoadTestShare {
 		// Nearly all requests are no more than a few at a time: fewer of them meet the load.
-		least *= 2
+		minAttempts *= 2
 	}
-	return float64(loaded.timedTotal()) >= max(attempts, least)
+	return float64(loadTest.timedTotal()) >= max(attempts, minAttempts)
 }
 
-// pacedBudget returns the exposure that a rollout may cause until its term, without bound once
+// budgetUntilTerm returns the exposure that a rollout may cause until its term, without bound once
 // that is over.
-func (d *Director) pacedBudget(t *trackedRollout, now clock.Instant) float64 {
+func (d *Director) budgetUntilTerm(t *trackedRollout, now clock.Instant) float64 {
 	if t.isPastTerm(now) {
 		return math.Inf(1)
 	}
--- a/control/rollout/loadpair.go
+++ b/control/rollout/loadpair.go
@@ -10,9 +10,9 @@
 	Old Runner
 }
 
-// minOldForControl is how many old runners a region must have for one of them to serve as the
+// minOldForBaseline is how many old runners a region must have for one of them to serve as the
 // control.
-const minOldForControl = 2
+const minOldForBaseline = 2
 
 // SelectLoadTestPair returns the pair of a rollout; ok is false where the target version has no
 // runner to spare. All that have the same list choose alike.
@@ -38,8 +38,8 @@
 		}
 	}
 	pair.Target = chosen.Runner
-	if beside := rankRegion(old[chosen.Region], order); len(beside) >= minOldForControl {
-		pair.Old = beside[0].Runner
+	if oldRanked := rankRegion(old[chosen.Region], order); len(oldRanked) >= minOldForBaseline {
+		pair.Old = oldRanked[0].Runner
 	}
 	return pair, true
 }
--- a/control/rollout/pace.go
+++ b/control/rollout/pace.go
@@ -65,13 +65,13 @@
 func (d *Director) updateAllocation(t *trackedRollout, now clock.Instant) {
 	t.accountExposure(now)
 	if t.stage() != Canary {
-		t.allocation = allocation{runnerFraction: t.plan.Part, loadFactor: t.plan.Load, share: d.meanShare(t, t.plan.Part, t.plan.Load)}
+		t.allocation = allocation{runnerFraction: t.plan.RunnerFraction, loadFactor: t.plan.LoadFactor, share: d.meanShare(t, t.plan.RunnerFraction, t.plan.LoadFactor)}
 		return
 	}
 	rate := t.analysis.requestsPerS(now)
-	budget := d.pacedBudget(t, now)
-	next := allocation{runnerFraction: max(t.allocation.runnerFraction, minCanaryPart)}
-	loaded := d.setLoad(t, &next, rate, budget, now)
+	budget := d.budgetUntilTerm(t, now)
+	next := allocation{runnerFraction: max(t.allocation.runnerFraction, minCanaryFraction)}
+	loaded := d.allocateLoadTest(t, &next, rate, budget, now)
 	left := max(0, canaryBudgetFraction*budget-loaded-float64(t.usedExposure(rate)-t.loadTestExposure(rate)))
 	share := max(evenFraction*left/float64(t.allocationPeriod(now)), min(d.evidenceShare(t, rate), left/float64(minAllocationPeriod)))
 	limit := maxCanaryShare
@@ -94,7 +94,7 @@
 
 // allocateCanary sets the canary's runners and their load for a share of all requests.
 func (d *Director) allocateCanary(t *trackedRollout, next *allocation, share float64) {
-	next.runnerFraction = min(max(next.runnerFraction, share/canaryLoad), maxCanaryPart)
+	next.runnerFraction = min(max(next.runnerFraction, share/canaryLoad), maxCanaryFraction)
 	fullShare := d.meanShare(t, next.runnerFraction, 1)
 	if fullShare <= 0 {
 		return
@@ -105,8 +105,8 @@
 
 // allocationPeriod returns the time over which the canary's exposure is spread.
 func (t *trackedRollout) allocationPeriod(now clock.Instant) time.Duration {
-	if elapsed := now.Since(t.enteredAt); elapsed < t.plan.Least {
-		return max(minAllocationPeriod, t.plan.Least-elapsed)
+	if elapsed := now.Since(t.enteredAt); elapsed < t.plan.MinDuration {
+		return max(minAllocationPeriod, t.plan.MinDuration-elapsed)
 	}
 	return max(minAllocationPeriod, (t.term()-now.Since(t.orderedAt))/2)
 }
@@ -129,7 +129,7 @@
 		}
 		wanted = max(wanted, float64(lacking)/(share*OversamplingFactor(share, len(canary.routes), t.allocation.runnerFraction)))
 	}
-	inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.Least)))
+	inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
 	if rate <= 0 {
 		return 0
 	}
@@ -144,7 +144,7 @@
 
 // loadTestExposure returns the part of used that the runner under load got.
 func (t *trackedRollout) loadTestExposure(rate float64) time.Duration {
-	return t.loadTest.usedBefore + max(t.loadTest.allocatedExposure, timeForRequests(t.analysis.loadTestExposed, rate))
+	return t.loadTest.inheritedExposure + max(t.loadTest.allocatedExposure, timeForRequests(t.analysis.loadTestExposed, rate))
 }
 
 // timeForRequests returns the time in which so many requests come, 0 where the rate is not known.
--- a/control/rollout/record_test.go
+++ b/control/rollout/record_test.go
@@ -18,7 +18,7 @@
 	return value
 }
 
-func TestBegin_takesOrRefuses(t *testing.T) {
+func TestBegin_acceptsOrRejects(t *testing.T) {
 	inProgress := Record{Version: 3, Order: 1, Target: `"v2"`, TermMS: 12000, Condition: int64(InProgress)}
 	reverted := inProgress
 	reverted.Condition, reverted.Rejected = int64(Reverted), []string{`"v2"`}
@@ -30,7 +30,7 @@
 		current Record
 		order   Order
 		kind    errkind.Kind
-		begins  bool
+		writes  bool
 	}{
 		{"first order", Record{}, Order{Target: `"v2"`, TermMS: 12000}, errkind.None, true},
 		{"repeated in progress", inProgress, Order{Target: `"v2"`, TermMS: 12000}, errkind.None, false},
@@ -51,10 +51,10 @@
 				current = mustMarshal(t, test.current)
 			}
 			value, err := Begin(test.order)(current)
-			if errkind.KindOf(err) != test.kind || (value != nil) != test.begins {
+			if errkind.KindOf(err) != test.kind || (value != nil) != test.writes {
 				t.Fatalf("%v, writes %v", err, value != nil)
 			}
-			if !test.begins {
+			if !test.writes {
 				return
 			}
 			record, err := Decode(test.order.Service, value)
@@ -66,10 +66,10 @@
 	}
 }
 
-// TestTransition_isForGood applies steps of directors with any epochs, for any orders: a
+// TestTransition_neverGoesBack applies steps of directors with any epochs, for any orders: a
 // verdict is never taken back, stages and versions rise, and no step of an earlier epoch
 // follows one of a later.
-func TestTransition_isForGood(t *testing.T) {
+func TestTransition_neverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value, err := Begin(Order{Target: `"v2"`, TermMS: 12000})(nil)
 		if err != nil {
--- a/control/rollout/relay.go
+++ b/control/rollout/relay.go
@@ -15,8 +15,8 @@
 const (
 	// relayIdleTime is after how long without a router's message a relay is idle.
 	relayIdleTime = 5 * time.Second
-	// freshExchanges is for how many intervals what a router or a relay said holds.
-	freshExchanges = 3
+	// freshIntervals is for how many intervals what a router or a relay said holds.
+	freshIntervals = 3
 )
 
 // RelayOptions configure a Relay. All are required.
@@ -36,16 +36,16 @@
 type Relay struct {
 	options RelayOptions
 
-	mu      sync.Mutex
-	askedAt clock.Instant
-	trials  map[ids.Service]*relayedTrial
+	mu       sync.Mutex
+	askedAt  clock.Instant
+	rollouts map[ids.Service]*relayedRollout
 	// permits were granted by the director; they end at expiry.
 	permits []Permit
 	expiry  clock.Instant
 }
 
-// relayedTrial is what a relay keeps of one order.
-type relayedTrial struct {
+// relayedRollout is what a relay keeps of one order.
+type relayedRollout struct {
 	order int64
 	// confirmedAt is when routers last confirmed that they send nothing to old runners.
 	confirmedAt map[ids.Address]clock.Instant
@@ -54,7 +54,7 @@
 
 // NewRelay returns a Relay without permits.
 func NewRelay(options RelayOptions) *Relay {
-	return &Relay{options: options, trials: map[ids.Service]*relayedTrial{}}
+	return &Relay{options: options, rollouts: map[ids.Service]*relayedRollout{}}
 }
 
 // Run exchanges messages with the director while routers ask, until ctx ends.
@@ -71,34 +71,34 @@
 	defer r.mu.Unlock()
 	r.askedAt = now
 	for _, report := range req.Services {
-		trial := r.trial(report.Service, report.Order)
-		if trial == nil {
+		relayed := r.rollout(report.Service, report.Order)
+		if relayed == nil {
 			continue
 		}
-		trial.counts.merge(report.Routes)
+		relayed.counts.merge(report.Routes)
 		if report.Unconfirmed == 0 {
-			trial.confirmedAt[req.From] = now
+			relayed.confirmedAt[req.From] = now
 		} else {
-			delete(trial.confirmedAt, req.From)
+			delete(relayed.confirmedAt, req.From)
 		}
 	}
-	return r.permitsLeft(now), nil
+	return r.remainingPermits(now), nil
 }
 
-// trial returns what is kept of an order, nil for one that is outdated.
-func (r *Relay) trial(service ids.Service, order int64) *relayedTrial {
-	trial := r.trials[service]
-	if trial == nil || trial.order < order {
-		trial = &relayedTrial{order: order, confirmedAt: map[ids.Address]clock.Instant{}, counts: routeCounts{}}
-		r.trials[service] = trial
+// rollout returns what is kept of an order, nil for one that is outdated.
+func (r *Relay) rollout(service ids.Service, order int64) *relayedRollout {
+	relayed := r.rollouts[service]
+	if relayed == nil || relayed.order < order {
+		relayed = &relayedRollout{order: order, confirmedAt: map[ids.Address]clock.Instant{}, counts: routeCounts{}}
+		r.rollouts[service] = relayed
 	}
-	if trial.order != order {
+	if relayed.order != order {
 		return nil
 	}
-	return trial
+	return relayed
 }
 
-func (r *Relay) permitsLeft(now clock.Instant) ExchangeResponse {
+func (r *Relay) remainingPermits(now clock.Instant) ExchangeResponse {
 	left := r.expiry.Since(now)
 	if left <= 0 {
 		return ExchangeResponse{}
@@ -123,7 +123,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil || !resp.Directing {
-		r.putBack(req)
+		r.requeue(req)
 		return
 	}
 	r.permits = resp.Permits
@@ -146,35 +146,35 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.askedAt == 0 || now.Since(r.askedAt) > relayIdleTime {
-		r.trials = map[ids.Service]*relayedTrial{}
+		r.rollouts = map[ids.Service]*relayedRollout{}
 		return ExchangeRequest{}, false
 	}
 	req = ExchangeRequest{From: r.options.Address, Zone: r.options.Zone}
-	for service, trial := range r.trials {
+	for service, relayed := range r.rollouts {
 		req.Services = append(req.Services, ServiceReport{
-			Service: service, Order: trial.order, Unconfirmed: r.unconfirmed(trial, routers, now), Routes: trial.counts.message(),
+			Service: service, Order: relayed.order, Unconfirmed: r.unconfirmed(relayed, routers, now), Routes: relayed.counts.sorted(),
 		})
-		trial.counts = routeCounts{}
+		relayed.counts = routeCounts{}
 	}
 	return req, true
 }
 
 // unconfirmed counts the routers that have not confirmed of late.
-func (r *Relay) unconfirmed(trial *relayedTrial, routers []ids.Address, now clock.Instant) int64 {
+func (r *Relay) unconfirmed(relayed *relayedRollout, routers []ids.Address, now clock.Instant) int64 {
 	count := int64(0)
 	for _, router := range routers {
-		at, ok := trial.confirmedAt[router]
-		if !ok || now.Since(at) > freshExchanges*r.options.Policy.ExchangeInterval {
+		at, ok := relayed.confirmedAt[router]
+		if !ok || now.Since(at) > freshIntervals*r.options.Policy.ExchangeInterval {
 			count++
 		}
 	}
 	return count
 }
 
-func (r *Relay) putBack(req ExchangeRequest) {
+func (r *Relay) requeue(req ExchangeRequest) {
 	for _, report := range req.Services {
-		if trial := r.trial(report.Service, report.Order); trial != nil {
-			trial.counts.merge(report.Routes)
+		if relayed := r.rollout(report.Service, report.Order); relayed != nil {
+			relayed.counts.merge(report.Routes)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 	}
 }
 
-func (c routeCounts) message() []RouteCount {
+func (c routeCounts) sorted() []RouteCount {
 	var counts []RouteCount
 	for _, count := range c {
 		counts = append(counts, count)
--- a/control/rollout/relay_test.go
+++ b/control/rollout/relay_test.go
@@ -44,7 +44,7 @@
 	return resp
 }
 
-func TestRelay_permitsCountFromTheQuestion(t *testing.T) {
+func TestRelay_permitsCountFromRequestTime(t *testing.T) {
 	f := newRelayFixture()
 	f.answer = ExchangeResponse{Directing: true, Permits: []Permit{{Service: "s", Order: 1, Stage: int64(Canary), TTLMS: 1000}}}
 	if resp := f.ask(t, 1, 1); resp.Directing {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestRelay_keepsReportsThatWereNotTaken sums reports, and sends again what the director did
+// TestRelay_resendsUnacceptedReports sums reports, and sends again what the director did
 // not take.
-func TestRelay_keepsReportsThatWereNotTaken(t *testing.T) {
+func TestRelay_resendsUnacceptedReports(t *testing.T) {
 	f := newRelayFixture()
 	f.err = errors.New("unreachable")
 	f.ask(t, 3, 1)
--- a/control/rollout/spread.go
+++ b/control/rollout/spread.go
@@ -46,31 +46,31 @@
 // NewTrafficSplit divides the traffic among the runners of a service. Each active runner gets
 // the division's load times what an old one would. All that have the same list divide it
 // alike.
-func NewTrafficSplit(runners []Runner, division SplitSpec) TrafficSplit {
+func NewTrafficSplit(runners []Runner, spec SplitSpec) TrafficSplit {
 	old, targets := map[ids.Region]int{}, map[ids.Region][]Runner{}
-	spread := TrafficSplit{Active: map[ids.RunnerID]bool{}, Share: map[ids.Region]float64{}}
+	split := TrafficSplit{Active: map[ids.RunnerID]bool{}, Share: map[ids.Region]float64{}}
 	for _, runner := range runners {
 		switch {
-		case runner.ID == division.LoadTestTarget:
-		case runner.Version == division.Target:
+		case runner.ID == spec.LoadTestTarget:
+		case runner.Version == spec.Target:
 			targets[runner.Region] = append(targets[runner.Region], runner)
 		default:
 			old[runner.Region]++
-			spread.HasOld = true
+			split.HasOld = true
 		}
 	}
 	active := map[ids.Region]int{}
-	for _, runner := range firstRunners(targets, division) {
-		spread.Active[runner.ID] = true
+	for _, runner := range activeRunners(targets, spec) {
+		split.Active[runner.ID] = true
 		active[runner.Region]++
 	}
 	for region, count := range active {
-		spread.Share[region] = 1
-		if !division.Full && old[region] > 0 {
-			spread.Share[region] = min(1, division.LoadFactor*float64(count)/float64(old[region]))
+		split.Share[region] = 1
+		if !spec.Full && old[region] > 0 {
+			split.Share[region] = min(1, spec.LoadFactor*float64(count)/float64(old[region]))
 		}
 	}
-	return spread
+	return split
 }
 
 // MeanShare returns the part of all requests that goes to the target version, where each of
@@ -90,14 +90,14 @@
 	hash uint64
 }
 
-// firstRunners returns the part of the target's runners that is active, at least one: in an
+// activeRunners returns the part of the target's runners that is active, at least one: in an
 // order that takes regions in turn, and differs from rollout to rollout.
-func firstRunners(targets map[ids.Region][]Runner, division SplitSpec) []rankedRunner {
-	all := rankRunners(targets, division.Order)
-	if division.Full {
+func activeRunners(runners map[ids.Region][]Runner, spec SplitSpec) []rankedRunner {
+	all := rankRunners(runners, spec.Order)
+	if spec.Full {
 		return all
 	}
-	count := max(1, int(math.Round(division.RunnerFraction*float64(len(all)))))
+	count := max(1, int(math.Round(spec.RunnerFraction*float64(len(all)))))
 	return all[:min(count, len(all))]
 }
 
--- a/control/rollout/status.go
+++ b/control/rollout/status.go
@@ -7,8 +7,8 @@
 	"onyxwell/base/ids"
 )
 
-// waitsFor says what a rollout waits for.
-func (d *Director) waitsFor(t *trackedRollout, now clock.Instant) string {
+// waitReason says what a rollout waits for.
+func (d *Director) waitReason(t *trackedRollout, now clock.Instant) string {
 	switch t.stage() {
 	case Waiting:
 		return "runners of the target version"
@@ -16,8 +16,8 @@
 		if verdict := t.analysis.verdict(); verdict.Finding != Good {
 			return verdict.Reason
 		}
-		if t.stage() == Canary && !d.hasBorneLoad(t, now) {
-			return t.lacksLoad()
+		if t.stage() == Canary && !d.passedLoadTest(t, now) {
+			return t.loadTestWaitReason()
 		}
 		return "the time of the stage"
 	}
@@ -30,8 +30,8 @@
 	return "the verdict to be stored"
 }
 
-// lacksLoad says why a version was not tried under load yet.
-func (t *trackedRollout) lacksLoad() string {
+// loadTestWaitReason says why a version was not tried under load yet.
+func (t *trackedRollout) loadTestWaitReason() string {
 	if t.loadTest.done {
 		return "the end of the term: too few requests, or too little exposure, to bring a runner under load"
 	}
@@ -103,7 +103,7 @@
 			TermMS: t.record.TermMS, ElapsedMS: now.Since(t.orderedAt).Milliseconds(), ReservedMS: t.record.ReservedMS, Reason: t.record.Reason,
 		}
 		if held && t.epoch == epoch && t.record.InProgress() {
-			status.WaitsFor, status.Routes = d.waitsFor(t, now), t.analysis.canary.Routes()
+			status.WaitsFor, status.Routes = d.waitReason(t, now), t.analysis.canary.Routes()
 			status.Note = t.note
 		}
 		statuses = append(statuses, status)
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -23,23 +23,23 @@
 	evidence Evidence
 }
 
-// paceAll divides the traffic anew where that is due, and returns the evidence that is to be
+// updateAllocations divides the traffic anew where that is due, and returns the evidence that is to be
 // stored.
-func (d *Director) paceAll(epoch int64, now clock.Instant) []savedEvidence {
+func (d *Director) updateAllocations(epoch int64, now clock.Instant) []savedEvidence {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var due []savedEvidence
-	for service, trial := range d.rollouts {
-		if !trial.record.InProgress() || trial.stage() == Waiting || trial.epoch != epoch {
+	for service, tracked := range d.rollouts {
+		if !tracked.record.InProgress() || tracked.stage() == Waiting || tracked.epoch != epoch {
 			continue
 		}
-		if now.Since(trial.allocatedAt) >= d.options.Policy.ExchangeInterval {
-			trial.allocatedAt = now
-			d.updateAllocation(trial, now)
-			d.noteShortTerm(trial, now)
+		if now.Since(tracked.allocatedAt) >= d.options.Policy.ExchangeInterval {
+			tracked.allocatedAt = now
+			d.updateAllocation(tracked, now)
+			d.noteShortTerm(tracked, now)
 		}
-		if now.Since(trial.savedAt) >= saveInterval {
-			due = append(due, savedEvidence{service: service, evidence: d.evidence(trial, now)})
+		if now.Since(tracked.savedAt) >= saveInterval {
+			due = append(due, savedEvidence{service: service, evidence: d.evidence(tracked, now)})
 		}
 	}
 	return due
@@ -53,8 +53,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if trial := d.rollouts[save.service]; trial.record.Order == save.evidence.Order && trial.epoch == save.evidence.Epoch {
-		trial.savedAt = max(trial.savedAt, startedAt)
+	if tracked := d.rollouts[save.service]; tracked.record.Order == save.evidence.Order && tracked.epoch == save.evidence.Epoch {
+		tracked.savedAt = max(tracked.savedAt, startedAt)
 	}
 }
 
@@ -76,12 +76,12 @@
 	}
 }
 
-// recover returns what a former director stored of a rollout that a step goes on with, the
+// loadEvidence returns what a former director stored of a rollout that a step goes on with, the
 // zero Evidence for any other step.
-func (d *Director) recover(ctx context.Context, step Transition) (Evidence, error) {
+func (d *Director) loadEvidence(ctx context.Context, step Transition) (Evidence, error) {
 	d.mu.Lock()
-	trial := d.rollouts[step.Service]
-	resumes := trial.isResumedBy(step)
+	tracked := d.rollouts[step.Service]
+	resumes := tracked.isResumedBy(step)
 	d.mu.Unlock()
 	if !resumes {
 		return Evidence{}, nil
@@ -116,7 +116,7 @@
 	}
 	t.inheritedExposure = time.Duration(known.UsedMS) * time.Millisecond
 	t.analysis.rate = known.RequestsPerS
-	t.loadTest = loadTestState{done: known.LoadTried, passed: known.LoadShown, usedBefore: time.Duration(known.LoadedUsedMS) * time.Millisecond}
+	t.loadTest = loadTestState{done: known.LoadTried, passed: known.LoadShown, inheritedExposure: time.Duration(known.LoadedUsedMS) * time.Millisecond}
 	t.analysis.loadTest = restoreJudge(newLoadTestJudge(), known.Loaded, t.stage(), now)
 	if !known.LoadShown {
 		// The load ended with the former director's permits: it is to be borne anew.
@@ -135,15 +135,15 @@
 	if t.note != "" || rate <= 0 || t.stage() != Canary {
 		return
 	}
-	evidence := time.Duration(0)
-	if limit := float64(d.budget(t)) * canaryBudgetFraction / float64(t.plan.Least); limit > 0 {
-		inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.Least)))
-		evidence = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(inTime))
+	evidenceTime := time.Duration(0)
+	if limit := float64(d.budget(t)) * canaryBudgetFraction / float64(t.plan.MinDuration); limit > 0 {
+		inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
+		evidenceTime = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(inTime))
 	}
-	least := t.enteredAt.Since(t.orderedAt) + max(t.plan.Least, evidence) + minFull + d.drainTime(t)
-	if least <= t.term() {
+	minTime := t.enteredAt.Since(t.orderedAt) + max(t.plan.MinDuration, evidenceTime) + minFullTime + d.drainTime(t)
+	if minTime <= t.term() {
 		return
 	}
-	t.note = fmt.Sprintf("term too short: at least %.1f s at %.0f requests a second", least.Seconds(), rate)
+	t.note = fmt.Sprintf("term too short: at least %.1f s at %.0f requests a second", minTime.Seconds(), rate)
 	d.log(t, t.note)
 }
