--- a/control/rollout/pace.go
+++ b/control/rollout/allocation.go
@@ -7,48 +7,50 @@
 	"onyxwell/base/clock"
 )
 
-// allocation is how much of the traffic goes to the target version at present.
+// allocation is how much of the traffic currently goes to the target version.
 type allocation struct {
-	// runnerFraction and loadFactor are as in stageShape; share is what comes of them, in parts of all requests.
+	// runnerFraction and loadFactor are as in stagePlan; share is the resulting share of all
+	// requests.
 	runnerFraction, loadFactor, share float64
-	// loadTestLocal and loadTestRemote are the parts of a router's requests that go to each runner
-	// of the pair under load, from its region and from the others; loadTestShare is what comes
-	// of them for each runner, in parts of all requests.
+	// loadTestLocal and loadTestRemote are the shares of a router's requests that go to each
+	// runner of the load test pair, from its own region and from the others; loadTestShare is
+	// the resulting share of all requests for each runner.
 	loadTestLocal, loadTestRemote, loadTestShare float64
 }
 
 const (
-	// maxCanaryShare bounds the canary, in parts of all requests; overdueShare bounds it once
-	// the term is over and exposure is not limited any more.
+	// maxCanaryShare bounds the canary's share of all requests; overdueShare bounds it once the
+	// term is over and exposure is no longer limited.
 	maxCanaryShare = 0.5
 	overdueShare   = 0.4
-	// evenFraction is the part of what is left that is spread evenly; the rest is for routes that
-	// lack evidence.
+	// evenFraction is the fraction of the remaining exposure that is spread evenly over time;
+	// the rest is for routes that lack evidence.
 	evenFraction = 0.75
-	// minAllocationPeriod is the least time over which what is left of the exposure is spread.
+	// minAllocationPeriod is the shortest time over which the remaining exposure is spread.
 	minAllocationPeriod = time.Second
-	// wantedAttempts is how many attempts at the target version a route is to have, those on
-	// their way to the director included, wantedTimed how many of the canary's alone that were
-	// timed; evidenceTime is the part of the stage's least time in
-	// which they are to be made.
+	// wantedAttempts is how many attempts at the target version a route should have, including
+	// those not reported to the director yet; wantedTimed is how many timed attempts of the
+	// canary alone. They should be made within evidenceTimeFraction of the stage's minimum
+	// duration, but within no less than minEvidenceTime.
 	wantedAttempts       = 14
 	wantedTimed          = 6
 	evidenceTimeFraction = 0.5
 	minEvidenceTime      = 600 * time.Millisecond
-	// maxOversampling bounds by how much routers prefer rare routes; evenCanaryPart is the part of
-	// the runners from which on all routes get as many attempts.
+	// maxOversampling bounds the OversamplingFactor of rare routes. From evenCanaryFraction of
+	// the runners on, all routes get equally many attempts.
 	maxOversampling    = 4
 	evenCanaryFraction = 0.2
 
-	// canaryBudgetFraction is the part of the exposure that the canary and the runner under load may take
-	// together.
+	// canaryBudgetFraction is the fraction of the exposure budget that the canary and the runner
+	// under load may use together.
 	canaryBudgetFraction = 0.9
 )
 
-// OversamplingFactor returns by how much more of a route's requests go to the canary than of all
-// requests, for a route with a part of them among so many routes: rare routes are to be in
-// the sample, too. Over all routes it makes no more. Where the canary has a large part of the
-// runners, requests are few, and each route gets as many attempts.
+// OversamplingFactor returns the ratio of a route's chance to be sent to the canary to that of
+// an average request, so that rare routes are sampled too. requestShare is the route's share
+// of all requests, routes the number of routes. The factors don't increase the canary's total.
+// If the canary has a large fraction of the runners, there are few requests, and all routes
+// get equally many attempts.
 func OversamplingFactor(requestShare float64, routes int, canaryFraction float64) float64 {
 	if requestShare <= 0 || routes == 0 {
 		return 1
@@ -60,8 +62,8 @@
 	return min(maxOversampling, factor)
 }
 
-// updateAllocation divides the traffic anew: what the stage may still expose is spread over the time
-// that it still has. The caller holds d.mu.
+// updateAllocation divides the traffic anew: the exposure left to the stage is spread over the
+// time left to it. The caller holds d.mu.
 func (d *Director) updateAllocation(t *trackedRollout, now clock.Instant) {
 	t.accountExposure(now)
 	if t.stage() != Canary {
@@ -82,7 +84,7 @@
 	t.allocation = next
 }
 
-// accountExposure adds what the present pace has exposed since it was accounted for last.
+// accountExposure adds the exposure allocated since the last call.
 func (t *trackedRollout) accountExposure(now clock.Instant) {
 	if t.accountedAt > 0 {
 		elapsed := float64(now.Since(t.accountedAt))
@@ -92,7 +94,8 @@
 	t.accountedAt = now
 }
 
-// allocateCanary sets the canary's runners and their load for a share of all requests.
+// allocateCanary sets the canary's fraction of the runners and their load for a share of all
+// requests.
 func (d *Director) allocateCanary(t *trackedRollout, next *allocation, share float64) {
 	next.runnerFraction = min(max(next.runnerFraction, share/canaryLoad), maxCanaryFraction)
 	fullShare := d.meanShare(t, next.runnerFraction, 1)
@@ -103,7 +106,7 @@
 	next.share = next.loadFactor * fullShare
 }
 
-// allocationPeriod returns the time over which the canary's exposure is spread.
+// allocationPeriod returns the time over which the canary's remaining exposure is spread.
 func (t *trackedRollout) allocationPeriod(now clock.Instant) time.Duration {
 	if elapsed := now.Since(t.enteredAt); elapsed < t.plan.MinDuration {
 		return max(minAllocationPeriod, t.plan.MinDuration-elapsed)
@@ -111,8 +114,8 @@
 	return max(minAllocationPeriod, (t.term()-now.Since(t.orderedAt))/2)
 }
 
-// evidenceShare returns the share of all requests that brings the attempts that the rarest
-// route which matters still lacks.
+// evidenceShare returns the share of all requests that yields, in time, the attempts that each
+// relevant route still lacks.
 func (d *Director) evidenceShare(t *trackedRollout, rate float64) float64 {
 	canary := t.analysis.canary
 	total := int64(0)
@@ -129,25 +132,27 @@
 		}
 		wanted = max(wanted, float64(lacking)/(share*OversamplingFactor(share, len(canary.routes), t.allocation.runnerFraction)))
 	}
-	inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
+	period := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
 	if rate <= 0 {
 		return 0
 	}
-	return wanted / (rate * inTime.Seconds())
+	return wanted / (rate * period.Seconds())
 }
 
-// usedExposure returns for how long the whole traffic would have had to go to the target version for
-// what it got so far, or may have got; rate is that of all requests a second.
+// usedExposure returns the exposure so far, as the time for which all traffic would have had to
+// go to the target version: the larger of what was allocated and what was reported. rate is
+// that of all requests per second.
 func (t *trackedRollout) usedExposure(rate float64) time.Duration {
 	return t.inheritedExposure + max(t.allocatedExposure, timeForRequests(t.analysis.exposed, rate))
 }
 
-// loadTestExposure returns the part of used that the runner under load got.
+// loadTestExposure returns the part of usedExposure caused by the runner under load.
 func (t *trackedRollout) loadTestExposure(rate float64) time.Duration {
 	return t.loadTest.inheritedExposure + max(t.loadTest.allocatedExposure, timeForRequests(t.analysis.loadTestExposed, rate))
 }
 
-// timeForRequests returns the time in which so many requests come, 0 where the rate is not known.
+// timeForRequests returns the time in which a number of requests arrive, 0 if the rate is
+// unknown.
 func timeForRequests(requests int64, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
--- a/control/rollout/analysis.go
+++ b/control/rollout/analysis.go
@@ -8,27 +8,27 @@
 	"onyxwell/base/clock"
 )
 
-// loadTestSuffix marks the route of a count that comes from the pair of runners under load.
-// Relays of earlier builds keep such counts apart as those of another route.
+// loadTestSuffix marks the route of a count from the load test pair. Relays of earlier builds
+// treat such counts as those of another route.
 const loadTestSuffix = "\x00loaded"
 
-// LoadTestRoute returns the route under which attempts at the pair of runners under load are
-// reported.
+// LoadTestRoute returns the route under which attempts at the load test pair are reported.
 func LoadTestRoute(route string) string { return route + loadTestSuffix }
 
-// analysis is the evidence on a rollout: from the canary, and from a pair of runners, one of
-// either version, that get as much load as a runner may.
+// analysis is the evidence on a rollout: from the canary, and from the load test pair, one
+// runner of either version that gets as much load as a runner may.
 type analysis struct {
 	canary, loadTest *Judge
 	stage            Stage
-	// ended counts all attempts since countedFrom: the first reports have what was made before.
+	// ended counts all attempts since countedFrom. Earlier reports are not counted, since they
+	// include attempts from before the first report.
 	ended       int64
 	settleTime  time.Duration
 	countedFrom clock.Instant
-	// rate is the highest rate of requests a second so far.
+	// rate is the highest rate so far, in requests per second.
 	rate float64
-	// exposed and loadTestExposed count attempts at the target version, the second those of the
-	// runner under load alone.
+	// exposed counts attempts at the target version, loadTestExposed those of them at the
+	// runner under load.
 	exposed, loadTestExposed int64
 }
 
@@ -36,7 +36,7 @@
 	return &analysis{canary: NewJudge(), loadTest: newLoadTestJudge(), settleTime: settleTime}
 }
 
-// newLoadTestJudge returns a Judge of the pair under load. Only its failures are judged: under
+// newLoadTestJudge returns a Judge for the load test pair. It judges failures only: under
 // load, a runner whose prompt cache is cold takes longer than one whose cache is warm.
 func newLoadTestJudge() *Judge {
 	judge := NewJudge()
@@ -44,7 +44,7 @@
 	return judge
 }
 
-// add takes a report in.
+// add adds the counts of a report.
 func (a *analysis) add(counts []RouteCount, now clock.Instant) {
 	if a.countedFrom == 0 {
 		a.countedFrom = now.Add(a.settleTime)
@@ -72,14 +72,14 @@
 	a.loadTest.Add(loadTest, now)
 }
 
-// beginStage has the version be found good by what comes from now on alone.
+// beginStage starts a stage: only attempts from now on count in favor of the version.
 func (a *analysis) beginStage(stage Stage) {
 	a.stage = stage
 	a.canary.BeginStage(stage)
 }
 
-// verdict returns what all evidence says now. In the canary's stage, attempts under load speak
-// for the version, too.
+// verdict returns the finding from all evidence. In the canary's stage, attempts under load
+// count in favor of the version too.
 func (a *analysis) verdict() Verdict {
 	if reason := a.loadTest.rejectionReason(); reason != "" {
 		return Verdict{Finding: Bad, Reason: "under load: " + reason}
@@ -90,21 +90,23 @@
 	return a.canary.Verdict()
 }
 
-// isSuspect reports whether something speaks against the version.
+// isSuspect reports whether there is evidence against the version, even if too little to
+// reject it.
 func (a *analysis) isSuspect() bool { return a.canary.IsSuspect() || a.loadTest.IsSuspect() }
 
 const (
-	// settleTime is for how long the first reports have attempts from before; those of routers
-	// that a former director did not answer have more.
+	// settleTime is how long reports may include attempts from before the first report;
+	// resumedSettleTime is used after a takeover, when routers that the former director did
+	// not answer report more of them.
 	settleTime        = 250 * time.Millisecond
 	resumedSettleTime = time.Second
 )
 
-// minRateTime is for how long attempts must be counted for their rate to be known.
+// minRateTime is how long attempts must be counted before their rate is known.
 const minRateTime = time.Second
 
-// requestsPerS returns how many attempts a second ended where that was most, 0 where it is not
-// known yet. Attempts at a slow version end late: the present rate may be too low.
+// requestsPerS returns the highest rate, per second, at which attempts have ended, 0 if it is
+// not known yet. Attempts at a slow version end late, so the current rate may be too low.
 func (a *analysis) requestsPerS(now clock.Instant) float64 {
 	if elapsed := now.Since(a.countedFrom); a.countedFrom > 0 && elapsed >= minRateTime {
 		a.rate = max(a.rate, float64(a.ended)/elapsed.Seconds())
@@ -112,13 +114,13 @@
 	return a.rate
 }
 
-// rateDeviations is by how many standard deviations of a count the rate may be higher than it
-// was counted.
+// rateDeviations is how many standard deviations of the count the actual rate is assumed to
+// exceed the counted one by at most.
 const rateDeviations = 2
 
-// maxRequestsPerS is requestsPerS as it may be, where attempts at the target version were sent
-// for as long as paced is of the whole traffic: few attempts say little of their rate, and those
-// at a slow version have not ended.
+// maxRequestsPerS returns an upper estimate of requestsPerS. allocated is the exposure that
+// was allocated to the target version. Few attempts say little about their rate, and those at
+// a slow version may not have ended.
 func (a *analysis) maxRequestsPerS(allocated time.Duration, now clock.Instant) float64 {
 	rate := a.requestsPerS(now)
 	elapsed := now.Since(a.countedFrom)
@@ -130,8 +132,8 @@
 	return max(rate, (counted+running+rateDeviations*math.Sqrt(counted))/elapsed.Seconds())
 }
 
-// timedSince returns since when attempts at warm runners of the target version are timed; ok
-// is false where none was.
+// timedSince returns when the first attempt at a warm runner of the target version was timed,
+// by the canary or the load test; ok is false if none was.
 func (a *analysis) timedSince() (since clock.Instant, ok bool) {
 	since, ok = a.canary.TimedSince()
 	if loadedSince, loadedOK := a.loadTest.TimedSince(); loadedOK && (!ok || loadedSince < since) {
--- a/control/rollout/control.go
+++ b/control/rollout/baseline.go
@@ -3,55 +3,58 @@
 import "time"
 
 const (
-	// The part of attempts that fail at a good version is taken to be what the old one shows
-	// twice over, and goodFailureRate; at a bad one it is badFailures higher.
+	// A good version is expected to fail at twice the baseline's rate plus goodFailureRate/2,
+	// and at goodFailureRate at least; a bad one at badFailureRateIncrease more.
 	goodFailureRate        = 0.03
 	badFailureRateIncrease = 0.17
-	// Without a control, a good version may fail through what befalls all runners alike.
+	// Without a baseline, a good version's failures include those that affect all runners
+	// alike.
 	goodFailureRateWithoutBaseline        = 0.10
 	badFailureRateIncreaseWithoutBaseline = 0.25
-	// An attempt is slow where it takes slowFactor times as long as the middle one of the old
-	// version, and slowMargin more.
+	// An attempt is slow if it takes more than slowFactor times the old version's median plus
+	// slowMargin.
 	slowFactor = 2.5
 	slowMargin = 20 * time.Millisecond
-	// The part of slow attempts at a good and at a bad version.
+	// The fractions of slow attempts expected at least at a good and at a bad version.
 	goodSlowRate = 0.25
 	badSlowRate  = 0.70
-	// maxGoodRate bounds what is taken for good: a test needs some room above it.
+	// maxGoodRate bounds the rate expected of a good version: a test needs some room above it.
 	maxGoodRate = 0.6
 	maxBadRate  = 0.9
-	// minBaselineAttempts is how many attempts of the old version a comparison needs.
+	// minBaselineAttempts is how many attempts at the old version a comparison needs.
 	minBaselineAttempts = 12
-	// baselineWindow is for how long the old version's attempts count, once to twice.
+	// baselineWindow is the length of a window of recent attempts. The current and the previous
+	// window count.
 	baselineWindow = 2 * time.Second
 )
 
-// recentOutcomes is what a version showed of late on a route, in two windows.
+// recentOutcomes holds the recent outcomes of a version's attempts on a route, in the current
+// window (index 0) and the previous one.
 type recentOutcomes struct {
 	ended, failed    [2]int64
 	firstByte, whole [2]Histogram
 }
 
-func (c *recentOutcomes) add(count RouteCount) {
-	c.ended[0] += count.Ended
-	c.failed[0] += count.Failed
-	c.firstByte[0].Merge(count.FirstByte)
-	c.whole[0].Merge(count.Whole)
+func (o *recentOutcomes) add(count RouteCount) {
+	o.ended[0] += count.Ended
+	o.failed[0] += count.Failed
+	o.firstByte[0].Merge(count.FirstByte)
+	o.whole[0].Merge(count.Whole)
 }
 
-// rotate begins a new window, unless the present one says too little.
-func (c *recentOutcomes) rotate() {
-	if c.ended[0] < minBaselineAttempts {
+// rotate starts a new window, unless the current one has too few attempts.
+func (o *recentOutcomes) rotate() {
+	if o.ended[0] < minBaselineAttempts {
 		return
 	}
-	c.ended[1], c.failed[1] = c.ended[0], c.failed[0]
-	c.firstByte[1], c.whole[1] = c.firstByte[0], c.whole[0]
-	c.ended[0], c.failed[0] = 0, 0
-	c.firstByte[0], c.whole[0] = Histogram{}, Histogram{}
+	o.ended[1], o.failed[1] = o.ended[0], o.failed[0]
+	o.firstByte[1], o.whole[1] = o.firstByte[0], o.whole[0]
+	o.ended[0], o.failed[0] = 0, 0
+	o.firstByte[0], o.whole[0] = Histogram{}, Histogram{}
 }
 
-func (c *recentOutcomes) totals() (ended, failed int64) {
-	return c.ended[0] + c.ended[1], c.failed[0] + c.failed[1]
+func (o *recentOutcomes) totals() (ended, failed int64) {
+	return o.ended[0] + o.ended[1], o.failed[0] + o.failed[1]
 }
 
 // merged returns the durations of both windows.
@@ -61,14 +64,15 @@
 	return both
 }
 
-// median returns the middle duration of both windows.
+// median returns the median duration of both windows.
 func median(windows *[2]Histogram) time.Duration {
 	both := merged(windows)
 	return both.Quantile(0.5)
 }
 
-// expectedFailureRates returns the parts of failed attempts that a good and a bad version show on a
-// route: what befalls the control at the time is no fault of the new version.
+// expectedFailureRates returns the failure rates expected on a route at a good and at a bad
+// version. Both rise with the baseline's failure rate, since failures that also occur there
+// are not caused by the new version.
 func (j *Judge) expectedFailureRates(evidence *routeEvidence) (good, bad float64) {
 	minGood, increase := goodFailureRate, badFailureRateIncrease
 	rate, known := j.baselineFailureRate(evidence)
@@ -79,9 +83,10 @@
 	return good, min(good+increase, maxBadRate)
 }
 
-// baselineFailureRate returns the part of attempts that fail at the control: the old version, or,
-// where that gets nothing any more, the other routes at the target version; known is false
-// where that has none.
+// baselineFailureRate returns the failure rate of the baseline. This is the old version: its
+// rate over all routes, or that on the route itself if that is higher and has enough attempts.
+// Once the old version gets no traffic, the other routes at the target version are the
+// baseline; known is false if they have too few attempts.
 func (j *Judge) baselineFailureRate(evidence *routeEvidence) (rate float64, known bool) {
 	ended, failed := int64(0), int64(0)
 	for _, other := range j.routes {
@@ -104,8 +109,8 @@
 	return rate, true
 }
 
-// addSlowAttempts weighs how long attempts at the target version took against the old one's; it
-// reports whether there was enough to compare.
+// addSlowAttempts adds to a test how many attempts at the target version were slow compared
+// with the old version. It reports whether there were enough attempts to compare.
 func addSlowAttempts(test *sequentialTest, old *[2]Histogram, target *Histogram) bool {
 	reference := merged(old)
 	if reference.Total() < minBaselineAttempts || target.Total() == 0 {
@@ -118,14 +123,14 @@
 	return true
 }
 
-// meanOldDuration returns how long attempts at the old version take on average, 0 where that is
-// not known.
+// meanOldDuration returns the mean duration of attempts at the old version, 0 if it is
+// unknown.
 func (j *Judge) meanOldDuration() time.Duration {
 	all := j.oldDurations()
 	return all.Mean()
 }
 
-// oldDurationQuantile returns how long a part of the attempts at the old version take at most.
+// oldDurationQuantile returns the q-quantile of the durations of attempts at the old version.
 func (j *Judge) oldDurationQuantile(q float64) time.Duration {
 	all := j.oldDurations()
 	return all.Quantile(q)
@@ -141,7 +146,7 @@
 	return all
 }
 
-// timedTotal counts the attempts at warm runners of the target version.
+// timedTotal returns the number of timed attempts at warm runners of the target version.
 func (j *Judge) timedTotal() int64 {
 	total := int64(0)
 	for _, evidence := range j.routes {
--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -7,8 +7,8 @@
 	"onyxwell/base/ids"
 )
 
-// next returns the step of a rollout that is due now: on a finding, on the time of its stage,
-// or at the end of the term. The caller holds d.mu.
+// next returns the step of a rollout that is due now, because of a finding, the duration of its
+// stage, or the end of the term. The caller holds d.mu.
 func (d *Director) next(t *trackedRollout, epoch int64, now clock.Instant) (Transition, bool) {
 	switch {
 	case t.rejectionReason != "":
@@ -33,8 +33,8 @@
 	return Transition{To: Reverted, Stage: t.stage(), Reason: reason}, true
 }
 
-// isInRollbackMargin reports whether the last moment has come at which the old version can still be
-// restored in the term.
+// isInRollbackMargin reports whether the term has so little time left that a rollback to the
+// old version has to start now to end within it.
 func (t *trackedRollout) isInRollbackMargin(now clock.Instant) bool {
 	return now.Since(t.orderedAt) >= t.term()-clampedFraction(rollbackMarginFraction, t.term(), minRollbackMargin, t.term())
 }
@@ -53,10 +53,10 @@
 	return Transition{}, false
 }
 
-// nextOfCanary returns the step after the canary, once it has lasted long enough, the version
-// is good and was tried under load. A version that could not be brought under load gets no
-// more than the canary's exposure in the term, and is tried again after it. Where too little exposure
-// or time is left for a larger part, all traffic follows at once.
+// nextOfCanary returns the step after the canary, once the canary has lasted long enough, the
+// version is good and it has passed the load test. A version that could not be load tested
+// gets no more than the canary's exposure within the term, and is tested again after it. If too
+// little exposure or time is left for the Partial stage, it is skipped.
 func (d *Director) nextOfCanary(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict := t.analysis.verdict()
 	if verdict.Finding != Good || now.Since(t.enteredAt) < t.plan.MinDuration || !t.timedLongEnough(now) || !d.passedLoadTest(t, now) {
@@ -69,8 +69,8 @@
 	return d.beginStage(t, stage, verdict.Reason), true
 }
 
-// passedLoadTest reports whether the version was tried under load. Where it has too few runners
-// for that, it goes on once the term is over.
+// passedLoadTest reports whether the version has passed the load test. A version with too few
+// runners for the test goes on without it once the term is over.
 func (d *Director) passedLoadTest(t *trackedRollout, now clock.Instant) bool {
 	if t.loadTest.passed {
 		return true
@@ -79,8 +79,8 @@
 	return !ok && t.isPastTerm(now)
 }
 
-// nextOfPartial returns the step after the larger part. Where it brought too few attempts, the
-// canary's finding stands unless something speaks against the version.
+// nextOfPartial returns the step after the Partial stage. If that yielded too few attempts, the
+// canary's finding stands unless there is evidence against the version.
 func (d *Director) nextOfPartial(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict, lasted := t.analysis.verdict(), now.Since(t.enteredAt)
 	switch {
@@ -104,13 +104,14 @@
 	return Transition{}, false
 }
 
-// beginStage returns the step into a stage, whose exposure is reserved.
+// beginStage returns the step that enters a stage and reserves its exposure.
 func (d *Director) beginStage(t *trackedRollout, stage Stage, reason string) Transition {
 	reserve := d.planStage(t, stage).Exposure
 	return Transition{To: InProgress, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
 }
 
-// canAfford reports whether exposure and time are left for a stage, and for all that follows.
+// canAfford reports whether enough exposure is left for a stage, and enough time for it and the
+// stages that follow.
 func (d *Director) canAfford(t *trackedRollout, stage Stage, now clock.Instant) bool {
 	shape := d.planStage(t, stage)
 	remaining := newStagePlan(Full, t.term(), 0, nil).MinDuration + d.drainTime(t)
@@ -118,7 +119,7 @@
 	return inTime && d.isWithinBudget(t, shape.Exposure, now)
 }
 
-// isWithinBudget reports whether some more exposure is within the budget; there is none once
+// isWithinBudget reports whether some more exposure is within the budget. There is no limit once
 // the term is over.
 func (d *Director) isWithinBudget(t *trackedRollout, more time.Duration, now clock.Instant) bool {
 	if t.isPastTerm(now) {
@@ -132,23 +133,24 @@
 	return d.options.Policy.Budget(t.term(), t.analysis.maxRequestsPerS(t.allocatedExposure, d.options.Clock.Now()))
 }
 
-// drainQuantile is the part of the requests at old runners that end within the time for which
-// they are planned to be waited for.
+// drainQuantile is the fraction of the requests running at old runners that the planned
+// drain time covers.
 const drainQuantile = 0.99
 
-// drainTime returns how long the last stage is planned to take beyond its least time: permits
-// and confirmations on their way, and the requests at old runners.
+// drainTime returns how long the last stage is planned to take beyond its minimum duration:
+// the time for permits and confirmations to arrive, and for requests at old runners to end.
 func (d *Director) drainTime(t *trackedRollout) time.Duration {
 	return 4*d.options.Policy.ExchangeInterval + t.analysis.canary.oldDurationQuantile(drainQuantile)
 }
 
-// timedLongEnough reports whether attempts at warm runners were timed for long enough.
+// timedLongEnough reports whether attempts at warm runners have been timed for long enough.
 func (t *trackedRollout) timedLongEnough(now clock.Instant) bool {
 	since, ok := t.analysis.timedSince()
 	return ok && now.Since(since) >= clampedFraction(timedTimeFraction, t.term(), minTimedTime, maxTimedTime)
 }
 
-// targetStarted reports whether enough runners of the target version are listed.
+// targetStarted reports whether enough runners of the target version are listed; late in the
+// term, one is enough.
 func (d *Director) targetStarted(t *trackedRollout, now clock.Instant) bool {
 	old, target := 0, 0
 	for _, runner := range d.options.Runners(t.service) {
@@ -165,7 +167,7 @@
 	return late || float64(target) >= startedFraction*float64(old)
 }
 
-// planStage returns the planStage of a stage by the runners that are listed now.
+// planStage returns the plan of a stage, based on the runners that are listed now.
 func (d *Director) planStage(t *trackedRollout, stage Stage) stagePlan {
 	return newStagePlan(stage, t.term(), d.budget(t), func(part, load float64) float64 {
 		return d.meanShare(t, part, load)
@@ -182,8 +184,8 @@
 }
 
 // unconfirmedZone returns a zone with routers that have not confirmed yet that they send
-// nothing to old runners, and have nothing there; ok is false where there is none. A zone that
-// has been silent for long has no permits, and is not waited for.
+// nothing to old runners and have no requests running there; ok is false if there is none. A
+// zone that has been silent for the policy's SilenceLimit has no permits and is not waited for.
 func (d *Director) unconfirmedZone(t *trackedRollout, now clock.Instant) (zone ids.Zone, ok bool) {
 	for zone := range d.options.Zones {
 		if d.options.HasRouters(zone) && !d.zoneConfirmed(t, zone, now) {
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -17,30 +17,31 @@
 	"onyxwell/control/transport"
 )
 
-// DirectorOptions configure a Director. All are required but Log and UnixMS.
+// DirectorOptions configure a Director. All are required except Log and UnixMS.
 type DirectorOptions struct {
 	Clock   clock.Clock
 	Address ids.Address
 	Policy  Policy
-	// Zones are all zones of the deployment.
+	// Zones holds all zones of the deployment with their regions.
 	Zones map[ids.Zone]ids.Region
-	// Held reports whether this controller holds the lease at an instant, and its epoch.
+	// Held reports whether this controller holds the lease at a given instant, and the lease's
+	// epoch.
 	Held func(now clock.Instant) (epoch int64, held bool)
-	// Updates has the records, and is where the director is announced.
+	// Updates holds the records; the director announces its address there.
 	Updates *gossip.Store
-	// Runners returns the runners of a service that may get requests, by the newest list.
+	// Runners returns the runners of a service that may get requests, from the newest list.
 	Runners func(service ids.Service) []Runner
 	// HasRouters reports whether a zone may have routers.
 	HasRouters func(zone ids.Zone) bool
 	// Update stores a record.
 	Update func(ctx context.Context, key string, update func(current []byte) ([]byte, error)) ([]byte, error)
-	// UnixMS returns the agreed time, 0 where it is not known; nil is never.
+	// UnixMS returns the cluster's agreed time, 0 if it is unknown; nil means always unknown.
 	UnixMS func() int64
 	Log    *log.Logger
 }
 
 // Director takes rollouts through their stages while this controller holds the lease. It is
-// safe for concurrent use; Step is called by one goroutine.
+// safe for concurrent use, but Step must be called by one goroutine only.
 type Director struct {
 	options   DirectorOptions
 	announced int64
@@ -49,14 +50,15 @@
 	rollouts map[ids.Service]*trackedRollout
 }
 
-// trackedRollout is a rollout in progress, as this controller sees it.
+// trackedRollout is a rollout as this controller sees it.
 type trackedRollout struct {
 	service ids.Service
 	record  Record
-	// orderedAt is when the order was given, or was first seen here.
+	// orderedAt is when the order was given, or was first seen here if that is unknown.
 	orderedAt clock.Instant
-	// epoch is the one under which the stage was entered here; 0 is none. Permits are granted
-	// for the stage entered, since enteredAt, unless the version was found bad.
+	// epoch is the lease's epoch under which this director entered the stage, 0 if it has
+	// not; enteredAt is when the stage began. Permits are granted only under this epoch and
+	// unless the version was found bad, which rejectionReason then says.
 	epoch           int64
 	enteredAt       clock.Instant
 	plan            stagePlan
@@ -65,38 +67,38 @@
 	zones           map[ids.Zone]map[ids.Address]relayState
 	allocation      allocation
 	allocatedAt     clock.Instant
-	// allocatedExposure is what the paces so far have exposed until accountedAt, as a time of the whole
+	// allocatedExposure is the exposure allocated until accountedAt, as a time of the whole
 	// traffic.
 	allocatedExposure time.Duration
 	accountedAt       clock.Instant
-	// inheritedExposure is the exposure that former directors caused (see Evidence).
+	// inheritedExposure is the exposure caused under former directors (see Evidence).
 	inheritedExposure time.Duration
 	loadTest          loadTestState
-	// savedAt is when the evidence was stored last.
+	// savedAt is when the evidence was last stored.
 	savedAt clock.Instant
 	// note says that the term is too short, if it is.
 	note string
 }
 
-// relayState is what a relay said last.
+// relayState is the last report of a relay.
 type relayState struct {
 	unconfirmed int64
 	at          clock.Instant
 }
 
-// NewDirector returns a Director that knows of no rollouts.
+// NewDirector returns a Director that knows no rollouts yet.
 func NewDirector(options DirectorOptions) *Director {
 	return &Director{options: options, rollouts: map[ids.Service]*trackedRollout{}}
 }
 
-// Run takes steps until ctx ends.
+// Run calls Step periodically until ctx ends.
 func (d *Director) Run(ctx context.Context) {
 	for clock.Wait(ctx, d.options.Clock, d.options.Policy.ExchangeInterval/2) {
 		d.Step(ctx)
 	}
 }
 
-// Step takes each rollout one step on, if this controller holds the lease.
+// Step advances each rollout by one step, if this controller holds the lease.
 func (d *Director) Step(ctx context.Context) {
 	now := d.options.Clock.Now()
 	d.observe(now)
@@ -113,7 +115,7 @@
 	}
 }
 
-// announce has relays know where the director is.
+// announce publishes the director's address to the relays.
 func (d *Director) announce(epoch int64) {
 	if epoch == d.announced {
 		return
@@ -124,8 +126,8 @@
 	}
 }
 
-// observe takes over the records, also where this controller does not hold the lease: the
-// time of an order counts from when it is first seen.
+// observe reads the records. It does so even if this controller does not hold the lease: the
+// term of an order whose time is unknown counts from when the order is first seen.
 func (d *Director) observe(now clock.Instant) {
 	items := d.options.Updates.WithPrefix(KeyPrefix)
 	d.mu.Lock()
@@ -141,7 +143,7 @@
 	}
 }
 
-// adoptRecord takes a newer record over. The caller holds d.mu.
+// adoptRecord replaces a rollout's record by a newer one. The caller holds d.mu.
 func (d *Director) adoptRecord(service ids.Service, record Record, now clock.Instant) {
 	current := d.rollouts[service]
 	if current == nil || current.record.Order != record.Order {
@@ -153,7 +155,7 @@
 	current.record = record
 }
 
-// orderAge returns how long ago an order was given, as far as the agreed time is known.
+// orderAge returns how long ago an order was given, 0 if the agreed time is unknown.
 func (d *Director) orderAge(record Record) time.Duration {
 	if d.options.UnixMS == nil || record.OrderedUnixMS == 0 {
 		return 0
@@ -183,8 +185,9 @@
 	return due
 }
 
-// store stores a step, and takes its outcome over at once. A step that is not stored is due
-// again; one after which the target version is to get less is not waited for: permits end.
+// store stores a step and adopts the resulting record at once. A step that can't be stored
+// is due again. Reducing the target version's traffic does not wait for the store, because
+// permits expire.
 func (d *Director) store(ctx context.Context, step Transition) {
 	known, err := d.loadEvidence(ctx, step)
 	if err != nil {
@@ -212,7 +215,7 @@
 			tracked.resume(known, now)
 		}
 		d.updateAllocation(tracked, now)
-		// No permit is granted before the evidence has what it may use.
+		// No permit is granted before the stored evidence includes the exposure it allows.
 		tracked.savedAt = 0
 	}
 	d.log(tracked, step.Reason)
@@ -224,7 +227,7 @@
 	d.log(d.rollouts[step.Service], "step not stored: "+err.Error())
 }
 
-// log logs what became of a rollout, or what it waits for.
+// log logs a rollout's record and routes with a reason.
 func (d *Director) log(trial *trackedRollout, reason string) {
 	if d.options.Log == nil {
 		return
@@ -235,13 +238,13 @@
 		Any("routes", trial.analysis.canary.Routes()).Msg("rollout")
 }
 
-// enter begins a stage, whose permits may be granted from now on.
+// enter begins a stage; permits may be granted for it from now on.
 func (t *trackedRollout) enter(epoch int64, shape stagePlan, now clock.Instant) {
 	t.epoch, t.enteredAt, t.plan = epoch, now, shape
 	t.analysis.beginStage(t.stage())
 }
 
-// Exchange takes a relay's report and grants permits.
+// Exchange adds a relay's report to the evidence and grants permits.
 func (d *Director) Exchange(req ExchangeRequest, now clock.Instant) ExchangeResponse {
 	epoch, held := d.options.Held(now)
 	if !held {
@@ -264,14 +267,14 @@
 	return ExchangeResponse{Directing: true, Permits: d.permits(epoch, now)}
 }
 
-// checkVerdict withholds permits from a version that is found bad.
+// checkVerdict stops the permits of a version that is found bad.
 func (t *trackedRollout) checkVerdict() {
 	if verdict := t.analysis.verdict(); verdict.Finding == Bad && t.rejectionReason == "" {
 		t.rejectionReason = verdict.Reason
 	}
 }
 
-// permits returns what may be granted under an epoch. The caller holds d.mu.
+// permits returns the permits that may be granted under an epoch. The caller holds d.mu.
 func (d *Director) permits(epoch int64, now clock.Instant) []Permit {
 	var permits []Permit
 	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
@@ -287,8 +290,8 @@
 	return permits
 }
 
-// permits returns the permits for the present pace. That for the pair under load comes first:
-// routers of earlier builds keep the last one.
+// permits returns the permits for the current allocation. The permit for the load test comes
+// first, because routers of earlier builds keep only the last permit.
 func (t *trackedRollout) permits(ttl time.Duration) []Permit {
 	stage := Permit{Service: t.service, Order: t.record.Order, Stage: t.record.Stage, TTLMS: ttl.Milliseconds()}
 	loadTest := stage
@@ -308,7 +311,7 @@
 
 func (t *trackedRollout) stage() Stage { return Stage(t.record.Stage) }
 
-// isPastTerm reports whether the term is over: exposure is not limited any more.
+// isPastTerm reports whether the term is over. Exposure is not limited from then on.
 func (t *trackedRollout) isPastTerm(now clock.Instant) bool { return now.Since(t.orderedAt) > t.term() }
 
 func (t *trackedRollout) term() time.Duration {
--- a/control/rollout/evidence.go
+++ b/control/rollout/evidence.go
@@ -8,30 +8,31 @@
 	"onyxwell/control/transport"
 )
 
-// evidenceKeyPrefix begins the register's keys of evidence; the service's name follows. It is
-// stored; it never changes.
+// evidenceKeyPrefix is the prefix of the register keys that hold evidence; the service's name
+// follows. It is stored and must never change.
 const evidenceKeyPrefix = "rollout-evidence/"
 
-// evidenceKey returns the register's key of the evidence on a service's rollout.
+// evidenceKey returns the register key of the evidence on a service's rollout.
 func evidenceKey(service ids.Service) string { return evidenceKeyPrefix + string(service) }
 
-// Evidence is the register's value of what a director knows of a rollout in progress, for the
-// one that takes over.
+// Evidence is the register value that holds what a director knows about a rollout in
+// progress, for a director that takes over.
 type Evidence struct {
-	// Order is the one that it belongs to, Epoch that of the lease of who wrote it.
+	// Order is the order that the evidence belongs to, Epoch that of the lease of the director
+	// that wrote it.
 	Order int64 `avro:"Order"`
 	Epoch int64 `avro:"Epoch"`
-	// Stage had lasted for LastedMS.
+	// LastedMS is how long Stage had lasted.
 	Stage    int64 `avro:"Stage"`
 	LastedMS int64 `avro:"LastedMS"`
-	// UsedMS is how long the whole traffic would have had to go to the target version for what
-	// it got, and may get until permits are granted no longer; LoadedUsedMS is the part
-	// of the runner under load.
+	// UsedMS is the exposure used, as the time for which all of the service's traffic would
+	// have had to go to the target version. It includes what may still be used until permits
+	// are granted no longer. LoadedUsedMS is the part of the runner under load.
 	UsedMS       int64 `avro:"UsedMS"`
 	LoadedUsedMS int64 `avro:"LoadedUsedMS"`
-	// RequestsPerS is the rate of the service's requests, 0 where it was not known.
+	// RequestsPerS is the rate of the service's requests, 0 if it was unknown.
 	RequestsPerS float64 `avro:"RequestsPerS"`
-	// LoadTried says that the runner under load got what it may, LoadShown that this was enough.
+	// LoadTried is set once the load test has ended, LoadShown once it was passed.
 	LoadTried bool          `avro:"LoadTried"`
 	LoadShown bool          `avro:"LoadShown"`
 	Canary    JudgeEvidence `avro:"Canary"`
@@ -41,12 +42,12 @@
 // SchemaName names the stored form; it must never change.
 func (Evidence) SchemaName() string { return "RolloutEvidence" }
 
-// JudgeEvidence is what a Judge knows. What the old version showed of late is not kept: it
-// comes anew.
+// JudgeEvidence is the evidence of a Judge. Recent outcomes at the old version are not
+// stored, since routers keep reporting them.
 type JudgeEvidence struct {
 	PooledSum   float64 `avro:"PooledSum"`
 	PooledCusum float64 `avro:"PooledCusum"`
-	// TimedMS is for how long attempts at warm runners were timed; -1 is not at all.
+	// TimedMS is how long ago the first attempt at a warm runner was timed, -1 if none was.
 	TimedMS int64           `avro:"TimedMS"`
 	Routes  []RouteEvidence `avro:"Routes"`
 }
@@ -54,8 +55,8 @@
 // SchemaName names the stored form; it must never change.
 func (JudgeEvidence) SchemaName() string { return "RolloutJudgeEvidence" }
 
-// RouteEvidence is what a Judge knows of one route: counts of attempts, and the sums of its
-// tests.
+// RouteEvidence is the evidence of a Judge on one route: counts of attempts, and the sums of
+// its tests.
 type RouteEvidence struct {
 	Route         string  `avro:"Route"`
 	Ended         int64   `avro:"Ended"`
@@ -71,8 +72,8 @@
 // SchemaName names the stored form; it must never change.
 func (RouteEvidence) SchemaName() string { return "RolloutRouteEvidence" }
 
-// update returns the update of the key that stores the evidence, unless a later epoch or order
-// has written there.
+// update returns the register update that stores the evidence. It changes nothing if evidence
+// of a later order, or of a later epoch of the same order, is stored.
 func (e Evidence) update() func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		stored, err := decodeEvidence(current)
@@ -83,12 +84,12 @@
 	}
 }
 
-// decodeEvidence decodes a register's value; none is the zero Evidence.
+// decodeEvidence decodes a register value; an empty value yields the zero Evidence.
 func decodeEvidence(value []byte) (Evidence, error) {
 	return transport.UnmarshalStored[Evidence](evidenceKeyPrefix, value)
 }
 
-// evidence returns what a Judge knows.
+// evidence returns the Judge's evidence in its stored form.
 func (j *Judge) evidence(now clock.Instant) JudgeEvidence {
 	stored := JudgeEvidence{PooledSum: j.pooled.sum, PooledCusum: j.pooled.cusum, TimedMS: -1}
 	if since, ok := j.TimedSince(); ok {
@@ -105,7 +106,7 @@
 	return stored
 }
 
-// restoreJudge returns a Judge without evidence that goes on with what another knew.
+// restoreJudge adds stored evidence to a Judge that has none, and returns it.
 func restoreJudge(j *Judge, stored JudgeEvidence, stage Stage, now clock.Instant) *Judge {
 	j.withoutBaseline = stage == Full
 	j.pooled = sequentialTest{sum: stored.PooledSum, cusum: stored.PooledCusum}
@@ -119,7 +120,7 @@
 			slowFirst: sequentialTest{cusum: route.SlowFirst}, slowWhole: sequentialTest{cusum: route.SlowWhole},
 		}
 		if route.Timed >= minTimedAttempts && route.SlowFirst == 0 {
-			// The last ones were in time.
+			// The most recent attempts were in time.
 			evidence.slowFirst.sum = slowAcceptThreshold
 		}
 		j.routes[route.Route] = evidence
--- a/control/rollout/forms_test.go
+++ b/control/rollout/forms_test.go
@@ -9,9 +9,8 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestForms_keepTheirBytes covers each struct of this package that is stored or
-// sent. The golden files hold the bytes that other builds store or send: never
-// edit one.
+// TestForms_keepTheirBytes covers each struct of this package that is stored or sent. The
+// golden files hold the bytes that other builds store or send and must never be edited.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Record](t, "record")
 	transporttest.Golden[Evidence](t, "evidence")
--- a/control/rollout/histogram.go
+++ b/control/rollout/histogram.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// bucketsPerOctave is how many buckets of a Histogram double the time.
+	// bucketsPerOctave is the number of buckets per doubling of the duration.
 	bucketsPerOctave = 4
-	// bucketCount covers times from a millisecond to a minute.
+	// bucketCount covers durations from a millisecond to a minute.
 	bucketCount = 16 * bucketsPerOctave
 )
 
-// Histogram counts durations by bucket; each begins 19 in 100 above the one before, the
-// first at a millisecond. The zero value is empty.
+// Histogram counts durations in exponential buckets, each starting 19% above the previous
+// one, the first at a millisecond. The zero value is empty.
 type Histogram struct {
 	counts [bucketCount]int64
 	total  int64
@@ -28,7 +28,7 @@
 	return min(int(math.Log2(milliseconds)*bucketsPerOctave), bucketCount-1)
 }
 
-// bucketStart returns where a bucket begins.
+// bucketStart returns the lower bound of a bucket.
 func bucketStart(index int) time.Duration {
 	return time.Duration(math.Exp2(float64(index)/bucketsPerOctave) * float64(time.Millisecond))
 }
@@ -39,7 +39,7 @@
 	h.total++
 }
 
-// Merge adds counted buckets; those out of range are left out.
+// Merge adds the counts of buckets; those with an index out of range are ignored.
 func (h *Histogram) Merge(buckets []Bucket) {
 	for _, bucket := range buckets {
 		if bucket.Index >= 0 && bucket.Index < bucketCount && bucket.Count > 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Buckets returns the buckets that are not empty.
+// Buckets returns the non-empty buckets.
 func (h *Histogram) Buckets() []Bucket {
 	var buckets []Bucket
 	for index, count := range h.counts {
@@ -63,8 +63,8 @@
 // Total returns how many durations were counted.
 func (h *Histogram) Total() int64 { return h.total }
 
-// Quantile returns the duration that a part of all is not above, to the end of its bucket; 0
-// where none was counted.
+// Quantile returns the upper bound of the bucket that holds the q-quantile, 0 if no duration
+// was counted.
 func (h *Histogram) Quantile(q float64) time.Duration {
 	rank := int64(math.Ceil(q * float64(h.total)))
 	for index, count := range h.counts {
@@ -75,7 +75,7 @@
 	return 0
 }
 
-// Mean returns the mean duration, each taken for the middle of its bucket; 0 where none was
+// Mean returns the mean duration, taking each for the middle of its bucket; 0 if none was
 // counted.
 func (h *Histogram) Mean() time.Duration {
 	if h.total == 0 {
@@ -88,7 +88,7 @@
 	return time.Duration(total / float64(h.total))
 }
 
-// Above counts the durations in buckets that begin at a limit or later.
+// Above counts the durations in the buckets above the one that holds limit.
 func (h *Histogram) Above(limit time.Duration) int64 {
 	return sum(h.counts[min(bucketOf(limit)+1, bucketCount):])
 }
--- a/control/rollout/judge.go
+++ b/control/rollout/judge.go
@@ -9,73 +9,75 @@
 	"onyxwell/base/clock"
 )
 
-// Finding is what the evidence says of a target version.
+// Finding is the result of judging a target version.
 type Finding int
 
 // The findings.
 const (
 	// Undecided: there is too little evidence.
 	Undecided Finding = iota
-	// Good: on each route that matters, the target version does as the old one does.
+	// Good: on each route that matters, the target version performs as the old one does.
 	Good
-	// Bad: on some route it fails, or is slow, where the old one isn't.
+	// Bad: on some route, or over all routes, it fails or is slow where the old version is not.
 	Bad
 )
 
 // Verdict is a finding with its reason.
 type Verdict struct {
 	Finding Finding
-	// Reason says which evidence decided, or what is lacking.
+	// Reason describes the decisive evidence, or what evidence is missing.
 	Reason string
 }
 
 const (
-	// acceptThreshold is the sum over all routes at which failures speak for the version.
+	// acceptThreshold is the sum of the failure test over all routes at or below which the
+	// failures indicate a good version.
 	acceptThreshold = -3.5
-	// minRouteShare is the part of the service's requests from which on a route must have
-	// evidence of its own: a sum of failures as of ten attempts without one, and minTimed
-	// that were timed at warm runners. Of ten attempts at a version that fails half of them,
-	// all succeed once in a thousand times.
+	// minRouteShare is the share of the service's requests from which a route needs evidence
+	// of its own: routeAcceptThreshold, which ten attempts without a failure reach, and
+	// minTimedAttempts timed at warm runners. At a version that fails half of its attempts,
+	// ten in a row succeed with a probability of one in a thousand.
 	minRouteShare        = 0.03
 	routeAcceptThreshold = -1.9
 	minTimedAttempts     = 3
-	// slowAcceptThreshold is the sum of late first bytes at which they speak for the version: as of
-	// three attempts more that were in time than late.
+	// slowAcceptThreshold is the sum of the test of slow first bytes at or below which they
+	// indicate a good version: three more attempts in time than late reach it.
 	slowAcceptThreshold = -2.5
 )
 
-// routeEvidence is what is known of one route.
+// routeEvidence is the evidence on one route.
 type routeEvidence struct {
 	old recentOutcomes
-	// target is what the target version showed of late.
+	// target holds the recent outcomes at the target version.
 	target recentOutcomes
 	// ended, failed and timed count attempts at the target version since the stage began,
-	// oldEnded those at the old one since the rollout did.
+	// oldEnded those at the old version since the rollout began.
 	ended, failed, timed int64
 	oldEnded             int64
 	failures             sequentialTest
 	slowFirst, slowWhole sequentialTest
 }
 
-// Judge weighs what routers saw of a rollout. It is not safe for concurrent use.
+// Judge decides from the outcomes that routers report whether the target version of a
+// rollout is good or bad. It is not safe for concurrent use.
 type Judge struct {
 	routes    map[string]*routeEvidence
 	pooled    sequentialTest
 	rotatedAt clock.Instant
-	// timedSince is when the first attempt at a warm runner of the target version was timed;
-	// 0 is never.
+	// timedSince is when the first attempt at a warm runner of the target version was timed,
+	// 0 if none was.
 	timedSince clock.Instant
-	// withoutBaseline says that the old version gets nothing any more.
+	// withoutBaseline is set once the old version gets no traffic.
 	withoutBaseline bool
-	// failuresOnly has times not be compared.
+	// failuresOnly disables the comparison of durations.
 	failuresOnly bool
 }
 
 // NewJudge returns a Judge without evidence.
 func NewJudge() *Judge { return &Judge{routes: map[string]*routeEvidence{}} }
 
-// BeginStage has the version be found good by what comes from now on alone. What speaks
-// against it stays.
+// BeginStage restarts the evidence in favor of the version: only attempts from now on count
+// for it. Evidence against the version is kept.
 func (j *Judge) BeginStage(stage Stage) {
 	j.withoutBaseline = stage == Full
 	j.pooled.sum = 0
@@ -85,13 +87,14 @@
 	}
 }
 
-// resetAcceptance is BeginStage within a stage: times count from the next attempt on, too.
+// resetAcceptance discards the evidence in favor of the version within the canary's stage.
+// TimedSince starts over with the next attempt that is timed.
 func (j *Judge) resetAcceptance() {
 	j.BeginStage(Canary)
 	j.timedSince = 0
 }
 
-// Add takes a report in.
+// Add adds the counts of a report.
 func (j *Judge) Add(counts []RouteCount, now clock.Instant) {
 	for _, count := range counts {
 		if !count.Target {
@@ -147,11 +150,11 @@
 	}
 }
 
-// Verdict returns what the evidence says now.
+// Verdict returns the finding from the evidence so far.
 func (j *Judge) Verdict() Verdict { return j.verdictWith(nil) }
 
-// verdictWith is Verdict where another Judge's evidence speaks for the version, too; nil is
-// none.
+// verdictWith is Verdict with another Judge's evidence in favor of the version counted too;
+// other may be nil.
 func (j *Judge) verdictWith(other *Judge) Verdict {
 	if reason := j.rejectionReason(); reason != "" {
 		return Verdict{Finding: Bad, Reason: reason}
@@ -162,7 +165,7 @@
 	return Verdict{Finding: Good, Reason: "does as the old version on every route"}
 }
 
-// rejectionReason returns what makes the version bad, empty if nothing does.
+// rejectionReason returns why the version is bad, empty if it isn't known to be.
 func (j *Judge) rejectionReason() string {
 	for _, name := range j.routeNames() {
 		if reason := j.routes[name].rejectionReason(); reason != "" {
@@ -175,7 +178,8 @@
 	return ""
 }
 
-// rejectionReason returns what speaks rejectionReason the version on a route, empty if nothing decides.
+// rejectionReason returns why the version is bad on this route, empty if it isn't known to
+// be.
 func (e *routeEvidence) rejectionReason() string {
 	switch {
 	case e.failures.cusum >= failureRejectThreshold:
@@ -189,8 +193,8 @@
 	return ""
 }
 
-// missingEvidence returns what is missing for the version to be good, with what another Judge saw;
-// empty if nothing is.
+// missingEvidence returns what is missing for the version to be good, counting what another
+// Judge saw; empty if nothing is.
 func (j *Judge) missingEvidence(other *Judge) string {
 	if j.pooled.sum+other.pooledSum() > acceptThreshold {
 		return "too few attempts at the target version"
@@ -209,8 +213,9 @@
 	return ""
 }
 
-// needsMoreAttempts reports whether the evidence of a route, and the failures that another Judge saw
-// there, are too little for the version to be good. Times under load are not compared.
+// needsMoreAttempts reports whether the evidence on a route, together with the failures that
+// another Judge saw there, is too little for the version to be good. The other Judge's times
+// are not used, because times under load are not compared.
 func (e *routeEvidence) needsMoreAttempts(other *routeEvidence) bool {
 	return e.failures.sum+other.failures.sum > routeAcceptThreshold || e.timed < minTimedAttempts || e.slowFirst.sum > slowAcceptThreshold
 }
@@ -222,7 +227,7 @@
 	return j.pooled.sum
 }
 
-// routeOrEmpty returns the evidence of a route, or none; j may be nil.
+// routeOrEmpty returns the evidence on a route, empty if there is none; j may be nil.
 func (j *Judge) routeOrEmpty(name string) *routeEvidence {
 	if j != nil && j.routes[name] != nil {
 		return j.routes[name]
@@ -230,12 +235,14 @@
 	return &routeEvidence{}
 }
 
-// isSuspect reports whether something speaks against the version, though not enough.
+// isSuspect reports whether there is evidence against the version on this route, even if too
+// little to reject it.
 func (e *routeEvidence) isSuspect() bool {
 	return e.failures.cusum > suspectFraction*failureRejectThreshold || e.slowFirst.cusum > suspectFraction*slowRejectThreshold || e.slowWhole.cusum > suspectFraction*slowRejectThreshold
 }
 
-// IsSuspect reports whether something speaks against the version on some route.
+// IsSuspect reports whether there is evidence against the version on some route, even if too
+// little to reject it.
 func (j *Judge) IsSuspect() bool {
 	for _, evidence := range j.routes {
 		if evidence.isSuspect() {
@@ -245,28 +252,29 @@
 	return false
 }
 
-// TimedSince returns since when attempts at warm runners of the target version are timed;
-// ok is false where none was.
+// TimedSince returns when the first attempt at a warm runner of the target version was timed;
+// ok is false if none was.
 func (j *Judge) TimedSince() (since clock.Instant, ok bool) { return j.timedSince, j.timedSince > 0 }
 
-// RouteStatus is the evidence of one route, for operators.
+// RouteStatus is the evidence on one route, for operators.
 type RouteStatus struct {
 	Route string `json:"route"`
-	// Ended and Failed count attempts at the target version since the stage began, the Old
-	// ones those at the old version of late.
+	// Ended and Failed count attempts at the target version since the stage began, OldEnded
+	// and OldFailed recent attempts at the old version.
 	Ended     int64 `json:"ended"`
 	Failed    int64 `json:"failed"`
 	OldEnded  int64 `json:"old_ended"`
 	OldFailed int64 `json:"old_failed"`
-	// OldFirstByteMS is the middle time to the first byte at the old version.
+	// OldFirstByteMS is the median time to the first byte at the old version.
 	OldFirstByteMS int64 `json:"old_first_byte_ms"`
-	// The sums of the tests, in parts of what makes a version bad.
+	// The cumulative sums of the tests, as fractions of the threshold at which a version is
+	// bad.
 	Failures  float64 `json:"failures"`
 	SlowFirst float64 `json:"slow_first_bytes"`
 	SlowWhole float64 `json:"slow_responses"`
 }
 
-// Routes returns the evidence by route, in the order of their names.
+// Routes returns the evidence by route, sorted by the routes' names.
 func (j *Judge) Routes() []RouteStatus {
 	var statuses []RouteStatus
 	for _, name := range j.routeNames() {
--- a/control/rollout/judge_test.go
+++ b/control/rollout/judge_test.go
@@ -8,11 +8,11 @@
 	"onyxwell/base/clock"
 )
 
-// defect is how a version's attempts differ from a good one's.
+// defect is how attempts at a bad version differ from those at a good one.
 type defect struct {
 	name string
-	// failureRate is the part of attempts that fail, slower by how much all take longer, on the
-	// routes for which only is true; nil are all.
+	// failureRate is the fraction of attempts that fail, slowdown the factor by which all take
+	// longer, onRoute selects the affected routes; nil selects all. The defect begins at from.
 	failureRate float64
 	slowdown    float64
 	onRoute     func(route string) bool
@@ -23,33 +23,33 @@
 	return since >= b.from && (b.onRoute == nil || b.onRoute(route))
 }
 
-// attemptGenerator draws what routers report of one tick.
+// attemptGenerator generates the reports of routers for one tick.
 type attemptGenerator struct {
 	random *rand.Rand
-	// baseFailureRate is the part of attempts that fail at either version.
+	// baseFailureRate is the fraction of attempts that fail at either version.
 	baseFailureRate float64
 	defect          defect
 }
 
-func (e attemptGenerator) counts(route string, target bool, attempts int, since time.Duration) RouteCount {
+func (g attemptGenerator) counts(route string, target bool, attempts int, since time.Duration) RouteCount {
 	count := RouteCount{Route: route, Target: target}
 	var firstByte, whole Histogram
-	bad := target && e.defect.applies(route, since)
+	bad := target && g.defect.applies(route, since)
 	for range attempts {
 		count.Ended++
-		fails := e.baseFailureRate
+		fails := g.baseFailureRate
 		if bad {
-			fails += e.defect.failureRate
+			fails += g.defect.failureRate
 		}
-		if e.random.Float64() < fails {
+		if g.random.Float64() < fails {
 			count.Failed++
 			continue
 		}
 		factor := 1.0
-		if bad && e.defect.slowdown > 0 {
-			factor = e.defect.slowdown
+		if bad && g.defect.slowdown > 0 {
+			factor = g.defect.slowdown
 		}
-		spread := 0.6 + 0.8*e.random.Float64() + 0.5*e.random.ExpFloat64()
+		spread := 0.6 + 0.8*g.random.Float64() + 0.5*g.random.ExpFloat64()
 		firstByte.Add(time.Duration(factor * spread * float64(80*time.Millisecond)))
 		whole.Add(time.Duration(factor * spread * float64(400*time.Millisecond)))
 	}
@@ -57,16 +57,17 @@
 	return count
 }
 
-// simulatedRoutes are the routes of judgeFor, with their parts of the requests. Their order is that
-// in which random numbers are drawn.
+// simulatedRoutes are the routes of simulateCanary, with their shares of the requests. Random
+// numbers are drawn in the order of the routes.
 var simulatedRoutes = []struct {
 	name  string
 	share float64
 }{{"long", 0.16}, {"short", 0.84}}
 
-// simulateCanary plays a rollout's canary with so many requests a second on two routes, a share
-// of which goes to the target version, and returns the first finding and when it was made.
-func simulateCanary(seed uint64, perS, share float64, generator attemptGenerator, lasts time.Duration) (Finding, time.Duration) {
+// simulateCanary simulates a rollout's canary with perS requests per second on two routes, a
+// share of which goes to the target version. It returns Bad and the time of that finding, or
+// the finding at the end.
+func simulateCanary(seed uint64, perS, share float64, generator attemptGenerator, duration time.Duration) (Finding, time.Duration) {
 	const tick = 100 * time.Millisecond
 	generator.random = rand.New(rand.NewPCG(seed, 1))
 	judge := NewJudge()
@@ -78,7 +79,7 @@
 		}
 		return whole
 	}
-	for since := -time.Second; since < lasts; since += tick {
+	for since := -time.Second; since < duration; since += tick {
 		now = now.Add(tick)
 		if since == 0 {
 			judge.BeginStage(Canary)
@@ -95,14 +96,16 @@
 			return Bad, since
 		}
 	}
-	return judge.Verdict().Finding, lasts
+	return judge.Verdict().Finding, duration
 }
 
-// simulatedCanaryTime is how long the canary of a term of 12 s may last (canaryLongest).
+// simulatedCanaryTime is the maximum duration of the canary in a term of 12 s
+// (maxCanaryTimeFraction).
 const simulatedCanaryTime = 6600 * time.Millisecond
 
-// TestJudge_acceptsGoodVersions bounds how often a version that does as the old one does
-// is found bad, with what befalls all runners alike beside it.
+// TestJudge_acceptsGoodVersions bounds how often a version that performs as the old one does is
+// found bad, at various failure rates common to both versions, and at low rates how often there
+// is no finding in time.
 func TestJudge_acceptsGoodVersions(t *testing.T) {
 	for _, baseFailureRate := range []float64{0, 0.01, 0.05, 0.2} {
 		wrong, undecided := 0, 0
@@ -117,15 +120,15 @@
 			}
 		}
 		if wrong > 1 {
-			t.Errorf("background %.2f: %d of %d good versions are found bad", baseFailureRate, wrong, seeds)
+			t.Errorf("base failure rate %.2f: %d of %d good versions are found bad", baseFailureRate, wrong, seeds)
 		}
 		if baseFailureRate <= 0.01 && undecided > seeds/100 {
-			t.Errorf("background %.2f: %d of %d good versions have no finding after %v", baseFailureRate, undecided, seeds, simulatedCanaryTime)
+			t.Errorf("base failure rate %.2f: %d of %d good versions have no finding after %v", baseFailureRate, undecided, seeds, simulatedCanaryTime)
 		}
 	}
 }
 
-// TestJudge_findsBadVersions bounds the time in which each form of badness is found.
+// TestJudge_findsBadVersions bounds the time in which each kind of defect is found.
 func TestJudge_findsBadVersions(t *testing.T) {
 	long := func(route string) bool { return route == "long" }
 	cases := []struct {
@@ -154,20 +157,20 @@
 	}
 }
 
-// TestJudge_needsEvidence has no finding be made of too little.
+// TestJudge_needsEvidence checks that too little evidence leads to no finding.
 func TestJudge_needsEvidence(t *testing.T) {
 	if finding, _ := simulateCanary(1, 300, 0.12, attemptGenerator{}, 300*time.Millisecond); finding != Undecided {
-		t.Errorf("finding %d after 0.3 s", finding)
+		t.Errorf("finding %d after 0.3 s, want Undecided", finding)
 	}
 	judge := NewJudge()
 	judge.Add([]RouteCount{{Route: "short", Ended: 500}, {Route: "long", Ended: 100}, {Route: "short", Target: true, Ended: 200, FirstByte: []Bucket{{Index: 1, Count: 200}}}}, 1)
 	if verdict := judge.Verdict(); verdict.Finding != Undecided {
-		t.Errorf("a route without evidence: %+v", verdict)
+		t.Errorf("a route has no evidence: got %+v, want Undecided", verdict)
 	}
 }
 
-// TestJudge_withoutBaselineFindsFailingRoute has a route that fails be found at once where the others at the
-// same version do not.
+// TestJudge_withoutBaselineFindsFailingRoute checks that, once the old version gets no traffic,
+// a route that fails is found soon if other routes at the target version don't fail.
 func TestJudge_withoutBaselineFindsFailingRoute(t *testing.T) {
 	judge := NewJudge()
 	judge.BeginStage(Full)
@@ -186,13 +189,13 @@
 			return
 		}
 		if !judge.IsSuspect() && attempts > 3 {
-			t.Fatalf("no doubt after %d attempts, half of which failed", 2*attempts)
+			t.Fatalf("not suspect after %d attempts, half of which failed", 2*attempts)
 		}
 	}
 }
 
-// TestJudge_withoutBaselineToleratesCommonFailures has no version be found bad for what befalls all runners
-// once there is no other to compare with.
+// TestJudge_withoutBaselineToleratesCommonFailures checks that a moderate failure rate does not
+// reject a version once there is no baseline to compare it with; a high rate does.
 func TestJudge_withoutBaselineToleratesCommonFailures(t *testing.T) {
 	judge := NewJudge()
 	judge.BeginStage(Full)
@@ -202,29 +205,30 @@
 		judge.Add([]RouteCount{{Route: "short", Target: true, Ended: 100, Failed: 18}}, now)
 	}
 	if verdict := judge.Verdict(); verdict.Finding == Bad {
-		t.Errorf("%+v", verdict)
+		t.Errorf("18%% of attempts fail: got %+v, want no rejection", verdict)
 	}
 	for range 10 {
 		now = now.Add(100 * time.Millisecond)
 		judge.Add([]RouteCount{{Route: "short", Target: true, Ended: 100, Failed: 45}}, now)
 	}
 	if verdict := judge.Verdict(); verdict.Finding != Bad {
-		t.Errorf("%+v", verdict)
+		t.Errorf("45%% of attempts fail: got %+v, want Bad", verdict)
 	}
 }
 
-// TestJudge_timesCountOnlyWithBaseline has a Judge that knows nothing of the old version, as
-// after a takeover, get attempts at a slow one: they do not speak for it.
+// TestJudge_timesCountOnlyWithBaseline guards against a slow version being accepted after a
+// takeover: a Judge that has no attempts at the old version yet must not count the target's
+// times in favor of the version.
 func TestJudge_timesCountOnlyWithBaseline(t *testing.T) {
 	generator := attemptGenerator{random: rand.New(rand.NewPCG(1, 1)), defect: defect{slowdown: 8}}
 	judge, now := NewJudge(), clock.Instant(time.Hour)
 	judge.BeginStage(Canary)
 	judge.Add([]RouteCount{generator.counts("short", true, 40, 0)}, now)
 	if _, ok := judge.TimedSince(); ok || judge.timedTotal() > 0 {
-		t.Errorf("%d attempts timed without a control", judge.timedTotal())
+		t.Errorf("%d attempts timed without a baseline, want 0", judge.timedTotal())
 	}
 	judge.Add([]RouteCount{generator.counts("short", false, 40, 0), generator.counts("short", true, 40, 0)}, now.Add(time.Second))
 	if verdict := judge.Verdict(); verdict.Finding != Bad {
-		t.Errorf("%+v beside a control, should be found bad", verdict)
+		t.Errorf("got %+v with a baseline, want Bad", verdict)
 	}
 }
--- a/control/rollout/load.go
+++ b/control/rollout/load.go
@@ -10,52 +10,58 @@
 )
 
 const (
-	// A runner is brought to targetSlotsFactor times its slots, or to peakFactor times the load of an old
-	// one if that is more. The version was tried under load at leastSlots times the slots and
-	// leastFactor times the load: more than what is left after the loss of a region, in a burst. One
-	// runner that gets maxLoadedShare of all requests was tried with all that there is.
+	// The load test aims at targetSlotsFactor times the runner's slots, or at targetLoadFactor
+	// times the load of an old runner if that is more. It is sufficient at minSlotsFactor times
+	// the slots and minLoadFactor times the load, which is more than a runner gets in a burst
+	// after the loss of a region. A runner that gets maxLoadTestShare of all requests was tested
+	// with all the load there is.
 	targetSlotsFactor = 1.25
 	targetLoadFactor  = 3
 	minSlotsFactor    = 1
 	minLoadFactor     = 2.4
-	// loadTestBudgetFraction is the part of the exposure that the runner under load may take at most.
+	// loadTestBudgetFraction is the fraction of the exposure budget that the runner under load
+	// may use.
 	loadTestBudgetFraction = 0.65
-	// resumedBudgetFraction is canaryBudget after a takeover.
+	// resumedBudgetFraction replaces canaryBudgetFraction after a takeover.
 	resumedBudgetFraction = 1.1
-	// maxLoadTestLocalShare bounds what each runner under load gets of its region's requests, where the
-	// other regions send it none; maxLoadedShare is that of all requests.
+	// maxLoadTestLocalShare bounds the share of its region's requests that each runner under
+	// load gets if the other regions send it none; maxLoadTestShare bounds its share of all
+	// requests.
 	maxLoadTestLocalShare = 0.35
 	maxLoadTestShare      = 0.9
-	// loadTestHold is for how long the load stays once it is reached; loadAttemptsPart is the part
-	// of the attempts of that time that are to be timed, minLoadAttempts how many at least.
+	// loadTestHold is how long the load is kept once it is reached. loadTestTimedFraction is the
+	// fraction of the attempts in that time that must have been timed, minLoadTestAttempts the
+	// least number of them.
 	loadTestHold          = 300 * time.Millisecond
 	loadTestTimedFraction = 0.7
 	minLoadTestAttempts   = 16
-	// maxLoadTestOverrun is for how long the load may stay until reports have come, in parts of the
-	// time planned.
+	// maxLoadTestOverrun is how many times the planned exposure the load test may use while the
+	// reports are still to come.
 	maxLoadTestOverrun = 1.75
 )
 
-// MaxBaselineShare is up to which part of a router's requests the old runner of the pair under
-// load gets as many as the new one.
+// MaxBaselineShare is the largest share of a router's requests at which the old runner of the
+// load test pair gets as many requests as the new one. Above it, the old runner has no part in
+// the test.
 const MaxBaselineShare = 0.4
 
-// loadTestState is how far the pair of runners under load has come.
+// loadTestState is the progress of the load test.
 type loadTestState struct {
-	// done says that the runner got what it may; passed that this was as much as a runner may
-	// get, and that the version bore it.
+	// done is set once the test has ended, or was not affordable; passed if the load was
+	// sufficient and the version sustained it.
 	done, passed bool
-	// started says that the runner gets its requests, or has had them.
+	// started is set once load has been allocated to the runner.
 	started bool
-	// retried says that the version is tried again after the term, when exposure is not limited.
+	// retried is set once the test was allowed again after the term, when exposure is not
+	// limited.
 	retried bool
-	// allocatedExposure is the exposure that the pace has planned for the runner so far, inheritedExposure what
-	// former directors caused, as in trial.
+	// allocatedExposure is the exposure allocated to the runner so far, inheritedExposure the
+	// exposure caused under former directors, as in trackedRollout.
 	allocatedExposure, inheritedExposure time.Duration
 }
 
-// allocateLoadTest sets what the pair of runners under load gets, until the version was tried for long
-// enough, and returns the exposure that is set aside for it.
+// allocateLoadTest allocates the load test's share of the traffic until the test has ended. It
+// returns the exposure set aside for the test.
 func (d *Director) allocateLoadTest(t *trackedRollout, next *allocation, rate, budget float64, now clock.Instant) float64 {
 	t.retryLoadTestAfterTerm(now)
 	used := float64(t.loadTestExposure(rate))
@@ -65,7 +71,7 @@
 		return max(used, plan.exposure)
 	}
 	if !t.loadTest.started && float64(t.usedExposure(rate))+plan.exposure > budget/usableExposure {
-		// Former directors have left too little.
+		// Former directors have left too little exposure.
 		t.loadTest.done = true
 		return used
 	}
@@ -74,7 +80,7 @@
 	if sustained || t.isLoadTestExhausted(plan, rate, budget, now) {
 		t.loadTest.done = true
 		t.loadTest.passed = plan.isSufficient && sustained
-		d.log(t, fmt.Sprintf("tried under load: %t, %d attempts at %.1f a second timed", t.loadTest.passed, t.analysis.loadTest.timedTotal(), plan.share*rate))
+		d.log(t, fmt.Sprintf("load test: passed %t, %d attempts timed at %.1f requests a second", t.loadTest.passed, t.analysis.loadTest.timedTotal(), plan.share*rate))
 		return used
 	}
 	next.loadTestShare = plan.share
@@ -86,8 +92,8 @@
 	return max(used, plan.exposure)
 }
 
-// retryLoadTestAfterTerm has a version that could not be brought under load in its term be tried
-// again after it.
+// retryLoadTestAfterTerm allows another load test after the term for a version that did not
+// pass one within it.
 func (t *trackedRollout) retryLoadTestAfterTerm(now clock.Instant) {
 	if !t.isPastTerm(now) || t.loadTest.retried || t.loadTest.passed {
 		return
@@ -96,7 +102,8 @@
 	t.analysis.loadTest.resetAcceptance()
 }
 
-// isLoadTestExhausted reports whether the runner under load has had what it may get.
+// isLoadTestExhausted reports whether the load test has used up its exposure or time. After
+// the term it has no limit.
 func (t *trackedRollout) isLoadTestExhausted(plan loadTestPlan, rate, budget float64, now clock.Instant) bool {
 	if t.isPastTerm(now) {
 		return false
@@ -106,8 +113,9 @@
 	return used >= maxLoadTestOverrun*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.plan.MaxDuration
 }
 
-// loadTestUsageLimit returns the part of the exposure up to which a runner is kept under load. What a
-// former director had written as used ahead was used in part.
+// loadTestUsageLimit returns the fraction of the budget that may be used before the load test
+// stops. It is larger after a takeover, because the stored exposure includes exposure reserved
+// ahead, of which only a part was used.
 func (t *trackedRollout) loadTestUsageLimit() float64 {
 	if t.inheritedExposure > 0 {
 		return resumedBudgetFraction
@@ -117,18 +125,19 @@
 
 // loadTestPlan is how a runner is brought under load.
 type loadTestPlan struct {
-	// share is what it gets, in parts of all requests, hold for how long its attempts are timed
-	// at least, exposure how long the whole traffic would have to go to it for as many.
+	// share is the runner's share of all requests, hold how long its attempts are timed at
+	// least, exposure the exposure caused, in nanoseconds, and regions the number of regions
+	// that have runners.
 	share    float64
 	hold     time.Duration
 	exposure float64
 	regions  float64
-	// isSufficient says that the version is tried under load then.
+	// isSufficient is set if the planned load is enough to pass the test.
 	isSufficient bool
 }
 
-// planLoadTest plans how a runner is brought under load. The share is 0 where there is none to
-// spare, and while too little is known.
+// planLoadTest plans how a runner is brought under load. The share is 0 if no runner can be
+// spared, and while too little is known.
 func (d *Director) planLoadTest(t *trackedRollout, rate, budget float64) loadTestPlan {
 	runners := d.options.Runners(t.service)
 	pair, ok := SelectLoadTestPair(runners, t.record.Target, t.record.Order)
@@ -148,7 +157,7 @@
 	ramp := 2*d.options.Policy.ExchangeInterval + loadedDuration
 	plan := loadTestPlan{hold: loadTestHold + loadedDuration, regions: float64(len(regions))}
 	testDuration := float64(ramp + plan.hold)
-	// What few attempts under load took says too little to plan with fewer requests.
+	// The durations of the few attempts under load are too uncertain to plan fewer requests from.
 	slots, totalLoad := float64(pair.Target.Slots), duration.Seconds()*rate
 	plan.share = min(max(targetLoadFactor*usualLoad, targetSlotsFactor*slots)/totalLoad, maxLoadTestShare, loadTestBudgetFraction*budget/testDuration)
 	plan.exposure = plan.share * testDuration
@@ -156,7 +165,7 @@
 	return plan
 }
 
-// sustainedLoad reports whether the version has borne the planned load for long enough.
+// sustainedLoad reports whether the version has sustained the planned load for long enough.
 func (t *trackedRollout) sustainedLoad(plan loadTestPlan, rate float64, now clock.Instant) bool {
 	loadTest := t.analysis.loadTest
 	since, ok := loadTest.TimedSince()
@@ -166,14 +175,15 @@
 	attempts := loadTestTimedFraction * plan.share * rate * plan.hold.Seconds()
 	minAttempts := float64(minLoadTestAttempts)
 	if plan.share >= maxLoadTestShare {
-		// Nearly all requests are no more than a few at a time: fewer of them meet the load.
+		// If the runner gets nearly all requests, only a few run at a time, and fewer of them
+		// run under the full load.
 		minAttempts *= 2
 	}
 	return float64(loadTest.timedTotal()) >= max(attempts, minAttempts)
 }
 
-// budgetUntilTerm returns the exposure that a rollout may cause until its term, without bound once
-// that is over.
+// budgetUntilTerm returns the exposure that a rollout may cause until its term, infinity once
+// the term is over.
 func (d *Director) budgetUntilTerm(t *trackedRollout, now clock.Instant) float64 {
 	if t.isPastTerm(now) {
 		return math.Inf(1)
--- a/control/rollout/policy.go
+++ b/control/rollout/policy.go
@@ -6,45 +6,45 @@
 	"onyxwell/base/settings"
 )
 
-// Policy is what follows from the bounds of the settings.
+// Policy holds the limits and intervals of rollouts that are derived from the settings.
 type Policy struct {
-	// ExposureShare is the part of a service's requests, between an order and its term, that
-	// a bad version may get; ExposureSlack are requests beyond it.
+	// ExposureShare is the share of a service's requests, between an order and the end of its
+	// term, that a bad version may get; ExposureSlack is a number of requests allowed beyond it.
 	ExposureShare float64
 	ExposureSlack float64
-	// PermitTTL is how long a permit lasts from when it was asked for.
+	// PermitTTL is how long a permit lasts from when it was requested.
 	PermitTTL time.Duration
 	// ExchangeInterval is the time between two messages of a router to its relay, and of a
 	// relay to the director, while a rollout is in progress.
 	ExchangeInterval time.Duration
-	// LatchTime is for how long a router that has confirmed that it sends nothing to old
-	// runners keeps to it, also without a permit.
+	// LatchTime is how long a router that has confirmed that it sends nothing to old runners
+	// keeps to that, even without a permit.
 	LatchTime time.Duration
-	// SilenceLimit is after how long a zone that is not heard is not waited for any more: its
-	// routers have no permit by then.
+	// SilenceLimit is how long the director waits for a zone that it doesn't hear from. The
+	// zone's routers have no permit by then.
 	SilenceLimit time.Duration
 }
 
 const (
-	// defaultExposureShare holds where the settings have no bad_share.
+	// defaultExposureShare applies if the settings have no bad_share.
 	defaultExposureShare = 0.1
-	// usableExposure is the part of the allowed exposure that is planned with.
+	// usableExposure is the fraction of the allowed exposure that is used for planning.
 	usableExposure = 0.8
-	// permitDivisor is the part of the time for a rollback, one in so many, that a permit
-	// lasts; the rest is for finding out, and for the way of the news.
+	// A permit lasts 1/permitDivisor of the time allowed for a rollback; the rest is for
+	// detecting a bad version and for distributing the decision.
 	permitDivisor = 4
-	// exchangesPerPermit is how often a permit is renewed in its life.
+	// exchangesPerPermit is how many exchange intervals fit into the lifetime of a permit.
 	exchangesPerPermit = 5
-	// latchPermits and silencePermits are LatchTime and SilenceLimit in lives of a permit.
+	// latchPermits and silencePermits are LatchTime and SilenceLimit in permit lifetimes.
 	latchPermits   = 3
 	silencePermits = 4
-	// maxSlackDivisor is the part of a term, one in so many, that the slack counts for at most.
+	// The slack counts for at most 1/maxSlackDivisor of a term.
 	maxSlackDivisor = 4
 	minPermitTTL    = 500 * time.Millisecond
 	maxPermitTTL    = 2 * time.Second
 )
 
-// PolicyOf returns the policy that follows from the settings.
+// PolicyOf returns the policy derived from the settings.
 func PolicyOf(bounds settings.Bounds) Policy {
 	share := bounds.BadShare
 	if share <= 0 {
@@ -57,9 +57,9 @@
 	}
 }
 
-// Budget returns how long the whole traffic of a service may go to a version that may be
-// bad, for a rollout with a term and a service that gets so many requests a second; 0 is not
-// known.
+// Budget returns the exposure that a rollout may cause, as the time for which all of the
+// service's traffic may go to a version that may be bad. requestsPerS is the rate of the
+// service's requests, 0 if it is unknown.
 func (p Policy) Budget(term time.Duration, requestsPerS float64) time.Duration {
 	budget := p.ExposureShare * float64(term)
 	if requestsPerS > 0 {
--- a/control/rollout/record.go
+++ b/control/rollout/record.go
@@ -8,37 +8,37 @@
 	"onyxwell/control/transport"
 )
 
-// KeyPrefix begins the register's keys of rollouts; the service's name follows. It is
-// stored and gossiped; it never changes.
+// KeyPrefix is the prefix of the register keys of rollouts; the service's name follows. It is
+// stored and gossiped and must never change.
 const KeyPrefix = "rollout/"
 
-// Key returns the register's key of a service's rollout.
+// Key returns the register key of a service's rollout.
 func Key(service ids.Service) string { return KeyPrefix + string(service) }
 
-// ServiceOfKey returns the service of a key; ok is false for the keys of others.
+// ServiceOfKey returns the service of a rollout's register key; ok is false for other keys.
 func ServiceOfKey(key string) (service ids.Service, ok bool) {
 	name, ok := strings.CutPrefix(key, KeyPrefix)
 	return ids.Service(name), ok
 }
 
-// Condition is what an operator is told of a rollout.
+// Condition is the state of a rollout as operators see it.
 type Condition int64
 
-// The conditions. They are stored; their numbers never change.
+// The conditions. They are stored; their numbers must never change.
 const (
-	// NoRollout is a service without a rollout.
+	// NoRollout is the condition of a service without a rollout.
 	NoRollout Condition = iota
-	// InProgress is a rollout in progress.
+	// InProgress is the condition of a rollout that is neither finished nor reverted.
 	InProgress
-	// Finished: all traffic goes to the target version, for good.
+	// Finished: all traffic goes to the target version. This is final.
 	Finished
-	// Reverted: the target version gets nothing, for good.
+	// Reverted: the target version gets no traffic. This is final.
 	Reverted
 )
 
 var conditionNames = [...]string{"unordered", "serving", "finished", "reverted"}
 
-// String returns the operators' word.
+// String returns the name of the condition in statuses, logs and metrics.
 func (c Condition) String() string {
 	if c < 0 || int(c) >= len(conditionNames) {
 		return "unknown"
@@ -46,27 +46,27 @@
 	return conditionNames[c]
 }
 
-// Stage is how far a rollout has come.
+// Stage is the stage of a rollout.
 type Stage int64
 
-// The stages, in their order. They are stored and sent; their numbers never change.
+// The stages, in their order. They are stored and sent; their numbers must never change.
 const (
-	// Waiting: the target version gets nothing; its runners start and warm up.
+	// Waiting: the target version gets no traffic; its runners start and warm up.
 	Waiting Stage = iota
-	// Canary: few runners of the target version carry as much as old ones do.
+	// Canary: a few runners of the target version get traffic.
 	Canary
-	// Partial: more of them do.
+	// Partial: a larger fraction of them gets traffic.
 	Partial
-	// Full: the target version gets everything; the old one ends what it has.
+	// Full: the target version gets all new requests; those running at the old one end.
 	Full
-	// LoadTest is no stage of a record: a permit for it allows load at a pair of runners beside
-	// the canary.
+	// LoadTest is not a stage of a record. A permit for it allows the load test, which runs
+	// beside the canary.
 	LoadTest
 )
 
 var stageNames = [...]string{"waiting", "canary", "partial", "full", "loaded"}
 
-// String names the stage in logs, metrics and statuses.
+// String returns the name of the stage in logs, metrics and statuses.
 func (s Stage) String() string {
 	if s < 0 || int(s) >= len(stageNames) {
 		return "unknown"
@@ -74,27 +74,28 @@
 	return stageNames[s]
 }
 
-// Record is the register's value of a service's rollout. It is stored and gossiped.
+// Record is the register value of a service's rollout. It is stored and gossiped.
 type Record struct {
-	// Version rises with each write.
+	// Version is incremented by each write.
 	Version ids.Version `avro:"Version"`
-	// Order numbers the orders of a service, from 1.
+	// Order numbers the orders of a service, starting at 1.
 	Order int64 `avro:"Order"`
-	// Target is the version that is rolled out, as the list of runners writes it.
+	// Target is the version that is rolled out, as written in the list of runners.
 	Target string `avro:"Target"`
-	// TermMS is the time that the operator gives the rollout, in milliseconds.
+	// TermMS is the time that the operator allows for the rollout, in milliseconds.
 	TermMS int64 `avro:"TermMS"`
-	// OrderedUnixMS is the agreed time of the order, in milliseconds since the start of 1970;
-	// 0 where it was not known.
+	// OrderedUnixMS is the cluster's agreed time of the order, in milliseconds since the Unix
+	// epoch, 0 if that time was unknown.
 	OrderedUnixMS int64 `avro:"OrderedUnixMS"`
 	Condition     int64 `avro:"Condition"`
 	Stage         int64 `avro:"Stage"`
-	// ReservedMS is how long the whole traffic of the service may have gone to the target
-	// version, in milliseconds: that of all stages that were begun, of each at the longest.
+	// ReservedMS is the exposure reserved by all stages begun so far, each with its maximum
+	// duration: the time in milliseconds for which all of the service's traffic may have gone
+	// to the target version.
 	ReservedMS int64 `avro:"ReservedMS"`
-	// Epoch is that of the lease of the director that wrote last; 0 is none.
+	// Epoch is that of the lease of the director that wrote last, 0 if none has.
 	Epoch int64 `avro:"Epoch"`
-	// Reason says why the last verdict fell.
+	// Reason is the reason for the last transition.
 	Reason string `avro:"Reason"`
 	// Rejected are the versions that were reverted, oldest first.
 	Rejected []string `avro:"Rejected"`
@@ -103,37 +104,38 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Record) SchemaName() string { return "RolloutRecord" }
 
-// maxRejected bounds the reverted versions that are remembered.
+// maxRejected bounds the number of reverted versions that are remembered.
 const maxRejected = 32
 
-// InProgress reports whether the rollout has no verdict yet.
+// InProgress reports whether the rollout is neither finished nor reverted.
 func (r Record) InProgress() bool { return Condition(r.Condition) == InProgress }
 
 // IsFinished reports whether the target version has replaced the others.
 func (r Record) IsFinished() bool { return Condition(r.Condition) == Finished }
 
-// IsReverted reports whether the target version was given up.
+// IsReverted reports whether the target version was reverted.
 func (r Record) IsReverted() bool { return Condition(r.Condition) == Reverted }
 
-// Decode decodes a register's value; none is the zero Record.
+// Decode decodes a register value; an empty value yields the zero Record.
 func Decode(service ids.Service, value []byte) (Record, error) {
 	return transport.UnmarshalStored[Record](Key(service), value)
 }
 
-// Order is what an operator asks for.
+// Order is an operator's order to roll out a version.
 type Order struct {
 	Service ids.Service
-	// Target is as in Record.
+	// Target is the version to roll out, as in Record.
 	Target string
-	// TermMS is the time for the rollout, in milliseconds.
+	// TermMS is the time allowed for the rollout, in milliseconds.
 	TermMS int64
-	// UnixMS is the agreed time, as in Record.
+	// UnixMS is the time of the order, as in Record.OrderedUnixMS.
 	UnixMS int64
 }
 
-// Begin returns the update of a service's record that takes an order. The newest order is
-// taken again without effect, whatever became of it: its acknowledgement may have been lost.
-// Errors are of kind errkind.RolloutConflict and change nothing.
+// Begin returns the register update that accepts an order. Repeating the newest order has no
+// effect and is no error, whatever became of that order, since its acknowledgement may have
+// been lost. Errors of kind errkind.RolloutConflict report an order that can't be accepted; the
+// record is unchanged then.
 func Begin(order Order) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		record, err := Decode(order.Service, current)
@@ -158,8 +160,7 @@
 	}
 }
 
-// checkRepeatedOrder returns nil for an order that repeats the newest one, else what is in its
-// way.
+// checkRepeatedOrder returns nil for an order that repeats the newest one, else the conflict.
 func checkRepeatedOrder(record Record, order Order) error {
 	switch {
 	case record.TermMS == order.TermMS:
@@ -175,20 +176,20 @@
 // Transition is a step of a rollout in progress.
 type Transition struct {
 	Service ids.Service
-	// Order is the one that the step belongs to, Epoch that of the director's lease.
+	// Order is the order that the step belongs to, Epoch that of the director's lease.
 	Order int64
 	Epoch int64
-	// To is Serving for the next stage, else the verdict.
+	// To is InProgress to enter or continue Stage, else the final condition.
 	To    Condition
 	Stage Stage
-	// ReserveMS is the exposure of the stage, added to what is reserved.
+	// ReserveMS is the exposure of the stage, added to the exposure reserved.
 	ReserveMS int64
 	Reason    string
 }
 
-// Apply returns the update of a service's record that takes the step. It leaves the record
-// as it is where the step is outdated: another order, a verdict, a later epoch, or a stage
-// that is not behind it.
+// Apply returns the register update that applies the step. It changes nothing if the step is
+// outdated: the record has another order, is finished or reverted, was written under a later
+// epoch, or is at a later stage.
 func (t Transition) Apply() func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		record, err := Decode(t.Service, current)
--- a/control/rollout/record_test.go
+++ b/control/rollout/record_test.go
@@ -52,7 +52,7 @@
 			}
 			value, err := Begin(test.order)(current)
 			if errkind.KindOf(err) != test.kind || (value != nil) != test.writes {
-				t.Fatalf("%v, writes %v", err, value != nil)
+				t.Fatalf("got error %v, writes a record: %v", err, value != nil)
 			}
 			if !test.writes {
 				return
@@ -60,15 +60,15 @@
 			record, err := Decode(test.order.Service, value)
 			if err != nil || !record.InProgress() || record.Target != test.order.Target || record.Order != test.current.Order+1 ||
 				record.Version != test.current.Version+1 || record.ReservedMS != 0 || len(record.Rejected) != len(test.current.Rejected) {
-				t.Errorf("%+v, %v", record, err)
+				t.Errorf("unexpected record %+v, error %v", record, err)
 			}
 		})
 	}
 }
 
-// TestTransition_neverGoesBack applies steps of directors with any epochs, for any orders: a
-// verdict is never taken back, stages and versions rise, and no step of an earlier epoch
-// follows one of a later.
+// TestTransition_neverGoesBack applies steps with random epochs and orders: a final condition
+// never changes, stages and versions only increase, and no step of an earlier epoch is applied
+// after one of a later epoch.
 func TestTransition_neverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value, err := Begin(Order{Target: `"v2"`, TermMS: 12000})(nil)
@@ -95,11 +95,11 @@
 			}
 			switch {
 			case !before.InProgress():
-				t.Fatalf("a verdict was changed: %+v after %+v", after, before)
+				t.Fatalf("a final condition was changed: %+v after %+v", after, before)
 			case step.Order != before.Order, after.Epoch < before.Epoch, after.Version != before.Version+1:
-				t.Fatalf("%+v after %+v by %+v", after, before, step)
+				t.Fatalf("outdated step or wrong version: %+v after %+v by %+v", after, before, step)
 			case after.InProgress() && after.Stage < before.Stage, after.ReservedMS < before.ReservedMS:
-				t.Fatalf("goes back: %+v after %+v", after, before)
+				t.Fatalf("stage or reserved exposure decreased: %+v after %+v", after, before)
 			}
 			value, before = next, after
 		}
@@ -111,6 +111,6 @@
 		t.Errorf("%q, %v", service, ok)
 	}
 	if _, ok := ServiceOfKey("spec"); ok {
-		t.Error("a key of no service has one")
+		t.Error("the key of no rollout yields a service")
 	}
 }
--- a/control/rollout/relay.go
+++ b/control/rollout/relay.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// relayIdleTime is after how long without a router's message a relay is idle.
+	// relayIdleTime is how long after the last message from a router a relay becomes idle.
 	relayIdleTime = 5 * time.Second
-	// freshIntervals is for how many intervals what a router or a relay said holds.
+	// freshIntervals is for how many exchange intervals a report of a router or a relay is
+	// current.
 	freshIntervals = 3
 )
 
@@ -27,27 +28,29 @@
 	Policy  Policy
 	// Routers returns the routers of the zone that are up.
 	Routers func() []ids.Address
-	// Send sends a message to the director; its error says that none answered.
+	// Send sends a message to the director; it returns an error if there was no answer.
 	Send func(ctx context.Context, req ExchangeRequest) (ExchangeResponse, error)
 }
 
-// Relay passes reports of its zone's routers on to the director, and permits to the routers.
-// Every daemon has one; it works while routers ask it. It is safe for concurrent use.
+// Relay forwards the reports of its zone's routers to the director, and the director's permits
+// to the routers. Every daemon has one; it is idle unless routers send it messages. It is safe
+// for concurrent use.
 type Relay struct {
 	options RelayOptions
 
 	mu       sync.Mutex
 	askedAt  clock.Instant
 	rollouts map[ids.Service]*relayedRollout
-	// permits were granted by the director; they end at expiry.
+	// permits were granted by the director; they expire at expiry.
 	permits []Permit
 	expiry  clock.Instant
 }
 
-// relayedRollout is what a relay keeps of one order.
+// relayedRollout is a relay's state for one order.
 type relayedRollout struct {
 	order int64
-	// confirmedAt is when routers last confirmed that they send nothing to old runners.
+	// confirmedAt is when each router last confirmed that it sends nothing to old runners and
+	// has no requests running there.
 	confirmedAt map[ids.Address]clock.Instant
 	counts      routeCounts
 }
@@ -57,14 +60,15 @@
 	return &Relay{options: options, rollouts: map[ids.Service]*relayedRollout{}}
 }
 
-// Run exchanges messages with the director while routers ask, until ctx ends.
+// Run exchanges messages with the director while routers send messages, until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	for clock.Wait(ctx, r.options.Clock, r.options.Policy.ExchangeInterval) {
 		r.Forward(ctx)
 	}
 }
 
-// Exchange takes a router's report and grants what is left of the director's permits.
+// Exchange adds a router's report and grants the director's permits for the rest of their
+// lifetime.
 func (r *Relay) Exchange(_ context.Context, req ExchangeRequest) (ExchangeResponse, error) {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
@@ -85,7 +89,7 @@
 	return r.remainingPermits(now), nil
 }
 
-// rollout returns what is kept of an order, nil for one that is outdated.
+// rollout returns the state of an order, nil if a newer order is known.
 func (r *Relay) rollout(service ids.Service, order int64) *relayedRollout {
 	relayed := r.rollouts[service]
 	if relayed == nil || relayed.order < order {
@@ -111,8 +115,8 @@
 	return resp
 }
 
-// Forward exchanges one message with the director, unless no router asks. What a message
-// that failed had reported goes with the next.
+// Forward exchanges one message with the director, unless the relay is idle. If that fails, the
+// counts are reported again with the next message.
 func (r *Relay) Forward(ctx context.Context) {
 	startedAt := r.options.Clock.Now()
 	req, ok := r.request(startedAt)
@@ -130,8 +134,8 @@
 	r.expiry = startedAt.Add(r.shortestTTL())
 }
 
-// shortestTTL returns for how long the director's answer holds: one without permits withdraws
-// those from before. The caller holds r.mu.
+// shortestTTL returns how long the director's answer is valid, also if it has no permits: such
+// an answer withdraws the earlier permits. The caller holds r.mu.
 func (r *Relay) shortestTTL() time.Duration {
 	shortest := r.options.Policy.PermitTTL
 	for _, permit := range r.permits {
@@ -140,7 +144,8 @@
 	return shortest
 }
 
-// request takes what is to be reported; ok is false while no router asks.
+// request returns the next message to the director and resets the counts; ok is false while
+// the relay is idle.
 func (r *Relay) request(now clock.Instant) (req ExchangeRequest, ok bool) {
 	routers := r.options.Routers()
 	r.mu.Lock()
@@ -159,7 +164,7 @@
 	return req, true
 }
 
-// unconfirmed counts the routers that have not confirmed of late.
+// unconfirmed returns the number of routers without a recent confirmation.
 func (r *Relay) unconfirmed(relayed *relayedRollout, routers []ids.Address, now clock.Instant) int64 {
 	count := int64(0)
 	for _, router := range routers {
@@ -179,7 +184,7 @@
 	}
 }
 
-// routeCounts are counts by route and arm.
+// routeCounts holds counts by route and arm.
 type routeCounts map[armKey]RouteCount
 
 type armKey struct {
@@ -209,7 +214,7 @@
 	return counts
 }
 
-// SortCounts puts counts into the order of their routes, old versions first.
+// SortCounts sorts counts by route, with the old version before the target.
 func SortCounts(counts []RouteCount) {
 	slices.SortFunc(counts, func(a, b RouteCount) int {
 		return cmp.Or(strings.Compare(a.Route, b.Route), cmp.Compare(armOrder(a), armOrder(b)))
--- a/control/rollout/relay_test.go
+++ b/control/rollout/relay_test.go
@@ -10,7 +10,7 @@
 	"onyxwell/base/ids"
 )
 
-// relayFixture is a relay of one router, before a director that answers as is set.
+// relayFixture is a relay of two routers, with a director that returns answer and err.
 type relayFixture struct {
 	*Relay
 	clock    *clock.Fake
@@ -32,7 +32,7 @@
 	return f
 }
 
-// ask has the router report so many attempts, and returns the relay's answer.
+// ask reports a number of attempts from the first router, and returns the relay's answer.
 func (f *relayFixture) ask(t *testing.T, ended, unconfirmed int64) ExchangeResponse {
 	t.Helper()
 	resp, err := f.Exchange(t.Context(), ExchangeRequest{From: "router", Services: []ServiceReport{{
@@ -48,20 +48,20 @@
 	f := newRelayFixture()
 	f.answer = ExchangeResponse{Directing: true, Permits: []Permit{{Service: "s", Order: 1, Stage: int64(Canary), TTLMS: 1000}}}
 	if resp := f.ask(t, 1, 1); resp.Directing {
-		t.Fatalf("permits before the director was asked: %+v", resp)
+		t.Fatalf("response before the first exchange with the director: %+v", resp)
 	}
 	f.Forward(t.Context())
 	f.clock.Advance(300 * time.Millisecond)
 	if resp := f.ask(t, 1, 1); len(resp.Permits) != 1 || resp.Permits[0].TTLMS != 700 {
-		t.Errorf("after 0.3 s: %+v", resp)
+		t.Errorf("after 0.3 s: got %+v, want one permit with a TTL of 700 ms", resp)
 	}
 	f.clock.Advance(700 * time.Millisecond)
 	if resp := f.ask(t, 1, 1); resp.Directing {
-		t.Errorf("after the permit's life: %+v", resp)
+		t.Errorf("after the permit expired: got %+v, want no permits", resp)
 	}
 }
 
-// TestRelay_withdrawsPermits has an answer without permits be passed on as such.
+// TestRelay_withdrawsPermits checks that the relay passes on an answer without permits.
 func TestRelay_withdrawsPermits(t *testing.T) {
 	f := newRelayFixture()
 	f.answer = ExchangeResponse{Directing: true, Permits: []Permit{{Service: "s", Order: 1, TTLMS: 1000}}}
@@ -70,12 +70,12 @@
 	f.answer.Permits = nil
 	f.Forward(t.Context())
 	if resp := f.ask(t, 1, 1); !resp.Directing || len(resp.Permits) > 0 {
-		t.Errorf("%+v", resp)
+		t.Errorf("got %+v, want an answer without permits", resp)
 	}
 }
 
-// TestRelay_resendsUnacceptedReports sums reports, and sends again what the director did
-// not take.
+// TestRelay_resendsUnacceptedReports checks that reports are summed, and that reports that did
+// not reach the director are sent again.
 func TestRelay_resendsUnacceptedReports(t *testing.T) {
 	f := newRelayFixture()
 	f.err = errors.New("unreachable")
@@ -95,10 +95,10 @@
 		return total
 	}
 	if ended(0) != 3 || ended(1) != 7 || ended(2) != 0 {
-		t.Errorf("%d, %d, %d attempts are reported", ended(0), ended(1), ended(2))
+		t.Errorf("messages report %d, %d and %d attempts, want 3, 7 and 0", ended(0), ended(1), ended(2))
 	}
 	if got := f.received[1].Services[0].Unconfirmed; got != 1 {
-		t.Errorf("%d routers are unconfirmed, one of two has confirmed", got)
+		t.Errorf("%d routers are unconfirmed, want 1: one of two has confirmed", got)
 	}
 }
 
@@ -109,6 +109,6 @@
 	f.clock.Advance(relayIdleTime + time.Second)
 	f.Forward(t.Context())
 	if len(f.received) > 0 {
-		t.Errorf("%d messages", len(f.received))
+		t.Errorf("%d messages sent while idle, want 0", len(f.received))
 	}
 }
--- a/control/rollout/schedule.go
+++ b/control/rollout/schedule.go
@@ -2,30 +2,35 @@
 
 import "time"
 
-// stagePlan is how a stage divides the traffic at first, and for how long.
+// stagePlan is how a stage divides the traffic initially, and how long it lasts.
 type stagePlan struct {
-	// RunnerFraction is the part of the target version's runners that get requests, LoadFactor how much each
-	// gets, in parts of what an old one gets. The canary has a pace in place of them.
+	// RunnerFraction is the fraction of the target version's runners that get requests,
+	// LoadFactor the load of each relative to that of an old runner. They are not set for the
+	// canary, whose allocation is computed continuously.
 	RunnerFraction, LoadFactor float64
-	// MinDuration is how long the stage lasts at least. After MaxDuration it ends where nothing speaks
-	// against the version; the canary never ends for want of evidence.
+	// MinDuration is how long the stage lasts at least. After MaxDuration the Partial stage ends
+	// if there is no evidence against the version; the canary never ends for lack of evidence,
+	// only its load test does.
 	MinDuration, MaxDuration time.Duration
-	// Exposure is how long the whole traffic would have to go to the target version for as
-	// many requests as the stage is planned to send there.
+	// Exposure is the planned exposure: the time for which all traffic would have to go to the
+	// target version for as many requests as the stage is planned to send there.
 	Exposure time.Duration
 }
 
-// A stage's figures: parts of the runners, loads, and times in parts of the term.
+// Parameters of the stages: fractions of the runners, relative loads, and times as fractions of
+// the term.
 const (
-	// A canary runner carries more than an old one, so that what shows under load shows.
+	// A canary runner carries more load than an old one, so that faults under load show.
 	canaryLoad        = 1.25
 	minCanaryFraction = 0.04
 	maxCanaryFraction = 0.4
-	// canaryTimeFraction and canaryLongest are counted from when runners of the target version are
-	// listed: what goes wrong some seconds after a start is to show, too.
+	// canaryTimeFraction and maxCanaryTimeFraction count from the start of the canary, when
+	// runners of the target version are listed, so that faults some seconds after a start show
+	// too.
 	canaryTimeFraction    = 0.3
 	maxCanaryTimeFraction = 0.55
-	// A canary lasts minCanaryTime at least, but no more than shortCanaryTime of the term.
+	// A canary lasts at least minCanaryTime, but this minimum is no more than
+	// shortTermCanaryFraction of the term.
 	minCanaryTime           = 4 * time.Second
 	maxCanaryTime           = 30 * time.Second
 	shortTermCanaryFraction = 0.34
@@ -35,21 +40,21 @@
 	maxPartialTime          = 30 * time.Second
 	fullTimeFraction        = 0.04
 	minFullTime             = 400 * time.Millisecond
-	// timedTimeFraction is for how long attempts at warm runners are timed at least.
+	// timedTimeFraction is how long attempts at warm runners are timed at least.
 	timedTimeFraction = 0.05
 	minTimedTime      = 600 * time.Millisecond
 	maxTimedTime      = 20 * time.Second
-	// startedFraction is the part of the target version's runners, of as many as the old one has,
-	// that must be listed for the canary to begin; startTime, in parts of the term, is when it
+	// startedFraction is how many runners of the target version, as a fraction of the number of
+	// old ones, must be listed for the canary to begin. After startTimeFraction of the term it
 	// begins with fewer.
 	startedFraction   = 0.7
 	startTimeFraction = 0.3
-	// rollbackMarginFraction is how long before the term a version that something speaks against, or that
-	// has no runners, is reverted.
+	// rollbackMarginFraction is how long before the end of the term a version is reverted that
+	// has no runners, or against which there is evidence.
 	rollbackMarginFraction = 0.05
 	minRollbackMargin      = 500 * time.Millisecond
-	// overdueTerms, in terms, is how long after the order a rollout without a finding is
-	// reverted; minOverdue is how long after the term at least.
+	// overdueTerms is how many terms after the order a rollout without a finding is reverted,
+	// but no earlier than minOverdue after the end of the term.
 	overdueTerms = 2
 	minOverdue   = 8 * time.Second
 )
@@ -58,8 +63,8 @@
 	return min(max(time.Duration(fraction*float64(term)), lower), upper)
 }
 
-// newStagePlan returns the shape of a stage of a rollout with a term. share returns the part of
-// all requests that a part of the runners with a load gets.
+// newStagePlan returns the plan of a stage of a rollout with a term. share returns the share of
+// all requests that a fraction of the runners gets at a load factor.
 func newStagePlan(stage Stage, term, budget time.Duration, share func(part, load float64) float64) stagePlan {
 	switch stage {
 	case Canary:
--- a/control/rollout/spread.go
+++ b/control/rollout/split.go
@@ -11,7 +11,7 @@
 	"onyxwell/base/ids"
 )
 
-// Runner is what a rollout needs to know of a runner that may get requests.
+// Runner is a runner that may get requests, as far as a rollout needs to know it.
 type Runner struct {
 	ID      ids.RunnerID
 	Region  ids.Region
@@ -20,32 +20,33 @@
 	Slots int64
 }
 
-// SplitSpec says how the traffic of a service is to be divided.
+// SplitSpec specifies how the traffic of a service is to be split between versions.
 type SplitSpec struct {
 	Target string
 	Order  int64
-	// RunnerFraction is the part of the target version's runners that get requests, LoadFactor how much each
-	// gets, in parts of what an old one gets. With Full the target version gets everything.
+	// RunnerFraction is the fraction of the target version's runners that get requests.
+	// LoadFactor is the load of each, relative to that of an old runner. If Full is set, the
+	// target version gets everything.
 	RunnerFraction, LoadFactor float64
 	Full                       bool
-	// LoadTestTarget and LoadTestOld are the pair under load, which gets nothing else; empty is
-	// none.
+	// LoadTestTarget and LoadTestOld are the load test pair, empty if there is none. These
+	// runners get only the requests of the load test.
 	LoadTestTarget, LoadTestOld ids.RunnerID
 }
 
-// TrafficSplit is how the traffic of a service is divided under a permit.
+// TrafficSplit is how the traffic of a service is split under a permit.
 type TrafficSplit struct {
-	// Active are the runners of the target version that get requests.
+	// Active holds the runners of the target version that get requests.
 	Active map[ids.RunnerID]bool
-	// Share is the part of a region's requests that goes to them.
+	// Share is the share of a region's requests that goes to them.
 	Share map[ids.Region]float64
-	// HasOld says that there are runners of other versions.
+	// HasOld is set if there are runners of other versions.
 	HasOld bool
 }
 
-// NewTrafficSplit divides the traffic among the runners of a service. Each active runner gets
-// the division's load times what an old one would. All that have the same list divide it
-// alike.
+// NewTrafficSplit splits the traffic among the runners of a service. Each active runner gets
+// the spec's load factor times the load of an old one. The result depends only on the
+// arguments, so every router with the same list of runners splits the traffic alike.
 func NewTrafficSplit(runners []Runner, spec SplitSpec) TrafficSplit {
 	old, targets := map[ids.Region]int{}, map[ids.Region][]Runner{}
 	split := TrafficSplit{Active: map[ids.RunnerID]bool{}, Share: map[ids.Region]float64{}}
@@ -73,8 +74,8 @@
 	return split
 }
 
-// MeanShare returns the part of all requests that goes to the target version, where each of
-// the regions has as many.
+// MeanShare returns the share of all requests that goes to the target version, if each region
+// has equally many requests.
 func (s TrafficSplit) MeanShare(regions int) float64 {
 	total := 0.0
 	for _, share := range s.Share {
@@ -83,15 +84,15 @@
 	return total / float64(max(1, regions))
 }
 
-// rankedRunner is a runner with its place among those of its region, from 0 to 1.
+// rankedRunner is a runner with its rank within its region, from 0 to 1.
 type rankedRunner struct {
 	Runner
 	rank float64
 	hash uint64
 }
 
-// activeRunners returns the part of the target's runners that is active, at least one: in an
-// order that takes regions in turn, and differs from rollout to rollout.
+// activeRunners returns the runners of the target version that are active, at least one. The
+// order alternates between regions and differs from rollout to rollout.
 func activeRunners(runners map[ids.Region][]Runner, spec SplitSpec) []rankedRunner {
 	all := rankRunners(runners, spec.Order)
 	if spec.Full {
--- a/control/rollout/status.go
+++ b/control/rollout/status.go
@@ -7,7 +7,7 @@
 	"onyxwell/base/ids"
 )
 
-// waitReason says what a rollout waits for.
+// waitReason returns what a rollout is waiting for.
 func (d *Director) waitReason(t *trackedRollout, now clock.Instant) string {
 	switch t.stage() {
 	case Waiting:
@@ -30,7 +30,7 @@
 	return "the verdict to be stored"
 }
 
-// loadTestWaitReason says why a version was not tried under load yet.
+// loadTestWaitReason returns what a version that has not passed the load test is waiting for.
 func (t *trackedRollout) loadTestWaitReason() string {
 	if t.loadTest.done {
 		return "the end of the term: too few requests, or too little exposure, to bring a runner under load"
@@ -38,7 +38,7 @@
 	return "attempts under load"
 }
 
-// Condition returns what became of a service's newest rollout.
+// Condition returns the condition of a service's newest rollout.
 func (d *Director) Condition(service ids.Service) Condition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,7 +48,7 @@
 	return NoRollout
 }
 
-// Count returns how many services' newest rollouts have a condition.
+// Count returns the number of services whose newest rollout has a condition.
 func (d *Director) Count(condition Condition) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +61,7 @@
 	return count
 }
 
-// AwaitsRunners reports whether a rollout waits for runners of its target version.
+// AwaitsRunners reports whether a rollout is waiting for runners of its target version.
 func (d *Director) AwaitsRunners() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +73,7 @@
 	return false
 }
 
-// Status is a rollout as operators see it.
+// Status is the state of a rollout, for operators.
 type Status struct {
 	Service    ids.Service `json:"service"`
 	Target     string      `json:"target_version"`
@@ -83,14 +83,14 @@
 	ElapsedMS  int64       `json:"elapsed_ms"`
 	ReservedMS int64       `json:"exposure_reserved_ms"`
 	Reason     string      `json:"reason,omitempty"`
-	// WaitsFor, Note and Routes are known at the director alone. Note says that the term is too
+	// WaitsFor, Note and Routes are known only at the director. Note is set if the term is too
 	// short.
 	WaitsFor string        `json:"waits_for,omitempty"`
 	Note     string        `json:"note,omitempty"`
 	Routes   []RouteStatus `json:"routes,omitempty"`
 }
 
-// Statuses returns all rollouts that are known here.
+// Statuses returns the state of all known rollouts.
 func (d *Director) Statuses() []Status {
 	now := d.options.Clock.Now()
 	epoch, held := d.options.Held(now)
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// saveInterval is the time between two writes of the evidence. What may be used until
-	// maxSaveAge after a write is written with it; permits are granted no longer. What routers
-	// report after that goes to the director that takes over.
+	// saveInterval is the time between two writes of the evidence. Each write includes the
+	// exposure that may be used until maxSaveAge after it; no permits are granted after that.
+	// What routers report later goes to the director that takes over.
 	saveInterval = 500 * time.Millisecond
 	maxSaveAge   = 2 * saveInterval
 )
@@ -23,8 +23,8 @@
 	evidence Evidence
 }
 
-// updateAllocations divides the traffic anew where that is due, and returns the evidence that is to be
-// stored.
+// updateAllocations updates the allocations that are due, and returns the evidence that is to
+// be stored.
 func (d *Director) updateAllocations(epoch int64, now clock.Instant) []savedEvidence {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,7 +45,8 @@
 	return due
 }
 
-// save stores evidence. Where that fails it is due again, and permits end meanwhile.
+// save stores evidence. If that fails, it is due again at the next step, and permits stop once
+// the last stored evidence is older than maxSaveAge.
 func (d *Director) save(ctx context.Context, save savedEvidence) {
 	startedAt := d.options.Clock.Now()
 	if _, err := d.options.Update(ctx, evidenceKey(save.service), save.evidence.update()); err != nil {
@@ -58,8 +59,8 @@
 	}
 }
 
-// evidence returns what is known of a rollout, with the exposure that may come until permits
-// are granted no longer. The caller holds d.mu.
+// evidence returns the evidence on a rollout, including the exposure that may be used until
+// permits are granted no longer. The caller holds d.mu.
 func (d *Director) evidence(t *trackedRollout, now clock.Instant) Evidence {
 	rate := t.analysis.requestsPerS(now)
 	ahead := float64(maxSaveAge)
@@ -76,8 +77,8 @@
 	}
 }
 
-// loadEvidence returns what a former director stored of a rollout that a step goes on with, the
-// zero Evidence for any other step.
+// loadEvidence returns the evidence that a former director stored, if the step resumes a
+// rollout, and the zero Evidence otherwise.
 func (d *Director) loadEvidence(ctx context.Context, step Transition) (Evidence, error) {
 	d.mu.Lock()
 	tracked := d.rollouts[step.Service]
@@ -92,19 +93,19 @@
 	}
 	stored, err := decodeEvidence(value)
 	if err != nil || stored.Order != step.Order {
-		// A director of an earlier build stores none.
+		// Directors of earlier builds store no evidence.
 		return Evidence{}, nil
 	}
 	return stored, nil
 }
 
-// isResumedBy reports whether a step goes on with the present stage under another epoch.
+// isResumedBy reports whether a step continues the current stage under another epoch.
 func (t *trackedRollout) isResumedBy(step Transition) bool {
 	return step.To == InProgress && t.stage() == step.Stage && t.epoch != step.Epoch
 }
 
-// resume goes on with what a former director knew. Without that, all that was reserved counts
-// as used.
+// resume restores the evidence of a former director. Without any, all of the reserved exposure
+// counts as used.
 func (t *trackedRollout) resume(known Evidence, now clock.Instant) {
 	t.analysis = newAnalysis()
 	t.analysis.settleTime = resumedSettleTime
@@ -119,7 +120,8 @@
 	t.loadTest = loadTestState{done: known.LoadTried, passed: known.LoadShown, inheritedExposure: time.Duration(known.LoadedUsedMS) * time.Millisecond}
 	t.analysis.loadTest = restoreJudge(newLoadTestJudge(), known.Loaded, t.stage(), now)
 	if !known.LoadShown {
-		// The load ended with the former director's permits: it is to be borne anew.
+		// The load ended with the former director's permits, so the version has to sustain it
+		// again.
 		t.analysis.loadTest.resetAcceptance()
 	}
 	if Stage(known.Stage) != t.stage() {
@@ -129,7 +131,7 @@
 	t.analysis.canary = restoreJudge(NewJudge(), known.Canary, t.stage(), now)
 }
 
-// noteShortTerm says where a rollout can't finish in its term, as soon as that is known.
+// noteShortTerm notes that a rollout can't finish in its term, as soon as that is known.
 func (d *Director) noteShortTerm(t *trackedRollout, now clock.Instant) {
 	rate := t.analysis.requestsPerS(now)
 	if t.note != "" || rate <= 0 || t.stage() != Canary {
@@ -137,8 +139,8 @@
 	}
 	evidenceTime := time.Duration(0)
 	if limit := float64(d.budget(t)) * canaryBudgetFraction / float64(t.plan.MinDuration); limit > 0 {
-		inTime := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
-		evidenceTime = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(inTime))
+		period := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
+		evidenceTime = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(period))
 	}
 	minTime := t.enteredAt.Since(t.orderedAt) + max(t.plan.MinDuration, evidenceTime) + minFullTime + d.drainTime(t)
 	if minTime <= t.term() {
