--- a/control/rollout/allocation.go
+++ b/control/rollout/allocation.go
@@ -24,7 +24,7 @@
 	maxCanaryShare = 0.5
 	overdueShare   = 0.4
 	// evenFraction is the fraction of the remaining exposure that is spread evenly over time;
-	// the rest is for routes that lack evidence.
+	// the rest is for routes that need more evidence.
 	evenFraction = 0.75
 	// minAllocationPeriod is the shortest time over which the remaining exposure is spread.
 	minAllocationPeriod = time.Second
@@ -62,7 +62,7 @@
 	return min(maxOversampling, factor)
 }
 
-// updateAllocation divides the traffic anew: the exposure left to the stage is spread over the
+// updateAllocation recomputes the allocation: the exposure left to the stage is spread over the
 // time left to it. The caller holds d.mu.
 func (d *Director) updateAllocation(t *trackedRollout, now clock.Instant) {
 	t.accountExposure(now)
@@ -115,7 +115,7 @@
 }
 
 // evidenceShare returns the share of all requests that yields, in time, the attempts that each
-// relevant route still lacks.
+// relevant route still needs.
 func (d *Director) evidenceShare(t *trackedRollout, rate float64) float64 {
 	canary := t.analysis.canary
 	total := int64(0)
--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -113,10 +113,10 @@
 // canAfford reports whether enough exposure is left for a stage, and enough time for it and the
 // stages that follow.
 func (d *Director) canAfford(t *trackedRollout, stage Stage, now clock.Instant) bool {
-	shape := d.planStage(t, stage)
+	plan := d.planStage(t, stage)
 	remaining := newStagePlan(Full, t.term(), 0, nil).MinDuration + d.drainTime(t)
-	inTime := now.Since(t.orderedAt)+shape.MinDuration+remaining <= t.term() || t.isPastTerm(now)
-	return inTime && d.isWithinBudget(t, shape.Exposure, now)
+	inTime := now.Since(t.orderedAt)+plan.MinDuration+remaining <= t.term() || t.isPastTerm(now)
+	return inTime && d.isWithinBudget(t, plan.Exposure, now)
 }
 
 // isWithinBudget reports whether some more exposure is within the budget. There is no limit once
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -228,19 +228,19 @@
 }
 
 // log logs a rollout's record and routes with a reason.
-func (d *Director) log(trial *trackedRollout, reason string) {
+func (d *Director) log(tracked *trackedRollout, reason string) {
 	if d.options.Log == nil {
 		return
 	}
-	d.options.Log.Info().Str("part", "rollout").Str("service", string(trial.service)).Str("target", trial.record.Target).
-		Int64("order", trial.record.Order).Str("condition", Condition(trial.record.Condition).String()).
-		Str("stage", Stage(trial.record.Stage).String()).Int64("reserved_ms", trial.record.ReservedMS).Str("reason", reason).
-		Any("routes", trial.analysis.canary.Routes()).Msg("rollout")
+	d.options.Log.Info().Str("part", "rollout").Str("service", string(tracked.service)).Str("target", tracked.record.Target).
+		Int64("order", tracked.record.Order).Str("condition", Condition(tracked.record.Condition).String()).
+		Str("stage", Stage(tracked.record.Stage).String()).Int64("reserved_ms", tracked.record.ReservedMS).Str("reason", reason).
+		Any("routes", tracked.analysis.canary.Routes()).Msg("rollout")
 }
 
 // enter begins a stage; permits may be granted for it from now on.
-func (t *trackedRollout) enter(epoch int64, shape stagePlan, now clock.Instant) {
-	t.epoch, t.enteredAt, t.plan = epoch, now, shape
+func (t *trackedRollout) enter(epoch int64, plan stagePlan, now clock.Instant) {
+	t.epoch, t.enteredAt, t.plan = epoch, now, plan
 	t.analysis.beginStage(t.stage())
 }
 
--- a/control/rollout/doc.go
+++ b/control/rollout/doc.go
@@ -3,8 +3,9 @@
 //
 // An order is stored in a register (Record) before it is acknowledged. The holder of the
 // lease LeaseName, the Director, takes each rollout through its stages: a canary, a larger
-// fraction of the runners, all of the traffic. The Judge compares the target version with
-// the old version over the same period, route by route, based on what routers report.
+// fraction of the runners (Partial), all of the traffic (Full). The Judge compares the target
+// version with the old version over the same period, route by route, based on what routers
+// report.
 // Routers send requests to the target version only under a permit, which is a lease: they
 // request it from their zone's Relay at a fixed interval, and report outcomes in the same
 // message.
