--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -7,149 +7,151 @@
 	"onyxwell/base/ids"
 )
 
-// next returns the step of a rollout that is due now: on a finding, on the time of its stage,
-// or at the end of the term. The caller holds d.mu.
-func (d *Director) next(t *trial, epoch int64, now clock.Instant) (Transition, bool) {
+// next returns the step of a rollout that is due now, because of a finding, the duration of its
+// stage, or the end of the term. The caller holds d.mu.
+func (d *Director) next(t *trackedRollout, epoch int64, now clock.Instant) (Transition, bool) {
 	switch {
-	case t.rejected != "":
-		return t.revert(t.rejected)
+	case t.rejectionReason != "":
+		return t.revert(t.rejectionReason)
 	case t.stage() == Waiting:
 		return d.nextOfWaiting(t, now)
 	case t.epoch != epoch:
-		return Transition{To: Serving, Stage: t.stage(), Reason: "another director goes on"}, true
+		return Transition{To: InProgress, Stage: t.stage(), Reason: "another director goes on"}, true
 	case t.stage() == Full:
 		return d.nextOfFull(t, now)
-	case t.isClosing(now) && t.analysis.isDoubtful():
+	case t.isInRollbackMargin(now) && t.analysis.isSuspect():
 		return t.revert("something speaks against the version at the end of the term: " + t.analysis.verdict().Reason)
 	case t.isOverdue(now):
-		return t.revert("no finding long after the term: " + d.waitsFor(t, now))
+		return t.revert("no finding long after the term: " + d.waitReason(t, now))
 	case t.stage() == Canary:
 		return d.nextOfCanary(t, now)
 	}
 	return d.nextOfPartial(t, now)
 }
 
-func (t *trial) revert(reason string) (Transition, bool) {
+func (t *trackedRollout) revert(reason string) (Transition, bool) {
 	return Transition{To: Reverted, Stage: t.stage(), Reason: reason}, true
 }
 
-// isClosing reports whether the last moment has come at which the old version can still be
-// restored in the term.
-func (t *trial) isClosing(now clock.Instant) bool {
-	return now.Since(t.orderedAt) >= t.term()-bounded(closingTime, t.term(), minClosing, t.term())
+// isInRollbackMargin reports whether the term has so little time left that a rollback to the
+// old version has to start now to end within it.
+func (t *trackedRollout) isInRollbackMargin(now clock.Instant) bool {
+	return now.Since(t.orderedAt) >= t.term()-clampedFraction(rollbackMarginFraction, t.term(), minRollbackMargin, t.term())
 }
 
-func (t *trial) isOverdue(now clock.Instant) bool {
-	return now.Since(t.orderedAt) >= max(overdueTime*t.term(), t.term()+minOverdue)
+func (t *trackedRollout) isOverdue(now clock.Instant) bool {
+	return now.Since(t.orderedAt) >= max(overdueTerms*t.term(), t.term()+minOverdue)
 }
 
-func (d *Director) nextOfWaiting(t *trial, now clock.Instant) (Transition, bool) {
+func (d *Director) nextOfWaiting(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	if d.targetStarted(t, now) {
-		return d.begin(t, Canary, "runners of the target version have started"), true
+		return d.beginStage(t, Canary, "runners of the target version have started"), true
 	}
-	if t.isClosing(now) {
+	if t.isInRollbackMargin(now) {
 		return t.revert("no runner of the target version by the term")
 	}
 	return Transition{}, false
 }
 
-// nextOfCanary returns the step after the canary, once it has lasted long enough, the version
-// is good and was tried under load. A version that could not be brought under load gets no
-// more than the canary's exposure in the term, and is tried again after it. Where too little exposure
-// or time is left for a larger part, all traffic follows at once.
-func (d *Director) nextOfCanary(t *trial, now clock.Instant) (Transition, bool) {
+// nextOfCanary returns the step after the canary, once the canary has lasted long enough, the
+// version is good and it has passed the load test. A version that could not be load tested
+// gets no more than the canary's exposure within the term, and is tested again after it. If too
+// little exposure or time is left for the Partial stage, it is skipped.
+func (d *Director) nextOfCanary(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict := t.analysis.verdict()
-	if verdict.Finding != Good || now.Since(t.enteredAt) < t.shape.Least || !t.timedLongEnough(now) || !d.hasBorneLoad(t, now) {
+	if verdict.Finding != Good || now.Since(t.enteredAt) < t.plan.MinDuration || !t.timedLongEnough(now) || !d.passedLoadTest(t, now) {
 		return Transition{}, false
 	}
 	stage := Partial
-	if !d.affords(t, Partial, now) {
+	if !d.canAfford(t, Partial, now) {
 		stage = Full
 	}
-	return d.begin(t, stage, verdict.Reason), true
+	return d.beginStage(t, stage, verdict.Reason), true
 }
 
-// hasBorneLoad reports whether the version was tried under load. Where it has too few runners
-// for that, it goes on once the term is over.
-func (d *Director) hasBorneLoad(t *trial, now clock.Instant) bool {
-	if t.load.shown {
+// passedLoadTest reports whether the version has passed the load test. A version with too few
+// runners for the test goes on without it once the term is over.
+func (d *Director) passedLoadTest(t *trackedRollout, now clock.Instant) bool {
+	if t.loadTest.passed {
 		return true
 	}
-	_, ok := NewLoadPair(d.options.Runners(t.service), t.record.Target, t.record.Order)
+	_, ok := SelectLoadTestPair(d.options.Runners(t.service), t.record.Target, t.record.Order)
 	return !ok && t.isPastTerm(now)
 }
 
-// nextOfPartial returns the step after the larger part. Where it brought too few attempts, the
-// canary's finding stands unless something speaks against the version.
-func (d *Director) nextOfPartial(t *trial, now clock.Instant) (Transition, bool) {
+// nextOfPartial returns the step after the Partial stage. If that yielded too few attempts, the
+// canary's finding stands unless there is evidence against the version.
+func (d *Director) nextOfPartial(t *trackedRollout, now clock.Instant) (Transition, bool) {
 	verdict, lasted := t.analysis.verdict(), now.Since(t.enteredAt)
 	switch {
-	case verdict.Finding == Good && lasted >= t.shape.Least:
-		return d.begin(t, Full, verdict.Reason), true
-	case lasted < t.shape.Longest:
+	case verdict.Finding == Good && lasted >= t.plan.MinDuration:
+		return d.beginStage(t, Full, verdict.Reason), true
+	case lasted < t.plan.MaxDuration:
 		return Transition{}, false
-	case !t.analysis.isDoubtful():
-		return d.begin(t, Full, "nothing speaks against it in the larger part"), true
+	case !t.analysis.isSuspect():
+		return d.beginStage(t, Full, "nothing speaks against it in the larger part"), true
 	case !d.isWithinBudget(t, 0, now):
 		return t.revert("something speaks against the version, and the exposure is used up: " + verdict.Reason)
 	}
 	return Transition{}, false
 }
 
-func (d *Director) nextOfFull(t *trial, now clock.Instant) (Transition, bool) {
-	_, waits := d.unconfirmedZone(t, now)
-	if now.Since(t.enteredAt) >= t.shape.Least && !t.analysis.isDoubtful() && !waits {
+func (d *Director) nextOfFull(t *trackedRollout, now clock.Instant) (Transition, bool) {
+	_, hasUnconfirmed := d.unconfirmedZone(t, now)
+	if now.Since(t.enteredAt) >= t.plan.MinDuration && !t.analysis.isSuspect() && !hasUnconfirmed {
 		return Transition{To: Finished, Stage: Full, Reason: "nothing runs at the old version any more"}, true
 	}
 	return Transition{}, false
 }
 
-// begin returns the step into a stage, whose exposure is reserved.
-func (d *Director) begin(t *trial, stage Stage, reason string) Transition {
-	reserve := d.shape(t, stage).Exposure
-	return Transition{To: Serving, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
+// beginStage returns the step that enters a stage and reserves its exposure.
+func (d *Director) beginStage(t *trackedRollout, stage Stage, reason string) Transition {
+	reserve := d.planStage(t, stage).Exposure
+	return Transition{To: InProgress, Stage: stage, ReserveMS: reserve.Milliseconds(), Reason: reason}
 }
 
-// affords reports whether exposure and time are left for a stage, and for all that follows.
-func (d *Director) affords(t *trial, stage Stage, now clock.Instant) bool {
-	shape := d.shape(t, stage)
-	after := shapeOf(Full, t.term(), 0, nil).Least + d.drainTime(t)
-	inTime := now.Since(t.orderedAt)+shape.Least+after <= t.term() || t.isPastTerm(now)
-	return inTime && d.isWithinBudget(t, shape.Exposure, now)
+// canAfford reports whether enough exposure is left for a stage, and enough time for it and the
+// stages that follow.
+func (d *Director) canAfford(t *trackedRollout, stage Stage, now clock.Instant) bool {
+	plan := d.planStage(t, stage)
+	remaining := newStagePlan(Full, t.term(), 0, nil).MinDuration + d.drainTime(t)
+	inTime := now.Since(t.orderedAt)+plan.MinDuration+remaining <= t.term() || t.isPastTerm(now)
+	return inTime && d.isWithinBudget(t, plan.Exposure, now)
 }
 
-// isWithinBudget reports whether some more exposure is within the budget; there is none once
+// isWithinBudget reports whether some more exposure is within the budget. There is no limit once
 // the term is over.
-func (d *Director) isWithinBudget(t *trial, more time.Duration, now clock.Instant) bool {
+func (d *Director) isWithinBudget(t *trackedRollout, more time.Duration, now clock.Instant) bool {
 	if t.isPastTerm(now) {
 		return true
 	}
-	return t.used(t.analysis.requestsPerS(now))+more <= d.budget(t)
+	return t.usedExposure(t.analysis.requestsPerS(now))+more <= d.budget(t)
 }
 
 // budget returns the exposure that a rollout may cause. The caller holds d.mu.
-func (d *Director) budget(t *trial) time.Duration {
-	return d.options.Policy.Budget(t.term(), t.analysis.mostRequestsPerS(t.paced, d.options.Clock.Now()))
+func (d *Director) budget(t *trackedRollout) time.Duration {
+	return d.options.Policy.Budget(t.term(), t.analysis.maxRequestsPerS(t.allocatedExposure, d.options.Clock.Now()))
 }
 
-// drainQuantile is the part of the requests at old runners that end within the time for which
-// they are planned to be waited for.
+// drainQuantile is the fraction of the requests running at old runners that the planned
+// drain time covers.
 const drainQuantile = 0.99
 
-// drainTime returns how long the last stage is planned to take beyond its least time: permits
-// and confirmations on their way, and the requests at old runners.
-func (d *Director) drainTime(t *trial) time.Duration {
-	return 4*d.options.Policy.ExchangeInterval + t.analysis.canary.oldWholeQuantile(drainQuantile)
+// drainTime returns how long the last stage is planned to take beyond its minimum duration:
+// the time for permits and confirmations to arrive, and for requests at old runners to end.
+func (d *Director) drainTime(t *trackedRollout) time.Duration {
+	return 4*d.options.Policy.ExchangeInterval + t.analysis.canary.oldDurationQuantile(drainQuantile)
 }
 
-// timedLongEnough reports whether attempts at warm runners were timed for long enough.
-func (t *trial) timedLongEnough(now clock.Instant) bool {
+// timedLongEnough reports whether attempts at warm runners have been timed for long enough.
+func (t *trackedRollout) timedLongEnough(now clock.Instant) bool {
 	since, ok := t.analysis.timedSince()
-	return ok && now.Since(since) >= bounded(timedTime, t.term(), minTimedTime, maxTimedTime)
+	return ok && now.Since(since) >= clampedFraction(timedTimeFraction, t.term(), minTimedTime, maxTimedTime)
 }
 
-// targetStarted reports whether enough runners of the target version are listed.
-func (d *Director) targetStarted(t *trial, now clock.Instant) bool {
+// targetStarted reports whether enough runners of the target version are listed; late in the
+// term, one is enough.
+func (d *Director) targetStarted(t *trackedRollout, now clock.Instant) bool {
 	old, target := 0, 0
 	for _, runner := range d.options.Runners(t.service) {
 		if runner.Version == t.record.Target {
@@ -161,30 +163,30 @@
 	if target == 0 {
 		return false
 	}
-	late := now.Since(t.orderedAt) >= time.Duration(startTime*float64(t.term()))
-	return late || float64(target) >= startedPart*float64(old)
+	late := now.Since(t.orderedAt) >= time.Duration(startTimeFraction*float64(t.term()))
+	return late || float64(target) >= startedFraction*float64(old)
 }
 
-// shape returns the shape of a stage by the runners that are listed now.
-func (d *Director) shape(t *trial, stage Stage) stageShape {
-	return shapeOf(stage, t.term(), d.budget(t), func(part, load float64) float64 {
+// planStage returns the plan of a stage, based on the runners that are listed now.
+func (d *Director) planStage(t *trackedRollout, stage Stage) stagePlan {
+	return newStagePlan(stage, t.term(), d.budget(t), func(part, load float64) float64 {
 		return d.meanShare(t, part, load)
 	})
 }
 
-func (d *Director) meanShare(t *trial, part, load float64) float64 {
+func (d *Director) meanShare(t *trackedRollout, part, load float64) float64 {
 	regions := map[ids.Region]bool{}
 	for _, region := range d.options.Zones {
 		regions[region] = true
 	}
-	division := Division{Target: t.record.Target, Order: t.record.Order, Part: part, Load: load}
-	return NewSpread(d.options.Runners(t.service), division).MeanShare(len(regions))
+	spec := SplitSpec{Target: t.record.Target, Order: t.record.Order, RunnerFraction: part, LoadFactor: load}
+	return NewTrafficSplit(d.options.Runners(t.service), spec).MeanShare(len(regions))
 }
 
 // unconfirmedZone returns a zone with routers that have not confirmed yet that they send
-// nothing to old runners, and have nothing there; ok is false where there is none. A zone that
-// has been silent for long has no permits, and is not waited for.
-func (d *Director) unconfirmedZone(t *trial, now clock.Instant) (zone ids.Zone, ok bool) {
+// nothing to old runners and have no requests running there; ok is false if there is none. A
+// zone that has been silent for the policy's SilenceLimit has no permits and is not waited for.
+func (d *Director) unconfirmedZone(t *trackedRollout, now clock.Instant) (zone ids.Zone, ok bool) {
 	for zone := range d.options.Zones {
 		if d.options.HasRouters(zone) && !d.zoneConfirmed(t, zone, now) {
 			return zone, true
@@ -193,11 +195,11 @@
 	return "", false
 }
 
-func (d *Director) zoneConfirmed(t *trial, zone ids.Zone, now clock.Instant) bool {
+func (d *Director) zoneConfirmed(t *trackedRollout, zone ids.Zone, now clock.Instant) bool {
 	heardAt, fresh, confirmed := t.enteredAt, false, false
 	for _, relay := range t.zones[zone] {
 		heardAt = max(heardAt, relay.at)
-		if now.Since(relay.at) <= freshExchanges*d.options.Policy.ExchangeInterval {
+		if now.Since(relay.at) <= freshIntervals*d.options.Policy.ExchangeInterval {
 			fresh, confirmed = true, confirmed || relay.unconfirmed == 0
 		}
 	}
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -17,86 +17,88 @@
 	"onyxwell/control/transport"
 )
 
-// DirectorOptions configure a Director. All are required but Log and UnixMS.
+// DirectorOptions configure a Director. All are required except Log and UnixMS.
 type DirectorOptions struct {
 	Clock   clock.Clock
 	Address ids.Address
 	Policy  Policy
-	// Zones are all zones of the deployment.
+	// Zones holds all zones of the deployment with their regions.
 	Zones map[ids.Zone]ids.Region
-	// Held reports whether this controller holds the lease at an instant, and its epoch.
+	// Held reports whether this controller holds the lease at a given instant, and the lease's
+	// epoch.
 	Held func(now clock.Instant) (epoch int64, held bool)
-	// Updates has the records, and is where the director is announced.
+	// Updates holds the records; the director announces its address there.
 	Updates *gossip.Store
-	// Runners returns the runners of a service that may get requests, by the newest list.
+	// Runners returns the runners of a service that may get requests, from the newest list.
 	Runners func(service ids.Service) []Runner
 	// HasRouters reports whether a zone may have routers.
 	HasRouters func(zone ids.Zone) bool
 	// Update stores a record.
 	Update func(ctx context.Context, key string, update func(current []byte) ([]byte, error)) ([]byte, error)
-	// UnixMS returns the agreed time, 0 where it is not known; nil is never.
+	// UnixMS returns the cluster's agreed time, 0 if it is unknown; nil means always unknown.
 	UnixMS func() int64
 	Log    *log.Logger
 }
 
 // Director takes rollouts through their stages while this controller holds the lease. It is
-// safe for concurrent use; Step is called by one goroutine.
+// safe for concurrent use, but Step must be called by one goroutine only.
 type Director struct {
 	options   DirectorOptions
 	announced int64
 
-	mu     sync.Mutex
-	trials map[ids.Service]*trial
+	mu       sync.Mutex
+	rollouts map[ids.Service]*trackedRollout
 }
 
-// trial is a rollout in progress, as this controller sees it.
-type trial struct {
+// trackedRollout is a rollout as this controller sees it.
+type trackedRollout struct {
 	service ids.Service
 	record  Record
-	// orderedAt is when the order was given, or was first seen here.
+	// orderedAt is when the order was given, or was first seen here if that is unknown.
 	orderedAt clock.Instant
-	// epoch is the one under which the stage was entered here; 0 is none. Permits are granted
-	// for the stage entered, since enteredAt, unless the version was found bad.
-	epoch     int64
-	enteredAt clock.Instant
-	shape     stageShape
-	rejected  string
-	analysis  *analysis
-	zones     map[ids.Zone]map[ids.Address]relayState
-	pace      pace
-	pacedAt   clock.Instant
-	// paced is what the paces so far have exposed until accountedAt, as a time of the whole
+	// epoch is the lease's epoch under which this director entered the stage, 0 if it has
+	// not; enteredAt is when the stage began. Permits are granted only under this epoch and
+	// unless the version was found bad, which rejectionReason then says.
+	epoch           int64
+	enteredAt       clock.Instant
+	plan            stagePlan
+	rejectionReason string
+	analysis        *analysis
+	zones           map[ids.Zone]map[ids.Address]relayState
+	allocation      allocation
+	allocatedAt     clock.Instant
+	// allocatedExposure is the exposure allocated until accountedAt, as a time of the whole
 	// traffic.
-	paced       time.Duration
-	accountedAt clock.Instant
-	// usedBefore is the exposure that former directors caused (see Evidence).
-	usedBefore time.Duration
-	load       loadTrial
-	// savedAt is when the evidence was stored last.
+	allocatedExposure time.Duration
+	accountedAt       clock.Instant
+	// inheritedExposure is the exposure caused under former directors (see Evidence).
+	inheritedExposure time.Duration
+	loadTest          loadTestState
+	// savedAt is when the evidence was last stored.
 	savedAt clock.Instant
 	// note says that the term is too short, if it is.
 	note string
 }
 
-// relayState is what a relay said last.
+// relayState is the last report of a relay.
 type relayState struct {
 	unconfirmed int64
 	at          clock.Instant
 }
 
-// NewDirector returns a Director that knows of no rollouts.
+// NewDirector returns a Director that knows no rollouts yet.
 func NewDirector(options DirectorOptions) *Director {
-	return &Director{options: options, trials: map[ids.Service]*trial{}}
+	return &Director{options: options, rollouts: map[ids.Service]*trackedRollout{}}
 }
 
-// Run takes steps until ctx ends.
+// Run calls Step periodically until ctx ends.
 func (d *Director) Run(ctx context.Context) {
 	for clock.Wait(ctx, d.options.Clock, d.options.Policy.ExchangeInterval/2) {
 		d.Step(ctx)
 	}
 }
 
-// Step takes each rollout one step on, if this controller holds the lease.
+// Step advances each rollout by one step, if this controller holds the lease.
 func (d *Director) Step(ctx context.Context) {
 	now := d.options.Clock.Now()
 	d.observe(now)
@@ -108,12 +110,12 @@
 	for _, step := range d.transitions(epoch, now) {
 		d.store(ctx, step)
 	}
-	for _, save := range d.paceAll(epoch, d.options.Clock.Now()) {
+	for _, save := range d.updateAllocations(epoch, d.options.Clock.Now()) {
 		d.save(ctx, save)
 	}
 }
 
-// announce has relays know where the director is.
+// announce publishes the director's address to the relays.
 func (d *Director) announce(epoch int64) {
 	if epoch == d.announced {
 		return
@@ -124,37 +126,37 @@
 	}
 }
 
-// observe takes over the records, also where this controller does not hold the lease: the
-// time of an order counts from when it is first seen.
+// observe reads the records. It does so even if this controller does not hold the lease: the
+// term of an order whose time is unknown counts from when the order is first seen.
 func (d *Director) observe(now clock.Instant) {
 	items := d.options.Updates.WithPrefix(KeyPrefix)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, item := range items {
 		service, ok := ServiceOfKey(item.Key)
-		if known := d.trials[service]; !ok || (known != nil && known.record.Version >= item.Version) {
+		if known := d.rollouts[service]; !ok || (known != nil && known.record.Version >= item.Version) {
 			continue
 		}
 		if record, err := Decode(service, item.Body); err == nil {
-			d.takeOver(service, record, now)
+			d.adoptRecord(service, record, now)
 		}
 	}
 }
 
-// takeOver takes a newer record over. The caller holds d.mu.
-func (d *Director) takeOver(service ids.Service, record Record, now clock.Instant) {
-	current := d.trials[service]
+// adoptRecord replaces a rollout's record by a newer one. The caller holds d.mu.
+func (d *Director) adoptRecord(service ids.Service, record Record, now clock.Instant) {
+	current := d.rollouts[service]
 	if current == nil || current.record.Order != record.Order {
-		current = &trial{
-			service: service, orderedAt: now.Add(-d.ageOf(record)), analysis: newAnalysis(), zones: map[ids.Zone]map[ids.Address]relayState{},
+		current = &trackedRollout{
+			service: service, orderedAt: now.Add(-d.orderAge(record)), analysis: newAnalysis(), zones: map[ids.Zone]map[ids.Address]relayState{},
 		}
-		d.trials[service] = current
+		d.rollouts[service] = current
 	}
 	current.record = record
 }
 
-// ageOf returns how long ago an order was given, as far as the agreed time is known.
-func (d *Director) ageOf(record Record) time.Duration {
+// orderAge returns how long ago an order was given, 0 if the agreed time is unknown.
+func (d *Director) orderAge(record Record) time.Duration {
 	if d.options.UnixMS == nil || record.OrderedUnixMS == 0 {
 		return 0
 	}
@@ -170,23 +172,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var due []Transition
-	for _, service := range slices.Sorted(maps.Keys(d.trials)) {
-		trial := d.trials[service]
-		if !trial.record.InProgress() {
+	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
+		tracked := d.rollouts[service]
+		if !tracked.record.InProgress() {
 			continue
 		}
-		if step, ok := d.next(trial, epoch, now); ok {
-			step.Service, step.Order, step.Epoch = service, trial.record.Order, epoch
+		if step, ok := d.next(tracked, epoch, now); ok {
+			step.Service, step.Order, step.Epoch = service, tracked.record.Order, epoch
 			due = append(due, step)
 		}
 	}
 	return due
 }
 
-// store stores a step, and takes its outcome over at once. A step that is not stored is due
-// again; one after which the target version is to get less is not waited for: permits end.
+// store stores a step and adopts the resulting record at once. A step that can't be stored
+// is due again. Reducing the target version's traffic does not wait for the store, because
+// permits expire.
 func (d *Director) store(ctx context.Context, step Transition) {
-	known, err := d.recover(ctx, step)
+	known, err := d.loadEvidence(ctx, step)
 	if err != nil {
 		d.logUnstored(step, err)
 		return
@@ -199,49 +202,49 @@
 	now := d.options.Clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	trial := d.trials[step.Service]
+	tracked := d.rollouts[step.Service]
 	record, err := Decode(step.Service, value)
-	if err != nil || trial.record.Order != record.Order || trial.record.Version > record.Version {
+	if err != nil || tracked.record.Order != record.Order || tracked.record.Version > record.Version {
 		return
 	}
-	resumes := trial.isResumedBy(step)
-	trial.record = record
-	if record.Epoch == step.Epoch && Stage(record.Stage) == step.Stage && step.To == Serving {
-		trial.enter(step.Epoch, d.shape(trial, step.Stage), now)
-		if resumes {
-			trial.resume(known, now)
+	isResumed := tracked.isResumedBy(step)
+	tracked.record = record
+	if record.Epoch == step.Epoch && Stage(record.Stage) == step.Stage && step.To == InProgress {
+		tracked.enter(step.Epoch, d.planStage(tracked, step.Stage), now)
+		if isResumed {
+			tracked.resume(known, now)
 		}
-		d.setPace(trial, now)
-		// No permit is granted before the evidence has what it may use.
-		trial.savedAt = 0
+		d.updateAllocation(tracked, now)
+		// No permit is granted before the stored evidence includes the exposure it allows.
+		tracked.savedAt = 0
 	}
-	d.log(trial, step.Reason)
+	d.log(tracked, step.Reason)
 }
 
 func (d *Director) logUnstored(step Transition, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.log(d.trials[step.Service], "step not stored: "+err.Error())
+	d.log(d.rollouts[step.Service], "step not stored: "+err.Error())
 }
 
-// log logs what became of a rollout, or what it waits for.
-func (d *Director) log(trial *trial, reason string) {
+// log logs a rollout's record and routes with a reason.
+func (d *Director) log(tracked *trackedRollout, reason string) {
 	if d.options.Log == nil {
 		return
 	}
-	d.options.Log.Info().Str("part", "rollout").Str("service", string(trial.service)).Str("target", trial.record.Target).
-		Int64("order", trial.record.Order).Str("condition", Condition(trial.record.Condition).String()).
-		Str("stage", Stage(trial.record.Stage).String()).Int64("reserved_ms", trial.record.ReservedMS).Str("reason", reason).
-		Any("routes", trial.analysis.canary.Routes()).Msg("rollout")
+	d.options.Log.Info().Str("part", "rollout").Str("service", string(tracked.service)).Str("target", tracked.record.Target).
+		Int64("order", tracked.record.Order).Str("condition", Condition(tracked.record.Condition).String()).
+		Str("stage", Stage(tracked.record.Stage).String()).Int64("reserved_ms", tracked.record.ReservedMS).Str("reason", reason).
+		Any("routes", tracked.analysis.canary.Routes()).Msg("rollout")
 }
 
-// enter begins a stage, whose permits may be granted from now on.
-func (t *trial) enter(epoch int64, shape stageShape, now clock.Instant) {
-	t.epoch, t.enteredAt, t.shape = epoch, now, shape
+// enter begins a stage; permits may be granted for it from now on.
+func (t *trackedRollout) enter(epoch int64, plan stagePlan, now clock.Instant) {
+	t.epoch, t.enteredAt, t.plan = epoch, now, plan
 	t.analysis.beginStage(t.stage())
 }
 
-// Exchange takes a relay's report and grants permits.
+// Exchange adds a relay's report to the evidence and grants permits.
 func (d *Director) Exchange(req ExchangeRequest, now clock.Instant) ExchangeResponse {
 	epoch, held := d.options.Held(now)
 	if !held {
@@ -250,65 +253,67 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, report := range req.Services {
-		trial := d.trials[report.Service]
-		if trial == nil || trial.record.Order != report.Order {
+		tracked := d.rollouts[report.Service]
+		if tracked == nil || tracked.record.Order != report.Order {
 			continue
 		}
-		if trial.zones[req.Zone] == nil {
-			trial.zones[req.Zone] = map[ids.Address]relayState{}
+		if tracked.zones[req.Zone] == nil {
+			tracked.zones[req.Zone] = map[ids.Address]relayState{}
 		}
-		trial.zones[req.Zone][req.From] = relayState{unconfirmed: report.Unconfirmed, at: now}
-		trial.analysis.add(report.Routes, now)
-		trial.checkVerdict()
+		tracked.zones[req.Zone][req.From] = relayState{unconfirmed: report.Unconfirmed, at: now}
+		tracked.analysis.add(report.Routes, now)
+		tracked.checkVerdict()
 	}
 	return ExchangeResponse{Directing: true, Permits: d.permits(epoch, now)}
 }
 
-// checkVerdict withholds permits from a version that is found bad.
-func (t *trial) checkVerdict() {
-	if verdict := t.analysis.verdict(); verdict.Finding == Bad && t.rejected == "" {
-		t.rejected = verdict.Reason
+// checkVerdict stops the permits of a version that is found bad.
+func (t *trackedRollout) checkVerdict() {
+	if verdict := t.analysis.verdict(); verdict.Finding == Bad && t.rejectionReason == "" {
+		t.rejectionReason = verdict.Reason
 	}
 }
 
-// permits returns what may be granted under an epoch. The caller holds d.mu.
+// permits returns the permits that may be granted under an epoch. The caller holds d.mu.
 func (d *Director) permits(epoch int64, now clock.Instant) []Permit {
 	var permits []Permit
-	for _, service := range slices.Sorted(maps.Keys(d.trials)) {
-		trial := d.trials[service]
-		if !trial.record.InProgress() || trial.epoch != epoch || trial.rejected != "" || trial.stage() == Waiting {
+	for _, service := range slices.Sorted(maps.Keys(d.rollouts)) {
+		tracked := d.rollouts[service]
+		if !tracked.record.InProgress() || tracked.epoch != epoch || tracked.rejectionReason != "" || tracked.stage() == Waiting {
 			continue
 		}
-		if trial.stage() != Full && now.Since(trial.savedAt) > maxSaveAge {
+		if tracked.stage() != Full && now.Since(tracked.savedAt) > maxSaveAge {
 			continue
 		}
-		permits = append(permits, trial.permits(d.options.Policy.PermitTTL)...)
+		permits = append(permits, tracked.permits(d.options.Policy.PermitTTL)...)
 	}
 	return permits
 }
 
-// permits returns the permits for the present pace. That for the pair under load comes first:
-// routers of earlier builds keep the last one.
-func (t *trial) permits(ttl time.Duration) []Permit {
+// permits returns the permits for the current allocation. The permit for the load test comes
+// first, because routers of earlier builds keep only the last permit.
+func (t *trackedRollout) permits(ttl time.Duration) []Permit {
 	stage := Permit{Service: t.service, Order: t.record.Order, Stage: t.record.Stage, TTLMS: ttl.Milliseconds()}
-	loaded := stage
-	stage.RunnersMilli, stage.LoadMilli = thousandths(t.pace.part), thousandths(t.pace.load)
-	if t.pace.loadedLocal <= 0 {
+	loadTest := stage
+	stage.RunnersMilli, stage.LoadMilli = thousandths(t.allocation.runnerFraction), thousandths(t.allocation.loadFactor)
+	if t.allocation.loadTestLocal <= 0 {
 		return []Permit{stage}
 	}
-	loaded.Stage = int64(Loaded)
-	loaded.LoadMilli, loaded.RunnersMilli = thousandths(t.pace.loadedLocal), thousandths(t.pace.loadedRemote)
-	return []Permit{loaded, stage}
+	loadTest.Stage = int64(LoadTest)
+	loadTest.LoadMilli, loadTest.RunnersMilli = thousandths(t.allocation.loadTestLocal), thousandths(t.allocation.loadTestRemote)
+	return []Permit{loadTest, stage}
 }
 
-func thousandths(part float64) int64 { return int64(math.Round(part * milli)) }
+func thousandths(value float64) int64 { return int64(math.Round(value * milli)) }
 
 // milli is the number of thousandths in one.
 const milli = 1000
 
-func (t *trial) stage() Stage { return Stage(t.record.Stage) }
+func (t *trackedRollout) stage() Stage { return Stage(t.record.Stage) }
 
-// isPastTerm reports whether the term is over: exposure is not limited any more.
-func (t *trial) isPastTerm(now clock.Instant) bool { return now.Since(t.orderedAt) > t.term() }
+// isPastTerm reports whether the term is over. Exposure is not limited from then on.
+func (t *trackedRollout) isPastTerm(now clock.Instant) bool { return now.Since(t.orderedAt) > t.term() }
 
-func (t *trial) term() time.Duration { return time.Duration(t.record.TermMS) * time.Millisecond }
+func (t *trackedRollout) term() time.Duration {
+	return time.Duration(t.record.TermMS) * time.Millisecond
+}
--- a/control/rollout/load.go
+++ b/control/rollout/load.go
@@ -10,131 +10,140 @@
 )
 
 const (
-	// A runner is brought to peakSlots times its slots, or to peakFactor times the load of an old
-	// one if that is more. The version was tried under load at leastSlots times the slots and
-	// leastFactor times the load: more than what is left after the loss of a region, in a burst. One
-	// runner that gets maxLoadedShare of all requests was tried with all that there is.
-	peakSlots   = 1.25
-	peakFactor  = 3
-	leastSlots  = 1
-	leastFactor = 2.4
-	// loadBudget is the part of the exposure that the runner under load may take at most.
-	loadBudget = 0.65
-	// resumedBudget is canaryBudget after a takeover.
-	resumedBudget = 1.1
-	// maxLocalShare bounds what each runner under load gets of its region's requests, where the
-	// other regions send it none; maxLoadedShare is that of all requests.
-	maxLocalShare  = 0.35
-	maxLoadedShare = 0.9
-	// loadHold is for how long the load stays once it is reached; loadAttemptsPart is the part
-	// of the attempts of that time that are to be timed, minLoadAttempts how many at least.
-	loadHold         = 300 * time.Millisecond
-	loadAttemptsPart = 0.7
-	minLoadAttempts  = 16
-	// longestLoad is for how long the load may stay until reports have come, in parts of the
-	// time planned.
-	longestLoad = 1.75
+	// The load test aims at targetSlotsFactor times the runner's slots, or at targetLoadFactor
+	// times the load of an old runner if that is more. It is sufficient at minSlotsFactor times
+	// the slots and minLoadFactor times the load, which is more than a runner gets in a burst
+	// after the loss of a region. A runner that gets maxLoadTestShare of all requests was tested
+	// with all the load there is.
+	targetSlotsFactor = 1.25
+	targetLoadFactor  = 3
+	minSlotsFactor    = 1
+	minLoadFactor     = 2.4
+	// loadTestBudgetFraction is the fraction of the exposure budget that the runner under load
+	// may use.
+	loadTestBudgetFraction = 0.65
+	// resumedBudgetFraction replaces canaryBudgetFraction after a takeover.
+	resumedBudgetFraction = 1.1
+	// maxLoadTestLocalShare bounds the share of its region's requests that each runner under
+	// load gets if the other regions send it none; maxLoadTestShare bounds its share of all
+	// requests.
+	maxLoadTestLocalShare = 0.35
+	maxLoadTestShare      = 0.9
+	// loadTestHold is how long the load is kept once it is reached. loadTestTimedFraction is the
+	// fraction of the attempts in that time that must have been timed, minLoadTestAttempts the
+	// least number of them.
+	loadTestHold          = 300 * time.Millisecond
+	loadTestTimedFraction = 0.7
+	minLoadTestAttempts   = 16
+	// maxLoadTestOverrun is how many times the planned exposure the load test may use while the
+	// reports are still to come.
+	maxLoadTestOverrun = 1.75
 )
 
-// MaxControlShare is up to which part of a router's requests the old runner of the pair under
-// load gets as many as the new one.
-const MaxControlShare = 0.4
+// MaxBaselineShare is the largest share of a router's requests at which the old runner of the
+// load test pair gets as many requests as the new one. Above it, the old runner has no part in
+// the test.
+const MaxBaselineShare = 0.4
 
-// loadTrial is how far the pair of runners under load has come.
-type loadTrial struct {
-	// tried says that the runner got what it may; shown that this was as much as a runner may
-	// get, and that the version bore it.
-	tried, shown bool
-	// begun says that the runner gets its requests, or has had them.
-	begun bool
-	// overdue says that the version is tried again after the term, when exposure is not limited.
-	overdue bool
-	// paced is the exposure that the pace has planned for the runner so far, usedBefore what
-	// former directors caused, as in trial.
-	paced, usedBefore time.Duration
+// loadTestState is the progress of the load test.
+type loadTestState struct {
+	// done is set once the test has ended, or was not affordable; passed if the load was
+	// sufficient and the version sustained it.
+	done, passed bool
+	// started is set once load has been allocated to the runner.
+	started bool
+	// retried is set once the test was allowed again after the term, when exposure is not
+	// limited.
+	retried bool
+	// allocatedExposure is the exposure allocated to the runner so far, inheritedExposure the
+	// exposure caused under former directors, as in trackedRollout.
+	allocatedExposure, inheritedExposure time.Duration
 }
 
-// setLoad sets what the pair of runners under load gets, until the version was tried for long
-// enough, and returns the exposure that is set aside for it.
-func (d *Director) setLoad(t *trial, next *pace, rate, budget float64, now clock.Instant) float64 {
-	t.retryLoadAfterTerm(now)
-	used := float64(t.loadedUsed(rate))
-	plan := d.planLoad(t, rate, budget)
+// allocateLoadTest allocates the load test's share of the traffic until the test has ended. It
+// returns the exposure set aside for the test.
+func (d *Director) allocateLoadTest(t *trackedRollout, next *allocation, rate, budget float64, now clock.Instant) float64 {
+	t.retryLoadTestAfterTerm(now)
+	used := float64(t.loadTestExposure(rate))
+	plan := d.planLoadTest(t, rate, budget)
 	_, warm := t.analysis.canary.TimedSince()
-	if t.load.tried || plan.share <= 0 || !warm {
+	if t.loadTest.done || plan.share <= 0 || !warm {
 		return max(used, plan.exposure)
 	}
-	if !t.load.begun && float64(t.used(rate))+plan.exposure > budget/usableExposure {
-		// Former directors have left too little.
-		t.load.tried = true
+	if !t.loadTest.started && float64(t.usedExposure(rate))+plan.exposure > budget/usableExposure {
+		// Former directors have left too little exposure.
+		t.loadTest.done = true
 		return used
 	}
-	t.load.begun = true
-	borne := t.hasBorne(plan, rate, now)
-	if borne || t.isLoadSpent(plan, rate, budget, now) {
-		t.load.tried = true
-		t.load.shown = plan.isEnough && borne
-		d.log(t, fmt.Sprintf("tried under load: %t, %d attempts at %.1f a second timed", t.load.shown, t.analysis.loaded.timedTotal(), plan.share*rate))
+	t.loadTest.started = true
+	sustained := t.sustainedLoad(plan, rate, now)
+	if sustained || t.isLoadTestExhausted(plan, rate, budget, now) {
+		t.loadTest.done = true
+		t.loadTest.passed = plan.isSufficient && sustained
+		d.log(t, fmt.Sprintf("load test: passed %t, %d attempts timed at %.1f requests a second", t.loadTest.passed, t.analysis.loadTest.timedTotal(), plan.share*rate))
 		return used
 	}
-	next.loadedShare = plan.share
-	if local := plan.share * plan.regions; local <= maxLocalShare {
-		next.loadedLocal = local
+	next.loadTestShare = plan.share
+	if local := plan.share * plan.regions; local <= maxLoadTestLocalShare {
+		next.loadTestLocal = local
 	} else {
-		next.loadedLocal, next.loadedRemote = plan.share, plan.share
+		next.loadTestLocal, next.loadTestRemote = plan.share, plan.share
 	}
 	return max(used, plan.exposure)
 }
 
-// retryLoadAfterTerm has a version that could not be brought under load in its term be tried
-// again after it.
-func (t *trial) retryLoadAfterTerm(now clock.Instant) {
-	if !t.isPastTerm(now) || t.load.overdue || t.load.shown {
+// retryLoadTestAfterTerm allows another load test after the term for a version that did not
+// pass one within it.
+func (t *trackedRollout) retryLoadTestAfterTerm(now clock.Instant) {
+	if !t.isPastTerm(now) || t.loadTest.retried || t.loadTest.passed {
 		return
 	}
-	t.load.overdue, t.load.tried, t.load.begun = true, false, false
-	t.analysis.loaded.forgetAcceptance()
+	t.loadTest.retried, t.loadTest.done, t.loadTest.started = true, false, false
+	t.analysis.loadTest.resetAcceptance()
 }
 
-// isLoadSpent reports whether the runner under load has had what it may get.
-func (t *trial) isLoadSpent(plan loadPlan, rate, budget float64, now clock.Instant) bool {
+// isLoadTestExhausted reports whether the load test has used up its exposure or time. After
+// the term it has no limit.
+func (t *trackedRollout) isLoadTestExhausted(plan loadTestPlan, rate, budget float64, now clock.Instant) bool {
 	if t.isPastTerm(now) {
 		return false
 	}
-	used := float64(t.loadedUsed(rate))
-	overBudget := used >= loadBudget*budget && float64(t.used(rate)) >= t.mostUsed()*budget
-	return used >= longestLoad*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.shape.Longest
+	used := float64(t.loadTestExposure(rate))
+	overBudget := used >= loadTestBudgetFraction*budget && float64(t.usedExposure(rate)) >= t.loadTestUsageLimit()*budget
+	return used >= maxLoadTestOverrun*plan.exposure || overBudget || now.Since(t.enteredAt) >= t.plan.MaxDuration
 }
 
-// mostUsed returns the part of the exposure up to which a runner is kept under load. What a
-// former director had written as used ahead was used in part.
-func (t *trial) mostUsed() float64 {
-	if t.usedBefore > 0 {
-		return resumedBudget
+// loadTestUsageLimit returns the fraction of the budget that may be used before the load test
+// stops. It is larger after a takeover, because the stored exposure includes exposure reserved
+// ahead, of which only a part was used.
+func (t *trackedRollout) loadTestUsageLimit() float64 {
+	if t.inheritedExposure > 0 {
+		return resumedBudgetFraction
 	}
-	return canaryBudget
+	return canaryBudgetFraction
 }
 
-// loadPlan is how a runner is brought under load.
-type loadPlan struct {
-	// share is what it gets, in parts of all requests, hold for how long its attempts are timed
-	// at least, exposure how long the whole traffic would have to go to it for as many.
+// loadTestPlan is how a runner is brought under load.
+type loadTestPlan struct {
+	// share is the runner's share of all requests, hold how long its attempts are timed at
+	// least, exposure the exposure caused, in nanoseconds, and regions the number of regions
+	// that have runners.
 	share    float64
 	hold     time.Duration
 	exposure float64
 	regions  float64
-	// isEnough says that the version is tried under load then.
-	isEnough bool
+	// isSufficient is set if the planned load is enough to pass the test.
+	isSufficient bool
 }
 
-// planLoad plans how a runner is brought under load. The share is 0 where there is none to
-// spare, and while too little is known.
-func (d *Director) planLoad(t *trial, rate, budget float64) loadPlan {
+// planLoadTest plans how a runner is brought under load. The share is 0 if no runner can be
+// spared, and while too little is known.
+func (d *Director) planLoadTest(t *trackedRollout, rate, budget float64) loadTestPlan {
 	runners := d.options.Runners(t.service)
-	pair, ok := NewLoadPair(runners, t.record.Target, t.record.Order)
-	whole := t.analysis.canary.meanOldWhole()
-	if !ok || rate <= 0 || whole <= 0 {
-		return loadPlan{}
+	pair, ok := SelectLoadTestPair(runners, t.record.Target, t.record.Order)
+	duration := t.analysis.canary.meanOldDuration()
+	if !ok || rate <= 0 || duration <= 0 {
+		return loadTestPlan{}
 	}
 	regions, old := map[ids.Region]bool{}, 0
 	for _, runner := range runners {
@@ -143,38 +152,39 @@
 			old++
 		}
 	}
-	usual := rate * whole.Seconds() / float64(max(1, old))
-	underLoad := max(whole, t.analysis.loaded.meanOldWhole())
-	ramp := 2*d.options.Policy.ExchangeInterval + underLoad
-	plan := loadPlan{hold: loadHold + underLoad, regions: float64(len(regions))}
-	lasts := float64(ramp + plan.hold)
-	// What few attempts under load took says too little to plan with fewer requests.
-	slots, all := float64(pair.Target.Slots), whole.Seconds()*rate
-	plan.share = min(max(peakFactor*usual, peakSlots*slots)/all, maxLoadedShare, loadBudget*budget/lasts)
-	plan.exposure = plan.share * lasts
-	plan.isEnough = plan.share >= maxLoadedShare || plan.share*all >= max(leastFactor*usual, leastSlots*slots)
+	usualLoad := rate * duration.Seconds() / float64(max(1, old))
+	loadedDuration := max(duration, t.analysis.loadTest.meanOldDuration())
+	ramp := 2*d.options.Policy.ExchangeInterval + loadedDuration
+	plan := loadTestPlan{hold: loadTestHold + loadedDuration, regions: float64(len(regions))}
+	testDuration := float64(ramp + plan.hold)
+	// The durations of the few attempts under load are too uncertain to plan fewer requests from.
+	slots, totalLoad := float64(pair.Target.Slots), duration.Seconds()*rate
+	plan.share = min(max(targetLoadFactor*usualLoad, targetSlotsFactor*slots)/totalLoad, maxLoadTestShare, loadTestBudgetFraction*budget/testDuration)
+	plan.exposure = plan.share * testDuration
+	plan.isSufficient = plan.share >= maxLoadTestShare || plan.share*totalLoad >= max(minLoadFactor*usualLoad, minSlotsFactor*slots)
 	return plan
 }
 
-// hasBorne reports whether the version has borne the planned load for long enough.
-func (t *trial) hasBorne(plan loadPlan, rate float64, now clock.Instant) bool {
-	loaded := t.analysis.loaded
-	since, ok := loaded.TimedSince()
-	if !ok || loaded.IsDoubtful() || now.Since(since) < plan.hold {
+// sustainedLoad reports whether the version has sustained the planned load for long enough.
+func (t *trackedRollout) sustainedLoad(plan loadTestPlan, rate float64, now clock.Instant) bool {
+	loadTest := t.analysis.loadTest
+	since, ok := loadTest.TimedSince()
+	if !ok || loadTest.IsSuspect() || now.Since(since) < plan.hold {
 		return false
 	}
-	attempts := loadAttemptsPart * plan.share * rate * plan.hold.Seconds()
-	least := float64(minLoadAttempts)
-	if plan.share >= maxLoadedShare {
-		// Nearly all requests are no more than a few at a time: fewer of them meet the load.
-		least *= 2
+	attempts := loadTestTimedFraction * plan.share * rate * plan.hold.Seconds()
+	minAttempts := float64(minLoadTestAttempts)
+	if plan.share >= maxLoadTestShare {
+		// If the runner gets nearly all requests, only a few run at a time, and fewer of them
+		// run under the full load.
+		minAttempts *= 2
 	}
-	return float64(loaded.timedTotal()) >= max(attempts, least)
+	return float64(loadTest.timedTotal()) >= max(attempts, minAttempts)
 }
 
-// pacedBudget returns the exposure that a rollout may cause until its term, without bound once
-// that is over.
-func (d *Director) pacedBudget(t *trial, now clock.Instant) float64 {
+// budgetUntilTerm returns the exposure that a rollout may cause until its term, infinity once
+// the term is over.
+func (d *Director) budgetUntilTerm(t *trackedRollout, now clock.Instant) float64 {
 	if t.isPastTerm(now) {
 		return math.Inf(1)
 	}
--- a/control/rollout/status.go
+++ b/control/rollout/status.go
@@ -7,8 +7,8 @@
 	"onyxwell/base/ids"
 )
 
-// waitsFor says what a rollout waits for.
-func (d *Director) waitsFor(t *trial, now clock.Instant) string {
+// waitReason returns what a rollout is waiting for.
+func (d *Director) waitReason(t *trackedRollout, now clock.Instant) string {
 	switch t.stage() {
 	case Waiting:
 		return "runners of the target version"
@@ -16,12 +16,12 @@
 		if verdict := t.analysis.verdict(); verdict.Finding != Good {
 			return verdict.Reason
 		}
-		if t.stage() == Canary && !d.hasBorneLoad(t, now) {
-			return t.lacksLoad()
+		if t.stage() == Canary && !d.passedLoadTest(t, now) {
+			return t.loadTestWaitReason()
 		}
 		return "the time of the stage"
 	}
-	if t.analysis.isDoubtful() {
+	if t.analysis.isSuspect() {
 		return "more attempts: something speaks against the version"
 	}
 	if zone, ok := d.unconfirmedZone(t, now); ok {
@@ -30,30 +30,30 @@
 	return "the verdict to be stored"
 }
 
-// lacksLoad says why a version was not tried under load yet.
-func (t *trial) lacksLoad() string {
-	if t.load.tried {
+// loadTestWaitReason returns what a version that has not passed the load test is waiting for.
+func (t *trackedRollout) loadTestWaitReason() string {
+	if t.loadTest.done {
 		return "the end of the term: too few requests, or too little exposure, to bring a runner under load"
 	}
 	return "attempts under load"
 }
 
-// Condition returns what became of a service's newest rollout.
+// Condition returns the condition of a service's newest rollout.
 func (d *Director) Condition(service ids.Service) Condition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if t := d.trials[service]; t != nil {
+	if t := d.rollouts[service]; t != nil {
 		return Condition(t.record.Condition)
 	}
-	return Unordered
+	return NoRollout
 }
 
-// Count returns how many services' newest rollouts have a condition.
+// Count returns the number of services whose newest rollout has a condition.
 func (d *Director) Count(condition Condition) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	count := 0
-	for _, t := range d.trials {
+	for _, t := range d.rollouts {
 		if Condition(t.record.Condition) == condition {
 			count++
 		}
@@ -61,11 +61,11 @@
 	return count
 }
 
-// AwaitsRunners reports whether a rollout waits for runners of its target version.
+// AwaitsRunners reports whether a rollout is waiting for runners of its target version.
 func (d *Director) AwaitsRunners() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, t := range d.trials {
+	for _, t := range d.rollouts {
 		if t.record.InProgress() && t.stage() == Waiting {
 			return true
 		}
@@ -73,7 +73,7 @@
 	return false
 }
 
-// Status is a rollout as operators see it.
+// Status is the state of a rollout, for operators.
 type Status struct {
 	Service    ids.Service `json:"service"`
 	Target     string      `json:"target_version"`
@@ -83,27 +83,27 @@
 	ElapsedMS  int64       `json:"elapsed_ms"`
 	ReservedMS int64       `json:"exposure_reserved_ms"`
 	Reason     string      `json:"reason,omitempty"`
-	// WaitsFor, Note and Routes are known at the director alone. Note says that the term is too
+	// WaitsFor, Note and Routes are known only at the director. Note is set if the term is too
 	// short.
 	WaitsFor string        `json:"waits_for,omitempty"`
 	Note     string        `json:"note,omitempty"`
 	Routes   []RouteStatus `json:"routes,omitempty"`
 }
 
-// Statuses returns all rollouts that are known here.
+// Statuses returns the state of all known rollouts.
 func (d *Director) Statuses() []Status {
 	now := d.options.Clock.Now()
 	epoch, held := d.options.Held(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var statuses []Status
-	for _, t := range d.trials {
+	for _, t := range d.rollouts {
 		status := Status{
 			Service: t.service, Target: t.record.Target, Condition: Condition(t.record.Condition).String(), Stage: t.stage().String(),
 			TermMS: t.record.TermMS, ElapsedMS: now.Since(t.orderedAt).Milliseconds(), ReservedMS: t.record.ReservedMS, Reason: t.record.Reason,
 		}
 		if held && t.epoch == epoch && t.record.InProgress() {
-			status.WaitsFor, status.Routes = d.waitsFor(t, now), t.analysis.canary.Routes()
+			status.WaitsFor, status.Routes = d.waitReason(t, now), t.analysis.canary.Routes()
 			status.Note = t.note
 		}
 		statuses = append(statuses, status)
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// saveInterval is the time between two writes of the evidence. What may be used until
-	// maxSaveAge after a write is written with it; permits are granted no longer. What routers
-	// report after that goes to the director that takes over.
+	// saveInterval is the time between two writes of the evidence. Each write includes the
+	// exposure that may be used until maxSaveAge after it; no permits are granted after that.
+	// What routers report later goes to the director that takes over.
 	saveInterval = 500 * time.Millisecond
 	maxSaveAge   = 2 * saveInterval
 )
@@ -23,65 +23,66 @@
 	evidence Evidence
 }
 
-// paceAll divides the traffic anew where that is due, and returns the evidence that is to be
-// stored.
-func (d *Director) paceAll(epoch int64, now clock.Instant) []savedEvidence {
+// updateAllocations updates the allocations that are due, and returns the evidence that is to
+// be stored.
+func (d *Director) updateAllocations(epoch int64, now clock.Instant) []savedEvidence {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var due []savedEvidence
-	for service, trial := range d.trials {
-		if !trial.record.InProgress() || trial.stage() == Waiting || trial.epoch != epoch {
+	for service, tracked := range d.rollouts {
+		if !tracked.record.InProgress() || tracked.stage() == Waiting || tracked.epoch != epoch {
 			continue
 		}
-		if now.Since(trial.pacedAt) >= d.options.Policy.ExchangeInterval {
-			trial.pacedAt = now
-			d.setPace(trial, now)
-			d.noteShortTerm(trial, now)
+		if now.Since(tracked.allocatedAt) >= d.options.Policy.ExchangeInterval {
+			tracked.allocatedAt = now
+			d.updateAllocation(tracked, now)
+			d.noteShortTerm(tracked, now)
 		}
-		if now.Since(trial.savedAt) >= saveInterval {
-			due = append(due, savedEvidence{service: service, evidence: d.evidence(trial, now)})
+		if now.Since(tracked.savedAt) >= saveInterval {
+			due = append(due, savedEvidence{service: service, evidence: d.evidence(tracked, now)})
 		}
 	}
 	return due
 }
 
-// save stores evidence. Where that fails it is due again, and permits end meanwhile.
+// save stores evidence. If that fails, it is due again at the next step, and permits stop once
+// the last stored evidence is older than maxSaveAge.
 func (d *Director) save(ctx context.Context, save savedEvidence) {
 	startedAt := d.options.Clock.Now()
-	if _, err := d.options.Update(ctx, evidenceKey(save.service), save.evidence.write()); err != nil {
+	if _, err := d.options.Update(ctx, evidenceKey(save.service), save.evidence.update()); err != nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if trial := d.trials[save.service]; trial.record.Order == save.evidence.Order && trial.epoch == save.evidence.Epoch {
-		trial.savedAt = max(trial.savedAt, startedAt)
+	if tracked := d.rollouts[save.service]; tracked.record.Order == save.evidence.Order && tracked.epoch == save.evidence.Epoch {
+		tracked.savedAt = max(tracked.savedAt, startedAt)
 	}
 }
 
-// evidence returns what is known of a rollout, with the exposure that may come until permits
-// are granted no longer. The caller holds d.mu.
-func (d *Director) evidence(t *trial, now clock.Instant) Evidence {
+// evidence returns the evidence on a rollout, including the exposure that may be used until
+// permits are granted no longer. The caller holds d.mu.
+func (d *Director) evidence(t *trackedRollout, now clock.Instant) Evidence {
 	rate := t.analysis.requestsPerS(now)
 	ahead := float64(maxSaveAge)
 	if t.stage() == Full {
 		ahead = 0
 	}
-	loadedAhead := time.Duration(t.pace.loadedShare * ahead)
+	loadedAhead := time.Duration(t.allocation.loadTestShare * ahead)
 	return Evidence{
 		Order: t.record.Order, Epoch: t.epoch, Stage: t.record.Stage, LastedMS: now.Since(t.enteredAt).Milliseconds(),
-		UsedMS:       (t.used(rate) + time.Duration(t.pace.share*ahead) + loadedAhead).Milliseconds(),
-		LoadedUsedMS: (t.loadedUsed(rate) + loadedAhead).Milliseconds(),
-		RequestsPerS: t.analysis.mostRequestsPerS(t.paced, now), LoadTried: t.load.tried, LoadShown: t.load.shown,
-		Canary: t.analysis.canary.evidence(now), Loaded: t.analysis.loaded.evidence(now),
+		UsedMS:       (t.usedExposure(rate) + time.Duration(t.allocation.share*ahead) + loadedAhead).Milliseconds(),
+		LoadedUsedMS: (t.loadTestExposure(rate) + loadedAhead).Milliseconds(),
+		RequestsPerS: t.analysis.maxRequestsPerS(t.allocatedExposure, now), LoadTried: t.loadTest.done, LoadShown: t.loadTest.passed,
+		Canary: t.analysis.canary.evidence(now), Loaded: t.analysis.loadTest.evidence(now),
 	}
 }
 
-// recover returns what a former director stored of a rollout that a step goes on with, the
-// zero Evidence for any other step.
-func (d *Director) recover(ctx context.Context, step Transition) (Evidence, error) {
+// loadEvidence returns the evidence that a former director stored, if the step resumes a
+// rollout, and the zero Evidence otherwise.
+func (d *Director) loadEvidence(ctx context.Context, step Transition) (Evidence, error) {
 	d.mu.Lock()
-	trial := d.trials[step.Service]
-	resumes := trial.isResumedBy(step)
+	tracked := d.rollouts[step.Service]
+	resumes := tracked.isResumedBy(step)
 	d.mu.Unlock()
 	if !resumes {
 		return Evidence{}, nil
@@ -92,58 +93,59 @@
 	}
 	stored, err := decodeEvidence(value)
 	if err != nil || stored.Order != step.Order {
-		// A director of an earlier build stores none.
+		// Directors of earlier builds store no evidence.
 		return Evidence{}, nil
 	}
 	return stored, nil
 }
 
-// isResumedBy reports whether a step goes on with the present stage under another epoch.
-func (t *trial) isResumedBy(step Transition) bool {
-	return step.To == Serving && t.stage() == step.Stage && t.epoch != step.Epoch
+// isResumedBy reports whether a step continues the current stage under another epoch.
+func (t *trackedRollout) isResumedBy(step Transition) bool {
+	return step.To == InProgress && t.stage() == step.Stage && t.epoch != step.Epoch
 }
 
-// resume goes on with what a former director knew. Without that, all that was reserved counts
-// as used.
-func (t *trial) resume(known Evidence, now clock.Instant) {
+// resume restores the evidence of a former director. Without any, all of the reserved exposure
+// counts as used.
+func (t *trackedRollout) resume(known Evidence, now clock.Instant) {
 	t.analysis = newAnalysis()
 	t.analysis.settleTime = resumedSettleTime
-	t.paced, t.accountedAt, t.pace, t.load = 0, 0, pace{}, loadTrial{}
+	t.allocatedExposure, t.accountedAt, t.allocation, t.loadTest = 0, 0, allocation{}, loadTestState{}
 	t.analysis.beginStage(t.stage())
 	if known.Order == 0 {
-		t.usedBefore = time.Duration(t.record.ReservedMS) * time.Millisecond
+		t.inheritedExposure = time.Duration(t.record.ReservedMS) * time.Millisecond
 		return
 	}
-	t.usedBefore = time.Duration(known.UsedMS) * time.Millisecond
+	t.inheritedExposure = time.Duration(known.UsedMS) * time.Millisecond
 	t.analysis.rate = known.RequestsPerS
-	t.load = loadTrial{tried: known.LoadTried, shown: known.LoadShown, usedBefore: time.Duration(known.LoadedUsedMS) * time.Millisecond}
-	t.analysis.loaded = judgeWith(newLoadedJudge(), known.Loaded, t.stage(), now)
+	t.loadTest = loadTestState{done: known.LoadTried, passed: known.LoadShown, inheritedExposure: time.Duration(known.LoadedUsedMS) * time.Millisecond}
+	t.analysis.loadTest = restoreJudge(newLoadTestJudge(), known.Loaded, t.stage(), now)
 	if !known.LoadShown {
-		// The load ended with the former director's permits: it is to be borne anew.
-		t.analysis.loaded.forgetAcceptance()
+		// The load ended with the former director's permits, so the version has to sustain it
+		// again.
+		t.analysis.loadTest.resetAcceptance()
 	}
 	if Stage(known.Stage) != t.stage() {
 		return
 	}
 	t.enteredAt = now.Add(-time.Duration(known.LastedMS) * time.Millisecond)
-	t.analysis.canary = judgeWith(NewJudge(), known.Canary, t.stage(), now)
+	t.analysis.canary = restoreJudge(NewJudge(), known.Canary, t.stage(), now)
 }
 
-// noteShortTerm says where a rollout can't finish in its term, as soon as that is known.
-func (d *Director) noteShortTerm(t *trial, now clock.Instant) {
+// noteShortTerm notes that a rollout can't finish in its term, as soon as that is known.
+func (d *Director) noteShortTerm(t *trackedRollout, now clock.Instant) {
 	rate := t.analysis.requestsPerS(now)
 	if t.note != "" || rate <= 0 || t.stage() != Canary {
 		return
 	}
-	evidence := time.Duration(0)
-	if limit := float64(d.budget(t)) * canaryBudget / float64(t.shape.Least); limit > 0 {
-		inTime := max(minEvidenceTime, time.Duration(evidenceTime*float64(t.shape.Least)))
-		evidence = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(inTime))
+	evidenceTime := time.Duration(0)
+	if limit := float64(d.budget(t)) * canaryBudgetFraction / float64(t.plan.MinDuration); limit > 0 {
+		period := max(minEvidenceTime, time.Duration(evidenceTimeFraction*float64(t.plan.MinDuration)))
+		evidenceTime = time.Duration(d.evidenceShare(t, rate) / min(limit, maxCanaryShare) * float64(period))
 	}
-	least := t.enteredAt.Since(t.orderedAt) + max(t.shape.Least, evidence) + minFull + d.drainTime(t)
-	if least <= t.term() {
+	minTime := t.enteredAt.Since(t.orderedAt) + max(t.plan.MinDuration, evidenceTime) + minFullTime + d.drainTime(t)
+	if minTime <= t.term() {
 		return
 	}
-	t.note = fmt.Sprintf("term too short: at least %.1f s at %.0f requests a second", least.Seconds(), rate)
+	t.note = fmt.Sprintf("term too short: at least %.1f s at %.0f requests a second", minTime.Seconds(), rate)
 	d.log(t, t.note)
 }
