--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -189,7 +189,7 @@
 // is due again. Reducing the target version's traffic does not wait for the store, because
 // permits expire.
 func (d *Director) store(ctx context.Context, step Transition) {
-	known, err := d.loadEvidence(ctx, step)
+	known, err := d.recover(ctx, step)
 	if err != nil {
 		d.logUnstored(step, err)
 		return
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// loadEvidence returns the evidence that a former director stored, if the step resumes a
+// recover returns the evidence that a former director stored, if the step resumes a
 // rollout, and the zero Evidence otherwise.
-func (d *Director) loadEvidence(ctx context.Context, step Transition) (Evidence, error) {
+func (d *Director) recover(ctx context.Context, step Transition) (Evidence, error) {
 	d.mu.Lock()
 	tracked := d.rollouts[step.Service]
 	resumes := tracked.isResumedBy(step)
