--- a/data/balancer/affinity.go
+++ b/data/balancer/affinity.go
@@ -20,7 +20,7 @@
 	// subsetDivisor and minSubset size the subset that serves a rare prefix: one in
 	// so many runners, and at least so many.
 	subsetDivisor = 8
-	minSubset     = 4
+	minSubsetSize = 4
 	// loadFactor and loadMargin bound a candidate's load in terms of the mean.
 	loadFactor = 1.25
 	loadMargin = 0.06
@@ -71,7 +71,7 @@
 // prefixSubset returns the candidates that serve a rare prefix: those with the
 // highest rendezvous scores.
 func prefixSubset(candidates []candidate, prefix string) []candidate {
-	size := max(minSubset, (len(candidates)+subsetDivisor-1)/subsetDivisor)
+	size := max(minSubsetSize, (len(candidates)+subsetDivisor-1)/subsetDivisor)
 	if size >= len(candidates) {
 		return candidates
 	}
@@ -133,8 +133,8 @@
 	// minObservedPrompts is how many prompts must have been observed before any
 	// prefix is rare.
 	minObservedPrompts = 32
-	// forgetShare is the share of the work below which a prefix is forgotten.
-	forgetShare = rarePrefixShare / 64
+	// minTrackedShare is the share of the work below which a prefix is forgotten.
+	minTrackedShare = rarePrefixShare / 64
 	// prefixHalfLife is after how many prompts an observation counts for half.
 	prefixHalfLife = 512
 	// maxPrefixes bounds how many prefixes are tracked.
@@ -179,7 +179,7 @@
 func (p *prefixTracker) decay() {
 	p.count, p.total = p.count/2, p.total/2
 	for prefix, tokens := range p.tokens {
-		if tokens /= 2; tokens < forgetShare*p.total {
+		if tokens /= 2; tokens < minTrackedShare*p.total {
 			delete(p.tokens, prefix)
 		} else {
 			p.tokens[prefix] = tokens
--- a/data/balancer/affinity_test.go
+++ b/data/balancer/affinity_test.go
@@ -57,16 +57,16 @@
 	}
 }
 
-// TestPickByAffinity_leavesOverloadedSubset has the subset that serves a rare
+// TestPickByAffinity_avoidsOverloadedSubset has the subset that serves a rare
 // prefix be overloaded.
-func TestPickByAffinity_leavesOverloadedSubset(t *testing.T) {
+func TestPickByAffinity_avoidsOverloadedSubset(t *testing.T) {
 	candidates := newCandidates(1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	admission := &Admission{request: Request{PromptParts: []string{"first", "second", "own"}}, rarePrefix: true}
 	inSubset := map[ids.RunnerID]bool{}
 	for _, cand := range prefixSubset(candidates, "first") {
 		inSubset[cand.runner.ID] = true
 	}
-	if !inSubset[pickByAffinity(admission, candidates, "second").runner.ID] || len(inSubset) != minSubset {
+	if !inSubset[pickByAffinity(admission, candidates, "second").runner.ID] || len(inSubset) != minSubsetSize {
 		t.Fatalf("picked none of the subset %v", inSubset)
 	}
 	for index := range candidates {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestPrefixTracker_forgets(t *testing.T) {
+func TestPrefixTracker_sizeIsBounded(t *testing.T) {
 	var tracker prefixTracker
 	for number := range 40 * prefixHalfLife {
 		tracker.observe(fmt.Sprint(number), 1000)
--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -65,7 +65,7 @@
 	a.service = b.pickService(req.Route)
 	a.arm = b.options.Versions.Assign(a.service, req.Route.Name)
 	a.rarePrefix = b.hasRarePrefix(req)
-	b.options.Stats.AddDemand(a.service, req.homesKey())
+	b.options.Stats.AddDemand(a.service, req.homeRegionsKey())
 	b.options.RetryBudget.AddRequest(a.service, b.clock.Now())
 	return a
 }
--- a/data/balancer/request.go
+++ b/data/balancer/request.go
@@ -29,10 +29,10 @@
 	PromptTokens float64
 	// MaxTokens is the most that may be generated, as the request states it.
 	MaxTokens float64
-	// StatesTokens says that the request states both.
-	StatesTokens bool
-	ArrivedAt    clock.Instant
-	Deadline     clock.Instant
+	// HasTokenCounts says that the request states both.
+	HasTokenCounts bool
+	ArrivedAt      clock.Instant
+	Deadline       clock.Instant
 }
 
 // ParsePromptParts takes the parts of a prompt from a list of id:tokens, such as
@@ -54,16 +54,16 @@
 // ParseTokenCount takes the prompt's length and the most that may be generated
 // from "prompt,most". Text that is absent or malformed leaves them unknown.
 func (r *Request) ParseTokenCount(text string) {
-	promptText, mostText, _ := strings.Cut(text, ",")
+	promptText, maxText, _ := strings.Cut(text, ",")
 	prompt, promptOK := parseTokens(promptText)
 	if promptOK {
 		r.PromptTokens = prompt
 	}
-	most, mostOK := parseTokens(mostText)
-	if mostOK {
-		r.MaxTokens = most
+	maxTokens, maxOK := parseTokens(maxText)
+	if maxOK {
+		r.MaxTokens = maxTokens
 	}
-	r.StatesTokens = promptOK && mostOK
+	r.HasTokenCounts = promptOK && maxOK
 }
 
 func parseTokens(text string) (tokens float64, ok bool) {
@@ -88,9 +88,9 @@
 	return r.Route.AllowsRegion(region) && (r.Tenant == nil || r.Tenant.AllowsRegion(region))
 }
 
-// homesKey is the form in which demand and flows name the home regions that bind a
+// homeRegionsKey is the form in which demand and flows name the home regions that bind a
 // request; empty where all regions may serve it.
-func (r *Request) homesKey() string {
+func (r *Request) homeRegionsKey() string {
 	homes := r.Route.HomeRegions
 	if r.Tenant != nil && len(r.Tenant.HomeRegions) > 0 {
 		homes = r.Tenant.HomeRegions
@@ -106,7 +106,7 @@
 
 // QuotaCost is what the request counts as towards its tenant's quota.
 func (r *Request) QuotaCost() float64 {
-	if !r.StatesTokens {
+	if !r.HasTokenCounts {
 		return r.Tenant.Cost(-1)
 	}
 	return r.Tenant.Cost(r.PromptTokens + r.MaxTokens)
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -72,14 +72,14 @@
 func (b *Balancer) timelyCandidates(snap *snapshot.Snapshot, admission *Admission, now clock.Instant) ([]candidate, time.Duration) {
 	filter := b.options.Versions.Filter(snap, admission.service, admission.arm, now)
 	admission.arm = filter.Arm
-	timely, delay, overloaded := b.timelyOf(snap, admission, filter, now)
+	timely, delay, overloaded := b.timelyMatching(snap, admission, filter, now)
 	if len(timely) == 0 && filter.CanFallBack {
 		admission.arm = canary.Old
 		filter = b.options.Versions.Filter(snap, admission.service, admission.arm, now)
-		timely, delay, overloaded = b.timelyOf(snap, admission, filter, now)
+		timely, delay, overloaded = b.timelyMatching(snap, admission, filter, now)
 	}
 	if len(timely) == 0 && filter.SparesControl() {
-		timely, delay, overloaded = b.timelyOf(snap, admission, filter.WithControl(), now)
+		timely, delay, overloaded = b.timelyMatching(snap, admission, filter.WithControl(), now)
 	}
 	if overloaded {
 		admission.overloaded = true
@@ -88,9 +88,9 @@
 	return timely, delay
 }
 
-// timelyOf returns the runners that a filter allows and that can take the request now and in
+// timelyMatching returns the runners that a filter allows and that can take the request now and in
 // time; overloaded says that there are some that can't in time, and no others.
-func (b *Balancer) timelyOf(snap *snapshot.Snapshot, admission *Admission, filter canary.Filter, now clock.Instant) (timely []candidate, delay time.Duration, overloaded bool) {
+func (b *Balancer) timelyMatching(snap *snapshot.Snapshot, admission *Admission, filter canary.Filter, now clock.Instant) (timely []candidate, delay time.Duration, overloaded bool) {
 	candidates, delay := b.candidates(snap, admission, filter, now)
 	timely = b.filterTimely(&admission.request, candidates, now)
 	return timely, delay, len(timely) == 0 && len(candidates) > 0
@@ -101,7 +101,7 @@
 // counts the runners that it leaves out in the admission's exclusions, and
 // returns after how long one of them may be a candidate, 0 for none.
 func (b *Balancer) candidates(snap *snapshot.Snapshot, admission *Admission, filter canary.Filter, now clock.Instant) ([]candidate, time.Duration) {
-	check := readiness{
+	check := readinessCheck{
 		balancer: b, service: snap.Config.Service(admission.service), now: now,
 		silenceLimit: max(admission.request.Route.LatencyTarget()/silenceDivisor, minSilenceLimit),
 	}
@@ -155,8 +155,8 @@
 	return false
 }
 
-// readiness checks which runners of a service can take a request now.
-type readiness struct {
+// readinessCheck checks which runners of a service can take a request now.
+type readinessCheck struct {
 	balancer *Balancer
 	service  *config.Service
 	now      clock.Instant
@@ -168,7 +168,7 @@
 
 // ready reports whether a runner can take a request now; soon says that it may
 // after recheckDelay.
-func (r *readiness) ready(runner *snapshot.Runner, stats *runnerstats.State, exclusions *Exclusions) (ready, soon bool) {
+func (r *readinessCheck) ready(runner *snapshot.Runner, stats *runnerstats.State, exclusions *Exclusions) (ready, soon bool) {
 	options := &r.balancer.options
 	if stats.Suspect || options.Stats.SilentFor(runner.ID, r.now) > r.silenceLimit {
 		exclusions.Unresponsive++
@@ -231,7 +231,7 @@
 	if len(regions) == 1 {
 		return candidates
 	}
-	homes := admission.request.homesKey()
+	homes := admission.request.homeRegionsKey()
 	applies := func(flow autoscaler.Flow) bool {
 		return flow.Service == admission.service && flow.HomeRegions == homes && flow.Origin == b.options.Region
 	}
--- a/data/router/drain.go
+++ b/data/router/drain.go
@@ -52,8 +52,8 @@
 	r.daemon.GossipNow(ctx)
 	r.proxy.Drain(startedAt.Add(acceptWhileDraining))
 	r.proxy.CloseIdle()
-	moving := directoryTTLFactor * settings.Seconds(min(directory.MaxTTLSeconds, r.settings.Bounds.TTLMaxS))
-	clock.Wait(ctx, r.clock, min(moving, grace*listenerClosePercent/100))
+	clientMoveTime := directoryTTLFactor * settings.Seconds(min(directory.MaxTTLSeconds, r.settings.Bounds.TTLMaxS))
+	clock.Wait(ctx, r.clock, min(clientMoveTime, grace*listenerClosePercent/100))
 	if endpoint != nil {
 		r.closeEndpoint(ctx, endpoint, grace*drainEndPercent/100-r.clock.Now().Since(startedAt))
 	}
--- a/data/router/health.go
+++ b/data/router/health.go
@@ -109,7 +109,7 @@
 	current := r.snapshots.Current()
 	runner := current.Find(id)
 	if runner == nil || !isConfigured(current, runner) {
-		r.stats.Unlist(id)
+		r.stats.StopProbing(id)
 		return
 	}
 	report, err := r.checkHealth(ctx, client, current, runner)
--- a/data/router/lostzones_test.go
+++ b/data/router/lostzones_test.go
@@ -95,14 +95,14 @@
 	}
 	r, fakeClock := newRouter(t, runners...)
 	r.lostZones.update(map[ids.Zone]bool{"s": true}, fakeClock.Now())
-	var tests []int
+	var probed []int
 	for range 4 {
 		for range r.lostZones.dueProbes(fakeClock.Now(), time.Second) {
-			tests = append(tests, len(sampleRunners(r.snapshots.Current(), "s")))
+			probed = append(probed, len(sampleRunners(r.snapshots.Current(), "s")))
 		}
 		fakeClock.Advance(2 * time.Second)
 	}
-	if !slices.Equal(tests, []int{1, 1, 1}) {
-		t.Fatalf("runners tested: %v", tests)
+	if !slices.Equal(probed, []int{1, 1, 1}) {
+		t.Fatalf("runners tested: %v", probed)
 	}
 }
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -114,7 +114,7 @@
 			Clock: r.clock, Dialer: r.dialer(),
 			IdleTimeout: upstreamIdleFactor * r.timing.PeerTimeout, MaxIdlePerHost: r.settings.Limits.OpenFiles / idlePerHostDivisor,
 		}),
-		OnRequestBegan: r.usage.began, RevokedKeyTimeout: revokedKeyTimeout(r.settings.Bounds),
+		OnRequestBegan: r.usage.requestBegan, RevokedKeyTimeout: revokedKeyTimeout(r.settings.Bounds),
 		Limiter: r.limiter, Canary: r.versions, QuotaRetryAfter: r.daemon.QuotaPolicy().RetryAfter(),
 		Metrics: r.daemon.Metrics, Monitor: r.daemon.Monitor,
 	})
--- a/data/router/usage.go
+++ b/data/router/usage.go
@@ -19,27 +19,27 @@
 // usageReporter counts the requests that runners began, and reports them to the zone's
 // relay. It does nothing where the settings ask for no usage reports.
 type usageReporter struct {
-	clock  clock.Clock
-	daemon *daemon.Daemon
-	meter  *usage.Meter
-	life   int64
+	clock       clock.Clock
+	daemon      *daemon.Daemon
+	meter       *usage.Meter
+	incarnation int64
 }
 
 func newUsageReporter(source clock.Clock, node *settings.Settings, d *daemon.Daemon) *usageReporter {
 	reporter := &usageReporter{clock: source, daemon: d}
 	if agreed := d.AgreedTime(); agreed != nil {
 		reporter.meter = usage.NewMeter(settings.Seconds(node.Bounds.UsageWindowS), agreed.Now)
-		reporter.life = lifeOf(agreed)
+		reporter.incarnation = newIncarnation(agreed)
 	}
 	return reporter
 }
 
-// lifeOf numbers a life of a router that begins now: later ones have higher numbers, unless
+// newIncarnation numbers a life of a router that begins now: later ones have higher numbers, unless
 // its clock was set back.
-func lifeOf(agreed *timesync.Clock) int64 { return int64(agreed.Now()) }
+func newIncarnation(agreed *timesync.Clock) int64 { return int64(agreed.Now()) }
 
-// began counts a request of a tenant that a runner began age ago.
-func (u *usageReporter) began(tenant ids.Tenant, age time.Duration) {
+// requestBegan counts a request of a tenant that a runner requestBegan age ago.
+func (u *usageReporter) requestBegan(tenant ids.Tenant, age time.Duration) {
 	if u.meter != nil {
 		u.meter.Began(tenant, age)
 	}
@@ -59,7 +59,7 @@
 
 func (u *usageReporter) report(ctx context.Context) {
 	report := u.meter.Report()
-	report.Life = u.life
+	report.Life = u.incarnation
 	if decided, err := u.daemon.ReportUsage(ctx, report); err == nil {
 		u.meter.Decided(decided)
 	}
--- a/data/runnerstats/collector.go
+++ b/data/runnerstats/collector.go
@@ -38,7 +38,7 @@
 // runner is all that is kept of a runner.
 type runner struct {
 	State
-	probing probing
+	probing probeState
 	totals  totals
 	pending map[uint64]pendingRequest
 }
@@ -70,8 +70,8 @@
 }
 
 type demandKey struct {
-	service ids.Service
-	homes   string
+	service     ids.Service
+	homeRegions string
 }
 
 type readingKey struct {
--- a/data/runnerstats/report.go
+++ b/data/runnerstats/report.go
@@ -11,10 +11,10 @@
 )
 
 // AddDemand counts a request for a service, by the key of its home regions.
-func (c *Collector) AddDemand(service ids.Service, homes string) {
+func (c *Collector) AddDemand(service ids.Service, homeRegions string) {
 	c.demandMu.Lock()
 	defer c.demandMu.Unlock()
-	c.demand[demandKey{service: service, homes: homes}]++
+	c.demand[demandKey{service: service, homeRegions: homeRegions}]++
 }
 
 // ObserveFirstEvent records how long the first event of a response took, for a
@@ -65,7 +65,7 @@
 	c.demandMu.Lock()
 	defer c.demandMu.Unlock()
 	for key, arrived := range c.demand {
-		report.Demands = append(report.Demands, autoscaler.Demand{Service: key.service, HomeRegions: key.homes, Arrived: arrived})
+		report.Demands = append(report.Demands, autoscaler.Demand{Service: key.service, HomeRegions: key.homeRegions, Arrived: arrived})
 	}
 	for _, reading := range c.readings {
 		report.Readings = append(report.Readings, reading)
--- a/data/runnerstats/suspicion.go
+++ b/data/runnerstats/suspicion.go
@@ -23,8 +23,8 @@
 	unhealthyReplyLimit = 4
 )
 
-// probing is the state of a runner's suspicions.
-type probing struct {
+// probeState is the state of a runner's suspicions.
+type probeState struct {
 	// probes counts the probes of the current suspicion, unhealthyReplies those that
 	// called the runner unhealthy; nextProbe is when the next is due.
 	probes           int
@@ -74,19 +74,19 @@
 }
 
 // clearedWithin reports whether a suspicion ended within the time before now.
-func (p *probing) clearedWithin(window time.Duration, now clock.Instant) bool {
+func (p *probeState) clearedWithin(window time.Duration, now clock.Instant) bool {
 	return p.clearedAt != 0 && now.Since(p.clearedAt) <= window
 }
 
 // RecordUnhealthy records a probe to which the runner replied that it is
 // unhealthy; it reports whether the suspicion should be cleared nevertheless.
 func (c *Collector) RecordUnhealthy(id ids.RunnerID) bool {
-	try := false
+	shouldClear := false
 	c.update(id, func(r *runner) {
 		r.probing.unhealthyReplies++
-		try = r.probing.unhealthyReplies >= unhealthyReplyLimit
+		shouldClear = r.probing.unhealthyReplies >= unhealthyReplyLimit
 	})
-	return try
+	return shouldClear
 }
 
 // ClearSuspicion ends the suspicion of a runner whose probe succeeded.
@@ -102,8 +102,8 @@
 	r.Suspect, r.LastSeen = false, now
 }
 
-// Unlist ends the suspicion of a runner that is listed no more, so that it is not
+// StopProbing ends the suspicion of a runner that is listed no more, so that it is not
 // probed again. It is no sign of life.
-func (c *Collector) Unlist(id ids.RunnerID) {
+func (c *Collector) StopProbing(id ids.RunnerID) {
 	c.update(id, func(r *runner) { r.Suspect = false })
 }
--- a/data/slowstart/slowstart.go
+++ b/data/slowstart/slowstart.go
@@ -127,7 +127,7 @@
 }
 
 // admit reports whether a request is within the limit; with take it is counted.
-func (t *Tracker) admit(id ids.RunnerID, limit Limit, now clock.Instant, take bool) bool {
+func (t *Tracker) admit(id ids.RunnerID, limit Limit, now clock.Instant, consume bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state := t.runners[id]
@@ -144,7 +144,7 @@
 	if now.Before(state.nextAdmission) {
 		return false
 	}
-	if take {
+	if consume {
 		state.nextAdmission = now.Add(time.Duration(interval))
 	}
 	return true
--- a/data/snapshot/baseline.go
+++ b/data/snapshot/baseline.go
@@ -11,7 +11,7 @@
 // baselines returns the version in place of each service: the one that was in place before,
 // while any of its runners is listed, else the one with the most runners. Of two with as many
 // it is the one whose name sorts first, a shorter one before a longer one, as "v9" and "v10".
-func baselines(runners map[ids.Service][]*Runner, before map[ids.Service]string) map[ids.Service]string {
+func baselines(runners map[ids.Service][]*Runner, previous map[ids.Service]string) map[ids.Service]string {
 	result := map[ids.Service]string{}
 	for service, listed := range runners {
 		counts := map[string]int{}
@@ -21,7 +21,7 @@
 		if len(counts) == 0 {
 			continue
 		}
-		if last, ok := before[service]; ok && counts[last] > 0 {
+		if last, ok := previous[service]; ok && counts[last] > 0 {
 			result[service] = last
 			continue
 		}
--- a/data/snapshot/ejection_test.go
+++ b/data/snapshot/ejection_test.go
@@ -11,7 +11,7 @@
 	"onyxwell/control/transport"
 )
 
-func TestEjected_expires(t *testing.T) {
+func TestAvoided_ejectionExpires(t *testing.T) {
 	fakeClock := clock.NewFake()
 	store := NewStore(Options{Clock: fakeClock})
 	body, _ := transport.Marshal(outlier.Ejections{Runners: []outlier.Ejection{{Runner: "i", LeftMS: 1000}}})
--- a/data/snapshot/invariant_test.go
+++ b/data/snapshot/invariant_test.go
@@ -9,7 +9,7 @@
 	"onyxwell/control/config"
 )
 
-func TestInvariants_countOlderVersion(t *testing.T) {
+func TestUpdate_reportsConfigVersionDecrease(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
 	store := NewStore(Options{Clock: clock.NewFake(), Monitor: monitor})
 	for _, version := range []ids.Version{4, 5, 3} {
--- a/data/snapshot/store.go
+++ b/data/snapshot/store.go
@@ -91,7 +91,7 @@
 func (s *Store) Apply(item gossip.Item) {
 	if s.options.View.Apply(item) {
 		s.update(s.applyRunners)
-	} else if apply := s.applierOf(item.Key); apply != nil {
+	} else if apply := s.applierFor(item.Key); apply != nil {
 		s.update(func(next *Snapshot) bool { return apply(next, item.Body) })
 	}
 }
@@ -100,8 +100,8 @@
 // is anything new.
 type applier func(next *Snapshot, body []byte) bool
 
-// applierOf returns what takes over the items of a key, nil where none does.
-func (s *Store) applierOf(key string) applier {
+// applierFor returns what takes over the items of a key, nil where none does.
+func (s *Store) applierFor(key string) applier {
 	switch {
 	case key == config.Key:
 		return applyConfig
--- a/data/snapshot/store_test.go
+++ b/data/snapshot/store_test.go
@@ -17,10 +17,10 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestStore_neverGoesBack applies items in any order: the version of the
+// TestStore_versionsNeverDecrease applies items in any order: the version of the
 // configuration and of each zone only rise, and earlier snapshots stay what they
 // were.
-func TestStore_neverGoesBack(t *testing.T) {
+func TestStore_versionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore(Options{Clock: clock.NewFake()})
 		updates := gossip.NewStore(store.Apply)
--- a/emulator/experiment/dataplane.go
+++ b/emulator/experiment/dataplane.go
@@ -163,7 +163,7 @@
 func (d *dataPlane) probe(ctx context.Context, id ids.RunnerID) {
 	runner := d.snapshots.Current().Find(id)
 	if runner == nil {
-		d.stats.Unlist(id)
+		d.stats.StopProbing(id)
 		return
 	}
 	ctx, cancel := d.clock.WithTimeout(ctx, upstreamTimeout)
