--- a/data/balancer/admission.go
+++ b/data/balancer/admission.go
@@ -11,21 +11,20 @@
 	"onyxwell/data/upstream"
 )
 
-// Action is what the proxy is to do next.
+// Action is the proxy's next step for a request.
 type Action int
 
-// The actions.
 const (
-	// Send the request to the decision's runner.
+	// Send means to send the request to the decision's runner.
 	Send Action = iota
-	// Wait for the decision's delay and ask again.
+	// Wait means to wait for the decision's delay and call Next again.
 	Wait
-	// Fail the request with the decision's error kind.
+	// Fail means to fail the request with the decision's error kind.
 	Fail
 )
 
-// Decision is the next step of an admission. Runner is set for Send, Delay for
-// Wait, Kind for Fail.
+// Decision is the next step for a request. Runner is set for Send, Delay for Wait and
+// Kind for Fail.
 type Decision struct {
 	Action Action
 	Runner *snapshot.Runner
@@ -33,45 +32,47 @@
 	Kind   errkind.Kind
 }
 
-// maxWaitDivisor is the part of a route's latency target, one in so many, that a
-// request may wait for a runner before it is rejected: a rejection that comes
-// late is worse than an early one.
+// maxWaitDivisor bounds the wait for a runner: a request waits for less than
+// 1/maxWaitDivisor of its route's latency target before it is rejected, since an early
+// rejection is better than a late one.
 const maxWaitDivisor = 4
 
-// Admission is the state of one request from its arrival to its end. It belongs
-// to one goroutine.
+// Admission tracks one request from its arrival to its end. It is not safe for
+// concurrent use.
 type Admission struct {
 	balancer *Balancer
 	request  Request
 	service  ids.Service
-	// tried are the runners that the request was meant for, whether it reached
-	// them or not; attempts counts those that it may have reached.
+	// tried holds the runners with a recorded outcome, whether the request reached
+	// them or not. attempts counts those that it may have reached.
 	tried    map[ids.RunnerID]bool
 	attempts int
-	// reachedRunner: some runner may have received the request. mayHaveRun: some
-	// runner may have executed it. garbled: the last outcome was no valid response.
+	// reachedRunner reports whether any runner may have received the request,
+	// mayHaveRun whether any may have executed it, and garbled whether the last one
+	// that it may have reached returned an invalid response.
 	reachedRunner bool
 	mayHaveRun    bool
 	garbled       bool
-	// overloaded: every runner has a queue that would make the request late.
+	// overloaded reports that the queue of every runner was too long for the request
+	// to meet its latency target.
 	overloaded bool
 	exclusions Exclusions
-	// arm is the side of a rollout of the service that the request belongs to.
+	// arm is the arm of the service's rollout that the request belongs to.
 	arm canary.Arm
-	// rarePrefix: the first shared part is served by a subset of the runners.
+	// rarePrefix reports that a subset of the runners serves the first prompt part.
 	rarePrefix bool
 }
 
-// Service returns the service that the request goes to.
+// Service returns the service that was picked for the request.
 func (a *Admission) Service() ids.Service { return a.service }
 
-// Arm returns the side of a rollout that the next attempt belongs to.
+// Arm returns the rollout arm of the next attempt.
 func (a *Admission) Arm() canary.Arm { return a.arm }
 
-// Exclusions returns why runners were left out of the last selection.
+// Exclusions returns the runners excluded from the last selection, by reason.
 func (a *Admission) Exclusions() Exclusions { return a.exclusions }
 
-// Next decides the next step.
+// Next returns the next step for the request.
 func (a *Admission) Next(now clock.Instant) Decision {
 	if !now.Before(a.request.Deadline) {
 		return a.fail(errkind.DeadlineBeforeRun, errkind.DeadlineExceeded)
@@ -93,8 +94,8 @@
 	return Decision{Action: Send, Runner: runner}
 }
 
-// waitOrFail decides the step where there is no runner; delay is after how long
-// there may be one, 0 for unknown.
+// waitOrFail returns the next step if no runner was selected. delay is the time after
+// which there may be one, 0 if unknown.
 func (a *Admission) waitOrFail(delay time.Duration, now clock.Instant) Decision {
 	if delay > 0 && now.Add(delay).Since(a.request.ArrivedAt) < a.request.Route.LatencyTarget()/maxWaitDivisor {
 		return Decision{Action: Wait, Delay: delay}
@@ -105,8 +106,8 @@
 	return a.fail(errkind.NoRunner, errkind.RunnerLost)
 }
 
-// fail ends the request: with notRun, which tells the client that nothing was
-// executed, only where that is certain.
+// fail returns the decision to fail the request. Its kind is notRun, which tells the
+// client that the request was not executed, only if that is certain.
 func (a *Admission) fail(notRun errkind.Kind, mayHaveRun errkind.Kind) Decision {
 	if !a.mayHaveRun {
 		return Decision{Action: Fail, Kind: notRun}
@@ -117,9 +118,9 @@
 	return Decision{Action: Fail, Kind: mayHaveRun}
 }
 
-// Confirm reports whether the request may still be sent to a runner. It is called
-// right before the first byte is written, and takes the request's place in a slow
-// start. Release must follow where it returns true.
+// Confirm reports whether the request may still be sent to a runner. It must be called
+// immediately before the first byte is written. It counts the request against the
+// runner's slow-start limit. If it returns true, Release must be called later.
 func (a *Admission) Confirm(runner *snapshot.Runner, now clock.Instant) bool {
 	options := a.balancer.options
 	snap := options.Snapshots.Current()
@@ -136,13 +137,13 @@
 	return true
 }
 
-// Release ends what a Confirm that returned true began, once the runner has no part in the
-// request any more.
+// Release ends the in-flight count that a successful Confirm began. It must be called
+// once the runner is no longer involved in the request.
 func (a *Admission) Release(runner *snapshot.Runner) {
 	a.balancer.options.Versions.End(a.service, runner)
 }
 
-// RecordOutcome records what came of sending the request to a runner.
+// RecordOutcome records the outcome of an attempt to send the request to a runner.
 func (a *Admission) RecordOutcome(runner *snapshot.Runner, outcome upstream.Outcome) {
 	a.tried[runner.ID] = true
 	if outcome == upstream.Unsent {
@@ -150,7 +151,7 @@
 	}
 	a.attempts++
 	a.reachedRunner = true
-	// A retry is no sample of a new version.
+	// A retry is not a sample of the new version, so it goes to the old arm.
 	a.arm = canary.Old
 	a.mayHaveRun = a.mayHaveRun || outcome != upstream.Rejected
 	a.garbled = outcome == upstream.Garbled
--- a/data/balancer/affinity.go
+++ b/data/balancer/affinity.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// minTokensPerByte is how many shared tokens a request must have per byte of
-	// its body before it may go to another region for its prefix.
+	// minTokensPerByte is the number of shared tokens per byte of the body from which
+	// on a request may go to another region for its cached prefix.
 	minTokensPerByte = 0.3
-	// minChainedParts is how many parts, its own included, a prompt has whose shared
-	// parts form a chain.
+	// minChainedParts is the minimum number of parts, including the request's own, of
+	// a prompt whose shared parts form a chain.
 	minChainedParts = 3
-	// subsetDivisor and minSubset size the subset that serves a rare prefix: one in
-	// so many runners, and at least so many.
+	// subsetDivisor and minSubsetSize determine the size of the subset that serves a
+	// rare prefix: 1/subsetDivisor of the runners, but at least minSubsetSize.
 	subsetDivisor = 8
 	minSubsetSize = 4
-	// loadFactor and loadMargin bound a candidate's load in terms of the mean.
+	// loadFactor and loadMargin define the load bound of affinity: the mean load times
+	// the factor plus the margin.
 	loadFactor = 1.25
 	loadMargin = 0.06
 )
 
-// affinityKey returns the key that keeps prompts with the same prefix on the same
-// runner: the last shared part, which stands for all before it. It reports
-// whether there is one.
+// affinityKey returns the key that routes prompts with the same prefix to the same
+// runner, and whether there is one. The key is the id of the last shared part, which
+// also identifies all parts before it.
 func affinityKey(parts []string) (string, bool) {
 	if len(parts) < 2 {
 		return "", false
@@ -36,16 +37,18 @@
 	return parts[len(parts)-2], true
 }
 
-// worthCrossRegion reports whether a prompt shares so much that moving the request
-// to where its prefix is cached costs less than prefilling it in every region.
+// worthCrossRegion reports whether a prompt has so many shared tokens that sending the
+// request to the region where its prefix is cached costs less than prefilling the
+// prefix in every region.
 func worthCrossRegion(req Request) bool {
 	return req.SharedTokens >= minTokensPerByte*float64(req.BodyBytes)
 }
 
 // pickByAffinity picks the runner for a prompt with a shared prefix by rendezvous
-// hashing with bounded loads: among the subset that serves the prefix, if it is a
-// rare one, so that it need not be cached everywhere; else, or where the subset
-// is overloaded, among all. Where all are at the bound, it picks the least loaded.
+// hashing with bounded loads. For a rare prefix it hashes over the subset that serves
+// it, so that only these runners need to cache it. For other prefixes, or if the whole
+// subset is overloaded, it hashes over all candidates. If all of them exceed the load
+// bound, it picks the least loaded one.
 func pickByAffinity(admission *Admission, candidates []candidate, key string) candidate {
 	bound := loadBound(candidates)
 	if admission.rarePrefix {
@@ -59,7 +62,7 @@
 	return slices.MinFunc(candidates, func(left, right candidate) int { return cmp.Compare(left.load, right.load) })
 }
 
-// loadBound returns the load above which affinity does not count.
+// loadBound returns the load above which a candidate is not picked by affinity.
 func loadBound(candidates []candidate) float64 {
 	mean := 0.0
 	for _, cand := range candidates {
@@ -68,8 +71,8 @@
 	return loadFactor*mean + loadMargin
 }
 
-// prefixSubset returns the candidates that serve a rare prefix: those with the
-// highest rendezvous scores.
+// prefixSubset returns the candidates that serve a rare prefix, which are those with
+// the highest rendezvous scores for it.
 func prefixSubset(candidates []candidate, prefix string) []candidate {
 	size := max(minSubsetSize, (len(candidates)+subsetDivisor-1)/subsetDivisor)
 	if size >= len(candidates) {
@@ -86,9 +89,9 @@
 	return ordered[:size]
 }
 
-// rendezvous picks the candidate with the highest rendezvous score among those
-// whose load is within the bound; it reports whether there is one. Keys spread in
-// proportion to the weights, and a key moves only if its runner goes.
+// rendezvous picks the candidate with the highest rendezvous score among those whose
+// load is within the bound, and reports whether there is one. Keys are distributed in
+// proportion to the weights. When a runner is removed, only its own keys move.
 func rendezvous(candidates []candidate, key string, bound float64) (candidate, bool) {
 	best, bestScore := -1, 0.0
 	for index, cand := range candidates {
@@ -105,13 +108,14 @@
 	return candidates[best], true
 }
 
-// rendezvousScore is -weight / ln(h), the score of weighted rendezvous hashing.
+// rendezvousScore returns -weight / ln(h), the score of weighted rendezvous hashing,
+// where h is hashFraction of the key and the runner's id.
 func rendezvousScore(cand candidate, key string) float64 {
 	return -cand.weight / math.Log(hashFraction(key, string(cand.runner.ID)))
 }
 
-// hashFraction hashes a key and a runner to a number between 0 and 1, by FNV-1a
-// with the finalizer of MurmurHash3.
+// hashFraction hashes a key and a runner id to a number in (0, 1), using FNV-1a with
+// the finalizer of MurmurHash3.
 func hashFraction(key string, runner string) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key))
@@ -127,37 +131,39 @@
 }
 
 const (
-	// rarePrefixShare is the share of the work below which a prefix is rare: so many
-	// rare ones are served by a runner that its load is about even.
+	// rarePrefixShare is the share of all work below which a prefix is rare. It is so
+	// small that each runner serves many rare prefixes, which evens out the load.
 	rarePrefixShare = 1.0 / 64
-	// minObservedPrompts is how many prompts must have been observed before any
-	// prefix is rare.
+	// minObservedPrompts is the number of prompts that must have been observed before
+	// any prefix counts as rare.
 	minObservedPrompts = 32
-	// minTrackedShare is the share of the work below which a prefix is forgotten.
+	// minTrackedShare is the share of all work below which a prefix is no longer
+	// tracked.
 	minTrackedShare = rarePrefixShare / 64
-	// prefixHalfLife is after how many prompts an observation counts for half.
+	// prefixHalfLife is the number of prompts after which the observations count for
+	// half.
 	prefixHalfLife = 512
-	// maxPrefixes bounds how many prefixes are tracked.
+	// maxPrefixes is the maximum number of tracked prefixes.
 	maxPrefixes = 4096
 )
 
-// hasRarePrefix observes a request and reports whether its prompt is a chain of
-// parts that begins with a rare one.
+// hasRarePrefix reports whether the request's prompt has a chain of shared parts that
+// begins with a rare one. It records such prompts in the prefix tracker.
 func (b *Balancer) hasRarePrefix(req Request) bool {
 	return len(req.PromptParts) >= minChainedParts && b.prefixes.observe(req.PromptParts[0], req.PartTokens)
 }
 
-// prefixTracker tracks how much work, in tokens, came lately with each first part
-// of a prompt. It is safe for concurrent use; the zero value is ready.
+// prefixTracker tracks the recent work, in tokens, of each first prompt part. It is safe
+// for concurrent use, and its zero value is ready to use.
 type prefixTracker struct {
 	mu     sync.Mutex
 	tokens map[string]float64
-	// total and count are the tokens and the prompts of all prefixes.
+	// total is the number of tokens and count the number of prompts of all prefixes.
 	total float64
 	count float64
 }
 
-// observe counts a prompt and reports whether its prefix is rare.
+// observe records a prompt and reports whether its prefix is rare.
 func (p *prefixTracker) observe(prefix string, tokens float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,8 +180,8 @@
 	return p.count >= minObservedPrompts && p.tokens[prefix] < rarePrefixShare*p.total
 }
 
-// decay halves all observations and forgets the prefixes that hardly count. The
-// caller holds mu.
+// decay halves all counts and drops the prefixes with less than minTrackedShare of the
+// work. The caller must hold p.mu.
 func (p *prefixTracker) decay() {
 	p.count, p.total = p.count/2, p.total/2
 	for prefix, tokens := range p.tokens {
--- a/data/balancer/affinity_test.go
+++ b/data/balancer/affinity_test.go
@@ -9,8 +9,9 @@
 	"onyxwell/base/ids"
 )
 
-// admitPrompts admits prompts of two kinds of chains: three prefixes that many
-// long prompts share, and eighty that few short ones do.
+// admitPrompts passes admissions of count prompts to visit. Every sixth prompt is long
+// and begins with one of 3 common prefixes; the others are short and begin with one of
+// 80 rare prefixes.
 func admitPrompts(b *Balancer, count int, visit func(admission *Admission)) {
 	for number := range count {
 		req := Request{PromptParts: []string{fmt.Sprint("rare", number%80), fmt.Sprint("thing", number%640), "own"}, PartTokens: 2000}
@@ -21,8 +22,9 @@
 	}
 }
 
-// TestPickByAffinity_rarePrefixesUseFewRunners counts at how many runners each
-// prefix is cached, and how even the load is: hardly less than without subsets.
+// TestPickByAffinity_rarePrefixesUseFewRunners checks the number of runners that cache
+// each prefix: rare prefixes are confined to subsets, common ones are spread widely. The
+// maximum load may exceed the one without subsets by at most 25%.
 func TestPickByAffinity_rarePrefixesUseFewRunners(t *testing.T) {
 	weights := make([]float64, 56)
 	for index := range weights {
@@ -45,10 +47,10 @@
 	})
 	for prefix, runners := range cachedAt {
 		if prefix[0] == 'r' && len(runners) > len(candidates)/subsetDivisor {
-			t.Errorf("rare prefix %s is cached at %d runners", prefix, len(runners))
+			t.Errorf("rare prefix %s is cached at %d runners, which exceeds the subset", prefix, len(runners))
 		}
 		if prefix[0] == 'c' && len(runners) < len(candidates)/3 {
-			t.Errorf("common prefix %s is cached at %d runners only", prefix, len(runners))
+			t.Errorf("common prefix %s is cached at only %d runners", prefix, len(runners))
 		}
 	}
 	maxLoad := func(loads map[ids.RunnerID]float64) float64 { return slices.Max(slices.Collect(maps.Values(loads))) }
@@ -57,8 +59,8 @@
 	}
 }
 
-// TestPickByAffinity_avoidsOverloadedSubset has the subset that serves a rare
-// prefix be overloaded.
+// TestPickByAffinity_avoidsOverloadedSubset checks that a rare prefix is served outside
+// its subset if all runners of the subset are overloaded.
 func TestPickByAffinity_avoidsOverloadedSubset(t *testing.T) {
 	candidates := newCandidates(1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	admission := &Admission{request: Request{PromptParts: []string{"first", "second", "own"}}, rarePrefix: true}
@@ -67,7 +69,7 @@
 		inSubset[cand.runner.ID] = true
 	}
 	if !inSubset[pickByAffinity(admission, candidates, "second").runner.ID] || len(inSubset) != minSubsetSize {
-		t.Fatalf("picked none of the subset %v", inSubset)
+		t.Fatalf("picked a runner outside the subset, or the subset has the wrong size: %v", inSubset)
 	}
 	for index := range candidates {
 		if inSubset[candidates[index].runner.ID] {
@@ -75,7 +77,7 @@
 		}
 	}
 	if inSubset[pickByAffinity(admission, candidates, "second").runner.ID] {
-		t.Fatal("an overloaded runner is picked though others are idle")
+		t.Fatal("picked an overloaded runner although others are idle")
 	}
 }
 
@@ -88,6 +90,6 @@
 		t.Fatalf("%d prefixes are tracked", len(tracker.tokens))
 	}
 	if tracker.observe("new", 1000) != true || tracker.observe("new", tracker.total) {
-		t.Fatal("a prefix is not judged by its share")
+		t.Fatal("whether a prefix is rare does not depend on its share of the work")
 	}
 }
--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -1,15 +1,15 @@
-// Package balancer decides what becomes of a request: which runner it is sent to,
-// whether it waits, and with which error it ends. It sends nothing itself: the
-// proxy asks an Admission for the next Decision, carries it out and reports the
-// outcome.
+// Package balancer admits requests and selects runners for them. For each request
+// it decides whether to send it to a runner, to wait, or to fail with an error. It
+// performs no I/O: the proxy asks an Admission for the next Decision, carries it
+// out and records the outcome.
 //
 // Invariants:
 //
-//   - A request that may have been executed is sent again only if its route is
-//     idempotent, and is never answered as if nothing had been executed.
-//   - A further attempt of a request that has reached a runner is paid for from
-//     the retry budget.
-//   - A request is not sent again to a runner that it was sent to before.
+//   - A request that may have been executed is retried only if its route is
+//     idempotent. It never fails with an error that says it was not executed.
+//   - Once a request has reached a runner, every further attempt consumes retry
+//     budget.
+//   - A request is never sent to the same runner twice.
 package balancer
 
 import (
@@ -23,43 +23,44 @@
 	"onyxwell/data/snapshot"
 )
 
-// Options configure a Balancer. All but ZoneLost are needed.
+// Options configures a Balancer. All fields but ZoneLost and Versions are required.
 type Options struct {
 	Clock       clock.Clock
 	Snapshots   *snapshot.Store
 	Stats       *runnerstats.Collector
 	RetryBudget *retrybudget.Budget
 	SlowStart   *slowstart.Tracker
-	// Region is where this router runs.
+	// Region is the region of this router.
 	Region ids.Region
-	// SlowStartRouters returns among how many routers the rate of a runner in slow
-	// start in a zone is shared; 0 where this router must not send to it.
+	// SlowStartRouters returns the number of routers that share the rate limit of a
+	// runner in slow start in the given zone. It returns 0 if this router must not
+	// send to such runners.
 	SlowStartRouters func(zone ids.Zone) int
-	// RouterCount returns how many routers there may be, at most.
+	// RouterCount returns an upper bound on the number of routers.
 	RouterCount func() int
-	// ZoneLost reports whether a zone seems to be lost: its runners are used only
-	// where there are no others. It may be nil.
+	// ZoneLost reports whether a zone is considered lost. Its runners are used only
+	// if there are no others. A nil ZoneLost means that no zone is lost.
 	ZoneLost func(zone ids.Zone) bool
-	// Versions decides between versions of a service; nil allows all.
+	// Versions selects service versions during rollouts; nil allows every version.
 	Versions *canary.Gate
 	// Random returns a number in [0, 1).
 	Random func() float64
 }
 
-// Balancer selects runners. It is safe for concurrent use.
+// Balancer admits requests and selects runners. It is safe for concurrent use.
 type Balancer struct {
 	options  Options
 	clock    clock.Clock
 	prefixes prefixTracker
 }
 
-// New returns a balancer.
+// New returns a Balancer with the given options.
 func New(options Options) *Balancer {
 	return &Balancer{options: options, clock: options.Clock}
 }
 
-// Admit begins the admission of a request: it picks its service and counts it as
-// demand and towards the retry budget.
+// Admit starts the admission of a request. It picks the service, counts the request
+// as demand for it and adds to the service's retry budget.
 func (b *Balancer) Admit(req Request) *Admission {
 	a := &Admission{balancer: b, request: req, tried: map[ids.RunnerID]bool{}}
 	a.service = b.pickService(req.Route)
@@ -70,13 +71,13 @@
 	return a
 }
 
-// pickService draws one of the route's services by their weights.
+// pickService picks one of the route's services at random by weight.
 func (b *Balancer) pickService(route *config.Route) ids.Service {
 	return drawWeighted(b, route.WeightedServices(), func(weighted config.WeightedService) float64 { return weighted.Weight }).Service
 }
 
-// drawWeighted draws an item with a probability in proportion to its weight; the
-// last one where no weight is positive.
+// drawWeighted picks an item at random with a probability proportional to its
+// weight. If no weight is positive, it returns the last item.
 func drawWeighted[T any](b *Balancer, items []T, weight func(T) float64) T {
 	total := 0.0
 	for _, item := range items {
@@ -95,7 +96,8 @@
 	return b.options.ZoneLost != nil && b.options.ZoneLost(zone)
 }
 
-// slowStartLimit returns the limit of a service's runners in slow start in a zone.
+// slowStartLimit returns the rate limit for a service's runners in slow start in a
+// zone.
 func (b *Balancer) slowStartLimit(service *config.Service, zone ids.Zone) slowstart.Limit {
 	if service == nil {
 		return slowstart.Limit{}
--- a/data/balancer/exclusions.go
+++ b/data/balancer/exclusions.go
@@ -5,25 +5,27 @@
 	"strings"
 )
 
-// Exclusions counts the runners that were left out of a selection, by reason.
+// Exclusions counts the runners that were excluded from a selection, by reason.
 type Exclusions struct {
-	// Tried had the request already.
+	// Tried counts runners that the request was already assigned to.
 	Tried int
-	// Draining are shutting down or in an evacuated zone.
+	// Draining counts runners that are draining or in an evacuated zone.
 	Draining int
-	// OutsideHomes are in none of the route's home regions.
+	// OutsideHomes counts runners outside the home regions of the route or tenant.
 	OutsideHomes int
-	// Unresponsive are suspected of a failure or do not respond.
+	// Unresponsive counts runners that are suspected of a failure or have not
+	// responded for too long.
 	Unresponsive int
-	// AtConnectionLimit have all requests that this router may have there.
+	// AtConnectionLimit counts runners at which this router has as many requests as
+	// it may have.
 	AtConnectionLimit int
-	// SlowStart have had their share of requests for now.
+	// SlowStart counts runners in slow start whose rate limit is reached.
 	SlowStart int
-	// OtherVersion are of a version that the request may not go to now.
+	// OtherVersion counts runners of a version that the request must not go to now.
 	OtherVersion int
 }
 
-// String lists the counts that are not 0, or "none".
+// String lists the nonzero counts, or returns "none".
 func (e Exclusions) String() string {
 	var reasons []string
 	for _, reason := range []struct {
--- a/data/balancer/lengthclass.go
+++ b/data/balancer/lengthclass.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// shortSpillMargin is by how much the load of its own class's runners must
-	// exceed the others' before a short request may go to any runner.
+	// shortSpillMargin is the amount by which the load of the short class's runners
+	// must exceed that of the others before short requests spill over to them.
 	shortSpillMargin = 0.1
-	// longSpillFactor and longSpillMargin say the same of a long request: its own
-	// class's load must exceed the others' by the factor and the margin.
+	// longSpillFactor and longSpillMargin bound the load in the same way for long
+	// requests: the load of the long class's runners must exceed the load of the
+	// others times the factor plus the margin.
 	longSpillFactor = 2.0
 	longSpillMargin = 0.25
 )
 
-// LengthKey returns by what the request's length is estimated before it runs.
+// LengthKey returns the key by which the request's duration is estimated before it
+// runs.
 func (a *Admission) LengthKey() lengthstats.Key {
 	return lengthstats.Key{
 		Service: a.service, Route: a.request.Route.Name, Bucket: lengthstats.BucketOf(a.request.PromptTokens),
 	}
 }
 
-// filterLengthClass narrows the choice to the runners that the plan assigns to
-// requests of this length. It returns all candidates where these are overloaded
-// compared to the others, or are none: no runner stands idle beside a queue, and
-// no request is rejected for its class.
+// filterLengthClass restricts the candidates to the runners that the plan assigns to
+// the request's length class. It returns all candidates if there are no such runners
+// or if they are overloaded compared to the others, so that no runner is idle while
+// requests queue at another and no request is rejected because of its class.
 func (b *Balancer) filterLengthClass(snap *snapshot.Snapshot, admission *Admission, candidates []candidate) []candidate {
 	class := snap.Lengths.Class(admission.LengthKey())
 	if class == lengthstats.Unknown {
@@ -45,8 +47,8 @@
 	return own
 }
 
-// spillsOver reports whether requests of a class may go to all runners, by the
-// least load of the class's own runners and of the others.
+// spillsOver reports whether requests of a class may go to all runners, given the
+// minimum load among the class's own runners and among the others.
 func spillsOver(class lengthstats.Class, own, others float64) bool {
 	switch class {
 	case lengthstats.Short:
--- a/data/balancer/lengthclass_test.go
+++ b/data/balancer/lengthclass_test.go
@@ -8,8 +8,8 @@
 	"onyxwell/data/snapshot"
 )
 
-// newLengthClassCandidates returns candidates with these loads, the first half of
-// them for short requests.
+// newLengthClassCandidates returns candidates with the given loads. The first half is
+// of class Short, the second of class Long.
 func newLengthClassCandidates(loads ...float64) []candidate {
 	candidates := newCandidates(make([]float64, len(loads))...)
 	for index := range candidates {
@@ -22,7 +22,8 @@
 	return candidates
 }
 
-// snapshotWithLengths knows the route "check" as short and "manifest" as long.
+// snapshotWithLengths returns a snapshot in which requests of the route "check" are
+// short and those of "manifest" are long.
 func snapshotWithLengths() *snapshot.Snapshot {
 	check := lengthstats.Key{Service: "s", Route: "check", Bucket: lengthstats.BucketOf(1800)}
 	manifest := lengthstats.Key{Service: "s", Route: "manifest", Bucket: lengthstats.BucketOf(6600)}
@@ -32,7 +33,8 @@
 	)}
 }
 
-// newAdmission admits a request of a route with a token count.
+// newAdmission returns the admission of a request of a route with the given token
+// counts.
 func newAdmission(route string, count string) *Admission {
 	req := Request{Route: &config.Route{Name: route}}
 	req.ParseTokenCount(count)
@@ -50,22 +52,22 @@
 	}{
 		{"short", newAdmission("check", "1800,24"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Short, 2},
 		{"long", newAdmission("manifest", "6600,400"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Long, 2},
-		{"short spills over soon", newAdmission("check", "1800,24"), []float64{0.4, 0.4, 0.2, 0.1}, lengthstats.Unknown, 4},
-		{"long does not spill over soon", newAdmission("manifest", "6600,400"), []float64{0.2, 0.2, 0.4, 0.4}, lengthstats.Long, 2},
-		{"long spills over where short is idle", newAdmission("manifest", "6600,400"), []float64{0, 0, 0.4, 0.4}, lengthstats.Unknown, 4},
-		{"no count", newAdmission("check", ""), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
-		{"a malformed count", newAdmission("check", "many,none"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
-		{"larger than any observed", newAdmission("check", "500000,24"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
+		{"short spills over at a small load difference", newAdmission("check", "1800,24"), []float64{0.4, 0.4, 0.2, 0.1}, lengthstats.Unknown, 4},
+		{"long does not spill over at a small load difference", newAdmission("manifest", "6600,400"), []float64{0.2, 0.2, 0.4, 0.4}, lengthstats.Long, 2},
+		{"long spills over if short is idle", newAdmission("manifest", "6600,400"), []float64{0, 0, 0.4, 0.4}, lengthstats.Unknown, 4},
+		{"no token counts", newAdmission("check", ""), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
+		{"malformed token counts", newAdmission("check", "many,none"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
+		{"prompt longer than any estimate", newAdmission("check", "500000,24"), []float64{0.1, 0.1, 0.1, 0.1}, lengthstats.Unknown, 4},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			candidates := b.filterLengthClass(snap, tc.admission, newLengthClassCandidates(tc.loads...))
 			if len(candidates) != tc.count {
-				t.Errorf("%d candidates, not %d", len(candidates), tc.count)
+				t.Errorf("got %d candidates, want %d", len(candidates), tc.count)
 			}
 			for _, cand := range candidates {
 				if tc.class != lengthstats.Unknown && cand.lengthClass != tc.class {
-					t.Errorf("a runner of class %d", cand.lengthClass)
+					t.Errorf("got a runner of the wrong class %d", cand.lengthClass)
 				}
 			}
 		})
@@ -76,9 +78,9 @@
 	b, snap := New(Options{}), snapshotWithLengths()
 	onlyLong := newLengthClassCandidates(0.1, 0.1, 0.1, 0.1)[2:]
 	if candidates := b.filterLengthClass(snap, newAdmission("check", "1800,24"), onlyLong); len(candidates) != 2 {
-		t.Fatalf("%d runners, though only the other class has any", len(candidates))
+		t.Fatalf("got %d candidates, want both runners of the other class", len(candidates))
 	}
 	if candidates := b.filterLengthClass(&snapshot.Snapshot{}, newAdmission("check", "1800,24"), newLengthClassCandidates(0.1, 0.1)); len(candidates) != 2 {
-		t.Fatalf("%d runners without any estimates", len(candidates))
+		t.Fatalf("got %d candidates without estimates, want 2", len(candidates))
 	}
 }
--- a/data/balancer/request.go
+++ b/data/balancer/request.go
@@ -9,34 +9,38 @@
 	"onyxwell/control/config"
 )
 
-// maxPromptTokens bounds the token count that a request may state.
+// maxPromptTokens is the exclusive upper bound of the token counts that a request may
+// state.
 const maxPromptTokens = 1e9
 
-// Request is what is known of a request when it is admitted.
+// Request holds the properties of a client request that admission depends on.
 type Request struct {
 	Route *config.Route
-	// Tenant is who sends the request; nil is unknown.
+	// Tenant is the tenant that sent the request, or nil if unknown.
 	Tenant *config.Tenant
-	// PromptParts are the ids of the prompt's parts; the last is the request's own,
-	// those before it are shared with other prompts.
+	// PromptParts holds the ids of the prompt's parts. The last part is specific to
+	// the request; the parts before it are shared with other prompts.
 	PromptParts []string
-	// PartTokens counts the tokens of all parts, SharedTokens those of the shared.
+	// PartTokens is the number of tokens of all parts, SharedTokens that of the shared
+	// parts.
 	PartTokens   float64
 	SharedTokens float64
-	// BodyBytes is the length of the body.
+	// BodyBytes is the length of the body in bytes.
 	BodyBytes int
-	// PromptTokens is the prompt's length as the request states it; 0 is unknown.
+	// PromptTokens is the prompt's length in tokens as stated by the request, or 0 if
+	// unknown.
 	PromptTokens float64
-	// MaxTokens is the most that may be generated, as the request states it.
+	// MaxTokens is the maximum number of generated tokens as stated by the request.
 	MaxTokens float64
-	// HasTokenCounts says that the request states both.
+	// HasTokenCounts reports whether the request states both PromptTokens and
+	// MaxTokens.
 	HasTokenCounts bool
 	ArrivedAt      clock.Instant
 	Deadline       clock.Instant
 }
 
-// ParsePromptParts takes the parts of a prompt from a list of id:tokens, such as
-// "5c1e07a2:800,e4402b7d:250". An unreadable count is 0.
+// ParsePromptParts sets the prompt parts and their token counts from a list of
+// id:tokens pairs such as "5c1e07a2:800,e4402b7d:250". A malformed count is read as 0.
 func (r *Request) ParsePromptParts(text string) {
 	if text == "" {
 		return
@@ -51,8 +55,8 @@
 	r.SharedTokens = r.PartTokens - ownTokens
 }
 
-// ParseTokenCount takes the prompt's length and the most that may be generated
-// from "prompt,most". Text that is absent or malformed leaves them unknown.
+// ParseTokenCount sets PromptTokens and MaxTokens from text of the form "prompt,max".
+// A count that is missing or malformed stays unknown.
 func (r *Request) ParseTokenCount(text string) {
 	promptText, maxText, _ := strings.Cut(text, ",")
 	prompt, promptOK := parseTokens(promptText)
@@ -74,7 +78,7 @@
 	return tokens, true
 }
 
-// Priority is the tenant's where it has one, else the route's.
+// Priority returns the tenant's priority if it has one, else the route's.
 func (r *Request) Priority() int {
 	if r.Tenant != nil && r.Tenant.Priority != nil {
 		return *r.Tenant.Priority
@@ -82,14 +86,15 @@
 	return r.Route.Priority
 }
 
-// AllowsRegion tells whether runners of a region may serve the request: the home
-// regions of its route and those of its tenant both bind.
+// AllowsRegion reports whether runners in a region may serve the request. Both the
+// route and the tenant must allow the region.
 func (r *Request) AllowsRegion(region ids.Region) bool {
 	return r.Route.AllowsRegion(region) && (r.Tenant == nil || r.Tenant.AllowsRegion(region))
 }
 
-// homeRegionsKey is the form in which demand and flows name the home regions that bind a
-// request; empty where all regions may serve it.
+// homeRegionsKey encodes the request's home regions in the format of
+// autoscaler.Demand and autoscaler.Flow: each region followed by a comma. It is empty
+// if there are no home regions, or if the tenant's and the route's have none in common.
 func (r *Request) homeRegionsKey() string {
 	homes := r.Route.HomeRegions
 	if r.Tenant != nil && len(r.Tenant.HomeRegions) > 0 {
@@ -104,7 +109,7 @@
 	return key
 }
 
-// QuotaCost is what the request counts as towards its tenant's quota.
+// QuotaCost returns the cost of the request to its tenant's quota.
 func (r *Request) QuotaCost() float64 {
 	if !r.HasTokenCounts {
 		return r.Tenant.Cost(-1)
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// recheckDelay is after how long a runner that cannot take a request now may do
-	// so.
+	// recheckDelay is the delay before a runner that is temporarily unable to accept
+	// a request is checked again.
 	recheckDelay = 20 * time.Millisecond
-	// minSilenceLimit is the least time without a sign of life that excludes a
-	// runner; otherwise it is the part of the latency target, one in
-	// silenceDivisor.
+	// minSilenceLimit and silenceDivisor determine how long a pending request may
+	// wait for a response before its runner is excluded: 1/silenceDivisor of the
+	// route's latency target, but at least minSilenceLimit.
 	minSilenceLimit = 50 * time.Millisecond
 	silenceDivisor  = 2
-	// minQueued is how many requests must be waiting at a runner before their
-	// waiting time counts.
+	// minQueued is the number of pending requests at a runner from which on their
+	// waiting time is taken into account.
 	minQueued = 2
-	// maxQueuedShare is the share of the latency target that the oldest of them may
-	// have waited.
+	// maxQueuedShare is the fraction of the latency target that the oldest pending
+	// request may have waited.
 	maxQueuedShare = 0.6
 )
 
-// candidate is a runner that could take the request.
+// candidate is a runner that can accept the request.
 type candidate struct {
 	runner *snapshot.Runner
 	weight float64
-	// load is its requests per slot, those of all routers as far as it reported them.
+	// load is the number of requests per slot. Requests of other routers are included
+	// as far as the runner reported them.
 	load        float64
 	lengthClass lengthstats.Class
 }
 
-// selectRunner picks the runner for the next attempt. Where there is none now but
-// may be one soon, it returns nil and after how long to ask again. It narrows in
-// this order: available and not avoided, in time, region, length class; then
-// affinity, else the better of two drawn by weight.
+// selectRunner selects the runner for the next attempt. If there is none now but may
+// be one soon, it returns nil and the delay after which to call it again. It filters
+// by health, queueing delay, region and length class, in this order, and then picks
+// by prefix affinity or, for requests without affinity, by power of two choices.
 func (b *Balancer) selectRunner(admission *Admission, now clock.Instant) (*snapshot.Runner, time.Duration) {
 	snap := b.options.Snapshots.Current()
 	if snap.Config == nil {
@@ -66,9 +67,12 @@
 	return b.pickTwoChoices(candidates).runner, 0
 }
 
-// timelyCandidates returns the runners that can take the request now and in time, of the
-// request's arm or, where that has none, of the old one. Where there is none it returns after
-// how long there may be one, 0 for unknown, and notes whether they are overloaded.
+// timelyCandidates returns the runners that can accept the request now and meet its
+// latency target. They belong to the request's rollout arm or, if that has none and the
+// filter allows it, to the old arm. The control, the old runner under load, is used only if
+// no other runner can take the request. If there are no candidates, it returns the delay
+// after which there may be one, 0 if unknown, and records in the admission whether the
+// runners are overloaded.
 func (b *Balancer) timelyCandidates(snap *snapshot.Snapshot, admission *Admission, now clock.Instant) ([]candidate, time.Duration) {
 	filter := b.options.Versions.Filter(snap, admission.service, admission.arm, now)
 	admission.arm = filter.Arm
@@ -88,18 +92,20 @@
 	return timely, delay
 }
 
-// timelyMatching returns the runners that a filter allows and that can take the request now and in
-// time; overloaded says that there are some that can't in time, and no others.
+// timelyMatching returns the runners that the filter allows and that can accept the request
+// now and meet its latency target. overloaded reports that some runners can accept it now,
+// but none in time.
 func (b *Balancer) timelyMatching(snap *snapshot.Snapshot, admission *Admission, filter canary.Filter, now clock.Instant) (timely []candidate, delay time.Duration, overloaded bool) {
 	candidates, delay := b.candidates(snap, admission, filter, now)
 	timely = b.filterTimely(&admission.request, candidates, now)
 	return timely, delay, len(timely) == 0 && len(candidates) > 0
 }
 
-// candidates returns the runners that can take the request now. Those that are
-// ejected or in a lost zone are returned only where there are no others. It
-// counts the runners that it leaves out in the admission's exclusions, and
-// returns after how long one of them may be a candidate, 0 for none.
+// candidates returns the runners that can accept the request now. Runners that are
+// ejected, quarantined or in a lost zone are returned only if there are no others and
+// the filter does not require healthy ones. It counts the excluded runners in the
+// admission's exclusions, and returns the delay after which one of them may become a
+// candidate, or 0 if none will.
 func (b *Balancer) candidates(snap *snapshot.Snapshot, admission *Admission, filter canary.Filter, now clock.Instant) ([]candidate, time.Duration) {
 	check := readinessCheck{
 		balancer: b, service: snap.Config.Service(admission.service), now: now,
@@ -140,7 +146,8 @@
 	return healthy, delay
 }
 
-// eligible reports whether the request may go to a runner, whatever its load.
+// eligible reports whether the request may be sent to a runner, regardless of the
+// runner's load and health. It counts a runner that is not eligible in a.exclusions.
 func (a *Admission) eligible(snap *snapshot.Snapshot, runner *snapshot.Runner) bool {
 	switch {
 	case a.tried[runner.ID]:
@@ -155,19 +162,21 @@
 	return false
 }
 
-// readinessCheck checks which runners of a service can take a request now.
+// readinessCheck checks which runners of a service can accept a request now.
 type readinessCheck struct {
 	balancer *Balancer
 	service  *config.Service
 	now      clock.Instant
-	// silenceLimit is how long a request may wait for a sign of life of its runner.
+	// silenceLimit is the longest time that a runner with pending requests may send
+	// no response.
 	silenceLimit time.Duration
-	// connectionShare is how many requests this router may have at a runner.
+	// connectionShare is the number of requests that this router may have in flight
+	// at a runner.
 	connectionShare float64
 }
 
-// ready reports whether a runner can take a request now; soon says that it may
-// after recheckDelay.
+// ready reports whether a runner can accept a request now, and soon whether it may
+// after recheckDelay. It counts a runner that is not ready in exclusions.
 func (r *readinessCheck) ready(runner *snapshot.Runner, stats *runnerstats.State, exclusions *Exclusions) (ready, soon bool) {
 	options := &r.balancer.options
 	if stats.Suspect || options.Stats.SilentFor(runner.ID, r.now) > r.silenceLimit {
@@ -185,16 +194,17 @@
 	return true, false
 }
 
-// load returns a runner's requests per slot: what it reported and was sent since,
-// or what this router has there, whichever is more.
+// load returns a runner's requests per slot. The requests are those that it reported
+// plus those that this router sent since, or this router's requests in flight,
+// whichever are more.
 func load(runner *snapshot.Runner, stats *runnerstats.State) float64 {
 	slots := math.Max(1, float64(runner.Capacity))
 	reported := stats.Load.Running + stats.Load.Waiting
 	return math.Max(reported+stats.Load.SentSince, stats.InFlight) / slots
 }
 
-// connectionShare returns this router's share of the connections that a runner
-// accepts, at least 1; it is infinite where the service sets no limit.
+// connectionShare returns this router's share of the connection limit of a service's
+// runners. It is at least 1, and infinite if the service sets no limit.
 func (b *Balancer) connectionShare(service *config.Service) float64 {
 	if service == nil || service.MaxConnections <= 0 {
 		return math.Inf(1)
@@ -202,9 +212,9 @@
 	return math.Max(1, float64(service.MaxConnections)/float64(max(1, b.options.RouterCount())))
 }
 
-// filterTimely leaves out the runners at which requests of the same priority have
-// waited so long that another would miss its latency target. Where no runner is
-// left, admitting the request would only delay the others.
+// filterTimely removes the runners at which requests of the same priority have waited
+// so long that another one would miss its latency target. If no runner is left,
+// admitting the request would only delay the others.
 func (b *Balancer) filterTimely(req *Request, candidates []candidate, now clock.Instant) []candidate {
 	route := req.Route
 	if route.LatencyTargetMS <= 0 {
@@ -220,9 +230,9 @@
 	return timely
 }
 
-// filterRegion narrows the choice to one region: drawn by the shares of the plan's
-// flows from this region, or, without a flow, the router's own region if it has
-// candidates.
+// filterRegion restricts the candidates to one region. The region is drawn by the
+// shares of the plan's flows from this router's region. Without a matching flow it is
+// the router's own region, if that has candidates.
 func (b *Balancer) filterRegion(snap *snapshot.Snapshot, admission *Admission, candidates []candidate) []candidate {
 	regions := map[ids.Region][]candidate{}
 	for _, cand := range candidates {
@@ -257,8 +267,8 @@
 	return candidates
 }
 
-// pickTwoChoices draws two candidates by weight and returns the one with less
-// load ("power of two choices").
+// pickTwoChoices draws two candidates at random by weight and returns the less loaded
+// one ("power of two choices").
 func (b *Balancer) pickTwoChoices(candidates []candidate) candidate {
 	weight := func(cand candidate) float64 { return cand.weight }
 	first, second := drawWeighted(b, candidates, weight), drawWeighted(b, candidates, weight)
--- a/data/balancer/selection_test.go
+++ b/data/balancer/selection_test.go
@@ -14,7 +14,7 @@
 	"onyxwell/data/snapshot"
 )
 
-// newCandidates returns idle candidates i0, i1, ... with these weights.
+// newCandidates returns idle candidates with ids i0, i1, ... and the given weights.
 func newCandidates(weights ...float64) []candidate {
 	var candidates []candidate
 	for index, weight := range weights {
@@ -24,7 +24,8 @@
 	return candidates
 }
 
-// pickForPart returns the runner for a prompt of one shared part.
+// pickForPart returns the candidate picked for a prompt whose prefix is not rare, by the
+// given affinity key.
 func pickForPart(candidates []candidate, key string) candidate {
 	return pickByAffinity(&Admission{}, candidates, key)
 }
@@ -37,7 +38,7 @@
 	}
 	for id, want := range map[ids.RunnerID]int{"i0": 1000, "i1": 2000, "i2": 5000} {
 		if got := counts[id]; got < want*9/10 || got > want*11/10 {
-			t.Errorf("%s has %d, not about %d", id, got, want)
+			t.Errorf("%s got %d of 8000 keys, want about %d", id, got, want)
 		}
 	}
 }
@@ -53,7 +54,7 @@
 		}
 	}
 	if moved != 0 {
-		t.Fatalf("%d parts moved though their runner stayed", moved)
+		t.Fatalf("%d keys moved although their runner stayed", moved)
 	}
 }
 
@@ -66,21 +67,21 @@
 		}
 	}
 	if pickForPart(candidates, "part").runner.ID == home.runner.ID {
-		t.Fatal("an overloaded runner is picked")
+		t.Fatal("picked an overloaded runner")
 	}
 }
 
 func TestAffinityKey_lastSharedPart(t *testing.T) {
 	if key, ok := affinityKey([]string{"a", "b", "own"}); !ok || key != "b" {
-		t.Fatalf("%q %v", key, ok)
+		t.Fatalf("got key %q, %v; want \"b\", true", key, ok)
 	}
 	if _, ok := affinityKey([]string{"own"}); ok {
-		t.Fatal("a prompt that shares nothing has an affinity")
+		t.Fatal("a prompt without shared parts has an affinity key")
 	}
 }
 
-// TestFilterRegion_followsPlan has the plan's flows decide the region, and without
-// any flow the router's own.
+// TestFilterRegion_followsPlan checks that requests are distributed over regions by the
+// flows of the plan, and stay in the router's own region without a plan.
 func TestFilterRegion_followsPlan(t *testing.T) {
 	candidates := newCandidates(1, 1)
 	candidates[1].runner.Region = "south"
@@ -96,19 +97,19 @@
 		return north
 	}
 	if got := count(&snapshot.Snapshot{}); got != 100 {
-		t.Errorf("without a plan %d of 100 stay", got)
+		t.Errorf("without a plan %d of 100 requests stay in the region, want all", got)
 	}
 	flows := []autoscaler.Flow{
 		{Service: "s", Origin: "north", Target: "north", Share: 0.7}, {Service: "s", Origin: "north", Target: "south", Share: 0.3},
 		{Service: "s", Origin: "south", Target: "south", Share: 1},
 	}
 	if got := count(&snapshot.Snapshot{Flows: flows}); got != 70 {
-		t.Errorf("with a plan %d of 100 stay, not 70", got)
+		t.Errorf("with a plan %d of 100 requests stay in the region, want 70", got)
 	}
 }
 
-// TestWorthCrossRegion_bySharedTokens has a prompt of many shared tokens in a short
-// body be worth moving, and one that shares little not.
+// TestWorthCrossRegion_bySharedTokens checks a prompt with many shared tokens per byte
+// of its body, which is worth sending to another region, and one with few, which is not.
 func TestWorthCrossRegion_bySharedTokens(t *testing.T) {
 	var long, short Request
 	long.ParsePromptParts("a:500,b:5000,own:6000")
@@ -123,9 +124,9 @@
 	}
 }
 
-// TestFilterTimely_excludesSlowQueues has requests wait at runners for longer and
-// longer: runners where the next would be late are left out, but a request that
-// waits alone does not count.
+// TestFilterTimely_excludesSlowQueues checks that a runner is excluded once requests of
+// the same priority have waited there for too long, but not if only one request waits
+// (i1) or if those that wait have another priority (i2).
 func TestFilterTimely_excludesSlowQueues(t *testing.T) {
 	clk, stats := clock.NewFake(), runnerstats.New()
 	b := New(Options{Stats: stats})
@@ -140,14 +141,14 @@
 	send("i2", 4, 0)
 	send("i2", 5, 0)
 	if timely := b.filterTimely(&Request{Route: route}, candidates, clk.Now()); len(timely) != 3 {
-		t.Fatalf("%d of 3 before any has waited", len(timely))
+		t.Fatalf("%d of 3 candidates are left before any request has waited", len(timely))
 	}
 	clk.Advance(700 * time.Millisecond)
 	timely := b.filterTimely(&Request{Route: route}, candidates, clk.Now())
 	if len(timely) != 2 || timely[0].runner.ID != "i1" || timely[1].runner.ID != "i2" {
-		t.Fatalf("%d left", len(timely))
+		t.Fatalf("got %d candidates, want i1 and i2", len(timely))
 	}
 	if timely := b.filterTimely(&Request{Route: &config.Route{}}, candidates, clk.Now()); len(timely) != 3 {
-		t.Fatal("a route without a latency target has candidates left out")
+		t.Fatal("candidates are excluded although the route has no latency target")
 	}
 }
