--- a/data/runnerstats/collector.go
+++ b/data/runnerstats/collector.go
@@ -1,9 +1,10 @@
-// Package runnerstats keeps what a router observes of each runner: requests in
-// flight and ended, the load that the runner reports, and whether it is suspected
-// of a failure. The balancer decides by it, and the autoscaler gets a report of it.
+// Package runnerstats collects a router's statistics of each runner: the requests in
+// flight and completed, the load that the runner reports, and whether it is suspected
+// of a failure. The balancer selects runners by these statistics, and they are
+// reported to the autoscaler.
 //
-// A request is recorded by RequestSent, ResponseBegan where there is a response,
-// and RequestEnded, in this order. A Collector is safe for concurrent use.
+// Each request is recorded by RequestSent, ResponseBegan if there is a response, and
+// RequestEnded, in this order.
 package runnerstats
 
 import (
@@ -17,25 +18,27 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// shardCount is among how many locks the runners are divided.
+// shardCount is the number of shards, each with its own lock.
 const shardCount = 8
 
-// State is what is known of a runner now.
+// State is the current state of a runner.
 type State struct {
 	Service ids.Service
-	// InFlight is how many requests of this router it has.
+	// InFlight is the number of this router's requests at the runner.
 	InFlight float64
-	// UnansweredTokens are the prompts' tokens of those without a response yet.
+	// UnansweredTokens is the number of prompt tokens of the requests in flight
+	// without a response.
 	UnansweredTokens float64
 	Load             Load
-	// LastSeen is when the runner last gave a sign of life.
+	// LastSeen is the time of the runner's last sign of life: a response or a
+	// successful probe.
 	LastSeen clock.Instant
-	// Suspect says that the runner has failed and gave no sign of life since:
-	// nothing is sent to it until a probe succeeds.
+	// Suspect reports whether the runner has failed and has given no sign of life
+	// since. It is excluded from selection until a response or a probe clears it.
 	Suspect bool
 }
 
-// runner is all that is kept of a runner.
+// runner holds the state and the statistics of a runner.
 type runner struct {
 	State
 	probing probeState
@@ -43,21 +46,24 @@
 	pending map[uint64]pendingRequest
 }
 
-// totals is what is counted of a runner between two reports.
+// totals holds the counts of a runner since the last report.
 type totals struct {
 	arrived, finished, failed float64
-	latencyMS                 float64
-	// units are the tokens of the requests that arrived, at least 1 each.
+	// latencyMS is the sum of the durations of the finished requests.
+	latencyMS float64
+	// units is the number of tokens of the requests that arrived, counting at least 1
+	// for each request.
 	units float64
-	// inFlight and pending are sums over samples.
+	// inFlight and pending are sums over the samples.
 	inFlight, pending, samples float64
 }
 
-// Collector collects the statistics of all runners and the demand for services.
+// Collector collects the statistics of all runners and the demand for services. It is
+// safe for concurrent use.
 type Collector struct {
 	seed   maphash.Seed
 	shards [shardCount]shard
-	// demandMu guards what is counted for services and routes, below.
+	// demandMu guards the fields below, which count by service and route.
 	demandMu    sync.Mutex
 	demand      map[demandKey]float64
 	readings    map[readingKey]headroom.Reading
@@ -79,7 +85,7 @@
 	route   string
 }
 
-// New returns an empty collector.
+// New returns an empty Collector.
 func New() *Collector {
 	c := &Collector{seed: maphash.MakeSeed()}
 	for index := range c.shards {
@@ -89,8 +95,8 @@
 	return c
 }
 
-// update calls change with a runner, which is added if it is unknown, under its
-// shard's lock.
+// update calls change with a runner while holding its shard's lock. A runner that is
+// not known yet is added.
 func (c *Collector) update(id ids.RunnerID, change func(r *runner)) {
 	s := &c.shards[maphash.String(c.seed, string(id))%shardCount]
 	s.mu.Lock()
@@ -103,7 +109,7 @@
 	change(r)
 }
 
-// eachShard calls visit with the runners of each shard, under its lock.
+// eachShard calls visit with the runners of each shard while holding its lock.
 func (c *Collector) eachShard(visit func(runners map[ids.RunnerID]*runner)) {
 	for index := range c.shards {
 		s := &c.shards[index]
@@ -113,27 +119,27 @@
 	}
 }
 
-// State returns the state of a runner.
+// State returns the current state of a runner.
 func (c *Collector) State(id ids.RunnerID) State {
 	var state State
 	c.update(id, func(r *runner) { state = r.State })
 	return state
 }
 
-// SentRequest is a request that is sent to a runner.
+// SentRequest describes a request that is sent to a runner.
 type SentRequest struct {
 	Service ids.Service
-	// Number identifies the request among this router's.
+	// Number identifies the attempt among those of this router.
 	Number uint64
-	// Tokens is the prompt's length; 0 is unknown.
+	// Tokens is the prompt's length in tokens, or 0 if unknown.
 	Tokens float64
-	// Priority is the priority of its route.
+	// Priority is the priority of the request's tenant or route.
 	Priority int
-	// LatencyTarget is the latency target of the first event; 0 is none.
+	// LatencyTarget is the latency target of the route; 0 means none.
 	LatencyTarget time.Duration
 }
 
-// RequestSent records a request that is sent to a runner.
+// RequestSent records that a request is sent to a runner.
 func (c *Collector) RequestSent(id ids.RunnerID, req SentRequest, now clock.Instant) {
 	c.update(id, func(r *runner) {
 		r.Service = req.Service
@@ -146,8 +152,8 @@
 	})
 }
 
-// ResponseBegan records the head of a response, by the number and the tokens of
-// its request. It ends a suspicion.
+// ResponseBegan records that the head of a response arrived, and clears a suspicion of
+// the runner. number and tokens are those of the SentRequest.
 func (c *Collector) ResponseBegan(id ids.RunnerID, number uint64, tokens float64, now clock.Instant) {
 	c.update(id, func(r *runner) {
 		r.UnansweredTokens = max(0, r.UnansweredTokens-tokens)
@@ -156,23 +162,23 @@
 	})
 }
 
-// EndedRequest is how a request at a runner ended.
+// EndedRequest describes how a request at a runner ended.
 type EndedRequest struct {
 	// Number and Tokens are those of the SentRequest.
 	Number uint64
 	Tokens float64
-	// Began says that ResponseBegan was called for it.
+	// Began reports whether ResponseBegan was called for the request.
 	Began bool
-	// Completed says that the whole response arrived, RunnerFailed that the end
-	// speaks against the runner.
+	// Completed reports whether the whole response arrived, and RunnerFailed whether
+	// the request ended by a failure of the runner.
 	Completed    bool
 	RunnerFailed bool
-	// Duration is how long the request was at the runner.
+	// Duration is the time from sending the request to its end.
 	Duration time.Duration
 }
 
-// RequestEnded records the end of a request. A completed one ends a suspicion, a
-// failure of the runner begins one.
+// RequestEnded records the end of a request. A completed request clears a suspicion of
+// the runner, a failure of the runner raises one.
 func (c *Collector) RequestEnded(id ids.RunnerID, end EndedRequest, now clock.Instant) {
 	c.update(id, func(r *runner) {
 		r.InFlight = max(0, r.InFlight-1)
--- a/data/runnerstats/collector_test.go
+++ b/data/runnerstats/collector_test.go
@@ -23,22 +23,22 @@
 	collector.RequestEnded("i", EndedRequest{Number: 2, Tokens: 50, RunnerFailed: true}, clk.Now())
 	state := collector.State("i")
 	if state.InFlight != 0 || state.UnansweredTokens != 0 || state.Load.Running != 3 || state.Load.Waiting != 1 || !state.Suspect {
-		t.Fatalf("%+v", state)
+		t.Fatalf("unexpected state %+v", state)
 	}
 	report := collector.TakeReport(clk.Now(), time.Second)
 	samples, demands := report.Samples, report.Demands
 	if len(samples) != 1 || len(demands) != 1 || demands[0].HomeRegions != "north," || demands[0].Arrived != 1 {
-		t.Fatalf("%+v %+v", samples, demands)
+		t.Fatalf("unexpected samples %+v or demands %+v", samples, demands)
 	}
 	if reading := report.Readings[0]; reading.Count != 2 || reading.Units != 150 || reading.UnitsSquared != 12500 || reading.FirstTokenMS != 60 || reading.UnitsFirstTokenMS != 5000 {
-		t.Fatalf("%+v", reading)
+		t.Fatalf("unexpected reading %+v", reading)
 	}
 	sample := samples[0]
 	if sample.Arrived != 2 || sample.Finished != 1 || sample.Failed != 1 || sample.ExecutionMS != 200 || sample.Running != 2 || sample.Pending != 1.5 || sample.Utilization != 3.0/8 || sample.Units != 150 {
-		t.Fatalf("%+v", sample)
+		t.Fatalf("unexpected sample %+v", sample)
 	}
 	if again := collector.TakeReport(clk.Now(), time.Second); len(again.Samples)+len(again.Demands)+len(again.Readings) != 0 {
-		t.Fatalf("counted twice: %+v", again)
+		t.Fatalf("a report was not reset: %+v", again)
 	}
 }
 
@@ -49,16 +49,16 @@
 	collector.RequestSent("i", SentRequest{Service: "s", Number: 2, Tokens: 0}, clk.Now())
 	clk.Advance(time.Second)
 	if silence := collector.SilentFor("i", clk.Now()); silence != 2*time.Second {
-		t.Fatalf("%v", silence)
+		t.Fatalf("silent for %v, want 2s", silence)
 	}
 	collector.ResponseBegan("i", 2, 0, clk.Now())
 	clk.Advance(time.Second)
 	if silence := collector.SilentFor("i", clk.Now()); silence != time.Second {
-		t.Fatalf("a response does not count as a sign of life: %v", silence)
+		t.Fatalf("silent for %v, want 1s since the response to another request", silence)
 	}
 	collector.RequestEnded("i", EndedRequest{Number: 1, Completed: true}, clk.Now())
 	if silence := collector.SilentFor("i", clk.Now()); silence != 0 {
-		t.Fatalf("%v with nothing pending", silence)
+		t.Fatalf("silent for %v with no pending request, want 0", silence)
 	}
 }
 
@@ -66,28 +66,28 @@
 	clk, collector := clock.NewFake(), New()
 	failRequest(collector, clk)
 	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 1 || due[0] != "i" {
-		t.Fatalf("the first probe is not due at once: %v", due)
+		t.Fatalf("the first probe is not due immediately: %v", due)
 	}
 	failRequest(collector, clk)
 	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 0 {
-		t.Fatalf("another failure hastens the probes: %v", due)
+		t.Fatalf("another failure makes a probe due early: %v", due)
 	}
 	clk.Advance(time.Second)
 	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 1 {
-		t.Fatalf("%v", due)
+		t.Fatalf("the second probe is not due after the first interval: %v", due)
 	}
 	clk.Advance(time.Second)
 	if due := collector.DueProbes(clk.Now(), time.Second); len(due) != 0 {
-		t.Fatalf("the interval does not grow: %v", due)
+		t.Fatalf("the interval between probes does not double: %v", due)
 	}
 	collector.ClearSuspicion("i", clk.Now())
 	if collector.State("i").Suspect {
-		t.Fatal("suspected after a probe succeeded")
+		t.Fatal("still suspected after ClearSuspicion")
 	}
 	failRequest(collector, clk)
 	collector.RequestSent("i", SentRequest{Service: "s", Number: 10, Tokens: 0}, clk.Now())
 	collector.ResponseBegan("i", 10, 0, clk.Now())
 	if collector.State("i").Suspect {
-		t.Fatal("suspected after a response")
+		t.Fatal("still suspected after a response")
 	}
 }
--- a/data/runnerstats/load.go
+++ b/data/runnerstats/load.go
@@ -8,20 +8,21 @@
 	"onyxwell/base/ids"
 )
 
-// Load is what a runner reported of itself with a response.
+// Load is the load that a runner reported with a response.
 type Load struct {
-	// Running, Waiting and Slots count its requests, those of other routers too, and
-	// how many it runs at once.
+	// Running and Waiting are the numbers of running and waiting requests, including
+	// those of other routers. Slots is the number of requests that the runner can run
+	// concurrently.
 	Running    float64
 	Waiting    float64
 	Slots      float64
 	ReportedAt clock.Instant
-	// SentSince is how many requests this router has sent since the report.
+	// SentSince is the number of requests that this router has sent since the report.
 	SentSince float64
 }
 
-// ObserveLoad records a report of the form "running,waiting,slots". Malformed
-// text is ignored.
+// ObserveLoad records a load report of the form "running,waiting,slots". Malformed
+// reports are ignored.
 func (c *Collector) ObserveLoad(id ids.RunnerID, text string, now clock.Instant) {
 	fields := strings.Split(text, ",")
 	if len(fields) != 3 {
--- a/data/runnerstats/pending.go
+++ b/data/runnerstats/pending.go
@@ -7,22 +7,22 @@
 	"onyxwell/base/ids"
 )
 
-// overdueFactor is after how many times its latency target a pending request
-// counts as a failure of its runner, though it may still complete.
+// overdueFactor is the multiple of its latency target after which a pending request
+// counts as a failure of its runner, although it may still complete.
 const overdueFactor = 2
 
-// pendingRequest is a request without a response yet.
+// pendingRequest is a request in flight without a response.
 type pendingRequest struct {
 	sentAt        clock.Instant
 	priority      int
 	latencyTarget time.Duration
-	// overdue says that it was counted as failed.
+	// overdue reports that the request was counted as failed already.
 	overdue bool
 }
 
-// SilentFor returns for how long the oldest pending request at a runner has waited
-// since it was sent or since the runner's last sign of life; 0 where none is
-// pending.
+// SilentFor returns how long the oldest pending request at a runner has waited since it
+// was sent or since the runner's last sign of life, whichever is later. It returns 0 if
+// no request is pending.
 func (c *Collector) SilentFor(id ids.RunnerID, now clock.Instant) time.Duration {
 	silence := time.Duration(0)
 	c.update(id, func(r *runner) {
@@ -37,8 +37,8 @@
 	return silence
 }
 
-// QueuedFor returns how many requests of a priority are pending at a runner, and
-// for how long the oldest of them.
+// QueuedFor returns the number of requests of a priority that are pending at a runner,
+// and how long the oldest of them has been.
 func (c *Collector) QueuedFor(id ids.RunnerID, priority int, now clock.Instant) (count int, oldest time.Duration) {
 	c.update(id, func(r *runner) {
 		for _, req := range r.pending {
@@ -51,8 +51,8 @@
 	return count, oldest
 }
 
-// countOverdue counts requests that hang as failures: by the time that they end,
-// the clients would long have given up.
+// countOverdue counts overdue requests as failures. Counting them only when they end
+// would be too late, since their clients will have given up long before.
 func (r *runner) countOverdue(now clock.Instant) {
 	for number, req := range r.pending {
 		if !req.overdue && req.latencyTarget > 0 && now.Since(req.sentAt) > overdueFactor*req.latencyTarget {
--- a/data/runnerstats/report.go
+++ b/data/runnerstats/report.go
@@ -10,15 +10,17 @@
 	"onyxwell/control/planning/lengthstats"
 )
 
-// AddDemand counts a request for a service, by the key of its home regions.
+// AddDemand counts a request for a service. homeRegions has the format of
+// autoscaler.Demand.
 func (c *Collector) AddDemand(service ids.Service, homeRegions string) {
 	c.demandMu.Lock()
 	defer c.demandMu.Unlock()
 	c.demand[demandKey{service: service, homeRegions: homeRegions}]++
 }
 
-// ObserveFirstEvent records how long the first event of a response took, for a
-// request of so many units of work.
+// ObserveFirstEvent records the time to the first event of a response. units is the
+// work of the request: its prompt tokens, or 1 if it has none. For the latter, latency
+// is the duration of the whole response.
 func (c *Collector) ObserveFirstEvent(service ids.Service, route string, units float64, latency time.Duration) {
 	latencyMS := float64(latency) / float64(time.Millisecond)
 	c.demandMu.Lock()
@@ -30,15 +32,15 @@
 	})
 }
 
-// ObserveCompletion records a complete response for the statistics of lengths.
+// ObserveCompletion records a completed response for the length statistics.
 func (c *Collector) ObserveCompletion(completion lengthstats.Totals) {
 	c.demandMu.Lock()
 	defer c.demandMu.Unlock()
 	c.completions[completion.Key] = completion.Add(c.completions[completion.Key])
 }
 
-// SampleInFlight samples how many requests are in flight and pending at each
-// runner; a report carries the means.
+// SampleInFlight samples the numbers of requests in flight and pending at each runner.
+// A report contains the means of the samples times the seconds since the last report.
 func (c *Collector) SampleInFlight() {
 	c.eachShard(func(runners map[ids.RunnerID]*runner) {
 		for _, r := range runners {
@@ -49,8 +51,9 @@
 	})
 }
 
-// TakeReport returns what was observed since the last report, which was elapsed
-// ago, and resets it. Runners of which nothing is to be remembered are forgotten.
+// TakeReport returns and resets the statistics since the last report, which was taken
+// elapsed ago. It removes idle runners that are not suspected and have no recent
+// suspicion.
 func (c *Collector) TakeReport(now clock.Instant, elapsed time.Duration) autoscaler.ReportRequest {
 	var report autoscaler.ReportRequest
 	c.eachShard(func(runners map[ids.RunnerID]*runner) {
@@ -77,15 +80,14 @@
 	return report
 }
 
-// resetDemand forgets what was counted for services and routes. The caller holds
-// demandMu.
+// resetDemand resets the counts by service and route. The caller must hold c.demandMu.
 func (c *Collector) resetDemand() {
 	c.demand, c.readings = map[demandKey]float64{}, map[readingKey]headroom.Reading{}
 	c.completions = map[lengthstats.Key]lengthstats.Totals{}
 }
 
-// takeSample returns the totals of a runner and resets them; it reports whether
-// there was any request.
+// takeSample returns and resets the totals of a runner. It reports whether the runner
+// had any request since the last report.
 func (r *runner) takeSample(id ids.RunnerID, now clock.Instant, elapsedSeconds float64) (autoscaler.Sample, bool) {
 	r.countOverdue(now)
 	t := &r.totals
--- a/data/runnerstats/suspicion.go
+++ b/data/runnerstats/suspicion.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// maxProbeShift bounds the backoff between probes, to 2^maxProbeShift times the
-	// first interval.
+	// maxProbeShift limits the exponential backoff between probes to 2^maxProbeShift
+	// times the first interval.
 	maxProbeShift = 3
-	// relapseWindow is within what time after a suspicion ended another one is a
-	// relapse. Its first probe is delayed, since the runner's health check may
-	// succeed all the while: by relapseBackoff, doubled with each further relapse,
-	// maxRelapses times at most.
+	// relapseWindow is the time after the end of a suspicion within which another one
+	// counts as a relapse. The first probe after a relapse is delayed by
+	// relapseBackoff, which doubles with each further relapse, at most maxRelapses
+	// times. Without the delay, a runner that fails requests but passes its health
+	// checks would be cleared at once every time.
 	relapseWindow  = 5 * time.Second
 	relapseBackoff = time.Second / 4
 	maxRelapses    = 4
-	// unhealthyReplyLimit is after how many replies that call the runner unhealthy
-	// it is tried nevertheless: health checks can be wrong either way.
+	// unhealthyReplyLimit is the number of unhealthy replies to probes after which a
+	// runner gets requests anyway, since health checks can be wrong either way.
 	unhealthyReplyLimit = 4
 )
 
-// probeState is the state of a runner's suspicions.
+// probeState is the state of a runner's suspicion and its probes.
 type probeState struct {
-	// probes counts the probes of the current suspicion, unhealthyReplies those that
-	// called the runner unhealthy; nextProbe is when the next is due.
+	// probes is the number of probes of the current suspicion, and unhealthyReplies
+	// the number of those that reported the runner as unhealthy. nextProbe is the time
+	// at which the next probe is due.
 	probes           int
 	unhealthyReplies int
 	nextProbe        clock.Instant
-	// relapses counts the relapses in a row, clearedAt is when the last suspicion
-	// ended.
+	// relapses is the number of consecutive relapses, up to maxRelapses. clearedAt is
+	// the time at which the last suspicion ended, 0 if there was none.
 	relapses  int
 	clearedAt clock.Instant
 }
 
-// DueProbes returns the suspects whose next probe is due, and schedules the one
-// after it: the interval doubles from first up to eight times as long.
+// DueProbes returns the suspects whose next probe is due and schedules the one after
+// it. The interval between probes doubles from first up to 8 times first.
 func (c *Collector) DueProbes(now clock.Instant, first time.Duration) []ids.RunnerID {
 	var due []ids.RunnerID
 	c.eachShard(func(runners map[ids.RunnerID]*runner) {
@@ -52,13 +54,13 @@
 	return due
 }
 
-// Suspect begins a suspicion on other evidence than a request's end.
+// Suspect raises a suspicion of a runner for a reason other than the end of a request.
 func (c *Collector) Suspect(id ids.RunnerID, now clock.Instant) {
 	c.update(id, func(r *runner) { r.suspect(now) })
 }
 
-// suspect begins a suspicion, unless there is one. Its first probe is due at once
-// or, for a relapse, after a backoff.
+// suspect raises a suspicion unless there is one already. The first probe is due
+// immediately or, after a relapse, after a backoff.
 func (r *runner) suspect(now clock.Instant) {
 	if r.Suspect {
 		return
@@ -73,13 +75,13 @@
 	p.relapses = min(maxRelapses, p.relapses+1)
 }
 
-// clearedWithin reports whether a suspicion ended within the time before now.
+// clearedWithin reports whether the last suspicion ended within the window before now.
 func (p *probeState) clearedWithin(window time.Duration, now clock.Instant) bool {
 	return p.clearedAt != 0 && now.Since(p.clearedAt) <= window
 }
 
-// RecordUnhealthy records a probe to which the runner replied that it is
-// unhealthy; it reports whether the suspicion should be cleared nevertheless.
+// RecordUnhealthy records a probe that reported the runner as unhealthy. It returns
+// whether the suspicion should be cleared anyway.
 func (c *Collector) RecordUnhealthy(id ids.RunnerID) bool {
 	shouldClear := false
 	c.update(id, func(r *runner) {
@@ -89,12 +91,12 @@
 	return shouldClear
 }
 
-// ClearSuspicion ends the suspicion of a runner whose probe succeeded.
+// ClearSuspicion clears the suspicion of a runner and counts as a sign of life.
 func (c *Collector) ClearSuspicion(id ids.RunnerID, now clock.Instant) {
 	c.update(id, func(r *runner) { r.markAlive(now) })
 }
 
-// markAlive records a sign of life.
+// markAlive records a sign of life and clears a suspicion.
 func (r *runner) markAlive(now clock.Instant) {
 	if r.Suspect {
 		r.probing.clearedAt = now
@@ -102,8 +104,8 @@
 	r.Suspect, r.LastSeen = false, now
 }
 
-// StopProbing ends the suspicion of a runner that is listed no more, so that it is not
-// probed again. It is no sign of life.
+// StopProbing clears the suspicion of a runner that is no longer listed, so that it is
+// not probed again. It does not count as a sign of life.
 func (c *Collector) StopProbing(id ids.RunnerID) {
 	c.update(id, func(r *runner) { r.Suspect = false })
 }
