--- a/data/snapshot/baseline.go
+++ b/data/snapshot/baseline.go
@@ -8,9 +8,10 @@
 	"onyxwell/base/ids"
 )
 
-// baselines returns the version in place of each service: the one that was in place before,
-// while any of its runners is listed, else the one with the most runners. Of two with as many
-// it is the one whose name sorts first, a shorter one before a longer one, as "v9" and "v10".
+// baselines returns the baseline version of each service. This is the previous baseline as
+// long as a runner of that version is listed, else the version with the most runners. Of
+// versions with equally many runners it is the one with the shortest name, so that "v9"
+// precedes "v10", and of names of equal length the lexically first.
 func baselines(runners map[ids.Service][]*Runner, previous map[ids.Service]string) map[ids.Service]string {
 	result := map[ids.Service]string{}
 	for service, listed := range runners {
--- a/data/snapshot/invariant_test.go
+++ b/data/snapshot/invariant_test.go
@@ -19,6 +19,6 @@
 		})
 	}
 	if got := monitor.Count(invariant.VersionRises); got != 1 {
-		t.Errorf("counted %d", got)
+		t.Errorf("got %d violations, want 1", got)
 	}
 }
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -1,9 +1,10 @@
-// Package snapshot holds what a router acts on: the configuration, the runners,
-// the evacuated and lost zones, the ejected runners and the plan.
+// Package snapshot holds the state that a router's decisions depend on: the
+// configuration, the runners, the evacuated and lost zones, the ejected runners, the
+// rollouts and the autoscaler's plan.
 //
-// A Snapshot is immutable: whoever got one may keep it for as long as a request
-// takes. A Store replaces it as a whole for each update; the version of the
-// configuration and that of each other part never decrease.
+// A Snapshot is immutable, so a request can use the same one from start to end. A Store
+// replaces the whole snapshot on each update. The versions of the configuration and of
+// the other parts never decrease.
 package snapshot
 
 import (
@@ -16,48 +17,49 @@
 	"onyxwell/control/rollout"
 )
 
-// Runner is a listed runner with the region of its zone.
+// Runner is a runner of the list with the region of its zone.
 type Runner struct {
 	discovery.Runner
 	Region ids.Region
 }
 
-// Snapshot is what is known at one moment. Neither it nor its maps may be
-// changed.
+// Snapshot is the state at one point in time. Neither it nor its maps may be modified.
 type Snapshot struct {
-	// Config is nil until there is a configuration.
+	// Config is nil until a configuration was received.
 	Config *config.Config
-	// Runners is nil until there is a list.
+	// Runners is nil until a list of runners was received.
 	Runners   map[ids.Service][]*Runner
 	Evacuated map[ids.Zone]bool
-	// LostZones are the zones that do not answer this router's zone.
+	// LostZones holds the zones that do not answer this router's zone.
 	LostZones map[ids.Zone]bool
-	// CutOffSince is since when half of the zones or more do not answer this router's zone, 0
-	// where they do: news of the controllers, which act by majority, may be missing here.
+	// CutOffSince is the time since which half of the zones or more do not answer this
+	// router's zone, or 0 if enough of them do. While it is set, updates of the
+	// controllers, which act by majority, may not reach this router.
 	CutOffSince clock.Instant
-	// EjectedUntil are the runners that failed requests of this router's zone.
+	// EjectedUntil maps each runner that was ejected for failed requests of this router's
+	// zone to the end of its ejection.
 	EjectedUntil map[ids.RunnerID]clock.Instant
-	// Flows are the plan's shares of regions.
+	// Flows holds the plan's distribution of requests over regions.
 	Flows []autoscaler.Flow
-	// RunnerWeights are the runners that the plan weighs apart from their type.
+	// RunnerWeights holds the runners that have a weight of their own in the plan.
 	RunnerWeights map[ids.RunnerID]autoscaler.RunnerWeight
 	typeWeights   map[runnerType]float64
-	// Rollouts are the newest orders of rollouts, by service.
+	// Rollouts holds the newest rollout order of each service.
 	Rollouts map[ids.Service]rollout.Record
-	// Baseline is, for each service with runners of several versions, the version that is
-	// in place where no rollout was ordered; nil where versions are not told apart.
+	// Baseline maps each service that has runners to its baseline version, which gets the
+	// requests as long as no rollout was ordered. It is nil if versions are not tracked.
 	Baseline map[ids.Service]string
-	// Lengths is how long responses take in this region; nil is unknown.
+	// Lengths estimates the durations of responses in this region; nil if unknown.
 	Lengths *lengthstats.Table
 }
 
-// runnerType is what the plan weighs runners by.
+// runnerType is the key of the plan's weights of runner types.
 type runnerType struct {
 	service ids.Service
 	version string
 }
 
-// Find returns the listed runner with an id, nil where there is none.
+// Find returns the runner with an id, or nil if it is not listed.
 func (s *Snapshot) Find(id ids.RunnerID) *Runner {
 	for _, runners := range s.Runners {
 		for _, runner := range runners {
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// AvailableByID returns whether a service has an available runner with an id.
+// AvailableByID reports whether a service has an available runner with an id.
 func (s *Snapshot) AvailableByID(service ids.Service, id ids.RunnerID) bool {
 	for _, runner := range s.Runners[service] {
 		if runner.ID == id {
@@ -79,21 +81,21 @@
 	return false
 }
 
-// Available returns whether a runner of this snapshot may get requests: it does
-// not drain, and its zone is not evacuated.
+// Available reports whether a runner of this snapshot may get requests: it is not
+// draining, and its zone is not evacuated.
 func (s *Snapshot) Available(runner *Runner) bool {
 	return !runner.Draining && !s.Evacuated[runner.Zone]
 }
 
-// Avoided returns whether a runner is to get requests only where no others can:
-// outlier detection ejected it, or the plan quarantines it.
+// Avoided reports whether a runner should get requests only if no other can take them,
+// because outlier detection has ejected it or the plan quarantines it.
 func (s *Snapshot) Avoided(id ids.RunnerID, now clock.Instant) bool {
 	until, ok := s.EjectedUntil[id]
 	return s.RunnerWeights[id].Quarantined || (ok && now.Before(until))
 }
 
-// Weight returns a runner's weight in load balancing: its own in the plan, else
-// its type's, else, where there is no plan, its capacity.
+// Weight returns a runner's weight in load balancing: its own weight in the plan, else
+// that of its type, else its capacity.
 func (s *Snapshot) Weight(runner *Runner) float64 {
 	if planned := s.RunnerWeights[runner.ID]; planned.Weight > 0 {
 		return planned.Weight
--- a/data/snapshot/store.go
+++ b/data/snapshot/store.go
@@ -26,44 +26,45 @@
 	"onyxwell/control/rollout"
 )
 
-// Options are what a Store is made from.
+// Options configures a Store.
 type Options struct {
 	Clock clock.Clock
 	// Log may be nil.
 	Log *log.Logger
-	// Zones are the regions of all zones, Region is the router's own.
+	// Zones maps each zone to its region. Region is the router's own region.
 	Zones  map[ids.Zone]ids.Region
 	Region ids.Region
-	// View keeps the list of runners; nil is a new one.
+	// View tracks the list of runners. If it is nil, NewStore creates one.
 	View *discovery.View
-	// OnRunners is called with each snapshot that has a new list of runners, before
-	// it is current; nil is not called. It must not call the store.
+	// OnRunners is called with each snapshot that has a new list of runners, before the
+	// snapshot becomes current. It may be nil, and it must not call the store.
 	OnRunners func(next *Snapshot)
-	// TracksVersions has a new version of a service be told from the one in place.
+	// TracksVersions enables Snapshot.Baseline, which tells the version of a service that
+	// is in use from a new one.
 	TracksVersions bool
 	// Monitor may be nil.
 	Monitor *invariant.Monitor
 }
 
-// Store holds the current snapshot. Its methods may be called at the same time.
+// Store holds the current snapshot. It is safe for concurrent use.
 type Store struct {
 	options   Options
 	current   atomic.Pointer[Snapshot]
 	ready     chan struct{}
 	readyOnce sync.Once
 
-	// mu orders updates.
+	// mu serializes updates and guards zones.
 	mu    sync.Mutex
 	zones map[ids.Zone]zoneRunners
 }
 
-// zoneRunners are a zone's runners, as made from its part of the list.
+// zoneRunners holds a zone's part of the list and the runners built from it.
 type zoneRunners struct {
 	list    *discovery.ZoneList
 	runners []*Runner
 }
 
-// NewStore returns a store with an empty snapshot.
+// NewStore returns a Store with an empty snapshot.
 func NewStore(options Options) *Store {
 	if options.OnRunners == nil {
 		options.OnRunners = func(*Snapshot) {}
@@ -79,15 +80,15 @@
 	return s
 }
 
-// Current returns the current snapshot, which is never nil.
+// Current returns the current snapshot. It is never nil.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Ready returns a channel that is closed once there are a configuration and a
-// list of runners.
+// Ready returns a channel that is closed once a configuration and a list of runners were
+// received.
 func (s *Store) Ready() <-chan struct{} { return s.ready }
 
-// Apply takes over an update that was gossiped; what can't be read changes
-// nothing. A gossip store calls it with versions of each key that only rise.
+// Apply applies a gossiped item. Items that cannot be decoded are ignored. The caller,
+// a gossip store, must pass the versions of each key in increasing order.
 func (s *Store) Apply(item gossip.Item) {
 	if s.options.View.Apply(item) {
 		s.update(s.applyRunners)
@@ -96,11 +97,11 @@
 	}
 }
 
-// applier changes the next snapshot by an item's body; it returns whether there
-// is anything new.
+// applier applies an item's body to the next snapshot and reports whether it changed
+// anything.
 type applier func(next *Snapshot, body []byte) bool
 
-// applierFor returns what takes over the items of a key, nil where none does.
+// applierFor returns the applier for the items of a key, or nil if the key is not used.
 func (s *Store) applierFor(key string) applier {
 	switch {
 	case key == config.Key:
@@ -121,14 +122,14 @@
 	return nil
 }
 
-// ApplyRunners takes over a list of runners that was not gossiped.
+// ApplyRunners applies a list of runners that was not received by gossip.
 func (s *Store) ApplyRunners(list discovery.List) {
 	s.options.View.SetLocal(list)
 	s.update(s.applyRunners)
 }
 
-// update makes a changed copy of the snapshot current, unless change returns
-// false. A change must replace maps, not write to them.
+// update applies change to a copy of the current snapshot and makes the copy current if
+// change returns true. change must replace maps instead of modifying them.
 func (s *Store) update(change func(next *Snapshot) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 		return
 	}
 	if current.Config != nil && next.Config.Version < current.Config.Version {
-		s.options.Monitor.Violated(invariant.VersionRises, "version %d after %d", next.Config.Version, current.Config.Version)
+		s.options.Monitor.Violated(invariant.VersionRises, "configuration version %d is applied after version %d", next.Config.Version, current.Config.Version)
 	}
 	s.current.Store(&next)
 	if next.Config != current.Config {
@@ -159,7 +160,7 @@
 	return true
 }
 
-// applyPlan takes over what a plan says of runners and regions.
+// applyPlan applies the plan's flows, weights and length estimates.
 func (s *Store) applyPlan(next *Snapshot, body []byte) bool {
 	routing, err := autoscaler.ReadRouting(body)
 	if err != nil {
@@ -182,8 +183,8 @@
 	return true
 }
 
-// applyRunners takes over the view's list. The runners of a zone whose part of
-// the list is unchanged stay the same ones.
+// applyRunners applies the view's list of runners. If a zone's part of the list is
+// unchanged, its Runner values are reused.
 func (s *Store) applyRunners(next *Snapshot) bool {
 	lists := s.options.View.Zones()
 	if lists == nil {
@@ -240,8 +241,8 @@
 	return true
 }
 
-// applyEjections takes over the ejected runners; they are gossiped in the zone
-// alone. An ejection ends by itself, by this router's clock.
+// applyEjections applies the ejected runners, which are gossiped only within the zone. An
+// ejection ends on its own, by this router's clock.
 func (s *Store) applyEjections(next *Snapshot, body []byte) bool {
 	ejections, err := outlier.Decode(body)
 	if err != nil {
--- a/data/snapshot/store_test.go
+++ b/data/snapshot/store_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestStore_versionsNeverDecrease applies items in any order: the version of the
-// configuration and of each zone only rise, and earlier snapshots stay what they
-// were.
+// TestStore_versionsNeverDecrease applies items in random order and checks that the
+// versions of the configuration and of a zone's evacuation never decrease, and that
+// earlier snapshots are not modified.
 func TestStore_versionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore(Options{Clock: clock.NewFake()})
@@ -38,14 +38,14 @@
 				zoneVersion = max(zoneVersion, version)
 			}
 			if before.Config != copied.Config || before.Evacuated["hall"] != copied.Evacuated["hall"] {
-				t.Fatal("a snapshot was changed after it was taken")
+				t.Fatal("an update modified an earlier snapshot")
 			}
 			current := store.Current()
 			if configVersion > 0 && current.Config.Version != configVersion {
-				t.Fatalf("the configuration is at %d, not %d", current.Config.Version, configVersion)
+				t.Fatalf("the configuration has version %d, want %d", current.Config.Version, configVersion)
 			}
 			if current.Evacuated["hall"] != (zoneVersion%2 == 1) {
-				t.Fatalf("the zone is not as version %d left it", zoneVersion)
+				t.Fatalf("the evacuation state of the zone is not that of version %d", zoneVersion)
 			}
 		}
 	})
@@ -67,12 +67,12 @@
 	}
 	store.ApplyRunners(discovery.List{})
 	if !ready() {
-		t.Fatal("not ready with both")
+		t.Fatal("not ready with a configuration and a list of runners")
 	}
 }
 
-// TestApply_keepsRunnersOfOtherZones changes one zone's part of the list: the
-// runners of the others stay the same ones.
+// TestApply_keepsRunnersOfOtherZones checks that an update of one zone's part of the
+// list replaces the runners of that zone and reuses the Runner values of the others.
 func TestApply_keepsRunnersOfOtherZones(t *testing.T) {
 	store := NewStore(Options{Clock: clock.NewFake()})
 	publish := func(zone ids.Zone, version ids.Version, names ...ids.RunnerID) {
@@ -88,6 +88,6 @@
 	kept := store.Current().Find("i")
 	publish("b", 2, "l")
 	if kept == nil || store.Current().Find("i") != kept || store.Current().Find("k") != nil || store.Current().Find("l") == nil {
-		t.Fatalf("%+v", store.Current().Runners)
+		t.Fatalf("unexpected runners %+v", store.Current().Runners)
 	}
 }
