--- a/data/slowstart/slowstart.go
+++ b/data/slowstart/slowstart.go
@@ -1,8 +1,8 @@
-// Package slowstart bounds the rate of requests to runners that are warming up.
+// Package slowstart limits the rate of requests to runners that are warming up.
 //
-// Invariant: within any second, all routers together send a runner at most its
-// rate plus one request each. Each router spaces its requests by the number of
-// routers over the rate, and saves up nothing.
+// Invariant: within any second, all routers together send a runner in slow start at most
+// its rate plus one request per router. Each router spaces its requests by the number of
+// routers divided by the rate, and allows no bursts.
 package slowstart
 
 import (
@@ -13,52 +13,54 @@
 	"onyxwell/base/ids"
 )
 
-// Limit is the rate of a service's runners in slow start.
+// Limit is the rate limit for a service's runners in slow start.
 type Limit struct {
-	// RequestsPerSecond is the rate per runner; 0 is no limit.
+	// RequestsPerSecond is the rate per runner; 0 means no limit.
 	RequestsPerSecond float64
-	// Routers is among how many routers the rate is shared; with 0 this router may
-	// not send to a runner in slow start.
+	// Routers is the number of routers that share the rate. If it is 0, this router must
+	// not send to runners in slow start.
 	Routers int
 }
 
-// Tracker knows which runners are in slow start, and when each may get its next
+// Tracker tracks which runners are in slow start, and when each may get its next
 // request from this router. It is safe for concurrent use.
 type Tracker struct {
 	mu      sync.Mutex
 	runners map[ids.RunnerID]*runnerState
-	// hasList is set once a list of runners was not empty.
+	// hasList is set once Update was called with a nonempty list of runners.
 	hasList bool
 	random  func() float64
 }
 
 type runnerState struct {
-	// startedAt is when this router learnt of the slow start, until is its end.
+	// startedAt is the time at which this router learned of the slow start, and until
+	// the end of the slow start.
 	startedAt clock.Instant
 	until     clock.Instant
-	// nextAdmission is when the next request is admitted, valid if scheduled.
+	// nextAdmission is the time from which the next request is admitted. It is valid
+	// only if scheduled is set.
 	nextAdmission clock.Instant
 	scheduled     bool
 }
 
-// New returns a tracker without runners. random returns a number in [0, 1): it
-// spreads the first requests of routers that learn of a runner at the same time.
+// New returns a Tracker without runners. random returns a number in [0, 1). It spreads
+// the first requests of routers that learn of a runner at the same time.
 func New(random func() float64) *Tracker {
 	return &Tracker{runners: map[ids.RunnerID]*runnerState{}, random: random}
 }
 
-// Runner is an entry of a list of runners.
+// Runner is an entry of the list of runners.
 type Runner struct {
 	ID ids.RunnerID
-	// Remaining is how much of its warm-up is left, as the list says.
+	// Remaining is the remaining warm-up time according to the list.
 	Remaining time.Duration
-	// Warmup is how long a warm-up of its service takes.
+	// Warmup is the duration of a whole warm-up of the runner's service.
 	Warmup time.Duration
 }
 
-// Update replaces the list of runners, which may be outdated by lag. A runner that
-// was not on the list before is in slow start for its whole warm-up, whatever the
-// list says, except on the first list.
+// Update replaces the list of runners, which may be outdated by up to lag. A runner that
+// was not on the previous list is in slow start for at least its whole warm-up, whatever
+// the list says. On the first list that is not empty, only Remaining counts.
 func (t *Tracker) Update(runners []Runner, lag time.Duration, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,8 +87,8 @@
 	t.hasList = t.hasList || len(runners) > 0
 }
 
-// Extend has a listed runner be in slow start until an instant, at least. A
-// runner that is not listed is ignored.
+// Extend extends the slow start of a runner at least to the given time, or starts one.
+// Runners that are not listed are ignored.
 func (t *Tracker) Extend(id ids.RunnerID, until clock.Instant, now clock.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +97,7 @@
 	}
 }
 
-// extend lengthens a slow start, or begins one.
+// extend extends a slow start at least to the given time, or starts one.
 func (r *runnerState) extend(until clock.Instant, now clock.Instant) {
 	if !r.active(now) {
 		r.startedAt, r.scheduled = now, false
@@ -120,13 +122,14 @@
 	return t.admit(id, limit, now, false)
 }
 
-// Admit admits one request to a runner, unless it would exceed the limit of its
-// slow start. Other runners, unknown ones too, are not limited.
+// Admit reports whether a request may be sent to a runner now, and counts it if so.
+// Runners that are unknown or not in slow start are not limited.
 func (t *Tracker) Admit(id ids.RunnerID, limit Limit, now clock.Instant) bool {
 	return t.admit(id, limit, now, true)
 }
 
-// admit reports whether a request is within the limit; with take it is counted.
+// admit reports whether a request is within the limit. If consume is set, an admitted
+// request is counted.
 func (t *Tracker) admit(id ids.RunnerID, limit Limit, now clock.Instant, consume bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/data/slowstart/slowstart_test.go
+++ b/data/slowstart/slowstart_test.go
@@ -12,9 +12,9 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestTracker_sumOverRoutersIsBounded has several routers send a runner in slow
-// start all they may: in no second does the sum exceed its rate by more than one
-// request each.
+// TestTracker_sumOverRoutersIsBounded has several routers send a runner in slow start as
+// many requests as they may, and checks that in no second the sum exceeds the rate by
+// more than one request per router.
 func TestTracker_sumOverRoutersIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 10).Draw(t, "routers")
@@ -54,30 +54,31 @@
 	tracker := New(func() float64 { return 0 })
 	tracker.Update([]Runner{{ID: "old", Warmup: 3 * time.Second}, {ID: "cold", Remaining: time.Second, Warmup: 3 * time.Second}}, time.Second, clk.Now())
 	if tracker.Active("old", clk.Now()) || !tracker.Active("cold", clk.Now()) {
-		t.Fatal("the first list's remaining warm-ups do not count")
+		t.Fatal("on the first list, exactly the runners with remaining warm-up time must be in slow start")
 	}
 	tracker.Update([]Runner{{ID: "old"}, {ID: "cold"}, {ID: "new", Warmup: 3 * time.Second}}, time.Second, clk.Now())
 	if tracker.Active("old", clk.Now()) || !tracker.Active("new", clk.Now()) {
-		t.Fatal("a runner that is new on the list is not in slow start")
+		t.Fatal("on later lists, exactly the new runners must enter slow start")
 	}
 	clk.Advance(2 * time.Second)
 	if tracker.Active("cold", clk.Now()) {
-		t.Fatal("still in slow start after its time and the list's lag")
+		t.Fatal("still in slow start after the remaining warm-up time plus the lag of the list")
 	}
 	tracker.Extend("old", clk.Now().Add(time.Second), clk.Now())
 	if !tracker.Active("old", clk.Now()) {
 		t.Fatal("not in slow start after Extend")
 	}
 	if tracker.Admit("old", Limit{RequestsPerSecond: 20}, clk.Now()) {
-		t.Fatal("a request was admitted though this router has no share")
+		t.Fatal("a request was admitted although this router has no share of the rate")
 	}
 	if !tracker.Admit("old", Limit{}, clk.Now()) || !tracker.Admit("unknown", Limit{RequestsPerSecond: 1}, clk.Now()) {
-		t.Fatal("a service without a rate, or an unknown runner, is limited")
+		t.Fatal("a service without a rate limit or an unknown runner is limited")
 	}
 }
 
-// TestTracker_routersSpreadTheirFirstRequest has far more routers than a second's
-// rate learn of a runner in slow start at one moment, and all want it at once.
+// TestTracker_routersSpreadTheirFirstRequest has far more routers than the rate per
+// second learn of a runner in slow start at the same time. All of them have requests for
+// it at once, and their sum must stay within the rate.
 func TestTracker_routersSpreadTheirFirstRequest(t *testing.T) {
 	const routers, rate = 72, 20.0
 	limit := Limit{RequestsPerSecond: rate, Routers: routers}
