--- a/data/router/drain.go
+++ b/data/router/drain.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// acceptWhileDraining is how long a draining router accepts requests on
-	// connections that are open. Those that clients send more than three seconds
-	// after the signal may not be cut when the grace period is over.
+	// acceptWhileDraining is the time for which a draining router accepts new requests.
+	// A request that a client sends more than 3 seconds after the signal must not be cut
+	// at the end of the grace period, so it must not be accepted.
 	acceptWhileDraining = 2750 * time.Millisecond
-	// directoryTTLFactor is for how many lifetimes of a directory's response the
-	// listener stays open: clients use one for up to three, and one is margin.
+	// directoryTTLFactor is the time for which the listener stays open, in TTLs of a
+	// directory response. Clients use a response for up to 3 TTLs; 1 more is margin.
 	directoryTTLFactor = 4
-	// listenerClosePercent and drainEndPercent are the parts of the grace period
-	// after which the listener closes, and after which requests still in flight are
-	// cut.
+	// listenerClosePercent is the percentage of the grace period after which the listener
+	// is closed at the latest, and drainEndPercent that after which the remaining requests
+	// in flight are cut.
 	listenerClosePercent = 45
 	drainEndPercent      = 90
 )
 
-// isDraining returns whether drain has begun.
+// isDraining reports whether draining has begun.
 func (r *Router) isDraining() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.draining
 }
 
-// startDraining announces the router as not ready for good. It returns the
-// endpoint that clients connect to, nil where there never was one.
+// startDraining permanently marks the router as not ready. It returns the endpoint that
+// clients connect to, or nil if the router never was ready.
 func (r *Router) startDraining() *clientEndpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,9 +42,9 @@
 	return r.endpoint
 }
 
-// drain ends the router in order: out of the directory at once, the listener
-// open until clients have moved, then closed, and requests in flight completed
-// within the grace period.
+// drain shuts the router down gracefully. It removes the router from the directory
+// immediately, keeps the listener open until clients have moved to other routers, then
+// closes it and completes the requests in flight within the grace period.
 func (r *Router) drain(ctx context.Context) {
 	grace := settings.Seconds(r.settings.Bounds.GraceS)
 	startedAt := r.clock.Now()
@@ -62,8 +62,8 @@
 	clock.Wait(ctx, r.clock, r.timing.Probe.AckTimeout)
 }
 
-// closeEndpoint closes the listener, completes requests in flight within the
-// time-out, and cuts the rest.
+// closeEndpoint closes the listener, waits for the requests in flight until the timeout,
+// and cuts the rest.
 func (r *Router) closeEndpoint(ctx context.Context, endpoint *clientEndpoint, timeout time.Duration) {
 	_ = endpoint.listener.Close()
 	ctx, cancel := r.clock.WithTimeout(ctx, timeout)
--- a/data/router/health.go
+++ b/data/router/health.go
@@ -18,22 +18,23 @@
 	"onyxwell/data/upstream"
 )
 
-// healthRequest is a health check of a runner.
+// healthRequest is a health check request to a runner.
 type healthRequest struct{ path string }
 
-// Encode makes the call.
+// Encode returns the HTTP request.
 func (h healthRequest) Encode() httpcall.OutgoingRequest {
 	return httpcall.OutgoingRequest{Method: http.MethodGet, Path: h.path}
 }
 
-// healthReport is a runner's answer to a health check.
+// healthReport is a runner's response to a health check.
 type healthReport struct {
-	runnerID   ids.RunnerID // "" where it does not say
+	runnerID   ids.RunnerID // empty if the response does not contain it
 	warmupLeft time.Duration
 	unhealthy  bool
 }
 
-// Decode reads the answer. A runner that is only full is healthy.
+// Decode decodes the response. A runner that rejected the check only because it is full
+// counts as healthy.
 func (h *healthReport) Decode(resp httpcall.RawResponse) error {
 	full := resp.Status == http.StatusServiceUnavailable && resp.Header.Get(response.NotRunHeader) != ""
 	h.unhealthy = resp.Status != http.StatusOK && !full
@@ -45,21 +46,20 @@
 }
 
 const (
-	// checksPerConnectTimeout is how often, in a time-out for connecting, probes
-	// are looked for that are due, and whether this router reaches all services.
+	// checksPerConnectTimeout is the number of checks per connect timeout. Each check
+	// starts the probes that are due and tests whether this router reaches all services.
 	checksPerConnectTimeout = 8
-	// degradedChecks is after how many checks in a row that miss a service the
-	// router is degraded: a moment without runners is no reason to send clients
-	// elsewhere.
+	// degradedChecks is the number of consecutive failed checks beyond which the router
+	// is degraded. A short time without runners is no reason to send clients elsewhere.
 	degradedChecks = checksPerConnectTimeout / 2
-	// firstProbeDivisor says after which part of the time-out for connecting a
-	// runner or zone is probed again, as 1/firstProbeDivisor.
+	// firstProbeDivisor defines the interval between the first two probes of a runner or
+	// zone as 1/firstProbeDivisor of the connect timeout.
 	firstProbeDivisor = 4
 )
 
-// probeSuspects probes suspected runners and lost zones until they answer, and
-// announces the router as degraded while it reaches no runner of some service.
-// It returns once the context has ended and all probes with it.
+// probeSuspects probes suspected runners and lost zones until they recover, and
+// announces the router as degraded while it reaches no runner of some service. It
+// returns once ctx is done and all probes have ended.
 func (r *Router) probeSuspects(ctx context.Context) error {
 	client := httpcall.NewClient(httpcall.ClientOptions{Dialer: r.dialer(), IdleTimeout: r.timing.ConnectTimeout, MaxIdlePerHost: 1})
 	firstInterval := r.timing.ConnectTimeout / firstProbeDivisor
@@ -80,7 +80,7 @@
 		if r.reachesAllServices(now) {
 			failedChecks, reached = 0, true
 		} else if reached {
-			// Before that the list of runners may be incomplete.
+			// Until all services were reached once, the list of runners may be incomplete.
 			failedChecks++
 		}
 		r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Degraded = failedChecks > degradedChecks })
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// checkHealth sends a health check to a runner of a configured service.
+// checkHealth sends a health check to a runner. Its service must be configured.
 func (r *Router) checkHealth(ctx context.Context, client *http.Client, current *snapshot.Snapshot, runner *snapshot.Runner) (healthReport, error) {
 	ctx, cancel := r.clock.WithTimeout(ctx, r.timing.ConnectTimeout)
 	defer cancel()
@@ -96,15 +96,14 @@
 	return httpcall.Do[healthReport](ctx, client, runner.Address, request)
 }
 
-// isConfigured returns whether a runner's service is in the configuration in
-// force.
+// isConfigured reports whether a runner's service is in the snapshot's configuration.
 func isConfigured(current *snapshot.Snapshot, runner *snapshot.Runner) bool {
 	return current.Config != nil && current.Config.Service(runner.Service) != nil
 }
 
-// probeSuspect checks a suspected runner and clears it where it is healthy; one
-// that says again and again that it is not is cleared too, so that requests
-// decide.
+// probeSuspect checks the health of a suspected runner and clears the suspicion if it is
+// healthy. A runner that repeatedly reports itself as unhealthy is cleared, too, so that
+// requests show whether it works.
 func (r *Router) probeSuspect(ctx context.Context, client *http.Client, id ids.RunnerID) {
 	current := r.snapshots.Current()
 	runner := current.Find(id)
@@ -126,7 +125,7 @@
 	r.stats.ClearSuspicion(id, now)
 }
 
-// sampleRunners draws a runner of each service in a zone.
+// sampleRunners returns a random available runner of each service in a zone.
 func sampleRunners(current *snapshot.Snapshot, zone ids.Zone) []*snapshot.Runner {
 	var sample []*snapshot.Runner
 	for _, runners := range current.Runners {
@@ -143,9 +142,9 @@
 	return sample
 }
 
-// probeZone checks a runner of a lost zone; where it is healthy, the zone is
-// used again. Where it restarted, all of its service in the zone start slowly
-// for as long as it does.
+// probeZone checks the health of a runner in a lost zone. If the runner is healthy, the
+// zone is used again. If it is warming up, all runners of its service in the zone are
+// put into slow start for its remaining warm-up time.
 func (r *Router) probeZone(ctx context.Context, client *http.Client, runner *snapshot.Runner) {
 	current := r.snapshots.Current()
 	if !isConfigured(current, runner) {
@@ -164,7 +163,7 @@
 	r.lostZones.remove(runner.Zone)
 }
 
-// reachesAllServices returns whether every service that routes send to has a
+// reachesAllServices reports whether every service that a route sends requests to has a
 // runner that can get requests now.
 func (r *Router) reachesAllServices(now clock.Instant) bool {
 	current := r.snapshots.Current()
--- a/data/router/health_test.go
+++ b/data/router/health_test.go
@@ -25,8 +25,8 @@
 const configDocument = `{"config_version":1,"routes":[{"name":"a","hostname":"h","path_prefix":"/","give_up_ms":100,"service":"s"}],
  "services":[{"name":"s","health_path":"/well"},{"name":"unused"}]}`
 
-// newRouter returns a router that knows a configuration and runners, on a clock
-// that stands still. It has no proxy and sends nothing to other daemons.
+// newRouter returns a router with a configuration and the given runners, and its fake
+// clock. It has no proxy and sends nothing to other daemons.
 func newRouter(t *testing.T, runners ...discovery.Runner) (*Router, *clock.Fake) {
 	t.Helper()
 	fakeClock := clock.NewFake()
@@ -48,11 +48,11 @@
 func TestReachesAllServices_everyRoutedService(t *testing.T) {
 	r, fakeClock := newRouter(t, discovery.Runner{ID: "one", Service: "s", Zone: "n"}, discovery.Runner{ID: "two", Service: "s", Zone: "s", Draining: true})
 	if !r.reachesAllServices(fakeClock.Now()) {
-		t.Fatal("a service without routes counts, or a ready runner does not")
+		t.Fatal("a service without routes is required, or a ready runner does not count as reachable")
 	}
 	r.stats.Suspect("one", fakeClock.Now())
 	if r.reachesAllServices(fakeClock.Now()) {
-		t.Fatal("a suspected and a draining runner count as reachable")
+		t.Fatal("a suspected or a draining runner counts as reachable")
 	}
 	r.stats.ClearSuspicion("one", fakeClock.Now())
 	r.lostZones.update(map[ids.Zone]bool{"n": true}, fakeClock.Now())
@@ -85,7 +85,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 				if req.URL.Path != "/well" {
-					t.Errorf("asked %s", req.URL.Path)
+					t.Errorf("got a request for %s, want /well", req.URL.Path)
 				}
 				for name, values := range tc.header {
 					w.Header()[name] = values
@@ -100,7 +100,7 @@
 			client := httpcall.NewClient(httpcall.ClientOptions{Dialer: httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}, MaxIdlePerHost: 1})
 			r.probeSuspect(context.Background(), client, "i")
 			if cleared := !r.stats.State("i").Suspect; cleared != tc.cleared || r.slowStart.Active("i", fakeClock.Now()) != tc.warming {
-				t.Errorf("cleared %v, warming up %v", cleared, r.slowStart.Active("i", fakeClock.Now()))
+				t.Errorf("got cleared %v and in slow start %v", cleared, r.slowStart.Active("i", fakeClock.Now()))
 			}
 		})
 	}
@@ -108,24 +108,24 @@
 	r.stats.Suspect("gone", fakeClock.Now())
 	r.probeSuspect(context.Background(), http.DefaultClient, "gone")
 	if len(r.stats.DueProbes(fakeClock.Now(), time.Second)) != 0 {
-		t.Error("a runner that is listed no more is probed for ever")
+		t.Error("a runner that is no longer listed is still probed")
 	}
 }
 
-// TestBecomeReady_notWhileDraining has a router listen for clients while it
-// drains already, as after a SIGTERM during its start.
+// TestBecomeReady_notWhileDraining checks that a router does not become ready if it starts
+// to drain before it listens for clients, as after a SIGTERM during its start.
 func TestBecomeReady_notWhileDraining(t *testing.T) {
 	r, _ := newRouter(t)
 	if r.startDraining() != nil {
-		t.Error("there is an endpoint before the router was ready")
+		t.Error("the router has an endpoint before it is ready")
 	}
 	r.becomeReady(&clientEndpoint{})
 	if r.daemon.Membership.Self().Ready || r.endpoint != nil {
-		t.Error("a draining router is ready")
+		t.Error("a draining router becomes ready")
 	}
 	r, _ = newRouter(t)
 	r.becomeReady(&clientEndpoint{})
 	if !r.daemon.Membership.Self().Ready || r.startDraining() == nil || r.daemon.Membership.Self().Ready {
-		t.Error("a router does not become ready, or stays so")
+		t.Error("a router does not become ready, or stays ready while it drains")
 	}
 }
--- a/data/router/lostzones.go
+++ b/data/router/lostzones.go
@@ -8,44 +8,44 @@
 	"onyxwell/base/ids"
 )
 
-// lostZoneTracker knows the zones whose runners this router avoids, because no
-// member there answers its own zone's relay. One runner of each service there is
-// probed now and then: once one answers, the zone is used again, though it may
-// still be reported as lost. So the probes of a zone do not grow with its
-// runners. The zero value tracks nothing yet; methods may be called at the same
-// time.
+// lostZoneTracker tracks the zones whose runners this router avoids, because the relay
+// of its own zone reports that no member there answers. Periodically one runner of each
+// service there is probed, so that the number of probes does not depend on the number of
+// runners. Once a runner answers, the zone is used again, even if it is still reported
+// as lost. The zero value is ready to use, and methods are safe for concurrent use.
 type lostZoneTracker struct {
 	mu    sync.Mutex
 	zones map[ids.Zone]*lostZone
-	// reported are the zones of the last update.
+	// reported holds the zones that the last update reported as lost.
 	reported map[ids.Zone]bool
 }
 
 type lostZone struct {
 	nextProbe clock.Instant
 	probes    int
-	// recoveredAt is since when the zone is reported as lost no more; 0 while it is.
+	// recoveredAt is the time since which the zone is no longer reported as lost, or 0
+	// while it is.
 	recoveredAt clock.Instant
 }
 
 const (
-	// maxBackoffDoublings is how often the time between two probes of a zone
-	// doubles.
+	// maxBackoffDoublings is the maximum number of times that the interval between two
+	// probes of a zone doubles.
 	maxBackoffDoublings = 2
-	// recoveryTimeout is how long a zone that is reported as lost no more may be
-	// silent before its runners get requests all the same.
+	// recoveryTimeout is the time after which a zone that is no longer reported as lost
+	// is used again even if no probe has succeeded.
 	recoveryTimeout = 5 * time.Second
 )
 
-// contains returns whether a zone's runners are avoided.
+// contains reports whether a zone's runners are avoided.
 func (l *lostZoneTracker) contains(zone ids.Zone) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.zones[zone] != nil
 }
 
-// update takes over which zones are reported as lost. A zone is avoided from its
-// first report on; while it stays reported, one that was removed is not again.
+// update sets the zones that are reported as lost. A zone is avoided from its first
+// report on. A zone that was removed is not avoided again while it stays reported.
 func (l *lostZoneTracker) update(reported map[ids.Zone]bool, now clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +70,8 @@
 	l.reported = reported
 }
 
-// dueProbes returns the zones to probe now, and schedules their next probes with
-// exponential backoff from the first interval.
+// dueProbes returns the zones whose next probe is due and schedules the one after it,
+// with exponential backoff that starts at firstInterval.
 func (l *lostZoneTracker) dueProbes(now clock.Instant, firstInterval time.Duration) []ids.Zone {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	return due
 }
 
-// remove has a zone's runners be used again.
+// remove stops avoiding a zone's runners.
 func (l *lostZoneTracker) remove(zone ids.Zone) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/data/router/lostzones_test.go
+++ b/data/router/lostzones_test.go
@@ -19,7 +19,7 @@
 	"onyxwell/data/slowstart"
 )
 
-// reportLostZones reports zones as lost to a router.
+// reportLostZones gossips to a router that exactly these zones are lost.
 func reportLostZones(r *Router, version ids.Version, zones ...ids.Zone) {
 	body, _ := transport.Marshal(zonesummary.LostZones{Zones: zones})
 	r.snapshots.Apply(gossip.Item{Key: zonesummary.LostZonesKey("n"), Version: version, Body: body})
@@ -53,38 +53,38 @@
 	probe()
 	reportLostZones(r, 1, "s")
 	if probe(); !r.lostZones.contains("s") || r.lostZones.contains("n") {
-		t.Fatal("not the lost zone is avoided")
+		t.Fatal("want the lost zone avoided, and only that one")
 	}
 	down.Store(false)
 	if probe(); !r.lostZones.contains("s") {
-		t.Fatal("probed again at once")
+		t.Fatal("probed again before the first interval has passed")
 	}
 	fakeClock.Advance(4 * time.Second)
 	if probe(); r.lostZones.contains("s") {
-		t.Fatal("a zone whose runners answer is avoided for ever")
+		t.Fatal("a zone whose runners answer is still avoided")
 	}
 	for id, want := range map[ids.RunnerID]bool{"far": true, "peer": true, "near": false} {
 		if warming := r.slowStart.Active(id, fakeClock.Now()); warming != want {
-			t.Errorf("%s: warming up %v", id, warming)
+			t.Errorf("%s: got slow start %v", id, warming)
 		}
 	}
 	if probe(); r.lostZones.contains("s") {
-		t.Fatal("a zone that recovered is avoided again, though it was not reported anew")
+		t.Fatal("a zone that recovered is avoided again without a new report")
 	}
 	reportLostZones(r, 2)
 	probe()
 	down.Store(true)
 	reportLostZones(r, 3, "s")
 	if probe(); !r.lostZones.contains("s") {
-		t.Fatal("a second loss does not count")
+		t.Fatal("a zone that is lost a second time is not avoided")
 	}
 	reportLostZones(r, 4)
 	if probe(); !r.lostZones.contains("s") {
-		t.Fatal("a zone is used before anything there answered")
+		t.Fatal("a zone is used before a runner there has answered")
 	}
 	fakeClock.Advance(recoveryTimeout + 1)
 	if probe(); r.lostZones.contains("s") {
-		t.Fatal("a zone that is reported as lost no more is avoided for ever")
+		t.Fatal("a zone that is no longer reported as lost is avoided after recoveryTimeout")
 	}
 }
 
@@ -103,6 +103,6 @@
 		fakeClock.Advance(2 * time.Second)
 	}
 	if !slices.Equal(probed, []int{1, 1, 1}) {
-		t.Fatalf("runners tested: %v", probed)
+		t.Fatalf("got %v runners probed at each due time, want 1 at each of 3", probed)
 	}
 }
--- a/data/router/report.go
+++ b/data/router/report.go
@@ -11,12 +11,13 @@
 const (
 	// reportInterval is the time between two reports.
 	reportInterval = time.Second / 2
-	// samplesPerReport is how often the requests in flight are counted for a report.
+	// samplesPerReport is the number of times that the requests in flight are sampled
+	// for a report.
 	samplesPerReport = 3
 )
 
-// sendReports sends what this router measured of runners to its zone's relay
-// until the context ends.
+// sendReports periodically sends this router's runner statistics to a relay of its zone,
+// until ctx is done.
 func (r *Router) sendReports(ctx context.Context) error {
 	var sending sync.WaitGroup
 	defer sending.Wait()
@@ -30,7 +31,7 @@
 		report := r.stats.TakeReport(now, now.Since(last))
 		report.From, report.Region = r.daemon.Address, r.settings.Region
 		if !r.settings.Grouping {
-			// Only grouping by length needs them.
+			// Only the grouping of runners by request length uses the lengths.
 			report.Lengths = nil
 		}
 		last = now
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -1,8 +1,10 @@
-// Package router is the daemon of the data plane: it carries clients' requests
-// to model runners, on every edge machine, and keeps no durable state.
+// Package router implements the daemon of the data plane. It runs on every edge machine,
+// forwards clients' requests to model runners and keeps no durable state.
 //
-// A router is ready only with a configuration and a list of runners that are
-// confirmed as the newest, and never again once it drains.
+// A router becomes ready only when it has a list of runners and a configuration that the
+// controllers have confirmed as the newest. If it reaches no majority of them for too long,
+// it becomes ready unconfirmed, see package readindex. Once it drains, it never becomes
+// ready again.
 package router
 
 import (
@@ -32,16 +34,16 @@
 	"onyxwell/data/upstream"
 )
 
-// Role is the routers' name in the deploy file and among members.
+// Role is the name of the router role in the deploy file and in the membership table.
 const Role = "router"
 
-// Options are what a Router is made from.
+// Options configures a Router.
 type Options struct {
-	// Network is the machine's own where it is nil.
+	// Network is the network that the daemon uses; nil is that of the machine.
 	Network daemon.Network
 }
 
-// Router is a router's daemon, put together by New.
+// Router is a router daemon. Use New to create one.
 type Router struct {
 	clock     clock.Clock
 	settings  *settings.Settings
@@ -55,7 +57,7 @@
 	proxy     *proxy.Proxy
 	limiter   *ratelimit.Limiter
 	usage     *usageReporter
-	// versions is nil where no rollouts are ordered.
+	// versions is nil if the settings have no rollout rule.
 	versions *canary.Gate
 
 	mu sync.Mutex
@@ -65,15 +67,15 @@
 }
 
 const (
-	// upstreamIdleFactor is how long idle connections to runners are kept, in peer
-	// time-outs, where the runner does not say.
+	// upstreamIdleFactor is the idle timeout of connections to runners that do not
+	// announce one, as a multiple of the peer timeout.
 	upstreamIdleFactor = 8
-	// idlePerHostDivisor says which part of the descriptors idle connections to one
-	// runner may take, as 1/idlePerHostDivisor.
+	// idlePerHostDivisor limits the idle connections to one runner to
+	// 1/idlePerHostDivisor of the file descriptors.
 	idlePerHostDivisor = 64
 )
 
-// New returns a router that does nothing until Run.
+// New returns a Router, which does nothing until Run is called.
 func New(top scope.Scope, options Options) (*Router, error) {
 	monitor := &invariant.Monitor{Log: top.Log}
 	r := &Router{
@@ -133,11 +135,12 @@
 	return r, nil
 }
 
-// revokedKeyDivisor is the part of the time for which keys may be served out of contact, one in
-// so many, that is left once a router has found out that it is cut off.
+// revokedKeyDivisor is the divisor of revoke_ms, the time for which an isolated router may serve
+// API keys. Of this time 1/revokedKeyDivisor is left once the router has detected its isolation.
 const revokedKeyDivisor = 2
 
-// revokedKeyTimeout returns after how long a router that is cut off serves no keys, 0 for never.
+// revokedKeyTimeout returns the time after which a router that has detected its isolation stops
+// serving API keys, or 0 if it never does.
 func revokedKeyTimeout(bounds settings.Bounds) time.Duration {
 	if !bounds.RevokedFail {
 		return 0
@@ -145,8 +148,8 @@
 	return max(1, settings.Milliseconds(bounds.RevokeMS)/revokedKeyDivisor)
 }
 
-// Run runs the router until the context ends, then drains it. Settings that
-// come over reloaded are taken over while it runs.
+// Run runs the router until ctx is done, then drains it. Settings received from reloaded
+// are applied while it runs.
 func (r *Router) Run(ctx context.Context, reloaded <-chan *settings.Settings) error {
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -182,9 +185,9 @@
 	return httpcall.Dialer{Timeout: r.timing.ConnectTimeout, UserTimeout: r.timing.PeerTimeout}
 }
 
-// retryBudgetOptions are this router's share of the retry budget. A process
-// before this one may have spent its part of the reserve just now, unless the
-// whole deployment starts for the first time.
+// retryBudgetOptions returns the options of this router's share of the retry budget. The
+// reserve is withheld for one window, since a previous process of this router may just have
+// spent it, unless the whole deployment starts for the first time.
 func (r *Router) retryBudgetOptions() retrybudget.Options {
 	bounds := r.settings.Bounds
 	options := retrybudget.Options{
@@ -196,11 +199,11 @@
 	return options
 }
 
-// routerCount returns how many routers there could be.
+// routerCount returns an upper bound on the number of routers.
 func (r *Router) routerCount() int { return r.daemon.Zones.RouterCount() }
 
-// configVersion returns the version of the configuration that this router acts
-// on; 0 is none yet.
+// configVersion returns the version of the configuration in use, or 0 if there is none
+// yet.
 func (r *Router) configVersion() ids.Version {
 	if current := r.config(); current != nil {
 		return current.Version
@@ -208,11 +211,11 @@
 	return 0
 }
 
-// config returns the configuration that this router acts on; nil is none yet.
+// config returns the configuration in use, or nil if there is none yet.
 func (r *Router) config() *config.Config { return r.snapshots.Current().Config }
 
-// updateSlowStart takes over a new list of runners. It is called before the
-// list is acted on.
+// updateSlowStart passes a new list of runners to the slow-start tracker. It is called
+// before the list comes into use.
 func (r *Router) updateSlowStart(next *snapshot.Snapshot) {
 	var runners []slowstart.Runner
 	for name, listed := range next.Runners {
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -13,13 +13,13 @@
 	"onyxwell/data/proxy"
 )
 
-// clientEndpoint is what clients connect to.
+// clientEndpoint is the listener and the server that clients connect to.
 type clientEndpoint struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// becomeReady announces the router as ready with an endpoint, unless it drains.
+// becomeReady sets the endpoint and announces the router as ready, unless it is draining.
 func (r *Router) becomeReady(endpoint *clientEndpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,7 +30,7 @@
 	r.daemon.Membership.UpdateSelf(func(self *membership.Member) { self.Ready = true })
 }
 
-// serveReadiness serves the readiness check of the platform.
+// serveReadiness serves the platform's readiness check.
 func (r *Router) serveReadiness(ctx context.Context) error {
 	return r.daemon.ServeHTTP(ctx, r.settings.Listen["readiness"], http.HandlerFunc(r.handleReadiness))
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// serveClients serves clients once the router has a configuration that is
-// confirmed as the newest, and the runners.
+// serveClients serves clients once the router has a list of runners and a configuration
+// and the read-index gate is open.
 func (r *Router) serveClients(ctx context.Context) error {
 	listener, err := r.listen(ctx)
 	if err != nil || listener == nil {
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// listen waits until the router can serve and returns its listener, or nil where
-// the context ends before. The listener opens at once, so that clients that come
-// a little early wait in its backlog rather than being refused; where that takes
-// longer than they wait, it closes until the router can serve.
+// listen waits until the router can serve and returns its listener, or nil if ctx is done
+// before. The listener is opened immediately, so that the connections of clients that are
+// slightly early wait in its backlog instead of being refused. If the router cannot serve
+// within the connect timeout, the listener is closed and reopened when it can.
 func (r *Router) listen(ctx context.Context) (net.Listener, error) {
 	address := string(r.settings.Listen["front"])
 	listener, err := net.Listen("tcp", address)
--- a/data/router/usage.go
+++ b/data/router/usage.go
@@ -12,12 +12,13 @@
 	"onyxwell/control/usage"
 )
 
-// usageReportInterval is the time between two reports of usage; one goes out at the end
-// of each window besides. What a router that is killed had counted in it is lost.
+// usageReportInterval is the maximum time between two usage reports. Another report is sent
+// shortly after the end of each window. The usage counted since the last report is lost if
+// the router is killed.
 const usageReportInterval = time.Second / 2
 
-// usageReporter counts the requests that runners began, and reports them to the zone's
-// relay. It does nothing where the settings ask for no usage reports.
+// usageReporter counts the requests that runners began to process, by tenant, and reports
+// them to a relay of the zone. It does nothing if the settings do not enable usage reports.
 type usageReporter struct {
 	clock       clock.Clock
 	daemon      *daemon.Daemon
@@ -34,11 +35,11 @@
 	return reporter
 }
 
-// newIncarnation numbers a life of a router that begins now: later ones have higher numbers, unless
-// its clock was set back.
+// newIncarnation returns the number of a router's incarnation that starts now. Later
+// incarnations have higher numbers, unless the clock was set back.
 func newIncarnation(agreed *timesync.Clock) int64 { return int64(agreed.Now()) }
 
-// requestBegan counts a request of a tenant that a runner requestBegan age ago.
+// requestBegan counts a request of a tenant that a runner began to process age ago.
 func (u *usageReporter) requestBegan(tenant ids.Tenant, age time.Duration) {
 	if u.meter != nil {
 		u.meter.Began(tenant, age)
@@ -65,7 +66,8 @@
 	}
 }
 
-// end reports all that was counted: the router serves no more.
+// end sends the last report, which closes all windows. It is called once the router no
+// longer serves requests.
 func (u *usageReporter) end(ctx context.Context) {
 	if u.meter != nil {
 		u.meter.End()
