--- a/data/balancer/admission.go
+++ b/data/balancer/admission.go
@@ -53,13 +53,14 @@
 	reachedRunner bool
 	mayHaveRun    bool
 	garbled       bool
-	// overloaded reports that the queue of every runner was too long for the request
-	// to meet its latency target.
+	// overloaded reports whether the queues of all available runners were too long for
+	// the request to meet its latency target.
 	overloaded bool
 	exclusions Exclusions
 	// arm is the arm of the service's rollout that the request belongs to.
 	arm canary.Arm
-	// rarePrefix reports that a subset of the runners serves the first prompt part.
+	// rarePrefix reports whether the request's prompt begins with a rare part, which a
+	// subset of the runners serves.
 	rarePrefix bool
 }
 
@@ -69,7 +70,7 @@
 // Arm returns the rollout arm of the next attempt.
 func (a *Admission) Arm() canary.Arm { return a.arm }
 
-// Exclusions returns the runners excluded from the last selection, by reason.
+// Exclusions counts the runners excluded from the last selection, by reason.
 func (a *Admission) Exclusions() Exclusions { return a.exclusions }
 
 // Next returns the next step for the request.
--- a/data/balancer/affinity.go
+++ b/data/balancer/affinity.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minTokensPerByte is the number of shared tokens per byte of the body from which
-	// on a request may go to another region for its cached prefix.
+	// minTokensPerByte is the minimum number of shared tokens per byte of the body for a
+	// request that may go to another region for its cached prefix.
 	minTokensPerByte = 0.3
 	// minChainedParts is the minimum number of parts, including the request's own, of
 	// a prompt whose shared parts form a chain.
@@ -140,8 +140,8 @@
 	// minTrackedShare is the share of all work below which a prefix is no longer
 	// tracked.
 	minTrackedShare = rarePrefixShare / 64
-	// prefixHalfLife is the number of prompts after which the observations count for
-	// half.
+	// prefixHalfLife is the number of prompts after which the weight of an observation
+	// is halved.
 	prefixHalfLife = 512
 	// maxPrefixes is the maximum number of tracked prefixes.
 	maxPrefixes = 4096
--- a/data/balancer/balancer.go
+++ b/data/balancer/balancer.go
@@ -6,7 +6,7 @@
 // Invariants:
 //
 //   - A request that may have been executed is retried only if its route is
-//     idempotent. It never fails with an error that says it was not executed.
+//     idempotent, and its error response never claims that it was not executed.
 //   - Once a request has reached a runner, every further attempt consumes retry
 //     budget.
 //   - A request is never sent to the same runner twice.
--- a/data/balancer/lengthclass.go
+++ b/data/balancer/lengthclass.go
@@ -9,9 +9,9 @@
 	// shortSpillMargin is the amount by which the load of the short class's runners
 	// must exceed that of the others before short requests spill over to them.
 	shortSpillMargin = 0.1
-	// longSpillFactor and longSpillMargin bound the load in the same way for long
-	// requests: the load of the long class's runners must exceed the load of the
-	// others times the factor plus the margin.
+	// longSpillFactor and longSpillMargin define the condition for long requests: the
+	// load of the long class's runners must exceed the load of the others times the
+	// factor plus the margin.
 	longSpillFactor = 2.0
 	longSpillMargin = 0.25
 )
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -23,8 +23,8 @@
 	// route's latency target, but at least minSilenceLimit.
 	minSilenceLimit = 50 * time.Millisecond
 	silenceDivisor  = 2
-	// minQueued is the number of pending requests at a runner from which on their
-	// waiting time is taken into account.
+	// minQueued is the minimum number of pending requests at a runner for their waiting
+	// time to be taken into account.
 	minQueued = 2
 	// maxQueuedShare is the fraction of the latency target that the oldest pending
 	// request may have waited.
--- a/data/router/lostzones.go
+++ b/data/router/lostzones.go
@@ -12,7 +12,7 @@
 // of its own zone reports that no member there answers. Periodically one runner of each
 // service there is probed, so that the number of probes does not depend on the number of
 // runners. Once a runner answers, the zone is used again, even if it is still reported
-// as lost. The zero value is ready to use, and methods are safe for concurrent use.
+// as lost. The zero value is ready to use, and its methods are safe for concurrent use.
 type lostZoneTracker struct {
 	mu    sync.Mutex
 	zones map[ids.Zone]*lostZone
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -135,12 +135,12 @@
 	return r, nil
 }
 
-// revokedKeyDivisor is the divisor of revoke_ms, the time for which an isolated router may serve
-// API keys. Of this time 1/revokedKeyDivisor is left once the router has detected its isolation.
+// revokedKeyDivisor is the divisor of revoke_ms, the time for which an isolated router may accept
+// API keys. When the router detects its isolation, 1/revokedKeyDivisor of this time is left.
 const revokedKeyDivisor = 2
 
 // revokedKeyTimeout returns the time after which a router that has detected its isolation stops
-// serving API keys, or 0 if it never does.
+// accepting API keys, or 0 if it never does.
 func revokedKeyTimeout(bounds settings.Bounds) time.Duration {
 	if !bounds.RevokedFail {
 		return 0
--- a/data/runnerstats/report.go
+++ b/data/runnerstats/report.go
@@ -19,8 +19,8 @@
 }
 
 // ObserveFirstEvent records the time to the first event of a response. units is the
-// work of the request: its prompt tokens, or 1 if it has none. For the latter, latency
-// is the duration of the whole response.
+// work of the request: its prompt tokens, or 1 if it states none. In that case latency is
+// the duration of the whole response.
 func (c *Collector) ObserveFirstEvent(service ids.Service, route string, units float64, latency time.Duration) {
 	latencyMS := float64(latency) / float64(time.Millisecond)
 	c.demandMu.Lock()
--- a/data/runnerstats/suspicion_test.go
+++ b/data/runnerstats/suspicion_test.go
@@ -35,7 +35,7 @@
 	clk.Advance(2 * relapseWindow)
 	failRequest(collector, clk)
 	if len(collector.DueProbes(clk.Now(), time.Second)) != 1 {
-		t.Fatal("relapses before relapseWindow still delay the probe")
+		t.Fatal("relapses older than relapseWindow still delay the probe")
 	}
 }
 
--- a/data/slowstart/slowstart.go
+++ b/data/slowstart/slowstart.go
@@ -33,8 +33,8 @@
 }
 
 type runnerState struct {
-	// startedAt is the time at which this router learned of the slow start, and until
-	// the end of the slow start.
+	// startedAt is the time at which this router learned of the slow start; until is the
+	// time at which the slow start ends.
 	startedAt clock.Instant
 	until     clock.Instant
 	// nextAdmission is the time from which the next request is admitted. It is valid
--- a/data/snapshot/snapshot.go
+++ b/data/snapshot/snapshot.go
@@ -25,9 +25,9 @@
 
 // Snapshot is the state at one point in time. Neither it nor its maps may be modified.
 type Snapshot struct {
-	// Config is nil until a configuration was received.
+	// Config is nil until a configuration has been received.
 	Config *config.Config
-	// Runners is nil until a list of runners was received.
+	// Runners is nil until a list of runners has been received.
 	Runners   map[ids.Service][]*Runner
 	Evacuated map[ids.Zone]bool
 	// LostZones holds the zones that do not answer this router's zone.
--- a/data/snapshot/store.go
+++ b/data/snapshot/store.go
@@ -39,8 +39,8 @@
 	// OnRunners is called with each snapshot that has a new list of runners, before the
 	// snapshot becomes current. It may be nil, and it must not call the store.
 	OnRunners func(next *Snapshot)
-	// TracksVersions enables Snapshot.Baseline, which tells the version of a service that
-	// is in use from a new one.
+	// TracksVersions enables Snapshot.Baseline, which distinguishes the version of a
+	// service that is in use from a new one.
 	TracksVersions bool
 	// Monitor may be nil.
 	Monitor *invariant.Monitor
@@ -83,8 +83,8 @@
 // Current returns the current snapshot. It is never nil.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Ready returns a channel that is closed once a configuration and a list of runners were
-// received.
+// Ready returns a channel that is closed once a configuration and a list of runners have
+// been received.
 func (s *Store) Ready() <-chan struct{} { return s.ready }
 
 // Apply applies a gossiped item. Items that cannot be decoded are ignored. The caller,
