--- a/data/snapshot/invariant_test.go
+++ b/data/snapshot/invariant_test.go
@@ -9,7 +9,7 @@
 	"onyxwell/control/config"
 )
 
-func TestInvariants_countOlderVersion(t *testing.T) {
+func TestUpdate_reportsConfigVersionDecrease(t *testing.T) {
 	monitor := &invariant.Monitor{Tolerant: true}
 	store := NewStore(Options{Clock: clock.NewFake(), Monitor: monitor})
 	for _, version := range []ids.Version{4, 5, 3} {
@@ -19,6 +19,6 @@
 		})
 	}
 	if got := monitor.Count(invariant.VersionRises); got != 1 {
-		t.Errorf("counted %d", got)
+		t.Errorf("got %d violations, want 1", got)
 	}
 }
