--- a/data/proxy/tenant.go
+++ b/data/proxy/tenant.go
@@ -50,7 +50,7 @@
 	if e.tenant == nil || !e.tenant.Limited() {
 		return true
 	}
-	ctx, cancel := e.proxy.clock.WithTimeout(e.req.Context(), e.proxy.limiter.Wait(e.route.LatencyTarget()))
+	ctx, cancel := e.proxy.clock.WithTimeout(e.req.Context(), e.proxy.limiter.MaxWait(e.route.LatencyTarget()))
 	defer cancel()
 	charge, ok := e.proxy.limiter.Admit(ctx, e.tenant, e.balancerRequest.QuotaCost())
 	e.charge = charge
--- a/data/ratelimit/cause.go
+++ b/data/ratelimit/cause.go
@@ -10,8 +10,8 @@
 	// Denied: a relay in contact with the issuer granted nothing. The quota is used up, or
 	// what is left of it is held elsewhere.
 	Denied Cause = iota
-	// DeniedOfLate: a request of no higher cost was denied a moment ago.
-	DeniedOfLate
+	// RecentlyDenied: a request of no higher cost was denied a moment ago.
+	RecentlyDenied
 	// RelayDetached: the relay is out of contact with the issuer, and neither its allowances nor
 	// its zone's part cover the request.
 	RelayDetached
@@ -24,7 +24,7 @@
 
 // CauseNames are the names of the causes; they are values of a label of metrics.
 var CauseNames = [causeCount]string{
-	Denied: "denied", DeniedOfLate: "denied-of-late", RelayDetached: "relay-detached", NoRelay: "no-relay", LateRelay: "late-relay",
+	Denied: "denied", RecentlyDenied: "denied-of-late", RelayDetached: "relay-detached", NoRelay: "no-relay", LateRelay: "late-relay",
 }
 
 // Rejections returns how many requests of tenants with a quota were rejected for a cause.
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// Wait is how long Admit may take for a request with that latency target.
-func (l *Limiter) Wait(latencyTarget time.Duration) time.Duration {
+// MaxWait is how long Admit may take for a request with that latency target.
+func (l *Limiter) MaxWait(latencyTarget time.Duration) time.Duration {
 	return l.options.Policy.MaxWait(latencyTarget)
 }
 
@@ -143,7 +143,7 @@
 	case admitted:
 		return Unspent, true
 	case rejected:
-		l.causes[DeniedOfLate].Add(1)
+		l.causes[RecentlyDenied].Add(1)
 		return Rejected, false
 	case detached:
 		return l.admitDetached(tenant, cost, NoRelay)
@@ -181,8 +181,8 @@
 // SourceNames are the names of the sources; they are values of a label of metrics.
 var SourceNames = [sourceCount]string{Unspent: "unspent", Relay: "relay", Detached: "detached", Grace: "grace", Rejected: "rejected"}
 
-// Count returns how many requests of tenants with a quota came from a source.
-func (l *Limiter) Count(source Source) int64 { return l.counts[source].Load() }
+// Requests returns how many requests of tenants with a quota came from a source.
+func (l *Limiter) Requests(source Source) int64 { return l.counts[source].Load() }
 
 // Refund gives back what a request was charged that no runner ran, to where it came from.
 // An old charge is given back in part or not at all: as much was issued since, and both
--- a/data/ratelimit/limiter_test.go
+++ b/data/ratelimit/limiter_test.go
@@ -93,7 +93,7 @@
 	stub.reachable, stub.grants = true, true
 	ctx := context.Background()
 	charge, ok := limiter.Admit(ctx, tenant, 8)
-	if !ok || limiter.Count(Relay) != 1 {
+	if !ok || limiter.Requests(Relay) != 1 {
 		t.Fatal("a request that the relay grants is not admitted")
 	}
 	limiter.Refund(charge)
--- a/data/router/router.go
+++ b/data/router/router.go
@@ -123,7 +123,7 @@
 	r.daemon.Metrics.GaugeFunc("requests_running", "Requests of clients that are being answered.", nil, func() float64 { return float64(r.proxy.InFlight()) })
 	for source, name := range ratelimit.SourceNames {
 		r.daemon.Metrics.CounterFunc("quota_requests_total", "Requests of tenants with a quota, by what they were admitted from, or rejected.",
-			map[string]string{"source": name}, func() float64 { return float64(r.limiter.Count(ratelimit.Source(source))) })
+			map[string]string{"source": name}, func() float64 { return float64(r.limiter.Requests(ratelimit.Source(source))) })
 	}
 	for cause, name := range ratelimit.CauseNames {
 		r.daemon.Metrics.CounterFunc("quota_rejections_total", "Requests of tenants with a quota that were rejected, by cause.",
