--- a/data/ratelimit/admissionlog.go
+++ b/data/ratelimit/admissionlog.go
@@ -13,18 +13,18 @@
 	}
 	entry = entry.Str("part", "quota")
 	for source, name := range SourceNames {
-		entry = entry.Int64(name, l.counts[source].Load()-l.logged[source])
-		l.logged[source] = l.counts[source].Load()
+		entry = entry.Int64(name, l.requestCounts[source].Load()-l.loggedCounts[source])
+		l.loggedCounts[source] = l.requestCounts[source].Load()
 	}
 	for cause, name := range CauseNames {
-		entry = entry.Int64(name, l.causes[cause].Load())
+		entry = entry.Int64(name, l.rejectionCounts[cause].Load())
 	}
 	l.mu.Lock()
-	held := 0.0
+	unspent := 0.0
 	for _, c := range l.credits {
-		held += c.Tokens
+		unspent += c.Tokens
 	}
 	attached, routers := l.isAttached, l.routers()
 	l.mu.Unlock()
-	entry.Float64("unspent_credit", held).Bool("attached", attached).Int("routers", routers).Msg("admissions of tenants with a quota")
+	entry.Float64("unspent_credit", unspent).Bool("attached", attached).Int("routers", routers).Msg("admissions of tenants with a quota")
 }
--- a/data/ratelimit/cause.go
+++ b/data/ratelimit/cause.go
@@ -28,7 +28,7 @@
 }
 
 // Rejections returns how many requests of tenants with a quota were rejected for a cause.
-func (l *Limiter) Rejections(cause Cause) int64 { return l.causes[cause].Load() }
+func (l *Limiter) Rejections(cause Cause) int64 { return l.rejectionCounts[cause].Load() }
 
 // causeOf returns why no relay granted a request after an error: granted is what relays answered,
 // nil if none did.
--- a/data/ratelimit/fleetharness_test.go
+++ b/data/ratelimit/fleetharness_test.go
@@ -252,7 +252,7 @@
 
 func (f *fleet) fillUp() {
 	for _, router := range f.routers {
-		router.limiter.fillUp(context.Background(), f.config)
+		router.limiter.refill(context.Background(), f.config)
 	}
 	for _, relay := range f.relays {
 		if !relay.down && !relay.frozen {
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -53,56 +53,56 @@
 
 // Limiter admits requests. It is safe for concurrent use.
 type Limiter struct {
-	options Options
-	counts  [sourceCount]atomic.Int64
-	causes  [causeCount]atomic.Int64
-	// logged are the counts at the last logAdmissions, which Run alone calls.
-	logged [sourceCount]int64
+	options         Options
+	requestCounts   [sourceCount]atomic.Int64
+	rejectionCounts [causeCount]atomic.Int64
+	// loggedCounts are the counts at the last logAdmissions, which Run alone calls.
+	loggedCounts [sourceCount]int64
 
 	mu      sync.Mutex
 	credits map[ids.Tenant]*credit
 	// isAttached says that a relay answered the last request. If not, this router's own
 	// part of the rate accrues from ownSince on.
-	isAttached bool
-	ownSince   clock.Instant
+	isAttached   bool
+	ownShareFrom clock.Instant
 	// delegate is the relay that this router has left its own part to, by its last answer
 	// out of contact with the issuer, without a break since delegateSince; "" for none.
-	delegate      ids.Address
-	delegateSince clock.Instant
+	delegate        ids.Address
+	delegatingSince clock.Instant
 	// startedAt is when this router started. isUntouched says that since then its own part was
 	// neither used nor counted in nor left to more than one relay; claimedAt is when it first told
 	// a relay so.
-	startedAt   clock.Instant
-	isUntouched bool
-	claimedAt   clock.Instant
-	// relayRouters is how many routers a relay knew of at most.
-	relayRouters int
-	// detachedUntil is until when no relay is asked, after none answered.
-	detachedUntil clock.Instant
+	startedAt         clock.Instant
+	isShareUnused     bool
+	withheldClaimedAt clock.Instant
+	// reportedRouters is how many routers a relay knew of at most.
+	reportedRouters int
+	// skipRelaysUntil is until when no relay is asked, after none answered.
+	skipRelaysUntil clock.Instant
 }
 
 // credit is what is unspent of a tenant's.
 type credit struct {
 	// Bucket has what was issued.
 	quota.Bucket
-	// own and grace have what accrued here. They are never given back: nobody issued
+	// ownShare and grace have what accrued here. They are never given back: nobody issued
 	// it.
-	own    quota.Bucket
-	grace  quota.Bucket
-	usedAt clock.Instant
-	denial quota.Denial
+	ownShare quota.Bucket
+	grace    quota.Bucket
+	usedAt   clock.Instant
+	denial   quota.Denial
 }
 
 // New returns a limiter without credit.
 func New(options Options) *Limiter {
 	now := options.Clock.Now()
-	return &Limiter{options: options, credits: map[ids.Tenant]*credit{}, ownSince: now, startedAt: now, isUntouched: true}
+	return &Limiter{options: options, credits: map[ids.Tenant]*credit{}, ownShareFrom: now, startedAt: now, isShareUnused: true}
 }
 
 // NewDetached returns the limiter of a router that is the only one and has no relay.
-func NewDetached(source clock.Clock, inForce func() *config.Config, random func() float64) *Limiter {
+func NewDetached(clk clock.Clock, activeConfig func() *config.Config, random func() float64) *Limiter {
 	return New(Options{
-		Clock: source, Policy: quota.NewPolicy(settings.Bounds{}), Config: inForce, Routers: func() int { return 1 }, Random: random,
+		Clock: clk, Policy: quota.NewPolicy(settings.Bounds{}), Config: activeConfig, Routers: func() int { return 1 }, Random: random,
 		Acquire: func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
 			return quota.RelayAnswer{}, errNoRelay
 		},
@@ -133,7 +133,7 @@
 	if !ok {
 		source = Rejected
 	}
-	l.counts[source].Add(1)
+	l.requestCounts[source].Add(1)
 	return Charge{tenant: tenant, cost: cost, source: source, at: l.options.Clock.Now()}, ok
 }
 
@@ -143,7 +143,7 @@
 	case admitted:
 		return Unspent, true
 	case rejected:
-		l.causes[RecentlyDenied].Add(1)
+		l.rejectionCounts[RecentlyDenied].Add(1)
 		return Rejected, false
 	case detached:
 		return l.admitDetached(tenant, cost, NoRelay)
@@ -155,8 +155,8 @@
 	if err != nil {
 		return l.admitDetached(tenant, cost, causeOf(ctx, granted))
 	}
-	l.noteDenial(tenant, cost)
-	l.causes[Denied].Add(1)
+	l.recordDenial(tenant, cost)
+	l.rejectionCounts[Denied].Add(1)
 	return Rejected, false
 }
 
@@ -182,7 +182,7 @@
 var SourceNames = [sourceCount]string{Unspent: "unspent", Relay: "relay", Detached: "detached", Grace: "grace", Rejected: "rejected"}
 
 // Requests returns how many requests of tenants with a quota came from a source.
-func (l *Limiter) Requests(source Source) int64 { return l.counts[source].Load() }
+func (l *Limiter) Requests(source Source) int64 { return l.requestCounts[source].Load() }
 
 // Refund gives back what a request was charged that no runner ran, to where it came from.
 // An old charge is given back in part or not at all: as much was issued since, and both
@@ -199,8 +199,8 @@
 	switch charge.source {
 	case Detached:
 		// What accrued before the last contact is gone.
-		if l.ownSince <= charge.at {
-			c.own.Tokens += refund
+		if l.ownShareFrom <= charge.at {
+			c.ownShare.Tokens += refund
 		}
 	case Grace:
 		c.grace.Tokens += refund
@@ -209,11 +209,11 @@
 	}
 }
 
-// verdict is what the unspent credit says of a request.
-type verdict int
+// decision is what the unspent credit says of a request.
+type decision int
 
 const (
-	admitted verdict = iota
+	admitted decision = iota
 	rejected
 	// uncovered: a relay has to be asked.
 	uncovered
@@ -221,7 +221,7 @@
 	detached
 )
 
-func (l *Limiter) admitUnspent(tenant *config.Tenant, cost float64) verdict {
+func (l *Limiter) admitUnspent(tenant *config.Tenant, cost float64) decision {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,7 +232,7 @@
 		return admitted
 	case c.denial.Covers(cost, now):
 		return rejected
-	case now.Before(l.detachedUntil):
+	case now.Before(l.skipRelaysUntil):
 		return detached
 	}
 	return uncovered
@@ -243,7 +243,7 @@
 func (l *Limiter) admitDetached(tenant *config.Tenant, cost float64, cause Cause) (source Source, ok bool) {
 	source, ok = l.takeDetached(tenant, cost)
 	if !ok {
-		l.causes[cause].Add(1)
+		l.rejectionCounts[cause].Add(1)
 	}
 	return source, ok
 }
@@ -259,16 +259,16 @@
 	if routers == 0 {
 		return Rejected, false
 	}
-	l.withholdOwn(now)
+	l.deferOwnShare(now)
 	// An attached router is counted in, also where a caller did not wait for the relay.
-	if !l.isAttached && l.ownSince <= now {
-		if c.own.FilledAt < l.ownSince {
+	if !l.isAttached && l.ownShareFrom <= now {
+		if c.ownShare.FilledAt < l.ownShareFrom {
 			// What accrued before the last contact is gone: the issuer counted this router.
-			c.own = quota.Bucket{FilledAt: l.ownSince}
+			c.ownShare = quota.Bucket{FilledAt: l.ownShareFrom}
 		}
-		c.own.Fill(quota.DetachedLimit(tenant, 1/float64(routers)), now)
-		if c.own.TakeRandomized(cost, l.options.Random) {
-			l.isUntouched = false
+		c.ownShare.Fill(quota.DetachedLimit(tenant, 1/float64(routers)), now)
+		if c.ownShare.TakeRandomized(cost, l.options.Random) {
+			l.isShareUnused = false
 			return Detached, true
 		}
 	}
@@ -276,8 +276,8 @@
 	return Grace, c.grace.TakeRandomized(cost, l.options.Random)
 }
 
-// noteDenial has the tenant's requests of at least that cost rejected for a moment.
-func (l *Limiter) noteDenial(tenant *config.Tenant, cost float64) {
+// recordDenial has the tenant's requests of at least that cost rejected for a moment.
+func (l *Limiter) recordDenial(tenant *config.Tenant, cost float64) {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/data/ratelimit/limiter_test.go
+++ b/data/ratelimit/limiter_test.go
@@ -76,7 +76,7 @@
 	}
 	stub.reachable = true
 	fakeClock.Advance(time.Second)
-	limiter.fillUp(ctx, limiter.options.Config())
+	limiter.refill(ctx, limiter.options.Config())
 	for _, need := range stub.needs {
 		if need.Amount < 0 {
 			t.Errorf("%g are given back that nobody issued", -need.Amount)
@@ -98,7 +98,7 @@
 	}
 	limiter.Refund(charge)
 	stub.needs = nil
-	limiter.fillUp(ctx, limiter.options.Config())
+	limiter.refill(ctx, limiter.options.Config())
 	stock := limiter.options.Policy.RouterCreditLimit(tenant, 1)
 	if len(stub.needs) != 1 || stub.needs[0].Amount != stock-8 {
 		t.Errorf("asked for %+v with a stock of %g", stub.needs, stock)
@@ -132,7 +132,7 @@
 func TestLimiter_ownPartOnlyWhileDetached(t *testing.T) {
 	limiter, stub, fakeClock, _ := newStubbedLimiter()
 	stub.reachable = true
-	limiter.fillUp(context.Background(), limiter.options.Config())
+	limiter.refill(context.Background(), limiter.options.Config())
 	fakeClock.Advance(10 * time.Second)
 	impatient, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -148,7 +148,7 @@
 	stub.reachable, stub.grants = true, true
 	limiter.Admit(context.Background(), tenant, 1)
 	stub.needs = nil
-	limiter.fillUp(context.Background(), limiter.options.Config())
+	limiter.refill(context.Background(), limiter.options.Config())
 	if len(stub.needs) > 0 {
 		t.Errorf("asked for %+v", stub.needs)
 	}
@@ -164,14 +164,14 @@
 	if !ok || charge.source != Detached {
 		t.Fatalf("%+v, %v", charge, ok)
 	}
-	own := limiter.credits[fleetTenant].own.Tokens
+	own := limiter.credits[fleetTenant].ownShare.Tokens
 	limiter.Refund(charge)
-	if c := limiter.credits[fleetTenant]; c.own.Tokens != own+3 || c.Tokens != 0 {
-		t.Errorf("%g of the own part and %g of credit, not %g and 0", c.own.Tokens, c.Tokens, own+3)
+	if c := limiter.credits[fleetTenant]; c.ownShare.Tokens != own+3 || c.Tokens != 0 {
+		t.Errorf("%g of the own part and %g of credit, not %g and 0", c.ownShare.Tokens, c.Tokens, own+3)
 	}
 	stub.reachable, stub.grants = true, true
 	fakeClock.Advance(time.Second)
-	limiter.fillUp(ctx, limiter.options.Config())
+	limiter.refill(ctx, limiter.options.Config())
 	issued, _ := limiter.Admit(ctx, tenant, 8)
 	unspent := limiter.credits[fleetTenant].Tokens
 	fakeClock.Advance(time.Minute)
--- a/data/ratelimit/fill.go
+++ b/data/ratelimit/refill.go
@@ -16,14 +16,14 @@
 		if cfg == nil || !cfg.HasQuotas() {
 			continue
 		}
-		l.fillUp(ctx, cfg)
+		l.refill(ctx, cfg)
 		l.logAdmissions()
 	}
 	return nil
 }
 
-func (l *Limiter) fillUp(ctx context.Context, cfg *config.Config) {
-	needs := l.missingCredit(cfg)
+func (l *Limiter) refill(ctx context.Context, cfg *config.Config) {
+	needs := l.refillNeeds(cfg)
 	granted, _ := l.acquire(ctx, needs)
 	if len(granted) == 0 {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// missingCredit returns what the credits of tenants in use lack or have to give back.
-func (l *Limiter) missingCredit(cfg *config.Config) []quota.Need {
+// refillNeeds returns what the credits of tenants in use lack or have to give back.
+func (l *Limiter) refillNeeds(cfg *config.Config) []quota.Need {
 	var needs []quota.Need
 	now := l.options.Clock.Now()
 	idle := idleIntervals * l.options.Policy.RefillInterval()
@@ -54,12 +54,12 @@
 			delete(l.credits, name)
 			continue
 		}
-		stock := 0.0
+		limit := 0.0
 		if routers > 0 {
-			stock = l.options.Policy.RouterCreditLimit(tenant, routers)
+			limit = l.options.Policy.RouterCreditLimit(tenant, routers)
 		}
-		if missing, due := c.Rebalance(stock); due && (missing < 0 || now.Since(c.usedAt) <= idle) {
-			needs = append(needs, quota.Need{Tenant: name, Amount: missing})
+		if amount, due := c.Rebalance(limit); due && (amount < 0 || now.Since(c.usedAt) <= idle) {
+			needs = append(needs, quota.Need{Tenant: name, Amount: amount})
 		}
 	}
 	return needs
--- a/data/retrybudget/retrybudget.go
+++ b/data/retrybudget/retrybudget.go
@@ -43,7 +43,7 @@
 
 // window is a ring of buckets; bucket numbers the newest one since time 0.
 type window struct {
-	bucket   int64
+	newest   int64
 	requests [bucketCount]float64
 	retries  [bucketCount]float64
 }
@@ -58,7 +58,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(service, now)
-	w.requests[w.bucket%bucketCount]++
+	w.requests[w.newest%bucketCount]++
 }
 
 // TrySpend takes one retry from the budget of a service; it reports whether there
@@ -75,7 +75,7 @@
 	if retries+1 > b.options.Ratio*requests+b.reserve(now) {
 		return false
 	}
-	w.retries[w.bucket%bucketCount]++
+	w.retries[w.newest%bucketCount]++
 	return true
 }
 
@@ -95,14 +95,14 @@
 	bucket := int64(now) / max(1, bucketLength)
 	w := b.windows[service]
 	if w == nil {
-		w = &window{bucket: bucket}
+		w = &window{newest: bucket}
 		b.windows[service] = w
 	}
-	for cleared := 0; w.bucket < bucket && cleared < bucketCount; cleared++ {
-		w.bucket++
-		w.requests[w.bucket%bucketCount] = 0
-		w.retries[w.bucket%bucketCount] = 0
+	for cleared := 0; w.newest < bucket && cleared < bucketCount; cleared++ {
+		w.newest++
+		w.requests[w.newest%bucketCount] = 0
+		w.retries[w.newest%bucketCount] = 0
 	}
-	w.bucket = max(w.bucket, bucket)
+	w.newest = max(w.newest, bucket)
 	return w
 }
