--- a/data/ratelimit/cause_test.go
+++ b/data/ratelimit/cause_test.go
@@ -16,24 +16,24 @@
 	}
 }
 
-// TestLimiter_countsCauses rejects a request for each cause, and counts it under that alone.
-func TestLimiter_countsCauses(t *testing.T) {
-	waiting, ended := context.Background(), func() context.Context {
+// TestLimiter_countsRejectionsByCause rejects a request for each cause, and counts it under that alone.
+func TestLimiter_countsRejectionsByCause(t *testing.T) {
+	active, canceled := context.Background(), func() context.Context {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		return ctx
 	}()
-	detached := quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Amounts: []float64{0}}, Relay: "relay"}
+	detachedAnswer := quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Amounts: []float64{0}}, Relay: "relay"}
 	cases := []struct {
 		cause  Cause
 		ctx    context.Context
 		answer quota.RelayAnswer
 		err    error
 	}{
-		{Denied, waiting, quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Issuer: true, Amounts: []float64{0}}, Relay: "relay"}, nil},
-		{RelayDetached, waiting, detached, nil},
-		{NoRelay, waiting, quota.RelayAnswer{}, errCut},
-		{LateRelay, ended, quota.RelayAnswer{}, context.Canceled},
+		{Denied, active, quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Issuer: true, Amounts: []float64{0}}, Relay: "relay"}, nil},
+		{RelayDetached, active, detachedAnswer, nil},
+		{NoRelay, active, quota.RelayAnswer{}, errUnreachable},
+		{LateRelay, canceled, quota.RelayAnswer{}, context.Canceled},
 	}
 	for _, test := range cases {
 		limiter, _, fakeClock, tenant := newStubbedLimiter()
--- a/data/ratelimit/fleet_test.go
+++ b/data/ratelimit/fleet_test.go
@@ -10,19 +10,19 @@
 	"onyxwell/control/quota"
 )
 
-// calmSeeds is over how many seeds the requests of a calm time are counted: a small tenant
+// faultFreeSeeds is over how many seeds the requests of a calm time are counted: a small tenant
 // sends some hundred in one, of which single large ones decide.
-const calmSeeds = 10
+const faultFreeSeeds = 10
 
-// TestFleet_admitsWhatIsWithinQuota has nothing fail: what the quota allows is
+// TestFleet_enforcesQuotaWithoutFaults has nothing fail: what the quota allows is
 // admitted, and what exceeds it is not.
-func TestFleet_admitsWhatIsWithinQuota(t *testing.T) {
+func TestFleet_enforcesQuotaWithoutFaults(t *testing.T) {
 	for _, q := range fleetQuotas {
 		admitted := 0.0
-		for seed := range uint64(calmSeeds) {
+		for seed := range uint64(faultFreeSeeds) {
 			f := newFleet(seed, q.policy, q.tenant, q.routers)
 			q.run(f, 3*time.Second, 0.8)
-			admitted += q.run(f, 20*time.Second, 0.8) / calmSeeds
+			admitted += q.run(f, 20*time.Second, 0.8) / faultFreeSeeds
 			q.run(f, 20*time.Second, 6)
 			if got := f.excess(); got > -0.02 {
 				t.Errorf("%s, seed %d: a hot tenant's worst window is %+.3f of what may run in one", q.name, seed, got)
@@ -39,7 +39,7 @@
 // another region.
 func TestFleet_admitsFromOwnZone(t *testing.T) {
 	// A small tenant's part in a zone is about one request, of which some come together.
-	mostWaits := map[float64]float64{2: 0.25, 18: 0.05, 90: 0.05}
+	maxWaitFraction := map[float64]float64{2: 0.25, 18: 0.05, 90: 0.05}
 	for _, rate := range []float64{2, 18, 90} {
 		q := fleetQuota{"requests", quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 			config.Tenant{Name: fleetTenant, RatePerSecond: rate, Burst: 2 * rate}, 88, []float64{1}}
@@ -49,28 +49,28 @@
 		if got := q.run(f, 60*time.Second, 0.6); got < 1 {
 			t.Errorf("rate %g: %.4f of the requests are admitted", rate, got)
 		}
-		if waits := float64(f.issuerWaits) / float64(len(f.ran)); waits > mostWaits[rate] {
-			t.Errorf("rate %g: %.3f of the requests wait for the issuer", rate, waits)
+		if waitFraction := float64(f.issuerWaits) / float64(len(f.ran)); waitFraction > maxWaitFraction[rate] {
+			t.Errorf("rate %g: %.3f of the requests wait for the issuer", rate, waitFraction)
 		}
 	}
 }
 
-// TestFleet_goesOnWithoutIssuer loses the issuer for some seconds, or the contact of one
+// TestFleet_admitsMostRequestsWithoutIssuer loses the issuer for some seconds, or the contact of one
 // zone with it, while clients reach few routers each: most of what is within the quota is
 // admitted all the same, since the zone's routers share their parts.
-func TestFleet_goesOnWithoutIssuer(t *testing.T) {
+func TestFleet_admitsMostRequestsWithoutIssuer(t *testing.T) {
 	for _, rate := range []float64{20, 100} {
 		q := fleetQuota{"requests", quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 			config.Tenant{Name: fleetTenant, RatePerSecond: rate, Burst: 2 * rate}, 88, []float64{1}}
 		f := newFleet(12, q.policy, q.tenant, q.routers)
 		// A tenant's clients reach one router of each zone.
-		f.reached = fleetZones
+		f.activeRouters = fleetZones
 		q.run(f, 5*time.Second, 0.6)
 		f.epoch = 0
 		if got := q.run(f, 6*time.Second, 0.6); got < 0.75 {
 			t.Errorf("rate %g: %.3f of the requests are admitted without an issuer", rate, got)
 		}
-		f.takeLease()
+		f.startIssuer()
 		q.run(f, 3*time.Second, 0.6)
 		if got := q.run(f, 5*time.Second, 0.6); got < 0.98 {
 			t.Errorf("rate %g: %.3f of the requests are admitted afterwards", rate, got)
@@ -81,27 +81,27 @@
 	}
 }
 
-// TestFleet_changesIssuerUnnoticed loses the issuer until another has the lease, while a tenant's
+// TestFleet_admitsNearlyAllWhileIssuerChanges loses the issuer until another has the lease, while a tenant's
 // clients reach a router of one zone or two: nearly all of what is within the quota is admitted.
-func TestFleet_changesIssuerUnnoticed(t *testing.T) {
-	const lost, all = 2500 * time.Millisecond, 8 * time.Second
+func TestFleet_admitsNearlyAllWhileIssuerChanges(t *testing.T) {
+	const outage, total = 2500 * time.Millisecond, 8 * time.Second
 	for _, rate := range []float64{20, 100, 220} {
-		for reached := 1; reached <= 2; reached++ {
+		for routers := 1; routers <= 2; routers++ {
 			q := fleetQuota{"requests", quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 				config.Tenant{Name: fleetTenant, RatePerSecond: rate, Burst: rate}, 88, []float64{1}}
 			f := newFleet(13, q.policy, q.tenant, q.routers)
-			f.reached = reached
+			f.activeRouters = routers
 			q.run(f, 6*time.Second, 0.6)
 			f.epoch = 0
-			admitted := q.run(f, lost, 0.6) * lost.Seconds()
-			f.takeLease()
-			admitted += q.run(f, all-lost, 0.6) * (all - lost).Seconds()
-			if got := admitted / all.Seconds(); got < 0.94 {
-				t.Errorf("rate %g, %d routers reached: %.3f of the requests are admitted", rate, reached, got)
+			admitted := q.run(f, outage, 0.6) * outage.Seconds()
+			f.startIssuer()
+			admitted += q.run(f, total-outage, 0.6) * (total - outage).Seconds()
+			if got := admitted / total.Seconds(); got < 0.94 {
+				t.Errorf("rate %g, %d routers reached: %.3f of the requests are admitted", rate, routers, got)
 			}
 			q.run(f, 4*time.Second, 8)
 			if got := f.excess(); got > 0 {
-				t.Errorf("rate %g, %d routers reached: the worst window exceeds what may run in one by %.3f", rate, reached, got)
+				t.Errorf("rate %g, %d routers reached: the worst window exceeds what may run in one by %.3f", rate, routers, got)
 			}
 		}
 	}
@@ -113,23 +113,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := fleetQuotas[rapid.IntRange(0, len(fleetQuotas)-1).Draw(t, "quota")]
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), q.policy, q.tenant, q.routers)
-		part := rapid.Float64Range(0.5, 8).Draw(t, "part")
-		q.run(f, 4*time.Second, part)
+		load := rapid.Float64Range(0.5, 8).Draw(t, "part")
+		q.run(f, 4*time.Second, load)
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
-			f.fault(rapid.IntRange(0, 6).Draw(t, "fault"))
-			q.run(f, time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond, part)
+			f.injectFault(rapid.IntRange(0, 6).Draw(t, "fault"))
+			q.run(f, time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond, load)
 		}
-		q.run(f, 2*time.Second, part)
+		q.run(f, 2*time.Second, load)
 		if got := f.excess(); got > 0 {
 			t.Fatalf("%s: the worst window exceeds what may run in one by %.3f", q.name, got)
 		}
 	})
 }
 
-// TestFleet_historiesThatBrokeAQuota plays histories that TestFleet_keepsQuotaUnderFaults found:
+// TestFleet_keepsQuotaInPastFailures plays histories that TestFleet_keepsQuotaUnderFaults found:
 // allowances stood beside the own parts of routers that are cut off, or whose relays' answers are
 // lost.
-func TestFleet_historiesThatBrokeAQuota(t *testing.T) {
+func TestFleet_keepsQuotaInPastFailures(t *testing.T) {
 	type step struct {
 		fault int
 		ms    int
@@ -146,7 +146,7 @@
 		f := newFleet(history.seed, q.policy, q.tenant, q.routers)
 		q.run(f, 4*time.Second, 8)
 		for _, step := range history.steps {
-			f.fault(step.fault)
+			f.injectFault(step.fault)
 			q.run(f, time.Duration(step.ms)*time.Millisecond, 8)
 		}
 		q.run(f, 2*time.Second, 8)
@@ -156,19 +156,19 @@
 	}
 }
 
-// TestFleet_contactThatComesAndGoes has three quarters of the routers lose their relays
+// TestFleet_keepsQuotaWithIntermittentRelayContact has three quarters of the routers lose their relays
 // again and again for less than it takes until they are counted in no more: none may
 // use its own part as well.
-func TestFleet_contactThatComesAndGoes(t *testing.T) {
+func TestFleet_keepsQuotaWithIntermittentRelayContact(t *testing.T) {
 	for _, q := range fleetQuotas {
 		f := newFleet(3, q.policy, q.tenant, q.routers)
-		away := 3 * q.policy.RefillInterval()
+		outage := 3 * q.policy.RefillInterval()
 		for range 30 {
-			for _, isCut := range []bool{true, false} {
+			for _, isOutage := range []bool{true, false} {
 				for index, router := range f.routers {
-					router.cut = isCut && index%4 > 0
+					router.relaysUnreachable = isOutage && index%4 > 0
 				}
-				q.run(f, away, 6)
+				q.run(f, outage, 6)
 			}
 		}
 		if got := f.excess(); got > 0 {
@@ -177,45 +177,45 @@
 	}
 }
 
-// TestFleet_issuerThatComesAndGoes has the relays of three zones of four lose the issuer again
+// TestFleet_keepsQuotaWithIntermittentIssuerContact has the relays of three zones of four lose the issuer again
 // and again, for less than it takes until they count as out of contact and for more: a hot
 // tenant gets no allowance on top of what is issued.
-func TestFleet_issuerThatComesAndGoes(t *testing.T) {
+func TestFleet_keepsQuotaWithIntermittentIssuerContact(t *testing.T) {
 	for _, q := range fleetQuotas {
-		for away := 2; away <= 12; away += 2 {
+		for intervals := 2; intervals <= 12; intervals += 2 {
 			f := newFleet(5, q.policy, q.tenant, q.routers)
 			q.run(f, 3*time.Second, 1)
 			for range 20 {
-				for _, isCut := range []bool{true, false} {
+				for _, isOutage := range []bool{true, false} {
 					for number, relay := range f.relays {
-						relay.cut = isCut && number%fleetZones > 0
+						relay.issuerUnreachable = isOutage && number%fleetZones > 0
 					}
-					q.run(f, time.Duration(away)*q.policy.RefillInterval(), 6)
+					q.run(f, time.Duration(intervals)*q.policy.RefillInterval(), 6)
 				}
 			}
 			if got := f.excess(); got > 0 {
-				t.Errorf("%s, away for %d intervals: the worst window exceeds what may run in one by %.3f", q.name, away, got)
+				t.Errorf("%s, away for %d intervals: the worst window exceeds what may run in one by %.3f", q.name, intervals, got)
 			}
 		}
 	}
 }
 
-// TestFleet_zoneWithAllowances cuts off the zone that has most of a tenant's requests, while the
+// TestFleet_keepsQuotaWhenBusiestZoneLosesIssuer cuts off the zone that has most of a tenant's requests, while the
 // tenant begins to send many times its quota everywhere, and changes the issuer meanwhile.
-func TestFleet_zoneWithAllowances(t *testing.T) {
+func TestFleet_keepsQuotaWhenBusiestZoneLosesIssuer(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for seed := range uint64(10) {
 			f := newFleet(seed, q.policy, q.tenant, q.routers)
-			f.reached = 1
+			f.activeRouters = 1
 			q.run(f, 4*time.Second, 1)
-			f.reached = 0
+			f.activeRouters = 0
 			for number, relay := range f.relays {
-				relay.cut = number%fleetZones == 0
+				relay.issuerUnreachable = number%fleetZones == 0
 			}
 			q.run(f, time.Duration(f.random.IntN(2000))*time.Millisecond, 8)
 			f.epoch = 0
-			q.run(f, fleetLease, 8)
-			f.takeLease()
+			q.run(f, fleetLeaseTTL, 8)
+			f.startIssuer()
 			q.run(f, 6*time.Second, 8)
 			if got := f.excess(); got > 0 {
 				t.Errorf("%s, seed %d: the worst window exceeds what may run in one by %.3f", q.name, seed, got)
@@ -235,10 +235,10 @@
 	}
 }
 
-// TestFleet_startsOver restarts all processes. They find each other after a second, and the
+// TestFleet_recoversFromFullRestart restarts all processes. They find each other after a second, and the
 // requests that have waited come soon after: most are admitted before there is an issuer. A hot
 // tenant keeps its quota, also where the processes restart again and again.
-func TestFleet_startsOver(t *testing.T) {
+func TestFleet_recoversFromFullRestart(t *testing.T) {
 	for _, q := range fleetQuotas {
 		f := newFleet(6, q.policy, q.tenant, q.routers)
 		q.run(f, 6*time.Second, 0.6)
@@ -257,7 +257,7 @@
 				q.run(f, time.Duration(f.random.IntN(3000))*time.Millisecond, float64(f.random.IntN(2))*8)
 				q.run(f, time.Duration(f.random.IntN(1500))*time.Millisecond, 8)
 				if f.random.IntN(2) == 0 {
-					f.takeLease()
+					f.startIssuer()
 					q.run(f, time.Second, 8)
 				}
 			}
@@ -269,11 +269,11 @@
 	}
 }
 
-// TestFleet_refundsKeepQuota has runners fail for some seconds: all requests are held, and
+// TestFleet_keepsQuotaWithDelayedRefunds has runners fail for some seconds: all requests are held, and
 // given back when they are up again, while answers of relays may be lost. What was charged
 // long before must not be spent at once on top of what is issued since, nor be given back
 // twice where the answer to the return is lost.
-func TestFleet_refundsKeepQuota(t *testing.T) {
+func TestFleet_keepsQuotaWithDelayedRefunds(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for _, lossRate := range []float64{0, 0.3} {
 			for seed := range uint64(10) {
@@ -281,14 +281,14 @@
 				for _, router := range f.routers {
 					router.lossRate = lossRate
 				}
-				f.holdTime = 3 * time.Second
+				f.maxRefundDelay = 3 * time.Second
 				for range 4 {
-					f.heldShare = 0
+					f.refundFraction = 0
 					q.run(f, 3*time.Second, 3)
-					f.heldShare = 1
+					f.refundFraction = 1
 					q.run(f, 3*time.Second, 3)
 				}
-				f.heldShare = 0
+				f.refundFraction = 0
 				q.run(f, 8*time.Second, 3)
 				if got := f.excess(); got > 0 {
 					t.Errorf("%s, loss of %g, seed %d: the worst window exceeds what may run in one by %.3f", q.name, lossRate, seed, got)
@@ -298,21 +298,21 @@
 	}
 }
 
-// TestFleet_relaysThatFreeze has all relays be stopped again and again. When they run
+// TestFleet_keepsQuotaWhenRelaysAreSuspended has all relays be stopped again and again. When they run
 // again they find requests that routers sent before these began their own part: they must
 // not count such routers in.
-func TestFleet_relaysThatFreeze(t *testing.T) {
+func TestFleet_keepsQuotaWhenRelaysAreSuspended(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for seed := range uint64(5) {
 			f := newFleet(seed, q.policy, q.tenant, q.routers)
 			q.run(f, 3*time.Second, 6)
 			for range 30 {
 				for _, relay := range f.relays {
-					relay.frozen = true
+					relay.suspended = true
 				}
 				q.run(f, 5*q.policy.RefillInterval(), 6)
 				for _, relay := range f.relays {
-					relay.thaw()
+					relay.resume()
 				}
 				q.run(f, q.policy.RefillInterval()/2, 6)
 			}
--- a/data/ratelimit/fleetharness_test.go
+++ b/data/ratelimit/fleetharness_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
 const (
 	fleetZones = 4
@@ -26,8 +26,8 @@
 	// zone Z has the number Z, the next Z + fleetZones.
 	relaysPerZone = 2
 	fleetTenant   = ids.Tenant("alpha")
-	// fleetLease is how long the issuer's lease lasts if it is not renewed.
-	fleetLease = 1800 * time.Millisecond
+	// fleetLeaseTTL is how long the issuer's lease lasts if it is not renewed.
+	fleetLeaseTTL = 1800 * time.Millisecond
 	// fleetStep is the time between two rounds of requests.
 	fleetStep = 20 * time.Millisecond
 )
@@ -45,29 +45,29 @@
 	issuer  *quota.Issuer
 	// epoch is that of the issuer's lease; 0 while nobody holds it.
 	epoch, lastEpoch int64
-	nextFill         clock.Instant
+	nextRefill       clock.Instant
 	ran              []ranRequest
-	// heldShare is the share of requests that no runner runs: each is given back after a
+	// refundFraction is the share of requests that no runner runs: each is given back after a
 	// time of up to holdTime. held are those that wait for it.
-	heldShare float64
-	holdTime  time.Duration
-	// reached is how many routers, the first ones, get requests; 0 is all.
-	reached int
+	refundFraction float64
+	maxRefundDelay time.Duration
+	// activeRouters is how many routers, the first ones, get requests; 0 is all.
+	activeRouters int
 	// issuerWaits counts the needs for which a request waited for the issuer.
-	issuerWaits int
-	held        []heldRequest
+	issuerWaits    int
+	pendingRefunds []pendingRefund
 }
 
-// heldRequest is a request that was admitted and will not run.
-type heldRequest struct {
-	until  clock.Instant
+// pendingRefund is a request that was admitted and will not run.
+type pendingRefund struct {
+	dueAt  clock.Instant
 	refund func()
 }
 
 type fleetRouter struct {
-	zone    int
-	limiter *Limiter
-	cut     bool
+	zone              int
+	limiter           *Limiter
+	relaysUnreachable bool
 	// lossRate is the share of calls whose answers come too late, though they are
 	// acted on.
 	lossRate float64
@@ -75,11 +75,11 @@
 
 type fleetRelay struct {
 	relay *quota.Relay
-	// down relays answer nobody; cut ones do not reach the issuer.
-	down, cut bool
-	// A frozen relay serves nothing until it runs again; late is what came meanwhile.
-	frozen bool
-	late   []func()
+	// down relays answer nobody; issuerUnreachable ones do not reach the issuer.
+	down, issuerUnreachable bool
+	// A suspended relay serves nothing until it runs again; late is what came meanwhile.
+	suspended bool
+	queued    []func()
 }
 
 type ranRequest struct {
@@ -99,7 +99,7 @@
 		f.routers = append(f.routers, &fleetRouter{zone: index % fleetZones})
 		f.startRouter(index)
 	}
-	f.takeLease()
+	f.startIssuer()
 	return f
 }
 
@@ -111,7 +111,7 @@
 	return cfg.WithTenants([]config.Tenant{tenant})
 }
 
-func (f *fleet) inForce() *config.Config { return f.config }
+func (f *fleet) activeConfig() *config.Config { return f.config }
 
 func (f *fleet) routerCount() int { return len(f.routers) }
 
@@ -119,22 +119,22 @@
 func (f *fleet) startRouter(index int) {
 	router := f.routers[index]
 	router.limiter = New(Options{
-		Clock: f.clock, Policy: f.policy, Config: f.inForce, Routers: f.routerCount, Random: f.random.Float64,
+		Clock: f.clock, Policy: f.policy, Config: f.activeConfig, Routers: f.routerCount, Random: f.random.Float64,
 		Acquire: func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error) {
 			req.From = ids.Address(rune('A' + index))
 			return quota.AskRelays(ctx, f.relayAddresses(router.zone), req, delegate, func(ctx context.Context, address ids.Address, req quota.AcquireRequest) (quota.AcquireResponse, error) {
 				relay := f.relays[address[0]-'0']
-				if relay.down || router.cut {
-					return quota.AcquireResponse{}, errCut
+				if relay.down || router.relaysUnreachable {
+					return quota.AcquireResponse{}, errUnreachable
 				}
-				if relay.frozen {
+				if relay.suspended {
 					// It finds the request in its socket when it runs again.
-					relay.late = append(relay.late, func() { _, _ = relay.relay.Acquire(context.Background(), req) })
-					return quota.AcquireResponse{}, errCut
+					relay.queued = append(relay.queued, func() { _, _ = relay.relay.Acquire(context.Background(), req) })
+					return quota.AcquireResponse{}, errUnreachable
 				}
 				resp, err := relay.relay.Acquire(ctx, req)
 				if f.random.Float64() < router.lossRate {
-					err = errCut
+					err = errUnreachable
 				}
 				return resp, err
 			})
@@ -150,11 +150,11 @@
 	return addresses
 }
 
-// thaw has a relay run again: it serves what came meanwhile.
-func (r *fleetRelay) thaw() {
-	late := r.late
-	r.frozen, r.late = false, nil
-	for _, serve := range late {
+// resume has a relay run again: it serves what came meanwhile.
+func (r *fleetRelay) resume() {
+	queued := r.queued
+	r.suspended, r.queued = false, nil
+	for _, serve := range queued {
 		serve()
 	}
 }
@@ -163,10 +163,10 @@
 	state := &fleetRelay{}
 	address := ids.Address(rune('0' + number))
 	state.relay = quota.NewRelay(quota.RelayOptions{
-		Clock: f.clock, Address: address, Policy: f.policy, Zones: fleetZones, Config: f.inForce, Routers: f.routerCount,
+		Clock: f.clock, Address: address, Policy: f.policy, Zones: fleetZones, Config: f.activeConfig, Routers: f.routerCount,
 		Issue: func(_ context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
-			if state.cut || f.epoch == 0 {
-				return quota.AcquireResponse{}, errCut
+			if state.issuerUnreachable || f.epoch == 0 {
+				return quota.AcquireResponse{}, errUnreachable
 			}
 			for _, need := range req.Needs {
 				if need.Immediate {
@@ -176,8 +176,8 @@
 			return f.issuer.Acquire(req, f.clock.Now()), nil
 		},
 		RenewAllowances: func(_ context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
-			if state.cut || f.epoch == 0 {
-				return quota.AllowanceResponse{}, errCut
+			if state.issuerUnreachable || f.epoch == 0 {
+				return quota.AllowanceResponse{}, errUnreachable
 			}
 			return f.issuer.RenewAllowances(req, f.clock.Now()), nil
 		},
@@ -185,15 +185,15 @@
 	f.relays[number] = state
 }
 
-// takeLease has a new issuer hold the lease.
-func (f *fleet) takeLease() {
+// startIssuer has a new issuer hold the lease.
+func (f *fleet) startIssuer() {
 	f.lastEpoch++
 	f.epoch = f.lastEpoch
 	epoch := f.epoch
 	f.issuer = quota.NewIssuer(quota.IssuerOptions{
-		Clock: f.clock, Policy: f.policy, Config: f.inForce, Routers: f.routerCount, Updates: f.updates,
+		Clock: f.clock, Policy: f.policy, Config: f.activeConfig, Routers: f.routerCount, Updates: f.updates,
 		Held: func(at clock.Instant) (int64, bool) {
-			return epoch, f.epoch == epoch && at.Since(f.clock.Now()) <= fleetLease
+			return epoch, f.epoch == epoch && at.Since(f.clock.Now()) <= fleetLeaseTTL
 		},
 	})
 }
@@ -203,59 +203,59 @@
 func (f *fleet) step(requests int, costs []float64) (admitted int) {
 	tenant := f.config.Tenant(fleetTenant)
 	for range requests {
-		router := f.routers[f.random.IntN(f.reachedRouters())]
+		router := f.routers[f.random.IntN(f.activeRouterCount())]
 		cost := costs[f.random.IntN(len(costs))]
 		limiter := router.limiter
 		if charge, ok := limiter.Admit(context.Background(), tenant, cost); ok {
 			admitted++
-			f.runOrHold(func() { limiter.Refund(charge) }, cost)
+			f.runOrDelayRefund(func() { limiter.Refund(charge) }, cost)
 		}
 	}
 	f.clock.Advance(fleetStep)
-	f.refundHeld()
-	if now := f.clock.Now(); !now.Before(f.nextFill) {
-		f.nextFill = now.Add(f.policy.RefillInterval())
-		f.fillUp()
+	f.makeDueRefunds()
+	if now := f.clock.Now(); !now.Before(f.nextRefill) {
+		f.nextRefill = now.Add(f.policy.RefillInterval())
+		f.refill()
 	}
 	return admitted
 }
 
-// reachedRouters returns how many routers get requests.
-func (f *fleet) reachedRouters() int {
-	if f.reached > 0 {
-		return f.reached
+// activeRouterCount returns how many routers get requests.
+func (f *fleet) activeRouterCount() int {
+	if f.activeRouters > 0 {
+		return f.activeRouters
 	}
 	return len(f.routers)
 }
 
-// runOrHold has an admitted request run now, or be given back later.
-func (f *fleet) runOrHold(refund func(), cost float64) {
+// runOrDelayRefund has an admitted request run now, or be given back later.
+func (f *fleet) runOrDelayRefund(refund func(), cost float64) {
 	now := f.clock.Now()
-	if f.heldShare > 0 && f.random.Float64() < f.heldShare {
-		f.held = append(f.held, heldRequest{until: now.Add(time.Duration(f.random.Float64() * float64(f.holdTime))), refund: refund})
+	if f.refundFraction > 0 && f.random.Float64() < f.refundFraction {
+		f.pendingRefunds = append(f.pendingRefunds, pendingRefund{dueAt: now.Add(time.Duration(f.random.Float64() * float64(f.maxRefundDelay))), refund: refund})
 		return
 	}
 	f.ran = append(f.ran, ranRequest{at: now, cost: cost})
 }
 
-// refundHeld gives back what was held for long enough.
-func (f *fleet) refundHeld() {
+// makeDueRefunds gives back what was held for long enough.
+func (f *fleet) makeDueRefunds() {
 	now := f.clock.Now()
-	f.held = slices.DeleteFunc(f.held, func(request heldRequest) bool {
-		due := !now.Before(request.until)
+	f.pendingRefunds = slices.DeleteFunc(f.pendingRefunds, func(pending pendingRefund) bool {
+		due := !now.Before(pending.dueAt)
 		if due {
-			request.refund()
+			pending.refund()
 		}
 		return due
 	})
 }
 
-func (f *fleet) fillUp() {
+func (f *fleet) refill() {
 	for _, router := range f.routers {
 		router.limiter.refill(context.Background(), f.config)
 	}
 	for _, relay := range f.relays {
-		if !relay.down && !relay.frozen {
+		if !relay.down && !relay.suspended {
 			relay.relay.Refill(context.Background())
 		}
 	}
@@ -297,20 +297,20 @@
 }
 
 // requestsPerStep is how many requests make a part of the quota's rate.
-func (q fleetQuota) requestsPerStep(part float64) float64 {
+func (q fleetQuota) requestsPerStep(load float64) float64 {
 	mean := 0.0
 	for _, cost := range q.costs {
 		mean += cost / float64(len(q.costs))
 	}
-	return part * q.tenant.RatePerSecond * fleetStep.Seconds() / mean
+	return load * q.tenant.RatePerSecond * fleetStep.Seconds() / mean
 }
 
 // run plays requests for a time at a part of the quota's rate, and returns which
 // part of them was admitted.
-func (q fleetQuota) run(f *fleet, length time.Duration, part float64) float64 {
+func (q fleetQuota) run(f *fleet, duration time.Duration, load float64) float64 {
 	sent, admitted, due := 0, 0, 0.0
-	for range int(length / fleetStep) {
-		due += q.requestsPerStep(part)
+	for range int(duration / fleetStep) {
+		due += q.requestsPerStep(load)
 		count := int(due)
 		due -= float64(count)
 		sent += count
@@ -319,18 +319,18 @@
 	return float64(admitted) / float64(max(1, sent))
 }
 
-// fault begins or ends a fault. No more than a quarter of the routers is cut off or
+// injectFault begins or ends a injectFault. No more than a quarter of the routers is cut off or
 // restarted at once, and one relay.
-func (f *fleet) fault(kind int) {
+func (f *fleet) injectFault(kind int) {
 	number := f.random.IntN(len(f.relays))
 	switch kind {
 	case 0: // The issuer is lost; the lease is free for a while.
 		f.epoch = 0
 	case 1: // Another takes over, also from one that has not noticed.
-		f.takeLease()
+		f.startIssuer()
 	case 2: // One zone's relays lose contact with the issuer, or some of them, or have it again.
 		for other, relay := range f.relays {
-			relay.cut = other%fleetZones == number%fleetZones && f.random.IntN(3) > 0
+			relay.issuerUnreachable = other%fleetZones == number%fleetZones && f.random.IntN(3) > 0
 		}
 	case 3: // A relay restarts, or is silent, or answers again.
 		f.startRelay(number)
@@ -346,7 +346,7 @@
 		}
 	case 5: // Other routers lose contact.
 		for _, router := range f.routers {
-			router.cut = f.random.IntN(8) == 0
+			router.relaysUnreachable = f.random.IntN(8) == 0
 		}
 	}
 }
--- a/data/ratelimit/limiter_test.go
+++ b/data/ratelimit/limiter_test.go
@@ -21,7 +21,7 @@
 
 func (r *relayStub) acquire(_ context.Context, req quota.AcquireRequest, _ ids.Address) (quota.RelayAnswer, error) {
 	if !r.reachable {
-		return quota.RelayAnswer{}, errCut
+		return quota.RelayAnswer{}, errUnreachable
 	}
 	r.needs = append(r.needs, req.Needs...)
 	resp := quota.AcquireResponse{Issuer: true, Amounts: make([]float64, len(req.Needs))}
@@ -39,8 +39,8 @@
 	return ok
 }
 
-// expectGraceAlone sends requests of which no more than the grace may be admitted.
-func expectGraceAlone(ctx context.Context, t *testing.T, limiter *Limiter, requests int, why string) {
+// expectOnlyGrace sends requests of which no more than the grace may be admitted.
+func expectOnlyGrace(ctx context.Context, t *testing.T, limiter *Limiter, requests int, condition string) {
 	t.Helper()
 	tenant, admitted := limiter.options.Config().Tenant(fleetTenant), 0.0
 	for range requests {
@@ -49,7 +49,7 @@
 		}
 	}
 	if grace := limiter.options.Policy.GraceLimit(tenant, 1).Burst; admitted > math.Ceil(grace) {
-		t.Errorf("%g requests are admitted with a grace of %g, %s", admitted, grace, why)
+		t.Errorf("%g requests are admitted with a grace of %g, %s", admitted, grace, condition)
 	}
 }
 
@@ -63,9 +63,9 @@
 	return limiter, stub, fakeClock, cfg.Tenant(fleetTenant)
 }
 
-// TestLimiter_ownPartIsNotGivenBack has a router be out of contact for a while: what
+// TestLimiter_ownShareIsNotReturned has a router be out of contact for a while: what
 // it accrued meanwhile is neither given back as credit nor kept for the next time.
-func TestLimiter_ownPartIsNotGivenBack(t *testing.T) {
+func TestLimiter_ownShareIsNotReturned(t *testing.T) {
 	limiter, stub, fakeClock, tenant := newStubbedLimiter()
 	ctx := context.Background()
 	fakeClock.Advance(time.Second)
@@ -83,12 +83,12 @@
 		}
 	}
 	stub.reachable = false
-	expectGraceAlone(ctx, t, limiter, 5, "from what accrued before the last contact")
+	expectOnlyGrace(ctx, t, limiter, 5, "from what accrued before the last contact")
 }
 
-// TestLimiter_refundIsGivenBack returns to the relay what a request was charged that
+// TestLimiter_refundIsReturnedToRelay returns to the relay what a request was charged that
 // no runner ran, beyond what the router may hold.
-func TestLimiter_refundIsGivenBack(t *testing.T) {
+func TestLimiter_refundIsReturnedToRelay(t *testing.T) {
 	limiter, stub, _, tenant := newStubbedLimiter()
 	stub.reachable, stub.grants = true, true
 	ctx := context.Background()
@@ -99,15 +99,15 @@
 	limiter.Refund(charge)
 	stub.needs = nil
 	limiter.refill(ctx, limiter.options.Config())
-	stock := limiter.options.Policy.RouterCreditLimit(tenant, 1)
-	if len(stub.needs) != 1 || stub.needs[0].Amount != stock-8 {
-		t.Errorf("asked for %+v with a stock of %g", stub.needs, stock)
+	limit := limiter.options.Policy.RouterCreditLimit(tenant, 1)
+	if len(stub.needs) != 1 || stub.needs[0].Amount != limit-8 {
+		t.Errorf("asked for %+v with a stock of %g", stub.needs, limit)
 	}
 }
 
-// TestLimiter_denialHoldsForLargerRequests has the relay not asked again for as much
+// TestLimiter_denialCoversLargerRequests has the relay not asked again for as much
 // as it denied, and asked for less.
-func TestLimiter_denialHoldsForLargerRequests(t *testing.T) {
+func TestLimiter_denialCoversLargerRequests(t *testing.T) {
 	limiter, stub, fakeClock, tenant := newStubbedLimiter()
 	stub.reachable = true
 	ctx := context.Background()
@@ -126,23 +126,23 @@
 	}
 }
 
-// TestLimiter_ownPartOnlyWhileDetached has a caller wait no longer for a slow relay
+// TestLimiter_ownShareOnlyWhileDetached has a caller wait no longer for a slow relay
 // while the issuer counts this router in: there is the grace alone, and nothing of the
 // router's own part.
-func TestLimiter_ownPartOnlyWhileDetached(t *testing.T) {
+func TestLimiter_ownShareOnlyWhileDetached(t *testing.T) {
 	limiter, stub, fakeClock, _ := newStubbedLimiter()
 	stub.reachable = true
 	limiter.refill(context.Background(), limiter.options.Config())
 	fakeClock.Advance(10 * time.Second)
-	impatient, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	stub.reachable = false
-	expectGraceAlone(impatient, t, limiter, 10, "by a router that is counted in")
+	expectOnlyGrace(canceled, t, limiter, 10, "by a router that is counted in")
 }
 
-// TestLimiter_keepsNoCreditWithoutCount has a router that does not know how many there
+// TestLimiter_prefetchesNothingWithoutRouterCount has a router that does not know how many there
 // are ask for no credit to be kept.
-func TestLimiter_keepsNoCreditWithoutCount(t *testing.T) {
+func TestLimiter_prefetchesNothingWithoutRouterCount(t *testing.T) {
 	limiter, stub, _, tenant := newStubbedLimiter()
 	limiter.options.Routers = func() int { return 0 }
 	stub.reachable, stub.grants = true, true
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestLimiter_refundsToWhereItCameFrom gives charges back at different ages: those of the
+// TestLimiter_refundsToChargedSource gives charges back at different ages: those of the
 // router's own part become no credit that it could hand to others, and old ones are gone.
-func TestLimiter_refundsToWhereItCameFrom(t *testing.T) {
+func TestLimiter_refundsToChargedSource(t *testing.T) {
 	limiter, stub, fakeClock, tenant := newStubbedLimiter()
 	ctx := context.Background()
 	fakeClock.Advance(time.Second)
@@ -164,10 +164,10 @@
 	if !ok || charge.source != Detached {
 		t.Fatalf("%+v, %v", charge, ok)
 	}
-	own := limiter.credits[fleetTenant].ownShare.Tokens
+	ownShare := limiter.credits[fleetTenant].ownShare.Tokens
 	limiter.Refund(charge)
-	if c := limiter.credits[fleetTenant]; c.ownShare.Tokens != own+3 || c.Tokens != 0 {
-		t.Errorf("%g of the own part and %g of credit, not %g and 0", c.ownShare.Tokens, c.Tokens, own+3)
+	if c := limiter.credits[fleetTenant]; c.ownShare.Tokens != ownShare+3 || c.Tokens != 0 {
+		t.Errorf("%g of the own part and %g of credit, not %g and 0", c.ownShare.Tokens, c.Tokens, ownShare+3)
 	}
 	stub.reachable, stub.grants = true, true
 	fakeClock.Advance(time.Second)
--- a/data/retrybudget/retrybudget_test.go
+++ b/data/retrybudget/retrybudget_test.go
@@ -89,7 +89,7 @@
 // be restarted: both processes together stay within the bound in every window.
 func TestBudget_reserveAcrossRestart(t *testing.T) {
 	const reserve, window = 6, 10 * time.Second
-	one := func() int { return 1 }
+	oneRouter := func() int { return 1 }
 	now := clock.Instant(20 * time.Second)
 	spent := 0
 	spend := func(budget *Budget, at clock.Instant) {
@@ -97,15 +97,15 @@
 			spent++
 		}
 	}
-	spend(New(Options{Reserve: reserve, Window: window, Routers: one}), now)
-	restarted := now.Add(time.Second)
-	next := New(Options{Reserve: reserve, Window: window, Routers: one, ReserveFrom: restarted.Add(window)})
-	spend(next, restarted)
-	spend(next, now.Add(window))
+	spend(New(Options{Reserve: reserve, Window: window, Routers: oneRouter}), now)
+	restartedAt := now.Add(time.Second)
+	afterRestart := New(Options{Reserve: reserve, Window: window, Routers: oneRouter, ReserveFrom: restartedAt.Add(window)})
+	spend(afterRestart, restartedAt)
+	spend(afterRestart, now.Add(window))
 	if spent > reserve {
 		t.Errorf("%d retries in one window, %d are allowed", spent, reserve)
 	}
-	if spend(next, restarted.Add(window)); spent <= reserve {
+	if spend(afterRestart, restartedAt.Add(window)); spent <= reserve {
 		t.Error("the reserve is never available again")
 	}
 }
