--- a/data/ratelimit/admissionlog.go
+++ b/data/ratelimit/admissionlog.go
@@ -1,8 +1,9 @@
 package ratelimit
 
-// logAdmissions logs what was admitted since the last call, by source, with what this
-// router knows of its contact: with the lines of all routers and of the issuer, what
-// runs beyond a quota can be told to have come from somewhere. Causes count from the start.
+// logAdmissions logs the number of requests per source since the last call and of rejections
+// per cause since the start, with the router's unspent credit and whether it is attached.
+// Together, the log lines of all routers and of the issuer show from which credit the requests
+// that exceed a quota were admitted.
 func (l *Limiter) logAdmissions() {
 	if l.options.Log == nil {
 		return
--- a/data/ratelimit/cause.go
+++ b/data/ratelimit/cause.go
@@ -2,27 +2,28 @@
 
 import "context"
 
-// Cause is why a request was rejected.
+// Cause is the reason for which a request was rejected.
 type Cause int
 
-// The causes.
+// Causes of rejections. After the last three, the router's own share and its grace did not
+// cover the request either.
 const (
-	// Denied: a relay in contact with the issuer granted nothing. The quota is used up, or
-	// what is left of it is held elsewhere.
+	// Denied: a relay in contact with the issuer did not grant the request. The quota is used
+	// up, or its remaining credit is held elsewhere.
 	Denied Cause = iota
-	// RecentlyDenied: a request of no higher cost was denied a moment ago.
+	// RecentlyDenied: a request of the same or a lower cost was denied a moment ago.
 	RecentlyDenied
-	// RelayDetached: the relay is out of contact with the issuer, and neither its allowances nor
-	// its zone's part cover the request.
+	// RelayDetached: the relay that responded is out of contact with the issuer, and neither
+	// its unspent credit, nor its allowances, nor its zone's share cover the request.
 	RelayDetached
-	// NoRelay: no relay of the zone answered.
+	// NoRelay: no relay of the zone responded to this request or to a recent one.
 	NoRelay
-	// LateRelay: the request waited no longer for a relay's answer.
+	// LateRelay: the request stopped waiting before a relay responded.
 	LateRelay
 	causeCount
 )
 
-// CauseNames are the names of the causes; they are values of a label of metrics.
+// CauseNames has the name of each cause, as used in metric labels and log keys.
 var CauseNames = [causeCount]string{
 	Denied: "denied", RecentlyDenied: "denied-of-late", RelayDetached: "relay-detached", NoRelay: "no-relay", LateRelay: "late-relay",
 }
@@ -30,8 +31,8 @@
 // Rejections returns how many requests of tenants with a quota were rejected for a cause.
 func (l *Limiter) Rejections(cause Cause) int64 { return l.rejectionCounts[cause].Load() }
 
-// causeOf returns why no relay granted a request after an error: granted is what relays answered,
-// nil if none did.
+// causeOf returns the cause for which no relay granted a request, after acquire returned an
+// error together with granted, which is nil if no relay gave a usable response.
 func causeOf(ctx context.Context, granted []float64) Cause {
 	switch {
 	case granted != nil:
--- a/data/ratelimit/contact.go
+++ b/data/ratelimit/contact.go
@@ -8,8 +8,10 @@
 	"onyxwell/control/quota"
 )
 
-// acquire asks for credit and returns what is granted of each need. With an error there
-// may be grants, too: of a relay out of contact with the issuer.
+// acquire requests credit from the relays, records whether they responded, and returns the
+// amount granted for each need. An error means that no relay in contact with the issuer gave
+// a usable response. The amounts may still be set then: they were granted by a relay that is
+// out of contact with the issuer.
 func (l *Limiter) acquire(ctx context.Context, needs []quota.Need) ([]float64, error) {
 	req := quota.AcquireRequest{Needs: needs}
 	var delegate ids.Address
@@ -21,7 +23,8 @@
 		err = errNoRelay
 	}
 	if err == nil || refused || answered || ctx.Err() == nil {
-		// That the caller waited no longer says nothing of the relay.
+		// Otherwise the caller stopped waiting, which does not show that the relays are
+		// unavailable.
 		l.recordContact(err, refused, answer, answered)
 	}
 	if answered {
@@ -30,7 +33,8 @@
 	return nil, err
 }
 
-// shareStatus returns what requests say of this router's own part.
+// shareStatus returns what the next request reports about this router's own share: the value
+// of AcquireRequest.Routers, and the relay to which the share is delegated, "" for none.
 func (l *Limiter) shareStatus() (routers int64, delegate ids.Address) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,9 +49,10 @@
 	return 0, ""
 }
 
-// claimWithheld reports whether this router may tell its delegate that it has used no part of its
-// own since it started, and has it use none from then on. Relays that know of that need to be told
-// for a moment only. The caller holds l.mu.
+// claimWithheld reports whether the next request to the delegate may send quota.Withheld. From
+// the first time on, the router's use of its own share is deferred as if the share had been
+// delegated since the start. Withheld is sent only for DetachTimeout: a relay that understands
+// it remembers it as long as requests that delegate follow. The caller holds l.mu.
 func (l *Limiter) claimWithheld(now clock.Instant) bool {
 	timeout := l.options.Policy.DetachTimeout(false)
 	if !l.isShareUnused || now.Since(l.startedAt) < timeout || (l.withheldClaimedAt > 0 && now.Since(l.withheldClaimedAt) > timeout) {
@@ -60,11 +65,15 @@
 	return true
 }
 
-// recordContact takes over whether a relay answered, or refused, and how many routers it
-// knows of. The first failure after an answer sets when this router's own part of the
-// rate begins; those that follow don't put it off, since their requests don't count
-// this router in. The answer of a relay out of contact with the issuer does: the part is
-// left to that relay until it may count this router in no more.
+// recordContact records the outcome of a request to the relays, and the number of routers that
+// they reported. err is nil if a relay in contact with the issuer responded. refused says that
+// no call failed, but no relay was in contact with the issuer. answered says that the response
+// is usable, also if its relay is out of contact.
+//
+// The first failure while attached sets the time from which this router's own share accrues.
+// Later failures do not defer it, since requests sent meanwhile do not report this router as
+// attached. A response from a relay out of contact with the issuer does defer it: the share is
+// then delegated to that relay, until the relay can no longer count this router.
 func (l *Limiter) recordContact(err error, refused bool, answer quota.RelayAnswer, answered bool) {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
@@ -79,7 +88,7 @@
 		l.ownShareFrom = now.Add(l.options.Policy.DetachTimeout(refused))
 	}
 	if !answered || answer.Relay != l.delegate {
-		// Requests that are on their way delegate, too.
+		// Requests that are still in flight may delegate the share to the previous relay.
 		l.deferOwnShare(now)
 		l.isShareUnused = l.isShareUnused && l.withheldClaimedAt == 0
 		l.delegate, l.delegatingSince = "", now
@@ -93,14 +102,15 @@
 	l.skipRelaysUntil = now.Add(l.options.Policy.RefillInterval())
 }
 
-// deferOwnShare puts this router's own part off until the relay that it is left to counts it
-// in no more, if that may count it in by now. The caller holds l.mu.
+// deferOwnShare defers this router's use of its own share until its delegate can no longer
+// count it, if the share has been delegated for so long that the delegate may soon count it.
+// The caller holds l.mu.
 func (l *Limiter) deferOwnShare(now clock.Instant) {
 	if l.delegate != "" && now.Since(l.delegatingSince) >= l.options.Policy.DelegationDelay() {
 		l.ownShareFrom = max(l.ownShareFrom, now.Add(l.options.Policy.DetachTimeout(false)))
 	}
 }
 
-// routers returns how many routers there may be, as known here or to a relay, whichever
-// knows of more; 0 is not known. The caller holds l.mu.
+// routers returns the largest number of routers that may exist, as known to this router or as
+// reported by a relay, whichever is larger; 0 means unknown. The caller holds l.mu.
 func (l *Limiter) routers() int { return max(l.options.Routers(), l.reportedRouters) }
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -1,7 +1,7 @@
-// Package ratelimit admits requests of tenants within their quotas, on one router.
-// A router holds a little unspent credit for each tenant that it serves, and asks the
-// relay of its zone for what a request lacks; package quota says how credit is issued
-// and why all routers together keep the quota.
+// Package ratelimit enforces the tenants' quotas on one router. The router holds a small
+// amount of unspent credit for each tenant that it serves, and requests the credit that a
+// request still needs from a relay of its zone. Package quota describes how credit is
+// issued and why all routers together keep within the quota.
 package ratelimit
 
 import (
@@ -21,85 +21,93 @@
 )
 
 const (
-	// denialDivisor is for which part of an interval, one in so many, a tenant's
-	// requests are rejected without asking after one of no higher cost was.
+	// denialDivisor divides the refill interval into the time for which, after a relay
+	// denied a request, the tenant's requests of the same or a higher cost are rejected
+	// without asking a relay.
 	denialDivisor = 2
-	// idleIntervals is after how many intervals without a request a tenant's credit is
-	// filled up no more.
+	// idleIntervals is the number of intervals without a request after which a tenant's
+	// credit is no longer refilled.
 	idleIntervals = 8
-	// forgetAfter is after how long without a request a tenant is forgotten.
+	// forgetAfter is the time without a request after which a tenant's credit is removed.
 	forgetAfter = time.Minute
 )
 
-// errNoRelay says that no relay of the zone answered.
-var errNoRelay = errors.New("ratelimit: no relay answered")
+// errNoRelay reports that no relay in contact with the issuer gave a usable response.
+var errNoRelay = errors.New("ratelimit: no relay in contact with the issuer responded")
 
-// Options configure a Limiter. All are required.
+// Options configure a Limiter. All are required but Log.
 type Options struct {
 	Clock  clock.Clock
 	Policy quota.Policy
-	// Config returns the configuration in force, nil for none.
+	// Config returns the active configuration, or nil if there is none.
 	Config func() *config.Config
-	// Routers returns how many routers there may be; 0 is not known, and leaves this
-	// one without a part of its own.
+	// Routers returns the largest number of routers that may exist; 0 means unknown. Unless
+	// a relay reports a number, an unknown number leaves this router without prefetched
+	// credit, a share of its own, and grace.
 	Routers func() int
-	// Acquire asks the relays of the zone for credit, as quota.AskRelays does.
+	// Acquire requests credit from the relays of the zone, as quota.AskRelays does.
 	Acquire func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error)
 	// Random returns a number in [0, 1).
 	Random func() float64
-	// Log is told at level debug what was admitted from where. It may be nil.
+	// Log receives the number of requests admitted from each source at debug level. It may
+	// be nil.
 	Log *log.Logger
 }
 
-// Limiter admits requests. It is safe for concurrent use.
+// Limiter admits or rejects the requests of tenants with a quota. It is safe for concurrent
+// use.
 type Limiter struct {
 	options         Options
 	requestCounts   [sourceCount]atomic.Int64
 	rejectionCounts [causeCount]atomic.Int64
-	// loggedCounts are the counts at the last logAdmissions, which Run alone calls.
+	// loggedCounts has requestCounts as of the last call of logAdmissions. Only Run calls
+	// that, so no lock is needed.
 	loggedCounts [sourceCount]int64
 
 	mu      sync.Mutex
 	credits map[ids.Tenant]*credit
-	// isAttached says that a relay answered the last request. If not, this router's own
-	// part of the rate accrues from ownSince on.
+	// isAttached says that a relay in contact with the issuer responded to the last request.
+	// While it is false, this router's own share of the rate accrues from ownShareFrom on.
 	isAttached   bool
 	ownShareFrom clock.Instant
-	// delegate is the relay that this router has left its own part to, by its last answer
-	// out of contact with the issuer, without a break since delegateSince; "" for none.
+	// delegate is the relay to which this router has delegated its own share, because that
+	// relay responded to the last request while out of contact with the issuer; "" for none.
+	// The share has been delegated to it continuously since delegatingSince.
 	delegate        ids.Address
 	delegatingSince clock.Instant
-	// startedAt is when this router started. isUntouched says that since then its own part was
-	// neither used nor counted in nor left to more than one relay; claimedAt is when it first told
-	// a relay so.
+	// startedAt is when this router started. isShareUnused says that since then the router
+	// has neither used its own share nor been attached, nor lost or changed its delegate
+	// after withheldClaimedAt. That is when it first sent quota.Withheld to a relay; 0 means
+	// never.
 	startedAt         clock.Instant
 	isShareUnused     bool
 	withheldClaimedAt clock.Instant
-	// reportedRouters is how many routers a relay knew of at most.
+	// reportedRouters is the largest number of routers that a relay reported.
 	reportedRouters int
-	// skipRelaysUntil is until when no relay is asked, after none answered.
+	// skipRelaysUntil is the time until which requests are decided without asking a relay,
+	// after no relay responded. The refills of Run still ask the relays.
 	skipRelaysUntil clock.Instant
 }
 
-// credit is what is unspent of a tenant's.
+// credit holds the unspent credit of a tenant.
 type credit struct {
-	// Bucket has what was issued.
+	// Bucket holds issued credit.
 	quota.Bucket
-	// ownShare and grace have what accrued here. They are never given back: nobody issued
-	// it.
+	// ownShare and grace hold what accrued on this router. That is never returned to a
+	// relay, since no issuer issued it.
 	ownShare quota.Bucket
 	grace    quota.Bucket
 	usedAt   clock.Instant
 	denial   quota.Denial
 }
 
-// New returns a limiter without credit.
+// New returns a Limiter without credit.
 func New(options Options) *Limiter {
 	now := options.Clock.Now()
 	return &Limiter{options: options, credits: map[ids.Tenant]*credit{}, ownShareFrom: now, startedAt: now, isShareUnused: true}
 }
 
-// NewDetached returns the limiter of a router that is the only one and has no relay.
+// NewDetached returns a Limiter for a deployment that has a single router and no relay.
 func NewDetached(clk clock.Clock, activeConfig func() *config.Config, random func() float64) *Limiter {
 	return New(Options{
 		Clock: clk, Policy: quota.NewPolicy(settings.Bounds{}), Config: activeConfig, Routers: func() int { return 1 }, Random: random,
@@ -109,12 +117,14 @@
 	})
 }
 
-// MaxWait is how long Admit may take for a request with that latency target.
+// MaxWait returns how long Admit may wait for a relay, for a request with the given latency
+// target.
 func (l *Limiter) MaxWait(latencyTarget time.Duration) time.Duration {
 	return l.options.Policy.MaxWait(latencyTarget)
 }
 
-// Charge is what a request was charged. Its zero value charges nothing.
+// Charge records the cost that was charged to a tenant for one request, so that it can be
+// refunded. Its zero value charges nothing.
 type Charge struct {
 	tenant *config.Tenant
 	cost   float64
@@ -122,9 +132,9 @@
 	at     clock.Instant
 }
 
-// Admit reports whether a request of a tenant at that cost is within the quota, and
-// charges it. It waits for the answer of a relay where the unspent credit does not
-// cover the cost, until ctx ends at the longest.
+// Admit reports whether a request with the given cost is within the tenant's quota, and
+// charges the cost if so. If the unspent credit does not cover the cost, it requests credit
+// from the relays and waits for the response until ctx is done at the latest.
 func (l *Limiter) Admit(ctx context.Context, tenant *config.Tenant, cost float64) (charge Charge, ok bool) {
 	if !tenant.Limited() {
 		return Charge{}, true
@@ -137,7 +147,8 @@
 	return Charge{tenant: tenant, cost: cost, source: source, at: l.options.Clock.Now()}, ok
 }
 
-// admit is Admit; source is what the request was admitted from.
+// admit decides on a request of a tenant with a quota, and returns the source of the credit
+// that it was charged to. It counts the cause of a rejection.
 func (l *Limiter) admit(ctx context.Context, tenant *config.Tenant, cost float64) (source Source, ok bool) {
 	switch l.admitUnspent(tenant, cost) {
 	case admitted:
@@ -160,33 +171,35 @@
 	return Rejected, false
 }
 
-// Source is what a request was admitted from.
+// Source is the credit from which a request was admitted, or Rejected.
 type Source int
 
-// The sources.
+// Sources of credit.
 const (
-	// Unspent is credit that the router had.
+	// Unspent is issued credit that the router held.
 	Unspent Source = iota
-	// Relay is credit that it asked for.
+	// Relay is credit that a relay granted for the request.
 	Relay
-	// Detached is the router's own part of the rate, out of contact.
+	// Detached is the router's own share of the rate, used while it is not attached.
 	Detached
-	// Grace is what it may use while no relay answers, counted in or not.
+	// Grace is what the router may use while no relay in contact with the issuer responds,
+	// whether or not the issuer still counts the router.
 	Grace
-	// Rejected requests were not admitted.
+	// Rejected marks requests that were not admitted.
 	Rejected
 	sourceCount
 )
 
-// SourceNames are the names of the sources; they are values of a label of metrics.
+// SourceNames has the name of each source, as used in metric labels and log keys.
 var SourceNames = [sourceCount]string{Unspent: "unspent", Relay: "relay", Detached: "detached", Grace: "grace", Rejected: "rejected"}
 
-// Requests returns how many requests of tenants with a quota came from a source.
+// Requests returns how many requests of tenants with a quota were admitted from a source or,
+// for Rejected, were rejected.
 func (l *Limiter) Requests(source Source) int64 { return l.requestCounts[source].Load() }
 
-// Refund gives back what a request was charged that no runner ran, to where it came from.
-// An old charge is given back in part or not at all: as much was issued since, and both
-// would run in one window.
+// Refund returns the charge of a request that no runner ran to the source of the credit. The
+// older the charge, the smaller the refunded fraction, down to none: credit has been issued
+// since, and requests for both would run within one window.
 func (l *Limiter) Refund(charge Charge) {
 	if charge.tenant == nil || charge.source == Rejected {
 		return
@@ -198,7 +211,7 @@
 	c := l.credit(charge.tenant.Name, now)
 	switch charge.source {
 	case Detached:
-		// What accrued before the last contact is gone.
+		// What accrued before the last contact is discarded, and so are its refunds.
 		if l.ownShareFrom <= charge.at {
 			c.ownShare.Tokens += refund
 		}
@@ -209,18 +222,20 @@
 	}
 }
 
-// decision is what the unspent credit says of a request.
+// decision is the result of checking a request against the router's unspent credit.
 type decision int
 
 const (
 	admitted decision = iota
 	rejected
-	// uncovered: a relay has to be asked.
+	// uncovered: credit has to be requested from a relay.
 	uncovered
-	// detached: no relay answered of late.
+	// detached: no relay responded recently, so none is asked.
 	detached
 )
 
+// admitUnspent decides on a request without asking a relay, as far as that is possible, and
+// takes the cost out of the unspent credit if that covers it.
 func (l *Limiter) admitUnspent(tenant *config.Tenant, cost float64) decision {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
@@ -238,8 +253,8 @@
 	return uncovered
 }
 
-// admitDetached admits a request without a relay, as takeDetached does, and counts why it had
-// none where that rejects it.
+// admitDetached admits or rejects a request as takeDetached does. If the request is rejected,
+// it counts the cause for which no relay granted it.
 func (l *Limiter) admitDetached(tenant *config.Tenant, cost float64, cause Cause) (source Source, ok bool) {
 	source, ok = l.takeDetached(tenant, cost)
 	if !ok {
@@ -248,8 +263,8 @@
 	return source, ok
 }
 
-// takeDetached admits a request from this router's own part of the rate, once the issuer counts
-// it in no more, and from its part of the grace.
+// takeDetached admits a request from this router's own share of the rate, once the issuer no
+// longer counts the router, or from its grace.
 func (l *Limiter) takeDetached(tenant *config.Tenant, cost float64) (source Source, ok bool) {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
@@ -260,10 +275,11 @@
 		return Rejected, false
 	}
 	l.deferOwnShare(now)
-	// An attached router is counted in, also where a caller did not wait for the relay.
+	// The issuer counts an attached router, even if the caller did not wait for the relay's
+	// response.
 	if !l.isAttached && l.ownShareFrom <= now {
 		if c.ownShare.FilledAt < l.ownShareFrom {
-			// What accrued before the last contact is gone: the issuer counted this router.
+			// Discard what accrued before the last contact: the issuer counted this router.
 			c.ownShare = quota.Bucket{FilledAt: l.ownShareFrom}
 		}
 		c.ownShare.Fill(quota.DetachedLimit(tenant, 1/float64(routers)), now)
@@ -276,7 +292,8 @@
 	return Grace, c.grace.TakeRandomized(cost, l.options.Random)
 }
 
-// recordDenial has the tenant's requests of at least that cost rejected for a moment.
+// recordDenial records that a relay denied a request. For a fraction of an interval, the
+// tenant's requests of the same or a higher cost are rejected without asking again.
 func (l *Limiter) recordDenial(tenant *config.Tenant, cost float64) {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
@@ -284,7 +301,8 @@
 	l.credit(tenant.Name, now).denial.Extend(cost, now.Add(l.options.Policy.RefillInterval()/denialDivisor), now)
 }
 
-// credit returns a tenant's credit, none where there was none.
+// credit returns a tenant's credit, and adds an empty one if there is none. The caller holds
+// l.mu.
 func (l *Limiter) credit(tenant ids.Tenant, now clock.Instant) *credit {
 	c := l.credits[tenant]
 	if c == nil {
--- a/data/ratelimit/refill.go
+++ b/data/ratelimit/refill.go
@@ -8,8 +8,8 @@
 	"onyxwell/control/quota"
 )
 
-// Run fills the credit of tenants in use up, and keeps in contact with a relay while
-// any tenant has a quota, until ctx ends.
+// Run refills the credit of tenants in use and, while any tenant has a quota, keeps the router
+// in contact with a relay, until ctx is canceled.
 func (l *Limiter) Run(ctx context.Context) error {
 	for clock.Wait(ctx, l.options.Clock, l.options.Policy.RefillInterval()) {
 		cfg := l.options.Config()
@@ -22,6 +22,9 @@
 	return nil
 }
 
+// refill sends one request to the relays, for the credit that the tenants in use lack or have
+// to return, and adds the granted credit. It sends a request even if no credit is needed, so
+// as to stay in contact.
 func (l *Limiter) refill(ctx context.Context, cfg *config.Config) {
 	needs := l.refillNeeds(cfg)
 	granted, _ := l.acquire(ctx, needs)
@@ -40,7 +43,9 @@
 	}
 }
 
-// refillNeeds returns what the credits of tenants in use lack or have to give back.
+// refillNeeds returns the credit that tenants in use lack or have to return, and takes the
+// latter out of their buckets. It removes the credit of tenants that have no quota or that
+// were idle for forgetAfter.
 func (l *Limiter) refillNeeds(cfg *config.Config) []quota.Need {
 	var needs []quota.Need
 	now := l.options.Clock.Now()
--- a/data/retrybudget/retrybudget.go
+++ b/data/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget bounds the retries of one router, so that the sum over all
-// routers stays within the bound without their knowing of each other.
+// Package retrybudget limits the retries of one router in such a way that the retries of
+// all routers together stay within a bound, without communication between the routers.
 //
 // Invariant: the retries of all routers for a service within any Window are at
 // most Ratio times the requests of that window and the one before, plus Reserve.
@@ -13,23 +13,23 @@
 	"onyxwell/base/ids"
 )
 
-// bucketCount is into how many buckets a window is divided, the extra one of
-// advance included.
+// bucketCount is the number of buckets in the ring of a window: those into which a Window
+// is divided, and one more (see advance).
 const bucketCount = 50
 
 // Options configure a Budget.
 type Options struct {
-	// Ratio is how many retries are allowed per request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Reserve is how many retries are allowed within a window without any request,
-	// for all routers together.
+	// Reserve is the number of retries that all routers together may make within a window
+	// regardless of the number of requests.
 	Reserve float64
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Routers returns among how many routers the reserve is shared.
+	// Routers returns the number of routers among which the reserve is divided.
 	Routers func() int
-	// ReserveFrom is from when on the reserve may be spent. A restarted process
-	// does not know what it spent before within the last window.
+	// ReserveFrom is the time from which the reserve may be spent. A restarted process
+	// does not know how much of it the previous one spent within the last window.
 	ReserveFrom clock.Instant
 }
 
@@ -41,14 +41,15 @@
 	windows map[ids.Service]*window
 }
 
-// window is a ring of buckets; bucket numbers the newest one since time 0.
+// window counts the requests and retries for one service in a ring of buckets. newest is the
+// number of the newest bucket, counted from time 0.
 type window struct {
 	newest   int64
 	requests [bucketCount]float64
 	retries  [bucketCount]float64
 }
 
-// New returns a budget of which nothing is spent.
+// New returns a Budget from which nothing has been spent.
 func New(options Options) *Budget {
 	return &Budget{options: options, windows: map[ids.Service]*window{}}
 }
@@ -61,8 +62,8 @@
 	w.requests[w.newest%bucketCount]++
 }
 
-// TrySpend takes one retry from the budget of a service; it reports whether there
-// was one left.
+// TrySpend takes one retry from the budget of a service if one is left, and reports whether
+// it did.
 func (b *Budget) TrySpend(service ids.Service, now clock.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,9 +88,9 @@
 	return b.options.Reserve / float64(max(1, b.options.Routers()))
 }
 
-// advance moves a service's window on to now and returns it. The ring holds one
-// bucket more than a Window lasts, so that the oldest bucket, which is only partly
-// inside, is never missing. The caller holds mu.
+// advance moves a service's window forward to now and returns it. The ring has one bucket
+// more than a Window is divided into, so that it always includes the oldest bucket, which
+// lies only partly within the window. The caller holds b.mu.
 func (b *Budget) advance(service ids.Service, now clock.Instant) *window {
 	bucketLength := int64(b.options.Window) / (bucketCount - 1)
 	bucket := int64(now) / max(1, bucketLength)
