--- a/data/ratelimit/cause_test.go
+++ b/data/ratelimit/cause_test.go
@@ -9,14 +9,15 @@
 	"onyxwell/control/quota"
 )
 
-// acquireStub answers each request alike.
+// acquireStub returns an Acquire function that gives the same answer to every request.
 func acquireStub(answer quota.RelayAnswer, err error) func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
 	return func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
 		return answer, err
 	}
 }
 
-// TestLimiter_countsRejectionsByCause rejects a request for each cause, and counts it under that alone.
+// TestLimiter_countsRejectionsByCause rejects one request for each cause that a relay's answer or
+// its absence leads to, and checks that the rejection is counted under that cause alone.
 func TestLimiter_countsRejectionsByCause(t *testing.T) {
 	active, canceled := context.Background(), func() context.Context {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +42,7 @@
 		limiter.options.Acquire = acquireStub(test.answer, test.err)
 		fakeClock.Advance(time.Second)
 		if admits(test.ctx, limiter, tenant, 1) {
-			t.Errorf("%s: admitted", CauseNames[test.cause])
+			t.Errorf("%s: the request was admitted, want a rejection", CauseNames[test.cause])
 		}
 		for cause := range causeCount {
 			want := int64(0)
@@ -49,7 +50,7 @@
 				want = 1
 			}
 			if got := limiter.Rejections(cause); got != want {
-				t.Errorf("%s: %d rejections are counted as %s", CauseNames[test.cause], got, CauseNames[cause])
+				t.Errorf("%s: %d rejections were counted as %s", CauseNames[test.cause], got, CauseNames[cause])
 			}
 		}
 	}
--- a/data/ratelimit/fleet_test.go
+++ b/data/ratelimit/fleet_test.go
@@ -10,12 +10,13 @@
 	"onyxwell/control/quota"
 )
 
-// faultFreeSeeds is over how many seeds the requests of a calm time are counted: a small tenant
-// sends some hundred in one, of which single large ones decide.
+// faultFreeSeeds is the number of seeds over which the fraction of admitted requests is averaged.
+// A small tenant sends only some hundred requests per seed, so that single large ones decide the
+// result of one.
 const faultFreeSeeds = 10
 
-// TestFleet_enforcesQuotaWithoutFaults has nothing fail: what the quota allows is
-// admitted, and what exceeds it is not.
+// TestFleet_enforcesQuotaWithoutFaults checks that, without faults, requests at 0.8 of the quota
+// are admitted and a tenant that sends 6 times its quota does not exceed it.
 func TestFleet_enforcesQuotaWithoutFaults(t *testing.T) {
 	for _, q := range fleetQuotas {
 		admitted := 0.0
@@ -25,20 +26,21 @@
 			admitted += q.run(f, 20*time.Second, 0.8) / faultFreeSeeds
 			q.run(f, 20*time.Second, 6)
 			if got := f.excess(); got > -0.02 {
-				t.Errorf("%s, seed %d: a hot tenant's worst window is %+.3f of what may run in one", q.name, seed, got)
+				t.Errorf("%s, seed %d: at 6 times the quota the worst window differs from the allowed cost by a fraction of %+.3f, want at most -0.02", q.name, seed, got)
 			}
 		}
 		if admitted < 0.98 {
-			t.Errorf("%s: %.4f of the requests at 0.8 of the quota are admitted", q.name, admitted)
+			t.Errorf("%s: %.4f of the requests at 0.8 of the quota were admitted, want at least 0.98", q.name, admitted)
 		}
 	}
 }
 
-// TestFleet_admitsFromOwnZone has tenants of several sizes use 0.6 of their quotas: all
-// requests are admitted, and nearly all without an answer of the issuer, which may be in
+// TestFleet_admitsFromOwnZone has tenants with quotas of several sizes use 0.6 of them. All
+// requests must be admitted, most of them without waiting for the issuer, which may be in
 // another region.
 func TestFleet_admitsFromOwnZone(t *testing.T) {
-	// A small tenant's part in a zone is about one request, of which some come together.
+	// For a small tenant a zone's relay holds credit for about one request, and some requests
+	// arrive together.
 	maxWaitFraction := map[float64]float64{2: 0.25, 18: 0.05, 90: 0.05}
 	for _, rate := range []float64{2, 18, 90} {
 		q := fleetQuota{"requests", quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
@@ -47,42 +49,44 @@
 		q.run(f, 3*time.Second, 0.6)
 		f.issuerWaits, f.ran = 0, nil
 		if got := q.run(f, 60*time.Second, 0.6); got < 1 {
-			t.Errorf("rate %g: %.4f of the requests are admitted", rate, got)
+			t.Errorf("rate %g: %.4f of the requests were admitted, want all", rate, got)
 		}
 		if waitFraction := float64(f.issuerWaits) / float64(len(f.ran)); waitFraction > maxWaitFraction[rate] {
-			t.Errorf("rate %g: %.3f of the requests wait for the issuer", rate, waitFraction)
+			t.Errorf("rate %g: %.3f of the requests waited for the issuer, which is too many", rate, waitFraction)
 		}
 	}
 }
 
-// TestFleet_admitsMostRequestsWithoutIssuer loses the issuer for some seconds, or the contact of one
-// zone with it, while clients reach few routers each: most of what is within the quota is
-// admitted all the same, since the zone's routers share their parts.
+// TestFleet_admitsMostRequestsWithoutIssuer loses the issuer for some seconds while clients reach
+// only one router per zone. Most requests within the quota must still be admitted, since the
+// routers of a zone delegate their shares to its relay.
 func TestFleet_admitsMostRequestsWithoutIssuer(t *testing.T) {
 	for _, rate := range []float64{20, 100} {
 		q := fleetQuota{"requests", quota.Policy{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 			config.Tenant{Name: fleetTenant, RatePerSecond: rate, Burst: 2 * rate}, 88, []float64{1}}
 		f := newFleet(12, q.policy, q.tenant, q.routers)
-		// A tenant's clients reach one router of each zone.
+		// The tenant's clients reach one router of each zone.
 		f.activeRouters = fleetZones
 		q.run(f, 5*time.Second, 0.6)
 		f.epoch = 0
 		if got := q.run(f, 6*time.Second, 0.6); got < 0.75 {
-			t.Errorf("rate %g: %.3f of the requests are admitted without an issuer", rate, got)
+			t.Errorf("rate %g: %.3f of the requests were admitted without an issuer, want at least 0.75", rate, got)
 		}
 		f.startIssuer()
 		q.run(f, 3*time.Second, 0.6)
 		if got := q.run(f, 5*time.Second, 0.6); got < 0.98 {
-			t.Errorf("rate %g: %.3f of the requests are admitted afterwards", rate, got)
+			t.Errorf("rate %g: %.3f of the requests were admitted with an issuer again, want at least 0.98", rate, got)
 		}
 		if got := f.excess(); got > 0 {
-			t.Errorf("rate %g: the worst window exceeds what may run in one by %.3f", rate, got)
+			t.Errorf("rate %g: the worst window exceeds the allowed cost by a fraction of %.3f", rate, got)
 		}
 	}
 }
 
-// TestFleet_admitsNearlyAllWhileIssuerChanges loses the issuer until another has the lease, while a tenant's
-// clients reach a router of one zone or two: nearly all of what is within the quota is admitted.
+// TestFleet_admitsNearlyAllWhileIssuerChanges loses the issuer until another one acquires the
+// lease, while a tenant's clients reach one router in one zone or in each of two zones. Nearly
+// all requests within the quota must be admitted, and a tenant that then sends 8 times its
+// quota must not exceed it.
 func TestFleet_admitsNearlyAllWhileIssuerChanges(t *testing.T) {
 	const outage, total = 2500 * time.Millisecond, 8 * time.Second
 	for _, rate := range []float64{20, 100, 220} {
@@ -97,18 +101,19 @@
 			f.startIssuer()
 			admitted += q.run(f, total-outage, 0.6) * (total - outage).Seconds()
 			if got := admitted / total.Seconds(); got < 0.94 {
-				t.Errorf("rate %g, %d routers reached: %.3f of the requests are admitted", rate, routers, got)
+				t.Errorf("rate %g, %d routers reached: %.3f of the requests were admitted, want at least 0.94", rate, routers, got)
 			}
 			q.run(f, 4*time.Second, 8)
 			if got := f.excess(); got > 0 {
-				t.Errorf("rate %g, %d routers reached: the worst window exceeds what may run in one by %.3f", rate, routers, got)
+				t.Errorf("rate %g, %d routers reached: the worst window exceeds the allowed cost by a fraction of %.3f", rate, routers, got)
 			}
 		}
 	}
 }
 
-// TestFleet_keepsQuotaUnderFaults plays cuts, restarts and changes of the issuer, at
-// any time and over each other, against a tenant that sends many times its quota.
+// TestFleet_keepsQuotaUnderFaults injects random faults, which may overlap: lost contact, lost
+// responses, restarts, and loss and change of the issuer. Meanwhile a tenant sends up to 8 times
+// its quota, which it must not exceed.
 func TestFleet_keepsQuotaUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := fleetQuotas[rapid.IntRange(0, len(fleetQuotas)-1).Draw(t, "quota")]
@@ -121,14 +126,14 @@
 		}
 		q.run(f, 2*time.Second, load)
 		if got := f.excess(); got > 0 {
-			t.Fatalf("%s: the worst window exceeds what may run in one by %.3f", q.name, got)
+			t.Fatalf("%s: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, got)
 		}
 	})
 }
 
-// TestFleet_keepsQuotaInPastFailures plays histories that TestFleet_keepsQuotaUnderFaults found:
-// allowances stood beside the own parts of routers that are cut off, or whose relays' answers are
-// lost.
+// TestFleet_keepsQuotaInPastFailures replays fault histories with which
+// TestFleet_keepsQuotaUnderFaults failed: relays used allowances while routers that were cut off,
+// or to which the relays' responses were lost, used their own shares of the same rate.
 func TestFleet_keepsQuotaInPastFailures(t *testing.T) {
 	type step struct {
 		fault int
@@ -151,14 +156,14 @@
 		}
 		q.run(f, 2*time.Second, 8)
 		if got := f.excess(); got > 0 {
-			t.Errorf("seed %#x: the worst window exceeds what may run in one by %.3f", history.seed, got)
+			t.Errorf("seed %#x: the worst window exceeds the allowed cost by a fraction of %.3f", history.seed, got)
 		}
 	}
 }
 
-// TestFleet_keepsQuotaWithIntermittentRelayContact has three quarters of the routers lose their relays
-// again and again for less than it takes until they are counted in no more: none may
-// use its own part as well.
+// TestFleet_keepsQuotaWithIntermittentRelayContact cuts three quarters of the routers off from
+// their relays again and again, each time for less than DetachTimeout. The issuer still counts
+// these routers, so none of them may use its own share as well.
 func TestFleet_keepsQuotaWithIntermittentRelayContact(t *testing.T) {
 	for _, q := range fleetQuotas {
 		f := newFleet(3, q.policy, q.tenant, q.routers)
@@ -172,14 +177,15 @@
 			}
 		}
 		if got := f.excess(); got > 0 {
-			t.Errorf("%s: the worst window exceeds what may run in one by %.3f", q.name, got)
+			t.Errorf("%s: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, got)
 		}
 	}
 }
 
-// TestFleet_keepsQuotaWithIntermittentIssuerContact has the relays of three zones of four lose the issuer again
-// and again, for less than it takes until they count as out of contact and for more: a hot
-// tenant gets no allowance on top of what is issued.
+// TestFleet_keepsQuotaWithIntermittentIssuerContact cuts the relays of three of the four zones off
+// from the issuer again and again, for times shorter and longer than it takes until they count as
+// out of contact. A tenant that sends 6 times its quota must get no allowance on top of the credit
+// that is issued.
 func TestFleet_keepsQuotaWithIntermittentIssuerContact(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for intervals := 2; intervals <= 12; intervals += 2 {
@@ -194,14 +200,15 @@
 				}
 			}
 			if got := f.excess(); got > 0 {
-				t.Errorf("%s, away for %d intervals: the worst window exceeds what may run in one by %.3f", q.name, intervals, got)
+				t.Errorf("%s, cut off for %d intervals: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, intervals, got)
 			}
 		}
 	}
 }
 
-// TestFleet_keepsQuotaWhenBusiestZoneLosesIssuer cuts off the zone that has most of a tenant's requests, while the
-// tenant begins to send many times its quota everywhere, and changes the issuer meanwhile.
+// TestFleet_keepsQuotaWhenBusiestZoneLosesIssuer cuts the zone that receives all of a tenant's
+// requests, and so has the largest allowance, off from the issuer. At the same time the tenant
+// begins to send 8 times its quota to all zones, and then the issuer changes.
 func TestFleet_keepsQuotaWhenBusiestZoneLosesIssuer(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for seed := range uint64(10) {
@@ -218,13 +225,13 @@
 			f.startIssuer()
 			q.run(f, 6*time.Second, 8)
 			if got := f.excess(); got > 0 {
-				t.Errorf("%s, seed %d: the worst window exceeds what may run in one by %.3f", q.name, seed, got)
+				t.Errorf("%s, seed %d: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, seed, got)
 			}
 		}
 	}
 }
 
-// restartAll starts all relays and routers anew, while nobody holds the issuer's lease.
+// restartAll restarts all relays and routers, and leaves the deployment without an issuer.
 func (f *fleet) restartAll() {
 	f.epoch = 0
 	for number := range f.relays {
@@ -235,9 +242,10 @@
 	}
 }
 
-// TestFleet_recoversFromFullRestart restarts all processes. They find each other after a second, and the
-// requests that have waited come soon after: most are admitted before there is an issuer. A hot
-// tenant keeps its quota, also where the processes restart again and again.
+// TestFleet_recoversFromFullRestart restarts all processes. They discover each other after a
+// second, and the requests that waited arrive soon after, at twice the quota's rate. For a quota
+// in requests, most must be admitted although there is no issuer yet. An overloading tenant must
+// not exceed its quota, even if the processes restart repeatedly.
 func TestFleet_recoversFromFullRestart(t *testing.T) {
 	for _, q := range fleetQuotas {
 		f := newFleet(6, q.policy, q.tenant, q.routers)
@@ -246,7 +254,7 @@
 		f.clock.Advance(time.Second)
 		q.run(f, 240*time.Millisecond, 0)
 		if got := q.run(f, 500*time.Millisecond, 2); q.tenant.Unit != config.Tokens && got < 0.8 {
-			t.Errorf("%s: %.3f of the requests are admitted without an issuer after a restart", q.name, got)
+			t.Errorf("%s: %.3f of the requests were admitted without an issuer after a restart, want at least 0.8", q.name, got)
 		}
 		for seed := range uint64(8) {
 			f := newFleet(seed, q.policy, q.tenant, q.routers)
@@ -263,16 +271,16 @@
 			}
 			q.run(f, 2*time.Second, 8)
 			if got := f.excess(); got > 0 {
-				t.Errorf("%s, seed %d: the worst window exceeds what may run in one by %.3f", q.name, seed, got)
+				t.Errorf("%s, seed %d: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, seed, got)
 			}
 		}
 	}
 }
 
-// TestFleet_keepsQuotaWithDelayedRefunds has runners fail for some seconds: all requests are held, and
-// given back when they are up again, while answers of relays may be lost. What was charged
-// long before must not be spent at once on top of what is issued since, nor be given back
-// twice where the answer to the return is lost.
+// TestFleet_keepsQuotaWithDelayedRefunds has all runners fail for 3 seconds at a time. The requests
+// admitted meanwhile are refunded after up to 3 seconds, while responses of relays may be lost.
+// Old charges must not be spent at once on top of the credit issued since, and credit must not be
+// returned twice if the response to its return is lost.
 func TestFleet_keepsQuotaWithDelayedRefunds(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for _, lossRate := range []float64{0, 0.3} {
@@ -291,16 +299,16 @@
 				f.refundFraction = 0
 				q.run(f, 8*time.Second, 3)
 				if got := f.excess(); got > 0 {
-					t.Errorf("%s, loss of %g, seed %d: the worst window exceeds what may run in one by %.3f", q.name, lossRate, seed, got)
+					t.Errorf("%s, response loss of %g, seed %d: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, lossRate, seed, got)
 				}
 			}
 		}
 	}
 }
 
-// TestFleet_keepsQuotaWhenRelaysAreSuspended has all relays be stopped again and again. When they run
-// again they find requests that routers sent before these began their own part: they must
-// not count such routers in.
+// TestFleet_keepsQuotaWhenRelaysAreSuspended suspends all relays again and again. When resumed,
+// they handle queued requests that routers sent before they began to use their own shares, and
+// must not count these routers.
 func TestFleet_keepsQuotaWhenRelaysAreSuspended(t *testing.T) {
 	for _, q := range fleetQuotas {
 		for seed := range uint64(5) {
@@ -317,7 +325,7 @@
 				q.run(f, q.policy.RefillInterval()/2, 6)
 			}
 			if got := f.excess(); got > 0 {
-				t.Errorf("%s, seed %d: the worst window exceeds what may run in one by %.3f", q.name, seed, got)
+				t.Errorf("%s, seed %d: the worst window exceeds the allowed cost by a fraction of %.3f", q.name, seed, got)
 			}
 		}
 	}
--- a/data/ratelimit/fleetharness_test.go
+++ b/data/ratelimit/fleetharness_test.go
@@ -18,22 +18,22 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("unreachable")
 
 const (
 	fleetZones = 4
-	// relaysPerZone is how many relays a router asks, one after another; the first of
-	// zone Z has the number Z, the next Z + fleetZones.
+	// relaysPerZone is the number of relays that a router asks, one after another. The first
+	// relay of zone Z has the number Z, the second has Z + fleetZones.
 	relaysPerZone = 2
 	fleetTenant   = ids.Tenant("alpha")
 	// fleetLeaseTTL is how long the issuer's lease lasts if it is not renewed.
 	fleetLeaseTTL = 1800 * time.Millisecond
-	// fleetStep is the time between two rounds of requests.
+	// fleetStep is the time between two batches of requests.
 	fleetStep = 20 * time.Millisecond
 )
 
-// fleet is routers with their limiters, two relays a zone and one issuer at a time, on
-// one fake clock. Calls are made in place; a cut fails them.
+// fleet simulates routers with their limiters, two relays per zone and one issuer at a time
+// on a fake clock. Calls are synchronous, and fail if the callee is unreachable.
 type fleet struct {
 	clock   *clock.Fake
 	random  *rand.Rand
@@ -43,22 +43,23 @@
 	routers []*fleetRouter
 	relays  [fleetZones * relaysPerZone]*fleetRelay
 	issuer  *quota.Issuer
-	// epoch is that of the issuer's lease; 0 while nobody holds it.
+	// epoch is the epoch of the issuer's lease, 0 while no issuer holds it. lastEpoch is the
+	// highest epoch so far.
 	epoch, lastEpoch int64
 	nextRefill       clock.Instant
 	ran              []ranRequest
-	// refundFraction is the share of requests that no runner runs: each is given back after a
-	// time of up to holdTime. held are those that wait for it.
+	// refundFraction is the fraction of admitted requests that no runner runs. Each of them is
+	// refunded after a random time of up to maxRefundDelay.
 	refundFraction float64
 	maxRefundDelay time.Duration
-	// activeRouters is how many routers, the first ones, get requests; 0 is all.
+	// activeRouters limits the requests to that many routers, the first ones; 0 means all.
 	activeRouters int
 	// issuerWaits counts the needs for which a request waited for the issuer.
 	issuerWaits    int
 	pendingRefunds []pendingRefund
 }
 
-// pendingRefund is a request that was admitted and will not run.
+// pendingRefund is the refund of a request that was admitted and does not run.
 type pendingRefund struct {
 	dueAt  clock.Instant
 	refund func()
@@ -68,16 +69,18 @@
 	zone              int
 	limiter           *Limiter
 	relaysUnreachable bool
-	// lossRate is the share of calls whose answers come too late, though they are
-	// acted on.
+	// lossRate is the fraction of calls to relays that are carried out but whose responses
+	// are lost.
 	lossRate float64
 }
 
 type fleetRelay struct {
 	relay *quota.Relay
-	// down relays answer nobody; issuerUnreachable ones do not reach the issuer.
+	// down says that the relay responds to no router. issuerUnreachable says that its own
+	// calls to the issuer fail.
 	down, issuerUnreachable bool
-	// A suspended relay serves nothing until it runs again; late is what came meanwhile.
+	// A suspended relay handles no requests until it is resumed. queued has the requests that
+	// arrived meanwhile.
 	suspended bool
 	queued    []func()
 }
@@ -115,7 +118,7 @@
 
 func (f *fleet) routerCount() int { return len(f.routers) }
 
-// startRouter starts a router anew, without credit.
+// startRouter starts or restarts a router, without credit.
 func (f *fleet) startRouter(index int) {
 	router := f.routers[index]
 	router.limiter = New(Options{
@@ -128,7 +131,7 @@
 					return quota.AcquireResponse{}, errUnreachable
 				}
 				if relay.suspended {
-					// It finds the request in its socket when it runs again.
+					// The request stays in the relay's socket until the relay is resumed.
 					relay.queued = append(relay.queued, func() { _, _ = relay.relay.Acquire(context.Background(), req) })
 					return quota.AcquireResponse{}, errUnreachable
 				}
@@ -142,7 +145,8 @@
 	})
 }
 
-// relayAddresses returns the relays of a zone, in the order in which routers ask them.
+// relayAddresses returns the addresses of a zone's relays, in the order in which routers ask
+// them.
 func (f *fleet) relayAddresses(zone int) (addresses []ids.Address) {
 	for number := zone; number < len(f.relays); number += fleetZones {
 		addresses = append(addresses, ids.Address(rune('0'+number)))
@@ -150,7 +154,7 @@
 	return addresses
 }
 
-// resume has a relay run again: it serves what came meanwhile.
+// resume ends the suspension of a relay, which then handles the queued requests.
 func (r *fleetRelay) resume() {
 	queued := r.queued
 	r.suspended, r.queued = false, nil
@@ -159,6 +163,7 @@
 	}
 }
 
+// startRelay starts or restarts a relay, without credit.
 func (f *fleet) startRelay(number int) {
 	state := &fleetRelay{}
 	address := ids.Address(rune('0' + number))
@@ -185,7 +190,7 @@
 	f.relays[number] = state
 }
 
-// startIssuer has a new issuer hold the lease.
+// startIssuer starts a new issuer, which holds the lease in a new epoch.
 func (f *fleet) startIssuer() {
 	f.lastEpoch++
 	f.epoch = f.lastEpoch
@@ -198,8 +203,9 @@
 	})
 }
 
-// step sends requests through random routers, each of a cost drawn from costs, and
-// advances the clock. It returns how many of them were admitted.
+// step sends requests to random active routers, each with a cost drawn from costs, advances
+// the clock by fleetStep, and makes the refunds and refills that are due. It returns how many
+// of the requests were admitted.
 func (f *fleet) step(requests int, costs []float64) (admitted int) {
 	tenant := f.config.Tenant(fleetTenant)
 	for range requests {
@@ -220,7 +226,7 @@
 	return admitted
 }
 
-// activeRouterCount returns how many routers get requests.
+// activeRouterCount returns the number of routers that receive requests.
 func (f *fleet) activeRouterCount() int {
 	if f.activeRouters > 0 {
 		return f.activeRouters
@@ -228,7 +234,8 @@
 	return len(f.routers)
 }
 
-// runOrDelayRefund has an admitted request run now, or be given back later.
+// runOrDelayRefund records that an admitted request runs now or, with a probability of
+// refundFraction, schedules its refund.
 func (f *fleet) runOrDelayRefund(refund func(), cost float64) {
 	now := f.clock.Now()
 	if f.refundFraction > 0 && f.random.Float64() < f.refundFraction {
@@ -238,7 +245,7 @@
 	f.ran = append(f.ran, ranRequest{at: now, cost: cost})
 }
 
-// makeDueRefunds gives back what was held for long enough.
+// makeDueRefunds makes the pending refunds whose time has come.
 func (f *fleet) makeDueRefunds() {
 	now := f.clock.Now()
 	f.pendingRefunds = slices.DeleteFunc(f.pendingRefunds, func(pending pendingRefund) bool {
@@ -250,6 +257,7 @@
 	})
 }
 
+// refill refills all routers and the relays that are up.
 func (f *fleet) refill() {
 	for _, router := range f.routers {
 		router.limiter.refill(context.Background(), f.config)
@@ -261,8 +269,8 @@
 	}
 }
 
-// excess returns by how much the requests of the worst window exceeded what may run
-// in one, as a part of that.
+// excess returns the fraction by which the cost of the requests in the worst window exceeds
+// the cost that may run in a window. It is negative if all windows are below that.
 func (f *fleet) excess() float64 {
 	tenant := f.config.Tenant(fleetTenant)
 	allowed := (tenant.RatePerSecond*f.policy.Window.Seconds()+tenant.Burst)*(1+f.policy.Excess) + f.policy.Slack
@@ -278,7 +286,8 @@
 	return worst/allowed - 1
 }
 
-// fleetQuota is a quota of one kind of deployment, with the costs of requests.
+// fleetQuota is a tenant's quota in one kind of deployment, with the number of routers and
+// the costs from which those of the requests are drawn.
 type fleetQuota struct {
 	name    string
 	policy  quota.Policy
@@ -296,7 +305,8 @@
 		config.Tenant{Name: fleetTenant, RatePerSecond: 47000, Burst: 47000, Unit: config.Tokens}, 40, []float64{430, 200, 17000}},
 }
 
-// requestsPerStep is how many requests make a part of the quota's rate.
+// requestsPerStep returns the mean number of requests per step for a load, which is a multiple
+// of the quota's rate.
 func (q fleetQuota) requestsPerStep(load float64) float64 {
 	mean := 0.0
 	for _, cost := range q.costs {
@@ -305,8 +315,8 @@
 	return load * q.tenant.RatePerSecond * fleetStep.Seconds() / mean
 }
 
-// run plays requests for a time at a part of the quota's rate, and returns which
-// part of them was admitted.
+// run sends requests for a time at the given load, a multiple of the quota's rate, and returns
+// the fraction of them that was admitted.
 func (q fleetQuota) run(f *fleet, duration time.Duration, load float64) float64 {
 	sent, admitted, due := 0, 0, 0.0
 	for range int(duration / fleetStep) {
@@ -319,32 +329,32 @@
 	return float64(admitted) / float64(max(1, sent))
 }
 
-// injectFault begins or ends a injectFault. No more than a quarter of the routers is cut off or
-// restarted at once, and one relay.
+// injectFault begins or ends a fault of the given kind, 0 to 6. One call restarts at most a
+// tenth of the routers and one relay, and cuts off each router with a probability of 1/8.
 func (f *fleet) injectFault(kind int) {
 	number := f.random.IntN(len(f.relays))
 	switch kind {
-	case 0: // The issuer is lost; the lease is free for a while.
+	case 0: // The issuer is lost, and nobody holds the lease until the next issuer starts.
 		f.epoch = 0
-	case 1: // Another takes over, also from one that has not noticed.
+	case 1: // Another issuer takes over, whether or not the lease is free.
 		f.startIssuer()
-	case 2: // One zone's relays lose contact with the issuer, or some of them, or have it again.
+	case 2: // Some or all relays of one zone lose contact with the issuer, all others regain it.
 		for other, relay := range f.relays {
 			relay.issuerUnreachable = other%fleetZones == number%fleetZones && f.random.IntN(3) > 0
 		}
-	case 3: // A relay restarts, or is silent, or answers again.
+	case 3: // A relay restarts. It is then down with a probability of 1/2.
 		f.startRelay(number)
 		f.relays[number].down = f.random.IntN(2) == 0
-	case 4: // A tenth of the routers restarts.
+	case 4: // Up to a tenth of the routers restart.
 		for range len(f.routers) / 10 {
 			f.startRouter(f.random.IntN(len(f.routers)))
 		}
-	case 6: // The answers to all routers are late again and again, or no more.
+	case 6: // Relays' responses to all routers are lost at a random rate, or no longer.
 		rate := f.random.Float64() * float64(f.random.IntN(2))
 		for _, router := range f.routers {
 			router.lossRate = rate
 		}
-	case 5: // Other routers lose contact.
+	case 5: // Other routers lose contact with their relays, the rest regain it.
 		for _, router := range f.routers {
 			router.relaysUnreachable = f.random.IntN(8) == 0
 		}
--- a/data/retrybudget/retrybudget_test.go
+++ b/data/retrybudget/retrybudget_test.go
@@ -19,14 +19,14 @@
 	reserve      = 8.0
 )
 
-// event is a request, or a retry that was allowed.
+// event is a counted request or an allowed retry.
 type event struct {
 	at    clock.Instant
 	retry bool
 }
 
-// TestBudget_sumOverRoutersIsBounded has routers that know nothing of each other
-// spend as much as each may: in every window the sum stays within the bound.
+// TestBudget_sumOverRoutersIsBounded has routers that do not communicate make as many
+// retries as each is allowed. In every window their sum must stay within the bound.
 func TestBudget_sumOverRoutersIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clk := clock.NewFake()
@@ -61,13 +61,13 @@
 				}
 			}
 			for _, e := range events {
-				// The bound counts the requests of this window and the one before.
+				// The bound takes into account the requests of this window and the one before.
 				if since := e.at.Since(events[first].at); !e.retry && since >= -windowLength && since <= windowLength {
 					requests++
 				}
 			}
 			if retries > ratio*requests+reserve {
-				t.Fatalf("%v retries for %v requests in one window", retries, requests)
+				t.Fatalf("%v retries for %v requests in one window, more than the bound allows", retries, requests)
 			}
 		}
 	})
@@ -77,16 +77,16 @@
 	clk := clock.NewFake()
 	budget := New(Options{Reserve: 1, Window: windowLength, Routers: func() int { return 1 }})
 	if !budget.TrySpend("a", clk.Now()) || budget.TrySpend("a", clk.Now()) || !budget.TrySpend("b", clk.Now()) {
-		t.Fatal("the reserve is not one per service")
+		t.Fatal("want exactly one retry from the reserve of each service")
 	}
 	clk.Advance(windowLength + time.Second)
 	if !budget.TrySpend("a", clk.Now()) {
-		t.Fatal("the window does not slide")
+		t.Fatal("no retry was allowed after the previous one had left the window")
 	}
 }
 
-// TestBudget_reserveAcrossRestart has a router spend its share of the reserve and
-// be restarted: both processes together stay within the bound in every window.
+// TestBudget_reserveAcrossRestart restarts a router that has spent its share of the reserve.
+// Both processes together must stay within the bound in every window.
 func TestBudget_reserveAcrossRestart(t *testing.T) {
 	const reserve, window = 6, 10 * time.Second
 	oneRouter := func() int { return 1 }
@@ -103,9 +103,9 @@
 	spend(afterRestart, restartedAt)
 	spend(afterRestart, now.Add(window))
 	if spent > reserve {
-		t.Errorf("%d retries in one window, %d are allowed", spent, reserve)
+		t.Errorf("%d retries in one window, want at most %d", spent, reserve)
 	}
 	if spend(afterRestart, restartedAt.Add(window)); spent <= reserve {
-		t.Error("the reserve is never available again")
+		t.Error("the reserve was not available at ReserveFrom")
 	}
 }
