--- a/data/ratelimit/cause.go
+++ b/data/ratelimit/cause.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// Cause is the reason for which a request was rejected.
+// Cause is the reason why a request was rejected.
 type Cause int
 
-// Causes of rejections. After the last three, the router's own share and its grace did not
-// cover the request either.
+// Causes of rejections. With the last three, the router's own share and its grace did not cover
+// the request either.
 const (
 	// Denied: a relay in contact with the issuer did not grant the request. The quota is used
 	// up, or its remaining credit is held elsewhere.
@@ -31,8 +31,8 @@
 // Rejections returns how many requests of tenants with a quota were rejected for a cause.
 func (l *Limiter) Rejections(cause Cause) int64 { return l.rejectionCounts[cause].Load() }
 
-// causeOf returns the cause for which no relay granted a request, after acquire returned an
-// error together with granted, which is nil if no relay gave a usable response.
+// causeOf returns the cause of a rejection after acquire returned an error. granted is what
+// acquire returned with it, nil if no relay gave a usable response.
 func causeOf(ctx context.Context, granted []float64) Cause {
 	switch {
 	case granted != nil:
--- a/data/ratelimit/contact.go
+++ b/data/ratelimit/contact.go
@@ -50,9 +50,10 @@
 }
 
 // claimWithheld reports whether the next request to the delegate may send quota.Withheld. From
-// the first time on, the router's use of its own share is deferred as if the share had been
-// delegated since the start. Withheld is sent only for DetachTimeout: a relay that understands
-// it remembers it as long as requests that delegate follow. The caller holds l.mu.
+// the first such request on, the use of the router's own share is deferred as if the share had
+// been delegated since the router started. Withheld is sent for no longer than DetachTimeout,
+// since a relay that knows the value needs it only once: it keeps counting the router while
+// requests that send quota.Delegating follow. The caller holds l.mu.
 func (l *Limiter) claimWithheld(now clock.Instant) bool {
 	timeout := l.options.Policy.DetachTimeout(false)
 	if !l.isShareUnused || now.Since(l.startedAt) < timeout || (l.withheldClaimedAt > 0 && now.Since(l.withheldClaimedAt) > timeout) {
--- a/data/ratelimit/fleet_test.go
+++ b/data/ratelimit/fleet_test.go
@@ -11,8 +11,8 @@
 )
 
 // faultFreeSeeds is the number of seeds over which the fraction of admitted requests is averaged.
-// A small tenant sends only some hundred requests per seed, so that single large ones decide the
-// result of one.
+// A small tenant sends only some hundred requests per seed, so a few large ones would dominate the
+// result of a single seed.
 const faultFreeSeeds = 10
 
 // TestFleet_enforcesQuotaWithoutFaults checks that, without faults, requests at 0.8 of the quota
--- a/data/ratelimit/fleetharness_test.go
+++ b/data/ratelimit/fleetharness_test.go
@@ -257,7 +257,7 @@
 	})
 }
 
-// refill refills all routers and the relays that are up.
+// refill refills all routers, and the relays that are neither down nor suspended.
 func (f *fleet) refill() {
 	for _, router := range f.routers {
 		router.limiter.refill(context.Background(), f.config)
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -147,8 +147,8 @@
 	return Charge{tenant: tenant, cost: cost, source: source, at: l.options.Clock.Now()}, ok
 }
 
-// admit decides on a request of a tenant with a quota, and returns the source of the credit
-// that it was charged to. It counts the cause of a rejection.
+// admit decides on a request of a tenant with a quota. If ok, source is the source of the credit
+// that the request was charged to; otherwise admit has counted the cause of the rejection.
 func (l *Limiter) admit(ctx context.Context, tenant *config.Tenant, cost float64) (source Source, ok bool) {
 	switch l.admitUnspent(tenant, cost) {
 	case admitted:
