--- a/data/ratelimit/admissionlog.go
+++ b/data/ratelimit/admissionlog.go
@@ -1,8 +1,9 @@
 package ratelimit
 
-// logAdmissions logs what was admitted since the last call, by source, with what this
-// router knows of its contact: with the lines of all routers and of the issuer, what
-// runs beyond a quota can be told to have come from somewhere. Causes count from the start.
+// logAdmissions logs the number of requests per source since the last call and of rejections
+// per cause since the start, with the router's unspent credit and whether it is attached.
+// Together, the log lines of all routers and of the issuer show from which credit the requests
+// that exceed a quota were admitted.
 func (l *Limiter) logAdmissions() {
 	if l.options.Log == nil {
 		return
@@ -13,18 +14,18 @@
 	}
 	entry = entry.Str("part", "quota")
 	for source, name := range SourceNames {
-		entry = entry.Int64(name, l.counts[source].Load()-l.logged[source])
-		l.logged[source] = l.counts[source].Load()
+		entry = entry.Int64(name, l.requestCounts[source].Load()-l.loggedCounts[source])
+		l.loggedCounts[source] = l.requestCounts[source].Load()
 	}
 	for cause, name := range CauseNames {
-		entry = entry.Int64(name, l.causes[cause].Load())
+		entry = entry.Int64(name, l.rejectionCounts[cause].Load())
 	}
 	l.mu.Lock()
-	held := 0.0
+	unspent := 0.0
 	for _, c := range l.credits {
-		held += c.Tokens
+		unspent += c.Tokens
 	}
 	attached, routers := l.isAttached, l.routers()
 	l.mu.Unlock()
-	entry.Float64("unspent_credit", held).Bool("attached", attached).Int("routers", routers).Msg("admissions of tenants with a quota")
+	entry.Float64("unspent_credit", unspent).Bool("attached", attached).Int("routers", routers).Msg("admissions of tenants with a quota")
 }
--- a/data/ratelimit/cause_test.go
+++ b/data/ratelimit/cause_test.go
@@ -9,31 +9,32 @@
 	"onyxwell/control/quota"
 )
 
-// acquireStub answers each request alike.
+// acquireStub returns an Acquire function that gives the same answer to every request.
 func acquireStub(answer quota.RelayAnswer, err error) func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
 	return func(context.Context, quota.AcquireRequest, ids.Address) (quota.RelayAnswer, error) {
 		return answer, err
 	}
 }
 
-// TestLimiter_countsCauses rejects a request for each cause, and counts it under that alone.
-func TestLimiter_countsCauses(t *testing.T) {
-	waiting, ended := context.Background(), func() context.Context {
+// TestLimiter_countsRejectionsByCause rejects one request for each cause that a relay's answer or
+// its absence leads to, and checks that the rejection is counted under that cause alone.
+func TestLimiter_countsRejectionsByCause(t *testing.T) {
+	active, canceled := context.Background(), func() context.Context {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		return ctx
 	}()
-	detached := quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Amounts: []float64{0}}, Relay: "relay"}
+	detachedAnswer := quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Amounts: []float64{0}}, Relay: "relay"}
 	cases := []struct {
 		cause  Cause
 		ctx    context.Context
 		answer quota.RelayAnswer
 		err    error
 	}{
-		{Denied, waiting, quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Issuer: true, Amounts: []float64{0}}, Relay: "relay"}, nil},
-		{RelayDetached, waiting, detached, nil},
-		{NoRelay, waiting, quota.RelayAnswer{}, errCut},
-		{LateRelay, ended, quota.RelayAnswer{}, context.Canceled},
+		{Denied, active, quota.RelayAnswer{AcquireResponse: quota.AcquireResponse{Issuer: true, Amounts: []float64{0}}, Relay: "relay"}, nil},
+		{RelayDetached, active, detachedAnswer, nil},
+		{NoRelay, active, quota.RelayAnswer{}, errUnreachable},
+		{LateRelay, canceled, quota.RelayAnswer{}, context.Canceled},
 	}
 	for _, test := range cases {
 		limiter, _, fakeClock, tenant := newStubbedLimiter()
@@ -41,7 +42,7 @@
 		limiter.options.Acquire = acquireStub(test.answer, test.err)
 		fakeClock.Advance(time.Second)
 		if admits(test.ctx, limiter, tenant, 1) {
-			t.Errorf("%s: admitted", CauseNames[test.cause])
+			t.Errorf("%s: the request was admitted, want a rejection", CauseNames[test.cause])
 		}
 		for cause := range causeCount {
 			want := int64(0)
@@ -49,7 +50,7 @@
 				want = 1
 			}
 			if got := limiter.Rejections(cause); got != want {
-				t.Errorf("%s: %d rejections are counted as %s", CauseNames[test.cause], got, CauseNames[cause])
+				t.Errorf("%s: %d rejections were counted as %s", CauseNames[test.cause], got, CauseNames[cause])
 			}
 		}
 	}
--- a/data/ratelimit/fill.go
+++ b/data/ratelimit/refill.go
@@ -8,22 +8,25 @@
 	"onyxwell/control/quota"
 )
 
-// Run fills the credit of tenants in use up, and keeps in contact with a relay while
-// any tenant has a quota, until ctx ends.
+// Run refills the credit of tenants in use and, while any tenant has a quota, keeps the router
+// in contact with a relay, until ctx is canceled.
 func (l *Limiter) Run(ctx context.Context) error {
 	for clock.Wait(ctx, l.options.Clock, l.options.Policy.RefillInterval()) {
 		cfg := l.options.Config()
 		if cfg == nil || !cfg.HasQuotas() {
 			continue
 		}
-		l.fillUp(ctx, cfg)
+		l.refill(ctx, cfg)
 		l.logAdmissions()
 	}
 	return nil
 }
 
-func (l *Limiter) fillUp(ctx context.Context, cfg *config.Config) {
-	needs := l.missingCredit(cfg)
+// refill sends one request to the relays, for the credit that the tenants in use lack or have
+// to return, and adds the granted credit. It sends a request even if no credit is needed, so
+// as to stay in contact.
+func (l *Limiter) refill(ctx context.Context, cfg *config.Config) {
+	needs := l.refillNeeds(cfg)
 	granted, _ := l.acquire(ctx, needs)
 	if len(granted) == 0 {
 		return
@@ -40,8 +43,10 @@
 	}
 }
 
-// missingCredit returns what the credits of tenants in use lack or have to give back.
-func (l *Limiter) missingCredit(cfg *config.Config) []quota.Need {
+// refillNeeds returns the credit that tenants in use lack or have to return, and takes the
+// latter out of their buckets. It removes the credit of tenants that have no quota or that
+// were idle for forgetAfter.
+func (l *Limiter) refillNeeds(cfg *config.Config) []quota.Need {
 	var needs []quota.Need
 	now := l.options.Clock.Now()
 	idle := idleIntervals * l.options.Policy.RefillInterval()
@@ -54,12 +59,12 @@
 			delete(l.credits, name)
 			continue
 		}
-		stock := 0.0
+		limit := 0.0
 		if routers > 0 {
-			stock = l.options.Policy.RouterCreditLimit(tenant, routers)
+			limit = l.options.Policy.RouterCreditLimit(tenant, routers)
 		}
-		if missing, due := c.Rebalance(stock); due && (missing < 0 || now.Since(c.usedAt) <= idle) {
-			needs = append(needs, quota.Need{Tenant: name, Amount: missing})
+		if amount, due := c.Rebalance(limit); due && (amount < 0 || now.Since(c.usedAt) <= idle) {
+			needs = append(needs, quota.Need{Tenant: name, Amount: amount})
 		}
 	}
 	return needs
