--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -78,7 +78,7 @@
 		filter = b.options.Versions.Filter(snap, admission.service, admission.arm, now)
 		timely, delay, overloaded = b.timelyOf(snap, admission, filter, now)
 	}
-	if len(timely) == 0 && filter.SparesControl() {
+	if len(timely) == 0 && filter.ExcludesControl() {
 		timely, delay, overloaded = b.timelyOf(snap, admission, filter.WithControl(), now)
 	}
 	if overloaded {
--- a/data/canary/evidence.go
+++ b/data/canary/evidence.go
@@ -16,9 +16,9 @@
 	// Arm is that for which the attempt was begun.
 	Arm    Arm
 	Failed bool
-	// FirstByte and Whole are how long it took up to the head of the response and up to its
+	// FirstByte and Total are how long it took up to the head of the response and up to its
 	// end; 0 where there was none, and at a runner that warms up.
-	FirstByte, Whole time.Duration
+	FirstByte, Total time.Duration
 }
 
 type countKey struct {
@@ -64,8 +64,8 @@
 	if attempt.FirstByte > 0 {
 		counts.firstByte.Add(attempt.FirstByte)
 	}
-	if attempt.Whole > 0 {
-		counts.whole.Add(attempt.Whole)
+	if attempt.Total > 0 {
+		counts.whole.Add(attempt.Total)
 	}
 }
 
--- a/data/canary/fleet_test.go
+++ b/data/canary/fleet_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestFleet_rulesHoldUnderTrouble plays good and bad versions beside troubles: no rule is
+// TestFleet_invariantsHoldDuringFailures plays good and bad versions beside troubles: no rule is
 // broken, and a bad version is never finished.
-func TestFleet_rulesHoldUnderTrouble(t *testing.T) {
+func TestFleet_invariantsHoldDuringFailures(t *testing.T) {
 	for name, events := range troubles() {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestFleet_plantedFaultsAreFound plants faults, and has the oracle find each.
-func TestFleet_plantedFaultsAreFound(t *testing.T) {
+// TestFleet_oracleDetectsInjectedFaults plants faults, and has the oracle find each.
+func TestFleet_oracleDetectsInjectedFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		plant  func(f *fleet)
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestFleet_unstoredVerdictEndsExposure has the register take no more writes: a bad version
+// TestFleet_exposureEndsWithoutStoredVerdict has the register take no more writes: a bad version
 // gets nothing all the same.
-func TestFleet_unstoredVerdictEndsExposure(t *testing.T) {
+func TestFleet_exposureEndsWithoutStoredVerdict(t *testing.T) {
 	f := newFleet(t, 3)
 	f.bad = failing(0.5)
 	f.play(event{3500 * time.Millisecond, func(f *fleet) { f.forgetsWrites = true }})
@@ -178,10 +178,10 @@
 	}
 }
 
-// TestFleet_badOnlyUnderMoreLoad has a version be bad only at runners that have more than twice
+// TestFleet_badOnlyUnderHighLoad has a version be bad only at runners that have more than twice
 // as many requests in flight as the load of the day brings (14 at the old ones): it is to be
 // reverted within the exposure that is allowed, as any bad version.
-func TestFleet_badOnlyUnderMoreLoad(t *testing.T) {
+func TestFleet_badOnlyUnderHighLoad(t *testing.T) {
 	f := newFleet(t, 1)
 	f.bad, f.badAbove = failing(0.5), 32
 	f.play()
--- a/data/canary/fleetharness_test.go
+++ b/data/canary/fleetharness_test.go
@@ -356,18 +356,18 @@
 	if f.random.IntN(100) == 0 {
 		took = f.layout.slowRequest
 	}
-	attempt := Attempt{Service: fleetService, Route: route, Runner: runner, Arm: filter.Arm, FirstByte: took / 5, Whole: took}
+	attempt := Attempt{Service: fleetService, Route: route, Runner: runner, Arm: filter.Arm, FirstByte: took / 5, Total: took}
 	f.inFlight[runner.ID]++
 	if f.bad != nil && runner.Version == newVersion && f.inFlight[runner.ID] > f.badAbove {
 		fails, slower := f.bad(route, now.Since(f.ordered))
 		attempt.Failed = f.random.Float64() < fails
-		attempt.FirstByte, attempt.Whole = time.Duration(slower*float64(took/5)), time.Duration(slower*float64(took))
+		attempt.FirstByte, attempt.Total = time.Duration(slower*float64(took/5)), time.Duration(slower*float64(took))
 		if attempt.Failed {
-			attempt.FirstByte, attempt.Whole = 0, 0
+			attempt.FirstByte, attempt.Total = 0, 0
 		}
 	}
 	f.observeRequest(router, runner, now)
-	f.ends = append(f.ends, endingRequest{at: now.Add(max(attempt.Whole, 50*time.Millisecond)), router: router, runner: runner, attempt: attempt})
+	f.ends = append(f.ends, endingRequest{at: now.Add(max(attempt.Total, 50*time.Millisecond)), router: router, runner: runner, attempt: attempt})
 }
 
 func (f *fleet) end(ending endingRequest) {
--- a/data/canary/gate.go
+++ b/data/canary/gate.go
@@ -178,8 +178,8 @@
 	only, except ids.RunnerID
 }
 
-// SparesControl reports whether the filter keeps the request from the old runner under load.
-func (f Filter) SparesControl() bool { return f.except != "" }
+// ExcludesControl reports whether the filter keeps the request from the old runner under load.
+func (f Filter) ExcludesControl() bool { return f.except != "" }
 
 // WithControl returns the filter for a request that no other runner can take.
 func (f Filter) WithControl() Filter {
--- a/data/canary/gate_test.go
+++ b/data/canary/gate_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestGate_evacuatedCanary has no canary be in a zone that is evacuated.
-func TestGate_evacuatedCanary(t *testing.T) {
+// TestGate_canaryInEvacuatedZone has no canary be in a zone that is evacuated.
+func TestGate_canaryInEvacuatedZone(t *testing.T) {
 	gate, store, fake := newGate()
 	store.ApplyRunners(listOf("v1", "v2"))
 	body, err := transport.Marshal(rollout.Record{Version: 1, Order: 1, Target: "v2", Condition: int64(rollout.Serving)})
--- a/data/canary/outcomes_test.go
+++ b/data/canary/outcomes_test.go
@@ -167,20 +167,20 @@
 	playCells(t, cellsOf(*outcomeSeeds, []float64{190, 1400}, []int{9, 60}))
 }
 
-// TestFleet_outcomesOfFewRequests is TestFleet_outcomes where requests are few.
-func TestFleet_outcomesOfFewRequests(t *testing.T) {
+// TestFleet_outcomesWithFewRequests is TestFleet_outcomes where requests are few.
+func TestFleet_outcomesWithFewRequests(t *testing.T) {
 	playCells(t, cellsOf(*outcomeSeeds, []float64{60, 20}, []int{9, 60}))
 }
 
-// TestFleet_outcomesOfFewRunners is TestFleet_outcomes where one runner has a third of the
+// TestFleet_outcomesWithFewRunners is TestFleet_outcomes where one runner has a third of the
 // traffic.
-func TestFleet_outcomesOfFewRunners(t *testing.T) {
+func TestFleet_outcomesWithFewRunners(t *testing.T) {
 	playCells(t, cellsOf(*outcomeSeeds, []float64{190, 20, 60, 1400}, []int{3}))
 }
 
-// TestFleet_badWhereRequestsAreFew plays versions of which the last seed, or one before it, got
+// TestFleet_badVersionWithFewRequests plays versions of which the last seed, or one before it, got
 // more than is allowed, or finished, where requests or runners are few.
-func TestFleet_badWhereRequestsAreFew(t *testing.T) {
+func TestFleet_badVersionWithFewRequests(t *testing.T) {
 	cells := []struct {
 		outcomeCell
 		form  string
--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -111,7 +111,7 @@
 	}
 	observed := canary.Attempt{Service: a.admission.Service(), Route: e.route.Name, Runner: a.runner, Arm: a.arm, Failed: failed}
 	if !failed && !a.resumes && !e.proxy.slowStart.Active(a.runner.ID, now) {
-		observed.FirstByte, observed.Whole = a.firstByte, ended.Duration
+		observed.FirstByte, observed.Total = a.firstByte, ended.Duration
 	}
 	e.proxy.versions.Observe(observed)
 }
