--- a/data/canary/arrivals.go
+++ b/data/canary/arrivals.go
@@ -18,19 +18,19 @@
 	total   int64
 }
 
-// count counts a request and returns those of its service. The caller holds g.mu.
-func (g *Gate) count(service ids.Service, route string) *arrivals {
-	seen := g.arrivals[service]
-	if seen == nil {
-		seen = &arrivals{byRoute: map[string]int64{}}
-		g.arrivals[service] = seen
+// countArrival counts a request and returns those of its service. The caller holds g.mu.
+func (g *Gate) countArrival(service ids.Service, route string) *arrivals {
+	recent := g.arrivals[service]
+	if recent == nil {
+		recent = &arrivals{byRoute: map[string]int64{}}
+		g.arrivals[service] = recent
 	}
-	seen.byRoute[route]++
-	seen.total++
-	if seen.total >= maxArrivals {
-		seen.halve()
+	recent.byRoute[route]++
+	recent.total++
+	if recent.total >= maxArrivals {
+		recent.halve()
 	}
-	return seen
+	return recent
 }
 
 func (a *arrivals) halve() {
@@ -45,12 +45,12 @@
 	}
 }
 
-// emphasis returns by how much more of a route's requests go to the target version under a
+// oversampling returns by how much more of a route's requests go to the target version under a
 // permit than of all requests.
-func (a *arrivals) emphasis(route string, permit rollout.Permit) float64 {
+func (a *arrivals) oversampling(route string, permit rollout.Permit) float64 {
 	if a.total < minArrivals {
 		return 1
 	}
-	part := float64(a.byRoute[route]) / float64(a.total)
-	return rollout.Emphasis(part, len(a.byRoute), float64(permit.RunnersMilli)/milli)
+	share := float64(a.byRoute[route]) / float64(a.total)
+	return rollout.Emphasis(share, len(a.byRoute), float64(permit.RunnersMilli)/milliPerUnit)
 }
--- a/data/canary/division.go
+++ b/data/canary/division.go
@@ -7,75 +7,75 @@
 	"onyxwell/data/snapshot"
 )
 
-// division is how a router divides the traffic of a service under its present permits.
-type division struct {
+// trafficSplit is how a router divides the traffic of a service under its present permits.
+type trafficSplit struct {
 	spread rollout.Spread
 	// loadedTarget and loadedOld are the pair under load, empty where there is none; loadedPart
 	// and loadedOldPart are the parts of this router's requests that go there.
-	loadedTarget, loadedOld   ids.RunnerID
-	loadedPart, loadedOldPart float64
+	loadedTarget, loadedOld           ids.RunnerID
+	loadedTargetShare, loadedOldShare float64
 	// It was made for these.
 	snap       *snapshot.Snapshot
 	permit     rollout.Permit
 	loadPermit rollout.Permit
 }
 
-// milli is the number of thousandths in one.
-const milli = 1000
+// milliPerUnit is the number of thousandths in one.
+const milliPerUnit = 1000
 
 // loadedRunner returns the runner of an arm under load, empty for other arms.
-func (d *division) loadedRunner(arm Arm) ids.RunnerID {
+func (s *trafficSplit) loadedRunner(arm Arm) ids.RunnerID {
 	switch arm {
 	case LoadedTarget:
-		return d.loadedTarget
+		return s.loadedTarget
 	case LoadedOld:
-		return d.loadedOld
+		return s.loadedOld
 	}
 	return ""
 }
 
-// divisionOf returns how the traffic is divided under the present permits. The caller holds
+// splitOf returns how the traffic is divided under the present permits. The caller holds
 // g.mu.
-func (g *Gate) divisionOf(t *trial, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *division {
-	permit, loadPermit := t.permit, rollout.Permit{}
+func (g *Gate) splitOf(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *trafficSplit {
+	permit, loadPermit := state.permit, rollout.Permit{}
 	permit.TTLMS = 0
-	if t.hasLoadPermit(now) {
-		loadPermit = t.loadPermit
+	if state.hasLoadPermit(now) {
+		loadPermit = state.loadPermit
 		loadPermit.TTLMS = 0
 	}
-	if t.division.snap != snap || t.division.permit != permit || t.division.loadPermit != loadPermit {
-		t.division = g.divide(t, snap, service, permit, loadPermit)
+	if state.split.snap != snap || state.split.permit != permit || state.split.loadPermit != loadPermit {
+		state.split = g.computeSplit(state, snap, service, permit, loadPermit)
 	}
-	return &t.division
+	return &state.split
 }
 
-func (g *Gate) divide(t *trial, snap *snapshot.Snapshot, service ids.Service, permit, loadPermit rollout.Permit) division {
+func (g *Gate) computeSplit(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, permit, loadPermit rollout.Permit) trafficSplit {
 	var runners []rollout.Runner
 	for _, runner := range snap.Runners[service] {
 		if snap.Available(runner) {
 			runners = append(runners, rollout.Runner{ID: runner.ID, Region: runner.Region, Version: runner.Version, Slots: runner.Capacity})
 		}
 	}
-	divided := division{snap: snap, permit: permit, loadPermit: loadPermit}
+	split := trafficSplit{snap: snap, permit: permit, loadPermit: loadPermit}
 	target := snap.Rollouts[service].Target
-	if pair, ok := rollout.NewLoadPair(runners, target, t.order); ok && loadPermit.Order == t.order {
-		divided.setPair(pair, g.options.Region)
+	if pair, ok := rollout.NewLoadPair(runners, target, state.order); ok && loadPermit.Order == state.order {
+		split.applyLoadPair(pair, g.options.Region)
 	}
-	divided.spread = rollout.NewSpread(runners, rollout.Division{
-		Target: target, Order: t.order, Part: float64(permit.RunnersMilli) / milli, Load: float64(permit.LoadMilli) / milli,
-		Full: t.isFull(), LoadedTarget: divided.loadedTarget, LoadedOld: divided.loadedOld,
+	split.spread = rollout.NewSpread(runners, rollout.Division{
+		Target: target, Order: state.order, Part: float64(permit.RunnersMilli) / milliPerUnit, Load: float64(permit.LoadMilli) / milliPerUnit,
+		Full: state.isFull(), LoadedTarget: split.loadedTarget, LoadedOld: split.loadedOld,
 	})
-	return divided
+	return split
 }
 
-// setPair has a part of this router's requests go to the pair under load.
-func (d *division) setPair(pair rollout.LoadPair, region ids.Region) {
-	part := d.loadPermit.RunnersMilli
+// applyLoadPair has a part of this router's requests go to the pair under load.
+func (s *trafficSplit) applyLoadPair(pair rollout.LoadPair, region ids.Region) {
+	shareMilli := s.loadPermit.RunnersMilli
 	if pair.Target.Region == region {
-		part = d.loadPermit.LoadMilli
+		shareMilli = s.loadPermit.LoadMilli
 	}
-	d.loadedTarget, d.loadedPart = pair.Target.ID, float64(part)/milli
-	if pair.Old.ID != "" && d.loadedPart <= rollout.MaxControlShare {
-		d.loadedOld, d.loadedOldPart = pair.Old.ID, float64(part)/milli
+	s.loadedTarget, s.loadedTargetShare = pair.Target.ID, float64(shareMilli)/milliPerUnit
+	if pair.Old.ID != "" && s.loadedTargetShare <= rollout.MaxControlShare {
+		s.loadedOld, s.loadedOldShare = pair.Old.ID, float64(shareMilli)/milliPerUnit
 	}
 }
--- a/data/canary/evidence.go
+++ b/data/canary/evidence.go
@@ -29,7 +29,7 @@
 // armCounts are the counts of one route at one arm since the last report.
 type armCounts struct {
 	ended, failed    int64
-	firstByte, whole rollout.Histogram
+	firstByte, total rollout.Histogram
 }
 
 // Observe counts an attempt, while a rollout of its service is in progress.
@@ -44,18 +44,18 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := g.trialOf(snap, attempt.Service)
-	if t == nil {
+	state := g.stateOf(snap, attempt.Service)
+	if state == nil {
 		return
 	}
 	key := countKey{route: attempt.Route, target: attempt.Runner.Version == record.Target}
 	if attempt.Arm.IsLoaded() {
 		key.route = rollout.LoadedRoute(attempt.Route)
 	}
-	counts := t.counts[key]
+	counts := state.counts[key]
 	if counts == nil {
 		counts = &armCounts{}
-		t.counts[key] = counts
+		state.counts[key] = counts
 	}
 	counts.ended++
 	if attempt.Failed {
@@ -65,21 +65,21 @@
 		counts.firstByte.Add(attempt.FirstByte)
 	}
 	if attempt.Total > 0 {
-		counts.whole.Add(attempt.Total)
+		counts.total.Add(attempt.Total)
 	}
 }
 
 // takeCounts returns the counts since the last report. One that is lost on its way is
 // lacking: the judge needs no completeness.
-func (t *trial) takeCounts() []rollout.RouteCount {
+func (s *rolloutState) takeCounts() []rollout.RouteCount {
 	var routes []rollout.RouteCount
-	for key, counts := range t.counts {
+	for key, counts := range s.counts {
 		routes = append(routes, rollout.RouteCount{
 			Route: key.route, Target: key.target, Ended: counts.ended, Failed: counts.failed,
-			FirstByte: counts.firstByte.Buckets(), Whole: counts.whole.Buckets(),
+			FirstByte: counts.firstByte.Buckets(), Whole: counts.total.Buckets(),
 		})
 	}
 	rollout.SortCounts(routes)
-	t.counts = map[countKey]*armCounts{}
+	s.counts = map[countKey]*armCounts{}
 	return routes
 }
--- a/data/canary/fleet_test.go
+++ b/data/canary/fleet_test.go
@@ -13,50 +13,50 @@
 
 // event happens at a time after the order.
 type event struct {
-	at   time.Duration
-	does func(f *fleet)
+	at     time.Duration
+	action func(f *fleet)
 }
 
-// play plays a rollout with events, and until some seconds after its term.
-func (f *fleet) play(events ...event) {
-	for number := range int(f.layout.warmUp / fleetTick) {
-		f.tick(number)
+// simulate plays a rollout with events, and until some seconds after its term.
+func (f *fleet) simulate(events ...event) {
+	for step := range int(f.layout.warmUp / tickInterval) {
+		f.tick(step)
 	}
-	f.ordered = f.clock.Now()
-	f.startsAt = f.ordered.Add(f.layout.startsAfter)
-	f.judge = oracle{}
-	f.order()
-	ticks := int((f.layout.term + 8*time.Second) / fleetTick)
-	for number := range ticks {
+	f.orderedAt = f.clock.Now()
+	f.targetListedAt = f.orderedAt.Add(f.layout.startDelay)
+	f.oracle = oracle{}
+	f.startRollout()
+	ticks := int((f.layout.term + 8*time.Second) / tickInterval)
+	for step := range ticks {
 		for _, event := range events {
-			if int(event.at/fleetTick) == number {
-				event.does(f)
+			if int(event.at/tickInterval) == step {
+				event.action(f)
 			}
 		}
-		f.tick(number)
+		f.tick(step)
 	}
 }
 
-func failing(part float64) func(string, time.Duration) (float64, float64) {
-	return func(string, time.Duration) (float64, float64) { return part, 1 }
+func failingAtRate(rate float64) func(string, time.Duration) (float64, float64) {
+	return func(string, time.Duration) (float64, float64) { return rate, 1 }
 }
 
 // TestFleet_goodVersionFinishes bounds how long a good version takes in calm.
 func TestFleet_goodVersionFinishes(t *testing.T) {
 	for seed := range uint64(6) {
 		f := newFleet(t, seed)
-		f.play()
-		took := f.judge.conditionAt.Since(f.ordered)
-		if f.judge.condition != rollout.Finished || took > f.layout.term || len(f.judge.violations) > 0 {
-			t.Errorf("seed %d: %s after %v: %s; %v", seed, f.judge.condition, took, f.record().Reason, f.judge.violations)
+		f.simulate()
+		duration := f.oracle.conditionAt.Since(f.orderedAt)
+		if f.oracle.condition != rollout.Finished || duration > f.layout.term || len(f.oracle.violations) > 0 {
+			t.Errorf("seed %d: %s after %v: %s; %v", seed, f.oracle.condition, duration, f.record().Reason, f.oracle.violations)
 		}
 	}
 }
 
-// badForms are the ways in which a version may be bad.
-var badForms = map[string]func(route string, since time.Duration) (fails, slower float64){
-	"errors": failing(0.5),
-	"some":   failing(0.3),
+// defects are the ways in which a version may be bad.
+var defects = map[string]func(route string, since time.Duration) (fails, slower float64){
+	"errors": failingAtRate(0.5),
+	"some":   failingAtRate(0.3),
 	"slow":   func(string, time.Duration) (float64, float64) { return 0, 8 },
 	"late": func(_ string, since time.Duration) (float64, float64) {
 		if since < 6*time.Second {
@@ -75,12 +75,12 @@
 // TestFleet_badVersionIsReverted has each form reverted by the term, within the exposure that
 // is allowed.
 func TestFleet_badVersionIsReverted(t *testing.T) {
-	for name, form := range badForms {
+	for name, defect := range defects {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(4) {
 				f := newFleet(t, seed)
-				f.bad = form
-				f.play()
+				f.defect = defect
+				f.simulate()
 				f.checkReverted(t, seed)
 			}
 		})
@@ -90,50 +90,50 @@
 // checkReverted checks a rollout of a bad version.
 func (f *fleet) checkReverted(t *testing.T, seed uint64) {
 	t.Helper()
-	allowed := f.policy.ExposureShare*f.judge.requests + f.policy.ExposureSlack
-	took := f.judge.conditionAt.Since(f.ordered)
-	if f.judge.condition != rollout.Reverted || took > f.layout.term {
-		t.Errorf("seed %d: %s after %v: %s", seed, f.judge.condition, took, f.record().Reason)
+	allowed := f.policy.ExposureShare*f.oracle.requests + f.policy.ExposureSlack
+	duration := f.oracle.conditionAt.Since(f.orderedAt)
+	if f.oracle.condition != rollout.Reverted || duration > f.layout.term {
+		t.Errorf("seed %d: %s after %v: %s", seed, f.oracle.condition, duration, f.record().Reason)
 	}
-	if f.judge.exposed > allowed {
-		t.Errorf("seed %d: %.0f requests go to the bad version, %.0f are allowed", seed, f.judge.exposed, allowed)
+	if f.oracle.exposed > allowed {
+		t.Errorf("seed %d: %.0f requests go to the bad version, %.0f are allowed", seed, f.oracle.exposed, allowed)
 	}
-	if len(f.judge.violations) > 0 {
-		t.Errorf("seed %d: %d violations, first %v", seed, len(f.judge.violations), f.judge.violations[:min(3, len(f.judge.violations))])
+	if len(f.oracle.violations) > 0 {
+		t.Errorf("seed %d: %d violations, first %v", seed, len(f.oracle.violations), f.oracle.violations[:min(3, len(f.oracle.violations))])
 	}
 }
 
-// troubles are events that befall a rollout.
-func troubles() map[string][]event {
+// disruptions are events that befall a rollout.
+func disruptions() map[string][]event {
 	takeOver := func(f *fleet) { f.takeOver() }
-	cut := func(zone int) func(*fleet) { return func(f *fleet) { f.setCut(zone, true) } }
-	join := func(zone int) func(*fleet) { return func(f *fleet) { f.setCut(zone, false) } }
-	settle := func(zone int) func(*fleet) { return func(f *fleet) { f.settle(zone) } }
+	partition := func(zone int) func(*fleet) { return func(f *fleet) { f.setPartitioned(zone, true) } }
+	heal := func(zone int) func(*fleet) { return func(f *fleet) { f.setPartitioned(zone, false) } }
+	reconnect := func(zone int) func(*fleet) { return func(f *fleet) { f.markReconnected(zone) } }
 	return map[string][]event{
 		"takeover in the canary":           {{5 * time.Second, takeOver}},
 		"takeovers at each stage":          {{time.Second, takeOver}, {5 * time.Second, takeOver}, {9 * time.Second, takeOver}},
 		"takeover while old runners drain": {{10 * time.Second, takeOver}},
-		"zone cut off":                     {{4 * time.Second, cut(1)}, {9 * time.Second, join(1)}, {9*time.Second + inTouchTime, settle(1)}},
-		"zone cut off for good":            {{6 * time.Second, cut(4)}},
-		"region cut off, and a takeover": {{5 * time.Second, cut(2)}, {5 * time.Second, cut(3)}, {6 * time.Second, takeOver},
-			{12 * time.Second, join(2)}, {12 * time.Second, join(3)}},
+		"zone cut off":                     {{4 * time.Second, partition(1)}, {9 * time.Second, heal(1)}, {9*time.Second + reconnectTime, reconnect(1)}},
+		"zone cut off for good":            {{6 * time.Second, partition(4)}},
+		"region cut off, and a takeover": {{5 * time.Second, partition(2)}, {5 * time.Second, partition(3)}, {6 * time.Second, takeOver},
+			{12 * time.Second, heal(2)}, {12 * time.Second, heal(3)}},
 	}
 }
 
 // TestFleet_invariantsHoldDuringFailures plays good and bad versions beside troubles: no rule is
 // broken, and a bad version is never finished.
 func TestFleet_invariantsHoldDuringFailures(t *testing.T) {
-	for name, events := range troubles() {
+	for name, events := range disruptions() {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
 				good := newFleet(t, seed)
-				good.play(events...)
-				if len(good.judge.violations) > 0 {
-					t.Errorf("good, seed %d: %v", seed, good.judge.violations[:min(3, len(good.judge.violations))])
+				good.simulate(events...)
+				if len(good.oracle.violations) > 0 {
+					t.Errorf("good, seed %d: %v", seed, good.oracle.violations[:min(3, len(good.oracle.violations))])
 				}
 				bad := newFleet(t, seed)
-				bad.bad = failing(0.5)
-				bad.play(events...)
+				bad.defect = failingAtRate(0.5)
+				bad.simulate(events...)
 				bad.checkReverted(t, seed)
 			}
 		})
@@ -143,22 +143,22 @@
 // TestFleet_oracleDetectsInjectedFaults plants faults, and has the oracle find each.
 func TestFleet_oracleDetectsInjectedFaults(t *testing.T) {
 	cases := []struct {
-		name   string
-		plant  func(f *fleet)
-		events []event
-		found  string
+		name      string
+		inject    func(f *fleet)
+		events    []event
+		violation string
 	}{
-		{"a permit that never lapses", func(f *fleet) { f.permitsForever = true },
-			[]event{{5 * time.Second, func(f *fleet) { f.setCut(1, true) }}}, "sends to the target version"},
-		{"finished before the last request at an old runner", func(f *fleet) { f.confirmsAlways = true }, nil, "runs at an old runner"},
+		{"a permit that never lapses", func(f *fleet) { f.permitsNeverExpire = true },
+			[]event{{5 * time.Second, func(f *fleet) { f.setPartitioned(1, true) }}}, "sends to the target version"},
+		{"finished before the last request at an old runner", func(f *fleet) { f.alwaysConfirms = true }, nil, "runs at an old runner"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				f := newFleet(t, seed)
-				test.plant(f)
-				f.play(test.events...)
-				if strings.Contains(strings.Join(f.judge.violations, "\n"), test.found) {
+				test.inject(f)
+				f.simulate(test.events...)
+				if strings.Contains(strings.Join(f.oracle.violations, "\n"), test.violation) {
 					return
 				}
 			}
@@ -171,10 +171,10 @@
 // gets nothing all the same.
 func TestFleet_exposureEndsWithoutStoredVerdict(t *testing.T) {
 	f := newFleet(t, 3)
-	f.bad = failing(0.5)
-	f.play(event{3500 * time.Millisecond, func(f *fleet) { f.forgetsWrites = true }})
-	if len(f.judge.violations) > 0 || f.judge.condition == rollout.Finished {
-		t.Errorf("%s: %v", f.judge.condition, f.judge.violations)
+	f.defect = failingAtRate(0.5)
+	f.simulate(event{3500 * time.Millisecond, func(f *fleet) { f.dropsWrites = true }})
+	if len(f.oracle.violations) > 0 || f.oracle.condition == rollout.Finished {
+		t.Errorf("%s: %v", f.oracle.condition, f.oracle.violations)
 	}
 }
 
@@ -183,7 +183,7 @@
 // reverted within the exposure that is allowed, as any bad version.
 func TestFleet_badOnlyUnderHighLoad(t *testing.T) {
 	f := newFleet(t, 1)
-	f.bad, f.badAbove = failing(0.5), 32
-	f.play()
+	f.defect, f.defectAboveInFlight = failingAtRate(0.5), 32
+	f.simulate()
 	f.checkReverted(t, 1)
 }
--- a/data/canary/gate.go
+++ b/data/canary/gate.go
@@ -57,8 +57,8 @@
 type Gate struct {
 	options Options
 
-	mu     sync.Mutex
-	trials map[ids.Service]*trial
+	mu       sync.Mutex
+	rollouts map[ids.Service]*rolloutState
 	// inFlight counts the requests at runners, also those from before an order.
 	inFlight map[versionKey]int
 	// arrivals counts the requests of each service's routes of late.
@@ -71,8 +71,8 @@
 	version string
 }
 
-// trial is what a router keeps of one order.
-type trial struct {
+// rolloutState is what a router keeps of one order.
+type rolloutState struct {
 	order int64
 	// permit is the newest one; it ends at expiry.
 	permit rollout.Permit
@@ -84,25 +84,25 @@
 	// permit.
 	latchedUntil clock.Instant
 	counts       map[countKey]*armCounts
-	division     division
+	split        trafficSplit
 }
 
 // New returns a Gate without permits.
 func New(options Options) *Gate {
-	return &Gate{options: options, trials: map[ids.Service]*trial{}, inFlight: map[versionKey]int{}, arrivals: map[ids.Service]*arrivals{}}
+	return &Gate{options: options, rollouts: map[ids.Service]*rolloutState{}, inFlight: map[versionKey]int{}, arrivals: map[ids.Service]*arrivals{}}
 }
 
-// trialOf returns the trial of a rollout in progress, nil where there is none. The caller
+// stateOf returns the trial of a rollout in progress, nil where there is none. The caller
 // holds g.mu.
-func (g *Gate) trialOf(snap *snapshot.Snapshot, service ids.Service) *trial {
+func (g *Gate) stateOf(snap *snapshot.Snapshot, service ids.Service) *rolloutState {
 	record, ok := snap.Rollouts[service]
 	if !ok || !record.InProgress() {
 		return nil
 	}
-	current := g.trials[service]
+	current := g.rollouts[service]
 	if current == nil || current.order < record.Order {
-		current = &trial{order: record.Order, counts: map[countKey]*armCounts{}}
-		g.trials[service] = current
+		current = &rolloutState{order: record.Order, counts: map[countKey]*armCounts{}}
+		g.rollouts[service] = current
 	}
 	if current.order != record.Order {
 		return nil
@@ -111,19 +111,19 @@
 }
 
 // hasPermit reports whether requests may go to the target version.
-func (t *trial) hasPermit(now clock.Instant) bool {
-	return t.permit.Order == t.order && now.Before(t.expiry)
+func (s *rolloutState) hasPermit(now clock.Instant) bool {
+	return s.permit.Order == s.order && now.Before(s.expiry)
 }
 
 // hasLoadPermit reports whether requests may go to the pair under load.
-func (t *trial) hasLoadPermit(now clock.Instant) bool {
-	return t.loadPermit.Order == t.order && now.Before(t.loadExpiry)
+func (s *rolloutState) hasLoadPermit(now clock.Instant) bool {
+	return s.loadPermit.Order == s.order && now.Before(s.loadExpiry)
 }
 
 // isFull reports whether a permit has everything go to the target version.
-func (t *trial) isFull() bool { return rollout.Stage(t.permit.Stage) == rollout.Full }
+func (s *rolloutState) isFull() bool { return rollout.Stage(s.permit.Stage) == rollout.Full }
 
-func (t *trial) isLatched(now clock.Instant) bool { return now.Before(t.latchedUntil) }
+func (s *rolloutState) isLatched(now clock.Instant) bool { return now.Before(s.latchedUntil) }
 
 // Assign returns the arm of a new request.
 func (g *Gate) Assign(service ids.Service, route string) Arm {
@@ -133,28 +133,28 @@
 	snap, now := g.options.Snapshots.Current(), g.options.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	seen := g.count(service, route)
-	t := g.trialOf(snap, service)
-	if t == nil {
+	recent := g.countArrival(service, route)
+	state := g.stateOf(snap, service)
+	if state == nil {
 		return Old
 	}
 	switch {
-	case t.isLatched(now):
+	case state.isLatched(now):
 		return Target
-	case !t.hasPermit(now):
+	case !state.hasPermit(now):
 		return Old
-	case t.isFull():
+	case state.isFull():
 		return Target
 	}
-	divided := g.divisionOf(t, snap, service, now)
+	split := g.splitOf(state, snap, service, now)
 	draw := g.options.Random()
-	if draw < divided.loadedPart {
+	if draw < split.loadedTargetShare {
 		return LoadedTarget
 	}
-	if draw -= divided.loadedPart; draw < divided.loadedOldPart {
+	if draw -= split.loadedTargetShare; draw < split.loadedOldShare {
 		return LoadedOld
 	}
-	if draw -= divided.loadedOldPart; draw < seen.emphasis(route, t.permit)*divided.spread.Share[g.options.Region] {
+	if draw -= split.loadedOldShare; draw < recent.oversampling(route, state.permit)*split.spread.Share[g.options.Region] {
 		return Target
 	}
 	return Old
@@ -173,17 +173,17 @@
 	allowsOld    bool
 	// active are the runners of the target version that get requests; nil are all.
 	active map[ids.RunnerID]bool
-	// only is the one runner that the request may go to, except one that it may not; empty is
+	// onlyRunner is the one runner that the request may go to, excludedRunner one that it may not; empty is
 	// none.
-	only, except ids.RunnerID
+	onlyRunner, excludedRunner ids.RunnerID
 }
 
 // ExcludesControl reports whether the filter keeps the request from the old runner under load.
-func (f Filter) ExcludesControl() bool { return f.except != "" }
+func (f Filter) ExcludesControl() bool { return f.excludedRunner != "" }
 
 // WithControl returns the filter for a request that no other runner can take.
 func (f Filter) WithControl() Filter {
-	f.except = ""
+	f.excludedRunner = ""
 	return f
 }
 
@@ -195,10 +195,10 @@
 
 // Allows reports whether the request may go to a runner.
 func (f Filter) Allows(runner *snapshot.Runner) bool {
-	if f.only != "" {
-		return runner.ID == f.only
+	if f.onlyRunner != "" {
+		return runner.ID == f.onlyRunner
 	}
-	if f.except != "" && runner.ID == f.except {
+	if f.excludedRunner != "" && runner.ID == f.excludedRunner {
 		return false
 	}
 	if runner.Version != f.target {
@@ -225,34 +225,34 @@
 	case !ok:
 		return baselineFilter(snap, service)
 	case record.IsFinished():
-		return Filter{Arm: Target, target: record.Target, allowsTarget: true, allowsOld: !listed(snap, service, record.Target)}
+		return Filter{Arm: Target, target: record.Target, allowsTarget: true, allowsOld: !hasAvailableRunner(snap, service, record.Target)}
 	case record.IsReverted():
 		return Filter{target: record.Target, allowsOld: true}
 	}
-	t := g.trialOf(snap, service)
-	if t == nil {
+	state := g.stateOf(snap, service)
+	if state == nil {
 		return Filter{target: record.Target, allowsOld: true}
 	}
-	return g.trialFilter(t, snap, service, arm, now)
+	return g.inProgressFilter(state, snap, service, arm, now)
 }
 
-// trialFilter returns the filter of a rollout in progress. The caller holds g.mu.
-func (g *Gate) trialFilter(t *trial, snap *snapshot.Snapshot, service ids.Service, arm Arm, now clock.Instant) Filter {
+// inProgressFilter returns the filter of a rollout in progress. The caller holds g.mu.
+func (g *Gate) inProgressFilter(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, arm Arm, now clock.Instant) Filter {
 	record := snap.Rollouts[service]
-	latched, permitted := t.isLatched(now), t.hasPermit(now)
-	divided := g.divisionOf(t, snap, service, now)
-	if runner := divided.loadedRunner(arm); runner != "" && permitted && !t.isFull() && !latched {
-		return Filter{Arm: arm, target: record.Target, only: runner, CanFallBack: true}
+	latched, permitted := state.isLatched(now), state.hasPermit(now)
+	split := g.splitOf(state, snap, service, now)
+	if runner := split.loadedRunner(arm); runner != "" && permitted && !state.isFull() && !latched {
+		return Filter{Arm: arm, target: record.Target, onlyRunner: runner, CanFallBack: true}
 	}
 	if latched || (arm == Target && permitted) {
 		filter := Filter{Arm: Target, target: record.Target, allowsTarget: true, CanFallBack: !latched}
-		if !t.isFull() {
-			filter.active = divided.spread.Active
+		if !state.isFull() {
+			filter.active = split.spread.Active
 		}
 		return filter
 	}
-	filter := Filter{Arm: Old, target: record.Target, allowsOld: true, except: divided.loadedOld}
-	if rollout.Stage(record.Stage) == rollout.Full && !divided.spread.HasOld {
+	filter := Filter{Arm: Old, target: record.Target, allowsOld: true, excludedRunner: split.loadedOld}
+	if rollout.Stage(record.Stage) == rollout.Full && !split.spread.HasOld {
 		// The old runners are gone: the verdict has not arrived here.
 		filter.allowsTarget = true
 	}
@@ -266,11 +266,11 @@
 	if !ok {
 		return allowsAll
 	}
-	return Filter{Arm: Target, target: baseline, allowsTarget: true, allowsOld: !listed(snap, service, baseline)}
+	return Filter{Arm: Target, target: baseline, allowsTarget: true, allowsOld: !hasAvailableRunner(snap, service, baseline)}
 }
 
-// listed reports whether a service has an available runner of a version.
-func listed(snap *snapshot.Snapshot, service ids.Service, version string) bool {
+// hasAvailableRunner reports whether a service has an available runner of a version.
+func hasAvailableRunner(snap *snapshot.Snapshot, service ids.Service, version string) bool {
 	for _, runner := range snap.Runners[service] {
 		if runner.Version == version && snap.Available(runner) {
 			return true
@@ -329,7 +329,7 @@
 // exchange reports, and takes the permits over: each counts from before the message.
 func (g *Gate) exchange(ctx context.Context) {
 	startedAt := g.options.Clock.Now()
-	req, ok := g.request(g.options.Snapshots.Current(), startedAt)
+	req, ok := g.buildRequest(g.options.Snapshots.Current(), startedAt)
 	if !ok {
 		return
 	}
@@ -343,42 +343,42 @@
 	defer g.mu.Unlock()
 	// What is not granted again was withheld. What this router has confirmed stands all the
 	// same: a director that has just taken over may not know yet that the rollout has finished.
-	for _, t := range g.trials {
-		t.expiry, t.loadExpiry = 0, 0
+	for _, state := range g.rollouts {
+		state.expiry, state.loadExpiry = 0, 0
 	}
 	for _, permit := range resp.Permits {
-		if t := g.trials[permit.Service]; t != nil && permit.Order == t.order {
-			t.grant(permit, startedAt.Add(time.Duration(permit.TTLMS)*time.Millisecond))
+		if state := g.rollouts[permit.Service]; state != nil && permit.Order == state.order {
+			state.applyPermit(permit, startedAt.Add(time.Duration(permit.TTLMS)*time.Millisecond))
 		}
 	}
 }
 
-func (t *trial) grant(permit rollout.Permit, expiry clock.Instant) {
+func (s *rolloutState) applyPermit(permit rollout.Permit, expiry clock.Instant) {
 	if rollout.Stage(permit.Stage) == rollout.Loaded {
-		t.loadPermit, t.loadExpiry = permit, expiry
+		s.loadPermit, s.loadExpiry = permit, expiry
 		return
 	}
-	t.permit, t.expiry = permit, expiry
+	s.permit, s.expiry = permit, expiry
 }
 
-// request returns what is to be reported; ok is false where no rollout is in progress.
-func (g *Gate) request(snap *snapshot.Snapshot, now clock.Instant) (req rollout.ExchangeRequest, ok bool) {
+// buildRequest returns what is to be reported; ok is false where no rollout is in progress.
+func (g *Gate) buildRequest(snap *snapshot.Snapshot, now clock.Instant) (req rollout.ExchangeRequest, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for service := range g.trials {
+	for service := range g.rollouts {
 		if record := snap.Rollouts[service]; !record.InProgress() {
-			delete(g.trials, service)
+			delete(g.rollouts, service)
 		}
 	}
 	for service, record := range snap.Rollouts {
-		t := g.trialOf(snap, service)
-		if t == nil {
+		state := g.stateOf(snap, service)
+		if state == nil {
 			continue
 		}
-		report := rollout.ServiceReport{Service: service, Order: t.order, Unconfirmed: 1, Routes: t.takeCounts()}
-		if t.hasPermit(now) && t.isFull() && g.oldInFlight(service, record.Target) == 0 {
+		report := rollout.ServiceReport{Service: service, Order: state.order, Unconfirmed: 1, Routes: state.takeCounts()}
+		if state.hasPermit(now) && state.isFull() && g.oldInFlight(service, record.Target) == 0 {
 			report.Unconfirmed = 0
-			t.latchedUntil = now.Add(g.options.Policy.LatchTime)
+			state.latchedUntil = now.Add(g.options.Policy.LatchTime)
 		}
 		req.Services = append(req.Services, report)
 	}
--- a/data/canary/gate_test.go
+++ b/data/canary/gate_test.go
@@ -98,8 +98,8 @@
 	}
 	store.Apply(gossip.Item{Key: rollout.Key("s"), Version: 1, Body: body})
 	gate.Assign("s", "route")
-	gate.trials["s"].permit = rollout.Permit{Service: "s", Order: 1, Stage: int64(rollout.Canary), RunnersMilli: 100, LoadMilli: 1000}
-	gate.trials["s"].expiry = fake.Now() + 1000
+	gate.rollouts["s"].permit = rollout.Permit{Service: "s", Order: 1, Stage: int64(rollout.Canary), RunnersMilli: 100, LoadMilli: 1000}
+	gate.rollouts["s"].expiry = fake.Now() + 1000
 	if allowed := allowedVersions(gate, store, fake); allowed["v2"] != 1 {
 		t.Fatalf("under a permit: %v", allowed)
 	}
