--- a/data/canary/arrivals.go
+++ b/data/canary/arrivals.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// minArrivals is how many requests a router must have seen to know what is rare.
+	// minArrivals is the number of requests of a service that a router must have counted to
+	// know which routes are rare.
 	minArrivals = 5
-	// maxArrivals is how many are counted before all counts are halved.
+	// maxArrivals is the total at which all counts of a service are halved.
 	maxArrivals = 1000
 )
 
-// arrivals counts the requests of a service by route, recent ones more than earlier ones.
+// arrivals counts the requests of a service by route. Halving the counts from time to time
+// gives recent requests more weight.
 type arrivals struct {
 	byRoute map[string]int64
 	total   int64
 }
 
-// countArrival counts a request and returns those of its service. The caller holds g.mu.
+// countArrival counts a request and returns the counts of its service. The caller holds g.mu.
 func (g *Gate) countArrival(service ids.Service, route string) *arrivals {
 	recent := g.arrivals[service]
 	if recent == nil {
@@ -45,8 +47,9 @@
 	}
 }
 
-// oversampling returns by how much more of a route's requests go to the target version under a
-// permit than of all requests.
+// oversampling returns the ratio of the share of a route's requests that go to the target
+// version under a permit to the share of all requests. Rare routes are oversampled so that the
+// canary gets requests of every route.
 func (a *arrivals) oversampling(route string, permit rollout.Permit) float64 {
 	if a.total < minArrivals {
 		return 1
--- a/data/canary/evidence.go
+++ b/data/canary/evidence.go
@@ -8,16 +8,17 @@
 	"onyxwell/data/snapshot"
 )
 
-// Attempt is an attempt at a runner that has ended, and that says something of it.
+// Attempt is a finished attempt whose outcome tells something about its runner.
 type Attempt struct {
 	Service ids.Service
 	Route   string
 	Runner  *snapshot.Runner
-	// Arm is that for which the attempt was begun.
+	// Arm is the arm that the attempt was sent under.
 	Arm    Arm
 	Failed bool
-	// FirstByte and Total are how long it took up to the head of the response and up to its
-	// end; 0 where there was none, and at a runner that warms up.
+	// FirstByte and Total are the times to the head of the response and to its end. They are
+	// 0 where nothing was measured: for failed and resumed attempts, and on runners that are
+	// warming up.
 	FirstByte, Total time.Duration
 }
 
@@ -26,13 +27,13 @@
 	target bool
 }
 
-// armCounts are the counts of one route at one arm since the last report.
+// armCounts holds the counts of one route and arm since the last report.
 type armCounts struct {
 	ended, failed    int64
 	firstByte, total rollout.Histogram
 }
 
-// Observe counts an attempt, while a rollout of its service is in progress.
+// Observe counts an attempt if a rollout of its service is in progress.
 func (g *Gate) Observe(attempt Attempt) {
 	if g == nil {
 		return
@@ -69,8 +70,8 @@
 	}
 }
 
-// takeCounts returns the counts since the last report. One that is lost on its way is
-// lacking: the judge needs no completeness.
+// takeCounts returns the counts since the last report and resets them. Counts of a report
+// that gets lost are not sent again: the analysis does not need complete counts.
 func (s *rolloutState) takeCounts() []rollout.RouteCount {
 	var routes []rollout.RouteCount
 	for key, counts := range s.counts {
--- a/data/canary/fleet_test.go
+++ b/data/canary/fleet_test.go
@@ -11,13 +11,13 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// event happens at a time after the order.
+// event is an action at a time after the order.
 type event struct {
 	at     time.Duration
 	action func(f *fleet)
 }
 
-// simulate plays a rollout with events, and until some seconds after its term.
+// simulate runs a rollout with events until 8 s after its term.
 func (f *fleet) simulate(events ...event) {
 	for step := range int(f.layout.warmUp / tickInterval) {
 		f.tick(step)
@@ -41,20 +41,22 @@
 	return func(string, time.Duration) (float64, float64) { return rate, 1 }
 }
 
-// TestFleet_goodVersionFinishes bounds how long a good version takes in calm.
+// TestFleet_goodVersionFinishes checks that a good version finishes within the term when
+// nothing else fails.
 func TestFleet_goodVersionFinishes(t *testing.T) {
 	for seed := range uint64(6) {
 		f := newFleet(t, seed)
 		f.simulate()
 		duration := f.oracle.conditionAt.Since(f.orderedAt)
 		if f.oracle.condition != rollout.Finished || duration > f.layout.term || len(f.oracle.violations) > 0 {
-			t.Errorf("seed %d: %s after %v: %s; %v", seed, f.oracle.condition, duration, f.record().Reason, f.oracle.violations)
+			t.Errorf("seed %d: condition %s after %v, reason %q; violations %v", seed, f.oracle.condition, duration, f.record().Reason, f.oracle.violations)
 		}
 	}
 }
 
-// defects are the ways in which a version may be bad.
-var defects = map[string]func(route string, since time.Duration) (fails, slower float64){
+// defects maps names to ways in which a bad version misbehaves. Each function returns the
+// fraction of the requests that fail, and the factor by which the others take longer.
+var defects = map[string]func(route string, since time.Duration) (failureRate, slowdown float64){
 	"errors": failingAtRate(0.5),
 	"some":   failingAtRate(0.3),
 	"slow":   func(string, time.Duration) (float64, float64) { return 0, 8 },
@@ -72,8 +74,8 @@
 	},
 }
 
-// TestFleet_badVersionIsReverted has each form reverted by the term, within the exposure that
-// is allowed.
+// TestFleet_badVersionIsReverted checks that a version with any of the defects is reverted
+// within the term and the allowed exposure.
 func TestFleet_badVersionIsReverted(t *testing.T) {
 	for name, defect := range defects {
 		t.Run(name, func(t *testing.T) {
@@ -87,41 +89,42 @@
 	}
 }
 
-// checkReverted checks a rollout of a bad version.
+// checkReverted checks that the bad version was reverted within the term and the allowed
+// exposure, without violations.
 func (f *fleet) checkReverted(t *testing.T, seed uint64) {
 	t.Helper()
 	allowed := f.policy.ExposureShare*f.oracle.requests + f.policy.ExposureSlack
 	duration := f.oracle.conditionAt.Since(f.orderedAt)
 	if f.oracle.condition != rollout.Reverted || duration > f.layout.term {
-		t.Errorf("seed %d: %s after %v: %s", seed, f.oracle.condition, duration, f.record().Reason)
+		t.Errorf("seed %d: condition %s after %v, reason %q", seed, f.oracle.condition, duration, f.record().Reason)
 	}
 	if f.oracle.exposed > allowed {
-		t.Errorf("seed %d: %.0f requests go to the bad version, %.0f are allowed", seed, f.oracle.exposed, allowed)
+		t.Errorf("seed %d: %.0f requests went to the bad version, at most %.0f are allowed", seed, f.oracle.exposed, allowed)
 	}
 	if len(f.oracle.violations) > 0 {
 		t.Errorf("seed %d: %d violations, first %v", seed, len(f.oracle.violations), f.oracle.violations[:min(3, len(f.oracle.violations))])
 	}
 }
 
-// disruptions are events that befall a rollout.
+// disruptions returns the events of several kinds of failures during a rollout, by name.
 func disruptions() map[string][]event {
 	takeOver := func(f *fleet) { f.takeOver() }
 	partition := func(zone int) func(*fleet) { return func(f *fleet) { f.setPartitioned(zone, true) } }
 	heal := func(zone int) func(*fleet) { return func(f *fleet) { f.setPartitioned(zone, false) } }
 	reconnect := func(zone int) func(*fleet) { return func(f *fleet) { f.markReconnected(zone) } }
 	return map[string][]event{
-		"takeover in the canary":           {{5 * time.Second, takeOver}},
-		"takeovers at each stage":          {{time.Second, takeOver}, {5 * time.Second, takeOver}, {9 * time.Second, takeOver}},
+		"takeover in the canary stage":     {{5 * time.Second, takeOver}},
+		"takeover in each stage":           {{time.Second, takeOver}, {5 * time.Second, takeOver}, {9 * time.Second, takeOver}},
 		"takeover while old runners drain": {{10 * time.Second, takeOver}},
-		"zone cut off":                     {{4 * time.Second, partition(1)}, {9 * time.Second, heal(1)}, {9*time.Second + reconnectTime, reconnect(1)}},
-		"zone cut off for good":            {{6 * time.Second, partition(4)}},
-		"region cut off, and a takeover": {{5 * time.Second, partition(2)}, {5 * time.Second, partition(3)}, {6 * time.Second, takeOver},
+		"zone partitioned":                 {{4 * time.Second, partition(1)}, {9 * time.Second, heal(1)}, {9*time.Second + reconnectTime, reconnect(1)}},
+		"zone partitioned permanently":     {{6 * time.Second, partition(4)}},
+		"region partitioned, and a takeover": {{5 * time.Second, partition(2)}, {5 * time.Second, partition(3)}, {6 * time.Second, takeOver},
 			{12 * time.Second, heal(2)}, {12 * time.Second, heal(3)}},
 	}
 }
 
-// TestFleet_invariantsHoldDuringFailures plays good and bad versions beside troubles: no rule is
-// broken, and a bad version is never finished.
+// TestFleet_invariantsHoldDuringFailures runs good and bad versions with each disruption: no
+// invariant is violated, and a bad version is reverted within the term and the allowed exposure.
 func TestFleet_invariantsHoldDuringFailures(t *testing.T) {
 	for name, events := range disruptions() {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +132,7 @@
 				good := newFleet(t, seed)
 				good.simulate(events...)
 				if len(good.oracle.violations) > 0 {
-					t.Errorf("good, seed %d: %v", seed, good.oracle.violations[:min(3, len(good.oracle.violations))])
+					t.Errorf("good version, seed %d: violations %v", seed, good.oracle.violations[:min(3, len(good.oracle.violations))])
 				}
 				bad := newFleet(t, seed)
 				bad.defect = failingAtRate(0.5)
@@ -140,7 +143,7 @@
 	}
 }
 
-// TestFleet_oracleDetectsInjectedFaults plants faults, and has the oracle find each.
+// TestFleet_oracleDetectsInjectedFaults checks that the oracle reports each injected fault.
 func TestFleet_oracleDetectsInjectedFaults(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -148,9 +151,9 @@
 		events    []event
 		violation string
 	}{
-		{"a permit that never lapses", func(f *fleet) { f.permitsNeverExpire = true },
+		{"permits never expire", func(f *fleet) { f.permitsNeverExpire = true },
 			[]event{{5 * time.Second, func(f *fleet) { f.setPartitioned(1, true) }}}, "sends to the target version"},
-		{"finished before the last request at an old runner", func(f *fleet) { f.alwaysConfirms = true }, nil, "runs at an old runner"},
+		{"routers confirm while old runners have requests", func(f *fleet) { f.alwaysConfirms = true }, nil, "runs on an old runner"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -162,25 +165,26 @@
 					return
 				}
 			}
-			t.Errorf("not found in 10 seeds")
+			t.Errorf("the oracle did not report the fault with any of 10 seeds")
 		})
 	}
 }
 
-// TestFleet_exposureEndsWithoutStoredVerdict has the register take no more writes: a bad version
-// gets nothing all the same.
+// TestFleet_exposureEndsWithoutStoredVerdict checks that a bad version stops getting
+// requests even if the register loses all writes from 3.5 s on, so that the verdict is never
+// stored.
 func TestFleet_exposureEndsWithoutStoredVerdict(t *testing.T) {
 	f := newFleet(t, 3)
 	f.defect = failingAtRate(0.5)
 	f.simulate(event{3500 * time.Millisecond, func(f *fleet) { f.dropsWrites = true }})
 	if len(f.oracle.violations) > 0 || f.oracle.condition == rollout.Finished {
-		t.Errorf("%s: %v", f.oracle.condition, f.oracle.violations)
+		t.Errorf("condition %s, violations %v", f.oracle.condition, f.oracle.violations)
 	}
 }
 
-// TestFleet_badOnlyUnderHighLoad has a version be bad only at runners that have more than twice
-// as many requests in flight as the load of the day brings (14 at the old ones): it is to be
-// reverted within the exposure that is allowed, as any bad version.
+// TestFleet_badOnlyUnderHighLoad runs a version that is bad only on runners with more than 32
+// requests in flight, more than twice the usual number (14 on old runners). It has to be
+// reverted within the allowed exposure like any bad version.
 func TestFleet_badOnlyUnderHighLoad(t *testing.T) {
 	f := newFleet(t, 1)
 	f.defect, f.defectAboveInFlight = failingAtRate(0.5), 32
--- a/data/canary/fleetharness_test.go
+++ b/data/canary/fleetharness_test.go
@@ -27,25 +27,28 @@
 	defaultTerm                = 16 * time.Second
 	oldVersion                 = `"v1"`
 	newVersion                 = `"v2"`
-	// defaultRouterRate is what each router gets.
+	// defaultRouterRate is how many requests a second each router gets.
 	defaultRouterRate = 25
-	// defaultSlowRequest is how long one request in a hundred takes.
+	// defaultSlowRequest is the duration of one request in a hundred.
 	defaultSlowRequest = 3 * time.Second
-	// runnerSlots is how many requests a runner says that it runs at once.
+	// runnerSlots is the capacity that a runner reports: how many requests it runs at once.
 	runnerSlots = 8
 )
 
-// fleetLayout is what a fleet is made of, and how long its rollout may take.
+// fleetLayout describes the size and load of a fleet and the timing of its rollout.
 type fleetLayout struct {
+	// term is the time that the order gives the rollout. Runners of the target version are
+	// listed startDelay after the order. One request in a hundred takes slowRequest.
 	term, startDelay, slowRequest time.Duration
-	// warmUp is for how long there are requests before the order.
+	// warmUp is how long requests are sent before the order.
 	warmUp time.Duration
-	// runners are those of each version, routerPerS the requests that each router gets.
+	// runners is the number of runners of each version, routerRate the number of requests a
+	// second that each router gets.
 	runners    int
 	routerRate float64
 }
 
-// defaultLayout is that of all tests which say nothing else.
+// defaultLayout is the layout of tests that don't set their own.
 var defaultLayout = fleetLayout{
 	term: defaultTerm, startDelay: 2 * time.Second, slowRequest: defaultSlowRequest, runners: zoneCount * runnersPerZone, routerRate: defaultRouterRate,
 }
@@ -63,13 +66,13 @@
 
 var fleetRoutes = []string{"short", "short", "short", "short", "long"}
 
-// zoneName and regionOf lay the zones out, two to a region.
+// zoneName returns the name of a zone; regionOf that of its region, two zones each.
 func zoneName(zone int) ids.Zone { return ids.Zone(fmt.Sprintf("zone-%d", zone)) }
 
 func regionOf(zone int) ids.Region { return ids.Region(fmt.Sprintf("region-%d", zone/2)) }
 
-// fleet is routers with their gates, a relay a zone and two directors over one register, on
-// one fake clock. Calls are made in place; a cut fails them.
+// fleet simulates routers with their gates, one relay per zone, and two directors that share a
+// register, on one fake clock. Calls are direct function calls, which fail across a partition.
 type fleet struct {
 	t         *testing.T
 	clock     *clock.Fake
@@ -83,20 +86,21 @@
 	relays    [zoneCount]*rollout.Relay
 	routers   []*fleetRouter
 	zones     map[ids.Zone]ids.Region
-	// partitioned zones reach nobody else, and get no updates.
+	// partitioned zones can't reach any other zone, and get no updates.
 	partitioned [zoneCount]bool
-	// defect is how the target version fails, nil is not at all; startsAt is when its runners are
-	// listed.
-	defect         func(route string, sinceOrder time.Duration) (fails float64, slower float64)
+	// defect is how the target version misbehaves; nil means not at all. targetListedAt is when
+	// its runners are listed.
+	defect         func(route string, sinceOrder time.Duration) (failureRate float64, slowdown float64)
 	targetListedAt clock.Instant
-	// defectAboveInFlight has the target version be bad only at runners with more requests in flight than
-	// that; 0 is at all. inFlight counts them.
+	// defectAboveInFlight limits the defect to runners with more requests in flight than this;
+	// 0 means all runners. inFlight counts the requests in flight by runner.
 	defectAboveInFlight int
 	inFlight            map[ids.RunnerID]int
 	orderedAt           clock.Instant
 	running             []runningRequest
 	oracle              oracle
-	// dropsWrites, alwaysConfirms and permitsNeverExpire plant faults.
+	// dropsWrites, alwaysConfirms and permitsNeverExpire inject faults into the register, the
+	// routers' reports and the permits.
 	dropsWrites, alwaysConfirms, permitsNeverExpire bool
 }
 
@@ -109,9 +113,9 @@
 	zone  int
 	gate  *Gate
 	store *snapshot.Store
-	// knowsTarget says that this router knows the target version's runners.
+	// knowsTarget is true once this router has the list with the target version's runners.
 	knowsTarget bool
-	// partitionedSince is when the router's zone was cut off, 0 if it is not.
+	// partitionedSince is when the router's zone was partitioned, 0 if the router is connected.
 	partitionedSince clock.Instant
 }
 
@@ -122,9 +126,10 @@
 	attempt Attempt
 }
 
-// oracle judges what runners and operators see.
+// oracle holds what runners and operators observe, and the violations found in it.
 type oracle struct {
-	// requests and exposed count those of routers in touch, until the term.
+	// requests counts all requests within the term, exposed those of them that connected routers
+	// sent to the target version.
 	requests, exposed float64
 	badResponses      int
 	fiftiethBadAt     clock.Instant
@@ -211,7 +216,8 @@
 	return addresses
 }
 
-// sender reaches the present director, unless the zone is cut off or the message is lost.
+// sender returns the function by which the relay of a zone reaches the current director. It
+// fails if the zone is partitioned, and for 2% of the messages.
 func (f *fleet) sender(zone int) func(context.Context, rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 	return func(_ context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 		if f.partitioned[zone] || f.random.Float64() < 0.02 {
@@ -221,7 +227,8 @@
 	}
 }
 
-// updateRegister is the register: a record that is stored reaches all that are not cut off.
+// updateRegister applies an update to a register. What is stored reaches the others by
+// deliverGossip.
 func (f *fleet) updateRegister(key string, update func([]byte) ([]byte, error)) ([]byte, error) {
 	next, err := update(f.registers[key])
 	if err != nil {
@@ -251,7 +258,8 @@
 	}
 }
 
-// deliverGossip brings the record, and the list, to who can be reached, each tick to some of them.
+// deliverGossip delivers the record to all directors. Each router that is not partitioned gets
+// the record and the list of runners with a probability of 1 in 5.
 func (f *fleet) deliverGossip() {
 	record := f.record()
 	if record.Order == 0 {
@@ -296,7 +304,7 @@
 	return runners
 }
 
-// tick plays one step of time.
+// tick advances the simulation by one tickInterval.
 func (f *fleet) tick(step int) {
 	f.clock.Advance(tickInterval)
 	now := f.clock.Now()
@@ -332,7 +340,7 @@
 	}
 }
 
-// sendRequest has a router sendRequest a request to a runner that its gate allows.
+// sendRequest sends a request from a router to a random runner that its gate allows.
 func (f *fleet) sendRequest(router *fleetRouter, now clock.Instant) {
 	route := fleetRoutes[f.random.IntN(len(fleetRoutes))]
 	arm := router.gate.Assign(fleetService, route)
@@ -345,7 +353,7 @@
 		}
 	}
 	if len(allowed) == 0 {
-		f.recordViolation("a router of zone %d finds no runner", router.zone)
+		f.recordViolation("router of zone %d finds no allowed runner", router.zone)
 		return
 	}
 	runner := allowed[f.random.IntN(len(allowed))]
@@ -385,10 +393,11 @@
 	f.oracle.violations = append(f.oracle.violations, fmt.Sprintf("%v: ", f.clock.Now().Since(f.orderedAt))+fmt.Sprintf(format, args...))
 }
 
-// reconnectTime is for how long a zone must not have been cut off for the rules to bind it.
+// reconnectTime is how long after the end of a partition a zone stays exempt from the
+// checks on connected routers.
 const reconnectTime = 6 * time.Second
 
-// checkRequest judges a request that reaches a runner.
+// checkRequest checks a request that reaches a runner.
 func (f *fleet) checkRequest(router *fleetRouter, runner *snapshot.Runner, now clock.Instant) {
 	sinceOrder := now.Since(f.orderedAt)
 	connected := router.partitionedSince == 0
@@ -397,7 +406,7 @@
 	}
 	if runner.Version == oldVersion {
 		if f.oracle.condition == rollout.Finished && connected {
-			f.recordViolation("a request goes to an old runner after the rollout has finished")
+			f.recordViolation("request sent to an old runner after the rollout has finished")
 		}
 		return
 	}
@@ -405,19 +414,19 @@
 		f.oracle.exposed++
 	}
 	if f.defect != nil && connected && f.oracle.fiftiethBadAt > 0 && now.Since(f.oracle.fiftiethBadAt) > 5*time.Second {
-		f.recordViolation("a request goes to the bad version %v after its 50th bad answer", now.Since(f.oracle.fiftiethBadAt))
+		f.recordViolation("request sent to the bad version %v after its 50th bad response", now.Since(f.oracle.fiftiethBadAt))
 	}
 	allowedFor := f.policy.PermitTTL
-	if t := router.gate.rollouts[fleetService]; t != nil && t.isFull() {
+	if state := router.gate.rollouts[fleetService]; state != nil && state.isFull() {
 		allowedFor += f.policy.LatchTime
 	}
 	if partitionedFor := now.Since(router.partitionedSince); !connected && f.partitioned[router.zone] && partitionedFor > allowedFor {
-		f.recordViolation("zone %d, cut off for %v, sends to the target version", router.zone, partitionedFor)
+		f.recordViolation("zone %d, partitioned for %v, sends to the target version", router.zone, partitionedFor)
 	}
 }
 
-// checkRecord judges what the register says: a verdict is for good, and at the end of a
-// rollout nothing of a router in touch runs at old runners.
+// checkRecord checks the record in the register: a verdict is final, and no request of a
+// connected router runs on an old runner when a rollout finishes.
 func (f *fleet) checkRecord() {
 	condition := rollout.Condition(f.record().Condition)
 	previous := f.oracle.condition
@@ -425,7 +434,7 @@
 		return
 	}
 	if previous == rollout.Finished || previous == rollout.Reverted {
-		f.recordViolation("%s after %s", condition, previous)
+		f.recordViolation("condition %s after verdict %s", condition, previous)
 	}
 	f.oracle.condition, f.oracle.conditionAt = condition, f.clock.Now()
 	if condition != rollout.Finished {
@@ -433,12 +442,13 @@
 	}
 	for _, request := range f.running {
 		if request.runner.Version == oldVersion && request.router.partitionedSince == 0 {
-			f.recordViolation("finished while a request of zone %d runs at an old runner", request.router.zone)
+			f.recordViolation("finished while a request of zone %d runs on an old runner", request.router.zone)
 		}
 	}
 }
 
-// setPartitioned cuts a zone off, or joins it again; it is in touch some time after.
+// setPartitioned partitions a zone, or ends its partition. Its routers count as disconnected
+// until markReconnected.
 func (f *fleet) setPartitioned(zone int, partitioned bool) {
 	f.partitioned[zone] = partitioned
 	for _, router := range f.routers {
@@ -448,7 +458,7 @@
 	}
 }
 
-// markReconnected ends the time after which a zone that was cut off is in touch again.
+// markReconnected marks the routers of a zone as connected again after a partition.
 func (f *fleet) markReconnected(zone int) {
 	for _, router := range f.routers {
 		if router.zone == zone {
@@ -457,7 +467,7 @@
 	}
 }
 
-// takeOver has the other director get the lease.
+// takeOver lets the other director acquire the lease.
 func (f *fleet) takeOver() {
 	f.leader = (f.leader + 1) % directorCount
 	f.epoch++
--- a/data/canary/gate.go
+++ b/data/canary/gate.go
@@ -1,14 +1,17 @@
-// Package canary decides, in a router, to runners of which version of a service a request
-// may go while a rollout is in progress and after its verdict, and reports what became of
-// the requests of either version.
+// Package canary decides, in a router, which versions of a service a request may be sent to
+// during a rollout and after its verdict. It reports the outcomes of the requests of each
+// version.
 //
 // Invariants:
-//   - Without a permit that lasts, no request goes to the target version of a rollout in
-//     progress; Begin checks it again immediately before a request is sent.
-//   - Nothing goes to a version that was reverted, nor, once a rollout has finished, to
-//     another than its target, while that has any runner.
-//   - A router that has confirmed that it sends nothing to old runners has no request there,
-//     and begins none for the latch time.
+//   - Without a valid permit, no request goes to the target version of a rollout in progress.
+//     There are two exceptions: the time for which a router has latched to the target
+//     version, and a rollout in its full stage that has no available runner of another
+//     version left. Begin checks this again immediately before a request is sent.
+//   - No request goes to the target version of a reverted rollout. Once a rollout has
+//     finished, no request goes to another version while its target version has an
+//     available runner.
+//   - A router that has confirmed that it sends nothing to old runners has no request in
+//     flight there, and starts none for the latch time.
 package canary
 
 import (
@@ -22,66 +25,70 @@
 	"onyxwell/data/snapshot"
 )
 
-// Arm is the side of a rollout that a request belongs to.
+// Arm is the group of a rollout that a request is assigned to.
 type Arm int
 
 // The arms.
 const (
-	// Old is any version but the target.
+	// Old is the arm of all versions except the target version.
 	Old Arm = iota
-	// Target is the version that is rolled out.
+	// Target is the arm of the version that is rolled out.
 	Target
-	// LoadedOld and LoadedTarget are a runner of either version that gets as much load as a
-	// runner may, and nothing else.
+	// LoadedOld and LoadedTarget are the arms of the load test: one runner of the old version
+	// and one of the target version, each of which gets as much load as a runner may, and no
+	// requests of other arms. Only the old one takes requests of the Old arm, if no other runner
+	// can.
 	LoadedOld
 	LoadedTarget
 )
 
-// IsLoaded reports whether the arm is one of the pair under load.
+// IsLoaded reports whether the arm is one of the two arms of the load test.
 func (a Arm) IsLoaded() bool { return a == LoadedOld || a == LoadedTarget }
 
-// Options configure a Gate. All are required.
+// Options configures a Gate. All fields are required.
 type Options struct {
 	Clock     clock.Clock
 	Policy    rollout.Policy
 	Snapshots *snapshot.Store
-	// Region is where this router runs.
+	// Region is the region of this router.
 	Region ids.Region
-	// Exchange reports to a relay and returns the permits that it grants.
+	// Exchange sends a report to a relay and returns the permits that the relay grants.
 	Exchange func(ctx context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error)
-	// Random returns a number in [0, 1).
+	// Random returns a random number in [0, 1).
 	Random func() float64
 }
 
-// Gate decides about versions. It is safe for concurrent use. A nil Gate allows everything.
+// Gate decides which versions of a service a request may be sent to. It is safe for
+// concurrent use. A nil Gate allows everything.
 type Gate struct {
 	options Options
 
 	mu       sync.Mutex
 	rollouts map[ids.Service]*rolloutState
-	// inFlight counts the requests at runners, also those from before an order.
+	// inFlight counts the requests in flight, including those from before a rollout was
+	// ordered.
 	inFlight map[versionKey]int
-	// arrivals counts the requests of each service's routes of late.
+	// arrivals counts recent requests by service and route.
 	arrivals map[ids.Service]*arrivals
 }
 
-// versionKey is a version of a service.
+// versionKey identifies a version of a service.
 type versionKey struct {
 	service ids.Service
 	version string
 }
 
-// rolloutState is what a router keeps of one order.
+// rolloutState is a router's state of one rollout order.
 type rolloutState struct {
 	order int64
-	// permit is the newest one; it ends at expiry.
+	// permit is the newest permit; it expires at expiry.
 	permit rollout.Permit
 	expiry clock.Instant
-	// loadPermit is that for the pair under load; it ends at loadExpiry.
+	// loadPermit is the permit for the load test; it expires at loadExpiry.
 	loadPermit rollout.Permit
 	loadExpiry clock.Instant
-	// latchedUntil is until when nothing is sent to old runners, whatever becomes of the
-	// permit.
+	// latchedUntil is the time until which nothing is sent to old runners, even if the permit
+	// expires or is withdrawn.
 	latchedUntil clock.Instant
 	counts       map[countKey]*armCounts
 	split        trafficSplit
@@ -92,8 +99,9 @@
 	return &Gate{options: options, rollouts: map[ids.Service]*rolloutState{}, inFlight: map[versionKey]int{}, arrivals: map[ids.Service]*arrivals{}}
 }
 
-// stateOf returns the trial of a rollout in progress, nil where there is none. The caller
-// holds g.mu.
+// stateOf returns the state of the service's rollout in progress, and creates it for a new
+// order. It returns nil if no rollout is in progress, or if snap has an older order than the
+// state. The caller holds g.mu.
 func (g *Gate) stateOf(snap *snapshot.Snapshot, service ids.Service) *rolloutState {
 	record, ok := snap.Rollouts[service]
 	if !ok || !record.InProgress() {
@@ -115,12 +123,12 @@
 	return s.permit.Order == s.order && now.Before(s.expiry)
 }
 
-// hasLoadPermit reports whether requests may go to the pair under load.
+// hasLoadPermit reports whether requests may go to the runners of the load test.
 func (s *rolloutState) hasLoadPermit(now clock.Instant) bool {
 	return s.loadPermit.Order == s.order && now.Before(s.loadExpiry)
 }
 
-// isFull reports whether a permit has everything go to the target version.
+// isFull reports whether the permit sends all requests to the target version.
 func (s *rolloutState) isFull() bool { return rollout.Stage(s.permit.Stage) == rollout.Full }
 
 func (s *rolloutState) isLatched(now clock.Instant) bool { return now.Before(s.latchedUntil) }
@@ -160,40 +168,44 @@
 	return Old
 }
 
-// Filter says which runners of a service a request may go to.
+// Filter decides which runners of a service a request may be sent to.
 type Filter struct {
-	// Arm is the one that holds now.
+	// Arm is the arm that the request belongs to now.
 	Arm Arm
-	// CanFallBack says that the request may go to the other arm where this one has no runner
-	// for it.
+	// CanFallBack is true if the request may be sent to the Old arm when its own arm has no
+	// runner for it.
 	CanFallBack bool
 
 	target       string
 	allowsTarget bool
 	allowsOld    bool
-	// active are the runners of the target version that get requests; nil are all.
+	// active are the runners of the target version that get requests; nil means all of them.
 	active map[ids.RunnerID]bool
-	// onlyRunner is the one runner that the request may go to, excludedRunner one that it may not; empty is
-	// none.
+	// onlyRunner, if not empty, is the only runner that the request may be sent to;
+	// excludedRunner, if not empty, is one that it may not be sent to.
 	onlyRunner, excludedRunner ids.RunnerID
 }
 
-// ExcludesControl reports whether the filter keeps the request from the old runner under load.
+// ExcludesControl reports whether the filter keeps the request off the old runner of the
+// load test.
 func (f Filter) ExcludesControl() bool { return f.excludedRunner != "" }
 
-// WithControl returns the filter for a request that no other runner can take.
+// WithControl returns a copy of the filter that also allows the old runner of the load test,
+// for a request that no other runner can take.
 func (f Filter) WithControl() Filter {
 	f.excludedRunner = ""
 	return f
 }
 
-// NeedsHealthy reports whether only runners that are well may get the request.
+// NeedsHealthy reports whether the request may be sent to healthy runners only, even if there
+// are none.
 func (f Filter) NeedsHealthy() bool { return f.Arm.IsLoaded() }
 
-// allowsAll is the Filter of a service without a rollout.
+// allowsAll is the filter of a nil Gate, and of services that have neither a rollout nor a
+// baseline version.
 var allowsAll = Filter{allowsTarget: true, allowsOld: true}
 
-// Allows reports whether the request may go to a runner.
+// Allows reports whether the request may be sent to a runner.
 func (f Filter) Allows(runner *snapshot.Runner) bool {
 	if f.onlyRunner != "" {
 		return runner.ID == f.onlyRunner
@@ -207,8 +219,9 @@
 	return f.allowsTarget && (f.active == nil || f.active[runner.ID])
 }
 
-// Filter returns which runners a request of an arm may go to now. A request that has lost
-// its permit belongs to the old arm.
+// Filter returns which runners a request of an arm may be sent to now. During a rollout, a
+// request whose permit has expired belongs to the Old arm, unless the router is latched to the
+// target version.
 func (g *Gate) Filter(snap *snapshot.Snapshot, service ids.Service, arm Arm, now clock.Instant) Filter {
 	if g == nil {
 		return allowsAll
@@ -218,7 +231,7 @@
 	return g.filter(snap, service, arm, now)
 }
 
-// filter is Filter for a caller that holds g.mu.
+// filter implements Filter. The caller holds g.mu.
 func (g *Gate) filter(snap *snapshot.Snapshot, service ids.Service, arm Arm, now clock.Instant) Filter {
 	record, ok := snap.Rollouts[service]
 	switch {
@@ -236,7 +249,7 @@
 	return g.inProgressFilter(state, snap, service, arm, now)
 }
 
-// inProgressFilter returns the filter of a rollout in progress. The caller holds g.mu.
+// inProgressFilter returns the filter for a rollout in progress. The caller holds g.mu.
 func (g *Gate) inProgressFilter(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, arm Arm, now clock.Instant) Filter {
 	record := snap.Rollouts[service]
 	latched, permitted := state.isLatched(now), state.hasPermit(now)
@@ -253,14 +266,14 @@
 	}
 	filter := Filter{Arm: Old, target: record.Target, allowsOld: true, excludedRunner: split.loadedOld}
 	if rollout.Stage(record.Stage) == rollout.Full && !split.spread.HasOld {
-		// The old runners are gone: the verdict has not arrived here.
+		// The old runners are gone, but the verdict has not reached this router yet.
 		filter.allowsTarget = true
 	}
 	return filter
 }
 
-// baselineFilter keeps a version that no order has named from getting requests beside the
-// one that is in place.
+// baselineFilter returns the filter of a service for which no rollout was ever ordered. While
+// its baseline version has an available runner, no other version gets requests.
 func baselineFilter(snap *snapshot.Snapshot, service ids.Service) Filter {
 	baseline, ok := snap.Baseline[service]
 	if !ok {
@@ -279,8 +292,9 @@
 	return false
 }
 
-// Begin takes a request to a runner, immediately before it is sent. It returns false where
-// the runner is not allowed any more. End must follow where it returns true.
+// Begin counts a request as in flight at a runner; it is called immediately before the request
+// is sent. It returns false if the runner is not allowed any more. If it returns true, the
+// caller must call End.
 func (g *Gate) Begin(service ids.Service, runner *snapshot.Runner, arm Arm, now clock.Instant) bool {
 	if g == nil {
 		return true
@@ -294,7 +308,7 @@
 	return true
 }
 
-// End is the end of a request that Begin took.
+// End ends a request for which Begin returned true.
 func (g *Gate) End(service ids.Service, runner *snapshot.Runner) {
 	if g == nil {
 		return
@@ -307,8 +321,8 @@
 	}
 }
 
-// oldInFlight counts the requests of a service at runners of other versions than the target.
-// The caller holds g.mu.
+// oldInFlight returns how many requests of a service are in flight at versions other than the
+// target version. The caller holds g.mu.
 func (g *Gate) oldInFlight(service ids.Service, target string) int {
 	count := 0
 	for key, inFlight := range g.inFlight {
@@ -326,7 +340,8 @@
 	}
 }
 
-// exchange reports, and takes the permits over: each counts from before the message.
+// exchange sends a report and stores the permits of the response. The lifetime of a permit
+// counts from before the report was sent.
 func (g *Gate) exchange(ctx context.Context) {
 	startedAt := g.options.Clock.Now()
 	req, ok := g.buildRequest(g.options.Snapshots.Current(), startedAt)
@@ -341,8 +356,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// What is not granted again was withheld. What this router has confirmed stands all the
-	// same: a director that has just taken over may not know yet that the rollout has finished.
+	// A permit that is not granted again has been withdrawn. The latch stays set all the same: a
+	// director that has just taken over may not know yet that the rollout has finished.
 	for _, state := range g.rollouts {
 		state.expiry, state.loadExpiry = 0, 0
 	}
@@ -361,7 +376,9 @@
 	s.permit, s.expiry = permit, expiry
 }
 
-// buildRequest returns what is to be reported; ok is false where no rollout is in progress.
+// buildRequest returns the report to send; ok is false if no rollout is in progress. It drops
+// the states of rollouts that have ended, and sets the latch of a rollout whose report
+// confirms that nothing is sent to old runners.
 func (g *Gate) buildRequest(snap *snapshot.Snapshot, now clock.Instant) (req rollout.ExchangeRequest, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/data/canary/gate_test.go
+++ b/data/canary/gate_test.go
@@ -27,7 +27,7 @@
 	return list
 }
 
-// allowedVersions returns the versions of the runners that a new request may go to.
+// allowedVersions returns, by version, the number of runners that a new request may be sent to.
 func allowedVersions(gate *Gate, store *snapshot.Store, fake *clock.Fake) map[string]int {
 	snap := store.Current()
 	filter := gate.Filter(snap, "s", gate.Assign("s", "route"), fake.Now())
@@ -45,16 +45,16 @@
 	store.ApplyRunners(listOf("v1", "v1"))
 	store.ApplyRunners(listOf("v1", "v1", "v2", "v2", "v2"))
 	if allowed := allowedVersions(gate, store, fake); allowed["v1"] != 2 || allowed["v2"] != 0 {
-		t.Errorf("beside the version in place: %v", allowed)
+		t.Errorf("both versions listed: allowed %v, want 2 of v1 and none of v2", allowed)
 	}
 	store.ApplyRunners(listOf("v2", "v2"))
 	if allowed := allowedVersions(gate, store, fake); allowed["v2"] != 2 {
-		t.Errorf("without the version in place: %v", allowed)
+		t.Errorf("only v2 listed: allowed %v, want 2 of v2", allowed)
 	}
 	gate, store, fake = newGate()
 	store.ApplyRunners(listOf("v10", "v9", "v10", "v9"))
 	if allowed := allowedVersions(gate, store, fake); allowed["v9"] != 2 || allowed["v10"] != 0 {
-		t.Errorf("at the first list: %v", allowed)
+		t.Errorf("two versions in the first list: allowed %v, want 2 of v9 and none of v10", allowed)
 	}
 }
 
@@ -67,9 +67,9 @@
 	}{
 		{"in progress without a permit", rollout.Serving, []string{"v1", "v2"}, map[string]int{"v1": 1}},
 		{"reverted", rollout.Reverted, []string{"v1", "v2"}, map[string]int{"v1": 1}},
-		{"reverted, the old gone", rollout.Reverted, []string{"v2"}, map[string]int{}},
+		{"reverted, no old runner left", rollout.Reverted, []string{"v2"}, map[string]int{}},
 		{"finished", rollout.Finished, []string{"v1", "v2"}, map[string]int{"v2": 1}},
-		{"finished, the new gone", rollout.Finished, []string{"v1"}, map[string]int{"v1": 1}},
+		{"finished, no target runner left", rollout.Finished, []string{"v1"}, map[string]int{"v1": 1}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,13 +82,14 @@
 			store.Apply(gossip.Item{Key: rollout.Key("s"), Version: 1, Body: body})
 			allowed := allowedVersions(gate, store, fake)
 			if allowed["v1"] != test.want["v1"] || allowed["v2"] != test.want["v2"] {
-				t.Errorf("%v, not %v", allowed, test.want)
+				t.Errorf("allowed %v, want %v", allowed, test.want)
 			}
 		})
 	}
 }
 
-// TestGate_canaryInEvacuatedZone has no canary be in a zone that is evacuated.
+// TestGate_canaryInEvacuatedZone checks that runners of the target version get no requests in an
+// evacuated zone, even under a permit.
 func TestGate_canaryInEvacuatedZone(t *testing.T) {
 	gate, store, fake := newGate()
 	store.ApplyRunners(listOf("v1", "v2"))
@@ -101,7 +102,7 @@
 	gate.rollouts["s"].permit = rollout.Permit{Service: "s", Order: 1, Stage: int64(rollout.Canary), RunnersMilli: 100, LoadMilli: 1000}
 	gate.rollouts["s"].expiry = fake.Now() + 1000
 	if allowed := allowedVersions(gate, store, fake); allowed["v2"] != 1 {
-		t.Fatalf("under a permit: %v", allowed)
+		t.Fatalf("with a permit: allowed %v, want 1 of v2", allowed)
 	}
 	drained, err := transport.Marshal(evacuation.State{Version: 1, Drained: true})
 	if err != nil {
@@ -109,7 +110,7 @@
 	}
 	store.Apply(gossip.Item{Key: evacuation.Key("a"), Version: 1, Body: drained})
 	if allowed := allowedVersions(gate, store, fake); allowed["v2"] != 0 {
-		t.Errorf("in an evacuated zone: %v", allowed)
+		t.Errorf("in an evacuated zone: allowed %v, want none of v2", allowed)
 	}
 }
 
@@ -117,7 +118,7 @@
 	var gate *Gate
 	runner := &snapshot.Runner{}
 	if gate.Assign("s", "route") != Old || !gate.Filter(&snapshot.Snapshot{}, "s", Old, 0).Allows(runner) || !gate.Begin("s", runner, Old, 0) {
-		t.Error("a gate that is not there decides")
+		t.Error("a nil gate does not allow everything")
 	}
 	gate.Observe(Attempt{Runner: runner})
 	gate.End("s", runner)
--- a/data/canary/outcomes_test.go
+++ b/data/canary/outcomes_test.go
@@ -13,25 +13,26 @@
 	"onyxwell/control/rollout"
 )
 
-// outcomeSeeds is how many seeds each cell of TestFleet_outcomes gets; docs/rollouts.md has the
-// table of 200.
-var outcomeSeeds = flag.Int("outcome-seeds", 2, "seeds for each cell of the table of outcomes")
+// outcomeSeeds is the number of seeds for each cell of TestFleet_outcomes. docs/rollouts.md has
+// the table for 200 seeds.
+var outcomeSeeds = flag.Int("outcome-seeds", 2, "number of seeds for each cell of the outcome table")
 
-// outcomeCell is a kind of rollout.
+// outcomeCell is a cell of the outcome table: a combination of rollout parameters.
 type outcomeCell struct {
-	term        time.Duration
+	term time.Duration
+	// requestRate is the number of requests a second of the whole fleet.
 	requestRate float64
 	runners     int
 	takeover    bool
 }
 
-// name names the cell's subtest.
+// name returns the name of the cell's subtest.
 func (c outcomeCell) name() string {
 	return fmt.Sprintf("%v/%.0f a second/%d runners/takeover %t", c.term, c.requestRate, c.runners, c.takeover)
 }
 
-// layout is the cell's fleet: runners are listed after a second, and one request in a hundred
-// takes a second.
+// layout returns the fleet of the cell: runners of the target version are listed 1 s after the
+// order, and one request in a hundred takes 1 s.
 func (c outcomeCell) layout() fleetLayout {
 	return fleetLayout{
 		term: c.term, startDelay: time.Second, slowRequest: time.Second, warmUp: 2 * time.Second, runners: c.runners,
@@ -39,8 +40,8 @@
 	}
 }
 
-// mustFinish reports whether a good version finishes in the term, and in how many of a
-// hundred rollouts at least. docs/CAPACITY.md has the targets of the other cells.
+// mustFinish reports whether a good version must finish within the term, and in which fraction
+// of the rollouts at least. docs/CAPACITY.md has the targets of the other cells.
 func (c outcomeCell) mustFinish() (fraction float64, must bool) {
 	tooFewRunners := c.runners < 9 && c.term < 16*time.Second
 	tooFewRequests := c.takeover && c.requestRate < 190 && c.term < 16*time.Second
@@ -55,10 +56,13 @@
 	return 0, false
 }
 
-// expectedInFlight is how many requests a runner has in the cell's calm.
+// expectedInFlight returns the average number of requests in flight on a runner when nothing
+// fails. A request takes 0.41 s on average.
 func (c outcomeCell) expectedInFlight() float64 { return c.requestRate * 0.41 / float64(c.runners) }
 
-// outcome is what became of the rollouts of a cell and a form.
+// outcome summarizes the rollouts of a cell with one behavior of the target version. durations
+// are the times from the order to the verdict, maxExposure is the highest exposure as a
+// fraction of the allowed one.
 type outcome struct {
 	finished, finishedInTerm, reverted, undecided int
 	durations                                     []time.Duration
@@ -93,7 +97,8 @@
 	return o.durations[len(o.durations)/2]
 }
 
-// formsOf returns the ways in which a cell's version may be bad, and good.
+// behaviors returns functions that set how the target version behaves, by name; "good" is a
+// version without a defect.
 func (c outcomeCell) behaviors() map[string]func(f *fleet) {
 	behaviors := map[string]func(f *fleet){"good": func(*fleet) {}}
 	for _, name := range []string{"errors", "slow", "one route"} {
@@ -140,8 +145,8 @@
 	return result
 }
 
-// outcomeCells returns the cells of some rates and numbers of runners; with few seeds those of one
-// term, and of the first rate and number.
+// outcomeCells returns the cells for the given request rates and numbers of runners. With 10
+// seeds or fewer, it returns only those of one term, the first rate and the first number.
 func outcomeCells(seeds int, rates []float64, runners []int) []outcomeCell {
 	terms := []time.Duration{4, 6, 8, 12, 16, 30}
 	if seeds <= 10 {
@@ -160,26 +165,27 @@
 	return cells
 }
 
-// TestFleet_outcomes plays good and bad versions by term, rate and number of runners: no bad
-// one finishes, none gets more than is allowed, no good one is reverted, and good ones finish
-// in the term where it is long enough.
+// TestFleet_outcomes runs good and bad versions for combinations of term, request rate and
+// number of runners: no bad version finishes or exceeds the allowed exposure, no good one is
+// reverted, and good ones finish within the term if it is long enough.
 func TestFleet_outcomes(t *testing.T) {
 	runCells(t, outcomeCells(*outcomeSeeds, []float64{190, 1400}, []int{9, 60}))
 }
 
-// TestFleet_outcomesWithFewRequests is TestFleet_outcomes where requests are few.
+// TestFleet_outcomesWithFewRequests is TestFleet_outcomes at low request rates.
 func TestFleet_outcomesWithFewRequests(t *testing.T) {
 	runCells(t, outcomeCells(*outcomeSeeds, []float64{60, 20}, []int{9, 60}))
 }
 
-// TestFleet_outcomesWithFewRunners is TestFleet_outcomes where one runner has a third of the
-// traffic.
+// TestFleet_outcomesWithFewRunners is TestFleet_outcomes with three runners of each version, so
+// that one runner gets a third of the traffic.
 func TestFleet_outcomesWithFewRunners(t *testing.T) {
 	runCells(t, outcomeCells(*outcomeSeeds, []float64{190, 20, 60, 1400}, []int{3}))
 }
 
-// TestFleet_badVersionWithFewRequests plays versions of which the last seed, or one before it, got
-// more than is allowed, or finished, where requests or runners are few.
+// TestFleet_badVersionWithFewRequests runs cells with few requests or runners in which a bad
+// version exceeded the allowed exposure or finished, with the last of the seeds or an earlier
+// one.
 func TestFleet_badVersionWithFewRequests(t *testing.T) {
 	cells := []struct {
 		outcomeCell
@@ -203,15 +209,15 @@
 	}
 }
 
-// TestFleet_badUnderLoadOfFewRunners plays a term of 6 s in which a director that takes over begins
-// the load anew.
+// TestFleet_badUnderLoadOfFewRunners runs a version that is bad under load in a term of 6 s, in
+// which a director that takes over starts the load test again.
 func TestFleet_badUnderLoadOfFewRunners(t *testing.T) {
 	cell := outcomeCell{term: 6 * time.Second, requestRate: 1400, runners: 3, takeover: true}
 	cell.check(t, "under load", cell.simulate(t, cell.behaviors()["under load"], 27))
 }
 
-// TestFleet_badUnderLoadInShortTerms plays versions that are bad under load in terms in which the
-// exposure barely brings a runner to twice its usual load, or does not.
+// TestFleet_badUnderLoadInShortTerms runs versions that are bad under load in terms in which the
+// allowed exposure brings a runner to barely twice its usual load, or to less.
 func TestFleet_badUnderLoadInShortTerms(t *testing.T) {
 	cells := []outcomeCell{
 		{term: 6 * time.Second, requestRate: 190, runners: 9},
@@ -243,18 +249,18 @@
 func (c outcomeCell) check(t *testing.T, behavior string, result outcome) {
 	t.Helper()
 	if len(result.violations) > 0 {
-		t.Errorf("%s: %v", behavior, result.violations[:min(3, len(result.violations))])
+		t.Errorf("%s: violations %v", behavior, result.violations[:min(3, len(result.violations))])
 	}
 	if behavior != "good" {
 		if result.finished > 0 || result.maxExposure > 1 {
-			t.Errorf("%s: %d finished, exposure %.2f of what is allowed", behavior, result.finished, result.maxExposure)
+			t.Errorf("%s: %d finished, want 0; %.2f of the allowed exposure, want at most 1", behavior, result.finished, result.maxExposure)
 		}
 		return
 	}
 	if result.reverted > 0 {
-		t.Errorf("good: %d of %d reverted", result.reverted, *outcomeSeeds)
+		t.Errorf("good: %d of %d reverted, want 0", result.reverted, *outcomeSeeds)
 	}
 	if fraction, must := c.mustFinish(); must && float64(result.finishedInTerm) < fraction*float64(*outcomeSeeds) {
-		t.Errorf("good: %d of %d finished in the term, %d reverted", result.finishedInTerm, *outcomeSeeds, result.reverted)
+		t.Errorf("good: %d of %d finished within the term, too few; %d reverted", result.finishedInTerm, *outcomeSeeds, result.reverted)
 	}
 }
--- a/data/canary/division.go
+++ b/data/canary/trafficsplit.go
@@ -7,23 +7,24 @@
 	"onyxwell/data/snapshot"
 )
 
-// trafficSplit is how a router divides the traffic of a service under its present permits.
+// trafficSplit is how a router splits the traffic of a service under its current permits.
 type trafficSplit struct {
 	spread rollout.Spread
-	// loadedTarget and loadedOld are the pair under load, empty where there is none; loadedPart
-	// and loadedOldPart are the parts of this router's requests that go there.
+	// loadedTarget and loadedOld are the runners of the load test, empty if there is none;
+	// loadedTargetShare and loadedOldShare are the shares of this router's requests that go to
+	// them.
 	loadedTarget, loadedOld           ids.RunnerID
 	loadedTargetShare, loadedOldShare float64
-	// It was made for these.
+	// snap, permit and loadPermit are the inputs that the split was computed from.
 	snap       *snapshot.Snapshot
 	permit     rollout.Permit
 	loadPermit rollout.Permit
 }
 
-// milliPerUnit is the number of thousandths in one.
+// milliPerUnit is the number of thousandths in one; permits hold shares in thousandths.
 const milliPerUnit = 1000
 
-// loadedRunner returns the runner of an arm under load, empty for other arms.
+// loadedRunner returns the runner of a load-test arm, empty for the other arms.
 func (s *trafficSplit) loadedRunner(arm Arm) ids.RunnerID {
 	switch arm {
 	case LoadedTarget:
@@ -34,8 +35,8 @@
 	return ""
 }
 
-// splitOf returns how the traffic is divided under the present permits. The caller holds
-// g.mu.
+// splitOf returns the split under the current permits, and computes it only if the snapshot or
+// a permit has changed. The caller holds g.mu.
 func (g *Gate) splitOf(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *trafficSplit {
 	permit, loadPermit := state.permit, rollout.Permit{}
 	permit.TTLMS = 0
@@ -68,7 +69,8 @@
 	return split
 }
 
-// applyLoadPair has a part of this router's requests go to the pair under load.
+// applyLoadPair sends a share of this router's requests to the two runners of the load test.
+// The old one gets none if the share is above rollout.MaxControlShare.
 func (s *trafficSplit) applyLoadPair(pair rollout.LoadPair, region ids.Region) {
 	shareMilli := s.loadPermit.RunnersMilli
 	if pair.Target.Region == region {
