--- a/data/canary/gate.go
+++ b/data/canary/gate.go
@@ -11,7 +11,7 @@
 //     finished, no request goes to another version while its target version has an
 //     available runner.
 //   - A router that has confirmed that it sends nothing to old runners has no request in
-//     flight there, and starts none for the latch time.
+//     flight there, and starts none for the latch time unless a verdict arrives first.
 package canary
 
 import (
@@ -87,8 +87,8 @@
 	// loadPermit is the permit for the load test; it expires at loadExpiry.
 	loadPermit rollout.Permit
 	loadExpiry clock.Instant
-	// latchedUntil is the time until which nothing is sent to old runners, even if the permit
-	// expires or is withdrawn.
+	// latchedUntil is the time until which nothing is sent to old runners while the rollout is
+	// in progress, even if the permit expires or is withdrawn.
 	latchedUntil clock.Instant
 	counts       map[countKey]*armCounts
 	split        trafficSplit
