--- a/data/canary/arrivals.go
+++ b/data/canary/arrivals.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// minArrivals is how many requests a router must have seen to know what is rare.
+	// minArrivals is the number of requests of a service that a router must have counted to
+	// know which routes are rare.
 	minArrivals = 5
-	// maxArrivals is how many are counted before all counts are halved.
+	// maxArrivals is the total at which all counts of a service are halved.
 	maxArrivals = 1000
 )
 
-// arrivals counts the requests of a service by route, recent ones more than earlier ones.
+// arrivals counts the requests of a service by route. Halving the counts from time to time
+// gives recent requests more weight.
 type arrivals struct {
 	byRoute map[string]int64
 	total   int64
 }
 
-// count counts a request and returns those of its service. The caller holds g.mu.
-func (g *Gate) count(service ids.Service, route string) *arrivals {
-	seen := g.arrivals[service]
-	if seen == nil {
-		seen = &arrivals{byRoute: map[string]int64{}}
-		g.arrivals[service] = seen
+// countArrival counts a request and returns the counts of its service. The caller holds g.mu.
+func (g *Gate) countArrival(service ids.Service, route string) *arrivals {
+	recent := g.arrivals[service]
+	if recent == nil {
+		recent = &arrivals{byRoute: map[string]int64{}}
+		g.arrivals[service] = recent
 	}
-	seen.byRoute[route]++
-	seen.total++
-	if seen.total >= maxArrivals {
-		seen.halve()
+	recent.byRoute[route]++
+	recent.total++
+	if recent.total >= maxArrivals {
+		recent.halve()
 	}
-	return seen
+	return recent
 }
 
 func (a *arrivals) halve() {
@@ -45,12 +47,13 @@
 	}
 }
 
-// emphasis returns by how much more of a route's requests go to the target version under a
-// permit than of all requests.
-func (a *arrivals) emphasis(route string, permit rollout.Permit) float64 {
+// oversampling returns the ratio of the share of a route's requests that go to the target
+// version under a permit to the share of all requests. Rare routes are oversampled so that the
+// canary gets requests of every route.
+func (a *arrivals) oversampling(route string, permit rollout.Permit) float64 {
 	if a.total < minArrivals {
 		return 1
 	}
-	part := float64(a.byRoute[route]) / float64(a.total)
-	return rollout.OversamplingFactor(part, len(a.byRoute), float64(permit.RunnersMilli)/milli)
+	share := float64(a.byRoute[route]) / float64(a.total)
+	return rollout.OversamplingFactor(share, len(a.byRoute), float64(permit.RunnersMilli)/milliPerUnit)
 }
--- a/data/canary/division.go
+++ b/data/canary/division.go
@@ -7,75 +7,77 @@
 	"onyxwell/data/snapshot"
 )
 
-// division is how a router divides the traffic of a service under its present permits.
-type division struct {
+// trafficSplit is how a router splits the traffic of a service under its current permits.
+type trafficSplit struct {
 	spread rollout.TrafficSplit
-	// loadedTarget and loadedOld are the pair under load, empty where there is none; loadedPart
-	// and loadedOldPart are the parts of this router's requests that go there.
-	loadedTarget, loadedOld   ids.RunnerID
-	loadedPart, loadedOldPart float64
-	// It was made for these.
+	// loadedTarget and loadedOld are the runners of the load test, empty if there is none;
+	// loadedTargetShare and loadedOldShare are the shares of this router's requests that go to
+	// them.
+	loadedTarget, loadedOld           ids.RunnerID
+	loadedTargetShare, loadedOldShare float64
+	// snap, permit and loadPermit are the inputs that the split was computed from.
 	snap       *snapshot.Snapshot
 	permit     rollout.Permit
 	loadPermit rollout.Permit
 }
 
-// milli is the number of thousandths in one.
-const milli = 1000
+// milliPerUnit is the number of thousandths in one; permits hold shares in thousandths.
+const milliPerUnit = 1000
 
-// loadedRunner returns the runner of an arm under load, empty for other arms.
-func (d *division) loadedRunner(arm Arm) ids.RunnerID {
+// loadedRunner returns the runner of a load-test arm, empty for the other arms.
+func (s *trafficSplit) loadedRunner(arm Arm) ids.RunnerID {
 	switch arm {
 	case LoadedTarget:
-		return d.loadedTarget
+		return s.loadedTarget
 	case LoadedOld:
-		return d.loadedOld
+		return s.loadedOld
 	}
 	return ""
 }
 
-// divisionOf returns how the traffic is divided under the present permits. The caller holds
-// g.mu.
-func (g *Gate) divisionOf(t *trial, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *division {
-	permit, loadPermit := t.permit, rollout.Permit{}
+// splitOf returns the split under the current permits, and computes it only if the snapshot or
+// a permit has changed. The caller holds g.mu.
+func (g *Gate) splitOf(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *trafficSplit {
+	permit, loadPermit := state.permit, rollout.Permit{}
 	permit.TTLMS = 0
-	if t.hasLoadPermit(now) {
-		loadPermit = t.loadPermit
+	if state.hasLoadPermit(now) {
+		loadPermit = state.loadPermit
 		loadPermit.TTLMS = 0
 	}
-	if t.division.snap != snap || t.division.permit != permit || t.division.loadPermit != loadPermit {
-		t.division = g.divide(t, snap, service, permit, loadPermit)
+	if state.split.snap != snap || state.split.permit != permit || state.split.loadPermit != loadPermit {
+		state.split = g.computeSplit(state, snap, service, permit, loadPermit)
 	}
-	return &t.division
+	return &state.split
 }
 
-func (g *Gate) divide(t *trial, snap *snapshot.Snapshot, service ids.Service, permit, loadPermit rollout.Permit) division {
+func (g *Gate) computeSplit(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, permit, loadPermit rollout.Permit) trafficSplit {
 	var runners []rollout.Runner
 	for _, runner := range snap.Runners[service] {
 		if snap.Available(runner) {
 			runners = append(runners, rollout.Runner{ID: runner.ID, Region: runner.Region, Version: runner.Version, Slots: runner.Capacity})
 		}
 	}
-	divided := division{snap: snap, permit: permit, loadPermit: loadPermit}
+	split := trafficSplit{snap: snap, permit: permit, loadPermit: loadPermit}
 	target := snap.Rollouts[service].Target
-	if pair, ok := rollout.SelectLoadTestPair(runners, target, t.order); ok && loadPermit.Order == t.order {
-		divided.setPair(pair, g.options.Region)
+	if pair, ok := rollout.SelectLoadTestPair(runners, target, state.order); ok && loadPermit.Order == state.order {
+		split.applyLoadPair(pair, g.options.Region)
 	}
-	divided.spread = rollout.NewTrafficSplit(runners, rollout.SplitSpec{
-		Target: target, Order: t.order, RunnerFraction: float64(permit.RunnersMilli) / milli, LoadFactor: float64(permit.LoadMilli) / milli,
-		Full: t.isFull(), LoadTestTarget: divided.loadedTarget, LoadTestOld: divided.loadedOld,
+	split.spread = rollout.NewTrafficSplit(runners, rollout.SplitSpec{
+		Target: target, Order: state.order, RunnerFraction: float64(permit.RunnersMilli) / milliPerUnit, LoadFactor: float64(permit.LoadMilli) / milliPerUnit,
+		Full: state.isFull(), LoadTestTarget: split.loadedTarget, LoadTestOld: split.loadedOld,
 	})
-	return divided
+	return split
 }
 
-// setPair has a part of this router's requests go to the pair under load.
-func (d *division) setPair(pair rollout.LoadTestPair, region ids.Region) {
-	part := d.loadPermit.RunnersMilli
+// applyLoadPair sends a share of this router's requests to the two runners of the load test.
+// The old one gets none if the share is above rollout.MaxControlShare.
+func (s *trafficSplit) applyLoadPair(pair rollout.LoadTestPair, region ids.Region) {
+	shareMilli := s.loadPermit.RunnersMilli
 	if pair.Target.Region == region {
-		part = d.loadPermit.LoadMilli
+		shareMilli = s.loadPermit.LoadMilli
 	}
-	d.loadedTarget, d.loadedPart = pair.Target.ID, float64(part)/milli
-	if pair.Old.ID != "" && d.loadedPart <= rollout.MaxBaselineShare {
-		d.loadedOld, d.loadedOldPart = pair.Old.ID, float64(part)/milli
+	s.loadedTarget, s.loadedTargetShare = pair.Target.ID, float64(shareMilli)/milliPerUnit
+	if pair.Old.ID != "" && s.loadedTargetShare <= rollout.MaxBaselineShare {
+		s.loadedOld, s.loadedOldShare = pair.Old.ID, float64(shareMilli)/milliPerUnit
 	}
 }
--- a/data/canary/evidence.go
+++ b/data/canary/evidence.go
@@ -8,17 +8,18 @@
 	"onyxwell/data/snapshot"
 )
 
-// Attempt is an attempt at a runner that has ended, and that says something of it.
+// Attempt is a finished attempt whose outcome tells something about its runner.
 type Attempt struct {
 	Service ids.Service
 	Route   string
 	Runner  *snapshot.Runner
-	// Arm is that for which the attempt was begun.
+	// Arm is the arm that the attempt was sent under.
 	Arm    Arm
 	Failed bool
-	// FirstByte and Whole are how long it took up to the head of the response and up to its
-	// end; 0 where there was none, and at a runner that warms up.
-	FirstByte, Whole time.Duration
+	// FirstByte and Total are the times to the head of the response and to its end. They are
+	// 0 where nothing was measured: for failed and resumed attempts, and on runners that are
+	// warming up.
+	FirstByte, Total time.Duration
 }
 
 type countKey struct {
@@ -26,13 +27,13 @@
 	target bool
 }
 
-// armCounts are the counts of one route at one arm since the last report.
+// armCounts holds the counts of one route and arm since the last report.
 type armCounts struct {
 	ended, failed    int64
-	firstByte, whole rollout.Histogram
+	firstByte, total rollout.Histogram
 }
 
-// Observe counts an attempt, while a rollout of its service is in progress.
+// Observe counts an attempt if a rollout of its service is in progress.
 func (g *Gate) Observe(attempt Attempt) {
 	if g == nil {
 		return
@@ -44,18 +45,18 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := g.trialOf(snap, attempt.Service)
-	if t == nil {
+	state := g.stateOf(snap, attempt.Service)
+	if state == nil {
 		return
 	}
 	key := countKey{route: attempt.Route, target: attempt.Runner.Version == record.Target}
 	if attempt.Arm.IsLoaded() {
 		key.route = rollout.LoadTestRoute(attempt.Route)
 	}
-	counts := t.counts[key]
+	counts := state.counts[key]
 	if counts == nil {
 		counts = &armCounts{}
-		t.counts[key] = counts
+		state.counts[key] = counts
 	}
 	counts.ended++
 	if attempt.Failed {
@@ -64,22 +65,22 @@
 	if attempt.FirstByte > 0 {
 		counts.firstByte.Add(attempt.FirstByte)
 	}
-	if attempt.Whole > 0 {
-		counts.whole.Add(attempt.Whole)
+	if attempt.Total > 0 {
+		counts.total.Add(attempt.Total)
 	}
 }
 
-// takeCounts returns the counts since the last report. One that is lost on its way is
-// lacking: the judge needs no completeness.
-func (t *trial) takeCounts() []rollout.RouteCount {
+// takeCounts returns the counts since the last report and resets them. Counts of a report
+// that gets lost are not sent again: the analysis does not need complete counts.
+func (s *rolloutState) takeCounts() []rollout.RouteCount {
 	var routes []rollout.RouteCount
-	for key, counts := range t.counts {
+	for key, counts := range s.counts {
 		routes = append(routes, rollout.RouteCount{
 			Route: key.route, Target: key.target, Ended: counts.ended, Failed: counts.failed,
-			FirstByte: counts.firstByte.Buckets(), Whole: counts.whole.Buckets(),
+			FirstByte: counts.firstByte.Buckets(), Whole: counts.total.Buckets(),
 		})
 	}
 	rollout.SortCounts(routes)
-	t.counts = map[countKey]*armCounts{}
+	s.counts = map[countKey]*armCounts{}
 	return routes
 }
