--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -76,7 +76,7 @@
 	publisher := &discovery.Publisher{
 		Platform: c.daemon.NewPlatformClient(), Updates: c.daemon.Updates, Held: holder.Held,
 		Resign: func(ctx context.Context) {
-			holder.StandDown(ctx, c.timing.LeaseDuration)
+			holder.StepDown(ctx, c.timing.LeaseDuration)
 		},
 		Expecting: c.awaitsRunners,
 		Interval:  c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -180,8 +180,8 @@
 	h.options.RequestGrant(ctx, h.newRequest(sequence, Request{Release: true}))
 }
 
-// StandDown releases the lease and leaves it to others for the span.
-func (h *Holder) StandDown(ctx context.Context, span time.Duration) {
+// StepDown releases the lease and leaves it to others for the span.
+func (h *Holder) StepDown(ctx context.Context, span time.Duration) {
 	h.mu.Lock()
 	h.standDownUntil = h.options.Clock.Now().Add(span)
 	h.mu.Unlock()
--- a/control/state/lease/holder_test.go
+++ b/control/state/lease/holder_test.go
@@ -90,7 +90,7 @@
 	if !c.holders[0].TryAcquireOrRenew(c.ctx) {
 		t.Fatal("not granted")
 	}
-	c.holders[0].StandDown(c.ctx, testTTL)
+	c.holders[0].StepDown(c.ctx, testTTL)
 	if c.holders[0].TryAcquireOrRenew(c.ctx) {
 		t.Fatal("requested while standing down")
 	}
--- a/control/state/wal/compact.go
+++ b/control/state/wal/compact.go
@@ -50,7 +50,7 @@
 	content, frames := encodeFile(l.generation+1, records)
 	length := int64(len(content))
 	if l.exceedsLimit(length) {
-		return ErrNoSpace
+		return ErrLimitExceeded
 	}
 	file, renamed, err := replaceFile(l.options.FS, l.options.Name, content)
 	if renamed {
--- a/control/state/wal/errors.go
+++ b/control/state/wal/errors.go
@@ -11,9 +11,9 @@
 	// ErrRecordSize is returned by Save for a record that is empty or longer than
 	// 32 MiB.
 	ErrRecordSize = errors.New("wal: record size out of bounds")
-	// ErrNoSpace is returned by Save if the snapshot is longer than
+	// ErrLimitExceeded is returned by Save if the snapshot is longer than
 	// Options.MaxBytes.
-	ErrNoSpace = errors.New("wal: no space within the limit")
+	ErrLimitExceeded = errors.New("wal: no space within the limit")
 	// ErrUnsupportedVersion matches a *VersionError.
 	ErrUnsupportedVersion = errors.New("wal: unsupported format version")
 )
--- a/control/state/wal/log_test.go
+++ b/control/state/wal/log_test.go
@@ -162,7 +162,7 @@
 		size += 350
 		err := log.Save(make([]byte, size))
 		refused = refused || err != nil
-		if err != nil && (!errors.Is(err, wal.ErrNoSpace) || size < limit-100) {
+		if err != nil && (!errors.Is(err, wal.ErrLimitExceeded) || size < limit-100) {
 			t.Fatalf("%d bytes: %v", size, err)
 		}
 	}
