--- a/control/state/lease/example_test.go
+++ b/control/state/lease/example_test.go
@@ -13,7 +13,7 @@
 func ExampleHolder() {
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
-	// A single voter is its own majority.
+	// A single voter is a majority by itself.
 	lessor := lease.NewLessor(fake, 3*time.Second, func() (bool, int64) { return true, 1 })
 	fake.Advance(3 * time.Second)
 	epoch := int64(0)
--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -13,48 +13,50 @@
 	"onyxwell/base/random"
 )
 
-// renewalsPerTTL is how often a lease is renewed in its TTL; one request may take
-// as long as the time between two.
+// renewalsPerTTL is the number of renewals per TTL. A request may take as long as
+// the time between two of them.
 const renewalsPerTTL = 3
 
-// Options configure a Holder. All but Eligible, Monitor and Incarnation are required.
+// Options configures a Holder. All fields except Eligible, Monitor and
+// Incarnation are required.
 type Options struct {
-	// Clock measures all timeouts; it and Log are required.
+	// Clock measures all timeouts.
 	Clock clock.Clock
 	Log   *log.Logger
-	// Name is the lease's, Address that of this daemon.
+	// Name is the name of the lease, Address the address of this daemon.
 	Name    string
 	Address ids.Address
-	// TTL is how long voters grant the lease for.
+	// TTL is the duration for which voters grant the lease.
 	TTL time.Duration
-	// RequestGrant sends a request to all voters, under the fingerprint of their
-	// set.
+	// RequestGrant sends a request to all voters, with the fingerprint of their
+	// voter set.
 	RequestGrant func(ctx context.Context, req Request) Outcome
-	// NextEpoch durably raises the lease's epoch and returns it.
+	// NextEpoch durably increases the epoch of the named lease and returns it.
 	NextEpoch func(ctx context.Context, name string) (int64, error)
-	// Eligible reports whether this daemon could do what the lease is for; until it can,
-	// the lease is left to others. It may be nil.
+	// Eligible reports whether this daemon is able to do the work that the lease
+	// stands for. Until it is, the lease is left to other daemons. If Eligible is
+	// nil, the daemon is always eligible.
 	Eligible func() bool
-	// Monitor counts broken invariants; it may be nil.
+	// Monitor counts violated invariants; it may be nil.
 	Monitor *invariant.Monitor
-	// Incarnation tells this process from the one before it on the same address;
-	// by default a random number.
+	// Incarnation distinguishes this process from earlier ones at the same
+	// address; the default is a random number.
 	Incarnation int64
 }
 
-// Holder is the side of a daemon that wants one lease. It is safe for concurrent
-// use.
+// Holder acquires and renews one lease on behalf of a daemon. It is safe for
+// concurrent use.
 type Holder struct {
 	options Options
 
 	mu     sync.Mutex
 	epoch  int64
 	expiry clock.Instant
-	// sequence is that of the newest request; those up to releasedThrough were
-	// released.
+	// sequence is the sequence number of the newest request; those up to
+	// releasedThrough have been released.
 	sequence        int64
 	releasedThrough int64
-	// The lease is not requested once resigned, nor until standDownUntil.
+	// The lease is not requested after Resign, nor before stepDownUntil.
 	resigned      bool
 	stepDownUntil clock.Instant
 }
@@ -70,14 +72,15 @@
 // Name returns the lease's name.
 func (h *Holder) Name() string { return h.options.Name }
 
-// Held reports whether this daemon holds the lease now, and with which epoch.
+// Held reports whether this daemon holds the lease at the given instant, and the
+// epoch of the lease that it holds or held last.
 func (h *Holder) Held(now clock.Instant) (epoch int64, held bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.epoch, h.heldAt(now)
 }
 
-// heldAt is Held for a caller that holds h.mu.
+// heldAt reports whether the lease is held. The caller holds h.mu.
 func (h *Holder) heldAt(now clock.Instant) bool {
 	return h.epoch > 0 && now.Before(h.expiry)
 }
@@ -87,7 +90,8 @@
 	for ctx.Err() == nil {
 		pause := h.options.TTL / renewalsPerTTL
 		if !h.TryAcquireOrRenew(ctx) {
-			// Daemons that split the votes must not meet again.
+			// The random delay keeps daemons that split the votes from colliding
+			// again.
 			pause = pause/2 + random.Duration(h.options.TTL/renewalsPerTTL)
 		}
 		if !clock.Wait(ctx, h.options.Clock, pause) {
@@ -96,9 +100,9 @@
 	}
 }
 
-// TryAcquireOrRenew requests the lease once, or renews it. It reports whether a
-// majority granted it. It reports true after a failed renewal as well: the lease
-// is still held until it expires.
+// TryAcquireOrRenew sends one request to acquire or renew the lease and reports
+// whether a majority granted it. After a failed renewal it reports true as well,
+// since the lease is still held until it expires.
 func (h *Holder) TryAcquireOrRenew(ctx context.Context) bool {
 	requestCtx, cancel := h.options.Clock.WithTimeout(ctx, h.options.TTL/renewalsPerTTL)
 	defer cancel()
@@ -109,12 +113,13 @@
 	}
 	if outcome := h.options.RequestGrant(requestCtx, h.newRequest(sequence, Request{Renew: renew})); outcome != MajorityGranted {
 		if !renew && outcome == MinorityGranted {
-			// What a minority granted is released, so that another can acquire it.
+			// Release the grants of the minority, so that another daemon can
+			// acquire the lease.
 			h.Release(ctx)
 		}
 		return renew
 	}
-	// Counted from before the request, less a margin for clock drift.
+	// The TTL is measured from before the request, less a tenth for clock drift.
 	expiry := start.Add(h.options.TTL * 9 / 10)
 	if renew && h.recordGrant(sequence, 0, expiry) {
 		return true
@@ -122,8 +127,9 @@
 	return h.acquire(ctx, sequence, expiry)
 }
 
-// acquire takes up a lease that was granted anew, with a new epoch: also one that
-// expired while it was renewed, which another may have held in between.
+// acquire records a newly granted lease under a new epoch. A lease that expired
+// during its renewal is new as well, since another daemon may have held it in
+// between.
 func (h *Holder) acquire(ctx context.Context, sequence int64, expiry clock.Instant) bool {
 	epoch, err := h.options.NextEpoch(ctx, h.options.Name)
 	h.options.Log.Info().Str("part", "lease").Str("lease", h.options.Name).Int64("epoch", epoch).Err(err).Msg("lease granted")
@@ -134,8 +140,9 @@
 	return true
 }
 
-// beginAttempt numbers a request. It reports whether the lease is held now, so
-// that the request renews it, and whether it is not to be requested at all.
+// beginAttempt assigns a sequence number to a request. renew reports whether the
+// lease is held now, so that the request is a renewal; skip reports that the
+// lease must not be requested at present.
 func (h *Holder) beginAttempt(now clock.Instant) (sequence int64, renew bool, skip bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,7 +152,7 @@
 	return h.sequence, renew, skip
 }
 
-// eligible reports whether the lease may be requested where it is not held.
+// eligible reports whether the lease may be requested while it is not held.
 func (h *Holder) eligible() bool {
 	return h.options.Eligible == nil || h.options.Eligible()
 }
@@ -155,9 +162,9 @@
 	return req
 }
 
-// recordGrant takes up what a majority granted to a request, with a new epoch, or
-// with the current one where epoch is 0 and the lease has not expired. It reports
-// false where it does not, or where the request was released meanwhile.
+// recordGrant records that a majority granted a request, with a new epoch or, if
+// epoch is 0, as a renewal of the current lease. It returns false if that lease
+// has expired, or if the request has been released in the meantime.
 func (h *Holder) recordGrant(sequence int64, epoch int64, expiry clock.Instant) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,13 +172,13 @@
 		return false
 	}
 	if epoch > 0 && epoch <= h.epoch {
-		h.options.Monitor.Violated(invariant.EpochRises, "lease %s is acquired with epoch %d after %d", h.options.Name, epoch, h.epoch)
+		h.options.Monitor.Violated(invariant.EpochRises, "lease %s acquired with epoch %d, which is not greater than its last epoch %d", h.options.Name, epoch, h.epoch)
 	}
 	h.epoch, h.expiry = max(h.epoch, epoch), expiry
 	return true
 }
 
-// Release gives the lease up; Run acquires it again where it can.
+// Release gives up the lease. Run may acquire it again.
 func (h *Holder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.expiry, h.releasedThrough = 0, h.sequence
@@ -180,7 +187,8 @@
 	h.options.RequestGrant(ctx, h.newRequest(sequence, Request{Release: true}))
 }
 
-// StepDown releases the lease and leaves it to others for the span.
+// StepDown releases the lease and does not request it again for the given
+// duration, so that another daemon can acquire it.
 func (h *Holder) StepDown(ctx context.Context, duration time.Duration) {
 	h.mu.Lock()
 	h.stepDownUntil = h.options.Clock.Now().Add(duration)
@@ -188,7 +196,7 @@
 	h.Release(ctx)
 }
 
-// Resign releases the lease for good.
+// Resign releases the lease and never requests it again.
 func (h *Holder) Resign(ctx context.Context) {
 	h.mu.Lock()
 	h.resigned = true
--- a/control/state/lease/holder_test.go
+++ b/control/state/lease/holder_test.go
@@ -10,14 +10,14 @@
 	"onyxwell/base/scope"
 )
 
-// countEpochs is a NextEpoch that counts up from the counter.
+// countEpochs returns an Options.NextEpoch that increments the counter.
 func countEpochs(counter *int64) func(context.Context, string) (int64, error) {
 	return func(context.Context, string) (int64, error) { *counter++; return *counter, nil }
 }
 
-// TestHolder_leaseExpiredDuringRenewalGetsNewEpoch has a renewal take so long that
-// the lease expires and another daemon holds it in between: what is granted then
-// has a new epoch.
+// TestHolder_leaseExpiredDuringRenewalGetsNewEpoch delays a renewal until the
+// lease has expired and another daemon has held it: the lease that is then
+// granted must have a new epoch.
 func TestHolder_leaseExpiredDuringRenewalGetsNewEpoch(t *testing.T) {
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
@@ -37,18 +37,19 @@
 	fake.Advance(testTTL / 3)
 	holder.TryAcquireOrRenew(ctx)
 	if got, held := holder.Held(fake.Now()); !held || got != 1 {
-		t.Fatalf("a renewal in time: epoch %d, held %v", got, held)
+		t.Fatalf("after a renewal in time: epoch %d, held %v, want epoch 1, held", got, held)
 	}
 	slow = true
 	fake.Advance(testTTL / 3)
 	holder.TryAcquireOrRenew(ctx)
 	if got, _ := holder.Held(fake.Now()); got != 3 {
-		t.Fatalf("epoch %d after another had 2", got)
+		t.Fatalf("epoch %d after another daemon held the lease with epoch 2, want 3", got)
 	}
 }
 
 // TestHolder_releaseDuringRenewalWins releases the lease while a renewal is in
-// flight, and then resigns.
+// flight: the response to the renewal must not restore it. After Resign the lease
+// must not be requested again.
 func TestHolder_releaseDuringRenewalWins(t *testing.T) {
 	fake := clock.NewFake()
 	ctx := scope.New(scope.Options{Clock: fake})
@@ -69,21 +70,21 @@
 	holder.TryAcquireOrRenew(ctx)
 	duringRequest = func() { holder.Release(ctx) }
 	if holder.TryAcquireOrRenew(ctx) {
-		t.Fatal("renewed what was released meanwhile")
+		t.Fatal("renewed a lease that was released during the renewal")
 	}
 	if _, held := holder.Held(fake.Now()); held {
-		t.Fatal("held after its release")
+		t.Fatal("the lease is held after its release")
 	}
 	duringRequest = func() {}
 	holder.Resign(ctx)
 	if holder.TryAcquireOrRenew(ctx) {
-		t.Fatal("requested after resigning")
+		t.Fatal("acquired after Resign")
 	}
 }
 
-// TestHolder_stepDownLeavesLeaseToOthers has a holder stand down: another acquires
-// the lease at once, and the one that stood down does not request it before its
-// time.
+// TestHolder_stepDownLeavesLeaseToOthers has a holder step down: another daemon
+// can acquire the lease immediately, and the one that stepped down requests it
+// again only after the given duration.
 func TestHolder_stepDownLeavesLeaseToOthers(t *testing.T) {
 	c := newCluster()
 	c.clock.Advance(testTTL)
@@ -92,27 +93,27 @@
 	}
 	c.holders[0].StepDown(c.ctx, testTTL)
 	if c.holders[0].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("requested while standing down")
+		t.Fatal("acquired before the end of the step-down")
 	}
 	if !c.holders[1].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("the lease is not free")
+		t.Fatal("another daemon could not acquire the lease")
 	}
 	c.holders[1].Release(c.ctx)
 	c.clock.Advance(testTTL)
 	if !c.holders[0].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("standing down has no end")
+		t.Fatal("not granted after the end of the step-down")
 	}
 }
 
-// TestHolder_ineligibleLeavesLeaseToOthers has a daemon that cannot do yet what the lease
-// is for request nothing; once it holds the lease it renews it all the same.
+// TestHolder_ineligibleLeavesLeaseToOthers checks that a daemon that is not
+// eligible does not request the lease, but renews one that it already holds.
 func TestHolder_ineligibleLeavesLeaseToOthers(t *testing.T) {
 	c := newCluster()
 	c.clock.Advance(testTTL)
 	eligible := false
 	c.holders[0].options.Eligible = func() bool { return eligible }
 	if c.holders[0].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("requested while not eligible")
+		t.Fatal("acquired while not eligible")
 	}
 	eligible = true
 	if !c.holders[0].TryAcquireOrRenew(c.ctx) {
@@ -120,16 +121,16 @@
 	}
 	eligible = false
 	if !c.holders[0].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("what is held was not renewed")
+		t.Fatal("a held lease was not renewed while not eligible")
 	}
 	c.holders[0].Release(c.ctx)
 	if !c.holders[1].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("the lease is not free")
+		t.Fatal("another daemon could not acquire the lease")
 	}
 }
 
-// TestHolder_releasesOnlyWhatWasGranted counts the releases of a holder that is
-// refused: what no voter granted need not be released.
+// TestHolder_releasesOnlyWhatWasGranted counts the releases of a holder whose
+// request is refused: if no voter granted it, no release is sent.
 func TestHolder_releasesOnlyWhatWasGranted(t *testing.T) {
 	ctx := scope.New(scope.Options{Clock: clock.NewFake()})
 	for outcome, want := range map[Outcome]int{NoneGranted: 0, MinorityGranted: 1} {
@@ -141,7 +142,7 @@
 			return outcome
 		}})
 		if holder.TryAcquireOrRenew(ctx) || released != want {
-			t.Errorf("outcome %d: released %d times", outcome, released)
+			t.Errorf("outcome %d: the holder acquired the lease or sent a wrong number of releases: %d", outcome, released)
 		}
 	}
 }
@@ -154,6 +155,6 @@
 		holder.recordGrant(int64(index+1), epoch, clock.Instant(time.Second))
 	}
 	if got := monitor.Count(invariant.EpochRises); got != 1 {
-		t.Errorf("counted %d", got)
+		t.Errorf("%d violations of epoch-rises counted, want 1", got)
 	}
 }
--- a/control/state/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -18,7 +18,7 @@
 
 const testTTL = 3 * time.Second
 
-// cluster is three voters and three daemons that want one lease.
+// cluster consists of three voters and three daemons that want the same lease.
 type cluster struct {
 	clock       *clock.Fake
 	ctx         scope.Scope
@@ -26,7 +26,8 @@
 	holders     []*Holder
 	partitioned map[[2]int]bool
 	epoch       int64
-	// Requests from a holder to a voter for which delayed is set wait in pending.
+	// Keys of partitioned and delayed are pairs of a holder and a voter. Requests
+	// on a delayed link wait in pending.
 	delayed map[[2]int]bool
 	pending []func()
 }
@@ -77,8 +78,9 @@
 	return indices
 }
 
-// TestLease_atMostOneHolder partitions holders from voters, delays messages and
-// restarts voters at any time: no two hold the lease at once, and epochs only rise.
+// TestLease_atMostOneHolder partitions holders from voters, delays and repeats
+// messages and restarts voters in a random order. No two daemons may hold the
+// lease at once, and epochs must not decrease.
 func TestLease_atMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster()
@@ -103,12 +105,12 @@
 			events[rapid.IntRange(0, len(events)-1).Draw(t, "event")]()
 			held := c.currentHolders()
 			if len(held) > 1 {
-				t.Fatalf("%v hold the lease at once", held)
+				t.Fatalf("holders %v hold the lease at the same time", held)
 			}
 			for _, index := range held {
 				epoch, _ := c.holders[index].Held(c.clock.Now())
 				if epoch < lastEpoch {
-					t.Fatalf("epoch %d after %d", epoch, lastEpoch)
+					t.Fatalf("the lease is held with epoch %d after epoch %d", epoch, lastEpoch)
 				}
 				lastEpoch = epoch
 			}
@@ -116,14 +118,15 @@
 	})
 }
 
-// TestLease_splitVotesResolve has each daemon's own voter grant it the lease first:
-// what a minority granted must be released, or nobody ever acquires the lease.
+// TestLease_splitVotesResolve has each voter grant the lease to a different
+// daemon first. Unless the grants of a minority are released, no daemon ever
+// acquires the lease.
 func TestLease_splitVotesResolve(t *testing.T) {
 	c := newCluster()
 	c.clock.Advance(testTTL)
 	for index, lessor := range c.lessors {
 		if !lessor.Grant(Request{Name: "census", Holder: ids.Address(fmt.Sprint(index)), Incarnation: 1, Sequence: 1, VotersFingerprint: 1}).Granted {
-			t.Fatal("a voter did not grant its own daemon")
+			t.Fatal("a voter did not grant the lease, though it had made no grant before")
 		}
 	}
 	for range 12 {
@@ -135,20 +138,20 @@
 		}
 		c.clock.Advance(testTTL / 3)
 	}
-	t.Fatal("nobody holds the lease")
+	t.Fatal("no daemon acquired the lease after the votes were split")
 }
 
 func TestLease_newLessorGrantsNothingForOneTTL(t *testing.T) {
 	c := newCluster()
 	if c.holders[0].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("a voter that may have made grants before it started made one")
+		t.Fatal("granted by voters that have just started and may have forgotten earlier grants")
 	}
 	c.clock.Advance(testTTL)
 	if !c.holders[0].TryAcquireOrRenew(c.ctx) {
-		t.Fatal("not granted after a whole TTL")
+		t.Fatal("not granted one TTL after the voters started")
 	}
 	c.clock.Advance(testTTL * 95 / 100)
 	if len(c.currentHolders()) != 0 {
-		t.Fatal("the holder did not stop before the TTL ended")
+		t.Fatal("the lease is still held after 95% of the TTL")
 	}
 }
--- a/control/state/lease/lessor.go
+++ b/control/state/lease/lessor.go
@@ -8,11 +8,11 @@
 	"onyxwell/base/ids"
 )
 
-// grant is a lease that this voter granted.
+// grant is a lease that this voter has granted.
 type grant struct {
 	holder      ids.Address
 	incarnation int64
-	// sequence is that of the newest request that was granted.
+	// sequence is the sequence number of the newest request that was granted.
 	sequence int64
 	expiry   clock.Instant
 }
@@ -21,35 +21,37 @@
 	return g.holder == req.Holder && g.incarnation == req.Incarnation
 }
 
-// requester is a daemon that requests one lease.
+// requester identifies a daemon that requests the named lease.
 type requester struct {
 	name   string
 	holder ids.Address
 }
 
-// requestID orders the requests of one requester, within an incarnation.
+// requestID identifies a request of one requester. Within an incarnation,
+// requests are ordered by their sequence numbers.
 type requestID struct{ incarnation, sequence int64 }
 
-// Lessor is the voter's side of all leases: it grants each to one holder at a
+// Lessor is the voter's side of all leases and grants each to one holder at a
 // time. It is safe for concurrent use.
 type Lessor struct {
 	clock clock.Clock
 	ttl   time.Duration
-	// votingState reports whether this daemon votes now, and the fingerprint of the
-	// voter set that it knows.
+	// votingState reports whether this daemon currently votes, and the
+	// fingerprint of the voter set that it knows.
 	votingState func() (voting bool, fingerprint int64)
 
 	mu     sync.Mutex
 	grants map[string]grant
 	latest map[requester]requestID
-	// votersFingerprint is the voter set of the last request; until quietUntil the
-	// voter may not know of all grants in force.
+	// votersFingerprint is the fingerprint of the voter set at the last request.
+	// No new grant is made before noGrantsUntil, since this voter may not know of
+	// all grants that are in force.
 	votersFingerprint int64
 	noGrantsUntil     clock.Instant
 }
 
-// NewLessor returns a Lessor that makes no grant for a first TTL, since the
-// process before this one may have made some.
+// NewLessor returns a Lessor that makes no grants for a first TTL, since grants
+// of the previous process may still be in force.
 func NewLessor(clock clock.Clock, ttl time.Duration, votingState func() (voting bool, fingerprint int64)) *Lessor {
 	_, fingerprint := votingState()
 	return &Lessor{
@@ -58,14 +60,14 @@
 	}
 }
 
-// Grant grants, renews or releases a lease, and answers the request.
+// Grant handles a request to acquire, renew or release a lease.
 func (l *Lessor) Grant(req Request) Response {
 	voting, fingerprint := l.votingState()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	if fingerprint != l.votersFingerprint {
-		// Other voters may have made grants that this one does not know of.
+		// Voters of the previous set may have made grants that are unknown here.
 		l.noGrantsUntil, l.votersFingerprint = now.Add(l.ttl), fingerprint
 	}
 	stale := !l.recordRequest(req)
@@ -81,7 +83,8 @@
 	if req.VotersFingerprint != fingerprint {
 		return Response{VotersMismatch: true}
 	}
-	// A grant that its holder no longer knows of is left to expire.
+	// If the holder itself requests the lease anew, it no longer knows of its
+	// grant, which is then left to expire.
 	renewal := own && req.Renew
 	if stale || !voting || (inForce && !renewal) || (!renewal && now.Before(l.noGrantsUntil)) {
 		return Response{}
@@ -90,8 +93,8 @@
 	return Response{Granted: true}
 }
 
-// recordRequest reports whether the request is newer than all that its requester
-// sent in the same incarnation. The caller holds l.mu.
+// recordRequest records a request and reports whether it is newer than all others
+// that its requester sent in the same incarnation. The caller holds l.mu.
 func (l *Lessor) recordRequest(req Request) bool {
 	key := requester{name: req.Name, holder: req.Holder}
 	latest := l.latest[key]
--- a/control/state/lease/lessor_test.go
+++ b/control/state/lease/lessor_test.go
@@ -6,8 +6,8 @@
 	"onyxwell/base/clock"
 )
 
-// newReadyLessor is a lessor that may make grants, its clock, and the fingerprint
-// of its voters.
+// newReadyLessor returns a lessor whose initial TTL without grants is over, its
+// clock, and the fingerprint of its voter set.
 func newReadyLessor() (*Lessor, *clock.Fake, *int64) {
 	fake, fingerprint := clock.NewFake(), int64(1)
 	lessor := NewLessor(fake, testTTL, func() (bool, int64) { return true, fingerprint })
@@ -28,51 +28,52 @@
 func asRenewal(req Request) Request { req.Renew = true; return req }
 
 // TestLessor_staleReleaseRevokesNothing delivers a release after a later grant to
-// the same holder: the grant stands.
+// the same holder, and one of an older incarnation: the grant must remain.
 func TestLessor_staleReleaseRevokesNothing(t *testing.T) {
 	lessor, _, _ := newReadyLessor()
 	lessor.Grant(testRequest(1))
 	lessor.Grant(asRelease(testRequest(1)))
 	if !lessor.Grant(testRequest(2)).Granted {
-		t.Fatal("not granted after a release")
+		t.Fatal("not granted after the release of the previous grant")
 	}
 	lessor.Grant(asRelease(testRequest(1)))
 	oldIncarnation := asRelease(testRequest(9))
 	oldIncarnation.Incarnation = 6
 	lessor.Grant(oldIncarnation)
 	if lessor.Grant(otherRequest(1)).Granted {
-		t.Fatal("a late release, or one of an older incarnation, revoked a grant")
+		t.Fatal("a late release or one of an older incarnation revoked a grant")
 	}
 	lessor.Grant(asRelease(testRequest(2)))
 	if !lessor.Grant(otherRequest(2)).Granted {
-		t.Fatal("a release in time revoked nothing")
+		t.Fatal("the release of the current grant did not revoke it")
 	}
 }
 
-// TestLessor_staleRequestIsNotGranted delivers a request after its release, and one
-// twice.
+// TestLessor_staleRequestIsNotGranted delivers a request after its release, a
+// request twice, and a renewal while another daemon holds the lease: none may be
+// granted.
 func TestLessor_staleRequestIsNotGranted(t *testing.T) {
 	lessor, fake, _ := newReadyLessor()
 	lessor.Grant(asRelease(testRequest(3)))
 	if lessor.Grant(testRequest(3)).Granted || lessor.Grant(testRequest(2)).Granted {
-		t.Fatal("granted after its release")
+		t.Fatal("a request was granted after its release")
 	}
 	if !lessor.Grant(testRequest(4)).Granted || !lessor.Grant(asRenewal(testRequest(5))).Granted {
-		t.Fatal("not granted in order")
+		t.Fatal("a request or its renewal was refused though both arrived in order")
 	}
 	fake.Advance(testTTL)
 	if lessor.Grant(asRenewal(testRequest(5))).Granted {
-		t.Fatal("a duplicate request is granted")
+		t.Fatal("a duplicate request was granted")
 	}
 	renewal := asRenewal(testRequest(6))
 	if lessor.Grant(otherRequest(1)); lessor.Grant(renewal).Granted {
-		t.Fatal("renewed while another holds it")
+		t.Fatal("renewed while another daemon holds the lease")
 	}
 }
 
 // TestLessor_refusesRequestUnderOtherVoters sends a request under an older voter
-// set to a voter that knows a newer one; a voter whose set changed makes no grant
-// for one TTL, though it renews.
+// set to a voter that knows a newer one. After its voter set has changed, a voter
+// may renew leases but must make no new grant for one TTL.
 func TestLessor_refusesRequestUnderOtherVoters(t *testing.T) {
 	lessor, fake, fingerprint := newReadyLessor()
 	lessor.Grant(testRequest(1))
@@ -87,11 +88,11 @@
 	}
 	newRequest := Request{Name: "census", Holder: "b", Incarnation: 8, Sequence: 1, VotersFingerprint: 2}
 	if lessor.Grant(newRequest).Granted {
-		t.Fatal("granted right after the voters changed")
+		t.Fatal("granted right after the voter set changed")
 	}
 	fake.Advance(testTTL)
 	newRequest.Sequence = 2
 	if !lessor.Grant(newRequest).Granted {
-		t.Fatal("not granted one TTL after the voters changed")
+		t.Fatal("not granted one TTL after the voter set changed")
 	}
 }
--- a/control/state/voter/client.go
+++ b/control/state/voter/client.go
@@ -8,8 +8,8 @@
 	"onyxwell/control/transport"
 )
 
-// A Voter is the register.VoterClient of the proposer and the
-// register.ReplicaClient of the joiner: both reach all controllers through it.
+// Voter implements register.VoterClient for the proposer and
+// register.ReplicaClient for the joiner. Both reach all controllers through it.
 
 // Prepare sends a prepare request to a voter.
 func (v *Voter) Prepare(ctx context.Context, address ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
@@ -32,9 +32,9 @@
 	return resp.Verdict, resp.Generation
 }
 
-// callVoter calls the own voter in place and others by message. Where a voter
-// refuses the voter set of the request, whichever side knows the older one learns
-// the newer.
+// callVoter calls the local acceptor directly, and other voters over the network.
+// If a voter refuses the voter set of the request, the side with the older set
+// learns the newer one.
 func callVoter[Req, Resp any](ctx context.Context, v *Voter, address ids.Address, name string, req Req,
 	local func(Req) Resp, verdictOf func(Resp) (register.Verdict, int64)) (Resp, error) {
 	if address == v.options.Address {
@@ -57,13 +57,13 @@
 	return resp, err
 }
 
-// Fetch fetches the slots that a controller holds.
+// Fetch requests the slots that a controller holds.
 func (v *Voter) Fetch(ctx context.Context, address ids.Address, req register.FetchRequest) (register.FetchResponse, error) {
 	return transport.Send[register.FetchResponse](ctx, v.options.Transport, address, fetchMessage, req)
 }
 
-// FetchDigest fetches the state of all keys on a controller's disk. Where it holds the
-// same as this one, which is the usual case, the keys are not sent.
+// FetchDigest requests the state of all keys on a controller's disk. If it equals
+// the state here, which is the usual case, the keys are not sent.
 func (v *Voter) FetchDigest(ctx context.Context, address ids.Address) (register.DigestResponse, error) {
 	local := v.Acceptor.Digest()
 	resp, err := call[register.DigestResponse](ctx, v, address, digestMessage, register.DigestRequest{Hash: local.Hash()})
@@ -73,7 +73,7 @@
 	return resp, err
 }
 
-// Learn brings newer copies of slots to a controller.
+// Learn sends newer copies of slots to a controller.
 func (v *Voter) Learn(ctx context.Context, address ids.Address, slots []register.Slot) error {
 	_, err := transport.Send[LearnResponse](ctx, v.options.Transport, address, learnMessage, LearnRequest{Slots: slots})
 	return err
--- a/control/state/voter/handoff.go
+++ b/control/state/voter/handoff.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// handOffDivisor is the part of the graceful shutdown, one in so many, that a
-	// hand-over may take.
+	// handOffDivisor limits a hand-off to 1/handOffDivisor of the graceful
+	// shutdown.
 	handOffDivisor = 4
-	// handOffAttemptsPerReplaceAfter is how often in ReplaceAfter it is tried again.
+	// handOffAttemptsPerReplaceAfter is the number of hand-off attempts per
+	// ReplaceAfter.
 	handOffAttemptsPerReplaceAfter = 10
 )
 
 // HandOff waits, for at most a quarter of the graceful shutdown, until enough
-// other disks hold what this one does and a standby has taken its place. Without a
-// standby it keeps the place: a controller that shuts down does not know whether
-// it will be restarted.
+// other disks hold what this one holds and a standby has replaced this voter.
+// Without a standby, this voter keeps its place, since a controller that shuts
+// down does not know whether it will be restarted.
 func (v *Voter) HandOff(ctx context.Context) {
 	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOffDivisor)
 	defer cancel()
@@ -32,8 +33,8 @@
 	v.log.Info().Str("part", "voter").Bool("replicated", replicated).Bool("voting", v.Voting()).Msg("hand-over ended")
 }
 
-// hasStandby reports whether this disk still votes and a controller that is alive
-// could take its place.
+// hasStandby reports whether this disk still votes and some controller is alive
+// that could replace it.
 func (v *Voter) hasStandby() bool {
 	if !v.Voting() {
 		return false
--- a/control/state/voter/lease.go
+++ b/control/state/voter/lease.go
@@ -7,13 +7,13 @@
 	"onyxwell/control/state/lease"
 )
 
-// leaseRequestsPerTTL is the part of LeaseTTL, one in so many, that a request for
-// a lease may take.
+// leaseRequestsPerTTL bounds a lease request to 1/leaseRequestsPerTTL of
+// LeaseTTL.
 const leaseRequestsPerTTL = 3
 
-// RequestLease sends a request for a lease to all voters, and returns once a
-// majority has granted it or none can. The own voter is asked first: while it
-// refuses a new lease, the others are not bothered.
+// RequestLease sends a lease request to all voters. It returns once a majority
+// has granted it, all have responded, or ctx ends. The local voter is asked
+// first: if it refuses a new lease, no request is sent to the others.
 func (v *Voter) RequestLease(ctx context.Context, req lease.Request) lease.Outcome {
 	voters := v.Acceptor.Voters()
 	members := voters.Members
@@ -44,8 +44,8 @@
 	return lease.MajorityGranted
 }
 
-// requestLeaseFrom reports whether another voter granted the request. It goes on
-// after ctx has ended, so that a release reaches slow voters too.
+// requestLeaseFrom reports whether another voter granted the request. It
+// continues after ctx has ended, so that a release reaches slow voters too.
 func (v *Voter) requestLeaseFrom(ctx context.Context, address ids.Address, req lease.Request) bool {
 	if address == v.options.Address {
 		return false
--- a/control/state/voter/liveness.go
+++ b/control/state/voter/liveness.go
@@ -10,20 +10,20 @@
 	"onyxwell/control/state/register"
 )
 
-// liveness tracks which voters answer, by contact and by the surveys; it sends
-// nothing itself. It is safe for concurrent use.
+// liveness tracks which voters respond, from contact with them and from surveys.
+// It sends no requests itself, and is safe for concurrent use.
 type liveness struct {
 	options *Options
 	clock   clock.Clock
 
 	mu sync.Mutex
-	// voterSince is since when each voter has been one, missedSince since when
-	// voters have not answered the surveys.
+	// voterSince holds when each member joined the voter set, and
+	// unreachableSince when voters stopped responding to surveys.
 	voterSince       map[ids.Address]clock.Instant
 	unreachableSince map[ids.Address]clock.Instant
 }
 
-// trackVoters records since when each voter has been one.
+// trackVoters records the members that have joined or left the voter set.
 func (l *liveness) trackVoters(now clock.Instant, voters register.VoterSet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +38,8 @@
 	l.voterSince = updated
 }
 
-// recordUnreachable records since when voters have not answered the surveys.
+// recordUnreachable records which voters did not respond to a survey that was
+// sent at the given instant.
 func (l *liveness) recordUnreachable(surveyed clock.Instant, unreachable []ids.Address) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,8 +53,8 @@
 	l.unreachableSince = updated
 }
 
-// responsive reports whether a controller answered a request that was sent a
-// moment ago.
+// responsive reports whether a controller responded to a request that was sent
+// less than SuspectAfter ago.
 func (l *liveness) responsive(address ids.Address) bool {
 	if l.options.Quorum == nil {
 		return false
@@ -62,14 +63,14 @@
 	return contact > 0 && l.clock.Now().Since(contact) < l.options.Timing.SuspectAfter
 }
 
-// suspected reports whether a voter has been silent for a while.
+// suspected reports whether a voter has been silent for SuspectAfter.
 func (l *liveness) suspected(address ids.Address) bool {
 	return l.silentFor(address, l.options.Timing.SuspectAfter)
 }
 
-// silentFor reports whether a voter has answered nothing for the span though a
-// majority answers here: a controller that is partitioned or stalled itself takes
-// nobody for silent.
+// silentFor reports whether a voter has not responded for the given duration
+// while a majority responds to this controller. A controller that is itself
+// partitioned or stalled therefore considers no voter silent.
 func (l *liveness) silentFor(address ids.Address, duration time.Duration) bool {
 	now := l.clock.Now()
 	if l.options.Quorum == nil || address == l.options.Address || !l.options.Quorum.HasQuorum(now) {
@@ -81,8 +82,8 @@
 	return ok && now.Since(max(since, l.options.Quorum.LastContact(address))) >= duration
 }
 
-// lostVoters returns the voters that for LostAfter have not answered a survey, or nothing
-// at all: their places may be taken, once a majority of the voters agrees.
+// lostVoters returns the voters that have not responded to surveys, or not at
+// all, for LostAfter. They may be replaced once a majority of the voters agrees.
 func (l *liveness) lostVoters(voters register.VoterSet) []ids.Address {
 	var lost []ids.Address
 	l.mu.Lock()
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -11,14 +11,15 @@
 	"onyxwell/control/transport"
 )
 
-// testTiming is the timing of clusters with trackers.
+// testTiming is the timing of voters with quorum trackers.
 var testTiming = Timing{
 	Tick: 250 * time.Millisecond, RequestTimeout: 300 * time.Millisecond, SuspectAfter: 750 * time.Millisecond,
 	LostAfter: 1500 * time.Millisecond, ActiveFor: 12 * time.Second,
 }
 
-// attachTracker gives a voter a quorum tracker. The function that it returns has
-// all other voters answer that are not silent, and checks.
+// attachTracker gives a voter a quorum tracker. The returned function simulates a
+// round: it records contact with all other voters that are not silent, and
+// updates the voter's view.
 func (c *cluster) attachTracker(index int, silent map[ids.Address]bool) func() {
 	v := c.voters[index]
 	v.options.Timing = testTiming
@@ -35,9 +36,10 @@
 	}
 }
 
-// TestVoter_silentPeerIsSuspectedThenLost has a voter fall silent: it is suspected
-// after SuspectAfter, lost after LostAfter, and neither after a shorter pause. A
-// learner is lost alike. A voter that hears no majority itself suspects nobody.
+// TestVoter_silentPeerIsSuspectedThenLost has a voter fall silent: it must be
+// suspected after SuspectAfter, lost after LostAfter, and neither after a shorter
+// silence. The same holds for a learner. A voter without contact with a majority
+// suspects no other.
 func TestVoter_silentPeerIsSuspectedThenLost(t *testing.T) {
 	c := newCluster(t, 4)
 	silent := map[ids.Address]bool{}
@@ -59,19 +61,19 @@
 	round()
 	silent[silentPeer] = true
 	pass(testTiming.SuspectAfter - testTiming.Tick)
-	check("after a moment", false, false)
+	check("shortly before SuspectAfter", false, false)
 	pass(testTiming.Tick)
 	check("after SuspectAfter", true, false)
 	silent[silentPeer] = false
 	pass(testTiming.Tick)
-	check("after a pause", false, false)
+	check("after it responded again", false, false)
 	silent[silentPeer] = true
 	pass(testTiming.LostAfter)
-	check("for good", true, true)
+	check("after LostAfter", true, true)
 	silent[otherPeer] = true
 	pass(2 * testTiming.LostAfter)
 	if allLost := v.liveness.lostVoters(v.Acceptor.Voters()); len(allLost) != 0 || v.liveness.suspected(silentPeer) {
-		t.Fatalf("a partitioned voter takes %v for lost", allLost)
+		t.Fatalf("a partitioned voter suspects another or considers lost: %v", allLost)
 	}
 	silent[otherPeer] = false
 	round()
@@ -90,12 +92,12 @@
 		t.Fatal(err)
 	}
 	round()
-	check("lost learner", true, true)
+	check("after it became a learner", true, true)
 }
 
 // TestVoter_changesTriggerSurveys expects a survey at each tick while the view of
-// the voters is new or not stable, and none but the regular ones afterwards: a loss
-// that nobody replaces does not cause them for ever.
+// the voters is new or not stable, and only the regular ones afterwards: a lost
+// voter that nobody replaces must not cause surveys at each tick forever.
 func TestVoter_changesTriggerSurveys(t *testing.T) {
 	c := newCluster(t, 4)
 	silent := map[ids.Address]bool{}
@@ -116,15 +118,15 @@
 	}
 	pass(testTiming.ActiveFor)
 	if count := pass(time.Second); count != 0 {
-		t.Fatalf("%d surveys due while stable", count)
+		t.Fatalf("%d surveys due while the view is stable, want 0", count)
 	}
 	silent[c.voters[1].options.Address] = true
 	pass(testTiming.SuspectAfter)
 	if count := pass(time.Second); count != 4 {
-		t.Fatalf("%d of 4 surveys due for a silent voter", count)
+		t.Fatalf("%d surveys due in 4 ticks after a voter fell silent, want 4", count)
 	}
 	pass(testTiming.ActiveFor)
 	if count := pass(time.Second); count != 0 {
-		t.Fatalf("%d surveys due for a lasting loss", count)
+		t.Fatalf("%d surveys due long after a voter was lost, want 0", count)
 	}
 }
--- a/control/state/voter/messages.go
+++ b/control/state/voter/messages.go
@@ -9,7 +9,7 @@
 	"onyxwell/control/transport"
 )
 
-// The names of a voter's requests on the wire.
+// Names of the voter's messages on the wire.
 const (
 	prepareMessage = "promise"
 	acceptMessage  = "accept"
@@ -20,23 +20,24 @@
 	leaseMessage   = "hold"
 )
 
-// LearnRequest brings newer copies of slots to a replica.
+// LearnRequest carries newer copies of slots to a replica.
 type LearnRequest struct {
 	Slots []register.Slot `avro:"Slots"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (LearnRequest) SchemaName() string { return "LearnAsk_21" }
 
-// LearnResponse reports whether the slots are durable.
+// LearnResponse reports whether the slots have been stored durably.
 type LearnResponse struct {
 	Applied bool `avro:"Taken"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (LearnResponse) SchemaName() string { return "LearnTold_21" }
 
-// RegisterHandlers serves the voter to other controllers.
+// RegisterHandlers registers the handlers of the requests that other controllers
+// send to this voter.
 func (v *Voter) RegisterHandlers(calls *httpcall.Mux) {
 	handle(calls, prepareMessage, v.Acceptor.Prepare)
 	handle(calls, acceptMessage, v.Acceptor.Accept)
@@ -50,13 +51,13 @@
 	})
 }
 
-// handle serves a request that can't fail.
+// handle registers a handler that cannot fail.
 func handle[Req, Resp any](calls *httpcall.Mux, name string, serve func(Req) Resp) {
 	transport.Handle(calls, name, func(_ context.Context, req Req) (Resp, error) { return serve(req), nil })
 }
 
-// handleDigest answers with the state of all keys on this disk, or with its hash
-// alone where the requester holds the same.
+// handleDigest returns the state of all keys on this disk, without the keys if
+// the hash in the request shows that the requester holds the same.
 func (v *Voter) handleDigest(req register.DigestRequest) register.DigestResponse {
 	resp := v.Acceptor.Digest()
 	resp.Unreachable = v.liveness.lostVoters(v.Acceptor.Voters())
--- a/control/state/voter/open.go
+++ b/control/state/voter/open.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// logName is the file of the write-ahead log.
+	// logName is the file name of the write-ahead log.
 	logName = "registers"
-	// logDivisor is the part of the disk, one in so many, that the log may take: the
-	// rest is for the file that compacts it, one that was quarantined, and others.
+	// logDivisor limits the log to 1/logDivisor of the disk. The rest is for the
+	// file that replaces it in a compaction, a quarantined one, and other files.
 	logDivisor = 4
 )
 
-// Open opens the write-ahead log and returns its Voter. A log that is blank (but
-// for the first start of a seed) or corrupted gets a new incarnation, which does
-// not vote until it has joined. Where the disk fails, Open tries again until ctx
-// ends; it returns wal.ErrUnsupportedVersion, and errors of records that can't be
-// read, at once.
+// Open opens the write-ahead log and returns its Voter. If the log is blank
+// (except on the first start of a seed) or corrupted, the voter gets a new
+// incarnation, which does not vote until it has joined. If the disk fails, Open
+// retries until ctx ends. It returns wal.ErrUnsupportedVersion, and errors of
+// records that cannot be decoded, immediately.
 func Open(ctx context.Context, options Options) (*Voter, error) {
 	options.Timing = options.Timing.withDefaults(cmp.Or(options.ReplaceAfter, options.Timeout))
 	corrupted := false
@@ -77,7 +77,7 @@
 	return records, nil
 }
 
-// restore makes the acceptor of the records, and the lessor.
+// restore creates the acceptor from the records, and the lessor.
 func (v *Voter) restore(records [][]byte) error {
 	acceptor, err := register.NewAcceptor(v.options.Address, records)
 	if err != nil {
@@ -91,9 +91,10 @@
 	return nil
 }
 
-// initialize gives a disk that has no identity one: that of a first voter to a
-// seed's on the first start, a new incarnation to all others. corrupted says that
-// the disk has forgotten votes since the process started.
+// initialize gives a disk that has no identity one: that of an initial voter if
+// it is a seed's on the first start, and a new incarnation otherwise. On the
+// first start it does so until a voter set is known. corrupted means that the
+// disk has lost votes since the process started.
 func (v *Voter) initialize(corrupted bool) error {
 	formed := v.Acceptor.Voters().Generation > 0
 	if v.Acceptor.Identified() && (formed || !v.options.FirstStart) {
@@ -105,7 +106,8 @@
 	return v.Acceptor.Identify(ids.Incarnation(random.Int64N(1<<62) + 1))
 }
 
-// initialVoters returns the seeds as voters, in the same order on all of them.
+// initialVoters returns the seeds as voters, in an order that is the same on all
+// of them.
 func initialVoters(seeds []ids.Address) register.VoterSet {
 	voters := register.VoterSet{Generation: 1}
 	for _, address := range slices.Sorted(slices.Values(seeds)) {
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -17,9 +17,9 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// TestOpen_damagedWALGetsNewIncarnation corrupts a voter's log: its votes are gone,
-// and the disk must not count as the one that gave them. On each start one
-// operation of the disk fails, another each time.
+// TestOpen_damagedWALGetsNewIncarnation corrupts a voter's log. The votes in it
+// are lost, so the disk must not count as the one that cast them. On each start
+// one disk operation fails, a later one each time.
 func TestOpen_damagedWALGetsNewIncarnation(t *testing.T) {
 	fake, operations, failing := clock.NewFake(), 0, 0
 	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
@@ -59,7 +59,7 @@
 	}
 	v.Close()
 	if disk.FlipBit("registers") < 0 {
-		t.Fatal("nothing was synced")
+		t.Fatal("the log has no synced bytes to damage")
 	}
 	for _, firstStart := range []bool{true, false} {
 		disk.Kill()
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestOpen_retriesSoonAfterDiskErrors has a disk fail for a second: the log is opened
-// soon after that, however long a command may take.
+// TestOpen_retriesSoonAfterDiskErrors has all disk operations fail for a second.
+// Open must succeed within SuspectAfter of that, however long the Timeout.
 func TestOpen_retriesSoonAfterDiskErrors(t *testing.T) {
 	fake := clock.NewFake()
 	recovered := fake.Now().Add(time.Second)
@@ -95,7 +95,7 @@
 		select {
 		case err := <-opened:
 			if delay := fake.Now().Since(recovered); err != nil || delay < 0 || delay > testTiming.SuspectAfter {
-				t.Fatalf("opened %v after the disk recovered: %v", delay, err)
+				t.Fatalf("Open returned %v after the disk recovered, with error %v", delay, err)
 			}
 			return
 		default:
@@ -105,8 +105,9 @@
 	}
 }
 
-// TestOpen_undecodableRecordNamesFile starts on a log whose record is in a form
-// that this build does not know: there is no voter, and the error says what to do.
+// TestOpen_undecodableRecordNamesFile opens a log with a record in a form that
+// this build does not know: no voter is returned, and the error names the file,
+// the record and the remedy.
 func TestOpen_undecodableRecordNamesFile(t *testing.T) {
 	disk := simdisk.New(simdisk.Options{})
 	log, _, err := wal.Open(wal.Options{FS: disk.Mount(), Name: logName, Snapshot: func() [][]byte { return nil }})
@@ -129,7 +130,7 @@
 	}
 	for _, want := range []string{"registers: ", "stored record 1 of 1", "has form", "start the build that wrote the file"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q does not say %q", err, want)
+			t.Errorf("error %q does not contain %q", err, want)
 		}
 	}
 }
--- a/control/state/voter/placement.go
+++ b/control/state/voter/placement.go
@@ -5,16 +5,17 @@
 	"onyxwell/base/settings"
 )
 
-// minVoters is the least number of voters that tolerates the loss of one.
+// minVoters is the smallest number of voters that tolerates the loss of one.
 const minVoters = 3
 
-// TargetCount returns how many voters tolerate the simultaneous loss of as many
-// machines as the settings name: 2n+1, and never fewer than three.
+// TargetCount returns the number of voters that tolerates the simultaneous loss
+// of as many machines as tolerate.machines in the settings: 2n+1, and at least
+// three.
 func TargetCount(node *settings.Settings) int { return max(minVoters, 2*node.Tolerate.Machines+1) }
 
-// RequiredCopies returns how many disks must hold a command before it is
-// acknowledged: one more than may be lost at a time, and no more than there are
-// seeds where the settings name fewer than three.
+// RequiredCopies returns the number of disks that must hold a command before it
+// is acknowledged: one more than may be lost at the same time, but no more than
+// there are seeds if the settings name fewer than three.
 func RequiredCopies(node *settings.Settings) int {
 	copies := node.Tolerate.Machines + 1
 	if seeds := len(node.Seeds); seeds < minVoters {
@@ -23,8 +24,8 @@
 	return copies
 }
 
-// fitsPlacement reports whether a voter here beside the others leaves this zone and
-// region with no more than its even share of the voters.
+// fitsPlacement reports whether this zone and region would have at most their
+// even share of the voters if this controller voted beside the others.
 func (v *Voter) fitsPlacement(others []ids.Address) bool {
 	self := v.options.Membership.Self()
 	regions := map[ids.Region]bool{}
@@ -44,7 +45,8 @@
 	return inZone <= evenShare(v.options.TargetCount, len(v.options.Zones)) && inRegion <= evenShare(v.options.TargetCount, len(regions))
 }
 
-// evenShare returns the share of each place, rounded up; no places count as one.
+// evenShare returns the number of voters per place, rounded up. Zero places count
+// as one.
 func evenShare(voters int, places int) int {
 	places = max(1, places)
 	return (voters + places - 1) / places
--- a/control/state/voter/replaceable.go
+++ b/control/state/voter/replaceable.go
@@ -5,16 +5,18 @@
 	"onyxwell/control/membership"
 )
 
-// isReplaceable reports whether a voter's place may be taken: it has left, or has
-// been removed from the membership for ReplaceAfter and does not answer. A voter
-// of which the membership knows only from the disk may just not have been heard of
-// yet; one that was heard of in this run (it has an incarnation) waits for half.
-// One that no daemon remembers has been gone for longer, which is counted here
-// from the first call.
+// isReplaceable reports whether a voter may be replaced: it has left, or it has
+// been removed from the membership for ReplaceAfter and does not respond. The
+// membership may know a voter from disk only and not have received news of it
+// yet. A voter of which it did receive news during this run, which shows in its
+// incarnation, is replaceable after half of ReplaceAfter. A voter that no daemon
+// remembers was removed long ago; it is replaceable after twice ReplaceAfter,
+// counted from the first call.
 func (v *Voter) isReplaceable(address ids.Address) bool {
 	member, ok := v.options.Membership.Find(address)
 	if member.State != membership.Left && v.liveness.responsive(address) {
-		// A report that it was removed is older than that, or wrong.
+		// The response is newer than the report of its removal, or that report is
+		// wrong.
 		v.mu.Lock()
 		delete(v.unknownSince, address)
 		v.mu.Unlock()
@@ -39,8 +41,8 @@
 	return ok && now.Since(since) > 2*v.options.ReplaceAfter
 }
 
-// controllers returns the other controllers that may answer: those that the
-// membership has alive, voters that are not replaceable, and the seeds.
+// controllers returns the other controllers that may respond: those alive in the
+// membership, voters that are not replaceable, and the seeds.
 func (v *Voter) controllers() []ids.Address {
 	seen := map[ids.Address]bool{v.options.Address: true}
 	var addresses []ids.Address
@@ -64,8 +66,8 @@
 	return addresses
 }
 
-// aliveControllers returns the members of this daemon's role, itself included,
-// that are alive.
+// aliveControllers returns the members that are alive and have the role of this
+// daemon, which is among them.
 func (v *Voter) aliveControllers() []membership.Member {
 	role := v.options.Membership.Self().Role
 	var alive []membership.Member
--- a/control/state/voter/replaceable_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -8,9 +8,9 @@
 	"onyxwell/control/membership"
 )
 
-// TestVoter_responsivePeerIsNotReplaceable has a voter that no daemon remembers, or
-// that was removed: it is replaceable only once it falls silent. One that leaves is
-// also while it answers.
+// TestVoter_responsivePeerIsNotReplaceable has a voter that no daemon remembers,
+// or that was removed from the membership: it must not be replaceable before it
+// falls silent. A voter that leaves is replaceable even while it responds.
 func TestVoter_responsivePeerIsNotReplaceable(t *testing.T) {
 	for _, tt := range []struct {
 		name            string
@@ -34,7 +34,7 @@
 			for range 20 {
 				round()
 				if replaceable := v.isReplaceable(other); replaceable != tt.whileResponsive {
-					t.Fatalf("responsive, and replaceable: %v", replaceable)
+					t.Fatalf("while the voter responds, replaceable is %v", replaceable)
 				}
 				c.clock.Advance(testTiming.Tick)
 			}
@@ -46,7 +46,7 @@
 				replaceable = v.isReplaceable(other)
 			}
 			if !replaceable {
-				t.Fatal("silent, and not replaceable")
+				t.Fatal("a voter that has fallen silent is not replaceable")
 			}
 		})
 	}
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -10,15 +10,16 @@
 	"onyxwell/control/state/register"
 )
 
-// standbyIntervalsSkipped is how many intervals a standby that finds no vacancy lets pass
-// before it asks all others again. It tries at once for a place that it sees
-// becoming free.
+// standbyIntervalsSkipped is the number of intervals that a standby skips after
+// it found no vacancy, before it asks all others again. When it sees a place
+// become free, it tries immediately.
 const standbyIntervalsSkipped = 1
 
-// Run surveys and repairs what the voters hold while this disk votes, and tries to
-// join them while it does not, until ctx ends. A standby catches up meanwhile, so
-// that little is left to learn once a place is free. That is done every interval,
-// and at each tick for a while after the view of the voters changed.
+// Run surveys and repairs the voters while this disk votes, and tries to join
+// them while it does not, until ctx ends. Meanwhile a standby catches up, so that
+// little is left to learn when a place becomes free. A round is due after each
+// interval, and at each tick for some time after the view of the voters has
+// changed.
 func (v *Voter) Run(ctx context.Context, interval time.Duration) {
 	tick := min(v.options.Timing.Tick, interval)
 	next := v.clock.Now()
@@ -29,26 +30,27 @@
 			start := v.clock.Now()
 			next = start.Add(v.surveyOrJoin(ctx, interval))
 		}
-		// Standbys that tried for the same place must not meet again.
+		// The random part keeps standbys that competed for the same place from
+		// colliding again.
 		if !clock.Wait(ctx, v.clock, tick-random.Duration(tick/2)) {
 			return
 		}
 	}
 }
 
-// view is what is known of the voters without a request, and since when.
+// view is what is known about the voters without a request, and since when.
 type view struct {
 	votersFingerprint int64
-	// degraded are the learners and the suspected voters.
+	// degraded lists the learners and the suspected voters.
 	degraded string
-	// stable says that nothing is left to be done.
+	// stable means that nothing is left to be done.
 	stable bool
 	since  clock.Instant
 }
 
-// checkDue reports whether to survey, or try to join, at the next tick: the view
-// of the voters has just changed, or it is not stable and has not been like that
-// for long.
+// checkDue updates the view of the voters and reports whether to survey, or try
+// to join, at this tick: the view has changed recently, or it is not stable and
+// has not been the same for long.
 func (v *Voter) checkDue(now clock.Instant) bool {
 	voters := v.Acceptor.Voters()
 	v.liveness.trackVoters(now, voters)
@@ -74,8 +76,8 @@
 	return age < v.options.Timing.SuspectAfter || (!current.stable && age < v.options.Timing.ActiveFor)
 }
 
-// surveyOrJoin surveys, or tries to join, and returns how long to pause while the view is
-// stable.
+// surveyOrJoin surveys, or tries to join, and returns the time until the next
+// regular round.
 func (v *Voter) surveyOrJoin(ctx context.Context, interval time.Duration) time.Duration {
 	if v.Voting() {
 		v.surveyOnce(ctx)
@@ -84,8 +86,8 @@
 	return time.Duration(v.tryJoin(ctx)+1) * interval
 }
 
-// tryJoin tries to join the voters, or catches up with them where there is no
-// vacancy. It returns how many intervals to skip.
+// tryJoin tries to join the voters, and catches up with them if there is no
+// vacancy. It returns the number of intervals to skip.
 func (v *Voter) tryJoin(ctx context.Context) int {
 	ctx, cancel := v.clock.WithTimeout(ctx, v.options.Timeout)
 	defer cancel()
@@ -98,9 +100,9 @@
 	return standbyIntervalsSkipped
 }
 
-// surveyOnce surveys the voters and repairs what lags. It logs a change once two
-// surveys in a row show it: one that the next survey does not show was only in
-// progress.
+// surveyOnce surveys the voters and repairs those that lag. A change is logged
+// only once two successive surveys show it, since an update in progress shows in
+// one survey only.
 func (v *Voter) surveyOnce(ctx context.Context) {
 	ctx, cancel := v.clock.WithTimeout(ctx, v.options.Timeout)
 	defer cancel()
@@ -117,8 +119,9 @@
 	v.liveness.recordUnreachable(start, redundancy.Unreachable)
 }
 
-// logRedundancy logs a survey: as a warning where fewer losses are survived than the
-// settings ask for, whether voters are lost or too few controllers are deployed.
+// logRedundancy logs the result of a survey. It is a warning if fewer losses can
+// be tolerated than the settings require, whether voters are lost or too few
+// controllers are deployed.
 func (v *Voter) logRedundancy(redundancy register.Redundancy) {
 	entry, message := v.log.Info(), "redundancy changed"
 	if redundancy.TolerableLosses < v.settings.Tolerate.Machines {
@@ -129,16 +132,16 @@
 		Int64("all_voters_age_ms", v.options.Quorum.Status(v.clock.Now()).AllVotersAgeMS).Msg(message)
 }
 
-// Redundancy returns the result of the last survey; the zero value where this disk
-// has not voted yet.
+// Redundancy returns the result of the last survey. It is the zero value if there
+// was none, as on a disk that has not voted yet.
 func (v *Voter) Redundancy() register.Redundancy {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.redundancy
 }
 
-// QueryRedundancy returns the result of the last survey, or of a new one without
-// repairs where this disk does not vote.
+// QueryRedundancy returns the result of the last survey or, if this disk does not
+// vote, of a new survey without repairs.
 func (v *Voter) QueryRedundancy(ctx context.Context) register.Redundancy {
 	if v.Voting() {
 		return v.Redundancy()
--- a/control/state/voter/timing.go
+++ b/control/state/voter/timing.go
@@ -7,25 +7,25 @@
 	"onyxwell/base/settings"
 )
 
-// Timing is how soon a lost voter is replaced.
+// Timing determines how soon a lost voter is replaced.
 type Timing struct {
 	// Tick is the time between two checks while the view of the voters changes.
 	Tick time.Duration
 	// RequestTimeout bounds one request to another controller.
 	RequestTimeout time.Duration
-	// SuspectAfter is how long a voter may be silent before it is no longer waited
-	// for, LostAfter before a standby may take its place.
+	// SuspectAfter is how long a voter may be silent before its responses are no
+	// longer awaited, LostAfter how long before a standby may replace it.
 	SuspectAfter time.Duration
 	LostAfter    time.Duration
-	// ActiveFor is how long after a change the checks come at each tick.
+	// ActiveFor is how long after a change the voters are checked at each tick.
 	ActiveFor time.Duration
 }
 
-// TimingOf divides the time to catch up, bounds.catch_up_s, or three lease
-// durations where that is 0, among the stages of a replacement. They add up to less
-// than all of it, also for two losses one after the other. A voter that answers is
-// never suspected: heartbeats are sent every 2/3 of forwardTimeout, and SuspectAfter
-// is 3/2 of it or more.
+// TimingOf divides the time to catch up (bounds.catch_up_s, or three lease
+// durations if that is 0) among the stages of a replacement. The stages of two
+// replacements in sequence add up to less than that time. A voter that responds
+// is never suspected: heartbeats are sent every 2/3 of forwardTimeout, and
+// SuspectAfter is at least 3/2 of it.
 func TimingOf(node *settings.Settings, leaseDuration time.Duration, forwardTimeout time.Duration) Timing {
 	catchUp := settings.Seconds(node.Bounds.CatchUpS)
 	if catchUp == 0 {
@@ -40,7 +40,8 @@
 	}
 }
 
-// withDefaults returns the timing with what is not set as a part of the patience.
+// withDefaults returns the timing with each field that is 0 set in proportion to
+// base.
 func (t Timing) withDefaults(base time.Duration) Timing {
 	return Timing{
 		Tick:           cmp.Or(t.Tick, base/8),
--- a/control/state/voter/timing_test.go
+++ b/control/state/voter/timing_test.go
@@ -8,9 +8,10 @@
 	"onyxwell/control/daemon"
 )
 
-// TestTimingOf_twoReplacementsFitCatchUpTime adds up the stages of two replacements
-// in sequence, from the loss to the repair of the last key: they fit the time to
-// catch up, whatever the bounds, as long as a command may take no longer than that.
+// TestTimingOf_twoReplacementsFitCatchUpTime adds up the stages of two
+// replacements in sequence, from the loss to the repair of the last key. They
+// must fit into the time to catch up, whatever the bounds, as long as that is no
+// less than the time a command may take.
 func TestTimingOf_twoReplacementsFitCatchUpTime(t *testing.T) {
 	for _, bounds := range []settings.Bounds{
 		{CatchUpS: 4, InTouchMS: 4000, ApplyWithinMS: 3000},
@@ -25,17 +26,17 @@
 		if bounds.CatchUpS == 0 {
 			catchUp = settings.Milliseconds(bounds.InTouchMS)
 		}
-		// A replacement takes a request whether the lost voter is back, one for the
-		// copies, and six rounds of messages: to acquire the voters' key, to commit its
-		// present value and to write the next, twice. A round takes a quarter of what a
-		// request may.
+		// A replacement takes one request to check whether the lost voter is
+		// back, one for the copies, and six message rounds: to acquire the
+		// voters' key, to commit its current value and to write the next one,
+		// each twice. A round takes a quarter of the request timeout.
 		replacement := timing.Tick + 2*timing.RequestTimeout + 6*timing.RequestTimeout/4
 		total := timing.LostAfter + 2*replacement + 3*timing.Tick
 		if total >= catchUp {
-			t.Errorf("the stages add up to %v of %v: %+v", total, catchUp, timing)
+			t.Errorf("two replacements take %v, not less than the %v to catch up: %+v", total, catchUp, timing)
 		}
 		if timing.SuspectAfter <= forwardTimeout*2/3+time.Duration(timing.RequestTimeout)/4 || timing.LostAfter <= timing.SuspectAfter {
-			t.Errorf("a voter that answers is suspected between two heartbeats: %+v, one every %v", timing, forwardTimeout*2/3)
+			t.Errorf("a voter that responds may be suspected between two heartbeats, or lost before it is suspected: %+v, a heartbeat every %v", timing, forwardTimeout*2/3)
 		}
 	}
 }
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -17,43 +17,43 @@
 	"onyxwell/control/transport"
 )
 
-// Options configure a Voter.
+// Options configures a Voter.
 type Options struct {
-	// Clock, Log and Settings are the machine's; all three are required.
+	// Clock, Log and Settings are those of the daemon; all three are required.
 	Clock    clock.Clock
 	Log      *log.Logger
 	Settings *settings.Settings
-	// Address is this controller's own.
+	// Address is the address of this controller.
 	Address ids.Address
 	// Disk holds the write-ahead log.
 	Disk wal.FS
-	// FirstStart says that the deployment starts for the first time: the Seeds are
-	// its voters then.
+	// FirstStart means that the deployment starts for the first time. Its voters
+	// are the Seeds then.
 	FirstStart bool
 	Seeds      []ids.Address
 	Membership *membership.Table
 	Transport  *transport.Client
-	// Quorum is told of each response of a voter; it may be nil, and no voter is
-	// taken for silent then.
+	// Quorum tracks the responses of other voters. If it is nil, no voter is
+	// considered silent.
 	Quorum *quorum.Tracker
-	// ReplaceAfter is how long the membership must have a voter removed before its
-	// place may be taken.
+	// ReplaceAfter is how long a voter must have been removed from the membership
+	// before it may be replaced.
 	ReplaceAfter time.Duration
-	// Timeout bounds one attempt to join, and one survey.
+	// Timeout bounds one attempt to join and one survey.
 	Timeout time.Duration
-	// LeaseTTL is how long a lease is granted for.
+	// LeaseTTL is the duration for which a lease is granted.
 	LeaseTTL time.Duration
-	// TargetCount is how many voters there should be; they are spread over Zones,
-	// which are all zones with their regions.
+	// TargetCount is the intended number of voters. They are spread over Zones,
+	// which maps all zones to their regions.
 	TargetCount int
 	Zones       map[ids.Zone]ids.Region
-	// Timing is how soon a lost voter is replaced; what is not set gets a part of
-	// ReplaceAfter, or of Timeout where that is not set either.
+	// Timing determines how soon a lost voter is replaced. Fields that are 0 are
+	// derived from ReplaceAfter, or from Timeout if ReplaceAfter is 0.
 	Timing Timing
 }
 
-// Voter is a controller's voter and its client of the other voters. It is safe
-// for concurrent use once Attach was called.
+// Voter is a controller's voter and its client for the other voters. It is safe
+// for concurrent use after the call of Attach.
 type Voter struct {
 	Acceptor *register.Acceptor
 	Lessor   *lease.Lessor
@@ -68,18 +68,19 @@
 	liveness liveness
 
 	mu sync.Mutex
-	// redundancy is the result of the last survey, lastLogged that which was
+	// redundancy is the result of the last survey, lastLogged the one that was
 	// logged last.
 	redundancy register.Redundancy
 	lastLogged string
-	// unknownSince is since when voters that the membership does not know have been
-	// asked for.
+	// unknownSince holds, for voters that the membership does not know, the time
+	// at which isReplaceable first found that.
 	unknownSince map[ids.Address]clock.Instant
 	lastView     view
 }
 
 // Attach sets the proposer through which the Voter joins the voter set and
-// repairs what lags. It must be called before Run and before any request is sent.
+// repairs voters that lag. It must be called before Run and before any request is
+// sent.
 func (v *Voter) Attach(proposer *register.Proposer) {
 	v.joiner = &register.Joiner{
 		Clock:   v.clock,
@@ -90,10 +91,10 @@
 	v.repairer = &register.Repairer{Joiner: v.joiner}
 }
 
-// Voting reports whether this disk votes now.
+// Voting reports whether this disk currently votes.
 func (v *Voter) Voting() bool { return v.Acceptor.Voting() }
 
-// Leave says that this voter's place is free for a standby.
+// Leave marks this voter as leaving, so that a standby may replace it.
 func (v *Voter) Leave() { v.Acceptor.Leave() }
 
 // Close closes the write-ahead log.
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -18,8 +18,8 @@
 	"onyxwell/control/transport"
 )
 
-// cluster is some controllers in one process, over real HTTP calls, on one fake
-// clock. The first three are voters.
+// cluster is a group of controllers in one process that communicate over real
+// HTTP and share a fake clock. The first three are voters.
 type cluster struct {
 	t         *testing.T
 	clock     *clock.Fake
@@ -73,7 +73,7 @@
 	return c
 }
 
-// update writes a value through the proposer of a controller.
+// update writes a value through a controller's proposer.
 func (c *cluster) update(index int, value string) {
 	c.t.Helper()
 	replace := func([]byte) ([]byte, error) { return []byte(value), nil }
@@ -82,7 +82,7 @@
 	}
 }
 
-// removeVoter stops a controller and has it removed from all memberships.
+// removeVoter stops a controller and marks it as removed in all memberships.
 func (c *cluster) removeVoter(index int) {
 	c.servers[index].Close()
 	for _, v := range c.voters {
@@ -91,16 +91,18 @@
 	c.clock.Advance(2 * time.Second)
 }
 
-// TestVoter_warnsOfTooFewControllers has three controllers where the settings ask for
-// two losses to be survived, which takes five: the operator is warned, once.
+// TestVoter_warnsOfTooFewControllers has three controllers. If the settings
+// require two losses to be tolerated, which takes five voters, the operator must
+// be warned exactly once.
 func TestVoter_warnsOfTooFewControllers(t *testing.T) {
 	for machines, wantWarnings := range map[int]int{1: 0, 2: 1} {
 		c, logs := newCluster(t, 3), &logtest.Buffer{}
 		v := c.voters[0]
 		v.log, v.settings.Tolerate.Machines = scope.NewLogger("warn", logs), machines
 		c.update(0, "one")
-		// An update returns once enough disks hold it. Until all do, another survey sees to
-		// that: this one would warn of the disk that lags as well.
+		// An update returns once enough disks hold it. Surveys by another voter
+		// bring it to all disks: otherwise the surveys below would also warn of
+		// the disk that lags.
 		for other := c.voters[1]; !other.Redundancy().Complete; {
 			other.surveyOnce(c.ctx)
 		}
@@ -108,35 +110,37 @@
 			v.surveyOnce(c.ctx)
 		}
 		if got := strings.Count(logs.String(), "redundancy below tolerate.machines"); got != wantWarnings {
-			t.Errorf("tolerate.machines %d: %d warnings, not %d:\n%s", machines, got, wantWarnings, logs.String())
+			t.Errorf("tolerate.machines %d: %d warnings, want %d:\n%s", machines, got, wantWarnings, logs.String())
 		}
 	}
 }
 
-// TestVoter_standbyReplacesLostVoterInOneAttempt loses a voter: the standby has caught
-// up with the values, sees the vacancy without a request, and votes after one
-// attempt to join; after the next surveys all is complete.
+// TestVoter_standbyReplacesLostVoterInOneAttempt stops a voter. The standby has
+// already caught up with the values, notices the vacancy without sending a
+// request, and votes after one attempt to join. The surveys that follow must find
+// the redundancy complete.
 func TestVoter_standbyReplacesLostVoterInOneAttempt(t *testing.T) {
 	c := newCluster(t, 4)
 	standby := c.voters[3]
 	if skipped := standby.tryJoin(c.ctx); skipped != standbyIntervalsSkipped || standby.joiner.HasVacancy() {
-		t.Fatalf("idle for %d, or a vacancy though there is none", skipped)
+		t.Fatalf("without a vacancy, the standby skips %d intervals or reports a vacancy", skipped)
 	}
 	c.update(0, "one")
 	standby.repairer.CatchUp(c.ctx)
 	standby.repairer.CatchUp(c.ctx)
 	if slot := standby.Acceptor.Slot("spec"); string(slot.Accepted.Value) != "one" || slot.Promised.Number != 0 {
-		t.Fatalf("the standby holds %+v", slot)
+		t.Fatalf("after catching up, the standby holds %+v", slot)
 	}
 	for !c.voters[0].Redundancy().Complete {
 		c.voters[0].surveyOnce(c.ctx)
 	}
-	// expectSameView compares what a standby and a voter show.
+	// expectSameView fails the test unless the standby and a voter report the
+	// same redundancy.
 	expectSameView := func() {
 		t.Helper()
 		got, want := standby.QueryRedundancy(c.ctx), c.voters[0].QueryRedundancy(c.ctx)
 		if got.String() != want.String() || got.Complete != want.Complete || len(got.Keys) != len(want.Keys) || want.Voters != 3 {
-			t.Fatalf("a voter shows %s, the standby %s", want, got)
+			t.Fatalf("a voter reports %s, the standby %s", want, got)
 		}
 	}
 	expectSameView()
@@ -144,14 +148,14 @@
 	c.voters[0].surveyOnce(c.ctx)
 	expectSameView()
 	if redundancy := c.voters[0].Redundancy(); redundancy.TolerableLosses != 0 || len(redundancy.Unreachable) != 1 {
-		t.Fatalf("with one lost: %s", redundancy)
+		t.Fatalf("after the loss of one voter: %s", redundancy)
 	}
 	if !standby.joiner.HasVacancy() {
-		t.Fatal("the vacancy is not seen")
+		t.Fatal("the standby does not notice the vacancy")
 	}
 	standby.tryJoin(c.ctx)
 	if !standby.Voting() {
-		t.Fatalf("not a voter after one attempt: %+v", standby.Acceptor.Voters())
+		t.Fatalf("the standby is not a voter after one attempt to join: %+v", standby.Acceptor.Voters())
 	}
 	for range 3 {
 		c.voters[0].surveyOnce(c.ctx)
@@ -163,7 +167,8 @@
 	c.update(3, "two")
 }
 
-// TestVoter_forgottenVoterIsReplaced has no daemon remember a voter that was lost.
+// TestVoter_forgottenVoterIsReplaced loses a voter and prunes it from all
+// memberships: it must still be replaced.
 func TestVoter_forgottenVoterIsReplaced(t *testing.T) {
 	c := newCluster(t, 4)
 	c.removeVoter(2)
@@ -176,17 +181,18 @@
 		c.clock.Advance(3 * time.Second)
 	}
 	if !c.voters[3].Voting() {
-		t.Fatalf("a forgotten voter is not replaced: %+v", c.voters[3].Acceptor.Voters())
+		t.Fatalf("a voter that no membership knows is not replaced: %+v", c.voters[3].Acceptor.Voters())
 	}
 }
 
-// TestVoter_handOffEndsWithContext hands over to voters that are there, for which there
-// is nothing to wait, and then with all others lost and the time over: it ends all
-// the same.
+// TestVoter_handOffEndsWithContext hands off while the other voters respond, when
+// there is nothing to wait for, and again with all others lost and its context
+// canceled: both must end.
 func TestVoter_handOffEndsWithContext(t *testing.T) {
 	c := newCluster(t, 3)
 	c.update(0, "one")
-	// An update is acknowledged before its last message is: two surveys await that.
+	// An update is acknowledged before all its messages are, so surveys complete
+	// it first.
 	for !c.voters[0].Redundancy().Complete {
 		c.voters[0].surveyOnce(c.ctx)
 	}
--- a/control/state/wal/bench_test.go
+++ b/control/state/wal/bench_test.go
@@ -15,7 +15,8 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// randomRoute returns a randomRoute as operators send it, with random weights.
+// randomRoute returns a route in the form that operators send, with random
+// weights.
 func randomRoute(rng *rand.Rand, number int, services int) map[string]any {
 	weight := rng.IntN(99) + 1
 	return map[string]any{
@@ -29,7 +30,7 @@
 // serviceName returns the name of a serviceName.
 func serviceName(number int) string { return fmt.Sprintf("s%dx%x", number, number*7907) }
 
-// randomDocument returns a whole configuration.
+// randomDocument returns a whole configuration with random weights.
 func randomDocument(rng *rand.Rand, routes int) []byte {
 	serviceCount := max(2, routes/10)
 	config := map[string]any{"config_version": 1}
@@ -45,14 +46,16 @@
 	return body
 }
 
-// cpuTime is the processor time of the process, in user and system mode.
+// cpuTime returns the CPU time that the process has used, in user and system
+// mode.
 func cpuTime() time.Duration {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// BenchmarkChanges accepts changes of one route each into a voter's log:
+// BenchmarkChanges applies changes of one route each and accepts them into a
+// voter's log:
 //
 //	go test -run none -bench Changes -benchtime 1x ./control/state/wal
 func BenchmarkChanges(b *testing.B) {
@@ -69,7 +72,7 @@
 
 func benchmarkChanges(b *testing.B, routes int, changes int) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	// A disk 30 times slower than 120 MB/s and 5 ms a sync.
+	// The disk is 30 times slower than one with 120 MB/s and 5 ms per sync.
 	diskTime := time.Duration(0)
 	disk := simdisk.New(simdisk.Options{Capacity: 64 << 20, Delay: func(op string, bytes int) error {
 		diskTime += 30 * time.Duration(bytes) * time.Second / 120e6
--- a/control/state/wal/codec.go
+++ b/control/state/wal/codec.go
@@ -6,35 +6,36 @@
 	"hash/crc32"
 )
 
-// A file begins with a header: magic, version, generation (one more than that of
-// the file before it), sealed length (the bytes that were synced before the file
-// got its name), and a checksum. Its layout is the same in all versions. Frames
-// follow, one per sync: magic, generation, number counted from 1, payload size, a
-// checksum over all of it, and records, each behind its size. Integers are
-// little-endian, checksums are CRC-32 (IEEE).
+// A file begins with a header, whose layout is the same in all versions: magic,
+// version, generation (one more than that of the file it replaced), sealed length
+// (the number of bytes that were synced before the file got its name) and a
+// checksum. Frames follow, each with magic, generation, number (counted from 1),
+// payload size, a checksum over the rest of the frame, and its records, each
+// preceded by its size. Integers are little-endian; checksums are CRC-32 (IEEE).
 //
-// A frame is written only after the sync of the one before it returned. So an
-// intact frame behind a damaged one proves that the damaged one had been synced:
-// that is corruption. Bytes that no sync covered may be kept, lost or torn in any
-// order, but lie within the last frame: with no intact frame behind it, a damaged
-// frame is a torn tail.
+// After the sealed part there is one frame per sync, and a frame is written only
+// after the sync of the previous one has returned. An intact frame after a
+// damaged one therefore proves that the damaged one had been synced, so the file
+// is corrupted. After a crash, unsynced bytes may be present, lost or torn in any
+// order, but all of them belong to the last frame: a damaged frame without an
+// intact one after it is a torn tail.
 const (
 	formatVersion    = 1
 	headerSize       = 32
 	frameHeaderSize  = 28
 	lengthPrefixSize = 4
 	checksumSize     = 4
-	// maxRecordBytes bounds a record; a frame takes records up to the one that
-	// passes maxBatchBytes.
+	// maxRecordBytes bounds a record. Records are added to a frame until it
+	// reaches maxBatchBytes, which the last one may exceed.
 	maxRecordBytes = 32 << 20
 	maxBatchBytes  = 4 << 20
 	maxFrameBytes  = maxBatchBytes + lengthPrefixSize + maxRecordBytes
 
-	// Offsets in a header.
+	// Field offsets in the file header.
 	versionOffset          = 8
 	headerGenerationOffset = 12
 	sealedOffset           = 20
-	// Offsets in a frame header.
+	// Field offsets in a frame header.
 	frameNumberOffset = 12
 	frameSizeOffset   = 20
 )
@@ -44,14 +45,16 @@
 	frameMagic = []byte{0xf7, 'o', 'j', 'f'}
 )
 
-// parsedFile is what the bytes of a file stand for.
+// parsedFile is the result of parsing a file.
 type parsedFile struct {
 	records    [][]byte
 	generation uint64
-	// frames counts the intact frames, length is where the last of them ends.
+	// frames is the number of intact frames, length the offset at which the last
+	// of them ends.
 	frames uint64
 	length int64
-	// legacy means that the file has no header: the format before version 1.
+	// legacy means that the file has no header, as in the format before version
+	// 1.
 	legacy     bool
 	corruption *Corruption
 }
@@ -81,7 +84,8 @@
 	return frame
 }
 
-// encodeFile returns a sealed file of the records, and the number of its frames.
+// encodeFile returns a file that contains the records and is sealed over its
+// whole length, and the number of its frames.
 func encodeFile(generation uint64, records [][]byte) (content []byte, frames uint64) {
 	content = make([]byte, headerSize)
 	for len(records) > 0 {
@@ -98,18 +102,19 @@
 	return content, frames
 }
 
-// framePrefix is what all frames of a generation begin with.
+// framePrefix returns the bytes with which every frame of a generation begins.
 func framePrefix(generation uint64) []byte {
 	return binary.LittleEndian.AppendUint64(append([]byte(nil), frameMagic...), generation)
 }
 
-// checksum covers a frame except for the checksum itself.
+// checksum returns the checksum of a frame, which covers everything except the
+// checksum field itself.
 func checksum(frame []byte) uint32 {
 	return crc32.Update(crc32.ChecksumIEEE(frame[:frameHeaderSize-checksumSize]), crc32.IEEETable, frame[frameHeaderSize:])
 }
 
-// decodeFrame reads the frame that the content begins with; intact is false if
-// there is none.
+// decodeFrame decodes the frame at the start of content; intact is false if there
+// is no valid frame.
 func decodeFrame(content []byte, generation uint64) (number uint64, records [][]byte, length int64, intact bool) {
 	if len(content) < frameHeaderSize || !bytes.HasPrefix(content, framePrefix(generation)) {
 		return 0, nil, 0, false
@@ -135,8 +140,8 @@
 	return number, records, length, len(rest) == 0
 }
 
-// parse reads a file: its records up to a torn tail, or its corruption. The error
-// is a *VersionError without the name of the file.
+// parse decodes a file: its records up to a torn tail, or its corruption. The
+// only error is a *VersionError, which does not name the file yet.
 func parse(content []byte) (parsedFile, error) {
 	if len(content) == 0 {
 		return parsedFile{}, nil
@@ -158,12 +163,12 @@
 	if uint64(parsed.length) < sealed {
 		parsed.corruption = newCorruption(content, parsed.length, "damaged frame in the sealed part")
 	} else if intactFrameFollows(content[parsed.length:], parsed.generation, parsed.frames+1) {
-		parsed.corruption = newCorruption(content, parsed.length, "intact frame behind a damaged one")
+		parsed.corruption = newCorruption(content, parsed.length, "intact frame after a damaged one")
 	}
 	return parsed, nil
 }
 
-// parseFrames reads the successive frames behind the header.
+// parseFrames decodes the consecutive frames after the header.
 func parseFrames(content []byte, generation uint64) parsedFile {
 	parsed := parsedFile{generation: generation, length: headerSize}
 	for {
@@ -180,8 +185,8 @@
 	return &Corruption{Offset: offset, Bytes: int64(len(content)), Reason: reason}
 }
 
-// intactFrameFollows reports whether an intact frame with a higher number stands
-// anywhere in the content.
+// intactFrameFollows reports whether content has, at any offset, an intact frame
+// with a number higher than the given one.
 func intactFrameFollows(content []byte, generation uint64, number uint64) bool {
 	prefix := framePrefix(generation)
 	for at := bytes.Index(content, prefix); at >= 0; {
@@ -197,8 +202,8 @@
 	return false
 }
 
-// parseLegacy reads a file without a header: each record stands behind its size
-// and its checksum, and a torn tail is left out.
+// parseLegacy decodes a file without a header, in which each record is preceded
+// by its size and its checksum. A torn tail is dropped.
 func parseLegacy(content []byte) [][]byte {
 	const recordHeaderSize = lengthPrefixSize + checksumSize
 	var records [][]byte
--- a/control/state/wal/compact.go
+++ b/control/state/wal/compact.go
@@ -5,9 +5,10 @@
 	"syscall"
 )
 
-// compactOrReopen replaces the file by a snapshot, which covers the batch that
-// waits. If that fails and the name still stands for the old file, what was
-// synced there is as good as ever: it grows on by a frame of size bytes.
+// compactOrReopen replaces the file by a snapshot, which covers the pending
+// batch. If that fails but the name still refers to the old file, the synced
+// content of that file remains valid, so the file is kept and the caller appends
+// the batch to it as a frame of size bytes.
 func (l *Log) compactOrReopen(size int64) (compacted bool, err error) {
 	if err = l.compact(); err == nil {
 		return true, nil
@@ -22,8 +23,9 @@
 	return false, l.reopen()
 }
 
-// compact writes a snapshot to a new file, which takes the old one's place. On a
-// full disk a damaged file that was set aside makes room for the next attempt.
+// compact writes a snapshot to a new file, which replaces the current one. If the
+// disk is full, the quarantined file is deleted to make room for the next
+// attempt.
 func (l *Log) compact() error {
 	err := l.rewriteFile(l.options.Snapshot())
 	if errors.Is(err, syscall.ENOSPC) {
@@ -33,7 +35,8 @@
 	return err
 }
 
-// reopen continues the old file, cut to what was synced.
+// reopen opens the current file again after an error, truncated to its synced
+// length.
 func (l *Log) reopen() error {
 	if l.file != nil {
 		return nil
@@ -45,7 +48,7 @@
 	return err
 }
 
-// rewriteFile writes the records to a new file and gives it the log's name.
+// rewriteFile replaces the log's file by a new one that contains the records.
 func (l *Log) rewriteFile(records [][]byte) error {
 	content, frames := encodeFile(l.generation+1, records)
 	length := int64(len(content))
@@ -65,7 +68,7 @@
 	return nil
 }
 
-// capped returns the length, or MaxBytes if that is less.
+// capped returns the smaller of length and MaxBytes.
 func (l *Log) capped(length int64) int64 {
 	if l.options.MaxBytes > 0 {
 		return min(length, l.options.MaxBytes)
--- a/control/state/wal/crash_test.go
+++ b/control/state/wal/crash_test.go
@@ -14,9 +14,10 @@
 	"onyxwell/simulation/simdisk"
 )
 
-var errInjected = errors.New("model: the act failed")
+var errInjected = errors.New("injected error")
 
-// counterState is a small model of the state behind a log: numbers that only grow.
+// counterState models the state that a log makes durable: numbers that only
+// increase.
 type counterState struct {
 	mu      sync.Mutex
 	numbers [3]int
@@ -36,7 +37,8 @@
 	return records
 }
 
-// host is a machine with a log on a simulated disk, and what it acknowledged.
+// host is a machine with a log on a simulated disk. acknowledged and submitted
+// hold the last number of each key.
 type host struct {
 	t            *rapid.T
 	random       *rand.Rand
@@ -45,14 +47,15 @@
 	log          *wal.Log
 	acknowledged [3]int
 	submitted    [3]int
-	// failOneIn is one act in how many fails; 0 is none.
+	// failOneIn means that one in so many disk operations fails; 0 means none.
 	failOneIn int
-	// opsUntilCrash counts the disk acts until a crash; below 0 there is none.
+	// opsUntilCrash is the number of disk operations before a crash; if it is
+	// negative, there is no crash.
 	opsUntilCrash int
 	powerLoss     bool
 }
 
-// beforeOp is simdisk.Options.Delay.
+// beforeOp implements simdisk.Options.Delay.
 func (h *host) beforeOp(string, int) error {
 	if h.opsUntilCrash == 0 {
 		h.crash()
@@ -64,7 +67,7 @@
 	return nil
 }
 
-// crash ends the process, or the power.
+// crash kills the process or cuts the power.
 func (h *host) crash() {
 	if h.powerLoss {
 		h.disk.LosePower()
@@ -73,7 +76,8 @@
 	h.disk.Kill()
 }
 
-// start opens the log, crashing on the way at times, and checks what it reads.
+// start opens the log and checks the records that it reads. If an operation fails
+// or the machine crashes, it tries again without faults.
 func (h *host) start() {
 	for {
 		h.state = &counterState{}
@@ -84,7 +88,7 @@
 			continue
 		}
 		if log.Corruption != nil {
-			h.t.Fatalf("nothing was damaged: %+v", log.Corruption)
+			h.t.Fatalf("corruption reported though nothing was damaged: %+v", log.Corruption)
 		}
 		for _, record := range records {
 			key, number := 0, 0
@@ -95,9 +99,10 @@
 		}
 		for key, number := range state.numbers {
 			if number < h.acknowledged[key] || number > h.submitted[key] {
-				h.t.Fatalf("key %d: %d was acknowledged, %d submitted, %d read back", key, h.acknowledged[key], h.submitted[key], number)
+				h.t.Fatalf("key %d: %d was acknowledged and %d submitted, but %d was read back", key, h.acknowledged[key], h.submitted[key], number)
 			}
-			// What Open returned is acted on, so it must be durable too.
+			// The process relies on what Open returned, so it must be durable
+			// too.
 			h.acknowledged[key] = number
 		}
 		h.log = log
@@ -105,7 +110,7 @@
 	}
 }
 
-// save submits the next number of each key at once.
+// save submits the next number of each of the first keys concurrently.
 func (h *host) save(keys int) error {
 	errs := make([]error, keys)
 	var saves sync.WaitGroup
@@ -126,8 +131,10 @@
 	return errors.Join(errs...)
 }
 
-// TestSave_acknowledgedRecordsSurviveCrashes fails, kills and loses power at any act,
-// also in Open, during a compaction, and between a rename and its sync.
+// TestSave_acknowledgedRecordsSurviveCrashes injects an error, kills the process
+// or cuts the power at any disk operation, including those in Open, in a
+// compaction, and between a rename and its sync. Acknowledged records must
+// survive.
 func TestSave_acknowledgedRecordsSurviveCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &host{t: t, opsUntilCrash: -1, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))}
@@ -144,7 +151,7 @@
 			h.failOneIn = 0
 			if rapid.Bool().Draw(t, "goes on") {
 				if err := h.save(1); err != nil && !errors.Is(err, simdisk.ErrProcessDead) {
-					t.Fatalf("no act fails any more: %v", err)
+					t.Fatalf("Save failed though no error is injected any more: %v", err)
 				}
 			}
 			h.log.Close()
--- a/control/state/wal/fs.go
+++ b/control/state/wal/fs.go
@@ -6,28 +6,29 @@
 	"path/filepath"
 )
 
-// File is an open file that is appended to.
+// File is a file that is open for appending.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// FS is the folder that a log lives in. A name that was created, renamed or
-// removed is durable only once SyncDir has returned, and bytes once Sync has.
+// FS is the directory that contains a log. The creation, renaming or removal of a
+// file is durable only once SyncDir has returned, and written bytes only once
+// Sync has.
 type FS interface {
-	// Read returns the content of a file; a missing one is empty.
+	// Read returns the content of a file; a missing file reads as empty.
 	Read(name string) ([]byte, error)
-	// Create opens an empty file; an existing one is truncated.
+	// Create opens an empty file for appending; an existing file is truncated.
 	Create(name string) (File, error)
-	// Append opens a file for appending after its first length bytes; the rest is
-	// cut off.
+	// Append opens a file for appending after its first length bytes and
+	// truncates the rest.
 	Append(name string, length int64) (File, error)
-	// Rename gives a file another name, in place of the file that has it.
+	// Rename renames a file, replacing any file that has the new name.
 	Rename(from string, to string) error
-	// Remove removes a file; a missing one is no error.
+	// Remove removes a file; a missing file is not an error.
 	Remove(name string) error
-	// SyncDir makes the names of all files durable.
+	// SyncDir makes all creations, renamings and removals of files durable.
 	SyncDir() error
 }
 
@@ -36,7 +37,7 @@
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Read returns the content of a file; a missing one is empty.
+// Read returns the content of a file; a missing file reads as empty.
 func (d Dir) Read(name string) ([]byte, error) {
 	content, err := os.ReadFile(d.path(name))
 	if os.IsNotExist(err) {
@@ -45,7 +46,7 @@
 	return content, err
 }
 
-// Create opens an empty file; a missing directory is made.
+// Create opens an empty file for appending; a missing directory is created.
 func (d Dir) Create(name string) (File, error) {
 	if err := mkdirAllSynced(string(d)); err != nil {
 		return nil, err
@@ -53,8 +54,8 @@
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 }
 
-// mkdirAllSynced makes a directory and its parents; each new one is synced into
-// its parent.
+// mkdirAllSynced creates a directory and its missing parents, and syncs the
+// parent of each one that it creates.
 func mkdirAllSynced(path string) error {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
@@ -71,7 +72,8 @@
 	return Dir(parent).SyncDir()
 }
 
-// Append opens a file and cuts it to the length.
+// Append opens a file for appending after its first length bytes and truncates
+// the rest.
 func (d Dir) Append(name string, length int64) (File, error) {
 	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0o644)
 	if err != nil {
@@ -87,10 +89,10 @@
 	return file, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file, replacing any file that has the new name.
 func (d Dir) Rename(from string, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Remove removes a file; a missing one is no error.
+// Remove removes a file; a missing file is not an error.
 func (d Dir) Remove(name string) error {
 	err := os.Remove(d.path(name))
 	if os.IsNotExist(err) {
@@ -99,7 +101,7 @@
 	return err
 }
 
-// SyncDir makes the names of all files durable.
+// SyncDir makes all creations, renamings and removals of files durable.
 func (d Dir) SyncDir() error {
 	dir, err := os.Open(string(d))
 	if err != nil {
--- a/control/state/wal/log.go
+++ b/control/state/wal/log.go
@@ -1,12 +1,13 @@
-// Package wal is a write-ahead log: an append-only file of records.
+// Package wal implements a write-ahead log: an append-only file of records.
 //
 // Invariants:
-//   - a record counts only once a sync has covered it; Save returns after that;
+//   - a record is acknowledged, by the return of Save, only after a sync has
+//     covered it;
 //   - one frame is written per sync, with a checksum over all its records, so a
-//     crash tears at most the last frame, and Open cuts a torn tail;
-//   - a file whose synced bytes are damaged is told from a torn one, set aside,
-//     and read as empty;
-//   - a long file is replaced by a snapshot, atomically.
+//     crash tears at most the last frame, and Open truncates a torn tail;
+//   - a file whose synced bytes are damaged is distinguished from a torn one,
+//     quarantined, and read as empty;
+//   - a file that has grown long is replaced atomically by a snapshot.
 package wal
 
 import (
@@ -15,19 +16,19 @@
 	"sync"
 )
 
-// Options configure a Log.
+// Options configures a Log.
 type Options struct {
 	FS   FS
 	Name string
-	// Snapshot returns records that stand for the whole present state. It is
+	// Snapshot returns records that represent the whole current state. It is
 	// called when the file is compacted, and must cover every record that was
-	// handed to Save by then, also those that still wait.
+	// passed to Save by then, including those that are still queued.
 	Snapshot func() [][]byte
-	// MaxBytes bounds the length of the file; 0 is no limit. During a compaction
-	// there are two files, and a damaged one that was set aside may be a third. A
-	// longer snapshot is refused, and the file stays as it is.
+	// MaxBytes bounds the length of the file; 0 means no limit. During a
+	// compaction there are two files, and a quarantined one may be a third. A
+	// snapshot that is longer is rejected, and the file is kept as it is.
 	MaxBytes int64
-	// MinCompactBytes is the length below which a file is not compacted; 0 is
+	// MinCompactBytes is the length below which a file is not compacted; 0 means
 	// 1 MiB.
 	MinCompactBytes int64
 }
@@ -37,10 +38,11 @@
 	queueLength            = 256
 )
 
-// Log is an open write-ahead log. One goroutine writes; records that wait
-// together share one sync. Save and Close may be called from any goroutine.
+// Log is an open write-ahead log. A single goroutine writes; records that are
+// queued at the same time share one sync. Save and Close are safe for concurrent
+// use.
 type Log struct {
-	// Corruption is what Open found wrong with the file, or nil.
+	// Corruption is the damage that Open found in the file, or nil.
 	Corruption *Corruption
 
 	options   Options
@@ -48,15 +50,15 @@
 	done      chan struct{}
 	closeOnce sync.Once
 
-	// The fields below belong to the writer. file is nil after an error, until it
-	// is opened again or replaced.
+	// The fields below are used by the writer goroutine only. file is nil after
+	// an error, until the file is reopened or replaced.
 	file       File
 	generation uint64
 	frames     uint64
 	length     int64
 	compactAt  int64
-	// nameAmbiguous means that the name may stand for the old or the new file of
-	// a failed replacement: only another replacement settles that.
+	// nameAmbiguous means that, after a failed replacement, the name may refer to
+	// either the old or the new file. Only another replacement resolves this.
 	nameAmbiguous bool
 }
 
@@ -65,9 +67,10 @@
 	result chan error
 }
 
-// Open reads the records of a log, cuts a torn tail and starts writing after it.
-// All that it returns is durable. A damaged file gives no records: see
-// Log.Corruption. A file of another format version is a *VersionError.
+// Open reads the records of a log, truncates a torn tail and starts the writer.
+// All records that it returns are durable. A corrupted file yields no records:
+// see Log.Corruption. A file of another format version results in a
+// *VersionError.
 func Open(options Options) (*Log, [][]byte, error) {
 	if options.MinCompactBytes == 0 {
 		options.MinCompactBytes = defaultMinCompactBytes
@@ -111,7 +114,8 @@
 	return parsed.records, l.resume(parsed)
 }
 
-// quarantine sets a damaged file aside.
+// quarantine renames a damaged file, so that a new one can be created under the
+// log's name.
 func (l *Log) quarantine(corruption *Corruption) error {
 	fs, name := l.options.FS, l.options.Name
 	corruption.File, corruption.QuarantinedAs = name, quarantineName(name)
@@ -128,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	// What a former process wrote need not have been synced yet.
+	// The process that wrote the frames may have ended before it synced them.
 	if err = file.Sync(); err == nil {
 		err = l.options.FS.SyncDir()
 	}
@@ -142,7 +146,7 @@
 }
 
 // Save appends a record and returns once a sync has covered it. After an error
-// the record may or may not be there.
+// the record may or may not be in the log.
 func (l *Log) Save(record []byte) error {
 	if len(record) == 0 || len(record) > maxRecordBytes {
 		return fmt.Errorf("%w: %d bytes", ErrRecordSize, len(record))
@@ -161,11 +165,11 @@
 	}
 }
 
-// Close ends the writer; records that wait get ErrClosed. It does not await a
-// write that is under way: a stalled disk must not hold up the process.
+// Close stops the writer; calls of Save in progress return ErrClosed. It does not
+// wait for a write in progress, as a stalled disk must not block the process.
 func (l *Log) Close() { l.closeOnce.Do(func() { close(l.done) }) }
 
-// run is the writer.
+// run is the writer goroutine.
 func (l *Log) run() {
 	defer l.closeFile()
 	for {
@@ -182,7 +186,8 @@
 	}
 }
 
-// nextBatch takes the records that wait, up to the one that passes maxBatchBytes.
+// nextBatch adds queued records to the first one until the batch reaches
+// maxBatchBytes.
 func (l *Log) nextBatch(first pendingRecord) []pendingRecord {
 	batch, size := []pendingRecord{first}, lengthPrefixSize+len(first.record)
 	for size < maxBatchBytes {
@@ -196,8 +201,8 @@
 	return batch
 }
 
-// writeBatch makes a batch durable: as a frame behind the others, or as part of
-// the snapshot in a new file.
+// writeBatch makes a batch durable, either as a frame appended to the file or as
+// part of the snapshot in a new file.
 func (l *Log) writeBatch(batch []pendingRecord) error {
 	records := make([][]byte, 0, len(batch))
 	size := int64(frameHeaderSize)
@@ -216,8 +221,8 @@
 	}
 	frame := encodeFrame(l.generation, l.frames+1, records)
 	if err := writeAndSync(l.file, frame); err != nil {
-		// The bytes behind the last sync are unknown now: this handle is never
-		// used again.
+		// The content after the last successful sync is unknown now, so this
+		// handle is not used again.
 		l.closeFile()
 		return fmt.Errorf("wal: append to %s: %w", l.options.Name, err)
 	}
--- a/control/state/wal/log_test.go
+++ b/control/state/wal/log_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(tests *testing.M) { proptest.Run(tests) }
 
-// openEmpty opens a new log.
+// openEmpty opens a log that does not exist yet.
 func openEmpty(t *testing.T, options wal.Options) *wal.Log {
 	t.Helper()
 	log, _, err := wal.Open(options)
@@ -22,7 +22,9 @@
 	return log
 }
 
-// TestOpen_corruptFileStartsEmpty damages a file before its last record.
+// TestOpen_corruptFileStartsEmpty flips a bit of the synced part of a file: Open
+// must quarantine the file, start empty, and not report the corruption again on
+// the next start. The second run overwrites the quarantined file of the first.
 func TestOpen_corruptFileStartsEmpty(t *testing.T) {
 	disk := simdisk.New(simdisk.Options{OneIn: func(int) bool { return false }})
 	open := func() (*wal.Log, [][]byte) {
@@ -35,7 +37,7 @@
 	for range 2 {
 		log, records := open()
 		if len(records) != 0 {
-			t.Fatalf("%q", records)
+			t.Fatalf("a new log has records: %q", records)
 		}
 		for number := range 3 {
 			if err := log.Save(counterRecord(0, number)); err != nil {
@@ -49,22 +51,22 @@
 		log, records = open()
 		corruption := log.Corruption
 		if corruption == nil || len(records) != 0 || corruption.File != "j" || corruption.QuarantinedAs != "j.damaged" || corruption.Bytes != size || corruption.Offset > flippedAt {
-			t.Fatalf("%+v, %d records", corruption, len(records))
+			t.Fatalf("wrong report of the corruption, or records of a corrupted file: %+v, %d records", corruption, len(records))
 		}
 		if disk.Size(corruption.QuarantinedAs) != size {
-			t.Fatal("the file is not kept")
+			t.Fatal("the corrupted file was not kept")
 		}
 		log.Close()
 		disk.Kill()
 		if log, _ = open(); log.Corruption != nil {
-			t.Fatalf("the corruption is reported twice: %+v", log.Corruption)
+			t.Fatalf("the corruption is reported again: %+v", log.Corruption)
 		}
 		log.Close()
 	}
 }
 
-// TestOpen_recordsAreDurable kills the process between a write and its sync: what
-// the next process reads must survive a loss of power after that.
+// TestOpen_recordsAreDurable kills the process between a write and its sync. A
+// record that the next process reads must survive a power loss after that.
 func TestOpen_recordsAreDurable(t *testing.T) {
 	var disk *simdisk.Disk
 	killOnSync := false
@@ -78,7 +80,7 @@
 		killOnSync = false
 		log, records, err := wal.Open(wal.Options{FS: disk.Mount(), Name: "j"})
 		if err != nil || len(records) != want {
-			t.Fatalf("process %d: %q %v", process, records, err)
+			t.Fatalf("process %d read %q, error %v", process, records, err)
 		}
 		if killOnSync = process == 0; !killOnSync {
 			disk.LosePower()
@@ -89,9 +91,10 @@
 	}
 }
 
-// TestSave_recoversFromFullDisk fills a disk: nothing is acknowledged without
-// space, what has no space for a compaction is appended, and saves resume with
-// space.
+// TestSave_recoversFromFullDisk has writes or file creations fail as on a full
+// disk. Save must fail while writes do; if only a compaction is impossible, the
+// record must be appended to the old file; and once there is space, Save must
+// succeed again.
 func TestSave_recoversFromFullDisk(t *testing.T) {
 	failingOp := ""
 	disk := simdisk.New(simdisk.Options{Delay: func(op string, _ int) error {
@@ -106,12 +109,12 @@
 	for round := range 60 {
 		failingOp = []string{"", "", simdisk.OpWrite, "", simdisk.OpCreate, simdisk.OpCreate}[round/2%6]
 		if err := log.Save(snapshot); (err != nil) != (failingOp == simdisk.OpWrite) {
-			t.Fatalf("round %d, without %q: %v", round, failingOp, err)
+			t.Fatalf("round %d, with operation %q failing: %v", round, failingOp, err)
 		}
 	}
 }
 
-// TestSave_awaitsSync stalls a sync.
+// TestSave_awaitsSync stalls a sync: Save must not return before the sync does.
 func TestSave_awaitsSync(t *testing.T) {
 	stalling, reached, release := false, make(chan bool), make(chan bool)
 	disk := simdisk.New(simdisk.Options{Delay: func(op string, _ int) error {
@@ -142,14 +145,15 @@
 	}
 }
 
-// TestSave_enforcesMaxBytes has a snapshot grow up to the limit, where none is
-// refused, beyond it, and shrink again.
+// TestSave_enforcesMaxBytes lets the snapshot grow up to MaxBytes, where no
+// record may be rejected, grow beyond it, and shrink again. No file may ever
+// exceed MaxBytes.
 func TestSave_enforcesMaxBytes(t *testing.T) {
 	const limit = 10_000
 	var disk *simdisk.Disk
 	disk = simdisk.New(simdisk.Options{Delay: func(op string, _ int) error {
 		if current, next := disk.Size("j"), disk.Size("j.new"); max(current, next) > limit {
-			t.Errorf("%d and %d bytes at a %s", current, next, op)
+			t.Errorf("j has %d bytes and j.new %d, which exceeds MaxBytes, at operation %s", current, next, op)
 		}
 		return nil
 	}})
@@ -163,11 +167,11 @@
 		err := log.Save(make([]byte, size))
 		refused = refused || err != nil
 		if err != nil && (!errors.Is(err, wal.ErrLimitExceeded) || size < limit-100) {
-			t.Fatalf("%d bytes: %v", size, err)
+			t.Fatalf("record and snapshot of %d bytes: %v", size, err)
 		}
 	}
 	if !refused {
-		t.Fatal("the snapshot grew beyond the limit and nothing was refused")
+		t.Fatal("the snapshot grew beyond MaxBytes and no record was rejected")
 	}
 	for _, phase := range []struct {
 		size  int
@@ -189,7 +193,8 @@
 	}
 }
 
-// TestSave_compactsLongFile appends twice the default MinCompactBytes.
+// TestSave_compactsLongFile appends twice the default MinCompactBytes: the file
+// must be compacted in time.
 func TestSave_compactsLongFile(t *testing.T) {
 	disk := simdisk.New(simdisk.Options{})
 	snapshot := bytes.Repeat([]byte("s"), 1000)
@@ -201,12 +206,12 @@
 			t.Fatal(err)
 		}
 		if length := disk.Size("j"); length > minCompactBytes+int64(4*len(snapshot)) {
-			t.Fatalf("the file has %d bytes", length)
+			t.Fatalf("the file was not compacted: %d bytes", length)
 		}
 	}
 }
 
-// TestDir_keepsRecords reopens a log in a directory that is made.
+// TestDir_keepsRecords reopens a log in a directory that did not exist before.
 func TestDir_keepsRecords(t *testing.T) {
 	dir := wal.Dir(t.TempDir() + "/new/deep")
 	for round := range 3 {
--- a/control/state/wal/replace.go
+++ b/control/state/wal/replace.go
@@ -3,8 +3,9 @@
 func tempName(name string) string       { return name + ".new" }
 func quarantineName(name string) string { return name + ".damaged" }
 
-// ReplaceFile gives a file new content atomically: after a loss of power it has
-// the old or the new, and the new one if err is nil.
+// ReplaceFile replaces the content of a file atomically. After a power loss the
+// file has either the old or the new content; if ReplaceFile returned nil, it has
+// the new one.
 func ReplaceFile(fs FS, name string, content []byte) error {
 	file, _, err := replaceFile(fs, name, content)
 	if err == nil {
@@ -13,12 +14,14 @@
 	return err
 }
 
-// replaceFile leaves the new file open. renamed means that the name may stand for
-// the new file, even with an error. The folder is synced after each step: the
-// temporary name is durable before it takes the old one's place.
+// replaceFile implements ReplaceFile and returns the new file open. renamed means
+// that the name may refer to the new file, even if there is an error. The
+// directory is synced after each step, so that the temporary name is durable
+// before it replaces the old one.
 func replaceFile(fs FS, name string, content []byte) (file File, renamed bool, err error) {
 	temp := tempName(name)
-	// The name might still stand for the very file that it once replaced.
+	// After a crash during an earlier rename, the temporary name may still refer
+	// to the current file, which Create would truncate.
 	if err = fs.Remove(temp); err != nil {
 		return nil, false, err
 	}
