--- a/control/state/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -119,8 +119,8 @@
 }
 
 // TestLease_splitVotesResolve has each voter grant the lease to a different
-// daemon first. Unless the grants of a minority are released, no daemon ever
-// acquires the lease.
+// daemon first. Once these grants are no longer in force, one daemon must acquire
+// the lease.
 func TestLease_splitVotesResolve(t *testing.T) {
 	c := newCluster()
 	c.clock.Advance(testTTL)
--- a/control/state/lease/messages.go
+++ b/control/state/lease/messages.go
@@ -6,7 +6,7 @@
 type Request struct {
 	// Name is the name of the lease.
 	Name string `avro:"Duty"`
-	// Holder is the address of the requesting daemon, Incarnation that of its
+	// Holder is the address of the requesting daemon; Incarnation identifies its
 	// process.
 	Holder      ids.Address `avro:"Holder"`
 	Incarnation int64       `avro:"Life"`
--- a/control/state/voter/handoff.go
+++ b/control/state/voter/handoff.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// handOffDivisor limits a hand-off to 1/handOffDivisor of the graceful
-	// shutdown.
+	// handOffDivisor limits a hand-off to 1/handOffDivisor of the time for the
+	// graceful shutdown.
 	handOffDivisor = 4
 	// handOffAttemptsPerReplaceAfter is the number of hand-off attempts per
 	// ReplaceAfter.
 	handOffAttemptsPerReplaceAfter = 10
 )
 
-// HandOff waits, for at most a quarter of the graceful shutdown, until enough
-// other disks hold what this one holds and a standby has replaced this voter.
-// Without a standby, this voter keeps its place, since a controller that shuts
-// down does not know whether it will be restarted.
+// HandOff waits until enough other disks hold what this one holds and a standby
+// has replaced this voter, for at most a quarter of the time for the graceful
+// shutdown. Without a standby, this voter keeps its place, since a controller
+// that shuts down does not know whether it will be restarted.
 func (v *Voter) HandOff(ctx context.Context) {
 	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOffDivisor)
 	defer cancel()
--- a/control/state/voter/liveness.go
+++ b/control/state/voter/liveness.go
@@ -17,13 +17,14 @@
 	clock   clock.Clock
 
 	mu sync.Mutex
-	// voterSince holds when each member joined the voter set, and
-	// unreachableSince when voters stopped responding to surveys.
+	// voterSince holds when each member was first seen in the voter set, and
+	// unreachableSince the time of the first of the successive surveys that a
+	// voter did not respond to.
 	voterSince       map[ids.Address]clock.Instant
 	unreachableSince map[ids.Address]clock.Instant
 }
 
-// trackVoters records the members that have joined or left the voter set.
+// trackVoters updates voterSince for the members of the voter set.
 func (l *liveness) trackVoters(now clock.Instant, voters register.VoterSet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/control/state/voter/open.go
+++ b/control/state/voter/open.go
@@ -93,8 +93,8 @@
 
 // initialize gives a disk that has no identity one: that of an initial voter if
 // it is a seed's on the first start, and a new incarnation otherwise. On the
-// first start it does so until a voter set is known. corrupted means that the
-// disk has lost votes since the process started.
+// first start it replaces an identity as long as no voter set is known. corrupted
+// means that the disk has lost votes since the process started.
 func (v *Voter) initialize(corrupted bool) error {
 	formed := v.Acceptor.Voters().Generation > 0
 	if v.Acceptor.Identified() && (formed || !v.options.FirstStart) {
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -24,7 +24,7 @@
 	fake, operations, failing := clock.NewFake(), 0, 0
 	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if operations++; operations == failing {
-			return errors.New("refused")
+			return errors.New("injected disk error")
 		}
 		return nil
 	}})
@@ -55,7 +55,7 @@
 	}
 	fence := register.FencingToken{Generation: 1, Fingerprint: v.Acceptor.Voters().Fingerprint()}
 	if resp := v.Acceptor.Prepare(register.PrepareRequest{Fence: fence, Key: "k", Epoch: ids.Epoch{Number: 1, Owner: "a"}}); resp.Verdict != register.Granted {
-		t.Fatalf("%+v", resp)
+		t.Fatalf("the prepare request was not granted: %+v", resp)
 	}
 	v.Close()
 	if disk.FlipBit("registers") < 0 {
@@ -65,7 +65,7 @@
 		disk.Kill()
 		v = open(firstStart)
 		if v.Voting() || !v.Acceptor.Identified() || v.Acceptor.Incarnation() == 0 || len(v.Acceptor.Snapshot()) != 1 {
-			t.Fatalf("first start %v: %+v", firstStart, v.Acceptor.Fetch(register.FetchRequest{}))
+			t.Fatalf("after the corruption, first start %v: the disk votes, has no new incarnation or keeps records: %+v", firstStart, v.Acceptor.Fetch(register.FetchRequest{}))
 		}
 		v.Close()
 	}
@@ -78,7 +78,7 @@
 	recovered := fake.Now().Add(time.Second)
 	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if fake.Now() < recovered {
-			return errors.New("refused")
+			return errors.New("injected disk error")
 		}
 		return nil
 	}})
@@ -126,7 +126,7 @@
 	v, err := Open(ctx, Options{Clock: ctx.Clock, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), Timeout: time.Second})
 	var recordErr *register.RecordError
 	if v != nil || !errors.As(err, &recordErr) {
-		t.Fatalf("%v, %v", v, err)
+		t.Fatalf("Open returned %v and error %v, want no voter and a *register.RecordError", v, err)
 	}
 	for _, want := range []string{"registers: ", "stored record 1 of 1", "has form", "start the build that wrote the file"} {
 		if !strings.Contains(err.Error(), want) {
--- a/control/state/voter/replaceable.go
+++ b/control/state/voter/replaceable.go
@@ -7,11 +7,11 @@
 
 // isReplaceable reports whether a voter may be replaced: it has left, or it has
 // been removed from the membership for ReplaceAfter and does not respond. The
-// membership may know a voter from disk only and not have received news of it
-// yet. A voter of which it did receive news during this run, which shows in its
-// incarnation, is replaceable after half of ReplaceAfter. A voter that no daemon
-// remembers was removed long ago; it is replaceable after twice ReplaceAfter,
-// counted from the first call.
+// wait is that long because the membership may know a voter only from disk and
+// not have received news of it yet. It is half as long for a voter of which news
+// arrived during this run, so that its incarnation is known. A voter that no
+// daemon remembers was removed long ago; it is replaceable after twice
+// ReplaceAfter, counted from the first call.
 func (v *Voter) isReplaceable(address ids.Address) bool {
 	member, ok := v.options.Membership.Find(address)
 	if member.State != membership.Left && v.liveness.responsive(address) {
--- a/control/state/voter/run.go
+++ b/control/state/voter/run.go
@@ -49,8 +49,8 @@
 }
 
 // checkDue updates the view of the voters and reports whether to survey, or try
-// to join, at this tick: the view has changed recently, or it is not stable and
-// has not been the same for long.
+// to join, at this tick: the view changed less than SuspectAfter ago, or it is
+// not stable and changed less than ActiveFor ago.
 func (v *Voter) checkDue(now clock.Instant) bool {
 	voters := v.Acceptor.Voters()
 	v.liveness.trackVoters(now, voters)
--- a/control/state/voter/voter.go
+++ b/control/state/voter/voter.go
@@ -53,7 +53,7 @@
 }
 
 // Voter is a controller's voter and its client for the other voters. It is safe
-// for concurrent use after the call of Attach.
+// for concurrent use once Attach has been called.
 type Voter struct {
 	Acceptor *register.Acceptor
 	Lessor   *lease.Lessor
@@ -68,8 +68,8 @@
 	liveness liveness
 
 	mu sync.Mutex
-	// redundancy is the result of the last survey, lastLogged the one that was
-	// logged last.
+	// redundancy is the result of the last survey, lastLogged the summary that
+	// was logged last.
 	redundancy register.Redundancy
 	lastLogged string
 	// unknownSince holds, for voters that the membership does not know, the time
--- a/control/state/voter/voter_test.go
+++ b/control/state/voter/voter_test.go
@@ -191,8 +191,8 @@
 func TestVoter_handOffEndsWithContext(t *testing.T) {
 	c := newCluster(t, 3)
 	c.update(0, "one")
-	// An update is acknowledged before all its messages are, so surveys complete
-	// it first.
+	// An update is acknowledged before all of its messages have been answered, so
+	// surveys complete it first.
 	for !c.voters[0].Redundancy().Complete {
 		c.voters[0].surveyOnce(c.ctx)
 	}
--- a/control/state/wal/bench_test.go
+++ b/control/state/wal/bench_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// serviceName returns the name of a serviceName.
+// serviceName returns the name of the service with the given number.
 func serviceName(number int) string { return fmt.Sprintf("s%dx%x", number, number*7907) }
 
 // randomDocument returns a whole configuration with random weights.
--- a/control/state/wal/codec_test.go
+++ b/control/state/wal/codec_test.go
@@ -86,8 +86,8 @@
 }
 
 // TestParse_unsyncedHoleIsTornTail damages a frame that no sync covered, with
-// stale frames after it: one of an earlier file, and one that was truncated
-// before. Neither may make the damage count as corruption.
+// stale frames after it: one of an earlier file, and one with the same number
+// that was truncated before. Neither may make the damage count as corruption.
 func TestParse_unsyncedHoleIsTornTail(t *testing.T) {
 	synced := encodeFrames(7, recordsOf("one"))
 	stale := append(encodeFrame(6, 3, recordsOf("old")), encodeFrame(7, 2, recordsOf("a frame that was cut and lost"))...)
--- a/control/state/wal/compact.go
+++ b/control/state/wal/compact.go
@@ -7,8 +7,8 @@
 
 // compactOrReopen replaces the file by a snapshot, which covers the pending
 // batch. If that fails but the name still refers to the old file, the synced
-// content of that file remains valid, so the file is kept and the caller appends
-// the batch to it as a frame of size bytes.
+// content of that file remains valid, so the caller appends the batch to it as a
+// frame of size bytes, if MaxBytes permits.
 func (l *Log) compactOrReopen(size int64) (compacted bool, err error) {
 	if err = l.compact(); err == nil {
 		return true, nil
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// capped returns the smaller of length and MaxBytes.
+// capped returns length, but at most MaxBytes.
 func (l *Log) capped(length int64) int64 {
 	if l.options.MaxBytes > 0 {
 		return min(length, l.options.MaxBytes)
--- a/control/state/wal/crash_test.go
+++ b/control/state/wal/crash_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// save submits the next number of each of the first keys concurrently.
+// save submits the next number of keys 0 to keys-1 concurrently.
 func (h *host) save(keys int) error {
 	errs := make([]error, keys)
 	var saves sync.WaitGroup
--- a/control/state/wal/log.go
+++ b/control/state/wal/log.go
@@ -1,8 +1,7 @@
 // Package wal implements a write-ahead log: an append-only file of records.
 //
 // Invariants:
-//   - a record is acknowledged, by the return of Save, only after a sync has
-//     covered it;
+//   - Save returns nil only after a sync has covered the record;
 //   - one frame is written per sync, with a checksum over all its records, so a
 //     crash tears at most the last frame, and Open truncates a torn tail;
 //   - a file whose synced bytes are damaged is distinguished from a torn one,
@@ -18,6 +17,7 @@
 
 // Options configures a Log.
 type Options struct {
+	// FS is the directory that contains the log, Name the name of its file.
 	FS   FS
 	Name string
 	// Snapshot returns records that represent the whole current state. It is
