--- a/control/state/lease/holder.go
+++ b/control/state/lease/holder.go
@@ -34,7 +34,7 @@
 	// NextEpoch durably increases the epoch of the named lease and returns it.
 	NextEpoch func(ctx context.Context, name string) (int64, error)
 	// Eligible reports whether this daemon is able to do the work that the lease
-	// stands for. Until it is, the lease is left to other daemons. If Eligible is
+	// is for. Until it is, the lease is left to other daemons. If Eligible is
 	// nil, the daemon is always eligible.
 	Eligible func() bool
 	// Monitor counts violated invariants; it may be nil.
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -45,8 +45,8 @@
 	silent := map[ids.Address]bool{}
 	round, v := c.attachTracker(0, silent), c.voters[0]
 	silentPeer, otherPeer := c.voters[1].options.Address, c.voters[2].options.Address
-	pass := func(span time.Duration) {
-		for ; span > 0; span -= testTiming.Tick {
+	advance := func(duration time.Duration) {
+		for ; duration > 0; duration -= testTiming.Tick {
 			c.clock.Advance(testTiming.Tick)
 			round()
 		}
@@ -60,18 +60,18 @@
 	}
 	round()
 	silent[silentPeer] = true
-	pass(testTiming.SuspectAfter - testTiming.Tick)
+	advance(testTiming.SuspectAfter - testTiming.Tick)
 	check("shortly before SuspectAfter", false, false)
-	pass(testTiming.Tick)
+	advance(testTiming.Tick)
 	check("after SuspectAfter", true, false)
 	silent[silentPeer] = false
-	pass(testTiming.Tick)
+	advance(testTiming.Tick)
 	check("after it responded again", false, false)
 	silent[silentPeer] = true
-	pass(testTiming.LostAfter)
+	advance(testTiming.LostAfter)
 	check("after LostAfter", true, true)
 	silent[otherPeer] = true
-	pass(2 * testTiming.LostAfter)
+	advance(2 * testTiming.LostAfter)
 	if allLost := v.liveness.lostVoters(v.Acceptor.Voters()); len(allLost) != 0 || v.liveness.suspected(silentPeer) {
 		t.Fatalf("a partitioned voter suspects another or considers lost: %v", allLost)
 	}
@@ -106,8 +106,8 @@
 	if !v.checkDue(c.clock.Now()) {
 		t.Fatal("a new voter set triggers no survey")
 	}
-	pass := func(span time.Duration) (due int) {
-		for ; span > 0; span -= testTiming.Tick {
+	advance := func(duration time.Duration) (due int) {
+		for ; duration > 0; duration -= testTiming.Tick {
 			c.clock.Advance(testTiming.Tick)
 			round()
 			if v.checkDue(c.clock.Now()) {
@@ -116,17 +116,17 @@
 		}
 		return due
 	}
-	pass(testTiming.ActiveFor)
-	if count := pass(time.Second); count != 0 {
+	advance(testTiming.ActiveFor)
+	if count := advance(time.Second); count != 0 {
 		t.Fatalf("%d surveys due while the view is stable, want 0", count)
 	}
 	silent[c.voters[1].options.Address] = true
-	pass(testTiming.SuspectAfter)
-	if count := pass(time.Second); count != 4 {
+	advance(testTiming.SuspectAfter)
+	if count := advance(time.Second); count != 4 {
 		t.Fatalf("%d surveys due in 4 ticks after a voter fell silent, want 4", count)
 	}
-	pass(testTiming.ActiveFor)
-	if count := pass(time.Second); count != 0 {
+	advance(testTiming.ActiveFor)
+	if count := advance(time.Second); count != 0 {
 		t.Fatalf("%d surveys due long after a voter was lost, want 0", count)
 	}
 }
--- a/control/state/voter/replaceable_test.go
+++ b/control/state/voter/replaceable_test.go
@@ -40,7 +40,7 @@
 			}
 			silent[other] = true
 			replaceable := false
-			for span := time.Duration(0); span < 4*v.options.ReplaceAfter; span += testTiming.Tick {
+			for elapsed := time.Duration(0); elapsed < 4*v.options.ReplaceAfter; elapsed += testTiming.Tick {
 				round()
 				c.clock.Advance(testTiming.Tick)
 				replaceable = v.isReplaceable(other)
--- a/control/state/wal/log_test.go
+++ b/control/state/wal/log_test.go
@@ -161,16 +161,16 @@
 	log := openEmpty(t, wal.Options{FS: disk.Mount(), Name: "j", MinCompactBytes: 1000, MaxBytes: limit,
 		Snapshot: func() [][]byte { return [][]byte{make([]byte, size)} }})
 	defer log.Close()
-	refused := false
+	rejected := false
 	for size < 15_000 {
 		size += 350
 		err := log.Save(make([]byte, size))
-		refused = refused || err != nil
+		rejected = rejected || err != nil
 		if err != nil && (!errors.Is(err, wal.ErrLimitExceeded) || size < limit-100) {
 			t.Fatalf("record and snapshot of %d bytes: %v", size, err)
 		}
 	}
-	if !refused {
+	if !rejected {
 		t.Fatal("the snapshot grew beyond MaxBytes and no record was rejected")
 	}
 	for _, phase := range []struct {
