--- a/control/state/voter/handover.go
+++ b/control/state/voter/handoff.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// handOverDivisor is the part of the graceful shutdown, one in so many, that a
-	// hand-over may take.
-	handOverDivisor = 4
-	// handOversPerReplaceAfter is how often in ReplaceAfter it is tried again.
-	handOversPerReplaceAfter = 10
+	// handOffDivisor limits a hand-off to 1/handOffDivisor of the time for the
+	// graceful shutdown.
+	handOffDivisor = 4
+	// handOffAttemptsPerReplaceAfter is the number of hand-off attempts per
+	// ReplaceAfter.
+	handOffAttemptsPerReplaceAfter = 10
 )
 
-// HandOff waits, for at most a quarter of the graceful shutdown, until enough
-// other disks hold what this one does and a standby has taken its place. Without a
-// standby it keeps the place: a controller that shuts down does not know whether
-// it will be restarted.
+// HandOff waits until enough other disks hold what this one holds and a standby
+// has replaced this voter, for at most a quarter of the time for the graceful
+// shutdown. Without a standby, this voter keeps its place, since a controller
+// that shuts down does not know whether it will be restarted.
 func (v *Voter) HandOff(ctx context.Context) {
-	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOverDivisor)
+	ctx, cancel := v.clock.WithTimeout(ctx, settings.Seconds(v.settings.Bounds.GraceS)/handOffDivisor)
 	defer cancel()
 	repairer := &register.Repairer{Joiner: v.joiner, MinCopies: RequiredCopies(v.settings)}
 	replicated := repairer.HandOff(ctx)
-	for (!replicated || v.hasStandby()) && clock.Wait(ctx, v.clock, v.options.ReplaceAfter/handOversPerReplaceAfter) {
+	for (!replicated || v.hasStandby()) && clock.Wait(ctx, v.clock, v.options.ReplaceAfter/handOffAttemptsPerReplaceAfter) {
 		replicated = repairer.HandOff(ctx)
 	}
 	v.log.Info().Str("part", "voter").Bool("replicated", replicated).Bool("voting", v.Voting()).Msg("hand-over ended")
 }
 
-// hasStandby reports whether this disk still votes and a controller that is alive
-// could take its place.
+// hasStandby reports whether this disk still votes and some controller is alive
+// that could replace it.
 func (v *Voter) hasStandby() bool {
 	if !v.Voting() {
 		return false
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -11,14 +11,15 @@
 	"onyxwell/control/transport"
 )
 
-// testTiming is the timing of clusters with trackers.
+// testTiming is the timing of voters with quorum trackers.
 var testTiming = Timing{
 	Tick: 250 * time.Millisecond, RequestTimeout: 300 * time.Millisecond, SuspectAfter: 750 * time.Millisecond,
 	LostAfter: 1500 * time.Millisecond, ActiveFor: 12 * time.Second,
 }
 
-// attachTracker gives a voter a quorum tracker. The function that it returns has
-// all other voters answer that are not silent, and checks.
+// attachTracker gives a voter a quorum tracker. The returned function simulates a
+// round: it records contact with all other voters that are not silent, and
+// updates the voter's view.
 func (c *cluster) attachTracker(index int, silent map[ids.Address]bool) func() {
 	v := c.voters[index]
 	v.options.Timing = testTiming
@@ -35,50 +36,51 @@
 	}
 }
 
-// TestVoter_silentPeerIsSuspectedThenLost has a voter fall silent: it is suspected
-// after SuspectAfter, lost after LostAfter, and neither after a shorter pause. A
-// learner is lost alike. A voter that hears no majority itself suspects nobody.
+// TestVoter_silentPeerIsSuspectedThenLost has a voter fall silent: it must be
+// suspected after SuspectAfter, lost after LostAfter, and neither after a shorter
+// silence. The same holds for a learner. A voter without contact with a majority
+// suspects no other.
 func TestVoter_silentPeerIsSuspectedThenLost(t *testing.T) {
 	c := newCluster(t, 4)
 	silent := map[ids.Address]bool{}
 	round, v := c.attachTracker(0, silent), c.voters[0]
-	lost, other := c.voters[1].options.Address, c.voters[2].options.Address
-	pass := func(span time.Duration) {
-		for ; span > 0; span -= testTiming.Tick {
+	silentPeer, otherPeer := c.voters[1].options.Address, c.voters[2].options.Address
+	advance := func(duration time.Duration) {
+		for ; duration > 0; duration -= testTiming.Tick {
 			c.clock.Advance(testTiming.Tick)
 			round()
 		}
 	}
 	check := func(when string, wantSuspected bool, wantLost bool) {
 		t.Helper()
-		allLost := v.liveness.lost(v.Acceptor.Voters())
-		if v.liveness.suspected(lost) != wantSuspected || slices.Contains(allLost, lost) != wantLost || v.liveness.suspected(other) {
-			t.Fatalf("%s: suspected %v, lost %v", when, v.liveness.suspected(lost), allLost)
+		allLost := v.liveness.lostVoters(v.Acceptor.Voters())
+		if v.liveness.suspected(silentPeer) != wantSuspected || slices.Contains(allLost, silentPeer) != wantLost || v.liveness.suspected(otherPeer) {
+			t.Fatalf("%s: suspected %v, lost %v", when, v.liveness.suspected(silentPeer), allLost)
 		}
 	}
 	round()
-	silent[lost] = true
-	pass(testTiming.SuspectAfter - testTiming.Tick)
-	check("after a moment", false, false)
-	pass(testTiming.Tick)
+	silent[silentPeer] = true
+	advance(testTiming.SuspectAfter - testTiming.Tick)
+	check("shortly before SuspectAfter", false, false)
+	advance(testTiming.Tick)
 	check("after SuspectAfter", true, false)
-	silent[lost] = false
-	pass(testTiming.Tick)
-	check("after a pause", false, false)
-	silent[lost] = true
-	pass(testTiming.LostAfter)
-	check("for good", true, true)
-	silent[other] = true
-	pass(2 * testTiming.LostAfter)
-	if allLost := v.liveness.lost(v.Acceptor.Voters()); len(allLost) != 0 || v.liveness.suspected(lost) {
-		t.Fatalf("a partitioned voter takes %v for lost", allLost)
+	silent[silentPeer] = false
+	advance(testTiming.Tick)
+	check("after it responded again", false, false)
+	silent[silentPeer] = true
+	advance(testTiming.LostAfter)
+	check("after LostAfter", true, true)
+	silent[otherPeer] = true
+	advance(2 * testTiming.LostAfter)
+	if allLost := v.liveness.lostVoters(v.Acceptor.Voters()); len(allLost) != 0 || v.liveness.suspected(silentPeer) {
+		t.Fatalf("a partitioned voter suspects another or considers lost: %v", allLost)
 	}
-	silent[other] = false
+	silent[otherPeer] = false
 	round()
-	learner := register.Member{Address: lost, Incarnation: 7, Learner: true}
+	learner := register.Member{Address: silentPeer, Incarnation: 7, Learner: true}
 	members := slices.Clone(v.Acceptor.Voters().Members)
 	for index := range members {
-		if members[index].Address == lost {
+		if members[index].Address == silentPeer {
 			members[index] = learner
 		}
 	}
@@ -90,12 +92,12 @@
 		t.Fatal(err)
 	}
 	round()
-	check("lost learner", true, true)
+	check("after it became a learner", true, true)
 }
 
 // TestVoter_changesTriggerSurveys expects a survey at each tick while the view of
-// the voters is new or not stable, and none but the regular ones afterwards: a loss
-// that nobody replaces does not cause them for ever.
+// the voters is new or not stable, and only the regular ones afterwards: a lost
+// voter that nobody replaces must not cause surveys at each tick forever.
 func TestVoter_changesTriggerSurveys(t *testing.T) {
 	c := newCluster(t, 4)
 	silent := map[ids.Address]bool{}
@@ -104,8 +106,8 @@
 	if !v.checkDue(c.clock.Now()) {
 		t.Fatal("a new voter set triggers no survey")
 	}
-	pass := func(span time.Duration) (due int) {
-		for ; span > 0; span -= testTiming.Tick {
+	advance := func(duration time.Duration) (due int) {
+		for ; duration > 0; duration -= testTiming.Tick {
 			c.clock.Advance(testTiming.Tick)
 			round()
 			if v.checkDue(c.clock.Now()) {
@@ -114,17 +116,17 @@
 		}
 		return due
 	}
-	pass(testTiming.ActiveFor)
-	if count := pass(time.Second); count != 0 {
-		t.Fatalf("%d surveys due while stable", count)
+	advance(testTiming.ActiveFor)
+	if count := advance(time.Second); count != 0 {
+		t.Fatalf("%d surveys due while the view is stable, want 0", count)
 	}
 	silent[c.voters[1].options.Address] = true
-	pass(testTiming.SuspectAfter)
-	if count := pass(time.Second); count != 4 {
-		t.Fatalf("%d of 4 surveys due for a silent voter", count)
+	advance(testTiming.SuspectAfter)
+	if count := advance(time.Second); count != 4 {
+		t.Fatalf("%d surveys due in 4 ticks after a voter fell silent, want 4", count)
 	}
-	pass(testTiming.ActiveFor)
-	if count := pass(time.Second); count != 0 {
-		t.Fatalf("%d surveys due for a lasting loss", count)
+	advance(testTiming.ActiveFor)
+	if count := advance(time.Second); count != 0 {
+		t.Fatalf("%d surveys due long after a voter was lost, want 0", count)
 	}
 }
--- a/control/state/voter/open_test.go
+++ b/control/state/voter/open_test.go
@@ -17,14 +17,14 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// TestOpen_damagedWALGetsNewIncarnation corrupts a voter's log: its votes are gone,
-// and the disk must not count as the one that gave them. On each start one
-// operation of the disk fails, another each time.
+// TestOpen_damagedWALGetsNewIncarnation corrupts a voter's log. The votes in it
+// are lost, so the disk must not count as the one that cast them. On each start
+// one disk operation fails, a later one each time.
 func TestOpen_damagedWALGetsNewIncarnation(t *testing.T) {
 	fake, operations, failing := clock.NewFake(), 0, 0
 	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if operations++; operations == failing {
-			return errors.New("refused")
+			return errors.New("injected disk error")
 		}
 		return nil
 	}})
@@ -55,30 +55,30 @@
 	}
 	fence := register.FencingToken{Generation: 1, Fingerprint: v.Acceptor.Voters().Fingerprint()}
 	if resp := v.Acceptor.Prepare(register.PrepareRequest{Fence: fence, Key: "k", Epoch: ids.Epoch{Number: 1, Owner: "a"}}); resp.Verdict != register.Granted {
-		t.Fatalf("%+v", resp)
+		t.Fatalf("the prepare request was not granted: %+v", resp)
 	}
 	v.Close()
 	if disk.FlipBit("registers") < 0 {
-		t.Fatal("nothing was synced")
+		t.Fatal("the log has no synced bytes to damage")
 	}
 	for _, firstStart := range []bool{true, false} {
 		disk.Kill()
 		v = open(firstStart)
 		if v.Voting() || !v.Acceptor.Identified() || v.Acceptor.Incarnation() == 0 || len(v.Acceptor.Snapshot()) != 1 {
-			t.Fatalf("first start %v: %+v", firstStart, v.Acceptor.Fetch(register.FetchRequest{}))
+			t.Fatalf("after the corruption, first start %v: the disk votes, has no new incarnation or keeps records: %+v", firstStart, v.Acceptor.Fetch(register.FetchRequest{}))
 		}
 		v.Close()
 	}
 }
 
-// TestOpen_retriesRefusingDiskSoon has a disk fail for a second: the log is opened
-// soon after that, however long a command may take.
-func TestOpen_retriesRefusingDiskSoon(t *testing.T) {
+// TestOpen_retriesSoonAfterDiskErrors has all disk operations fail for a second.
+// Open must succeed within SuspectAfter of that, however long the Timeout.
+func TestOpen_retriesSoonAfterDiskErrors(t *testing.T) {
 	fake := clock.NewFake()
 	recovered := fake.Now().Add(time.Second)
 	disk := simdisk.New(simdisk.Options{Delay: func(string, int) error {
 		if fake.Now() < recovered {
-			return errors.New("refused")
+			return errors.New("injected disk error")
 		}
 		return nil
 	}})
@@ -94,8 +94,8 @@
 	for {
 		select {
 		case err := <-opened:
-			if late := fake.Now().Since(recovered); err != nil || late < 0 || late > testTiming.SuspectAfter {
-				t.Fatalf("opened %v after the disk recovered: %v", late, err)
+			if delay := fake.Now().Since(recovered); err != nil || delay < 0 || delay > testTiming.SuspectAfter {
+				t.Fatalf("Open returned %v after the disk recovered, with error %v", delay, err)
 			}
 			return
 		default:
@@ -105,8 +105,9 @@
 	}
 }
 
-// TestOpen_undecodableRecordNamesFile starts on a log whose record is in a form
-// that this build does not know: there is no voter, and the error says what to do.
+// TestOpen_undecodableRecordNamesFile opens a log with a record in a form that
+// this build does not know: no voter is returned, and the error names the file,
+// the record and the remedy.
 func TestOpen_undecodableRecordNamesFile(t *testing.T) {
 	disk := simdisk.New(simdisk.Options{})
 	log, _, err := wal.Open(wal.Options{FS: disk.Mount(), Name: logName, Snapshot: func() [][]byte { return nil }})
@@ -123,13 +124,13 @@
 	log.Close()
 	ctx := scope.New(scope.Options{Clock: clock.NewFake()})
 	v, err := Open(ctx, Options{Clock: ctx.Clock, Log: ctx.Log, Settings: ctx.Settings, Address: "a", Disk: disk.Mount(), Timeout: time.Second})
-	var undecodable *register.RecordError
-	if v != nil || !errors.As(err, &undecodable) {
-		t.Fatalf("%v, %v", v, err)
+	var recordErr *register.RecordError
+	if v != nil || !errors.As(err, &recordErr) {
+		t.Fatalf("Open returned %v and error %v, want no voter and a *register.RecordError", v, err)
 	}
 	for _, want := range []string{"registers: ", "stored record 1 of 1", "has form", "start the build that wrote the file"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q does not say %q", err, want)
+			t.Errorf("error %q does not contain %q", err, want)
 		}
 	}
 }
