--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -20,7 +20,7 @@
 func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, serial func() ids.Version) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
 		Clock: d.clock, Log: d.log,
-		Applied: applied, AppliedSerial: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
+		Applied: applied, AppliedVersion: serial, Fetch: d.Gossiper.Exchange, Controllers: d.controllers,
 		Query: func(ctx context.Context, address ids.Address) (readindex.Response, error) {
 			return transport.Send[readindex.Response](ctx, d.Transport, address, readindex.ReadIndexMessage, readindex.Request{From: d.Address})
 		},
--- a/control/state/command/chunks.go
+++ b/control/state/command/chunks.go
@@ -16,10 +16,10 @@
 	mu sync.Mutex
 	// sealed counts the oldest changes that are in chunks held by a majority.
 	sealed int64
-	// epoch and sequence are the write of the configuration after which no chunk
+	// noneDueEpoch and sequence are the write of the configuration after which no chunk
 	// was left to be sealed.
-	epoch    ids.Epoch
-	sequence int64
+	noneDueEpoch    ids.Epoch
+	noneDueSequence int64
 }
 
 func (c *chunkProgress) sealedCount() int64 {
@@ -35,17 +35,17 @@
 	c.sealed = max(c.sealed, sealed)
 }
 
-// checked tells whether no chunk was left to be sealed after a write.
-func (c *chunkProgress) checked(write register.Proposal) bool {
+// noneDueAfter tells whether no chunk was left to be sealed after a write.
+func (c *chunkProgress) noneDueAfter(write register.Proposal) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return write.Epoch == c.epoch && write.Sequence == c.sequence
+	return write.Epoch == c.noneDueEpoch && write.Sequence == c.noneDueSequence
 }
 
-func (c *chunkProgress) setChecked(write register.Proposal) {
+func (c *chunkProgress) setNoneDueAfter(write register.Proposal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.epoch, c.sequence = write.Epoch, write.Sequence
+	c.noneDueEpoch, c.noneDueSequence = write.Epoch, write.Sequence
 }
 
 // resolveArchived decides by its chunk whether a change was applied before; nil
@@ -72,7 +72,7 @@
 	}
 	sealed := d.chunks.sealedCount()
 	accepted := d.options.Acceptor.Slot(config.Key).Accepted
-	if d.chunks.checked(accepted) {
+	if d.chunks.noneDueAfter(accepted) {
 		return
 	}
 	for {
@@ -87,7 +87,7 @@
 		}
 		sealed = advanced
 	}
-	d.chunks.setChecked(accepted)
+	d.chunks.setNoneDueAfter(accepted)
 }
 
 // sealNextChunk writes one chunk of the history that a majority confirms, and
--- a/control/state/command/chunks_test.go
+++ b/control/state/command/chunks_test.go
@@ -17,9 +17,9 @@
 	*lossyCluster
 	t    *rapid.T
 	sent []store.Change
-	// decided holds the result of a sent change, by its index; acknowledged the
+	// decidedKinds holds the result of a sent change, by its index; acknowledged the
 	// index of the change that was acknowledged on a base version.
-	decided      map[int]errkind.Kind
+	decidedKinds map[int]errkind.Kind
 	acknowledged map[ids.Version]int
 	latest       ids.Version
 	resultCounts map[errkind.Kind]int
@@ -28,12 +28,12 @@
 
 func newPropertyRun(t *rapid.T, resultCounts map[errkind.Kind]int) *propertyRun {
 	p := &propertyRun{
-		lossyCluster: newLossyCluster(t), t: t, decided: map[int]errkind.Kind{}, acknowledged: map[ids.Version]int{},
+		lossyCluster: newLossyCluster(t), t: t, decidedKinds: map[int]errkind.Kind{}, acknowledged: map[ids.Version]int{},
 		resultCounts: resultCounts, busy: map[ids.Address]bool{},
 	}
 	p.sent = append(p.sent, p.seedHistory()...)
 	for index, change := range p.sent {
-		p.decided[index], p.acknowledged[change.BaseVersion] = errkind.None, index
+		p.decidedKinds[index], p.acknowledged[change.BaseVersion] = errkind.None, index
 	}
 	p.latest = p.sent[len(p.sent)-1].Version()
 	p.dropMessage = func() bool { return rapid.IntRange(0, 15).Draw(t, "loss") == 0 }
@@ -48,7 +48,7 @@
 // step has one idle controller reconcile or dispatch a change: a new one, a rival
 // on any base version, or a repeat of one that may be in flight.
 func (p *propertyRun) step() {
-	name := rapid.SampledFrom(names).Draw(p.t, "controller")
+	name := rapid.SampledFrom(controllerNames).Draw(p.t, "controller")
 	if p.busy[name] {
 		return
 	}
@@ -79,14 +79,14 @@
 		return
 	}
 	change := p.sent[index]
-	if before, decided := p.decided[index]; decided && before != kind {
+	if before, decided := p.decidedKinds[index]; decided && before != kind {
 		p.t.Fatalf("change %d on version %d: %v, and before %v", index, change.BaseVersion, kind, before)
 	}
-	p.decided[index] = kind
+	p.decidedKinds[index] = kind
 	if kind != errkind.None {
 		return
 	}
-	if other, changes := p.acknowledged[change.BaseVersion]; changes && other != index {
+	if other, found := p.acknowledged[change.BaseVersion]; found && other != index {
 		p.t.Fatalf("changes %d and %d were both acknowledged on version %d", other, index, change.BaseVersion)
 	}
 	p.acknowledged[change.BaseVersion] = index
@@ -153,7 +153,7 @@
 	if after > size-2*256*8 {
 		t.Fatalf("the record takes %d bytes, and took %d before its chunks were sealed", after, size)
 	}
-	for _, name := range names {
+	for _, name := range controllerNames {
 		for _, index := range []int{0, 3, 255, 256, 511, 512, 700, 800} {
 			if kind := c.dispatchUntilDecided(name, changes[index]); kind != errkind.None {
 				t.Errorf("repeat of %d at %s: %v", index, name, kind)
@@ -181,7 +181,7 @@
 	c.dispatchChange("a", patchChange(newest+1, newest+2, "y"))
 	// The configuration is confirmed with three messages and their responses; all
 	// later messages are lost.
-	left := 2 * len(names)
+	left := 2 * len(controllerNames)
 	c.dropMessage = func() bool { left--; return left < 0 }
 	if kind := c.dispatchChange("a", changes[3]); kind != errkind.NoQuorum {
 		t.Fatalf("%v", kind)
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -106,7 +106,7 @@
 	transport.Handle(calls, forwardMessage, func(ctx context.Context, cmd Command) (Result, error) {
 		return resultOf(d.HandleForwarded(ctx, cmd)), nil
 	})
-	transport.Handle(calls, rollout.OrderMessage, d.handleRollout)
+	transport.Handle(calls, rollout.OrderMessage, d.handleRolloutOrder)
 }
 
 // Dispatch leads a command to the owner of its key and returns the register's
@@ -197,11 +197,11 @@
 // takeovers preempt each other and delay all commands for the key; so it backs
 // off first, and leaves the key to a controller that took it meanwhile.
 func (d *Dispatcher) takeOver(ctx context.Context, cmd Command, attempt int) ([]byte, error) {
-	before := d.options.Acceptor.Slot(cmd.Key).Promised
+	promisedBefore := d.options.Acceptor.Slot(cmd.Key).Promised
 	if !clock.Wait(ctx, d.options.Clock, time.Duration(min(attempt, maxBackoffFactor))*d.options.TakeoverBackoff()) {
 		return nil, errkind.Errorf(errkind.NoQuorum, "out of time")
 	}
-	if d.preempted(cmd.Key) && d.options.Acceptor.Slot(cmd.Key).Promised != before {
+	if d.preempted(cmd.Key) && d.options.Acceptor.Slot(cmd.Key).Promised != promisedBefore {
 		return nil, errkind.Errorf(errkind.NoQuorum, "another took %s meanwhile", cmd.Key)
 	}
 	return d.execute(ctx, cmd, d.options.Proposer.Update)
@@ -242,7 +242,7 @@
 	case VerbChange:
 		return cmd.Change.ApplyTruncating(d.chunks.sealedCount()), nil
 	case VerbDrain, VerbUndrain:
-		return evacuation.Update(cmd.Key, drainVerbs[cmd.Verb], cmd.ZoneVersion), nil
+		return evacuation.Update(cmd.Key, drainedByVerb[cmd.Verb], cmd.ZoneVersion), nil
 	case VerbEpoch:
 		return nextEpoch(cmd.Key), nil
 	default:
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -142,10 +142,10 @@
 	}
 }
 
-// TestHandleForwarded_takesNoKeyOver has a command arrive in time at a controller
+// TestHandleForwarded_neverTakesOver has a command arrive in time at a controller
 // that does not own the key any more, one without a deadline, and one that waits
 // for its turn past its deadline.
-func TestHandleForwarded_takesNoKeyOver(t *testing.T) {
+func TestHandleForwarded_neverTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5*time.Millisecond)
 		c.mustDispatch("a", zoneCommand(VerbDrain))
@@ -171,15 +171,15 @@
 			t.Fatal(err)
 		}
 		late := withDeadline(200 * time.Millisecond)
-		turn, started := make(chan struct{}), make(chan struct{})
+		releaseTurn, started := make(chan struct{}), make(chan struct{})
 		go func() {
-			_, _ = owner.proposer.Update(c.ctx, late.Key, func([]byte) ([]byte, error) { close(started); <-turn; return nil, nil })
+			_, _ = owner.proposer.Update(c.ctx, late.Key, func([]byte) ([]byte, error) { close(started); <-releaseTurn; return nil, nil })
 		}()
 		<-started
 		result := make(chan error)
 		go func() { _, err := owner.dispatcher.HandleForwarded(c.ctx, late); result <- err }()
 		c.ctx.Wait(300 * time.Millisecond)
-		close(turn)
+		close(releaseTurn)
 		if err := <-result; errkind.KindOf(err) != errkind.NoQuorum || !c.drained("b") {
 			t.Errorf("started after its deadline: %v", err)
 		}
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -8,8 +8,8 @@
 	"onyxwell/control/config/evacuation"
 )
 
-// drainVerbs gives the drained state that a verb on a zone asks for.
-var drainVerbs = map[string]bool{VerbDrain: true, VerbUndrain: false}
+// drainedByVerb gives the drained state that a verb on a zone asks for.
+var drainedByVerb = map[string]bool{VerbDrain: true, VerbUndrain: false}
 
 // dispatchOnce routes a command so that it acts at most once, also when it is
 // routed again because its outcome was open. For a change of the configuration
@@ -19,7 +19,7 @@
 // wanted state at some time since the command arrived, and nothing is left to be
 // done, though others may have toggled it back.
 func (d *Dispatcher) dispatchOnce(ctx context.Context, cmd Command) ([]byte, error) {
-	drained, ok := drainVerbs[cmd.Verb]
+	drained, ok := drainedByVerb[cmd.Verb]
 	if !ok || cmd.ZoneVersion > 0 {
 		return d.routeWithRetries(ctx, cmd)
 	}
--- a/control/state/command/idempotent_test.go
+++ b/control/state/command/idempotent_test.go
@@ -26,10 +26,10 @@
 				} else {
 					c.mustDispatch("a", zoneCommand(VerbRead))
 				}
-				forwarded := 0
+				undecided := 0
 				c.afterForward = func() {
 					c.afterForward = nil
-					forwarded++
+					undecided++
 					// Two of three disks hold the effect by now: every read sees it.
 					state, err := evacuation.Decode(c.nodes["c"].acceptor.Slot(zoneCommand("").Key).Accepted.Value)
 					if err != nil || state.Drained != (test.verb == VerbDrain) {
@@ -38,8 +38,8 @@
 					c.mustDispatch("a", zoneCommand(test.undo))
 				}
 				c.mustDispatch("b", zoneCommand(test.verb))
-				if forwarded != 1 {
-					t.Fatalf("%d commands were left undecided", forwarded)
+				if undecided != 1 {
+					t.Fatalf("%d commands were left undecided", undecided)
 				}
 				if c.drained("c") != (test.undo == VerbDrain) {
 					t.Error("acted a second time")
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -75,7 +75,7 @@
 	return deliverLossy(l, address, func(acceptor *register.Acceptor) register.AcceptResponse { return acceptor.Confirm(req) })
 }
 
-var names = []ids.Address{"a", "b", "c"}
+var controllerNames = []ids.Address{"a", "b", "c"}
 
 func newLossyCluster(t testingT) *lossyCluster {
 	t.Helper()
@@ -84,10 +84,10 @@
 		acceptors: map[ids.Address]*register.Acceptor{}, dispatchers: map[ids.Address]*Dispatcher{},
 	}
 	c.voters = register.VoterSet{Generation: 1}
-	for _, name := range names {
+	for _, name := range controllerNames {
 		c.voters.Members = append(c.voters.Members, register.Member{Address: name})
 	}
-	for _, name := range names {
+	for _, name := range controllerNames {
 		acceptor, err := register.NewAcceptor(name, nil)
 		if err != nil {
 			t.Fatalf("%v", err)
@@ -104,7 +104,7 @@
 			Spawn:        func(send func()) { send() },
 		})
 		table := membership.NewTable(c.ctx.Clock, membership.Member{Address: name})
-		for _, other := range names {
+		for _, other := range controllerNames {
 			if other != name {
 				// No owner is ever forwarded to: the dispatching controller takes the
 				// key over.
--- a/control/state/command/owner_health.go
+++ b/control/state/command/owner_health.go
@@ -16,15 +16,15 @@
 // that it left unanswered. It is safe for concurrent use.
 type ownerHealth struct {
 	mu sync.Mutex
-	// suspicion is how long an owner stays suspected.
-	suspicion      time.Duration
-	suspectedUntil map[ids.Address]clock.Instant
+	// suspicionPeriod is how long an owner stays suspected.
+	suspicionPeriod time.Duration
+	suspectedUntil  map[ids.Address]clock.Instant
 	// unanswered counts the commands in a row that an owner left unanswered.
 	unanswered map[ids.Address]int
 }
 
-func newOwnerHealth(suspicion time.Duration) *ownerHealth {
-	return &ownerHealth{suspicion: suspicion, suspectedUntil: map[ids.Address]clock.Instant{}, unanswered: map[ids.Address]int{}}
+func newOwnerHealth(suspicionPeriod time.Duration) *ownerHealth {
+	return &ownerHealth{suspicionPeriod: suspicionPeriod, suspectedUntil: map[ids.Address]clock.Instant{}, unanswered: map[ids.Address]int{}}
 }
 
 // suspected tells whether commands should not be forwarded to an owner now.
@@ -46,7 +46,7 @@
 		return true
 	}
 	delete(o.unanswered, owner)
-	o.suspectedUntil[owner] = now.Add(o.suspicion)
+	o.suspectedUntil[owner] = now.Add(o.suspicionPeriod)
 	return false
 }
 
--- a/control/state/command/owner_health_test.go
+++ b/control/state/command/owner_health_test.go
@@ -7,31 +7,31 @@
 	"onyxwell/base/clock"
 )
 
-func TestOwnerHealth_busyOwnerIsSuspectedInTheEnd(t *testing.T) {
-	const suspicion = 4 * time.Second
-	health := newOwnerHealth(suspicion)
+func TestOwnerHealth_suspectsPersistentlyBusyOwner(t *testing.T) {
+	const suspicionPeriod = 4 * time.Second
+	health := newOwnerHealth(suspicionPeriod)
 	now := clock.Instant(0)
-	requireBusy := func(answeredOther bool, want bool) {
+	recordAndCheck := func(answeredOther bool, want bool) {
 		t.Helper()
 		if busy := health.recordUnanswered("a", answeredOther, now); busy != want || health.suspected("a", now) == want {
 			t.Fatalf("busy %v, suspected %v", busy, health.suspected("a", now))
 		}
 	}
 	for range maxUnanswered {
-		requireBusy(true, true)
+		recordAndCheck(true, true)
 	}
 	health.recordAnswer("a")
 	for range maxUnanswered {
-		requireBusy(true, true)
+		recordAndCheck(true, true)
 	}
-	requireBusy(true, false)
+	recordAndCheck(true, false)
 	if health.suspected("b", now) {
 		t.Error("another owner is suspected")
 	}
-	now = now.Add(suspicion)
+	now = now.Add(suspicionPeriod)
 	if health.suspected("a", now) {
 		t.Error("still suspected after the suspicion")
 	}
-	requireBusy(true, true)
-	requireBusy(false, false)
+	recordAndCheck(true, true)
+	recordAndCheck(false, false)
 }
--- a/control/state/command/rollout.go
+++ b/control/state/command/rollout.go
@@ -15,22 +15,22 @@
 // over or, where it does not vote, has a controller that votes do so.
 func (d *Dispatcher) OrderRollout(ctx context.Context, order rollout.Order) error {
 	if !d.options.Acceptor.Voting() {
-		return d.forwardRollout(ctx, order)
+		return d.forwardRolloutOrder(ctx, order)
 	}
 	_, err := d.Update(ctx, rollout.Key(order.Service), rollout.Begin(order))
 	return err
 }
 
-// forwardRollout has the first voter that answers store an order.
-func (d *Dispatcher) forwardRollout(ctx context.Context, order rollout.Order) error {
+// forwardRolloutOrder has the first voter that answers store an order.
+func (d *Dispatcher) forwardRolloutOrder(ctx context.Context, order rollout.Order) error {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	err := errkind.Errorf(errkind.NoQuorum, "no voter is known")
 	req := rollout.OrderRequest(order)
 	for _, member := range d.options.Acceptor.Voters().Members {
-		limited, cancel := d.options.Clock.WithTimeout(ctx, d.options.ForwardTimeout)
+		attemptCtx, cancel := d.options.Clock.WithTimeout(ctx, d.options.ForwardTimeout)
 		var result Result
-		result, err = transport.Send[Result](limited, d.options.Transport, member.Address, rollout.OrderMessage, req)
+		result, err = transport.Send[Result](attemptCtx, d.options.Transport, member.Address, rollout.OrderMessage, req)
 		cancel()
 		if err == nil {
 			err = result.err()
@@ -42,8 +42,8 @@
 	return errkind.Errorf(errkind.NoQuorum, "no voter took the order: %w", err)
 }
 
-// handleRollout stores an order that a controller without a vote forwarded.
-func (d *Dispatcher) handleRollout(ctx context.Context, req rollout.OrderRequest) (Result, error) {
+// handleRolloutOrder stores an order that a controller without a vote forwarded.
+func (d *Dispatcher) handleRolloutOrder(ctx context.Context, req rollout.OrderRequest) (Result, error) {
 	if !d.options.Acceptor.Voting() {
 		return resultOf(nil, errkind.Errorf(errkind.NoQuorum, "this controller does not vote")), nil
 	}
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -46,8 +46,8 @@
 	Query func(ctx context.Context, address ids.Address) (Response, error)
 	// Applied is closed once some version is applied here; AppliedSerial then
 	// returns which.
-	Applied       <-chan struct{}
-	AppliedSerial func() ids.Version
+	Applied        <-chan struct{}
+	AppliedVersion func() ids.Version
 	// Fetch exchanges updates with a controller that has a newer version.
 	Fetch func(ctx context.Context, address ids.Address)
 	// MaxWait is how long the gate stays closed without any confirmation.
@@ -64,15 +64,15 @@
 	ready   chan struct{}
 	state   atomic.Value
 
-	// queries are the goroutines that Run started and awaits.
-	queries sync.WaitGroup
+	// goroutines are the goroutines that Run started and awaits.
+	goroutines sync.WaitGroup
 	// candidates are the controllers that are yet to be queried, in random order.
 	candidates []ids.Address
 	// readIndex is the newest serial of all responses, where hasReadIndex; source
 	// is the controller that responded last.
-	readIndex    ids.Version
-	hasReadIndex bool
-	source       ids.Address
+	readIndex     ids.Version
+	hasReadIndex  bool
+	lastResponder ids.Address
 	// waitingSince is the start of the wait that MaxWait bounds.
 	waitingSince clock.Instant
 	// wasApplied reports that some version was already applied at the last check.
@@ -105,7 +105,7 @@
 // Run queries controllers until the version is confirmed, and returns when ctx
 // has ended: a supervisor would start a service that returns earlier again.
 func (g *Gate) Run(ctx context.Context) {
-	defer g.queries.Wait()
+	defer g.goroutines.Wait()
 	maxWait := g.options.MaxWait
 	results := make(chan queryResult, maxQueuedResults)
 	interval := maxWait / firstIntervalDivisor
@@ -139,7 +139,7 @@
 	}
 	address := g.candidates[0]
 	g.candidates = g.candidates[1:]
-	g.queries.Go(func() {
+	g.goroutines.Go(func() {
 		ctx, cancel := g.options.Clock.WithTimeout(ctx, g.options.MaxWait)
 		defer cancel()
 		resp, err := g.options.Query(ctx, address)
@@ -154,16 +154,16 @@
 	if result.err != nil {
 		return
 	}
-	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, result.response.Serial), g.options.Clock.Now()
-	g.source = result.from
+	g.hasReadIndex, g.readIndex, g.waitingSince = true, max(g.readIndex, result.response.Version), g.options.Clock.Now()
+	g.lastResponder = result.from
 	g.fetchIfBehind(ctx)
 }
 
 // fetchIfBehind fetches from the controller that responded last.
 func (g *Gate) fetchIfBehind(ctx context.Context) {
 	if g.behind() {
-		source := g.source
-		g.queries.Go(func() { g.options.Fetch(ctx, source) })
+		source := g.lastResponder
+		g.goroutines.Go(func() { g.options.Fetch(ctx, source) })
 	}
 }
 
@@ -180,7 +180,7 @@
 // behind reports whether the version that is applied here is older than the read
 // index.
 func (g *Gate) behind() bool {
-	return g.hasReadIndex && g.applied() && g.options.AppliedSerial() < g.readIndex
+	return g.hasReadIndex && g.applied() && g.options.AppliedVersion() < g.readIndex
 }
 
 // evaluate opens the gate where that is due, and reports whether the version is
@@ -219,7 +219,7 @@
 	}
 	g.state.Store(state)
 	if state == Unconfirmed || before == Unconfirmed {
-		g.options.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.AppliedSerial())).
+		g.options.Log.Warn().Str("part", "readindex").Str("state", state).Int64("version", int64(g.options.AppliedVersion())).
 			Msg(stateMessages[state])
 	}
 	select {
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -23,15 +23,15 @@
 // testGate is a router's gate beside two controllers: one is partitioned, the
 // other is where the test says so.
 type testGate struct {
-	ctx         scope.Scope
-	log         *logtest.Buffer
-	applied     chan struct{}
-	serial      atomic.Int64
-	newest      atomic.Int64
-	partitioned atomic.Bool
-	queries     atomic.Int64
-	runEnded    atomic.Bool
-	gate        *Gate
+	ctx            scope.Scope
+	log            *logtest.Buffer
+	applied        chan struct{}
+	appliedVersion atomic.Int64
+	newestVersion  atomic.Int64
+	partitioned    atomic.Bool
+	queries        atomic.Int64
+	runEnded       atomic.Bool
+	gate           *Gate
 }
 
 func newTestGate(t *testing.T) *testGate {
@@ -50,12 +50,12 @@
 				return Response{}, errors.New("no quorum")
 			}
 			clock.Wait(ctx, tg.ctx.Clock, 80*time.Millisecond)
-			return Response{Serial: ids.Version(tg.newest.Load())}, nil
+			return Response{Version: ids.Version(tg.newestVersion.Load())}, nil
 		},
-		Applied: tg.applied, AppliedSerial: func() ids.Version { return ids.Version(tg.serial.Load()) },
+		Applied: tg.applied, AppliedVersion: func() ids.Version { return ids.Version(tg.appliedVersion.Load()) },
 		Fetch: func(ctx context.Context, _ ids.Address) {
 			if clock.Wait(ctx, tg.ctx.Clock, 100*time.Millisecond); !tg.partitioned.Load() {
-				tg.serial.Store(tg.newest.Load())
+				tg.appliedVersion.Store(tg.newestVersion.Load())
 			}
 		},
 		MaxWait: testMaxWait,
@@ -65,10 +65,10 @@
 
 // run runs the gate, applies a first version after a while, and returns how long
 // after that the gate opened.
-func (t *testGate) run(appliedAfter time.Duration, serial int64) time.Duration {
+func (t *testGate) run(appliedAfter time.Duration, version int64) time.Duration {
 	go func() { t.gate.Run(t.ctx); t.runEnded.Store(true) }()
 	t.ctx.Wait(appliedAfter)
-	t.serial.Store(serial)
+	t.appliedVersion.Store(version)
 	close(t.applied)
 	start := t.ctx.Now()
 	<-t.gate.Ready()
@@ -76,13 +76,13 @@
 }
 
 func TestGate_staleVersionIsNotServed(t *testing.T) {
-	for _, after := range []time.Duration{0, 200 * time.Millisecond, 3 * time.Second} {
-		t.Run(after.String(), func(t *testing.T) {
+	for _, appliedAfter := range []time.Duration{0, 200 * time.Millisecond, 3 * time.Second} {
+		t.Run(appliedAfter.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tg := newTestGate(t)
-				tg.newest.Store(9)
-				if took := tg.run(after, 5); took > testMaxWait || tg.gate.State() != Confirmed || tg.serial.Load() != 9 {
-					t.Errorf("%s with %d after %v", tg.gate.State(), tg.serial.Load(), took)
+				tg.newestVersion.Store(9)
+				if took := tg.run(appliedAfter, 5); took > testMaxWait || tg.gate.State() != Confirmed || tg.appliedVersion.Load() != 9 {
+					t.Errorf("%s with %d after %v", tg.gate.State(), tg.appliedVersion.Load(), took)
 				}
 			})
 		})
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tg := newTestGate(t)
 		tg.partitioned.Store(true)
-		tg.newest.Store(6)
+		tg.newestVersion.Store(6)
 		if took := tg.run(100*time.Millisecond, 5); took > testMaxWait || tg.gate.State() != Unconfirmed {
 			t.Errorf("%s after %v", tg.gate.State(), took)
 		}
@@ -121,8 +121,8 @@
 		}
 		tg.partitioned.Store(false)
 		tg.ctx.Wait(4 * maxIntervalFactor * testMaxWait)
-		if tg.gate.State() != Confirmed || tg.serial.Load() != 6 {
-			t.Errorf("healed: %s with %d", tg.gate.State(), tg.serial.Load())
+		if tg.gate.State() != Confirmed || tg.appliedVersion.Load() != 6 {
+			t.Errorf("healed: %s with %d", tg.gate.State(), tg.appliedVersion.Load())
 		}
 		synctest.Wait()
 		if lines := strings.Count(tg.log.String(), "\n"); lines != 2 {
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -23,7 +23,7 @@
 // Response carries the serial of the newest version; 0 where none was ever
 // accepted.
 type Response struct {
-	Serial ids.Version `avro:"Serial"`
+	Version ids.Version `avro:"Serial"`
 }
 
 // SchemaName names the stored and sent form; it must never change.
@@ -45,9 +45,9 @@
 // sharedRead is a read that several requests wait for; its result is set before
 // done is closed.
 type sharedRead struct {
-	done   chan struct{}
-	serial ids.Version
-	err    error
+	done    chan struct{}
+	version ids.Version
+	err     error
 }
 
 // NewReader returns a Reader on top of read, which returns the newest serial once
@@ -59,8 +59,8 @@
 // RegisterHandlers serves the read index to other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, ReadIndexMessage, func(ctx context.Context, _ Request) (Response, error) {
-		serial, err := r.ReadIndex(ctx)
-		return Response{Serial: serial}, err
+		version, err := r.ReadIndex(ctx)
+		return Response{Version: version}, err
 	})
 }
 
@@ -69,7 +69,7 @@
 	read := r.join(ctx)
 	select {
 	case <-read.done:
-		return read.serial, read.err
+		return read.version, read.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -100,7 +100,7 @@
 		if read == nil {
 			return
 		}
-		read.serial, read.err = r.read(ctx)
+		read.version, read.err = r.read(ctx)
 		close(read.done)
 	}
 }
--- a/control/state/readindex/reader_test.go
+++ b/control/state/readindex/reader_test.go
@@ -16,20 +16,20 @@
 func TestReader_requestsShareReadBegunAfterThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := scope.New(scope.Options{})
-		var newest, reads atomic.Int64
+		var newestVersion, reads atomic.Int64
 		reader := NewReader(func(context.Context) (ids.Version, error) {
 			reads.Add(1)
-			serial := newest.Load()
+			version := newestVersion.Load()
 			ctx.Wait(100 * time.Millisecond)
-			return ids.Version(serial), nil
+			return ids.Version(version), nil
 		})
 		results := make(chan bool)
 		for index := range 300 {
 			go func() {
 				ctx.Wait(time.Duration(index) * time.Millisecond)
-				atLeast := newest.Add(1)
-				serial, err := reader.ReadIndex(ctx)
-				results <- err == nil && int64(serial) >= atLeast
+				atLeast := newestVersion.Add(1)
+				version, err := reader.ReadIndex(ctx)
+				results <- err == nil && int64(version) >= atLeast
 			}()
 		}
 		for range 300 {
--- a/simulation/bugs_messages_test.go
+++ b/simulation/bugs_messages_test.go
@@ -131,7 +131,7 @@
 		if sent.path != "/"+readindex.ReadIndexMessage {
 			return resp
 		}
-		return okReply(readindex.Response{Serial: ownRecord(target).Version})
+		return okReply(readindex.Response{Version: ownRecord(target).Version})
 	}}
 }
 
