--- a/control/state/command/chunks.go
+++ b/control/state/command/chunks.go
@@ -11,13 +11,14 @@
 	"onyxwell/control/state/register"
 )
 
-// chunkProgress is how far the history of changes is sealed in chunks.
+// chunkProgress tracks how much of the configuration's history of changes is sealed
+// in chunks. It is safe for concurrent use.
 type chunkProgress struct {
 	mu sync.Mutex
-	// sealed counts the oldest changes that are in chunks held by a majority.
+	// sealed is the number of changes, oldest first, in chunks that a majority holds.
 	sealed int64
-	// noneDueEpoch and sequence are the write of the configuration after which no chunk
-	// was left to be sealed.
+	// noneDueEpoch and noneDueSequence identify the write of the configuration for
+	// which it was last found that no chunk is due.
 	noneDueEpoch    ids.Epoch
 	noneDueSequence int64
 }
@@ -28,33 +29,37 @@
 	return c.sealed
 }
 
-// advance notes that so many changes are sealed.
+// advance records that the given number of changes are sealed.
 func (c *chunkProgress) advance(sealed int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = max(c.sealed, sealed)
 }
 
-// noneDueAfter tells whether no chunk was left to be sealed after a write.
+// noneDueAfter reports whether it was already found that no chunk is due after a
+// write of the configuration.
 func (c *chunkProgress) noneDueAfter(write register.Proposal) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return write.Epoch == c.noneDueEpoch && write.Sequence == c.noneDueSequence
 }
 
+// setNoneDueAfter records that no chunk is due after a write of the configuration.
 func (c *chunkProgress) setNoneDueAfter(write register.Proposal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.noneDueEpoch, c.noneDueSequence = write.Epoch, write.Sequence
 }
 
-// resolveArchived decides by its chunk whether a change was applied before; nil
-// means that it was. The chunk is read as any key is: confirmed by a majority.
+// resolveArchived returns nil if the chunk of an archived change shows that the
+// change was applied, and an error otherwise. The chunk is read like any other key,
+// with the confirmation of a majority.
 func (d *Dispatcher) resolveArchived(ctx context.Context, archived *store.ArchivedError) error {
 	chunk, err := d.options.Proposer.Read(ctx, archived.Key())
 	if errkind.KindOf(err) == errkind.NoQuorum && ctx.Err() == nil {
-		// Another controller may own the chunk's key by now: the failed
-		// confirmation ended the ownership, and this read takes it over again.
+		// Another controller may have taken over the chunk's key. The failed
+		// confirmation ended this proposer's ownership, so the second read takes over
+		// the key again.
 		chunk, err = d.options.Proposer.Read(ctx, archived.Key())
 	}
 	if err != nil {
@@ -63,9 +68,10 @@
 	return archived.Resolve(chunk)
 }
 
-// sealChunks writes the chunks of the configuration's history that are due. Only
-// a chunk that a majority holds counts as sealed; the next change truncates the
-// history by it. It is idempotent: the next owner seals the same chunks again.
+// sealChunks writes all chunks of the configuration's history that are due, if this
+// controller owns the configuration. Only a chunk that a majority holds counts as
+// sealed; the next change then removes its entries from the record. Sealing is
+// idempotent: the next owner seals the same chunks again.
 func (d *Dispatcher) sealChunks(ctx context.Context) {
 	if !d.options.Proposer.Owns(config.Key) {
 		return
@@ -76,8 +82,8 @@
 		return
 	}
 	for {
-		// The local acceptor's value may never be committed: it only tells whether
-		// a confirmed read is worth its messages.
+		// The value that the local acceptor accepted may never be committed, so it only
+		// decides whether to spend the messages of a confirmed read.
 		if _, due := nextChunk(accepted.Value, sealed); !due {
 			break
 		}
@@ -90,8 +96,8 @@
 	d.chunks.setNoneDueAfter(accepted)
 }
 
-// sealNextChunk writes one chunk of the history that a majority confirms, and
-// gives how many changes are sealed then.
+// sealNextChunk has a majority confirm the history, writes the next chunk of it if one
+// is due, and returns the number of changes that are sealed afterwards.
 func (d *Dispatcher) sealNextChunk(ctx context.Context, sealed int64) (int64, error) {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
@@ -110,7 +116,8 @@
 	return chunk.Sealed(), nil
 }
 
-// nextChunk gives the chunk that is due by the configuration's value.
+// nextChunk returns the next chunk to write, given the configuration's value and the
+// number of sealed changes, or false if none is due.
 func nextChunk(value []byte, sealed int64) (store.Chunk, bool) {
 	record, err := store.DecodeCompressed(value)
 	if err != nil {
--- a/control/state/command/command.go
+++ b/control/state/command/command.go
@@ -14,38 +14,40 @@
 	Verb string `avro:"Verb"`
 	// Change is the argument of VerbChange.
 	Change store.Change `avro:"Change"`
-	// FromNonVoter marks a command forwarded by a controller without a vote,
-	// which does not know the key's owner: the receiver dispatches it.
+	// FromNonVoter reports that a controller without a vote forwarded the command.
+	// It does not know the key's owner, so the receiver dispatches the command.
 	FromNonVoter bool `avro:"Forwarded"`
-	// ZoneVersion is the version of a zone's state read after the command
-	// arrived; 0 before it was read. See dispatchOnce.
+	// ZoneVersion is the version of the zone's state as read after the command
+	// arrived, or 0 if it has not been read. See dispatchOnce.
 	ZoneVersion ids.Version `avro:"Past"`
-	// Deadline, in the receiver's clock, is when a forwarded command may not be
-	// started any more; the zero value if it was not forwarded.
+	// Deadline is the instant on the receiver's clock from which on a forwarded
+	// command must not be started. It is the zero value if the command was not
+	// forwarded.
 	Deadline quorum.Deadline `avro:"Until"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name on the wire; it must never change.
 func (Command) SchemaName() string { return "Order_21" }
 
 func (c Command) hasDeadline() bool { return c.Deadline != (quorum.Deadline{}) }
 
-// Result is the outcome of a forwarded command: a Kind of errkind.None with the
-// register's value, or an error. It is sent between controllers.
+// Result is the outcome of a forwarded command: the register's value, with Kind
+// errkind.None, or the kind and the detail of an error. It is sent between
+// controllers.
 type Result struct {
 	Kind   int64  `avro:"Kind"`
 	Detail string `avro:"Detail"`
 	Value  []byte `avro:"Value"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name on the wire; it must never change.
 func (Result) SchemaName() string { return "Outcome_21" }
 
-// The verbs of commands, as sent between controllers.
+// Verbs of commands, as sent between controllers.
 const (
-	// VerbRead confirms the value by a majority and leaves it as it is.
+	// VerbRead has a majority confirm the value, without changing it.
 	VerbRead = "read"
-	// VerbChange applies a change to the configuration.
+	// VerbChange applies Command.Change to the configuration.
 	VerbChange = "change"
 	// VerbDrain drains a zone.
 	VerbDrain = "empty"
@@ -55,7 +57,7 @@
 	VerbEpoch = "epoch"
 )
 
-// resultOf turns what a method returned into its result on the wire.
+// resultOf returns the Result that encodes a value or an error.
 func resultOf(value []byte, err error) Result {
 	if err == nil {
 		return Result{Value: value}
@@ -63,13 +65,14 @@
 	return Result{Kind: int64(errkind.KindOf(err)), Detail: errkind.DetailOf(err)}
 }
 
-// decided tells whether the result leaves no doubt whether the command was
-// executed.
+// decided reports whether the result says for certain that the command was or was
+// not executed.
 func (r Result) decided() bool {
 	kind := errkind.Kind(r.Kind)
 	return kind != errkind.NoQuorum && kind != errkind.Internal
 }
 
+// err returns the error that the result encodes, or nil.
 func (r Result) err() error {
 	if kind := errkind.Kind(r.Kind); kind != errkind.None {
 		return errkind.Errorf(kind, "%s", r.Detail)
--- a/control/state/command/dispatcher.go
+++ b/control/state/command/dispatcher.go
@@ -1,17 +1,19 @@
-// Package command leads a command to the controller that owns its key. The
-// owner executes it; every other controller forwards it to the owner, and takes
-// the key over when the owner does not answer.
+// Package command routes commands to the controller that owns their key. The
+// owner executes a command; every other controller forwards it to the owner, and
+// takes over the key if the owner does not answer.
 //
-// A command is started only while a majority of the voters is reachable, and
-// its context ends when that majority is lost. A forwarded command never
-// executes after its forwarder gave up and others went on:
-//   - the receiver executes it only if it owns the key, and takes no key over
-//     for it;
-//   - its deadline is checked in the key's turn at the proposer, so it starts
-//     before the forwarder gives up or not at all. Later commands executed by
-//     the same owner wait for that turn to end; those of another controller
-//     follow a takeover, whose higher epoch makes the voters refuse what the
-//     former owner still sends.
+// A command is started only while a majority of the voters is reachable, and its
+// context is canceled when that majority is lost. A forwarded command never takes
+// effect after its forwarder has given up and later commands have been executed:
+//   - The receiver executes the command only if it owns the key, and does not take
+//     over the key for it. A command from a controller without a vote, which does
+//     not know the owner, is dispatched instead.
+//   - The deadline of the command is checked when the proposer processes the
+//     update, after its wait in the key's queue. So the command starts before the
+//     forwarder gives up or not at all. Later commands executed by the same owner
+//     wait until it has finished. Those executed by another controller follow a
+//     takeover, whose higher epoch makes the voters refuse what the former owner
+//     still sends.
 package command
 
 import (
@@ -37,10 +39,10 @@
 )
 
 const (
-	// maxAttempts is how often a command is routed while other controllers take
-	// its key over.
+	// maxAttempts limits how often a command is routed if other controllers keep
+	// taking over its key.
 	maxAttempts = 8
-	// maxBackoffFactor bounds the linear growth of the backoff before a takeover.
+	// maxBackoffFactor limits the linear growth of the backoff before a takeover.
 	maxBackoffFactor = 3
 )
 
@@ -54,27 +56,28 @@
 	// Clock measures all timeouts; it and Log are required.
 	Clock clock.Clock
 	Log   *log.Logger
-	// Address is this controller's own.
+	// Address is the address of this controller.
 	Address    ids.Address
 	Proposer   *register.Proposer
 	Acceptor   *register.Acceptor
 	Membership *membership.Table
-	// Updates receives the values that Publish and Reconcile find committed.
+	// Updates receives the committed values that Publish and Reconcile gossip.
 	Updates   *gossip.Store
 	Transport *transport.Client
-	// Quorum tracks whether a majority of the voters is reachable; by default a
+	// Quorum tracks whether a majority of the voters is reachable; nil stands for a
 	// Tracker over Transport.
 	Quorum *quorum.Tracker
-	// Peers forwards commands; by default over Transport.
+	// Peers forwards commands; nil stands for a client over Transport.
 	Peers PeerClient
-	// ForwardTimeout bounds one forwarded attempt; an owner that exceeds it is
-	// suspected.
+	// ForwardTimeout limits one attempt to forward a command to its owner. An owner
+	// that exceeds it is suspected to have failed, unless it is only busy; see
+	// ownerHealth.
 	ForwardTimeout time.Duration
-	// CommandTimeout bounds a command as a whole, with all its attempts.
+	// CommandTimeout limits a command as a whole, with all its attempts.
 	CommandTimeout time.Duration
-	// TakeoverBackoff gives the delay before a takeover, multiplied by the
-	// attempt up to maxBackoffFactor; by default a random part of
-	// ForwardTimeout/4.
+	// TakeoverBackoff returns the delay before a takeover, which is multiplied by
+	// the number of the attempt, up to maxBackoffFactor. By default it is random,
+	// up to ForwardTimeout/4.
 	TakeoverBackoff func() time.Duration
 }
 
@@ -85,7 +88,7 @@
 	chunks  chunkProgress
 }
 
-// New makes a dispatcher.
+// New returns a Dispatcher.
 func New(options Options) *Dispatcher {
 	if options.TakeoverBackoff == nil {
 		options.TakeoverBackoff = func() time.Duration { return random.Duration(options.ForwardTimeout / 4) }
@@ -101,7 +104,7 @@
 	return &Dispatcher{options: options, owners: newOwnerHealth(4 * options.ForwardTimeout)}
 }
 
-// RegisterHandlers registers the handlers of forwarded commands and orders.
+// RegisterHandlers registers the handlers of forwarded commands and rollout orders.
 func (d *Dispatcher) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, forwardMessage, func(ctx context.Context, cmd Command) (Result, error) {
 		return resultOf(d.HandleForwarded(ctx, cmd)), nil
@@ -109,9 +112,12 @@
 	transport.Handle(calls, rollout.OrderMessage, d.handleRolloutOrder)
 }
 
-// Dispatch leads a command to the owner of its key and returns the register's
-// value after it. An errkind.NoQuorum error leaves open whether the command was
-// executed: the caller may send it again, which executes it at most once.
+// Dispatch routes a command to the owner of its key and returns the register's
+// value after the command. After an error of kind errkind.NoQuorum the command may
+// or may not have been executed, and may be dispatched again. A configuration change
+// is applied at most once, however often it is dispatched. A drain or undrain has no
+// effect if the zone is already in the requested state, but acts again if the zone
+// was toggled back in between. Each VerbEpoch that is executed increments the epoch.
 func (d *Dispatcher) Dispatch(ctx context.Context, cmd Command) ([]byte, error) {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
@@ -123,13 +129,14 @@
 	return d.dispatchOnce(ctx, cmd)
 }
 
-// HandleForwarded executes a command that another controller forwarded, if its
-// key is owned here. One from a controller without a vote is dispatched instead.
+// HandleForwarded executes a command that another controller forwarded, if this
+// controller owns the key. A command from a controller without a vote is dispatched
+// instead.
 func (d *Dispatcher) HandleForwarded(ctx context.Context, cmd Command) ([]byte, error) {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	if !cmd.hasDeadline() {
-		return nil, errkind.Errorf(errkind.NoQuorum, "a forwarded command without a deadline")
+		return nil, errkind.Errorf(errkind.NoQuorum, "the forwarded command has no deadline")
 	}
 	if err := d.checkDeadline(ctx, cmd); err != nil {
 		return nil, err
@@ -146,19 +153,19 @@
 	return d.execute(ctx, cmd, d.options.Proposer.UpdateIfOwned)
 }
 
-// checkDeadline refuses a command that may not be started any more.
+// checkDeadline returns an error if the command must no longer be started.
 func (d *Dispatcher) checkDeadline(ctx context.Context, cmd Command) error {
 	if ctx.Err() != nil {
 		return quorum.ErrContextDone
 	}
 	if cmd.hasDeadline() && !d.options.Quorum.WithinDeadline(cmd.Deadline, d.options.Clock.Now()) {
-		return errkind.Errorf(errkind.NoQuorum, "the order came too late")
+		return errkind.Errorf(errkind.NoQuorum, "the forwarded command's deadline has passed, or is for another incarnation of this controller")
 	}
 	return nil
 }
 
-// routeWithRetries routes a command again while the outcome is open and another
-// controller took the key over meanwhile.
+// routeWithRetries routes a command up to maxAttempts times, as long as its outcome is
+// unknown and another controller has taken over the key.
 func (d *Dispatcher) routeWithRetries(ctx context.Context, cmd Command) ([]byte, error) {
 	for attempt := 1; ; attempt++ {
 		value, err := d.route(ctx, cmd, attempt)
@@ -169,15 +176,16 @@
 	}
 }
 
-// preempted tells whether the local acceptor last promised the key to another
+// preempted reports whether the local acceptor has last promised the key to another
 // controller.
 func (d *Dispatcher) preempted(key string) bool {
 	owner := d.options.Acceptor.Slot(key).Promised.Owner
 	return owner != "" && owner != d.options.Address
 }
 
-// route executes a command if its key is owned here, and forwards it otherwise;
-// the key is taken over if its owner does not answer.
+// route executes a command if this controller owns the key, and forwards it
+// otherwise. If the owner does not answer, a controller with a vote takes over the
+// key.
 func (d *Dispatcher) route(ctx context.Context, cmd Command, attempt int) ([]byte, error) {
 	if d.options.Proposer.Owns(cmd.Key) {
 		return d.execute(ctx, cmd, d.options.Proposer.Update)
@@ -193,32 +201,35 @@
 	return d.takeOver(ctx, cmd, attempt)
 }
 
-// takeOver executes a command here and so takes its key over. Concurrent
-// takeovers preempt each other and delay all commands for the key; so it backs
-// off first, and leaves the key to a controller that took it meanwhile.
+// takeOver executes a command on this controller, which takes over the key.
+// Concurrent takeovers preempt each other and delay all commands for the key, so
+// takeOver backs off first and gives up if another controller has taken over the
+// key in the meantime.
 func (d *Dispatcher) takeOver(ctx context.Context, cmd Command, attempt int) ([]byte, error) {
 	promisedBefore := d.options.Acceptor.Slot(cmd.Key).Promised
 	if !clock.Wait(ctx, d.options.Clock, time.Duration(min(attempt, maxBackoffFactor))*d.options.TakeoverBackoff()) {
-		return nil, errkind.Errorf(errkind.NoQuorum, "out of time")
+		return nil, errkind.Errorf(errkind.NoQuorum, "the context ended during the backoff before a takeover")
 	}
 	if d.preempted(cmd.Key) && d.options.Acceptor.Slot(cmd.Key).Promised != promisedBefore {
-		return nil, errkind.Errorf(errkind.NoQuorum, "another took %s meanwhile", cmd.Key)
+		return nil, errkind.Errorf(errkind.NoQuorum, "another controller took over key %q during the backoff before a takeover", cmd.Key)
 	}
 	return d.execute(ctx, cmd, d.options.Proposer.Update)
 }
 
-// writeFunc is the proposer's Update, which takes the key over where needed, or
-// its UpdateIfOwned.
+// writeFunc is the proposer's Update, which takes over the key if needed, or its
+// UpdateIfOwned, which does not.
 type writeFunc func(ctx context.Context, key string, update register.UpdateFunc) ([]byte, error)
 
-// execute carries a command out at the local proposer.
+// execute executes a command at the local proposer. If a configuration change is
+// based on a version older than the record's recent history, a chunk of the history
+// decides whether the change was applied.
 func (d *Dispatcher) execute(ctx context.Context, cmd Command, write writeFunc) ([]byte, error) {
 	update, err := d.updateFor(cmd)
 	if err != nil {
 		return nil, err
 	}
 	value, err := write(ctx, cmd.Key, func(current []byte) ([]byte, error) {
-		// In the key's turn: the command may have waited for it past its deadline.
+		// The deadline may have passed while the command waited in the key's queue.
 		if err := d.checkDeadline(ctx, cmd); err != nil {
 			return nil, err
 		}
@@ -234,7 +245,7 @@
 	return value, nil
 }
 
-// updateFor gives the update of the register's value that a command stands for.
+// updateFor returns the update of the register's value that executes a command.
 func (d *Dispatcher) updateFor(cmd Command) (register.UpdateFunc, error) {
 	switch cmd.Verb {
 	case VerbRead:
@@ -246,6 +257,6 @@
 	case VerbEpoch:
 		return nextEpoch(cmd.Key), nil
 	default:
-		return nil, errkind.Errorf(errkind.UnknownCall, "verb %q", cmd.Verb)
+		return nil, errkind.Errorf(errkind.UnknownCall, "unknown command verb %q", cmd.Verb)
 	}
 }
--- a/control/state/command/epoch.go
+++ b/control/state/command/epoch.go
@@ -8,16 +8,16 @@
 	"onyxwell/control/transport"
 )
 
-// leaseKeyPrefix begins the keys of the leases' epochs; it must never change.
+// leaseKeyPrefix is the prefix of the keys of the leases' epochs; it must never change.
 const leaseKeyPrefix = "hold/"
 
-// EpochRecord is the register's value of a lease's key: how often the lease was
-// gained. It is stored.
+// EpochRecord is the register's value under a lease's key. It is stored.
 type EpochRecord struct {
+	// Number is the lease's epoch, which is incremented when the lease is acquired.
 	Number int64 `avro:"Number"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored Avro record name; it must never change.
 func (EpochRecord) SchemaName() string { return "EpochKept_21" }
 
 // NextEpoch increments the epoch of the named lease and returns it.
@@ -30,7 +30,7 @@
 	return record.Number, err
 }
 
-// nextEpoch returns the update of the EpochRecord under a key.
+// nextEpoch returns an update that increments the EpochRecord under a key.
 func nextEpoch(key string) register.UpdateFunc {
 	return func(current []byte) ([]byte, error) {
 		record, err := transport.UnmarshalStored[EpochRecord](key, current)
--- a/control/state/command/forward.go
+++ b/control/state/command/forward.go
@@ -13,20 +13,20 @@
 	"onyxwell/control/transport"
 )
 
-// forwardMessage names the message on the wire; it must never change.
+// forwardMessage is the name of the call on the wire; it must never change.
 const forwardMessage = "order"
 
-// transportPeers is the PeerClient over the transport between daemons.
+// transportPeers implements PeerClient over the transport between daemons.
 type transportPeers struct{ client *transport.Client }
 
-// Forward sends the command to the controller at the address.
+// Forward sends a command to the controller at an address.
 func (t transportPeers) Forward(ctx context.Context, to ids.Address, cmd Command) (Result, error) {
 	return transport.Send[Result](ctx, t.client, to, forwardMessage, cmd)
 }
 
 // forwardToVoter forwards a command to one voter after another, in random order,
-// until one decides it. A controller without a vote does not know who owns a
-// key, and would take it over for each command.
+// until one returns a decided result. A controller without a vote does not know who
+// owns a key, and would have to take over the key for each command.
 func (d *Dispatcher) forwardToVoter(ctx context.Context, cmd Command) ([]byte, error) {
 	cmd.FromNonVoter = true
 	voters := slices.Clone(d.options.Acceptor.Voters().Members)
@@ -41,12 +41,12 @@
 			return result.Value, result.err()
 		}
 	}
-	return nil, errkind.Errorf(errkind.NoQuorum, "no voter answered")
+	return nil, errkind.Errorf(errkind.NoQuorum, "no voter returned a decided result")
 }
 
-// forwardToOwner forwards a command to the owner of its key. It is not ok if the
-// outcome is open and the key may be taken over; an owner that is only busy
-// keeps its key.
+// forwardToOwner forwards a command to the owner of its key. If ok is false, the
+// outcome is unknown and the key may be taken over. An owner that is only busy keeps
+// its key: then ok is true and the error is of kind errkind.NoQuorum.
 func (d *Dispatcher) forwardToOwner(ctx context.Context, owner ids.Address, cmd Command) (value []byte, ok bool, err error) {
 	sentAt := d.options.Clock.Now()
 	result, err := d.forward(ctx, owner, cmd, d.options.ForwardTimeout)
@@ -59,13 +59,14 @@
 	}
 	answeredOther := d.options.Quorum.LastContact(owner) > sentAt
 	if d.owners.recordUnanswered(owner, answeredOther, d.options.Clock.Now()) {
-		return nil, true, errkind.Errorf(errkind.NoQuorum, "the owner of %s is busy", cmd.Key)
+		return nil, true, errkind.Errorf(errkind.NoQuorum, "the owner of key %q is busy and did not answer in time", cmd.Key)
 	}
 	return nil, false, nil
 }
 
-// forward sends a command on. Its deadline, in the receiver's clock, is neither
-// later than this call's timeout nor than the deadline that it came with.
+// forward sends a command to another controller. The deadline that it sets, on the
+// receiver's clock, is no later than the end of the timeout, nor than the deadline
+// that the command arrived with.
 func (d *Dispatcher) forward(ctx context.Context, to ids.Address, cmd Command, timeout time.Duration) (Result, error) {
 	if cmd.hasDeadline() {
 		timeout = min(timeout, clock.Instant(cmd.Deadline.End).Since(d.options.Clock.Now()))
@@ -81,8 +82,9 @@
 	return d.options.Peers.Forward(ctx, to, cmd)
 }
 
-// reachableOwner gives the owner of a key, as the local acceptor promised it
-// last, unless that is this controller, or not alive, or suspected.
+// reachableOwner returns the owner to which the local acceptor has last promised the
+// key. It returns false if there is none, or if the owner is this controller, is not
+// alive or is suspected.
 func (d *Dispatcher) reachableOwner(key string) (ids.Address, bool) {
 	owner := d.options.Acceptor.Slot(key).Promised.Owner
 	if owner == "" || owner == d.options.Address {
--- a/control/state/command/idempotent.go
+++ b/control/state/command/idempotent.go
@@ -8,16 +8,18 @@
 	"onyxwell/control/config/evacuation"
 )
 
-// drainedByVerb gives the drained state that a verb on a zone asks for.
+// drainedByVerb maps each verb on a zone to the drained state that it requests.
 var drainedByVerb = map[string]bool{VerbDrain: true, VerbUndrain: false}
 
-// dispatchOnce routes a command so that it acts at most once, also when it is
-// routed again because its outcome was open. For a change of the configuration
-// the history of changes decides whether it acted before. A zone's state has
-// none: it is read first, and the update applies to that version alone. Every
-// write of a zone toggles it, so a higher version means that the zone was in the
-// wanted state at some time since the command arrived, and nothing is left to be
-// done, though others may have toggled it back.
+// dispatchOnce routes a command so that a configuration change or a zone command
+// takes effect at most once, even if it is routed several times because its outcome
+// is unknown. For a configuration change, the history of changes shows whether it
+// was already applied. A zone's state has no history: it is read first, and the
+// update applies only to that version. Every write of a zone's state toggles it, so
+// a higher version means that the zone has been in the requested state at some time
+// since the command arrived. Then nothing is left to do, even if another command has
+// toggled the zone back. VerbEpoch has no such protection: routed several times, it
+// may increment the epoch more than once.
 func (d *Dispatcher) dispatchOnce(ctx context.Context, cmd Command) ([]byte, error) {
 	drained, ok := drainedByVerb[cmd.Verb]
 	if !ok || cmd.ZoneVersion > 0 {
@@ -34,8 +36,8 @@
 	if state.Version > 0 && state.Drained == drained {
 		return value, nil
 	}
-	// Version 1 is the one write that may not toggle: a zone that was never
-	// drained may be undrained first.
+	// Only the write of version 1 need not toggle the state: the first command for a
+	// zone, which is not drained until then, may be an undrain.
 	cmd.ZoneVersion = max(state.Version, 1)
 	return d.routeWithRetries(ctx, cmd)
 }
--- a/control/state/command/owner_health.go
+++ b/control/state/command/owner_health.go
@@ -8,18 +8,18 @@
 	"onyxwell/base/ids"
 )
 
-// maxUnanswered is how many commands in a row an owner may leave unanswered
-// while it answers other messages.
+// maxUnanswered is how many commands in a row an owner may leave unanswered before
+// it is suspected, if it still answers other messages.
 const maxUnanswered = 3
 
-// ownerHealth tells an owner that is busy from one that is gone, by the commands
-// that it left unanswered. It is safe for concurrent use.
+// ownerHealth distinguishes owners that are busy from those that have failed, based
+// on the commands that they leave unanswered. It is safe for concurrent use.
 type ownerHealth struct {
 	mu sync.Mutex
 	// suspicionPeriod is how long an owner stays suspected.
 	suspicionPeriod time.Duration
 	suspectedUntil  map[ids.Address]clock.Instant
-	// unanswered counts the commands in a row that an owner left unanswered.
+	// unanswered is the number of commands in a row that an owner left unanswered.
 	unanswered map[ids.Address]int
 }
 
@@ -27,7 +27,8 @@
 	return &ownerHealth{suspicionPeriod: suspicionPeriod, suspectedUntil: map[ids.Address]clock.Instant{}, unanswered: map[ids.Address]int{}}
 }
 
-// suspected tells whether commands should not be forwarded to an owner now.
+// suspected reports whether an owner is suspected to have failed, so that no
+// commands should be forwarded to it.
 func (o *ownerHealth) suspected(owner ids.Address, now clock.Instant) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -35,9 +36,10 @@
 	return ok && now.Before(until)
 }
 
-// recordUnanswered notes that an owner left a command unanswered, and tells
-// whether it is only busy: it answered another message meanwhile, and did not
-// leave too many commands unanswered. Otherwise it is suspected from now on.
+// recordUnanswered records that an owner left a command unanswered, and reports
+// whether the owner is only busy: it has answered another message since the command
+// was sent, and has left at most maxUnanswered commands in a row unanswered.
+// Otherwise the owner is suspected from now on.
 func (o *ownerHealth) recordUnanswered(owner ids.Address, answeredOther bool, now clock.Instant) (busy bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -50,7 +52,7 @@
 	return false
 }
 
-// recordAnswer notes that an owner answered a command.
+// recordAnswer records that an owner answered a command.
 func (o *ownerHealth) recordAnswer(owner ids.Address) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/control/state/command/publish.go
+++ b/control/state/command/publish.go
@@ -12,16 +12,16 @@
 	"onyxwell/control/transport"
 )
 
-// Publish hands a committed value to gossip, if its key is one that is gossiped.
-// The proposer calls it with each proposal that a majority accepted.
+// Publish passes a committed value to gossip if its key is one that is gossiped. The
+// proposer calls it, as its OnCommit, with each proposal that a majority has accepted.
 func (d *Dispatcher) Publish(key string, committed register.Proposal) {
 	if item, ok := gossipItem(key, committed.Value); ok {
 		d.options.Updates.Put(item)
 	}
 }
 
-// gossipItem makes the gossip item of a register's value; it is not ok for a key
-// that is not gossiped and for a value that was never written.
+// gossipItem returns the gossip item for a register's value. It returns false if the
+// key is not gossiped, or if the value was never written or can't be decoded.
 func gossipItem(key string, value []byte) (gossip.Item, bool) {
 	kind, _, _ := strings.Cut(key, "/")
 	decode := gossipDecoders[kind]
@@ -33,7 +33,8 @@
 	return item, err == nil && item.Version > 0
 }
 
-// gossipDecoders holds the keys that are gossiped, by what precedes a slash.
+// gossipDecoders returns the gossip items, without their keys, for the values of all
+// keys that are gossiped. It is indexed by the part of the key before the first slash.
 var gossipDecoders = map[string]func(value []byte) (gossip.Item, error){
 	config.Key: func(value []byte) (gossip.Item, error) {
 		record, err := store.DecodeCompressed(value)
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -11,8 +11,8 @@
 	"onyxwell/control/state/register"
 )
 
-// LatestVersion gives the version of the newest configuration that a majority
-// confirms now; 0 if there is none yet.
+// LatestVersion returns the version of the newest configuration, as confirmed by a
+// majority after the call, or 0 if there is no configuration yet.
 func (d *Dispatcher) LatestVersion(ctx context.Context) (ids.Version, error) {
 	value, err := d.Dispatch(ctx, Command{Key: config.Key, Verb: VerbRead})
 	if err != nil {
@@ -22,10 +22,10 @@
 	return record.Version, err
 }
 
-// Reconcile publishes values that the local acceptor accepted and that never
-// reached gossip here: their owner may have failed between commit and publish.
-// Each is read through its owner, which commits it. The owner of the
-// configuration also seals the chunks of its history.
+// Reconcile publishes values that the local acceptor has accepted but that gossip
+// has not delivered here, since their owner may have failed between commit and
+// publication. Each is read through its owner, which commits it. If this controller
+// owns the configuration, Reconcile also seals the chunks of its history.
 func (d *Dispatcher) Reconcile(ctx context.Context) {
 	d.sealChunks(ctx)
 	for _, slot := range d.options.Acceptor.Fetch(register.FetchRequest{}).Slots {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Run reconciles at an interval until the context ends.
+// Run calls Reconcile at the given interval until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
 		d.Reconcile(ctx)
--- a/control/state/command/rollout.go
+++ b/control/state/command/rollout.go
@@ -9,10 +9,11 @@
 	"onyxwell/control/transport"
 )
 
-// OrderRollout stores an operator's order of a rollout and returns once a majority has it.
-// An error of kind errkind.NoQuorum leaves open whether the order was stored. Other builds
-// know no such command, so it is not led to the key's owner: this controller takes the key
-// over or, where it does not vote, has a controller that votes do so.
+// OrderRollout stores an operator's rollout order and returns once a majority holds it.
+// After an error of kind errkind.NoQuorum the order may or may not have been stored. There
+// is no verb for rollout orders, since other builds would not know it; so the order is not
+// routed to the key's owner. Instead this controller takes over the key or, if it has no
+// vote, has a voter do so.
 func (d *Dispatcher) OrderRollout(ctx context.Context, order rollout.Order) error {
 	if !d.options.Acceptor.Voting() {
 		return d.forwardRolloutOrder(ctx, order)
@@ -21,7 +22,8 @@
 	return err
 }
 
-// forwardRolloutOrder has the first voter that answers store an order.
+// forwardRolloutOrder sends an order to one voter after another until one stores it or
+// refuses it with errkind.RolloutConflict.
 func (d *Dispatcher) forwardRolloutOrder(ctx context.Context, order rollout.Order) error {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
@@ -39,10 +41,10 @@
 			return err
 		}
 	}
-	return errkind.Errorf(errkind.NoQuorum, "no voter took the order: %w", err)
+	return errkind.Errorf(errkind.NoQuorum, "no voter stored the rollout order: %w", err)
 }
 
-// handleRolloutOrder stores an order that a controller without a vote forwarded.
+// handleRolloutOrder stores a rollout order that a controller without a vote forwarded.
 func (d *Dispatcher) handleRolloutOrder(ctx context.Context, req rollout.OrderRequest) (Result, error) {
 	if !d.options.Acceptor.Voting() {
 		return resultOf(nil, errkind.Errorf(errkind.NoQuorum, "this controller does not vote")), nil
@@ -50,7 +52,7 @@
 	return resultOf(nil, d.OrderRollout(ctx, rollout.Order(req))), nil
 }
 
-// ReadRollout returns the record of a service's rollout that a majority confirms.
+// ReadRollout returns the record of a service's rollout, as confirmed by a majority.
 func (d *Dispatcher) ReadRollout(ctx context.Context, service ids.Service) (rollout.Record, error) {
 	value, err := d.Dispatch(ctx, Command{Key: rollout.Key(service), Verb: VerbRead})
 	if err != nil {
--- a/control/state/command/update.go
+++ b/control/state/command/update.go
@@ -6,9 +6,11 @@
 	"onyxwell/control/state/register"
 )
 
-// Update updates a key at this controller, which takes it over where another owns it. It
-// serves keys that only the holder of a lease writes. The controller must vote. An
-// errkind.NoQuorum error leaves open whether the update was stored.
+// Update updates a key at this controller, which takes over the key if another controller
+// owns it. This controller must have a vote. Update is for keys that are not written by
+// commands: those that only the holder of a lease writes, and those of rollouts, which
+// OrderRollout writes too. After an error of kind errkind.NoQuorum the update may or may
+// not take effect.
 func (d *Dispatcher) Update(ctx context.Context, key string, update register.UpdateFunc) ([]byte, error) {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
--- a/control/state/readindex/doc.go
+++ b/control/state/readindex/doc.go
@@ -1,9 +1,9 @@
-// Package readindex gives a starting router its read index: the newest version of
-// the configuration that a majority of the voters confirmed after the router
-// started. Until the router has applied that version, or a later one, its Gate
-// stays closed, so that a router beside a partitioned controller does not serve
-// what others have long replaced.
+// Package readindex provides a starting router with its read index: the newest
+// version of the configuration that a majority of the voters has confirmed since
+// the router started. The router's Gate stays closed until the router has applied
+// that version or a later one. Otherwise a router next to a partitioned controller
+// could serve a configuration that was replaced elsewhere long ago.
 //
-// A router that reaches no majority within Options.MaxWait opens unconfirmed: it
-// must still serve when its whole region is partitioned.
+// If the version can't be confirmed within Options.MaxWait, the Gate opens
+// unconfirmed: a router must still serve when its whole region is partitioned.
 package readindex
--- a/control/state/readindex/gate.go
+++ b/control/state/readindex/gate.go
@@ -13,69 +13,74 @@
 	"onyxwell/base/random"
 )
 
-// The states of a Gate, as the status and the log show them.
+// States of a Gate, as shown in the status and in the log.
 const (
-	// Waiting is closed.
+	// Waiting is the state of a closed gate.
 	Waiting = "waiting"
-	// Unconfirmed is open, though no majority confirmed a version within MaxWait.
-	// The gate goes on querying until it is Confirmed.
+	// Unconfirmed is the state of a gate that opened after MaxWait, without
+	// confirmation that the applied version is new enough. The gate continues to
+	// query controllers until it is Confirmed.
 	Unconfirmed = "unconfirmed"
-	// Confirmed is open: the read index, or a later version, is applied.
+	// Confirmed is the state of an open gate whose router has applied the read index
+	// or a later version.
 	Confirmed = "confirmed"
 )
 
 const (
-	// checksPerMaxWait is how often per MaxWait the applied version is checked.
+	// checksPerMaxWait is how many times per MaxWait the applied version is checked.
 	checksPerMaxWait = 32
 	// The interval between two queries starts at MaxWait / firstIntervalDivisor and
-	// grows by half each time, up to MaxWait * maxIntervalFactor.
+	// grows by half after each query, up to MaxWait * maxIntervalFactor.
 	firstIntervalDivisor = 6
 	maxIntervalFactor    = 4
-	// maxQueuedResults bounds the results that wait for Run; further ones are
-	// dropped.
+	// maxQueuedResults limits the number of query results that wait for Run. Further
+	// results are dropped.
 	maxQueuedResults = 64
 )
 
-// Options configure a Gate. All but Jitter are required.
+// Options configures a Gate. All fields except Jitter are required.
 type Options struct {
 	Clock clock.Clock
 	Log   *log.Logger
-	// Controllers returns the addresses of the controllers that can be queried now.
+	// Controllers returns the addresses of the controllers that can be queried.
 	Controllers func() []ids.Address
 	// Query asks one controller for the read index.
 	Query func(ctx context.Context, address ids.Address) (Response, error)
-	// Applied is closed once some version is applied here; AppliedSerial then
-	// returns which.
+	// Applied is closed once the router has applied any version; from then on
+	// AppliedVersion returns the applied version.
 	Applied        <-chan struct{}
 	AppliedVersion func() ids.Version
-	// Fetch exchanges updates with a controller that has a newer version.
+	// Fetch exchanges updates with a controller, to get a newer version from it.
 	Fetch func(ctx context.Context, address ids.Address)
-	// MaxWait is how long the gate stays closed without any confirmation.
+	// MaxWait is how long a gate whose router has applied a version stays closed
+	// unconfirmed. The time starts anew with each response, and when the first version
+	// is applied after a response.
 	MaxWait time.Duration
-	// Jitter randomizes a query interval, so that routers that start together do
-	// not query together; by default it returns between 0.5 and 1.5 of it.
+	// Jitter randomizes a query interval, so that routers that start at the same time
+	// do not all query at the same time. By default it returns a duration between 0.5
+	// and 1.5 times the interval.
 	Jitter func(interval time.Duration) time.Duration
 }
 
-// Gate keeps a router from serving until its version is confirmed. Ready and
-// State may be called from any goroutine; the other state belongs to Run.
+// Gate keeps a router from serving until its configuration version is confirmed.
+// Ready and State may be called from any goroutine; all other state belongs to Run.
 type Gate struct {
 	options Options
 	ready   chan struct{}
 	state   atomic.Value
 
-	// goroutines are the goroutines that Run started and awaits.
+	// goroutines counts the queries and fetches that Run has started and waits for.
 	goroutines sync.WaitGroup
-	// candidates are the controllers that are yet to be queried, in random order.
+	// candidates are the controllers still to be queried in this round, in random order.
 	candidates []ids.Address
-	// readIndex is the newest serial of all responses, where hasReadIndex; source
-	// is the controller that responded last.
+	// readIndex is the newest version in any response, and lastResponder the controller
+	// that responded last; both are valid only if hasReadIndex is set.
 	readIndex     ids.Version
 	hasReadIndex  bool
 	lastResponder ids.Address
-	// waitingSince is the start of the wait that MaxWait bounds.
+	// waitingSince is the start of the wait that MaxWait limits.
 	waitingSince clock.Instant
-	// wasApplied reports that some version was already applied at the last check.
+	// wasApplied reports whether any version had been applied at the last check.
 	wasApplied bool
 }
 
@@ -95,15 +100,15 @@
 // State returns Waiting, Unconfirmed or Confirmed.
 func (g *Gate) State() string { return g.state.Load().(string) }
 
-// queryResult is what came of the query to one controller.
+// queryResult is the result of a query to one controller.
 type queryResult struct {
 	from     ids.Address
 	response Response
 	err      error
 }
 
-// Run queries controllers until the version is confirmed, and returns when ctx
-// has ended: a supervisor would start a service that returns earlier again.
+// Run queries controllers until the version is confirmed. It returns only when ctx
+// has ended, since a supervisor would restart a service that returns earlier.
 func (g *Gate) Run(ctx context.Context) {
 	defer g.goroutines.Wait()
 	maxWait := g.options.MaxWait
@@ -127,8 +132,8 @@
 	<-ctx.Done()
 }
 
-// queryNext queries the next controller: each once, in random order, then all
-// again.
+// queryNext queries the next controller. Each round queries every controller once,
+// in a new random order.
 func (g *Gate) queryNext(ctx context.Context, results chan<- queryResult) {
 	if len(g.candidates) == 0 {
 		g.candidates = append(g.candidates, g.options.Controllers()...)
@@ -150,6 +155,7 @@
 	})
 }
 
+// handleResult updates the read index from a response; it ignores failed queries.
 func (g *Gate) handleResult(ctx context.Context, result queryResult) {
 	if result.err != nil {
 		return
@@ -159,7 +165,8 @@
 	g.fetchIfBehind(ctx)
 }
 
-// fetchIfBehind fetches from the controller that responded last.
+// fetchIfBehind fetches updates from the controller that responded last if the
+// applied version is older than the read index.
 func (g *Gate) fetchIfBehind(ctx context.Context) {
 	if g.behind() {
 		source := g.lastResponder
@@ -167,7 +174,7 @@
 	}
 }
 
-// applied reports whether some version is applied here.
+// applied reports whether the router has applied any version.
 func (g *Gate) applied() bool {
 	select {
 	case <-g.options.Applied:
@@ -177,20 +184,21 @@
 	}
 }
 
-// behind reports whether the version that is applied here is older than the read
-// index.
+// behind reports whether the router has applied a version that is older than the
+// read index.
 func (g *Gate) behind() bool {
 	return g.hasReadIndex && g.applied() && g.options.AppliedVersion() < g.readIndex
 }
 
-// evaluate opens the gate where that is due, and reports whether the version is
-// confirmed.
+// evaluate opens the gate if the version is confirmed or MaxWait has passed, and
+// reports whether the version is confirmed.
 func (g *Gate) evaluate(ctx context.Context) bool {
 	if !g.applied() {
 		return false
 	}
 	if !g.wasApplied && g.hasReadIndex {
-		// The wait for a version that is behind starts once that is known.
+		// Only now can it be known whether the version is behind: MaxWait counts from
+		// here.
 		g.waitingSince = g.options.Clock.Now()
 		g.fetchIfBehind(ctx)
 	}
@@ -205,13 +213,14 @@
 	return false
 }
 
+// stateMessages maps each state that is logged to its log message.
 var stateMessages = map[string]string{
 	Unconfirmed: "ready with unconfirmed version",
 	Confirmed:   "version confirmed",
 }
 
-// setState opens the gate in the state. It logs only a router that became ready
-// unconfirmed, and its confirmation.
+// setState opens the gate in the given state. It logs when the gate opens
+// unconfirmed, and when it is confirmed after that.
 func (g *Gate) setState(state string) {
 	before := g.State()
 	if before == state {
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -9,7 +9,8 @@
 	"onyxwell/control/transport"
 )
 
-// ReadIndexMessage names the request between daemons.
+// ReadIndexMessage is the name of the read index call on the wire; it must never
+// change.
 const ReadIndexMessage = "readindex"
 
 // Request asks a controller for the read index.
@@ -17,46 +18,46 @@
 	From ids.Address `avro:"From"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name on the wire; it must never change.
 func (Request) SchemaName() string { return "Ask_26" }
 
-// Response carries the serial of the newest version; 0 where none was ever
-// accepted.
+// Response carries the read index: the newest version, or 0 if no configuration was
+// ever accepted.
 type Response struct {
 	Version ids.Version `avro:"Serial"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name on the wire; it must never change.
 func (Response) SchemaName() string { return "Told_26" }
 
-// Reader answers requests for the read index, from reads that a majority
-// confirms. Requests that wait together share the next read, which begins after
-// all of them arrived. It is safe for concurrent use.
+// Reader answers requests for the read index with reads that a majority confirms.
+// Concurrent requests share the next read, which begins after all of them have
+// arrived. Reader is safe for concurrent use.
 type Reader struct {
 	read func(ctx context.Context) (ids.Version, error)
 
 	mu sync.Mutex
-	// reading reports that readLoop runs; pending is the read after the one that
-	// it is at.
+	// reading is true while readLoop is running. pending is the read that follows the
+	// one in progress, or nil if no request waits for it.
 	reading bool
 	pending *sharedRead
 }
 
-// sharedRead is a read that several requests wait for; its result is set before
-// done is closed.
+// sharedRead is a read that several requests wait for. Its result is set before done
+// is closed.
 type sharedRead struct {
 	done    chan struct{}
 	version ids.Version
 	err     error
 }
 
-// NewReader returns a Reader on top of read, which returns the newest serial once
-// a majority has confirmed it.
+// NewReader returns a Reader that calls read, which must return the newest version
+// once a majority has confirmed it.
 func NewReader(read func(ctx context.Context) (ids.Version, error)) *Reader {
 	return &Reader{read: read}
 }
 
-// RegisterHandlers serves the read index to other daemons.
+// RegisterHandlers registers the handler of read index requests from other daemons.
 func (r *Reader) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, ReadIndexMessage, func(ctx context.Context, _ Request) (Response, error) {
 		version, err := r.ReadIndex(ctx)
@@ -64,7 +65,7 @@
 	})
 }
 
-// ReadIndex returns the newest serial that a majority confirmed after the call.
+// ReadIndex returns the newest version, as confirmed by a majority after the call.
 func (r *Reader) ReadIndex(ctx context.Context) (ids.Version, error) {
 	read := r.join(ctx)
 	select {
@@ -75,7 +76,7 @@
 	}
 }
 
-// join returns the read that begins next, and sees to it that it does.
+// join returns the read that begins next, and starts readLoop if it is not running.
 func (r *Reader) join(ctx context.Context) *sharedRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,13 +85,14 @@
 	}
 	if !r.reading {
 		r.reading = true
-		// The loop serves other callers too: it ends with the last of them.
+		// The loop also serves later callers, so it must not end with this caller's
+		// context.
 		go r.readLoop(context.WithoutCancel(ctx))
 	}
 	return r.pending
 }
 
-// readLoop runs pending reads until there is none.
+// readLoop runs pending reads until there are none.
 func (r *Reader) readLoop(ctx context.Context) {
 	for {
 		r.mu.Lock()
