--- a/control/state/command/chunks_test.go
+++ b/control/state/command/chunks_test.go
@@ -12,18 +12,21 @@
 	"onyxwell/control/config/store"
 )
 
-// propertyRun is a lossy cluster with all changes sent to it and their results.
+// propertyRun is a lossy cluster with all changes that were sent to it, and their
+// results.
 type propertyRun struct {
 	*lossyCluster
 	t    *rapid.T
 	sent []store.Change
-	// decidedKinds holds the result of a sent change, by its index; acknowledged the
-	// index of the change that was acknowledged on a base version.
+	// decidedKinds holds the known outcome of each sent change, by the index of the
+	// change. acknowledged holds, by base version, the index of the change that was
+	// acknowledged on it.
 	decidedKinds map[int]errkind.Kind
 	acknowledged map[ids.Version]int
 	latest       ids.Version
 	resultCounts map[errkind.Kind]int
-	busy         map[ids.Address]bool
+	// busy holds the controllers whose step is in progress.
+	busy map[ids.Address]bool
 }
 
 func newPropertyRun(t *rapid.T, resultCounts map[errkind.Kind]int) *propertyRun {
@@ -45,8 +48,8 @@
 	return p
 }
 
-// step has one idle controller reconcile or dispatch a change: a new one, a rival
-// on any base version, or a repeat of one that may be in flight.
+// step has one idle controller reconcile or dispatch a change: a new change, a
+// conflicting one on any base version, or a repeat of one that may be in flight.
 func (p *propertyRun) step() {
 	name := rapid.SampledFrom(controllerNames).Draw(p.t, "controller")
 	if p.busy[name] {
@@ -72,7 +75,7 @@
 	p.check(index, p.dispatchChange(name, p.sent[index]))
 }
 
-// check compares a result with all results before it.
+// check compares a result with all earlier results.
 func (p *propertyRun) check(index int, kind errkind.Kind) {
 	p.resultCounts[kind]++
 	if kind == errkind.NoQuorum {
@@ -80,7 +83,7 @@
 	}
 	change := p.sent[index]
 	if before, decided := p.decidedKinds[index]; decided && before != kind {
-		p.t.Fatalf("change %d on version %d: %v, and before %v", index, change.BaseVersion, kind, before)
+		p.t.Fatalf("change %d on version %d: got %v, and %v earlier", index, change.BaseVersion, kind, before)
 	}
 	p.decidedKinds[index] = kind
 	if kind != errkind.None {
@@ -93,11 +96,11 @@
 	p.latest = max(p.latest, change.Version())
 }
 
-// TestDispatch_repeatsAtAnyController has three controllers take the
-// configuration over from each other while requests and responses are lost, and
-// changes that arrive at one while another executes them: what was acknowledged
-// is never refused when it is repeated, old or new, and no two changes are
-// acknowledged on one base version.
+// TestDispatch_repeatsAtAnyController guards against two faults: a change that was
+// acknowledged is refused when it is repeated, and two changes are acknowledged on one
+// base version. Three controllers take over the configuration from each other while
+// requests and responses are lost, and while changes arrive at one controller during
+// the execution of others at another.
 func TestDispatch_repeatsAtAnyController(t *testing.T) {
 	results, truncated := map[errkind.Kind]int{}, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -111,7 +114,7 @@
 	})
 	t.Logf("results: %v; in %d runs the history was truncated to chunks", results, truncated)
 	if truncated < 30 {
-		t.Error("too few runs had chunks")
+		t.Error("too few runs truncated the history")
 	}
 	for _, kind := range []errkind.Kind{errkind.None, errkind.VersionConflict, errkind.NoQuorum} {
 		if results[kind] < 100 {
@@ -123,8 +126,9 @@
 	}
 }
 
-// TestReconcile_ownerSealsChunks has one owner write the chunks, and the next one
-// truncate the history by them; an old repeat costs one more key to read.
+// TestReconcile_ownerSealsChunks has one owner write the chunks, and the next owner
+// remove their entries from the record. Repeats and conflicting changes must still be
+// recognized, although an old one requires reading one more key.
 func TestReconcile_ownerSealsChunks(t *testing.T) {
 	c := newLossyCluster(t)
 	changes := c.seedHistory()
@@ -139,9 +143,9 @@
 	c.dispatchers["a"].sealChunks(c.ctx)
 	size := len(c.acceptors["c"].Slot(config.Key).Accepted.Value)
 	if chunks := c.countChunks("c"); chunks != 2 {
-		t.Fatalf("%d chunks", chunks)
+		t.Fatalf("the owner wrote %d chunks, want 2", chunks)
 	}
-	// The next owner seals the same chunks again and finds them written.
+	// The next owner seals the same chunks again, and finds them already written.
 	if kind := c.dispatchChange("b", patchChange(newest+1, newest+2, "y")); kind != errkind.None {
 		t.Fatal(kind)
 	}
@@ -151,7 +155,7 @@
 	}
 	after := len(c.acceptors["c"].Slot(config.Key).Accepted.Value)
 	if after > size-2*256*8 {
-		t.Fatalf("the record takes %d bytes, and took %d before its chunks were sealed", after, size)
+		t.Fatalf("the record has %d bytes, and had %d before its chunks were sealed", after, size)
 	}
 	for _, name := range controllerNames {
 		for _, index := range []int{0, 3, 255, 256, 511, 512, 700, 800} {
@@ -171,7 +175,8 @@
 	t.Logf("record bytes: %d, then %d; messages of a recent repeat: %d, of an old one: %d", size, after, recent, c.messages)
 }
 
-// TestDispatch_oldRepeatNeedsMajority has a chunk that can't be read.
+// TestDispatch_oldRepeatNeedsMajority repeats changes while messages are lost. Without
+// a majority for the configuration or for the chunk, the outcome must be unknown.
 func TestDispatch_oldRepeatNeedsMajority(t *testing.T) {
 	c := newLossyCluster(t)
 	changes := c.seedHistory()
@@ -179,12 +184,12 @@
 	c.dispatchChange("a", patchChange(newest, newest+1, "x"))
 	c.dispatchers["a"].Reconcile(c.ctx)
 	c.dispatchChange("a", patchChange(newest+1, newest+2, "y"))
-	// The configuration is confirmed with three messages and their responses; all
-	// later messages are lost.
+	// The three requests that confirm the configuration and their responses are
+	// delivered; all later messages, which would read the chunk, are lost.
 	left := 2 * len(controllerNames)
 	c.dropMessage = func() bool { left--; return left < 0 }
 	if kind := c.dispatchChange("a", changes[3]); kind != errkind.NoQuorum {
-		t.Fatalf("%v", kind)
+		t.Fatalf("repeat without the chunk: got %v, want %v", kind, errkind.NoQuorum)
 	}
 	c.dropMessage = func() bool { return true }
 	for _, change := range []store.Change{changes[3], changes[800], patchChange(3, newest+9, "rival")} {
--- a/control/state/command/cluster_test.go
+++ b/control/state/command/cluster_test.go
@@ -28,8 +28,8 @@
 	commandTimeout = 900 * time.Millisecond
 )
 
-// cluster is three controllers on links of 35 ms and slow disks. It runs in a
-// synctest bubble, whose time is simulated.
+// cluster is three voting controllers, with links of 35 ms one way and a configurable
+// disk delay. It runs in a synctest bubble, whose time is simulated.
 type cluster struct {
 	t           *testing.T
 	ctx         scope.Scope
@@ -37,14 +37,15 @@
 	mu          sync.Mutex
 	partitioned map[ids.Address]bool
 	diskDelay   time.Duration
-	// intercepted collects the commands forwarded to a controller instead of
-	// delivering them.
+	// intercepted holds, by receiver, the lists that collect forwarded commands instead
+	// of delivering them.
 	intercepted map[ids.Address]*[]Command
-	// afterForward is called once a forwarded command was executed; its forwarder
-	// gets an open outcome then.
+	// afterForward, if set, is called after a forwarded command other than a read was
+	// executed. The forwarder then gets an error of kind errkind.NoQuorum.
 	afterForward func()
 }
 
+// node is one controller of a cluster. It is its own network client and disk.
 type node struct {
 	cluster    *cluster
 	address    ids.Address
@@ -54,7 +55,7 @@
 	quorum     *quorum.Tracker
 }
 
-// Save takes the cluster's disk delay.
+// Save saves nothing, after the cluster's disk delay.
 func (n *node) Save([]byte) error { <-n.cluster.ctx.Clock.After(n.cluster.diskDelay); return nil }
 
 func newCluster(t *testing.T, diskDelay time.Duration) *cluster {
@@ -67,9 +68,9 @@
 	for _, voter := range voters.Members {
 		c.addNode(voter.Address, voters)
 	}
-	// Bootstrapping took no disk time.
+	// The delay is set only now so that bootstrapping takes no time.
 	c.diskDelay = diskDelay
-	// Unanswered messages time out before the bubble ends.
+	// Unanswered messages must time out before the bubble ends.
 	t.Cleanup(func() { c.ctx.Wait(10 * time.Second) })
 	return c
 }
@@ -112,15 +113,15 @@
 	return c.partitioned[from] == c.partitioned[to]
 }
 
-// setPartitioned partitions a controller from the others, or heals the partition.
+// setPartitioned isolates a controller from the others, or heals the partition.
 func (c *cluster) setPartitioned(address ids.Address, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.partitioned[address] = partitioned
 }
 
-// deliver delivers a message and its response. Across a partition the message or
-// the response is lost, and the sender waits until its context ends.
+// deliver delivers a message and its response. If a partition loses either, the
+// sender waits until its context ends.
 func deliver[Response any](ctx context.Context, from *node, to ids.Address, serve func(*node) Response) (Response, error) {
 	const linkDelay = 35 * time.Millisecond
 	var resp Response
@@ -149,7 +150,7 @@
 	return deliver(ctx, n, to, func(other *node) register.AcceptResponse { return other.acceptor.Confirm(req) })
 }
 
-// Forward delivers a command, unless those to the receiver are intercepted.
+// Forward delivers a command, unless commands to the receiver are intercepted.
 func (n *node) Forward(ctx context.Context, to ids.Address, cmd Command) (Result, error) {
 	n.cluster.mu.Lock()
 	intercepted := n.cluster.intercepted[to]
@@ -172,22 +173,22 @@
 	return resultOf(nil, errkind.Errorf(errkind.NoQuorum, "too many voters refused")), nil
 }
 
-// intercept collects the commands forwarded to a controller from now on; with
-// nil they are delivered again.
+// intercept appends the commands that are forwarded to a controller from now on to
+// collected, instead of delivering them. With nil they are delivered again.
 func (c *cluster) intercept(to ids.Address, collected *[]Command) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.intercepted[to] = collected
 }
 
-// dispatch dispatches a command at a controller and measures how long it takes.
+// dispatch dispatches a command on a controller and measures how long it takes.
 func (c *cluster) dispatch(at ids.Address, cmd Command) (kind errkind.Kind, value []byte, elapsed time.Duration) {
 	start := c.ctx.Now()
 	value, err := c.nodes[at].dispatcher.Dispatch(c.ctx, cmd)
 	return errkind.KindOf(err), value, c.ctx.Now().Since(start)
 }
 
-// mustDispatch dispatches a command that has to be acknowledged.
+// mustDispatch dispatches a command, which must succeed, and returns the value.
 func (c *cluster) mustDispatch(at ids.Address, cmd Command) []byte {
 	c.t.Helper()
 	kind, value, _ := c.dispatch(at, cmd)
@@ -197,7 +198,7 @@
 	return value
 }
 
-// drained tells whether the zone is drained, as read at a controller.
+// drained reports whether the zone is drained, as read through a controller.
 func (c *cluster) drained(at ids.Address) bool {
 	c.t.Helper()
 	state, err := evacuation.Decode(c.mustDispatch(at, zoneCommand(VerbRead)))
@@ -207,8 +208,10 @@
 	return state.Drained
 }
 
+// zoneCommand returns a command on the zone that all tests use.
 func zoneCommand(verb string) Command { return Command{Key: evacuation.Key("hall"), Verb: verb} }
 
+// putCommand returns a change that replaces the whole configuration on a base version.
 func putCommand(base ids.Version, version int) Command {
 	body := fmt.Sprintf(`{"config_version":%d,"routes":[],"services":[{"name":"s"}]}`, version)
 	return Command{Key: config.Key, Verb: VerbChange, Change: store.Change{Full: true, BaseVersion: base, Body: []byte(body)}}
--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -13,9 +13,9 @@
 	"onyxwell/control/transport"
 )
 
-// TestDispatch_partitionedOwnerStaysUndecided partitions the owner of the keys:
-// whatever it could answer from local state alone stays undecided, and fails
-// soon.
+// TestDispatch_partitionedOwnerStaysUndecided guards against a partitioned owner that
+// answers commands from its local state alone, which others may have replaced: each
+// command must fail soon with errkind.NoQuorum.
 func TestDispatch_partitionedOwnerStaysUndecided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5*time.Millisecond)
@@ -28,7 +28,7 @@
 		}
 		c.setPartitioned("a", true)
 		for name, cmd := range commands {
-			// At first the last contact still counts as quorum.
+			// The contact from before the partition still counts as a quorum at first.
 			kind, value, elapsed := c.dispatch("a", cmd)
 			if kind != errkind.NoQuorum || value != nil || elapsed > 250*time.Millisecond {
 				t.Errorf("%s, just partitioned: %v after %v", name, kind, elapsed)
@@ -55,8 +55,9 @@
 	})
 }
 
-// TestDispatch_slowDisksKeepQuorum has disks thirty times slower than usual, on
-// links of 35 ms: commands are acknowledged.
+// TestDispatch_slowDisksKeepQuorum guards against slow disks being taken for a lost
+// quorum: with disks thirty times slower than usual, and links of 35 ms, commands
+// must be acknowledged.
 func TestDispatch_slowDisksKeepQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 150*time.Millisecond)
@@ -71,26 +72,27 @@
 	})
 }
 
-// TestHandleForwarded_abandonedCommandNeverRuns delays a forwarded command until
-// it was given up, sent again, acknowledged and undone.
+// TestHandleForwarded_abandonedCommandNeverRuns guards against a forwarded command that
+// takes effect late. The command is delayed until its forwarder has given up, and the
+// same command has been sent again, acknowledged and undone.
 func TestHandleForwarded_abandonedCommandNeverRuns(t *testing.T) {
 	cases := map[string]func(*testing.T, *cluster){
 		// The forwarder takes the key over.
 		"taken over": func(t *testing.T, c *cluster) {
-			// The owner answers other messages: some commands find it busy before
-			// it is suspected, and are sent again.
+			// The owner answers other messages, so it counts as busy for the first
+			// commands, which are sent again; only then is it suspected.
 			for range maxUnanswered {
 				if kind, _, _ := c.dispatch("a", zoneCommand(VerbDrain)); kind != errkind.NoQuorum && kind != errkind.None {
 					t.Errorf("busy owner: %v", kind)
 				}
 			}
 			if c.nodes["b"].proposer.Owns(zoneCommand("").Key) && !c.nodes["a"].proposer.Owns(zoneCommand("").Key) {
-				t.Error("an owner that leaves all commands unanswered is never taken over")
+				t.Error("no takeover from an owner that leaves all commands unanswered")
 			}
 			c.mustDispatch("a", zoneCommand(VerbDrain))
 			c.mustDispatch("a", zoneCommand(VerbUndrain))
 		},
-		// The forwarder is partitioned; others go on through the same owner.
+		// The forwarder is partitioned; another controller uses the same owner.
 		"same owner": func(t *testing.T, c *cluster) {
 			c.setPartitioned("a", true)
 			c.ctx.Wait(time.Second)
@@ -99,7 +101,7 @@
 			c.mustDispatch("c", zoneCommand(VerbDrain))
 			c.mustDispatch("c", zoneCommand(VerbUndrain))
 			if !c.nodes["b"].proposer.Owns(zoneCommand("").Key) {
-				t.Error("the owner lost its key")
+				t.Error("the owner lost the key")
 			}
 		},
 	}
@@ -135,16 +137,17 @@
 					}
 				}
 				if c.drained("c") || c.drained("a") {
-					t.Error("the zone is drained again")
+					t.Error("the late command drained the zone again")
 				}
 			})
 		})
 	}
 }
 
-// TestHandleForwarded_neverTakesOver has a command arrive in time at a controller
-// that does not own the key any more, one without a deadline, and one that waits
-// for its turn past its deadline.
+// TestHandleForwarded_neverTakesOver guards against forwarded commands that take over a
+// key or start too late. One arrives in time at a controller that does not own the key,
+// one has no deadline, and one is still waiting in the key's queue when its deadline
+// passes.
 func TestHandleForwarded_neverTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5*time.Millisecond)
@@ -186,8 +189,9 @@
 	})
 }
 
-// TestProposer_abandonedPrepareIsCancelled has a partitioned controller prepare a
-// key: after the partition, commands do not wait behind that attempt.
+// TestProposer_abandonedPrepareIsCancelled guards against commands that wait behind an
+// abandoned acquisition: a partitioned controller prepares a key until its callers give
+// up, and must answer soon after the partition heals.
 func TestProposer_abandonedPrepareIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5*time.Millisecond)
@@ -199,7 +203,7 @@
 				ctx, cancel := c.ctx.WithTimeout(timeout)
 				defer cancel()
 				if _, err := c.nodes["a"].proposer.Read(ctx, zoneCommand("").Key); errkind.KindOf(err) != errkind.NoQuorum {
-					t.Errorf("partitioned: %v", err)
+					t.Errorf("read during the partition: %v", err)
 				}
 			})
 		}
@@ -210,12 +214,12 @@
 			t.Error(err)
 		}
 		if elapsed := c.ctx.Now().Since(start); elapsed > 300*time.Millisecond {
-			t.Errorf("answered %v after the partition", elapsed)
+			t.Errorf("answered %v after the partition healed", elapsed)
 		}
 	})
 }
 
-// TestCommand_encodingKeepsDeadline encodes a command as it is sent between
+// TestCommand_encodingKeepsDeadline encodes and decodes a command as it is sent between
 // controllers.
 func TestCommand_encodingKeepsDeadline(t *testing.T) {
 	sent := putCommand(3, 4)
--- a/control/state/command/idempotent_test.go
+++ b/control/state/command/idempotent_test.go
@@ -8,9 +8,9 @@
 	"onyxwell/control/config/evacuation"
 )
 
-// TestDispatch_zoneCommandActsOnce has the owner execute a command on a zone and
-// leave its outcome open. Before the command is routed again, others see its
-// effect and undo it: it must not act a second time.
+// TestDispatch_zoneCommandActsOnce guards against a command on a zone that takes effect
+// twice. The owner executes the command, but the forwarder gets an unknown outcome.
+// Before the command is routed again, another controller undoes its effect.
 func TestDispatch_zoneCommandActsOnce(t *testing.T) {
 	cases := map[string]struct{ before, verb, undo string }{
 		"drained":              {before: VerbUndrain, verb: VerbDrain, undo: VerbUndrain},
@@ -30,19 +30,19 @@
 				c.afterForward = func() {
 					c.afterForward = nil
 					undecided++
-					// Two of three disks hold the effect by now: every read sees it.
+					// Two of the three disks hold the effect by now, so every read sees it.
 					state, err := evacuation.Decode(c.nodes["c"].acceptor.Slot(zoneCommand("").Key).Accepted.Value)
 					if err != nil || state.Drained != (test.verb == VerbDrain) {
-						t.Errorf("the owner did not act: %+v, %v", state, err)
+						t.Errorf("the owner did not execute the command: %+v, %v", state, err)
 					}
 					c.mustDispatch("a", zoneCommand(test.undo))
 				}
 				c.mustDispatch("b", zoneCommand(test.verb))
 				if undecided != 1 {
-					t.Fatalf("%d commands were left undecided", undecided)
+					t.Fatalf("%d forwarded commands had an unknown outcome, want 1", undecided)
 				}
 				if c.drained("c") != (test.undo == VerbDrain) {
-					t.Error("acted a second time")
+					t.Error("the command took effect a second time")
 				}
 			})
 		})
--- a/control/state/command/lossy_cluster_test.go
+++ b/control/state/command/lossy_cluster_test.go
@@ -20,13 +20,13 @@
 	"onyxwell/control/state/register"
 )
 
-// discardDisk saves nothing.
+// discardDisk is a disk that saves nothing.
 type discardDisk struct{}
 
 func (discardDisk) Save([]byte) error { return nil }
 
 // lossyCluster is three voters with a dispatcher each. Messages are delivered
-// synchronously, and lost where dropMessage says so.
+// synchronously, except those for which dropMessage returns true.
 type lossyCluster struct {
 	t           testingT
 	ctx         scope.Scope
@@ -34,13 +34,13 @@
 	acceptors   map[ids.Address]*register.Acceptor
 	dispatchers map[ids.Address]*Dispatcher
 	dropMessage func() bool
-	// inTransit is called while a message is on its way.
+	// inTransit is called for each request, before it is delivered or lost.
 	inTransit func()
-	// messages counts those that were sent.
+	// messages counts the requests that were sent.
 	messages int
 }
 
-// testingT is what *testing.T and *rapid.T have in common.
+// testingT is the common interface of *testing.T and *rapid.T.
 type testingT interface {
 	Helper()
 	Fatalf(format string, values ...any)
@@ -48,7 +48,7 @@
 
 var errLost = errors.New("the message was lost")
 
-// deliverLossy delivers a message and its response, unless either is lost.
+// deliverLossy delivers a request and its response, unless either is lost.
 func deliverLossy[Response any](c *lossyCluster, to ids.Address, serve func(*register.Acceptor) Response) (Response, error) {
 	var none Response
 	c.messages++
@@ -106,14 +106,14 @@
 		table := membership.NewTable(c.ctx.Clock, membership.Member{Address: name})
 		for _, other := range controllerNames {
 			if other != name {
-				// No owner is ever forwarded to: the dispatching controller takes the
-				// key over.
+				// With all others removed, a controller never forwards a command but
+				// takes over the key.
 				table.Merge([]membership.Member{{Address: other, State: membership.Removed, Incarnation: 1}})
 			}
 		}
 		c.dispatchers[name] = New(Options{
 			Clock: c.ctx.Clock, Log: c.ctx.Log,
-			// Only the register's messages get lost, never heartbeats.
+			// Only the register's messages are lost, never heartbeats.
 			Quorum: quorum.New(quorum.Options{
 				Clock: c.ctx.Clock, Log: c.ctx.Log, Address: name, Voters: acceptor.Voters, MaxAge: time.Second,
 				Heartbeat: func(context.Context, ids.Address) (quorum.HeartbeatResponse, error) {
@@ -127,15 +127,16 @@
 	return c
 }
 
-// initialConfig is the configuration that all changes build on.
+// initialConfig is the first configuration, to which all changes are applied.
 const initialConfig = `{"config_version":1,"routes":[],"services":[{"name":"s"}]}`
 
-// patchChange is a change that sets a version and a mark.
+// patchChange returns a change that sets a version and a mark.
 func patchChange(base ids.Version, version ids.Version, mark string) store.Change {
 	return store.Change{BaseVersion: base, Body: fmt.Appendf(nil, `{"config_version":%d,"changes":{"mark":%q}}`, version, mark)}
 }
 
-// longHistory is a configuration record after many changes, none of them sealed.
+// longHistory returns a configuration record with many changes, none of them sealed,
+// and these changes.
 var longHistory = sync.OnceValue(func() (history struct {
 	value   []byte
 	changes []store.Change
@@ -150,7 +151,7 @@
 	return history
 })
 
-// seedHistory has all voters accept the long history, and gives its changes.
+// seedHistory has all voters accept longHistory, and returns its changes.
 func (l *lossyCluster) seedHistory() []store.Change {
 	for _, voter := range l.voters.Members {
 		l.acceptors[voter.Address].Accept(register.AcceptRequest{
@@ -161,14 +162,15 @@
 	return longHistory().changes
 }
 
-// dispatchChange dispatches a change of the configuration at a controller.
+// dispatchChange dispatches a configuration change on a controller.
 func (l *lossyCluster) dispatchChange(name ids.Address, change store.Change) errkind.Kind {
 	_, err := l.dispatchers[name].Dispatch(l.ctx, Command{Key: config.Key, Verb: VerbChange, Change: change})
 	return errkind.KindOf(err)
 }
 
-// dispatchUntilDecided repeats a change while its outcome is open: a former owner
-// of the key learns of the takeover by its first confirmation.
+// dispatchUntilDecided dispatches a change up to three times, until its outcome is
+// known. A former owner of the key learns of the takeover only when its first
+// confirmation fails.
 func (l *lossyCluster) dispatchUntilDecided(name ids.Address, change store.Change) errkind.Kind {
 	kind := errkind.NoQuorum
 	for attempt := 0; attempt < 3 && kind == errkind.NoQuorum; attempt++ {
@@ -177,7 +179,7 @@
 	return kind
 }
 
-// countChunks counts the chunks that a voter holds.
+// countChunks returns the number of chunks that a voter holds.
 func (l *lossyCluster) countChunks(name ids.Address) int {
 	count := 0
 	for _, slot := range l.acceptors[name].Fetch(register.FetchRequest{}).Slots {
--- a/control/state/command/owner_health_test.go
+++ b/control/state/command/owner_health_test.go
@@ -30,7 +30,7 @@
 	}
 	now = now.Add(suspicionPeriod)
 	if health.suspected("a", now) {
-		t.Error("still suspected after the suspicion")
+		t.Error("still suspected after suspicionPeriod")
 	}
 	recordAndCheck(true, true)
 	recordAndCheck(false, false)
--- a/control/state/readindex/gate_test.go
+++ b/control/state/readindex/gate_test.go
@@ -20,8 +20,8 @@
 
 const testMaxWait = 750 * time.Millisecond
 
-// testGate is a router's gate beside two controllers: one is partitioned, the
-// other is where the test says so.
+// testGate is a router's gate with two controllers: one is always partitioned, the
+// other while partitioned is set.
 type testGate struct {
 	ctx            scope.Scope
 	log            *logtest.Buffer
@@ -63,7 +63,7 @@
 	return tg
 }
 
-// run runs the gate, applies a first version after a while, and returns how long
+// run starts the gate, applies a first version after a delay, and returns how long
 // after that the gate opened.
 func (t *testGate) run(appliedAfter time.Duration, version int64) time.Duration {
 	go func() { t.gate.Run(t.ctx); t.runEnded.Store(true) }()
@@ -75,6 +75,8 @@
 	return t.ctx.Now().Since(start)
 }
 
+// TestGate_staleVersionIsNotServed has the router first apply a version that is older
+// than the read index: the gate must stay closed until the newest version is applied.
 func TestGate_staleVersionIsNotServed(t *testing.T) {
 	for _, appliedAfter := range []time.Duration{0, 200 * time.Millisecond, 3 * time.Second} {
 		t.Run(appliedAfter.String(), func(t *testing.T) {
@@ -82,13 +84,16 @@
 				tg := newTestGate(t)
 				tg.newestVersion.Store(9)
 				if took := tg.run(appliedAfter, 5); took > testMaxWait || tg.gate.State() != Confirmed || tg.appliedVersion.Load() != 9 {
-					t.Errorf("%s with %d after %v", tg.gate.State(), tg.appliedVersion.Load(), took)
+					t.Errorf("%s with version %d after %v", tg.gate.State(), tg.appliedVersion.Load(), took)
 				}
 			})
 		})
 	}
 }
 
+// TestGate_firstStartIsNotDelayed starts a router before any configuration exists, so
+// that the read index is 0. Once the first version is applied, the gate must open at
+// the next check.
 func TestGate_firstStartIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tg := newTestGate(t)
@@ -96,17 +101,17 @@
 			t.Errorf("%s after %v", tg.gate.State(), took)
 		}
 		if queries := tg.queries.Load(); queries > 4 {
-			t.Errorf("%d queries", queries)
+			t.Errorf("%d queries, want at most 4", queries)
 		}
 		if tg.ctx.Wait(time.Second); tg.runEnded.Load() {
-			t.Error("Run returned: a supervisor would start it again and again")
+			t.Error("Run returned before its context ended: a supervisor would restart it repeatedly")
 		}
 	})
 }
 
-// TestGate_partitionedRegionServesUnconfirmed partitions the whole region: the
-// gate opens within MaxWait and shows that it is unconfirmed, its queries become
-// rare, and it is confirmed once the partition heals.
+// TestGate_partitionedRegionServesUnconfirmed partitions the whole region. The gate must
+// open within MaxWait and show that it is unconfirmed, query ever less often, and be
+// confirmed once the partition heals.
 func TestGate_partitionedRegionServesUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tg := newTestGate(t)
@@ -117,16 +122,16 @@
 		}
 		tg.ctx.Wait(60 * time.Second)
 		if queries := tg.queries.Load(); queries > 40 {
-			t.Errorf("%d queries in a minute", queries)
+			t.Errorf("%d queries within a minute, want at most 40", queries)
 		}
 		tg.partitioned.Store(false)
 		tg.ctx.Wait(4 * maxIntervalFactor * testMaxWait)
 		if tg.gate.State() != Confirmed || tg.appliedVersion.Load() != 6 {
-			t.Errorf("healed: %s with %d", tg.gate.State(), tg.appliedVersion.Load())
+			t.Errorf("after the partition healed: %s with version %d", tg.gate.State(), tg.appliedVersion.Load())
 		}
 		synctest.Wait()
 		if lines := strings.Count(tg.log.String(), "\n"); lines != 2 {
-			t.Errorf("%d lines:\n%s", lines, tg.log)
+			t.Errorf("%d log lines, want 2:\n%s", lines, tg.log)
 		}
 	})
 }
--- a/control/state/readindex/reader_test.go
+++ b/control/state/readindex/reader_test.go
@@ -11,8 +11,8 @@
 	"onyxwell/base/scope"
 )
 
-// TestReader_requestsShareReadBegunAfterThem sends hundreds of requests at once:
-// few reads answer them, and each read begins after its requests.
+// TestReader_requestsShareReadBegunAfterThem sends hundreds of concurrent requests: few
+// reads must answer them, each of which begins after the requests that it answers.
 func TestReader_requestsShareReadBegunAfterThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := scope.New(scope.Options{})
@@ -34,11 +34,11 @@
 		}
 		for range 300 {
 			if !<-results {
-				t.Error("answered by a read from before the request")
+				t.Error("failed, or answered by a read that began before the request")
 			}
 		}
 		if reads.Load() > 6 {
-			t.Errorf("%d reads for 300 requests within 300 ms", reads.Load())
+			t.Errorf("%d reads for 300 requests within 300 ms, want at most 6", reads.Load())
 		}
 	})
 }
