--- a/control/state/command/dispatcher_test.go
+++ b/control/state/command/dispatcher_test.go
@@ -77,7 +77,7 @@
 // same command has been sent again, acknowledged and undone.
 func TestHandleForwarded_abandonedCommandNeverRuns(t *testing.T) {
 	cases := map[string]func(*testing.T, *cluster){
-		// The forwarder takes the key over.
+		// The forwarder takes over the key.
 		"taken over": func(t *testing.T, c *cluster) {
 			// The owner answers other messages, so it counts as busy for the first
 			// commands, which are sent again; only then is it suspected.
--- a/control/state/command/owner_health_test.go
+++ b/control/state/command/owner_health_test.go
@@ -7,6 +7,8 @@
 	"onyxwell/base/clock"
 )
 
+// TestOwnerHealth_suspectsPersistentlyBusyOwner guards against an owner that answers
+// other messages, but no commands, and is never suspected.
 func TestOwnerHealth_suspectsPersistentlyBusyOwner(t *testing.T) {
 	const suspicionPeriod = 4 * time.Second
 	health := newOwnerHealth(suspicionPeriod)
--- a/control/state/command/publish.go
+++ b/control/state/command/publish.go
@@ -33,8 +33,9 @@
 	return item, err == nil && item.Version > 0
 }
 
-// gossipDecoders returns the gossip items, without their keys, for the values of all
-// keys that are gossiped. It is indexed by the part of the key before the first slash.
+// gossipDecoders holds the functions that convert the values of gossiped keys into
+// gossip items, without the key of the item. A function is found by the part of the
+// key before the first slash; keys without a function are not gossiped.
 var gossipDecoders = map[string]func(value []byte) (gossip.Item, error){
 	config.Key: func(value []byte) (gossip.Item, error) {
 		record, err := store.DecodeCompressed(value)
