--- a/control/state/command/rollout.go
+++ b/control/state/command/rollout.go
@@ -9,28 +9,30 @@
 	"onyxwell/control/transport"
 )
 
-// OrderRollout stores an operator's order of a rollout and returns once a majority has it.
-// An error of kind errkind.NoQuorum leaves open whether the order was stored. Other builds
-// know no such command, so it is not led to the key's owner: this controller takes the key
-// over or, where it does not vote, has a controller that votes do so.
+// OrderRollout stores an operator's rollout order and returns once a majority holds it.
+// After an error of kind errkind.NoQuorum the order may or may not have been stored. There
+// is no verb for rollout orders, since other builds would not know it; so the order is not
+// routed to the key's owner. Instead this controller takes over the key or, if it has no
+// vote, has a voter do so.
 func (d *Dispatcher) OrderRollout(ctx context.Context, order rollout.Order) error {
 	if !d.options.Acceptor.Voting() {
-		return d.forwardRollout(ctx, order)
+		return d.forwardRolloutOrder(ctx, order)
 	}
 	_, err := d.Update(ctx, rollout.Key(order.Service), rollout.Begin(order))
 	return err
 }
 
-// forwardRollout has the first voter that answers store an order.
-func (d *Dispatcher) forwardRollout(ctx context.Context, order rollout.Order) error {
+// forwardRolloutOrder sends an order to one voter after another until one stores it or
+// refuses it with errkind.RolloutConflict.
+func (d *Dispatcher) forwardRolloutOrder(ctx context.Context, order rollout.Order) error {
 	ctx, cancel := d.options.Clock.WithTimeout(ctx, d.options.CommandTimeout)
 	defer cancel()
 	err := errkind.Errorf(errkind.NoQuorum, "no voter is known")
 	req := rollout.OrderRequest(order)
 	for _, member := range d.options.Acceptor.Voters().Members {
-		limited, cancel := d.options.Clock.WithTimeout(ctx, d.options.ForwardTimeout)
+		attemptCtx, cancel := d.options.Clock.WithTimeout(ctx, d.options.ForwardTimeout)
 		var result Result
-		result, err = transport.Send[Result](limited, d.options.Transport, member.Address, rollout.OrderMessage, req)
+		result, err = transport.Send[Result](attemptCtx, d.options.Transport, member.Address, rollout.OrderMessage, req)
 		cancel()
 		if err == nil {
 			err = result.err()
@@ -39,18 +41,18 @@
 			return err
 		}
 	}
-	return errkind.Errorf(errkind.NoQuorum, "no voter took the order: %w", err)
+	return errkind.Errorf(errkind.NoQuorum, "no voter stored the rollout order: %w", err)
 }
 
-// handleRollout stores an order that a controller without a vote forwarded.
-func (d *Dispatcher) handleRollout(ctx context.Context, req rollout.OrderRequest) (Result, error) {
+// handleRolloutOrder stores a rollout order that a controller without a vote forwarded.
+func (d *Dispatcher) handleRolloutOrder(ctx context.Context, req rollout.OrderRequest) (Result, error) {
 	if !d.options.Acceptor.Voting() {
 		return resultOf(nil, errkind.Errorf(errkind.NoQuorum, "this controller does not vote")), nil
 	}
 	return resultOf(nil, d.OrderRollout(ctx, rollout.Order(req))), nil
 }
 
-// ReadRollout returns the record of a service's rollout that a majority confirms.
+// ReadRollout returns the record of a service's rollout, as confirmed by a majority.
 func (d *Dispatcher) ReadRollout(ctx context.Context, service ids.Service) (rollout.Record, error) {
 	value, err := d.Dispatch(ctx, Command{Key: rollout.Key(service), Verb: VerbRead})
 	if err != nil {
--- a/control/state/readindex/reader_test.go
+++ b/control/state/readindex/reader_test.go
@@ -11,34 +11,34 @@
 	"onyxwell/base/scope"
 )
 
-// TestReader_requestsShareReadBegunAfterThem sends hundreds of requests at once:
-// few reads answer them, and each read begins after its requests.
+// TestReader_requestsShareReadBegunAfterThem sends hundreds of concurrent requests: few
+// reads must answer them, each of which begins after the requests that it answers.
 func TestReader_requestsShareReadBegunAfterThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := scope.New(scope.Options{})
-		var newest, reads atomic.Int64
+		var newestVersion, reads atomic.Int64
 		reader := NewReader(func(context.Context) (ids.Version, error) {
 			reads.Add(1)
-			serial := newest.Load()
+			version := newestVersion.Load()
 			ctx.Wait(100 * time.Millisecond)
-			return ids.Version(serial), nil
+			return ids.Version(version), nil
 		})
 		results := make(chan bool)
 		for index := range 300 {
 			go func() {
 				ctx.Wait(time.Duration(index) * time.Millisecond)
-				atLeast := newest.Add(1)
-				serial, err := reader.ReadIndex(ctx)
-				results <- err == nil && int64(serial) >= atLeast
+				atLeast := newestVersion.Add(1)
+				version, err := reader.ReadIndex(ctx)
+				results <- err == nil && int64(version) >= atLeast
 			}()
 		}
 		for range 300 {
 			if !<-results {
-				t.Error("answered by a read from before the request")
+				t.Error("failed, or answered by a read that began before the request")
 			}
 		}
 		if reads.Load() > 6 {
-			t.Errorf("%d reads for 300 requests within 300 ms", reads.Load())
+			t.Errorf("%d reads for 300 requests within 300 ms, want at most 6", reads.Load())
 		}
 	})
 }
