--- a/control/state/command/chunks_test.go
+++ b/control/state/command/chunks_test.go
@@ -189,7 +189,7 @@
 	left := 2 * len(controllerNames)
 	c.dropMessage = func() bool { left--; return left < 0 }
 	if kind := c.dispatchChange("a", changes[3]); kind != errkind.NoQuorum {
-		t.Fatalf("repeat without the chunk: got %v, want %v", kind, errkind.NoQuorum)
+		t.Fatalf("repeat without the chunk: got %v, want NoQuorum", kind)
 	}
 	c.dropMessage = func() bool { return true }
 	for _, change := range []store.Change{changes[3], changes[800], patchChange(3, newest+9, "rival")} {
