--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -218,7 +218,7 @@
 	switch {
 	case cfg.Tenants == nil:
 		return true
-	case req.Header[upstream.KeyHeader] != nil:
+	case req.Header[upstream.APIKeyHeader] != nil:
 		return false
 	case e.tenant == nil:
 		return req.Tenant == "" && !cfg.RequiresKey(e.route)
--- a/data/proxy/exchange.go
+++ b/data/proxy/exchange.go
@@ -198,7 +198,7 @@
 		AttemptID: e.req.Header.Get(upstream.AttemptIDHeader),
 	}
 	if e.snapshot.Config.Tenants != nil {
-		delete(e.upstreamRequest.Header, upstream.KeyHeader)
+		delete(e.upstreamRequest.Header, upstream.APIKeyHeader)
 	}
 	if e.tenant != nil {
 		e.upstreamRequest.Tenant = e.tenant.Name
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -172,7 +172,7 @@
 func TestRelay_endlessResponseIsGarbled(t *testing.T) {
 	e := &exchange{proxy: New(Options{Clock: clock.NewMonotonic(), Log: scope.NewLogger("error", io.Discard), Limits: settings.Limits{MemoryMB: 8}}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
-		if outcome, done := e.relay(&http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); outcome != upstream.Garbled || done {
+		if outcome, done := e.relay(&http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); outcome != upstream.InvalidResponse || done {
 			t.Errorf("length %d: %v, %v", length, outcome, done)
 		}
 	}
--- a/data/proxy/invariant_test.go
+++ b/data/proxy/invariant_test.go
@@ -95,7 +95,7 @@
 	}
 	e.upstreamRequest.Tenant = sent
 	if key != "" {
-		e.upstreamRequest.Header = http.Header{upstream.KeyHeader: {key}}
+		e.upstreamRequest.Header = http.Header{upstream.APIKeyHeader: {key}}
 	}
 	e.checkAttempt(&snapshot.Runner{}, 0, 0)
 }
--- a/data/proxy/relay.go
+++ b/data/proxy/relay.go
@@ -22,7 +22,7 @@
 	}
 	if e.headerSent {
 		// The attempt was to resume a stream, and this is not one.
-		return upstream.Garbled, false
+		return upstream.InvalidResponse, false
 	}
 	return e.relayBuffered(resp)
 }
@@ -32,7 +32,7 @@
 func (e *exchange) relayBuffered(resp *http.Response) (outcome upstream.Outcome, done bool) {
 	maxBytes := e.proxy.responseSizeLimit()
 	if resp.ContentLength >= maxBytes {
-		return upstream.Garbled, false
+		return upstream.InvalidResponse, false
 	}
 	source := &io.LimitedReader{R: resp.Body, N: maxBytes}
 	body := e.proxy.bodyQuota.NewBody()
@@ -45,7 +45,7 @@
 		return upstream.Indeterminate, false
 	}
 	if int64(len(body.Bytes)) == maxBytes {
-		return upstream.Garbled, false
+		return upstream.InvalidResponse, false
 	}
 	e.beginResponse(resp, int64(len(body.Bytes)))
 	_, err = e.w.Write(body.Bytes)
@@ -67,7 +67,7 @@
 		return upstream.Indeterminate, false
 	}
 	if rest.N <= 0 {
-		return upstream.Garbled, false
+		return upstream.InvalidResponse, false
 	}
 	return e.endResponse(err)
 }
@@ -122,7 +122,7 @@
 // not be read further.
 func outcomeOfReadError(err error) upstream.Outcome {
 	if errors.Is(err, upstream.ErrEventOrder) {
-		return upstream.Garbled
+		return upstream.InvalidResponse
 	}
 	return upstream.Indeterminate
 }
--- a/data/proxy/tenant.go
+++ b/data/proxy/tenant.go
@@ -14,7 +14,7 @@
 // per connection, because a key may be revoked while a connection is open.
 func (e *exchange) identifyTenant() error {
 	cfg := e.snapshot.Config
-	if keys := e.req.Header[upstream.KeyHeader]; len(keys) == 1 {
+	if keys := e.req.Header[upstream.APIKeyHeader]; len(keys) == 1 {
 		e.tenant = cfg.TenantByKey(keys[0])
 	}
 	if !cfg.RequiresKey(e.route) {
--- a/data/upstream/client_test.go
+++ b/data/upstream/client_test.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// attemptTo returns an attempt of the request a1 to an address.
-func attemptTo(address ids.Address, method string, body string) Attempt {
+// newAttempt returns an attempt of the request a1 to an address.
+func newAttempt(address ids.Address, method string, body string) Attempt {
 	return Attempt{
 		Request: &Request{
 			Method: method, Target: "/a%2Fb/?q=1&q=2", Host: "shop.example",
@@ -44,7 +44,7 @@
 
 func TestClient_requestArrivesUnchanged(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "whole"))
-	attempt := attemptTo(runner.Address, "POST", "the body")
+	attempt := newAttempt(runner.Address, "POST", "the body")
 	attempt.LastEventID = "12"
 	result := send(newTestClient(clock.NewFake()), attempt)
 	if result.Outcome != Answered {
@@ -69,14 +69,14 @@
 	}
 }
 
-// TestClient_neverReplays has the runner close a pooled connection as the next
+// TestClient_neverRetries has the runner close a pooled connection as the next
 // request arrives; net/http would send some requests again by itself.
-func TestClient_neverReplays(t *testing.T) {
+func TestClient_neverRetries(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT"} {
 		for _, body := range []string{"", "text"} {
 			runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""), upstreamtest.HangUp())
 			client := newTestClient(clock.NewFake())
-			attempt := attemptTo(runner.Address, method, body)
+			attempt := newAttempt(runner.Address, method, body)
 			attempt.Request.Header.Set("Idempotency-Key", "k")
 			first := send(client, attempt)
 			if first.Outcome != Answered {
@@ -95,7 +95,7 @@
 }
 
 func TestClient_connectionRefusedIsUnsent(t *testing.T) {
-	if result := send(newTestClient(clock.NewFake()), attemptTo("127.0.0.1:1", "POST", "x")); result.Outcome != Unsent {
+	if result := send(newTestClient(clock.NewFake()), newAttempt("127.0.0.1:1", "POST", "x")); result.Outcome != Unsent {
 		t.Fatalf("outcome %v", result.Outcome)
 	}
 }
@@ -107,13 +107,13 @@
 	keepAlive := "HTTP/1.1 200 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nKeep-Alive: timeout=5\r\nContent-Length: 0\r\n\r\n"
 	runner := upstreamtest.Start(t, upstreamtest.Raw(keepAlive, true))
 	client := newTestClient(clk)
-	first := send(client, attemptTo(runner.Address, "POST", "x"))
+	first := send(client, newAttempt(runner.Address, "POST", "x"))
 	DrainAndClose(first.Response)
 	clk.Advance(4500 * time.Millisecond)
-	if second := send(client, attemptTo(runner.Address, "POST", "x")); second.Outcome != Unsent {
+	if second := send(client, newAttempt(runner.Address, "POST", "x")); second.Outcome != Unsent {
 		t.Fatalf("outcome %v", second.Outcome)
 	}
-	if third := send(client, attemptTo(runner.Address, "POST", "x")); third.Outcome != Answered {
+	if third := send(client, newAttempt(runner.Address, "POST", "x")); third.Outcome != Answered {
 		t.Fatalf("a new connection: outcome %v, %v", third.Outcome, third.Err)
 	}
 	if count := len(runner.Requests()); count != 2 {
@@ -129,13 +129,13 @@
 	}{
 		{"own response", upstreamtest.Respond(200, "seal", "x"), Answered},
 		{"own failure", upstreamtest.Respond(500, "", "x"), Answered},
-		{"another's response", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"no id", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"encoded", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", true), Garbled},
+		{"another's response", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
+		{"no id", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
+		{"no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
+		{"encoded", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Encoding: gzip\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
 		{"no length", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Answered},
-		{"no length, no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\n\r\nwhole", false), Garbled},
-		{"no length, another's", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), Garbled},
+		{"no length, no seal", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\n\r\nwhole", false), InvalidResponse},
+		{"no length, another's", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: other\r\nOnyxwell-Server-Seal: s\r\n\r\nwhole", false), InvalidResponse},
 		{"rejected", upstreamtest.Reject(503), Rejected},
 		{"another incarnation", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Rejected},
 		{"a rejection not stated", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
@@ -146,7 +146,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			runner := upstreamtest.Start(t, tc.step)
-			result := send(newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x"))
+			result := send(newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x"))
 			if result.Outcome != tc.outcome {
 				t.Errorf("outcome %v, not %v (%v)", result.Outcome, tc.outcome, result.Err)
 			}
--- a/data/upstream/conn.go
+++ b/data/upstream/conn.go
@@ -18,8 +18,8 @@
 	maxHeadBytes = 1 << 20
 	// noHeadLimit is the value of headBytesLeft outside of a head.
 	noHeadLimit = -1
-	// attemptHistory is how many attempt ids a connection remembers.
-	attemptHistory = 8
+	// maxRecentAttempts is how many attempt ids a connection remembers.
+	maxRecentAttempts = 8
 	// maxInlineWrite is the size up to which a request is written before its
 	// response is read. A larger one is written concurrently, since a runner may
 	// respond and leave the rest of the request unread.
@@ -47,7 +47,7 @@
 	// headBytesLeft is how many bytes of a head may still be read.
 	headBytesLeft int
 	// recentAttempts is a ring of the last attempt ids; attemptCount counts all.
-	recentAttempts [attemptHistory]string
+	recentAttempts [maxRecentAttempts]string
 	attemptCount   int
 }
 
@@ -81,7 +81,7 @@
 
 // recordAttempt remembers that the connection carries an attempt.
 func (p *persistConn) recordAttempt(attemptID string) {
-	p.recentAttempts[p.attemptCount%attemptHistory] = attemptID
+	p.recentAttempts[p.attemptCount%maxRecentAttempts] = attemptID
 	p.attemptCount++
 }
 
--- a/data/upstream/conn_test.go
+++ b/data/upstream/conn_test.go
@@ -14,7 +14,7 @@
 	"onyxwell/data/upstreamtest"
 )
 
-const foreignResponse = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"
+const wrongAttemptResponse = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"
 
 // readResult sends an attempt and reads the body of its response.
 func readResult(t *testing.T, client *Client, attempt Attempt) (Result, string) {
@@ -42,7 +42,7 @@
 		upstreamtest.Reject(503)(req, first)
 		return upstreamtest.Respond(200, "seal", "ran")(req, writer)
 	})
-	client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+	client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 	if result, _ := readResult(t, client, attempt); result.Outcome != Rejected {
 		t.Fatalf("%+v", result)
 	}
@@ -59,14 +59,14 @@
 	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
 		pooled = writer
 		return upstreamtest.Respond(200, "seal", "first")(req, writer)
-	}, upstreamtest.Raw(foreignResponse, true), func(req upstreamtest.Request, writer io.Writer) bool {
+	}, upstreamtest.Raw(wrongAttemptResponse, true), func(req upstreamtest.Request, writer io.Writer) bool {
 		upstreamtest.Reject(503)(req, pooled)
 		return upstreamtest.Respond(200, "seal", "ran")(req, writer)
 	})
 	client := newTestClient(clock.NewFake())
-	attempt := attemptTo(runner.Address, "POST", "x")
+	attempt := newAttempt(runner.Address, "POST", "x")
 	pending := send(client, nextAttempt(attempt, "a2"))
-	if result, _ := readResult(t, client, attempt); result.Outcome != Garbled {
+	if result, _ := readResult(t, client, attempt); result.Outcome != InvalidResponse {
 		t.Fatalf("%+v", result)
 	}
 	DrainAndClose(pending.Response)
@@ -75,23 +75,23 @@
 	}
 }
 
-// TestClient_connectionOutOfStep has connections carry something else than one
+// TestClient_closesConnectionOutOfSync has connections carry something else than one
 // response to the request: they are not reused.
-func TestClient_connectionOutOfStep(t *testing.T) {
+func TestClient_closesConnectionOutOfSync(t *testing.T) {
 	own := strings.Replace(sealedResponse, "body", "own.", 1)
 	cases := []struct {
 		name    string
 		step    upstreamtest.Step
 		outcome Outcome
 	}{
-		{"another's empty response", upstreamtest.Raw(foreignResponse, true), Garbled},
-		{"another's response, then ours", upstreamtest.Raw(foreignResponse+own, true), Garbled},
+		{"another's empty response", upstreamtest.Raw(wrongAttemptResponse, true), InvalidResponse},
+		{"another's response, then ours", upstreamtest.Raw(wrongAttemptResponse+own, true), InvalidResponse},
 		{"an extra response at once", upstreamtest.Raw(own+own, true), Answered},
 		{"bytes behind an empty response", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Rejected},
 		{"bytes behind the last chunk", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nx", true), Answered},
 		{"not stated, no body", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
-		{"two ids", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), Garbled},
-		{"another protocol", upstreamtest.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), Garbled},
+		{"two ids", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
+		{"another protocol", upstreamtest.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), InvalidResponse},
 		{"half-closed", func(req upstreamtest.Request, writer io.Writer) bool {
 			upstreamtest.Raw(own, true)(req, writer)
 			_ = writer.(*net.TCPConn).CloseWrite()
@@ -101,12 +101,12 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			runner := upstreamtest.Start(t, tc.step, upstreamtest.Respond(200, "seal", "next"))
-			client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+			client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 			if result, _ := readResult(t, client, attempt); result.Outcome != tc.outcome {
 				t.Errorf("%+v", result)
 				return
 			}
-			if idle := client.pool(string(runner.Address)).idle; len(idle) > 0 && (tc.outcome == Garbled || tc.outcome == Indeterminate) {
+			if idle := client.pool(string(runner.Address)).idle; len(idle) > 0 && (tc.outcome == InvalidResponse || tc.outcome == Indeterminate) {
 				t.Error("the connection is reused")
 				return
 			}
@@ -135,7 +135,7 @@
 		late = func() { upstreamtest.Respond(200, "seal", "extra")(req, writer) }
 		return upstreamtest.Respond(200, "seal", "own")(req, writer)
 	}, upstreamtest.Respond(200, "seal", "next"))
-	client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+	client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 	readResult(t, client, attempt)
 	late()
 	awaitPendingInput(client, runner.Address)
@@ -149,7 +149,7 @@
 func TestClient_closesIdleConnections(t *testing.T) {
 	clk := clock.NewFake()
 	client, runner := newTestClient(clk), upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "own"))
-	readResult(t, client, attemptTo(runner.Address, "POST", "x"))
+	readResult(t, client, newAttempt(runner.Address, "POST", "x"))
 	start, pool := clk.Now(), client.pool(string(runner.Address))
 	if pool.closeIdle(start, time.Second) != 1 {
 		t.Fatal("the connection is not pooled")
@@ -168,7 +168,7 @@
 func TestClient_interimResponses(t *testing.T) {
 	interim := "HTTP/1.1 100 Continue\r\n\r\n" + strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", 200)
 	runner := upstreamtest.Start(t, upstreamtest.Raw(interim+sealedResponse, true), upstreamtest.Raw(strings.Repeat(interim, 200), true))
-	client, attempt := newTestClient(clock.NewFake()), attemptTo(runner.Address, "POST", "x")
+	client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "body" {
 		t.Fatalf("%+v, %q", result, text)
 	}
@@ -199,7 +199,7 @@
 			_, _ = io.WriteString(conn, response)
 		}
 	}()
-	client, attempt := newTestClient(clock.NewFake()), attemptTo(ids.Address(listener.Addr().String()), "POST", strings.Repeat("x", 32<<20))
+	client, attempt := newTestClient(clock.NewFake()), newAttempt(ids.Address(listener.Addr().String()), "POST", strings.Repeat("x", 32<<20))
 	if result, _ := readResult(t, client, attempt); result.Outcome != Rejected {
 		t.Fatalf("%+v", result)
 	}
@@ -215,7 +215,7 @@
 func TestClient_targetIsSentVerbatim(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""))
 	for _, target := range []string{"//other/x", "/a/../b", "/a//b?x=/../", "/%2e%2e/", "/?a=b?c"} {
-		attempt := attemptTo(runner.Address, "GET", "")
+		attempt := newAttempt(runner.Address, "GET", "")
 		attempt.Request.Target = target
 		send(newTestClient(clock.NewFake()), attempt)
 		requests := runner.Requests()
@@ -223,7 +223,7 @@
 			t.Errorf("%q arrived as %q at %q", target, got.Target, got.Host)
 		}
 	}
-	attempt := attemptTo(runner.Address, "GET", "")
+	attempt := newAttempt(runner.Address, "GET", "")
 	for _, target := range []string{"", "/a b", "/a\r\nX: y", "/\x7f"} {
 		attempt.Request.Target = target
 		if result := send(newTestClient(clock.NewFake()), attempt); result.Outcome != Unsent || len(runner.Requests()) != 5 {
--- a/data/upstream/eventreader_test.go
+++ b/data/upstream/eventreader_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestEventReader_idsRiseByOne(t *testing.T) {
+func TestEventReader_idsIncreaseByOne(t *testing.T) {
 	cases := []struct {
 		name       string
 		after      string
--- a/data/upstream/fakeconn_test.go
+++ b/data/upstream/fakeconn_test.go
@@ -17,9 +17,9 @@
 // accepted before the write fails, the response in which {id} stands for a1, and
 // the error that ends it.
 type exchange struct {
-	accepts  int
-	response string
-	err      error
+	acceptBytes int
+	response    string
+	err         error
 }
 
 // acceptAll is more bytes than any request has.
@@ -41,7 +41,7 @@
 		f.current, f.exchanges = f.exchanges[0], f.exchanges[1:]
 		f.unread = strings.ReplaceAll(f.current.response, "{id}", "a1")
 	}
-	n := min(len(data), f.current.accepts)
+	n := min(len(data), f.current.acceptBytes)
 	f.written.Write(data[:n])
 	if n < len(data) {
 		return n, errReset
@@ -74,8 +74,8 @@
 
 var errReset = errors.New("connection reset by peer")
 
-// clientWith returns a client that dials these connections, one after another.
-func clientWith(conns ...*fakeConn) *Client {
+// newClientWithConns returns a client that dials these connections, one after another.
+func newClientWithConns(conns ...*fakeConn) *Client {
 	client := newTestClient(clock.NewFake())
 	client.dial = func(context.Context, string, string) (net.Conn, error) {
 		if len(conns) == 0 {
@@ -99,31 +99,31 @@
 		last    exchange
 		outcome Outcome
 	}{
-		{"no byte is taken", exchange{accepts: 0, err: errReset}, Unsent},
-		{"one byte is taken", exchange{accepts: 1, err: errReset}, Indeterminate},
-		{"half is taken", exchange{accepts: 40, err: io.EOF}, Indeterminate},
-		{"reset at no byte of the response", exchange{accepts: acceptAll, err: errReset}, Indeterminate},
-		{"closed at no byte of the response", exchange{accepts: acceptAll, err: io.EOF}, Indeterminate},
-		{"reset at one byte", exchange{accepts: acceptAll, response: "H", err: errReset}, Indeterminate},
-		{"closed at one byte", exchange{accepts: acceptAll, response: "H", err: io.EOF}, Indeterminate},
-		{"closed before the head's end", exchange{accepts: acceptAll, response: sealedResponse[:len(sealedResponse)-6], err: io.EOF}, Indeterminate},
+		{"no byte is taken", exchange{acceptBytes: 0, err: errReset}, Unsent},
+		{"one byte is taken", exchange{acceptBytes: 1, err: errReset}, Indeterminate},
+		{"half is taken", exchange{acceptBytes: 40, err: io.EOF}, Indeterminate},
+		{"reset at no byte of the response", exchange{acceptBytes: acceptAll, err: errReset}, Indeterminate},
+		{"closed at no byte of the response", exchange{acceptBytes: acceptAll, err: io.EOF}, Indeterminate},
+		{"reset at one byte", exchange{acceptBytes: acceptAll, response: "H", err: errReset}, Indeterminate},
+		{"closed at one byte", exchange{acceptBytes: acceptAll, response: "H", err: io.EOF}, Indeterminate},
+		{"closed before the head's end", exchange{acceptBytes: acceptAll, response: sealedResponse[:len(sealedResponse)-6], err: io.EOF}, Indeterminate},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			for _, method := range []string{"GET", "HEAD", "POST", "PUT", "DELETE"} {
 				for _, pooled := range []bool{false, true} {
-					conn, spare := &fakeConn{exchanges: []exchange{tc.last}}, &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
+					conn, spare := &fakeConn{exchanges: []exchange{tc.last}}, &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: sealedResponse}}}
 					if pooled {
-						conn.exchanges = []exchange{{accepts: acceptAll, response: "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"}, tc.last}
+						conn.exchanges = []exchange{{acceptBytes: acceptAll, response: "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"}, tc.last}
 					}
-					client, attempt := clientWith(conn, spare), attemptTo("r:1", method, "text")
+					client, attempt := newClientWithConns(conn, spare), newAttempt("r:1", method, "text")
 					attempt.Request.Header.Set("Idempotency-Key", "k")
 					if pooled {
 						DrainAndClose(send(client, nextAttempt(attempt, "a1")).Response)
 						conn.written.Reset()
 						attempt = nextAttempt(attempt, "a1")
 						pool := client.pool("r:1")
-						pool.idle[0].recentAttempts = [attemptHistory]string{}
+						pool.idle[0].recentAttempts = [maxRecentAttempts]string{}
 					}
 					result := send(client, attempt)
 					if result.Outcome != tc.outcome || spare.written.Len() > 0 || !conn.closed {
@@ -165,9 +165,9 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: head + tc.rest, err: io.EOF}}}
-			client := clientWith(conn)
-			result := send(client, attemptTo("r:1", "POST", "x"))
+			conn := &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: head + tc.rest, err: io.EOF}}}
+			client := newClientWithConns(conn)
+			result := send(client, newAttempt("r:1", "POST", "x"))
 			if result.Outcome != tc.outcome {
 				t.Errorf("%+v", result)
 			}
--- a/data/upstream/fuzz_test.go
+++ b/data/upstream/fuzz_test.go
@@ -33,12 +33,12 @@
 // and compares the result with the reference.
 func checkAgainstReference(t *testing.T, method string, response string, maxRead int) {
 	t.Helper()
-	conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: response, err: io.EOF}}, maxRead: maxRead}
-	client := clientWith(conn)
-	result := send(client, attemptTo("r:1", method, "x"))
-	head, text, complete, rest := referenceResponse(method, response)
+	conn := &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: response, err: io.EOF}}, maxRead: maxRead}
+	client := newClientWithConns(conn)
+	result := send(client, newAttempt("r:1", method, "x"))
+	head, text, complete, bytesBeyond := referenceResponse(method, response)
 	if result.Response == nil {
-		if result.Outcome != Indeterminate && result.Outcome != Garbled || !conn.closed {
+		if result.Outcome != Indeterminate && result.Outcome != InvalidResponse || !conn.closed {
 			t.Fatalf("outcome %v, closed %v", result.Outcome, conn.closed)
 		}
 		return
@@ -59,9 +59,9 @@
 		t.Fatalf("%q (complete is %v) looks complete: %q", text, complete, got)
 	}
 	// Bytes that have not arrived yet are noticed before the next use.
-	rest -= len(conn.unread)
-	if !conn.closed && (err != nil || rest > 0 || head.Close) {
-		t.Fatalf("the connection is reused, %d bytes beyond the response, %v", rest, err)
+	bytesBeyond -= len(conn.unread)
+	if !conn.closed && (err != nil || bytesBeyond > 0 || head.Close) {
+		t.Fatalf("the connection is reused, %d bytes beyond the response, %v", bytesBeyond, err)
 	}
 }
 
@@ -69,7 +69,7 @@
 
 func FuzzAnswer(f *testing.F) {
 	for _, response := range []string{
-		strings.ReplaceAll(sealedResponse, "{id}", "a1"), foreignResponse, "HTTP/1.1 100 C\r\n\r\n" + strings.ReplaceAll(sealedResponse, "{id}", "a1") + "rest",
+		strings.ReplaceAll(sealedResponse, "{id}", "a1"), wrongAttemptResponse, "HTTP/1.1 100 C\r\n\r\n" + strings.ReplaceAll(sealedResponse, "{id}", "a1") + "rest",
 		"HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.0 200 OK\r\nOnyxwell-Attempt-Id: a1\r\nOnyxwell-Server-Seal: s\r\n\r\nto the end",
 		"HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: a1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab",
@@ -103,30 +103,30 @@
 	}
 	f.Fuzz(func(t *testing.T, after string, text string) {
 		events := NewEventReader(strings.NewReader(text), after)
-		last, known := events.LastID, events.HasLastID
-		passed := ""
+		last, hasLast := events.LastID, events.HasLastID
+		returned := ""
 		for {
 			event, err := events.Next()
 			if err != nil {
-				rest := passed + string(event)
+				rest := returned + string(event)
 				if !strings.HasPrefix(text, rest) || errors.Is(err, io.EOF) && (rest != text || strings.TrimSpace(string(event)) != "") {
-					t.Fatalf("%q, then %q at %v", passed, event, err)
+					t.Fatalf("%q, then %q at %v", returned, event, err)
 				}
 				return
 			}
-			passed += string(event)
+			returned += string(event)
 			for _, line := range bytes.Split(event, []byte("\n")) {
-				value, numbered := strings.CutPrefix(strings.TrimRight(string(line), "\r"), "id:")
-				number, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
-				if numbered && (known && (err != nil || number != last+1)) {
+				value, hasID := strings.CutPrefix(strings.TrimRight(string(line), "\r"), "id:")
+				id, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
+				if hasID && (hasLast && (err != nil || id != last+1)) {
 					t.Fatalf("after %d came %q", last, line)
 				}
-				if numbered && err == nil {
-					last, known = number, true
+				if hasID && err == nil {
+					last, hasLast = id, true
 				}
 			}
-			if !strings.HasPrefix(text, passed) || known != events.HasLastID || last != events.LastID {
-				t.Fatalf("%q, %d", passed, events.LastID)
+			if !strings.HasPrefix(text, returned) || hasLast != events.HasLastID || last != events.LastID {
+				t.Fatalf("%q, %d", returned, events.LastID)
 			}
 		}
 	})
--- a/data/upstream/header.go
+++ b/data/upstream/header.go
@@ -29,8 +29,8 @@
 	PromptPrefixHeader = "Onyxwell-Prompt-Prefix"
 	// TokenCountHeader is a prompt's tokens and the most that may be generated.
 	TokenCountHeader = "Onyxwell-Token-Count"
-	// KeyHeader has a client's key; it is not sent to runners where there are tenants.
-	KeyHeader = "Api-Key"
+	// APIKeyHeader has a client's key; it is not sent to runners where there are tenants.
+	APIKeyHeader = "Api-Key"
 	// TenantHeader names the tenant that holds the key; it is never the client's own.
 	TenantHeader = "Onyxwell-Customer"
 	// LastEventIDHeader is the id of the event after which a stream continues.
--- a/data/upstream/header_test.go
+++ b/data/upstream/header_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestEndToEndHeader_keepsWhatRunnersJudge passes on, as the client sent it, what a runner
+// TestEndToEndHeader_keepsRequestMetadata passes on, as the client sent it, what a runner
 // tells a request by, and drops what concerns one connection.
-func TestEndToEndHeader_keepsWhatRunnersJudge(t *testing.T) {
+func TestEndToEndHeader_keepsRequestMetadata(t *testing.T) {
 	sent := http.Header{
 		"Onyxwell-Model": {"m"}, "Onyxwell-Token-Count": {"1460,80"}, "Onyxwell-Prompt-Prefix": {"5c1e07a2:800,91bd3f06:410"},
 		"Onyxwell-Expected-Version": {"3"}, "Onyxwell-Urgency": {"2"}, "Last-Event-Id": {"12"},
--- a/data/upstream/idleestimate_test.go
+++ b/data/upstream/idleestimate_test.go
@@ -16,13 +16,13 @@
 	clk.Advance(time.Second)
 	client := newTestClient(clk)
 	dropping := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""), upstreamtest.HangUp())
-	attempt := attemptTo(dropping.Address, "POST", "x")
+	attempt := newAttempt(dropping.Address, "POST", "x")
 	attempt.Service = "s"
 	DrainAndClose(send(client, attempt).Response)
 	clk.Advance(4 * time.Second)
-	once := nextAttempt(attempt, "a2")
-	once.AtMostOnce = true
-	if result := send(client, once); result.Outcome != Unsent || !result.StaleConn {
+	atMostOnce := nextAttempt(attempt, "a2")
+	atMostOnce.AtMostOnce = true
+	if result := send(client, atMostOnce); result.Outcome != Unsent || !result.StaleConn {
 		t.Fatalf("an at-most-once request used an unproven idle time: %+v", result)
 	}
 	DrainAndClose(send(client, nextAttempt(attempt, "a3")).Response)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestIdleEstimate_followsObservations(t *testing.T) {
+func TestIdleEstimate_adaptsToResults(t *testing.T) {
 	estimate := &idleEstimate{}
 	if estimate.allows(2*time.Second, true) || !estimate.allows(2*time.Second, false) {
 		t.Fatal("an unproven idle time is for idempotent requests only")
--- a/data/upstream/outcome.go
+++ b/data/upstream/outcome.go
@@ -21,12 +21,12 @@
 	// Indeterminate: the request may have been executed; there is no response
 	// that can be forwarded.
 	Indeterminate
-	// Garbled: the request may have been executed; what came back is not its
+	// InvalidResponse: the request may have been executed; what came back is not its
 	// response.
-	Garbled
+	InvalidResponse
 )
 
-var outcomeNames = [...]string{Unsent: "unsent", Rejected: "refused", Answered: "answered", Indeterminate: "doubtful", Garbled: "garbled"}
+var outcomeNames = [...]string{Unsent: "unsent", Rejected: "refused", Answered: "answered", Indeterminate: "doubtful", InvalidResponse: "garbled"}
 
 // String returns the name that logs and metrics carry.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -89,9 +89,9 @@
 // conclusion is what follows from an observation.
 type conclusion struct {
 	outcome Outcome
-	// inStep says that, as far as the observation shows, the next response on the
+	// inSync says that, as far as the observation shows, the next response on the
 	// connection belongs to the next request.
-	inStep bool
+	inSync bool
 	err    error
 }
 
@@ -106,11 +106,11 @@
 	deadlineExpired:   {outcome: Unsent, err: errors.New("upstream: the deadline passed before anything was sent")},
 	nothingWritten:    {outcome: Unsent},
 	noResponse:        {outcome: Indeterminate},
-	wrongAttempt:      {outcome: Garbled, err: errors.New("upstream: the response is another attempt's")},
-	declaredNotRun:    {outcome: Rejected, inStep: true},
-	missingSeal:       {outcome: Garbled, err: errors.New("upstream: a success without the runner's seal")},
+	wrongAttempt:      {outcome: InvalidResponse, err: errors.New("upstream: the response is another attempt's")},
+	declaredNotRun:    {outcome: Rejected, inSync: true},
+	missingSeal:       {outcome: InvalidResponse, err: errors.New("upstream: a success without the runner's seal")},
 	unprovenRejection: {outcome: Indeterminate, err: errors.New("upstream: a rejection that does not state that nothing was executed")},
-	validResponse:     {outcome: Answered, inStep: true},
+	validResponse:     {outcome: Answered, inSync: true},
 }
 
 // headChecks classify a complete head; the first that matches counts.
@@ -150,12 +150,12 @@
 // result returns what the caller is told of an observation; a nil err is
 // replaced by the observation's own.
 func (o observation) result(err error, resp *http.Response) Result {
-	concluded := conclusions[o]
+	entry := conclusions[o]
 	if err == nil {
-		err = concluded.err
+		err = entry.err
 	}
 	return Result{
-		Outcome: concluded.outcome, Cause: o.String(), Err: err, Response: resp,
+		Outcome: entry.outcome, Cause: o.String(), Err: err, Response: resp,
 		StaleConn: o == staleConn, LocalExhaustion: o == localExhaustion,
 	}
 }
@@ -179,7 +179,7 @@
 	reason  string
 	matches func(end exchangeEnd) bool
 }{
-	{"the response is not the request's own", func(end exchangeEnd) bool { return !conclusions[end.observation].inStep }},
+	{"the response is not the request's own", func(end exchangeEnd) bool { return !conclusions[end.observation].inSync }},
 	{"the response is incomplete", func(end exchangeEnd) bool { return !end.bodyComplete }},
 	{"the response ends with the connection", func(end exchangeEnd) bool { return !end.selfDelimited || end.closeRequested }},
 	{"the request was not written completely", func(end exchangeEnd) bool { return !end.requestWritten }},
--- a/data/upstream/outcome_test.go
+++ b/data/upstream/outcome_test.go
@@ -24,9 +24,9 @@
 			t.Errorf("violation %d: the connection is reused", index)
 		}
 	}
-	for obs, concluded := range conclusions {
-		if want := concluded.outcome == Answered || concluded.outcome == Rejected; concluded.inStep != want {
-			t.Errorf("observation %d: outcome %v and in step %v", obs, concluded.outcome, concluded.inStep)
+	for obs, entry := range conclusions {
+		if want := entry.outcome == Answered || entry.outcome == Rejected; entry.inSync != want {
+			t.Errorf("observation %d: outcome %v and in step %v", obs, entry.outcome, entry.inSync)
 		}
 	}
 }
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -87,11 +87,11 @@
 // relied on.
 func (h *hostPool) learnKeepAlive(header http.Header) {
 	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
-		text, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
+		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
 		if !ok {
 			continue
 		}
-		if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
+		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
 			h.keepAlive.Store(int64(time.Duration(min(seconds, maxKeepAliveSeconds)) * time.Second * 4 / 5))
 		}
 	}
@@ -135,13 +135,13 @@
 	return nil, stale
 }
 
-// localErrors are dial errors of this machine: it is out of descriptors, ports
+// resourceErrors are dial errors of this machine: it is out of descriptors, ports
 // or memory.
-var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM}
+var resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM}
 
 func classifyDialError(err error) observation {
-	for _, local := range localErrors {
-		if errors.Is(err, local) {
+	for _, resourceErr := range resourceErrors {
+		if errors.Is(err, resourceErr) {
 			return localExhaustion
 		}
 	}
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -65,7 +65,7 @@
 // The body is always sent with a Content-Length of our own.
 func (a Attempt) encodeHead(timeLeft time.Duration) ([]byte, error) {
 	req := a.Request
-	if !isPlainToken(req.Method) || !isPlainToken(req.Target) || !isPlainToken(req.Host) {
+	if !isSafeInHead(req.Method) || !isSafeInHead(req.Target) || !isSafeInHead(req.Host) {
 		return nil, errInvalidRequest
 	}
 	head := bytes.NewBuffer(make([]byte, 0, baseHeadSize+min(len(req.Body), maxInlineWrite)))
@@ -83,11 +83,11 @@
 			head.WriteString(field.name + ": " + field.value + "\r\n")
 		}
 	}
-	skipped := replacedHeaders
+	excluded := replacedHeaders
 	if a.LastEventID != "" {
-		skipped = replacedHeadersOnResume
+		excluded = replacedHeadersOnResume
 	}
-	if err := req.Header.WriteSubset(head, skipped); err != nil {
+	if err := req.Header.WriteSubset(head, excluded); err != nil {
 		return nil, err
 	}
 	head.WriteString("\r\n")
@@ -110,10 +110,10 @@
 	return slices.Contains(r.sentTo, address)
 }
 
-// isPlainToken reports whether a word of the request line is free of bytes that
+// isSafeInHead reports whether a word of the request line is free of bytes that
 // could end it.
-func isPlainToken(word string) bool {
-	return word != "" && strings.IndexFunc(word, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
+func isSafeInHead(text string) bool {
+	return text != "" && strings.IndexFunc(text, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
 // replacedHeaders are not copied from the client's request: they are written
@@ -126,10 +126,10 @@
 }
 
 // replacedHeadersOnResume adds the id that a resumed attempt writes itself.
-var replacedHeadersOnResume = withName(replacedHeaders, LastEventIDHeader)
+var replacedHeadersOnResume = withHeader(replacedHeaders, LastEventIDHeader)
 
-func withName(names map[string]bool, added string) map[string]bool {
+func withHeader(names map[string]bool, header string) map[string]bool {
 	extended := maps.Clone(names)
-	extended[added] = true
+	extended[header] = true
 	return extended
 }
--- a/data/upstream/response.go
+++ b/data/upstream/response.go
@@ -50,8 +50,8 @@
 
 // readHead reads one status line and header.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
-	text := textproto.NewReader(reader)
-	line, err := text.ReadLine()
+	headReader := textproto.NewReader(reader)
+	line, err := headReader.ReadLine()
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
@@ -62,7 +62,7 @@
 	if !ok || major != 1 || err != nil || len(codeText) != 3 || code < 100 {
 		return nil, errMalformedHead
 	}
-	header, err := text.ReadMIMEHeader()
+	header, err := headReader.ReadMIMEHeader()
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
@@ -71,7 +71,7 @@
 			return nil, errMalformedHead
 		}
 		for _, value := range values {
-			if strings.IndexFunc(value, isControl) >= 0 {
+			if strings.IndexFunc(value, isInvalidInValue) >= 0 {
 				return nil, errMalformedHead
 			}
 		}
@@ -82,8 +82,8 @@
 	}, nil
 }
 
-// isControl reports whether a rune must not occur in a header's value.
-func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
+// isInvalidInValue reports whether a rune must not occur in a header's value.
+func isInvalidInValue(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
 // isInvalidInName reports whether a rune must not occur in a header's name
 // (RFC 9110, section 5.6.2).
@@ -139,19 +139,19 @@
 // about it is an error, since two parties could disagree on where the next
 // response begins.
 func bodyLength(resp *http.Response) (int64, error) {
-	lengths, encodings := resp.Header["Content-Length"], resp.Header["Transfer-Encoding"]
+	lengths, codings := resp.Header["Content-Length"], resp.Header["Transfer-Encoding"]
 	length := int64(lengthUntilClose)
-	for _, text := range lengths {
-		parsed, err := strconv.ParseUint(strings.TrimSpace(text), 10, 62)
+	for _, value := range lengths {
+		parsed, err := strconv.ParseUint(strings.TrimSpace(value), 10, 62)
 		if err != nil || length >= 0 && length != int64(parsed) {
 			return 0, errFraming
 		}
 		length = int64(parsed)
 	}
-	if len(encodings) == 0 {
+	if len(codings) == 0 {
 		return length, nil
 	}
-	if len(encodings) != 1 || !strings.EqualFold(encodings[0], "chunked") || len(lengths) > 0 || resp.ProtoMinor == 0 {
+	if len(codings) != 1 || !strings.EqualFold(codings[0], "chunked") || len(lengths) > 0 || resp.ProtoMinor == 0 {
 		return 0, errFraming
 	}
 	return lengthChunked, nil
@@ -209,7 +209,7 @@
 			return nil
 		}
 		name, value, ok := strings.Cut(field, ":")
-		if !terminated || !ok || name == "" || strings.IndexFunc(name, isInvalidInName) >= 0 || strings.IndexFunc(value, isControl) >= 0 {
+		if !terminated || !ok || name == "" || strings.IndexFunc(name, isInvalidInName) >= 0 || strings.IndexFunc(value, isInvalidInValue) >= 0 {
 			return errFraming
 		}
 	}
--- a/data/upstream/response_test.go
+++ b/data/upstream/response_test.go
@@ -11,15 +11,15 @@
 	"onyxwell/base/clock"
 )
 
-// TestClient_bodyEndsWithConnection has responses with neither length nor
+// TestClient_bodyDelimitedByClose has responses with neither length nor
 // chunks: only an orderly close completes the body, and the connection is not
 // reused.
-func TestClient_bodyEndsWithConnection(t *testing.T) {
+func TestClient_bodyDelimitedByClose(t *testing.T) {
 	head := " 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n\r\n"
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		for _, err := range []error{io.EOF, errReset, net.ErrClosed} {
-			conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: version + head + "ok", err: err}}, maxRead: 7}
-			result := send(clientWith(conn), attemptTo("r:1", "POST", "x"))
+			conn := &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: version + head + "ok", err: err}}, maxRead: 7}
+			result := send(newClientWithConns(conn), newAttempt("r:1", "POST", "x"))
 			if result.Outcome != Answered || result.Response.ContentLength != lengthChunked {
 				t.Fatalf("%s, %v: %+v", version, err, result)
 			}
@@ -35,8 +35,8 @@
 // have: the body may follow all the same, so the connection is not reused.
 func TestClient_noContentWithBodyHeaders(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 2\r\n", "Transfer-Encoding: chunked\r\n"} {
-		conn := &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: "HTTP/1.1 204 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n" + framing + "\r\n"}}}
-		if result, text := readResult(t, clientWith(conn), attemptTo("r:1", "POST", "x")); result.Outcome != Answered || text != "" || !conn.closed {
+		conn := &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: "HTTP/1.1 204 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n" + framing + "\r\n"}}}
+		if result, text := readResult(t, newClientWithConns(conn), newAttempt("r:1", "POST", "x")); result.Outcome != Answered || text != "" || !conn.closed {
 			t.Errorf("%q: %+v, %q, closed %v", framing, result, text, conn.closed)
 		}
 	}
@@ -46,9 +46,9 @@
 // byte of the request is accepted: that is no response to it, and it was not
 // executed.
 func TestClient_responseBeforeAnyWrite(t *testing.T) {
-	for _, response := range []string{foreignResponse, sealedResponse, "HTTP/1.1 408 X\r\nConnection: close\r\n\r\n"} {
-		conn := &fakeConn{exchanges: []exchange{{accepts: 0, response: response, err: errReset}}}
-		if result := send(clientWith(conn), attemptTo("r:1", "POST", "x")); result.Outcome != Unsent || !conn.closed {
+	for _, response := range []string{wrongAttemptResponse, sealedResponse, "HTTP/1.1 408 X\r\nConnection: close\r\n\r\n"} {
+		conn := &fakeConn{exchanges: []exchange{{acceptBytes: 0, response: response, err: errReset}}}
+		if result := send(newClientWithConns(conn), newAttempt("r:1", "POST", "x")); result.Outcome != Unsent || !conn.closed {
 			t.Errorf("%q: %+v", response, result)
 		}
 	}
@@ -57,13 +57,13 @@
 // TestClient_dialTimeCountsAgainstDeadline has a dial take a while: the runner is
 // told the time left after it.
 func TestClient_dialTimeCountsAgainstDeadline(t *testing.T) {
-	clk, conn := clock.NewFake(), &fakeConn{exchanges: []exchange{{accepts: acceptAll, response: sealedResponse}}}
+	clk, conn := clock.NewFake(), &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: sealedResponse}}}
 	client := newTestClient(clk)
 	client.dial = func(context.Context, string, string) (net.Conn, error) {
 		clk.Advance(700 * time.Millisecond)
 		return conn, nil
 	}
-	if result := send(client, attemptTo("r:1", "POST", "x")); result.Outcome != Answered || !strings.Contains(conn.written.String(), TimeLeftHeader+": 800\r\n") {
+	if result := send(client, newAttempt("r:1", "POST", "x")); result.Outcome != Answered || !strings.Contains(conn.written.String(), TimeLeftHeader+": 800\r\n") {
 		t.Fatalf("%+v after %q", result, conn.written.String())
 	}
 }
--- a/data/upstreamtest/runner.go
+++ b/data/upstreamtest/runner.go
@@ -29,14 +29,14 @@
 type Runner struct {
 	Address ids.Address
 
-	// served counts the goroutines that accept and serve connections.
-	served    sync.WaitGroup
-	mu        sync.Mutex
-	steps     []Step
-	requests  []Request
-	conns     map[net.Conn]bool
-	connCount int
-	stopped   bool
+	// goroutines counts the goroutines that accept and serve connections.
+	goroutines sync.WaitGroup
+	mu         sync.Mutex
+	steps      []Step
+	requests   []Request
+	conns      map[net.Conn]bool
+	connCount  int
+	stopped    bool
 }
 
 // Start starts a runner on the loopback interface that answers the first request
@@ -49,12 +49,12 @@
 		t.Fatal(err)
 	}
 	r := &Runner{Address: ids.Address(listener.Addr().String()), steps: steps, conns: map[net.Conn]bool{}}
-	r.served.Add(1)
+	r.goroutines.Add(1)
 	go r.accept(listener)
 	t.Cleanup(func() {
 		_ = listener.Close()
 		r.closeConns()
-		r.served.Wait()
+		r.goroutines.Wait()
 	})
 	return r
 }
@@ -74,13 +74,13 @@
 }
 
 func (r *Runner) accept(listener net.Listener) {
-	defer r.served.Done()
+	defer r.goroutines.Done()
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		r.served.Add(1)
+		r.goroutines.Add(1)
 		go r.serve(conn)
 	}
 }
@@ -112,7 +112,7 @@
 
 // serve answers the requests of a connection until a step closes it.
 func (r *Runner) serve(conn net.Conn) {
-	defer r.served.Done()
+	defer r.goroutines.Done()
 	defer conn.Close()
 	defer r.untrack(conn)
 	if !r.track(conn) {
--- a/data/upstreamtest/step.go
+++ b/data/upstreamtest/step.go
@@ -26,9 +26,9 @@
 }
 
 // Before calls act when the request has arrived, before step answers it.
-func Before(act func(), step Step) Step {
+func Before(callback func(), step Step) Step {
 	return func(req Request, writer io.Writer) bool {
-		act()
+		callback()
 		return step(req, writer)
 	}
 }
--- a/emulator/client/tenants.go
+++ b/emulator/client/tenants.go
@@ -71,7 +71,7 @@
 
 // header returns the headers that tell who a request comes from.
 func (i identity) header() string {
-	header := fmt.Sprintf("%s: %s\r\n", upstream.KeyHeader, i.key)
+	header := fmt.Sprintf("%s: %s\r\n", upstream.APIKeyHeader, i.key)
 	if i.claim != "" {
 		header += fmt.Sprintf("%s: %s\r\n", upstream.TenantHeader, i.claim)
 	}
--- a/emulator/experiment/defective_router_test.go
+++ b/emulator/experiment/defective_router_test.go
@@ -136,7 +136,7 @@
 		return claim
 	}
 	for _, tenant := range client.Tenants() {
-		if slices.Contains(tenant.APIKeys, req.Header.Get(upstream.KeyHeader)) {
+		if slices.Contains(tenant.APIKeys, req.Header.Get(upstream.APIKeyHeader)) {
 			return tenant.Name
 		}
 	}
@@ -272,7 +272,7 @@
 		head += fmt.Sprintf("%s: %s\r\n", upstream.TargetRunnerHeader, runnerID)
 	}
 	if d.defects.passKey {
-		head += fmt.Sprintf("%s: %s\r\n", upstream.KeyHeader, req.Header.Get(upstream.KeyHeader))
+		head += fmt.Sprintf("%s: %s\r\n", upstream.APIKeyHeader, req.Header.Get(upstream.APIKeyHeader))
 	}
 	if tenant := d.tenantOf(req); tenant != "" {
 		head += fmt.Sprintf("%s: %s\r\n", upstream.TenantHeader, tenant)
--- a/emulator/runner/request.go
+++ b/emulator/runner/request.go
@@ -179,7 +179,7 @@
 	s.runner.options.OnRequest(oracle.Run{
 		Attempt: req.attemptID, Runner: incarnation.ID, Service: incarnation.Service, Seal: seal,
 		Fingerprint: FingerprintOf(req.http.Method, req.http.RequestURI, req.http.Host, req.body),
-		Tenant:      req.http.Header.Get(upstream.TenantHeader), KeyPassed: req.http.Header.Get(upstream.KeyHeader) != "",
+		Tenant:      req.http.Header.Get(upstream.TenantHeader), KeyPassed: req.http.Header.Get(upstream.APIKeyHeader) != "",
 		Rejected: seal == "", Status: resp.status, LastEventID: req.lastEventID(),
 		DeclaredLength: resp.framedLength, BodyUnread: req.respondsEarly(), Faults: faults,
 	})
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -273,7 +273,7 @@
 	}
 	req.Host = client.Host
 	req.Header.Set(upstream.AttemptIDHeader, fmt.Sprintf("%s%x", checkAttemptPrefix, rand.Uint64()))
-	req.Header.Set(upstream.KeyHeader, key)
+	req.Header.Set(upstream.APIKeyHeader, key)
 	resp, err := sender.Do(req)
 	if err != nil {
 		return err
--- a/soak/quota.go
+++ b/soak/quota.go
@@ -95,7 +95,7 @@
 	}
 	req.Host = client.Host
 	req.Header.Set(upstream.AttemptIDHeader, fmt.Sprintf("%s%x", checkAttemptPrefix, rand.Uint64()))
-	req.Header.Set(upstream.KeyHeader, limitedTenant.APIKeys[0])
+	req.Header.Set(upstream.APIKeyHeader, limitedTenant.APIKeys[0])
 	resp, err := sender.Do(req)
 	if err != nil {
 		return 0, err
