--- a/data/upstream/client.go
+++ b/data/upstream/client.go
@@ -1,14 +1,14 @@
 // Package upstream sends requests to runners over pooled connections and reports
-// what is known of their execution: not executed, possibly executed, or answered.
+// what is known about their execution: not executed, possibly executed, or answered.
 //
-// It owns the connections, the framing of requests and responses, and the
-// decision of which connections may be reused. Its invariants:
+// It manages the connections, encodes requests, parses responses and decides which
+// connections may be reused. Its invariants:
 //
-//   - A request is written at most once per call of Send; nothing is retried here.
+//   - A request is written at most once per call of Send; this package never retries.
 //   - A request counts as not executed only if no byte of it can have reached the
-//     runner, or if the runner's response to this very attempt says so.
-//   - A connection is reused only if the next response on it can be no other than
-//     the next request's.
+//     runner, or if the runner's response to this attempt says so.
+//   - A connection is reused only if the next response on it can only be the
+//     response to the next request.
 package upstream
 
 import (
@@ -29,11 +29,11 @@
 type Options struct {
 	Clock  clock.Clock
 	Dialer httpcall.Dialer
-	// IdleTimeout is after how long an idle connection is no longer reused; with 0
-	// none ever is.
+	// IdleTimeout is how long a connection may be idle and still be reused. With 0,
+	// connections are never reused.
 	IdleTimeout time.Duration
-	// MaxIdlePerHost is how many idle connections to one address are kept; less
-	// than minIdlePerHost counts as that.
+	// MaxIdlePerHost is the maximum number of idle connections that are kept per
+	// address. Values below minIdlePerHost are raised to it.
 	MaxIdlePerHost int
 }
 
@@ -42,28 +42,28 @@
 type Client struct {
 	options Options
 	dial    func(ctx context.Context, network string, address string) (net.Conn, error)
-	// sweeping is set while a goroutine closes idle connections.
+	// sweeping is true while the goroutine that closes idle connections runs.
 	sweeping atomic.Bool
-	// mu guards the two maps, not what they hold.
+	// mu guards the two maps, but not their values, which have locks of their own.
 	mu            sync.Mutex
 	pools         map[string]*hostPool
 	idleEstimates map[ids.Service]*idleEstimate
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that has no connections yet.
 func NewClient(options Options) *Client {
 	return &Client{options: options, dial: options.Dialer.Dial, pools: map[string]*hostPool{}, idleEstimates: map[ids.Service]*idleEstimate{}}
 }
 
 // Send sends a request to a runner once and waits for the head of its response.
-// The exchange ends with ctx, the reading of the response's body included.
+// The end of ctx aborts the exchange, also while the caller reads the response body.
 func (c *Client) Send(ctx context.Context, attempt Attempt) Result {
 	start := c.options.Clock.Now()
 	pc, obs, err := c.acquire(ctx, attempt)
 	if pc == nil {
 		return obs.result(err, nil)
 	}
-	// Dialing may have taken a while: the runner is told the time left now.
+	// Dialing takes part of the time left, and the runner is told what remains.
 	elapsed := c.options.Clock.Now().Since(start)
 	if ctx.Err() != nil || elapsed >= max(attempt.TimeLeft, time.Millisecond) {
 		_ = pc.Conn.Close()
@@ -77,7 +77,8 @@
 	return c.exchange(ctx, pc, attempt, head)
 }
 
-// exchange writes a request and reads the head of its response.
+// exchange writes a request and reads the head of its response. It closes the
+// connection on failure.
 func (c *Client) exchange(ctx context.Context, pc *persistConn, attempt Attempt, head []byte) Result {
 	req, estimate := attempt.Request, c.idleEstimate(attempt.Service)
 	stopAbort := context.AfterFunc(ctx, pc.abort)
@@ -114,8 +115,9 @@
 	return obs.result(nil, resp)
 }
 
-// releaseAfterBody has the connection be pooled or closed when the response's
-// body has been read or closed. It replaces the body.
+// releaseAfterBody replaces the response's body by one that returns the connection
+// to its pool or closes it when the body has been read or closed. A response with
+// a Content-Length of 0 releases the connection at once.
 func (c *Client) releaseAfterBody(pc *persistConn, write *requestWrite, stopAbort func() bool, obs observation, resp *http.Response) {
 	selfDelimited, closeRequested := resp.ContentLength != lengthUntilClose, resp.Close
 	onEnd := func(complete bool) {
@@ -134,7 +136,7 @@
 		resp.Body = http.NoBody
 		return
 	}
-	// Callers know one unknown length only.
+	// Callers expect -1, as in net/http, for any unknown length.
 	resp.ContentLength = max(resp.ContentLength, lengthChunked)
 	resp.Body = &responseBody{source: resp.Body, onEnd: onEnd}
 }
--- a/data/upstream/conn.go
+++ b/data/upstream/conn.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// maxHeadBytes bounds the bytes up to the end of a response's head, interim
-	// responses included.
+	// maxHeadBytes limits the size of a response head, including the interim (1xx)
+	// responses before it.
 	maxHeadBytes = 1 << 20
-	// noHeadLimit is the value of headBytesLeft outside of a head.
+	// noHeadLimit is the value of headBytesLeft while no response head is read.
 	noHeadLimit = -1
-	// maxRecentAttempts is how many attempt ids a connection remembers.
+	// maxRecentAttempts is the number of attempt ids that a connection remembers.
 	maxRecentAttempts = 8
-	// maxInlineWrite is the size up to which a request is written before its
-	// response is read. A larger one is written concurrently, since a runner may
+	// maxInlineWrite is the size in bytes up to which a request is written before its
+	// response is read. A larger request is written concurrently, since a runner may
 	// respond and leave the rest of the request unread.
 	maxInlineWrite = 32 << 10
-	// readBufferSize is the size of a connection's read buffer.
+	// readBufferSize is the size in bytes of the read buffers of connections and event
+	// readers.
 	readBufferSize = 4096
 )
 
@@ -33,20 +34,24 @@
 	errBodyClosed   = errors.New("upstream: the response body was closed before its end")
 )
 
-// persistConn is one connection to a runner. It carries one request at a time
-// and is not safe for concurrent use, except for abort.
+// persistConn is a connection to a runner. It carries one request at a time and is
+// not safe for concurrent use, except for abort and the write that writeRequest
+// starts.
 type persistConn struct {
 	net.Conn
 	clock  clock.Clock
 	pool   *hostPool
 	reader *bufio.Reader
-	// lastRead is when bytes last arrived, in this or an earlier exchange.
+	// lastRead is when bytes were last read, in this or an earlier exchange.
 	lastRead clock.Instant
-	// idleFor is how long the connection was idle when the exchange began.
+	// idleFor is how long the connection had been idle when the exchange began; 0 for
+	// a new connection.
 	idleFor time.Duration
-	// headBytesLeft is how many bytes of a head may still be read.
+	// headBytesLeft is the number of bytes that may still be read until the end of the
+	// response head, or noHeadLimit.
 	headBytesLeft int
-	// recentAttempts is a ring of the last attempt ids; attemptCount counts all.
+	// recentAttempts is a ring buffer of the last attempt ids; attemptCount is the
+	// number of all attempts on the connection.
 	recentAttempts [maxRecentAttempts]string
 	attemptCount   int
 }
@@ -57,7 +62,8 @@
 	return pc
 }
 
-// Read records when bytes arrived and enforces the size limit of heads.
+// Read reads from the connection. It records when bytes arrived and enforces the
+// size limit of response heads.
 func (p *persistConn) Read(buf []byte) (int, error) {
 	if p.headBytesLeft == 0 {
 		return 0, errHeadTooLarge
@@ -76,24 +82,24 @@
 }
 
 // abort ends the current exchange by closing the connection, which unblocks its
-// reads and writes. It is called when the exchange's context ends.
+// reads and writes. It is called when the context of the exchange ends.
 func (p *persistConn) abort() { _ = p.Conn.Close() }
 
-// recordAttempt remembers that the connection carries an attempt.
+// recordAttempt records that the connection carries an attempt.
 func (p *persistConn) recordAttempt(attemptID string) {
 	p.recentAttempts[p.attemptCount%maxRecentAttempts] = attemptID
 	p.attemptCount++
 }
 
-// carriedAttempt reports whether the connection carried an attempt recently. A
-// duplicate of that attempt's response could not be told from a new response
-// with the same id.
+// carriedAttempt reports whether the connection recently carried an attempt with
+// this id. Such a connection is not used for the attempt again, because a duplicate
+// of the earlier response could not be told from the new response.
 func (p *persistConn) carriedAttempt(attemptID string) bool {
 	return slices.Contains(p.recentAttempts[:], attemptID)
 }
 
-// hasPendingInput reports whether an idle connection is readable: the peer has
-// closed it or has sent bytes that belong to no request.
+// hasPendingInput reports whether an idle connection is readable, which means that
+// the peer has closed it or has sent bytes that belong to no request.
 func (p *persistConn) hasPendingInput() bool {
 	if p.reader.Buffered() > 0 {
 		return true
@@ -115,23 +121,23 @@
 	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// requestWrite is the write of one request. A concurrent write ends at the
-// latest when its connection is closed.
+// requestWrite is the state of the write of one request. A concurrent write ends at
+// the latest when its connection is closed.
 type requestWrite struct {
-	// done is closed when the write has ended; written and err are valid then.
+	// done is closed when the write has ended; only then are written and err valid.
 	done    chan struct{}
 	written int64
 	err     error
 }
 
-// closedDone is the done channel of writes that ended before they were returned.
+// closedDone is the done channel of writes that end before writeRequest returns.
 var closedDone = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// writeRequest writes a request; one larger than maxInlineWrite is written by a
+// writeRequest writes a request. One larger than maxInlineWrite is written by a
 // goroutine while the caller reads the response.
 func (p *persistConn) writeRequest(head []byte, body []byte) *requestWrite {
 	write := &requestWrite{done: closedDone}
@@ -152,8 +158,8 @@
 // complete reports whether the whole request has been written by now.
 func (r *requestWrite) complete() bool { return r.ended() && r.err == nil }
 
-// wroteNothing reports that the connection took no byte of the request, so that
-// nothing that can be read is a response to it.
+// wroteNothing reports whether the write has failed before the connection accepted
+// any byte of the request. Whatever can be read then is no response to it.
 func (r *requestWrite) wroteNothing() bool { return r.ended() && r.err != nil && r.written == 0 }
 
 func (r *requestWrite) ended() bool {
@@ -165,15 +171,16 @@
 	}
 }
 
-// responseBody is a response's body. onEnd is called once, at the body's end or
-// when it is closed before, and decides whether the connection is reused.
+// responseBody is the body of a response. It calls onEnd once, at the end of the
+// body, on a read error or when the body is closed early; onEnd decides whether the
+// connection is reused.
 type responseBody struct {
 	source io.Reader
 	onEnd  func(complete bool)
 	err    error
 }
 
-// Read returns io.EOF only where the body is complete.
+// Read returns io.EOF only if the body is complete.
 func (r *responseBody) Read(buf []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -186,7 +193,7 @@
 	return n, err
 }
 
-// Close gives up what was not read, and the connection with it.
+// Close discards the rest of the body if there is any, and the connection with it.
 func (r *responseBody) Close() error {
 	if r.err == nil {
 		r.err = errBodyClosed
--- a/data/upstream/idleestimate.go
+++ b/data/upstream/idleestimate.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// minTrustedIdle is the idle time that is always trusted: less would open a
-	// new connection for nearly every request.
+	// minTrustedIdle is the idle time that is always trusted. A shorter one would open
+	// a new connection for nearly every request.
 	minTrustedIdle = 500 * time.Millisecond
-	// failureFactor is the part of a failed connection's idle time that is
-	// trusted afterwards.
+	// failureFactor is the fraction of a failed connection's idle time that is trusted
+	// afterwards.
 	failureFactor = 0.6
-	// recoveryFactor is by which part the limit grows with each connection that
-	// worked after more than half of it.
+	// recoveryFactor is the fraction by which the limit grows with each connection
+	// that worked after an idle time of more than half the limit.
 	recoveryFactor = 0.02
 )
 
-// idleEstimate estimates how long the runners of a service keep an idle
-// connection. They may drop one without notice, and a request that is written to
-// it then may have been executed.
+// idleEstimate estimates how long the runners of a service keep idle connections
+// open. A runner may drop a connection without notice, and a request that is written
+// to such a connection counts as possibly executed.
 type idleEstimate struct {
 	mu sync.Mutex
-	// limit is the longest idle time that is trusted; 0 is none.
+	// limit is the longest idle time that is trusted; 0 means no limit.
 	limit time.Duration
-	// provenIdle is the longest idle time after which a connection worked.
+	// provenIdle is the longest idle time after which a connection worked; a failure
+	// lowers it to limit.
 	provenIdle time.Duration
 }
 
-// allows reports whether a connection may be used after an idle time. Requests
-// that must not be executed twice need one that has been seen to work.
+// allows reports whether a connection may be used after an idle time. For requests
+// that must not be executed twice, the idle time must also be at most provenIdle or
+// minTrustedIdle.
 func (i *idleEstimate) allows(idleFor time.Duration, atMostOnce bool) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -41,7 +43,7 @@
 	return !atMostOnce || idleFor <= max(i.provenIdle, minTrustedIdle)
 }
 
-// recordSuccess notes that a connection worked after an idle time.
+// recordSuccess records that a connection worked after an idle time.
 func (i *idleEstimate) recordSuccess(idleFor time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -51,8 +53,8 @@
 	}
 }
 
-// recordFailure notes that a connection failed after an idle time. A failure
-// within minTrustedIdle is not the idle time's.
+// recordFailure records that a connection failed after an idle time. A failure
+// within minTrustedIdle is not attributed to the idle time.
 func (i *idleEstimate) recordFailure(idleFor time.Duration) {
 	if idleFor <= minTrustedIdle {
 		return
@@ -66,7 +68,7 @@
 	i.provenIdle = min(i.provenIdle, i.limit)
 }
 
-// idleEstimate returns the estimate of a service.
+// idleEstimate returns the estimate for a service, and creates it if necessary.
 func (c *Client) idleEstimate(service ids.Service) *idleEstimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/data/upstream/outcome.go
+++ b/data/upstream/outcome.go
@@ -7,74 +7,81 @@
 	"onyxwell/base/response"
 )
 
-// Outcome is what is known of a request's execution after it was sent.
+// Outcome is what is known about the execution of a request after an attempt.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
-	// Unsent: the request never reached the runner.
+	// Unsent: no byte of the request reached the runner.
 	Unsent Outcome = iota
-	// Rejected: the runner turned the request away without executing it.
+	// Rejected: the runner stated that it did not execute the request.
 	Rejected
-	// Answered: there is a response whose head belongs to the request.
+	// Answered: the runner responded, and the response head matches the request.
 	Answered
-	// Indeterminate: the request may have been executed; there is no response
+	// Indeterminate: the request may have been executed, and there is no response
 	// that can be forwarded.
 	Indeterminate
-	// InvalidResponse: the request may have been executed; what came back is not its
-	// response.
+	// InvalidResponse: the request may have been executed, but what was received is
+	// not a valid response to it.
 	InvalidResponse
 )
 
 var outcomeNames = [...]string{Unsent: "unsent", Rejected: "refused", Answered: "answered", Indeterminate: "doubtful", InvalidResponse: "garbled"}
 
-// String returns the name that logs and metrics carry.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is what came of an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome Outcome
-	// Cause names what was observed, in a word; logs and metrics carry it.
+	// Cause is the one-word name of the observation, for logs and metrics.
 	Cause string
-	// Response is set where the outcome is Answered or Rejected. The caller must
-	// close its body.
+	// Response is set if the outcome is Answered or Rejected. The caller must close
+	// its body.
 	Response *http.Response
-	// Err says more about an outcome without a response; it may be nil.
+	// Err describes why there is no response; it may be nil.
 	Err error
-	// StaleConn says that nothing was sent because the idle connections were too
-	// old: the same runner may be tried again at once.
+	// StaleConn reports that nothing was sent because the pooled connections had
+	// been idle for too long. The same runner may be tried again at once.
 	StaleConn bool
-	// LocalExhaustion says that nothing was sent for want of this machine's own
-	// resources, which says nothing about the runner.
+	// LocalExhaustion reports that nothing was sent because this machine ran out of
+	// resources, such as file descriptors or ports, which says nothing about the
+	// runner's health.
 	LocalExhaustion bool
 }
 
-// observation is what was seen of an exchange; conclusions maps it to an outcome.
+// observation is what the client observed during an exchange; conclusions maps it
+// to an outcome.
 type observation int
 
 const (
 	// dialFailed: no connection was established.
 	dialFailed observation = iota
-	// localExhaustion: no connection was established for want of local resources.
+	// localExhaustion: no connection was established, because this machine ran out
+	// of resources.
 	localExhaustion
-	// staleConn: the idle connections were too old; nothing was written.
+	// staleConn: the pooled connections had been idle for too long, and nothing was
+	// written.
 	staleConn
-	// deadlineExpired: the deadline passed before the first byte was written.
+	// deadlineExpired: the deadline passed or the context ended before the first
+	// byte was written.
 	deadlineExpired
-	// nothingWritten: the connection took no byte of the request.
+	// nothingWritten: the connection accepted no byte of the request.
 	nothingWritten
-	// noResponse: bytes were written, and no complete response head came back.
+	// noResponse: bytes were written, but no complete, well-formed response head with
+	// unambiguous framing arrived.
 	noResponse
-	// wrongAttempt: the head carries another attempt's id, or none.
+	// wrongAttempt: the head does not carry exactly one attempt id, that of this
+	// attempt, or its status is below 200 (101 Switching Protocols).
 	wrongAttempt
 	// declaredNotRun: the runner states that it did not execute the request.
 	declaredNotRun
-	// missingSeal: a success without the runner's seal, or with its body re-encoded.
+	// missingSeal: a success without the runner's seal, or with a Content-Encoding.
 	missingSeal
-	// unprovenRejection: the status suggests that nothing was executed, but the
-	// runner does not state it.
+	// unprovenRejection: the status suggests that the request was not executed, but
+	// the runner does not state it.
 	unprovenRejection
-	// validResponse: the head is a response to the request.
+	// validResponse: the head is that of a response to the request.
 	validResponse
 )
 
@@ -83,37 +90,38 @@
 	wrongAttempt: "foreign", declaredNotRun: "declined", missingSeal: "unsealed", unprovenRejection: "unfounded", validResponse: "proper",
 }
 
-// String returns the name that logs and metrics carry.
+// String returns the name of the observation in logs and metrics.
 func (o observation) String() string { return observationNames[o] }
 
-// conclusion is what follows from an observation.
+// conclusion is what an observation implies for the request and the connection.
 type conclusion struct {
 	outcome Outcome
-	// inSync says that, as far as the observation shows, the next response on the
-	// connection belongs to the next request.
+	// inSync reports whether, judging by the observation alone, the next response on
+	// the connection will be that of the next request.
 	inSync bool
-	err    error
+	// err is the error for callers of Send, unless there is a more specific one.
+	err error
 }
 
-// conclusions is the only place that decides what is known of a request's
-// execution. Invariant: a request of which any byte may have been written may
-// have been executed, unless a complete head with its own attempt id says
-// otherwise.
+// conclusions is the only place that decides what is known about the execution of
+// a request. Invariant: a request of which any byte may have been written may have
+// been executed, unless a complete response head with its attempt id says otherwise.
 var conclusions = [...]conclusion{
 	dialFailed:        {outcome: Unsent},
 	localExhaustion:   {outcome: Unsent},
-	staleConn:         {outcome: Unsent, err: errors.New("upstream: the idle connections are too old to be reused")},
-	deadlineExpired:   {outcome: Unsent, err: errors.New("upstream: the deadline passed before anything was sent")},
+	staleConn:         {outcome: Unsent, err: errors.New("upstream: the pooled connections were idle for too long to be reused")},
+	deadlineExpired:   {outcome: Unsent, err: errors.New("upstream: the deadline passed or the request was canceled before anything was sent")},
 	nothingWritten:    {outcome: Unsent},
 	noResponse:        {outcome: Indeterminate},
-	wrongAttempt:      {outcome: InvalidResponse, err: errors.New("upstream: the response is another attempt's")},
+	wrongAttempt:      {outcome: InvalidResponse, err: errors.New("upstream: the response does not carry the id of the attempt")},
 	declaredNotRun:    {outcome: Rejected, inSync: true},
-	missingSeal:       {outcome: InvalidResponse, err: errors.New("upstream: a success without the runner's seal")},
-	unprovenRejection: {outcome: Indeterminate, err: errors.New("upstream: a rejection that does not state that nothing was executed")},
+	missingSeal:       {outcome: InvalidResponse, err: errors.New("upstream: the response is a success without the runner's seal or with a content encoding")},
+	unprovenRejection: {outcome: Indeterminate, err: errors.New("upstream: the response has a rejection status but does not state that the request was not executed")},
 	validResponse:     {outcome: Answered, inSync: true},
 }
 
-// headChecks classify a complete head; the first that matches counts.
+// headChecks classify a complete response head; the first check that matches
+// applies.
 var headChecks = []struct {
 	observation observation
 	matches     func(attemptID string, head *http.Response) bool
@@ -131,13 +139,13 @@
 	{unprovenRejection, func(_ string, head *http.Response) bool { return notRunStatuses[head.StatusCode] }},
 }
 
-// notRunStatuses are the statuses by which clients conclude that a request was
+// notRunStatuses are the statuses from which clients conclude that a request was
 // not executed.
 var notRunStatuses = map[int]bool{
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true, http.StatusRequestTimeout: true,
 }
 
-// classifyHead returns what a complete response head shows of an attempt.
+// classifyHead returns the observation for a complete response head.
 func classifyHead(attemptID string, head *http.Response) observation {
 	for _, check := range headChecks {
 		if check.matches(attemptID, head) {
@@ -147,8 +155,8 @@
 	return validResponse
 }
 
-// result returns what the caller is told of an observation; a nil err is
-// replaced by the observation's own.
+// result returns the Result for an observation. If err is nil, the error of the
+// conclusion is used.
 func (o observation) result(err error, resp *http.Response) Result {
 	entry := conclusions[o]
 	if err == nil {
@@ -160,31 +168,32 @@
 	}
 }
 
-// exchangeEnd is the state of a connection when an exchange on it has ended.
+// exchangeEnd is the state of an exchange and its connection when the exchange has
+// ended.
 type exchangeEnd struct {
 	observation observation
-	// bodyComplete: the body was read to its end. selfDelimited: its length or
-	// its chunks said where that is. closeRequested: the runner asked for the
+	// bodyComplete: the body was read to its end. selfDelimited: a Content-Length
+	// or chunks delimit the body. closeRequested: the response asks for the
 	// connection to be closed.
 	bodyComplete, selfDelimited, closeRequested bool
-	// requestWritten: the whole request was written. canceled: the exchange's
-	// context ended.
+	// requestWritten: the whole request was written. canceled: the context of the
+	// exchange ended.
 	requestWritten, canceled bool
-	// bufferedBytes is how many bytes were read beyond the response.
+	// bufferedBytes is the number of bytes that were read beyond the response.
 	bufferedBytes int
 }
 
-// reuseBlockers are the conditions that forbid to reuse a connection.
+// reuseBlockers are the conditions under which a connection must not be reused.
 var reuseBlockers = []struct {
 	reason  string
 	matches func(end exchangeEnd) bool
 }{
-	{"the response is not the request's own", func(end exchangeEnd) bool { return !conclusions[end.observation].inSync }},
+	{"the response is not a valid response to the request", func(end exchangeEnd) bool { return !conclusions[end.observation].inSync }},
 	{"the response is incomplete", func(end exchangeEnd) bool { return !end.bodyComplete }},
-	{"the response ends with the connection", func(end exchangeEnd) bool { return !end.selfDelimited || end.closeRequested }},
+	{"the runner closes the connection after the response", func(end exchangeEnd) bool { return !end.selfDelimited || end.closeRequested }},
 	{"the request was not written completely", func(end exchangeEnd) bool { return !end.requestWritten }},
 	{"the exchange was canceled", func(end exchangeEnd) bool { return end.canceled }},
-	{"there are bytes beyond the response", func(end exchangeEnd) bool { return end.bufferedBytes > 0 }},
+	{"bytes were received beyond the response", func(end exchangeEnd) bool { return end.bufferedBytes > 0 }},
 }
 
 // reuseBlocker returns why a connection must not be reused, or "" if it may be.
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -16,26 +16,28 @@
 )
 
 const (
-	// minIdlePerHost is the least MaxIdlePerHost.
+	// minIdlePerHost is the lower bound of Options.MaxIdlePerHost.
 	minIdlePerHost = 2
-	// sweepsPerIdleTimeout is how many times in an IdleTimeout idle connections
-	// are swept.
+	// sweepsPerIdleTimeout is the number of times per Options.IdleTimeout that the
+	// pools are searched for connections that were idle for too long.
 	sweepsPerIdleTimeout = 4
-	// maxKeepAliveSeconds bounds the keep-alive time that a runner announces.
+	// maxKeepAliveSeconds is the upper bound of the keep-alive timeout that is accepted
+	// from a runner: one day.
 	maxKeepAliveSeconds = 24 * 60 * 60
 )
 
 // hostPool holds the idle connections to one address.
 type hostPool struct {
-	// keepAlive is how long the runner keeps an idle connection, as a time.Duration;
-	// 0 where it does not say.
+	// keepAlive is for how long an idle connection may be used according to the
+	// runner's Keep-Alive header, as a time.Duration; 0 if the runner has sent none.
 	keepAlive atomic.Int64
-	// mu guards idle, which is ordered by the time of release.
+	// mu guards idle, which is ordered by time of release, oldest first.
 	mu   sync.Mutex
 	idle []*persistConn
 }
 
-// pop removes and returns the connection that was released last, or nil.
+// pop removes and returns the connection that was released last, or nil if there is
+// none.
 func (h *hostPool) pop() *persistConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,7 +51,8 @@
 	return pc
 }
 
-// push adds a connection unless there are limit of them; it reports whether it did.
+// push adds a connection unless the pool holds limit connections already. It reports
+// whether the connection was added.
 func (h *hostPool) push(pc *persistConn, limit int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,15 +63,14 @@
 	return true
 }
 
-// exceedsKeepAlive reports whether a connection has been idle for longer than
-// the runner announced to keep it.
+// exceedsKeepAlive reports whether an idle time exceeds keepAlive.
 func (h *hostPool) exceedsKeepAlive(idleFor time.Duration) bool {
 	keepAlive := time.Duration(h.keepAlive.Load())
 	return keepAlive > 0 && idleFor > keepAlive
 }
 
-// closeIdle closes the connections that have been idle for at least maxIdle; it
-// returns how many are left.
+// closeIdle closes the connections that have been idle for at least maxIdle or for
+// longer than keepAlive. It returns the number of connections left.
 func (h *hostPool) closeIdle(now clock.Instant, maxIdle time.Duration) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -83,8 +85,8 @@
 	return len(h.idle)
 }
 
-// learnKeepAlive takes the keep-alive time from a response. Its last fifth is not
-// relied on.
+// learnKeepAlive sets keepAlive from the timeout parameter of a Keep-Alive header.
+// Only four fifths of the announced timeout are relied on.
 func (h *hostPool) learnKeepAlive(header http.Header) {
 	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
@@ -97,9 +99,9 @@
 	}
 }
 
-// acquire returns an idle connection or dials one; with an error or an
-// observation other than validResponse there is no connection. A request that
-// was sent to the address before always gets a new connection, since a late
+// acquire returns an idle connection or dials a new one. On success the observation
+// is validResponse; any other observation tells why the connection is nil. A request
+// that was sent to the address before always gets a new connection, since a late
 // response to the earlier attempt could arrive on a pooled one.
 func (c *Client) acquire(ctx context.Context, attempt Attempt) (*persistConn, observation, error) {
 	pool := c.pool(string(attempt.Address))
@@ -119,8 +121,10 @@
 	return newPersistConn(conn, c.options.Clock, pool), validResponse, nil
 }
 
-// acquireIdle returns an idle connection that may carry the attempt, if there is
-// one; it closes those that may not. stale says that any of them was too old.
+// acquireIdle returns an idle connection that may carry the attempt, or nil. It
+// closes the connections that it finds unusable. If it returns nil, stale reports
+// whether any of those had been idle for longer than the runner's Keep-Alive header
+// or the service's idle estimate allows.
 func (c *Client) acquireIdle(pool *hostPool, attempt Attempt) (pc *persistConn, stale bool) {
 	now, estimate := c.options.Clock.Now(), c.idleEstimate(attempt.Service)
 	for pc := pool.pop(); pc != nil; pc = pool.pop() {
@@ -135,8 +139,8 @@
 	return nil, stale
 }
 
-// resourceErrors are dial errors of this machine: it is out of descriptors, ports
-// or memory.
+// resourceErrors are the dial errors that mean that this machine has run out of file
+// descriptors, ports or memory.
 var resourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM}
 
 func classifyDialError(err error) observation {
@@ -148,8 +152,8 @@
 	return dialFailed
 }
 
-// release puts a connection back for the next request, or closes it where there
-// are enough.
+// release returns a connection to its pool, or closes it if the pool is full. It
+// starts the sweep of idle connections unless it is running.
 func (c *Client) release(pc *persistConn) {
 	if !pc.pool.push(pc, max(minIdlePerHost, c.options.MaxIdlePerHost)) {
 		_ = pc.Conn.Close()
@@ -159,8 +163,8 @@
 	}
 }
 
-// sweepIdle closes connections that were idle for too long. It returns when
-// there is no idle connection; release starts it again.
+// sweepIdle periodically closes the connections that have been idle for too long. It
+// returns when no idle connection is left; release starts it again.
 func (c *Client) sweepIdle() {
 	for {
 		<-c.options.Clock.After(c.options.IdleTimeout / sweepsPerIdleTimeout)
@@ -171,8 +175,9 @@
 	}
 }
 
-// closeIdle closes the connections that have been idle for at least maxIdle; it
-// returns how many are left.
+// closeIdle closes the connections of all pools that have been idle for at least
+// maxIdle or for longer than their pool's keepAlive. It returns the number of
+// connections left.
 func (c *Client) closeIdle(now clock.Instant, maxIdle time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +188,7 @@
 	return left
 }
 
-// pool returns the pool of an address.
+// pool returns the pool for an address, and creates it if necessary.
 func (c *Client) pool(address string) *hostPool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
