--- a/data/upstream/eventreader.go
+++ b/data/upstream/eventreader.go
@@ -8,27 +8,29 @@
 	"strconv"
 )
 
-// ErrEventOrder is returned where the event ids of a stream do not rise by one,
-// or where an event has no line at all.
-var ErrEventOrder = errors.New("upstream: an event is missing or came twice")
+// ErrEventOrder is returned if the event ids of a stream do not increase by one or
+// stop being numeric, if an event has more than one id, or if it has no lines.
+var ErrEventOrder = errors.New("upstream: the event ids do not increase by one, or an event is malformed")
 
-// maxEventBytes bounds an event's size.
+// maxEventBytes limits the size of an event.
 const maxEventBytes = 4 << 20
 
 var errEventTooLarge = errors.New("upstream: an event exceeds its size limit")
 
 // EventReader reads a stream of server-sent events, one complete event at a
-// time, and checks that their ids rise by one. It is not safe for concurrent use.
+// time, and checks that their ids increase by one. It is not safe for concurrent use.
 type EventReader struct {
 	reader *bufio.Reader
 	event  []byte
-	// LastID is the id of the last event that had one, valid if HasLastID.
+	// LastID is the id of the last event that had one. It is valid if HasLastID is
+	// true.
 	LastID    int64
 	HasLastID bool
 }
 
-// NewEventReader returns a reader of a stream that continues after the event
-// with the id lastEventID; an empty or non-numeric id is the start of a stream.
+// NewEventReader returns a reader of a stream that continues after the event with
+// the id lastEventID. If that is empty or not numeric, the stream may begin with any
+// id.
 func NewEventReader(body io.Reader, lastEventID string) *EventReader {
 	events := &EventReader{reader: bufio.NewReaderSize(body, readBufferSize)}
 	if id, err := strconv.ParseInt(lastEventID, 10, 64); err == nil {
@@ -38,9 +40,9 @@
 }
 
 // Next returns the bytes of the next complete event, valid until the next call.
-// At the end of the stream it returns io.EOF; with any other error the bytes
-// returned are those of an incomplete event, which must not be passed on. A
-// truncated event yields io.ErrUnexpectedEOF.
+// At the end of the stream it returns io.EOF, with the blank bytes after the last
+// event. With any other error the bytes are those of an incomplete or invalid event,
+// which must not be forwarded. A truncated event yields io.ErrUnexpectedEOF.
 func (e *EventReader) Next() ([]byte, error) {
 	e.event = e.event[:0]
 	id, hasID := int64(0), false
@@ -62,7 +64,7 @@
 		field := bytes.TrimRight(line, "\r\n")
 		if len(field) == 0 {
 			if len(bytes.Trim(e.event, "\r\n")) == 0 {
-				// A blank line where an event should begin is a sign of wrong framing.
+				// A blank line where an event should begin indicates wrong framing.
 				return e.event, ErrEventOrder
 			}
 			return e.event, e.advance(id, hasID)
@@ -77,7 +79,7 @@
 	}
 }
 
-// advance checks an event's id against the last one and moves on to it.
+// advance checks the id of a complete event against the last id and records it.
 func (e *EventReader) advance(id int64, hasID bool) error {
 	if !hasID {
 		return nil
--- a/data/upstream/header.go
+++ b/data/upstream/header.go
@@ -7,48 +7,57 @@
 	"strings"
 )
 
-// Header names between router and runner; they are part of the wire format.
+// Names of headers, which are part of the wire format between clients, routers and
+// runners.
 const (
-	// AttemptIDHeader carries the id of an attempt; a response repeats it.
+	// AttemptIDHeader is the id of an attempt. A response repeats it.
 	AttemptIDHeader = "Onyxwell-Attempt-Id"
-	// SealHeader marks a success as the runner's own.
+	// SealHeader is set by a runner on each successful response to mark it as its own.
 	SealHeader = "Onyxwell-Server-Seal"
-	// TargetRunnerHeader names the runner that a request is meant for.
+	// TargetRunnerHeader is the id of the runner that a request is intended for.
 	TargetRunnerHeader = "Onyxwell-Target-Server"
-	// TimeLeftHeader is the time to the request's deadline, in milliseconds.
+	// TimeLeftHeader is the time until the request's deadline, in milliseconds.
 	TimeLeftHeader = "Onyxwell-Time-Left-Ms"
-	// PriorityHeader is a request's priority, 0 to 9, the lower first.
+	// PriorityHeader is the priority of a request, from 0 to 9; the lowest is served
+	// first.
 	PriorityHeader = "Onyxwell-Urgency"
-	// LoadHeader is a runner's load: running, waiting, slots.
+	// LoadHeader is the load of a runner: the numbers of running requests, of waiting
+	// requests and of slots, separated by commas.
 	LoadHeader = "Onyxwell-Server-Load"
-	// RunnerIDHeader names the runner that a response comes from.
+	// RunnerIDHeader is the id of the runner that sent a response.
 	RunnerIDHeader = "Onyxwell-Server-Id"
-	// WarmupHeader is how long a runner is still warming up, in milliseconds.
+	// WarmupHeader is the time for which a runner will still be warming up, in
+	// milliseconds.
 	WarmupHeader = "Onyxwell-Cold-Ms"
-	// PromptPrefixHeader lists a prompt's parts, as id:tokens.
+	// PromptPrefixHeader lists the parts of a prompt as id:tokens, separated by
+	// commas.
 	PromptPrefixHeader = "Onyxwell-Prompt-Prefix"
-	// TokenCountHeader is a prompt's tokens and the most that may be generated.
+	// TokenCountHeader is the number of tokens in a prompt and the maximum number to
+	// generate, separated by a comma.
 	TokenCountHeader = "Onyxwell-Token-Count"
-	// APIKeyHeader has a client's key; it is not sent to runners where there are tenants.
+	// APIKeyHeader is the API key of a client. It is not forwarded to runners if tenants
+	// are configured.
 	APIKeyHeader = "Api-Key"
-	// TenantHeader names the tenant that holds the key; it is never the client's own.
+	// TenantHeader is the name of the tenant that holds the API key. The router sets
+	// it; a value that a client sends is never forwarded.
 	TenantHeader = "Onyxwell-Customer"
-	// LastEventIDHeader is the id of the event after which a stream continues.
+	// LastEventIDHeader is the id of the event after which a stream is to continue.
 	LastEventIDHeader = "Last-Event-Id"
 )
 
-// hopByHopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110,
+// section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaderPrefix begins the headers that are end-to-end even where a
-// Connection header names them.
+// ownHeaderPrefix is the prefix of the headers that are forwarded even if a
+// Connection header lists them as hop-by-hop.
 const ownHeaderPrefix = "Onyxwell-"
 
-// EndToEndHeader returns a copy of a header without its hop-by-hop fields, to be
-// forwarded in either direction.
+// EndToEndHeader returns a copy of a header without hop-by-hop fields, for forwarding
+// in either direction.
 func EndToEndHeader(header http.Header) http.Header {
 	forwarded := header.Clone()
 	for _, value := range header["Connection"] {
@@ -65,12 +74,13 @@
 	return forwarded
 }
 
-// maxDrainBytes is how much of an unwanted body is read to keep its connection.
+// maxDrainBytes is the maximum number of bytes of an unneeded body that are read to
+// keep its connection reusable.
 const maxDrainBytes = 4096
 
-// DrainAndClose closes a response that is not needed. It reads a short rest of
-// the body first, so that the connection can be reused. A nil response is
-// allowed.
+// DrainAndClose closes the body of a response that is not needed. It reads up to
+// maxDrainBytes of the body first, so that the connection can be reused if the body
+// ends there. A nil response is allowed.
 func DrainAndClose(resp *http.Response) {
 	if resp == nil {
 		return
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -153,7 +153,7 @@
 }
 
 // release returns a connection to its pool, or closes it if the pool is full. It
-// starts the sweep of idle connections unless it is running.
+// starts the sweep of idle connections unless that is running or IdleTimeout is 0.
 func (c *Client) release(pc *persistConn) {
 	if !pc.pool.push(pc, max(minIdlePerHost, c.options.MaxIdlePerHost)) {
 		_ = pc.Conn.Close()
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -13,42 +13,45 @@
 	"onyxwell/base/ids"
 )
 
-// Request is a client's request as it is sent to runners, one after another. It
-// belongs to one caller at a time.
+// Request is a client's request as it is sent to runners, to one after another if
+// attempts fail. It must not be used concurrently.
 type Request struct {
 	Method string
-	// Target is the request target as it is written, path and query.
+	// Target is the request target, path and query, which is sent unchanged.
 	Target    string
 	Host      string
 	Header    http.Header
 	Body      []byte
 	AttemptID string
-	// Tenant is sent as TenantHeader; empty for none.
+	// Tenant is the value of TenantHeader; if empty, the header is not sent.
 	Tenant ids.Tenant
-	// sentTo are the addresses that any byte of it was written to.
+	// sentTo lists the addresses to which any byte of the request was written.
 	sentTo []ids.Address
 }
 
-// Attempt is one sending of a request to one runner.
+// Attempt is an attempt to have one runner execute a request.
 type Attempt struct {
 	Request  *Request
 	RunnerID ids.RunnerID
 	Address  ids.Address
-	// TimeLeft is the time to the request's deadline when Send is called.
+	// TimeLeft is the time until the request's deadline when Send is called.
 	TimeLeft time.Duration
-	// Priority is the priority of the request, sent as PriorityHeader within 0 to 9.
+	// Priority is the value of PriorityHeader; it is clamped to the range 0 to 9.
 	Priority int
-	// LastEventID is the event after which a stream is resumed; empty for none.
+	// LastEventID is the id of the event after which the attempt resumes a stream;
+	// empty if it does not resume one.
 	LastEventID string
-	// Service is whose idle connections are judged together.
+	// Service is the service of the runner. The trusted idle time of connections is
+	// estimated per service.
 	Service ids.Service
-	// AtMostOnce says that the request must not be executed twice: it is not sent
-	// over a connection whose idle time has not been seen to work.
+	// AtMostOnce reports whether the request must not be executed twice. Such a
+	// request is sent over an idle connection only if connections of the service have
+	// worked after as long an idle time, or if the idle time is at most minTrustedIdle.
 	AtMostOnce bool
 }
 
-// header returns the header of the response's request: the id after which a resumed
-// attempt continues, else the client's own header.
+// header returns the header of the http.Request that the response refers to: only
+// the LastEventIDHeader if the attempt resumes a stream, else the client's header.
 func (a Attempt) header() http.Header {
 	if a.LastEventID == "" {
 		return a.Request.Header
@@ -56,13 +59,14 @@
 	return http.Header{LastEventIDHeader: {a.LastEventID}}
 }
 
-var errInvalidRequest = errors.New("upstream: the request line cannot be written")
+var errInvalidRequest = errors.New("upstream: the method, target or host of the request is empty or has a space or control character")
 
-// baseHeadSize is the capacity set aside for a request's head.
+// baseHeadSize is the initial buffer capacity in bytes for the head of a request.
 const baseHeadSize = 1024
 
-// encodeHead returns the request line and header, with room for a small body.
-// The body is always sent with a Content-Length of our own.
+// encodeHead returns the request line and header, in a slice with capacity for a
+// small body. The Content-Length is that of the received body, not the one that the
+// client sent.
 func (a Attempt) encodeHead(timeLeft time.Duration) ([]byte, error) {
 	req := a.Request
 	if !isSafeInHead(req.Method) || !isSafeInHead(req.Target) || !isSafeInHead(req.Host) {
@@ -94,10 +98,10 @@
 	return head.Bytes(), nil
 }
 
-// methodsWithBody are the methods that state a Content-Length even where it is 0.
+// methodsWithBody are the methods for which a Content-Length is sent even if it is 0.
 var methodsWithBody = map[string]bool{http.MethodPost: true, http.MethodPut: true, http.MethodPatch: true}
 
-// contentLength returns the Content-Length to be sent, or "" for none.
+// contentLength returns the Content-Length to send, or "" if none is sent.
 func (r *Request) contentLength() string {
 	if len(r.Body) == 0 && !methodsWithBody[r.Method] {
 		return ""
@@ -105,29 +109,32 @@
 	return strconv.Itoa(len(r.Body))
 }
 
-// wasSentTo reports whether any byte of the request was written to an address.
+// wasSentTo reports whether any byte of the request was written to the address.
 func (r *Request) wasSentTo(address ids.Address) bool {
 	return slices.Contains(r.sentTo, address)
 }
 
-// isSafeInHead reports whether a word of the request line is free of bytes that
-// could end it.
+// isSafeInHead reports whether a method, target or host can be written to the request
+// head: it is not empty and has no space or control character, which could end the
+// element.
 func isSafeInHead(text string) bool {
 	return text != "" && strings.IndexFunc(text, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
-// replacedHeaders are not copied from the client's request: they are written
-// anew for each attempt, or do not apply to it.
+// replacedHeaders are the headers that are not copied from the client's request,
+// because they are set for each attempt or do not apply to it.
 var replacedHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, "Connection": true,
-	// The body has been received, so the expectation has been met.
+	// The body has been received already, so there is nothing to expect.
 	"Expect":           true,
 	TargetRunnerHeader: true, TimeLeftHeader: true, PriorityHeader: true, TenantHeader: true,
 }
 
-// replacedHeadersOnResume adds the id that a resumed attempt writes itself.
+// replacedHeadersOnResume are the replacedHeaders of an attempt that resumes a
+// stream, which sets LastEventIDHeader too.
 var replacedHeadersOnResume = withHeader(replacedHeaders, LastEventIDHeader)
 
+// withHeader returns a copy of a set of header names with one name added.
 func withHeader(names map[string]bool, header string) map[string]bool {
 	extended := maps.Clone(names)
 	extended[header] = true
--- a/data/upstream/response.go
+++ b/data/upstream/response.go
@@ -13,21 +13,21 @@
 
 var (
 	errMalformedHead = errors.New("upstream: the response head is malformed")
-	errFraming       = errors.New("upstream: the response does not say unambiguously where its body ends")
+	errFraming       = errors.New("upstream: the response framing is ambiguous or malformed")
 )
 
-// The lengths of bodies without a Content-Length. A body of lengthUntilClose
-// ends with an orderly close of the connection: a reset does not complete it.
+// Lengths of bodies without a Content-Length. A body of lengthUntilClose is complete
+// when the connection is closed in an orderly way, but not when it is reset.
 const (
 	lengthUntilClose = -2
 	lengthChunked    = -1
 )
 
-// maxTrailerBytes bounds the trailer that follows the last chunk.
+// maxTrailerBytes limits the size of the trailer section after the last chunk.
 const maxTrailerBytes = 4096
 
-// readResponse reads a response's head, past interim (1xx) responses, and sets
-// up its body.
+// readResponse reads the head of the final response, skipping interim (1xx)
+// responses except 101 Switching Protocols, and sets up its body.
 func (p *persistConn) readResponse(method string) (*http.Response, error) {
 	p.headBytesLeft = maxHeadBytes
 	for {
@@ -48,7 +48,7 @@
 	}
 }
 
-// readHead reads one status line and header.
+// readHead reads a status line and the header that follows it.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
 	headReader := textproto.NewReader(reader)
 	line, err := headReader.ReadLine()
@@ -82,16 +82,18 @@
 	}, nil
 }
 
-// isInvalidInValue reports whether a rune must not occur in a header's value.
+// isInvalidInValue reports whether a rune must not occur in a header value: it is a
+// control character other than tab.
 func isInvalidInValue(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// isInvalidInName reports whether a rune must not occur in a header's name
-// (RFC 9110, section 5.6.2).
+// isInvalidInName reports whether a rune must not occur in a header name, which is a
+// token (RFC 9110, section 5.6.2).
 func isInvalidInName(r rune) bool {
 	return r <= ' ' || r >= 0x7f || strings.ContainsRune("\"(),/:;<=>?@[\\]{}", r)
 }
 
-// unexpectedEOF turns an end of input inside of an element into an error.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF. It is used where the input
+// must not end yet.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -99,8 +101,8 @@
 	return err
 }
 
-// wantsClose reports whether a Connection header asks for the connection to be
-// closed.
+// wantsClose reports whether the values of a Connection header include the close
+// option.
 func wantsClose(values []string) bool {
 	for _, value := range values {
 		for _, option := range strings.Split(value, ",") {
@@ -112,14 +114,15 @@
 	return false
 }
 
-// openBody returns the body that follows a head, and its length.
+// openBody returns a reader of the body that follows a head, and the body's length,
+// which may be lengthChunked or lengthUntilClose.
 func (p *persistConn) openBody(method string, resp *http.Response) (io.Reader, int64, error) {
 	length, err := bodyLength(resp)
 	if err != nil {
 		return nil, 0, err
 	}
 	if resp.StatusCode == http.StatusNoContent && (length > 0 || length == lengthChunked) {
-		// The head announces a body that a 204 cannot have; it may follow all the same.
+		// A 204 response has no body, but the runner may send the one that it announces.
 		resp.Close = true
 	}
 	if method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
@@ -135,8 +138,8 @@
 	}
 }
 
-// bodyLength returns the length that a head announces. A head that is ambiguous
-// about it is an error, since two parties could disagree on where the next
+// bodyLength returns the body length according to a response head. Ambiguous framing
+// is an error, since the router and the runner could disagree on where the next
 // response begins.
 func bodyLength(resp *http.Response) (int64, error) {
 	lengths, codings := resp.Header["Content-Length"], resp.Header["Transfer-Encoding"]
@@ -163,7 +166,7 @@
 	remaining int64
 }
 
-// Read returns io.EOF with the body's last byte.
+// Read returns io.EOF together with the last byte of the body.
 func (l *lengthReader) Read(buf []byte) (int, error) {
 	if l.remaining == 0 {
 		return 0, io.EOF
@@ -178,13 +181,13 @@
 	return n, unexpectedEOF(err)
 }
 
-// chunkedReader reads a chunked body and the trailer that ends it.
+// chunkedReader reads a chunked body and the trailer section at its end.
 type chunkedReader struct {
 	reader *bufio.Reader
 	chunks io.Reader
 }
 
-// Read returns io.EOF only after a complete trailer.
+// Read returns io.EOF only after a complete trailer section.
 func (c *chunkedReader) Read(buf []byte) (int, error) {
 	n, err := c.chunks.Read(buf)
 	if !errors.Is(err, io.EOF) {
@@ -196,7 +199,8 @@
 	return n, io.EOF
 }
 
-// readTrailer reads and discards the trailer, to its empty line.
+// readTrailer reads and discards the trailer section, up to and including the empty
+// line that ends it.
 func readTrailer(reader *bufio.Reader) error {
 	for total := 0; total < maxTrailerBytes; {
 		line, err := reader.ReadSlice('\n')
