--- a/data/upstream/conn_test.go
+++ b/data/upstream/conn_test.go
@@ -14,9 +14,11 @@
 	"onyxwell/data/upstreamtest"
 )
 
+// wrongAttemptResponse is a successful response to another attempt.
 const wrongAttemptResponse = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: z\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"
 
-// readResult sends an attempt and reads the body of its response.
+// readResult sends an attempt and returns the result and the body of the response, if
+// there is one.
 func readResult(t *testing.T, client *Client, attempt Attempt) (Result, string) {
 	t.Helper()
 	result := send(client, attempt)
@@ -30,9 +32,9 @@
 	return result, string(text)
 }
 
-// TestClient_sameAttemptTwiceUsesNewConnection has a runner reject an attempt and
-// repeat the rejection late, when the same attempt arrives again and is executed:
-// the duplicate must not be taken for the second sending's response.
+// TestClient_sameAttemptTwiceUsesNewConnection has a runner reject an attempt, and
+// repeat the rejection when the same attempt arrives again and is executed. The
+// duplicate must not be taken for the response to the second request.
 func TestClient_sameAttemptTwiceUsesNewConnection(t *testing.T) {
 	var first io.Writer
 	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
@@ -44,16 +46,17 @@
 	})
 	client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 	if result, _ := readResult(t, client, attempt); result.Outcome != Rejected {
-		t.Fatalf("%+v", result)
+		t.Fatalf("result of the rejected request is %+v", result)
 	}
 	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "ran" || runner.ConnCount() != 2 {
-		t.Fatalf("%+v, %q over %d connections", result, text, runner.ConnCount())
+		t.Fatalf("result of the second request is %+v with body %q over %d connections, want body \"ran\" over 2", result, text, runner.ConnCount())
 	}
 }
 
 // TestClient_sameAttemptOverAnotherConnection has a runner answer an attempt with
-// another's id and then reject it on a different connection, which is pooled: the
-// same attempt goes to that address over a new connection.
+// another attempt id, and later send a rejection with the right id on a different
+// connection, which is pooled. The same attempt must be sent to that address over a
+// new connection.
 func TestClient_sameAttemptOverAnotherConnection(t *testing.T) {
 	var pooled io.Writer
 	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
@@ -67,16 +70,16 @@
 	attempt := newAttempt(runner.Address, "POST", "x")
 	pending := send(client, nextAttempt(attempt, "a2"))
 	if result, _ := readResult(t, client, attempt); result.Outcome != InvalidResponse {
-		t.Fatalf("%+v", result)
+		t.Fatalf("result after a response with another attempt id is %+v", result)
 	}
 	DrainAndClose(pending.Response)
 	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "ran" || runner.ConnCount() != 3 {
-		t.Fatalf("%+v, %q over %d connections", result, text, runner.ConnCount())
+		t.Fatalf("result of the repeated attempt is %+v with body %q over %d connections, want body \"ran\" over 3", result, text, runner.ConnCount())
 	}
 }
 
-// TestClient_closesConnectionOutOfSync has connections carry something else than one
-// response to the request: they are not reused.
+// TestClient_closesConnectionOutOfSync has connections carry something other than
+// exactly one response to the request. They must not be reused.
 func TestClient_closesConnectionOutOfSync(t *testing.T) {
 	own := strings.Replace(sealedResponse, "body", "own.", 1)
 	cases := []struct {
@@ -84,15 +87,15 @@
 		step    upstreamtest.Step
 		outcome Outcome
 	}{
-		{"another's empty response", upstreamtest.Raw(wrongAttemptResponse, true), InvalidResponse},
-		{"another's response, then ours", upstreamtest.Raw(wrongAttemptResponse+own, true), InvalidResponse},
-		{"an extra response at once", upstreamtest.Raw(own+own, true), Answered},
-		{"bytes behind an empty response", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Rejected},
-		{"bytes behind the last chunk", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nx", true), Answered},
-		{"not stated, no body", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
-		{"two ids", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
-		{"another protocol", upstreamtest.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), InvalidResponse},
-		{"half-closed", func(req upstreamtest.Request, writer io.Writer) bool {
+		{"response to another attempt", upstreamtest.Raw(wrongAttemptResponse, true), InvalidResponse},
+		{"response to another attempt, then to this one", upstreamtest.Raw(wrongAttemptResponse+own, true), InvalidResponse},
+		{"response sent twice", upstreamtest.Raw(own+own, true), Answered},
+		{"bytes after an empty response", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n\r\n", true), Rejected},
+		{"bytes after the last chunk", upstreamtest.Raw("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nx", true), Answered},
+		{"503 without statement that the request was not executed", upstreamtest.Raw("HTTP/1.1 503 X\r\nOnyxwell-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n", true), Indeterminate},
+		{"two attempt ids", upstreamtest.Raw("HTTP/1.1 421 X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Attempt-Id: z\r\nContent-Length: 0\r\n\r\n", true), InvalidResponse},
+		{"101 Switching Protocols", upstreamtest.Raw("HTTP/1.1 101 X\r\nOnyxwell-Attempt-Id: {id}\r\n\r\n", true), InvalidResponse},
+		{"response, then half-closed", func(req upstreamtest.Request, writer io.Writer) bool {
 			upstreamtest.Raw(own, true)(req, writer)
 			_ = writer.(*net.TCPConn).CloseWrite()
 			return true
@@ -103,23 +106,23 @@
 			runner := upstreamtest.Start(t, tc.step, upstreamtest.Respond(200, "seal", "next"))
 			client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 			if result, _ := readResult(t, client, attempt); result.Outcome != tc.outcome {
-				t.Errorf("%+v", result)
+				t.Errorf("result of the first request is %+v", result)
 				return
 			}
 			if idle := client.pool(string(runner.Address)).idle; len(idle) > 0 && (tc.outcome == InvalidResponse || tc.outcome == Indeterminate) {
-				t.Error("the connection is reused")
+				t.Error("the connection was returned to the pool")
 				return
 			}
 			awaitPendingInput(client, runner.Address)
 			if result, text := readResult(t, client, nextAttempt(attempt, "a2")); result.Outcome != Answered || text != "next" || runner.ConnCount() != 2 {
-				t.Errorf("%+v, %q over %d connections", result, text, runner.ConnCount())
+				t.Errorf("result of the second request is %+v with body %q over %d connections, want body \"next\" over 2", result, text, runner.ConnCount())
 			}
 		})
 	}
 }
 
-// awaitPendingInput waits until what the runner wrote has arrived on the idle
-// connections.
+// awaitPendingInput waits until each idle connection to an address has unread input
+// or was closed by the runner.
 func awaitPendingInput(client *Client, address ids.Address) {
 	for _, conn := range client.pool(string(address)).idle {
 		for !conn.hasPendingInput() {
@@ -128,7 +131,8 @@
 	}
 }
 
-// TestClient_lateExtraResponse has an extra response arrive on an idle connection.
+// TestClient_lateExtraResponse has a second response arrive on an idle connection,
+// which must not be reused.
 func TestClient_lateExtraResponse(t *testing.T) {
 	var late func()
 	runner := upstreamtest.Start(t, func(req upstreamtest.Request, writer io.Writer) bool {
@@ -140,45 +144,46 @@
 	late()
 	awaitPendingInput(client, runner.Address)
 	if result, text := readResult(t, client, nextAttempt(attempt, "a2")); text != "next" || runner.ConnCount() != 2 {
-		t.Fatalf("%+v, %q over %d connections", result, text, runner.ConnCount())
+		t.Fatalf("result of the second request is %+v with body %q over %d connections, want body \"next\" over 2", result, text, runner.ConnCount())
 	}
 }
 
-// TestClient_closesIdleConnections has idle connections be closed without another
-// request.
+// TestClient_closesIdleConnections checks that idle connections are closed after the
+// idle timeout even if no further request is sent.
 func TestClient_closesIdleConnections(t *testing.T) {
 	clk := clock.NewFake()
 	client, runner := newTestClient(clk), upstreamtest.Start(t, upstreamtest.Respond(200, "seal", "own"))
 	readResult(t, client, newAttempt(runner.Address, "POST", "x"))
 	start, pool := clk.Now(), client.pool(string(runner.Address))
 	if pool.closeIdle(start, time.Second) != 1 {
-		t.Fatal("the connection is not pooled")
+		t.Fatal("the connection was not returned to the pool")
 	}
 	for pool.closeIdle(start, 100*time.Second) > 0 {
 		clk.AdvanceToNext()
 		runtime.Gosched()
 	}
 	if elapsed := clk.Now().Since(start); elapsed < 60*time.Second || elapsed > 75*time.Second {
-		t.Fatalf("closed after %v", elapsed)
+		t.Fatalf("the idle connection was closed after %v, want 60s to 75s", elapsed)
 	}
 }
 
-// TestClient_interimResponses skips interim responses, up to the size limit of a
-// head.
+// TestClient_interimResponses checks that interim responses are skipped, up to the
+// size limit of a response head.
 func TestClient_interimResponses(t *testing.T) {
 	interim := "HTTP/1.1 100 Continue\r\n\r\n" + strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", 200)
 	runner := upstreamtest.Start(t, upstreamtest.Raw(interim+sealedResponse, true), upstreamtest.Raw(strings.Repeat(interim, 200), true))
 	client, attempt := newTestClient(clock.NewFake()), newAttempt(runner.Address, "POST", "x")
 	if result, text := readResult(t, client, attempt); result.Outcome != Answered || text != "body" {
-		t.Fatalf("%+v, %q", result, text)
+		t.Fatalf("result after interim responses is %+v with body %q, want body \"body\"", result, text)
 	}
 	if result, _ := readResult(t, client, nextAttempt(attempt, "a2")); result.Outcome != Indeterminate || runner.ConnCount() != 1 {
-		t.Fatalf("%+v over %d connections", result, runner.ConnCount())
+		t.Fatalf("result after too many interim responses is %+v over %d connections, want 1", result, runner.ConnCount())
 	}
 }
 
-// TestClient_responseBeforeBodyIsRead has a runner respond after the head of a
-// large request and read no further.
+// TestClient_responseBeforeBodyIsRead has a runner respond to a large request as soon
+// as it has read the head, and leave the body unread. The response must be returned,
+// and the connection must not be reused.
 func TestClient_responseBeforeBodyIsRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -201,17 +206,18 @@
 	}()
 	client, attempt := newTestClient(clock.NewFake()), newAttempt(ids.Address(listener.Addr().String()), "POST", strings.Repeat("x", 32<<20))
 	if result, _ := readResult(t, client, attempt); result.Outcome != Rejected {
-		t.Fatalf("%+v", result)
+		t.Fatalf("result of the rejected request is %+v", result)
 	}
 	if result, text := readResult(t, client, nextAttempt(attempt, "a2")); result.Outcome != Answered || text != "body" {
-		t.Fatalf("%+v, %q", result, text)
+		t.Fatalf("result of the second request is %+v with body %q, want body \"body\"", result, text)
 	}
 	if idle := len(client.pool(string(attempt.Address)).idle); idle != 0 {
-		t.Fatalf("%d connections are pooled whose request was not written completely", idle)
+		t.Fatalf("%d connections on which a request was not written completely are in the pool", idle)
 	}
 }
 
-// TestClient_targetIsSentVerbatim has targets that parsing as an URL would change.
+// TestClient_targetIsSentVerbatim sends request targets that parsing as a URL would
+// change, and targets that must not be sent at all.
 func TestClient_targetIsSentVerbatim(t *testing.T) {
 	runner := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""))
 	for _, target := range []string{"//other/x", "/a/../b", "/a//b?x=/../", "/%2e%2e/", "/?a=b?c"} {
@@ -220,14 +226,14 @@
 		send(newTestClient(clock.NewFake()), attempt)
 		requests := runner.Requests()
 		if got := requests[len(requests)-1]; got.Target != target || got.Host != "shop.example" {
-			t.Errorf("%q arrived as %q at %q", target, got.Target, got.Host)
+			t.Errorf("target %q arrived as %q with host %q", target, got.Target, got.Host)
 		}
 	}
 	attempt := newAttempt(runner.Address, "GET", "")
 	for _, target := range []string{"", "/a b", "/a\r\nX: y", "/\x7f"} {
 		attempt.Request.Target = target
 		if result := send(newTestClient(clock.NewFake()), attempt); result.Outcome != Unsent || len(runner.Requests()) != 5 {
-			t.Errorf("%q: %+v, %d arrivals", target, result, len(runner.Requests()))
+			t.Errorf("invalid target %q: %+v, %d requests arrived, want 5", target, result, len(runner.Requests()))
 		}
 	}
 }
--- a/data/upstream/exhaustion_test.go
+++ b/data/upstream/exhaustion_test.go
@@ -12,8 +12,8 @@
 	"onyxwell/base/httpcall"
 )
 
-// TestClient_localExhaustion has dials fail for reasons of this machine and of
-// the runner.
+// TestClient_localExhaustion checks that dial errors for lack of local resources are
+// distinguished from those that are caused by the runner.
 func TestClient_localExhaustion(t *testing.T) {
 	client := NewClient(Options{Clock: clock.NewFake(), Dialer: httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second}, IdleTimeout: time.Second, MaxIdlePerHost: 1})
 	for _, tc := range []struct {
@@ -29,7 +29,7 @@
 		}
 		result := client.Send(context.Background(), Attempt{Request: &Request{Method: "GET", Target: "/", Host: "h", AttemptID: "a"}, Address: "127.0.0.1:1", TimeLeft: time.Second})
 		if result.Outcome != Unsent || result.Cause != tc.want {
-			t.Errorf("%v: %v, %s, not %s", tc.err, result.Outcome, result.Cause, tc.want)
+			t.Errorf("%v: outcome is %v with cause %s, want cause %s", tc.err, result.Outcome, result.Cause, tc.want)
 		}
 	}
 }
--- a/data/upstream/fakeconn_test.go
+++ b/data/upstream/fakeconn_test.go
@@ -13,26 +13,28 @@
 	"onyxwell/base/clock"
 )
 
-// exchange is what a fakeConn does with one request: how many bytes of it are
-// accepted before the write fails, the response in which {id} stands for a1, and
-// the error that ends it.
+// exchange is the scripted behavior of a fakeConn for one request.
 type exchange struct {
+	// acceptBytes is the number of bytes that are accepted before the write fails.
 	acceptBytes int
-	response    string
-	err         error
+	// response is sent with a1 in place of each {id}.
+	response string
+	// err is returned by Read after the response.
+	err error
 }
 
-// acceptAll is more bytes than any request has.
+// acceptAll is a number of bytes larger than that of any request.
 const acceptAll = 1 << 30
 
-// fakeConn is a connection in memory whose peer follows a list of exchanges.
+// fakeConn is an in-memory connection whose peer follows a list of exchanges. Each
+// Write begins the next one.
 type fakeConn struct {
 	exchanges []exchange
 	written   bytes.Buffer
 	unread    string
 	current   exchange
 	closed    bool
-	// maxRead bounds the bytes of one Read, where it is not 0.
+	// maxRead is the maximum number of bytes returned by a Read, or 0 for no limit.
 	maxRead int
 }
 
@@ -74,7 +76,8 @@
 
 var errReset = errors.New("connection reset by peer")
 
-// newClientWithConns returns a client that dials these connections, one after another.
+// newClientWithConns returns a client whose dials return the given connections in
+// order, and fail after the last.
 func newClientWithConns(conns ...*fakeConn) *Client {
 	client := newTestClient(clock.NewFake())
 	client.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -88,25 +91,26 @@
 	return client
 }
 
+// sealedResponse is a successful response with a runner's seal.
 const sealedResponse = "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\nContent-Length: 4\r\n\r\nbody"
 
-// TestClient_neverWritesTwice breaks connections, new and pooled, at each point
-// of a request and of the first bytes of its response: the outcome follows from
-// the bytes that were accepted alone, and the request is never written again.
+// TestClient_neverWritesTwice breaks new and pooled connections at various points of a
+// request and its response head. The outcome must depend only on whether any byte of
+// the request was accepted, and the request must never be written again.
 func TestClient_neverWritesTwice(t *testing.T) {
 	cases := []struct {
 		name    string
 		last    exchange
 		outcome Outcome
 	}{
-		{"no byte is taken", exchange{acceptBytes: 0, err: errReset}, Unsent},
-		{"one byte is taken", exchange{acceptBytes: 1, err: errReset}, Indeterminate},
-		{"half is taken", exchange{acceptBytes: 40, err: io.EOF}, Indeterminate},
-		{"reset at no byte of the response", exchange{acceptBytes: acceptAll, err: errReset}, Indeterminate},
-		{"closed at no byte of the response", exchange{acceptBytes: acceptAll, err: io.EOF}, Indeterminate},
-		{"reset at one byte", exchange{acceptBytes: acceptAll, response: "H", err: errReset}, Indeterminate},
-		{"closed at one byte", exchange{acceptBytes: acceptAll, response: "H", err: io.EOF}, Indeterminate},
-		{"closed before the head's end", exchange{acceptBytes: acceptAll, response: sealedResponse[:len(sealedResponse)-6], err: io.EOF}, Indeterminate},
+		{"no byte accepted", exchange{acceptBytes: 0, err: errReset}, Unsent},
+		{"one byte accepted", exchange{acceptBytes: 1, err: errReset}, Indeterminate},
+		{"part of the request accepted", exchange{acceptBytes: 40, err: io.EOF}, Indeterminate},
+		{"reset before the response", exchange{acceptBytes: acceptAll, err: errReset}, Indeterminate},
+		{"closed before the response", exchange{acceptBytes: acceptAll, err: io.EOF}, Indeterminate},
+		{"reset after one byte of the response", exchange{acceptBytes: acceptAll, response: "H", err: errReset}, Indeterminate},
+		{"closed after one byte of the response", exchange{acceptBytes: acceptAll, response: "H", err: io.EOF}, Indeterminate},
+		{"closed before the end of the head", exchange{acceptBytes: acceptAll, response: sealedResponse[:len(sealedResponse)-6], err: io.EOF}, Indeterminate},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -127,10 +131,10 @@
 					}
 					result := send(client, attempt)
 					if result.Outcome != tc.outcome || spare.written.Len() > 0 || !conn.closed {
-						t.Errorf("%s, pooled %v: %+v, %d bytes elsewhere", method, pooled, result, spare.written.Len())
+						t.Errorf("%s, pooled %v: result is %+v with %d bytes written to another connection", method, pooled, result, spare.written.Len())
 					}
 					if count := strings.Count(conn.written.String(), " HTTP/1.1\r\n"); count > 1 {
-						t.Errorf("%s: written %d times", method, count)
+						t.Errorf("%s: the request was written %d times", method, count)
 					}
 				}
 			}
@@ -138,8 +142,8 @@
 	}
 }
 
-// TestClient_ambiguousFraming has heads that are ambiguous about the end of
-// their body, and bodies that are cut short.
+// TestClient_ambiguousFraming checks that responses with ambiguous or malformed framing
+// are rejected, and that truncated bodies are reported as incomplete.
 func TestClient_ambiguousFraming(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: s\r\n"
 	cases := []struct {
@@ -147,21 +151,21 @@
 		outcome    Outcome
 		complete   bool
 	}{
-		{"one length", "Content-Length: 2\r\n\r\nok", Answered, true},
-		{"the same length twice", "Content-Length: 2\r\nContent-Length: 2\r\n\r\nok", Answered, true},
-		{"two lengths", "Content-Length: 2\r\nContent-Length: 3\r\n\r\nok!", Indeterminate, false},
-		{"two lengths in a line", "Content-Length: 2, 2\r\n\r\nok", Indeterminate, false},
-		{"a signed length", "Content-Length: +2\r\n\r\nok", Indeterminate, false},
-		{"length and chunks", "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Indeterminate, false},
-		{"another coding", "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Indeterminate, false},
-		{"chunks", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Answered, true},
-		{"cut chunks", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", Answered, false},
-		{"a cut chunk", "Transfer-Encoding: chunked\r\n\r\n5\r\nok", Answered, false},
-		{"no end of the trailer", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n", Answered, false},
-		{"no chunks", "Transfer-Encoding: chunked\r\n\r\nok\r\n\r\n", Answered, false},
-		{"a short body", "Content-Length: 3\r\n\r\nok", Answered, false},
-		{"a space before the colon", "Content-Length : 2\r\n\r\nok", Indeterminate, false},
-		{"a control byte", "X-Odd: a\x00b\r\nContent-Length: 2\r\n\r\nok", Indeterminate, false},
+		{"one Content-Length", "Content-Length: 2\r\n\r\nok", Answered, true},
+		{"same Content-Length twice", "Content-Length: 2\r\nContent-Length: 2\r\n\r\nok", Answered, true},
+		{"different Content-Lengths", "Content-Length: 2\r\nContent-Length: 3\r\n\r\nok!", Indeterminate, false},
+		{"two values in one Content-Length", "Content-Length: 2, 2\r\n\r\nok", Indeterminate, false},
+		{"signed Content-Length", "Content-Length: +2\r\n\r\nok", Indeterminate, false},
+		{"Content-Length and chunked", "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Indeterminate, false},
+		{"another transfer coding", "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Indeterminate, false},
+		{"chunked", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", Answered, true},
+		{"no last chunk", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", Answered, false},
+		{"truncated chunk", "Transfer-Encoding: chunked\r\n\r\n5\r\nok", Answered, false},
+		{"no end of trailer section", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n", Answered, false},
+		{"chunked without chunks", "Transfer-Encoding: chunked\r\n\r\nok\r\n\r\n", Answered, false},
+		{"truncated body", "Content-Length: 3\r\n\r\nok", Answered, false},
+		{"space before colon", "Content-Length : 2\r\n\r\nok", Indeterminate, false},
+		{"control character in header value", "X-Odd: a\x00b\r\nContent-Length: 2\r\n\r\nok", Indeterminate, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -169,16 +173,16 @@
 			client := newClientWithConns(conn)
 			result := send(client, newAttempt("r:1", "POST", "x"))
 			if result.Outcome != tc.outcome {
-				t.Errorf("%+v", result)
+				t.Errorf("result is %+v", result)
 			}
 			if result.Response != nil {
 				body, err := io.ReadAll(result.Response.Body)
 				if (err == nil) != tc.complete || err == nil && string(body) != "ok" {
-					t.Errorf("%q, %v", body, err)
+					t.Errorf("body is %q with error %v", body, err)
 				}
 			}
 			if conn.closed == tc.complete {
-				t.Errorf("closed is %v", conn.closed)
+				t.Errorf("connection closed: %v", conn.closed)
 			}
 		})
 	}
--- a/data/upstream/fuzz_test.go
+++ b/data/upstream/fuzz_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// referenceResponse parses a response with net/http: its head, its body, whether
-// the body is complete, and how many bytes follow it.
+// referenceResponse parses a response with net/http. It returns the head, the body,
+// whether the body is complete, and the number of bytes that follow it.
 func referenceResponse(method string, response string) (*http.Response, string, bool, int) {
 	source := strings.NewReader(response)
 	reader := bufio.NewReader(source)
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkAgainstReference sends a request over a connection that carries these bytes
-// and compares the result with the reference.
+// checkAgainstReference sends a request over a connection that returns the given
+// response bytes and compares the result with referenceResponse.
 func checkAgainstReference(t *testing.T, method string, response string, maxRead int) {
 	t.Helper()
 	conn := &fakeConn{exchanges: []exchange{{acceptBytes: acceptAll, response: response, err: io.EOF}}, maxRead: maxRead}
@@ -39,34 +39,35 @@
 	head, text, complete, bytesBeyond := referenceResponse(method, response)
 	if result.Response == nil {
 		if result.Outcome != Indeterminate && result.Outcome != InvalidResponse || !conn.closed {
-			t.Fatalf("outcome %v, closed %v", result.Outcome, conn.closed)
+			t.Fatalf("no response: outcome is %v, connection closed: %v", result.Outcome, conn.closed)
 		}
 		return
 	}
 	got, err := io.ReadAll(result.Response.Body)
 	_ = result.Response.Body.Close()
 	if head == nil || head.StatusCode != result.Response.StatusCode || len(head.Header[AttemptIDHeader]) != 1 || head.Header.Get(AttemptIDHeader) != "a1" {
-		t.Fatalf("outcome %v without a response to the request: %q", result.Outcome, response)
+		t.Fatalf("outcome is %v, but the bytes are no response to the request: %q", result.Outcome, response)
 	}
 	notRun := head.Header.Get("Onyxwell-Not-Run") != "" || head.StatusCode == http.StatusMisdirectedRequest
 	if notRun != (result.Outcome == Rejected) {
-		t.Fatalf("outcome %v, though not run is %v", result.Outcome, notRun)
+		t.Fatalf("outcome is %v, but the response states not executed: %v", result.Outcome, notRun)
 	}
 	if result.Outcome == Answered && (notRunStatuses[head.StatusCode] || head.StatusCode/100 == 2 && head.Header.Get(SealHeader) == "") {
-		t.Fatalf("%d is taken for a response", head.StatusCode)
+		t.Fatalf("a response with status %d is accepted without seal or as a rejection that may have been executed", head.StatusCode)
 	}
 	if err == nil && (!complete || string(got) != text) {
-		t.Fatalf("%q (complete is %v) looks complete: %q", text, complete, got)
+		t.Fatalf("body %q (complete: %v) is returned as complete body %q", text, complete, got)
 	}
-	// Bytes that have not arrived yet are noticed before the next use.
+	// Bytes that have not been read yet are detected before the connection is reused.
 	bytesBeyond -= len(conn.unread)
 	if !conn.closed && (err != nil || bytesBeyond > 0 || head.Close) {
-		t.Fatalf("the connection is reused, %d bytes beyond the response, %v", bytesBeyond, err)
+		t.Fatalf("the connection is kept with %d bytes beyond the response, error %v", bytesBeyond, err)
 	}
 }
 
 var methods = []string{"POST", "GET", "HEAD"}
 
+// FuzzAnswer compares the handling of arbitrary response bytes with net/http.
 func FuzzAnswer(f *testing.F) {
 	for _, response := range []string{
 		strings.ReplaceAll(sealedResponse, "{id}", "a1"), wrongAttemptResponse, "HTTP/1.1 100 C\r\n\r\n" + strings.ReplaceAll(sealedResponse, "{id}", "a1") + "rest",
@@ -83,6 +84,7 @@
 	})
 }
 
+// FuzzChunks compares the handling of arbitrary chunked bodies with net/http.
 func FuzzChunks(f *testing.F) {
 	for _, body := range []string{"4\r\nbody\r\n0\r\n\r\n", "0\r\n\r\nrest", "4;x=y\r\nbody\r\n0\r\nX: y\r\n\r\n", "4\r\nbo", "ffffffffffffffff\r\n", "4\nbody\n0\n\n", "-1\r\n"} {
 		f.Add(byte(0), body)
@@ -94,8 +96,8 @@
 	})
 }
 
-// FuzzEvents checks that the events of a stream are its own bytes, in order, with
-// ids that rise by one.
+// FuzzEvents checks that the events returned for a stream are its bytes in order, and
+// that their ids increase by one.
 func FuzzEvents(f *testing.F) {
 	for _, text := range []string{"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\n\nid: 3\n\n", "id:5\r\n\r\n: hi\n\nid: x\n\n", "id: 1\nid: 2\n\n", "data", "\n\n"} {
 		f.Add("", text)
@@ -110,7 +112,7 @@
 			if err != nil {
 				rest := returned + string(event)
 				if !strings.HasPrefix(text, rest) || errors.Is(err, io.EOF) && (rest != text || strings.TrimSpace(string(event)) != "") {
-					t.Fatalf("%q, then %q at %v", returned, event, err)
+					t.Fatalf("events %q, then %q with error %v, are not the bytes of the stream", returned, event, err)
 				}
 				return
 			}
@@ -119,14 +121,14 @@
 				value, hasID := strings.CutPrefix(strings.TrimRight(string(line), "\r"), "id:")
 				id, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 				if hasID && (hasLast && (err != nil || id != last+1)) {
-					t.Fatalf("after %d came %q", last, line)
+					t.Fatalf("id %d is followed by line %q", last, line)
 				}
 				if hasID && err == nil {
 					last, hasLast = id, true
 				}
 			}
 			if !strings.HasPrefix(text, returned) || hasLast != events.HasLastID || last != events.LastID {
-				t.Fatalf("%q, %d", returned, events.LastID)
+				t.Fatalf("events %q are not the bytes of the stream, or LastID %d is wrong", returned, events.LastID)
 			}
 		}
 	})
--- a/data/upstream/header_test.go
+++ b/data/upstream/header_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestEndToEndHeader_keepsRequestMetadata passes on, as the client sent it, what a runner
-// tells a request by, and drops what concerns one connection.
+// TestEndToEndHeader_keepsRequestMetadata checks that the headers by which runners
+// handle a request are forwarded unchanged, and that hop-by-hop headers are not.
 func TestEndToEndHeader_keepsRequestMetadata(t *testing.T) {
 	sent := http.Header{
 		"Onyxwell-Model": {"m"}, "Onyxwell-Token-Count": {"1460,80"}, "Onyxwell-Prompt-Prefix": {"5c1e07a2:800,91bd3f06:410"},
@@ -17,12 +17,12 @@
 	kept := EndToEndHeader(sent.Clone())
 	for _, name := range []string{"Onyxwell-Model", "Onyxwell-Token-Count", "Onyxwell-Prompt-Prefix", "Onyxwell-Expected-Version"} {
 		if !slices.Equal(kept[name], sent[name]) {
-			t.Errorf("%s: %q", name, kept[name])
+			t.Errorf("%s is forwarded as %q", name, kept[name])
 		}
 	}
 	for _, name := range []string{"Connection", "X-Hop", "Keep-Alive"} {
 		if len(kept[name]) > 0 {
-			t.Errorf("%s is passed on: %q", name, kept[name])
+			t.Errorf("%s is forwarded: %q", name, kept[name])
 		}
 	}
 }
--- a/data/upstream/idleestimate_test.go
+++ b/data/upstream/idleestimate_test.go
@@ -8,9 +8,10 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestClient_learnsIdleLimit has runners of a service drop idle connections: after
-// one failure others as old are not reused, and a request that must not be
-// executed twice never uses an idle time that was not seen to work.
+// TestClient_learnsIdleLimit has a runner of a service drop an idle connection. A
+// request that must not be executed twice must not be sent over a connection after an
+// idle time that has not worked before. After the failure, a connection to another
+// runner that has been idle for a short time must still be reused.
 func TestClient_learnsIdleLimit(t *testing.T) {
 	clk := clock.NewFake()
 	clk.Advance(time.Second)
@@ -23,7 +24,7 @@
 	atMostOnce := nextAttempt(attempt, "a2")
 	atMostOnce.AtMostOnce = true
 	if result := send(client, atMostOnce); result.Outcome != Unsent || !result.StaleConn {
-		t.Fatalf("an at-most-once request used an unproven idle time: %+v", result)
+		t.Fatalf("an at-most-once request was sent after an unproven idle time: %+v", result)
 	}
 	DrainAndClose(send(client, nextAttempt(attempt, "a3")).Response)
 	other := upstreamtest.Start(t, upstreamtest.Respond(200, "seal", ""))
@@ -31,7 +32,7 @@
 	DrainAndClose(send(client, attempt).Response)
 	clk.Advance(400 * time.Millisecond)
 	if result := send(client, nextAttempt(attempt, "a4")); result.Outcome != Answered || other.ConnCount() != 1 {
-		t.Fatalf("a young connection is not reused: %+v", result)
+		t.Fatalf("a connection that was idle for a short time is not reused: %+v", result)
 	} else {
 		DrainAndClose(result.Response)
 	}
@@ -40,24 +41,24 @@
 func TestIdleEstimate_adaptsToResults(t *testing.T) {
 	estimate := &idleEstimate{}
 	if estimate.allows(2*time.Second, true) || !estimate.allows(2*time.Second, false) {
-		t.Fatal("an unproven idle time is for idempotent requests only")
+		t.Fatal("an unproven idle time is allowed for at-most-once requests, or is not allowed for others")
 	}
 	estimate.recordSuccess(2 * time.Second)
 	if !estimate.allows(2*time.Second, true) {
-		t.Fatal("a proven idle time is not trusted")
+		t.Fatal("a proven idle time is not allowed for an at-most-once request")
 	}
 	estimate.recordFailure(1500 * time.Millisecond)
 	if estimate.allows(time.Second, false) || estimate.allows(time.Second, true) || !estimate.allows(800*time.Millisecond, true) {
-		t.Fatal("a failure does not bound the idle time")
+		t.Fatal("a failure does not limit the idle time to failureFactor of the failed one")
 	}
 	for range 100 {
 		estimate.recordSuccess(800 * time.Millisecond)
 	}
 	if !estimate.allows(time.Second, false) {
-		t.Fatal("the limit never recovers")
+		t.Fatal("the limit does not recover after successes")
 	}
 	estimate.recordFailure(minTrustedIdle / 2)
 	if !estimate.allows(minTrustedIdle, true) {
-		t.Fatal("a failure within the trusted idle time counts")
+		t.Fatal("a failure within minTrustedIdle lowers the limit")
 	}
 }
--- a/data/upstream/outcome_test.go
+++ b/data/upstream/outcome_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// TestReuseBlocker_eachCondition violates one condition of a reusable connection
-// at a time.
+// TestReuseBlocker_eachCondition violates the conditions for reuse of a connection one
+// at a time. It also checks that exactly the outcomes with a valid response leave the
+// connection in sync.
 func TestReuseBlocker_eachCondition(t *testing.T) {
 	reusable := exchangeEnd{observation: validResponse, bodyComplete: true, selfDelimited: true, requestWritten: true}
 	if reason := reuseBlocker(reusable); reason != "" {
-		t.Fatalf("a reusable connection is closed: %s", reason)
+		t.Fatalf("a reusable connection is not reused: %s", reason)
 	}
 	violations := []func(end *exchangeEnd){
 		func(end *exchangeEnd) { end.observation = wrongAttempt },
@@ -26,7 +27,7 @@
 	}
 	for obs, entry := range conclusions {
 		if want := entry.outcome == Answered || entry.outcome == Rejected; entry.inSync != want {
-			t.Errorf("observation %d: outcome %v and in step %v", obs, entry.outcome, entry.inSync)
+			t.Errorf("observation %d with outcome %v: inSync is %v", obs, entry.outcome, entry.inSync)
 		}
 	}
 }
--- a/data/upstreamtest/runner.go
+++ b/data/upstreamtest/runner.go
@@ -1,5 +1,6 @@
-// Package upstreamtest provides scripted runners for tests: each request is
-// answered by the next step of a script, byte for byte, without any waiting.
+// Package upstreamtest provides scripted runners for tests. Each request is answered
+// by the next step of a script, which determines every byte of the response, without
+// any delay.
 package upstreamtest
 
 import (
@@ -14,10 +15,10 @@
 	"onyxwell/base/ids"
 )
 
-// Request is a request as the runner received it.
+// Request is a request as a runner received it.
 type Request struct {
 	Method string
-	// Target is the request target as it was written.
+	// Target is the request target as it was sent.
 	Target    string
 	Host      string
 	Header    http.Header
@@ -29,7 +30,7 @@
 type Runner struct {
 	Address ids.Address
 
-	// goroutines counts the goroutines that accept and serve connections.
+	// goroutines tracks the goroutines that accept and serve connections.
 	goroutines sync.WaitGroup
 	mu         sync.Mutex
 	steps      []Step
@@ -39,9 +40,9 @@
 	stopped    bool
 }
 
-// Start starts a runner on the loopback interface that answers the first request
-// with the first step, and so on; the last step answers all that follow. It stops
-// at the end of the test.
+// Start starts a runner on the loopback interface. The first step answers the first
+// request, and so on; the last step also answers all further requests. The runner
+// stops at the end of the test.
 func Start(t testing.TB, steps ...Step) *Runner {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,14 +60,15 @@
 	return r
 }
 
-// Requests returns the requests that arrived, in order.
+// Requests returns the requests received so far, in order of arrival.
 func (r *Runner) Requests() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.requests)
 }
 
-// ConnCount returns how many connections were made to the runner.
+// ConnCount returns the number of connections that were opened to the runner,
+// including closed ones.
 func (r *Runner) ConnCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// track adds a connection; it reports whether the runner still serves.
+// track adds a connection. It reports false if the runner has been stopped.
 func (r *Runner) track(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +102,8 @@
 	delete(r.conns, conn)
 }
 
-// closeConns closes the open connections and those that are still accepted.
+// closeConns stops the runner: it closes the open connections, and those accepted
+// later are closed at once.
 func (r *Runner) closeConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +113,7 @@
 	}
 }
 
-// serve answers the requests of a connection until a step closes it.
+// serve answers the requests on a connection until a step or the client closes it.
 func (r *Runner) serve(conn net.Conn) {
 	defer r.goroutines.Done()
 	defer conn.Close()
--- a/data/upstreamtest/step.go
+++ b/data/upstreamtest/step.go
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// Step answers one request by writing bytes to its connection, and reports whether
-// the connection stays open.
+// Step answers a request by writing bytes to its connection. It reports whether the
+// connection stays open.
 type Step func(req Request, writer io.Writer) (open bool)
 
-// Raw writes text in which {id} stands for the request's attempt id.
+// Raw returns a step that writes text, with the request's attempt id in place of each
+// {id}.
 func Raw(text string, open bool) Step {
 	return func(req Request, writer io.Writer) bool {
 		_, _ = io.WriteString(writer, strings.ReplaceAll(text, "{id}", req.AttemptID))
@@ -19,13 +20,14 @@
 	}
 }
 
-// Respond answers with a status, a seal and a body.
+// Respond returns a step that answers with a status, a seal and a body.
 func Respond(status int, seal string, body string) Step {
 	return Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: %s\r\nContent-Length: %d\r\n\r\n%s",
 		status, seal, len(body), body), true)
 }
 
-// Before calls act when the request has arrived, before step answers it.
+// Before returns a step that calls callback when the request has arrived, and then
+// answers with step.
 func Before(callback func(), step Step) Step {
 	return func(req Request, writer io.Writer) bool {
 		callback()
@@ -33,13 +35,15 @@
 	}
 }
 
-// Reject answers that the request was not executed.
+// Reject returns a step that answers with a status and states that the request was
+// not executed.
 func Reject(status int) Step {
 	return Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", status), true)
 }
 
-// EventStream answers with the events from id first to id last; unless complete,
-// the stream is cut off after the last.
+// EventStream returns a step that answers with the events whose ids are first to
+// last. Unless complete is true, the connection is closed after the last event,
+// without the final chunk.
 func EventStream(seal string, first int, last int, complete bool) Step {
 	var text strings.Builder
 	text.WriteString("HTTP/1.1 200 OK\r\nOnyxwell-Attempt-Id: {id}\r\nOnyxwell-Server-Seal: " + seal +
@@ -54,10 +58,10 @@
 	return Raw(text.String(), complete)
 }
 
-// HangUp closes the connection without a response.
+// HangUp returns a step that closes the connection without a response.
 func HangUp() Step { return Raw("", false) }
 
-// Reset writes text as Raw does and resets the connection.
+// Reset returns a step that writes text as Raw does and then resets the connection.
 func Reset(text string) Step {
 	return func(req Request, writer io.Writer) bool {
 		Raw(text, false)(req, writer)
