--- a/data/upstream/client_test.go
+++ b/data/upstream/client_test.go
@@ -42,6 +42,7 @@
 	return attempt
 }
 
+// send sends an attempt without a deadline.
 func send(client *Client, attempt Attempt) Result { return client.Send(context.Background(), attempt) }
 
 func TestClient_requestArrivesUnchanged(t *testing.T) {
--- a/data/upstream/conn.go
+++ b/data/upstream/conn.go
@@ -193,7 +193,7 @@
 	return n, err
 }
 
-// Close discards the rest of the body if there is any, and the connection with it.
+// Close closes the connection too, unless the body has been read to its end.
 func (r *responseBody) Close() error {
 	if r.err == nil {
 		r.err = errBodyClosed
--- a/data/upstream/idleestimate_test.go
+++ b/data/upstream/idleestimate_test.go
@@ -8,11 +8,11 @@
 	"onyxwell/data/upstreamtest"
 )
 
-// TestClient_learnsIdleLimit has a runner of a service drop an idle connection. A
-// request that must not be executed twice must not be sent over a connection after an
-// idle time that has not worked before. After the failure, a connection to another
-// runner that has been idle for a short time must still be reused.
-func TestClient_learnsIdleLimit(t *testing.T) {
+// TestClient_idleTimeLimitsReuse checks that a request that must not be executed twice
+// is not sent over a connection after an idle time that has not been seen to work, and
+// that a connection is reused after a short idle time even though a runner of the
+// service has dropped a connection.
+func TestClient_idleTimeLimitsReuse(t *testing.T) {
 	clk := clock.NewFake()
 	clk.Advance(time.Second)
 	client := newTestClient(clk)
--- a/data/upstream/outcome.go
+++ b/data/upstream/outcome.go
@@ -71,8 +71,8 @@
 	// noResponse: bytes were written, but no complete, well-formed response head with
 	// unambiguous framing arrived.
 	noResponse
-	// wrongAttempt: the head does not carry exactly one attempt id, that of this
-	// attempt, or its status is below 200 (101 Switching Protocols).
+	// wrongAttempt: the id of this attempt is not the only attempt id in the head, or
+	// the status is 101 (Switching Protocols).
 	wrongAttempt
 	// declaredNotRun: the runner states that it did not execute the request.
 	declaredNotRun
--- a/data/upstream/outcome_test.go
+++ b/data/upstream/outcome_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // TestReuseBlocker_eachCondition violates the conditions for reuse of a connection one
-// at a time. It also checks that exactly the outcomes with a valid response leave the
-// connection in sync.
+// at a time. It also checks that a connection is in sync after the outcomes Answered
+// and Rejected, and only after these.
 func TestReuseBlocker_eachCondition(t *testing.T) {
 	reusable := exchangeEnd{observation: validResponse, bodyComplete: true, selfDelimited: true, requestWritten: true}
 	if reason := reuseBlocker(reusable); reason != "" {
--- a/data/upstream/pool.go
+++ b/data/upstream/pool.go
@@ -100,9 +100,10 @@
 }
 
 // acquire returns an idle connection or dials a new one. On success the observation
-// is validResponse; any other observation tells why the connection is nil. A request
-// that was sent to the address before always gets a new connection, since a late
-// response to the earlier attempt could arrive on a pooled one.
+// is validResponse; any other observation tells why the connection is nil. If no idle
+// connection is usable and any was too old, acquire returns staleConn and does not
+// dial. A request that was sent to the address before always gets a new connection,
+// since a late response to the earlier attempt could arrive on a pooled one.
 func (c *Client) acquire(ctx context.Context, attempt Attempt) (*persistConn, observation, error) {
 	pool := c.pool(string(attempt.Address))
 	if !attempt.Request.wasSentTo(attempt.Address) {
--- a/data/upstream/request.go
+++ b/data/upstream/request.go
@@ -125,7 +125,7 @@
 // because they are set for each attempt or do not apply to it.
 var replacedHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true, "Connection": true,
-	// The body has been received already, so there is nothing to expect.
+	// The body has been received already, so a 100-continue expectation has been met.
 	"Expect":           true,
 	TargetRunnerHeader: true, TimeLeftHeader: true, PriorityHeader: true, TenantHeader: true,
 }
