--- a/control/counter/replicator.go
+++ b/control/counter/replicator.go
@@ -45,7 +45,7 @@
 	for address, other := range s.peers {
 		forgetAfter := s.options.Timing.ForgetAfter
 		if !other.contacted {
-			forgetAfter = s.options.Timing.ForgetStrangerAfter
+			forgetAfter = s.options.Timing.ForgetUncontactedAfter
 		}
 		if now.Since(other.listedAt) > forgetAfter {
 			s.dropPeer(address)
--- a/control/counter/timing.go
+++ b/control/counter/timing.go
@@ -28,9 +28,9 @@
 	// ForgetAfter is after how long a controller that is believed to be lost is no longer
 	// called.
 	ForgetAfter time.Duration
-	// ForgetStrangerAfter is that of one that has never answered, and that the membership
+	// ForgetUncontactedAfter is that of one that has never answered, and that the membership
 	// does not know.
-	ForgetStrangerAfter time.Duration
+	ForgetUncontactedAfter time.Duration
 	// StallAfter is for how long a commit may be under way before no further add is
 	// accepted.
 	StallAfter time.Duration
@@ -42,7 +42,7 @@
 	catchUpDivisor  = 2
 	handOverDivisor = 2
 	forgetAfter     = 30 * time.Minute
-	// forgetStrangerMerges is ForgetStrangerAfter in merge times.
+	// forgetStrangerMerges is ForgetUncontactedAfter in merge times.
 	forgetStrangerMerges = 4
 )
 
@@ -51,13 +51,13 @@
 func TimingOf(node *settings.Settings) Timing {
 	merge := settings.Milliseconds(cmp.Or(node.Bounds.MergeMS, node.Bounds.ApplyWithinMS))
 	return Timing{
-		Interval:            merge / ticksPerMerge,
-		ExchangeTimeout:     callerPatience * 3 / 10,
-		AddTimeout:          callerPatience * 9 / 10,
-		CatchUpTimeout:      merge / catchUpDivisor,
-		HandOverTimeout:     settings.Seconds(node.Bounds.GraceS) / handOverDivisor,
-		ForgetAfter:         forgetAfter,
-		ForgetStrangerAfter: merge * forgetStrangerMerges,
-		StallAfter:          callerPatience * 3 / 10,
+		Interval:               merge / ticksPerMerge,
+		ExchangeTimeout:        callerPatience * 3 / 10,
+		AddTimeout:             callerPatience * 9 / 10,
+		CatchUpTimeout:         merge / catchUpDivisor,
+		HandOverTimeout:        settings.Seconds(node.Bounds.GraceS) / handOverDivisor,
+		ForgetAfter:            forgetAfter,
+		ForgetUncontactedAfter: merge * forgetStrangerMerges,
+		StallAfter:             callerPatience * 3 / 10,
 	}
 }
--- a/control/daemon/usage.go
+++ b/control/daemon/usage.go
@@ -61,7 +61,7 @@
 	if d.usage == nil {
 		return nil
 	}
-	transport.Handle(d.Calls, timesync.SampleMessage, d.usage.time.Own)
+	transport.Handle(d.Calls, timesync.SampleMessage, d.usage.time.ServeSample)
 	d.AddService("time", func(ctx context.Context) error { d.usage.time.Run(ctx); return nil })
 	return d.usage.time
 }
--- a/control/timesync/timesync.go
+++ b/control/timesync/timesync.go
@@ -117,8 +117,8 @@
 	return c.synced
 }
 
-// Own answers a sample with the machine's own time of day.
-func (c *Clock) Own(context.Context, SampleRequest) (SampleResponse, error) {
+// ServeSample answers a sample with the machine's own time of day.
+func (c *Clock) ServeSample(context.Context, SampleRequest) (SampleResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.followWall()
--- a/control/timesync/timesync_test.go
+++ b/control/timesync/timesync_test.go
@@ -37,7 +37,7 @@
 				return peers
 			},
 			Ask: func(ctx context.Context, peer ids.Address) (SampleResponse, error) {
-				return clocks[peer].Own(ctx, SampleRequest{})
+				return clocks[peer].ServeSample(ctx, SampleRequest{})
 			},
 		})
 	}
@@ -88,7 +88,7 @@
 	start, step := time.Unix(1_700_000_000, 0), time.Duration(0)
 	alone := New(Options{Clock: fake, Wall: func() time.Time { return start.Add(time.Duration(fake.Now()) + step) }, Peers: func() []ids.Address { return nil }})
 	offBy := func() time.Duration {
-		resp, _ := alone.Own(context.Background(), SampleRequest{})
+		resp, _ := alone.ServeSample(context.Background(), SampleRequest{})
 		return time.Duration(resp.UnixNanos - start.Add(time.Duration(fake.Now())).UnixNano())
 	}
 	fake.Advance(time.Second)
