--- a/control/counter/journal.go
+++ b/control/counter/journal.go
@@ -50,8 +50,8 @@
 	// mu guards state, which belongs to the service.
 	mu    *sync.Mutex
 	state *State
-	// committed is called with mu held after the state has grown.
-	committed func()
+	// onCommit is called with mu held after the state has grown.
+	onCommit func()
 
 	// The fields below are guarded by mu. busySince is when the commit that is under
 	// way began, 0 if none is; failures counts those that failed.
@@ -64,8 +64,8 @@
 	committing sync.Mutex
 	// staged are the batches of the commit that is under way: a compaction covers them.
 	staged []Batch
-	// stale says that others hold more of the disk's origin than the disk does.
-	stale bool
+	// originStale says that others hold more of the disk's origin than the disk does.
+	originStale bool
 }
 
 // openJournal opens the log of a disk, fills the state from it, and gives a disk
@@ -125,7 +125,7 @@
 // numbers twice. The caller holds mu.
 func (j *journal) checkOrigin(held vector) {
 	if held[j.origin] > j.state.held(j.origin) {
-		j.stale = true
+		j.originStale = true
 	}
 }
 
@@ -155,8 +155,8 @@
 	j.mu.Lock()
 	adds, received := j.adds, j.batches
 	j.adds, j.batches = nil, nil
-	if j.stale {
-		j.origin, j.stale = j.newOrigin(), false
+	if j.originStale {
+		j.origin, j.originStale = j.newOrigin(), false
 	}
 	staging := newStaging(j.state, j.origin)
 	for _, pending := range received {
@@ -182,7 +182,7 @@
 			j.state.Apply(batch)
 		}
 		if len(staged) > 0 {
-			j.committed()
+			j.onCommit()
 		}
 	} else {
 		j.failures++
@@ -236,10 +236,10 @@
 type staging struct {
 	state  *State
 	origin int64
-	// counts are how many records of an origin there will be, own where a key of the own
+	// recordCounts are how many records of an origin there will be, own where a key of the own
 	// origin will be found.
-	counts map[int64]int64
-	own    map[Key]int64
+	recordCounts map[int64]int64
+	ownSequences map[Key]int64
 	// batches are of other origins; builder collects the own.
 	batches []Batch
 	builder batchBuilder
@@ -247,7 +247,7 @@
 
 func newStaging(state *State, origin int64) *staging {
 	return &staging{
-		state: state, origin: origin, counts: map[int64]int64{}, own: map[Key]int64{},
+		state: state, origin: origin, recordCounts: map[int64]int64{}, ownSequences: map[Key]int64{},
 		builder: batchBuilder{batch: Batch{Origin: origin, First: state.held(origin) + 1}},
 	}
 }
@@ -255,11 +255,11 @@
 // addBatches adds the records of other origins that are new and follow on what is held.
 func (s *staging) addBatches(batches []Batch) {
 	for _, batch := range batches {
-		held := max(s.counts[batch.Origin], s.state.held(batch.Origin))
-		if batch.Len() == 0 || batch.Origin == s.origin || batch.First > held+1 || batch.last() <= held {
+		held := max(s.recordCounts[batch.Origin], s.state.held(batch.Origin))
+		if batch.Len() == 0 || batch.Origin == s.origin || batch.First > held+1 || batch.lastSequence() <= held {
 			continue
 		}
-		s.counts[batch.Origin] = batch.last()
+		s.recordCounts[batch.Origin] = batch.lastSequence()
 		s.batches = append(s.batches, batch)
 	}
 }
@@ -269,11 +269,11 @@
 	if origin, sequence, ok := s.state.find(pending.key); ok {
 		return committedAdd{origin: origin, sequence: sequence}
 	}
-	sequence, ok := s.own[pending.key]
+	sequence, ok := s.ownSequences[pending.key]
 	if !ok {
 		s.builder.add(pending.key, pending.counter, pending.amount)
-		sequence = s.builder.batch.last()
-		s.own[pending.key] = sequence
+		sequence = s.builder.batch.lastSequence()
+		s.ownSequences[pending.key] = sequence
 	}
 	return committedAdd{origin: s.origin, sequence: sequence}
 }
--- a/control/counter/journal_test.go
+++ b/control/counter/journal_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.committed = func() {}
+	j.onCommit = func() {}
 	return j
 }
 
@@ -33,10 +33,10 @@
 	return <-done
 }
 
-// TestJournal_keepsWhatWasCommitted kills the process and cuts the power again and again,
+// TestJournal_recoversCommittedAdds kills the process and cuts the power again and again,
 // between commits and compactions: every add that was committed is there afterwards,
 // under the same number, and the disk keeps its origin.
-func TestJournal_keepsWhatWasCommitted(t *testing.T) {
+func TestJournal_recoversCommittedAdds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := simdisk.New(simdisk.Options{OneIn: func(odds int) bool { return rapid.IntRange(1, odds).Draw(t, "odds") == 1 }})
 		origins := int64(100)
@@ -92,10 +92,10 @@
 	}
 }
 
-// TestJournal_takesAnotherOriginOnAnOldDisk has another controller hold more of the
+// TestJournal_changesOriginAfterDiskRollback has another controller hold more of the
 // disk's origin than the disk: it was brought back to an older state. It must not give
 // the numbers that are taken, and takes its own old records from others.
-func TestJournal_takesAnotherOriginOnAnOldDisk(t *testing.T) {
+func TestJournal_changesOriginAfterDiskRollback(t *testing.T) {
 	origin := int64(6)
 	j := openTestJournal(t, simdisk.New(simdisk.Options{}), func() int64 { origin++; return origin })
 	defer j.log.Close()
--- a/control/counter/messages.go
+++ b/control/counter/messages.go
@@ -28,8 +28,8 @@
 // Len returns the number of records.
 func (b Batch) Len() int { return len(b.Amounts) }
 
-// last returns the sequence number of the last record.
-func (b Batch) last() int64 { return b.First + int64(b.Len()) - 1 }
+// lastSequence returns the sequence number of the lastSequence record.
+func (b Batch) lastSequence() int64 { return b.First + int64(b.Len()) - 1 }
 
 // key returns the key of a record.
 func (b Batch) key(index int) Key { return Key(b.Keys[index*keySize:]) }
--- a/control/counter/peer.go
+++ b/control/counter/peer.go
@@ -25,8 +25,8 @@
 	// heldAtTick is what this controller held at the last tick: what the peer still
 	// lacks of other origins is sent after that, since their own disks send it at once.
 	heldAtTick vector
-	// listedAt is when the membership had the peer last, or it called.
-	listedAt clock.Instant
+	// refreshedAt is when the membership had the peer last, or it called.
+	refreshedAt clock.Instant
 	// silentSince is when it became silent.
 	silentSince clock.Instant
 	wake        chan struct{}
@@ -44,8 +44,8 @@
 	}
 }
 
-// answered records an answer. It reports whether the peer was silent before.
-func (p *peer) answered(held vector) bool {
+// recordAnswer records an answer. It reports whether the peer was silent before.
+func (p *peer) recordAnswer(held vector) bool {
 	wasSilent := p.silent()
 	if !p.contacted {
 		p.contacted, p.firstHeld = true, held
@@ -58,9 +58,9 @@
 	return wasSilent
 }
 
-// failed records an exchange without an answer. It reports whether the peer has become
+// recordFailure records an exchange without an answer. It reports whether the peer has become
 // silent by it.
-func (p *peer) failed(now clock.Instant) bool {
+func (p *peer) recordFailure(now clock.Instant) bool {
 	p.failures++
 	if p.failures == maxFailures {
 		p.silentSince = now
--- a/control/counter/replicator.go
+++ b/control/counter/replicator.go
@@ -47,21 +47,21 @@
 		if !other.contacted {
 			forgetAfter = s.options.Timing.ForgetUncontactedAfter
 		}
-		if now.Since(other.listedAt) > forgetAfter {
+		if now.Since(other.refreshedAt) > forgetAfter {
 			s.dropPeer(address)
 		}
 	}
-	s.evaluate()
+	s.checkProgress()
 }
 
 // addPeer starts the loop of a peer, unless it has one. The caller holds mu.
 func (s *Service) addPeer(ctx context.Context, address ids.Address, now clock.Instant) {
 	if known := s.peers[address]; known != nil {
-		known.listedAt = now
+		known.refreshedAt = now
 		return
 	}
 	loop, stop := context.WithCancel(ctx)
-	added := &peer{address: address, held: vector{}, listedAt: now, wake: make(chan struct{}, 1), stop: stop}
+	added := &peer{address: address, held: vector{}, refreshedAt: now, wake: make(chan struct{}, 1), stop: stop}
 	s.peers[address] = added
 	go s.runPeer(loop, added)
 }
@@ -105,14 +105,14 @@
 	defer s.mu.Unlock()
 	req := ExchangeRequest{From: s.options.Address}
 	if !other.silent() && other.contacted {
-		req.Batches = s.lackedBy(other, tickDue)
+		req.Batches = s.missingBatches(other, tickDue)
 	}
 	// A first failure is followed up at once: either the peer is silent, or it is not.
 	retry := other.failures > 0 && !other.silent()
 	due := retry || len(req.Batches) > 0 || (tickDue && (!other.contacted || s.state.Len() > 0 || !s.ready))
 	if tickDue {
 		other.heldAtTick = vectorOf(s.state.Vector())
-		req.Peers = s.answering()
+		req.Peers = s.answeringControllers()
 	}
 	if due {
 		req.Vector = s.state.Vector()
@@ -120,10 +120,10 @@
 	return req, due
 }
 
-// answering returns this controller and the peers that answer it. A controller that
+// answeringControllers returns this controller and the peers that answer it. A controller that
 // reaches any of them gets to know all: the membership takes longer where many start at
 // once, or where a zone was cut off. The caller holds mu.
-func (s *Service) answering() []ids.Address {
+func (s *Service) answeringControllers() []ids.Address {
 	addresses := []ids.Address{s.options.Address}
 	for address, other := range s.peers {
 		if other.contacted && !other.silent() {
@@ -141,14 +141,14 @@
 		if address == s.options.Address || (known && member.State == membership.Left) {
 			continue
 		}
-		s.addPeer(s.running, address, s.options.Clock.Now())
+		s.addPeer(s.runContext, address, s.options.Clock.Now())
 	}
 }
 
-// lackedBy returns records that a peer lacks, those of the own origin first. Those of
+// missingBatches returns records that a peer lacks, those of the own origin first. Those of
 // others are sent at ticks, if they were held at the last tick already and the peer has
 // not got them otherwise. The caller holds mu.
-func (s *Service) lackedBy(other *peer, tickDue bool) []Batch {
+func (s *Service) missingBatches(other *peer, tickDue bool) []Batch {
 	var batches []Batch
 	limit := maxExchangeRecords
 	for _, origin := range s.originOrder() {
@@ -205,20 +205,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		if other.failed(s.options.Clock.Now()) {
+		if other.recordFailure(s.options.Clock.Now()) {
 			s.options.Log.Warn().Str("part", logPart).Str("peer", string(other.address)).Err(err).Msg("peer silent")
 		}
-		s.evaluate()
+		s.checkProgress()
 		return false
 	}
 	held := vectorOf(resp.Vector)
-	if other.answered(held) {
+	if other.recordAnswer(held) {
 		s.options.Log.Info().Str("part", logPart).Str("peer", string(other.address)).
 			Int64("silent_ms", s.options.Clock.Now().Since(other.silentSince).Milliseconds()).Msg("peer answers again")
 	}
 	s.journal.checkOrigin(held)
 	s.learnPeers(resp.Peers)
-	s.evaluate()
+	s.checkProgress()
 	return true
 }
 
@@ -235,7 +235,7 @@
 		s.mu.Unlock()
 		return ExchangeResponse{}, errkind.Errorf(errkind.Draining, "")
 	}
-	s.heardFrom(req)
+	s.recordCaller(req)
 	var committed <-chan error
 	if len(req.Batches) > 0 {
 		committed = s.journal.enqueueBatches(req.Batches)
@@ -255,15 +255,15 @@
 	defer s.mu.Unlock()
 	resp := ExchangeResponse{Vector: s.state.Vector()}
 	if len(req.Peers) > 0 {
-		resp.Peers = s.answering()
+		resp.Peers = s.answeringControllers()
 	}
 	return resp, nil
 }
 
-// heardFrom records what a caller holds. It may be one that the membership does not know
+// recordCaller records what a caller holds. It may be one that the membership does not know
 // yet, such as a controller that is new; one that leaves is no peer. The caller holds mu.
-func (s *Service) heardFrom(req ExchangeRequest) {
-	if s.running == nil || req.From == s.options.Address {
+func (s *Service) recordCaller(req ExchangeRequest) {
+	if s.runContext == nil || req.From == s.options.Address {
 		return
 	}
 	s.learnPeers(append(req.Peers, req.From))
@@ -273,5 +273,5 @@
 		caller.held = held
 		caller.notify()
 	}
-	s.evaluate()
+	s.checkProgress()
 }
--- a/control/counter/service.go
+++ b/control/counter/service.go
@@ -57,14 +57,14 @@
 	// order caches originOrder.
 	order   []int64
 	waiters []*copyWaiter
-	// running is the context of Run, nil before it. startedAt is when Run began.
-	running   context.Context
-	startedAt clock.Instant
+	// runContext is the context of Run, nil before it. startedAt is when Run began.
+	runContext context.Context
+	startedAt  clock.Instant
 	// ready says that this controller has caught up since it started, leaving that it
 	// hands over.
-	ready   bool
-	leaving bool
-	warned  bool
+	ready          bool
+	leaving        bool
+	capacityWarned bool
 
 	outcomes outcomeCounts
 }
@@ -92,7 +92,7 @@
 func open(options Options) (*Service, error) {
 	s := &Service{options: options, state: NewState(), peers: map[ids.Address]*peer{}, capacity: Capacity(options.Settings)}
 	var err error
-	s.journal, err = openJournal(wal.Options{FS: options.Disk, MaxBytes: logBytes(options.Settings)}, &s.mu, s.state, options.Clock, s.newOrigin)
+	s.journal, err = openJournal(wal.Options{FS: options.Disk, MaxBytes: maxLogBytes(options.Settings)}, &s.mu, s.state, options.Clock, s.newOrigin)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 		options.Log.Warn().Str("part", logPart).Str("file", corruption.File).Str("quarantined_as", corruption.QuarantinedAs).
 			Str("reason", corruption.Reason).Msg("counter log corrupted, starting blank")
 	}
-	s.journal.committed = s.recordsCommitted
+	s.journal.onCommit = s.recordsCommitted
 	s.addMetrics()
 	return s, nil
 }
@@ -125,7 +125,7 @@
 // ends.
 func (s *Service) Run(ctx context.Context) {
 	s.mu.Lock()
-	s.running, s.startedAt = ctx, s.options.Clock.Now()
+	s.runContext, s.startedAt = ctx, s.options.Clock.Now()
 	// After a restart by the supervisor the loops of before have ended.
 	for address := range s.peers {
 		s.dropPeer(address)
@@ -170,7 +170,7 @@
 
 func (s *Service) add(ctx context.Context, counter string, key Key, amount int64) error {
 	s.mu.Lock()
-	if err := s.refusal(key); err != nil {
+	if err := s.admissionError(key); err != nil {
 		s.mu.Unlock()
 		return err
 	}
@@ -189,8 +189,8 @@
 	}
 }
 
-// refusal returns why an add can't be accepted; nil if it can. The caller holds mu.
-func (s *Service) refusal(key Key) error {
+// admissionError returns why an add can't be accepted; nil if it can. The caller holds mu.
+func (s *Service) admissionError(key Key) error {
 	if s.leaving {
 		return errkind.Errorf(errkind.Draining, "")
 	}
@@ -210,7 +210,7 @@
 // awaitCopies waits until a record is on enough disks.
 func (s *Service) awaitCopies(ctx context.Context, added committedAdd) error {
 	s.mu.Lock()
-	if s.isSafe(added.origin, added.sequence) {
+	if s.hasEnoughCopies(added.origin, added.sequence) {
 		s.mu.Unlock()
 		return nil
 	}
@@ -228,9 +228,9 @@
 	return errkind.Errorf(errkind.AddUndecided, "not on enough disks in time")
 }
 
-// isSafe reports whether a record that this disk holds is on enough disks: on as many as
+// hasEnoughCopies reports whether a record that this disk holds is on enough disks: on as many as
 // required, or on all that can be reached. The caller holds mu.
-func (s *Service) isSafe(origin int64, sequence int64) bool {
+func (s *Service) hasEnoughCopies(origin int64, sequence int64) bool {
 	copies, possible := 1, 1
 	for _, other := range s.peers {
 		holds := other.held[origin] >= sequence
@@ -249,24 +249,24 @@
 	for _, other := range s.peers {
 		other.notify()
 	}
-	if !s.warned && s.state.Len() >= s.capacity*warnPercent/100 {
-		s.warned = true
+	if !s.capacityWarned && s.state.Len() >= s.capacity*warnPercent/100 {
+		s.capacityWarned = true
 		s.options.Log.Warn().Str("part", logPart).Int("records", s.state.Len()).Int("capacity", s.capacity).Msg("counters nearly full")
 	}
-	s.evaluate()
+	s.checkProgress()
 }
 
-// evaluate draws the conclusions from what has changed: adds that are safe now, and
+// checkProgress draws the conclusions from what has changed: adds that are safe now, and
 // whether this controller has caught up. The caller holds mu.
-func (s *Service) evaluate() {
+func (s *Service) checkProgress() {
 	s.waiters = slices.DeleteFunc(s.waiters, func(waiter *copyWaiter) bool {
-		safe := s.isSafe(waiter.origin, waiter.sequence)
+		safe := s.hasEnoughCopies(waiter.origin, waiter.sequence)
 		if safe {
 			close(waiter.done)
 		}
 		return safe
 	})
-	if !s.ready && s.running != nil && s.caughtUp() {
+	if !s.ready && s.runContext != nil && s.caughtUp() {
 		s.ready = true
 		s.options.Log.Info().Str("part", logPart).Int("records", s.state.Len()).
 			Int64("after_ms", s.options.Clock.Now().Since(s.startedAt).Milliseconds()).Msg("counters caught up")
--- a/control/counter/service_test.go
+++ b/control/counter/service_test.go
@@ -58,17 +58,17 @@
 	stopped, cancel := context.WithCancel(context.Background())
 	cancel()
 	// Loops of peers end at once.
-	service.running, service.startedAt = stopped, source.Now()
+	service.runContext, service.startedAt = stopped, source.Now()
 	r.Service = service
 	return r
 }
 
-// know makes others peers.
-func (r *replica) know(others ...*replica) {
+// connectTo makes others peers.
+func (r *replica) connectTo(others ...*replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, other := range others {
-		r.addPeer(r.running, other.options.Address, r.clock.Now())
+		r.addPeer(r.runContext, other.options.Address, r.clock.Now())
 	}
 }
 
@@ -81,20 +81,20 @@
 	req, _ := r.nextExchange(known, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go other.commitWhenWoken(ctx)
+	go other.runJournal(ctx)
 	return r.exchange(context.Background(), known, req)
 }
 
-func (r *replica) commitWhenWoken(ctx context.Context) { r.journal.run(ctx) }
+func (r *replica) runJournal(ctx context.Context) { r.journal.run(ctx) }
 
-// fail has the other be silent.
-func (r *replica) fail(other *replica) {
+// markSilent has the other be silent.
+func (r *replica) markSilent(other *replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range maxFailures {
-		r.peers[other.options.Address].failed(r.clock.Now())
+		r.peers[other.options.Address].recordFailure(r.clock.Now())
 	}
-	r.evaluate()
+	r.checkProgress()
 }
 
 // startAdd begins an add; its error comes on the channel.
@@ -116,8 +116,8 @@
 	r.ready = true
 }
 
-// waitForWaiter waits until an add waits for copies.
-func (r *replica) waitForWaiter() {
+// waitForCopyWaiter waits until an add waits for copies.
+func (r *replica) waitForCopyWaiter() {
 	for {
 		r.mu.Lock()
 		waiting := len(r.waiters)
@@ -133,13 +133,13 @@
 func TestAdd_waitsForCopies(t *testing.T) {
 	source := clock.NewFake()
 	a, b, c := newReplica(t, source, 3), newReplica(t, source, 3), newReplica(t, source, 3)
-	a.know(b, c)
+	a.connectTo(b, c)
 	for _, other := range []*replica{b, c} {
 		a.exchangeWith(other)
 	}
 	done := a.startAdd("x")
 	a.commitNext()
-	a.waitForWaiter()
+	a.waitForCopyWaiter()
 	a.exchangeWith(b)
 	select {
 	case err := <-done:
@@ -160,12 +160,12 @@
 func TestAdd_goesOnWithoutSilentPeers(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 3), newReplica(t, source, 3)
-	a.know(b)
+	a.connectTo(b)
 	a.exchangeWith(b)
 	done := a.startAdd("x")
 	a.commitNext()
-	a.waitForWaiter()
-	a.fail(b)
+	a.waitForCopyWaiter()
+	a.markSilent(b)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestAdd_undecidedOnceItMayCount has the disk fail, and the copies not come in time: the
+// TestAdd_undecidedOnceEnqueued has the disk fail, and the copies not come in time: the
 // answer must not promise that nothing was done.
-func TestAdd_undecidedOnceItMayCount(t *testing.T) {
+func TestAdd_undecidedOnceEnqueued(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 2), newReplica(t, source, 2)
 	a.setReady()
@@ -189,18 +189,18 @@
 		t.Errorf("the disk failed: %v", err)
 	}
 	a.diskError = nil
-	a.know(b)
+	a.connectTo(b)
 	done = a.startAdd("y")
 	a.commitNext()
-	a.waitForWaiter()
+	a.waitForCopyWaiter()
 	source.Advance(a.options.Timing.AddTimeout)
 	if err := <-done; errkind.KindOf(err) != errkind.AddUndecided {
 		t.Errorf("no copy in time: %v", err)
 	}
 }
 
-// TestAdd_refusedBeforeAnything has the reasons for which nothing is done.
-func TestAdd_refusedBeforeAnything(t *testing.T) {
+// TestAdd_refusedBeforeEnqueue has the reasons for which nothing is done.
+func TestAdd_refusedBeforeEnqueue(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*replica)
 		kind    errkind.Kind
@@ -239,8 +239,8 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	empty.know(old)
-	old.know(empty)
+	empty.connectTo(old)
+	old.connectTo(empty)
 	source.Advance(time.Minute)
 	empty.exchangeWith(old)
 	if total, err := empty.Total("a"); errkind.KindOf(err) != errkind.NotReady {
@@ -253,13 +253,13 @@
 		t.Errorf("%v, %v", total, err)
 	}
 	alone := newReplica(t, source, 1)
-	alone.know(old)
-	alone.fail(old)
+	alone.connectTo(old)
+	alone.markSilent(old)
 	if _, err := alone.Total("a"); err == nil {
 		t.Error("answers at once though others may be found")
 	}
 	source.Advance(alone.options.Timing.CatchUpTimeout)
-	alone.fail(old)
+	alone.markSilent(old)
 	if total, err := alone.Total("a"); err != nil || total.Sign() != 0 {
 		t.Errorf("alone: %v, %v", total, err)
 	}
@@ -278,7 +278,7 @@
 	if a.handedOver() {
 		t.Error("handed over to nobody")
 	}
-	a.know(b)
+	a.connectTo(b)
 	a.exchangeWith(b)
 	if a.handedOver() {
 		t.Error("handed over to a controller without the record")
@@ -315,7 +315,7 @@
 		}
 		a.state.Apply(builder.batch)
 	}
-	a.know(b)
+	a.connectTo(b)
 	a.exchangeWith(b)
 	req, due := a.nextExchange(a.peers[b.options.Address], true)
 	body, err := transport.Marshal(req)
@@ -330,14 +330,14 @@
 	}
 }
 
-// TestExchange_bytesOfAllPeersTogether has a controller come back that lacks many records,
+// TestExchange_boundsBytesOfConcurrentPeers has a controller come back that lacks many records,
 // and several peers that hold all of them bring it up to date at the same time: together
 // they send little more than the records once, and hold no more than an exchange each in
 // flight, which a link of 10 Mbit/s carries within a fraction of a second.
-func TestExchange_bytesOfAllPeersTogether(t *testing.T) {
+func TestExchange_boundsBytesOfConcurrentPeers(t *testing.T) {
 	source := clock.NewFake()
 	const peers, perOrigin = 4, 3 * maxExchangeRecords
-	back := newReplica(t, source, 1)
+	returning := newReplica(t, source, 1)
 	var others []*replica
 	for range peers {
 		others = append(others, newReplica(t, source, 1))
@@ -353,38 +353,38 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go back.commitWhenWoken(ctx)
+	go returning.runJournal(ctx)
 	for _, other := range others {
-		other.know(back)
-		other.exchangeWith(back)
+		other.connectTo(returning)
+		other.exchangeWith(returning)
 	}
-	sent, largest := 0, 0
-	for round := 0; back.state.Len() < peers*perOrigin; round++ {
+	sent, maxInFlight := 0, 0
+	for round := 0; returning.state.Len() < peers*perOrigin; round++ {
 		if round > peers*perOrigin {
-			t.Fatalf("%d records after %d rounds", back.state.Len(), round)
+			t.Fatalf("%d records after %d rounds", returning.state.Len(), round)
 		}
 		// All peers decide what to send before any of it has arrived.
 		requests := make([]ExchangeRequest, peers)
 		for index, other := range others {
-			requests[index], _ = other.nextExchange(other.peers[back.options.Address], true)
+			requests[index], _ = other.nextExchange(other.peers[returning.options.Address], true)
 		}
-		together := 0
+		inFlight := 0
 		for index, other := range others {
 			body, err := transport.Marshal(requests[index])
 			if err != nil {
 				t.Fatal(err)
 			}
-			together += len(body)
-			other.exchange(context.Background(), other.peers[back.options.Address], requests[index])
+			inFlight += len(body)
+			other.exchange(context.Background(), other.peers[returning.options.Address], requests[index])
 		}
-		sent, largest = sent+together, max(largest, together)
+		sent, maxInFlight = sent+inFlight, max(maxInFlight, inFlight)
 	}
 	const recordBytes = keySize + 12
-	if most := 2 * peers * perOrigin * recordBytes; sent > most {
-		t.Errorf("%d bytes are sent for %d records, over %d", sent, peers*perOrigin, most)
+	if limit := 2 * peers * perOrigin * recordBytes; sent > limit {
+		t.Errorf("%d bytes are sent for %d records, over %d", sent, peers*perOrigin, limit)
 	}
-	if most := peers * 64 << 10; largest > most {
-		t.Errorf("%d bytes are in flight at once, over %d", largest, most)
+	if limit := peers * 64 << 10; maxInFlight > limit {
+		t.Errorf("%d bytes are in flight at once, over %d", maxInFlight, limit)
 	}
-	t.Logf("%d bytes for %d records, %d at once", sent, peers*perOrigin, largest)
+	t.Logf("%d bytes for %d records, %d at once", sent, peers*perOrigin, maxInFlight)
 }
--- a/control/counter/state_test.go
+++ b/control/counter/state_test.go
@@ -90,16 +90,16 @@
 	if err := valid.validate(); err != nil {
 		t.Error(err)
 	}
-	for name, spoil := range map[string]func(*Batch){
+	for name, corrupt := range map[string]func(*Batch){
 		"no first":         func(b *Batch) { b.First = 0 },
 		"a short key":      func(b *Batch) { b.Keys = b.Keys[1:] },
 		"a counter less":   func(b *Batch) { b.Counters = b.Counters[1:] },
 		"unknown counter":  func(b *Batch) { b.Counters = []int64{0, 1} },
 		"negative counter": func(b *Batch) { b.Counters = []int64{-1, 0} },
 	} {
-		spoilt := valid
-		spoil(&spoilt)
-		if spoilt.validate() == nil {
+		invalid := valid
+		corrupt(&invalid)
+		if invalid.validate() == nil {
 			t.Errorf("%s is valid", name)
 		}
 	}
--- a/control/counter/status.go
+++ b/control/counter/status.go
@@ -30,7 +30,7 @@
 	defer s.mu.Unlock()
 	status := Status{
 		Origin: s.journal.origin, Ready: s.ready, Records: s.state.Len(), Capacity: s.capacity, Conflicts: s.state.conflicts,
-		Peers: []ids.Address{}, Silent: []ids.Address{}, Lacking: s.lacking(),
+		Peers: []ids.Address{}, Silent: []ids.Address{}, Lacking: s.countLackingRecords(),
 	}
 	for address, other := range s.peers {
 		if other.silent() {
@@ -44,8 +44,8 @@
 	return status
 }
 
-// silentPeers counts the peers that are silent. The caller holds mu.
-func (s *Service) silentPeers() int64 {
+// countSilentPeers counts the peers that are silent. The caller holds mu.
+func (s *Service) countSilentPeers() int64 {
 	silent := int64(0)
 	for _, other := range s.peers {
 		if other.silent() {
@@ -55,8 +55,8 @@
 	return silent
 }
 
-// lacking adds up how many records each peer lacks. The caller holds mu.
-func (s *Service) lacking() int64 {
+// countLackingRecords adds up how many records each peer lacks. The caller holds mu.
+func (s *Service) countLackingRecords() int64 {
 	lacking := int64(0)
 	for _, other := range s.peers {
 		for _, origin := range s.state.origins {
@@ -84,8 +84,8 @@
 	}
 	gauge("counter_records", "IDs that the counters remember.", func() int64 { return int64(s.state.Len()) })
 	gauge("counter_capacity", "IDs that they can remember; beyond nine tenths of it adds are refused.", func() int64 { return int64(s.capacity) })
-	gauge("counter_peers_silent", "Other controllers that do not answer exchanges of counter records.", s.silentPeers)
-	gauge("counter_records_lacking", "Records held here that other controllers are not known to hold, added up.", s.lacking)
+	gauge("counter_peers_silent", "Other controllers that do not answer exchanges of counter records.", s.countSilentPeers)
+	gauge("counter_records_lacking", "Records held here that other controllers are not known to hold, added up.", s.countLackingRecords)
 	gauge("counter_conflicts", "Records whose ID came with another amount as well.", func() int64 { return int64(s.state.conflicts) })
 	metrics.CounterFunc("counter_commits_failed_total", "Commits of counter records that the disk failed.", nil, func() float64 {
 		s.mu.Lock()
--- a/control/counter/timing.go
+++ b/control/counter/timing.go
@@ -7,9 +7,9 @@
 	"onyxwell/base/settings"
 )
 
-// callerPatience is how long an application waits for an answer before it goes on to
+// clientTimeout is how long an application waits for an answer before it goes on to
 // another controller.
-const callerPatience = time.Second
+const clientTimeout = time.Second
 
 // Timing holds the intervals and time-outs of the counters.
 type Timing struct {
@@ -42,8 +42,8 @@
 	catchUpDivisor  = 2
 	handOverDivisor = 2
 	forgetAfter     = 30 * time.Minute
-	// forgetStrangerMerges is ForgetUncontactedAfter in merge times.
-	forgetStrangerMerges = 4
+	// forgetUncontactedMerges is ForgetUncontactedAfter in merge times.
+	forgetUncontactedMerges = 4
 )
 
 // TimingOf derives the timing from the settings: after a partition all records must
@@ -52,12 +52,12 @@
 	merge := settings.Milliseconds(cmp.Or(node.Bounds.MergeMS, node.Bounds.ApplyWithinMS))
 	return Timing{
 		Interval:               merge / ticksPerMerge,
-		ExchangeTimeout:        callerPatience * 3 / 10,
-		AddTimeout:             callerPatience * 9 / 10,
+		ExchangeTimeout:        clientTimeout * 3 / 10,
+		AddTimeout:             clientTimeout * 9 / 10,
 		CatchUpTimeout:         merge / catchUpDivisor,
 		HandOverTimeout:        settings.Seconds(node.Bounds.GraceS) / handOverDivisor,
 		ForgetAfter:            forgetAfter,
-		ForgetUncontactedAfter: merge * forgetStrangerMerges,
-		StallAfter:             callerPatience * 3 / 10,
+		ForgetUncontactedAfter: merge * forgetUncontactedMerges,
+		StallAfter:             clientTimeout * 3 / 10,
 	}
 }
--- a/control/timesync/timesync.go
+++ b/control/timesync/timesync.go
@@ -77,10 +77,10 @@
 	offset time.Duration
 	synced bool
 	rounds int
-	// steady is the offset of the machine's own clock, as it was before it was set at steppedAt;
+	// trustedOffset is the offset of the machine's own clock, as it was before it was set at steppedAt;
 	// 0 is that it was not.
-	steady    time.Duration
-	steppedAt clock.Instant
+	trustedOffset time.Duration
+	steppedAt     clock.Instant
 	// samples are the offsets of other controllers' clocks.
 	samples map[ids.Address]sample
 }
@@ -94,12 +94,12 @@
 // New returns a Clock that follows the machine's own until it is synchronized.
 func New(options Options) *Clock {
 	c := &Clock{options: options, samples: map[ids.Address]sample{}}
-	c.steady = c.ownOffset()
-	c.offset = c.steady
+	c.trustedOffset = c.wallOffset()
+	c.offset = c.trustedOffset
 	return c
 }
 
-func (c *Clock) ownOffset() time.Duration {
+func (c *Clock) wallOffset() time.Duration {
 	return time.Duration(c.options.Wall().UnixNano()) - time.Duration(c.options.Clock.Now())
 }
 
@@ -121,21 +121,21 @@
 func (c *Clock) ServeSample(context.Context, SampleRequest) (SampleResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.followWall()
-	return SampleResponse{UnixNanos: int64(c.steady) + int64(c.options.Clock.Now())}, nil
+	c.updateTrustedOffset()
+	return SampleResponse{UnixNanos: int64(c.trustedOffset) + int64(c.options.Clock.Now())}, nil
 }
 
-// followWall takes over what the machine's own clock says, unless it was set of late. The
+// updateTrustedOffset takes over what the machine's own clock says, unless it was set of late. The
 // caller holds c.mu.
-func (c *Clock) followWall() {
-	now, offset := c.options.Clock.Now(), c.ownOffset()
+func (c *Clock) updateTrustedOffset() {
+	now, offset := c.options.Clock.Now(), c.wallOffset()
 	switch {
-	case (offset - c.steady).Abs() <= maxSlew:
-		c.steady, c.steppedAt = offset, 0
+	case (offset - c.trustedOffset).Abs() <= maxSlew:
+		c.trustedOffset, c.steppedAt = offset, 0
 	case c.steppedAt == 0:
 		c.steppedAt = max(now, 1)
 	case now.Since(c.steppedAt) > stepPersistence:
-		c.steady, c.steppedAt = offset, 0
+		c.trustedOffset, c.steppedAt = offset, 0
 	}
 }
 
@@ -180,10 +180,10 @@
 func (c *Clock) setMedian() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.followWall()
+	c.updateTrustedOffset()
 	now := c.options.Clock.Now()
 	c.rounds++
-	offsets := []time.Duration{c.steady}
+	offsets := []time.Duration{c.trustedOffset}
 	for peer, known := range c.samples {
 		if now.Since(known.at) > maxSampleAge {
 			delete(c.samples, peer)
--- a/control/timesync/timesync_test.go
+++ b/control/timesync/timesync_test.go
@@ -15,9 +15,9 @@
 	transporttest.Golden[SampleResponse](t, "sample-response")
 }
 
-// TestClock_thirdOfClocksStep sets the clocks of two of six controllers ahead and back by
+// TestClock_toleratesSteppedClocks sets the clocks of two of six controllers ahead and back by
 // seconds: no controller's time moves, nor does that of a router that takes it over.
-func TestClock_thirdOfClocksStep(t *testing.T) {
+func TestClock_toleratesSteppedClocks(t *testing.T) {
 	fake := clock.NewFake()
 	start := time.Unix(1_700_000_000, 0)
 	steps := make([]time.Duration, 6)
@@ -42,7 +42,7 @@
 		})
 	}
 	router := New(Options{Clock: fake, Wall: func() time.Time { return start.Add(time.Hour) }})
-	check := func(moment string) {
+	check := func(phase string) {
 		t.Helper()
 		for _, address := range addresses {
 			clocks[address].Sample(context.Background())
@@ -51,11 +51,11 @@
 		want := time.Duration(start.UnixNano()) + time.Duration(fake.Now())
 		for _, address := range addresses {
 			if got := clocks[address].Now(); got != want {
-				t.Errorf("%s: the time of %s is off by %v", moment, address, got-want)
+				t.Errorf("%s: the time of %s is off by %v", phase, address, got-want)
 			}
 		}
 		if got := router.Now(); got != want {
-			t.Errorf("%s: the router's time is off by %v", moment, got-want)
+			t.Errorf("%s: the router's time is off by %v", phase, got-want)
 		}
 	}
 	check("all right")
@@ -82,8 +82,8 @@
 	check("all right once more")
 }
 
-// TestClock_believesStepThatStays sets the only clock for good: it is believed after a while.
-func TestClock_believesStepThatStays(t *testing.T) {
+// TestClock_acceptsPersistentStep sets the only clock for good: it is believed after a while.
+func TestClock_acceptsPersistentStep(t *testing.T) {
 	fake := clock.NewFake()
 	start, step := time.Unix(1_700_000_000, 0), time.Duration(0)
 	alone := New(Options{Clock: fake, Wall: func() time.Time { return start.Add(time.Duration(fake.Now()) + step) }, Peers: func() []ids.Address { return nil }})
