--- a/control/counter/capacity.go
+++ b/control/counter/capacity.go
@@ -3,27 +3,30 @@
 import "onyxwell/base/settings"
 
 const (
-	// logDivisor is the part of the disk, one in so many, that the log may take; while it
-	// is compacted it is there twice, and a damaged one that was set aside a third time.
+	// logDivisor limits the log to 1/16 of the disk. A second copy exists during a
+	// compaction, and a corrupt log that was quarantined can be a third.
 	logDivisor = 16
-	// diskBytesPerRecord is what a record takes in a compacted log, with a margin for the
+	// diskBytesPerRecord is the size of a record in a compacted log, with a margin for the
 	// commits since the last compaction.
 	diskBytesPerRecord = 24
-	// memoryDivisor is the part of the memory that the state may take, recordBytes what
-	// a record takes of it.
+	// memoryDivisor limits the state to 1/8 of the memory, and memoryBytesPerRecord is the
+	// size of a record in it.
 	memoryDivisor        = 8
 	memoryBytesPerRecord = 112
-	// In percent of the capacity: beyond the first the operator is warned, beyond the
-	// second adds are refused. The rest is for what others accept meanwhile.
+	// warnPercent and refusePercent are the percentages of the capacity at which a warning
+	// is logged and at which adds with new IDs are refused. The rest is reserved for
+	// records that other controllers still accept.
 	warnPercent   = 75
 	refusePercent = 90
 )
 
-// maxLogBytes is how long the log may become.
+// maxLogBytes returns the maximum length of the log, or 0 if the settings give no size of
+// the disk.
 func maxLogBytes(node *settings.Settings) int64 { return node.Limits.DiskMB << 20 / logDivisor }
 
-// Capacity returns how many records a controller can hold: IDs are remembered forever,
-// so the disk and the memory bound them. Without a size of the disk, the memory does.
+// Capacity returns how many records a controller can hold. IDs are kept forever, so the
+// size of the disk and that of the memory limit them, or the memory alone if the settings
+// give no size of the disk.
 func Capacity(node *settings.Settings) int {
 	capacity := node.Limits.MemoryMB << 20 / memoryDivisor / memoryBytesPerRecord
 	if disk := maxLogBytes(node); disk > 0 {
--- a/control/counter/doc.go
+++ b/control/counter/doc.go
@@ -1,22 +1,24 @@
-// Package counter keeps counters that go on while the deployment is partitioned.
-// Applications add amounts under IDs; an ID counts once in its counter, wherever
-// and however often it is sent. A controller acknowledges an add once as many disks
-// have synced it as may be lost at a time, and one more, or, while fewer can be
-// reached, all of those that can.
+// Package counter implements replicated counters that stay available for reads and
+// writes during a network partition. Applications add amounts under IDs. An add is
+// idempotent: an ID counts once in its counter, however often and to whichever
+// controllers it is sent. A controller acknowledges an add once one disk more than may
+// be lost at a time has synced it or, while fewer disks can be reached, once all
+// reachable ones have.
 //
-// No majority is asked: the state is a convergent set (a CRDT), merged by union. Each
-// disk has an origin, a random number, and gives the adds that it accepts first
-// consecutive sequence numbers under it. Every controller holds the records of all
-// origins, so how many it holds of each, a version vector, says what it lacks. Records
-// travel from the disk that accepted them to all others at once, and by anti-entropy
-// through third ones where two can't reach each other.
+// There is no quorum: the state is a grow-only set of records (a CRDT) that is merged by
+// union. Each disk has a random number as its origin, and assigns consecutive sequence
+// numbers under that origin to the adds that it accepts. Every controller replicates the
+// records of all origins, so a version vector, which has the number of records held of
+// each origin, identifies the records that a controller lacks. The accepting controller
+// sends a record to all others immediately. Anti-entropy through other controllers
+// delivers it where two controllers can't reach each other.
 //
-// The parts:
+// The main types are:
 //
-//   - State is the replicated value, without time, disk or network;
-//   - journal makes records durable, in commits that share a sync;
-//   - peer is what is known of another controller, and replicator exchanges records
-//     with it;
-//   - Service puts them together: Add, Total, the catch-up of a controller that
-//     starts, and the hand-over of one that leaves.
+//   - State, the replicated state, which does no I/O and reads no clock;
+//   - journal, which makes records durable, with one sync for all that a commit groups;
+//   - peer, what is known about another controller; replicator.go exchanges records with
+//     it;
+//   - Service, which combines them and provides Add, Total, the catch-up of a starting
+//     controller and the hand-over of a leaving one.
 package counter
--- a/control/counter/key.go
+++ b/control/counter/key.go
@@ -5,15 +5,16 @@
 	"encoding/binary"
 )
 
-// keySize is the length of a Key in bytes: two IDs share one with a probability of
-// 2^-128.
+// keySize is the length of a Key in bytes. Two given IDs have the same key with a
+// probability of 2^-128.
 const keySize = 16
 
-// Key stands for an ID within a counter. IDs are of any length; what is remembered of
-// them forever is not.
+// Key identifies an ID within a counter. It is a hash of fixed length, since IDs can have
+// any length and keys are kept forever.
 type Key [keySize]byte
 
-// KeyOf returns the key of an ID in a counter.
+// KeyOf returns the key of an ID in a counter: a truncated SHA-256 of both. The length
+// prefix keeps different pairs of counter and ID from being hashed as the same text.
 func KeyOf(counter string, id string) Key {
 	text := binary.AppendUvarint(nil, uint64(len(counter)))
 	text = append(text, counter...)
--- a/control/counter/peer.go
+++ b/control/counter/peer.go
@@ -7,36 +7,40 @@
 	"onyxwell/base/ids"
 )
 
-// maxFailures is after how many exchanges in a row without an answer a peer is silent:
-// more than one, since the first may have waited in vain while this process was stopped.
+// maxFailures is the number of consecutive exchanges without an answer that makes a peer
+// silent. It is more than one because the first may have timed out while this process
+// itself was stopped.
 const maxFailures = 2
 
-// peer is what is known of another controller. The service's mu guards it.
+// peer is what is known about another controller. The service's mu guards it.
 type peer struct {
 	address ids.Address
-	// held is what the peer said last that its disk has.
+	// held is the version vector that the peer last reported for its disk.
 	held vector
-	// failures counts the exchanges since its last answer.
+	// failures counts the failed exchanges since its last answer.
 	failures int
-	// contacted says that it has answered since this process started, and firstHeld what
-	// it held then.
+	// contacted is set once the peer has answered this process, and firstHeld is the
+	// vector of that first answer.
 	contacted bool
 	firstHeld vector
-	// heldAtTick is what this controller held at the last tick: what the peer still
-	// lacks of other origins is sent after that, since their own disks send it at once.
+	// heldAtTick is the vector of this controller at the last tick. Records of other
+	// origins are sent to the peer only if they are in it: the controllers that accepted
+	// them send them immediately, so the peer usually has them before the next tick.
 	heldAtTick vector
-	// refreshedAt is when the membership had the peer last, or it called.
+	// refreshedAt is when the membership last listed the peer, the peer last called, or
+	// another controller last named it.
 	refreshedAt clock.Instant
-	// silentSince is when it became silent.
+	// silentSince is when the peer last became silent.
 	silentSince clock.Instant
 	wake        chan struct{}
 	stop        func()
 }
 
-// silent reports whether nothing waits for the peer.
+// silent reports whether the peer counts as unreachable: adds, the catch-up and the
+// hand-over don't wait for it.
 func (p *peer) silent() bool { return p.failures >= maxFailures }
 
-// notify has the peer's loop look for something to send.
+// notify wakes the peer's loop, which then checks whether there is something to send.
 func (p *peer) notify() {
 	select {
 	case p.wake <- struct{}{}:
@@ -44,22 +48,24 @@
 	}
 }
 
-// recordAnswer records an answer. It reports whether the peer was silent before.
+// recordAnswer records an answer with the peer's vector. It reports whether the peer was
+// silent before.
 func (p *peer) recordAnswer(held vector) bool {
 	wasSilent := p.silent()
 	if !p.contacted {
 		p.contacted, p.firstHeld = true, held
 	}
 	if wasSilent {
-		// The disks of other origins come first with what they have.
+		// Until the next tick, the controllers that accepted the records of other origins
+		// send them first.
 		p.heldAtTick = nil
 	}
 	p.held, p.failures = held, 0
 	return wasSilent
 }
 
-// recordFailure records an exchange without an answer. It reports whether the peer has become
-// silent by it.
+// recordFailure records an exchange without an answer. It reports whether the peer became
+// silent by this failure.
 func (p *peer) recordFailure(now clock.Instant) bool {
 	p.failures++
 	if p.failures == maxFailures {
@@ -68,7 +74,7 @@
 	return p.failures == maxFailures
 }
 
-// copyWaiter waits until enough disks hold a record.
+// copyWaiter is an add that waits until enough disks hold its record. done is closed then.
 type copyWaiter struct {
 	origin   int64
 	sequence int64
@@ -76,9 +82,10 @@
 }
 
 const (
-	// maxExchangeRecords keeps an exchange below the length of a large message.
+	// maxExchangeRecords keeps an exchange below the length from which the transport
+	// treats a message as large, 64 KiB.
 	maxExchangeRecords = 2000
-	// retryPause is the time between a failed exchange and the next, where the peer is
-	// not silent yet.
+	// retryPause is the time between a failed exchange and the retry, and between two
+	// checks whether a hand-over is complete.
 	retryPause = 20 * time.Millisecond
 )
--- a/control/counter/state.go
+++ b/control/counter/state.go
@@ -6,23 +6,25 @@
 	"slices"
 )
 
-// State is what a controller holds of all counters. Merging is a union of records, so
-// the order in which they come, and how often, makes no difference. It is not safe for
+// State holds the records and totals of all counters on a controller. Merging is a union
+// of records, so neither their order nor duplicates affect the totals. It is not safe for
 // concurrent use.
 type State struct {
 	names       []string
 	nameIndex   map[string]int32
 	origins     []originRecords
 	originIndex map[int64]int32
-	// index has, for each key, the record that counts.
+	// index maps each key to the record that counts towards the total.
 	index  map[Key]location
 	totals []big.Int
 	count  int
-	// conflicts counts the records whose key another record has with another amount.
+	// conflicts counts the records that were added while another record of their key
+	// counted with a different amount.
 	conflicts int
 }
 
-// originRecords are the records of an origin, by sequence number from 1.
+// originRecords holds the records of an origin. The record at index i has the sequence
+// number i+1.
 type originRecords struct {
 	origin  int64
 	records []record
@@ -35,7 +37,8 @@
 	amount  int64
 }
 
-// location is where a record is found.
+// location identifies a record by the index of its origin in State.origins and its sequence
+// number.
 type location struct {
 	origin   int32
 	sequence int32
@@ -49,7 +52,7 @@
 // Len returns the number of records.
 func (s *State) Len() int { return s.count }
 
-// Total returns the sum of a counter, 0 for one that nothing was added to.
+// Total returns the sum of a counter, 0 for an unknown one.
 func (s *State) Total(counter string) *big.Int {
 	total := new(big.Int)
 	if index, ok := s.nameIndex[counter]; ok {
@@ -67,7 +70,7 @@
 	return int64(len(s.origins[index].records))
 }
 
-// Vector returns how many records of each origin are held, by origin.
+// Vector returns the version vector, sorted by origin.
 func (s *State) Vector() []Position {
 	positions := make([]Position, 0, len(s.origins))
 	for _, origin := range s.origins {
@@ -77,7 +80,7 @@
 	return positions
 }
 
-// find returns the origin and the sequence number of the record that counts for a key.
+// find returns the origin and sequence number of the record that counts for a key.
 func (s *State) find(key Key) (origin int64, sequence int64, ok bool) {
 	at, ok := s.index[key]
 	if !ok {
@@ -86,8 +89,8 @@
 	return s.origins[at.origin].origin, int64(at.sequence), true
 }
 
-// Apply adds the records of a batch that are not held yet. It adds none where some
-// before them are missing. The batch must be valid.
+// Apply adds the records of a batch that are not held yet. It adds nothing if there is a
+// gap between the records held and the batch. The batch must be valid.
 func (s *State) Apply(batch Batch) {
 	held := s.held(batch.Origin)
 	if batch.First > held+1 || batch.Len() == 0 {
@@ -100,7 +103,8 @@
 	}
 }
 
-// add adds the next record of an origin, and counts it unless its key counts already.
+// add appends the next record of an origin. It adds the amount to the total if the key is
+// new; otherwise resolve decides.
 func (s *State) add(origin int64, added record) {
 	index, ok := s.originIndex[origin]
 	if !ok {
@@ -121,8 +125,8 @@
 	s.resolve(known, at, added)
 }
 
-// resolve decides which of two records of one key counts: that of the lower amount,
-// which every controller chooses whatever it heard of first.
+// resolve decides which of two records of one key counts: the one with the lower amount,
+// so that all controllers choose the same one, in whatever order they receive them.
 func (s *State) resolve(known location, at location, added record) {
 	counted := s.origins[known.origin].records[known.sequence-1]
 	if counted.amount == added.amount {
@@ -142,7 +146,7 @@
 	total.Add(total, big.NewInt(amount))
 }
 
-// counterIndex returns the index of a counter's name, which is given one if it is new.
+// counterIndex returns the index of a counter by its name, and assigns one to a new counter.
 func (s *State) counterIndex(name string) int32 {
 	index, ok := s.nameIndex[name]
 	if !ok {
@@ -153,7 +157,7 @@
 	return index
 }
 
-// Batch returns the records of an origin after the first skip, up to a limit.
+// Batch returns at most limit records of an origin, starting after the first skip ones.
 func (s *State) Batch(origin int64, skip int64, limit int) Batch {
 	index, ok := s.originIndex[origin]
 	if !ok || skip >= int64(len(s.origins[index].records)) {
@@ -167,7 +171,7 @@
 	return builder.batch
 }
 
-// batchBuilder puts a batch together record by record.
+// batchBuilder builds a batch record by record.
 type batchBuilder struct {
 	batch     Batch
 	nameIndex map[string]int64
--- a/control/counter/status.go
+++ b/control/counter/status.go
@@ -6,25 +6,27 @@
 	"onyxwell/base/ids"
 )
 
-// Status is what GET /status tells of the counters. The JSON names are the operators'.
+// Status is the part of GET /status on the counters. Operators' tools read the JSON names.
 type Status struct {
-	// Origin is the random number of this controller's disk.
+	// Origin is the origin of this controller's disk, a random number.
 	Origin int64 `json:"origin"`
-	// Ready says that this controller has caught up since its start.
+	// Ready is set once this controller has caught up after its start.
 	Ready bool `json:"ready"`
-	// Records is how many IDs are remembered, Capacity how many can be.
+	// Records is the number of records held, and Capacity how many can be held.
 	Records  int `json:"records"`
 	Capacity int `json:"capacity"`
-	// Conflicts counts the IDs that came with two amounts; the lower one counts.
+	// Conflicts counts the records whose amount differed from that of an earlier record of
+	// the same ID. The lowest amount counts.
 	Conflicts int `json:"conflicts"`
-	// Peers are the other controllers that can be reached, Silent those that can't.
+	// Peers are the other controllers that are not silent, Silent those that are.
 	Peers  []ids.Address `json:"peers"`
 	Silent []ids.Address `json:"silent"`
-	// Lacking is how many records held here the peers are not known to hold, added up.
+	// Lacking is the number of records held here that a peer is not known to hold, summed
+	// over all peers.
 	Lacking int64 `json:"lacking"`
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +57,8 @@
 	return silent
 }
 
-// countLackingRecords adds up how many records each peer lacks. The caller holds mu.
+// countLackingRecords returns how many of the records held here the peers are not known to
+// hold, summed over all peers. The caller holds mu.
 func (s *Service) countLackingRecords() int64 {
 	lacking := int64(0)
 	for _, other := range s.peers {
@@ -66,7 +69,7 @@
 	return lacking
 }
 
-// addMetrics registers the figures of the counters.
+// addMetrics registers the metrics of the counters.
 func (s *Service) addMetrics() {
 	metrics := s.options.Metrics
 	for outcome, count := range map[string]func() int64{
--- a/control/counter/timing.go
+++ b/control/counter/timing.go
@@ -7,47 +7,50 @@
 	"onyxwell/base/settings"
 )
 
-// clientTimeout is how long an application waits for an answer before it goes on to
-// another controller.
+// clientTimeout is how long an application waits for an answer before it tries another
+// controller.
 const clientTimeout = time.Second
 
-// Timing holds the intervals and time-outs of the counters.
+// Timing holds the intervals and timeouts of the counters.
 type Timing struct {
-	// Interval is the time between two exchanges with a peer to which nothing is sent.
+	// Interval is the time between two exchanges with a peer while there are no new
+	// records to send.
 	Interval time.Duration
-	// ExchangeTimeout is how long a peer's answer is waited for. Two in a row without an
-	// answer make it silent, within the caller's patience.
+	// ExchangeTimeout limits the wait for a peer's answer. Two consecutive timeouts mark
+	// the peer as silent, and together they are shorter than clientTimeout.
 	ExchangeTimeout time.Duration
-	// AddTimeout is after how long an add is answered as undecided.
+	// AddTimeout is the time after which an add that is not yet on enough disks is answered
+	// as undecided.
 	AddTimeout time.Duration
-	// CatchUpTimeout is how long a controller that starts waits for others, if none that
-	// it has reached holds more than it does.
+	// CatchUpTimeout is how long a starting controller waits for a first answer from any
+	// peer before it serves the records of its own disk alone.
 	CatchUpTimeout time.Duration
-	// HandOverTimeout is how long one that leaves waits for others to hold what it does.
+	// HandOverTimeout is how long a leaving controller waits for others to store all of
+	// its records.
 	HandOverTimeout time.Duration
-	// ForgetAfter is after how long a controller that is believed to be lost is no longer
-	// called.
+	// ForgetAfter is how long a controller stays a peer after the membership has removed
+	// it, and how long a peer is kept that is neither listed nor heard of any more.
 	ForgetAfter time.Duration
-	// ForgetUncontactedAfter is that of one that has never answered, and that the membership
-	// does not know.
+	// ForgetUncontactedAfter takes the place of ForgetAfter for a peer that the membership
+	// does not list and that has never answered.
 	ForgetUncontactedAfter time.Duration
-	// StallAfter is for how long a commit may be under way before no further add is
-	// accepted.
+	// StallAfter is how long a commit may take before further adds are refused.
 	StallAfter time.Duration
 }
 
 const (
-	// In a merge time: so many ticks, and twice the catch-up.
+	// ticksPerMerge and catchUpDivisor are the number of Intervals and of CatchUpTimeouts
+	// in the merge time, handOverDivisor that of HandOverTimeouts in the grace period.
 	ticksPerMerge   = 6
 	catchUpDivisor  = 2
 	handOverDivisor = 2
 	forgetAfter     = 30 * time.Minute
-	// forgetUncontactedMerges is ForgetUncontactedAfter in merge times.
+	// forgetUncontactedMerges is ForgetUncontactedAfter as a multiple of the merge time.
 	forgetUncontactedMerges = 4
 )
 
-// TimingOf derives the timing from the settings: after a partition all records must
-// reach all controllers within merge_ms.
+// TimingOf derives the timing from the settings. After a partition all records must reach
+// all controllers within the merge time: merge_ms, or apply_within_ms if that is not set.
 func TimingOf(node *settings.Settings) Timing {
 	merge := settings.Milliseconds(cmp.Or(node.Bounds.MergeMS, node.Bounds.ApplyWithinMS))
 	return Timing{
