--- a/control/counter/journal.go
+++ b/control/counter/journal.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// logName is the file of the write-ahead log. It is stored; it never changes.
+	// logName is the file name of the write-ahead log on the disk; it must never change.
 	logName = "counters"
-	// snapshotBatchRecords is how many records a batch of a compacted log has at most.
+	// snapshotBatchRecords is the maximum number of records in a batch of a compacted log.
 	snapshotBatchRecords = 4096
 )
 
-// pendingAdd is an add that waits for its commit.
+// pendingAdd is an add that waits for the next commit.
 type pendingAdd struct {
 	key     Key
 	counter string
@@ -24,52 +24,55 @@
 	done    chan committedAdd
 }
 
-// committedAdd says under which number a key counts, or why the commit failed: then it
-// is not known whether the add will be found on the disk.
+// committedAdd is the result of an add: the origin and sequence number of the record that
+// has its key, or the error of the commit. After an error the add may or may not be on the
+// disk.
 type committedAdd struct {
 	origin   int64
 	sequence int64
 	err      error
 }
 
-// pendingBatches are records of other origins that wait for their commit.
+// pendingBatches are records of other origins that wait for the next commit.
 type pendingBatches struct {
 	batches []Batch
 	done    chan error
 }
 
-// journal makes records durable before they count. All that waits while a commit is
-// under way shares the next one, and so a sync. Sequence numbers are given in the order
-// of the commits: after a crash no number is found without those before it.
+// journal makes records durable before they are applied to the state. Everything that is
+// queued during a commit goes into the next one and shares its sync. Sequence numbers are
+// assigned in commit order, so after a crash the disk has no gaps in them.
 type journal struct {
 	clock clock.Clock
 	log   *wal.Log
-	// origin is that of the disk, newOrigin draws another.
+	// origin is the origin of the disk. newOrigin draws a new one.
 	origin    int64
 	newOrigin func() int64
 	// mu guards state, which belongs to the service.
 	mu    *sync.Mutex
 	state *State
-	// onCommit is called with mu held after the state has grown.
+	// onCommit is called with mu held after a commit has added records to the state.
 	onCommit func()
 
-	// The fields below are guarded by mu. busySince is when the commit that is under
-	// way began, 0 if none is; failures counts those that failed.
+	// The fields below except committing are guarded by mu. busySince is when the commit in
+	// progress began, 0 if there is none; failures counts the failed commits.
 	adds      []pendingAdd
 	batches   []pendingBatches
 	busySince clock.Instant
 	failures  int64
 	wake      chan struct{}
-	// committing is held through a commit: the next one numbers on from it.
+	// committing serializes commits: the sequence numbers of a commit follow those of the
+	// one before.
 	committing sync.Mutex
-	// staged are the batches of the commit that is under way: a compaction covers them.
+	// staged are the batches of the commit in progress, which a snapshot must include.
 	staged []Batch
-	// originStale says that others hold more of the disk's origin than the disk does.
+	// originStale is set if another controller holds more records of the disk's origin than
+	// the disk does.
 	originStale bool
 }
 
-// openJournal opens the log of a disk, fills the state from it, and gives a disk
-// without an origin the one that newOrigin returns.
+// openJournal opens the log of a disk and loads the state from it. A disk without an origin
+// gets one from newOrigin.
 func openJournal(options wal.Options, mu *sync.Mutex, state *State, source clock.Clock, newOrigin func() int64) (*journal, error) {
 	j := &journal{clock: source, newOrigin: newOrigin, mu: mu, state: state, wake: make(chan struct{}, 1)}
 	options.Name, options.Snapshot = logName, j.snapshot
@@ -103,7 +106,7 @@
 	return j, nil
 }
 
-// enqueueAdd has an add take part in the next commit. The caller holds mu.
+// enqueueAdd queues an add for the next commit. The caller holds mu.
 func (j *journal) enqueueAdd(key Key, counter string, amount int64) <-chan committedAdd {
 	pending := pendingAdd{key: key, counter: counter, amount: amount, done: make(chan committedAdd, 1)}
 	j.adds = append(j.adds, pending)
@@ -111,8 +114,7 @@
 	return pending.done
 }
 
-// enqueueBatches has records of other origins take part in the next commit. The caller
-// holds mu.
+// enqueueBatches queues records of other origins for the next commit. The caller holds mu.
 func (j *journal) enqueueBatches(batches []Batch) <-chan error {
 	pending := pendingBatches{batches: batches, done: make(chan error, 1)}
 	j.batches = append(j.batches, pending)
@@ -120,9 +122,10 @@
 	return pending.done
 }
 
-// checkOrigin has the disk take another origin where somebody holds more of its own than
-// it does: it was brought back to an older state, and must not give the same sequence
-// numbers twice. The caller holds mu.
+// checkOrigin compares the vector of another controller with the records of this disk's
+// origin. If the other holds more of them, the disk was restored to an older state: the
+// next commit draws a new origin, since sequence numbers must not be assigned twice. The
+// caller holds mu.
 func (j *journal) checkOrigin(held vector) {
 	if held[j.origin] > j.state.held(j.origin) {
 		j.originStale = true
@@ -136,7 +139,7 @@
 	}
 }
 
-// run commits what waits until ctx ends.
+// run commits what is queued until ctx ends.
 func (j *journal) run(ctx context.Context) {
 	for {
 		select {
@@ -148,7 +151,7 @@
 	}
 }
 
-// commit makes all that waits durable in one write, and adds it to the state.
+// commit writes and syncs all that is queued as one log entry, and applies it to the state.
 func (j *journal) commit() {
 	j.committing.Lock()
 	defer j.committing.Unlock()
@@ -197,7 +200,7 @@
 	}
 }
 
-// save appends a record to the log and syncs it.
+// save appends an entry with the batches to the log and syncs it.
 func (j *journal) save(batches []Batch) error {
 	body, err := transport.Marshal(storedRecord{Origin: j.origin, Batches: batches})
 	if err != nil {
@@ -206,8 +209,8 @@
 	return j.log.Save(body)
 }
 
-// snapshot returns the records that a compacted log has: all of the state, and what is
-// being committed.
+// snapshot returns the entries of a compacted log: the origin, the whole state and the
+// batches of the commit in progress.
 func (j *journal) snapshot() [][]byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -226,21 +229,21 @@
 func (j *journal) marshalStored(batches []Batch) []byte {
 	body, err := transport.Marshal(storedRecord{Origin: j.origin, Batches: batches})
 	if err != nil {
-		// The type has a schema: this can't fail.
+		// Marshal fails only for a type without a schema, and storedRecord has one.
 		panic(err)
 	}
 	return body
 }
 
-// staging collects what a commit adds to a state, each record once.
+// staging collects the records that a commit adds to a state, without duplicates.
 type staging struct {
 	state  *State
 	origin int64
-	// recordCounts are how many records of an origin there will be, own where a key of the own
-	// origin will be found.
+	// recordCounts has the number of records of other origins after the commit, and
+	// ownSequences the sequence numbers of the keys that it adds under the disk's origin.
 	recordCounts map[int64]int64
 	ownSequences map[Key]int64
-	// batches are of other origins; builder collects the own.
+	// batches are those of other origins; builder collects the records of the disk's origin.
 	batches []Batch
 	builder batchBuilder
 }
@@ -252,7 +255,8 @@
 	}
 }
 
-// addBatches adds the records of other origins that are new and follow on what is held.
+// addBatches adds the batches of other origins that have new records and leave no gap
+// after those held.
 func (s *staging) addBatches(batches []Batch) {
 	for _, batch := range batches {
 		held := max(s.recordCounts[batch.Origin], s.state.held(batch.Origin))
@@ -264,7 +268,8 @@
 	}
 }
 
-// addOwn gives an add the next number of the own origin, unless its key is known.
+// addOwn assigns the next sequence number of the disk's origin to an add, unless there is a
+// record of its key already.
 func (s *staging) addOwn(pending pendingAdd) committedAdd {
 	if origin, sequence, ok := s.state.find(pending.key); ok {
 		return committedAdd{origin: origin, sequence: sequence}
@@ -278,7 +283,7 @@
 	return committedAdd{origin: s.origin, sequence: sequence}
 }
 
-// finish returns the batches of the commit.
+// finish returns all batches of the commit.
 func (s *staging) finish() []Batch {
 	if s.builder.batch.Len() > 0 {
 		s.batches = append(s.batches, s.builder.batch)
--- a/control/counter/replicator.go
+++ b/control/counter/replicator.go
@@ -12,7 +12,7 @@
 	"onyxwell/control/transport"
 )
 
-// runPeers keeps a loop for each other controller until ctx ends.
+// runPeers runs an exchange loop for each other controller until ctx ends.
 func (s *Service) runPeers(ctx context.Context) {
 	for {
 		s.updatePeers(ctx)
@@ -22,8 +22,9 @@
 	}
 }
 
-// updatePeers starts and ends loops by the membership. A controller that is believed to
-// be removed may be cut off: it stays a peer for as long as it may come back.
+// updatePeers starts and stops exchange loops to follow the membership. A controller in the
+// state membership.Removed may only be partitioned from this one, so it stays a peer until
+// ForgetAfter has passed.
 func (s *Service) updatePeers(ctx context.Context) {
 	now := s.options.Clock.Now()
 	for _, member := range s.options.Membership.Members() {
@@ -54,7 +55,7 @@
 	s.checkProgress()
 }
 
-// addPeer starts the loop of a peer, unless it has one. The caller holds mu.
+// addPeer starts the loop of a new peer, or refreshes a known one. The caller holds mu.
 func (s *Service) addPeer(ctx context.Context, address ids.Address, now clock.Instant) {
 	if known := s.peers[address]; known != nil {
 		known.refreshedAt = now
@@ -66,7 +67,7 @@
 	go s.runPeer(loop, added)
 }
 
-// dropPeer ends the loop of a peer. The caller holds mu.
+// dropPeer removes a peer and stops its loop. The caller holds mu.
 func (s *Service) dropPeer(address ids.Address) {
 	if known := s.peers[address]; known != nil {
 		known.stop()
@@ -74,8 +75,8 @@
 	}
 }
 
-// runPeer exchanges records with a peer until ctx ends: at once where it lacks records of
-// this disk, and at each tick.
+// runPeer exchanges records with a peer until ctx ends: as soon as the peer lacks records
+// of this disk's origin, and at each tick.
 func (s *Service) runPeer(ctx context.Context, other *peer) {
 	tick, tickDue := s.options.Clock.After(s.options.Timing.Interval), true
 	for ctx.Err() == nil {
@@ -86,7 +87,7 @@
 			if !answered {
 				clock.Wait(ctx, s.options.Clock, retryPause)
 			}
-			// A peer that lacks more than fits is brought up to date without a pause.
+			// A peer that lacks more than fits into an exchange gets the rest without a pause.
 			tickDue = answered && req.isFull()
 			continue
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-// nextExchange returns what to send to a peer now, and whether anything is due.
+// nextExchange returns the next request to a peer, and whether it is due now.
 func (s *Service) nextExchange(other *peer, tickDue bool) (ExchangeRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,8 @@
 	if !other.silent() && other.contacted {
 		req.Batches = s.missingBatches(other, tickDue)
 	}
-	// A first failure is followed up at once: either the peer is silent, or it is not.
+	// A first failure is retried without waiting for a tick, to find out soon whether the
+	// peer is silent.
 	retry := other.failures > 0 && !other.silent()
 	due := retry || len(req.Batches) > 0 || (tickDue && (!other.contacted || s.state.Len() > 0 || !s.ready))
 	if tickDue {
@@ -120,9 +122,10 @@
 	return req, due
 }
 
-// answeringControllers returns this controller and the peers that answer it. A controller that
-// reaches any of them gets to know all: the membership takes longer where many start at
-// once, or where a zone was cut off. The caller holds mu.
+// answeringControllers returns this controller and the peers that answer it. They are sent
+// to other controllers, so that one that reaches any of them learns of all. The membership
+// takes longer for that when many controllers start at the same time, or after a zone was
+// partitioned. The caller holds mu.
 func (s *Service) answeringControllers() []ids.Address {
 	addresses := []ids.Address{s.options.Address}
 	for address, other := range s.peers {
@@ -134,7 +137,8 @@
 	return addresses
 }
 
-// learnPeers adds peers that call, or that another controller told. The caller holds mu.
+// learnPeers adds or refreshes peers that are seeds, that have called or that another
+// controller named, except those that have left. The caller holds mu.
 func (s *Service) learnPeers(addresses []ids.Address) {
 	for _, address := range addresses {
 		member, known := s.options.Membership.Find(address)
@@ -145,9 +149,10 @@
 	}
 }
 
-// missingBatches returns records that a peer lacks, those of the own origin first. Those of
-// others are sent at ticks, if they were held at the last tick already and the peer has
-// not got them otherwise. The caller holds mu.
+// missingBatches returns records that a peer lacks, at most maxExchangeRecords and those of
+// this disk's origin first. Records of other origins are included only at a tick and only
+// if this controller held them at the previous tick: by then the peer usually has them from
+// the controllers that accepted them. The caller holds mu.
 func (s *Service) missingBatches(other *peer, tickDue bool) []Batch {
 	var batches []Batch
 	limit := maxExchangeRecords
@@ -170,9 +175,10 @@
 	return batches
 }
 
-// originOrder returns the origins, the own first and the others in an order that differs
-// from controller to controller: several that bring one up to date begin with different
-// records. The caller holds mu.
+// originOrder returns the origins in the order in which their records are sent: this disk's
+// origin first, then the others, starting at one that depends on this controller's address.
+// Several controllers that bring a peer up to date thus start with different records. The
+// caller holds mu.
 func (s *Service) originOrder() []int64 {
 	if len(s.order) == len(s.state.origins) {
 		return s.order
@@ -194,7 +200,8 @@
 	return s.order
 }
 
-// exchange sends a request to a peer and records the answer, or that there was none.
+// exchange sends a request to a peer, records the answer or the failure, and reports
+// whether there was an answer. If ctx has ended it records nothing.
 func (s *Service) exchange(ctx context.Context, other *peer, req ExchangeRequest) bool {
 	timed, cancel := s.options.Clock.WithTimeout(ctx, s.options.Timing.ExchangeTimeout)
 	defer cancel()
@@ -222,8 +229,9 @@
 	return true
 }
 
-// serveExchange stores what another controller brings, and answers with what this disk
-// holds then. A controller that leaves stores nothing any more: its disk may go with it.
+// serveExchange handles an exchange: it stores the records of the request and answers with
+// the vector of this disk. A controller that is leaving refuses it, since its disk may be
+// removed together with it.
 func (s *Service) serveExchange(ctx context.Context, req ExchangeRequest) (ExchangeResponse, error) {
 	for _, batch := range req.Batches {
 		if err := batch.validate(); err != nil {
@@ -260,8 +268,9 @@
 	return resp, nil
 }
 
-// recordCaller records what a caller holds. It may be one that the membership does not know
-// yet, such as a controller that is new; one that leaves is no peer. The caller holds mu.
+// recordCaller makes the sender of a request, and the controllers that it names, peers and
+// records the sender's vector. The membership need not know the sender yet, for example if
+// it is new. A controller that has left does not become a peer. The caller holds mu.
 func (s *Service) recordCaller(req ExchangeRequest) {
 	if s.runContext == nil || req.From == s.options.Address {
 		return
--- a/control/counter/service.go
+++ b/control/counter/service.go
@@ -23,10 +23,10 @@
 	"onyxwell/control/transport"
 )
 
-// logPart is the part that log lines name.
+// logPart is the value of the key "part" in log lines.
 const logPart = "counter"
 
-// Options are what a Service stands on. All are required, but for Metrics.
+// Options configure a Service. All are required except Seeds and Metrics.
 type Options struct {
 	Clock    clock.Clock
 	Log      *log.Logger
@@ -35,11 +35,12 @@
 	Address    ids.Address
 	Disk       wal.FS
 	Membership *membership.Table
-	// Seeds are controllers to ask first: a controller that is new learns the others from
-	// them before the membership does.
+	// Seeds are the first peers. A new controller learns the other controllers from them
+	// before the membership does.
 	Seeds     []ids.Address
 	Transport *transport.Client
-	// RequiredCopies is how many disks must hold an add, where so many can be reached.
+	// RequiredCopies is how many disks must hold an add before it is acknowledged, if so
+	// many can be reached.
 	RequiredCopies int
 	Timing         Timing
 	Metrics        *telemetry.Metrics
@@ -54,14 +55,14 @@
 	mu    sync.Mutex
 	state *State
 	peers map[ids.Address]*peer
-	// order caches originOrder.
+	// order caches the result of originOrder.
 	order   []int64
 	waiters []*copyWaiter
 	// runContext is the context of Run, nil before it. startedAt is when Run began.
 	runContext context.Context
 	startedAt  clock.Instant
-	// ready says that this controller has caught up since it started, leaving that it
-	// hands over.
+	// ready is set once this controller has caught up after its start, leaving once it
+	// hands over. capacityWarned is set once the warning about the capacity was logged.
 	ready          bool
 	leaving        bool
 	capacityWarned bool
@@ -69,12 +70,12 @@
 	outcomes outcomeCounts
 }
 
-// outcomeCounts counts adds by how they were answered.
+// outcomeCounts counts adds by outcome.
 type outcomeCounts struct{ acknowledged, refused, undecided atomic.Int64 }
 
-// Open opens the log of the counters and returns their Service. While the disk fails it
-// tries again until ctx ends; a log that a newer build wrote, or with records that can't
-// be read, is an error at once.
+// Open opens the log of the counters and returns a Service on it. It retries disk errors
+// until ctx ends. A log of an unsupported version or with entries that can't be decoded is
+// an error that is returned without a retry.
 func Open(ctx context.Context, options Options) (*Service, error) {
 	for {
 		s, err := open(options)
@@ -105,7 +106,8 @@
 	return s, nil
 }
 
-// newOrigin draws an origin. The address keeps those apart of disks whose draws agree.
+// newOrigin draws an origin. The hash of the address keeps origins distinct if two
+// controllers draw the same number. It is at least 1 because 0 stands for no origin.
 func (s *Service) newOrigin() int64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(s.options.Address))
@@ -116,17 +118,16 @@
 // Close closes the log.
 func (s *Service) Close() { s.journal.log.Close() }
 
-// RegisterHandlers registers what other controllers call.
+// RegisterHandlers registers the handler of the exchanges of other controllers.
 func (s *Service) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, exchangeMessage, s.serveExchange)
 }
 
-// Run commits what is added and exchanges records with the other controllers until ctx
-// ends.
+// Run commits adds and exchanges records with the other controllers until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.runContext, s.startedAt = ctx, s.options.Clock.Now()
-	// After a restart by the supervisor the loops of before have ended.
+	// The supervisor may restart Run; the loops of the previous run have ended by then.
 	for address := range s.peers {
 		s.dropPeer(address)
 	}
@@ -136,8 +137,8 @@
 	s.runPeers(ctx)
 }
 
-// Total returns the sum of a counter as far as this controller knows it. It returns an
-// errkind.NotReady error while the controller catches up.
+// Total returns the sum of the adds to a counter that this controller holds. While the
+// controller catches up, it returns an error of kind errkind.NotReady.
 func (s *Service) Total(counter string) (*big.Int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,12 +148,13 @@
 	return s.state.Total(counter), nil
 }
 
-// errCatchingUp is answered before anything is done.
+// errCatchingUp refuses adds and reads until the controller has caught up.
 var errCatchingUp = errkind.Errorf(errkind.NotReady, "the counters catch up")
 
 // Add adds an amount to a counter under an ID, unless the ID counts there already. It
-// returns nil once that is safe. Errors of kind errkind.AddUndecided leave open whether
-// the add counts; all others promise that nothing was done.
+// returns nil once enough disks hold the record. After an error of kind
+// errkind.AddUndecided the add may or may not count. All other errors guarantee that
+// nothing was done.
 func (s *Service) Add(ctx context.Context, counter string, id string, amount int64) error {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, s.options.Timing.AddTimeout)
 	defer cancel()
@@ -176,8 +178,7 @@
 	}
 	committed := s.journal.enqueueAdd(key, counter, amount)
 	s.mu.Unlock()
-	// From here on the add may be found on a disk: nothing promises any more that it
-	// does not count.
+	// From here on the add may reach a disk, so errors must leave open whether it counts.
 	select {
 	case result := <-committed:
 		if result.err != nil {
@@ -189,7 +190,7 @@
 	}
 }
 
-// admissionError returns why an add can't be accepted; nil if it can. The caller holds mu.
+// admissionError returns the reason to refuse an add, or nil. The caller holds mu.
 func (s *Service) admissionError(key Key) error {
 	if s.leaving {
 		return errkind.Errorf(errkind.Draining, "")
@@ -207,7 +208,8 @@
 	return nil
 }
 
-// awaitCopies waits until a record is on enough disks.
+// awaitCopies waits until enough disks hold a record. When ctx ends first, it returns an
+// error of kind errkind.AddUndecided.
 func (s *Service) awaitCopies(ctx context.Context, added committedAdd) error {
 	s.mu.Lock()
 	if s.hasEnoughCopies(added.origin, added.sequence) {
@@ -228,8 +230,8 @@
 	return errkind.Errorf(errkind.AddUndecided, "not on enough disks in time")
 }
 
-// hasEnoughCopies reports whether a record that this disk holds is on enough disks: on as many as
-// required, or on all that can be reached. The caller holds mu.
+// hasEnoughCopies reports whether enough disks hold a record that this disk holds:
+// RequiredCopies, or all that can be reached if those are fewer. The caller holds mu.
 func (s *Service) hasEnoughCopies(origin int64, sequence int64) bool {
 	copies, possible := 1, 1
 	for _, other := range s.peers {
@@ -244,7 +246,8 @@
 	return copies >= min(s.options.RequiredCopies, possible)
 }
 
-// recordsCommitted is called with mu held after the state has grown.
+// recordsCommitted wakes the loops of all peers after a commit and warns once if the
+// capacity is nearly used up. The caller holds mu.
 func (s *Service) recordsCommitted() {
 	for _, other := range s.peers {
 		other.notify()
@@ -256,8 +259,9 @@
 	s.checkProgress()
 }
 
-// checkProgress draws the conclusions from what has changed: adds that are safe now, and
-// whether this controller has caught up. The caller holds mu.
+// checkProgress releases the adds that enough disks hold by now, and sets ready once this
+// controller has caught up. It is called after each change of the records or of what is
+// known about peers. The caller holds mu.
 func (s *Service) checkProgress() {
 	s.waiters = slices.DeleteFunc(s.waiters, func(waiter *copyWaiter) bool {
 		safe := s.hasEnoughCopies(waiter.origin, waiter.sequence)
@@ -273,9 +277,10 @@
 	}
 }
 
-// caughtUp reports whether this controller holds all that the others it reaches held when
-// they answered first. Each of them answers or is silent soon; where none answers,
-// others may be found until CatchUpTimeout. The caller holds mu.
+// caughtUp reports whether this controller holds all records that the peers it reaches held
+// at their first answer. It waits for each peer, which soon either answers or becomes
+// silent. If no peer answers, it waits until CatchUpTimeout, since others may still be
+// discovered. The caller holds mu.
 func (s *Service) caughtUp() bool {
 	contacted := 0
 	held := vectorOf(s.state.Vector())
@@ -291,8 +296,8 @@
 	return contacted > 0 || s.options.Clock.Now().Since(s.startedAt) >= s.options.Timing.CatchUpTimeout
 }
 
-// HandOver accepts no further adds, and waits until every controller that answers holds
-// what this one does, at least one of them; it gives up after HandOverTimeout.
+// HandOver refuses further adds, and waits until all controllers that answer, and at least
+// one, hold every record of this one. It gives up after HandOverTimeout.
 func (s *Service) HandOver(ctx context.Context) {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, s.options.Timing.HandOverTimeout)
 	defer cancel()
@@ -306,6 +311,8 @@
 	s.options.Log.Info().Str("part", logPart).Bool("complete", complete).Msg("hand-over of counters ended")
 }
 
+// handedOver reports whether no add waits for a commit and all peers that are not silent,
+// at least one, hold every record of this controller. Without records no peer is needed.
 func (s *Service) handedOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/timesync/timesync.go
+++ b/control/timesync/timesync.go
@@ -1,12 +1,13 @@
-// Package timesync keeps a time of day that the daemons agree on, though clocks of some
-// machines are set by seconds at any moment. It is a monotonic clock and an offset.
+// Package timesync keeps a time of day that the daemons agree on even if the wall clocks of
+// some machines are stepped by seconds at any moment. The agreed time is the monotonic clock
+// plus an offset.
 //
-// A controller takes the offset from the clocks of all controllers, its own among them,
-// by round trips, and of these the median: as long as fewer than half of the clocks are
-// wrong, the median lies between right ones. A clock that is set while its controller runs
-// counts as it was for stepPersistence, so that also more than half of them may be set for
-// some seconds. A router takes over the time of its zone's relay. What the machine's own
-// clock does after that has no effect.
+// A controller samples the clocks of other controllers by round trips and takes the median
+// of these offsets and its own. As long as fewer than half of the clocks are wrong, the
+// median lies between correct ones. If a wall clock is stepped while its controller runs,
+// the step is ignored for stepPersistence, so even more than half of the clocks may be wrong
+// for some seconds. A router adopts the time of its zone's relay. From then on, its own wall
+// clock has no effect.
 package timesync
 
 import (
@@ -19,57 +20,60 @@
 	"onyxwell/base/ids"
 )
 
-// SampleMessage asks a controller for its time of day. The name is sent; it never changes.
+// SampleMessage is the name of the message that asks a controller for its time of day. It
+// is sent between daemons and must never change.
 const SampleMessage = "time-sample"
 
-// SampleRequest asks for the time.
+// SampleRequest asks a controller for the time of day of its machine.
 type SampleRequest struct {
 	From ids.Address `avro:"From"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the Avro record name, which is sent; it must never change.
 func (SampleRequest) SchemaName() string { return "TimeSampleRequest" }
 
-// SampleResponse tells the machine's own time of day, in nanoseconds since the start of
-// 1970.
+// SampleResponse has the time of day of the controller's machine, in nanoseconds since the
+// Unix epoch.
 type SampleResponse struct {
 	UnixNanos int64 `avro:"UnixNanos"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the Avro record name, which is sent; it must never change.
 func (SampleResponse) SchemaName() string { return "TimeSampleResponse" }
 
 const (
 	// interval is the time between two rounds of samples.
 	interval = time.Second
-	// maxSampleAge is for how long the sample of a clock that answers no more counts.
+	// maxSampleAge is how long the last sample of a peer that no longer answers is used.
 	maxSampleAge = 10 * interval
-	// maxPeers bounds how many clocks a round asks.
+	// maxPeers is the maximum number of peers that a round asks.
 	maxPeers = 8
-	// minRounds is after how many rounds the time is agreed on though fewer than three clocks
-	// are known: there are no more controllers, or no others that tell their time.
+	// minRounds is the number of rounds after which the time counts as synchronized although
+	// fewer than three clocks are known: there are no further controllers, or none that
+	// answers.
 	minRounds = 5
-	// maxSlew is by how much a clock may move against the monotonic one between two rounds;
-	// what moves further was set.
+	// maxSlew is how far the wall clock may drift from the monotonic clock between two
+	// readings. A larger difference is a step.
 	maxSlew = 20 * time.Millisecond
-	// stepPersistence is after how long a clock that was set is believed.
+	// stepPersistence is how long a step of the wall clock must last before it is accepted.
 	stepPersistence = time.Minute
-	// maxRoundTrip is the longest round trip whose sample counts.
+	// maxRoundTrip is the longest round trip of a sample that is used.
 	maxRoundTrip = interval / 2
 )
 
 // Options configure a Clock. Clock and Wall are required.
 type Options struct {
 	Clock clock.Clock
-	// Wall is the machine's own time of day.
+	// Wall returns the time of the machine's wall clock.
 	Wall func() time.Time
-	// Peers returns the controllers whose clocks are asked; nil asks none.
+	// Peers returns the controllers to sample, and may return none. Sample calls it, so only
+	// a Clock that is not sampled can go without it.
 	Peers func() []ids.Address
-	// Ask asks one of them.
+	// Ask requests a sample from a peer.
 	Ask func(ctx context.Context, peer ids.Address) (SampleResponse, error)
 }
 
-// Clock is the agreed time of day. It is safe for concurrent use.
+// Clock keeps the agreed time of day. It is safe for concurrent use.
 type Clock struct {
 	options Options
 
@@ -77,21 +81,22 @@
 	offset time.Duration
 	synced bool
 	rounds int
-	// trustedOffset is the offset of the machine's own clock, as it was before it was set at steppedAt;
-	// 0 is that it was not.
+	// trustedOffset is the offset of the wall clock, without a step that has not yet lasted
+	// for stepPersistence. steppedAt is when that step was detected, 0 if there is none.
 	trustedOffset time.Duration
 	steppedAt     clock.Instant
-	// samples are the offsets of other controllers' clocks.
+	// samples are the last offsets of the clocks of other controllers.
 	samples map[ids.Address]sample
 }
 
-// sample is the time of day at the monotonic clock's zero, by some clock.
+// sample is the offset of a peer's clock from this daemon's monotonic clock, received at at.
 type sample struct {
 	offset time.Duration
 	at     clock.Instant
 }
 
-// New returns a Clock that follows the machine's own until it is synchronized.
+// New returns a Clock that has the time of the machine's wall clock until it is synchronized
+// by Sample or Adopt.
 func New(options Options) *Clock {
 	c := &Clock{options: options, samples: map[ids.Address]sample{}}
 	c.trustedOffset = c.wallOffset()
@@ -99,25 +104,28 @@
 	return c
 }
 
+// wallOffset returns the difference between the wall clock and the monotonic clock.
 func (c *Clock) wallOffset() time.Duration {
 	return time.Duration(c.options.Wall().UnixNano()) - time.Duration(c.options.Clock.Now())
 }
 
-// Now returns the agreed time in nanoseconds since the start of 1970.
+// Now returns the agreed time as the duration since the Unix epoch.
 func (c *Clock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.offset + time.Duration(c.options.Clock.Now())
 }
 
-// Synced reports whether the time was taken from more than the machine's own clock.
+// Synced reports whether the time is synchronized: it was taken from at least three clocks,
+// adopted from a relay, or, where fewer clocks are known, sampled for minRounds.
 func (c *Clock) Synced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.synced
 }
 
-// ServeSample answers a sample with the machine's own time of day.
+// ServeSample handles a SampleRequest. It answers with the time of this machine's wall
+// clock, without recent steps.
 func (c *Clock) ServeSample(context.Context, SampleRequest) (SampleResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,8 +133,8 @@
 	return SampleResponse{UnixNanos: int64(c.trustedOffset) + int64(c.options.Clock.Now())}, nil
 }
 
-// updateTrustedOffset takes over what the machine's own clock says, unless it was set of late. The
-// caller holds c.mu.
+// updateTrustedOffset sets trustedOffset to the offset of the wall clock, unless that was
+// stepped less than stepPersistence ago. The caller holds c.mu.
 func (c *Clock) updateTrustedOffset() {
 	now, offset := c.options.Clock.Now(), c.wallOffset()
 	switch {
@@ -139,7 +147,7 @@
 	}
 }
 
-// Run takes samples until ctx ends.
+// Run calls Sample at each interval until ctx ends.
 func (c *Clock) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.Sample(ctx)
@@ -149,7 +157,7 @@
 	}
 }
 
-// Sample asks the peers' clocks once and sets the offset to the median.
+// Sample asks the peers for their time once and sets the offset to the median.
 func (c *Clock) Sample(ctx context.Context) {
 	ctx, cancel := c.options.Clock.WithTimeout(ctx, maxRoundTrip)
 	defer cancel()
@@ -162,6 +170,8 @@
 	c.setMedian()
 }
 
+// samplePeer stores a sample of a peer's clock. It assumes that the peer read its clock in
+// the middle of the round trip.
 func (c *Clock) samplePeer(ctx context.Context, peer ids.Address) {
 	started := c.options.Clock.Now()
 	resp, err := c.options.Ask(ctx, peer)
@@ -175,8 +185,9 @@
 	c.samples[peer] = sample{offset: time.Duration(resp.UnixNanos) - time.Duration(middle), at: ended}
 }
 
-// setMedian sets the offset to the median of the known clocks: of an even number, the
-// lower one of the middle, so that it is always some clock's.
+// setMedian sets the offset to the median of the known clocks. Of an even number it takes
+// the lower of the two middle ones, so that the result is always the offset of a clock. Once
+// synchronized, it leaves the offset as it is while fewer than three clocks are known.
 func (c *Clock) setMedian() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,8 +210,9 @@
 	c.offset, c.synced = offsets[(len(offsets)-1)/2], c.synced || len(offsets) > 2 || c.rounds >= minRounds
 }
 
-// Adopt takes over the time that a relay told in answer to a request sent at started: it
-// was told in the middle of the round trip.
+// Adopt sets the time to that of a relay's answer to a request sent at started. It assumes
+// that the relay read its clock in the middle of the round trip, and ignores an answer that
+// took longer than maxRoundTrip.
 func (c *Clock) Adopt(unixNanos int64, started clock.Instant) {
 	now := c.options.Clock.Now()
 	if now.Since(started) > maxRoundTrip {
