--- a/control/counter/journal_test.go
+++ b/control/counter/journal_test.go
@@ -12,7 +12,8 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// openTestJournal opens the journal of a disk, with a log that is compacted often.
+// openTestJournal opens the journal of a disk with a low MinCompactBytes, so that the log is
+// compacted often.
 func openTestJournal(t rapid.TB, disk *simdisk.Disk, newOrigin func() int64) *journal {
 	t.Helper()
 	options := wal.Options{FS: disk.Mount(), MinCompactBytes: 300}
@@ -24,7 +25,7 @@
 	return j
 }
 
-// commitOne commits an add and returns its outcome.
+// commitOne commits a single add and returns its result.
 func (j *journal) commitOne(key Key, amount int64) committedAdd {
 	j.mu.Lock()
 	done := j.enqueueAdd(key, "a", amount)
@@ -33,9 +34,9 @@
 	return <-done
 }
 
-// TestJournal_recoversCommittedAdds kills the process and cuts the power again and again,
-// between commits and compactions: every add that was committed is there afterwards,
-// under the same number, and the disk keeps its origin.
+// TestJournal_recoversCommittedAdds repeatedly ends the process with a power loss, between
+// commits and compactions. After each restart, every committed add must have the sequence
+// number that it was committed with, and the disk must keep its origin.
 func TestJournal_recoversCommittedAdds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := simdisk.New(simdisk.Options{OneIn: func(odds int) bool { return rapid.IntRange(1, odds).Draw(t, "odds") == 1 }})
@@ -45,11 +46,11 @@
 		for process := range rapid.IntRange(2, 4).Draw(t, "processes") {
 			j := openTestJournal(t, disk, newOrigin)
 			if j.origin != 101 {
-				t.Fatalf("process %d has the origin %d", process, j.origin)
+				t.Fatalf("process %d: origin %d, want 101", process, j.origin)
 			}
 			for key, sequence := range committed {
 				if _, found, ok := j.state.find(key); !ok || found != sequence {
-					t.Fatalf("process %d has number %d for what was committed as %d", process, found, sequence)
+					t.Fatalf("process %d: sequence number %d for an add that was committed as %d", process, found, sequence)
 				}
 			}
 			for number := range rapid.IntRange(0, 25).Draw(t, "adds") {
@@ -66,8 +67,9 @@
 	})
 }
 
-// TestJournal_stagesEachRecordOnce has adds and records of others come together, twice
-// and with gaps: nothing is numbered twice, and nothing is taken without what is before.
+// TestJournal_stagesEachRecordOnce puts adds and records of other origins into one commit,
+// with duplicates and gaps. No add may get two sequence numbers, and no record may be
+// accepted without those before it.
 func TestJournal_stagesEachRecordOnce(t *testing.T) {
 	j := openTestJournal(t, simdisk.New(simdisk.Options{}), func() int64 { return 7 })
 	defer j.log.Close()
@@ -85,16 +87,17 @@
 	j.mu.Unlock()
 	j.commit()
 	if one, two := <-first, <-again; one != two || one.origin != 7 || one.sequence != 1 {
-		t.Errorf("%+v, %+v", one, two)
+		t.Errorf("results of the two adds of one ID: %+v and %+v, want origin 7, sequence 1 for both", one, two)
 	}
 	if total := j.state.Total("a").Int64(); total != 41 || j.state.held(9) != 4 {
-		t.Errorf("%d, %d records of the other origin", total, j.state.held(9))
+		t.Errorf("total %d, want 41; %d records of the other origin, want 4", total, j.state.held(9))
 	}
 }
 
-// TestJournal_changesOriginAfterDiskRollback has another controller hold more of the
-// disk's origin than the disk: it was brought back to an older state. It must not give
-// the numbers that are taken, and takes its own old records from others.
+// TestJournal_changesOriginAfterDiskRollback covers a disk that was restored to an older
+// state, so that another controller holds more records of its origin than it does. The
+// journal must not assign those sequence numbers again: it switches to a new origin and
+// accepts the records of the old one from others.
 func TestJournal_changesOriginAfterDiskRollback(t *testing.T) {
 	origin := int64(6)
 	j := openTestJournal(t, simdisk.New(simdisk.Options{}), func() int64 { origin++; return origin })
@@ -106,9 +109,9 @@
 	received := j.enqueueBatches([]Batch{builder.batch})
 	j.mu.Unlock()
 	if result := j.commitOne(KeyOf("a", "new"), 1); result.err != nil || result.origin != 8 || result.sequence != 1 {
-		t.Fatalf("%+v", result)
+		t.Fatalf("result of the add: %+v, want origin 8, sequence 1", result)
 	}
 	if err := <-received; err != nil || j.state.Total("a").Int64() != 11 {
-		t.Errorf("%v, total %v", err, j.state.Total("a"))
+		t.Errorf("error %v, want none; total %v, want 11", err, j.state.Total("a"))
 	}
 }
--- a/control/counter/service_test.go
+++ b/control/counter/service_test.go
@@ -21,17 +21,18 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// replica is a service whose loops do not run: the test commits and exchanges.
+// replica is a Service without running loops: the test triggers commits and exchanges.
 type replica struct {
 	*Service
 	t     *testing.T
 	clock *clock.Fake
 	disk  *simdisk.Disk
-	// diskError is what each write fails with.
+	// diskError is the error of every disk operation, nil for none.
 	diskError error
 }
 
-// newReplica returns a service behind a server, on a clock that may be shared.
+// newReplica returns a replica that serves its handlers over HTTP. Replicas may share a
+// clock.
 func newReplica(t *testing.T, source *clock.Fake, requiredCopies int) *replica {
 	t.Helper()
 	r := &replica{t: t, clock: source}
@@ -43,7 +44,7 @@
 	node := &settings.Settings{Limits: settings.Limits{MemoryMB: 184, DiskMB: 64}}
 	node.Bounds.MergeMS, node.Bounds.GraceS = 3000, 8
 	timing := TimingOf(node)
-	// The network is real here: only the fake clock ends what waits.
+	// The network is real, so its timeouts are long: waits end by the fake clock.
 	service, err := Open(context.Background(), Options{
 		Clock: source, Log: scope.New(scope.Options{}).Log, Settings: node, Address: address, Disk: r.disk.Mount(),
 		Membership:     membership.NewTable(source, membership.Member{Address: address, ServesControl: true}),
@@ -57,13 +58,13 @@
 	service.RegisterHandlers(mux)
 	stopped, cancel := context.WithCancel(context.Background())
 	cancel()
-	// Loops of peers end at once.
+	// With an ended context, the loops of peers return immediately.
 	service.runContext, service.startedAt = stopped, source.Now()
 	r.Service = service
 	return r
 }
 
-// connectTo makes others peers.
+// connectTo makes the other replicas peers of r.
 func (r *replica) connectTo(others ...*replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +73,8 @@
 	}
 }
 
-// exchangeWith has one exchange with another, which commits what it is sent.
+// exchangeWith sends one exchange to another replica, which commits the records in it, and
+// reports whether it answered.
 func (r *replica) exchangeWith(other *replica) bool {
 	r.t.Helper()
 	r.mu.Lock()
@@ -87,7 +89,7 @@
 
 func (r *replica) runJournal(ctx context.Context) { r.journal.run(ctx) }
 
-// markSilent has the other be silent.
+// markSilent records failed exchanges with another replica until it counts as silent.
 func (r *replica) markSilent(other *replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,14 +99,15 @@
 	r.checkProgress()
 }
 
-// startAdd begins an add; its error comes on the channel.
+// startAdd starts an add in the background and returns the channel that receives its
+// result.
 func (r *replica) startAdd(id string) <-chan error {
 	done := make(chan error, 1)
 	go func() { done <- r.Add(context.Background(), "a", id, 5) }()
 	return done
 }
 
-// commitNext waits until an add waits, and commits it.
+// commitNext waits until something is queued for a commit, and commits it.
 func (r *replica) commitNext() {
 	<-r.journal.wake
 	r.journal.commit()
@@ -116,7 +119,7 @@
 	r.ready = true
 }
 
-// waitForCopyWaiter waits until an add waits for copies.
+// waitForCopyWaiter blocks until an add waits for copies.
 func (r *replica) waitForCopyWaiter() {
 	for {
 		r.mu.Lock()
@@ -129,7 +132,8 @@
 	}
 }
 
-// TestAdd_waitsForCopies has an add wait until two others hold it.
+// TestAdd_waitsForCopies checks that with three required copies an add is acknowledged only
+// when both other replicas hold it.
 func TestAdd_waitsForCopies(t *testing.T) {
 	source := clock.NewFake()
 	a, b, c := newReplica(t, source, 3), newReplica(t, source, 3), newReplica(t, source, 3)
@@ -143,7 +147,7 @@
 	a.exchangeWith(b)
 	select {
 	case err := <-done:
-		t.Fatalf("answered with two copies of three: %v", err)
+		t.Fatalf("add returned with two of three copies: %v", err)
 	default:
 	}
 	a.exchangeWith(c)
@@ -151,12 +155,12 @@
 		t.Fatal(err)
 	}
 	if got := c.state.Total("a").Int64(); got != 5 {
-		t.Errorf("the third has %d", got)
+		t.Errorf("total of the third replica is %d, want 5", got)
 	}
 }
 
-// TestAdd_goesOnWithoutSilentPeers has an add be acknowledged once its last peer that
-// lacks it is silent, and the next one at once.
+// TestAdd_goesOnWithoutSilentPeers checks that an add is acknowledged once the last peer that
+// lacks it becomes silent, and that the next add does not wait for that peer.
 func TestAdd_goesOnWithoutSilentPeers(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 3), newReplica(t, source, 3)
@@ -176,8 +180,9 @@
 	}
 }
 
-// TestAdd_undecidedOnceEnqueued has the disk fail, and the copies not come in time: the
-// answer must not promise that nothing was done.
+// TestAdd_undecidedOnceEnqueued covers a failed commit and copies that do not arrive in
+// time. The add may be on a disk by then, so the error must be errkind.AddUndecided: any
+// other would guarantee that nothing was done.
 func TestAdd_undecidedOnceEnqueued(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 2), newReplica(t, source, 2)
@@ -186,7 +191,7 @@
 	done := a.startAdd("x")
 	a.commitNext()
 	if err := <-done; errkind.KindOf(err) != errkind.AddUndecided || errkind.KindOf(err).Response().Status != 504 {
-		t.Errorf("the disk failed: %v", err)
+		t.Errorf("failed disk: error %v, want AddUndecided with status 504", err)
 	}
 	a.diskError = nil
 	a.connectTo(b)
@@ -195,11 +200,12 @@
 	a.waitForCopyWaiter()
 	source.Advance(a.options.Timing.AddTimeout)
 	if err := <-done; errkind.KindOf(err) != errkind.AddUndecided {
-		t.Errorf("no copy in time: %v", err)
+		t.Errorf("no copy in time: error %v, want AddUndecided", err)
 	}
 }
 
-// TestAdd_refusedBeforeEnqueue has the reasons for which nothing is done.
+// TestAdd_refusedBeforeEnqueue checks for each reason to refuse an add that the error has the
+// right kind and status 503, and that nothing is queued for a commit.
 func TestAdd_refusedBeforeEnqueue(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*replica)
@@ -208,7 +214,7 @@
 		"catching up": {func(r *replica) { r.ready = false }, errkind.NotReady},
 		"leaving":     {func(r *replica) { r.leaving = true }, errkind.Draining},
 		"full":        {func(r *replica) { r.capacity = 0 }, errkind.CountersFull},
-		"a stalled disk": {func(r *replica) {
+		"stalled disk": {func(r *replica) {
 			r.journal.busySince = r.clock.Now()
 			r.clock.Advance(2 * r.options.Timing.StallAfter)
 		}, errkind.NotReady},
@@ -219,17 +225,18 @@
 			test.prepare(r)
 			err := r.Add(context.Background(), "a", "x", 1)
 			if kind := errkind.KindOf(err); kind != test.kind || kind.Response().Status != 503 {
-				t.Errorf("%v", err)
+				t.Errorf("error %v has the wrong kind or not status 503", err)
 			}
 			if len(r.journal.adds) > 0 {
-				t.Error("the add waits for a commit")
+				t.Error("the refused add is queued for a commit")
 			}
 		})
 	}
 }
 
-// TestService_catchesUpBeforeItAnswers has a controller with an empty disk read nothing
-// until it holds what others held, and where none answers after a bounded time.
+// TestService_catchesUpBeforeItAnswers checks that a controller with an empty disk refuses
+// reads until it holds the records of the others, or until CatchUpTimeout if no other
+// answers.
 func TestService_catchesUpBeforeItAnswers(t *testing.T) {
 	source := clock.NewFake()
 	old, empty := newReplica(t, source, 1), newReplica(t, source, 1)
@@ -244,28 +251,30 @@
 	source.Advance(time.Minute)
 	empty.exchangeWith(old)
 	if total, err := empty.Total("a"); errkind.KindOf(err) != errkind.NotReady {
-		t.Fatalf("%v, %v before it has caught up", total, err)
+		t.Fatalf("before the catch-up: total %v, error %v, want NotReady", total, err)
 	}
-	// The first tells what the other lacks, the second is a tick after that.
+	// The first exchange fetches the vector of the empty replica, the second sends it the
+	// records.
 	old.exchangeWith(empty)
 	old.exchangeWith(empty)
 	if total, err := empty.Total("a"); err != nil || total.Int64() != 5 {
-		t.Errorf("%v, %v", total, err)
+		t.Errorf("after the catch-up: total %v, error %v, want 5", total, err)
 	}
 	alone := newReplica(t, source, 1)
 	alone.connectTo(old)
 	alone.markSilent(old)
 	if _, err := alone.Total("a"); err == nil {
-		t.Error("answers at once though others may be found")
+		t.Error("read before CatchUpTimeout, though other controllers may still be discovered")
 	}
 	source.Advance(alone.options.Timing.CatchUpTimeout)
 	alone.markSilent(old)
 	if total, err := alone.Total("a"); err != nil || total.Sign() != 0 {
-		t.Errorf("alone: %v, %v", total, err)
+		t.Errorf("no other answers, after CatchUpTimeout: total %v, error %v, want 0", total, err)
 	}
 }
 
-// TestHandOver_waitsForOthers has a controller that leaves hold what nobody else does.
+// TestHandOver_waitsForOthers checks that the hand-over of a record that no other controller
+// has is complete only when another one holds it.
 func TestHandOver_waitsForOthers(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 1), newReplica(t, source, 1)
@@ -276,20 +285,21 @@
 		t.Fatal(err)
 	}
 	if a.handedOver() {
-		t.Error("handed over to nobody")
+		t.Error("hand-over complete without another controller")
 	}
 	a.connectTo(b)
 	a.exchangeWith(b)
 	if a.handedOver() {
-		t.Error("handed over to a controller without the record")
+		t.Error("hand-over complete though the other controller lacks the record")
 	}
 	a.exchangeWith(b)
 	if !a.handedOver() {
-		t.Error("not handed over though the other holds all")
+		t.Error("hand-over incomplete though the other controller holds all records")
 	}
 }
 
-// TestCapacity bounds the IDs by the disk and by the memory.
+// TestCapacity covers a capacity limited by the disk, by the memory, and by the memory
+// because the size of the disk is not set.
 func TestCapacity(t *testing.T) {
 	for _, test := range []struct {
 		diskMB, memoryMB int64
@@ -297,13 +307,13 @@
 	}{{64, 184, 174762}, {6400, 184, 215332}, {0, 184, 215332}, {1, 184, 2730}} {
 		node := &settings.Settings{Limits: settings.Limits{MemoryMB: test.memoryMB, DiskMB: test.diskMB}}
 		if got := Capacity(node); got != test.want {
-			t.Errorf("%d MB of disk, %d MB of memory: %d", test.diskMB, test.memoryMB, got)
+			t.Errorf("%d MB of disk and %d MB of memory: wrong capacity %d", test.diskMB, test.memoryMB, got)
 		}
 	}
 }
 
-// TestNextExchange_isBounded has a peer lack far more than fits in an exchange, as after a
-// long partition: what is sent at a time stays below the length of a large message.
+// TestNextExchange_isBounded has a peer lack far more records than fit into an exchange, as
+// after a long partition. Each request must stay within 64 KiB, the limit of a small message.
 func TestNextExchange_isBounded(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 1), newReplica(t, source, 1)
@@ -320,7 +330,7 @@
 	req, due := a.nextExchange(a.peers[b.options.Address], true)
 	body, err := transport.Marshal(req)
 	if !due || err != nil || !req.isFull() || len(body) > 64<<10 {
-		t.Errorf("%v, %v: full %v, %d bytes", due, err, req.isFull(), len(body))
+		t.Errorf("due %v, error %v, full %v, %d bytes; want a full request of at most 64 KiB", due, err, req.isFull(), len(body))
 	}
 	exchanges := 0
 	for ; b.state.Len() < 2*records; exchanges++ {
@@ -330,10 +340,11 @@
 	}
 }
 
-// TestExchange_boundsBytesOfConcurrentPeers has a controller come back that lacks many records,
-// and several peers that hold all of them bring it up to date at the same time: together
-// they send little more than the records once, and hold no more than an exchange each in
-// flight, which a link of 10 Mbit/s carries within a fraction of a second.
+// TestExchange_boundsBytesOfConcurrentPeers covers a returning controller that lacks many
+// records and several peers that hold all of them and bring it up to date at the same time.
+// Together they must send at most twice the bytes of the records, and have at most one
+// exchange of 64 KiB each in flight, which a link of 10 Mbit/s carries within a fraction of
+// a second.
 func TestExchange_boundsBytesOfConcurrentPeers(t *testing.T) {
 	source := clock.NewFake()
 	const peers, perOrigin = 4, 3 * maxExchangeRecords
@@ -363,7 +374,7 @@
 		if round > peers*perOrigin {
 			t.Fatalf("%d records after %d rounds", returning.state.Len(), round)
 		}
-		// All peers decide what to send before any of it has arrived.
+		// All peers choose their batches before any request of the round has arrived.
 		requests := make([]ExchangeRequest, peers)
 		for index, other := range others {
 			requests[index], _ = other.nextExchange(other.peers[returning.options.Address], true)
@@ -381,10 +392,10 @@
 	}
 	const recordBytes = keySize + 12
 	if limit := 2 * peers * perOrigin * recordBytes; sent > limit {
-		t.Errorf("%d bytes are sent for %d records, over %d", sent, peers*perOrigin, limit)
+		t.Errorf("%d bytes sent for %d records, limit %d", sent, peers*perOrigin, limit)
 	}
 	if limit := peers * 64 << 10; maxInFlight > limit {
-		t.Errorf("%d bytes are in flight at once, over %d", maxInFlight, limit)
+		t.Errorf("%d bytes in flight at the same time, limit %d", maxInFlight, limit)
 	}
-	t.Logf("%d bytes for %d records, %d at once", sent, peers*perOrigin, maxInFlight)
+	t.Logf("%d bytes for %d records, at most %d in flight at the same time", sent, peers*perOrigin, maxInFlight)
 }
--- a/control/counter/state_test.go
+++ b/control/counter/state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawBatches draws the records of some origins, whose IDs overlap and come with several
+// drawBatches draws the records of three origins. Their IDs overlap and occur with different
 // amounts.
 func drawBatches(t *rapid.T) []Batch {
 	var batches []Batch
@@ -26,7 +26,8 @@
 	return batches
 }
 
-// totalsOf sums the lowest amount of each key.
+// totalsOf returns the expected totals: for each counter the sum of the lowest amounts of
+// its keys.
 func totalsOf(batches []Batch) map[string]int64 {
 	lowest, counters := map[Key]int64{}, map[Key]string{}
 	for _, batch := range batches {
@@ -45,8 +46,9 @@
 	return totals
 }
 
-// TestState_mergeConverges applies the same records in two orders, in pieces that overlap
-// and repeat: both states are the same, and each ID counts once.
+// TestState_mergeConverges applies the same records once in full batches and once in pieces
+// that overlap, repeat and come in any order. Both states must be equal, with each ID
+// counted once.
 func TestState_mergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		batches := drawBatches(t)
@@ -63,16 +65,16 @@
 		want := totalsOf(batches)
 		for _, counter := range []string{"a", "b", "unknown"} {
 			if got := whole.Total(counter); got.Cmp(big.NewInt(want[counter])) != 0 || pieces.Total(counter).Cmp(got) != 0 {
-				t.Fatalf("%s: %v whole, %v in pieces, not %d", counter, got, pieces.Total(counter), want[counter])
+				t.Fatalf("counter %s: total %v from full batches, %v from pieces, want %d", counter, got, pieces.Total(counter), want[counter])
 			}
 		}
 		if !slices.Equal(whole.Vector(), pieces.Vector()) || whole.Len() != pieces.Len() {
-			t.Fatalf("%v, %v", whole.Vector(), pieces.Vector())
+			t.Fatalf("vector %v from full batches, %v from pieces", whole.Vector(), pieces.Vector())
 		}
 	})
 }
 
-// TestState_totalsExceed64Bits adds the largest amounts.
+// TestState_totalsExceed64Bits checks that a total that exceeds an int64 does not overflow.
 func TestState_totalsExceed64Bits(t *testing.T) {
 	state, builder := NewState(), batchBuilder{batch: Batch{Origin: 1, First: 1}}
 	for id := range 4 {
@@ -80,27 +82,27 @@
 	}
 	state.Apply(builder.batch)
 	if got := state.Total("a").String(); got != "36893488147419103228" {
-		t.Errorf("the total is %s", got)
+		t.Errorf("total %s, want 36893488147419103228", got)
 	}
 }
 
-// TestBatch_validate has columns that don't fit each other.
+// TestBatch_validate checks that batches with inconsistent columns are rejected.
 func TestBatch_validate(t *testing.T) {
 	valid := Batch{Origin: 1, First: 1, Names: []string{"a"}, Keys: make([]byte, 2*keySize), Counters: []int64{0, 0}, Amounts: []int64{1, 2}}
 	if err := valid.validate(); err != nil {
 		t.Error(err)
 	}
 	for name, corrupt := range map[string]func(*Batch){
-		"no first":         func(b *Batch) { b.First = 0 },
-		"a short key":      func(b *Batch) { b.Keys = b.Keys[1:] },
-		"a counter less":   func(b *Batch) { b.Counters = b.Counters[1:] },
+		"First of 0":       func(b *Batch) { b.First = 0 },
+		"short key":        func(b *Batch) { b.Keys = b.Keys[1:] },
+		"missing counter":  func(b *Batch) { b.Counters = b.Counters[1:] },
 		"unknown counter":  func(b *Batch) { b.Counters = []int64{0, 1} },
 		"negative counter": func(b *Batch) { b.Counters = []int64{-1, 0} },
 	} {
 		invalid := valid
 		corrupt(&invalid)
 		if invalid.validate() == nil {
-			t.Errorf("%s is valid", name)
+			t.Errorf("batch with %s: no error", name)
 		}
 	}
 }
--- a/control/timesync/timesync.go
+++ b/control/timesync/timesync.go
@@ -89,14 +89,15 @@
 	samples map[ids.Address]sample
 }
 
-// sample is the offset of a peer's clock from this daemon's monotonic clock, received at at.
+// sample is the offset of a peer's clock from this daemon's monotonic clock, and when it
+// was received.
 type sample struct {
 	offset time.Duration
 	at     clock.Instant
 }
 
-// New returns a Clock that has the time of the machine's wall clock until it is synchronized
-// by Sample or Adopt.
+// New returns a Clock that starts with the time of the machine's wall clock. Sample and
+// Adopt synchronize it.
 func New(options Options) *Clock {
 	c := &Clock{options: options, samples: map[ids.Address]sample{}}
 	c.trustedOffset = c.wallOffset()
@@ -203,7 +204,7 @@
 		offsets = append(offsets, known.offset)
 	}
 	if len(offsets) <= 2 && c.synced {
-		// Two clocks can't tell which of them is wrong.
+		// With two clocks there is no way to tell which one is wrong.
 		return
 	}
 	slices.Sort(offsets)
--- a/control/timesync/timesync_test.go
+++ b/control/timesync/timesync_test.go
@@ -10,13 +10,16 @@
 	"onyxwell/control/transport/transporttest"
 )
 
+// TestForms_keepTheirBytes checks the encoding of the messages of this package. The golden
+// files hold the bytes that other builds wrote: never edit one.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[SampleRequest](t, "sample-request")
 	transporttest.Golden[SampleResponse](t, "sample-response")
 }
 
-// TestClock_toleratesSteppedClocks sets the clocks of two of six controllers ahead and back by
-// seconds: no controller's time moves, nor does that of a router that takes it over.
+// TestClock_toleratesSteppedClocks steps the wall clocks of two of six controllers forward
+// and back by seconds, and then those of all six for some seconds. The agreed time of the
+// controllers, and of a router that adopts it, must not change.
 func TestClock_toleratesSteppedClocks(t *testing.T) {
 	fake := clock.NewFake()
 	start := time.Unix(1_700_000_000, 0)
@@ -51,38 +54,39 @@
 		want := time.Duration(start.UnixNano()) + time.Duration(fake.Now())
 		for _, address := range addresses {
 			if got := clocks[address].Now(); got != want {
-				t.Errorf("%s: the time of %s is off by %v", phase, address, got-want)
+				t.Errorf("%s: agreed time of controller %s is off by %v", phase, address, got-want)
 			}
 		}
 		if got := router.Now(); got != want {
-			t.Errorf("%s: the router's time is off by %v", phase, got-want)
+			t.Errorf("%s: agreed time of the router is off by %v", phase, got-want)
 		}
 	}
-	check("all right")
+	check("no clock stepped")
 	steps[0], steps[4] = 2*time.Second, 2*time.Second
 	fake.Advance(time.Second)
-	check("two ahead")
+	check("two clocks ahead")
 	steps[0], steps[4] = -2*time.Second, 2*time.Second
 	fake.Advance(time.Second)
-	check("one ahead, one back")
+	check("one clock ahead, one behind")
 	steps[0], steps[4] = 0, 0
 	fake.Advance(time.Second)
-	check("all right again")
+	check("clocks stepped back")
 	for index := range steps {
 		steps[index] = 1400 * time.Millisecond
 	}
 	fake.Advance(time.Second)
-	check("all ahead")
+	check("all clocks ahead")
 	for range 9 {
 		fake.Advance(time.Second)
-		check("all ahead for some seconds")
+		check("all clocks ahead for some seconds")
 	}
 	steps = make([]time.Duration, len(steps))
 	fake.Advance(time.Second)
-	check("all right once more")
+	check("all clocks stepped back")
 }
 
-// TestClock_acceptsPersistentStep sets the only clock for good: it is believed after a while.
+// TestClock_acceptsPersistentStep steps a wall clock permanently: ServeSample ignores the
+// step at first and follows it after stepPersistence.
 func TestClock_acceptsPersistentStep(t *testing.T) {
 	fake := clock.NewFake()
 	start, step := time.Unix(1_700_000_000, 0), time.Duration(0)
@@ -94,16 +98,16 @@
 	fake.Advance(time.Second)
 	step = 5 * time.Second
 	if got := offBy(); got != 0 {
-		t.Errorf("moved by %v at once", got)
+		t.Errorf("time moved by %v immediately after the step, want 0", got)
 	}
 	fake.Advance(stepPersistence + time.Second)
 	if got := offBy(); got != step {
-		t.Errorf("moved by %v after %v, want %v", got, stepPersistence, step)
+		t.Errorf("time moved by %v after %v, want %v", got, stepPersistence, step)
 	}
 }
 
-// TestClock_fewClocks has one controller alone, and two: their time is agreed on after some
-// rounds, and a step of a clock has no effect from then on.
+// TestClock_fewClocks runs a controller without peers and one with a single peer. It is
+// synchronized after minRounds rounds, and a step of the clocks then has no effect.
 func TestClock_fewClocks(t *testing.T) {
 	for _, peers := range [][]ids.Address{nil, {"b"}} {
 		fake, start, step := clock.NewFake(), time.Unix(1_700_000_000, 0), time.Duration(0)
@@ -125,7 +129,7 @@
 		step = 2 * time.Second
 		alone.Sample(context.Background())
 		if !alone.Synced() || alone.Now() != want {
-			t.Errorf("%d peers: synced %v, off by %v after a step", len(peers), alone.Synced(), alone.Now()-want)
+			t.Errorf("%d peers: after a step: synced %v, off by %v", len(peers), alone.Synced(), alone.Now()-want)
 		}
 	}
 }
