--- a/control/counter/doc.go
+++ b/control/counter/doc.go
@@ -6,9 +6,9 @@
 // reachable ones have.
 //
 // There is no quorum: the state is a grow-only set of records (a CRDT) that is merged by
-// union. Each disk has a random number as its origin, and assigns consecutive sequence
-// numbers under that origin to the adds that it accepts. Every controller replicates the
-// records of all origins, so a version vector, which has the number of records held of
+// union. Each disk has an origin, a random number, under which it assigns consecutive
+// sequence numbers to the adds that it is the first to accept. Every controller replicates
+// the records of all origins, so a version vector, which has the number of records held of
 // each origin, identifies the records that a controller lacks. The accepting controller
 // sends a record to all others immediately. Anti-entropy through other controllers
 // delivers it where two controllers can't reach each other.
--- a/control/counter/messages.go
+++ b/control/counter/messages.go
@@ -29,7 +29,7 @@
 // Len returns the number of records.
 func (b Batch) Len() int { return len(b.Amounts) }
 
-// lastSequence returns the sequence number of the lastSequence record.
+// lastSequence returns the sequence number of the last record.
 func (b Batch) lastSequence() int64 { return b.First + int64(b.Len()) - 1 }
 
 // key returns the key of a record.
--- a/control/counter/replicator.go
+++ b/control/counter/replicator.go
@@ -23,8 +23,8 @@
 }
 
 // updatePeers starts and stops exchange loops to follow the membership. A controller in the
-// state membership.Removed may only be partitioned from this one, so it stays a peer until
-// ForgetAfter has passed.
+// state membership.Removed may only be partitioned from this one, so it is treated as listed
+// until ForgetAfter has passed.
 func (s *Service) updatePeers(ctx context.Context) {
 	now := s.options.Clock.Now()
 	for _, member := range s.options.Membership.Members() {
--- a/control/counter/service.go
+++ b/control/counter/service.go
@@ -58,7 +58,8 @@
 	// order caches the result of originOrder.
 	order   []int64
 	waiters []*copyWaiter
-	// runContext is the context of Run, nil before it. startedAt is when Run began.
+	// runContext is the context of Run, nil until Run is called. startedAt is when Run
+	// began.
 	runContext context.Context
 	startedAt  clock.Instant
 	// ready is set once this controller has caught up after its start, leaving once it
@@ -261,7 +262,7 @@
 
 // checkProgress releases the adds that enough disks hold by now, and sets ready once this
 // controller has caught up. It is called after each change of the records or of what is
-// known about peers. The caller holds mu.
+// known about peers, and at least once per Interval for CatchUpTimeout. The caller holds mu.
 func (s *Service) checkProgress() {
 	s.waiters = slices.DeleteFunc(s.waiters, func(waiter *copyWaiter) bool {
 		safe := s.hasEnoughCopies(waiter.origin, waiter.sequence)
--- a/control/counter/timing.go
+++ b/control/counter/timing.go
@@ -28,8 +28,9 @@
 	// HandOverTimeout is how long a leaving controller waits for others to store all of
 	// its records.
 	HandOverTimeout time.Duration
-	// ForgetAfter is how long a controller stays a peer after the membership has removed
-	// it, and how long a peer is kept that is neither listed nor heard of any more.
+	// ForgetAfter is how long a controller that the membership has removed is treated as
+	// still listed, and how long a peer is kept that is neither listed nor heard of any
+	// more.
 	ForgetAfter time.Duration
 	// ForgetUncontactedAfter takes the place of ForgetAfter for a peer that the membership
 	// does not list and that has never answered.
--- a/control/timesync/timesync.go
+++ b/control/timesync/timesync.go
@@ -110,7 +110,7 @@
 	return time.Duration(c.options.Wall().UnixNano()) - time.Duration(c.options.Clock.Now())
 }
 
-// Now returns the agreed time as the duration since the Unix epoch.
+// Now returns the agreed time in nanoseconds since the Unix epoch.
 func (c *Clock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/timesync/timesync_test.go
+++ b/control/timesync/timesync_test.go
@@ -19,7 +19,7 @@
 
 // TestClock_toleratesSteppedClocks steps the wall clocks of two of six controllers forward
 // and back by seconds, and then those of all six for some seconds. The agreed time of the
-// controllers, and of a router that adopts it, must not change.
+// controllers, and of a router that adopts it, must not be affected.
 func TestClock_toleratesSteppedClocks(t *testing.T) {
 	fake := clock.NewFake()
 	start := time.Unix(1_700_000_000, 0)
