--- a/control/counter/service.go
+++ b/control/counter/service.go
@@ -23,10 +23,10 @@
 	"onyxwell/control/transport"
 )
 
-// logPart is the part that log lines name.
+// logPart is the value of the key "part" in log lines.
 const logPart = "counter"
 
-// Options are what a Service stands on. All are required, but for Metrics.
+// Options configure a Service. All are required except Seeds and Metrics.
 type Options struct {
 	Clock    clock.Clock
 	Log      *log.Logger
@@ -35,11 +35,12 @@
 	Address    ids.Address
 	Disk       wal.FS
 	Membership *membership.Table
-	// Seeds are controllers to ask first: a controller that is new learns the others from
-	// them before the membership does.
+	// Seeds are the first peers. A new controller learns the other controllers from them
+	// before the membership does.
 	Seeds     []ids.Address
 	Transport *transport.Client
-	// RequiredCopies is how many disks must hold an add, where so many can be reached.
+	// RequiredCopies is how many disks must hold an add before it is acknowledged, if so
+	// many can be reached.
 	RequiredCopies int
 	Timing         Timing
 	Metrics        *telemetry.Metrics
@@ -54,27 +55,28 @@
 	mu    sync.Mutex
 	state *State
 	peers map[ids.Address]*peer
-	// order caches originOrder.
+	// order caches the result of originOrder.
 	order   []int64
 	waiters []*copyWaiter
-	// running is the context of Run, nil before it. startedAt is when Run began.
-	running   context.Context
-	startedAt clock.Instant
-	// ready says that this controller has caught up since it started, leaving that it
-	// hands over.
-	ready   bool
-	leaving bool
-	warned  bool
+	// runContext is the context of Run, nil until Run is called. startedAt is when Run
+	// began.
+	runContext context.Context
+	startedAt  clock.Instant
+	// ready is set once this controller has caught up after its start, leaving once it
+	// hands over. capacityWarned is set once the warning about the capacity was logged.
+	ready          bool
+	leaving        bool
+	capacityWarned bool
 
 	outcomes outcomeCounts
 }
 
-// outcomeCounts counts adds by how they were answered.
+// outcomeCounts counts adds by outcome.
 type outcomeCounts struct{ acknowledged, refused, undecided atomic.Int64 }
 
-// Open opens the log of the counters and returns their Service. While the disk fails it
-// tries again until ctx ends; a log that a newer build wrote, or with records that can't
-// be read, is an error at once.
+// Open opens the log of the counters and returns a Service on it. It retries disk errors
+// until ctx ends. A log of an unsupported version or with entries that can't be decoded is
+// an error that is returned without a retry.
 func Open(ctx context.Context, options Options) (*Service, error) {
 	for {
 		s, err := open(options)
@@ -92,7 +94,7 @@
 func open(options Options) (*Service, error) {
 	s := &Service{options: options, state: NewState(), peers: map[ids.Address]*peer{}, capacity: Capacity(options.Settings)}
 	var err error
-	s.journal, err = openJournal(wal.Options{FS: options.Disk, MaxBytes: logBytes(options.Settings)}, &s.mu, s.state, options.Clock, s.newOrigin)
+	s.journal, err = openJournal(wal.Options{FS: options.Disk, MaxBytes: maxLogBytes(options.Settings)}, &s.mu, s.state, options.Clock, s.newOrigin)
 	if err != nil {
 		return nil, err
 	}
@@ -100,12 +102,13 @@
 		options.Log.Warn().Str("part", logPart).Str("file", corruption.File).Str("quarantined_as", corruption.QuarantinedAs).
 			Str("reason", corruption.Reason).Msg("counter log corrupted, starting blank")
 	}
-	s.journal.committed = s.recordsCommitted
+	s.journal.onCommit = s.recordsCommitted
 	s.addMetrics()
 	return s, nil
 }
 
-// newOrigin draws an origin. The address keeps those apart of disks whose draws agree.
+// newOrigin draws an origin. The hash of the address keeps origins distinct if two
+// controllers draw the same number. It is at least 1 because 0 stands for no origin.
 func (s *Service) newOrigin() int64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(s.options.Address))
@@ -116,17 +119,16 @@
 // Close closes the log.
 func (s *Service) Close() { s.journal.log.Close() }
 
-// RegisterHandlers registers what other controllers call.
+// RegisterHandlers registers the handler of the exchanges of other controllers.
 func (s *Service) RegisterHandlers(calls *httpcall.Mux) {
 	transport.Handle(calls, exchangeMessage, s.serveExchange)
 }
 
-// Run commits what is added and exchanges records with the other controllers until ctx
-// ends.
+// Run commits adds and exchanges records with the other controllers until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	s.mu.Lock()
-	s.running, s.startedAt = ctx, s.options.Clock.Now()
-	// After a restart by the supervisor the loops of before have ended.
+	s.runContext, s.startedAt = ctx, s.options.Clock.Now()
+	// The supervisor may restart Run; the loops of the previous run have ended by then.
 	for address := range s.peers {
 		s.dropPeer(address)
 	}
@@ -136,8 +138,8 @@
 	s.runPeers(ctx)
 }
 
-// Total returns the sum of a counter as far as this controller knows it. It returns an
-// errkind.NotReady error while the controller catches up.
+// Total returns the sum of the adds to a counter that this controller holds. While the
+// controller catches up, it returns an error of kind errkind.NotReady.
 func (s *Service) Total(counter string) (*big.Int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,12 +149,13 @@
 	return s.state.Total(counter), nil
 }
 
-// errCatchingUp is answered before anything is done.
+// errCatchingUp refuses adds and reads until the controller has caught up.
 var errCatchingUp = errkind.Errorf(errkind.NotReady, "the counters catch up")
 
 // Add adds an amount to a counter under an ID, unless the ID counts there already. It
-// returns nil once that is safe. Errors of kind errkind.AddUndecided leave open whether
-// the add counts; all others promise that nothing was done.
+// returns nil once enough disks hold the record. After an error of kind
+// errkind.AddUndecided the add may or may not count. All other errors guarantee that
+// nothing was done.
 func (s *Service) Add(ctx context.Context, counter string, id string, amount int64) error {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, s.options.Timing.AddTimeout)
 	defer cancel()
@@ -170,14 +173,13 @@
 
 func (s *Service) add(ctx context.Context, counter string, key Key, amount int64) error {
 	s.mu.Lock()
-	if err := s.refusal(key); err != nil {
+	if err := s.admissionError(key); err != nil {
 		s.mu.Unlock()
 		return err
 	}
 	committed := s.journal.enqueueAdd(key, counter, amount)
 	s.mu.Unlock()
-	// From here on the add may be found on a disk: nothing promises any more that it
-	// does not count.
+	// From here on the add may reach a disk, so errors must leave open whether it counts.
 	select {
 	case result := <-committed:
 		if result.err != nil {
@@ -189,8 +191,8 @@
 	}
 }
 
-// refusal returns why an add can't be accepted; nil if it can. The caller holds mu.
-func (s *Service) refusal(key Key) error {
+// admissionError returns the reason to refuse an add, or nil. The caller holds mu.
+func (s *Service) admissionError(key Key) error {
 	if s.leaving {
 		return errkind.Errorf(errkind.Draining, "")
 	}
@@ -207,10 +209,11 @@
 	return nil
 }
 
-// awaitCopies waits until a record is on enough disks.
+// awaitCopies waits until enough disks hold a record. When ctx ends first, it returns an
+// error of kind errkind.AddUndecided.
 func (s *Service) awaitCopies(ctx context.Context, added committedAdd) error {
 	s.mu.Lock()
-	if s.isSafe(added.origin, added.sequence) {
+	if s.hasEnoughCopies(added.origin, added.sequence) {
 		s.mu.Unlock()
 		return nil
 	}
@@ -228,9 +231,9 @@
 	return errkind.Errorf(errkind.AddUndecided, "not on enough disks in time")
 }
 
-// isSafe reports whether a record that this disk holds is on enough disks: on as many as
-// required, or on all that can be reached. The caller holds mu.
-func (s *Service) isSafe(origin int64, sequence int64) bool {
+// hasEnoughCopies reports whether enough disks hold a record that this disk holds:
+// RequiredCopies, or all that can be reached if those are fewer. The caller holds mu.
+func (s *Service) hasEnoughCopies(origin int64, sequence int64) bool {
 	copies, possible := 1, 1
 	for _, other := range s.peers {
 		holds := other.held[origin] >= sequence
@@ -244,38 +247,41 @@
 	return copies >= min(s.options.RequiredCopies, possible)
 }
 
-// recordsCommitted is called with mu held after the state has grown.
+// recordsCommitted wakes the loops of all peers after a commit and warns once if the
+// capacity is nearly used up. The caller holds mu.
 func (s *Service) recordsCommitted() {
 	for _, other := range s.peers {
 		other.notify()
 	}
-	if !s.warned && s.state.Len() >= s.capacity*warnPercent/100 {
-		s.warned = true
+	if !s.capacityWarned && s.state.Len() >= s.capacity*warnPercent/100 {
+		s.capacityWarned = true
 		s.options.Log.Warn().Str("part", logPart).Int("records", s.state.Len()).Int("capacity", s.capacity).Msg("counters nearly full")
 	}
-	s.evaluate()
+	s.checkProgress()
 }
 
-// evaluate draws the conclusions from what has changed: adds that are safe now, and
-// whether this controller has caught up. The caller holds mu.
-func (s *Service) evaluate() {
+// checkProgress releases the adds that enough disks hold by now, and sets ready once this
+// controller has caught up. It is called after each change of the records or of what is
+// known about peers, and at least once per Interval for CatchUpTimeout. The caller holds mu.
+func (s *Service) checkProgress() {
 	s.waiters = slices.DeleteFunc(s.waiters, func(waiter *copyWaiter) bool {
-		safe := s.isSafe(waiter.origin, waiter.sequence)
+		safe := s.hasEnoughCopies(waiter.origin, waiter.sequence)
 		if safe {
 			close(waiter.done)
 		}
 		return safe
 	})
-	if !s.ready && s.running != nil && s.caughtUp() {
+	if !s.ready && s.runContext != nil && s.caughtUp() {
 		s.ready = true
 		s.options.Log.Info().Str("part", logPart).Int("records", s.state.Len()).
 			Int64("after_ms", s.options.Clock.Now().Since(s.startedAt).Milliseconds()).Msg("counters caught up")
 	}
 }
 
-// caughtUp reports whether this controller holds all that the others it reaches held when
-// they answered first. Each of them answers or is silent soon; where none answers,
-// others may be found until CatchUpTimeout. The caller holds mu.
+// caughtUp reports whether this controller holds all records that the peers it reaches held
+// at their first answer. It waits for each peer, which soon either answers or becomes
+// silent. If no peer answers, it waits until CatchUpTimeout, since others may still be
+// discovered. The caller holds mu.
 func (s *Service) caughtUp() bool {
 	contacted := 0
 	held := vectorOf(s.state.Vector())
@@ -291,8 +297,8 @@
 	return contacted > 0 || s.options.Clock.Now().Since(s.startedAt) >= s.options.Timing.CatchUpTimeout
 }
 
-// HandOver accepts no further adds, and waits until every controller that answers holds
-// what this one does, at least one of them; it gives up after HandOverTimeout.
+// HandOver refuses further adds, and waits until all controllers that answer, and at least
+// one, hold every record of this one. It gives up after HandOverTimeout.
 func (s *Service) HandOver(ctx context.Context) {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, s.options.Timing.HandOverTimeout)
 	defer cancel()
@@ -306,6 +312,8 @@
 	s.options.Log.Info().Str("part", logPart).Bool("complete", complete).Msg("hand-over of counters ended")
 }
 
+// handedOver reports whether no add waits for a commit and all peers that are not silent,
+// at least one, hold every record of this controller. Without records no peer is needed.
 func (s *Service) handedOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/counter/service_test.go
+++ b/control/counter/service_test.go
@@ -21,17 +21,18 @@
 	"onyxwell/simulation/simdisk"
 )
 
-// replica is a service whose loops do not run: the test commits and exchanges.
+// replica is a Service without running loops: the test triggers commits and exchanges.
 type replica struct {
 	*Service
 	t     *testing.T
 	clock *clock.Fake
 	disk  *simdisk.Disk
-	// diskError is what each write fails with.
+	// diskError is the error of every disk operation, nil for none.
 	diskError error
 }
 
-// newReplica returns a service behind a server, on a clock that may be shared.
+// newReplica returns a replica that serves its handlers over HTTP. Replicas may share a
+// clock.
 func newReplica(t *testing.T, source *clock.Fake, requiredCopies int) *replica {
 	t.Helper()
 	r := &replica{t: t, clock: source}
@@ -43,7 +44,7 @@
 	node := &settings.Settings{Limits: settings.Limits{MemoryMB: 184, DiskMB: 64}}
 	node.Bounds.MergeMS, node.Bounds.GraceS = 3000, 8
 	timing := TimingOf(node)
-	// The network is real here: only the fake clock ends what waits.
+	// The network is real, so its timeouts are long: waits end by the fake clock.
 	service, err := Open(context.Background(), Options{
 		Clock: source, Log: scope.New(scope.Options{}).Log, Settings: node, Address: address, Disk: r.disk.Mount(),
 		Membership:     membership.NewTable(source, membership.Member{Address: address, ServesControl: true}),
@@ -57,22 +58,23 @@
 	service.RegisterHandlers(mux)
 	stopped, cancel := context.WithCancel(context.Background())
 	cancel()
-	// Loops of peers end at once.
-	service.running, service.startedAt = stopped, source.Now()
+	// With an ended context, the loops of peers return immediately.
+	service.runContext, service.startedAt = stopped, source.Now()
 	r.Service = service
 	return r
 }
 
-// know makes others peers.
-func (r *replica) know(others ...*replica) {
+// connectTo makes the other replicas peers of r.
+func (r *replica) connectTo(others ...*replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, other := range others {
-		r.addPeer(r.running, other.options.Address, r.clock.Now())
+		r.addPeer(r.runContext, other.options.Address, r.clock.Now())
 	}
 }
 
-// exchangeWith has one exchange with another, which commits what it is sent.
+// exchangeWith sends one exchange to another replica, which commits the records in it, and
+// reports whether it answered.
 func (r *replica) exchangeWith(other *replica) bool {
 	r.t.Helper()
 	r.mu.Lock()
@@ -81,30 +83,31 @@
 	req, _ := r.nextExchange(known, true)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go other.commitWhenWoken(ctx)
+	go other.runJournal(ctx)
 	return r.exchange(context.Background(), known, req)
 }
 
-func (r *replica) commitWhenWoken(ctx context.Context) { r.journal.run(ctx) }
+func (r *replica) runJournal(ctx context.Context) { r.journal.run(ctx) }
 
-// fail has the other be silent.
-func (r *replica) fail(other *replica) {
+// markSilent records failed exchanges with another replica until it counts as silent.
+func (r *replica) markSilent(other *replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range maxFailures {
-		r.peers[other.options.Address].failed(r.clock.Now())
+		r.peers[other.options.Address].recordFailure(r.clock.Now())
 	}
-	r.evaluate()
+	r.checkProgress()
 }
 
-// startAdd begins an add; its error comes on the channel.
+// startAdd starts an add in the background and returns the channel that receives its
+// result.
 func (r *replica) startAdd(id string) <-chan error {
 	done := make(chan error, 1)
 	go func() { done <- r.Add(context.Background(), "a", id, 5) }()
 	return done
 }
 
-// commitNext waits until an add waits, and commits it.
+// commitNext waits until something is queued for a commit, and commits it.
 func (r *replica) commitNext() {
 	<-r.journal.wake
 	r.journal.commit()
@@ -116,8 +119,8 @@
 	r.ready = true
 }
 
-// waitForWaiter waits until an add waits for copies.
-func (r *replica) waitForWaiter() {
+// waitForCopyWaiter blocks until an add waits for copies.
+func (r *replica) waitForCopyWaiter() {
 	for {
 		r.mu.Lock()
 		waiting := len(r.waiters)
@@ -129,21 +132,22 @@
 	}
 }
 
-// TestAdd_waitsForCopies has an add wait until two others hold it.
+// TestAdd_waitsForCopies checks that with three required copies an add is acknowledged only
+// when both other replicas hold it.
 func TestAdd_waitsForCopies(t *testing.T) {
 	source := clock.NewFake()
 	a, b, c := newReplica(t, source, 3), newReplica(t, source, 3), newReplica(t, source, 3)
-	a.know(b, c)
+	a.connectTo(b, c)
 	for _, other := range []*replica{b, c} {
 		a.exchangeWith(other)
 	}
 	done := a.startAdd("x")
 	a.commitNext()
-	a.waitForWaiter()
+	a.waitForCopyWaiter()
 	a.exchangeWith(b)
 	select {
 	case err := <-done:
-		t.Fatalf("answered with two copies of three: %v", err)
+		t.Fatalf("add returned with two of three copies: %v", err)
 	default:
 	}
 	a.exchangeWith(c)
@@ -151,21 +155,21 @@
 		t.Fatal(err)
 	}
 	if got := c.state.Total("a").Int64(); got != 5 {
-		t.Errorf("the third has %d", got)
+		t.Errorf("total of the third replica is %d, want 5", got)
 	}
 }
 
-// TestAdd_goesOnWithoutSilentPeers has an add be acknowledged once its last peer that
-// lacks it is silent, and the next one at once.
+// TestAdd_goesOnWithoutSilentPeers checks that an add is acknowledged once the last peer that
+// lacks it becomes silent, and that the next add does not wait for that peer.
 func TestAdd_goesOnWithoutSilentPeers(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 3), newReplica(t, source, 3)
-	a.know(b)
+	a.connectTo(b)
 	a.exchangeWith(b)
 	done := a.startAdd("x")
 	a.commitNext()
-	a.waitForWaiter()
-	a.fail(b)
+	a.waitForCopyWaiter()
+	a.markSilent(b)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -176,9 +180,10 @@
 	}
 }
 
-// TestAdd_undecidedOnceItMayCount has the disk fail, and the copies not come in time: the
-// answer must not promise that nothing was done.
-func TestAdd_undecidedOnceItMayCount(t *testing.T) {
+// TestAdd_undecidedOnceEnqueued covers a failed commit and copies that do not arrive in
+// time. The add may be on a disk by then, so the error must be errkind.AddUndecided: any
+// other would guarantee that nothing was done.
+func TestAdd_undecidedOnceEnqueued(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 2), newReplica(t, source, 2)
 	a.setReady()
@@ -186,21 +191,22 @@
 	done := a.startAdd("x")
 	a.commitNext()
 	if err := <-done; errkind.KindOf(err) != errkind.AddUndecided || errkind.KindOf(err).Response().Status != 504 {
-		t.Errorf("the disk failed: %v", err)
+		t.Errorf("failed disk: error %v, want AddUndecided with status 504", err)
 	}
 	a.diskError = nil
-	a.know(b)
+	a.connectTo(b)
 	done = a.startAdd("y")
 	a.commitNext()
-	a.waitForWaiter()
+	a.waitForCopyWaiter()
 	source.Advance(a.options.Timing.AddTimeout)
 	if err := <-done; errkind.KindOf(err) != errkind.AddUndecided {
-		t.Errorf("no copy in time: %v", err)
+		t.Errorf("no copy in time: error %v, want AddUndecided", err)
 	}
 }
 
-// TestAdd_refusedBeforeAnything has the reasons for which nothing is done.
-func TestAdd_refusedBeforeAnything(t *testing.T) {
+// TestAdd_refusedBeforeEnqueue checks for each reason to refuse an add that the error has the
+// right kind and status 503, and that nothing is queued for a commit.
+func TestAdd_refusedBeforeEnqueue(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*replica)
 		kind    errkind.Kind
@@ -208,7 +214,7 @@
 		"catching up": {func(r *replica) { r.ready = false }, errkind.NotReady},
 		"leaving":     {func(r *replica) { r.leaving = true }, errkind.Draining},
 		"full":        {func(r *replica) { r.capacity = 0 }, errkind.CountersFull},
-		"a stalled disk": {func(r *replica) {
+		"stalled disk": {func(r *replica) {
 			r.journal.busySince = r.clock.Now()
 			r.clock.Advance(2 * r.options.Timing.StallAfter)
 		}, errkind.NotReady},
@@ -219,17 +225,18 @@
 			test.prepare(r)
 			err := r.Add(context.Background(), "a", "x", 1)
 			if kind := errkind.KindOf(err); kind != test.kind || kind.Response().Status != 503 {
-				t.Errorf("%v", err)
+				t.Errorf("error %v has the wrong kind or not status 503", err)
 			}
 			if len(r.journal.adds) > 0 {
-				t.Error("the add waits for a commit")
+				t.Error("the refused add is queued for a commit")
 			}
 		})
 	}
 }
 
-// TestService_catchesUpBeforeItAnswers has a controller with an empty disk read nothing
-// until it holds what others held, and where none answers after a bounded time.
+// TestService_catchesUpBeforeItAnswers checks that a controller with an empty disk refuses
+// reads until it holds the records of the others, or until CatchUpTimeout if no other
+// answers.
 func TestService_catchesUpBeforeItAnswers(t *testing.T) {
 	source := clock.NewFake()
 	old, empty := newReplica(t, source, 1), newReplica(t, source, 1)
@@ -239,33 +246,35 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	empty.know(old)
-	old.know(empty)
+	empty.connectTo(old)
+	old.connectTo(empty)
 	source.Advance(time.Minute)
 	empty.exchangeWith(old)
 	if total, err := empty.Total("a"); errkind.KindOf(err) != errkind.NotReady {
-		t.Fatalf("%v, %v before it has caught up", total, err)
+		t.Fatalf("before the catch-up: total %v, error %v, want NotReady", total, err)
 	}
-	// The first tells what the other lacks, the second is a tick after that.
+	// The first exchange fetches the vector of the empty replica, the second sends it the
+	// records.
 	old.exchangeWith(empty)
 	old.exchangeWith(empty)
 	if total, err := empty.Total("a"); err != nil || total.Int64() != 5 {
-		t.Errorf("%v, %v", total, err)
+		t.Errorf("after the catch-up: total %v, error %v, want 5", total, err)
 	}
 	alone := newReplica(t, source, 1)
-	alone.know(old)
-	alone.fail(old)
+	alone.connectTo(old)
+	alone.markSilent(old)
 	if _, err := alone.Total("a"); err == nil {
-		t.Error("answers at once though others may be found")
+		t.Error("read before CatchUpTimeout, though other controllers may still be discovered")
 	}
 	source.Advance(alone.options.Timing.CatchUpTimeout)
-	alone.fail(old)
+	alone.markSilent(old)
 	if total, err := alone.Total("a"); err != nil || total.Sign() != 0 {
-		t.Errorf("alone: %v, %v", total, err)
+		t.Errorf("no other answers, after CatchUpTimeout: total %v, error %v, want 0", total, err)
 	}
 }
 
-// TestHandOver_waitsForOthers has a controller that leaves hold what nobody else does.
+// TestHandOver_waitsForOthers checks that the hand-over of a record that no other controller
+// has is complete only when another one holds it.
 func TestHandOver_waitsForOthers(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 1), newReplica(t, source, 1)
@@ -276,20 +285,21 @@
 		t.Fatal(err)
 	}
 	if a.handedOver() {
-		t.Error("handed over to nobody")
+		t.Error("hand-over complete without another controller")
 	}
-	a.know(b)
+	a.connectTo(b)
 	a.exchangeWith(b)
 	if a.handedOver() {
-		t.Error("handed over to a controller without the record")
+		t.Error("hand-over complete though the other controller lacks the record")
 	}
 	a.exchangeWith(b)
 	if !a.handedOver() {
-		t.Error("not handed over though the other holds all")
+		t.Error("hand-over incomplete though the other controller holds all records")
 	}
 }
 
-// TestCapacity bounds the IDs by the disk and by the memory.
+// TestCapacity covers a capacity limited by the disk, by the memory, and by the memory
+// because the size of the disk is not set.
 func TestCapacity(t *testing.T) {
 	for _, test := range []struct {
 		diskMB, memoryMB int64
@@ -297,13 +307,13 @@
 	}{{64, 184, 174762}, {6400, 184, 215332}, {0, 184, 215332}, {1, 184, 2730}} {
 		node := &settings.Settings{Limits: settings.Limits{MemoryMB: test.memoryMB, DiskMB: test.diskMB}}
 		if got := Capacity(node); got != test.want {
-			t.Errorf("%d MB of disk, %d MB of memory: %d", test.diskMB, test.memoryMB, got)
+			t.Errorf("%d MB of disk and %d MB of memory: wrong capacity %d", test.diskMB, test.memoryMB, got)
 		}
 	}
 }
 
-// TestNextExchange_isBounded has a peer lack far more than fits in an exchange, as after a
-// long partition: what is sent at a time stays below the length of a large message.
+// TestNextExchange_isBounded has a peer lack far more records than fit into an exchange, as
+// after a long partition. Each request must stay within 64 KiB, the limit of a small message.
 func TestNextExchange_isBounded(t *testing.T) {
 	source := clock.NewFake()
 	a, b := newReplica(t, source, 1), newReplica(t, source, 1)
@@ -315,12 +325,12 @@
 		}
 		a.state.Apply(builder.batch)
 	}
-	a.know(b)
+	a.connectTo(b)
 	a.exchangeWith(b)
 	req, due := a.nextExchange(a.peers[b.options.Address], true)
 	body, err := transport.Marshal(req)
 	if !due || err != nil || !req.isFull() || len(body) > 64<<10 {
-		t.Errorf("%v, %v: full %v, %d bytes", due, err, req.isFull(), len(body))
+		t.Errorf("due %v, error %v, full %v, %d bytes; want a full request of at most 64 KiB", due, err, req.isFull(), len(body))
 	}
 	exchanges := 0
 	for ; b.state.Len() < 2*records; exchanges++ {
@@ -330,14 +340,15 @@
 	}
 }
 
-// TestExchange_bytesOfAllPeersTogether has a controller come back that lacks many records,
-// and several peers that hold all of them bring it up to date at the same time: together
-// they send little more than the records once, and hold no more than an exchange each in
-// flight, which a link of 10 Mbit/s carries within a fraction of a second.
-func TestExchange_bytesOfAllPeersTogether(t *testing.T) {
+// TestExchange_boundsBytesOfConcurrentPeers covers a returning controller that lacks many
+// records and several peers that hold all of them and bring it up to date at the same time.
+// Together they must send at most twice the bytes of the records, and have at most one
+// exchange of 64 KiB each in flight, which a link of 10 Mbit/s carries within a fraction of
+// a second.
+func TestExchange_boundsBytesOfConcurrentPeers(t *testing.T) {
 	source := clock.NewFake()
 	const peers, perOrigin = 4, 3 * maxExchangeRecords
-	back := newReplica(t, source, 1)
+	returning := newReplica(t, source, 1)
 	var others []*replica
 	for range peers {
 		others = append(others, newReplica(t, source, 1))
@@ -353,38 +364,38 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go back.commitWhenWoken(ctx)
+	go returning.runJournal(ctx)
 	for _, other := range others {
-		other.know(back)
-		other.exchangeWith(back)
+		other.connectTo(returning)
+		other.exchangeWith(returning)
 	}
-	sent, largest := 0, 0
-	for round := 0; back.state.Len() < peers*perOrigin; round++ {
+	sent, maxInFlight := 0, 0
+	for round := 0; returning.state.Len() < peers*perOrigin; round++ {
 		if round > peers*perOrigin {
-			t.Fatalf("%d records after %d rounds", back.state.Len(), round)
+			t.Fatalf("%d records after %d rounds", returning.state.Len(), round)
 		}
-		// All peers decide what to send before any of it has arrived.
+		// All peers choose their batches before any request of the round has arrived.
 		requests := make([]ExchangeRequest, peers)
 		for index, other := range others {
-			requests[index], _ = other.nextExchange(other.peers[back.options.Address], true)
+			requests[index], _ = other.nextExchange(other.peers[returning.options.Address], true)
 		}
-		together := 0
+		inFlight := 0
 		for index, other := range others {
 			body, err := transport.Marshal(requests[index])
 			if err != nil {
 				t.Fatal(err)
 			}
-			together += len(body)
-			other.exchange(context.Background(), other.peers[back.options.Address], requests[index])
+			inFlight += len(body)
+			other.exchange(context.Background(), other.peers[returning.options.Address], requests[index])
 		}
-		sent, largest = sent+together, max(largest, together)
+		sent, maxInFlight = sent+inFlight, max(maxInFlight, inFlight)
 	}
 	const recordBytes = keySize + 12
-	if most := 2 * peers * perOrigin * recordBytes; sent > most {
-		t.Errorf("%d bytes are sent for %d records, over %d", sent, peers*perOrigin, most)
+	if limit := 2 * peers * perOrigin * recordBytes; sent > limit {
+		t.Errorf("%d bytes sent for %d records, limit %d", sent, peers*perOrigin, limit)
 	}
-	if most := peers * 64 << 10; largest > most {
-		t.Errorf("%d bytes are in flight at once, over %d", largest, most)
+	if limit := peers * 64 << 10; maxInFlight > limit {
+		t.Errorf("%d bytes in flight at the same time, limit %d", maxInFlight, limit)
 	}
-	t.Logf("%d bytes for %d records, %d at once", sent, peers*perOrigin, largest)
+	t.Logf("%d bytes for %d records, at most %d in flight at the same time", sent, peers*perOrigin, maxInFlight)
 }
