--- a/control/gossip/exchange.go
+++ b/control/gossip/exchange.go
@@ -11,24 +11,24 @@
 // either lacks. It gives up silently where the other doesn't answer in time: a
 // later exchange does the same.
 func (g *Gossiper) Exchange(ctx context.Context, address ids.Address) {
-	short, cancel := g.Clock.WithTimeout(ctx, g.Timeout)
+	callCtx, cancel := g.Clock.WithTimeout(ctx, g.Timeout)
 	defer cancel()
 	g.exchanges.Add(1)
-	resp, err := g.requestExchange(short, address, false)
+	resp, err := g.requestExchange(callCtx, address, false)
 	if err == nil && resp.Differs {
 		if g.fetchFromNearer(ctx, address, resp) {
 			return
 		}
-		resp, err = g.requestExchange(short, address, true)
+		resp, err = g.requestExchange(callCtx, address, true)
 	}
 	if err != nil {
 		return
 	}
-	g.noteAnswer(address)
+	g.recordSeedAnswer(address)
 	g.Table.Merge(append(resp.Members, resp.From))
 	g.receiveAll(resp.Items)
-	if give := g.wanted(resp); len(give.Items)+len(give.Members) > 0 {
-		_ = g.remote().Give(short, address, give)
+	if give := g.collectWanted(resp); len(give.Items)+len(give.Members) > 0 {
+		_ = g.remote().Give(callCtx, address, give)
 	}
 }
 
@@ -61,8 +61,8 @@
 	return resp
 }
 
-// wanted collects what the responder of an exchange lacks.
-func (g *Gossiper) wanted(resp ExchangeResponse) GiveRequest {
+// collectWanted collects what the responder of an exchange lacks.
+func (g *Gossiper) collectWanted(resp ExchangeResponse) GiveRequest {
 	give := GiveRequest{}
 	for _, key := range resp.WantedKeys {
 		if item, ok := g.Store.wireItem(key); ok {
--- a/control/gossip/gossiper.go
+++ b/control/gossip/gossiper.go
@@ -49,10 +49,10 @@
 	// exchanges counts those that were begun.
 	exchanges atomic.Int64
 	// mu guards answered: the seeds that have answered an exchange.
-	mu       sync.Mutex
-	answered map[ids.Address]bool
-	// emptyExchanges counts the exchanges that were left to nearer daemons in vain.
-	emptyExchanges atomic.Int64
+	mu            sync.Mutex
+	answeredSeeds map[ids.Address]bool
+	// nearerAttempts counts the exchanges that were left to nearer daemons in vain.
+	nearerAttempts atomic.Int64
 }
 
 // Run exchanges with a partner now and then and pushes whatever is new, until
--- a/control/gossip/gossiper_test.go
+++ b/control/gossip/gossiper_test.go
@@ -17,21 +17,21 @@
 // panics.
 type hangingPeers struct {
 	peers
-	begun     chan struct{}
-	returned  chan struct{}
-	ended     chan struct{}
-	outlasted bool
+	started     chan struct{}
+	runReturned chan struct{}
+	ended       chan struct{}
+	outlivedRun bool
 }
 
 // Push implements peers.
 func (h *hangingPeers) Push(ctx context.Context, _ ids.Address, _ PushRequest) error {
 	defer close(h.ended)
-	close(h.begun)
+	close(h.started)
 	<-ctx.Done()
 	for range 10_000 {
 		select {
-		case <-h.returned:
-			h.outlasted = true
+		case <-h.runReturned:
+			h.outlivedRun = true
 			return ctx.Err()
 		default:
 			runtime.Gosched()
@@ -40,13 +40,13 @@
 	return ctx.Err()
 }
 
-// TestGossiperRun_awaitsItsPushes ends Run in the middle of a push: Run returns
+// TestGossiperRun_waitsForPushes ends Run in the middle of a push: Run returns
 // after it.
-func TestGossiperRun_awaitsItsPushes(t *testing.T) {
+func TestGossiperRun_waitsForPushes(t *testing.T) {
 	source := clock.NewFake()
 	table := membership.NewTable(source, newMember("self:1", "a", "home", true))
 	table.Merge([]membership.Member{newMember("near:1", "a", "home", true)})
-	hanging := &hangingPeers{begun: make(chan struct{}), returned: make(chan struct{}), ended: make(chan struct{})}
+	hanging := &hangingPeers{started: make(chan struct{}), runReturned: make(chan struct{}), ended: make(chan struct{})}
 	gossiper := &Gossiper{
 		Clock: source,
 		Store: NewStore(nil), Table: table, Zones: map[ids.Zone]ids.Region{"a": "home"},
@@ -54,15 +54,15 @@
 	}
 	ctx, cancel := scope.New(scope.Options{Clock: source}).WithCancel()
 	go func() {
-		defer close(hanging.returned)
+		defer close(hanging.runReturned)
 		gossiper.Run(ctx)
 	}()
 	gossiper.Store.Put(Item{Key: "spec", Version: 1})
-	<-hanging.begun
+	<-hanging.started
 	cancel()
-	<-hanging.returned
+	<-hanging.runReturned
 	<-hanging.ended
-	if hanging.outlasted {
+	if hanging.outlivedRun {
 		t.Error("a push outlasts Run")
 	}
 }
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -31,20 +31,20 @@
 	if !ok {
 		return false
 	}
-	g.exchangeWithin(ctx, g.Interval/nearerTimeoutDivisor, nearer)
+	g.exchangeWithTimeout(ctx, g.Interval/nearerTimeoutDivisor, nearer)
 	if !g.Store.Empty() {
 		return true
 	}
 	self := g.Table.Self()
 	relays := g.Table.Relays(self.Zone, 1)
-	first := len(relays) > 0 && relays[0].Address == self.Address
-	return !first && g.emptyExchanges.Add(1) <= maxNearerAttempts
+	isFirstRelay := len(relays) > 0 && relays[0].Address == self.Address
+	return !isFirstRelay && g.nearerAttempts.Add(1) <= maxNearerAttempts
 }
 
-func (g *Gossiper) exchangeWithin(ctx context.Context, timeout time.Duration, address ids.Address) {
-	short, cancel := g.Clock.WithTimeout(ctx, timeout)
+func (g *Gossiper) exchangeWithTimeout(ctx context.Context, timeout time.Duration, address ids.Address) {
+	callCtx, cancel := g.Clock.WithTimeout(ctx, timeout)
 	defer cancel()
-	g.Exchange(short, address)
+	g.Exchange(callCtx, address)
 }
 
 // nearerBackbone picks one of the nearest daemons of the backbone that are nearer
--- a/control/gossip/nearer_test.go
+++ b/control/gossip/nearer_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-func newMember(address ids.Address, zone ids.Zone, region ids.Region, core bool) membership.Member {
-	return membership.Member{Address: address, Zone: zone, Region: region, ServesControl: core, Incarnation: 1}
+func newMember(address ids.Address, zone ids.Zone, region ids.Region, servesControl bool) membership.Member {
+	return membership.Member{Address: address, Zone: zone, Region: region, ServesControl: servesControl, Incarnation: 1}
 }
 
 func TestExchange_fetchesFromNearestPeer(t *testing.T) {
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -34,17 +34,17 @@
 
 // The odds of the kinds of partners: one exchange of so many.
 const (
-	oddsRemoved      = 16
-	oddsRelay        = 2
-	oddsSeed         = 32
-	oddsFarBackbone  = 4
-	oddsFarOtherwise = 16
-	// oddsJoining is that of a seed that has not answered since the start, for the first
+	oddsRemoved        = 16
+	oddsRelay          = 2
+	oddsSeed           = 32
+	oddsRemoteBackbone = 4
+	oddsRemoteOther    = 16
+	// oddsJoiningSeed is that of a seed that has not answered since the start, for the first
 	// joiningExchanges, and while nobody of another zone is known; oddsUnanswered is
 	// that of one after them.
-	oddsJoining      = 2
-	oddsUnanswered   = 8
-	joiningExchanges = 16
+	oddsJoiningSeed    = 2
+	oddsUnansweredSeed = 8
+	joiningExchanges   = 16
 )
 
 // choosePartner picks the partner of an exchange, mostly of the same zone. While
@@ -64,9 +64,9 @@
 	if seeds, odds := g.seedsToAsk(len(local), len(remote)); len(seeds) > 0 && random.IntN(odds) == 0 {
 		return seeds[random.IntN(len(seeds))], true
 	}
-	odds := oddsFarOtherwise
+	odds := oddsRemoteOther
 	if g.Table.Self().Backbone() {
-		odds = oddsFarBackbone
+		odds = oddsRemoteBackbone
 	}
 	candidates := local
 	if len(local) == 0 || (len(remote) > 0 && (random.IntN(odds) == 0 || g.Store.Empty())) {
@@ -92,9 +92,9 @@
 	case len(unanswered) == 0:
 		return seeds, oddsSeed
 	case g.exchanges.Load() < joiningExchanges || (remote == 0 && len(g.Zones) > 1):
-		return unanswered, oddsJoining
+		return unanswered, oddsJoiningSeed
 	}
-	return unanswered, oddsUnanswered
+	return unanswered, oddsUnansweredSeed
 }
 
 // unansweredSeeds returns the seeds, but for this daemon, that have not answered an
@@ -105,24 +105,24 @@
 	defer g.mu.Unlock()
 	var unanswered []ids.Address
 	for _, seed := range seeds {
-		if seed != self && !g.answered[seed] {
+		if seed != self && !g.answeredSeeds[seed] {
 			unanswered = append(unanswered, seed)
 		}
 	}
 	return unanswered
 }
 
-// noteAnswer records that a seed has answered an exchange.
-func (g *Gossiper) noteAnswer(address ids.Address) {
+// recordSeedAnswer records that a seed has answered an exchange.
+func (g *Gossiper) recordSeedAnswer(address ids.Address) {
 	if !slices.Contains(g.seeds(), address) {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.answered == nil {
-		g.answered = map[ids.Address]bool{}
+	if g.answeredSeeds == nil {
+		g.answeredSeeds = map[ids.Address]bool{}
 	}
-	g.answered[address] = true
+	g.answeredSeeds[address] = true
 }
 
 // chooseRelay picks one of the other daemons that relay for the own zone.
@@ -142,10 +142,10 @@
 func (g *Gossiper) AnnounceTargets() []ids.Address {
 	self := g.Table.Self()
 	var picked []ids.Address
-	taken := map[ids.Address]bool{self.Address: true}
+	seen := map[ids.Address]bool{self.Address: true}
 	add := func(member membership.Member) {
-		if !taken[member.Address] {
-			taken[member.Address] = true
+		if !seen[member.Address] {
+			seen[member.Address] = true
 			picked = append(picked, member.Address)
 		}
 	}
--- a/control/gossip/partner_test.go
+++ b/control/gossip/partner_test.go
@@ -15,8 +15,8 @@
 // which none knew the others stood for many seconds. Until each seed has answered it must
 // be asked often, also where the group is one of several zones.
 func TestChoosePartner_joinsThroughSeeds(t *testing.T) {
-	draws := rand.New(rand.NewPCG(1, 2))
-	random.SetSource(draws.Int64N)
+	source := rand.New(rand.NewPCG(1, 2))
+	random.SetSource(source.Int64N)
 	defer random.SetSource(nil)
 	router := membership.Member{Address: "router", Zone: "a", Incarnation: 1}
 	far := membership.Member{Address: "far", Zone: "b", Incarnation: 1, ServesControl: true}
@@ -44,7 +44,7 @@
 			}
 			g.exchanges.Store(test.exchanges)
 			for _, seed := range test.answered {
-				g.noteAnswer(seed)
+				g.recordSeedAnswer(seed)
 			}
 			toSeed := 0
 			for range 100 {
--- a/control/gossip/push.go
+++ b/control/gossip/push.go
@@ -25,11 +25,11 @@
 // pushGroup sends items that the same members should hold.
 func (g *Gossiper) pushGroup(ctx context.Context, items []Item, targets Targets) {
 	var deliveries sync.WaitGroup
-	for _, part := range g.splitTargets(targets) {
+	for _, message := range g.splitTargets(targets) {
 		deliveries.Add(1)
 		g.spawn(func() {
 			defer deliveries.Done()
-			g.deliver(ctx, items, part)
+			g.deliver(ctx, items, message)
 		})
 	}
 	deliveries.Wait()
@@ -37,9 +37,9 @@
 
 // deliver sends one delivery to the first candidate that takes it; where none
 // does, what remains is split anew.
-func (g *Gossiper) deliver(ctx context.Context, items []Item, part delivery) {
-	for _, candidate := range part.candidates[:min(maxDeliveryAttempts, len(part.candidates))] {
-		if err := g.sendPush(ctx, candidate, items, part.targets(candidate)); err == nil {
+func (g *Gossiper) deliver(ctx context.Context, items []Item, message delivery) {
+	for _, candidate := range message.candidates[:min(maxDeliveryAttempts, len(message.candidates))] {
+		if err := g.sendPush(ctx, candidate, items, message.targets(candidate)); err == nil {
 			g.Stats.Pushed.Add(1)
 			return
 		}
@@ -48,15 +48,15 @@
 			return
 		}
 	}
-	if !part.remainder.empty() {
-		g.Push(ctx, items, part.remainder)
+	if !message.remainder.empty() {
+		g.Push(ctx, items, message.remainder)
 	}
 }
 
 func (g *Gossiper) sendPush(ctx context.Context, address ids.Address, items []Item, targets Targets) error {
-	short, cancel := g.Clock.WithTimeout(ctx, g.Interval)
+	callCtx, cancel := g.Clock.WithTimeout(ctx, g.Interval)
 	defer cancel()
-	return g.remote().Push(short, address, PushRequest{From: g.Table.Self().Address, Items: items, Targets: targets})
+	return g.remote().Push(callCtx, address, PushRequest{From: g.Table.Self().Address, Items: items, Targets: targets})
 }
 
 // handlePush takes items that were pushed here and starts to send them on. It
--- a/control/gossip/store_test.go
+++ b/control/gossip/store_test.go
@@ -14,7 +14,7 @@
 // backboneMember is a daemon that should hold all.
 var backboneMember = membership.Member{ServesControl: true}
 
-func TestMain(tests *testing.M) { proptest.Run(tests) }
+func TestMain(m *testing.M) { proptest.Run(m) }
 
 // TestStore_versionsOnlyIncrease puts items in any order: the versions of updates rise for
 // each key, and the newest stays.
@@ -30,13 +30,13 @@
 		highest := map[string]ids.Version{}
 		for range rapid.IntRange(1, 40).Draw(t, "count") {
 			key := rapid.SampledFrom([]string{"spec", "plan"}).Draw(t, "key")
-			serial := ids.Version(rapid.IntRange(1, 20).Draw(t, "serial"))
-			store.Put(Item{Key: key, Version: serial})
-			highest[key] = max(highest[key], serial)
+			version := ids.Version(rapid.IntRange(1, 20).Draw(t, "serial"))
+			store.Put(Item{Key: key, Version: version})
+			highest[key] = max(highest[key], version)
 		}
-		for key, serial := range highest {
-			if item, _ := store.Get(key); item.Version != serial {
-				t.Fatalf("%s: %d, not %d", key, item.Version, serial)
+		for key, version := range highest {
+			if item, _ := store.Get(key); item.Version != version {
+				t.Fatalf("%s: %d, not %d", key, item.Version, version)
 			}
 		}
 	})
@@ -51,8 +51,8 @@
 			stores = append(stores, NewStore(nil))
 		}
 		for index := range rapid.IntRange(1, 20).Draw(t, "items") {
-			where := rapid.IntRange(0, len(stores)-1).Draw(t, "where")
-			stores[where].Put(Item{Key: fmt.Sprint(index % 4), Version: ids.Version(index + 1), Body: []byte{byte(index)}})
+			storeIndex := rapid.IntRange(0, len(stores)-1).Draw(t, "where")
+			stores[storeIndex].Put(Item{Key: fmt.Sprint(index % 4), Version: ids.Version(index + 1), Body: []byte{byte(index)}})
 		}
 		exchange := func(from *Store, to *Store) {
 			items, wantedKeys := to.Diff(from.Versions(backboneMember), backboneMember)
--- a/control/gossip/targets.go
+++ b/control/gossip/targets.go
@@ -138,10 +138,10 @@
 }
 
 // chunks splits a list into at most so many chunks of even length.
-func chunks[Element any](list []Element, most int) [][]Element {
+func chunks[Element any](list []Element, maxChunks int) [][]Element {
 	if len(list) == 0 {
 		return nil
 	}
-	size := (len(list) + max(1, most) - 1) / max(1, most)
+	size := (len(list) + max(1, maxChunks) - 1) / max(1, maxChunks)
 	return slices.Collect(slices.Chunk(list, size))
 }
--- a/control/membership/backbone_test.go
+++ b/control/membership/backbone_test.go
@@ -79,7 +79,7 @@
 		views = append(views, table)
 	}
 	source.Advance(time.Second)
-	chosen := 0
+	relayCount := 0
 	for _, view := range views {
 		relays := view.Relays("east", 2)
 		if len(relays) != 2 || relays[0].Address != "10.0.0.1:1" || relays[1].LinkMbps != 10 {
@@ -87,11 +87,11 @@
 		}
 		view.UpdateRelayRole(2, time.Second)
 		if view.Self().Relay {
-			chosen++
+			relayCount++
 		}
 	}
-	if chosen != 2 {
-		t.Fatalf("%d daemons say that they relay", chosen)
+	if relayCount != 2 {
+		t.Fatalf("%d daemons say that they relay", relayCount)
 	}
 	// The first dies: the next in order takes its place with everybody.
 	views[3].AdvanceState("10.0.0.1:1", Suspect)
--- a/control/membership/dissemination.go
+++ b/control/membership/dissemination.go
@@ -73,8 +73,8 @@
 	if known.Backbone() || known.Address == t.self.Address {
 		return true
 	}
-	lately := known.formerBackbone && t.clock.Now().Since(known.leftBackboneAt) <= formerBackboneRetention
-	return lately || (known.Zone == t.self.Zone && zone == t.self.Zone)
+	recentlyBackbone := known.formerBackbone && t.clock.Now().Since(known.leftBackboneAt) <= formerBackboneRetention
+	return recentlyBackbone || (known.Zone == t.self.Zone && zone == t.self.Zone)
 }
 
 // Differs reports whether the table of a daemon in the zone, with that digest,
--- a/control/membership/prober.go
+++ b/control/membership/prober.go
@@ -28,11 +28,11 @@
 	// stalledIntervals is the gap between two rounds, in intervals, above which
 	// this daemon must have stalled itself and judges nobody by it.
 	stalledIntervals = 3
-	// indirectTimeouts is how long an indirect probe waits, in ack timeouts.
-	indirectTimeouts = 2
-	// staleTimeouts is the length of a probe, in ack timeouts, above which this
+	// indirectAckTimeouts is how long an indirect probe waits, in ack timeouts.
+	indirectAckTimeouts = 2
+	// stalledProbeTimeouts is the length of a probe, in ack timeouts, above which this
 	// daemon must have stalled in the middle of it.
-	staleTimeouts = 6
+	stalledProbeTimeouts = 6
 )
 
 // Prober detects members of a table that fail. It runs on the table's clock.
@@ -78,7 +78,7 @@
 // came either way. The other members of a suspected remote zone are probed at
 // once; Probe returns after them.
 func (p *Prober) Probe(ctx context.Context, target Member) {
-	if !p.failed(ctx, target) {
+	if !p.probeFailed(ctx, target) {
 		return
 	}
 	p.Table.AdvanceState(target.Address, Suspect)
@@ -93,9 +93,9 @@
 	}
 }
 
-// failed reports whether a member answered neither a direct nor an indirect probe.
+// probeFailed reports whether a member answered neither a direct nor an indirect probe.
 // A probe that was cut short, or in which this daemon stalled, says nothing.
-func (p *Prober) failed(ctx context.Context, target Member) bool {
+func (p *Prober) probeFailed(ctx context.Context, target Member) bool {
 	sequence, acked := p.registerProbe()
 	defer p.unregisterProbe(sequence)
 	begin := p.Table.Now()
@@ -107,10 +107,10 @@
 		p.send(helper.Address, Datagram{Kind: kindPingRequest, Sequence: sequence, Target: target.Address})
 	}
 	p.send(target.Address, Datagram{Kind: kindPing, Sequence: sequence})
-	if p.awaitAck(ctx, acked, indirectTimeouts*p.Config.AckTimeout) || ctx.Err() != nil {
+	if p.awaitAck(ctx, acked, indirectAckTimeouts*p.Config.AckTimeout) || ctx.Err() != nil {
 		return false
 	}
-	return p.Table.Now().Since(begin) <= staleTimeouts*p.Config.AckTimeout
+	return p.Table.Now().Since(begin) <= stalledProbeTimeouts*p.Config.AckTimeout
 }
 
 func (p *Prober) spawn(task func()) {
--- a/control/membership/prober_test.go
+++ b/control/membership/prober_test.go
@@ -25,9 +25,9 @@
 	return nil
 }
 
-// TestProberRun_awaitsItsProbes ends Run while probes wait for acks that never
+// TestProberRun_waitsForProbes ends Run while probes wait for acks that never
 // come: none is left when Run has returned.
-func TestProberRun_awaitsItsProbes(t *testing.T) {
+func TestProberRun_waitsForProbes(t *testing.T) {
 	source := tickClock{Clock: clock.NewFake(), interval: time.Second, ticks: make(chan struct{})}
 	table := NewTable(source, Member{Address: "a:1", Zone: "east", Relay: true})
 	table.Merge([]Member{
--- a/control/membership/relays.go
+++ b/control/membership/relays.go
@@ -65,12 +65,12 @@
 
 // pickDistinctHosts returns the first count members that stand on different machines.
 func pickDistinctHosts(members []Member, count int) []Member {
-	taken := map[string]bool{}
+	usedHosts := map[string]bool{}
 	var picked []Member
 	for _, member := range members {
 		host, _, _ := strings.Cut(string(member.Address), ":")
-		if !taken[host] && len(picked) < count {
-			taken[host] = true
+		if !usedHosts[host] && len(picked) < count {
+			usedHosts[host] = true
 			picked = append(picked, member)
 		}
 	}
--- a/control/membership/store_test.go
+++ b/control/membership/store_test.go
@@ -8,9 +8,9 @@
 	"onyxwell/control/state/wal"
 )
 
-// TestStore_savesSizesThatComeLater has the size of a zone be published once the members
+// TestStoreSave_detectsChangedZoneSizes has the size of a zone be published once the members
 // no longer change: a daemon that loses power afterwards must know it.
-func TestStore_savesSizesThatComeLater(t *testing.T) {
+func TestStoreSave_detectsChangedZoneSizes(t *testing.T) {
 	disk := wal.Dir(t.TempDir())
 	var published, restored []ZoneSize
 	store := Store{
--- a/control/membership/zonesummary/lostzones.go
+++ b/control/membership/zonesummary/lostzones.go
@@ -29,7 +29,7 @@
 // somebody was since this daemon started. A zone whose daemons all left in order
 // is not lost.
 func (m *Manager) findLostZones() LostZones {
-	alive, silent := m.backboneHealth()
+	alive, unresponsive := m.backboneHealth()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.seenAlive == nil {
@@ -39,7 +39,7 @@
 	for zone := range m.Zones {
 		if alive[zone] {
 			m.seenAlive[zone] = true
-		} else if silent[zone] && m.seenAlive[zone] && zone != m.Table.Self().Zone {
+		} else if unresponsive[zone] && m.seenAlive[zone] && zone != m.Table.Self().Zone {
 			lost.Zones = append(lost.Zones, zone)
 		}
 	}
@@ -49,13 +49,13 @@
 
 // backboneHealth returns the zones of whose backbone somebody is alive, and those
 // of whose backbone somebody is suspected or removed.
-func (m *Manager) backboneHealth() (alive, silent map[ids.Zone]bool) {
-	alive, silent = map[ids.Zone]bool{}, map[ids.Zone]bool{}
+func (m *Manager) backboneHealth() (alive, unresponsive map[ids.Zone]bool) {
+	alive, unresponsive = map[ids.Zone]bool{}, map[ids.Zone]bool{}
 	for _, member := range m.Table.Members() {
 		if member.Backbone() {
 			alive[member.Zone] = alive[member.Zone] || member.State == membership.Alive
-			silent[member.Zone] = silent[member.Zone] || member.State == membership.Suspect || member.State == membership.Removed
+			unresponsive[member.Zone] = unresponsive[member.Zone] || member.State == membership.Suspect || member.State == membership.Removed
 		}
 	}
-	return alive, silent
+	return alive, unresponsive
 }
--- a/control/membership/zonesummary/manager.go
+++ b/control/membership/zonesummary/manager.go
@@ -67,7 +67,7 @@
 	m.Table.Prune()
 	m.recount()
 	lost := m.findLostZones()
-	if !m.firstRelay() {
+	if !m.isFirstRelay() {
 		return
 	}
 	zone := m.Table.Self().Zone
@@ -95,8 +95,8 @@
 	return now.Since(m.settlingSince) >= m.SettleTime
 }
 
-// firstRelay reports whether this daemon publishes for its zone.
-func (m *Manager) firstRelay() bool {
+// isFirstRelay reports whether this daemon publishes for its zone.
+func (m *Manager) isFirstRelay() bool {
 	self := m.Table.Self()
 	relays := m.Table.Relays(self.Zone, 1)
 	return self.Relay && len(relays) > 0 && relays[0].Address == self.Address
@@ -161,7 +161,7 @@
 // member is alive, and the zones of whose backbone not all are: those may be
 // unreachable, even if that is not certain yet. A zone may be in both.
 func (m *Manager) RemoteEndpoints() (reachable []RouterEndpoints, doubtful []ids.Zone) {
-	alive, silent := m.backboneHealth()
+	alive, unresponsive := m.backboneHealth()
 	local := m.Table.Self().Zone
 	for _, item := range m.Store.WithPrefix(EndpointsPrefix) {
 		endpoints, err := transport.Unmarshal[RouterEndpoints](item.Body)
@@ -171,7 +171,7 @@
 		if alive[endpoints.Zone] {
 			reachable = append(reachable, endpoints)
 		}
-		if !alive[endpoints.Zone] || silent[endpoints.Zone] {
+		if !alive[endpoints.Zone] || unresponsive[endpoints.Zone] {
 			doubtful = append(doubtful, endpoints.Zone)
 		}
 	}
--- a/control/membership/zonesummary/zonesummary_test.go
+++ b/control/membership/zonesummary/zonesummary_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestManagerRefresh_youngRelayKeepsLargerSize has a relay that knows few routers take over
+// TestManagerRefresh_newRelayKeepsLargerSize has a relay that knows few routers take over
 // from one that knew more.
-func TestManagerRefresh_youngRelayKeepsLargerSize(t *testing.T) {
+func TestManagerRefresh_newRelayKeepsLargerSize(t *testing.T) {
 	source := clock.NewFake()
 	manager := newTestManager(source, "a:1", "east")
 	manager.MergeSizes([]membership.ZoneSize{{Zone: "east", Routers: 9}})
@@ -192,12 +192,12 @@
 	}
 }
 
-// TestManagerRefresh_publishesSettledSizes has a relay start before the routers of its
+// TestManagerRefresh_delaysFirstSizeUntilSettled has a relay start before the routers of its
 // zone are heard of. It published a size of 0 then; a router that heard so and was cut off
 // from the rest took the part of two in all that routers share, so that a tenant's quota
 // was exceeded (seed 11 of the simulation's scenario newVoterBesideStaleReplica on the
 // build 2bb6c8b). The first size must wait until no further router is heard of.
-func TestManagerRefresh_publishesSettledSizes(t *testing.T) {
+func TestManagerRefresh_delaysFirstSizeUntilSettled(t *testing.T) {
 	source := clock.NewFake()
 	manager := newTestManager(source, "a:1", "east")
 	manager.SettleTime = 4 * time.Second
