--- a/control/gossip/digest.go
+++ b/control/gossip/digest.go
@@ -10,8 +10,8 @@
 	"onyxwell/control/membership"
 )
 
-// Versions returns the versions of the items here that a member should hold, in
-// the order of their keys.
+// Versions returns the versions of the stored items that a member should hold, ordered
+// by key.
 func (s *Store) Versions(member membership.Member) []ItemVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,8 +25,8 @@
 	return versions
 }
 
-// Digest is a 64-bit hash of Versions: two stores that hold the same items for
-// the member have the same digest.
+// Digest returns a 64-bit hash of Versions. Two stores that hold the same items for the
+// member have the same digest.
 func (s *Store) Digest(member membership.Member) int64 {
 	hash := fnv.New64a()
 	for _, version := range s.Versions(member) {
@@ -36,9 +36,9 @@
 	return int64(hash.Sum64())
 }
 
-// Diff compares the store with the versions that another holds. It returns the
-// items that are newer here, as they are on the wire and as far as the member
-// should hold them, and the keys of those that are newer there.
+// Diff compares the store with the versions of another store. It returns the items that
+// are newer in this store and that the member should hold, in their wire form, and the
+// keys of the items that are newer in the other store.
 func (s *Store) Diff(versions []ItemVersion, member membership.Member) (items []Item, wantedKeys []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/gossip/doc.go
+++ b/control/gossip/doc.go
@@ -1,13 +1,13 @@
-// Package gossip spreads small items among the daemons: every daemon holds the
-// newest version of each key.
+// Package gossip disseminates small versioned items among the daemons. Every daemon
+// converges to the newest version of each key that it should hold.
 //
-// A daemon that makes an item pushes it at once down a tree of relays, region by
-// region and zone by zone, so that each member gets one message and none sends
-// more than its fan-out a level. What pushes lose, anti-entropy repairs: each
-// daemon exchanges the digest of its items with a partner now and then, and
-// where the digests differ both sides transfer what the other lacks.
+// The daemon that creates an item pushes it immediately down a tree of relays, region
+// by region and zone by zone, so that each member receives one message and no daemon
+// sends more than its fan-out per level. Anti-entropy repairs lost pushes: each daemon
+// periodically exchanges the digest of its items with a partner, and if the digests
+// differ, each side transfers the items that the other lacks.
 //
-// Invariants: of one key a store never goes to a lower version; a version stands
-// for one body everywhere. Keys under some prefixes belong to the backbone or to
-// one zone, and are held by nobody else.
+// Invariants: a store never replaces an item by one with a lower version, and a version
+// of a key has the same body everywhere. Keys under some prefixes belong to the backbone
+// or to one zone, and other daemons do not hold them.
 package gossip
--- a/control/gossip/exchange.go
+++ b/control/gossip/exchange.go
@@ -7,9 +7,9 @@
 	"onyxwell/control/membership"
 )
 
-// Exchange compares items and members with another daemon, and transfers what
-// either lacks. It gives up silently where the other doesn't answer in time: a
-// later exchange does the same.
+// Exchange compares items and members with another daemon and transfers what either side
+// lacks. It gives up silently if the other daemon doesn't answer in time, since a later
+// exchange repairs the same differences.
 func (g *Gossiper) Exchange(ctx context.Context, address ids.Address) {
 	callCtx, cancel := g.Clock.WithTimeout(ctx, g.Timeout)
 	defer cancel()
@@ -32,7 +32,7 @@
 	}
 }
 
-// requestExchange opens an exchange: with all versions, or with their digest alone.
+// requestExchange sends an ExchangeRequest with either all versions or only their digest.
 func (g *Gossiper) requestExchange(ctx context.Context, address ids.Address, withVersions bool) (ExchangeResponse, error) {
 	partner, _ := g.Table.Find(address)
 	common := g.commonScope(partner)
@@ -45,7 +45,7 @@
 	return g.remote().Exchange(ctx, address, req)
 }
 
-// handleExchange answers the exchange of another daemon.
+// handleExchange answers an ExchangeRequest of another daemon.
 func (g *Gossiper) handleExchange(req ExchangeRequest) ExchangeResponse {
 	g.Table.Merge([]membership.Member{req.From})
 	resp := ExchangeResponse{From: g.Table.Self(), MembershipDigest: g.Table.Digest()}
@@ -61,7 +61,8 @@
 	return resp
 }
 
-// collectWanted collects what the responder of an exchange lacks.
+// collectWanted returns the items that the responder of an exchange wants, and the
+// members to send it if the membership tables still differ.
 func (g *Gossiper) collectWanted(resp ExchangeResponse) GiveRequest {
 	give := GiveRequest{}
 	for _, key := range resp.WantedKeys {
@@ -75,8 +76,9 @@
 	return give
 }
 
-// commonScope describes a member that would hold just what this daemon and the
-// other both should: of the backbone if both are, of a zone if it is the same.
+// commonScope returns a member that would hold exactly the items that both this daemon
+// and the other should hold: it is in the backbone if both are, and in their zone if it
+// is the same.
 func (g *Gossiper) commonScope(other membership.Member) membership.Member {
 	self := g.Table.Self()
 	common := membership.Member{ServesControl: self.Backbone() && other.Backbone()}
@@ -86,7 +88,7 @@
 	return common
 }
 
-// receiveAll takes the items of an exchange and returns how many were new.
+// receiveAll stores the items of an exchange and returns how many were new.
 func (g *Gossiper) receiveAll(items []Item) (accepted int64) {
 	for _, item := range items {
 		if g.Store.receive(item, g.Store.remoteUpdates) {
--- a/control/gossip/gossiper.go
+++ b/control/gossip/gossiper.go
@@ -12,51 +12,55 @@
 	"onyxwell/control/transport"
 )
 
-// Gossiper pushes what is new in a store to other daemons, and runs the exchanges
-// with them. The exported fields but for Stats are set before its first use.
+// Gossiper pushes the updates of a store to other daemons and runs the anti-entropy
+// exchanges with them. The exported fields except Stats must be set before its first use.
 type Gossiper struct {
 	Clock  clock.Clock
 	Store  *Store
 	Table  *membership.Table
 	Client *transport.Client
-	// Seeds are partners while no other member is known, and rarely after that.
+	// Seeds are the addresses used as partners while no other member is known, often
+	// until each of them has answered, and rarely after that. SetSeeds overrides them.
 	Seeds []ids.Address
 	// Interval is the mean time between two exchanges, and the timeout of a push.
 	Interval time.Duration
-	// Timeout is that of an exchange.
+	// Timeout is the timeout of an exchange.
 	Timeout time.Duration
-	// Rejoining says that other daemons should hold items already, as they do
-	// except at the first start of a deployment.
+	// Rejoining reports whether other daemons should already hold items, which is the
+	// case except at the first start of a deployment.
 	Rejoining bool
-	// MissingData reports whether this daemon can't work yet for want of items; it
-	// then exchanges with relays of its zone, and often. It may be nil.
+	// MissingData reports whether this daemon can't work yet because it lacks items.
+	// It then exchanges more often, and more often with relays of its zone. It may be
+	// nil.
 	MissingData func() bool
-	// Zones has all zones with their regions.
+	// Zones maps all zones to their regions.
 	Zones map[ids.Zone]ids.Region
-	// RelaysPerZone is how many daemons of each zone forward pushes.
+	// RelaysPerZone is the number of daemons of each zone that forward pushes.
 	RelaysPerZone int
-	// Fanout bounds the daemons that one level of a push is sent to.
+	// Fanout bounds the number of daemons to which this daemon sends one level of a
+	// push.
 	Fanout int
-	// Stats counts the pushes of this daemon.
+	// Stats holds the counters of this daemon's pushes.
 	Stats PushStats
 
-	// peers replaces the network in tests; inline has tests run what else runs in
-	// a goroutine of its own.
+	// peers, if set, replaces the network in tests. inline makes spawn run its task
+	// synchronously in tests.
 	peers  peers
 	inline bool
 
 	reloadedSeeds atomic.Pointer[[]ids.Address]
-	// exchanges counts those that were begun.
+	// exchanges counts the exchanges that this daemon started.
 	exchanges atomic.Int64
-	// mu guards answered: the seeds that have answered an exchange.
+	// mu guards answeredSeeds, the seeds that have answered an exchange.
 	mu            sync.Mutex
 	answeredSeeds map[ids.Address]bool
-	// nearerAttempts counts the exchanges that were left to nearer daemons in vain.
+	// nearerAttempts counts the exchanges in which nearer daemons could not supply any
+	// items.
 	nearerAttempts atomic.Int64
 }
 
-// Run exchanges with a partner now and then and pushes whatever is new, until
-// ctx ends. It returns once all that it started has.
+// Run periodically exchanges with a partner and pushes updates as they arrive, until ctx
+// ends. It returns once all pushes and exchanges that it started have ended.
 func (g *Gossiper) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
@@ -78,7 +82,7 @@
 	}
 }
 
-// SetSeeds replaces the seeds, at any time.
+// SetSeeds replaces the seeds. It may be called at any time.
 func (g *Gossiper) SetSeeds(seeds []ids.Address) { g.reloadedSeeds.Store(&seeds) }
 
 func (g *Gossiper) seeds() []ids.Address {
--- a/control/gossip/message.go
+++ b/control/gossip/message.go
@@ -5,8 +5,8 @@
 	"onyxwell/control/membership"
 )
 
-// Item is one version of one key; of one key the highest version counts.
-// Compressed says that the body is, as it is on the wire.
+// Item is one version of a key; the highest version wins. Compressed reports whether the
+// body is compressed, which it may be in the wire form.
 type Item struct {
 	Key        string      `avro:"Key"`
 	Version    ids.Version `avro:"Serial"`
@@ -14,7 +14,7 @@
 	Compressed bool        `avro:"Packed"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Item) SchemaName() string { return "Item_23" }
 
 // ItemVersion is an item without its body.
@@ -23,12 +23,12 @@
 	Version ids.Version `avro:"Serial"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (ItemVersion) SchemaName() string { return "Mark_23" }
 
-// ExchangeRequest opens an exchange: by the digest of the items that both should
-// hold, or with HasVersions, once the digests were found to differ, by the
-// versions of all of them.
+// ExchangeRequest opens an exchange. It carries the digest of the items that both sides
+// should hold or, with HasVersions, once the digests were found to differ, the versions
+// of all of them.
 type ExchangeRequest struct {
 	From             membership.Member `avro:"From"`
 	MembershipDigest membership.Digest `avro:"Sums"`
@@ -37,12 +37,12 @@
 	Versions         []ItemVersion     `avro:"Marks"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (ExchangeRequest) SchemaName() string { return "ExchangeAsk_23" }
 
-// ExchangeResponse has the items that are newer on the responder's side and the
-// keys that are newer on the requester's; for a request without versions it only
-// says whether the digests differ. Members are there where the tables differ.
+// ExchangeResponse carries the items that are newer at the responder and the keys of
+// those that are newer at the requester. For a request without versions it only reports
+// whether the digests differ. Members is set if the membership tables differ.
 type ExchangeResponse struct {
 	From             membership.Member   `avro:"From"`
 	MembershipDigest membership.Digest   `avro:"Sums"`
@@ -52,56 +52,56 @@
 	WantedKeys       []string            `avro:"Wanted"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (ExchangeResponse) SchemaName() string { return "ExchangeTold_23" }
 
-// GiveRequest closes an exchange: the items that the responder wanted, and the
-// members where the tables still differ.
+// GiveRequest completes an exchange with the items that the responder lacks, and with the
+// requester's members if the membership tables still differ.
 type GiveRequest struct {
 	Items   []Item              `avro:"Items"`
 	Members []membership.Member `avro:"Members"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (GiveRequest) SchemaName() string { return "GiveAsk_23" }
 
-// GiveResponse says how many of the items were new.
+// GiveResponse reports how many of the items were new to the receiver.
 type GiveResponse struct {
 	Accepted int64 `avro:"Taken"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (GiveResponse) SchemaName() string { return "GiveTold_23" }
 
-// Targets is what a daemon is asked to reach with the items that are pushed to
-// it: regions through one daemon in each, zones likewise, and members itself.
+// Targets lists where the receiver of a push must forward the items: regions and zones
+// through one daemon in each, members directly.
 type Targets struct {
 	Regions []ids.Region  `avro:"Regions"`
 	Zones   []ids.Zone    `avro:"Zones"`
 	Members []ids.Address `avro:"Members"`
-	// BackboneOnly says that of a zone's members only the backbone gets the items.
+	// BackboneOnly restricts the members of each zone to its backbone.
 	BackboneOnly bool `avro:"Backbone"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Targets) SchemaName() string { return "Duty_23" }
 
 func (t Targets) empty() bool { return len(t.Regions)+len(t.Zones)+len(t.Members) == 0 }
 
-// PushRequest hands items down the tree of relays.
+// PushRequest sends items down the tree of relays.
 type PushRequest struct {
 	From    ids.Address `avro:"From"`
 	Items   []Item      `avro:"Items"`
 	Targets Targets     `avro:"Duty"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (PushRequest) SchemaName() string { return "PushAsk_23" }
 
-// PushResponse says how many of the items were new.
+// PushResponse reports how many of the items were new to the receiver.
 type PushResponse struct {
 	Accepted int64 `avro:"Taken"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (PushResponse) SchemaName() string { return "PushTold_23" }
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -9,19 +9,19 @@
 	"onyxwell/control/membership"
 )
 
-// maxNearerAttempts is how often a daemon without items leaves an exchange to
-// nearer daemons, before it takes all items from far away.
+// maxNearerAttempts is how often a daemon without items gives up an exchange in favor of
+// nearer daemons that turn out to be empty, before it fetches all items from far away.
 const maxNearerAttempts = 3
 
-// nearerTimeoutDivisor gives the timeout of an exchange with a nearer daemon,
-// which may be down as well, as a part of the interval.
+// nearerTimeoutDivisor is the divisor of Interval that gives the timeout of an exchange
+// with a nearer daemon. The timeout is short because that daemon may be down as well.
 const nearerTimeoutDivisor = 4
 
-// fetchFromNearer has a daemon without items take them, which may be many bytes,
-// from a daemon that is nearer than the one that answered, mostly a seed. It
-// reports whether the exchange is done, or better repeated later: the nearer
-// daemons may be empty too, and it is the first relay of a zone that fetches for
-// it from far away.
+// fetchFromNearer makes a daemon without items fetch them, which may be many bytes, from
+// a daemon that is nearer than the one that answered, which is usually a seed. It
+// returns true if the current exchange should not be continued: either the items were
+// fetched, or the nearer daemons are empty too and the exchange is better repeated later,
+// since only the first relay of a zone should fetch from far away at once.
 func (g *Gossiper) fetchFromNearer(ctx context.Context, address ids.Address, resp ExchangeResponse) bool {
 	if !g.Store.Empty() {
 		return false
@@ -47,8 +47,8 @@
 	g.Exchange(callCtx, address)
 }
 
-// nearerBackbone picks one of the nearest daemons of the backbone that are nearer
-// than another daemon.
+// nearerBackbone picks a random one of the nearest live backbone members, provided that
+// they are nearer than the daemon at the address.
 func (g *Gossiper) nearerBackbone(than ids.Address) (ids.Address, bool) {
 	other, _ := g.Table.Find(than)
 	limit := g.distance(other)
@@ -72,7 +72,8 @@
 	return nearest[random.IntN(len(nearest))].Address, true
 }
 
-// distance is 0 within the own zone, 1 within the own region, 2 elsewhere.
+// distance returns 0 for a member of this daemon's zone, 1 for one of its region and 2
+// otherwise.
 func (g *Gossiper) distance(member membership.Member) int {
 	self := g.Table.Self()
 	switch {
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -9,8 +9,8 @@
 	"onyxwell/control/membership"
 )
 
-// The delay until the next exchange, as a part of the interval: of a daemon
-// without items, and of one that still misses what it needs.
+// Divisors of Interval that give the delay until the next exchange of a daemon without
+// items, and of one that still lacks items that it needs.
 const (
 	emptyIntervalDivisor       = 8
 	missingDataIntervalDivisor = 4
@@ -20,8 +20,8 @@
 	return g.Rejoining && g.MissingData != nil && g.MissingData()
 }
 
-// nextDelay returns the time until the next exchange: 3/4 to 5/4 of the interval,
-// and less while the daemon can't serve for want of items.
+// nextDelay returns the time until the next exchange: 3/4 to 5/4 of the interval, and
+// less while the daemon lacks items that it needs.
 func (g *Gossiper) nextDelay() time.Duration {
 	if g.Rejoining && g.Store.Empty() {
 		return g.Interval / emptyIntervalDivisor
@@ -32,25 +32,25 @@
 	return g.Interval*3/4 + random.Duration(g.Interval/2)
 }
 
-// The odds of the kinds of partners: one exchange of so many.
+// The odds of choosing each kind of partner: on average one exchange in so many.
 const (
 	oddsRemoved        = 16
 	oddsRelay          = 2
 	oddsSeed           = 32
 	oddsRemoteBackbone = 4
 	oddsRemoteOther    = 16
-	// oddsJoiningSeed is that of a seed that has not answered since the start, for the first
-	// joiningExchanges, and while nobody of another zone is known; oddsUnanswered is
-	// that of one after them.
+	// oddsJoiningSeed applies to seeds that have not answered since the start, during
+	// the first joiningExchanges exchanges and, where there are several zones, while no
+	// member of another zone is known. oddsUnansweredSeed applies to them after that.
 	oddsJoiningSeed    = 2
 	oddsUnansweredSeed = 8
 	joiningExchanges   = 16
 )
 
-// choosePartner picks the partner of an exchange, mostly of the same zone. While
-// no other member is known, and now and then after that, it is a seed; now and
-// then a member that was removed, which may be back and know nobody. Exchanges
-// need no relays: they repair whatever pushes lost, and also where there are none.
+// choosePartner picks the partner of an exchange, usually from the same zone. It is a
+// seed while no other member is known and sometimes after that, and occasionally a
+// removed member, which may be back and know no other. Exchanges do not depend on relays:
+// they repair lost pushes even where there are no relays.
 func (g *Gossiper) choosePartner() (ids.Address, bool) {
 	local, remote, removed := g.classifyMembers()
 	if g.missingData() && random.IntN(oddsRelay) == 0 {
@@ -78,10 +78,11 @@
 	return candidates[random.IntN(len(candidates))].Address, true
 }
 
-// seedsToAsk returns the seeds to choose from and the odds that the partner is one, by
-// how many members of the own zone and of others are known. Daemons that start together
-// soon know some others, which may know no more than they do: until each seed has
-// answered once there may be several groups of which none knows the others.
+// seedsToAsk returns the seeds to choose from and the odds that the partner is one of
+// them, given how many members of this zone (local) and of other zones (remote) are known.
+// Daemons that start together soon know some others, which may know no more than they do:
+// until each seed has answered once, there may be several groups that don't know each
+// other.
 func (g *Gossiper) seedsToAsk(local int, remote int) ([]ids.Address, int) {
 	seeds := g.seeds()
 	if local+remote == 0 {
@@ -97,8 +98,8 @@
 	return unanswered, oddsUnansweredSeed
 }
 
-// unansweredSeeds returns the seeds, but for this daemon, that have not answered an
-// exchange since it started.
+// unansweredSeeds returns the seeds, except this daemon, that have not answered an
+// exchange since this daemon started.
 func (g *Gossiper) unansweredSeeds(seeds []ids.Address) []ids.Address {
 	self := g.Table.Self().Address
 	g.mu.Lock()
@@ -112,7 +113,8 @@
 	return unanswered
 }
 
-// recordSeedAnswer records that a seed has answered an exchange.
+// recordSeedAnswer records that the daemon at an address has answered an exchange, if it
+// is a seed.
 func (g *Gossiper) recordSeedAnswer(address ids.Address) {
 	if !slices.Contains(g.seeds(), address) {
 		return
@@ -125,7 +127,7 @@
 	g.answeredSeeds[address] = true
 }
 
-// chooseRelay picks one of the other daemons that relay for the own zone.
+// chooseRelay picks one of the other daemons that relay for this daemon's zone.
 func (g *Gossiper) chooseRelay() (ids.Address, bool) {
 	self := g.Table.Self()
 	relays := g.Table.Relays(self.Zone, g.RelaysPerZone)
@@ -136,9 +138,9 @@
 	return relays[random.IntN(len(relays))].Address, true
 }
 
-// AnnounceTargets picks the partners that hear at once of a change of the own
-// report: the relays of the zone and one more member of it, and for the backbone
-// one of another zone.
+// AnnounceTargets picks the daemons to notify immediately of a change to this daemon's
+// membership report: the relays of its zone, a random member of the zone and, if this
+// daemon is part of the backbone, a random known member of another zone.
 func (g *Gossiper) AnnounceTargets() []ids.Address {
 	self := g.Table.Self()
 	var picked []ids.Address
@@ -162,8 +164,8 @@
 	return picked
 }
 
-// classifyMembers returns the other members: those of this zone, those of other
-// zones, and those that were removed without having left.
+// classifyMembers returns the other members: the present ones of this zone, the present
+// ones of other zones, and those that were removed. Members that left are omitted.
 func (g *Gossiper) classifyMembers() (local, remote, removed []membership.Member) {
 	self := g.Table.Self()
 	for _, member := range g.Table.Members() {
--- a/control/gossip/peers.go
+++ b/control/gossip/peers.go
@@ -8,21 +8,21 @@
 	"onyxwell/control/transport"
 )
 
-// The names of the messages between daemons.
+// The names of the gossip messages.
 const (
 	exchangeMessage = "exchange"
 	giveMessage     = "give"
 	pushMessage     = "push"
 )
 
-// peers sends messages to other gossipers.
+// peers sends gossip messages to other daemons.
 type peers interface {
 	Exchange(ctx context.Context, address ids.Address, req ExchangeRequest) (ExchangeResponse, error)
 	Give(ctx context.Context, address ids.Address, req GiveRequest) error
 	Push(ctx context.Context, address ids.Address, req PushRequest) error
 }
 
-// remotePeers sends messages over the network.
+// remotePeers implements peers over the network.
 type remotePeers struct{ client *transport.Client }
 
 // Exchange implements peers.
@@ -42,7 +42,7 @@
 	return err
 }
 
-// RegisterHandlers registers the gossiper's messages.
+// RegisterHandlers registers the handlers of the gossip messages with mux.
 func (g *Gossiper) RegisterHandlers(mux *httpcall.Mux) {
 	transport.Handle(mux, exchangeMessage, func(_ context.Context, req ExchangeRequest) (ExchangeResponse, error) {
 		return g.handleExchange(req), nil
--- a/control/gossip/push.go
+++ b/control/gossip/push.go
@@ -10,19 +10,19 @@
 	"onyxwell/base/ids"
 )
 
-// PushStats counts the pushes that this daemon sent, those that failed, and the
-// ones that it received and sent on.
+// PushStats counts the push messages that this daemon sent successfully, those that
+// failed, and those that it received and forwarded.
 type PushStats struct{ Pushed, Failed, Relayed atomic.Int64 }
 
-// Push sends items to all targets that should hold them. It returns once each
-// part was handed on or given up; what is given up is left to exchanges.
+// Push sends items to all targets that should hold them. It returns once each message
+// was accepted or given up; exchanges repair what was given up.
 func (g *Gossiper) Push(ctx context.Context, items []Item, targets Targets) {
 	for filter, group := range groupByFilter(items) {
 		g.pushGroup(ctx, group, filter.apply(g, targets))
 	}
 }
 
-// pushGroup sends items that the same members should hold.
+// pushGroup pushes items that the same members should hold.
 func (g *Gossiper) pushGroup(ctx context.Context, items []Item, targets Targets) {
 	var deliveries sync.WaitGroup
 	for _, message := range g.splitTargets(targets) {
@@ -35,8 +35,8 @@
 	deliveries.Wait()
 }
 
-// deliver sends one delivery to the first candidate that takes it; where none
-// does, what remains is split anew.
+// deliver sends a message to the first candidate that accepts it. If none of the
+// attempted ones does, it pushes to the remainder separately.
 func (g *Gossiper) deliver(ctx context.Context, items []Item, message delivery) {
 	for _, candidate := range message.candidates[:min(maxDeliveryAttempts, len(message.candidates))] {
 		if err := g.sendPush(ctx, candidate, items, message.targets(candidate)); err == nil {
@@ -59,10 +59,10 @@
 	return g.remote().Push(callCtx, address, PushRequest{From: g.Table.Self().Address, Items: items, Targets: targets})
 }
 
-// handlePush takes items that were pushed here and starts to send them on. It
-// doesn't wait for that, so that the sender need not; hence the sending outlasts
-// the call. It ends by itself: each attempt has a timeout, and each further level
-// less to reach.
+// handlePush stores the items of a push from another daemon and starts to forward them. It
+// does not wait for the forwarding, so that the sender need not wait for it either;
+// forwarding therefore outlives the call. It is bounded nevertheless: each attempt has a
+// timeout, and each further level has fewer targets.
 func (g *Gossiper) handlePush(ctx context.Context, req PushRequest) PushResponse {
 	resp := PushResponse{}
 	for _, item := range req.Items {
@@ -77,7 +77,7 @@
 	return resp
 }
 
-// withoutSender returns the targets of a push but for its sender, which has the
+// withoutSender returns the targets of a push without its sender, which already has the
 // items.
 func withoutSender(req PushRequest) Targets {
 	targets := req.Targets
@@ -85,8 +85,8 @@
 	return targets
 }
 
-// forward spreads what came by an exchange in the own zone: a relay pushes it to
-// the members, any other daemon exchanges with a relay.
+// forward spreads items received in an exchange within this daemon's zone: a relay pushes
+// them to the zone's members, any other daemon exchanges with the first relay.
 func (g *Gossiper) forward(ctx context.Context, items []Item) {
 	self := g.Table.Self()
 	if self.Relay {
@@ -98,14 +98,14 @@
 	}
 }
 
-// targetFilter narrows targets to those that should hold the items whose keys
-// begin with the prefix.
+// targetFilter restricts the targets of a push to those that should hold items whose
+// keys begin with the prefix.
 type targetFilter struct {
 	prefix string
 	apply  func(g *Gossiper, targets Targets) Targets
 }
 
-// targetFilters are tried in this order; the last matches every key.
+// targetFilters are tried in order; the last one matches every key.
 var targetFilters = newTargetFilters()
 
 func newTargetFilters() []*targetFilter {
@@ -121,7 +121,8 @@
 	return targets
 }
 
-// ownZoneOnly narrows targets to the zone of this daemon.
+// ownZoneOnly restricts targets to this daemon's zone, unless they consist of members
+// only.
 func ownZoneOnly(g *Gossiper, targets Targets) Targets {
 	if len(targets.Regions)+len(targets.Zones) == 0 {
 		return targets
--- a/control/gossip/store.go
+++ b/control/gossip/store.go
@@ -15,20 +15,21 @@
 	mu       sync.Mutex
 	items    map[string]entry
 	onUpdate func(item Item)
-	// localUpdates are the keys that were put here, remoteUpdates those that came
-	// by an exchange; each is to be pushed on yet.
+	// localUpdates queues the keys of items that this daemon created, remoteUpdates
+	// those of items received in an exchange. Both are still to be pushed.
 	localUpdates  *updateQueue
 	remoteUpdates *updateQueue
 }
 
-// entry is an item as it is read here and as it is on the wire.
+// entry holds an item with its uncompressed body, and in its wire form, which may be
+// compressed.
 type entry struct {
 	Item
 	wire Item
 }
 
-// updateQueue is a set of keys and the signal that it isn't empty. The store's mu
-// guards the keys.
+// updateQueue is a set of keys with a channel that signals when keys were added. The
+// store's mu guards the keys.
 type updateQueue struct {
 	wake chan struct{}
 	keys map[string]bool
@@ -46,9 +47,9 @@
 	}
 }
 
-// NewStore returns an empty store. It calls onUpdate, which may be nil, with each
-// item that is new here, in rising order of version for each key. The function is
-// called with the store locked: it must neither call the store nor block.
+// NewStore returns an empty store. The store calls onUpdate, which may be nil, with each
+// item that it accepts, in increasing order of version for each key. It calls onUpdate
+// with its lock held: onUpdate must neither call the store nor block.
 func NewStore(onUpdate func(Item)) *Store {
 	if onUpdate == nil {
 		onUpdate = func(Item) {}
@@ -59,8 +60,8 @@
 	}
 }
 
-// Put takes an item that this daemon made, to be pushed to all that should hold
-// it. It reports whether the item was newer than the known one.
+// Put stores an item that this daemon created and queues it to be pushed to all daemons
+// that should hold it. It reports whether the item was newer than the known one.
 func (s *Store) Put(item Item) bool {
 	if !s.newer(item) {
 		return false
@@ -73,9 +74,9 @@
 	return s.apply(entry{Item: item, wire: wire}, s.localUpdates)
 }
 
-// receive takes an item off the wire, and reports whether it was newer; one that
-// can't be decompressed is dropped. queue is nil for an item that was pushed,
-// which is on its way to the others already.
+// receive stores an item in its wire form and reports whether it was newer than the
+// known one. An item that can't be decompressed is dropped. The key is added to queue,
+// which is nil for a pushed item, since the sender's push already covers the others.
 func (s *Store) receive(item Item, queue *updateQueue) bool {
 	if !s.newer(item) {
 		return false
@@ -89,14 +90,15 @@
 	return s.apply(entry{Item: plain, wire: item}, queue)
 }
 
-// newer is a cheap check that saves (de)compressing an item that is not newer;
-// apply checks again under the lock.
+// newer reports whether an item is newer than the known one. It avoids compressing or
+// decompressing items that are not; apply checks again under the lock.
 func (s *Store) newer(item Item) bool {
 	known, ok := s.Get(item.Key)
 	return !ok || item.Version > known.Version
 }
 
-// apply keeps an item if it is newer, and queues it to be pushed on.
+// apply stores an item if it is newer than the known one, and adds its key to the queue
+// unless that is nil. It reports whether it stored the item.
 func (s *Store) apply(item entry, queue *updateQueue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,8 +114,8 @@
 	return true
 }
 
-// takePending empties a queue and returns the newest items of its keys as they
-// are on the wire, in the order of the keys.
+// takePending empties a queue and returns the newest items of its keys in their wire
+// form, ordered by key.
 func (s *Store) takePending(queue *updateQueue) []Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +130,7 @@
 
 func compareKeys(a, b Item) int { return cmp.Compare(a.Key, b.Key) }
 
-// Get returns the item of a key, and whether there is one.
+// Get returns the item of a key, with its body uncompressed, and whether there is one.
 func (s *Store) Get(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +138,7 @@
 	return known.Item, ok
 }
 
-// wireItem returns the item of a key as it is on the wire.
+// wireItem returns the item of a key in its wire form, and whether there is one.
 func (s *Store) wireItem(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,15 +146,14 @@
 	return known.wire, ok
 }
 
-// Empty reports whether the store holds no item.
+// Empty reports whether the store holds no items.
 func (s *Store) Empty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.items) == 0
 }
 
-// WithPrefix returns the items whose keys begin with the prefix, in the order of
-// the keys.
+// WithPrefix returns the items whose keys begin with the prefix, ordered by key.
 func (s *Store) WithPrefix(prefix string) []Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,9 +167,9 @@
 	return items
 }
 
-// Prefixes of the keys whose items not everybody holds. BackbonePrefix is for
-// those that only the backbone holds; after the others comes the name of the zone
-// that alone holds the item.
+// Prefixes of the keys whose items only some daemons hold. Items under BackbonePrefix are
+// held only by the backbone. The other prefixes are followed by the name of the zone
+// whose members alone hold the item.
 const (
 	BackbonePrefix = "view/"
 	ZonePrefix     = "rest/"
--- a/control/gossip/targets.go
+++ b/control/gossip/targets.go
@@ -8,19 +8,19 @@
 	"onyxwell/control/membership"
 )
 
-// maxDeliveryAttempts bounds the candidates that are tried for one delivery.
+// maxDeliveryAttempts bounds the number of candidates tried for one delivery.
 const maxDeliveryAttempts = 3
 
-// delivery is one message of a push: the daemons that may take it, the preferred
-// one first, what each of them is to reach, and what remains to be reached when
-// none of them takes it.
+// delivery is one message of a push: the daemons that it may be sent to, in order of
+// preference, the targets that each of them would have to reach, and the remaining
+// targets to push to if none of them accepts it.
 type delivery struct {
 	candidates []ids.Address
 	targets    func(candidate ids.Address) Targets
 	remainder  Targets
 }
 
-// allTargets returns the targets of a daemon that made an item.
+// allTargets returns the targets for an item that this daemon created: all regions.
 func (g *Gossiper) allTargets() Targets {
 	seen := map[ids.Region]bool{}
 	targets := Targets{}
@@ -34,9 +34,9 @@
 	return targets
 }
 
-// splitTargets splits targets into deliveries, at most the fan-out each of
-// regions, zones and members. The own region is split into its zones here, and
-// the own zone into its members.
+// splitTargets splits targets into deliveries, at most Fanout each for regions, zones and
+// members. It expands this daemon's own region into its zones and its own zone into its
+// members.
 func (g *Gossiper) splitTargets(targets Targets) []delivery {
 	deliveries := g.regionDeliveries(g.expandOwnRegion(&targets), targets.BackboneOnly)
 	deliveries = append(deliveries, g.zoneDeliveries(g.expandOwnZone(&targets), targets.BackboneOnly)...)
@@ -67,8 +67,9 @@
 	return deliveries
 }
 
-// memberDeliveries splits members into chains: the first that takes a delivery
-// reaches those after it.
+// memberDeliveries splits members into chunks, one delivery each. The first member that
+// accepts a delivery forwards it to the members after it in the chunk. Members that are
+// known to be gone are omitted.
 func (g *Gossiper) memberDeliveries(addresses []ids.Address) []delivery {
 	self := g.Table.Self()
 	reachable := slices.DeleteFunc(slices.Clone(addresses), func(address ids.Address) bool {
@@ -89,8 +90,8 @@
 	return deliveries
 }
 
-// expandOwnRegion turns the own region among the targets into its zones and
-// returns the other regions.
+// expandOwnRegion adds the zones of this daemon's region to the targets if they include
+// that region, and returns the other regions.
 func (g *Gossiper) expandOwnRegion(targets *Targets) []ids.Region {
 	self := g.Table.Self()
 	if slices.Contains(targets.Regions, self.Region) {
@@ -104,8 +105,8 @@
 	return slices.DeleteFunc(slices.Clone(targets.Regions), func(region ids.Region) bool { return region == self.Region })
 }
 
-// expandOwnZone turns the own zone among the targets into its members and returns
-// the other zones.
+// expandOwnZone adds the members of this daemon's zone to the targets if they include that
+// zone, and returns the other zones.
 func (g *Gossiper) expandOwnZone(targets *Targets) []ids.Zone {
 	self := g.Table.Self()
 	if slices.Contains(targets.Zones, self.Zone) {
@@ -119,8 +120,8 @@
 	return slices.DeleteFunc(slices.Clone(targets.Zones), func(zone ids.Zone) bool { return zone == self.Zone })
 }
 
-// backboneCandidates returns the daemons of the backbone, in zones that match,
-// that may relay there: relays in random order, then the others.
+// backboneCandidates returns the live backbone members of the zones that match accepts:
+// first the relays in random order, then the others.
 func (g *Gossiper) backboneCandidates(match func(ids.Zone) bool) []ids.Address {
 	var relays, others []ids.Address
 	for _, member := range g.Table.Members() {
@@ -137,7 +138,8 @@
 	return append(relays, others...)
 }
 
-// chunks splits a list into at most so many chunks of even length.
+// chunks splits a list into at most maxChunks chunks of equal length, except for a
+// shorter last one. maxChunks below 1 counts as 1.
 func chunks[Element any](list []Element, maxChunks int) [][]Element {
 	if len(list) == 0 {
 		return nil
--- a/control/gossip/version.go
+++ b/control/gossip/version.go
@@ -6,20 +6,21 @@
 	"onyxwell/base/ids"
 )
 
-// PutNext puts a body under a key that several daemons may write, in a version
-// above the known one. It reports whether it was taken.
+// PutNext stores a body under a key that several daemons may write, with a version above
+// the known one, and queues it to be pushed. It reports whether the store accepted the
+// item.
 func (s *Store) PutNext(key string, writer ids.Address, body []byte) bool {
 	known, _ := s.Get(key)
 	return s.Put(Item{Key: key, Version: NextVersion(known.Version, writer), Body: body})
 }
 
-// writerBits is the number of low bits of a version that tell writers apart.
+// writerBits is the number of low bits of a version that identify the writer.
 const writerBits = 16
 
-// NextVersion returns a version above the known one, for keys that several
-// daemons may write: the counter in the high bits rises by one, a hash of the
-// writer's address fills the low writerBits. So two that write at once get
-// different versions, and the same one wins everywhere.
+// NextVersion returns a version above the known one for a key that several daemons may
+// write. It increments the counter in the high bits and sets the low writerBits to a hash
+// of the writer's address, so that concurrent writers use different versions and the same
+// one wins everywhere.
 func NextVersion(known ids.Version, writer ids.Address) ids.Version {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(writer))
--- a/control/membership/datagram.go
+++ b/control/membership/datagram.go
@@ -9,31 +9,30 @@
 	"onyxwell/control/transport"
 )
 
-// Datagram is what daemons send each other to probe, with reports of members on
-// it.
+// Datagram is a message of the probe protocol, with piggybacked reports about members.
 type Datagram struct {
 	Kind int64 `avro:"Kind"`
-	// Sequence is the prober's number of the probe; an ack repeats it.
+	// Sequence identifies the probe at its prober; an ack repeats it.
 	Sequence int64       `avro:"Number"`
 	From     ids.Address `avro:"From"`
-	// Target is whom a ping request asks to ping.
+	// Target is the member that a ping request asks the receiver to ping.
 	Target  ids.Address `avro:"Target"`
 	Reports []Member    `avro:"Reports"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Datagram) SchemaName() string { return "Datagram_23" }
 
-// The kinds of datagrams.
+// The values of Datagram.Kind.
 const (
 	kindPing int64 = iota
 	kindAck
 	kindPingRequest
 )
 
-// Receive handles a datagram that arrived. One that can't be decoded, or is of an
-// unknown kind, is reported to the guard and dropped. ctx bounds what it starts:
-// an indirect probe, which ends after the ack timeout at the latest.
+// Receive handles an incoming datagram. A datagram that can't be decoded or is of an
+// unknown kind is reported to the guard and dropped. ctx bounds the indirect probe that
+// a ping request starts, which ends after the ack timeout at the latest.
 func (p *Prober) Receive(ctx context.Context, sender fmt.Stringer, body []byte) {
 	datagram, err := transport.Open[Datagram](p.Guard, body)
 	if err != nil {
@@ -41,7 +40,7 @@
 		return
 	}
 	if datagram.Kind < kindPing || datagram.Kind > kindPingRequest {
-		p.Guard.Rejected(sender.String(), errkind.Errorf(errkind.UnknownCall, "datagram of kind %d", datagram.Kind))
+		p.Guard.Rejected(sender.String(), errkind.Errorf(errkind.UnknownCall, "unknown datagram kind %d: want 0 (ping), 1 (ack) or 2 (ping request)", datagram.Kind))
 		return
 	}
 	p.Table.Merge(datagram.Reports)
@@ -55,7 +54,8 @@
 	}
 }
 
-// probeFor pings the target of a ping request and forwards its ack.
+// probeFor pings the target of a ping request and, if it answers, sends an ack to the
+// requester.
 func (p *Prober) probeFor(ctx context.Context, request Datagram) {
 	sequence, acked := p.registerProbe()
 	defer p.unregisterProbe(sequence)
@@ -65,7 +65,8 @@
 	}
 }
 
-// send sends a datagram with the sender's address and reports filled in.
+// send fills in the sender's address and the reports of a datagram and sends it. A
+// datagram that can't be encoded is dropped.
 func (p *Prober) send(to ids.Address, datagram Datagram) {
 	datagram.From = p.Table.Self().Address
 	datagram.Reports = p.Table.selectReports(to)
--- a/control/membership/dissemination.go
+++ b/control/membership/dissemination.go
@@ -9,10 +9,10 @@
 	"onyxwell/base/ids"
 )
 
-// How long members that are gone are remembered. One that left said so itself;
-// a removed one may be alive behind a partition, and counts for longer. A former
-// member of another zone's backbone is remembered until nobody reports it as a
-// present one any more.
+// The retention of members that are gone. A member that left announced it itself; a
+// removed one may still be alive behind a partition and is kept for longer. A former
+// backbone member of another zone is kept until no daemon reports it as a current
+// backbone member any more.
 const (
 	leftRetention           = 10 * 60 * time.Second
 	removedRetention        = 60 * 60 * time.Second
@@ -20,14 +20,15 @@
 )
 
 const (
-	// reportsPerDatagram bounds the reports on a datagram, the own one aside.
+	// reportsPerDatagram bounds the reports on a datagram, not counting the sender's
+	// own.
 	reportsPerDatagram = 4
-	// maxTransmits is how often a report is sent on datagrams; exchanges between
-	// tables spread it further.
+	// maxTransmits bounds how often a report is sent on datagrams; the exchanges of
+	// package gossip spread it further.
 	maxTransmits = 4
 )
 
-// Prune drops members that were gone for longer than they are remembered.
+// Prune drops members whose retention has expired.
 func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,16 +45,16 @@
 	}
 }
 
-// Now returns the present instant on the table's clock.
+// Now returns the current time of the table's clock.
 func (t *Table) Now() clock.Instant { return t.clock.Now() }
 
-// KnowsFullHistory reports whether the daemon has run for as long as removed
-// members are remembered, and so has heard of every member that counts.
+// KnowsFullHistory reports whether the daemon has run for longer than removed members
+// are retained, and so has heard of every member that still counts.
 func (t *Table) KnowsFullHistory() bool { return t.clock.Now().Since(t.startedAt) > removedRetention }
 
-// MembersFor returns the members that a daemon of the zone should know, in the
-// order of their addresses: all for the own zone, otherwise the backbone and
-// those that lately were part of it.
+// MembersFor returns the members to send to a daemon of a zone, ordered by address: for
+// this daemon's own zone all members of that zone, for any zone this daemon itself, the
+// backbone and members that recently left it.
 func (t *Table) MembersFor(zone ids.Zone) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,7 +68,7 @@
 	return members
 }
 
-// sharesWith reports whether daemons of the zone are told of an entry. The caller
+// sharesWith reports whether the entry is sent to daemons of the zone. The caller
 // holds mu.
 func (t *Table) sharesWith(known *entry, zone ids.Zone) bool {
 	if known.Backbone() || known.Address == t.self.Address {
@@ -77,15 +78,16 @@
 	return recentlyBackbone || (known.Zone == t.self.Zone && zone == t.self.Zone)
 }
 
-// Differs reports whether the table of a daemon in the zone, with that digest,
-// differs from this one in what both should know.
+// Differs reports whether the table of a daemon in the zone, given its digest, differs
+// from this one in the members that both should know.
 func (t *Table) Differs(zone ids.Zone, digest Digest) bool {
 	own := t.Digest()
 	return own.Backbone != digest.Backbone || (zone == t.Self().Zone && own.Zone != digest.Zone)
 }
 
-// selectReports returns the reports for a datagram: the daemon's own, and of
-// those that the receiver should know the ones that were sent least often.
+// selectReports returns the reports to piggyback on a datagram to the receiver: this
+// daemon's own, and the least often sent of those that the receiver should know. It
+// counts the latter as sent once more.
 func (t *Table) selectReports(receiver ids.Address) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/control/membership/doc.go
+++ b/control/membership/doc.go
@@ -1,13 +1,13 @@
-// Package membership keeps the list of a deployment's daemons, after SWIM: each
-// probes the others in random rotation, directly and then through other
-// members; one that answers neither is suspected, and removed unless it refutes
-// the suspicion in time. Reports of members travel on the probes and on the
-// exchanges of package gossip.
+// Package membership maintains the list of a deployment's daemons with a protocol
+// based on SWIM. Each daemon probes the others in a randomized rotation, first
+// directly and then through other members. A member that answers neither probe is
+// suspected, and removed unless it refutes the suspicion in time. Reports about
+// members are piggybacked on probes and included in the exchanges of package gossip.
 //
-// A daemon tracks all members of its own zone, and of other zones the backbone
-// alone: those that serve control and those that relay.
+// A daemon tracks all members of its own zone but only the backbone of other zones:
+// the daemons that serve the control API and those that relay.
 //
-// Invariants: only a member itself raises its incarnation; of two reports of one
-// incarnation the one with the higher State counts; so tables that hear the same
-// reports, in any order, end up equal.
+// Invariants: only a member itself raises its incarnation, and of two reports with
+// the same incarnation the one with the higher State wins. Tables that receive the
+// same reports therefore converge, whatever the order.
 package membership
--- a/control/membership/member.go
+++ b/control/membership/member.go
@@ -6,58 +6,60 @@
 	"onyxwell/base/ids"
 )
 
-// State is what is believed of a member.
+// State is the liveness state of a member.
 type State int64
 
-// The states; of two reports of one incarnation the higher state counts.
+// The states of a member. Of two reports with the same incarnation, the one with the
+// higher state wins.
 const (
 	// Alive members answer probes.
 	Alive State = iota
-	// Suspect members did not answer; they are still spoken to.
+	// Suspect members did not answer a probe; messages are still sent to them.
 	Suspect
-	// Left members announced that they shut down.
+	// Left members announced their shutdown.
 	Left
 	// Removed members did not refute a suspicion in time.
 	Removed
 )
 
-// Member is a report of one daemon, as it travels between daemons.
+// Member is a report about one daemon, in the form that daemons send to each other.
 type Member struct {
 	Address ids.Address `avro:"Address"`
 	Role    string      `avro:"Role"`
 	Zone    ids.Zone    `avro:"Zone"`
 	Region  ids.Region  `avro:"Region"`
-	// ClientAddress is where a router serves clients; empty for other roles.
+	// ClientAddress is the address at which a router serves clients; empty for other
+	// roles.
 	ClientAddress ids.Address `avro:"Front"`
-	// Ready says that the daemon does its work.
+	// Ready reports whether the daemon is ready to do its work.
 	Ready bool `avro:"Ready"`
-	// Degraded says that a router reaches no runner for some of its routes.
+	// Degraded reports whether a router reaches no runner for some of its routes.
 	Degraded bool `avro:"Unable"`
-	// ServesControl says that the daemon serves the control API, Relay that it
-	// forwards updates for its zone.
+	// ServesControl reports whether the daemon serves the control API, Relay whether
+	// it forwards updates for its zone.
 	ServesControl bool `avro:"Core"`
 	Relay         bool `avro:"Relay"`
-	// LinkMbps is the link's capacity of the daemon's machine in Mbit/s.
+	// LinkMbps is the link capacity of the daemon's machine in Mbit/s.
 	LinkMbps    int64           `avro:"LinkMbps"`
 	Incarnation ids.Incarnation `avro:"Incarnation"`
 	State       State           `avro:"State"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Member) SchemaName() string { return "Member_23" }
 
 // Present reports whether messages may be sent to the member.
 func (m Member) Present() bool { return m.State == Alive || m.State == Suspect }
 
-// Restored reports whether the member is known from the disk alone: nothing was
-// heard of it since the daemon started, so its state says nothing of it.
+// Restored reports whether the member is known only from disk: no report about it
+// has arrived since this daemon started, so its state carries no information.
 func (m Member) Restored() bool { return m.Incarnation == 0 }
 
-// Backbone reports whether the member is known in all zones; others are known in
-// their own zone alone.
+// Backbone reports whether the member is tracked in all zones. Other members are
+// tracked only in their own zone.
 func (m Member) Backbone() bool { return m.ServesControl || m.Relay }
 
-// supersedes reports whether this report of a member overrides the other.
+// supersedes reports whether m overrides the other report about the same member.
 func (m Member) supersedes(other Member) bool {
 	if m.Incarnation != other.Incarnation {
 		return m.Incarnation > other.Incarnation
@@ -65,5 +67,5 @@
 	return m.State > other.State
 }
 
-// compareAddresses orders members by address.
+// compareAddresses compares members by address.
 func compareAddresses(a, b Member) int { return cmp.Compare(a.Address, b.Address) }
--- a/control/membership/prober.go
+++ b/control/membership/prober.go
@@ -10,53 +10,60 @@
 	"onyxwell/control/transport"
 )
 
-// ProbeConfig says how often a daemon probes and how long it waits.
+// ProbeConfig holds the intervals and timeouts of probes.
 type ProbeConfig struct {
-	// Interval is the time between two probes of one group.
+	// Interval is the time between two probes within one probe group.
 	Interval time.Duration
-	// AckTimeout is how long a direct probe waits; an indirect one waits twice
-	// as long.
+	// AckTimeout is how long a direct probe waits for an ack. An indirect probe
+	// waits twice as long.
 	AckTimeout time.Duration
-	// SuspicionTimeout is how long a suspected member has to refute.
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion.
 	SuspicionTimeout time.Duration
-	// IndirectProbes is how many others are asked to probe a silent member.
+	// IndirectProbes is the number of other members that are asked to probe a member
+	// that did not answer directly.
 	IndirectProbes int
 }
 
-// Multiples of ProbeConfig's spans.
+// Multiples of the durations in ProbeConfig.
 const (
-	// stalledIntervals is the gap between two rounds, in intervals, above which
-	// this daemon must have stalled itself and judges nobody by it.
+	// stalledIntervals is the gap between two probe rounds, in intervals, above which
+	// this daemon must have stalled itself; it then neither probes nor removes
+	// members in that round.
 	stalledIntervals = 3
-	// indirectAckTimeouts is how long an indirect probe waits, in ack timeouts.
+	// indirectAckTimeouts is how long an indirect probe waits for an ack, in ack
+	// timeouts.
 	indirectAckTimeouts = 2
-	// stalledProbeTimeouts is the length of a probe, in ack timeouts, above which this
-	// daemon must have stalled in the middle of it.
+	// stalledProbeTimeouts is the duration of a probe, in ack timeouts, above which
+	// this daemon must have stalled during it.
 	stalledProbeTimeouts = 6
 )
 
-// Prober detects members of a table that fail. It runs on the table's clock.
+// Prober detects failed members of a table. It uses the table's clock.
 type Prober struct {
 	Table  *Table
 	Config ProbeConfig
-	// Send sends a datagram to an address. It does not block and may lose it.
+	// Send sends a datagram to an address. It must not block and may lose the
+	// datagram.
 	Send func(to ids.Address, body []byte)
-	// Guard tags what is sent and counts what is rejected. It may be nil.
+	// Guard seals outgoing datagrams and counts rejected incoming ones. It may be
+	// nil.
 	Guard *transport.Guard
 
-	// shuffle replaces the random order of a rotation in tests; inline has tests
-	// run what else runs in a goroutine of its own.
+	// shuffle, if set, replaces the random order of a rotation in tests. inline makes
+	// spawn run its task synchronously in tests.
 	shuffle func(members []Member)
 	inline  bool
 
 	mu           sync.Mutex
 	lastSequence int64
-	// pendingAcks holds the probes that wait for an ack, by sequence.
+	// pendingAcks holds the channels of the probes that wait for an ack, by sequence
+	// number.
 	pendingAcks map[int64]chan struct{}
 	rotation    map[probeGroup][]Member
 }
 
-// Run probes until ctx ends, and returns once all probes that it started have.
+// Run probes the members of each group in turn and removes expired suspects until ctx
+// ends. It returns once all probes that it started have ended.
 func (p *Prober) Run(ctx context.Context) {
 	var probes sync.WaitGroup
 	defer probes.Wait()
@@ -74,9 +81,9 @@
 	}
 }
 
-// Probe pings a member, then asks others to ping it, and suspects it where no ack
-// came either way. The other members of a suspected remote zone are probed at
-// once; Probe returns after them.
+// Probe pings a member directly, then through other members, and marks it as Suspect
+// if no ack arrives either way. If the member belongs to another zone, Probe probes the
+// other known members of that zone immediately and returns after those probes.
 func (p *Prober) Probe(ctx context.Context, target Member) {
 	if !p.probeFailed(ctx, target) {
 		return
@@ -93,8 +100,9 @@
 	}
 }
 
-// probeFailed reports whether a member answered neither a direct nor an indirect probe.
-// A probe that was cut short, or in which this daemon stalled, says nothing.
+// probeFailed reports whether a member answered neither a direct nor an indirect
+// probe. A probe that ctx ended, or during which this daemon stalled, does not count as
+// failed.
 func (p *Prober) probeFailed(ctx context.Context, target Member) bool {
 	sequence, acked := p.registerProbe()
 	defer p.unregisterProbe(sequence)
@@ -121,9 +129,10 @@
 	go task()
 }
 
-// awaitAck reports whether the ack came before the timeout and before ctx ended.
+// awaitAck reports whether the ack arrived before the timeout and before ctx ended.
 func (p *Prober) awaitAck(ctx context.Context, acked <-chan struct{}, timeout time.Duration) bool {
-	// An ack that is there already counts, whatever else is ready too.
+	// select picks at random among ready cases: an ack that has already arrived must
+	// win over an expired timeout or an ended context.
 	select {
 	case <-acked:
 		return true
@@ -139,8 +148,8 @@
 	}
 }
 
-// registerProbe returns the sequence of a new probe and the channel that its ack
-// closes; the caller unregisters it.
+// registerProbe returns the sequence number of a new probe and the channel that is
+// closed when its ack arrives. The caller must call unregisterProbe.
 func (p *Prober) registerProbe() (sequence int64, acked <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +168,7 @@
 	delete(p.pendingAcks, sequence)
 }
 
-// acknowledge wakes the probe that waits for the ack, if it still does.
+// acknowledge wakes the probe with that sequence number if it still waits for its ack.
 func (p *Prober) acknowledge(sequence int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,8 +178,9 @@
 	}
 }
 
-// removeExpiredSuspects removes the members whose suspicion was not refuted in
-// time; none where this daemon stalled itself and may have missed a refutation.
+// removeExpiredSuspects marks members as Removed that did not refute a suspicion in
+// time. It does nothing if this daemon stalled, since it may then have missed a
+// refutation.
 func (p *Prober) removeExpiredSuspects(stalled bool) {
 	if stalled {
 		return
--- a/control/membership/relays.go
+++ b/control/membership/relays.go
@@ -10,11 +10,11 @@
 	"onyxwell/base/ids"
 )
 
-// Relays returns up to count daemons that forward updates for a zone, the
-// preferred one first, each on a machine of its own. For the own zone every
-// member computes them from its table; those of other zones are the ones that
-// announce themselves. No agreement is needed: versions only rise, so two views
-// of who relays cost bandwidth alone.
+// Relays returns up to count daemons that forward updates for a zone, in order of
+// preference and each on a different machine. For its own zone a daemon computes them
+// from all members; for another zone it can choose only among that zone's backbone.
+// Daemons need not agree on the relays: versions only increase, so diverging views
+// cost nothing but bandwidth.
 func (t *Table) Relays(zone ids.Zone, count int) []Member {
 	var candidates []Member
 	local := zone == t.Self().Zone
@@ -27,9 +27,10 @@
 	return pickDistinctHosts(candidates, count)
 }
 
-// UpdateRelayRole sets the own Relay flag by whether the daemon is one of the
-// first count relays of its zone. It does nothing within the warm-up span after
-// the start, in which the daemon may not know its zone yet.
+// UpdateRelayRole sets this daemon's Relay flag according to whether it is one of the
+// first count relays of its zone. It does nothing before warmUp has passed since the
+// start, because the daemon may not know the members of its zone yet, nor once the
+// daemon has left.
 func (t *Table) UpdateRelayRole(count int, warmUp time.Duration) {
 	self := t.Self()
 	if t.clock.Now().Since(t.startedAt) < warmUp || !self.Present() {
@@ -39,9 +40,9 @@
 	t.UpdateSelf(func(self *Member) { self.Relay = relay })
 }
 
-// rankRelays orders members by how well they relay: by link capacity, then those
-// that serve control and so carry no requests, then by a hash of the address,
-// which spreads the work over machines.
+// rankRelays sorts members by their suitability as relays: by descending link
+// capacity, then daemons that serve the control API, since they carry no requests, then
+// by a hash of the address, which spreads the work over machines.
 func rankRelays(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(
@@ -52,7 +53,7 @@
 	})
 }
 
-// compareBools orders false before true.
+// compareBools compares a and b, with false before true.
 func compareBools(a, b bool) int {
 	switch {
 	case a == b:
@@ -63,7 +64,8 @@
 	return 1
 }
 
-// pickDistinctHosts returns the first count members that stand on different machines.
+// pickDistinctHosts returns the first count members that have different hosts in their
+// addresses.
 func pickDistinctHosts(members []Member, count int) []Member {
 	usedHosts := map[string]bool{}
 	var picked []Member
--- a/control/membership/store.go
+++ b/control/membership/store.go
@@ -13,47 +13,47 @@
 	"onyxwell/control/transport"
 )
 
-// Store keeps the known members on disk, so that a daemon still knows them after
-// all of them were down at once: the shares of common limits depend on how many
-// routers there could be. Its methods are called by one goroutine at a time.
+// Store persists the known members, so that a daemon still knows them after all of
+// them were down at the same time: each router's share of a common limit depends on
+// how many routers there could be. Store is not safe for concurrent use.
 type Store struct {
-	// Clock and Log are those of Run.
+	// Clock and Log are used only by Run.
 	Clock clock.Clock
 	Log   *log.Logger
 	Table *Table
 	Disk  wal.FS
-	// Name is that of the file.
+	// Name is the name of the file on Disk.
 	Name string
-	// ZoneSizes returns the router counts of the other zones, which are stored
-	// with the members; RestoreZoneSizes takes them back. Both may be nil.
+	// ZoneSizes returns the known router counts of zones, which are stored with the
+	// members. RestoreZoneSizes receives them on Load. Both may be nil.
 	ZoneSizes        func() []ZoneSize
 	RestoreZoneSizes func([]ZoneSize)
-	// savedDigest and savedSizes are what the file holds.
+	// savedDigest and savedSizes describe what the last successful Save wrote.
 	savedDigest Digest
 	savedSizes  []ZoneSize
 }
 
-// ZoneSize is how many routers a zone is known to have had.
+// ZoneSize is the number of routers that a zone is known to have had.
 type ZoneSize struct {
 	Zone    ids.Zone `avro:"Zone"`
 	Routers int64    `avro:"Routers"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (ZoneSize) SchemaName() string { return "Size_23" }
 
-// storedMembers is the content of the file.
+// storedMembers is the content of the file that Store writes.
 type storedMembers struct {
 	Members   []Member   `avro:"Members"`
 	ZoneSizes []ZoneSize `avro:"Sizes"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (storedMembers) SchemaName() string { return "kept_23" }
 
-// Load merges the stored members into the table. All of them count as removed
-// in the oldest incarnation, until they are heard of. A file that can't be
-// decoded counts as none; an error is one of reading the disk.
+// Load merges the stored members into the table, each as Removed with incarnation 0,
+// so that any later report overrides them. A file that can't be decoded is treated as
+// missing; Load returns an error only if reading the file fails.
 func (s *Store) Load() error {
 	body, err := s.Disk.Read(s.Name)
 	if err != nil || len(body) == 0 {
@@ -61,7 +61,7 @@
 	}
 	stored, err := transport.Unmarshal[storedMembers](body)
 	if err != nil {
-		// The members will be heard of again.
+		// Not fatal: the members become known again through probes and gossip.
 		return nil
 	}
 	for index := range stored.Members {
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Save writes the members and the sizes of zones if either changed since the last
-// successful Save. Sizes are published after the members are known, so the members alone
-// do not tell.
+// Save writes the members and the zone sizes if either changed since the last
+// successful Save. Sizes are published after the members are known, so comparing the
+// members alone would miss a changed size.
 func (s *Store) Save() error {
 	digest := s.Table.Digest()
 	var sizes []ZoneSize
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Run saves once each interval until ctx ends.
+// Run calls Save once per interval until ctx ends, and logs its errors.
 func (s *Store) Run(ctx context.Context, interval time.Duration) {
 	for clock.Wait(ctx, s.Clock, interval) {
 		if err := s.Save(); err != nil {
--- a/control/membership/table.go
+++ b/control/membership/table.go
@@ -11,22 +11,22 @@
 	"onyxwell/control/transport"
 )
 
-// entry is what a table holds of a member beside its report.
+// entry is a member's report together with the table's bookkeeping for it.
 type entry struct {
 	Member
 	stateSince clock.Instant
-	// transmits is how often this report was sent on a datagram.
+	// transmits is the number of datagrams on which this report has been sent.
 	transmits int
 	hash      int64
-	// formerBackbone says that the member ceased to be of the backbone, at
-	// leftBackboneAt. Other zones are told so for a while, lest older reports
-	// bring it back there.
+	// formerBackbone is set once the member has left the backbone, at
+	// leftBackboneAt. Other zones are informed of that for a while, because
+	// older reports would otherwise bring the member back there.
 	formerBackbone bool
 	leftBackboneAt clock.Instant
 }
 
-// Table holds the members that a daemon knows, itself included. It is safe for
-// concurrent use.
+// Table holds the members known to a daemon, including the daemon itself. It is safe
+// for concurrent use.
 type Table struct {
 	mu        sync.Mutex
 	clock     clock.Clock
@@ -34,23 +34,23 @@
 	self      Member
 	members   map[ids.Address]*entry
 	digest    Digest
-	// snapshot caches Members; nil after any change.
+	// snapshot caches the result of Members; it is nil after any change.
 	snapshot []Member
 }
 
-// Digest sums up the members that are present: equal digests mean equal tables,
-// but for collisions of a 64-bit hash. Daemons of one zone compare both parts,
-// others only that of the backbone.
+// Digest summarizes the members that are present. Equal digests mean equal tables,
+// except for collisions of a 64-bit hash. Daemons of the same zone compare both
+// fields, daemons of different zones only Backbone.
 type Digest struct {
 	Zone     int64 `avro:"Zone"`
 	Backbone int64 `avro:"Backbone"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (Digest) SchemaName() string { return "Sums_23" }
 
-// NewTable returns a table that knows only its own daemon, in an incarnation of
-// at least 1.
+// NewTable returns a table that contains only its own daemon, self, with an
+// incarnation of at least 1.
 func NewTable(source clock.Clock, self Member) *Table {
 	self.Incarnation = max(self.Incarnation, 1)
 	table := &Table{clock: source, startedAt: source.Now(), self: self, members: map[ids.Address]*entry{}}
@@ -58,16 +58,16 @@
 	return table
 }
 
-// Self returns the report of the table's own daemon.
+// Self returns the report about the table's own daemon.
 func (t *Table) Self() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// UpdateSelf changes the report of the table's own daemon; a change raises its
-// incarnation, so that it overrides the earlier report everywhere. The function
-// must not call the table.
+// UpdateSelf changes the report about the table's own daemon. A change raises the
+// incarnation, so that the new report overrides the earlier one everywhere. The
+// change function must not call methods of the table.
 func (t *Table) UpdateSelf(change func(self *Member)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,9 +79,9 @@
 	}
 }
 
-// Merge takes reports from other daemons and reports whether any changed the
-// table. A report that the table's own daemon is gone is refuted by a higher
-// incarnation.
+// Merge applies reports from other daemons and reports whether any of them changed
+// the table. It refutes a report about the table's own daemon that differs from the
+// daemon's own and is not older, such as a suspicion, by raising the incarnation.
 func (t *Table) Merge(reports []Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,13 +103,14 @@
 	return changed
 }
 
-// tracks reports whether a member belongs in this table.
+// tracks reports whether the member belongs in this table.
 func (t *Table) tracks(member Member) bool {
 	return member.Zone == t.self.Zone || member.Backbone()
 }
 
-// refute raises the own incarnation above that of a report which is not what
-// this daemon says of itself: a suspicion, or a report of its previous process.
+// refute raises this daemon's incarnation above that of a report that differs from
+// the daemon's own: a suspicion, or a report from its previous process. It returns
+// whether it did so. The caller holds mu.
 func (t *Table) refute(report Member) bool {
 	if !report.supersedes(t.self) && report == t.self {
 		return false
@@ -122,9 +123,9 @@
 	return true
 }
 
-// AdvanceState moves a member to a higher state, on this daemon's own evidence
-// and in the incarnation that it knows. A state that is not higher, an unknown
-// member and the own daemon are left alone.
+// AdvanceState moves a member to a higher state within its known incarnation, on this
+// daemon's own evidence. It does nothing if the state is not higher, or if the address
+// is unknown or that of the table's own daemon.
 func (t *Table) AdvanceState(address ids.Address, state State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -137,8 +138,8 @@
 	t.put(report)
 }
 
-// Members returns all members in the order of their addresses. The slice is
-// shared and must not be changed.
+// Members returns all tracked members, ordered by address. The slice is shared and
+// must not be modified.
 func (t *Table) Members() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,8 +168,8 @@
 	return known.Member, true
 }
 
-// StateAge returns for how long a member has been in its state, 0 where it is
-// unknown.
+// StateAge returns how long the member at an address has been in its current state, or
+// 0 if it is unknown.
 func (t *Table) StateAge(address ids.Address) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,8 +187,7 @@
 	return t.digest
 }
 
-// put replaces what is known of a member, and its part in the digest. The caller
-// holds mu.
+// put stores a report about a member and updates the digest. The caller holds mu.
 func (t *Table) put(member Member) {
 	t.snapshot = nil
 	known := t.members[member.Address]
@@ -207,8 +207,8 @@
 	t.toggleDigest(known)
 }
 
-// toggleDigest adds an entry to the digest or takes it out again: the digest is
-// the exclusive or of the hashes, so both are the same operation.
+// toggleDigest adds an entry to the digest or removes it. The digest is the XOR of
+// the entries' hashes, so both are the same operation. The caller holds mu.
 func (t *Table) toggleDigest(known *entry) {
 	if !known.Present() {
 		return
@@ -221,8 +221,8 @@
 	}
 }
 
-// memberHash hashes the encoded report: daemons compare digests over the wire,
-// so it must be the same in all of them.
+// memberHash returns a hash of the encoded report. Daemons compare digests over the
+// wire, so the hash must be the same in all of them.
 func memberHash(member Member) int64 {
 	hash := fnv.New64a()
 	body, _ := transport.Marshal(member)
--- a/control/membership/targets.go
+++ b/control/membership/targets.go
@@ -7,9 +7,10 @@
 	"onyxwell/base/random"
 )
 
-// probeGroup is a set of members that a daemon probes in rotation: those of its
-// own zone, or for the backbone the backbone of the other zones. Each group has
-// its own rotation and one probe an interval, so neither delays the other.
+// probeGroup is a set of members that a daemon probes in rotation: localGroup holds
+// the members of its own zone, remoteGroup the backbone of the other zones, which only
+// backbone members probe. Each group has its own rotation and one probe per interval,
+// so that neither delays the other.
 type probeGroup int
 
 const (
@@ -26,9 +27,9 @@
 	return remoteGroup
 }
 
-// nextTarget takes the next member off a group's rotation, and begins a new
-// rotation in a new order where the last one is through: each member is probed
-// once a rotation, which bounds the time until a failure is detected.
+// nextTarget removes and returns the next member of a group's rotation, and starts a
+// new, reshuffled rotation when the previous one is exhausted. Each member is probed
+// once per rotation, which bounds the time until a failure is detected.
 func (p *Prober) nextTarget(group probeGroup) (Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,9 +53,9 @@
 	return target, true
 }
 
-// prioritizeZone moves the members of a suspected member's zone to the head of
-// the rotation and returns those that are alive, so that the loss of a whole zone
-// is detected at once. It does nothing for the own zone.
+// prioritizeZone moves the live members of a suspected member's zone to the head of
+// the rotation and returns them, so that the loss of a whole zone is detected
+// immediately. It does nothing for this daemon's own zone.
 func (p *Prober) prioritizeZone(suspected Member) []Member {
 	group := p.groupOf(suspected)
 	if group == localGroup {
@@ -75,8 +76,8 @@
 	return peers
 }
 
-// candidates returns the members of a group that this daemon probes, except one.
-// Only the backbone probes across zones.
+// candidates returns the members of a group that this daemon probes, without the one
+// at the address except. Only backbone members probe across zones.
 func (p *Prober) candidates(group probeGroup, except ids.Address) []Member {
 	self := p.Table.Self()
 	var candidates []Member
@@ -91,7 +92,8 @@
 	return candidates
 }
 
-// indirectProbers picks the members that are asked to probe the target.
+// indirectProbers picks random members of the target's group that are asked to probe
+// the target.
 func (p *Prober) indirectProbers(target Member) []Member {
 	candidates := p.candidates(p.groupOf(target), target.Address)
 	random.Shuffle(candidates)
--- a/control/membership/zonesummary/doc.go
+++ b/control/membership/zonesummary/doc.go
@@ -1,8 +1,9 @@
-// Package zonesummary publishes what other zones need to know of a zone without
-// knowing its members, and reads what they publish: the routers that clients may
-// go to, the number of routers that there could be, and the zones that are lost.
+// Package zonesummary publishes summaries of a zone for daemons that do not track its
+// members, and reads those of other zones: the client-facing addresses of its routers
+// and the number of routers that there could be. To its own zone it also publishes
+// which other zones are lost.
 //
-// The first relay of a zone publishes for it. Two daemons that both believe to be
-// the first write under versions that differ, so one of them wins everywhere;
-// nothing here needs them to agree.
+// The first relay of a zone publishes for it. If two daemons both consider themselves
+// first, they write under different versions, so the same one wins everywhere; nothing
+// in this package requires them to agree.
 package zonesummary
--- a/control/membership/zonesummary/lostzones.go
+++ b/control/membership/zonesummary/lostzones.go
@@ -9,25 +9,25 @@
 	"onyxwell/control/transport"
 )
 
-// LostZones is what a zone's backbone tells its zone of others: the zones whose
-// backbone was alive and is no more. Their runners are most likely gone too, and
-// routers need not detect that one request at a time.
+// LostZones is published by a zone's first relay to its own zone and lists the other
+// zones whose backbone was alive and no longer is. Their runners are most likely gone
+// too, and routers need not detect that one request at a time.
 type LostZones struct {
 	Zones []ids.Zone `avro:"Zones"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (LostZones) SchemaName() string { return "Lost_25" }
 
-// LostZonesKey returns the key under which a zone is told of lost zones.
+// LostZonesKey returns the key under which LostZones is published to a zone.
 func LostZonesKey(zone ids.Zone) string { return gossip.LostPrefix + string(zone) }
 
-// UnmarshalLostZones decodes the body of the item of a LostZonesKey.
+// UnmarshalLostZones decodes the body of an item whose key is a LostZonesKey.
 func UnmarshalLostZones(body []byte) (LostZones, error) { return transport.Unmarshal[LostZones](body) }
 
-// findLostZones returns the other zones of whose backbone nobody is alive, though
-// somebody was since this daemon started. A zone whose daemons all left in order
-// is not lost.
+// findLostZones returns the other zones in whose backbone no member is alive, though one
+// was since this daemon started. A zone whose backbone members all announced that they
+// left is not lost.
 func (m *Manager) findLostZones() LostZones {
 	alive, unresponsive := m.backboneHealth()
 	m.mu.Lock()
@@ -47,8 +47,8 @@
 	return lost
 }
 
-// backboneHealth returns the zones of whose backbone somebody is alive, and those
-// of whose backbone somebody is suspected or removed.
+// backboneHealth returns the zones with a live backbone member, and those with a
+// suspected or removed one.
 func (m *Manager) backboneHealth() (alive, unresponsive map[ids.Zone]bool) {
 	alive, unresponsive = map[ids.Zone]bool{}, map[ids.Zone]bool{}
 	for _, member := range m.Table.Members() {
--- a/control/membership/zonesummary/manager.go
+++ b/control/membership/zonesummary/manager.go
@@ -13,14 +13,14 @@
 	"onyxwell/control/transport"
 )
 
-// The prefixes of the keys of what a zone publishes; the zone's name follows.
-// Endpoints are for the backbone alone, sizes for all daemons.
+// Prefixes of the keys under which a zone publishes; the zone's name follows.
+// Endpoints are held by the backbone only, sizes by all daemons.
 const (
 	EndpointsPrefix = gossip.BackbonePrefix
 	SizePrefix      = "size/"
 )
 
-// RouterEndpoints are the addresses at which the routers of a zone serve clients.
+// RouterEndpoints holds the addresses at which the routers of a zone serve clients.
 type RouterEndpoints struct {
 	Zone  ids.Zone      `avro:"Zone"`
 	Ready []ids.Address `avro:"Able"`
@@ -28,41 +28,44 @@
 	Degraded []ids.Address `avro:"Unable"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the stored and sent Avro record name; it must never change.
 func (RouterEndpoints) SchemaName() string { return "Fronts_25" }
 
 // Manager publishes the summaries of its own zone and reads those of the others.
-// The exported fields are set before its first use; its methods are safe for
-// concurrent use then.
+// The exported fields must be set before its first use; after that its methods are safe
+// for concurrent use, except Refresh, which one goroutine at a time calls.
 type Manager struct {
 	Table *membership.Table
 	Store *gossip.Store
-	// Zones has all zones with their regions.
+	// Zones maps all zones to their regions.
 	Zones map[ids.Zone]ids.Region
 	// RouterRole is the role of the daemons that carry requests.
 	RouterRole string
-	// SettleTime is for how long no further router of the zone must be heard of before
-	// its size is published for the first time.
+	// SettleTime is how long no further router of the zone must have been discovered
+	// before the zone's size is published for the first time.
 	SettleTime time.Duration
 
 	mu sync.Mutex
-	// routersByZone has the published sizes, those of other zones for the most part.
+	// routersByZone holds the latest published or stored size of each zone, this one
+	// included.
 	routersByZone map[ids.Zone]int64
-	// largestByZone has the largest size of each zone so far.
+	// largestByZone holds the largest size of each zone in the life of this process.
 	largestByZone map[ids.Zone]int64
-	// seenAlive has the zones of whose backbone a member was alive since the start.
+	// seenAlive holds the zones in whose backbone a member was alive at some time since
+	// the start.
 	seenAlive map[ids.Zone]bool
-	// settlingSize is the most routers of the zone that were heard of before its size was
-	// published, settlingSince since when. Refresh alone uses them.
+	// settlingSize is the largest number of this zone's routers known before the zone's
+	// size was published, settlingSince when it was reached. Only Refresh uses them.
 	settlingSize  int64
 	settlingSince clock.Instant
-	// The counts are as of the last Refresh, so that requests read a number alone.
+	// The counts as of the last Refresh, cached so that serving a request needs only an
+	// atomic load.
 	routerCount      atomic.Int64
 	localRouterCount atomic.Int64
 }
 
-// Refresh prunes the table, counts the routers anew and, on the first relay of
-// the zone, publishes the summaries that changed. It is called once an interval.
+// Refresh prunes the table, recounts the routers and, on the first relay of the zone,
+// publishes the summaries that changed. It is called periodically.
 func (m *Manager) Refresh() {
 	m.Table.Prune()
 	m.recount()
@@ -80,10 +83,11 @@
 	}
 }
 
-// sizeIsReliable reports whether this daemon may publish the zone's size: one was
-// published or stored before, or no further router was heard of for SettleTime. A daemon
-// that has just started knows few routers or none, and a router that hears so and is cut
-// off then takes far too large a part of what all routers share.
+// sizeIsReliable reports whether this daemon may publish the zone's size: a size was
+// published or stored before, or no further router was discovered for SettleTime. A
+// daemon that has just started knows few routers or none. A router that received such a
+// size and was then partitioned would take far too large a share of the limits that all
+// routers share.
 func (m *Manager) sizeIsReliable() bool {
 	if _, known := m.zoneSize(m.Table.Self().Zone); known {
 		return true
@@ -95,14 +99,16 @@
 	return now.Since(m.settlingSince) >= m.SettleTime
 }
 
-// isFirstRelay reports whether this daemon publishes for its zone.
+// isFirstRelay reports whether this daemon is the first relay of its zone, which
+// publishes for it.
 func (m *Manager) isFirstRelay() bool {
 	self := m.Table.Self()
 	relays := m.Table.Relays(self.Zone, 1)
 	return self.Relay && len(relays) > 0 && relays[0].Address == self.Address
 }
 
-// localEndpoints returns the endpoints of this zone's routers that are ready.
+// localEndpoints returns the endpoints of this zone's routers that are alive and
+// ready.
 func (m *Manager) localEndpoints() RouterEndpoints {
 	endpoints := RouterEndpoints{Zone: m.Table.Self().Zone}
 	for _, router := range m.localRouters() {
@@ -116,8 +122,9 @@
 	return endpoints
 }
 
-// advertisedSize returns how many routers the zone could have. A daemon that has
-// not run for long enough to have heard of all never lowers the published size.
+// advertisedSize returns the zone's size to publish: how many routers it could have. A
+// daemon that has not run long enough to have heard of all of them never lowers the
+// published size.
 func (m *Manager) advertisedSize() int64 {
 	size := m.localSize()
 	if m.Table.KnowsFullHistory() {
@@ -128,7 +135,7 @@
 	return max(size, m.routersByZone[m.Table.Self().Zone])
 }
 
-// localRouters returns the known routers of this zone, also those that are gone.
+// localRouters returns the known routers of this zone, including those that are gone.
 func (m *Manager) localRouters() []membership.Member {
 	zone := m.Table.Self().Zone
 	var routers []membership.Member
@@ -142,8 +149,8 @@
 
 func (m *Manager) localSize() int64 { return int64(len(m.localRouters())) }
 
-// publish puts a summary of the own zone into the store, unless the newest item
-// of its key says the same.
+// publish puts a summary of this daemon's zone into the store, unless the newest item
+// under its key already has the same body.
 func publish[Message any](m *Manager, prefix string, message Message) {
 	body, err := transport.Marshal(message)
 	if err != nil {
@@ -157,9 +164,10 @@
 	m.Store.PutNext(key, self.Address, body)
 }
 
-// RemoteEndpoints returns the endpoints of the other zones of whose backbone a
-// member is alive, and the zones of whose backbone not all are: those may be
-// unreachable, even if that is not certain yet. A zone may be in both.
+// RemoteEndpoints returns the endpoints of the other zones that have a live backbone
+// member, and the doubtful zones: those without one, and those with a suspected or
+// removed one. Doubtful zones may be unreachable, though that is not certain yet. A zone
+// may be in both results.
 func (m *Manager) RemoteEndpoints() (reachable []RouterEndpoints, doubtful []ids.Zone) {
 	alive, unresponsive := m.backboneHealth()
 	local := m.Table.Self().Zone
--- a/control/membership/zonesummary/sizes.go
+++ b/control/membership/zonesummary/sizes.go
@@ -12,9 +12,10 @@
 	"onyxwell/control/transport"
 )
 
-// RouterCount returns among how many routers deployment-wide limits are shared:
-// all known routers of this zone, gone or not, and the sizes of the other zones.
-// A zone of unknown size counts as the largest. It is at least 1.
+// RouterCount returns the number of routers among which deployment-wide limits are
+// shared: all known routers of this zone, gone or not, or its published size if that is
+// larger, plus the sizes of the other zones. A zone of unknown size counts as much as
+// the largest known one. The result is at least 1.
 func (m *Manager) RouterCount() int {
 	if count := m.routerCount.Load(); count > 0 {
 		return int(count)
@@ -22,9 +23,10 @@
 	return m.recount()
 }
 
-// LargestRouterCount is RouterCount by the largest size that each zone had in the life
-// of this process: a relay that has just started publishes a size of the few routers
-// that it knows. It is 0 before the size of this zone was published or stored.
+// LargestRouterCount is like RouterCount but uses the largest size that each zone had in
+// the life of this process, because a relay that has just started may publish a size
+// that covers only the few routers it knows. It returns 0 until a size of this zone has
+// been published or restored from disk.
 func (m *Manager) LargestRouterCount() int {
 	localZone := m.Table.Self().Zone
 	m.mu.Lock()
@@ -49,9 +51,10 @@
 	return int(max(1, count))
 }
 
-// SlowStartRouters returns among how many routers the rate of a runner in slow start is
-// shared. The routers of the runner's own zone alone serve it, since they know
-// each other; for those of other zones it is 0, unless that zone has no routers.
+// SlowStartRouters returns the number of routers that share the request rate of a runner
+// in slow start in the given zone. Only the routers of the runner's own zone use such a
+// runner, since they know each other: for another zone the result is 0, or RouterCount
+// if that zone is known to have no routers.
 func (m *Manager) SlowStartRouters(zone ids.Zone) int {
 	if zone == m.Table.Self().Zone {
 		return max(1, int(m.localRouterCount.Load()))
@@ -69,7 +72,7 @@
 	return routers, known
 }
 
-// recount brings the counts up to date and returns the new RouterCount.
+// recount updates the cached counts and returns the new RouterCount.
 func (m *Manager) recount() int {
 	localZone, size := m.Table.Self().Zone, m.localSize()
 	m.mu.Lock()
@@ -92,8 +95,8 @@
 	return int(count)
 }
 
-// HandleItem takes the size out of an item under SizePrefix and ignores all other
-// items. The store calls it with each new item.
+// HandleItem merges the size in an item under SizePrefix and ignores all other items.
+// The store calls it with each new item.
 func (m *Manager) HandleItem(item gossip.Item) {
 	if zone, ok := strings.CutPrefix(item.Key, SizePrefix); !ok || zone == "" {
 		return
@@ -103,8 +106,8 @@
 	}
 }
 
-// MergeSizes takes sizes that were published, or that were stored by an earlier
-// process.
+// MergeSizes merges sizes that were published, or stored by an earlier process. A size
+// replaces the previous one of its zone.
 func (m *Manager) MergeSizes(sizes []membership.ZoneSize) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,7 +120,7 @@
 	}
 }
 
-// Sizes returns the known sizes, in the order of the zones' names.
+// Sizes returns the known sizes, ordered by zone name.
 func (m *Manager) Sizes() []membership.ZoneSize {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,15 +132,15 @@
 	return sizes
 }
 
-// RegionSummary counts the routers of a region: the known ones, also those that
-// are gone, and the ready ones.
+// RegionSummary holds the number of known routers of a region, including those that are
+// gone, and of ready ones.
 type RegionSummary struct {
 	Name  ids.Region `json:"region"`
 	Known int64      `json:"routers_known"`
 	Ready int64      `json:"routers_ready"`
 }
 
-// Regions returns the summaries of all regions, in the order of their names.
+// Regions returns the summaries of all regions, ordered by name.
 func (m *Manager) Regions() []RegionSummary {
 	known, ready := m.knownRouters(), m.readyRouters()
 	summaries := map[ids.Region]RegionSummary{}
