--- a/control/gossip/example_test.go
+++ b/control/gossip/example_test.go
@@ -8,12 +8,12 @@
 )
 
 func ExampleStore() {
-	store := gossip.NewStore(func(item gossip.Item) { fmt.Println("fresh:", item.Key, item.Version) })
+	store := gossip.NewStore(func(item gossip.Item) { fmt.Println("updated:", item.Key, item.Version) })
 	store.Put(gossip.Item{Key: "spec", Version: 7})
 	store.Put(gossip.Item{Key: "spec", Version: 5})
 	items, wantedKeys := store.Diff([]gossip.ItemVersion{{Key: "spec", Version: 6}, {Key: "plan", Version: 1}}, membership.Member{})
-	fmt.Println("newer here:", len(items), "wanted:", wantedKeys)
+	fmt.Println("newer here:", len(items), "newer there:", wantedKeys)
 	// Output:
-	// fresh: spec 7
-	// newer here: 1 wanted: [plan]
+	// updated: spec 7
+	// newer here: 1 newer there: [plan]
 }
--- a/control/gossip/gossiper_test.go
+++ b/control/gossip/gossiper_test.go
@@ -12,9 +12,8 @@
 	"onyxwell/control/membership"
 )
 
-// hangingPeers never answer: a push to them goes on for a while after the end of
-// its context, and looks whether Run has returned meanwhile. Any other message
-// panics.
+// hangingPeers never answer. A push to them continues for a while after its context has
+// ended, and records whether Run returned in the meantime. Any other message panics.
 type hangingPeers struct {
 	peers
 	started     chan struct{}
@@ -40,8 +39,8 @@
 	return ctx.Err()
 }
 
-// TestGossiperRun_waitsForPushes ends Run in the middle of a push: Run returns
-// after it.
+// TestGossiperRun_waitsForPushes cancels Run during a push: Run must return only after the
+// push has.
 func TestGossiperRun_waitsForPushes(t *testing.T) {
 	source := clock.NewFake()
 	table := membership.NewTable(source, newMember("self:1", "a", "home", true))
@@ -63,6 +62,6 @@
 	<-hanging.runReturned
 	<-hanging.ended
 	if hanging.outlivedRun {
-		t.Error("a push outlasts Run")
+		t.Error("a push outlived Run")
 	}
 }
--- a/control/gossip/nearer_test.go
+++ b/control/gossip/nearer_test.go
@@ -13,14 +13,14 @@
 	"onyxwell/control/membership"
 )
 
-// bootstrapPeers are the daemons that one reaches which starts and knows only a
-// seed. It sends them exchanges alone: any other message panics.
+// bootstrapPeers simulates the daemons that a joiner, a newly started daemon that knows
+// only a seed, can reach. It supports only exchanges: any other message panics.
 type bootstrapPeers struct {
 	peers
 	scope  scope.Scope
 	joiner *Gossiper
 	others map[ids.Address]*Gossiper
-	// itemsFrom counts the items that came from each of the others.
+	// itemsFrom counts the items received from each of the others.
 	itemsFrom map[ids.Address]int
 }
 
@@ -45,7 +45,7 @@
 func (b *bootstrapPeers) Exchange(_ context.Context, address ids.Address, req ExchangeRequest) (ExchangeResponse, error) {
 	other := b.others[address]
 	if other == nil {
-		return ExchangeResponse{}, errors.New("nobody at the address")
+		return ExchangeResponse{}, errors.New("no daemon at the address")
 	}
 	resp := other.handleExchange(req)
 	b.itemsFrom[address] += len(resp.Items)
@@ -86,29 +86,30 @@
 				total += count
 			}
 			if setup.itemsFrom[test.from] != 5 || total != 5 {
-				t.Errorf("items came from %v", setup.itemsFrom)
+				t.Errorf("items received by sender: %v, want 5, all from the nearest daemon", setup.itemsFrom)
 			}
 		})
 	}
 }
 
-// TestExchange_fetchesFromSeedWhenNearPeersAreEmpty has a whole zone start at once: its first
-// relay takes the items from the seed, the others wait a few exchanges for it.
+// TestExchange_fetchesFromSeedWhenNearPeersAreEmpty starts a whole zone at once: its first
+// relay must fetch the items from the seed in its first exchange, any other daemon only
+// after maxNearerAttempts exchanges.
 func TestExchange_fetchesFromSeedWhenNearPeersAreEmpty(t *testing.T) {
 	seed, near := newMember("seed:1", "x", "far", true), newMember("near:1", "a", "home", true)
 	router := newBootstrapPeers(newMember("self:1", "a", "home", false), seed, near)
 	router.fill("seed:1")
 	for attempt := range maxNearerAttempts {
 		if router.joiner.Exchange(router.scope, "seed:1"); !router.joiner.Store.Empty() {
-			t.Fatalf("at exchange %d all came from far away", attempt)
+			t.Fatalf("exchange %d already fetched the items from far away", attempt)
 		}
 	}
 	if router.joiner.Exchange(router.scope, "seed:1"); router.joiner.Store.Empty() {
-		t.Fatal("a router whose peers know nothing never learns anything")
+		t.Fatal("a router whose nearer peers are empty never fetches any items")
 	}
 	relay := newBootstrapPeers(newMember("relay:1", "a", "home", true), seed, newMember("other:1", "a", "home", false))
 	relay.fill("seed:1")
 	if relay.joiner.Exchange(relay.scope, "seed:1"); relay.joiner.Store.Empty() {
-		t.Fatal("the first relay of a zone waits for others")
+		t.Fatal("the first relay of a zone did not fetch items in its first exchange")
 	}
 }
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -33,6 +33,9 @@
 }
 
 // The odds of choosing each kind of partner: on average one exchange in so many.
+// oddsRelay applies only while this daemon lacks items that it needs. oddsRemoteBackbone
+// and oddsRemoteOther are the odds of a partner in another zone, for a backbone member
+// and for any other daemon.
 const (
 	oddsRemoved        = 16
 	oddsRelay          = 2
--- a/control/gossip/partner_test.go
+++ b/control/gossip/partner_test.go
@@ -10,10 +10,11 @@
 	"onyxwell/control/membership"
 )
 
-// TestChoosePartner_joinsThroughSeeds has a controller know some others and no seed, as
-// where many start together: it asked a seed in one exchange of 32, and several groups of
-// which none knew the others stood for many seconds. Until each seed has answered it must
-// be asked often, also where the group is one of several zones.
+// TestChoosePartner_joinsThroughSeeds guards against isolated groups after many daemons
+// start together: a controller that knew some others but no seed chose a seed in only one
+// exchange of 32, so that several groups that did not know each other persisted for many
+// seconds. Seeds must be chosen often until each has answered, even if the group already
+// spans several zones.
 func TestChoosePartner_joinsThroughSeeds(t *testing.T) {
 	source := rand.New(rand.NewPCG(1, 2))
 	random.SetSource(source.Int64N)
@@ -25,14 +26,14 @@
 		known     []membership.Member
 		answered  []ids.Address
 		exchanges int64
-		// Of 100 exchanges so many go to a seed.
+		// The allowed number of exchanges with a seed, out of 100.
 		min, max int
 	}{
-		{name: "island of a zone", known: []membership.Member{router}, min: 30, max: 70},
-		{name: "island of a zone, long after the start", known: []membership.Member{router}, exchanges: 100, min: 30, max: 70},
-		{name: "island of two zones", known: []membership.Member{router, far}, min: 30, max: 70},
+		{name: "isolated group in one zone", known: []membership.Member{router}, min: 30, max: 70},
+		{name: "isolated group in one zone, long after the start", known: []membership.Member{router}, exchanges: 100, min: 30, max: 70},
+		{name: "isolated group in two zones", known: []membership.Member{router, far}, min: 30, max: 70},
 		{name: "one seed has answered", known: []membership.Member{router, far}, answered: []ids.Address{"one"}, min: 30, max: 70},
-		{name: "a seed is gone", known: []membership.Member{router, far}, answered: []ids.Address{"one"}, exchanges: 100, min: 5, max: 25},
+		{name: "one seed never answers", known: []membership.Member{router, far}, answered: []ids.Address{"one"}, exchanges: 100, min: 5, max: 25},
 		{name: "all seeds have answered", known: []membership.Member{router, far}, answered: []ids.Address{"one", "two"}, min: 1, max: 10},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,7 +54,7 @@
 				}
 			}
 			if toSeed < test.min || toSeed > test.max {
-				t.Errorf("%d exchanges of 100 go to a seed, not %d to %d", toSeed, test.min, test.max)
+				t.Errorf("%d of 100 exchanges go to a seed, want %d to %d", toSeed, test.min, test.max)
 			}
 		})
 	}
--- a/control/gossip/push_test.go
+++ b/control/gossip/push_test.go
@@ -16,8 +16,8 @@
 	"onyxwell/control/membership"
 )
 
-// cluster is many daemons that call each other directly: each zone has one that
-// serves control and so many routers.
+// cluster simulates many daemons that call each other directly. Each zone has one daemon
+// that serves the control API and a given number of routers.
 type cluster struct {
 	clock        *clock.Fake
 	scope        scope.Scope
@@ -68,8 +68,8 @@
 	c.addresses = append(c.addresses, self.Address)
 }
 
-// clusterPeers are the other daemons of a cluster as one of them reaches them. It
-// sends them pushes alone: any other message panics.
+// clusterPeers sends the messages of one daemon to the others of its cluster. It supports
+// only pushes: any other message panics.
 type clusterPeers struct {
 	peers
 	cluster *cluster
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// shareMembership has all know whom they should know, and the relays say what they are.
+// shareMembership makes each daemon know the members that it should track, including
+// which of them are relays.
 func (c *cluster) shareMembership() {
 	var all []membership.Member
 	for _, address := range c.addresses {
@@ -126,7 +127,7 @@
 	return missing
 }
 
-// runAntiEntropy lets every daemon compare digests with one partner.
+// runAntiEntropy lets every daemon exchange items with one partner.
 func (c *cluster) runAntiEntropy() {
 	for _, address := range c.addresses {
 		from := c.gossipers[address]
@@ -144,25 +145,25 @@
 	}
 }
 
-// TestPush_reachesEveryMemberOnce pushes one item through clusters that
-// double: it reaches everybody at once, nobody sends more as the cluster grows
-// beyond its zone, and each daemon gets it once.
+// TestPush_reachesEveryMemberOnce pushes one item through clusters of increasing size: it
+// must reach every daemon exactly once, no daemon may send more messages as the cluster
+// grows, and each may know only its own zone and a few backbone members of the others.
 func TestPush_reachesEveryMemberOnce(t *testing.T) {
 	for _, size := range []struct{ regions, zones, routers int }{{3, 2, 15}, {6, 2, 15}, {12, 2, 15}, {27, 3, 14}} {
 		c := newCluster(size.regions, size.zones, size.routers)
 		c.publish(c.addresses[0], Item{Key: "spec", Version: 1, Body: make([]byte, 100)})
 		if missing := c.missing("spec"); len(missing) > 0 {
-			t.Errorf("%v: %d of %d daemons were not reached", size, len(missing), len(c.addresses))
+			t.Errorf("%v: the push missed %d of %d daemons", size, len(missing), len(c.addresses))
 		}
 		messages, most := 0, 0
 		for _, count := range c.messagesSent {
 			messages, most = messages+count, max(most, count)
 		}
 		if messages != len(c.addresses)-1 {
-			t.Errorf("%v: %d messages for %d daemons", size, messages, len(c.addresses))
+			t.Errorf("%v: %d messages for %d daemons, want one per daemon but the origin", size, messages, len(c.addresses))
 		}
 		if most > 3*8 {
-			t.Errorf("%v: one daemon sent %d messages", size, most)
+			t.Errorf("%v: one daemon sent %d messages, want at most 24", size, most)
 		}
 		for _, address := range c.addresses {
 			table := c.gossipers[address].Table
@@ -173,8 +174,8 @@
 	}
 }
 
-// TestAntiEntropy_repairsLostPushes loses a fifth of all pushes, and has both relays of
-// a zone die in the middle: comparing digests finds what the pushes lost.
+// TestAntiEntropy_repairsLostPushes drops a fifth of all pushes and takes down both relays
+// of a zone: exchanges must deliver the items that the pushes lost.
 func TestAntiEntropy_repairsLostPushes(t *testing.T) {
 	c := newCluster(3, 2, 15)
 	other := ids.Zone("r1-z1")
@@ -186,30 +187,30 @@
 	rounds := 0
 	for ; len(c.missing("spec")) > 0; rounds++ {
 		if rounds > 40 {
-			t.Fatalf("%d daemons never got it", len(c.missing("spec")))
+			t.Fatalf("%d daemons still lack the item", len(c.missing("spec")))
 		}
 		c.runAntiEntropy()
 	}
-	t.Logf("mended after %d rounds of digests", rounds)
+	t.Logf("repaired after %d rounds of exchanges", rounds)
 	item, _ := c.gossipers[c.addresses[len(c.addresses)-1]].Store.Get("spec")
 	if len(item.Body) != 5000 {
-		t.Fatalf("the body is %d bytes long", len(item.Body))
+		t.Fatalf("the body is %d bytes long, want 5000", len(item.Body))
 	}
 }
 
-// TestPush_keepsBackboneItemsInBackbone pushes what only the backbone holds.
+// TestPush_keepsBackboneItemsInBackbone pushes an item that only the backbone should hold.
 func TestPush_keepsBackboneItemsInBackbone(t *testing.T) {
 	c := newCluster(3, 2, 15)
 	c.publish(c.addresses[0], Item{Key: BackbonePrefix + "z", Version: 1})
 	for _, address := range c.addresses {
 		_, ok := c.gossipers[address].Store.Get(BackbonePrefix + "z")
 		if backbone := c.gossipers[address].Table.Self().Backbone(); ok != backbone && address != c.addresses[0] {
-			t.Errorf("%s: held %v, of the backbone %v", address, ok, backbone)
+			t.Errorf("%s: holds the item %v, in the backbone %v", address, ok, backbone)
 		}
 	}
 }
 
-// TestPush_keepsZoneItemsInZone pushes what concerns one zone only.
+// TestPush_keepsZoneItemsInZone pushes an item that only one zone should hold.
 func TestPush_keepsZoneItemsInZone(t *testing.T) {
 	c := newCluster(3, 2, 15)
 	zone := c.gossipers[c.addresses[0]].Table.Self().Zone
@@ -218,18 +219,18 @@
 	for _, address := range c.addresses {
 		_, ok := c.gossipers[address].Store.Get(ZonePrefix + string(zone))
 		if own := c.gossipers[address].Table.Self().Zone == zone; ok != own {
-			t.Errorf("%s: held %v, of the zone %v", address, ok, own)
+			t.Errorf("%s: holds the item %v, in the zone %v", address, ok, own)
 		}
 	}
 }
 
-// TestStore_dropsUndecodableItem takes an item that can't be unpacked.
+// TestStore_dropsUndecodableItem receives an item that can't be decompressed.
 func TestStore_dropsUndecodableItem(t *testing.T) {
 	store := NewStore(nil)
 	if store.receive(Item{Key: "spec", Version: 9, Body: []byte("no deflate"), Compressed: true}, nil) {
-		t.Fatal("a broken body was taken")
+		t.Fatal("an undecodable item was accepted")
 	}
 	if _, ok := store.Get("spec"); ok {
-		t.Fatal("a broken body is held")
+		t.Fatal("an undecodable item is stored")
 	}
 }
--- a/control/gossip/store_test.go
+++ b/control/gossip/store_test.go
@@ -11,19 +11,19 @@
 	"onyxwell/control/membership"
 )
 
-// backboneMember is a daemon that should hold all.
+// backboneMember is a daemon that should hold all items except those of a single zone.
 var backboneMember = membership.Member{ServesControl: true}
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestStore_versionsOnlyIncrease puts items in any order: the versions of updates rise for
-// each key, and the newest stays.
+// TestStore_versionsOnlyIncrease puts items in any order: the versions passed to onUpdate
+// must increase for each key, and the store must end with the highest.
 func TestStore_versionsOnlyIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newest := map[string]ids.Version{}
 		store := NewStore(func(item Item) {
 			if item.Version <= newest[item.Key] {
-				t.Fatalf("%s went from %d to %d", item.Key, newest[item.Key], item.Version)
+				t.Fatalf("key %s went from version %d to %d", item.Key, newest[item.Key], item.Version)
 			}
 			newest[item.Key] = item.Version
 		})
@@ -36,14 +36,14 @@
 		}
 		for key, version := range highest {
 			if item, _ := store.Get(key); item.Version != version {
-				t.Fatalf("%s: %d, not %d", key, item.Version, version)
+				t.Fatalf("key %s: version %d, want %d", key, item.Version, version)
 			}
 		}
 	})
 }
 
-// TestStoreDiff_converges lets pairs compare their digests both ways: after enough
-// of them all know the newest of everything.
+// TestStoreDiff_converges runs exchanges between pairs of stores: after enough of them, all
+// stores must hold the newest item of each key.
 func TestStoreDiff_converges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stores []*Store
@@ -57,7 +57,7 @@
 		exchange := func(from *Store, to *Store) {
 			items, wantedKeys := to.Diff(from.Versions(backboneMember), backboneMember)
 			if same := from.Digest(backboneMember) == to.Digest(backboneMember); same != (len(items)+len(wantedKeys) == 0) {
-				t.Fatalf("digests agree: %v, though %v and %v differ", same, items, wantedKeys)
+				t.Fatalf("digests agree: %v, but the newer items are %v and the wanted keys %v", same, items, wantedKeys)
 			}
 			for _, item := range items {
 				from.receive(item, nil)
@@ -74,7 +74,7 @@
 		}
 		for index := 1; index < len(stores); index++ {
 			if items, wantedKeys := stores[index].Diff(stores[0].Versions(backboneMember), backboneMember); len(items)+len(wantedKeys) != 0 {
-				t.Fatalf("%d still differs from the first: %v %v", index, items, wantedKeys)
+				t.Fatalf("store %d still differs from the first: newer items %v, wanted keys %v", index, items, wantedKeys)
 			}
 		}
 	})
@@ -83,6 +83,6 @@
 func TestNextVersion_differsByWriter(t *testing.T) {
 	one, other := NextVersion(5<<writerBits, "a:1"), NextVersion(5<<writerBits, "b:1")
 	if one == other || one>>writerBits != 6 || other>>writerBits != 6 {
-		t.Fatalf("%d %d", one, other)
+		t.Fatalf("versions %d and %d, want different ones with counter 6", one, other)
 	}
 }
--- a/control/membership/backbone_test.go
+++ b/control/membership/backbone_test.go
@@ -22,18 +22,18 @@
 		{Address: "e:1", Zone: "west", Incarnation: 1, ServesControl: true},
 	})
 	if count := len(table.Members()); count != 4 {
-		t.Fatalf("%d members: %v", count, table.Members())
+		t.Fatalf("got %d members, want 4: %v", count, table.Members())
 	}
 	if members := table.MembersFor("west"); len(members) != 3 {
-		t.Fatalf("another zone is told of %v", members)
+		t.Fatalf("MembersFor another zone returned %v", members)
 	}
 	if members := table.MembersFor("east"); len(members) != 4 {
-		t.Fatalf("the own zone is told of %v", members)
+		t.Fatalf("MembersFor the own zone returned %v", members)
 	}
 }
 
-// TestTable_formerRelayIsNotRevived has a relay of another zone cease to be one: an
-// older report must not bring it back, and digests of both zones agree again.
+// TestTable_formerRelayIsNotRevived has a relay of another zone stop relaying: an older
+// report must not bring it back, and the backbone digests of both zones must agree again.
 func TestTable_formerRelayIsNotRevived(t *testing.T) {
 	source := clock.NewFake()
 	east, west := newZoneTable(source, "a:1", "east"), newZoneTable(source, "d:1", "west")
@@ -44,23 +44,23 @@
 	former.Relay, former.Incarnation = false, 2
 	west.Merge([]Member{former})
 	if !east.Differs("west", west.Digest()) {
-		t.Fatal("the digests don't show the change")
+		t.Fatal("the digests do not differ after the change")
 	}
 	east.Merge(west.MembersFor("east"))
 	if east.Differs("west", west.Digest()) {
-		// What differs now is only that east itself and west's routers are unknown.
-		t.Fatal("the digests differ though both know the same backbone")
+		// Digest.Zone may differ still, but Differs ignores it across zones.
+		t.Fatal("the digests differ although both tables hold the same backbone")
 	}
 	east.Merge([]Member{relay})
 	for _, member := range east.Members() {
 		if member.Address == "f:1" {
-			t.Fatalf("an older report brought it back: %+v", member)
+			t.Fatalf("an older report revived the former relay: %+v", member)
 		}
 	}
 	source.Advance(2 * formerBackboneRetention)
 	east.Prune()
 	if _, ok := east.Find("f:1"); ok {
-		t.Fatal("it is remembered for ever")
+		t.Fatal("the former relay is still in the table after its retention")
 	}
 }
 
@@ -83,7 +83,7 @@
 	for _, view := range views {
 		relays := view.Relays("east", 2)
 		if len(relays) != 2 || relays[0].Address != "10.0.0.1:1" || relays[1].LinkMbps != 10 {
-			t.Fatalf("%v", relays)
+			t.Fatalf("wrong relays: %v", relays)
 		}
 		view.UpdateRelayRole(2, time.Second)
 		if view.Self().Relay {
@@ -91,12 +91,13 @@
 		}
 	}
 	if relayCount != 2 {
-		t.Fatalf("%d daemons say that they relay", relayCount)
+		t.Fatalf("%d daemons have the Relay flag, want 2", relayCount)
 	}
-	// The first dies: the next in order takes its place with everybody.
+	// The first relay is suspected: the next candidate, which is on the same host,
+	// takes its place.
 	views[3].AdvanceState("10.0.0.1:1", Suspect)
 	if relays := views[3].Relays("east", 2); relays[0].Address != "10.0.0.1:2" {
-		t.Fatalf("%v", relays)
+		t.Fatalf("wrong relays: %v", relays)
 	}
 }
 
@@ -109,20 +110,20 @@
 	source.Advance(2 * leftRetention)
 	table.Prune()
 	if _, ok := table.Find("b:1"); ok {
-		t.Fatal("one that said it leaves counts for ever")
+		t.Fatal("a member that left is still in the table after its retention")
 	}
 	if _, ok := table.Find("c:1"); !ok {
-		t.Fatal("one that may be behind a partition is forgotten soon")
+		t.Fatal("a removed member was dropped before its retention expired")
 	}
 	source.Advance(2 * removedRetention)
 	table.Prune()
 	if len(table.Members()) != 1 {
-		t.Fatalf("%v", table.Members())
+		t.Fatalf("members after all retentions: %v", table.Members())
 	}
 }
 
-// TestProber_probesPeersOfSuspectedZoneFirst suspects one relay of another zone: its peers
-// are probed next, whatever the rotation was.
+// TestProber_probesPeersOfSuspectedZoneFirst suspects one relay of another zone: the other
+// backbone members of that zone must be probed next, whatever the rotation was.
 func TestProber_probesPeersOfSuspectedZoneFirst(t *testing.T) {
 	source := clock.NewFake()
 	table := NewTable(source, Member{Address: "a:1", Zone: "east", Relay: true})
@@ -133,7 +134,7 @@
 	})
 	prober := &Prober{Table: table, shuffle: func([]Member) {}}
 	if first, _ := prober.nextTarget(localGroup); first.Address != "b:1" {
-		t.Fatalf("%v", first)
+		t.Fatalf("wrong local target: %v", first)
 	}
 	first, _ := prober.nextTarget(remoteGroup)
 	table.AdvanceState(first.Address, Suspect)
@@ -141,11 +142,11 @@
 	prober.nextTarget(remoteGroup)
 	prober.prioritizeZone(Member{Address: "c:1", Zone: "west"})
 	if peer, _ := prober.nextTarget(remoteGroup); peer.Address != "d:1" {
-		t.Fatalf("after %v and %v comes %v", first, second, peer)
+		t.Fatalf("the target after %v and %v is %v, want d:1", first, second, peer)
 	}
 	table.UpdateSelf(func(self *Member) { self.Relay = false })
 	prober.rotation = nil
 	if _, ok := prober.nextTarget(remoteGroup); ok {
-		t.Fatal("one that is not of the backbone probes over zones")
+		t.Fatal("a daemon outside the backbone probes members of other zones")
 	}
 }
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -21,15 +21,15 @@
 	table.Merge([]Member{{Address: "b", Incarnation: 2}})
 	table.Merge([]Member{{Address: "b", Incarnation: 1, State: Removed}})
 	if member, _ := table.Find("b"); member.State != Alive {
-		t.Fatalf("an older report counted: %+v", member)
+		t.Fatalf("an older report was applied: %+v", member)
 	}
 	table.Merge([]Member{{Address: "b", Incarnation: 2, State: Suspect}})
 	if member, _ := table.Find("b"); member.State != Suspect {
-		t.Fatalf("a worse report of the same incarnation did not count: %+v", member)
+		t.Fatalf("a report of a higher state in the same incarnation was not applied: %+v", member)
 	}
 	table.Merge([]Member{{Address: "b", Incarnation: 3}})
 	if member, _ := table.Find("b"); member.State != Alive {
-		t.Fatalf("the refutation did not count: %+v", member)
+		t.Fatalf("the refutation was not applied: %+v", member)
 	}
 }
 
@@ -37,13 +37,13 @@
 	table := newTestTable(clock.NewFake(), "a")
 	table.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Suspect}})
 	if self := table.Self(); self.State != Alive || self.Incarnation != 2 {
-		t.Fatalf("%+v", self)
+		t.Fatalf("the suspicion was not refuted: %+v", self)
 	}
 	other := newTestTable(clock.NewFake(), "b")
 	other.Merge([]Member{{Address: "a", Role: "router", Incarnation: 1, State: Removed}})
 	other.Merge([]Member{table.Self()})
 	if member, _ := other.Find("a"); member.State != Alive {
-		t.Fatalf("%+v", member)
+		t.Fatalf("the refutation did not override the removal: %+v", member)
 	}
 }
 
@@ -54,7 +54,7 @@
 	restarted.Merge(other.Members())
 	other.Merge([]Member{restarted.Self()})
 	if member, _ := other.Find("a"); member.Ready || member.Incarnation != 8 {
-		t.Fatalf("%+v", member)
+		t.Fatalf("the restarted daemon did not supersede its old report: %+v", member)
 	}
 }
 
@@ -62,22 +62,22 @@
 	first, second := newTestTable(clock.NewFake(), "a"), newTestTable(clock.NewFake(), "b")
 	first.Merge([]Member{second.Self()})
 	if first.Digest() == second.Digest() {
-		t.Fatal("tables that differ have one digest")
+		t.Fatal("different tables have the same digest")
 	}
 	second.Merge(first.Members())
 	if first.Digest() != second.Digest() {
-		t.Fatal("equal tables differ in their digests")
+		t.Fatal("equal tables have different digests")
 	}
 }
 
-// senderAddress is a sender as it is logged.
+// senderAddress is the sender of a datagram as Receive expects it.
 type senderAddress ids.Address
 
 // String returns the address.
 func (s senderAddress) String() string { return string(s) }
 
-// fakeNetwork delivers datagrams between probers in memory; members in dead answer nothing, and
-// pairs in partitioned don't reach each other.
+// fakeNetwork delivers datagrams between probers in memory. Members in dead neither send
+// nor receive; a pair {from, to} in partitioned drops the datagrams in that direction.
 type fakeNetwork struct {
 	clock       *clock.Fake
 	scope       scope.Scope
@@ -109,7 +109,7 @@
 	return network
 }
 
-// runProbe runs one probe, letting time pass while it waits.
+// runProbe runs one probe and advances the clock until it ends.
 func (f *fakeNetwork) runProbe(from ids.Address, to ids.Address) {
 	target, _ := f.probers[from].Table.Find(to)
 	done := make(chan struct{})
@@ -137,22 +137,22 @@
 	network := newFakeNetwork("a", "b", "c")
 	network.runProbe("a", "b")
 	if network.state("a", "b") != Alive {
-		t.Fatal("a member that answers is suspected")
+		t.Fatal("a member that answers was suspected")
 	}
 	network.dead["b"] = true
 	network.runProbe("a", "b")
 	if network.state("a", "b") != Suspect {
-		t.Fatalf("state %d of a silent member", network.state("a", "b"))
+		t.Fatalf("state %d of an unresponsive member, want Suspect", network.state("a", "b"))
 	}
 	network.probers["a"].removeExpiredSuspects(true)
 	network.clock.Advance(3 * time.Second)
 	network.probers["a"].removeExpiredSuspects(true)
 	if network.state("a", "b") != Suspect {
-		t.Fatal("a daemon that was frozen itself removed another")
+		t.Fatal("a daemon that stalled itself removed another")
 	}
 	network.probers["a"].removeExpiredSuspects(false)
 	if network.state("a", "b") != Removed {
-		t.Fatal("the suspicion never ends")
+		t.Fatal("the suspicion did not expire")
 	}
 }
 
@@ -161,7 +161,7 @@
 	network.partitioned[[2]ids.Address{"a", "b"}] = true
 	network.runProbe("a", "b")
 	if network.state("a", "b") != Alive {
-		t.Fatal("a member that others reach is suspected")
+		t.Fatal("a member that answered an indirect probe was suspected")
 	}
 }
 
@@ -177,14 +177,14 @@
 		t.Fatal(err)
 	}
 	if member, ok := second.Find("b"); !ok || member.Present() || member.Ready {
-		t.Fatalf("%+v %v", member, ok)
+		t.Fatalf("restored member: %+v, found %v", member, ok)
 	}
 	if self := second.Self(); self.State != Alive {
-		t.Fatalf("a daemon took its own old record for true: %+v", self)
+		t.Fatalf("a daemon applied its own stored report: %+v", self)
 	}
 	second.Merge([]Member{{Address: "b", Role: "router", Ready: true, Incarnation: 1}})
 	if member, _ := second.Find("b"); !member.Ready {
-		t.Fatalf("a member that is back stays removed: %+v", member)
+		t.Fatalf("a member that came back is still removed: %+v", member)
 	}
 }
 
@@ -205,13 +205,13 @@
 	}
 	totals := prober.Guard.Totals()
 	if totals["torn"] != 3 || totals["deployment"] != 1 || totals["version"] != 1 || totals["unknown"] != 1 {
-		t.Errorf("%v", totals)
+		t.Errorf("wrong totals of rejected datagrams: %v", totals)
 	}
 	if _, ok := prober.Table.Find("odd"); ok || answers != 0 {
-		t.Errorf("a refused datagram was heard: known %v, %d answers", ok, answers)
+		t.Errorf("a rejected datagram was processed: member known %v, %d answers", ok, answers)
 	}
 	prober.Receive(network.scope, senderAddress("b"), whole)
 	if _, ok := prober.Table.Find("odd"); !ok || answers != 1 {
-		t.Errorf("a good datagram was not heard: known %v, %d answers", ok, answers)
+		t.Errorf("a valid datagram was not processed: member known %v, %d answers", ok, answers)
 	}
 }
--- a/control/membership/prober_test.go
+++ b/control/membership/prober_test.go
@@ -9,8 +9,8 @@
 	"onyxwell/base/ids"
 )
 
-// tickClock stands still: an interval passes when the test sends a tick, any other
-// span never does.
+// tickClock is a clock that stands still. After(interval) fires when the test sends a
+// tick; any other After never fires.
 type tickClock struct {
 	clock.Clock
 	interval time.Duration
@@ -25,8 +25,9 @@
 	return nil
 }
 
-// TestProberRun_waitsForProbes ends Run while probes wait for acks that never
-// come: none is left when Run has returned.
+// TestProberRun_waitsForProbes cancels Run while probes wait for acks that never arrive:
+// no probe may be left when Run has returned, and a canceled probe must not suspect its
+// target.
 func TestProberRun_waitsForProbes(t *testing.T) {
 	source := tickClock{Clock: clock.NewFake(), interval: time.Second, ticks: make(chan struct{})}
 	table := NewTable(source, Member{Address: "a:1", Zone: "east", Relay: true})
@@ -54,11 +55,11 @@
 	prober.mu.Lock()
 	defer prober.mu.Unlock()
 	if len(prober.pendingAcks) != 0 {
-		t.Errorf("%d probes outlast Run", len(prober.pendingAcks))
+		t.Errorf("%d probes outlive Run", len(prober.pendingAcks))
 	}
 	for _, address := range []ids.Address{"b:1", "c:1"} {
 		if member, _ := table.Find(address); member.State != Alive {
-			t.Errorf("%s is in state %d after a probe that was cut short", address, member.State)
+			t.Errorf("%s is in state %d after a canceled probe, want Alive", address, member.State)
 		}
 	}
 }
--- a/control/membership/store_test.go
+++ b/control/membership/store_test.go
@@ -8,8 +8,8 @@
 	"onyxwell/control/state/wal"
 )
 
-// TestStoreSave_detectsChangedZoneSizes has the size of a zone be published once the members
-// no longer change: a daemon that loses power afterwards must know it.
+// TestStoreSave_detectsChangedZoneSizes publishes the size of a zone after the last change
+// of the members: Save must write it, so that the daemon still knows it after losing power.
 func TestStoreSave_detectsChangedZoneSizes(t *testing.T) {
 	disk := wal.Dir(t.TempDir())
 	var published, restored []ZoneSize
@@ -26,6 +26,6 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(restored, published) {
-		t.Errorf("%v are restored of %v", restored, published)
+		t.Errorf("restored sizes %v, want %v", restored, published)
 	}
 }
--- a/control/membership/zonesummary/zonesummary_test.go
+++ b/control/membership/zonesummary/zonesummary_test.go
@@ -38,7 +38,7 @@
 	manager.Table.Merge(members)
 	manager.Refresh()
 	if len(manager.Store.WithPrefix(EndpointsPrefix)) != 0 {
-		t.Fatal("one that does not relay published for its zone")
+		t.Fatal("a daemon that is not a relay published for its zone")
 	}
 	source.Advance(time.Second)
 	manager.Table.UpdateRelayRole(4, 0)
@@ -46,7 +46,7 @@
 	first := manager.Table.Relays("east", 1)[0].Address
 	items := manager.Store.WithPrefix(EndpointsPrefix)
 	if published := len(items) == 1; published != (first == "a:1") {
-		t.Fatalf("published %v, though the first relay is %s", published, first)
+		t.Fatalf("published %v although the first relay is %s", published, first)
 	}
 	if first != "a:1" {
 		for _, member := range members {
@@ -59,7 +59,7 @@
 	before := items[0].Version
 	manager.Refresh()
 	if after := manager.Store.WithPrefix(EndpointsPrefix)[0].Version; after != before {
-		t.Fatal("endpoints that did not change were published again")
+		t.Fatal("unchanged endpoints were published again")
 	}
 	for index := range members {
 		members[index].Incarnation = 2
@@ -72,7 +72,7 @@
 	manager.Refresh()
 	endpoints, err := transport.Unmarshal[RouterEndpoints](manager.Store.WithPrefix(EndpointsPrefix)[0].Body)
 	if err != nil || slices.Contains(endpoints.Ready, "fk:1") || slices.Contains(endpoints.Ready, "fm:1") {
-		t.Fatalf("%+v %v", endpoints, err)
+		t.Fatalf("wrong endpoints %+v, error %v", endpoints, err)
 	}
 }
 
@@ -81,36 +81,37 @@
 	manager := newTestManager(source, "a:1", "east")
 	manager.Table.Merge(newRouters("east", 3))
 	manager.Refresh()
-	// Two zones of unknown size count as large as the largest.
+	// The two zones of unknown size count as much as the largest known one, 4 routers.
 	if count := manager.RouterCount(); count != 12 {
-		t.Fatalf("%d", count)
+		t.Fatalf("router count %d, want 12", count)
 	}
 	manager.MergeSizes([]membership.ZoneSize{{Zone: "west", Routers: 7}})
 	manager.Refresh()
 	if count := manager.RouterCount(); count != 4+7+7 {
-		t.Fatalf("%d", count)
+		t.Fatalf("router count %d, want 18", count)
 	}
 	body, _ := transport.Marshal(membership.ZoneSize{Zone: "south", Routers: 2})
 	manager.Store.Put(gossip.Item{Key: SizePrefix + "south", Version: 1, Body: body})
 	manager.Table.AdvanceState("k:1", membership.Removed)
 	manager.Refresh()
 	if count := manager.RouterCount(); count != 4+7+2 {
-		t.Fatalf("%d: a router that may be behind a partition does not count", count)
+		t.Fatalf("router count %d, want 13: a removed router may be behind a partition and must count", count)
 	}
 	if own, other := manager.SlowStartRouters("east"), manager.SlowStartRouters("west"); own != 4 || other != 0 {
-		t.Fatalf("a cold runner here is shared among %d, one elsewhere among %d", own, other)
+		t.Fatalf("slow-start routers: %d in the own zone, want 4; %d in another zone, want 0", own, other)
 	}
 	manager.MergeSizes([]membership.ZoneSize{{Zone: "west"}})
 	if manager.SlowStartRouters("west") == 0 {
-		t.Fatal("nobody serves the cold runners of a zone without routers")
+		t.Fatal("no router uses the runners in slow start of a zone without routers")
 	}
 	if sizes := manager.Sizes(); len(sizes) != 2 {
-		t.Fatalf("%v", sizes)
+		t.Fatalf("got sizes %v, want 2", sizes)
 	}
 }
 
-// TestManagerRefresh_newRelayKeepsLargerSize has a relay that knows few routers take over
-// from one that knew more.
+// TestManagerRefresh_newRelayKeepsLargerSize has a newly started relay, which knows few
+// routers, take over from one that published more: it must not lower the size until it has
+// run for longer than removed members are retained.
 func TestManagerRefresh_newRelayKeepsLargerSize(t *testing.T) {
 	source := clock.NewFake()
 	manager := newTestManager(source, "a:1", "east")
@@ -120,17 +121,18 @@
 	manager.Refresh()
 	size, err := transport.Unmarshal[membership.ZoneSize](manager.Store.WithPrefix(SizePrefix)[0].Body)
 	if err != nil || size.Routers != 9 {
-		t.Fatalf("%+v %v", size, err)
+		t.Fatalf("published size %+v, error %v, want 9 routers", size, err)
 	}
 	source.Advance(2 * 60 * 60 * time.Second)
 	manager.Refresh()
 	if size, _ = transport.Unmarshal[membership.ZoneSize](manager.Store.WithPrefix(SizePrefix)[0].Body); size.Routers != 1 {
-		t.Fatalf("%+v long after the others are gone", size)
+		t.Fatalf("published size %+v after the retention of removed members, want 1 router", size)
 	}
 }
 
-// TestManagerRefresh_publishesLostZones has a zone's backbone fall silent: it is lost
-// once nobody of it answers, though somebody did, and no more once one does again.
+// TestManagerRefresh_publishesLostZones makes a zone's backbone unresponsive: the zone is
+// lost once none of its backbone members is alive although one was, and no longer once one
+// is alive again.
 func TestManagerRefresh_publishesLostZones(t *testing.T) {
 	source := clock.NewFake()
 	manager := newTestManager(source, "a:1", "east")
@@ -155,28 +157,28 @@
 		return lost.Zones
 	}
 	if lost := refreshed(); lost != nil {
-		t.Fatalf("%v: a zone that never answered is lost", lost)
+		t.Fatalf("lost zones %v, want none: no backbone member was ever alive in south", lost)
 	}
 	manager.Table.AdvanceState("x:1", membership.Suspect)
 	if lost := refreshed(); lost != nil {
-		t.Fatalf("%v: lost though one answers", lost)
+		t.Fatalf("lost zones %v, want none: a backbone member is alive", lost)
 	}
 	manager.Table.AdvanceState("y:1", membership.Removed)
 	if lost := refreshed(); !slices.Equal(lost, []ids.Zone{"west"}) {
-		t.Fatalf("%v", lost)
+		t.Fatalf("lost zones %v, want west", lost)
 	}
 	manager.Table.Merge([]membership.Member{backbone("y:1", 2)})
 	if lost := refreshed(); len(lost) != 0 {
-		t.Fatalf("%v: lost though one answers again", lost)
+		t.Fatalf("lost zones %v, want none: a backbone member is alive again", lost)
 	}
 }
 
-// TestManagerLargestRouterCount_keepsLargestSizes has relays publish the few routers
-// that they know after a start: the count of before holds.
+// TestManagerLargestRouterCount_keepsLargestSizes has relays publish small sizes after a
+// restart, when they know few routers: the previous, larger count must still hold.
 func TestManagerLargestRouterCount_keepsLargestSizes(t *testing.T) {
 	manager := newTestManager(clock.NewFake(), "a:1", "east")
 	if got := manager.LargestRouterCount(); got != 0 {
-		t.Errorf("%d routers are counted before any size is known", got)
+		t.Errorf("LargestRouterCount is %d before any size is known, want 0", got)
 	}
 	sizes := func(routers int64) (all []membership.ZoneSize) {
 		for zone := range zones {
@@ -188,15 +190,16 @@
 		manager.MergeSizes(sizes(routers))
 	}
 	if got := manager.LargestRouterCount(); got != 7*len(zones) {
-		t.Errorf("%d routers are counted, not %d", got, 7*len(zones))
+		t.Errorf("LargestRouterCount is %d, want %d", got, 7*len(zones))
 	}
 }
 
-// TestManagerRefresh_delaysFirstSizeUntilSettled has a relay start before the routers of its
-// zone are heard of. It published a size of 0 then; a router that heard so and was cut off
-// from the rest took the part of two in all that routers share, so that a tenant's quota
-// was exceeded (seed 11 of the simulation's scenario newVoterBesideStaleReplica on the
-// build 2bb6c8b). The first size must wait until no further router is heard of.
+// TestManagerRefresh_delaysFirstSizeUntilSettled starts a relay before the routers of its
+// zone are known. Such a relay used to publish a size of 0; a router that received it and
+// was then partitioned from the others took the share of two routers in all common limits,
+// so that a tenant's quota was exceeded (seed 11 of the simulation scenario
+// newVoterBesideStaleReplica on build 2bb6c8b). The first size must be published only once
+// no further routers are discovered.
 func TestManagerRefresh_delaysFirstSizeUntilSettled(t *testing.T) {
 	source := clock.NewFake()
 	manager := newTestManager(source, "a:1", "east")
@@ -223,12 +226,12 @@
 		source.Advance(step.wait)
 		routers := newRouters("east", step.routers)
 		for index := range routers {
-			// This daemon stays the first relay.
+			// Suspect members are not chosen as relays, so this daemon remains the first.
 			routers[index].State = membership.Suspect
 		}
 		manager.Table.Merge(routers)
 		if got := published(); got != step.want {
-			t.Errorf("%v later, with %d others: %d is published, not %d", step.wait, step.routers, got, step.want)
+			t.Errorf("%v later, with %d other routers: published size %d, want %d", step.wait, step.routers, got, step.want)
 		}
 	}
 	restarted := newTestManager(source, "a:1", "east")
@@ -238,6 +241,6 @@
 	source.Advance(time.Second)
 	manager.Table.UpdateRelayRole(2, 0)
 	if got := published(); got != 9 {
-		t.Errorf("a size that was stored is published as %d", got)
+		t.Errorf("published size %d after a restart, want the stored size 9", got)
 	}
 }
