--- a/control/gossip/gossiper.go
+++ b/control/gossip/gossiper.go
@@ -30,8 +30,8 @@
 	// case except at the first start of a deployment.
 	Rejoining bool
 	// MissingData reports whether this daemon can't work yet because it lacks items.
-	// It then exchanges more often, and more often with relays of its zone. It may be
-	// nil.
+	// It then exchanges more often, and more often with relays of its zone. It is not
+	// called unless Rejoining is set, and may be nil.
 	MissingData func() bool
 	// Zones maps all zones to their regions.
 	Zones map[ids.Zone]ids.Region
--- a/control/gossip/message.go
+++ b/control/gossip/message.go
@@ -73,8 +73,8 @@
 // SchemaName returns the stored and sent Avro record name; it must never change.
 func (GiveResponse) SchemaName() string { return "GiveTold_23" }
 
-// Targets lists where the receiver of a push must forward the items: regions and zones
-// through one daemon in each, members directly.
+// Targets lists the daemons that a push still has to reach from its sender or receiver:
+// the members of regions and zones, each through one daemon there, and single members.
 type Targets struct {
 	Regions []ids.Region  `avro:"Regions"`
 	Zones   []ids.Zone    `avro:"Zones"`
--- a/control/gossip/nearer.go
+++ b/control/gossip/nearer.go
@@ -21,7 +21,7 @@
 // a daemon that is nearer than the one that answered, which is usually a seed. It
 // returns true if the current exchange should not be continued: either the items were
 // fetched, or the nearer daemons are empty too and the exchange is better repeated later,
-// since only the first relay of a zone should fetch from far away at once.
+// since only the first relay of a zone should fetch from far away immediately.
 func (g *Gossiper) fetchFromNearer(ctx context.Context, address ids.Address, resp ExchangeResponse) bool {
 	if !g.Store.Empty() {
 		return false
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -43,8 +43,9 @@
 	oddsRemoteBackbone = 4
 	oddsRemoteOther    = 16
 	// oddsJoiningSeed applies to seeds that have not answered since the start, during
-	// the first joiningExchanges exchanges and, where there are several zones, while no
-	// member of another zone is known. oddsUnansweredSeed applies to them after that.
+	// the first joiningExchanges exchanges and also later, where there are several zones,
+	// while no member of another zone is known. Otherwise oddsUnansweredSeed applies to
+	// them.
 	oddsJoiningSeed    = 2
 	oddsUnansweredSeed = 8
 	joiningExchanges   = 16
--- a/control/membership/backbone_test.go
+++ b/control/membership/backbone_test.go
@@ -48,7 +48,8 @@
 	}
 	east.Merge(west.MembersFor("east"))
 	if east.Differs("west", west.Digest()) {
-		// Digest.Zone may differ still, but Differs ignores it across zones.
+		// Digest.Zone still differs, since neither table holds all members of the other's
+		// zone, but Differs ignores it across zones.
 		t.Fatal("the digests differ although both tables hold the same backbone")
 	}
 	east.Merge([]Member{relay})
--- a/control/membership/member.go
+++ b/control/membership/member.go
@@ -55,8 +55,8 @@
 // has arrived since this daemon started, so its state carries no information.
 func (m Member) Restored() bool { return m.Incarnation == 0 }
 
-// Backbone reports whether the member is tracked in all zones. Other members are
-// tracked only in their own zone.
+// Backbone reports whether the member belongs to the backbone, whose members are tracked
+// in all zones. Other members are tracked only in their own zone.
 func (m Member) Backbone() bool { return m.ServesControl || m.Relay }
 
 // supersedes reports whether m overrides the other report about the same member.
--- a/control/membership/zonesummary/manager.go
+++ b/control/membership/zonesummary/manager.go
@@ -164,10 +164,11 @@
 	m.Store.PutNext(key, self.Address, body)
 }
 
-// RemoteEndpoints returns the endpoints of the other zones that have a live backbone
-// member, and the doubtful zones: those without one, and those with a suspected or
-// removed one. Doubtful zones may be unreachable, though that is not certain yet. A zone
-// may be in both results.
+// RemoteEndpoints returns the published endpoints of the other zones that have a live
+// backbone member. It also returns the doubtful zones among those with published
+// endpoints: zones without a live backbone member, or with a suspected or removed one.
+// These may be unreachable, though that is not certain yet. A zone may be in both
+// results.
 func (m *Manager) RemoteEndpoints() (reachable []RouterEndpoints, doubtful []ids.Zone) {
 	alive, unresponsive := m.backboneHealth()
 	local := m.Table.Self().Zone
