--- a/control/gossip/gossiper_test.go
+++ b/control/gossip/gossiper_test.go
@@ -12,26 +12,25 @@
 	"onyxwell/control/membership"
 )
 
-// hangingPeers never answer: a push to them goes on for a while after the end of
-// its context, and looks whether Run has returned meanwhile. Any other message
-// panics.
+// hangingPeers never answer. A push to them continues for a while after its context has
+// ended, and records whether Run returned in the meantime. Any other message panics.
 type hangingPeers struct {
 	peers
-	begun     chan struct{}
-	returned  chan struct{}
-	ended     chan struct{}
-	outlasted bool
+	started     chan struct{}
+	runReturned chan struct{}
+	ended       chan struct{}
+	outlivedRun bool
 }
 
 // Push implements peers.
 func (h *hangingPeers) Push(ctx context.Context, _ ids.Address, _ PushRequest) error {
 	defer close(h.ended)
-	close(h.begun)
+	close(h.started)
 	<-ctx.Done()
 	for range 10_000 {
 		select {
-		case <-h.returned:
-			h.outlasted = true
+		case <-h.runReturned:
+			h.outlivedRun = true
 			return ctx.Err()
 		default:
 			runtime.Gosched()
@@ -40,13 +39,13 @@
 	return ctx.Err()
 }
 
-// TestGossiperRun_awaitsItsPushes ends Run in the middle of a push: Run returns
-// after it.
-func TestGossiperRun_awaitsItsPushes(t *testing.T) {
+// TestGossiperRun_waitsForPushes cancels Run during a push: Run must return only after the
+// push has.
+func TestGossiperRun_waitsForPushes(t *testing.T) {
 	source := clock.NewFake()
 	table := membership.NewTable(source, newMember("self:1", "a", "home", true))
 	table.Merge([]membership.Member{newMember("near:1", "a", "home", true)})
-	hanging := &hangingPeers{begun: make(chan struct{}), returned: make(chan struct{}), ended: make(chan struct{})}
+	hanging := &hangingPeers{started: make(chan struct{}), runReturned: make(chan struct{}), ended: make(chan struct{})}
 	gossiper := &Gossiper{
 		Clock: source,
 		Store: NewStore(nil), Table: table, Zones: map[ids.Zone]ids.Region{"a": "home"},
@@ -54,15 +53,15 @@
 	}
 	ctx, cancel := scope.New(scope.Options{Clock: source}).WithCancel()
 	go func() {
-		defer close(hanging.returned)
+		defer close(hanging.runReturned)
 		gossiper.Run(ctx)
 	}()
 	gossiper.Store.Put(Item{Key: "spec", Version: 1})
-	<-hanging.begun
+	<-hanging.started
 	cancel()
-	<-hanging.returned
+	<-hanging.runReturned
 	<-hanging.ended
-	if hanging.outlasted {
-		t.Error("a push outlasts Run")
+	if hanging.outlivedRun {
+		t.Error("a push outlived Run")
 	}
 }
