--- a/cmd/fleet-controller/parts.go
+++ b/cmd/fleet-controller/parts.go
@@ -58,7 +58,7 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "PART\tHOLDER\tFENCE\tSINCE\tMOVES\tLAST ACT\tANSWER\n")
 	for _, part := range p.Duties.Parts {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%s\t%d\n", part.Part, part.Holder, part.Fence, instant(part.SinceUnixMS), part.Moves, instant(part.ActUnixMS), part.ActStatus)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%s\t%d\n", part.Part, part.Holder, part.Fence, instant(part.SinceUnixMS), part.Moves, instant(part.LastCallUnixMS), part.LastCallStatus)
 	}
 	return table.Flush()
 }
--- a/control/controller/duties.go
+++ b/control/controller/duties.go
@@ -88,12 +88,12 @@
 // controller with whoever does.
 func (c *Controller) newAssigner(holder *lease.Holder, parts []duty.Part) func(context.Context) {
 	c.duties.assigner = duty.NewAssigner(duty.AssignerOptions{
-		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Parts: parts, TTL: c.timing.LeaseDuration, HandOver: c.handOverTime(),
-		Held: holder.Held, Update: c.commands.Update, Publish: func(item gossip.Item) { c.daemon.Updates.Put(item) }, NewSerial: discovery.FencedSerial, Log: c.log,
+		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Parts: parts, TTL: c.timing.LeaseDuration, HandOverDelay: c.handOverTime(),
+		AssignerLease: holder.Held, Update: c.commands.Update, Publish: func(item gossip.Item) { c.daemon.Updates.Put(item) }, NewVersion: discovery.FencedSerial, Log: c.log,
 	})
 	c.duties.session = duty.NewSession(duty.SessionOptions{
 		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Zone: c.settings.Zone, Incarnation: 1 + random.Int64N(1<<62),
-		TTL: c.timing.LeaseDuration, MaxDrift: maxClockDrift, Eligible: c.voter.Voting, Assigner: c.daemon.Controllers,
+		TTL: c.timing.LeaseDuration, MaxDrift: maxClockDrift, Eligible: c.voter.Voting, AssignerCandidates: c.daemon.Controllers,
 		AssignerLease: holder.Held, Send: c.sendHeartbeat, ProbePlatform: c.daemon.NewPlatformClient().Probe, Log: c.log,
 	})
 	transport.Handle(c.daemon.Calls, duty.HandOverMessage, func(_ context.Context, req duty.HandOverRequest) (duty.HandOverResponse, error) {
@@ -139,7 +139,7 @@
 	ctx, cancel := c.clock.WithTimeout(ctx, c.timing.CommandTimeout)
 	defer cancel()
 	c.duties.session.Leave(ctx)
-	for c.duties.session.Calling() && clock.Wait(ctx, c.clock, dutyCheckInterval) {
+	for c.duties.session.HasRunningCalls() && clock.Wait(ctx, c.clock, dutyCheckInterval) {
 	}
 	c.duties.session.Renew(ctx)
 }
@@ -157,10 +157,10 @@
 	if c.duties == nil {
 		return nil
 	}
-	overview, acts := c.daemon.DutyOverview(), c.duties.assigner.Acts()
+	overview, acts := c.daemon.DutyOverview(), c.duties.assigner.LastCalls()
 	for index := range overview.Parts {
 		act := acts[overview.Parts[index].Part]
-		overview.Parts[index].ActUnixMS, overview.Parts[index].ActStatus = act.UnixMS, act.Status
+		overview.Parts[index].LastCallUnixMS, overview.Parts[index].LastCallStatus = act.UnixMS, act.Status
 	}
 	return &dutiesStatus{Assigner: overview.Assigner, Held: c.duties.session.Status(), Parts: overview.Parts}
 }
--- a/control/controller/dutyusage.go
+++ b/control/controller/dutyusage.go
@@ -16,23 +16,23 @@
 // addUsageCollector adds the holder's side of usage.
 func (c *Controller) addUsageCollector() {
 	agreed, bounds := c.daemon.ServeTime(), c.settings.Bounds
-	c.duties.usage = usage.NewCollector(usage.Options{
+	c.duties.usage = usage.NewCollector(usage.CollectorOptions{
 		Clock: c.clock, Now: agreed.Now, Synced: agreed.Synced,
-		Window: settings.Seconds(bounds.UsageWindowS), Late: settings.Seconds(bounds.UsageLateS), Zones: c.settings.ZoneNames(),
+		Window: settings.Seconds(bounds.UsageWindowS), DueAfter: settings.Seconds(bounds.UsageLateS), Zones: c.settings.ZoneNames(),
 		CallsPerStep: max(1, int(dutyRateShare*c.settings.Platform.DutiesPerS*dutyStep.Seconds())),
-		Merge:        settings.Milliseconds(bounds.MergeMS),
+		MergeTime:    settings.Milliseconds(bounds.MergeMS),
 		Assigned:     func() (int64, bool) { return c.duties.session.Assigned(duty.UsagePart) },
 		Held:         func() (int64, bool) { return c.duties.session.Held(duty.UsagePart) },
-		Update:       c.commands.Update, Copies: c.daemon.UsageCopies,
+		Update:       c.commands.Update, FetchCopies: c.daemon.UsageCopies,
 		Call: func(ctx context.Context, fence int64, call duty.Call) (int, error) {
 			return c.duties.client.Call(ctx, duty.UsagePart, fence, call)
 		},
 		Log: c.log,
 	})
-	transport.Handle(c.daemon.Calls, usage.SumsMessage, c.duties.usage.TakeSums)
-	transport.Handle(c.daemon.Calls, usage.CollectMessage, c.duties.usage.Collect)
-	transport.Handle(c.daemon.Calls, usage.CopyMessage, c.duties.usage.TakeCopy)
-	transport.Handle(c.daemon.Calls, usage.CopiesMessage, c.duties.usage.GiveCopies)
+	transport.Handle(c.daemon.Calls, usage.SumsMessage, c.duties.usage.ReceiveSums)
+	transport.Handle(c.daemon.Calls, usage.CollectMessage, c.duties.usage.ReceiveReports)
+	transport.Handle(c.daemon.Calls, usage.CopyMessage, c.duties.usage.ReceiveCopy)
+	transport.Handle(c.daemon.Calls, usage.CopiesMessage, c.duties.usage.ListCopies)
 	for result, read := range map[string]func(usage.Stats) int64{
 		"decided": func(s usage.Stats) int64 { return s.Decided }, "incomplete": func(s usage.Stats) int64 { return s.Incomplete },
 		"reported": func(s usage.Stats) int64 { return s.Reported }, "failed": func(s usage.Stats) int64 { return s.Failed },
--- a/control/daemon/usage.go
+++ b/control/daemon/usage.go
@@ -38,9 +38,9 @@
 	d.usage = &usageContext{time: timesync.New(timesync.Options{Clock: d.clock, Wall: time.Now, Peers: d.otherControllers, Ask: d.askTime})}
 	d.usage.relay = usage.NewRelay(usage.RelayOptions{
 		Zone: d.settings.Zone, Routers: d.zoneRouters, Now: d.syncedUnixNanos,
-		Term: d.usageTerm, SendSums: d.sendUsageSums, Collect: d.collectUsage, Copy: d.copyUsage, Log: d.log,
+		Term: d.usageTerm, SendSums: d.sendUsageSums, SendReports: d.collectUsage, SendCopy: d.copyUsage, Log: d.log,
 	})
-	transport.Handle(d.Calls, usage.ReportMessage, d.usage.relay.Report)
+	transport.Handle(d.Calls, usage.ReportMessage, d.usage.relay.ReceiveReport)
 	d.AddService("usage relay", func(ctx context.Context) error {
 		for clock.Wait(ctx, d.clock, usageForwardInterval) {
 			d.usage.relay.Forward(ctx)
@@ -104,7 +104,7 @@
 
 func (d *Daemon) sendUsage(ctx context.Context, relay ids.Address, report usage.RouterReport) (usage.ReportResponse, error) {
 	if relay == d.Address {
-		return d.usage.relay.Report(ctx, report)
+		return d.usage.relay.ReceiveReport(ctx, report)
 	}
 	return sendBounded[usage.ReportResponse](ctx, d, relay, usage.ReportMessage, report)
 }
--- a/control/duty/assigner.go
+++ b/control/duty/assigner.go
@@ -28,17 +28,17 @@
 	Parts []Part
 	// TTL is that of sessions; HandOver is for how long after its predecessor could have
 	// made a call a new holder makes none.
-	TTL      time.Duration
-	HandOver time.Duration
-	// Held reports whether this controller holds the assigner's lease, and its epoch.
-	Held func(now clock.Instant) (epoch int64, held bool)
+	TTL           time.Duration
+	HandOverDelay time.Duration
+	// AssignerLease reports whether this controller holds the assigner's lease, and its epoch.
+	AssignerLease func(now clock.Instant) (epoch int64, held bool)
 	// Update stores the assignment.
 	Update func(ctx context.Context, key string, update UpdateFunc) ([]byte, error)
 	// Publish gossips the overview.
 	Publish func(item gossip.Item)
-	// NewSerial orders gossiped items by epoch, then by counter.
-	NewSerial func(epoch int64, counter int64) ids.Version
-	Log       *log.Logger
+	// NewVersion orders gossiped items by epoch, then by counter.
+	NewVersion func(epoch int64, counter int64) ids.Version
+	Log        *log.Logger
 }
 
 // Assigner deals the parts while its controller holds the lease. It is safe for
@@ -82,7 +82,7 @@
 	movedAt  clock.Instant
 	moves    int64
 	since    time.Time
-	act      Act
+	act      LastCall
 }
 
 // NewAssigner returns an Assigner that knows nothing.
@@ -99,7 +99,7 @@
 // gone to others. It does nothing without the lease.
 func (a *Assigner) Step(ctx context.Context) {
 	now := a.options.Clock.Now()
-	epoch, held := a.options.Held(now)
+	epoch, held := a.options.AssignerLease(now)
 	if !held {
 		return
 	}
@@ -162,7 +162,7 @@
 		}
 		state.record = record
 		// Of a holder that was not told yet, the former one may just have acted.
-		state.notBefore = started.Add(a.options.HandOver)
+		state.notBefore = started.Add(a.options.HandOverDelay)
 		state.busyUntil = started.Add(a.options.TTL)
 		if record.Holder == former && former != a.options.Address {
 			// It had its session from itself, and so no longer than the lease, which has
@@ -177,7 +177,7 @@
 
 // Renew answers a heartbeat.
 func (a *Assigner) Renew(req SessionRequest, now clock.Instant) SessionResponse {
-	epoch, held := a.options.Held(now)
+	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !held || !a.ready || a.epoch != epoch {
@@ -188,7 +188,7 @@
 		process: from, zone: req.Zone, expiry: now.Add(a.options.TTL), eligible: req.Eligible, platformDown: req.PlatformDown,
 	}
 	a.release(from, req, now)
-	for _, act := range req.Acts {
+	for _, act := range req.LastCalls {
 		if state := a.parts[act.Part]; state != nil && state.record.heldBy(from) {
 			state.act = act
 		}
@@ -224,7 +224,7 @@
 // HandOver has a part be given to another controller, if there is one: its holder gives it
 // up in order first.
 func (a *Assigner) HandOver(req HandOverRequest, now clock.Instant) HandOverResponse {
-	epoch, held := a.options.Held(now)
+	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !held || !a.ready || a.epoch != epoch {
@@ -286,14 +286,14 @@
 // takeOver has a part's state follow a stored change. The caller holds a.mu.
 func (a *Assigner) takeOver(state *partState, record PartRecord, now clock.Instant) {
 	if state.record.Fence > 0 {
-		state.notBefore = max(state.notBefore, state.busyUntil.Add(a.options.HandOver))
+		state.notBefore = max(state.notBefore, state.busyUntil.Add(a.options.HandOverDelay))
 	}
 	if a.options.Log != nil {
 		a.options.Log.Info().Str("part", "duty").Str("duty_part", string(record.Part)).Str("from", string(state.record.Holder)).
 			Str("to", string(record.Holder)).Int64("fence", record.Fence).Msg("part assigned")
 	}
 	state.record, state.revoking, state.avoid, state.movedAt, state.busyUntil = record, false, "", now, now
-	state.since, state.act = a.options.Wall(), Act{}
+	state.since, state.act = a.options.Wall(), LastCall{}
 	state.moves++
 }
 
@@ -329,7 +329,7 @@
 	}
 	a.published = body
 	a.counter++
-	a.options.Publish(gossip.Item{Key: OverviewKey, Version: a.options.NewSerial(epoch, a.counter), Body: body})
+	a.options.Publish(gossip.Item{Key: OverviewKey, Version: a.options.NewVersion(epoch, a.counter), Body: body})
 }
 
 func (a *Assigner) sortedParts() []Part {
@@ -341,12 +341,12 @@
 	return parts
 }
 
-// Acts returns the last calls of all parts, as their holders told. It is empty where
+// LastCalls returns the last calls of all parts, as their holders told. It is empty where
 // this controller does not assign.
-func (a *Assigner) Acts() map[Part]Act {
+func (a *Assigner) LastCalls() map[Part]LastCall {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	acts := map[Part]Act{}
+	acts := map[Part]LastCall{}
 	for part, state := range a.parts {
 		acts[part] = state.act
 	}
--- a/control/duty/balance.go
+++ b/control/duty/balance.go
@@ -109,7 +109,7 @@
 	}
 	for _, state := range a.parts {
 		session := a.sessions[state.record.Holder]
-		if session != nil && session.platformDown && now.Since(state.movedAt) > 2*a.options.HandOver {
+		if session != nil && session.platformDown && now.Since(state.movedAt) > 2*a.options.HandOverDelay {
 			state.revoking = true
 		}
 	}
@@ -129,7 +129,7 @@
 			// One at a time.
 			return
 		}
-		settled := now.Since(state.movedAt) > 2*a.options.HandOver
+		settled := now.Since(state.movedAt) > 2*a.options.HandOverDelay
 		session := a.sessions[state.record.Holder]
 		if !settled || session == nil || load[state.record.Holder] < least+2 {
 			continue
--- a/control/duty/client.go
+++ b/control/duty/client.go
@@ -25,8 +25,8 @@
 var (
 	// ErrNotHeld says that no byte was sent: the part is not held here, or not yet.
 	ErrNotHeld = errors.New("duty: the part is not held here")
-	// ErrRefused says that the platform has taken a call under a higher fence.
-	ErrRefused = errors.New("duty: the platform refused the fence")
+	// ErrFenceRefused says that the platform has taken a call under a higher fence.
+	ErrFenceRefused = errors.New("duty: the platform refused the fence")
 )
 
 // Call is a call to the platform for a part.
@@ -107,8 +107,8 @@
 	case err != nil:
 		return 0, err
 	case answer.status == http.StatusConflict:
-		c.options.Session.Refused(part, fence)
-		return answer.status, ErrRefused
+		c.options.Session.RevokeRefused(part, fence)
+		return answer.status, ErrFenceRefused
 	}
 	return answer.status, nil
 }
--- a/control/duty/client_test.go
+++ b/control/duty/client_test.go
@@ -22,7 +22,7 @@
 func heldSession(fake *clock.Fake, fence int64, waitMS int64) *Session {
 	session := NewSession(SessionOptions{
 		Clock: fake, Wall: func() time.Time { return time.Unix(0, int64(fake.Now())) }, Address: "a", TTL: time.Second, MaxDrift: time.Millisecond,
-		Eligible: func() bool { return true }, Assigner: func() []ids.Address { return []ids.Address{"b"} },
+		Eligible: func() bool { return true }, AssignerCandidates: func() []ids.Address { return []ids.Address{"b"} },
 		Send: func(context.Context, ids.Address, SessionRequest) (SessionResponse, error) {
 			return SessionResponse{Assigning: true, Epoch: 1, Grants: []Grant{{Part: UsagePart, Fence: fence, WaitMS: waitMS}}}, nil
 		},
--- a/control/duty/cluster_test.go
+++ b/control/duty/cluster_test.go
@@ -110,12 +110,12 @@
 		return n.leaseEpoch, c.options.twoLeases || now.Before(n.leaseUntil)
 	}
 	n.assigner = NewAssigner(AssignerOptions{
-		Clock: c.clock, Wall: n.wall, Address: n.address(), Parts: testParts, TTL: testTTL, HandOver: c.options.handOver,
-		Held: lease, Update: n.update, Publish: func(gossip.Item) {}, NewSerial: func(epoch, counter int64) ids.Version { return ids.Version(counter) },
+		Clock: c.clock, Wall: n.wall, Address: n.address(), Parts: testParts, TTL: testTTL, HandOverDelay: c.options.handOver,
+		AssignerLease: lease, Update: n.update, Publish: func(gossip.Item) {}, NewVersion: func(epoch, counter int64) ids.Version { return ids.Version(counter) },
 	})
 	n.session = NewSession(SessionOptions{
 		Clock: c.clock, Wall: n.wall, Address: n.address(), Zone: ids.Zone(fmt.Sprintf("z%d", n.index)), Incarnation: n.incarnation,
-		TTL: c.options.sessionTTL, MaxDrift: 100 * time.Millisecond, Eligible: func() bool { return true }, Assigner: c.addresses,
+		TTL: c.options.sessionTTL, MaxDrift: 100 * time.Millisecond, Eligible: func() bool { return true }, AssignerCandidates: c.addresses,
 		AssignerLease: lease, ProbePlatform: func(context.Context) bool { return !n.platformCut }, Send: n.send,
 	})
 }
@@ -301,7 +301,7 @@
 	case 8:
 		if len(c.platform.calls) > 0 {
 			last := c.platform.calls[len(c.platform.calls)-1]
-			n.session.Refused(last.part, last.fence)
+			n.session.RevokeRefused(last.part, last.fence)
 		}
 	}
 }
@@ -391,8 +391,8 @@
 	var published []gossip.Item
 	loseAnswer := false
 	assigner := NewAssigner(AssignerOptions{
-		Clock: fake, Wall: func() time.Time { return time.Unix(0, int64(fake.Now())) }, Address: "a", Parts: testParts, TTL: testTTL, HandOver: testHandOver,
-		Held: func(clock.Instant) (int64, bool) { return 1, true },
+		Clock: fake, Wall: func() time.Time { return time.Unix(0, int64(fake.Now())) }, Address: "a", Parts: testParts, TTL: testTTL, HandOverDelay: testHandOver,
+		AssignerLease: func(clock.Instant) (int64, bool) { return 1, true },
 		Update: func(_ context.Context, _ string, update UpdateFunc) ([]byte, error) {
 			next, err := update(slices.Clone(stored))
 			if err != nil {
@@ -404,8 +404,8 @@
 			}
 			return next, nil
 		},
-		Publish:   func(item gossip.Item) { published = append(published, item) },
-		NewSerial: func(epoch, counter int64) ids.Version { return ids.Version(epoch<<32 | counter) },
+		Publish:    func(item gossip.Item) { published = append(published, item) },
+		NewVersion: func(epoch, counter int64) ids.Version { return ids.Version(epoch<<32 | counter) },
 	})
 	run := func(addresses ...ids.Address) {
 		for range int(2 * testHandOver / testStep) {
@@ -446,10 +446,10 @@
 	lost := false
 	session := NewSession(SessionOptions{
 		Clock: fake, Wall: func() time.Time { return time.Unix(0, int64(fake.Now())) }, Address: "c", TTL: testTTL, MaxDrift: time.Second,
-		Eligible:      func() bool { return true },
-		Assigner:      func() []ids.Address { return []ids.Address{"a", "b", "c"} },
-		AssignerLease: func(clock.Instant) (int64, bool) { return 0, false },
-		ProbePlatform: func(context.Context) bool { return true },
+		Eligible:           func() bool { return true },
+		AssignerCandidates: func() []ids.Address { return []ids.Address{"a", "b", "c"} },
+		AssignerLease:      func(clock.Instant) (int64, bool) { return 0, false },
+		ProbePlatform:      func(context.Context) bool { return true },
 		Send: func(ctx context.Context, to ids.Address, _ SessionRequest) (SessionResponse, error) {
 			switch {
 			case to == "a" && lost:
--- a/control/duty/holding.go
+++ b/control/duty/holding.go
@@ -65,7 +65,7 @@
 		held.calls--
 		started = held.callStarted
 	}
-	s.acts[part] = Act{Part: part, UnixMS: s.options.Wall().UnixMilli(), Status: int64(status)}
+	s.acts[part] = LastCall{Part: part, UnixMS: s.options.Wall().UnixMilli(), Status: int64(status)}
 	if status > 0 {
 		delete(s.failingSince, part)
 	} else if _, failing := s.failingSince[part]; !failing {
@@ -73,9 +73,9 @@
 	}
 }
 
-// Refused drops a part whose fence the platform refused: another has acted under a
+// RevokeRefused drops a part whose fence the platform refused: another has acted under a
 // higher one.
-func (s *Session) Refused(part Part, fence int64) {
+func (s *Session) RevokeRefused(part Part, fence int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held := s.parts[part]; held != nil && held.fence == fence {
@@ -103,8 +103,8 @@
 	return statuses
 }
 
-// Calling reports whether any call runs.
-func (s *Session) Calling() bool {
+// HasRunningCalls reports whether any call runs.
+func (s *Session) HasRunningCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, held := range s.parts {
--- a/control/duty/messages.go
+++ b/control/duty/messages.go
@@ -87,8 +87,8 @@
 	// Rejected are grants that are not taken up: the part was given up, or its fence
 	// refused by the platform.
 	Rejected []Grant `avro:"Rejected"`
-	// Acts are the last calls of parts held here, for the overview.
-	Acts []Act `avro:"Acts"`
+	// LastCalls are the last calls of parts held here, for the overview.
+	LastCalls []LastCall `avro:"Acts"`
 }
 
 // SchemaName names the sent form; it must never change.
@@ -139,8 +139,8 @@
 // SchemaName names the sent form; it must never change.
 func (HandOverResponse) SchemaName() string { return "DutyHandOverResponse" }
 
-// Act is the last call that a part's holder made.
-type Act struct {
+// LastCall is the last call that a part's holder made.
+type LastCall struct {
 	Part Part `avro:"Part"`
 	// UnixMS is when it was answered, Status the answer's; 0 is no answer.
 	UnixMS int64 `avro:"UnixMS"`
@@ -148,7 +148,7 @@
 }
 
 // SchemaName names the sent form; it must never change.
-func (Act) SchemaName() string { return "DutyAct" }
+func (LastCall) SchemaName() string { return "DutyAct" }
 
 // Overview is the body of the gossiped item: who assigns, and who holds what.
 type Overview struct {
@@ -168,9 +168,9 @@
 	// changed it.
 	SinceUnixMS int64 `avro:"SinceUnixMS" json:"since_unix_ms"`
 	Moves       int64 `avro:"Moves" json:"moves"`
-	// ActUnixMS and ActStatus are the last call and its answer, as the assigner heard.
-	ActUnixMS int64 `avro:"ActUnixMS" json:"last_act_unix_ms"`
-	ActStatus int64 `avro:"ActStatus" json:"last_act_status"`
+	// LastCallUnixMS and ActStatus are the last call and its answer, as the assigner heard.
+	LastCallUnixMS int64 `avro:"ActUnixMS" json:"last_act_unix_ms"`
+	LastCallStatus int64 `avro:"ActStatus" json:"last_act_status"`
 }
 
 // SchemaName names the sent form; it must never change.
--- a/control/duty/session.go
+++ b/control/duty/session.go
@@ -34,8 +34,8 @@
 	MaxDrift time.Duration
 	// Eligible reports whether parts may be held here.
 	Eligible func() bool
-	// Assigner returns the controllers to ask, the likely assigner first.
-	Assigner func() []ids.Address
+	// AssignerCandidates returns the controllers to ask, the likely assigner first.
+	AssignerCandidates func() []ids.Address
 	// Send sends a heartbeat.
 	Send func(ctx context.Context, to ids.Address, req SessionRequest) (SessionResponse, error)
 	// AssignerLease returns the epoch of the assigner's lease where it is held here: what
@@ -63,7 +63,7 @@
 	// taken up again. rejected are those that the assigner granted all the same.
 	ended    map[Part]int64
 	rejected map[Part]int64
-	acts     map[Part]Act
+	acts     map[Part]LastCall
 	// leaving has no part be taken up any more.
 	leaving bool
 	// probe says that the assigner wants to know whether the platform answers, unreachable
@@ -92,7 +92,7 @@
 func NewSession(options SessionOptions) *Session {
 	return &Session{
 		options: options, silent: map[ids.Address]bool{}, parts: map[Part]*heldPart{}, ended: map[Part]int64{}, rejected: map[Part]int64{},
-		acts: map[Part]Act{}, failingSince: map[Part]clock.Instant{},
+		acts: map[Part]LastCall{}, failingSince: map[Part]clock.Instant{},
 	}
 }
 
@@ -170,7 +170,7 @@
 	s.mu.Lock()
 	last := s.assigner
 	s.mu.Unlock()
-	return s.silentLast(append([]ids.Address{last}, s.options.Assigner()...))
+	return s.silentLast(append([]ids.Address{last}, s.options.AssignerCandidates()...))
 }
 
 // silentLast moves those that did not answer last to the end.
@@ -208,7 +208,7 @@
 		req.Rejected = append(req.Rejected, Grant{Part: part, Fence: fence})
 	}
 	for _, act := range s.acts {
-		req.Acts = append(req.Acts, act)
+		req.LastCalls = append(req.LastCalls, act)
 	}
 	for _, since := range s.failingSince {
 		req.PlatformDown = req.PlatformDown || now.Since(since) > s.options.TTL
--- a/control/usage/collector.go
+++ b/control/usage/collector.go
@@ -12,18 +12,18 @@
 	"onyxwell/control/duty"
 )
 
-// Options configure a Collector. All are required but Log.
-type Options struct {
+// CollectorOptions configure a Collector. All are required but Log.
+type CollectorOptions struct {
 	Clock clock.Clock
 	// Now returns the agreed time since the start of 1970.
 	Now func() time.Duration
 	// Synced reports whether the time is agreed on.
 	Synced func() bool
-	// Window is the length of windows; Late is how long after its end a report is due.
-	Window, Late time.Duration
-	// Merge is how long after a cut the counts of both sides may take to come together; 0
+	// Window is the length of windows; DueAfter is how long after its end a report is due.
+	Window, DueAfter time.Duration
+	// MergeTime is how long after a cut the counts of both sides may take to come together; 0
 	// is that zones which are cut off are not waited for.
-	Merge time.Duration
+	MergeTime time.Duration
 	// Zones are all zones of the deployment.
 	Zones []ids.Zone
 	// Assigned returns the fence of the part of usage, if it is assigned here; Held does once
@@ -31,8 +31,8 @@
 	Assigned, Held func() (fence int64, ok bool)
 	// Update stores the log.
 	Update func(ctx context.Context, key string, update duty.UpdateFunc) ([]byte, error)
-	// Copies returns what GiveCopies of all other controllers gives, as far as they answer.
-	Copies func(ctx context.Context) []ZoneCounts
+	// FetchCopies returns what GiveCopies of all other controllers gives, as far as they answer.
+	FetchCopies func(ctx context.Context) []ZoneCounts
 	// CallsPerStep is how many reports may be sent in one step, at least 1.
 	CallsPerStep int
 	// Call makes a call to the platform.
@@ -43,7 +43,7 @@
 // Collector is the holder's side: it gathers the counts of all zones, decides windows in
 // order, and reports them. It is safe for concurrent use.
 type Collector struct {
-	options Options
+	options CollectorOptions
 
 	mu    sync.Mutex
 	fence int64
@@ -67,7 +67,7 @@
 }
 
 // NewCollector returns a Collector without counts.
-func NewCollector(options Options) *Collector {
+func NewCollector(options CollectorOptions) *Collector {
 	c := &Collector{options: options, zones: map[ids.Zone]*zoneState{}}
 	for _, zone := range options.Zones {
 		c.zones[zone] = newZoneState()
@@ -75,15 +75,15 @@
 	return c
 }
 
-// TakeSums takes the sums of a zone over. Two relays of a zone may send what each of them
+// ReceiveSums takes the sums of a zone over. Two relays of a zone may send what each of them
 // knows: one that has not heard of all routers, whose Through is 0, says nothing of what they
 // have closed.
-func (c *Collector) TakeSums(_ context.Context, req SumsRequest) (CollectResponse, error) {
+func (c *Collector) ReceiveSums(_ context.Context, req SumsRequest) (CollectResponse, error) {
 	return c.take(req.Zone, req.Through, func(zone *zoneState) { zone.sums.merge(req.Windows, c.log.Decided) }), nil
 }
 
-// Collect takes the reports of a zone's routers over, from a relay of an older build.
-func (c *Collector) Collect(_ context.Context, req CollectRequest) (CollectResponse, error) {
+// ReceiveReports takes the reports of a zone's routers over, from a relay of an older build.
+func (c *Collector) ReceiveReports(_ context.Context, req CollectRequest) (CollectResponse, error) {
 	return c.take(req.Zone, req.Through, func(zone *zoneState) {
 		for _, report := range req.Routers {
 			zone.tally.merge(report)
@@ -113,9 +113,9 @@
 	return CollectResponse{Holding: true, Decided: c.log.Decided}
 }
 
-// TakeCopy keeps the sums of a zone in whose region the holder is, too: where that region is
+// ReceiveCopy keeps the sums of a zone in whose region the holder is, too: where that region is
 // lost, nobody else has them. Every controller takes what relays of other regions send it.
-func (c *Collector) TakeCopy(_ context.Context, copied ZoneCounts) (CopyResponse, error) {
+func (c *Collector) ReceiveCopy(_ context.Context, copied ZoneCounts) (CopyResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	zone := c.zones[copied.Zone]
@@ -127,9 +127,9 @@
 	return CopyResponse{Kept: true}, nil
 }
 
-// GiveCopies returns the counts of all zones that are known here: copies, and what this
+// ListCopies returns the counts of all zones that are known here: copies, and what this
 // controller took while it held the part.
-func (c *Collector) GiveCopies(context.Context, CopiesRequest) (CopiesResponse, error) {
+func (c *Collector) ListCopies(context.Context, CopiesRequest) (CopiesResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var resp CopiesResponse
--- a/control/usage/collector_test.go
+++ b/control/usage/collector_test.go
@@ -93,7 +93,7 @@
 	f.run(7 * time.Second)
 	f.startRelay(1)
 	f.run(3 * time.Second)
-	f.routers[1].meter.End()
+	f.routers[1].meter.CloseAllWindows()
 	f.report(1)
 	f.startRouter(1)
 	f.run(9 * time.Second)
@@ -161,7 +161,7 @@
 func TestCollector_takesCountsBeforeItMayAct(t *testing.T) {
 	f := newFleet(11)
 	f.mayActAt = f.clock.Now().Add(time.Hour)
-	resp, err := f.collectors[0].TakeSums(context.Background(), SumsRequest{Zone: "0", Through: 1})
+	resp, err := f.collectors[0].ReceiveSums(context.Background(), SumsRequest{Zone: "0", Through: 1})
 	if err != nil || !resp.Holding {
 		t.Errorf("%+v, %v", resp, err)
 	}
@@ -222,13 +222,13 @@
 	f.run(3 * time.Second)
 	f.holder = -1
 	f.run(2 * time.Second)
-	report := RouterReport{Router: routerAddress(0), Life: f.routers[0].life, Through: 1}
-	if _, err := f.relays[0].Report(context.Background(), report); err == nil {
+	report := RouterReport{Router: routerAddress(0), Incarnation: f.routers[0].life, Through: 1}
+	if _, err := f.relays[0].ReceiveReport(context.Background(), report); err == nil {
 		t.Error("a relay that does not reach the holder takes reports as if it did")
 	}
 	f.hold(0)
 	f.run(time.Second)
-	if _, err := f.relays[0].Report(context.Background(), report); err != nil {
+	if _, err := f.relays[0].ReceiveReport(context.Background(), report); err != nil {
 		t.Errorf("a relay in reach of the holder: %v", err)
 	}
 }
@@ -265,13 +265,13 @@
 func TestMeter_closedWindowsTakeNoMore(t *testing.T) {
 	now := 100 * testWindow
 	meter := NewMeter(testWindow, func() time.Duration { return now })
-	meter.Began("a", 0)
+	meter.CountRequest("a", 0)
 	now += testWindow + settleTime
 	if report := meter.Report(); report.Through != 100 || len(report.Windows) != 1 {
 		t.Fatalf("%+v", report)
 	}
 	now -= testWindow
-	meter.Began("a", 0)
+	meter.CountRequest("a", 0)
 	report := meter.Report()
 	for _, window := range report.Windows {
 		if window.Counts[0] != 1 {
--- a/control/usage/decide.go
+++ b/control/usage/decide.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return false
 	}
-	copies := c.options.Copies(ctx)
+	copies := c.options.FetchCopies(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fence != fence {
@@ -143,7 +143,7 @@
 	for window := c.log.Decided + 1; ; window++ {
 		end := time.Duration(window+1) * c.options.Window
 		complete := c.isClosed(window)
-		late := now >= end+time.Duration(decideLate*float64(c.options.Late)) && c.options.Clock.Now().Since(c.beganAt) >= c.options.Late/8
+		late := now >= end+time.Duration(decideLate*float64(c.options.DueAfter)) && c.options.Clock.Now().Since(c.beganAt) >= c.options.DueAfter/8
 		if now < end || (!complete && (!late || c.awaitsCutZone(window))) {
 			return next, incomplete
 		}
--- a/control/usage/harness_test.go
+++ b/control/usage/harness_test.go
@@ -130,24 +130,24 @@
 			if f.olderHolder {
 				return CollectResponse{}, errkind.Errorf(errkind.UnknownCall, "sums")
 			}
-			return f.collectors[f.holder].TakeSums(ctx, req)
+			return f.collectors[f.holder].ReceiveSums(ctx, req)
 		},
-		Collect: func(ctx context.Context, _ ids.Address, req CollectRequest) (CollectResponse, error) {
-			return f.collectors[f.holder].Collect(ctx, req)
+		SendReports: func(ctx context.Context, _ ids.Address, req CollectRequest) (CollectResponse, error) {
+			return f.collectors[f.holder].ReceiveReports(ctx, req)
 		},
-		Copy: func(ctx context.Context, counts ZoneCounts) {
+		SendCopy: func(ctx context.Context, counts ZoneCounts) {
 			if f.holder >= 0 && f.oneRegion {
-				_, _ = f.collectors[1-f.holder].TakeCopy(ctx, counts)
+				_, _ = f.collectors[1-f.holder].ReceiveCopy(ctx, counts)
 			}
 		},
 	})
 }
 
 func (f *fleet) startCollector(index int) {
-	f.collectors[index] = NewCollector(Options{
-		Clock: f.clock, Now: f.now, Synced: func() bool { return true }, Window: testWindow, Late: testLate, Zones: testZoneNames, Merge: f.merge, CallsPerStep: testCallsPerStep,
-		Copies: func(ctx context.Context) []ZoneCounts {
-			resp, _ := f.collectors[1-index].GiveCopies(ctx, CopiesRequest{})
+	f.collectors[index] = NewCollector(CollectorOptions{
+		Clock: f.clock, Now: f.now, Synced: func() bool { return true }, Window: testWindow, DueAfter: testLate, Zones: testZoneNames, MergeTime: f.merge, CallsPerStep: testCallsPerStep,
+		FetchCopies: func(ctx context.Context) []ZoneCounts {
+			resp, _ := f.collectors[1-index].ListCopies(ctx, CopiesRequest{})
 			return resp.Zones
 		},
 		Assigned: func() (int64, bool) { return f.fence, f.holder == index },
@@ -213,7 +213,7 @@
 		}
 		for range f.random.IntN(4) {
 			tenant := ids.Tenant(fmt.Sprintf("t%d", f.random.IntN(3)))
-			router.meter.Began(tenant, 0)
+			router.meter.CountRequest(tenant, 0)
 			window := int64(f.now() / testWindow)
 			if f.ran[window] == nil {
 				f.ran[window] = map[ids.Tenant]int64{}
@@ -239,9 +239,9 @@
 func (f *fleet) report(index int) {
 	router := f.routers[index]
 	report := router.meter.Report()
-	report.Router, report.Life = routerAddress(index), router.life
-	if resp, err := f.relays[router.zone].Report(context.Background(), report); err == nil {
-		router.meter.Decided(resp.Decided)
+	report.Router, report.Incarnation = routerAddress(index), router.life
+	if resp, err := f.relays[router.zone].ReceiveReport(context.Background(), report); err == nil {
+		router.meter.DropDecided(resp.Decided)
 	}
 }
 
--- a/control/usage/messages.go
+++ b/control/usage/messages.go
@@ -22,8 +22,8 @@
 
 // RouterReport has the counts of one life of a router.
 type RouterReport struct {
-	Router ids.Address `avro:"Router"`
-	Life   int64       `avro:"Life"`
+	Router      ids.Address `avro:"Router"`
+	Incarnation int64       `avro:"Life"`
 	// Through is the last window whose counts will not change any more.
 	Through int64          `avro:"Through"`
 	Windows []WindowCounts `avro:"Windows"`
--- a/control/usage/meter.go
+++ b/control/usage/meter.go
@@ -16,8 +16,8 @@
 // settleTime is for how long after the end of a window a router may still count in it.
 const settleTime = 100 * time.Millisecond
 
-// Forever is a Through of a router that counts no more.
-const Forever = math.MaxInt64
+// AllWindows is a Through of a router that counts no more.
+const AllWindows = math.MaxInt64
 
 // Meter counts the requests of one router that runners began. It is safe for concurrent
 // use.
@@ -40,8 +40,8 @@
 	return &Meter{window: window, now: now, windows: counts{}}
 }
 
-// Began counts a request of a tenant that a runner began age ago.
-func (m *Meter) Began(tenant ids.Tenant, age time.Duration) {
+// CountRequest counts a request of a tenant that a runner began age ago.
+func (m *Meter) CountRequest(tenant ids.Tenant, age time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	window := max(int64((m.now()-age)/m.window), m.closed+1)
@@ -55,7 +55,7 @@
 	m.closed = max(m.closed, int64((m.now()-settleTime)/m.window)-1)
 	report := RouterReport{Through: m.closed}
 	if m.ended {
-		report.Through = Forever
+		report.Through = AllWindows
 	}
 	m.windows.forget(max(m.decided, m.closed-maxWindows))
 	report.Windows = m.windows.message()
@@ -75,15 +75,15 @@
 	return result
 }
 
-// Decided forgets the windows up to one.
-func (m *Meter) Decided(window int64) {
+// DropDecided forgets the windows up to one.
+func (m *Meter) DropDecided(window int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.decided = max(m.decided, window)
 }
 
-// End has the next report close all windows: the router serves no more.
-func (m *Meter) End() {
+// CloseAllWindows has the next report close all windows: the router serves no more.
+func (m *Meter) CloseAllWindows() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ended = true
--- a/control/usage/relay.go
+++ b/control/usage/relay.go
@@ -33,10 +33,10 @@
 	Term func() Term
 	// SendSums sends sums to the holder. Its error is of kind UnknownCall where the holder is
 	// of an older build; Collect then sends the reports of all routers.
-	SendSums func(ctx context.Context, holder ids.Address, req SumsRequest) (CollectResponse, error)
-	Collect  func(ctx context.Context, holder ids.Address, req CollectRequest) (CollectResponse, error)
-	// Copy sends the zone's sums to a controller that keeps a copy, where one is needed.
-	Copy func(ctx context.Context, zone ZoneCounts)
+	SendSums    func(ctx context.Context, holder ids.Address, req SumsRequest) (CollectResponse, error)
+	SendReports func(ctx context.Context, holder ids.Address, req CollectRequest) (CollectResponse, error)
+	// SendCopy sends the zone's sums to a controller that keeps a copy, where one is needed.
+	SendCopy func(ctx context.Context, zone ZoneCounts)
 	// Log is told when the holder takes no counts from here, and when it does again. It may be
 	// nil.
 	Log *log.Logger
@@ -64,9 +64,9 @@
 	return &Relay{options: options, tally: newTally(), sent: counts{}}
 }
 
-// Report takes a router's report over. Its error says that the router should report to
+// ReceiveReport takes a router's report over. Its error says that the router should report to
 // another relay, too.
-func (r *Relay) Report(_ context.Context, report RouterReport) (ReportResponse, error) {
+func (r *Relay) ReceiveReport(_ context.Context, report RouterReport) (ReportResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.merge(report)
@@ -89,7 +89,7 @@
 	}
 	resp, err := r.options.SendSums(ctx, term.Holder, req)
 	if errkind.KindOf(err) == errkind.UnknownCall {
-		resp, err = r.options.Collect(ctx, term.Holder, r.reports(req))
+		resp, err = r.options.SendReports(ctx, term.Holder, r.reports(req))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +130,7 @@
 		r.sent = counts{}
 	}
 	up := map[ids.Address]bool{}
-	req = SumsRequest{Zone: r.options.Zone, Through: Forever}
+	req = SumsRequest{Zone: r.options.Zone, Through: AllWindows}
 	for _, router := range routers {
 		up[router] = true
 		through, _ := r.tally.through(router)
@@ -160,6 +160,6 @@
 	}
 	r.mu.Unlock()
 	if len(zone.Windows) > 0 {
-		r.options.Copy(ctx, zone)
+		r.options.SendCopy(ctx, zone)
 	}
 }
--- a/control/usage/tally.go
+++ b/control/usage/tally.go
@@ -29,7 +29,7 @@
 
 // merge takes a report over: each count rises to the report's.
 func (t *tally) merge(report RouterReport) {
-	key := life{router: report.Router, life: report.Life}
+	key := life{router: report.Router, life: report.Incarnation}
 	merged := t.lives[key]
 	if merged == nil {
 		merged = &lifeCounts{windows: counts{}}
@@ -68,10 +68,10 @@
 func (t *tally) reports() []RouterReport {
 	var reports []RouterReport
 	for key, known := range t.lives {
-		reports = append(reports, RouterReport{Router: key.router, Life: key.life, Through: known.through, Windows: known.windows.message()})
+		reports = append(reports, RouterReport{Router: key.router, Incarnation: key.life, Through: known.through, Windows: known.windows.message()})
 	}
 	slices.SortFunc(reports, func(a, b RouterReport) int {
-		return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.Life, b.Life))
+		return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return reports
 }
--- a/control/usage/zone.go
+++ b/control/usage/zone.go
@@ -71,11 +71,11 @@
 // was until a moment ago: its routers go on counting, and what they counted falls due once
 // the sides have come together. The caller holds c.mu.
 func (c *Collector) awaitsCutZone(window int64) bool {
-	if c.options.Merge == 0 {
+	if c.options.MergeTime == 0 {
 		return false
 	}
 	now := c.options.Clock.Now()
-	patience := c.options.Merge + time.Duration(decideLate*float64(c.options.Late))
+	patience := c.options.MergeTime + time.Duration(decideLate*float64(c.options.DueAfter))
 	for _, zone := range c.zones {
 		switch {
 		case zone.isClosed(window):
--- a/data/router/usage.go
+++ b/data/router/usage.go
@@ -41,7 +41,7 @@
 // began counts a request of a tenant that a runner began age ago.
 func (u *usageReporter) began(tenant ids.Tenant, age time.Duration) {
 	if u.meter != nil {
-		u.meter.Began(tenant, age)
+		u.meter.CountRequest(tenant, age)
 	}
 }
 
@@ -59,16 +59,16 @@
 
 func (u *usageReporter) report(ctx context.Context) {
 	report := u.meter.Report()
-	report.Life = u.life
+	report.Incarnation = u.life
 	if decided, err := u.daemon.ReportUsage(ctx, report); err == nil {
-		u.meter.Decided(decided)
+		u.meter.DropDecided(decided)
 	}
 }
 
 // end reports all that was counted: the router serves no more.
 func (u *usageReporter) end(ctx context.Context) {
 	if u.meter != nil {
-		u.meter.End()
+		u.meter.CloseAllWindows()
 		u.report(ctx)
 	}
 }
