--- a/control/duty/assigner.go
+++ b/control/duty/assigner.go
@@ -49,9 +49,9 @@
 	mu sync.Mutex
 	// epoch is the one under which the rest was begun; ready says that the stored
 	// assignment was read under it.
-	epoch   int64
-	begunAt clock.Instant
-	ready   bool
+	epoch          int64
+	epochStartedAt clock.Instant
+	ready          bool
 	// counter orders the overviews that were published under epoch.
 	counter   int64
 	sessions  map[ids.Address]*assignerSession
@@ -82,7 +82,7 @@
 	movedAt  clock.Instant
 	moves    int64
 	since    time.Time
-	act      LastCall
+	lastCall LastCall
 }
 
 // NewAssigner returns an Assigner that knows nothing.
@@ -103,25 +103,25 @@
 	if !held {
 		return
 	}
-	if !a.begun(epoch) {
-		a.begin(ctx, epoch)
+	if !a.isReady(epoch) {
+		a.loadAssignment(ctx, epoch)
 		return
 	}
 	if changes := a.planMoves(now); len(changes) > 0 {
-		a.store(ctx, epoch, changes)
+		a.storeChanges(ctx, epoch, changes)
 	}
 	a.publish(epoch)
 }
 
-func (a *Assigner) begun(epoch int64) bool {
+func (a *Assigner) isReady(epoch int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ready && a.epoch == epoch
 }
 
-// begin takes the stored assignment over under a new epoch. Its holders may have
+// loadAssignment takes the stored assignment over under a new epoch. Its holders may have
 // sessions of which this assigner knows nothing.
-func (a *Assigner) begin(ctx context.Context, epoch int64) {
+func (a *Assigner) loadAssignment(ctx context.Context, epoch int64) {
 	started := a.options.Clock.Now()
 	former := ids.Address("")
 	value, err := a.options.Update(ctx, AssignmentKey, func(current []byte) ([]byte, error) {
@@ -148,7 +148,7 @@
 	if a.epoch != epoch {
 		a.counter = 0
 	}
-	a.epoch, a.begunAt, a.ready, a.published = epoch, started, true, nil
+	a.epoch, a.epochStartedAt, a.ready, a.published = epoch, started, true, nil
 	a.sessions, a.parts = map[ids.Address]*assignerSession{}, map[Part]*partState{}
 	for _, part := range a.options.Parts {
 		a.parts[part] = &partState{record: PartRecord{Part: part}}
@@ -190,7 +190,7 @@
 	a.release(from, req, now)
 	for _, act := range req.LastCalls {
 		if state := a.parts[act.Part]; state != nil && state.record.heldBy(from) {
-			state.act = act
+			state.lastCall = act
 		}
 	}
 	resp := SessionResponse{Assigning: true, Assigner: a.options.Address, Epoch: epoch}
@@ -202,7 +202,7 @@
 		wait := max(0, state.notBefore.Since(now))
 		resp.Grants = append(resp.Grants, Grant{Part: part, Fence: state.record.Fence, WaitMS: int64((wait + time.Millisecond - 1) / time.Millisecond)})
 	}
-	resp.ProbePlatform = a.anyDown()
+	resp.ProbePlatform = a.anyPlatformDown()
 	return resp
 }
 
@@ -213,9 +213,9 @@
 		if !state.record.heldBy(from) {
 			continue
 		}
-		own := func(grant Grant) bool { return grant.Part == part && grant.Fence == state.record.Fence }
-		state.revoking = state.revoking || !req.Eligible || slices.ContainsFunc(req.Rejected, own)
-		if state.revoking && !slices.ContainsFunc(req.Active, own) {
+		current := func(grant Grant) bool { return grant.Part == part && grant.Fence == state.record.Fence }
+		state.revoking = state.revoking || !req.Eligible || slices.ContainsFunc(req.Rejected, current)
+		if state.revoking && !slices.ContainsFunc(req.Active, current) {
 			state.busyUntil = min(state.busyUntil, now)
 		}
 	}
@@ -238,9 +238,9 @@
 	return HandOverResponse{Assigning: true, Known: true}
 }
 
-// anyDown reports whether some holder says that the platform does not answer it. The
+// anyPlatformDown reports whether some holder says that the platform does not answer it. The
 // caller holds a.mu.
-func (a *Assigner) anyDown() bool {
+func (a *Assigner) anyPlatformDown() bool {
 	for _, session := range a.sessions {
 		if session.platformDown {
 			return true
@@ -249,8 +249,8 @@
 	return false
 }
 
-// store writes changed records on a majority, and takes them over once they are there.
-func (a *Assigner) store(ctx context.Context, epoch int64, changes []PartRecord) {
+// storeChanges writes changed records on a majority, and takes them over once they are there.
+func (a *Assigner) storeChanges(ctx context.Context, epoch int64, changes []PartRecord) {
 	value, err := a.options.Update(ctx, AssignmentKey, func(current []byte) ([]byte, error) {
 		assignment, err := transport.UnmarshalStored[Assignment](AssignmentKey, current)
 		if err != nil {
@@ -278,13 +278,13 @@
 	}
 	for _, record := range stored.Parts {
 		if state := a.parts[record.Part]; state != nil && state.record != record {
-			a.takeOver(state, record, now)
+			a.applyRecord(state, record, now)
 		}
 	}
 }
 
-// takeOver has a part's state follow a stored change. The caller holds a.mu.
-func (a *Assigner) takeOver(state *partState, record PartRecord, now clock.Instant) {
+// applyRecord has a part's state follow a stored change. The caller holds a.mu.
+func (a *Assigner) applyRecord(state *partState, record PartRecord, now clock.Instant) {
 	if state.record.Fence > 0 {
 		state.notBefore = max(state.notBefore, state.busyUntil.Add(a.options.HandOverDelay))
 	}
@@ -293,7 +293,7 @@
 			Str("to", string(record.Holder)).Int64("fence", record.Fence).Msg("part assigned")
 	}
 	state.record, state.revoking, state.avoid, state.movedAt, state.busyUntil = record, false, "", now, now
-	state.since, state.act = a.options.Wall(), LastCall{}
+	state.since, state.lastCall = a.options.Wall(), LastCall{}
 	state.moves++
 }
 
@@ -348,7 +348,7 @@
 	defer a.mu.Unlock()
 	acts := map[Part]LastCall{}
 	for part, state := range a.parts {
-		acts[part] = state.act
+		acts[part] = state.lastCall
 	}
 	return acts
 }
--- a/control/duty/balance.go
+++ b/control/duty/balance.go
@@ -26,7 +26,7 @@
 		if now.Before(state.busyUntil) || !slices.Contains(a.options.Parts, part) {
 			continue
 		}
-		if state.record.Fence == 0 && now.Since(a.begunAt) < a.options.TTL {
+		if state.record.Fence == 0 && now.Since(a.epochStartedAt) < a.options.TTL {
 			// Other controllers may just be starting, too.
 			continue
 		}
@@ -34,7 +34,7 @@
 			// It has just been assigned, and not been told yet.
 			continue
 		}
-		chosen := a.choose(part, without(candidates, state.avoid), load)
+		chosen := a.chooseHolder(part, excluding(candidates, state.avoid), load)
 		load[chosen.process.address]++
 		changes = append(changes, PartRecord{
 			Part: part, Holder: chosen.process.address, Incarnation: chosen.process.incarnation, Fence: state.record.Fence + 1,
@@ -65,8 +65,8 @@
 	return all
 }
 
-// without returns the candidates but for one, or all where it is the only one.
-func without(candidates []*assignerSession, avoid ids.Address) []*assignerSession {
+// excluding returns the candidates but for one, or all where it is the only one.
+func excluding(candidates []*assignerSession, avoid ids.Address) []*assignerSession {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(session *assignerSession) bool { return session.process.address == avoid })
 	if len(others) == 0 {
 		return candidates
@@ -85,9 +85,9 @@
 	return load
 }
 
-// choose returns the candidate for a part: one in the part's zone that has no more than
+// chooseHolder returns the candidate for a part: one in the part's zone that has no more than
 // its share, or the one with the fewest parts.
-func (a *Assigner) choose(part Part, candidates []*assignerSession, load map[ids.Address]int) *assignerSession {
+func (a *Assigner) chooseHolder(part Part, candidates []*assignerSession, load map[ids.Address]int) *assignerSession {
 	share := (len(a.options.Parts) + len(candidates) - 1) / len(candidates)
 	best := candidates[0]
 	for _, candidate := range candidates {
--- a/control/duty/client.go
+++ b/control/duty/client.go
@@ -57,12 +57,12 @@
 type Client struct {
 	options ClientOptions
 
-	mu    sync.Mutex
-	lines map[Part]*line
+	mu          sync.Mutex
+	partClients map[Part]*partClient
 }
 
-// line makes the calls of one part.
-type line struct {
+// partClient makes the calls of one part.
+type partClient struct {
 	// busy is held by the call that runs.
 	busy  sync.Mutex
 	fence atomic.Int64
@@ -71,50 +71,50 @@
 
 // NewClient returns a Client without connections.
 func NewClient(options ClientOptions) *Client {
-	return &Client{options: options, lines: map[Part]*line{}}
+	return &Client{options: options, partClients: map[Part]*partClient{}}
 }
 
-func (c *Client) line(part Part) *line {
+func (c *Client) partClient(part Part) *partClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lines[part]
-	if l == nil {
-		l = &line{}
-		l.http = c.options.NewHTTP(func(conn net.Conn) net.Conn {
-			return &guardedConn{Conn: conn, allowed: func() bool { return c.options.Session.Allowed(part, l.fence.Load()) }}
+	pc := c.partClients[part]
+	if pc == nil {
+		pc = &partClient{}
+		pc.http = c.options.NewHTTP(func(conn net.Conn) net.Conn {
+			return &guardedConn{Conn: conn, allowed: func() bool { return c.options.Session.Allowed(part, pc.fence.Load()) }}
 		})
-		c.lines[part] = l
+		c.partClients[part] = pc
 	}
-	return l
+	return pc
 }
 
 // Call makes a call under a fence and returns the status of the answer. An error leaves
 // open whether the platform has taken it, but for ErrNotHeld.
 func (c *Client) Call(ctx context.Context, part Part, fence int64, call Call) (status int, err error) {
-	l := c.line(part)
-	l.busy.Lock()
-	defer l.busy.Unlock()
-	if !c.options.Session.begin(part, fence) {
+	pc := c.partClient(part)
+	pc.busy.Lock()
+	defer pc.busy.Unlock()
+	if !c.options.Session.beginCall(part, fence) {
 		return 0, ErrNotHeld
 	}
-	l.fence.Store(fence)
+	pc.fence.Store(fence)
 	ctx, cancel := c.options.Clock.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	go c.cancelWhenLost(ctx, cancel, part, fence)
-	answer, err := httpcall.Do[answer](ctx, l.http, c.options.Address, outgoing{call: call, node: c.options.Node, fence: fence})
-	c.options.Session.end(part, answer.status)
+	go c.cancelWhenNotHeld(ctx, cancel, part, fence)
+	response, err := httpcall.Do[callResponse](ctx, pc.http, c.options.Address, callRequest{call: call, node: c.options.Node, fence: fence})
+	c.options.Session.endCall(part, response.status)
 	switch {
 	case err != nil:
 		return 0, err
-	case answer.status == http.StatusConflict:
+	case response.status == http.StatusConflict:
 		c.options.Session.RevokeRefused(part, fence)
-		return answer.status, ErrFenceRefused
+		return response.status, ErrFenceRefused
 	}
-	return answer.status, nil
+	return response.status, nil
 }
 
-// cancelWhenLost ends a call's context once its session has ended.
-func (c *Client) cancelWhenLost(ctx context.Context, cancel context.CancelFunc, part Part, fence int64) {
+// cancelWhenNotHeld ends a call's context once its session has ended.
+func (c *Client) cancelWhenNotHeld(ctx context.Context, cancel context.CancelFunc, part Part, fence int64) {
 	for clock.Wait(ctx, c.options.Clock, c.options.CheckInterval) {
 		if !c.options.Session.Allowed(part, fence) {
 			cancel()
@@ -123,25 +123,25 @@
 	}
 }
 
-// outgoing is a call as it is sent.
-type outgoing struct {
+// callRequest is a call as it is sent.
+type callRequest struct {
 	call  Call
 	node  string
 	fence int64
 }
 
 // Encode implements httpcall.Requester.
-func (o outgoing) Encode() httpcall.OutgoingRequest {
+func (o callRequest) Encode() httpcall.OutgoingRequest {
 	return httpcall.OutgoingRequest{Method: http.MethodPost, Path: o.call.Path, Body: o.call.Body, Header: http.Header{
 		holderHeader: {o.node}, fenceHeader: {strconv.FormatInt(o.fence, 10)}, "Content-Type": {"application/json"},
 	}}
 }
 
-// answer is the platform's answer; its body says nothing.
-type answer struct{ status int }
+// callResponse is the platform's callResponse; its body says nothing.
+type callResponse struct{ status int }
 
 // Decode implements httpcall.ResponseReader.
-func (a *answer) Decode(raw httpcall.RawResponse) error {
+func (a *callResponse) Decode(raw httpcall.RawResponse) error {
 	a.status = raw.Status
 	return nil
 }
--- a/control/duty/cluster_test.go
+++ b/control/duty/cluster_test.go
@@ -225,7 +225,7 @@
 // act makes a call for a part, if the session allows it.
 func (n *node) act(part Part) {
 	fence, ok := n.session.Held(part)
-	if !ok || !n.session.begin(part, fence) {
+	if !ok || !n.session.beginCall(part, fence) {
 		return
 	}
 	status := 0
@@ -234,7 +234,7 @@
 		n.cluster.platform.take(call{part: part, fence: fence, holder: process{n.address(), n.incarnation}, at: n.cluster.clock.Now()})
 		status = 200
 	}
-	n.session.end(part, status)
+	n.session.endCall(part, status)
 }
 
 // call is what the platform saw.
--- a/control/duty/holding.go
+++ b/control/duty/holding.go
@@ -42,34 +42,34 @@
 	return !held.revoked && !now.Before(held.notBefore) && now.Before(held.expiry) && drift.Abs() <= s.options.MaxDrift
 }
 
-// begin counts a call under a fence, so that the part is not told to be given up before
+// beginCall counts a call under a fence, so that the part is not told to be given up before
 // it ends.
-func (s *Session) begin(part Part, fence int64) bool {
+func (s *Session) beginCall(part Part, fence int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.parts[part]
 	if held == nil || held.fence != fence || !s.mayCall(held) {
 		return false
 	}
-	held.calls++
-	held.callStarted = s.options.Clock.Now()
+	held.runningCalls++
+	held.lastCallStarted = s.options.Clock.Now()
 	return true
 }
 
-// end ends a call that begin counted.
-func (s *Session) end(part Part, status int) {
+// endCall ends a call that begin counted.
+func (s *Session) endCall(part Part, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	started := s.options.Clock.Now()
-	if held := s.parts[part]; held != nil && held.calls > 0 {
-		held.calls--
-		started = held.callStarted
+	if held := s.parts[part]; held != nil && held.runningCalls > 0 {
+		held.runningCalls--
+		started = held.lastCallStarted
 	}
-	s.acts[part] = LastCall{Part: part, UnixMS: s.options.Wall().UnixMilli(), Status: int64(status)}
+	s.lastCalls[part] = LastCall{Part: part, UnixMS: s.options.Wall().UnixMilli(), Status: int64(status)}
 	if status > 0 {
-		delete(s.failingSince, part)
-	} else if _, failing := s.failingSince[part]; !failing {
-		s.failingSince[part] = started
+		delete(s.unansweredSince, part)
+	} else if _, failing := s.unansweredSince[part]; !failing {
+		s.unansweredSince[part] = started
 	}
 }
 
@@ -80,7 +80,7 @@
 	defer s.mu.Unlock()
 	if held := s.parts[part]; held != nil && held.fence == fence {
 		s.revoke(part, held, "part refused: a higher fence has acted")
-		s.rejected[part] = fence
+		s.rejectedFences[part] = fence
 	}
 }
 
@@ -98,7 +98,7 @@
 	defer s.mu.Unlock()
 	var statuses []PartStatus
 	for part, held := range s.parts {
-		statuses = append(statuses, PartStatus{Part: part, Fence: held.fence, Acting: s.mayCall(held), Calls: held.calls})
+		statuses = append(statuses, PartStatus{Part: part, Fence: held.fence, Acting: s.mayCall(held), Calls: held.runningCalls})
 	}
 	return statuses
 }
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, held := range s.parts {
-		if held.calls > 0 {
+		if held.runningCalls > 0 {
 			return true
 		}
 	}
--- a/control/duty/messages.go
+++ b/control/duty/messages.go
@@ -24,16 +24,16 @@
 // UsagePart is the part of all usage windows.
 const UsagePart Part = "usage"
 
-// sizePrefix begins the parts of sizes; the zone's name follows.
-const sizePrefix = "size/"
+// sizePartPrefix begins the parts of sizes; the zone's name follows.
+const sizePartPrefix = "size/"
 
 // SizePart returns the part of all services' sizes in a zone.
-func SizePart(zone ids.Zone) Part { return Part(sizePrefix + string(zone)) }
+func SizePart(zone ids.Zone) Part { return Part(sizePartPrefix + string(zone)) }
 
 // Zone returns the zone of a part of sizes, "" for other parts.
 func (p Part) Zone() ids.Zone {
-	if len(p) > len(sizePrefix) && p[:len(sizePrefix)] == sizePrefix {
-		return ids.Zone(p[len(sizePrefix):])
+	if len(p) > len(sizePartPrefix) && p[:len(sizePartPrefix)] == sizePartPrefix {
+		return ids.Zone(p[len(sizePartPrefix):])
 	}
 	return ""
 }
--- a/control/duty/session.go
+++ b/control/duty/session.go
@@ -14,9 +14,9 @@
 // heartbeatsPerTTL is how often a session is renewed in its time to live.
 const heartbeatsPerTTL = 4
 
-// marginDivisor is the part of a session, one in so many, by which its holder ends it
+// expiryMarginDivisor is the part of a session, one in so many, by which its holder ends it
 // early: for the drift of clocks.
-const marginDivisor = 10
+const expiryMarginDivisor = 10
 
 // SessionOptions configure a Session. All are required but Log.
 type SessionOptions struct {
@@ -55,22 +55,22 @@
 	// epoch is that of the assigner that answered last.
 	epoch    int64
 	assigner ids.Address
-	// silent are controllers that did not answer last; they are asked after all others, since
+	// unresponsive are controllers that did not answer last; they are asked after all others, since
 	// one whose machine is without power takes the whole time of a heartbeat.
-	silent map[ids.Address]bool
-	parts  map[Part]*heldPart
-	// ended has the highest fence of each part that was given up or refused: it is never
+	unresponsive map[ids.Address]bool
+	parts        map[Part]*heldPart
+	// revokedFences has the highest fence of each part that was given up or refused: it is never
 	// taken up again. rejected are those that the assigner granted all the same.
-	ended    map[Part]int64
-	rejected map[Part]int64
-	acts     map[Part]LastCall
+	revokedFences  map[Part]int64
+	rejectedFences map[Part]int64
+	lastCalls      map[Part]LastCall
 	// leaving has no part be taken up any more.
 	leaving bool
-	// probe says that the assigner wants to know whether the platform answers, unreachable
-	// that it did not answer the last probe.
-	probe, unreachable bool
-	// failingSince has, by part, since when the platform does not answer.
-	failingSince map[Part]clock.Instant
+	// probeWanted says that the assigner wants to know whether the platform answers, platformUnreachable
+	// that it did not answer the last probeWanted.
+	probeWanted, platformUnreachable bool
+	// unansweredSince has, by part, since when the platform does not answer.
+	unansweredSince map[Part]clock.Instant
 }
 
 // heldPart is a part that was granted here.
@@ -81,18 +81,18 @@
 	// grantedAt and grantedWall are the same instant on both clocks.
 	grantedAt   clock.Instant
 	grantedWall time.Time
-	// calls are those that run under the fence; revoked parts get no further ones.
-	calls   int
-	revoked bool
-	// callStarted is when the last call began.
-	callStarted clock.Instant
+	// runningCalls are those that run under the fence; revoked parts get no further ones.
+	runningCalls int
+	revoked      bool
+	// lastCallStarted is when the last call began.
+	lastCallStarted clock.Instant
 }
 
 // NewSession returns a Session that holds nothing.
 func NewSession(options SessionOptions) *Session {
 	return &Session{
-		options: options, silent: map[ids.Address]bool{}, parts: map[Part]*heldPart{}, ended: map[Part]int64{}, rejected: map[Part]int64{},
-		acts: map[Part]LastCall{}, failingSince: map[Part]clock.Instant{},
+		options: options, unresponsive: map[ids.Address]bool{}, parts: map[Part]*heldPart{}, revokedFences: map[Part]int64{}, rejectedFences: map[Part]int64{},
+		lastCalls: map[Part]LastCall{}, unansweredSince: map[Part]clock.Instant{},
 	}
 }
 
@@ -115,14 +115,14 @@
 // Probe asks the platform for an answer, if the assigner wants to know.
 func (s *Session) Probe(ctx context.Context) {
 	s.mu.Lock()
-	wanted := s.probe
+	wanted := s.probeWanted
 	s.mu.Unlock()
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, s.options.TTL/2)
 	defer cancel()
 	unreachable := wanted && !s.options.ProbePlatform(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unreachable = unreachable
+	s.platformUnreachable = unreachable
 }
 
 // Renew sends a heartbeat to the first controller that says that it assigns.
@@ -141,28 +141,28 @@
 		asked[address] = true
 		started, wall := s.options.Clock.Now(), s.options.Wall()
 		resp, err := s.options.Send(ctx, address, req)
-		s.noteAnswer(address, err)
+		s.recordAnswer(address, err)
 		switch {
 		case err != nil:
 			continue
 		case resp.Assigning:
-			s.take(address, resp, started, wall)
+			s.applyResponse(address, resp, started, wall)
 			return
 		case resp.Assigner != "":
-			candidates = s.silentLast(append([]ids.Address{resp.Assigner}, candidates...))
+			candidates = s.unresponsiveLast(append([]ids.Address{resp.Assigner}, candidates...))
 		}
 	}
 }
 
-// noteAnswer remembers whether a controller answered.
-func (s *Session) noteAnswer(address ids.Address, err error) {
+// recordAnswer remembers whether a controller answered.
+func (s *Session) recordAnswer(address ids.Address, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		delete(s.silent, address)
+		delete(s.unresponsive, address)
 		return
 	}
-	s.silent[address] = true
+	s.unresponsive[address] = true
 }
 
 // candidates returns whom to ask: who answered last goes first.
@@ -170,22 +170,22 @@
 	s.mu.Lock()
 	last := s.assigner
 	s.mu.Unlock()
-	return s.silentLast(append([]ids.Address{last}, s.options.AssignerCandidates()...))
+	return s.unresponsiveLast(append([]ids.Address{last}, s.options.AssignerCandidates()...))
 }
 
-// silentLast moves those that did not answer last to the end.
-func (s *Session) silentLast(candidates []ids.Address) []ids.Address {
+// unresponsiveLast moves those that did not answer last to the end.
+func (s *Session) unresponsiveLast(candidates []ids.Address) []ids.Address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var answering, silent []ids.Address
+	var responsive, unresponsive []ids.Address
 	for _, address := range candidates {
-		if s.silent[address] {
-			silent = append(silent, address)
+		if s.unresponsive[address] {
+			unresponsive = append(unresponsive, address)
 		} else {
-			answering = append(answering, address)
+			responsive = append(responsive, address)
 		}
 	}
-	return append(answering, silent...)
+	return append(responsive, unresponsive...)
 }
 
 // request returns the next heartbeat.
@@ -195,41 +195,41 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.options.Clock.Now()
-	req.Eligible, req.PlatformDown = eligible && !s.leaving, s.unreachable
+	req.Eligible, req.PlatformDown = eligible && !s.leaving, s.platformUnreachable
 	for part, held := range s.parts {
-		if held.calls > 0 || (!held.revoked && now.Before(held.expiry)) {
+		if held.runningCalls > 0 || (!held.revoked && now.Before(held.expiry)) {
 			req.Active = append(req.Active, Grant{Part: part, Fence: held.fence})
-			req.PlatformDown = req.PlatformDown || (held.calls > 0 && now.Since(held.callStarted) > s.options.TTL)
+			req.PlatformDown = req.PlatformDown || (held.runningCalls > 0 && now.Since(held.lastCallStarted) > s.options.TTL)
 		} else if held.revoked {
 			delete(s.parts, part)
 		}
 	}
-	for part, fence := range s.rejected {
+	for part, fence := range s.rejectedFences {
 		req.Rejected = append(req.Rejected, Grant{Part: part, Fence: fence})
 	}
-	for _, act := range s.acts {
+	for _, act := range s.lastCalls {
 		req.LastCalls = append(req.LastCalls, act)
 	}
-	for _, since := range s.failingSince {
+	for _, since := range s.unansweredSince {
 		req.PlatformDown = req.PlatformDown || now.Since(since) > s.options.TTL
 	}
 	return req
 }
 
-// take takes over what the assigner granted to a heartbeat that was sent at started.
+// applyResponse takes over what the assigner granted to a heartbeat that was sent at started.
 // Parts that it does not name are given up.
-func (s *Session) take(assigner ids.Address, resp SessionResponse, started clock.Instant, wall time.Time) {
+func (s *Session) applyResponse(assigner ids.Address, resp SessionResponse, started clock.Instant, wall time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if resp.Epoch < s.epoch {
 		return
 	}
-	s.epoch, s.assigner, s.probe = resp.Epoch, assigner, resp.ProbePlatform
+	s.epoch, s.assigner, s.probeWanted = resp.Epoch, assigner, resp.ProbePlatform
 	now := s.options.Clock.Now()
 	granted := map[Part]bool{}
 	for _, grant := range resp.Grants {
 		granted[grant.Part] = true
-		s.takeGrant(grant, started, wall, now)
+		s.applyGrant(grant, started, wall, now)
 	}
 	for part, held := range s.parts {
 		if !granted[part] {
@@ -244,32 +244,32 @@
 		return
 	}
 	held.revoked = true
-	s.ended[part] = max(s.ended[part], held.fence)
-	delete(s.failingSince, part)
+	s.revokedFences[part] = max(s.revokedFences[part], held.fence)
+	delete(s.unansweredSince, part)
 	s.logChange(part, held.fence, message)
 }
 
-// takeGrant takes over one part. The caller holds s.mu.
-func (s *Session) takeGrant(grant Grant, started clock.Instant, wall time.Time, now clock.Instant) {
+// applyGrant takes over one part. The caller holds s.mu.
+func (s *Session) applyGrant(grant Grant, started clock.Instant, wall time.Time, now clock.Instant) {
 	held := s.parts[grant.Part]
 	switch {
 	case held != nil && held.fence > grant.Fence:
 		return
-	case s.leaving || grant.Fence <= s.ended[grant.Part]:
-		s.rejected[grant.Part] = grant.Fence
+	case s.leaving || grant.Fence <= s.revokedFences[grant.Part]:
+		s.rejectedFences[grant.Part] = grant.Fence
 		return
 	case held == nil || held.fence < grant.Fence:
 		calls := 0
 		if held != nil {
 			// Its calls are checked against the former fence, and fail.
-			calls = held.calls
+			calls = held.runningCalls
 		}
-		held = &heldPart{fence: grant.Fence, notBefore: now.Add(time.Duration(grant.WaitMS) * time.Millisecond), calls: calls}
+		held = &heldPart{fence: grant.Fence, notBefore: now.Add(time.Duration(grant.WaitMS) * time.Millisecond), runningCalls: calls}
 		s.parts[grant.Part] = held
-		delete(s.rejected, grant.Part)
+		delete(s.rejectedFences, grant.Part)
 		s.logChange(grant.Part, grant.Fence, "part held")
 	}
-	held.expiry = started.Add(s.options.TTL - s.options.TTL/marginDivisor)
+	held.expiry = started.Add(s.options.TTL - s.options.TTL/expiryMarginDivisor)
 	held.grantedAt, held.grantedWall = started, wall
 }
 
@@ -285,7 +285,7 @@
 	s.leaving = true
 	for part, held := range s.parts {
 		s.revoke(part, held, "part given up")
-		s.rejected[part] = held.fence
+		s.rejectedFences[part] = held.fence
 	}
 	s.mu.Unlock()
 	s.Renew(ctx)
--- a/control/sizing/sizing.go
+++ b/control/sizing/sizing.go
@@ -117,7 +117,7 @@
 			state = &zoneOrders{fence: fence, acknowledged: map[ids.Service]int64{}}
 			o.zones[zone] = state
 		}
-		steps.Go(func() { o.stepZone(ctx, zone, state, o.wantedIn(cfg, planned, zone)) })
+		steps.Go(func() { o.stepZone(ctx, zone, state, o.wantedOrders(cfg, planned, zone)) })
 	}
 	steps.Wait()
 }
@@ -127,9 +127,9 @@
 	return o.options.Frozen != nil && o.options.Frozen(service)
 }
 
-// wantedIn returns the planned orders of a zone within the bounds of the configuration, for
+// wantedOrders returns the planned orders of a zone within the bounds of the configuration, for
 // the services whose size may change.
-func (o *Orderer) wantedIn(cfg *config.Config, planned autoscaler.Sizes, zone ids.Zone) []Order {
+func (o *Orderer) wantedOrders(cfg *config.Config, planned autoscaler.Sizes, zone ids.Zone) []Order {
 	var wanted []Order
 	for _, size := range planned.Sizes {
 		service := cfg.Service(size.Service)
@@ -145,7 +145,7 @@
 	if o.options.Clock.Now().Before(state.retryAt) {
 		return
 	}
-	if !state.loaded || state.stored.differs(wanted) {
+	if !state.loaded || state.stored.lacksAny(wanted) {
 		if !o.store(ctx, zone, state, wanted) {
 			return
 		}
@@ -161,8 +161,8 @@
 	}
 }
 
-// differs reports whether an order is wanted that is not the newest one.
-func (o Orders) differs(wanted []Order) bool {
+// lacksAny reports whether an order is wanted that is not the newest one.
+func (o Orders) lacksAny(wanted []Order) bool {
 	return slices.ContainsFunc(wanted, func(order Order) bool { return !slices.Contains(o.Orders, order) })
 }
 
@@ -202,8 +202,8 @@
 	return true
 }
 
-// document is the platform's.
-type document struct {
+// sizeRequest is the platform's.
+type sizeRequest struct {
 	Service ids.Service `json:"service"`
 	Zone    ids.Zone    `json:"zone"`
 	Wanted  int64       `json:"wanted"`
@@ -211,7 +211,7 @@
 
 // send sends an order. It returns false where it was not taken and is to be sent again.
 func (o *Orderer) send(ctx context.Context, zone ids.Zone, state *zoneOrders, order Order) bool {
-	body, err := json.Marshal(document{Service: order.Service, Zone: zone, Wanted: order.Wanted})
+	body, err := json.Marshal(sizeRequest{Service: order.Service, Zone: zone, Wanted: order.Wanted})
 	if err != nil {
 		return false
 	}
--- a/control/usage/collector.go
+++ b/control/usage/collector.go
@@ -47,8 +47,8 @@
 
 	mu    sync.Mutex
 	fence int64
-	// beganAt is when the part was taken up.
-	beganAt clock.Instant
+	// startedAt is when the part was taken up.
+	startedAt clock.Instant
 	// log is the stored one, as known here; loaded says that it was read under fence.
 	log    Log
 	loaded bool
@@ -79,21 +79,21 @@
 // knows: one that has not heard of all routers, whose Through is 0, says nothing of what they
 // have closed.
 func (c *Collector) ReceiveSums(_ context.Context, req SumsRequest) (CollectResponse, error) {
-	return c.take(req.Zone, req.Through, func(zone *zoneState) { zone.sums.merge(req.Windows, c.log.Decided) }), nil
+	return c.receive(req.Zone, req.Through, func(zone *zoneState) { zone.sums.merge(req.Windows, c.log.Decided) }), nil
 }
 
 // ReceiveReports takes the reports of a zone's routers over, from a relay of an older build.
 func (c *Collector) ReceiveReports(_ context.Context, req CollectRequest) (CollectResponse, error) {
-	return c.take(req.Zone, req.Through, func(zone *zoneState) {
+	return c.receive(req.Zone, req.Through, func(zone *zoneState) {
 		for _, report := range req.Routers {
 			zone.tally.merge(report)
 		}
 	}), nil
 }
 
-// take merges what a zone's relay sent. Counts are taken before the part may be acted for,
+// receive merges what a zone's relay sent. Counts are taken before the part may be acted for,
 // since who has them may be lost meanwhile.
-func (c *Collector) take(name ids.Zone, through int64, merge func(*zoneState)) CollectResponse {
+func (c *Collector) receive(name ids.Zone, through int64, merge func(*zoneState)) CollectResponse {
 	fence, assigned := c.options.Assigned()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,11 +101,11 @@
 	if !assigned || zone == nil {
 		return CollectResponse{}
 	}
-	c.begin(fence)
+	c.startTerm(fence)
 	merge(zone)
-	zone.heard(c.options.Clock.Now())
+	zone.recordContact(c.options.Clock.Now())
 	if through > 0 {
-		zone.closed, zone.known = through, true
+		zone.closed, zone.closedKnown = through, true
 	}
 	if !c.loaded {
 		return CollectResponse{Holding: true}
@@ -134,22 +134,22 @@
 	defer c.mu.Unlock()
 	var resp CopiesResponse
 	for _, name := range c.options.Zones {
-		if windows := c.zones[name].all().message(); len(windows) > 0 {
+		if windows := c.zones[name].mergedCounts().toMessage(); len(windows) > 0 {
 			resp.Zones = append(resp.Zones, ZoneCounts{Zone: name, Windows: windows})
 		}
 	}
 	return resp, nil
 }
 
-// begin drops what was stored and acknowledged under another fence. Counts stay: they hold
+// startTerm drops what was stored and acknowledged under another fence. Counts stay: they hold
 // under every fence. The caller holds c.mu.
-func (c *Collector) begin(fence int64) {
+func (c *Collector) startTerm(fence int64) {
 	if fence == c.fence {
 		return
 	}
-	c.fence, c.loaded, c.beganAt, c.retryAt, c.acknowledged = fence, false, c.options.Clock.Now(), 0, 0
+	c.fence, c.loaded, c.startedAt, c.retryAt, c.acknowledged = fence, false, c.options.Clock.Now(), 0, 0
 	for _, zone := range c.zones {
-		zone.begin(c.beganAt)
+		zone.reset(c.startedAt)
 	}
 }
 
@@ -168,7 +168,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.begin(fence)
+	c.startTerm(fence)
 	loaded := c.loaded
 	c.mu.Unlock()
 	if !loaded && !c.load(ctx, fence) {
--- a/control/usage/collector_test.go
+++ b/control/usage/collector_test.go
@@ -206,7 +206,7 @@
 	for _, router := range f.routers {
 		router.down = router.zone == 0
 	}
-	f.run(longestCut + testLate)
+	f.run(maxPartitionWait + testLate)
 	calm := f.now()
 	f.run(40 * time.Second)
 	first, last := windowsBetween(calm, f.now())
@@ -266,7 +266,7 @@
 	now := 100 * testWindow
 	meter := NewMeter(testWindow, func() time.Duration { return now })
 	meter.CountRequest("a", 0)
-	now += testWindow + settleTime
+	now += testWindow + closeDelay
 	if report := meter.Report(); report.Through != 100 || len(report.Windows) != 1 {
 		t.Fatalf("%+v", report)
 	}
--- a/control/usage/counts.go
+++ b/control/usage/counts.go
@@ -17,23 +17,23 @@
 		if window.Window <= decided || len(window.Tenants) != len(window.Counts) {
 			continue
 		}
-		merged := c.of(window.Window)
+		merged := c.tenantCounts(window.Window)
 		for index, tenant := range window.Tenants {
 			merged[tenant] = max(merged[tenant], window.Counts[index])
 		}
 	}
 }
 
-// of returns the counts of a window, to be changed.
-func (c counts) of(window int64) map[ids.Tenant]int64 {
+// tenantCounts returns the counts tenantCounts a window, to be changed.
+func (c counts) tenantCounts(window int64) map[ids.Tenant]int64 {
 	if c[window] == nil {
 		c[window] = map[ids.Tenant]int64{}
 	}
 	return c[window]
 }
 
-// forget drops the windows up to one.
-func (c counts) forget(through int64) {
+// dropThrough drops the windows up to one.
+func (c counts) dropThrough(through int64) {
 	for window := range c {
 		if window <= through {
 			delete(c, window)
@@ -47,27 +47,27 @@
 	for window := range c {
 		newest = max(newest, window)
 	}
-	c.forget(newest - windows)
+	c.dropThrough(newest - windows)
 }
 
-// beyond returns the counts that are above those of another state.
-func (c counts) beyond(other counts) counts {
+// increasesOver returns the counts that are above those of another state.
+func (c counts) increasesOver(other counts) counts {
 	changed := counts{}
 	for window, tenants := range c {
 		for tenant, count := range tenants {
 			if count > other[window][tenant] {
-				changed.of(window)[tenant] = count
+				changed.tenantCounts(window)[tenant] = count
 			}
 		}
 	}
 	return changed
 }
 
-// message returns the counts as they are sent, oldest window first.
-func (c counts) message() []WindowCounts {
+// toMessage returns the counts as they are sent, oldest window first.
+func (c counts) toMessage() []WindowCounts {
 	var windows []WindowCounts
 	for window, tenants := range c {
-		windows = append(windows, columns(window, tenants))
+		windows = append(windows, newWindowCounts(window, tenants))
 	}
 	slices.SortFunc(windows, func(a, b WindowCounts) int { return cmp.Compare(a.Window, b.Window) })
 	return windows
--- a/control/usage/decide.go
+++ b/control/usage/decide.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// decideLate is the part of the time in which a window falls due after which it is
+	// lateDecisionFraction is the part of the time in which a window falls due after which it is
 	// decided with what is known: it leaves time for another holder and two tries.
-	decideLate = 0.25
+	lateDecisionFraction = 0.25
 	// horizonWindows is how many windows before the present may be decided: a holder that
 	// finds an older log starts there.
 	horizonWindows = maxWindows
@@ -22,8 +22,8 @@
 	maxPending = 120
 )
 
-// errOtherLog says that another holder has stored decisions.
-var errOtherLog = errors.New("usage: the stored log is another than expected")
+// errLogChanged says that another holder has stored decisions.
+var errLogChanged = errors.New("usage: the stored log is another than expected")
 
 // load reads the log, and the copies of zones that may be lost. A log that was never written, or is older than the horizon, starts
 // there.
@@ -61,34 +61,34 @@
 			zone.sums.merge(copied.Windows, stored.Decided)
 		}
 	}
-	c.forget(stored.Decided)
+	c.dropDecided(stored.Decided)
 	return true
 }
 
-// forget drops the counts of decided windows. The caller holds c.mu.
-func (c *Collector) forget(decided int64) {
+// dropDecided drops the counts of decided windows. The caller holds c.mu.
+func (c *Collector) dropDecided(decided int64) {
 	for _, zone := range c.zones {
-		zone.tally.forget(decided)
-		zone.sums.forget(decided)
+		zone.tally.dropThrough(decided)
+		zone.sums.dropThrough(decided)
 	}
 }
 
 // decide stores the decisions of all windows that are complete or late.
 func (c *Collector) decide(ctx context.Context, fence int64) {
-	next, incomplete := c.decisions()
+	next, incomplete := c.nextDecisions()
 	if len(next.Pending) == 0 {
 		return
 	}
-	expected := c.expectedDecided()
+	expected := c.lastDecided()
 	value, err := c.options.Update(ctx, LogKey, func(current []byte) ([]byte, error) {
 		stored, err := transport.UnmarshalStored[Log](LogKey, current)
 		if err != nil {
 			return nil, err
 		}
 		if stored.Decided != expected {
-			return nil, errOtherLog
+			return nil, errLogChanged
 		}
-		return transport.Marshal(c.append(stored, next))
+		return transport.Marshal(c.appendPending(stored, next))
 	})
 	if err != nil {
 		c.mu.Lock()
@@ -107,19 +107,19 @@
 		return
 	}
 	c.log = stored
-	c.forget(stored.Decided)
+	c.dropDecided(stored.Decided)
 	c.stats.Decided += int64(len(next.Pending))
 	c.stats.Incomplete += incomplete
 }
 
-func (c *Collector) expectedDecided() int64 {
+func (c *Collector) lastDecided() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.log.Decided
 }
 
-// append adds decisions to a stored log, without the windows that the platform has taken.
-func (c *Collector) append(stored Log, next Log) Log {
+// appendPending adds decisions to a stored log, without the windows that the platform has taken.
+func (c *Collector) appendPending(stored Log, next Log) Log {
 	c.mu.Lock()
 	acknowledged := c.acknowledged
 	c.mu.Unlock()
@@ -133,9 +133,9 @@
 	return result
 }
 
-// decisions returns the windows to decide now, in order, and how many of them lack the
+// nextDecisions returns the windows to decide now, in order, and how many of them lack the
 // counts of some zone.
-func (c *Collector) decisions() (next Log, incomplete int64) {
+func (c *Collector) nextDecisions() (next Log, incomplete int64) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,11 +143,11 @@
 	for window := c.log.Decided + 1; ; window++ {
 		end := time.Duration(window+1) * c.options.Window
 		complete := c.isClosed(window)
-		late := now >= end+time.Duration(decideLate*float64(c.options.DueAfter)) && c.options.Clock.Now().Since(c.beganAt) >= c.options.DueAfter/8
-		if now < end || (!complete && (!late || c.awaitsCutZone(window))) {
+		late := now >= end+time.Duration(lateDecisionFraction*float64(c.options.DueAfter)) && c.options.Clock.Now().Since(c.startedAt) >= c.options.DueAfter/8
+		if now < end || (!complete && (!late || c.awaitsPartitionedZone(window))) {
 			return next, incomplete
 		}
-		body, err := json.Marshal(report{Window: window, Counts: c.sum(window)})
+		body, err := json.Marshal(usageReport{Window: window, Counts: c.sum(window)})
 		if err != nil {
 			return next, incomplete
 		}
@@ -196,8 +196,8 @@
 	return total
 }
 
-// report is the platform's document.
-type report struct {
+// usageReport is the platform's document.
+type usageReport struct {
 	Window int64                `json:"window_number"`
 	Counts map[ids.Tenant]int64 `json:"counts"`
 }
--- a/control/usage/harness_test.go
+++ b/control/usage/harness_test.go
@@ -190,7 +190,7 @@
 	if f.platform.down {
 		return 0, errLost
 	}
-	var got report
+	var got usageReport
 	if err := json.Unmarshal(call.Body, &got); err != nil {
 		return 400, nil
 	}
@@ -272,7 +272,7 @@
 			wrong = append(wrong, fmt.Sprintf("window %d is missing", window))
 			continue
 		}
-		var got report
+		var got usageReport
 		_ = json.Unmarshal([]byte(text), &got)
 		for tenant, count := range f.ran[window] {
 			if off := count - got.Counts[tenant]; off > tolerance || off < -tolerance {
--- a/control/usage/meter.go
+++ b/control/usage/meter.go
@@ -13,8 +13,8 @@
 // horizon and are not reported.
 const maxWindows = 24
 
-// settleTime is for how long after the end of a window a router may still count in it.
-const settleTime = 100 * time.Millisecond
+// closeDelay is for how long after the end of a window a router may still count in it.
+const closeDelay = 100 * time.Millisecond
 
 // AllWindows is a Through of a router that counts no more.
 const AllWindows = math.MaxInt64
@@ -31,8 +31,8 @@
 	decided int64
 	// closed is the last window that a report has closed: it is counted in no more, also
 	// where the agreed time steps back.
-	closed int64
-	ended  bool
+	closed    int64
+	allClosed bool
 }
 
 // NewMeter returns a Meter of windows of that length.
@@ -45,25 +45,25 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	window := max(int64((m.now()-age)/m.window), m.closed+1)
-	m.windows.of(window)[tenant]++
+	m.windows.tenantCounts(window)[tenant]++
 }
 
 // Report returns the counts of all windows that are not decided.
 func (m *Meter) Report() RouterReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.closed = max(m.closed, int64((m.now()-settleTime)/m.window)-1)
+	m.closed = max(m.closed, int64((m.now()-closeDelay)/m.window)-1)
 	report := RouterReport{Through: m.closed}
-	if m.ended {
+	if m.allClosed {
 		report.Through = AllWindows
 	}
-	m.windows.forget(max(m.decided, m.closed-maxWindows))
-	report.Windows = m.windows.message()
+	m.windows.dropThrough(max(m.decided, m.closed-maxWindows))
+	report.Windows = m.windows.toMessage()
 	return report
 }
 
-// columns returns the counts of a window in the order of tenants' names.
-func columns(window int64, byTenant map[ids.Tenant]int64) WindowCounts {
+// newWindowCounts returns the counts of a window in the order of tenants' names.
+func newWindowCounts(window int64, byTenant map[ids.Tenant]int64) WindowCounts {
 	result := WindowCounts{Window: window}
 	for tenant := range byTenant {
 		result.Tenants = append(result.Tenants, tenant)
@@ -86,13 +86,13 @@
 func (m *Meter) CloseAllWindows() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = true
+	m.allClosed = true
 }
 
 // UntilReport returns how long to wait for the next report: the interval, or less where
 // a window is closed before.
 func (m *Meter) UntilReport(interval time.Duration) time.Duration {
 	now := m.now()
-	closes := (now-settleTime)/m.window*m.window + m.window + settleTime
-	return min(interval, closes-now+time.Millisecond)
+	closesAt := (now-closeDelay)/m.window*m.window + m.window + closeDelay
+	return min(interval, closesAt-now+time.Millisecond)
 }
--- a/control/usage/relay.go
+++ b/control/usage/relay.go
@@ -49,9 +49,9 @@
 
 	mu    sync.Mutex
 	tally *tally
-	// changed and uncopied say that a router has reported since the last message to the
+	// forwardDue and copyDue say that a router has reported since the last message to the
 	// holder, and since the last copy.
-	changed, uncopied bool
+	forwardDue, copyDue bool
 	// term is the one whose holder has taken sent; failures counts the messages in a row that
 	// were not taken.
 	term     Term
@@ -70,7 +70,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.merge(report)
-	r.changed, r.uncopied = true, true
+	r.forwardDue, r.copyDue = true, true
 	if r.failures >= maxForwardFailures {
 		return ReportResponse{}, errkind.Errorf(errkind.NotReady, "the holder of the part of usage is out of reach")
 	}
@@ -94,7 +94,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil || !resp.Holding {
-		r.changed, r.term, r.sent = true, Term{}, counts{}
+		r.forwardDue, r.term, r.sent = true, Term{}, counts{}
 		r.failures++
 		if r.failures == maxForwardFailures {
 			r.log(term, "holder takes no counts", err)
@@ -106,8 +106,8 @@
 	}
 	r.term, r.failures = term, 0
 	r.sent.merge(req.Windows, resp.Decided)
-	r.sent.forget(resp.Decided)
-	r.tally.forget(resp.Decided)
+	r.sent.dropThrough(resp.Decided)
+	r.tally.dropThrough(resp.Decided)
 }
 
 // log logs how the holder answers.
@@ -122,10 +122,10 @@
 	routers := r.options.Routers()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.changed {
+	if !r.forwardDue {
 		return SumsRequest{}, false
 	}
-	r.changed = false
+	r.forwardDue = false
 	if term != r.term {
 		r.sent = counts{}
 	}
@@ -133,11 +133,11 @@
 	req = SumsRequest{Zone: r.options.Zone, Through: AllWindows}
 	for _, router := range routers {
 		up[router] = true
-		through, _ := r.tally.through(router)
+		through, _ := r.tally.closedThrough(router)
 		req.Through = min(req.Through, through)
 	}
-	r.tally.drop(func(router ids.Address) bool { return !up[router] })
-	req.Windows = r.tally.sums().beyond(r.sent).message()
+	r.tally.dropRouters(func(router ids.Address) bool { return !up[router] })
+	req.Windows = r.tally.sums().increasesOver(r.sent).toMessage()
 	return req, true
 }
 
@@ -152,11 +152,11 @@
 // since the last one.
 func (r *Relay) SendCopy(ctx context.Context) {
 	r.mu.Lock()
-	due := r.uncopied
-	r.uncopied = false
+	due := r.copyDue
+	r.copyDue = false
 	zone := ZoneCounts{Zone: r.options.Zone}
 	if due {
-		zone.Windows = r.tally.sums().message()
+		zone.Windows = r.tally.sums().toMessage()
 	}
 	r.mu.Unlock()
 	if len(zone.Windows) > 0 {
