--- a/control/duty/assigner.go
+++ b/control/duty/assigner.go
@@ -16,7 +16,7 @@
 	"onyxwell/control/transport"
 )
 
-// UpdateFunc returns the next value of a key that is stored on a majority.
+// UpdateFunc returns the next value of a register key, which is stored on a majority.
 type UpdateFunc = register.UpdateFunc
 
 // AssignerOptions configure an Assigner. All are required but Log.
@@ -24,35 +24,38 @@
 	Clock   clock.Clock
 	Wall    func() time.Time
 	Address ids.Address
-	// Parts are all parts of the deployment.
+	// Parts lists all parts of the deployment.
 	Parts []Part
-	// TTL is that of sessions; HandOver is for how long after its predecessor could have
-	// made a call a new holder makes none.
+	// TTL is the time to live of sessions. HandOverDelay is how long a new holder waits after
+	// its predecessor could last have made a call.
 	TTL           time.Duration
 	HandOverDelay time.Duration
-	// AssignerLease reports whether this controller holds the assigner's lease, and its epoch.
+	// AssignerLease returns the epoch of the assigner's lease and whether this controller
+	// holds it.
 	AssignerLease func(now clock.Instant) (epoch int64, held bool)
-	// Update stores the assignment.
+	// Update replaces the value of a register key on a majority and returns the stored value.
 	Update func(ctx context.Context, key string, update UpdateFunc) ([]byte, error)
 	// Publish gossips the overview.
 	Publish func(item gossip.Item)
-	// NewVersion orders gossiped items by epoch, then by counter.
+	// NewVersion returns the version of a gossiped item. Versions are ordered by epoch, then by
+	// counter.
 	NewVersion func(epoch int64, counter int64) ids.Version
 	Log        *log.Logger
 }
 
-// Assigner deals the parts while its controller holds the lease. It is safe for
-// concurrent use.
+// Assigner assigns the parts to controllers while its own controller holds the lease. It is
+// safe for concurrent use.
 type Assigner struct {
 	options AssignerOptions
 
 	mu sync.Mutex
-	// epoch is the one under which the rest was begun; ready says that the stored
-	// assignment was read under it.
+	// epoch is the epoch of the lease under which the fields below were loaded. ready reports
+	// that they reflect the stored assignment; it is reset when a write has an unknown
+	// outcome.
 	epoch          int64
 	epochStartedAt clock.Instant
 	ready          bool
-	// counter orders the overviews that were published under epoch.
+	// counter numbers the overviews that were published under epoch.
 	counter   int64
 	sessions  map[ids.Address]*assignerSession
 	parts     map[Part]*partState
@@ -71,12 +74,12 @@
 // partState is a part as the assigner knows it.
 type partState struct {
 	record PartRecord
-	// busyUntil is until when the recorded holder may make calls.
+	// busyUntil is the time until which the recorded holder may make calls.
 	busyUntil clock.Instant
-	// notBefore is from when on a new holder may make calls.
+	// notBefore is the time from which a new holder may make calls.
 	notBefore clock.Instant
-	// revoking holders are told of the part no more; avoid is not chosen as the next one
-	// if there is another.
+	// revoking means that the part is no longer granted to its holder. avoid is not chosen as
+	// the next holder if there is another candidate.
 	revoking bool
 	avoid    ids.Address
 	movedAt  clock.Instant
@@ -85,18 +88,20 @@
 	lastCall LastCall
 }
 
-// NewAssigner returns an Assigner that knows nothing.
+// NewAssigner returns an Assigner without sessions. It loads the stored assignment in its
+// first Step under the lease.
 func NewAssigner(options AssignerOptions) *Assigner { return &Assigner{options: options} }
 
-// Run assigns parts until ctx ends.
+// Run assigns parts until ctx is canceled.
 func (a *Assigner) Run(ctx context.Context) {
 	for clock.Wait(ctx, a.options.Clock, a.options.TTL/heartbeatsPerTTL) {
 		a.Step(ctx)
 	}
 }
 
-// Step reads the stored assignment under a new epoch, or gives parts whose holder is
-// gone to others. It does nothing without the lease.
+// Step loads the stored assignment if the epoch is new or the last write had an unknown
+// outcome. Otherwise it assigns the parts that need a new holder and publishes the overview.
+// It does nothing without the lease.
 func (a *Assigner) Step(ctx context.Context) {
 	now := a.options.Clock.Now()
 	epoch, held := a.options.AssignerLease(now)
@@ -119,8 +124,9 @@
 	return a.ready && a.epoch == epoch
 }
 
-// loadAssignment takes the stored assignment over under a new epoch. Its holders may have
-// sessions of which this assigner knows nothing.
+// loadAssignment claims the stored assignment for this assigner under an epoch and loads it.
+// The holders may have sessions that this assigner does not know, so each part counts as in
+// use for one TTL.
 func (a *Assigner) loadAssignment(ctx context.Context, epoch int64) {
 	started := a.options.Clock.Now()
 	former := ids.Address("")
@@ -156,26 +162,27 @@
 	for _, record := range assignment.Parts {
 		state := a.parts[record.Part]
 		if state == nil {
-			// A part that this build does not know keeps its fence.
+			// Keep the fence of a part that is not configured in this build.
 			state = &partState{}
 			a.parts[record.Part] = state
 		}
 		state.record = record
-		// Of a holder that was not told yet, the former one may just have acted.
+		// If the recorded holder has not been notified yet, its predecessor may just have made
+		// a call.
 		state.notBefore = started.Add(a.options.HandOverDelay)
 		state.busyUntil = started.Add(a.options.TTL)
 		if record.Holder == former && former != a.options.Address {
-			// It had its session from itself, and so no longer than the lease, which has
-			// passed to this controller.
+			// The former assigner granted the part to itself, so its session ended with the
+			// lease, which this controller now holds.
 			state.busyUntil = started
 		}
 	}
 }
 
-// errSuperseded ends an update of an assigner whose lease has passed to another.
-var errSuperseded = errors.New("duty: another assigner has taken over")
+// errSuperseded aborts an update if another assigner or epoch has claimed the assignment.
+var errSuperseded = errors.New("duty: assignment is claimed by another assigner or epoch")
 
-// Renew answers a heartbeat.
+// Renew handles a heartbeat: it renews the session of the sender and returns its grants.
 func (a *Assigner) Renew(req SessionRequest, now clock.Instant) SessionResponse {
 	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
@@ -206,8 +213,9 @@
 	return resp
 }
 
-// release frees the parts that a process gives up: at once where it makes no call for
-// them any more. The caller holds a.mu.
+// release revokes the parts that a process has rejected, or all of its parts if it is not
+// eligible. A revoked part is free at once if the process no longer lists it as active. The
+// caller holds a.mu.
 func (a *Assigner) release(from process, req SessionRequest, now clock.Instant) {
 	for part, state := range a.parts {
 		if !state.record.heldBy(from) {
@@ -221,8 +229,8 @@
 	}
 }
 
-// HandOver has a part be given to another controller, if there is one: its holder gives it
-// up in order first.
+// HandOver moves a part to another controller if there is one. The holder first releases the
+// part in an orderly way.
 func (a *Assigner) HandOver(req HandOverRequest, now clock.Instant) HandOverResponse {
 	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
@@ -238,8 +246,8 @@
 	return HandOverResponse{Assigning: true, Known: true}
 }
 
-// anyPlatformDown reports whether some holder says that the platform does not answer it. The
-// caller holds a.mu.
+// anyPlatformDown reports whether any controller has reported that the platform does not
+// answer. The caller holds a.mu.
 func (a *Assigner) anyPlatformDown() bool {
 	for _, session := range a.sessions {
 		if session.platformDown {
@@ -249,7 +257,7 @@
 	return false
 }
 
-// storeChanges writes changed records on a majority, and takes them over once they are there.
+// storeChanges stores changed records on a majority, and applies them once they are stored.
 func (a *Assigner) storeChanges(ctx context.Context, epoch int64, changes []PartRecord) {
 	value, err := a.options.Update(ctx, AssignmentKey, func(current []byte) ([]byte, error) {
 		assignment, err := transport.UnmarshalStored[Assignment](AssignmentKey, current)
@@ -272,7 +280,8 @@
 	}
 	stored, decodeErr := transport.UnmarshalStored[Assignment](AssignmentKey, value)
 	if err != nil || decodeErr != nil || stored.Epoch != epoch || stored.Assigner != a.options.Address {
-		// What is stored may be either: it is read again.
+		// The change may or may not have been stored: the next Step loads the assignment
+		// again.
 		a.ready = false
 		return
 	}
@@ -283,7 +292,7 @@
 	}
 }
 
-// applyRecord has a part's state follow a stored change. The caller holds a.mu.
+// applyRecord applies a stored change of a part's record to its state. The caller holds a.mu.
 func (a *Assigner) applyRecord(state *partState, record PartRecord, now clock.Instant) {
 	if state.record.Fence > 0 {
 		state.notBefore = max(state.notBefore, state.busyUntil.Add(a.options.HandOverDelay))
@@ -297,7 +306,7 @@
 	state.moves++
 }
 
-// set replaces a part's record.
+// set replaces or adds the record of a part. The fence of a replaced record always increases.
 func (a *Assignment) set(record PartRecord) {
 	for index := range a.Parts {
 		if a.Parts[index].Part == record.Part {
@@ -309,7 +318,7 @@
 	a.Parts = append(a.Parts, record)
 }
 
-// publish gossips the overview if it changed.
+// publish gossips the overview if it has changed since it was last published.
 func (a *Assigner) publish(epoch int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -341,8 +350,8 @@
 	return parts
 }
 
-// LastCalls returns the last calls of all parts, as their holders told. It is empty where
-// this controller does not assign.
+// LastCalls returns the last call of each part, as reported by its holder. It is empty if
+// this controller has never been the assigner.
 func (a *Assigner) LastCalls() map[Part]LastCall {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/control/duty/balance.go
+++ b/control/duty/balance.go
@@ -8,9 +8,10 @@
 	"onyxwell/base/ids"
 )
 
-// planMoves returns the records of parts that get a new holder now, and has holders
-// that have too many told of one part no more. Few parts move: only those whose holder
-// is gone, can't reach the platform while others can, or has two more than another.
+// planMoves returns the records of the parts that get a new holder now. If there are none,
+// it starts to revoke one part of a holder that has too many. To move few parts, it moves
+// only those whose holder is gone, cannot reach the platform while others can, or has at
+// least two parts more than another.
 func (a *Assigner) planMoves(now clock.Instant) []PartRecord {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -27,11 +28,12 @@
 			continue
 		}
 		if state.record.Fence == 0 && now.Since(a.epochStartedAt) < a.options.TTL {
-			// Other controllers may just be starting, too.
+			// Before the first assignment of a part, wait for one TTL: other controllers may be
+			// starting too.
 			continue
 		}
 		if session := a.sessions[state.record.Holder]; session != nil && state.record.heldBy(session.process) && !state.revoking && session.eligible && now.Before(session.expiry) {
-			// It has just been assigned, and not been told yet.
+			// The part was just assigned, and its holder has not been notified yet.
 			continue
 		}
 		chosen := a.chooseHolder(part, excluding(candidates, state.avoid), load)
@@ -46,8 +48,8 @@
 	return changes
 }
 
-// candidates returns the sessions that may be given parts, in the order of addresses:
-// those that reach the platform, or all where none does. The caller holds a.mu.
+// candidates returns the live sessions of eligible controllers, sorted by address: those that
+// reach the platform, or all if none does. The caller holds a.mu.
 func (a *Assigner) candidates(now clock.Instant) []*assignerSession {
 	var all, reaching []*assignerSession
 	for _, session := range a.sessions {
@@ -65,7 +67,8 @@
 	return all
 }
 
-// excluding returns the candidates but for one, or all where it is the only one.
+// excluding returns the candidates except the one at the address avoid, or all of them if no
+// other is left.
 func excluding(candidates []*assignerSession, avoid ids.Address) []*assignerSession {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(session *assignerSession) bool { return session.process.address == avoid })
 	if len(others) == 0 {
@@ -74,7 +77,8 @@
 	return others
 }
 
-// loads counts the parts of each holder. The caller holds a.mu.
+// loads returns the number of parts of each holder, without those being revoked. The caller
+// holds a.mu.
 func (a *Assigner) loads() map[ids.Address]int {
 	load := map[ids.Address]int{}
 	for _, state := range a.parts {
@@ -85,8 +89,8 @@
 	return load
 }
 
-// chooseHolder returns the candidate for a part: one in the part's zone that has no more than
-// its share, or the one with the fewest parts.
+// chooseHolder returns the new holder of a part: the first candidate in the part's zone that
+// has less than its even share of the parts, or else the one with the fewest parts.
 func (a *Assigner) chooseHolder(part Part, candidates []*assignerSession, load map[ids.Address]int) *assignerSession {
 	share := (len(a.options.Parts) + len(candidates) - 1) / len(candidates)
 	best := candidates[0]
@@ -101,8 +105,8 @@
 	return best
 }
 
-// revokeUnreachable has holders that can't reach the platform, while others can, told of
-// their parts no more. The caller holds a.mu.
+// revokeUnreachable revokes the parts of holders that cannot reach the platform while others
+// can. A part that moved within the last two hand-over delays stays. The caller holds a.mu.
 func (a *Assigner) revokeUnreachable(candidates []*assignerSession, now clock.Instant) {
 	if candidates[0].platformDown {
 		return
@@ -115,8 +119,9 @@
 	}
 }
 
-// revokeExcess has a holder with at least two parts more than another give up one: rather
-// one of another zone than its own. The caller holds a.mu.
+// revokeExcess revokes one part of a holder that has at least two more than another,
+// preferably a part of a zone other than the holder's. A part that moved within the last two
+// hand-over delays stays. The caller holds a.mu.
 func (a *Assigner) revokeExcess(candidates []*assignerSession, load map[ids.Address]int, now clock.Instant) {
 	least := load[candidates[0].process.address]
 	for _, candidate := range candidates {
@@ -126,7 +131,7 @@
 	for _, part := range a.sortedParts() {
 		state := a.parts[part]
 		if state.revoking {
-			// One at a time.
+			// Only one part is revoked at a time.
 			return
 		}
 		settled := now.Since(state.movedAt) > 2*a.options.HandOverDelay
--- a/control/duty/client.go
+++ b/control/duty/client.go
@@ -15,7 +15,7 @@
 	"onyxwell/base/ids"
 )
 
-// Headers of calls to the platform.
+// Request headers of calls to the platform.
 const (
 	holderHeader = "Onyxwell-Duty-Holder"
 	fenceHeader  = "Onyxwell-Fence-Number"
@@ -23,10 +23,11 @@
 
 // Errors of Client.Call.
 var (
-	// ErrNotHeld says that no byte was sent: the part is not held here, or not yet.
-	ErrNotHeld = errors.New("duty: the part is not held here")
+	// ErrNotHeld reports that nothing was sent: this controller does not hold the part under
+	// the given fence, or may not make calls for it yet.
+	ErrNotHeld = errors.New("duty: part is not held by this controller")
 	// ErrFenceRefused says that the platform has taken a call under a higher fence.
-	ErrFenceRefused = errors.New("duty: the platform refused the fence")
+	ErrFenceRefused = errors.New("duty: fence refused by the platform: it has accepted a higher one")
 )
 
 // Call is a call to the platform for a part.
@@ -40,20 +41,22 @@
 	Clock   clock.Clock
 	Session *Session
 	// Node is the name under which the platform knows this machine.
-	Node    string
+	Node string
+	// Address is the address of the platform.
 	Address ids.Address
-	// Timeout bounds a call; it also ends with the session. CheckInterval is the time
-	// between two looks at the session while a call runs.
+	// Timeout limits the duration of a call, which also ends with the session. CheckInterval
+	// is the interval at which the session is checked while a call runs.
 	Timeout       time.Duration
 	CheckInterval time.Duration
-	// NewHTTP makes an HTTP client that keeps no connection for a second call.
+	// NewHTTP returns an HTTP client that passes each new connection through wrap and does not
+	// reuse connections.
 	NewHTTP func(wrap func(net.Conn) net.Conn) *http.Client
 }
 
-// Client makes the calls of parts that are held here, one at a time for each part.
-// There is no pool, queue or retry between the check of the session and the bytes: each
-// call has a connection of its own, whose every write is checked (guardedConn), and
-// which is reset when the session has ended.
+// Client makes platform calls for the parts that this controller holds, one at a time per
+// part. No pool, queue or retry lies between the check of the session and the write: each
+// call has its own connection, on which every write is checked (guardedConn) and which is
+// reset when the session ends.
 type Client struct {
 	options ClientOptions
 
@@ -63,13 +66,13 @@
 
 // partClient makes the calls of one part.
 type partClient struct {
-	// busy is held by the call that runs.
+	// busy is locked while a call runs.
 	busy  sync.Mutex
 	fence atomic.Int64
 	http  *http.Client
 }
 
-// NewClient returns a Client without connections.
+// NewClient returns a Client without open connections.
 func NewClient(options ClientOptions) *Client {
 	return &Client{options: options, partClients: map[Part]*partClient{}}
 }
@@ -88,8 +91,8 @@
 	return pc
 }
 
-// Call makes a call under a fence and returns the status of the answer. An error leaves
-// open whether the platform has taken it, but for ErrNotHeld.
+// Call makes a call under a fence and returns the status of the answer. After an error other
+// than ErrNotHeld or ErrFenceRefused it is unknown whether the platform processed the call.
 func (c *Client) Call(ctx context.Context, part Part, fence int64, call Call) (status int, err error) {
 	pc := c.partClient(part)
 	pc.busy.Lock()
@@ -113,7 +116,7 @@
 	return response.status, nil
 }
 
-// cancelWhenNotHeld ends a call's context once its session has ended.
+// cancelWhenNotHeld cancels a running call once the part is no longer held under its fence.
 func (c *Client) cancelWhenNotHeld(ctx context.Context, cancel context.CancelFunc, part Part, fence int64) {
 	for clock.Wait(ctx, c.options.Clock, c.options.CheckInterval) {
 		if !c.options.Session.Allowed(part, fence) {
@@ -123,7 +126,7 @@
 	}
 }
 
-// callRequest is a call as it is sent.
+// callRequest is a call with the node and the fence that its headers carry.
 type callRequest struct {
 	call  Call
 	node  string
@@ -137,7 +140,7 @@
 	}}
 }
 
-// callResponse is the platform's callResponse; its body says nothing.
+// callResponse is the platform's answer. Only its status matters; the body is ignored.
 type callResponse struct{ status int }
 
 // Decode implements httpcall.ResponseReader.
@@ -146,15 +149,15 @@
 	return nil
 }
 
-// guardedConn is a connection of one call. Each write is checked immediately before, and
-// closing discards what the kernel has not delivered: nothing arrives once the call was
-// given up.
+// guardedConn is the connection of one call. It checks the session immediately before each
+// write. Closing it discards the data that the kernel has not delivered, so that nothing
+// arrives after the call was canceled.
 type guardedConn struct {
 	net.Conn
 	allowed func() bool
 }
 
-// Write writes if the part is still held.
+// Write writes buffer if the part is still held, and otherwise resets the connection.
 func (g *guardedConn) Write(buffer []byte) (int, error) {
 	if !g.allowed() {
 		_ = g.Close()
--- a/control/duty/client_test.go
+++ b/control/duty/client_test.go
@@ -17,8 +17,8 @@
 	"onyxwell/base/ids"
 )
 
-// heldSession returns a session that holds the part of usage under a fence, on a clock
-// that stands still.
+// heldSession returns a session that holds the usage part under a fence. Its clock advances
+// only when a test does so.
 func heldSession(fake *clock.Fake, fence int64, waitMS int64) *Session {
 	session := NewSession(SessionOptions{
 		Clock: fake, Wall: func() time.Time { return time.Unix(0, int64(fake.Now())) }, Address: "a", TTL: time.Second, MaxDrift: time.Millisecond,
@@ -65,8 +65,9 @@
 	}
 }
 
-// TestClient_sendsNothingUnlessHeld has the part be held under another fence, not yet, no
-// more, and expire between the check and the first byte: the platform sees nothing.
+// TestClient_sendsNothingUnlessHeld makes calls while the part is held under another fence,
+// before calls are allowed, after the session has expired, and with a session that expires
+// between the check and the first byte. No call may reach the platform.
 func TestClient_sendsNothingUnlessHeld(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
@@ -74,34 +75,34 @@
 	for name, tc := range map[string]struct {
 		fence, waitMS int64
 		advance       time.Duration
-		// lateBy is how long connecting takes.
-		lateBy time.Duration
+		// connectDelay is how long connecting takes.
+		connectDelay time.Duration
 	}{
 		"another fence":                   {fence: 6},
-		"not yet":                         {fence: 7, waitMS: 500},
-		"no more":                         {fence: 7, advance: 900 * time.Millisecond},
-		"expires while the call connects": {fence: 7, lateBy: time.Minute},
+		"before the hand-over delay ends": {fence: 7, waitMS: 500},
+		"expired":                         {fence: 7, advance: 900 * time.Millisecond},
+		"expires while the call connects": {fence: 7, connectDelay: time.Minute},
 	} {
 		fake := clock.NewFake()
 		session := heldSession(fake, tc.fence, tc.waitMS)
 		fake.Advance(tc.advance)
 		client := newTestClient(session, server, func(conn net.Conn) net.Conn {
-			fake.Advance(tc.lateBy)
+			fake.Advance(tc.connectDelay)
 			return conn
 		})
 		_, err := client.Call(context.Background(), UsagePart, 7, Call{Path: "/usage"})
-		// Once connected, the end of the connection may be seen first.
-		if err == nil || (tc.lateBy == 0 && !errors.Is(err, ErrNotHeld)) {
-			t.Errorf("%s: the call ends with %v", name, err)
+		// Once connected, the call may fail because the connection was closed instead.
+		if err == nil || (tc.connectDelay == 0 && !errors.Is(err, ErrNotHeld)) {
+			t.Errorf("%s: call returned unexpected error %v", name, err)
 		}
 	}
 	if calls.Load() != 0 {
-		t.Errorf("%d calls reached the platform", calls.Load())
+		t.Errorf("%d calls reached the platform, want none", calls.Load())
 	}
 }
 
-// TestClient_callEndsWithSession has the session expire while an answer is awaited: the
-// connection is reset at once.
+// TestClient_callEndsWithSession lets the session expire while a call waits for its answer.
+// The call must fail and its connection must be closed at once.
 func TestClient_callEndsWithSession(t *testing.T) {
 	fake := clock.NewFake()
 	gone := make(chan error, 1)
@@ -114,14 +115,14 @@
 	defer server.Close()
 	client := newTestClient(heldSession(fake, 7, 0), server, unchanged)
 	if _, err := client.Call(context.Background(), UsagePart, 7, Call{Path: "/usage", Body: []byte("{}")}); err == nil {
-		t.Error("the call outlived its session")
+		t.Error("call succeeded after its session expired")
 	}
 	<-gone
 }
 
-// TestClient_refusedFenceIsDropped has the platform refuse a fence: no further call goes
-// out under it, and the assigner is told.
-func TestClient_refusedFenceIsDropped(t *testing.T) {
+// TestClient_revokesRefusedFence has the platform refuse a fence. No further call may be sent
+// under it, and the next heartbeat must report it as rejected.
+func TestClient_revokesRefusedFence(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
@@ -132,35 +133,35 @@
 	client := newTestClient(session, server, unchanged)
 	for range 3 {
 		if _, err := client.Call(context.Background(), UsagePart, 7, Call{Path: "/usage"}); err == nil {
-			t.Error("a refused call succeeds")
+			t.Error("call under a refused fence succeeded")
 		}
 		session.Renew(context.Background())
 	}
 	if calls.Load() != 1 {
-		t.Errorf("%d calls under a refused fence", calls.Load())
+		t.Errorf("%d calls sent under a refused fence, want 1", calls.Load())
 	}
 	if req := session.request(); len(req.Rejected) != 1 || req.Rejected[0].Fence != 7 || len(req.Active) != 0 {
-		t.Errorf("the assigner is told %+v", req)
+		t.Errorf("heartbeat does not report the refused fence as rejected: %+v", req)
 	}
 }
 
-// TestSession_suspendedMachine has the time of day run on while the monotonic clock stands
-// still, as when a machine is suspended, or be set: nothing may be sent before the next
-// heartbeat.
-func TestSession_suspendedMachine(t *testing.T) {
+// TestSession_rejectsCallsAfterSuspend advances the wall clock while the monotonic clock stands
+// still, as happens when a machine is suspended or its wall clock is set. No call is allowed
+// before the next heartbeat.
+func TestSession_rejectsCallsAfterSuspend(t *testing.T) {
 	fake := clock.NewFake()
 	shift := time.Duration(0)
 	session := heldSession(fake, 7, 0)
 	session.options.Wall = func() time.Time { return time.Unix(0, int64(fake.Now())).Add(shift) }
 	if !session.Allowed(UsagePart, 7) {
-		t.Fatal("a part that is held may not be used")
+		t.Fatal("call not allowed for a held part")
 	}
 	shift = time.Minute
 	if session.Allowed(UsagePart, 7) {
-		t.Error("a part may be used after the machine was suspended")
+		t.Error("call allowed after the machine was suspended")
 	}
 	session.Renew(context.Background())
 	if !session.Allowed(UsagePart, 7) {
-		t.Error("a heartbeat after it does not help")
+		t.Error("call not allowed after the next heartbeat")
 	}
 }
--- a/control/duty/cluster_test.go
+++ b/control/duty/cluster_test.go
@@ -31,49 +31,51 @@
 	testParts      = []Part{UsagePart, SizePart("z1"), SizePart("z2")}
 )
 
-// cluster is controllers with their sessions and assigners on one fake clock, a lease and
-// a store that hold what they should, and a platform that takes everything and judges.
+// cluster simulates controllers with their sessions and assigners on one fake clock, a correct
+// lease and store, and a platform that accepts every call and checks it.
 type cluster struct {
 	clock   *clock.Fake
 	random  *rand.Rand
 	nodes   []*node
 	options clusterOptions
-	// stored is the register's value.
+	// stored is the register value.
 	stored []byte
-	// leaseHolder has the lease until leaseExpiry, under leaseEpoch.
+	// leaseHolder is the index of the controller that holds the lease until leaseExpiry under
+	// leaseEpoch, or -1 before the first lease.
 	leaseHolder int
 	leaseExpiry clock.Instant
 	leaseEpoch  int64
-	platform    judge
-	// acted counts the calls that the platform took.
-	acted int
+	platform    callChecker
+	// acceptedCalls counts the calls that the platform accepted.
+	acceptedCalls int
 }
 
-// clusterOptions plant faults where they differ from the zero value.
+// clusterOptions inject defects into the protocol. The zero value injects none.
 type clusterOptions struct {
 	handOver time.Duration
-	// sessionTTL is what holders take a session's time to live for.
+	// sessionTTL is the session TTL that holders assume.
 	sessionTTL time.Duration
-	// forgets has the store lose the parts whenever another controller assigns.
-	forgets bool
-	// twoLeases has every controller believe that it holds the lease.
-	twoLeases bool
+	// losesParts has the store lose all records whenever another assigner takes over.
+	losesParts bool
+	// allHoldLease has every controller believe that it holds the lease.
+	allHoldLease bool
 }
 
-// node is a controller.
+// node is a simulated controller.
 type node struct {
 	cluster     *cluster
 	index       int
 	incarnation int64
 	session     *Session
 	assigner    *Assigner
-	// A down node does nothing; a frozen one neither, and comes back as it was.
+	// A down node does nothing. A frozen node does nothing either, but resumes with its state.
 	down, frozen bool
-	// A cut node reaches nobody; a deaf one is reached, and its answers are lost.
-	cut, deaf bool
-	// platformCut has its calls to the platform fail.
-	platformCut bool
-	// leaseUntil is until when the node believes to hold the lease.
+	// A partitioned node cannot communicate with others. Requests of and to a node that
+	// losesResponses are handled, but the responses are lost.
+	partitioned, losesResponses bool
+	// platformUnreachable has the node's calls to the platform fail.
+	platformUnreachable bool
+	// leaseUntil is the time until which the node believes that it holds the lease.
 	leaseUntil clock.Instant
 	leaseEpoch int64
 	wallShift  time.Duration
@@ -101,13 +103,13 @@
 	return time.Unix(1_700_000_000, 0).Add(time.Duration(n.cluster.clock.Now()) + n.wallShift)
 }
 
-// start begins another life of the controller.
+// start starts the controller, or restarts it as a new incarnation.
 func (n *node) start() {
 	c := n.cluster
 	n.incarnation, n.down, n.frozen = c.random.Int64(), false, false
 	n.leaseUntil = 0
 	lease := func(now clock.Instant) (int64, bool) {
-		return n.leaseEpoch, c.options.twoLeases || now.Before(n.leaseUntil)
+		return n.leaseEpoch, c.options.allHoldLease || now.Before(n.leaseUntil)
 	}
 	n.assigner = NewAssigner(AssignerOptions{
 		Clock: c.clock, Wall: n.wall, Address: n.address(), Parts: testParts, TTL: testTTL, HandOverDelay: c.options.handOver,
@@ -116,7 +118,7 @@
 	n.session = NewSession(SessionOptions{
 		Clock: c.clock, Wall: n.wall, Address: n.address(), Zone: ids.Zone(fmt.Sprintf("z%d", n.index)), Incarnation: n.incarnation,
 		TTL: c.options.sessionTTL, MaxDrift: 100 * time.Millisecond, Eligible: func() bool { return true }, AssignerCandidates: c.addresses,
-		AssignerLease: lease, ProbePlatform: func(context.Context) bool { return !n.platformCut }, Send: n.send,
+		AssignerLease: lease, ProbePlatform: func(context.Context) bool { return !n.platformUnreachable }, Send: n.send,
 	})
 }
 
@@ -127,17 +129,17 @@
 	return addresses
 }
 
-// send delivers a heartbeat.
+// send simulates the transport: it delivers a heartbeat unless a fault prevents this.
 func (n *node) send(_ context.Context, to ids.Address, req SessionRequest) (SessionResponse, error) {
 	for _, other := range n.cluster.nodes {
 		if other.address() != to {
 			continue
 		}
-		if other != n && (n.cut || other.cut || other.down || other.frozen) {
+		if other != n && (n.partitioned || other.partitioned || other.down || other.frozen) {
 			return SessionResponse{}, errUnreachable
 		}
 		resp := other.assigner.Renew(req, n.cluster.clock.Now())
-		if other != n && (other.deaf || n.deaf) {
+		if other != n && (other.losesResponses || n.losesResponses) {
 			return SessionResponse{}, errUnreachable
 		}
 		return resp, nil
@@ -145,14 +147,14 @@
 	return SessionResponse{}, errUnreachable
 }
 
-// update is the register: a cut controller reaches no majority, and the answer of a deaf
-// one is lost though the value is stored.
+// update simulates the register. A partitioned controller reaches no majority. The response to
+// a controller that losesResponses is lost although the value is stored.
 func (n *node) update(_ context.Context, _ string, update UpdateFunc) ([]byte, error) {
-	if n.cut {
+	if n.partitioned {
 		return nil, errUnreachable
 	}
 	current := slices.Clone(n.cluster.stored)
-	if n.cluster.options.forgets {
+	if n.cluster.options.losesParts {
 		current = n.cluster.withoutParts(current)
 	}
 	next, err := update(current)
@@ -163,14 +165,14 @@
 		return n.cluster.stored, nil
 	}
 	n.cluster.stored = next
-	if n.deaf {
+	if n.losesResponses {
 		return nil, errUnreachable
 	}
 	return next, nil
 }
 
-// withoutParts returns a stored assignment without its parts, if another assigner is to
-// read it.
+// withoutParts returns a stored assignment without its parts if it was written under another
+// epoch than the current one.
 func (c *cluster) withoutParts(value []byte) []byte {
 	assignment, err := transport.UnmarshalStored[Assignment](AssignmentKey, value)
 	if err != nil || assignment.Epoch == c.leaseEpoch {
@@ -181,8 +183,8 @@
 	return value
 }
 
-// step advances everything by one step: the lease, then each controller in some order,
-// then the calls that each may make.
+// step advances the simulation by testStep: the lease, and then, in random order, each
+// controller and the calls that it may make.
 func (c *cluster) step() {
 	c.clock.Advance(testStep)
 	c.renewLease()
@@ -199,61 +201,63 @@
 			n.session.Renew(context.Background())
 		}
 		for _, part := range testParts {
-			n.act(part)
+			n.makeCall(part)
 		}
 	}
 }
 
-// renewLease renews the lease of a holder that reaches a majority, or gives it to another
-// once it has expired. The holder believes in it for a little less.
+// renewLease renews the lease if its holder reaches a majority. Once it has expired, it is
+// granted to a random controller that does. The holder's view of the lease expires earlier, to
+// allow for clock drift.
 func (c *cluster) renewLease() {
 	now := c.clock.Now()
 	if c.leaseHolder >= 0 && now.Before(c.leaseExpiry) {
-		if holder := c.nodes[c.leaseHolder]; !holder.down && !holder.frozen && !holder.cut && now.Before(holder.leaseUntil) {
+		if holder := c.nodes[c.leaseHolder]; !holder.down && !holder.frozen && !holder.partitioned && now.Before(holder.leaseUntil) {
 			c.leaseExpiry, holder.leaseUntil = now.Add(testTTL), now.Add(testTTL*9/10)
 		}
 		return
 	}
 	index := c.random.IntN(len(c.nodes))
-	if n := c.nodes[index]; !n.down && !n.frozen && !n.cut {
+	if n := c.nodes[index]; !n.down && !n.frozen && !n.partitioned {
 		c.leaseEpoch++
 		c.leaseHolder, c.leaseExpiry = index, now.Add(testTTL)
 		n.leaseUntil, n.leaseEpoch = now.Add(testTTL*9/10), c.leaseEpoch
 	}
 }
 
-// act makes a call for a part, if the session allows it.
-func (n *node) act(part Part) {
+// makeCall makes a call for a part if the session allows it.
+func (n *node) makeCall(part Part) {
 	fence, ok := n.session.Held(part)
 	if !ok || !n.session.beginCall(part, fence) {
 		return
 	}
 	status := 0
-	if !n.platformCut {
-		n.cluster.acted++
-		n.cluster.platform.take(call{part: part, fence: fence, holder: process{n.address(), n.incarnation}, at: n.cluster.clock.Now()})
+	if !n.platformUnreachable {
+		n.cluster.acceptedCalls++
+		n.cluster.platform.check(platformCall{part: part, fence: fence, holder: process{n.address(), n.incarnation}, at: n.cluster.clock.Now()})
 		status = 200
 	}
 	n.session.endCall(part, status)
 }
 
-// call is what the platform saw.
-type call struct {
+// platformCall is a call as seen by the platform.
+type platformCall struct {
 	part   Part
 	fence  int64
 	holder process
 	at     clock.Instant
 }
 
-// judge finds what the platform's rules forbid where it ignores fences.
-type judge struct {
-	calls  []call
-	broken []string
+// callChecker finds the calls that violate the platform's rules. It assumes a platform that
+// does not check fences itself.
+type callChecker struct {
+	calls      []platformCall
+	violations []string
 }
 
-func (j *judge) take(c call) {
-	// overtaken says that another holder has acted since the call that is looked at.
-	overtaken := false
+func (j *callChecker) check(c platformCall) {
+	// otherHolderSince reports whether another holder has made a call since the former call.
+	otherHolderSince := false
 	for index := len(j.calls) - 1; index >= 0; index-- {
 		former := j.calls[index]
 		if former.part != c.part {
@@ -261,13 +265,13 @@
 		}
 		switch {
 		case former.fence > c.fence:
-			j.broken = append(j.broken, fmt.Sprintf("%s: fence %d of %v after %d of %v", c.part, c.fence, c.holder, former.fence, former.holder))
+			j.violations = append(j.violations, fmt.Sprintf("%s: call under fence %d of %v after a call under the higher fence %d of %v", c.part, c.fence, c.holder, former.fence, former.holder))
 		case former.fence == c.fence && former.holder != c.holder:
-			j.broken = append(j.broken, fmt.Sprintf("%s: fence %d of %v and of %v", c.part, c.fence, c.holder, former.holder))
-		case former.holder == c.holder && overtaken && c.at.Since(former.at) < testHandOver:
-			j.broken = append(j.broken, fmt.Sprintf("%s: %v acts again %v after its last call, another did meanwhile", c.part, c.holder, c.at.Since(former.at)))
+			j.violations = append(j.violations, fmt.Sprintf("%s: fence %d is used by %v and by %v", c.part, c.fence, c.holder, former.holder))
+		case former.holder == c.holder && otherHolderSince && c.at.Since(former.at) < testHandOver:
+			j.violations = append(j.violations, fmt.Sprintf("%s: %v made a call %v after its previous one, with a call of another holder in between", c.part, c.holder, c.at.Since(former.at)))
 		}
-		overtaken = overtaken || former.holder != c.holder
+		otherHolderSince = otherHolderSince || former.holder != c.holder
 		if c.at.Since(former.at) > 4*testHandOver {
 			break
 		}
@@ -275,8 +279,8 @@
 	j.calls = append(j.calls, c)
 }
 
-// fault begins or ends a fault of a controller.
-func (c *cluster) fault(kind int) {
+// toggleFault starts or ends a fault of a random controller.
+func (c *cluster) toggleFault(kind int) {
 	n := c.nodes[c.random.IntN(len(c.nodes))]
 	switch kind {
 	case 0:
@@ -288,11 +292,11 @@
 	case 2:
 		n.frozen = !n.frozen
 	case 3:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 4:
-		n.deaf = !n.deaf
+		n.losesResponses = !n.losesResponses
 	case 5:
-		n.platformCut = !n.platformCut
+		n.platformUnreachable = !n.platformUnreachable
 	case 6:
 		n.wallShift = time.Duration(c.random.IntN(5)-2) * time.Second
 	case 7:
@@ -314,51 +318,52 @@
 	}
 }
 
-// TestCluster_oneHolderUnderFaults explores faults of three controllers and three parts,
-// at any time and over each other.
+// TestCluster_oneHolderUnderFaults checks three controllers and three parts under random,
+// overlapping faults: no call may violate the platform's rules.
 func TestCluster_oneHolderUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.Uint64().Draw(t, "seed"), 3, clusterOptions{})
 		c.run(4 * time.Second)
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
-			c.fault(rapid.IntRange(0, faultKinds-1).Draw(t, "fault"))
+			c.toggleFault(rapid.IntRange(0, faultKinds-1).Draw(t, "fault"))
 			c.run(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 		}
-		if len(c.platform.broken) > 0 {
-			t.Fatal(c.platform.broken[0])
+		if len(c.platform.violations) > 0 {
+			t.Fatal(c.platform.violations[0])
 		}
 	})
 }
 
-// TestCluster_plantedFaultsAreFound weakens one thing at a time: the judge must see it.
-func TestCluster_plantedFaultsAreFound(t *testing.T) {
+// TestCluster_detectsInjectedDefects injects one defect at a time, which the callChecker must
+// detect.
+func TestCluster_detectsInjectedDefects(t *testing.T) {
 	for name, options := range map[string]clusterOptions{
-		"no hand-over time":                {handOver: time.Millisecond},
+		"no hand-over delay":               {handOver: time.Millisecond},
 		"sessions outlive the assigner's":  {sessionTTL: 4 * testTTL, handOver: time.Millisecond},
-		"the fence is not stored":          {forgets: true},
-		"two controllers assign":           {twoLeases: true},
-		"sessions outlive, with hand-over": {sessionTTL: 8 * testTTL},
+		"the fence is not stored":          {losesParts: true},
+		"two controllers assign":           {allHoldLease: true},
+		"sessions outlive, with the delay": {sessionTTL: 8 * testTTL},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(200) {
 				c := newCluster(seed, 3, options)
 				c.run(4 * time.Second)
 				for range 12 {
-					c.fault(c.random.IntN(faultKinds))
+					c.toggleFault(c.random.IntN(faultKinds))
 					c.run(time.Duration(c.random.IntN(4000)) * time.Millisecond)
 				}
-				if len(c.platform.broken) > 0 {
+				if len(c.platform.violations) > 0 {
 					return
 				}
 			}
-			t.Error("nothing is found in 200 seeds")
+			t.Error("no violation detected in 200 seeds")
 		})
 	}
 }
 
-// TestCluster_timeWithoutHolder loses the holder of a part, and the assigner with it: how
-// long does nobody act?
-func TestCluster_timeWithoutHolder(t *testing.T) {
+// TestCluster_failoverTime stops the holder of a part, and for every other seed the assigner
+// too. It limits the time until a new holder makes its first call.
+func TestCluster_failoverTime(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(60) {
 		c := newCluster(seed, 4, clusterOptions{})
@@ -371,25 +376,26 @@
 		}
 		lostAt, calls := c.clock.Now(), len(c.platform.calls)
 		c.run(12 * time.Second)
-		next := slices.IndexFunc(c.platform.calls[calls:], func(other call) bool { return other.part == last.part })
+		next := slices.IndexFunc(c.platform.calls[calls:], func(other platformCall) bool { return other.part == last.part })
 		if next < 0 {
-			t.Fatalf("seed %d: nobody acts for %s within 12 s", seed, last.part)
+			t.Fatalf("seed %d: no call for part %s within 12 s", seed, last.part)
 		}
 		worst = max(worst, c.platform.calls[calls+next].at.Since(lostAt))
 	}
 	if limit := 2*testHandOver + time.Second; worst > limit {
-		t.Errorf("a new holder acts after %v, over %v", worst, limit)
+		t.Errorf("first call of a new holder after %v, want at most %v", worst, limit)
 	}
 }
 
-// TestAssigner_publishesAfterLostAnswer loses the answer of the store, so that the assigner
-// reads the assignment again under the same epoch: what it publishes then must be newer than
-// before, or nobody takes it over. In the soak relays sent counts to a former holder for good.
-func TestAssigner_publishesAfterLostAnswer(t *testing.T) {
+// TestAssigner_publishesNewerVersionAfterLostResponse loses a response of the store, so that the
+// assigner loads the assignment again under the same epoch. The overviews that it then publishes
+// must have higher versions than before, or receivers ignore them. In a soak test, relays
+// permanently sent usage counts to a former holder for this reason.
+func TestAssigner_publishesNewerVersionAfterLostResponse(t *testing.T) {
 	fake := clock.NewFake()
 	var stored []byte
 	var published []gossip.Item
-	loseAnswer := false
+	loseResponse := false
 	assigner := NewAssigner(AssignerOptions{
 		Clock: fake, Wall: func() time.Time { return time.Unix(0, int64(fake.Now())) }, Address: "a", Parts: testParts, TTL: testTTL, HandOverDelay: testHandOver,
 		AssignerLease: func(clock.Instant) (int64, bool) { return 1, true },
@@ -399,7 +405,7 @@
 				return nil, err
 			}
 			stored = next
-			if loseAnswer {
+			if loseResponse {
 				return nil, errUnreachable
 			}
 			return next, nil
@@ -417,13 +423,13 @@
 		}
 	}
 	run("a", "b")
-	loseAnswer = true
+	loseResponse = true
 	run("a")
-	loseAnswer = false
+	loseResponse = false
 	run("a")
 	for index := 1; index < len(published); index++ {
 		if published[index].Version <= published[index-1].Version {
-			t.Fatalf("overview %d has version %d after %d", index, published[index].Version, published[index-1].Version)
+			t.Fatalf("overview %d has version %d, not above the previous version %d", index, published[index].Version, published[index-1].Version)
 		}
 	}
 	overview, err := transport.Unmarshal[Overview](published[len(published)-1].Body)
@@ -432,16 +438,16 @@
 	}
 	for _, part := range overview.Parts {
 		if part.Holder != "a" {
-			t.Errorf("%s is told to be held by %s", part.Part, part.Holder)
+			t.Errorf("published holder of part %s is %q, want \"a\"", part.Part, part.Holder)
 		}
 	}
 }
 
-// TestSession_assignerWithoutPower has the assigner's machine lose power: whoever asks it waits
-// for as long as a heartbeat may take. The session must find the next assigner all the same,
-// though the others still name the lost one. On a benchmark day no part moved for the 20 s
-// until the machine was back.
-func TestSession_assignerWithoutPower(t *testing.T) {
+// TestSession_findsNextAssignerAfterPowerLoss has the assigner's machine lose power, so that a
+// request to it blocks for the whole heartbeat timeout. The session must find the next assigner
+// although other controllers still refer to the lost one. In a benchmark run, no part moved for
+// the 20 s until the machine was back.
+func TestSession_findsNextAssignerAfterPowerLoss(t *testing.T) {
 	fake := clock.NewFake()
 	lost := false
 	session := NewSession(SessionOptions{
@@ -453,7 +459,7 @@
 		Send: func(ctx context.Context, to ids.Address, _ SessionRequest) (SessionResponse, error) {
 			switch {
 			case to == "a" && lost:
-				// Nothing answers until the time is up.
+				// The request blocks until its timeout.
 				fake.Advance(testTTL)
 				return SessionResponse{}, context.Cause(ctx)
 			case to == "a":
@@ -470,12 +476,12 @@
 		session.Renew(context.Background())
 	}
 	if fence, ok := session.Assigned(UsagePart); !ok || fence != 2 {
-		t.Errorf("part held: %v, fence %d, after two heartbeats", ok, fence)
+		t.Errorf("after two heartbeats: part assigned %v, fence %d, want fence 2", ok, fence)
 	}
 }
 
-// TestCluster_partsAreSharedEvenly starts controllers one after another: each ends up with
-// an even share, a zone's part with the zone's controller, and few parts move.
+// TestCluster_partsAreSharedEvenly starts one controller and later two more. Each must end up
+// with one part, each size part must have a holder, and no part may move more than twice.
 func TestCluster_partsAreSharedEvenly(t *testing.T) {
 	c := newCluster(1, 3, clusterOptions{})
 	c.nodes[1].down, c.nodes[2].down = true, true
@@ -487,47 +493,48 @@
 	for _, state := range c.nodes[c.leaseHolder].assigner.parts {
 		holders[process{state.record.Holder, state.record.Incarnation}]++
 		if state.moves > 2 || (state.record.Part.Zone() != "" && state.record.Holder == "") {
-			t.Errorf("%s moved %d times", state.record.Part, state.moves)
+			t.Errorf("part %s has no holder or moved too often: %d times", state.record.Part, state.moves)
 		}
 	}
 	if len(holders) != 3 {
-		t.Errorf("three parts are held by %v", holders)
+		t.Errorf("parts per holder %v, want three holders", holders)
 	}
 }
 
-// TestCluster_holderWithoutPlatformGivesWay cuts the holder of a part off from the
-// platform alone: another takes the part over.
-func TestCluster_holderWithoutPlatformGivesWay(t *testing.T) {
+// TestCluster_replacesHolderWithoutPlatform makes the platform unreachable for the holder of a
+// part only. Another controller must take the part over.
+func TestCluster_replacesHolderWithoutPlatform(t *testing.T) {
 	c := newCluster(3, 3, clusterOptions{})
 	c.run(15 * time.Second)
 	last := c.platform.calls[len(c.platform.calls)-1]
 	holder := slices.IndexFunc(c.nodes, func(n *node) bool { return n.address() == last.holder.address })
-	c.nodes[holder].platformCut = true
+	c.nodes[holder].platformUnreachable = true
 	calls := len(c.platform.calls)
 	c.run(12 * time.Second)
-	if !slices.ContainsFunc(c.platform.calls[calls:], func(other call) bool { return other.part == last.part }) {
-		t.Errorf("nobody acts for %s though two controllers reach the platform", last.part)
+	if !slices.ContainsFunc(c.platform.calls[calls:], func(other platformCall) bool { return other.part == last.part }) {
+		t.Errorf("no call for part %s although two controllers reach the platform", last.part)
 	}
 }
 
-// TestCluster_handsOver has an operator ask for a part to be handed over: another holds it
-// within the hand-over time and some heartbeats, and the platform sees nothing forbidden.
-func TestCluster_handsOver(t *testing.T) {
+// TestCluster_handsOverOnRequest hands a part over on an operator's request. Another controller
+// must make calls within the hand-over delay and some heartbeats, and no call may violate the
+// platform's rules.
+func TestCluster_handsOverOnRequest(t *testing.T) {
 	c := newCluster(5, 3, clusterOptions{})
 	c.run(15 * time.Second)
 	assigner := c.nodes[c.leaseHolder].assigner
 	before := assigner.parts[UsagePart].record
 	if resp := assigner.HandOver(HandOverRequest{Part: UsagePart}, c.clock.Now()); !resp.Assigning || !resp.Known {
-		t.Fatalf("%+v", resp)
+		t.Fatalf("hand-over of a known part: %+v", resp)
 	}
 	if resp := assigner.HandOver(HandOverRequest{Part: "no such"}, c.clock.Now()); !resp.Assigning || resp.Known {
-		t.Errorf("an unknown part: %+v", resp)
+		t.Errorf("hand-over of an unknown part: %+v", resp)
 	}
 	calls := len(c.platform.calls)
 	c.run(testHandOver + 2*time.Second)
 	after := assigner.parts[UsagePart].record
-	acts := slices.ContainsFunc(c.platform.calls[calls:], func(other call) bool { return other.part == UsagePart && other.fence == after.Fence })
-	if after.Holder == before.Holder || after.Fence != before.Fence+1 || !acts || len(c.platform.broken) > 0 {
-		t.Errorf("from %+v to %+v, acts %v, broken %v", before, after, acts, c.platform.broken)
+	callsMade := slices.ContainsFunc(c.platform.calls[calls:], func(other platformCall) bool { return other.part == UsagePart && other.fence == after.Fence })
+	if after.Holder == before.Holder || after.Fence != before.Fence+1 || !callsMade || len(c.platform.violations) > 0 {
+		t.Errorf("record before %+v, after %+v, call of the new holder %v, violations %v", before, after, callsMade, c.platform.violations)
 	}
 }
--- a/control/duty/doc.go
+++ b/control/duty/doc.go
@@ -1,24 +1,26 @@
-// Package duty gives each part of the work that the deployment does at the platform to
-// one controller at a time, and guards every call that the holder of a part makes.
+// Package duty assigns each part of the deployment's work at the platform to one controller
+// at a time, and checks every call that the holder of a part makes against its session.
 //
-// A part is a set of subjects: all usage windows are one part, the sizes of a zone are
-// one. One controller, the Assigner, holds a lease, and deals the parts to controllers
-// that keep a Session with it: one heartbeat for all parts of a controller. Who holds
-// which part, under which fencing token, is stored on a majority of disks before the
-// holder is told.
+// A part is a unit of work with a single holder: reporting all usage windows is one part,
+// ordering the runner counts of a zone is another. The controller that holds the assigner's
+// lease runs the Assigner, which assigns parts to the controllers that keep a Session with
+// it. A controller sends one heartbeat for all of its parts. The holder of each part and its
+// fencing token are stored on a majority of disks before the holder is notified.
 //
 // # Invariants
 //
-//   - A part has one holder at a time. A holder counts its session from before its
-//     heartbeat, the assigner from when it answers, and gives a part to another only
-//     once the session has expired or the holder has told that it gave the part up. A
-//     new assigner knows no sessions: it lets one time to live pass first.
-//   - The fence of a part rises with each change of its holder and is stored first.
-//     A process that restarts is another holder.
-//   - A new holder makes no call for the hand-over time (lease_ms) after its
-//     predecessor could have made one. So no two changes lie within it.
+//   - A part has one holder at a time. A holder's session starts when it sends its
+//     heartbeat, the assigner's record of it when the assigner answers, so that the holder's
+//     view expires first. The assigner reassigns a part only after the session has expired or
+//     the holder has reported that it released the part. A new assigner does not know the
+//     sessions of its predecessor and waits for one TTL first.
+//   - The fencing token (fence) of a part increases with each change of its holder and is
+//     stored before the change takes effect. A restarted process counts as another holder.
+//   - A new holder makes no call until the hand-over delay (lease_ms) has passed since its
+//     predecessor could last have made one. The holder therefore never changes twice within
+//     that delay.
 //   - Every call is checked against the session immediately before its bytes are
 //     written, and its connection is reset once the session has expired (Client).
 //
-// docs/duties.md has the argument and what was weighed.
+// docs/duties.md has the proof and the alternatives that were considered.
 package duty
--- a/control/duty/forms_test.go
+++ b/control/duty/forms_test.go
@@ -6,8 +6,9 @@
 	"onyxwell/control/transport/transporttest"
 )
 
-// TestForms_keepTheirBytes covers each struct of this package that is stored or sent. The
-// golden files hold the bytes that other builds store or send: never edit one.
+// TestForms_keepTheirBytes checks the encoding of every struct of this package that is stored
+// or sent. The golden files contain the bytes that other builds store or send and must never
+// be edited.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Assignment](t, "assignment")
 	transporttest.Golden[SessionRequest](t, "session-request")
--- a/control/duty/holding.go
+++ b/control/duty/holding.go
@@ -1,6 +1,7 @@
 package duty
 
-// Held returns the fence under which calls for a part may be made now.
+// Held returns the fence under which calls for a part may be made now. ok is false if none
+// may.
 func (s *Session) Held(part Part) (fence int64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -11,8 +12,8 @@
 	return held.fence, true
 }
 
-// Assigned returns the fence under which a part is, or soon will be, held: from the moment
-// the assigner told of it, while nothing may be sent yet.
+// Assigned returns the fence under which a part was granted to this controller, also while
+// the hand-over delay does not permit calls yet.
 func (s *Session) Assigned(part Part) (fence int64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,14 +24,16 @@
 	return held.fence, true
 }
 
-// Allowed reports whether a call under a fence may be made, or go on, now.
+// Allowed reports whether a call under a fence may start or continue now.
 func (s *Session) Allowed(part Part, fence int64) bool {
 	current, ok := s.Held(part)
 	return ok && current == fence
 }
 
-// mayCall reports whether a part's session stands, its hand-over time has passed, and
-// both clocks agree that it has. The caller holds s.mu.
+// mayCall reports whether calls for a part are allowed now: it was not revoked, its session
+// has not expired, its hand-over delay has passed, and the monotonic and the wall clock agree
+// on the time since the grant. If this controller is also the assigner, it must still hold
+// the lease under the same epoch. The caller holds s.mu.
 func (s *Session) mayCall(held *heldPart) bool {
 	now := s.options.Clock.Now()
 	if s.assigner == s.options.Address {
@@ -42,8 +45,8 @@
 	return !held.revoked && !now.Before(held.notBefore) && now.Before(held.expiry) && drift.Abs() <= s.options.MaxDrift
 }
 
-// beginCall counts a call under a fence, so that the part is not told to be given up before
-// it ends.
+// beginCall registers a call under a fence, so that heartbeats list the part as active until
+// the call ends. It returns false if the call is not allowed.
 func (s *Session) beginCall(part Part, fence int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +59,8 @@
 	return true
 }
 
-// endCall ends a call that begin counted.
+// endCall unregisters a call of beginCall and records its result. A status of 0 means that
+// the platform did not answer.
 func (s *Session) endCall(part Part, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +77,8 @@
 	}
 }
 
-// RevokeRefused drops a part whose fence the platform refused: another has acted under a
-// higher one.
+// RevokeRefused revokes a part whose fence the platform refused because another holder has
+// made a call under a higher one.
 func (s *Session) RevokeRefused(part Part, fence int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +88,8 @@
 	}
 }
 
-// PartStatus is a part as it is held here, for GET /status.
+// PartStatus is the state of a part granted to this controller, for GET /status. Acting
+// reports whether calls are allowed now, Calls how many are running.
 type PartStatus struct {
 	Part   Part  `json:"part"`
 	Fence  int64 `json:"fence"`
@@ -92,7 +97,7 @@
 	Calls  int   `json:"calls"`
 }
 
-// Status returns the parts that were granted here.
+// Status returns the parts that were granted to this controller, in no particular order.
 func (s *Session) Status() []PartStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +108,7 @@
 	return statuses
 }
 
-// HasRunningCalls reports whether any call runs.
+// HasRunningCalls reports whether a call is running for any part.
 func (s *Session) HasRunningCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/duty/session.go
+++ b/control/duty/session.go
@@ -11,84 +11,89 @@
 	"onyxwell/base/ids"
 )
 
-// heartbeatsPerTTL is how often a session is renewed in its time to live.
+// heartbeatsPerTTL is the number of heartbeats sent per session TTL.
 const heartbeatsPerTTL = 4
 
-// expiryMarginDivisor is the part of a session, one in so many, by which its holder ends it
-// early: for the drift of clocks.
+// expiryMarginDivisor sets the safety margin for clock drift: a holder ends its session
+// TTL/expiryMarginDivisor before the TTL has passed.
 const expiryMarginDivisor = 10
 
 // SessionOptions configure a Session. All are required but Log.
 type SessionOptions struct {
 	Clock clock.Clock
-	// Wall is the time of day: where it and Clock differ in how long something took, the
-	// machine was suspended or its clock was set.
+	// Wall returns the time of day. If it and Clock measure different durations, the machine
+	// was suspended or its wall clock was set.
 	Wall    func() time.Time
 	Address ids.Address
 	Zone    ids.Zone
-	// Incarnation tells this process from the one before it.
+	// Incarnation distinguishes this process from earlier ones at the same address.
 	Incarnation int64
 	// TTL is how long a session lasts without a heartbeat.
 	TTL time.Duration
-	// MaxDrift is by how much Clock and Wall may differ over one session.
+	// MaxDrift is the largest permitted difference between the durations that Clock and Wall
+	// measure since a grant.
 	MaxDrift time.Duration
-	// Eligible reports whether parts may be held here.
+	// Eligible reports whether this controller may be assigned parts.
 	Eligible func() bool
 	// AssignerCandidates returns the controllers to ask, the likely assigner first.
 	AssignerCandidates func() []ids.Address
-	// Send sends a heartbeat.
+	// Send sends a heartbeat to a controller and returns its response.
 	Send func(ctx context.Context, to ids.Address, req SessionRequest) (SessionResponse, error)
-	// AssignerLease returns the epoch of the assigner's lease where it is held here: what
-	// this controller grants itself lasts no longer.
+	// AssignerLease returns the epoch of the assigner's lease and whether this controller
+	// holds it. Parts that the controller has granted to itself end with the lease.
 	AssignerLease func(now clock.Instant) (epoch int64, held bool)
 	// ProbePlatform reports whether the platform answers.
 	ProbePlatform func(ctx context.Context) bool
 	Log           *log.Logger
 }
 
-// Session is a controller's side: which parts it holds, and until when. It is safe for
-// concurrent use.
+// Session is a controller's session with the assigner: the parts that the controller holds,
+// and until when. It is safe for concurrent use.
 type Session struct {
 	options SessionOptions
 
 	mu sync.Mutex
-	// epoch is that of the assigner that answered last.
+	// epoch and assigner are those of the last response that was applied.
 	epoch    int64
 	assigner ids.Address
-	// unresponsive are controllers that did not answer last; they are asked after all others, since
-	// one whose machine is without power takes the whole time of a heartbeat.
+	// unresponsive holds the controllers that did not answer their last heartbeat. They are
+	// tried after all others, since a machine without power uses up the whole heartbeat
+	// timeout.
 	unresponsive map[ids.Address]bool
 	parts        map[Part]*heldPart
-	// revokedFences has the highest fence of each part that was given up or refused: it is never
-	// taken up again. rejected are those that the assigner granted all the same.
+	// revokedFences holds the highest fence of each part that was released or refused, which
+	// is never accepted again. rejectedFences holds the fences to be reported as rejected:
+	// those refused by the platform, released by Leave, or granted again after a revocation.
 	revokedFences  map[Part]int64
 	rejectedFences map[Part]int64
 	lastCalls      map[Part]LastCall
-	// leaving has no part be taken up any more.
+	// leaving is set by Leave: no further grant is accepted.
 	leaving bool
-	// probeWanted says that the assigner wants to know whether the platform answers, platformUnreachable
-	// that it did not answer the last probeWanted.
+	// probeWanted means that the assigner has asked whether the platform answers,
+	// platformUnreachable that the last probe got no answer.
 	probeWanted, platformUnreachable bool
-	// unansweredSince has, by part, since when the platform does not answer.
+	// unansweredSince holds, by part, the start of the first call in the current series of
+	// calls that the platform did not answer.
 	unansweredSince map[Part]clock.Instant
 }
 
-// heldPart is a part that was granted here.
+// heldPart is a part that was granted to this controller.
 type heldPart struct {
 	fence     int64
 	notBefore clock.Instant
 	expiry    clock.Instant
-	// grantedAt and grantedWall are the same instant on both clocks.
+	// grantedAt and grantedWall are the time at which the heartbeat of the last grant was
+	// sent, on Clock and on Wall.
 	grantedAt   clock.Instant
 	grantedWall time.Time
-	// runningCalls are those that run under the fence; revoked parts get no further ones.
+	// runningCalls counts the calls that are running. A revoked part gets no further calls.
 	runningCalls int
 	revoked      bool
-	// lastCallStarted is when the last call began.
+	// lastCallStarted is when the last call started.
 	lastCallStarted clock.Instant
 }
 
-// NewSession returns a Session that holds nothing.
+// NewSession returns a Session that holds no part.
 func NewSession(options SessionOptions) *Session {
 	return &Session{
 		options: options, unresponsive: map[ids.Address]bool{}, parts: map[Part]*heldPart{}, revokedFences: map[Part]int64{}, rejectedFences: map[Part]int64{},
@@ -96,10 +101,11 @@
 	}
 }
 
-// Run keeps the session until ctx ends.
+// Run renews the session, and probes the platform when asked to, until ctx is canceled.
 func (s *Session) Run(ctx context.Context) {
 	go func() {
-		// A platform that is silent must not hold up heartbeats.
+		// Probes run in a goroutine of their own, because a platform that does not answer must
+		// not delay heartbeats.
 		for clock.Wait(ctx, s.options.Clock, s.options.TTL/heartbeatsPerTTL) {
 			s.Probe(ctx)
 		}
@@ -112,7 +118,7 @@
 	}
 }
 
-// Probe asks the platform for an answer, if the assigner wants to know.
+// Probe checks whether the platform answers if the assigner has asked for it.
 func (s *Session) Probe(ctx context.Context) {
 	s.mu.Lock()
 	wanted := s.probeWanted
@@ -125,7 +131,8 @@
 	s.platformUnreachable = unreachable
 }
 
-// Renew sends a heartbeat to the first controller that says that it assigns.
+// Renew sends a heartbeat to the candidates in turn until one answers as the assigner, and
+// applies its response.
 func (s *Session) Renew(ctx context.Context) {
 	ctx, cancel := s.options.Clock.WithTimeout(ctx, s.options.TTL/heartbeatsPerTTL)
 	defer cancel()
@@ -154,7 +161,7 @@
 	}
 }
 
-// recordAnswer remembers whether a controller answered.
+// recordAnswer records whether a controller answered.
 func (s *Session) recordAnswer(address ids.Address, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +172,8 @@
 	s.unresponsive[address] = true
 }
 
-// candidates returns whom to ask: who answered last goes first.
+// candidates returns the controllers to send a heartbeat to: the last known assigner first,
+// and those that did not answer last.
 func (s *Session) candidates() []ids.Address {
 	s.mu.Lock()
 	last := s.assigner
@@ -173,7 +181,7 @@
 	return s.unresponsiveLast(append([]ids.Address{last}, s.options.AssignerCandidates()...))
 }
 
-// unresponsiveLast moves those that did not answer last to the end.
+// unresponsiveLast moves the controllers that did not answer their last heartbeat to the end.
 func (s *Session) unresponsiveLast(candidates []ids.Address) []ids.Address {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +196,7 @@
 	return append(responsive, unresponsive...)
 }
 
-// request returns the next heartbeat.
+// request returns the next heartbeat and removes revoked parts without running calls.
 func (s *Session) request() SessionRequest {
 	req := SessionRequest{From: s.options.Address, Incarnation: s.options.Incarnation, Zone: s.options.Zone}
 	eligible := s.options.Eligible()
@@ -216,8 +224,9 @@
 	return req
 }
 
-// applyResponse takes over what the assigner granted to a heartbeat that was sent at started.
-// Parts that it does not name are given up.
+// applyResponse applies the assigner's response to a heartbeat that was sent at started, or
+// at wall in the time of day. Parts that it does not grant are revoked. Responses under an
+// older epoch are ignored.
 func (s *Session) applyResponse(assigner ids.Address, resp SessionResponse, started clock.Instant, wall time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +247,7 @@
 	}
 }
 
-// revoke ends a part under its fence for good. The caller holds s.mu.
+// revoke permanently ends the use of a part under its fence. The caller holds s.mu.
 func (s *Session) revoke(part Part, held *heldPart, message string) {
 	if held.revoked {
 		return
@@ -249,7 +258,7 @@
 	s.logChange(part, held.fence, message)
 }
 
-// applyGrant takes over one part. The caller holds s.mu.
+// applyGrant accepts, renews or rejects the grant of one part. The caller holds s.mu.
 func (s *Session) applyGrant(grant Grant, started clock.Instant, wall time.Time, now clock.Instant) {
 	held := s.parts[grant.Part]
 	switch {
@@ -261,7 +270,8 @@
 	case held == nil || held.fence < grant.Fence:
 		calls := 0
 		if held != nil {
-			// Its calls are checked against the former fence, and fail.
+			// Calls that run under the former fence are still counted. They fail their next
+			// check.
 			calls = held.runningCalls
 		}
 		held = &heldPart{fence: grant.Fence, notBefore: now.Add(time.Duration(grant.WaitMS) * time.Millisecond), runningCalls: calls}
@@ -279,7 +289,8 @@
 	}
 }
 
-// Leave gives all parts up and tells the assigner so once no call runs.
+// Leave revokes all parts, accepts no more and notifies the assigner. Parts with running
+// calls are still reported as active.
 func (s *Session) Leave(ctx context.Context) {
 	s.mu.Lock()
 	s.leaving = true
--- a/control/sizing/sizing.go
+++ b/control/sizing/sizing.go
@@ -1,10 +1,10 @@
-// Package sizing orders from the platform how many runners of a service a zone has, for
-// the parts of that duty which are held here. What is ordered is the planner's decision
-// (package autoscaler), within the bounds of the configuration in force.
+// Package sizing sends orders to the platform that set the number of runners of each service
+// in a zone, for the size parts that this controller holds (package duty). The numbers are
+// those of the planner (package autoscaler), within the bounds of the configuration in force.
 //
-// Invariants: an order is stored on a majority of disks before its first byte leaves; a
-// new holder sends the newest stored orders once, and then what the planner says. While
-// the planner says nothing, the last orders stand.
+// Invariants: an order is stored on a majority of disks before its first byte is sent. A new
+// holder sends the newest stored orders once, and then follows the planner. If the planner has
+// no decision for a service, its last order remains in force.
 package sizing
 
 import (
@@ -25,80 +25,83 @@
 	"onyxwell/control/transport"
 )
 
-// keyPrefix begins the register's keys of the orders; the zone's name follows. It is
-// stored; it never changes.
+// keyPrefix is the prefix of the register keys of orders; the zone's name follows it. It is
+// stored and must never change.
 const keyPrefix = "sizes/"
 
-// Orders is the register's value of a zone: the newest order of each service.
+// Orders is the register value of a zone: the newest order of each service.
 type Orders struct {
 	Orders []Order `avro:"Orders"`
 }
 
-// SchemaName names the stored form; it must never change.
+// SchemaName returns the name of the stored Avro schema, which must never change.
 func (Orders) SchemaName() string { return "SizeOrders" }
 
-// Order is how many runners of a service were ordered.
+// Order is the number of runners that were ordered for a service.
 type Order struct {
 	Service ids.Service `avro:"Service"`
 	Wanted  int64       `avro:"Wanted"`
 }
 
-// SchemaName names the stored form; it must never change.
+// SchemaName returns the name of the stored Avro schema, which must never change.
 func (Order) SchemaName() string { return "SizeOrder" }
 
-// Options configure an Orderer. All are required but Log.
+// Options configure an Orderer. All are required but Frozen and Log.
 type Options struct {
 	Clock clock.Clock
-	// Zones are all zones of the deployment.
+	// Zones lists all zones of the deployment.
 	Zones []ids.Zone
-	// Config returns the configuration in force, nil for none.
+	// Config returns the configuration in force, or nil if there is none.
 	Config func() *config.Config
-	// Planned returns what the planner has decided last.
+	// Planned returns the last decision of the planner.
 	Planned func() autoscaler.Sizes
-	// Frozen reports whether the size of a service must stay as it is: the platform would take
-	// runners of one of two versions away. It may be nil.
+	// Frozen reports whether the size of a service must not change, because the platform would
+	// remove runners of one of the two versions that run. It may be nil.
 	Frozen func(service ids.Service) bool
-	// Held returns the fence of a part, if it is held here.
+	// Held returns the fence of a part if calls for it are permitted from this controller.
 	Held func(part duty.Part) (fence int64, ok bool)
-	// Update stores the orders of a zone.
+	// Update replaces the value of a register key on a majority and returns the stored value.
 	Update func(ctx context.Context, key string, update duty.UpdateFunc) ([]byte, error)
-	// Call makes a call to the platform.
+	// Call makes a platform call for a part.
 	Call func(ctx context.Context, part duty.Part, fence int64, call duty.Call) (status int, err error)
-	// RetryPause is the time after a call that the platform did not take.
+	// RetryPause is the pause of a zone after an order could not be stored or was not accepted
+	// by the platform.
 	RetryPause time.Duration
 	Log        *log.Logger
 }
 
-// Orderer makes the orders of the zones whose parts are held here. Run is its only user.
+// Orderer sends the orders of the zones whose parts this controller holds. It is not safe for
+// concurrent use: Step is called by Run only.
 type Orderer struct {
 	options Options
 	zones   map[ids.Zone]*zoneOrders
 }
 
-// zoneOrders is what is known of a zone under one fence.
+// zoneOrders is the state of a zone's orders under one fence.
 type zoneOrders struct {
 	fence  int64
 	loaded bool
 	stored Orders
-	// acknowledged are the orders that the platform has taken under the fence.
+	// acknowledged holds, by service, the last order that the platform has accepted or finally
+	// rejected under the fence.
 	acknowledged map[ids.Service]int64
 	retryAt      clock.Instant
 }
 
-// New returns an Orderer that has ordered nothing.
+// New returns an Orderer that has not sent any orders.
 func New(options Options) *Orderer {
 	return &Orderer{options: options, zones: map[ids.Zone]*zoneOrders{}}
 }
 
-// Run orders until ctx ends.
+// Run calls Step at an interval until ctx is canceled.
 func (o *Orderer) Run(ctx context.Context, interval time.Duration) {
 	for clock.Wait(ctx, o.options.Clock, interval) {
 		o.Step(ctx)
 	}
 }
 
-// Step stores and sends what is due in each zone whose part is held here; zones do not
-// wait for each other.
+// Step stores and sends the orders that are due in each zone whose part this controller
+// holds. Zones are processed in parallel, so that none delays another.
 func (o *Orderer) Step(ctx context.Context) {
 	cfg := o.options.Config()
 	if cfg == nil {
@@ -122,13 +125,13 @@
 	steps.Wait()
 }
 
-// isFrozen reports whether nothing is to be ordered of a service now.
+// isFrozen reports whether the size of a service must not change now.
 func (o *Orderer) isFrozen(service ids.Service) bool {
 	return o.options.Frozen != nil && o.options.Frozen(service)
 }
 
-// wantedOrders returns the planned orders of a zone within the bounds of the configuration, for
-// the services whose size may change.
+// wantedOrders returns the planned orders of a zone within the bounds of the configuration,
+// for the configured services that are scaled and not frozen.
 func (o *Orderer) wantedOrders(cfg *config.Config, planned autoscaler.Sizes, zone ids.Zone) []Order {
 	var wanted []Order
 	for _, size := range planned.Sizes {
@@ -161,12 +164,13 @@
 	}
 }
 
-// lacksAny reports whether an order is wanted that is not the newest one.
+// lacksAny reports whether any of the wanted orders differs from the newest order of its
+// service.
 func (o Orders) lacksAny(wanted []Order) bool {
 	return slices.ContainsFunc(wanted, func(order Order) bool { return !slices.Contains(o.Orders, order) })
 }
 
-// set replaces the order of a service.
+// set replaces or adds the order of a service.
 func (o *Orders) set(order Order) {
 	for index := range o.Orders {
 		if o.Orders[index].Service == order.Service {
@@ -177,7 +181,8 @@
 	o.Orders = append(o.Orders, order)
 }
 
-// store stores the wanted orders over those of before.
+// store merges the wanted orders into the stored ones, and loads the result. It returns false
+// if this fails.
 func (o *Orderer) store(ctx context.Context, zone ids.Zone, state *zoneOrders, wanted []Order) bool {
 	key := keyPrefix + string(zone)
 	value, err := o.options.Update(ctx, key, func(current []byte) ([]byte, error) {
@@ -202,14 +207,15 @@
 	return true
 }
 
-// sizeRequest is the platform's.
+// sizeRequest is the JSON document that is sent to the platform.
 type sizeRequest struct {
 	Service ids.Service `json:"service"`
 	Zone    ids.Zone    `json:"zone"`
 	Wanted  int64       `json:"wanted"`
 }
 
-// send sends an order. It returns false where it was not taken and is to be sent again.
+// send sends an order. It returns false if the platform did not accept it and it must be sent
+// again.
 func (o *Orderer) send(ctx context.Context, zone ids.Zone, state *zoneOrders, order Order) bool {
 	body, err := json.Marshal(sizeRequest{Service: order.Service, Zone: zone, Wanted: order.Wanted})
 	if err != nil {
--- a/control/usage/collector.go
+++ b/control/usage/collector.go
@@ -15,54 +15,57 @@
 // CollectorOptions configure a Collector. All are required but Log.
 type CollectorOptions struct {
 	Clock clock.Clock
-	// Now returns the agreed time since the start of 1970.
+	// Now returns the synchronized time since the Unix epoch.
 	Now func() time.Duration
-	// Synced reports whether the time is agreed on.
+	// Synced reports whether the time is synchronized.
 	Synced func() bool
-	// Window is the length of windows; DueAfter is how long after its end a report is due.
+	// Window is the length of a window. The report of a window is due DueAfter after its end.
 	Window, DueAfter time.Duration
-	// MergeTime is how long after a cut the counts of both sides may take to come together; 0
-	// is that zones which are cut off are not waited for.
+	// MergeTime is how long the counts of both sides may take to be merged after a network
+	// partition has healed. If it is 0, decisions do not wait for partitioned zones.
 	MergeTime time.Duration
-	// Zones are all zones of the deployment.
+	// Zones lists all zones of the deployment.
 	Zones []ids.Zone
-	// Assigned returns the fence of the part of usage, if it is assigned here; Held does once
-	// its holder may act, which is some time later.
+	// Assigned returns the fence of the usage part if it is assigned to this controller. Held
+	// does so only once calls for it are permitted, which is some time later.
 	Assigned, Held func() (fence int64, ok bool)
-	// Update stores the log.
+	// Update replaces the value of a register key on a majority and returns the stored value.
 	Update func(ctx context.Context, key string, update duty.UpdateFunc) ([]byte, error)
-	// FetchCopies returns what GiveCopies of all other controllers gives, as far as they answer.
+	// FetchCopies returns the results of ListCopies of all other controllers that answer.
 	FetchCopies func(ctx context.Context) []ZoneCounts
-	// CallsPerStep is how many reports may be sent in one step, at least 1.
+	// CallsPerStep is the maximum number of reports sent in one Step, at least 1.
 	CallsPerStep int
-	// Call makes a call to the platform.
+	// Call makes a platform call for the usage part.
 	Call func(ctx context.Context, fence int64, call duty.Call) (status int, err error)
 	Log  *log.Logger
 }
 
-// Collector is the holder's side: it gathers the counts of all zones, decides windows in
-// order, and reports them. It is safe for concurrent use.
+// Collector runs on the holder of the usage part: it collects the counts of all zones,
+// decides windows in order, and reports them. On other controllers it only keeps copies of
+// counts. It is safe for concurrent use.
 type Collector struct {
 	options CollectorOptions
 
 	mu    sync.Mutex
 	fence int64
-	// startedAt is when the part was taken up.
+	// startedAt is when the collector started to work under fence.
 	startedAt clock.Instant
-	// log is the stored one, as known here; loaded says that it was read under fence.
+	// log is the last known state of the stored log. loaded reports whether it was read under
+	// fence.
 	log    Log
 	loaded bool
 	zones  map[ids.Zone]*zoneState
-	// acknowledged is the last window that the platform has taken from here.
+	// acknowledged is the last window that the platform has accepted or finally rejected under
+	// fence.
 	acknowledged int64
 	retryAt      clock.Instant
 	stats        Stats
 }
 
-// Stats count what a collector did.
+// Stats are the counters of a collector.
 type Stats struct {
-	// Decided and Reported count windows; Incomplete those that were decided without all
-	// zones; Failed the calls that the platform did not take.
+	// Decided and Reported count windows, Incomplete the windows that were decided without
+	// all zones, and Failed the calls that the platform did not accept.
 	Decided, Incomplete, Reported, Failed int64
 }
 
@@ -75,14 +78,15 @@
 	return c
 }
 
-// ReceiveSums takes the sums of a zone over. Two relays of a zone may send what each of them
-// knows: one that has not heard of all routers, whose Through is 0, says nothing of what they
-// have closed.
+// ReceiveSums merges the sums of a zone. Several relays of a zone may each send what they
+// know. A relay that lacks reports of some routers sends a Through of 0, which does not
+// change the zone's last closed window.
 func (c *Collector) ReceiveSums(_ context.Context, req SumsRequest) (CollectResponse, error) {
 	return c.receive(req.Zone, req.Through, func(zone *zoneState) { zone.sums.merge(req.Windows, c.log.Decided) }), nil
 }
 
-// ReceiveReports takes the reports of a zone's routers over, from a relay of an older build.
+// ReceiveReports merges the reports of a zone's routers, as sent by a relay of an older
+// build.
 func (c *Collector) ReceiveReports(_ context.Context, req CollectRequest) (CollectResponse, error) {
 	return c.receive(req.Zone, req.Through, func(zone *zoneState) {
 		for _, report := range req.Routers {
@@ -91,8 +95,8 @@
 	}), nil
 }
 
-// receive merges what a zone's relay sent. Counts are taken before the part may be acted for,
-// since who has them may be lost meanwhile.
+// receive merges the counts that a zone's relay sent. Counts are accepted from the moment of
+// the assignment, before calls are permitted, since their sender may fail in the meantime.
 func (c *Collector) receive(name ids.Zone, through int64, merge func(*zoneState)) CollectResponse {
 	fence, assigned := c.options.Assigned()
 	c.mu.Lock()
@@ -113,8 +117,9 @@
 	return CollectResponse{Holding: true, Decided: c.log.Decided}
 }
 
-// ReceiveCopy keeps the sums of a zone in whose region the holder is, too: where that region is
-// lost, nobody else has them. Every controller takes what relays of other regions send it.
+// ReceiveCopy keeps a copy of a zone's sums. Relays send copies if the holder is in their own
+// region, since the loss of that region would otherwise lose the counts. Every controller
+// accepts copies from relays of other regions.
 func (c *Collector) ReceiveCopy(_ context.Context, copied ZoneCounts) (CopyResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +132,8 @@
 	return CopyResponse{Kept: true}, nil
 }
 
-// ListCopies returns the counts of all zones that are known here: copies, and what this
-// controller took while it held the part.
+// ListCopies returns all counts that this controller knows: copies, and the counts that it
+// received while the usage part was assigned to it.
 func (c *Collector) ListCopies(context.Context, CopiesRequest) (CopiesResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,8 +146,8 @@
 	return resp, nil
 }
 
-// startTerm drops what was stored and acknowledged under another fence. Counts stay: they hold
-// under every fence. The caller holds c.mu.
+// startTerm resets the state that belongs to another fence, such as the loaded log. Counts
+// are kept, as they are valid under every fence. The caller holds c.mu.
 func (c *Collector) startTerm(fence int64) {
 	if fence == c.fence {
 		return
@@ -153,15 +158,16 @@
 	}
 }
 
-// Run decides and reports until ctx ends.
+// Run decides and reports windows until ctx is canceled.
 func (c *Collector) Run(ctx context.Context, interval time.Duration) {
 	for clock.Wait(ctx, c.options.Clock, interval) {
 		c.Step(ctx)
 	}
 }
 
-// Step decides the windows that are complete or late, and reports some that wait. It does
-// nothing where the part is not held.
+// Step decides the windows that are complete or late, and sends up to CallsPerStep pending
+// reports. It does nothing if calls for the usage part are not permitted or the time is not
+// synchronized.
 func (c *Collector) Step(ctx context.Context) {
 	fence, held := c.options.Held()
 	if !held || !c.options.Synced() {
@@ -179,7 +185,7 @@
 	}
 }
 
-// Stats returns what was done since the start.
+// Stats returns the counters since the collector was created.
 func (c *Collector) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/usage/counts.go
+++ b/control/usage/counts.go
@@ -7,11 +7,12 @@
 	"onyxwell/base/ids"
 )
 
-// counts are requests by window and tenant. They only ever rise, so that two states of
-// them merge by maximum.
+// counts holds numbers of requests by window and tenant. They never decrease, so that two
+// states can be merged by maximum.
 type counts map[int64]map[ids.Tenant]int64
 
-// merge raises each count to that of a message. Windows up to decided are left out.
+// merge raises each count to that in a message if it is lower. Windows up to decided, and
+// windows whose columns differ in length, are ignored.
 func (c counts) merge(windows []WindowCounts, decided int64) {
 	for _, window := range windows {
 		if window.Window <= decided || len(window.Tenants) != len(window.Counts) {
@@ -24,7 +25,7 @@
 	}
 }
 
-// tenantCounts returns the counts tenantCounts a window, to be changed.
+// tenantCounts returns the counts of a window for modification.
 func (c counts) tenantCounts(window int64) map[ids.Tenant]int64 {
 	if c[window] == nil {
 		c[window] = map[ids.Tenant]int64{}
@@ -32,7 +33,7 @@
 	return c[window]
 }
 
-// dropThrough drops the windows up to one.
+// dropThrough drops all windows up to through.
 func (c counts) dropThrough(through int64) {
 	for window := range c {
 		if window <= through {
@@ -41,7 +42,7 @@
 	}
 }
 
-// keepNewest drops all windows but the newest.
+// keepNewest drops all but the newest windows, whose number is given.
 func (c counts) keepNewest(windows int64) {
 	newest := int64(0)
 	for window := range c {
@@ -50,7 +51,7 @@
 	c.dropThrough(newest - windows)
 }
 
-// increasesOver returns the counts that are above those of another state.
+// increasesOver returns the counts that are higher than those of another state.
 func (c counts) increasesOver(other counts) counts {
 	changed := counts{}
 	for window, tenants := range c {
@@ -63,7 +64,7 @@
 	return changed
 }
 
-// toMessage returns the counts as they are sent, oldest window first.
+// toMessage returns the counts in the form in which they are sent, oldest window first.
 func (c counts) toMessage() []WindowCounts {
 	var windows []WindowCounts
 	for window, tenants := range c {
--- a/control/usage/decide.go
+++ b/control/usage/decide.go
@@ -11,22 +11,25 @@
 )
 
 const (
-	// lateDecisionFraction is the part of the time in which a window falls due after which it is
-	// decided with what is known: it leaves time for another holder and two tries.
+	// lateDecisionFraction is the fraction of DueAfter after which an incomplete window is
+	// decided with the known counts. The remaining time suffices for a change of the holder
+	// and two attempts.
 	lateDecisionFraction = 0.25
-	// horizonWindows is how many windows before the present may be decided: a holder that
-	// finds an older log starts there.
+	// horizonWindows is how many windows before the current one may still be decided. A holder
+	// that loads an older log starts there.
 	horizonWindows = maxWindows
-	// maxPending bounds the decided windows that wait for the platform; the oldest are
-	// dropped.
+	// maxPending limits the number of decided windows that wait for the platform. The oldest
+	// ones are dropped.
 	maxPending = 120
 )
 
-// errLogChanged says that another holder has stored decisions.
-var errLogChanged = errors.New("usage: the stored log is another than expected")
+// errLogChanged reports that the stored log has changed since it was loaded: another holder
+// has stored decisions.
+var errLogChanged = errors.New("usage: stored log has changed since it was loaded")
 
-// load reads the log, and the copies of zones that may be lost. A log that was never written, or is older than the horizon, starts
-// there.
+// load reads the stored log, and the copies that other controllers keep of zones that may be
+// lost. A log that is older than the horizon is advanced to it, and a log that was never
+// written starts at the window before the current one.
 func (c *Collector) load(ctx context.Context, fence int64) bool {
 	present := int64(c.options.Now() / c.options.Window)
 	value, err := c.options.Update(ctx, LogKey, func(current []byte) ([]byte, error) {
@@ -36,7 +39,7 @@
 		}
 		first := present - horizonWindows
 		if stored.Decided == 0 {
-			// Nothing ran before the deployment did.
+			// There are no counts from before the deployment was started.
 			first = present - 1
 		}
 		stored.Decided = max(stored.Decided, first)
@@ -65,7 +68,7 @@
 	return true
 }
 
-// dropDecided drops the counts of decided windows. The caller holds c.mu.
+// dropDecided drops the counts of all windows up to decided. The caller holds c.mu.
 func (c *Collector) dropDecided(decided int64) {
 	for _, zone := range c.zones {
 		zone.tally.dropThrough(decided)
@@ -73,7 +76,7 @@
 	}
 }
 
-// decide stores the decisions of all windows that are complete or late.
+// decide decides all windows that are complete or late, and stores the decisions.
 func (c *Collector) decide(ctx context.Context, fence int64) {
 	next, incomplete := c.nextDecisions()
 	if len(next.Pending) == 0 {
@@ -92,7 +95,7 @@
 	})
 	if err != nil {
 		c.mu.Lock()
-		// What is stored may be either: it is read again.
+		// The decisions may or may not have been stored: the next Step loads the log again.
 		c.loaded = false
 		c.mu.Unlock()
 		return
@@ -118,7 +121,8 @@
 	return c.log.Decided
 }
 
-// appendPending adds decisions to a stored log, without the windows that the platform has taken.
+// appendPending returns the stored log extended by the decisions of next and without the
+// windows that the platform has acknowledged.
 func (c *Collector) appendPending(stored Log, next Log) Log {
 	c.mu.Lock()
 	acknowledged := c.acknowledged
@@ -133,8 +137,8 @@
 	return result
 }
 
-// nextDecisions returns the windows to decide now, in order, and how many of them lack the
-// counts of some zone.
+// nextDecisions returns the decisions that are due now, in the order of windows, and the
+// number of those that lack the counts of some zone.
 func (c *Collector) nextDecisions() (next Log, incomplete int64) {
 	now := c.options.Now()
 	c.mu.Lock()
@@ -159,8 +163,8 @@
 	}
 }
 
-// logIncomplete names the zones without whose counts a window is decided. The caller holds
-// c.mu.
+// logIncomplete logs that a window is decided without the counts of some zones, and which
+// zones these are. The caller holds c.mu.
 func (c *Collector) logIncomplete(window int64) {
 	if c.options.Log == nil {
 		return
@@ -185,7 +189,7 @@
 	return true
 }
 
-// sum adds the counts of a window up over all zones. The caller holds c.mu.
+// sum returns the counts of a window summed over all zones. The caller holds c.mu.
 func (c *Collector) sum(window int64) map[ids.Tenant]int64 {
 	total := map[ids.Tenant]int64{}
 	for _, zone := range c.zones {
@@ -196,7 +200,7 @@
 	return total
 }
 
-// usageReport is the platform's document.
+// usageReport is the JSON document that is sent to the platform.
 type usageReport struct {
 	Window int64                `json:"window_number"`
 	Counts map[ids.Tenant]int64 `json:"counts"`
--- a/control/usage/doc.go
+++ b/control/usage/doc.go
@@ -1,18 +1,21 @@
-// Package usage counts, for each tenant and window of time, the requests that runners
-// began, over all routers together, and reports each window to the platform once.
+// Package usage counts the requests that runners started, per tenant and time window over
+// all routers, and reports each window to the platform once.
 //
 //	router: Meter ──all undecided windows──▶ Relay of the zone ──▶ Collector of the holder
 //	                                                               decide, store, report
 //
+// A window is decided when the counts to be reported for it are fixed. The holder is the
+// controller that holds the usage part (package duty).
+//
 // # Invariants
 //
-//   - Counts travel as totals of one router's life and window and are merged by maximum:
-//     a message that is lost, repeated or late changes nothing in the end. Routers send
-//     what is undecided again and again, so that a relay or a holder that is lost takes
-//     nothing with it.
-//   - What is reported of a window is decided once, and stored on a majority of disks
-//     before the first byte leaves. Whoever holds the part of usage sends those bytes.
-//   - Windows are cut by the agreed time (package timesync).
+//   - Counts are sent as totals per router incarnation and window and merged by maximum, so
+//     that lost, repeated or late messages do not change the result. Routers repeatedly send
+//     the counts of all undecided windows, so that the loss of a relay or of the holder loses
+//     no counts.
+//   - The report of a window is decided once and stored on a majority of disks before its
+//     first byte is sent. Every holder of the usage part sends the stored bytes.
+//   - Window boundaries follow the synchronized time (package timesync).
 //
-// docs/duties.md has the argument.
+// docs/duties.md has the proof.
 package usage
--- a/control/usage/harness_test.go
+++ b/control/usage/harness_test.go
@@ -28,66 +28,69 @@
 	testZones   = 3
 	testRouters = 6
 	testStep    = 250 * time.Millisecond
-	// testCallsPerStep is how many reports a holder may send in a step.
+	// testCallsPerStep is the maximum number of reports that a holder sends per step.
 	testCallsPerStep = 2
-	// testEpoch is the agreed time at the clock's zero, the start of a window.
+	// testEpoch is the synchronized time at the zero of the fake clock, the start of a window.
 	testEpoch = time.Duration(1_700_000_000) * time.Second
 )
 
 var testZoneNames = []ids.Zone{"0", "1", "2"}
 
-// fleet is routers with their meters, a relay in each zone, two collectors of which one
-// holds the part at a time, and a platform that judges, on one fake clock.
+// fleet simulates routers with their meters, a relay in each zone, two collectors of which at
+// most one holds the usage part, and a platform that checks reports, on one fake clock.
 type fleet struct {
 	clock      *clock.Fake
 	random     *rand.Rand
 	routers    []*testRouter
 	relays     [testZones]*Relay
 	collectors [2]*Collector
-	// holder is the collector that holds the part, under fence; -1 is none.
+	// holder is the index of the collector that holds the usage part under fence, or -1.
 	holder int
 	fence  int64
 	stored []byte
-	// forgets has the store lose its last decisions whenever the holder changes.
-	forgets bool
-	// storeLost has answers of the store be lost, platform says what the platform does.
-	storeLost bool
-	platform  testPlatform
-	// merge is what collectors are given for Merge; zones that are cut reach no holder.
-	merge time.Duration
-	cut   [testZones]bool
-	// mayActAt is when the holder may act.
-	mayActAt clock.Instant
-	// oneRegion has the holder be in the region of all zones, so that they send copies.
-	oneRegion bool
-	// olderHolder has the holders not know sums, as in an older build.
-	olderHolder bool
-	// ran has what the runners began.
-	ran map[int64]map[ids.Tenant]int64
+	// losesDecisions has the store lose its last decisions whenever the holder changes.
+	losesDecisions bool
+	// losesStoreResponses has responses of the store get lost at random.
+	losesStoreResponses bool
+	platform            testPlatform
+	// mergeTime is the collectors' MergeTime. Relays of partitioned zones do not reach the
+	// holder.
+	merge       time.Duration
+	partitioned [testZones]bool
+	// callsAllowedAt is the time from which the holder may make calls.
+	callsAllowedAt clock.Instant
+	// sendCopies has all relays send copies, as if the holder were in their region.
+	sendCopies bool
+	// legacyHolder makes the holder not support sums, as in an older build.
+	legacyHolder bool
+	// requests counts the requests that runners started, by window and tenant.
+	requests map[int64]map[ids.Tenant]int64
 }
 
 type testRouter struct {
-	zone  int
-	meter *Meter
-	life  int64
-	// cut routers report to nobody; those that are down get no requests either.
-	cut, down bool
+	zone        int
+	meter       *Meter
+	incarnation int64
+	// A partitioned router does not report. A router that is down gets no requests either.
+	partitioned, down bool
 }
 
-// testPlatform takes every call and remembers the first report of each window.
+// testPlatform accepts reports, records the first one of each window and when it was accepted,
+// and lists later ones that differ from it.
 type testPlatform struct {
-	// down takes nothing; lossy takes the call and loses the answer.
-	down, lossy bool
-	first       map[int64]string
-	takenAt     map[int64]time.Duration
-	differing   []string
-	calls       int
+	// down makes it accept nothing; losesResponses makes it accept calls and lose responses at
+	// random.
+	down, losesResponses bool
+	firstReports         map[int64]string
+	takenAt              map[int64]time.Duration
+	conflicts            []string
+	calls                int
 }
 
 func newFleet(seed uint64) *fleet {
 	f := &fleet{
-		clock: clock.NewFake(), random: rand.New(rand.NewPCG(seed, 3)), ran: map[int64]map[ids.Tenant]int64{},
-		platform: testPlatform{first: map[int64]string{}, takenAt: map[int64]time.Duration{}},
+		clock: clock.NewFake(), random: rand.New(rand.NewPCG(seed, 3)), requests: map[int64]map[ids.Tenant]int64{},
+		platform: testPlatform{firstReports: map[int64]string{}, takenAt: map[int64]time.Duration{}},
 	}
 	for index := range testRouters {
 		f.routers = append(f.routers, &testRouter{zone: index % testZones})
@@ -99,14 +102,14 @@
 	for index := range f.collectors {
 		f.startCollector(index)
 	}
-	f.hold(0)
+	f.assignTo(0)
 	return f
 }
 
 func (f *fleet) now() time.Duration { return testEpoch + time.Duration(f.clock.Now()) }
 
 func (f *fleet) startRouter(index int) {
-	f.routers[index].meter, f.routers[index].life = NewMeter(testWindow, f.now), int64(f.now())+int64(index)
+	f.routers[index].meter, f.routers[index].incarnation = NewMeter(testWindow, f.now), int64(f.now())+int64(index)
 }
 
 func routerAddress(index int) ids.Address { return ids.Address(fmt.Sprintf("r%d", index)) }
@@ -124,10 +127,10 @@
 		},
 		Term: func() Term { return Term{Holder: "holder", Fence: f.fence} },
 		SendSums: func(ctx context.Context, _ ids.Address, req SumsRequest) (CollectResponse, error) {
-			if f.holder < 0 || f.routers[zone].down || f.cut[zone] {
+			if f.holder < 0 || f.routers[zone].down || f.partitioned[zone] {
 				return CollectResponse{}, errLost
 			}
-			if f.olderHolder {
+			if f.legacyHolder {
 				return CollectResponse{}, errkind.Errorf(errkind.UnknownCall, "sums")
 			}
 			return f.collectors[f.holder].ReceiveSums(ctx, req)
@@ -136,7 +139,7 @@
 			return f.collectors[f.holder].ReceiveReports(ctx, req)
 		},
 		SendCopy: func(ctx context.Context, counts ZoneCounts) {
-			if f.holder >= 0 && f.oneRegion {
+			if f.holder >= 0 && f.sendCopies {
 				_, _ = f.collectors[1-f.holder].ReceiveCopy(ctx, counts)
 			}
 		},
@@ -151,21 +154,21 @@
 			return resp.Zones
 		},
 		Assigned: func() (int64, bool) { return f.fence, f.holder == index },
-		Held:     func() (int64, bool) { return f.fence, f.holder == index && !f.clock.Now().Before(f.mayActAt) }, Update: f.update, Call: f.call,
+		Held:     func() (int64, bool) { return f.fence, f.holder == index && !f.clock.Now().Before(f.callsAllowedAt) }, Update: f.update, Call: f.call,
 	})
 }
 
-// hold gives the part to a collector under the next fence, or to none.
-func (f *fleet) hold(index int) {
+// assignTo assigns the usage part to a collector under the next fence.
+func (f *fleet) assignTo(index int) {
 	f.holder = index
 	f.fence++
-	if f.forgets {
-		f.forgetDecisions()
+	if f.losesDecisions {
+		f.loseDecisions()
 	}
 }
 
-// forgetDecisions has the store lose the last decisions.
-func (f *fleet) forgetDecisions() {
+// loseDecisions has the store lose the last two decisions and everything pending.
+func (f *fleet) loseDecisions() {
 	stored, err := transport.UnmarshalStored[Log](LogKey, f.stored)
 	if err != nil || stored.Decided == 0 {
 		return
@@ -179,7 +182,7 @@
 		return nil, err
 	}
 	f.stored = next
-	if f.storeLost && f.random.IntN(3) == 0 {
+	if f.losesStoreResponses && f.random.IntN(3) == 0 {
 		return nil, errLost
 	}
 	return next, nil
@@ -194,18 +197,19 @@
 	if err := json.Unmarshal(call.Body, &got); err != nil {
 		return 400, nil
 	}
-	if first, known := f.platform.first[got.Window]; known && first != string(call.Body) {
-		f.platform.differing = append(f.platform.differing, fmt.Sprintf("%s after %s", call.Body, first))
+	if first, known := f.platform.firstReports[got.Window]; known && first != string(call.Body) {
+		f.platform.conflicts = append(f.platform.conflicts, fmt.Sprintf("%s after %s", call.Body, first))
 	} else if !known {
-		f.platform.first[got.Window], f.platform.takenAt[got.Window] = string(call.Body), f.now()
+		f.platform.firstReports[got.Window], f.platform.takenAt[got.Window] = string(call.Body), f.now()
 	}
-	if f.platform.lossy && f.random.IntN(2) == 0 {
+	if f.platform.losesResponses && f.random.IntN(2) == 0 {
 		return 0, errLost
 	}
 	return 200, nil
 }
 
-// step sends requests, and lets everybody do what is due.
+// step sends random requests, advances the clock by testStep and runs all routers, relays and
+// collectors.
 func (f *fleet) step(tick int) {
 	for index, router := range f.routers {
 		if router.down {
@@ -215,12 +219,12 @@
 			tenant := ids.Tenant(fmt.Sprintf("t%d", f.random.IntN(3)))
 			router.meter.CountRequest(tenant, 0)
 			window := int64(f.now() / testWindow)
-			if f.ran[window] == nil {
-				f.ran[window] = map[ids.Tenant]int64{}
+			if f.requests[window] == nil {
+				f.requests[window] = map[ids.Tenant]int64{}
 			}
-			f.ran[window][tenant]++
+			f.requests[window][tenant]++
 		}
-		if tick%4 == 0 && !router.cut {
+		if tick%4 == 0 && !router.partitioned {
 			f.report(index)
 		}
 	}
@@ -239,7 +243,7 @@
 func (f *fleet) report(index int) {
 	router := f.routers[index]
 	report := router.meter.Report()
-	report.Router, report.Incarnation = routerAddress(index), router.life
+	report.Router, report.Incarnation = routerAddress(index), router.incarnation
 	if resp, err := f.relays[router.zone].ReceiveReport(context.Background(), report); err == nil {
 		router.meter.DropDecided(resp.Decided)
 	}
@@ -251,30 +255,30 @@
 	}
 }
 
-// wrong returns the windows between two that were reported late, not at all, or with a
-// count that is off by more than a tolerance of requests.
-func (f *fleet) wrong(first, last int64, tolerance int64) (wrong []string) {
+// lateOrMiscounted returns an error text for each window from first to last that was reported
+// late, not at all, or with a count that differs by more than tolerance requests.
+func (f *fleet) lateOrMiscounted(first, last int64, tolerance int64) (wrong []string) {
 	for window := first; window <= last; window++ {
 		due := time.Duration(window+1)*testWindow + testLate
 		if f.platform.takenAt[window] > due {
-			wrong = append(wrong, fmt.Sprintf("window %d is late", window))
+			wrong = append(wrong, fmt.Sprintf("window %d was reported late", window))
 		}
 	}
 	return append(wrong, f.miscounted(first, last, tolerance)...)
 }
 
-// miscounted returns the windows between two that were not reported, or with a count that
-// is off by more than a tolerance of requests.
+// miscounted returns an error text for each window from first to last that was not reported,
+// or was reported with a count that differs by more than tolerance requests.
 func (f *fleet) miscounted(first, last int64, tolerance int64) (wrong []string) {
 	for window := first; window <= last; window++ {
-		text, taken := f.platform.first[window]
+		text, taken := f.platform.firstReports[window]
 		if !taken {
-			wrong = append(wrong, fmt.Sprintf("window %d is missing", window))
+			wrong = append(wrong, fmt.Sprintf("window %d was not reported", window))
 			continue
 		}
 		var got usageReport
 		_ = json.Unmarshal([]byte(text), &got)
-		for tenant, count := range f.ran[window] {
+		for tenant, count := range f.requests[window] {
 			if off := count - got.Counts[tenant]; off > tolerance || off < -tolerance {
 				wrong = append(wrong, fmt.Sprintf("window %d, %s: %d reported of %d", window, tenant, got.Counts[tenant], count))
 			}
@@ -283,30 +287,30 @@
 	return wrong
 }
 
-// windowsBetween returns the first window that begins after one instant and the last that
-// falls due before another.
+// windowsBetween returns the first window that starts after from and the last one that is due
+// before to.
 func windowsBetween(from, to time.Duration) (first, last int64) {
 	return int64(from/testWindow) + 1, int64((to-testLate)/testWindow) - 1
 }
 
-// fault begins or ends a fault.
-func (f *fleet) fault(kind int) {
+// toggleFault causes a fault of the given kind, or starts or ends one.
+func (f *fleet) toggleFault(kind int) {
 	switch kind {
 	case 0:
-		f.hold(1 - max(0, f.holder))
+		f.assignTo(1 - max(0, f.holder))
 	case 1:
 		f.holder = -1
 	case 2:
 		index := f.random.IntN(2)
 		f.startCollector(index)
-		f.hold(index)
+		f.assignTo(index)
 	case 3:
 		f.startRelay(f.random.IntN(testZones))
 	case 4:
-		f.storeLost = !f.storeLost
+		f.losesStoreResponses = !f.losesStoreResponses
 	case 5:
-		f.platform.down, f.platform.lossy = f.random.IntN(3) == 0, f.random.IntN(2) == 0
+		f.platform.down, f.platform.losesResponses = f.random.IntN(3) == 0, f.random.IntN(2) == 0
 	case 6:
-		f.routers[f.random.IntN(testRouters)].cut = f.random.IntN(2) == 0
+		f.routers[f.random.IntN(testRouters)].partitioned = f.random.IntN(2) == 0
 	}
 }
--- a/control/usage/messages.go
+++ b/control/usage/messages.go
@@ -4,27 +4,27 @@
 	"onyxwell/base/ids"
 )
 
-// Names of messages and keys. They are stored and sent; they never change.
+// Names of messages and keys. They are stored and sent and must never change.
 const (
-	// ReportMessage goes from a router to its zone's relay, SumsMessage from a relay to the
-	// holder of the part of usage; CollectMessage takes its place where the holder does not
-	// know that, being of an older build.
+	// ReportMessage is sent by a router to its zone's relay, SumsMessage by a relay to the
+	// holder of the usage part. A relay sends CollectMessage instead if the holder runs an
+	// older build that does not support SumsMessage.
 	ReportMessage  = "usage-report"
 	SumsMessage    = "usage-sums"
 	CollectMessage = "usage-collect"
-	// CopyMessage goes from a relay to a controller of another region, CopiesMessage from
-	// the holder of the part of usage to all controllers.
+	// CopyMessage is sent by a relay to a controller of another region, CopiesMessage by the
+	// holder of the usage part to all controllers.
 	CopyMessage   = "usage-copy"
 	CopiesMessage = "usage-copies"
-	// LogKey is the register's key of the Log.
+	// LogKey is the register key of the Log.
 	LogKey = "usage"
 )
 
-// RouterReport has the counts of one life of a router.
+// RouterReport contains the counts of one router incarnation.
 type RouterReport struct {
 	Router      ids.Address `avro:"Router"`
 	Incarnation int64       `avro:"Life"`
-	// Through is the last window whose counts will not change any more.
+	// Through is the last window whose counts are final.
 	Through int64          `avro:"Through"`
 	Windows []WindowCounts `avro:"Windows"`
 }
@@ -32,7 +32,7 @@
 // SchemaName names the sent form; it must never change.
 func (RouterReport) SchemaName() string { return "UsageRouterReport" }
 
-// WindowCounts are the counts of one window, column by column.
+// WindowCounts contains the counts of one window in columns: Counts[i] belongs to Tenants[i].
 type WindowCounts struct {
 	Window  int64        `avro:"Window"`
 	Tenants []ids.Tenant `avro:"Tenants"`
@@ -44,19 +44,19 @@
 
 // ReportResponse answers a router's report.
 type ReportResponse struct {
-	// UnixNanos is the relay's agreed time; 0 where it knows none.
+	// UnixNanos is the relay's synchronized time, or 0 if it has none.
 	UnixNanos int64 `avro:"UnixNanos"`
-	// Decided is the last window that needs no counts any more.
+	// Decided is the last decided window, for which no more counts are needed.
 	Decided int64 `avro:"Decided"`
 }
 
 // SchemaName names the sent form; it must never change.
 func (ReportResponse) SchemaName() string { return "UsageReportResponse" }
 
-// CollectRequest has the reports of a zone's routers.
+// CollectRequest contains the reports of a zone's routers.
 type CollectRequest struct {
 	Zone ids.Zone `avro:"Zone"`
-	// Through is the last window that every router of the zone that is up has closed.
+	// Through is the last window that every running router of the zone has closed.
 	Through int64          `avro:"Through"`
 	Routers []RouterReport `avro:"Routers"`
 }
@@ -64,11 +64,11 @@
 // SchemaName names the sent form; it must never change.
 func (CollectRequest) SchemaName() string { return "UsageCollectRequest" }
 
-// SumsRequest has the sums over a zone's routers that changed since the holder took the last
-// one, or all.
+// SumsRequest contains the sums over a zone's routers: those that have changed since the last
+// request that the holder accepted, or all of them.
 type SumsRequest struct {
 	Zone ids.Zone `avro:"Zone"`
-	// Through is the last window that every router of the zone that is up has closed.
+	// Through is the last window that every running router of the zone has closed.
 	Through int64          `avro:"Through"`
 	Windows []WindowCounts `avro:"Windows"`
 }
@@ -76,8 +76,9 @@
 // SchemaName names the sent form; it must never change.
 func (SumsRequest) SchemaName() string { return "UsageSumsRequest" }
 
-// CollectResponse answers a relay. Holding is false where the receiver does not hold the
-// part of usage.
+// CollectResponse answers a SumsRequest or a CollectRequest. Holding is false if the receiver
+// does not hold the usage part or does not know the zone. Decided is the last decided window,
+// or 0 if the receiver has not loaded the log yet.
 type CollectResponse struct {
 	Holding bool  `avro:"Holding"`
 	Decided int64 `avro:"Decided"`
@@ -86,7 +87,7 @@
 // SchemaName names the sent form; it must never change.
 func (CollectResponse) SchemaName() string { return "UsageCollectResponse" }
 
-// ZoneCounts has the sums over a zone's routers.
+// ZoneCounts contains the sums over a zone's routers.
 type ZoneCounts struct {
 	Zone    ids.Zone       `avro:"Zone"`
 	Windows []WindowCounts `avro:"Windows"`
@@ -95,7 +96,8 @@
 // SchemaName names the sent form; it must never change.
 func (ZoneCounts) SchemaName() string { return "UsageZoneCounts" }
 
-// CopyResponse answers a relay; Kept is false where the receiver does not know the zone.
+// CopyResponse answers a copy of a zone's counts. Kept is false if the receiver does not know
+// the zone.
 type CopyResponse struct {
 	Kept bool `avro:"Kept"`
 }
@@ -103,7 +105,7 @@
 // SchemaName names the sent form; it must never change.
 func (CopyResponse) SchemaName() string { return "UsageCopyResponse" }
 
-// CopiesRequest asks for the copies that a controller keeps.
+// CopiesRequest asks a controller for the counts that it knows.
 type CopiesRequest struct {
 	From ids.Address `avro:"From"`
 }
@@ -111,7 +113,7 @@
 // SchemaName names the sent form; it must never change.
 func (CopiesRequest) SchemaName() string { return "UsageCopiesRequest" }
 
-// CopiesResponse has the copies that a controller keeps.
+// CopiesResponse contains the counts that a controller knows, by zone.
 type CopiesResponse struct {
 	Zones []ZoneCounts `avro:"Zones"`
 }
@@ -119,19 +121,19 @@
 // SchemaName names the sent form; it must never change.
 func (CopiesResponse) SchemaName() string { return "UsageCopiesResponse" }
 
-// Log is the register's value under LogKey.
+// Log is the register value under LogKey.
 type Log struct {
-	// Decided is the last window that was decided; windows are decided in order.
+	// Decided is the last decided window. Windows are decided in order.
 	Decided int64 `avro:"Decided"`
-	// Pending are the decided windows that the platform has not acknowledged, as far as
-	// is stored, oldest first.
+	// Pending lists the decided windows whose acknowledgment by the platform is not recorded
+	// here yet, oldest first.
 	Pending []Decision `avro:"Pending"`
 }
 
 // SchemaName names the stored form; it must never change.
 func (Log) SchemaName() string { return "UsageLog" }
 
-// Decision is the report of one window: the very bytes that are sent.
+// Decision is the report of one window. Body is sent to the platform as it is.
 type Decision struct {
 	Window int64  `avro:"Window"`
 	Body   []byte `avro:"Body"`
--- a/control/usage/meter.go
+++ b/control/usage/meter.go
@@ -9,38 +9,40 @@
 	"onyxwell/base/ids"
 )
 
-// maxWindows is how many undecided windows a router keeps: older ones are past their
-// horizon and are not reported.
+// maxWindows is how many undecided windows a router keeps. Older ones are beyond the horizon
+// (horizonWindows) and are not reported.
 const maxWindows = 24
 
-// closeDelay is for how long after the end of a window a router may still count in it.
+// closeDelay is how long after its end a window stays open: a router may still count
+// requests in it.
 const closeDelay = 100 * time.Millisecond
 
-// AllWindows is a Through of a router that counts no more.
+// AllWindows is the value of Through that closes all windows: the router counts no more
+// requests.
 const AllWindows = math.MaxInt64
 
-// Meter counts the requests of one router that runners began. It is safe for concurrent
+// Meter counts the requests of one router that runners started. It is safe for concurrent
 // use.
 type Meter struct {
 	window time.Duration
-	// now returns the agreed time.
+	// now returns the synchronized time since the Unix epoch.
 	now func() time.Duration
 
 	mu      sync.Mutex
 	windows counts
 	decided int64
-	// closed is the last window that a report has closed: it is counted in no more, also
-	// where the agreed time steps back.
+	// closed is the last window that a report has closed. It gets no further counts, even if
+	// the synchronized time is set back.
 	closed    int64
 	allClosed bool
 }
 
-// NewMeter returns a Meter of windows of that length.
+// NewMeter returns a Meter without counts for windows of the given length.
 func NewMeter(window time.Duration, now func() time.Duration) *Meter {
 	return &Meter{window: window, now: now, windows: counts{}}
 }
 
-// CountRequest counts a request of a tenant that a runner began age ago.
+// CountRequest counts a request of a tenant that a runner started age ago.
 func (m *Meter) CountRequest(tenant ids.Tenant, age time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +50,7 @@
 	m.windows.tenantCounts(window)[tenant]++
 }
 
-// Report returns the counts of all windows that are not decided.
+// Report closes the windows that have ended and returns the counts of all undecided windows.
 func (m *Meter) Report() RouterReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,7 +64,7 @@
 	return report
 }
 
-// newWindowCounts returns the counts of a window in the order of tenants' names.
+// newWindowCounts returns the counts of a window, sorted by tenant.
 func newWindowCounts(window int64, byTenant map[ids.Tenant]int64) WindowCounts {
 	result := WindowCounts{Window: window}
 	for tenant := range byTenant {
@@ -75,22 +77,23 @@
 	return result
 }
 
-// DropDecided forgets the windows up to one.
+// DropDecided has the next report drop all windows up to window, which are decided.
 func (m *Meter) DropDecided(window int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.decided = max(m.decided, window)
 }
 
-// CloseAllWindows has the next report close all windows: the router serves no more.
+// CloseAllWindows has the next report close all windows. It is called when the router stops
+// serving.
 func (m *Meter) CloseAllWindows() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.allClosed = true
 }
 
-// UntilReport returns how long to wait for the next report: the interval, or less where
-// a window is closed before.
+// UntilReport returns the time until the next report: the interval, or less if a window
+// closes earlier.
 func (m *Meter) UntilReport(interval time.Duration) time.Duration {
 	now := m.now()
 	closesAt := (now-closeDelay)/m.window*m.window + m.window + closeDelay
--- a/control/usage/relay.go
+++ b/control/usage/relay.go
@@ -10,50 +10,51 @@
 	"onyxwell/base/ids"
 )
 
-// maxForwardFailures is after how many failures in a row, with a holder that is known, a
-// relay has routers report to another relay as well: the holder may be out of reach from
-// here alone.
+// maxForwardFailures is the number of consecutive failures to forward counts to a known holder
+// after which a relay asks routers to report to another relay too. The holder may be
+// unreachable from this relay only.
 const maxForwardFailures = 2
 
-// Term is the holder of the part of usage under one fence; its zero value is that none is
-// known.
+// Term is the period in which one controller holds the usage part under one fence. The zero
+// value means that no holder is known.
 type Term struct {
 	Holder ids.Address
 	Fence  int64
 }
 
-// RelayOptions configure a Relay. All but Log are required.
+// RelayOptions configure a Relay. All are required but Log.
 type RelayOptions struct {
 	Zone ids.Zone
-	// Routers returns the routers of the zone that are up.
+	// Routers returns the running routers of the zone.
 	Routers func() []ids.Address
-	// Now returns the agreed time in nanoseconds, 0 where it is not known.
+	// Now returns the synchronized time in nanoseconds since the Unix epoch, or 0 if it is not
+	// known.
 	Now func() int64
-	// Term returns who holds the part of usage, as was heard last.
+	// Term returns the last known holder of the usage part and its fence.
 	Term func() Term
-	// SendSums sends sums to the holder. Its error is of kind UnknownCall where the holder is
-	// of an older build; Collect then sends the reports of all routers.
+	// SendSums sends sums to the holder. It returns an error of kind UnknownCall if the holder
+	// runs an older build; SendReports then sends the reports of all routers instead.
 	SendSums    func(ctx context.Context, holder ids.Address, req SumsRequest) (CollectResponse, error)
 	SendReports func(ctx context.Context, holder ids.Address, req CollectRequest) (CollectResponse, error)
-	// SendCopy sends the zone's sums to a controller that keeps a copy, where one is needed.
+	// SendCopy sends the zone's sums to a controller that keeps a copy, if one is needed.
 	SendCopy func(ctx context.Context, zone ZoneCounts)
-	// Log is told when the holder takes no counts from here, and when it does again. It may be
-	// nil.
+	// Log receives a message when the holder no longer accepts counts from this relay, and when
+	// it accepts them again. It may be nil.
 	Log *log.Logger
 }
 
-// Relay passes the counts of a zone's routers on. Every daemon has one; it works while
-// routers report to it. It is safe for concurrent use.
+// Relay forwards the counts of a zone's routers to the holder of the usage part. Every daemon
+// runs one, which is active while routers report to it. It is safe for concurrent use.
 type Relay struct {
 	options RelayOptions
 
 	mu    sync.Mutex
 	tally *tally
-	// forwardDue and copyDue say that a router has reported since the last message to the
-	// holder, and since the last copy.
+	// forwardDue and copyDue report that a router has reported since the last message to the
+	// holder, and since the last copy. A failed message leaves forwardDue set.
 	forwardDue, copyDue bool
-	// term is the one whose holder has taken sent; failures counts the messages in a row that
-	// were not taken.
+	// term is the term whose holder has accepted sent. failures is the number of consecutive
+	// messages that were not accepted.
 	term     Term
 	sent     counts
 	failures int
@@ -64,20 +65,21 @@
 	return &Relay{options: options, tally: newTally(), sent: counts{}}
 }
 
-// ReceiveReport takes a router's report over. Its error says that the router should report to
-// another relay, too.
+// ReceiveReport merges a router's report. An error of kind NotReady means that the router
+// should report to another relay too; the report is merged nevertheless.
 func (r *Relay) ReceiveReport(_ context.Context, report RouterReport) (ReportResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.merge(report)
 	r.forwardDue, r.copyDue = true, true
 	if r.failures >= maxForwardFailures {
-		return ReportResponse{}, errkind.Errorf(errkind.NotReady, "the holder of the part of usage is out of reach")
+		return ReportResponse{}, errkind.Errorf(errkind.NotReady, "holder of the usage part does not accept counts from this relay")
 	}
 	return ReportResponse{UnixNanos: r.options.Now(), Decided: r.tally.decided}, nil
 }
 
-// Forward sends what changed to the holder, and everything to a new one or after a failure.
+// Forward sends the counts that have changed to the holder, or all counts if the holder is new
+// or the last message failed.
 func (r *Relay) Forward(ctx context.Context) {
 	term := r.options.Term()
 	if term.Holder == "" {
@@ -97,12 +99,12 @@
 		r.forwardDue, r.term, r.sent = true, Term{}, counts{}
 		r.failures++
 		if r.failures == maxForwardFailures {
-			r.log(term, "holder takes no counts", err)
+			r.log(term, "usage counts not accepted by holder", err)
 		}
 		return
 	}
 	if r.failures >= maxForwardFailures {
-		r.log(term, "holder takes counts again", nil)
+		r.log(term, "usage counts accepted by holder again", nil)
 	}
 	r.term, r.failures = term, 0
 	r.sent.merge(req.Windows, resp.Decided)
@@ -110,14 +112,15 @@
 	r.tally.dropThrough(resp.Decided)
 }
 
-// log logs how the holder answers.
+// log logs a change in whether the holder accepts counts.
 func (r *Relay) log(term Term, message string, err error) {
 	if r.options.Log != nil {
 		r.options.Log.Info().Str("part", "usage").Str("holder", string(term.Holder)).Int64("fence", term.Fence).Int("failures", r.failures).Err(err).Msg(message)
 	}
 }
 
-// request returns what the holder lacks; ok is false where no router has reported since.
+// request returns the counts that the holder lacks. ok is false if no router has reported
+// since the last accepted message.
 func (r *Relay) request(term Term) (req SumsRequest, ok bool) {
 	routers := r.options.Routers()
 	r.mu.Lock()
@@ -141,15 +144,16 @@
 	return req, true
 }
 
-// reports returns the reports of all routers in place of their sums.
+// reports returns the request for a holder of an older build, which contains the reports of
+// all routers instead of their sums.
 func (r *Relay) reports(req SumsRequest) CollectRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return CollectRequest{Zone: req.Zone, Through: req.Through, Routers: r.tally.reports()}
 }
 
-// SendCopy sends the zone's sums to a controller that keeps a copy, if any router reported
-// since the last one.
+// SendCopy sends the zone's sums to a controller that keeps a copy, if any router has reported
+// since the last copy.
 func (r *Relay) SendCopy(ctx context.Context) {
 	r.mu.Lock()
 	due := r.copyDue
--- a/control/usage/send.go
+++ b/control/usage/send.go
@@ -7,12 +7,13 @@
 	"onyxwell/control/duty"
 )
 
-// retryDivisor is the part of a window, one in so many, that passes after a call that
-// the platform did not take.
+// retryDivisor sets the pause after a call that the platform did not accept: the length of a
+// window divided by retryDivisor.
 const retryDivisor = 10
 
-// reportNext sends the oldest decided window that the platform has not acknowledged. It
-// returns whether there may be another one to send at once.
+// reportNext sends the report of the oldest decided window that the platform has not
+// acknowledged. It returns true if the platform accepted it, so that the next one may follow
+// immediately.
 func (c *Collector) reportNext(ctx context.Context, fence int64) bool {
 	decision, ok := c.nextPending()
 	if !ok {
@@ -31,7 +32,8 @@
 	}
 	c.stats.Failed++
 	if err == nil && isFinal(status) {
-		// The same bytes would be rejected again, and hold up all later windows.
+		// The platform would reject the same bytes again, and retries would delay all later
+		// windows.
 		c.acknowledged = max(c.acknowledged, decision.Window)
 	}
 	c.retryAt = c.options.Clock.Now().Add(c.options.Window / retryDivisor)
@@ -41,7 +43,7 @@
 	return false
 }
 
-// isFinal reports whether a status says that the platform takes a report never.
+// isFinal reports whether a status means that the platform will never accept the report.
 func isFinal(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusRequestEntityTooLarge || status == http.StatusUnprocessableEntity
 }
--- a/control/usage/tally.go
+++ b/control/usage/tally.go
@@ -7,19 +7,20 @@
 	"onyxwell/base/ids"
 )
 
-// routerIncarnation is one routerIncarnation of a router.
+// routerIncarnation identifies one run of a router.
 type routerIncarnation struct {
 	router      ids.Address
 	incarnation int64
 }
 
-// incarnationCounts are the counts of one life of a router.
+// incarnationCounts are the counts of one router incarnation and its last closed window.
 type incarnationCounts struct {
 	through int64
 	windows counts
 }
 
-// tally merges reports. Its zero value is not ready; see newTally. Its caller locks it.
+// tally merges the reports of routers. It must be created by newTally and is not safe for
+// concurrent use.
 type tally struct {
 	decided      int64
 	incarnations map[routerIncarnation]*incarnationCounts
@@ -27,7 +28,7 @@
 
 func newTally() *tally { return &tally{incarnations: map[routerIncarnation]*incarnationCounts{}} }
 
-// merge takes a report over: each count rises to the report's.
+// merge raises each count to that in the report if it is lower.
 func (t *tally) merge(report RouterReport) {
 	key := routerIncarnation{router: report.Router, incarnation: report.Incarnation}
 	merged := t.incarnations[key]
@@ -39,8 +40,8 @@
 	merged.windows.merge(report.Windows, t.decided)
 }
 
-// dropThrough drops the windows up to one, and lives of which nothing is left but the newest
-// of each router.
+// dropThrough drops all windows up to decided, and the incarnations without remaining counts,
+// except the newest of each router.
 func (t *tally) dropThrough(decided int64) {
 	t.decided = max(t.decided, decided)
 	newest := map[ids.Address]int64{}
@@ -55,7 +56,7 @@
 	}
 }
 
-// dropRouters forgets a router that is gone, once nothing of it is left to be reported.
+// dropRouters drops the incarnations without remaining counts of routers that are gone.
 func (t *tally) dropRouters(gone func(ids.Address) bool) {
 	for key, counts := range t.incarnations {
 		if len(counts.windows) == 0 && gone(key.router) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// reports returns everything that is not decided, in a stable order.
+// reports returns the undecided counts as reports, sorted by router and incarnation.
 func (t *tally) reports() []RouterReport {
 	var reports []RouterReport
 	for key, known := range t.incarnations {
@@ -76,7 +77,7 @@
 	return reports
 }
 
-// sums returns the sums over all routers of everything that is not decided.
+// sums returns the undecided counts summed over all routers.
 func (t *tally) sums() counts {
 	total := counts{}
 	for _, known := range t.incarnations {
@@ -89,8 +90,8 @@
 	return total
 }
 
-// closedThrough returns the last window that a router's newest life has closed; false where
-// nothing was heard of it.
+// closedThrough returns the last window that the newest incarnation of a router has closed.
+// known is false if there is no report of the router.
 func (t *tally) closedThrough(router ids.Address) (window int64, known bool) {
 	newest := int64(0)
 	for key, counts := range t.incarnations {
@@ -101,7 +102,7 @@
 	return window, known
 }
 
-// sum adds the counts of a window up.
+// sum returns the counts of a window summed over all routers.
 func (t *tally) sum(window int64) map[ids.Tenant]int64 {
 	total := map[ids.Tenant]int64{}
 	for _, counts := range t.incarnations {
--- a/control/usage/zone.go
+++ b/control/usage/zone.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// silenceTimeout is after how long without a word from its relays a zone is silent: lost or
-	// cut off.
+	// silenceTimeout is how long after the last message from its relays a zone counts as
+	// silent, which means that it is lost or partitioned from the holder.
 	silenceTimeout = 2 * time.Second
-	// maxPartitionWait is for how long a silent zone is waited for: it may be lost for good, and
-	// the windows of the others would never be reported in time.
+	// maxPartitionWait is how long decisions wait for a silent zone. The zone may be lost
+	// permanently, and the windows of the other zones would never be reported in time.
 	maxPartitionWait = time.Minute
 )
 
 // zoneState is what a collector knows of one zone.
 type zoneState struct {
-	// sums has the sums that its relays sent, and those that a controller kept; tally what
-	// relays of an older build sent.
+	// sums holds the sums sent by the zone's relays and those of copies, tally the reports sent
+	// by relays of an older build.
 	sums  counts
 	tally *tally
-	// closed is the last window that its routers have closed; known says that a relay told.
+	// closed is the last window that the zone's routers have closed. It is valid if
+	// closedKnown is set.
 	closed      int64
 	closedKnown bool
-	// lastContact is when a relay last sent something, contactRegainedAt when one did after a silence.
+	// lastContact is when a relay last sent a message, contactRegainedAt when one last did so
+	// after the zone had been silent.
 	lastContact, contactRegainedAt clock.Instant
 }
 
 func newZoneState() *zoneState { return &zoneState{tally: newTally(), sums: counts{}} }
 
-// reset forgets what the zone's routers told an earlier holder. Its counts stay: they hold
-// under every fence.
+// reset clears what was learned under another fence about closed windows and contact with the
+// zone. Counts are kept, as they are valid under every fence.
 func (z *zoneState) reset(now clock.Instant) {
 	z.closed, z.closedKnown, z.lastContact, z.contactRegainedAt = 0, false, now, 0
 }
 
-// recordContact records that a relay sent something.
+// recordContact records that a relay sent a message.
 func (z *zoneState) recordContact(now clock.Instant) {
 	if z.isSilent(now) {
 		z.contactRegainedAt = now
@@ -49,7 +51,7 @@
 	return now.Since(z.lastContact) > silenceTimeout
 }
 
-// sum returns the counts of a window: each is as high as anybody knows.
+// sum returns the counts of a window: the maximum of all sources for each tenant.
 func (z *zoneState) sum(window int64) map[ids.Tenant]int64 {
 	sum := z.tally.sum(window)
 	for tenant, count := range z.sums[window] {
@@ -58,7 +60,8 @@
 	return sum
 }
 
-// mergedCounts returns the counts of mergedCounts windows: each is as high as anybody knows.
+// mergedCounts returns the counts of the newest maxWindows windows: the maximum of all sources
+// for each tenant.
 func (z *zoneState) mergedCounts() counts {
 	merged := z.tally.sums()
 	merged.merge(z.sums.toMessage(), 0)
@@ -66,12 +69,13 @@
 	return merged
 }
 
-// isClosed reports whether its routers have closed a window.
+// isClosed reports whether the zone's routers have closed a window.
 func (z *zoneState) isClosed(window int64) bool { return z.closedKnown && z.closed >= window }
 
-// awaitsPartitionedZone reports whether a window is left undecided since a zone may be cut off, or
-// was until a moment ago: its routers go on counting, and what they counted falls due once
-// the sides have come together. The caller holds c.mu.
+// awaitsPartitionedZone reports whether the decision of a window waits for a zone that may be
+// partitioned, or was until recently. The routers of such a zone go on counting, and their
+// counts become due once the partition has healed and the sides have merged. The caller holds
+// c.mu.
 func (c *Collector) awaitsPartitionedZone(window int64) bool {
 	if c.options.MergeTime == 0 {
 		return false
