--- a/control/controller/duties.go
+++ b/control/controller/duties.go
@@ -89,7 +89,7 @@
 func (c *Controller) newAssigner(holder *lease.Holder, parts []duty.Part) func(context.Context) {
 	c.duties.assigner = duty.NewAssigner(duty.AssignerOptions{
 		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Parts: parts, TTL: c.timing.LeaseDuration, HandOverDelay: c.handOverTime(),
-		AssignerLease: holder.Held, Update: c.commands.Update, Publish: func(item gossip.Item) { c.daemon.Updates.Put(item) }, NewVersion: discovery.FencedSerial, Log: c.log,
+		AssignerLease: holder.Held, Update: c.commands.Update, Publish: func(item gossip.Item) { c.daemon.Updates.Put(item) }, NewSerial: discovery.FencedSerial, Log: c.log,
 	})
 	c.duties.session = duty.NewSession(duty.SessionOptions{
 		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Zone: c.settings.Zone, Incarnation: 1 + random.Int64N(1<<62),
--- a/control/duty/assigner.go
+++ b/control/duty/assigner.go
@@ -37,10 +37,10 @@
 	Update func(ctx context.Context, key string, update UpdateFunc) ([]byte, error)
 	// Publish gossips the overview.
 	Publish func(item gossip.Item)
-	// NewVersion returns the version of a gossiped item. Versions are ordered by epoch, then by
-	// counter.
-	NewVersion func(epoch int64, counter int64) ids.Version
-	Log        *log.Logger
+	// NewSerial returns the version of a gossiped item. Versions must be ordered by epoch, then
+	// by counter.
+	NewSerial func(epoch int64, counter int64) ids.Version
+	Log       *log.Logger
 }
 
 // Assigner assigns the parts to controllers while its own controller holds the lease. It is
@@ -162,7 +162,7 @@
 	for _, record := range assignment.Parts {
 		state := a.parts[record.Part]
 		if state == nil {
-			// Keep the fence of a part that is not configured in this build.
+			// A part that this build does not know keeps its fence.
 			state = &partState{}
 			a.parts[record.Part] = state
 		}
@@ -195,9 +195,9 @@
 		process: from, zone: req.Zone, expiry: now.Add(a.options.TTL), eligible: req.Eligible, platformDown: req.PlatformDown,
 	}
 	a.release(from, req, now)
-	for _, act := range req.LastCalls {
-		if state := a.parts[act.Part]; state != nil && state.record.heldBy(from) {
-			state.lastCall = act
+	for _, call := range req.LastCalls {
+		if state := a.parts[call.Part]; state != nil && state.record.heldBy(from) {
+			state.lastCall = call
 		}
 	}
 	resp := SessionResponse{Assigning: true, Assigner: a.options.Address, Epoch: epoch}
@@ -229,8 +229,8 @@
 	}
 }
 
-// HandOver moves a part to another controller if there is one. The holder first releases the
-// part in an orderly way.
+// HandOver starts to move a part to another controller if there is one: the part is revoked, and
+// is assigned again once its holder has released it or its session has expired.
 func (a *Assigner) HandOver(req HandOverRequest, now clock.Instant) HandOverResponse {
 	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
@@ -338,7 +338,7 @@
 	}
 	a.published = body
 	a.counter++
-	a.options.Publish(gossip.Item{Key: OverviewKey, Version: a.options.NewVersion(epoch, a.counter), Body: body})
+	a.options.Publish(gossip.Item{Key: OverviewKey, Version: a.options.NewSerial(epoch, a.counter), Body: body})
 }
 
 func (a *Assigner) sortedParts() []Part {
@@ -350,14 +350,14 @@
 	return parts
 }
 
-// LastCalls returns the last call of each part, as reported by its holder. It is empty if
-// this controller has never been the assigner.
+// LastCalls returns the last call of each part, as reported by its holder. It is empty if this
+// controller has never been the assigner, and may be outdated if it no longer is.
 func (a *Assigner) LastCalls() map[Part]LastCall {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	acts := map[Part]LastCall{}
+	calls := map[Part]LastCall{}
 	for part, state := range a.parts {
-		acts[part] = state.lastCall
+		calls[part] = state.lastCall
 	}
-	return acts
+	return calls
 }
--- a/control/duty/balance.go
+++ b/control/duty/balance.go
@@ -9,8 +9,8 @@
 )
 
 // planMoves returns the records of the parts that get a new holder now. If there are none,
-// it starts to revoke one part of a holder that has too many. To move few parts, it moves
-// only those whose holder is gone, cannot reach the platform while others can, or has at
+// it revokes one part of a holder that has too many. To keep moves rare, a part moves only if
+// its holder is gone or has released it, cannot reach the platform while others can, or has at
 // least two parts more than another.
 func (a *Assigner) planMoves(now clock.Instant) []PartRecord {
 	a.mu.Lock()
--- a/control/duty/client.go
+++ b/control/duty/client.go
@@ -26,7 +26,8 @@
 	// ErrNotHeld reports that nothing was sent: this controller does not hold the part under
 	// the given fence, or may not make calls for it yet.
 	ErrNotHeld = errors.New("duty: part is not held by this controller")
-	// ErrFenceRefused says that the platform has taken a call under a higher fence.
+	// ErrFenceRefused reports that the platform refused the fence of the call, because it has
+	// accepted a call under a higher one.
 	ErrFenceRefused = errors.New("duty: fence refused by the platform: it has accepted a higher one")
 )
 
@@ -134,9 +135,9 @@
 }
 
 // Encode implements httpcall.Requester.
-func (o callRequest) Encode() httpcall.OutgoingRequest {
-	return httpcall.OutgoingRequest{Method: http.MethodPost, Path: o.call.Path, Body: o.call.Body, Header: http.Header{
-		holderHeader: {o.node}, fenceHeader: {strconv.FormatInt(o.fence, 10)}, "Content-Type": {"application/json"},
+func (r callRequest) Encode() httpcall.OutgoingRequest {
+	return httpcall.OutgoingRequest{Method: http.MethodPost, Path: r.call.Path, Body: r.call.Body, Header: http.Header{
+		holderHeader: {r.node}, fenceHeader: {strconv.FormatInt(r.fence, 10)}, "Content-Type": {"application/json"},
 	}}
 }
 
@@ -144,8 +145,8 @@
 type callResponse struct{ status int }
 
 // Decode implements httpcall.ResponseReader.
-func (a *callResponse) Decode(raw httpcall.RawResponse) error {
-	a.status = raw.Status
+func (r *callResponse) Decode(raw httpcall.RawResponse) error {
+	r.status = raw.Status
 	return nil
 }
 
--- a/control/duty/cluster_test.go
+++ b/control/duty/cluster_test.go
@@ -113,7 +113,7 @@
 	}
 	n.assigner = NewAssigner(AssignerOptions{
 		Clock: c.clock, Wall: n.wall, Address: n.address(), Parts: testParts, TTL: testTTL, HandOverDelay: c.options.handOver,
-		AssignerLease: lease, Update: n.update, Publish: func(gossip.Item) {}, NewVersion: func(epoch, counter int64) ids.Version { return ids.Version(counter) },
+		AssignerLease: lease, Update: n.update, Publish: func(gossip.Item) {}, NewSerial: func(epoch, counter int64) ids.Version { return ids.Version(counter) },
 	})
 	n.session = NewSession(SessionOptions{
 		Clock: c.clock, Wall: n.wall, Address: n.address(), Zone: ids.Zone(fmt.Sprintf("z%d", n.index)), Incarnation: n.incarnation,
@@ -255,28 +255,28 @@
 	violations []string
 }
 
-func (j *callChecker) check(c platformCall) {
+func (checker *callChecker) check(c platformCall) {
 	// otherHolderSince reports whether another holder has made a call since the former call.
 	otherHolderSince := false
-	for index := len(j.calls) - 1; index >= 0; index-- {
-		former := j.calls[index]
+	for index := len(checker.calls) - 1; index >= 0; index-- {
+		former := checker.calls[index]
 		if former.part != c.part {
 			continue
 		}
 		switch {
 		case former.fence > c.fence:
-			j.violations = append(j.violations, fmt.Sprintf("%s: call under fence %d of %v after a call under the higher fence %d of %v", c.part, c.fence, c.holder, former.fence, former.holder))
+			checker.violations = append(checker.violations, fmt.Sprintf("%s: call under fence %d of %v after a call under the higher fence %d of %v", c.part, c.fence, c.holder, former.fence, former.holder))
 		case former.fence == c.fence && former.holder != c.holder:
-			j.violations = append(j.violations, fmt.Sprintf("%s: fence %d is used by %v and by %v", c.part, c.fence, c.holder, former.holder))
+			checker.violations = append(checker.violations, fmt.Sprintf("%s: fence %d is used by %v and by %v", c.part, c.fence, c.holder, former.holder))
 		case former.holder == c.holder && otherHolderSince && c.at.Since(former.at) < testHandOver:
-			j.violations = append(j.violations, fmt.Sprintf("%s: %v made a call %v after its previous one, with a call of another holder in between", c.part, c.holder, c.at.Since(former.at)))
+			checker.violations = append(checker.violations, fmt.Sprintf("%s: %v made a call %v after its previous one, with a call of another holder in between", c.part, c.holder, c.at.Since(former.at)))
 		}
 		otherHolderSince = otherHolderSince || former.holder != c.holder
 		if c.at.Since(former.at) > 4*testHandOver {
 			break
 		}
 	}
-	j.calls = append(j.calls, c)
+	checker.calls = append(checker.calls, c)
 }
 
 // toggleFault starts or ends a fault of a random controller.
@@ -410,8 +410,8 @@
 			}
 			return next, nil
 		},
-		Publish:    func(item gossip.Item) { published = append(published, item) },
-		NewVersion: func(epoch, counter int64) ids.Version { return ids.Version(epoch<<32 | counter) },
+		Publish:   func(item gossip.Item) { published = append(published, item) },
+		NewSerial: func(epoch, counter int64) ids.Version { return ids.Version(epoch<<32 | counter) },
 	})
 	run := func(addresses ...ids.Address) {
 		for range int(2 * testHandOver / testStep) {
--- a/control/duty/holding.go
+++ b/control/duty/holding.go
@@ -37,7 +37,7 @@
 func (s *Session) mayCall(held *heldPart) bool {
 	now := s.options.Clock.Now()
 	if s.assigner == s.options.Address {
-		if epoch, own := s.options.AssignerLease(now); !own || epoch != s.epoch {
+		if epoch, leaseHeld := s.options.AssignerLease(now); !leaseHeld || epoch != s.epoch {
 			return false
 		}
 	}
--- a/control/duty/messages.go
+++ b/control/duty/messages.go
@@ -89,14 +89,14 @@
 	// Rejected lists the grants that the controller does not accept, because it released the
 	// part or the platform refused the fence.
 	Rejected []Grant `avro:"Rejected"`
-	// LastCalls are the last calls of parts held here, for the overview.
+	// LastCalls lists the last call for each part, for display to operators.
 	LastCalls []LastCall `avro:"Acts"`
 }
 
 // SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (SessionRequest) SchemaName() string { return "DutySessionRequest" }
 
-// Grant is a part that a controller holds, or has held.
+// Grant is a part and the fence under which a controller holds it, or has held it.
 type Grant struct {
 	Part  Part  `avro:"Part"`
 	Fence int64 `avro:"Fence"`
@@ -141,7 +141,7 @@
 // SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (HandOverResponse) SchemaName() string { return "DutyHandOverResponse" }
 
-// LastCall is the last call that a part's holder made.
+// LastCall is the last call to the platform that the holder of a part made.
 type LastCall struct {
 	Part Part `avro:"Part"`
 	// UnixMS is when the call ended. Status is the HTTP status of the answer, or 0 if there
@@ -173,7 +173,7 @@
 	SinceUnixMS int64 `avro:"SinceUnixMS" json:"since_unix_ms"`
 	Moves       int64 `avro:"Moves" json:"moves"`
 	// LastCallUnixMS and LastCallStatus describe the holder's last call, as reported to the
-	// assigner.
+	// assigner. They are not gossiped: only the assigner's controller fills them in.
 	LastCallUnixMS int64 `avro:"ActUnixMS" json:"last_act_unix_ms"`
 	LastCallStatus int64 `avro:"ActStatus" json:"last_act_status"`
 }
--- a/control/duty/session.go
+++ b/control/duty/session.go
@@ -215,8 +215,8 @@
 	for part, fence := range s.rejectedFences {
 		req.Rejected = append(req.Rejected, Grant{Part: part, Fence: fence})
 	}
-	for _, act := range s.lastCalls {
-		req.LastCalls = append(req.LastCalls, act)
+	for _, call := range s.lastCalls {
+		req.LastCalls = append(req.LastCalls, call)
 	}
 	for _, since := range s.unansweredSince {
 		req.PlatformDown = req.PlatformDown || now.Since(since) > s.options.TTL
--- a/control/sizing/sizing.go
+++ b/control/sizing/sizing.go
@@ -223,8 +223,8 @@
 	}
 	status, err := o.options.Call(ctx, duty.SizePart(zone), state.fence, duty.Call{Path: "/size", Body: body})
 	final := status == http.StatusBadRequest || status == http.StatusNotFound || status == http.StatusUnprocessableEntity
-	taken := status >= http.StatusOK && status < http.StatusMultipleChoices
-	if err == nil && (taken || final) {
+	accepted := status >= http.StatusOK && status < http.StatusMultipleChoices
+	if err == nil && (accepted || final) {
 		state.acknowledged[order.Service] = order.Wanted
 	} else {
 		state.retryAt = o.options.Clock.Now().Add(o.options.RetryPause)
@@ -233,5 +233,5 @@
 		o.options.Log.Info().Str("part", "sizing").Str("service", string(order.Service)).Str("zone", string(zone)).
 			Int64("wanted", order.Wanted).Int64("fence", state.fence).Int("status", status).Err(err).Msg("size ordered")
 	}
-	return err == nil && (taken || final)
+	return err == nil && (accepted || final)
 }
--- a/control/usage/collector_test.go
+++ b/control/usage/collector_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("windows %d to %d: %v", first, last, wrong)
 	}
 	for window := first; window <= last; window++ {
-		if after := f.platform.takenAt[window] - time.Duration(window+1)*testWindow; after > 2*time.Second {
+		if after := f.platform.acceptedAt[window] - time.Duration(window+1)*testWindow; after > 2*time.Second {
 			t.Errorf("window %d was reported %v after its end although all routers had closed it", window, after)
 		}
 	}
@@ -59,9 +59,9 @@
 			router.partitioned = false
 		}
 		f.assignTo(0)
-		calmFrom := f.now()
+		healthyFrom := f.now()
 		f.run(40 * time.Second)
-		first, last := windowsBetween(calmFrom+testLate, f.now())
+		first, last := windowsBetween(healthyFrom+testDueAfter, f.now())
 		if wrong := f.lateOrMiscounted(first, last, 0); len(wrong) > 0 {
 			t.Fatalf("after the faults: %v", wrong)
 		}
@@ -167,7 +167,7 @@
 	f.callsAllowedAt = f.clock.Now().Add(time.Hour)
 	resp, err := f.collectors[0].ReceiveSums(context.Background(), SumsRequest{Zone: "0", Through: 1})
 	if err != nil || !resp.Holding {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("counts not accepted: response %+v, error %v", resp, err)
 	}
 }
 
@@ -175,9 +175,9 @@
 // affected windows must wait for the zone and be complete. Otherwise they are decided at the
 // usual time, without its counts.
 func TestUsage_partitionedZone(t *testing.T) {
-	for merge, want := range map[time.Duration]int{0: 1, 3 * time.Second: 0} {
+	for mergeTime, want := range map[time.Duration]int{0: 1, 3 * time.Second: 0} {
 		f := newFleet(8)
-		f.merge = merge
+		f.mergeTime = mergeTime
 		f.startCollector(0)
 		start := f.now()
 		f.run(12 * time.Second)
@@ -189,12 +189,12 @@
 		first, last := windowsBetween(start, f.now())
 		wrong := f.miscounted(first, last, 0)
 		if min(len(wrong), 1) != want {
-			t.Errorf("merge time %v: %v", merge, wrong)
+			t.Errorf("merge time %v: %v", mergeTime, wrong)
 		}
 		for window := first; window <= last; window++ {
-			due := max(time.Duration(window+1)*testWindow, healed+merge) + testLate
-			if f.platform.takenAt[window] > due {
-				t.Errorf("merge time %v: window %d was reported late", merge, window)
+			due := max(time.Duration(window+1)*testWindow, healed+mergeTime) + testDueAfter
+			if f.platform.acceptedAt[window] > due {
+				t.Errorf("merge time %v: window %d was reported late", mergeTime, window)
 			}
 		}
 	}
@@ -204,16 +204,16 @@
 // minute, windows must be reported in time again.
 func TestUsage_zoneLostPermanently(t *testing.T) {
 	f := newFleet(9)
-	f.merge = 3 * time.Second
+	f.mergeTime = 3 * time.Second
 	f.startCollector(0)
 	f.run(12 * time.Second)
 	for _, router := range f.routers {
 		router.down = router.zone == 0
 	}
-	f.run(maxPartitionWait + testLate)
-	calm := f.now()
+	f.run(maxPartitionWait + testDueAfter)
+	healthyFrom := f.now()
 	f.run(40 * time.Second)
-	first, last := windowsBetween(calm, f.now())
+	first, last := windowsBetween(healthyFrom, f.now())
 	if wrong := f.lateOrMiscounted(first, last, 0); len(wrong) > 0 {
 		t.Errorf("%v", wrong)
 	}
@@ -255,7 +255,7 @@
 	}
 	first, last := windowsBetween(start, f.now())
 	for window := first; window <= last; window++ {
-		if _, taken := f.platform.firstReports[window]; !taken {
+		if _, reported := f.platform.firstReports[window]; !reported {
 			t.Errorf("window %d was not reported", window)
 		}
 	}
--- a/control/usage/counts.go
+++ b/control/usage/counts.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// keepNewest drops all but the newest windows, whose number is given.
+// keepNewest drops all windows that are not among the given number of newest ones.
 func (c counts) keepNewest(windows int64) {
 	newest := int64(0)
 	for window := range c {
--- a/control/usage/decide.go
+++ b/control/usage/decide.go
@@ -28,8 +28,8 @@
 var errLogChanged = errors.New("usage: stored log has changed since it was loaded")
 
 // load reads the stored log, and the copies that other controllers keep of zones that may be
-// lost. A log that is older than the horizon is advanced to it, and a log that was never
-// written starts at the window before the current one.
+// lost. Windows before the horizon, or before the current window if the log was never written,
+// count as decided.
 func (c *Collector) load(ctx context.Context, fence int64) bool {
 	present := int64(c.options.Now() / c.options.Window)
 	value, err := c.options.Update(ctx, LogKey, func(current []byte) ([]byte, error) {
--- a/control/usage/harness_test.go
+++ b/control/usage/harness_test.go
@@ -23,11 +23,11 @@
 var errLost = errors.New("lost")
 
 const (
-	testWindow  = 5 * time.Second
-	testLate    = 10 * time.Second
-	testZones   = 3
-	testRouters = 6
-	testStep    = 250 * time.Millisecond
+	testWindow   = 5 * time.Second
+	testDueAfter = 10 * time.Second
+	testZones    = 3
+	testRouters  = 6
+	testStep     = 250 * time.Millisecond
 	// testCallsPerStep is the maximum number of reports that a holder sends per step.
 	testCallsPerStep = 2
 	// testEpoch is the synchronized time at the zero of the fake clock, the start of a window.
@@ -55,7 +55,7 @@
 	platform            testPlatform
 	// mergeTime is the collectors' MergeTime. Relays of partitioned zones do not reach the
 	// holder.
-	merge       time.Duration
+	mergeTime   time.Duration
 	partitioned [testZones]bool
 	// callsAllowedAt is the time from which the holder may make calls.
 	callsAllowedAt clock.Instant
@@ -82,7 +82,7 @@
 	// random.
 	down, losesResponses bool
 	firstReports         map[int64]string
-	takenAt              map[int64]time.Duration
+	acceptedAt           map[int64]time.Duration
 	conflicts            []string
 	calls                int
 }
@@ -90,7 +90,7 @@
 func newFleet(seed uint64) *fleet {
 	f := &fleet{
 		clock: clock.NewFake(), random: rand.New(rand.NewPCG(seed, 3)), requests: map[int64]map[ids.Tenant]int64{},
-		platform: testPlatform{firstReports: map[int64]string{}, takenAt: map[int64]time.Duration{}},
+		platform: testPlatform{firstReports: map[int64]string{}, acceptedAt: map[int64]time.Duration{}},
 	}
 	for index := range testRouters {
 		f.routers = append(f.routers, &testRouter{zone: index % testZones})
@@ -148,7 +148,7 @@
 
 func (f *fleet) startCollector(index int) {
 	f.collectors[index] = NewCollector(CollectorOptions{
-		Clock: f.clock, Now: f.now, Synced: func() bool { return true }, Window: testWindow, DueAfter: testLate, Zones: testZoneNames, MergeTime: f.merge, CallsPerStep: testCallsPerStep,
+		Clock: f.clock, Now: f.now, Synced: func() bool { return true }, Window: testWindow, DueAfter: testDueAfter, Zones: testZoneNames, MergeTime: f.mergeTime, CallsPerStep: testCallsPerStep,
 		FetchCopies: func(ctx context.Context) []ZoneCounts {
 			resp, _ := f.collectors[1-index].ListCopies(ctx, CopiesRequest{})
 			return resp.Zones
@@ -200,7 +200,7 @@
 	if first, known := f.platform.firstReports[got.Window]; known && first != string(call.Body) {
 		f.platform.conflicts = append(f.platform.conflicts, fmt.Sprintf("%s after %s", call.Body, first))
 	} else if !known {
-		f.platform.firstReports[got.Window], f.platform.takenAt[got.Window] = string(call.Body), f.now()
+		f.platform.firstReports[got.Window], f.platform.acceptedAt[got.Window] = string(call.Body), f.now()
 	}
 	if f.platform.losesResponses && f.random.IntN(2) == 0 {
 		return 0, errLost
@@ -259,8 +259,8 @@
 // late, not at all, or with a count that differs by more than tolerance requests.
 func (f *fleet) lateOrMiscounted(first, last int64, tolerance int64) (wrong []string) {
 	for window := first; window <= last; window++ {
-		due := time.Duration(window+1)*testWindow + testLate
-		if f.platform.takenAt[window] > due {
+		due := time.Duration(window+1)*testWindow + testDueAfter
+		if f.platform.acceptedAt[window] > due {
 			wrong = append(wrong, fmt.Sprintf("window %d was reported late", window))
 		}
 	}
@@ -271,8 +271,8 @@
 // or was reported with a count that differs by more than tolerance requests.
 func (f *fleet) miscounted(first, last int64, tolerance int64) (wrong []string) {
 	for window := first; window <= last; window++ {
-		text, taken := f.platform.firstReports[window]
-		if !taken {
+		text, reported := f.platform.firstReports[window]
+		if !reported {
 			wrong = append(wrong, fmt.Sprintf("window %d was not reported", window))
 			continue
 		}
@@ -290,7 +290,7 @@
 // windowsBetween returns the first window that starts after from and the last one that is due
 // before to.
 func windowsBetween(from, to time.Duration) (first, last int64) {
-	return int64(from/testWindow) + 1, int64((to-testLate)/testWindow) - 1
+	return int64(from/testWindow) + 1, int64((to-testDueAfter)/testWindow) - 1
 }
 
 // toggleFault causes a fault of the given kind, or starts or ends one.
--- a/control/usage/messages.go
+++ b/control/usage/messages.go
@@ -29,7 +29,7 @@
 	Windows []WindowCounts `avro:"Windows"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (RouterReport) SchemaName() string { return "UsageRouterReport" }
 
 // WindowCounts contains the counts of one window in columns: Counts[i] belongs to Tenants[i].
@@ -39,7 +39,7 @@
 	Counts  []int64      `avro:"Counts"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (WindowCounts) SchemaName() string { return "UsageWindowCounts" }
 
 // ReportResponse answers a router's report.
@@ -50,7 +50,7 @@
 	Decided int64 `avro:"Decided"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (ReportResponse) SchemaName() string { return "UsageReportResponse" }
 
 // CollectRequest contains the reports of a zone's routers.
@@ -61,7 +61,7 @@
 	Routers []RouterReport `avro:"Routers"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (CollectRequest) SchemaName() string { return "UsageCollectRequest" }
 
 // SumsRequest contains the sums over a zone's routers: those that have changed since the last
@@ -73,7 +73,7 @@
 	Windows []WindowCounts `avro:"Windows"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (SumsRequest) SchemaName() string { return "UsageSumsRequest" }
 
 // CollectResponse answers a SumsRequest or a CollectRequest. Holding is false if the receiver
@@ -84,7 +84,7 @@
 	Decided int64 `avro:"Decided"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (CollectResponse) SchemaName() string { return "UsageCollectResponse" }
 
 // ZoneCounts contains the sums over a zone's routers.
@@ -93,7 +93,7 @@
 	Windows []WindowCounts `avro:"Windows"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (ZoneCounts) SchemaName() string { return "UsageZoneCounts" }
 
 // CopyResponse answers a copy of a zone's counts. Kept is false if the receiver does not know
@@ -102,7 +102,7 @@
 	Kept bool `avro:"Kept"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (CopyResponse) SchemaName() string { return "UsageCopyResponse" }
 
 // CopiesRequest asks a controller for the counts that it knows.
@@ -110,7 +110,7 @@
 	From ids.Address `avro:"From"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (CopiesRequest) SchemaName() string { return "UsageCopiesRequest" }
 
 // CopiesResponse contains the counts that a controller knows, by zone.
@@ -118,7 +118,7 @@
 	Zones []ZoneCounts `avro:"Zones"`
 }
 
-// SchemaName names the sent form; it must never change.
+// SchemaName returns the name of the Avro schema on the wire, which must never change.
 func (CopiesResponse) SchemaName() string { return "UsageCopiesResponse" }
 
 // Log is the register value under LogKey.
@@ -130,7 +130,7 @@
 	Pending []Decision `avro:"Pending"`
 }
 
-// SchemaName names the stored form; it must never change.
+// SchemaName returns the name of the stored Avro schema, which must never change.
 func (Log) SchemaName() string { return "UsageLog" }
 
 // Decision is the report of one window. Body is sent to the platform as it is.
@@ -139,5 +139,5 @@
 	Body   []byte `avro:"Body"`
 }
 
-// SchemaName names the stored form; it must never change.
+// SchemaName returns the name of the stored Avro schema, which must never change.
 func (Decision) SchemaName() string { return "UsageDecision" }
--- a/control/usage/meter.go
+++ b/control/usage/meter.go
@@ -9,8 +9,8 @@
 	"onyxwell/base/ids"
 )
 
-// maxWindows is how many undecided windows a router keeps. Older ones are beyond the horizon
-// (horizonWindows) and are not reported.
+// maxWindows is how many undecided windows a router keeps, and of how many windows a controller
+// keeps copies. Older ones are beyond the horizon (horizonWindows) and are not reported.
 const maxWindows = 24
 
 // closeDelay is how long after its end a window stays open: a router may still count
