--- a/control/usage/collector_test.go
+++ b/control/usage/collector_test.go
@@ -12,15 +12,15 @@
 // time, with exact counts and by a single call, also if the holder runs an older build that
 // does not support sums.
 func TestUsage_countsEveryRequestWithoutFaults(t *testing.T) {
-	for _, olderHolder := range []bool{false, true} {
-		testWithoutFaults(t, olderHolder)
+	for _, legacyHolder := range []bool{false, true} {
+		testWithoutFaults(t, legacyHolder)
 	}
 }
 
-func testWithoutFaults(t *testing.T, olderHolder bool) {
+func testWithoutFaults(t *testing.T, legacyHolder bool) {
 	t.Helper()
 	f := newFleet(1)
-	f.legacyHolder = olderHolder
+	f.legacyHolder = legacyHolder
 	start := f.now()
 	f.run(60 * time.Second)
 	first, last := windowsBetween(start, f.now())
@@ -36,7 +36,7 @@
 		t.Errorf("%d windows were decided without all zones, want at most 1", stats.Incomplete)
 	}
 	if f.platform.calls != len(f.platform.firstReports) {
-		t.Errorf("%d calls for %d windows", f.platform.calls, len(f.platform.firstReports))
+		t.Errorf("%d calls for %d windows, want one call per window", f.platform.calls, len(f.platform.firstReports))
 	}
 }
 
