--- a/control/duty/assigner.go
+++ b/control/duty/assigner.go
@@ -16,7 +16,7 @@
 	"onyxwell/control/transport"
 )
 
-// UpdateFunc returns the next value of a key that is stored on a majority.
+// UpdateFunc returns the next value of a register key, which is stored on a majority.
 type UpdateFunc = register.UpdateFunc
 
 // AssignerOptions configure an Assigner. All are required but Log.
@@ -24,35 +24,38 @@
 	Clock   clock.Clock
 	Wall    func() time.Time
 	Address ids.Address
-	// Parts are all parts of the deployment.
+	// Parts lists all parts of the deployment.
 	Parts []Part
-	// TTL is that of sessions; HandOver is for how long after its predecessor could have
-	// made a call a new holder makes none.
-	TTL      time.Duration
-	HandOver time.Duration
-	// Held reports whether this controller holds the assigner's lease, and its epoch.
-	Held func(now clock.Instant) (epoch int64, held bool)
-	// Update stores the assignment.
+	// TTL is the time to live of sessions. HandOverDelay is how long a new holder waits after
+	// its predecessor could last have made a call.
+	TTL           time.Duration
+	HandOverDelay time.Duration
+	// AssignerLease returns the epoch of the assigner's lease and whether this controller
+	// holds it.
+	AssignerLease func(now clock.Instant) (epoch int64, held bool)
+	// Update replaces the value of a register key on a majority and returns the stored value.
 	Update func(ctx context.Context, key string, update UpdateFunc) ([]byte, error)
 	// Publish gossips the overview.
 	Publish func(item gossip.Item)
-	// NewSerial orders gossiped items by epoch, then by counter.
+	// NewSerial returns the version of a gossiped item. Versions must be ordered by epoch, then
+	// by counter.
 	NewSerial func(epoch int64, counter int64) ids.Version
 	Log       *log.Logger
 }
 
-// Assigner deals the parts while its controller holds the lease. It is safe for
-// concurrent use.
+// Assigner assigns the parts to controllers while its own controller holds the lease. It is
+// safe for concurrent use.
 type Assigner struct {
 	options AssignerOptions
 
 	mu sync.Mutex
-	// epoch is the one under which the rest was begun; ready says that the stored
-	// assignment was read under it.
-	epoch   int64
-	begunAt clock.Instant
-	ready   bool
-	// counter orders the overviews that were published under epoch.
+	// epoch is the epoch of the lease under which the fields below were loaded. ready reports
+	// that they reflect the stored assignment; it is reset when a write has an unknown
+	// outcome.
+	epoch          int64
+	epochStartedAt clock.Instant
+	ready          bool
+	// counter numbers the overviews that were published under epoch.
 	counter   int64
 	sessions  map[ids.Address]*assignerSession
 	parts     map[Part]*partState
@@ -71,57 +74,60 @@
 // partState is a part as the assigner knows it.
 type partState struct {
 	record PartRecord
-	// busyUntil is until when the recorded holder may make calls.
+	// busyUntil is the time until which the recorded holder may make calls.
 	busyUntil clock.Instant
-	// notBefore is from when on a new holder may make calls.
+	// notBefore is the time from which a new holder may make calls.
 	notBefore clock.Instant
-	// revoking holders are told of the part no more; avoid is not chosen as the next one
-	// if there is another.
+	// revoking means that the part is no longer granted to its holder. avoid is not chosen as
+	// the next holder if there is another candidate.
 	revoking bool
 	avoid    ids.Address
 	movedAt  clock.Instant
 	moves    int64
 	since    time.Time
-	act      Act
+	lastCall LastCall
 }
 
-// NewAssigner returns an Assigner that knows nothing.
+// NewAssigner returns an Assigner without sessions. It loads the stored assignment in its
+// first Step under the lease.
 func NewAssigner(options AssignerOptions) *Assigner { return &Assigner{options: options} }
 
-// Run assigns parts until ctx ends.
+// Run assigns parts until ctx is canceled.
 func (a *Assigner) Run(ctx context.Context) {
 	for clock.Wait(ctx, a.options.Clock, a.options.TTL/heartbeatsPerTTL) {
 		a.Step(ctx)
 	}
 }
 
-// Step reads the stored assignment under a new epoch, or gives parts whose holder is
-// gone to others. It does nothing without the lease.
+// Step loads the stored assignment if the epoch is new or the last write had an unknown
+// outcome. Otherwise it assigns the parts that need a new holder and publishes the overview.
+// It does nothing without the lease.
 func (a *Assigner) Step(ctx context.Context) {
 	now := a.options.Clock.Now()
-	epoch, held := a.options.Held(now)
+	epoch, held := a.options.AssignerLease(now)
 	if !held {
 		return
 	}
-	if !a.begun(epoch) {
-		a.begin(ctx, epoch)
+	if !a.isReady(epoch) {
+		a.loadAssignment(ctx, epoch)
 		return
 	}
 	if changes := a.planMoves(now); len(changes) > 0 {
-		a.store(ctx, epoch, changes)
+		a.storeChanges(ctx, epoch, changes)
 	}
 	a.publish(epoch)
 }
 
-func (a *Assigner) begun(epoch int64) bool {
+func (a *Assigner) isReady(epoch int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ready && a.epoch == epoch
 }
 
-// begin takes the stored assignment over under a new epoch. Its holders may have
-// sessions of which this assigner knows nothing.
-func (a *Assigner) begin(ctx context.Context, epoch int64) {
+// loadAssignment claims the stored assignment for this assigner under an epoch and loads it.
+// The holders may have sessions that this assigner does not know, so each part counts as in
+// use for one TTL.
+func (a *Assigner) loadAssignment(ctx context.Context, epoch int64) {
 	started := a.options.Clock.Now()
 	former := ids.Address("")
 	value, err := a.options.Update(ctx, AssignmentKey, func(current []byte) ([]byte, error) {
@@ -148,7 +154,7 @@
 	if a.epoch != epoch {
 		a.counter = 0
 	}
-	a.epoch, a.begunAt, a.ready, a.published = epoch, started, true, nil
+	a.epoch, a.epochStartedAt, a.ready, a.published = epoch, started, true, nil
 	a.sessions, a.parts = map[ids.Address]*assignerSession{}, map[Part]*partState{}
 	for _, part := range a.options.Parts {
 		a.parts[part] = &partState{record: PartRecord{Part: part}}
@@ -161,23 +167,24 @@
 			a.parts[record.Part] = state
 		}
 		state.record = record
-		// Of a holder that was not told yet, the former one may just have acted.
-		state.notBefore = started.Add(a.options.HandOver)
+		// If the recorded holder has not been notified yet, its predecessor may just have made
+		// a call.
+		state.notBefore = started.Add(a.options.HandOverDelay)
 		state.busyUntil = started.Add(a.options.TTL)
 		if record.Holder == former && former != a.options.Address {
-			// It had its session from itself, and so no longer than the lease, which has
-			// passed to this controller.
+			// The former assigner granted the part to itself, so its session ended with the
+			// lease, which this controller now holds.
 			state.busyUntil = started
 		}
 	}
 }
 
-// errSuperseded ends an update of an assigner whose lease has passed to another.
-var errSuperseded = errors.New("duty: another assigner has taken over")
+// errSuperseded aborts an update if another assigner or epoch has claimed the assignment.
+var errSuperseded = errors.New("duty: assignment is claimed by another assigner or epoch")
 
-// Renew answers a heartbeat.
+// Renew handles a heartbeat: it renews the session of the sender and returns its grants.
 func (a *Assigner) Renew(req SessionRequest, now clock.Instant) SessionResponse {
-	epoch, held := a.options.Held(now)
+	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !held || !a.ready || a.epoch != epoch {
@@ -188,9 +195,9 @@
 		process: from, zone: req.Zone, expiry: now.Add(a.options.TTL), eligible: req.Eligible, platformDown: req.PlatformDown,
 	}
 	a.release(from, req, now)
-	for _, act := range req.Acts {
-		if state := a.parts[act.Part]; state != nil && state.record.heldBy(from) {
-			state.act = act
+	for _, call := range req.LastCalls {
+		if state := a.parts[call.Part]; state != nil && state.record.heldBy(from) {
+			state.lastCall = call
 		}
 	}
 	resp := SessionResponse{Assigning: true, Assigner: a.options.Address, Epoch: epoch}
@@ -202,29 +209,30 @@
 		wait := max(0, state.notBefore.Since(now))
 		resp.Grants = append(resp.Grants, Grant{Part: part, Fence: state.record.Fence, WaitMS: int64((wait + time.Millisecond - 1) / time.Millisecond)})
 	}
-	resp.ProbePlatform = a.anyDown()
+	resp.ProbePlatform = a.anyPlatformDown()
 	return resp
 }
 
-// release frees the parts that a process gives up: at once where it makes no call for
-// them any more. The caller holds a.mu.
+// release revokes the parts that a process has rejected, or all of its parts if it is not
+// eligible. A revoked part is free at once if the process no longer lists it as active. The
+// caller holds a.mu.
 func (a *Assigner) release(from process, req SessionRequest, now clock.Instant) {
 	for part, state := range a.parts {
 		if !state.record.heldBy(from) {
 			continue
 		}
-		own := func(grant Grant) bool { return grant.Part == part && grant.Fence == state.record.Fence }
-		state.revoking = state.revoking || !req.Eligible || slices.ContainsFunc(req.Rejected, own)
-		if state.revoking && !slices.ContainsFunc(req.Active, own) {
+		current := func(grant Grant) bool { return grant.Part == part && grant.Fence == state.record.Fence }
+		state.revoking = state.revoking || !req.Eligible || slices.ContainsFunc(req.Rejected, current)
+		if state.revoking && !slices.ContainsFunc(req.Active, current) {
 			state.busyUntil = min(state.busyUntil, now)
 		}
 	}
 }
 
-// HandOver has a part be given to another controller, if there is one: its holder gives it
-// up in order first.
+// HandOver starts to move a part to another controller if there is one: the part is revoked, and
+// is assigned again once its holder has released it or its session has expired.
 func (a *Assigner) HandOver(req HandOverRequest, now clock.Instant) HandOverResponse {
-	epoch, held := a.options.Held(now)
+	epoch, held := a.options.AssignerLease(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !held || !a.ready || a.epoch != epoch {
@@ -238,9 +246,9 @@
 	return HandOverResponse{Assigning: true, Known: true}
 }
 
-// anyDown reports whether some holder says that the platform does not answer it. The
-// caller holds a.mu.
-func (a *Assigner) anyDown() bool {
+// anyPlatformDown reports whether any controller has reported that the platform does not
+// answer. The caller holds a.mu.
+func (a *Assigner) anyPlatformDown() bool {
 	for _, session := range a.sessions {
 		if session.platformDown {
 			return true
@@ -249,8 +257,8 @@
 	return false
 }
 
-// store writes changed records on a majority, and takes them over once they are there.
-func (a *Assigner) store(ctx context.Context, epoch int64, changes []PartRecord) {
+// storeChanges stores changed records on a majority, and applies them once they are stored.
+func (a *Assigner) storeChanges(ctx context.Context, epoch int64, changes []PartRecord) {
 	value, err := a.options.Update(ctx, AssignmentKey, func(current []byte) ([]byte, error) {
 		assignment, err := transport.UnmarshalStored[Assignment](AssignmentKey, current)
 		if err != nil {
@@ -272,32 +280,33 @@
 	}
 	stored, decodeErr := transport.UnmarshalStored[Assignment](AssignmentKey, value)
 	if err != nil || decodeErr != nil || stored.Epoch != epoch || stored.Assigner != a.options.Address {
-		// What is stored may be either: it is read again.
+		// The change may or may not have been stored: the next Step loads the assignment
+		// again.
 		a.ready = false
 		return
 	}
 	for _, record := range stored.Parts {
 		if state := a.parts[record.Part]; state != nil && state.record != record {
-			a.takeOver(state, record, now)
+			a.applyRecord(state, record, now)
 		}
 	}
 }
 
-// takeOver has a part's state follow a stored change. The caller holds a.mu.
-func (a *Assigner) takeOver(state *partState, record PartRecord, now clock.Instant) {
+// applyRecord applies a stored change of a part's record to its state. The caller holds a.mu.
+func (a *Assigner) applyRecord(state *partState, record PartRecord, now clock.Instant) {
 	if state.record.Fence > 0 {
-		state.notBefore = max(state.notBefore, state.busyUntil.Add(a.options.HandOver))
+		state.notBefore = max(state.notBefore, state.busyUntil.Add(a.options.HandOverDelay))
 	}
 	if a.options.Log != nil {
 		a.options.Log.Info().Str("part", "duty").Str("duty_part", string(record.Part)).Str("from", string(state.record.Holder)).
 			Str("to", string(record.Holder)).Int64("fence", record.Fence).Msg("part assigned")
 	}
 	state.record, state.revoking, state.avoid, state.movedAt, state.busyUntil = record, false, "", now, now
-	state.since, state.act = a.options.Wall(), Act{}
+	state.since, state.lastCall = a.options.Wall(), LastCall{}
 	state.moves++
 }
 
-// set replaces a part's record.
+// set replaces or adds the record of a part. The fence of a replaced record always increases.
 func (a *Assignment) set(record PartRecord) {
 	for index := range a.Parts {
 		if a.Parts[index].Part == record.Part {
@@ -309,7 +318,7 @@
 	a.Parts = append(a.Parts, record)
 }
 
-// publish gossips the overview if it changed.
+// publish gossips the overview if it has changed since it was last published.
 func (a *Assigner) publish(epoch int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -341,14 +350,14 @@
 	return parts
 }
 
-// Acts returns the last calls of all parts, as their holders told. It is empty where
-// this controller does not assign.
-func (a *Assigner) Acts() map[Part]Act {
+// LastCalls returns the last call of each part, as reported by its holder. It is empty if this
+// controller has never been the assigner, and may be outdated if it no longer is.
+func (a *Assigner) LastCalls() map[Part]LastCall {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	acts := map[Part]Act{}
+	calls := map[Part]LastCall{}
 	for part, state := range a.parts {
-		acts[part] = state.act
+		calls[part] = state.lastCall
 	}
-	return acts
+	return calls
 }
--- a/control/duty/client.go
+++ b/control/duty/client.go
@@ -15,7 +15,7 @@
 	"onyxwell/base/ids"
 )
 
-// Headers of calls to the platform.
+// Request headers of calls to the platform.
 const (
 	holderHeader = "Onyxwell-Duty-Holder"
 	fenceHeader  = "Onyxwell-Fence-Number"
@@ -23,10 +23,12 @@
 
 // Errors of Client.Call.
 var (
-	// ErrNotHeld says that no byte was sent: the part is not held here, or not yet.
-	ErrNotHeld = errors.New("duty: the part is not held here")
-	// ErrRefused says that the platform has taken a call under a higher fence.
-	ErrRefused = errors.New("duty: the platform refused the fence")
+	// ErrNotHeld reports that nothing was sent: this controller does not hold the part under
+	// the given fence, or may not make calls for it yet.
+	ErrNotHeld = errors.New("duty: part is not held by this controller")
+	// ErrFenceRefused reports that the platform refused the fence of the call, because it has
+	// accepted a call under a higher one.
+	ErrFenceRefused = errors.New("duty: fence refused by the platform: it has accepted a higher one")
 )
 
 // Call is a call to the platform for a part.
@@ -40,81 +42,83 @@
 	Clock   clock.Clock
 	Session *Session
 	// Node is the name under which the platform knows this machine.
-	Node    string
+	Node string
+	// Address is the address of the platform.
 	Address ids.Address
-	// Timeout bounds a call; it also ends with the session. CheckInterval is the time
-	// between two looks at the session while a call runs.
+	// Timeout limits the duration of a call, which also ends with the session. CheckInterval
+	// is the interval at which the session is checked while a call runs.
 	Timeout       time.Duration
 	CheckInterval time.Duration
-	// NewHTTP makes an HTTP client that keeps no connection for a second call.
+	// NewHTTP returns an HTTP client that passes each new connection through wrap and does not
+	// reuse connections.
 	NewHTTP func(wrap func(net.Conn) net.Conn) *http.Client
 }
 
-// Client makes the calls of parts that are held here, one at a time for each part.
-// There is no pool, queue or retry between the check of the session and the bytes: each
-// call has a connection of its own, whose every write is checked (guardedConn), and
-// which is reset when the session has ended.
+// Client makes platform calls for the parts that this controller holds, one at a time per
+// part. No pool, queue or retry lies between the check of the session and the write: each
+// call has its own connection, on which every write is checked (guardedConn) and which is
+// reset when the session ends.
 type Client struct {
 	options ClientOptions
 
-	mu    sync.Mutex
-	lines map[Part]*line
+	mu          sync.Mutex
+	partClients map[Part]*partClient
 }
 
-// line makes the calls of one part.
-type line struct {
-	// busy is held by the call that runs.
+// partClient makes the calls of one part.
+type partClient struct {
+	// busy is locked while a call runs.
 	busy  sync.Mutex
 	fence atomic.Int64
 	http  *http.Client
 }
 
-// NewClient returns a Client without connections.
+// NewClient returns a Client without open connections.
 func NewClient(options ClientOptions) *Client {
-	return &Client{options: options, lines: map[Part]*line{}}
+	return &Client{options: options, partClients: map[Part]*partClient{}}
 }
 
-func (c *Client) line(part Part) *line {
+func (c *Client) partClient(part Part) *partClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lines[part]
-	if l == nil {
-		l = &line{}
-		l.http = c.options.NewHTTP(func(conn net.Conn) net.Conn {
-			return &guardedConn{Conn: conn, allowed: func() bool { return c.options.Session.Allowed(part, l.fence.Load()) }}
+	pc := c.partClients[part]
+	if pc == nil {
+		pc = &partClient{}
+		pc.http = c.options.NewHTTP(func(conn net.Conn) net.Conn {
+			return &guardedConn{Conn: conn, allowed: func() bool { return c.options.Session.Allowed(part, pc.fence.Load()) }}
 		})
-		c.lines[part] = l
+		c.partClients[part] = pc
 	}
-	return l
+	return pc
 }
 
-// Call makes a call under a fence and returns the status of the answer. An error leaves
-// open whether the platform has taken it, but for ErrNotHeld.
+// Call makes a call under a fence and returns the status of the answer. After an error other
+// than ErrNotHeld or ErrFenceRefused it is unknown whether the platform processed the call.
 func (c *Client) Call(ctx context.Context, part Part, fence int64, call Call) (status int, err error) {
-	l := c.line(part)
-	l.busy.Lock()
-	defer l.busy.Unlock()
-	if !c.options.Session.begin(part, fence) {
+	pc := c.partClient(part)
+	pc.busy.Lock()
+	defer pc.busy.Unlock()
+	if !c.options.Session.beginCall(part, fence) {
 		return 0, ErrNotHeld
 	}
-	l.fence.Store(fence)
+	pc.fence.Store(fence)
 	ctx, cancel := c.options.Clock.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	go c.cancelWhenLost(ctx, cancel, part, fence)
-	answer, err := httpcall.Do[answer](ctx, l.http, c.options.Address, outgoing{call: call, node: c.options.Node, fence: fence})
-	c.options.Session.end(part, answer.status)
+	go c.cancelWhenNotHeld(ctx, cancel, part, fence)
+	response, err := httpcall.Do[callResponse](ctx, pc.http, c.options.Address, callRequest{call: call, node: c.options.Node, fence: fence})
+	c.options.Session.endCall(part, response.status)
 	switch {
 	case err != nil:
 		return 0, err
-	case answer.status == http.StatusConflict:
-		c.options.Session.Refused(part, fence)
-		return answer.status, ErrRefused
+	case response.status == http.StatusConflict:
+		c.options.Session.RevokeRefused(part, fence)
+		return response.status, ErrFenceRefused
 	}
-	return answer.status, nil
+	return response.status, nil
 }
 
-// cancelWhenLost ends a call's context once its session has ended.
-func (c *Client) cancelWhenLost(ctx context.Context, cancel context.CancelFunc, part Part, fence int64) {
+// cancelWhenNotHeld cancels a running call once the part is no longer held under its fence.
+func (c *Client) cancelWhenNotHeld(ctx context.Context, cancel context.CancelFunc, part Part, fence int64) {
 	for clock.Wait(ctx, c.options.Clock, c.options.CheckInterval) {
 		if !c.options.Session.Allowed(part, fence) {
 			cancel()
@@ -123,38 +127,38 @@
 	}
 }
 
-// outgoing is a call as it is sent.
-type outgoing struct {
+// callRequest is a call with the node and the fence that its headers carry.
+type callRequest struct {
 	call  Call
 	node  string
 	fence int64
 }
 
 // Encode implements httpcall.Requester.
-func (o outgoing) Encode() httpcall.OutgoingRequest {
-	return httpcall.OutgoingRequest{Method: http.MethodPost, Path: o.call.Path, Body: o.call.Body, Header: http.Header{
-		holderHeader: {o.node}, fenceHeader: {strconv.FormatInt(o.fence, 10)}, "Content-Type": {"application/json"},
+func (r callRequest) Encode() httpcall.OutgoingRequest {
+	return httpcall.OutgoingRequest{Method: http.MethodPost, Path: r.call.Path, Body: r.call.Body, Header: http.Header{
+		holderHeader: {r.node}, fenceHeader: {strconv.FormatInt(r.fence, 10)}, "Content-Type": {"application/json"},
 	}}
 }
 
-// answer is the platform's answer; its body says nothing.
-type answer struct{ status int }
+// callResponse is the platform's answer. Only its status matters; the body is ignored.
+type callResponse struct{ status int }
 
 // Decode implements httpcall.ResponseReader.
-func (a *answer) Decode(raw httpcall.RawResponse) error {
-	a.status = raw.Status
+func (r *callResponse) Decode(raw httpcall.RawResponse) error {
+	r.status = raw.Status
 	return nil
 }
 
-// guardedConn is a connection of one call. Each write is checked immediately before, and
-// closing discards what the kernel has not delivered: nothing arrives once the call was
-// given up.
+// guardedConn is the connection of one call. It checks the session immediately before each
+// write. Closing it discards the data that the kernel has not delivered, so that nothing
+// arrives after the call was canceled.
 type guardedConn struct {
 	net.Conn
 	allowed func() bool
 }
 
-// Write writes if the part is still held.
+// Write writes buffer if the part is still held, and otherwise resets the connection.
 func (g *guardedConn) Write(buffer []byte) (int, error) {
 	if !g.allowed() {
 		_ = g.Close()
--- a/control/duty/holding.go
+++ b/control/duty/holding.go
@@ -1,6 +1,7 @@
 package duty
 
-// Held returns the fence under which calls for a part may be made now.
+// Held returns the fence under which calls for a part may be made now. ok is false if none
+// may.
 func (s *Session) Held(part Part) (fence int64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -11,8 +12,8 @@
 	return held.fence, true
 }
 
-// Assigned returns the fence under which a part is, or soon will be, held: from the moment
-// the assigner told of it, while nothing may be sent yet.
+// Assigned returns the fence under which a part was granted to this controller, also while
+// the hand-over delay does not permit calls yet.
 func (s *Session) Assigned(part Part) (fence int64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,18 +24,20 @@
 	return held.fence, true
 }
 
-// Allowed reports whether a call under a fence may be made, or go on, now.
+// Allowed reports whether a call under a fence may start or continue now.
 func (s *Session) Allowed(part Part, fence int64) bool {
 	current, ok := s.Held(part)
 	return ok && current == fence
 }
 
-// mayCall reports whether a part's session stands, its hand-over time has passed, and
-// both clocks agree that it has. The caller holds s.mu.
+// mayCall reports whether calls for a part are allowed now: it was not revoked, its session
+// has not expired, its hand-over delay has passed, and the monotonic and the wall clock agree
+// on the time since the grant. If this controller is also the assigner, it must still hold
+// the lease under the same epoch. The caller holds s.mu.
 func (s *Session) mayCall(held *heldPart) bool {
 	now := s.options.Clock.Now()
 	if s.assigner == s.options.Address {
-		if epoch, own := s.options.AssignerLease(now); !own || epoch != s.epoch {
+		if epoch, leaseHeld := s.options.AssignerLease(now); !leaseHeld || epoch != s.epoch {
 			return false
 		}
 	}
@@ -42,49 +45,51 @@
 	return !held.revoked && !now.Before(held.notBefore) && now.Before(held.expiry) && drift.Abs() <= s.options.MaxDrift
 }
 
-// begin counts a call under a fence, so that the part is not told to be given up before
-// it ends.
-func (s *Session) begin(part Part, fence int64) bool {
+// beginCall registers a call under a fence, so that heartbeats list the part as active until
+// the call ends. It returns false if the call is not allowed.
+func (s *Session) beginCall(part Part, fence int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.parts[part]
 	if held == nil || held.fence != fence || !s.mayCall(held) {
 		return false
 	}
-	held.calls++
-	held.callStarted = s.options.Clock.Now()
+	held.runningCalls++
+	held.lastCallStarted = s.options.Clock.Now()
 	return true
 }
 
-// end ends a call that begin counted.
-func (s *Session) end(part Part, status int) {
+// endCall unregisters a call of beginCall and records its result. A status of 0 means that
+// the platform did not answer.
+func (s *Session) endCall(part Part, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	started := s.options.Clock.Now()
-	if held := s.parts[part]; held != nil && held.calls > 0 {
-		held.calls--
-		started = held.callStarted
+	if held := s.parts[part]; held != nil && held.runningCalls > 0 {
+		held.runningCalls--
+		started = held.lastCallStarted
 	}
-	s.acts[part] = Act{Part: part, UnixMS: s.options.Wall().UnixMilli(), Status: int64(status)}
+	s.lastCalls[part] = LastCall{Part: part, UnixMS: s.options.Wall().UnixMilli(), Status: int64(status)}
 	if status > 0 {
-		delete(s.failingSince, part)
-	} else if _, failing := s.failingSince[part]; !failing {
-		s.failingSince[part] = started
+		delete(s.unansweredSince, part)
+	} else if _, failing := s.unansweredSince[part]; !failing {
+		s.unansweredSince[part] = started
 	}
 }
 
-// Refused drops a part whose fence the platform refused: another has acted under a
-// higher one.
-func (s *Session) Refused(part Part, fence int64) {
+// RevokeRefused revokes a part whose fence the platform refused because another holder has
+// made a call under a higher one.
+func (s *Session) RevokeRefused(part Part, fence int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held := s.parts[part]; held != nil && held.fence == fence {
 		s.revoke(part, held, "part refused: a higher fence has acted")
-		s.rejected[part] = fence
+		s.rejectedFences[part] = fence
 	}
 }
 
-// PartStatus is a part as it is held here, for GET /status.
+// PartStatus is the state of a part granted to this controller, for GET /status. Acting
+// reports whether calls are allowed now, Calls how many are running.
 type PartStatus struct {
 	Part   Part  `json:"part"`
 	Fence  int64 `json:"fence"`
@@ -92,23 +97,23 @@
 	Calls  int   `json:"calls"`
 }
 
-// Status returns the parts that were granted here.
+// Status returns the parts that were granted to this controller, in no particular order.
 func (s *Session) Status() []PartStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var statuses []PartStatus
 	for part, held := range s.parts {
-		statuses = append(statuses, PartStatus{Part: part, Fence: held.fence, Acting: s.mayCall(held), Calls: held.calls})
+		statuses = append(statuses, PartStatus{Part: part, Fence: held.fence, Acting: s.mayCall(held), Calls: held.runningCalls})
 	}
 	return statuses
 }
 
-// Calling reports whether any call runs.
-func (s *Session) Calling() bool {
+// HasRunningCalls reports whether a call is running for any part.
+func (s *Session) HasRunningCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, held := range s.parts {
-		if held.calls > 0 {
+		if held.runningCalls > 0 {
 			return true
 		}
 	}
--- a/control/usage/decide.go
+++ b/control/usage/decide.go
@@ -11,22 +11,25 @@
 )
 
 const (
-	// decideLate is the part of the time in which a window falls due after which it is
-	// decided with what is known: it leaves time for another holder and two tries.
-	decideLate = 0.25
-	// horizonWindows is how many windows before the present may be decided: a holder that
-	// finds an older log starts there.
+	// lateDecisionFraction is the fraction of DueAfter after which an incomplete window is
+	// decided with the known counts. The remaining time suffices for a change of the holder
+	// and two attempts.
+	lateDecisionFraction = 0.25
+	// horizonWindows is how many windows before the current one may still be decided. A holder
+	// that loads an older log starts there.
 	horizonWindows = maxWindows
-	// maxPending bounds the decided windows that wait for the platform; the oldest are
-	// dropped.
+	// maxPending limits the number of decided windows that wait for the platform. The oldest
+	// ones are dropped.
 	maxPending = 120
 )
 
-// errOtherLog says that another holder has stored decisions.
-var errOtherLog = errors.New("usage: the stored log is another than expected")
+// errLogChanged reports that the stored log has changed since it was loaded: another holder
+// has stored decisions.
+var errLogChanged = errors.New("usage: stored log has changed since it was loaded")
 
-// load reads the log, and the copies of zones that may be lost. A log that was never written, or is older than the horizon, starts
-// there.
+// load reads the stored log, and the copies that other controllers keep of zones that may be
+// lost. Windows before the horizon, or before the current window if the log was never written,
+// count as decided.
 func (c *Collector) load(ctx context.Context, fence int64) bool {
 	present := int64(c.options.Now() / c.options.Window)
 	value, err := c.options.Update(ctx, LogKey, func(current []byte) ([]byte, error) {
@@ -36,7 +39,7 @@
 		}
 		first := present - horizonWindows
 		if stored.Decided == 0 {
-			// Nothing ran before the deployment did.
+			// There are no counts from before the deployment was started.
 			first = present - 1
 		}
 		stored.Decided = max(stored.Decided, first)
@@ -49,7 +52,7 @@
 	if err != nil {
 		return false
 	}
-	copies := c.options.Copies(ctx)
+	copies := c.options.FetchCopies(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fence != fence {
@@ -61,38 +64,38 @@
 			zone.sums.merge(copied.Windows, stored.Decided)
 		}
 	}
-	c.forget(stored.Decided)
+	c.dropDecided(stored.Decided)
 	return true
 }
 
-// forget drops the counts of decided windows. The caller holds c.mu.
-func (c *Collector) forget(decided int64) {
+// dropDecided drops the counts of all windows up to decided. The caller holds c.mu.
+func (c *Collector) dropDecided(decided int64) {
 	for _, zone := range c.zones {
-		zone.tally.forget(decided)
-		zone.sums.forget(decided)
+		zone.tally.dropThrough(decided)
+		zone.sums.dropThrough(decided)
 	}
 }
 
-// decide stores the decisions of all windows that are complete or late.
+// decide decides all windows that are complete or late, and stores the decisions.
 func (c *Collector) decide(ctx context.Context, fence int64) {
-	next, incomplete := c.decisions()
+	next, incomplete := c.nextDecisions()
 	if len(next.Pending) == 0 {
 		return
 	}
-	expected := c.expectedDecided()
+	expected := c.lastDecided()
 	value, err := c.options.Update(ctx, LogKey, func(current []byte) ([]byte, error) {
 		stored, err := transport.UnmarshalStored[Log](LogKey, current)
 		if err != nil {
 			return nil, err
 		}
 		if stored.Decided != expected {
-			return nil, errOtherLog
+			return nil, errLogChanged
 		}
-		return transport.Marshal(c.append(stored, next))
+		return transport.Marshal(c.appendPending(stored, next))
 	})
 	if err != nil {
 		c.mu.Lock()
-		// What is stored may be either: it is read again.
+		// The decisions may or may not have been stored: the next Step loads the log again.
 		c.loaded = false
 		c.mu.Unlock()
 		return
@@ -107,19 +110,20 @@
 		return
 	}
 	c.log = stored
-	c.forget(stored.Decided)
+	c.dropDecided(stored.Decided)
 	c.stats.Decided += int64(len(next.Pending))
 	c.stats.Incomplete += incomplete
 }
 
-func (c *Collector) expectedDecided() int64 {
+func (c *Collector) lastDecided() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.log.Decided
 }
 
-// append adds decisions to a stored log, without the windows that the platform has taken.
-func (c *Collector) append(stored Log, next Log) Log {
+// appendPending returns the stored log extended by the decisions of next and without the
+// windows that the platform has acknowledged.
+func (c *Collector) appendPending(stored Log, next Log) Log {
 	c.mu.Lock()
 	acknowledged := c.acknowledged
 	c.mu.Unlock()
@@ -133,9 +137,9 @@
 	return result
 }
 
-// decisions returns the windows to decide now, in order, and how many of them lack the
-// counts of some zone.
-func (c *Collector) decisions() (next Log, incomplete int64) {
+// nextDecisions returns the decisions that are due now, in the order of windows, and the
+// number of those that lack the counts of some zone.
+func (c *Collector) nextDecisions() (next Log, incomplete int64) {
 	now := c.options.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,11 +147,11 @@
 	for window := c.log.Decided + 1; ; window++ {
 		end := time.Duration(window+1) * c.options.Window
 		complete := c.isClosed(window)
-		late := now >= end+time.Duration(decideLate*float64(c.options.Late)) && c.options.Clock.Now().Since(c.beganAt) >= c.options.Late/8
-		if now < end || (!complete && (!late || c.awaitsCutZone(window))) {
+		late := now >= end+time.Duration(lateDecisionFraction*float64(c.options.DueAfter)) && c.options.Clock.Now().Since(c.startedAt) >= c.options.DueAfter/8
+		if now < end || (!complete && (!late || c.awaitsPartitionedZone(window))) {
 			return next, incomplete
 		}
-		body, err := json.Marshal(report{Window: window, Counts: c.sum(window)})
+		body, err := json.Marshal(usageReport{Window: window, Counts: c.sum(window)})
 		if err != nil {
 			return next, incomplete
 		}
@@ -159,8 +163,8 @@
 	}
 }
 
-// logIncomplete names the zones without whose counts a window is decided. The caller holds
-// c.mu.
+// logIncomplete logs that a window is decided without the counts of some zones, and which
+// zones these are. The caller holds c.mu.
 func (c *Collector) logIncomplete(window int64) {
 	if c.options.Log == nil {
 		return
@@ -185,7 +189,7 @@
 	return true
 }
 
-// sum adds the counts of a window up over all zones. The caller holds c.mu.
+// sum returns the counts of a window summed over all zones. The caller holds c.mu.
 func (c *Collector) sum(window int64) map[ids.Tenant]int64 {
 	total := map[ids.Tenant]int64{}
 	for _, zone := range c.zones {
@@ -196,8 +200,8 @@
 	return total
 }
 
-// report is the platform's document.
-type report struct {
+// usageReport is the JSON document that is sent to the platform.
+type usageReport struct {
 	Window int64                `json:"window_number"`
 	Counts map[ids.Tenant]int64 `json:"counts"`
 }
--- a/control/usage/meter.go
+++ b/control/usage/meter.go
@@ -9,61 +9,63 @@
 	"onyxwell/base/ids"
 )
 
-// maxWindows is how many undecided windows a router keeps: older ones are past their
-// horizon and are not reported.
+// maxWindows is how many undecided windows a router keeps, and of how many windows a controller
+// keeps copies. Older ones are beyond the horizon (horizonWindows) and are not reported.
 const maxWindows = 24
 
-// settleTime is for how long after the end of a window a router may still count in it.
-const settleTime = 100 * time.Millisecond
+// closeDelay is how long after its end a window stays open: a router may still count
+// requests in it.
+const closeDelay = 100 * time.Millisecond
 
-// Forever is a Through of a router that counts no more.
-const Forever = math.MaxInt64
+// AllWindows is the value of Through that closes all windows: the router counts no more
+// requests.
+const AllWindows = math.MaxInt64
 
-// Meter counts the requests of one router that runners began. It is safe for concurrent
+// Meter counts the requests of one router that runners started. It is safe for concurrent
 // use.
 type Meter struct {
 	window time.Duration
-	// now returns the agreed time.
+	// now returns the synchronized time since the Unix epoch.
 	now func() time.Duration
 
 	mu      sync.Mutex
 	windows counts
 	decided int64
-	// closed is the last window that a report has closed: it is counted in no more, also
-	// where the agreed time steps back.
-	closed int64
-	ended  bool
+	// closed is the last window that a report has closed. It gets no further counts, even if
+	// the synchronized time is set back.
+	closed    int64
+	allClosed bool
 }
 
-// NewMeter returns a Meter of windows of that length.
+// NewMeter returns a Meter without counts for windows of the given length.
 func NewMeter(window time.Duration, now func() time.Duration) *Meter {
 	return &Meter{window: window, now: now, windows: counts{}}
 }
 
-// Began counts a request of a tenant that a runner began age ago.
-func (m *Meter) Began(tenant ids.Tenant, age time.Duration) {
+// CountRequest counts a request of a tenant that a runner started age ago.
+func (m *Meter) CountRequest(tenant ids.Tenant, age time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	window := max(int64((m.now()-age)/m.window), m.closed+1)
-	m.windows.of(window)[tenant]++
+	m.windows.tenantCounts(window)[tenant]++
 }
 
-// Report returns the counts of all windows that are not decided.
+// Report closes the windows that have ended and returns the counts of all undecided windows.
 func (m *Meter) Report() RouterReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.closed = max(m.closed, int64((m.now()-settleTime)/m.window)-1)
+	m.closed = max(m.closed, int64((m.now()-closeDelay)/m.window)-1)
 	report := RouterReport{Through: m.closed}
-	if m.ended {
-		report.Through = Forever
+	if m.allClosed {
+		report.Through = AllWindows
 	}
-	m.windows.forget(max(m.decided, m.closed-maxWindows))
-	report.Windows = m.windows.message()
+	m.windows.dropThrough(max(m.decided, m.closed-maxWindows))
+	report.Windows = m.windows.toMessage()
 	return report
 }
 
-// columns returns the counts of a window in the order of tenants' names.
-func columns(window int64, byTenant map[ids.Tenant]int64) WindowCounts {
+// newWindowCounts returns the counts of a window, sorted by tenant.
+func newWindowCounts(window int64, byTenant map[ids.Tenant]int64) WindowCounts {
 	result := WindowCounts{Window: window}
 	for tenant := range byTenant {
 		result.Tenants = append(result.Tenants, tenant)
@@ -75,24 +77,25 @@
 	return result
 }
 
-// Decided forgets the windows up to one.
-func (m *Meter) Decided(window int64) {
+// DropDecided has the next report drop all windows up to window, which are decided.
+func (m *Meter) DropDecided(window int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.decided = max(m.decided, window)
 }
 
-// End has the next report close all windows: the router serves no more.
-func (m *Meter) End() {
+// CloseAllWindows has the next report close all windows. It is called when the router stops
+// serving.
+func (m *Meter) CloseAllWindows() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = true
+	m.allClosed = true
 }
 
-// UntilReport returns how long to wait for the next report: the interval, or less where
-// a window is closed before.
+// UntilReport returns the time until the next report: the interval, or less if a window
+// closes earlier.
 func (m *Meter) UntilReport(interval time.Duration) time.Duration {
 	now := m.now()
-	closes := (now-settleTime)/m.window*m.window + m.window + settleTime
-	return min(interval, closes-now+time.Millisecond)
+	closesAt := (now-closeDelay)/m.window*m.window + m.window + closeDelay
+	return min(interval, closesAt-now+time.Millisecond)
 }
--- a/data/router/usage.go
+++ b/data/router/usage.go
@@ -42,7 +42,7 @@
 // requestBegan counts a request of a tenant that a runner began to process age ago.
 func (u *usageReporter) requestBegan(tenant ids.Tenant, age time.Duration) {
 	if u.meter != nil {
-		u.meter.Began(tenant, age)
+		u.meter.CountRequest(tenant, age)
 	}
 }
 
@@ -60,9 +60,9 @@
 
 func (u *usageReporter) report(ctx context.Context) {
 	report := u.meter.Report()
-	report.Life = u.incarnation
+	report.Incarnation = u.incarnation
 	if decided, err := u.daemon.ReportUsage(ctx, report); err == nil {
-		u.meter.Decided(decided)
+		u.meter.DropDecided(decided)
 	}
 }
 
@@ -70,7 +70,7 @@
 // longer serves requests.
 func (u *usageReporter) end(ctx context.Context) {
 	if u.meter != nil {
-		u.meter.End()
+		u.meter.CloseAllWindows()
 		u.report(ctx)
 	}
 }
