--- a/control/usage/decide.go
+++ b/control/usage/decide.go
@@ -91,7 +91,7 @@
 		if stored.Decided != expected {
 			return nil, errLogChanged
 		}
-		return transport.Marshal(c.appendPending(stored, next))
+		return transport.Marshal(c.append(stored, next))
 	})
 	if err != nil {
 		c.mu.Lock()
@@ -121,9 +121,9 @@
 	return c.log.Decided
 }
 
-// appendPending returns the stored log extended by the decisions of next and without the
+// append returns the stored log extended by the decisions of next and without the
 // windows that the platform has acknowledged.
-func (c *Collector) appendPending(stored Log, next Log) Log {
+func (c *Collector) append(stored Log, next Log) Log {
 	c.mu.Lock()
 	acknowledged := c.acknowledged
 	c.mu.Unlock()
