--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -78,8 +78,8 @@
 		Resign: func(ctx context.Context) {
 			holder.StepDown(ctx, c.timing.LeaseDuration)
 		},
-		Expecting: c.awaitsRunners,
-		Interval:  c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
+		RunnersExpected: c.awaitsRunners,
+		Interval:        c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
 		Clock: c.clock, Log: c.log, RatePerS: c.settings.Platform.RatePerS,
 	}
 	return func(ctx context.Context) { publisher.Run(ctx) }
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -42,7 +42,7 @@
 	fallback := &discovery.Fallback{
 		Platform: d.NewPlatformClient(), View: view, Updates: d.Updates, Membership: d.Membership,
 		Clock: d.clock, Log: d.log, RatePerS: d.settings.Platform.RatePerS,
-		RouterCount: d.Zones.RouterCount, Interval: d.timing.DiscoveryInterval, Restart: !d.settings.FirstStart,
+		RouterCount: d.Zones.RouterCount, Interval: d.timing.DiscoveryInterval, Restarted: !d.settings.FirstStart,
 	}
 	d.Gossiper.MissingData = func() bool { return !view.Complete() }
 	d.AddService("list", func(ctx context.Context) error { fallback.Run(ctx); return nil })
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -71,7 +71,7 @@
 	if !d.isDeployed(region) {
 		return true
 	}
-	evidence := d.hasSilentDaemon(region) || anyInRegion(region, degraded)
+	evidence := d.hasUnresponsiveMember(region) || anyInRegion(region, degraded)
 	return d.regions.markUnready(region, now, evidence, d.LossTimeout)
 }
 
@@ -85,10 +85,10 @@
 	return false
 }
 
-// hasSilentDaemon reports whether a daemon of the region stopped answering no
+// hasUnresponsiveMember reports whether a daemon of the region stopped answering no
 // longer than LossTimeout ago without having left gracefully. A member that a
 // restarted daemon restored from its disk is no evidence: it was not probed yet.
-func (d *Directory) hasSilentDaemon(region ids.Region) bool {
+func (d *Directory) hasUnresponsiveMember(region ids.Region) bool {
 	for _, member := range d.Membership.Members() {
 		if member.Restored() {
 			continue
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// relayReaders is how many relays of a zone may poll before any other daemon.
-	relayReaders = 2
+	// pollingRelays is how many relays of a zone may poll before any other daemon.
+	pollingRelays = 2
 	// checksPerInterval is how often in an interval the view's age is checked.
 	checksPerInterval = 4
 	// restartDivisor is the part of the interval, one in so many, after which a
@@ -49,15 +49,15 @@
 	RouterCount func() int
 	// Interval is the time between two polls by the lease's holder.
 	Interval time.Duration
-	// Restart says that the fleet ran before, so that a list should exist already.
+	// Restarted says that the fleet ran before, so that a list should exist already.
 	// At a first start the lease's holder is waited for.
-	Restart bool
+	Restarted bool
 }
 
 // Run keeps the view from going stale until ctx ends.
 func (f *Fallback) Run(ctx context.Context) {
 	for clock.Wait(ctx, f.Clock, f.checkInterval()) {
-		if !f.due(f.Clock.Now()) || !clock.Wait(ctx, f.Clock, f.startDelay()) || f.View.Fresh() {
+		if !f.due(f.Clock.Now()) || !clock.Wait(ctx, f.Clock, f.pollDelay()) || f.View.Fresh() {
 			continue
 		}
 		f.Poll(ctx)
@@ -82,12 +82,12 @@
 	}
 }
 
-// restarting reports whether this daemon was restarted and has no list yet.
-func (f *Fallback) restarting() bool { return f.Restart && !f.View.Complete() }
+// restartedWithoutList reports whether this daemon was restarted and has no list yet.
+func (f *Fallback) restartedWithoutList() bool { return f.Restarted && !f.View.Complete() }
 
 // checkInterval is the time until the view's age is checked again.
 func (f *Fallback) checkInterval() time.Duration {
-	if f.restarting() {
+	if f.restartedWithoutList() {
 		return f.Interval / restartDivisor
 	}
 	return f.Interval / checksPerInterval
@@ -99,16 +99,16 @@
 		return false
 	}
 	maxAge := f.View.options.MaxAge
-	if f.restarting() {
+	if f.restartedWithoutList() {
 		maxAge = f.Interval / restartDivisor
 	}
 	return now.Since(f.View.ConfirmedAt()) >= maxAge
 }
 
-// startDelay is how long this daemon leaves the poll to others of its zone.
-func (f *Fallback) startDelay() time.Duration {
+// pollDelay is how long this daemon leaves the poll to others of its zone.
+func (f *Fallback) pollDelay() time.Duration {
 	self := f.Membership.Self()
-	relays := f.Membership.Relays(self.Zone, relayReaders)
+	relays := f.Membership.Relays(self.Zone, pollingRelays)
 	// A router that is its zone's only relay has most likely met nobody yet;
 	// once it does, it is told the list.
 	isolated := len(relays) == 1 && !self.ServesControl
@@ -118,8 +118,8 @@
 		}
 	}
 	jitter := random.Duration(settings.Seconds(rateDivisor * float64(max(1, f.RouterCount())) / max(1, f.RatePerS)))
-	if f.restarting() {
+	if f.restartedWithoutList() {
 		return f.Interval/restartDelayDivisor + jitter
 	}
-	return relayReaders*f.Interval + jitter
+	return pollingRelays*f.Interval + jitter
 }
--- a/control/discovery/fallback_test.go
+++ b/control/discovery/fallback_test.go
@@ -24,26 +24,26 @@
 	}
 }
 
-func TestFallback_relaysReadFirst(t *testing.T) {
+func TestFallback_relaysPollFirst(t *testing.T) {
 	fake := clock.NewFake()
 	controller, first, second := newMember("1:1", true), newMember("2:1", false), newMember("3:1", false)
-	if delay := newFallback(fake, controller, first, second).startDelay(); delay != 0 {
+	if delay := newFallback(fake, controller, first, second).pollDelay(); delay != 0 {
 		t.Errorf("the first relay waits %v", delay)
 	}
-	relays := newFallback(fake, first, controller, second).Membership.Relays("a", relayReaders)
+	relays := newFallback(fake, first, controller, second).Membership.Relays("a", pollingRelays)
 	for _, self := range []membership.Member{first, second} {
-		delay := newFallback(fake, self, controller, first, second).startDelay()
+		delay := newFallback(fake, self, controller, first, second).pollDelay()
 		isRelay := self.Address == relays[1].Address
 		if (isRelay && delay != time.Second) || (!isRelay && (delay < 2*time.Second || delay > 3*time.Second)) {
 			t.Errorf("%s waits %v", self.Address, delay)
 		}
 	}
-	if delay := newFallback(fake, first).startDelay(); delay < 2*time.Second {
+	if delay := newFallback(fake, first).pollDelay(); delay < 2*time.Second {
 		t.Errorf("an isolated router waits %v", delay)
 	}
 	fallback := newFallback(fake, first)
-	fallback.Restart = true
-	if delay := fallback.startDelay(); delay < time.Second/restartDelayDivisor || delay > time.Second/restartDelayDivisor+time.Second {
+	fallback.Restarted = true
+	if delay := fallback.pollDelay(); delay < time.Second/restartDelayDivisor || delay > time.Second/restartDelayDivisor+time.Second {
 		t.Errorf("a restarted router waits %v", delay)
 	}
 }
@@ -51,7 +51,7 @@
 func TestFallback_dueSoonAfterRestart(t *testing.T) {
 	fake := clock.NewFake()
 	fallback := newFallback(fake, newMember("1:1", true))
-	fallback.Restart = true
+	fallback.Restarted = true
 	if fallback.due(fake.Now()) {
 		t.Error("due right at the restart")
 	}
@@ -59,7 +59,7 @@
 	if !fallback.due(fake.Now()) {
 		t.Error("not due after a restart of the whole fleet")
 	}
-	fallback.Restart = false
+	fallback.Restarted = false
 	if fallback.due(fake.Now()) {
 		t.Error("due at a first start, where the lease's holder is waited for")
 	}
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -54,8 +54,8 @@
 
 // Page is one page of the list; Next is the token of the next one, if any.
 type Page struct {
-	Servers []entry `json:"servers"`
-	Next    *string `json:"next_token"`
+	Servers []platformRunner `json:"servers"`
+	Next    *string          `json:"next_token"`
 }
 
 // Decode implements httpcall.ResponseReader. Any status but 200 is an error of
@@ -67,8 +67,8 @@
 	return json.Unmarshal(resp.Body, p)
 }
 
-// entry is a runner as the platform describes it.
-type entry struct {
+// platformRunner is a runner as the platform describes it.
+type platformRunner struct {
 	ID           ids.RunnerID    `json:"id"`
 	Service      ids.Service     `json:"service"`
 	Address      ids.Address     `json:"address"`
@@ -80,7 +80,7 @@
 	TimeLeftMS   float64         `json:"time_left_ms"`
 }
 
-func (e entry) runner() Runner {
+func (e platformRunner) runner() Runner {
 	return Runner{
 		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone,
 		Version: string(e.Version), Capacity: e.Capacity, Draining: e.Condition != conditionReady,
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -48,9 +48,9 @@
 	// Interval is the time from one poll to the next. It doubles while nothing
 	// changes, unless the list is read by zone.
 	Interval time.Duration
-	// Expecting reports whether runners are about to be added, so that the interval does not
+	// RunnersExpected reports whether runners are about to be added, so that the interval does not
 	// double; nil is never.
-	Expecting func() bool
+	RunnersExpected func() bool
 	// HeartbeatInterval is the time between two heartbeats of an unchanged list.
 	HeartbeatInterval time.Duration
 
@@ -85,7 +85,7 @@
 // as much as the pages of one poll need under the platform's rate limit.
 func (p *Publisher) delay() time.Duration {
 	delay := p.Interval
-	expecting := p.Expecting != nil && p.Expecting()
+	expecting := p.RunnersExpected != nil && p.RunnersExpected()
 	if p.unchanged >= unchangedThreshold && !p.Platform.ByZone() && !expecting {
 		delay *= unchangedBackoff
 	}
