--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -110,20 +110,20 @@
 // client's own region has no ready router and is not known to be lost: one whose
 // routers start, leave gracefully or were not heard of yet is not.
 func (d *Directory) Choose(req LookupRequest) []ids.Address {
-	known, now := d.endpoints(), d.Membership.Now()
-	if name, addresses := nearest(known.ready, req); len(addresses) > 0 {
+	endpoints, now := d.endpoints(), d.Membership.Now()
+	if name, addresses := nearest(endpoints.ready, req); len(addresses) > 0 {
 		d.regions.markReady(req.Region, now)
 		return d.countLookup(name, addresses)
 	}
-	candidates := known.ready
-	if len(known.ready) == 0 && known.complete {
+	candidates := endpoints.ready
+	if len(endpoints.ready) == 0 && endpoints.complete {
 		// No router anywhere is better than the degraded ones nearby.
-		if name, addresses := nearest(known.degraded, req); len(addresses) > 0 {
+		if name, addresses := nearest(endpoints.degraded, req); len(addresses) > 0 {
 			return d.countLookup(name, addresses)
 		}
-		candidates = known.degraded
+		candidates = endpoints.degraded
 	}
-	if !d.isLost(req.Region, known.degraded, now) {
+	if !d.isLost(req.Region, endpoints.degraded, now) {
 		return d.countLookup(noLocality, nil)
 	}
 	addresses := anywhere.choose(candidates, req)
@@ -136,9 +136,9 @@
 
 // nearest chooses from the first of the localities that has any of the routers.
 func nearest(routers []endpoint, req LookupRequest) (name string, addresses []ids.Address) {
-	for _, near := range localities {
-		if addresses := near.choose(routers, req); len(addresses) > 0 {
-			return near.name, addresses
+	for _, candidate := range localities {
+		if addresses := candidate.choose(routers, req); len(addresses) > 0 {
+			return candidate.name, addresses
 		}
 	}
 	return noLocality, nil
--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -60,10 +60,10 @@
 }
 
 // expect checks what a client of a zone and region is answered.
-func (f *fixture) expect(moment string, req LookupRequest, want ...ids.Address) {
+func (f *fixture) expect(step string, req LookupRequest, want ...ids.Address) {
 	f.t.Helper()
 	if got := f.Choose(req); !slices.Equal(got, want) {
-		f.t.Errorf("%s: %v: %v, want %v", moment, req, got, want)
+		f.t.Errorf("%s: %v: %v, want %v", step, req, got, want)
 	}
 }
 
--- a/control/directory/endpoints.go
+++ b/control/directory/endpoints.go
@@ -23,22 +23,22 @@
 
 // endpoints gives the routers of all zones.
 func (d *Directory) endpoints() endpointSet {
-	known := d.ownZoneEndpoints()
+	endpoints := d.ownZoneEndpoints()
 	if d.OtherZones == nil {
-		return known
+		return endpoints
 	}
 	reachable, unreachable := d.OtherZones()
 	for _, zone := range reachable {
-		known.ready = append(known.ready, d.zoneEndpoints(zone.Zone, zone.Ready)...)
-		known.degraded = append(known.degraded, d.zoneEndpoints(zone.Zone, zone.Degraded)...)
+		endpoints.ready = append(endpoints.ready, d.zoneEndpoints(zone.Zone, zone.Ready)...)
+		endpoints.degraded = append(endpoints.degraded, d.zoneEndpoints(zone.Zone, zone.Degraded)...)
 	}
-	known.complete = known.complete && len(unreachable) == 0
-	return known
+	endpoints.complete = endpoints.complete && len(unreachable) == 0
+	return endpoints
 }
 
 // ownZoneEndpoints gives the routers of the directory's zone.
 func (d *Directory) ownZoneEndpoints() endpointSet {
-	zone, known := d.Membership.Self().Zone, endpointSet{complete: true}
+	zone, endpoints := d.Membership.Self().Zone, endpointSet{complete: true}
 	for _, member := range d.Membership.Members() {
 		if member.Zone != zone || member.ClientAddress == "" {
 			continue
@@ -46,15 +46,15 @@
 		router := endpoint{address: member.ClientAddress, zone: member.Zone, region: member.Region}
 		serving := member.State == membership.Alive && member.Ready
 		if serving && member.Degraded {
-			known.degraded = append(known.degraded, router)
+			endpoints.degraded = append(endpoints.degraded, router)
 		} else if serving {
-			known.ready = append(known.ready, router)
+			endpoints.ready = append(endpoints.ready, router)
 		}
 		if member.State == membership.Removed || member.State == membership.Suspect {
-			known.complete = false
+			endpoints.complete = false
 		}
 	}
-	return known
+	return endpoints
 }
 
 func (d *Directory) zoneEndpoints(zone ids.Zone, addresses []ids.Address) []endpoint {
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -116,9 +116,9 @@
 		return p.listByZone(ctx)
 	}
 	started := p.Clock.Now()
-	limited, cancel := p.Clock.WithTimeout(ctx, p.Interval)
+	timeoutCtx, cancel := p.Clock.WithTimeout(ctx, p.Interval)
 	defer cancel()
-	list, pages, err := p.listPages(limited, "")
+	list, pages, err := p.listPages(timeoutCtx, "")
 	p.LastPages = pages
 	p.byZone = pages >= minPagesByZone && p.Clock.Now().Since(started) > p.Interval/2
 	if err != nil && p.byZone {
@@ -169,7 +169,7 @@
 		wg      sync.WaitGroup
 		lists   = map[ids.Zone]List{}
 		fetched int
-		failed  error
+		listErr error
 	)
 	slots := make(chan struct{}, MaxConcurrentReads)
 	for _, zone := range p.zones() {
@@ -182,14 +182,14 @@
 			fetched += pages
 			lists[zone] = list
 			if err != nil {
-				failed = err
+				listErr = err
 			}
 		})
 	}
 	wg.Wait()
 	p.LastPages = fetched
-	if failed != nil {
-		return nil, failed
+	if listErr != nil {
+		return nil, listErr
 	}
 	return lists, nil
 }
@@ -215,7 +215,7 @@
 }
 
 func (p *PlatformClient) fetchPage(ctx context.Context, req PageRequest) (Page, error) {
-	limited, cancel := p.Clock.WithTimeout(ctx, p.Interval)
+	timeoutCtx, cancel := p.Clock.WithTimeout(ctx, p.Interval)
 	defer cancel()
-	return httpcall.Do[Page](limited, p.HTTP, p.Address, req)
+	return httpcall.Do[Page](timeoutCtx, p.HTTP, p.Address, req)
 }
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -85,8 +85,8 @@
 // as much as the pages of one poll need under the platform's rate limit.
 func (p *Publisher) delay() time.Duration {
 	delay := p.Interval
-	expecting := p.RunnersExpected != nil && p.RunnersExpected()
-	if p.unchanged >= unchangedThreshold && !p.Platform.ByZone() && !expecting {
+	runnersExpected := p.RunnersExpected != nil && p.RunnersExpected()
+	if p.unchanged >= unchangedThreshold && !p.Platform.ByZone() && !runnersExpected {
 		delay *= unchangedBackoff
 	}
 	if p.RatePerS <= 0 {
@@ -99,7 +99,7 @@
 // under an earlier epoch is discarded: another holder may have published a newer
 // one in between.
 func (p *Publisher) Poll(ctx context.Context) {
-	before, held := p.Held(p.Clock.Now())
+	startEpoch, held := p.Held(p.Clock.Now())
 	if !held {
 		p.failures, p.unchanged = 0, 0
 		return
@@ -113,7 +113,7 @@
 	p.failures = 0
 	now := p.Clock.Now()
 	epoch, held := p.Held(now)
-	if !held || epoch != before {
+	if !held || epoch != startEpoch {
 		return
 	}
 	p.publish(epoch, lists, now)
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -131,10 +131,10 @@
 	return item.Version
 }
 
-func (p *publisherFixture) expectDelay(t *testing.T, moment string, want time.Duration) {
+func (p *publisherFixture) expectDelay(t *testing.T, step string, want time.Duration) {
 	t.Helper()
 	if delay := p.delay(); delay != want {
-		t.Fatalf("%s: delay %v, want %v", moment, delay, want)
+		t.Fatalf("%s: delay %v, want %v", step, delay, want)
 	}
 }
 
@@ -169,7 +169,7 @@
 	if calls := f.platform.takeCalls(); !slices.Equal(calls, want) {
 		t.Fatalf("%v", calls)
 	}
-	if after, again := f.publishedList(t, "a"); again != serial || !after.equivalent(before) {
+	if after, serialAfter := f.publishedList(t, "a"); serialAfter != serial || !after.equivalent(before) {
 		t.Fatal("an unchanged list was published again because it was read by zone")
 	}
 	f.expectDelay(t, "first read by zone", time.Second)
@@ -182,7 +182,7 @@
 	f.expectDelay(t, "long list without a change", time.Second)
 	f.platform.down = true
 	f.poll()
-	if _, again := f.publishedList(t, "a"); again != serial {
+	if _, serialAfter := f.publishedList(t, "a"); serialAfter != serial {
 		t.Fatal("a failed poll was published")
 	}
 }
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -37,18 +37,18 @@
 	return gossip.Item{Key: key, Version: serial, Body: body}
 }
 
-func newList(zone ids.Zone, names ...ids.RunnerID) List {
+func newList(zone ids.Zone, runnerIDs ...ids.RunnerID) List {
 	var list List
-	for _, name := range names {
-		list.Runners = append(list.Runners, Runner{ID: name, Zone: zone})
+	for _, id := range runnerIDs {
+		list.Runners = append(list.Runners, Runner{ID: id, Zone: zone})
 	}
 	return list
 }
 
 // publish publishes a zone's list and reports whether the view may have changed.
-func (v *viewFixture) publish(zone ids.Zone, serial ids.Version, names ...ids.RunnerID) (changed bool) {
+func (v *viewFixture) publish(zone ids.Zone, serial ids.Version, runnerIDs ...ids.RunnerID) (changed bool) {
 	v.serials[zone] = serial
-	return v.Apply(newItem(ZoneKey(zone), serial, newList(zone, names...)))
+	return v.Apply(newItem(ZoneKey(zone), serial, newList(zone, runnerIDs...)))
 }
 
 // heartbeat publishes a heartbeat that confirms the serials.
@@ -60,15 +60,15 @@
 	return v.Apply(newItem(HeartbeatKey, serial, Heartbeat{Digest: digest}))
 }
 
-func (v *viewFixture) expect(moment string, names ...ids.RunnerID) {
+func (v *viewFixture) expect(step string, runnerIDs ...ids.RunnerID) {
 	v.t.Helper()
 	runners := v.Runners()
-	same := len(runners) == len(names)
+	same := len(runners) == len(runnerIDs)
 	for index := range runners {
-		same = same && runners[index].ID == names[index]
+		same = same && runners[index].ID == runnerIDs[index]
 	}
 	if !same {
-		v.t.Errorf("%s: %+v, want %v", moment, runners, names)
+		v.t.Errorf("%s: %+v, want %v", step, runners, runnerIDs)
 	}
 }
 
--- a/control/outlier/detector.go
+++ b/control/outlier/detector.go
@@ -163,6 +163,6 @@
 	if failed < minFailures || failed < minFailureRatio*(finished+failed) {
 		return false
 	}
-	peers := max(1, totals.finished+totals.failed-finished-failed)
-	return failed/(finished+failed) >= peerFactor*(totals.failed-failed)/peers
+	peerRequests := max(1, totals.finished+totals.failed-finished-failed)
+	return failed/(finished+failed) >= peerFactor*(totals.failed-failed)/peerRequests
 }
