--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory answers a client's look-up with the routers to connect to:
-// those of its own zone where there are any, else those of its region. Clients
-// are redirected out of their region only while it is known to be lost, as
-// regionTracker keeps it.
+// Package directory answers clients' look-ups with the routers to connect to: those
+// of the client's zone if there are any, otherwise those of its region. Clients are
+// redirected out of their region only while it is known to be lost, which
+// regionTracker records.
 package directory
 
 import (
@@ -19,13 +19,15 @@
 )
 
 const (
-	// maxAddresses is how many addresses a client reads.
+	// maxAddresses is the maximum number of addresses in a response; clients read no
+	// more.
 	maxAddresses = 64
-	// MaxTTLSeconds bounds how long a client may keep a response, in seconds.
+	// MaxTTLSeconds is the maximum time for which a client may cache a response, in
+	// seconds.
 	MaxTTLSeconds = 1
 )
 
-// LookupRequest is GET /lookup: where the client is.
+// LookupRequest is the query of GET /lookup: the region and the zone of the client.
 type LookupRequest struct {
 	Region ids.Region
 	Zone   ids.Zone
@@ -38,15 +40,15 @@
 	return nil
 }
 
-// LookupResponse gives the client addresses of routers, and for how many seconds
-// they hold.
+// LookupResponse holds the routers' addresses for clients. TTLS is the time in
+// seconds for which the client may cache them.
 type LookupResponse struct {
 	Addresses []ids.Address `json:"addresses"`
 	TTLS      float64       `json:"ttl_s"`
 }
 
-// Response encodes the response; without addresses it is a 503, so that the client
-// asks another directory or stays with what it has.
+// Response encodes the response. Without addresses it has status 503, so that the
+// client asks another directory or keeps the addresses that it has.
 func (l LookupResponse) Response() response.Response {
 	if len(l.Addresses) == 0 {
 		return response.Empty(http.StatusServiceUnavailable)
@@ -55,20 +57,20 @@
 }
 
 // Directory answers look-ups from the members of its own zone and from the router
-// endpoints that the relays of the other zones publish. It is safe for concurrent
-// use once its fields are set.
+// endpoints that the relays of the other zones publish. Its exported fields are set
+// before the first use; after that it is safe for concurrent use.
 type Directory struct {
 	Membership *membership.Table
-	// OtherZones gives the router endpoints of the other zones, and those zones that
-	// may be unreachable; a zone may be in both. It may be nil.
-	OtherZones func() (endpoints []zonesummary.RouterEndpoints, doubtful []ids.Zone)
-	// Zones gives the region of each zone of the deployment.
+	// OtherZones returns the router endpoints of the other reachable zones, and the
+	// zones that may be unreachable. A zone may be in both. OtherZones may be nil.
+	OtherZones func() (reachable []zonesummary.RouterEndpoints, unreachable []ids.Zone)
+	// Zones maps each zone of the deployment to its region.
 	Zones map[ids.Zone]ids.Region
-	// LossTimeout is how long a region may be without a ready router, for no known
-	// reason, before it counts as lost.
+	// LossTimeout is the time after which a region without a ready router counts as
+	// lost even without evidence of a failure.
 	LossTimeout time.Duration
-	// TTLMaxS is the settings' bound on a response's lifetime in seconds; the
-	// shorter of it and MaxTTLSeconds is answered.
+	// TTLMaxS is the configured maximum of a response's TTL, in seconds. The response
+	// has the lesser of it and MaxTTLSeconds.
 	TTLMaxS float64
 	// Metrics and Monitor may be nil.
 	Metrics *telemetry.Metrics
@@ -77,38 +79,42 @@
 	regions regionTracker
 }
 
-// Serve adds GET /lookup to a mux.
+// Serve registers the handler of GET /lookup with a mux.
 func (d *Directory) Serve(mux *httpcall.Mux) {
 	httpcall.Handle(mux, http.MethodGet, "/lookup", func(_ context.Context, req LookupRequest) (LookupResponse, error) {
 		return LookupResponse{Addresses: d.Choose(req), TTLS: min(MaxTTLSeconds, d.TTLMaxS)}, nil
 	})
 }
 
-// locality is a set of routers by where they stand relative to a client. Its name
-// is the label of the look-ups' metric.
+// locality selects routers by their location relative to a client. Its name is the
+// label value of the look-up metric.
 type locality struct {
 	name     string
 	contains func(endpoint, LookupRequest) bool
 }
 
 var (
-	// localities are those that need no reason, the nearest first.
+	// localities are those that a client is sent to without further conditions, the
+	// nearest first.
 	localities = []locality{
 		{"zone", func(router endpoint, req LookupRequest) bool { return router.zone == req.Zone }},
 		{"region", func(router endpoint, req LookupRequest) bool { return router.region == req.Region }},
 	}
-	// anywhere holds all routers; only clients of a lost region are sent there.
+	// anywhere selects all routers; only clients of a lost region are sent there.
 	anywhere = locality{"away", func(endpoint, LookupRequest) bool { return true }}
 )
 
-// noLocality is the metric's label of look-ups without an answer.
+// noLocality is the metric's label value for look-ups that found no router.
 const noLocality = "none"
 
-// Choose gives the client addresses of the routers of the nearest locality that
-// has any ready one. Degraded routers, which reach no runners, are chosen only
-// where no router is ready and none is unreachable. It gives none where the
-// client's own region has no ready router and is not known to be lost: one whose
-// routers start, leave gracefully or were not heard of yet is not.
+// Choose returns the client addresses of the routers in the nearest locality that
+// has a ready one. Degraded routers, which reach no runner for some of their routes,
+// are chosen only if no known router is ready and none may be unreachable.
+//
+// Otherwise, if the client's region has no ready router, Choose returns routers of
+// other regions if the region is lost, and none if it is not known to be. A region
+// is not known to be lost just because its routers are starting, are leaving
+// gracefully or are not known yet.
 func (d *Directory) Choose(req LookupRequest) []ids.Address {
 	endpoints, now := d.endpoints(), d.Membership.Now()
 	if name, addresses := nearest(endpoints.ready, req); len(addresses) > 0 {
@@ -117,7 +123,8 @@
 	}
 	candidates := endpoints.ready
 	if len(endpoints.ready) == 0 && endpoints.complete {
-		// No router anywhere is better than the degraded ones nearby.
+		// No router is ready and none may be missing from the set, so the nearest
+		// degraded ones are the best choice.
 		if name, addresses := nearest(endpoints.degraded, req); len(addresses) > 0 {
 			return d.countLookup(name, addresses)
 		}
@@ -134,7 +141,8 @@
 	return d.countLookup(anywhere.name, addresses)
 }
 
-// nearest chooses from the first of the localities that has any of the routers.
+// nearest returns the name and the chosen addresses of the first of the localities
+// that contains any of the routers.
 func nearest(routers []endpoint, req LookupRequest) (name string, addresses []ids.Address) {
 	for _, candidate := range localities {
 		if addresses := candidate.choose(routers, req); len(addresses) > 0 {
@@ -144,7 +152,8 @@
 	return noLocality, nil
 }
 
-// choose gives the client addresses of up to maxAddresses routers of the locality.
+// choose returns the client addresses of the first routers in the locality, up to
+// maxAddresses.
 func (l locality) choose(routers []endpoint, req LookupRequest) []ids.Address {
 	var addresses []ids.Address
 	for _, router := range routers {
@@ -155,6 +164,8 @@
 	return addresses
 }
 
+// countLookup counts a look-up under the name of a locality and returns addresses
+// unchanged.
 func (d *Directory) countLookup(name string, addresses []ids.Address) []ids.Address {
 	d.Metrics.CountLookup(name)
 	return addresses
--- a/control/directory/endpoints.go
+++ b/control/directory/endpoints.go
@@ -5,23 +5,24 @@
 	"onyxwell/control/membership"
 )
 
-// endpoint is a router by its client address.
+// endpoint is a router's address for clients, with its zone and region.
 type endpoint struct {
 	address ids.Address
 	zone    ids.Zone
 	region  ids.Region
 }
 
-// endpointSet holds the known routers that serve.
+// endpointSet holds the known routers that serve clients.
 type endpointSet struct {
 	ready []endpoint
-	// degraded are those that reach no runners.
+	// degraded holds the routers that reach no runner for some of their routes.
 	degraded []endpoint
-	// complete is false where a router or a zone may be missing, being unreachable.
+	// complete is false if routers may be missing because they or their zone may be
+	// unreachable.
 	complete bool
 }
 
-// endpoints gives the routers of all zones.
+// endpoints returns the serving routers of all zones.
 func (d *Directory) endpoints() endpointSet {
 	endpoints := d.ownZoneEndpoints()
 	if d.OtherZones == nil {
@@ -36,7 +37,7 @@
 	return endpoints
 }
 
-// ownZoneEndpoints gives the routers of the directory's zone.
+// ownZoneEndpoints returns the serving routers of the directory's own zone.
 func (d *Directory) ownZoneEndpoints() endpointSet {
 	zone, endpoints := d.Membership.Self().Zone, endpointSet{complete: true}
 	for _, member := range d.Membership.Members() {
@@ -57,6 +58,7 @@
 	return endpoints
 }
 
+// zoneEndpoints returns the endpoints of routers in a zone, given their addresses.
 func (d *Directory) zoneEndpoints(zone ids.Zone, addresses []ids.Address) []endpoint {
 	var routers []endpoint
 	for _, address := range addresses {
@@ -65,6 +67,7 @@
 	return routers
 }
 
+// anyInRegion reports whether any of the routers is in the region.
 func anyInRegion(region ids.Region, routers []endpoint) bool {
 	for _, router := range routers {
 		if router.region == region {
--- a/control/directory/regions.go
+++ b/control/directory/regions.go
@@ -10,21 +10,24 @@
 	"onyxwell/control/membership"
 )
 
-// regionTracker keeps which regions are lost. A region becomes lost on evidence,
-// or after too long without a ready router, and stays so until it has one again.
-// The zero value is ready, and safe for concurrent use.
+// regionTracker records which regions are lost. A region without a ready router
+// becomes lost on evidence of a failure, or when it has had none for longer than a
+// timeout, and stays lost until it has one again. The zero value is ready to use,
+// and safe for concurrent use.
 type regionTracker struct {
 	mu     sync.Mutex
 	states map[ids.Region]*regionState
 }
 
+// regionState is what regionTracker records of one region.
 type regionState struct {
-	// readyAt is when the region last had a ready router, or was first looked up.
+	// readyAt is when a look-up last found a ready router in the region, or when the
+	// region was first looked up.
 	readyAt clock.Instant
 	lost    bool
 }
 
-// state gives a region's state, and begins it where there is none. r.mu must be
+// state returns a region's state, and creates it if there is none. r.mu must be
 // held.
 func (r *regionTracker) state(region ids.Region, now clock.Instant) *regionState {
 	if r.states == nil {
@@ -45,7 +48,8 @@
 }
 
 // markUnready records that a region has no ready router now, and reports whether
-// it is lost: on evidence, or for having had none for longer than timeout.
+// it is lost. The region becomes lost if there is evidence of a failure or if it
+// has had no ready router for longer than timeout.
 func (r *regionTracker) markUnready(region ids.Region, now clock.Instant, evidence bool, timeout time.Duration) (lost bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +60,8 @@
 	return state.lost
 }
 
-// isLost reports whether a region was lost when it was last marked.
+// isLost reports whether a region was lost when it was last marked as ready or
+// unready.
 func (r *regionTracker) isLost(region ids.Region) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,9 +69,9 @@
 	return state != nil && state.lost
 }
 
-// isLost reports whether a region without a ready router is lost. Evidence is a
-// daemon there that stopped answering, or a router that reaches no runners. A
-// region that is not deployed is as good as lost.
+// isLost marks a region as unready and reports whether it is lost. Evidence of a
+// failure is a daemon in the region that stopped answering, or a degraded router
+// there. A region that has no zone in the deployment counts as lost.
 func (d *Directory) isLost(region ids.Region, degraded []endpoint, now clock.Instant) bool {
 	if !d.isDeployed(region) {
 		return true
@@ -75,7 +80,7 @@
 	return d.regions.markUnready(region, now, evidence, d.LossTimeout)
 }
 
-// isDeployed reports whether any zone of the deployment is in the region.
+// isDeployed reports whether the region contains a zone of the deployment.
 func (d *Directory) isDeployed(region ids.Region) bool {
 	for _, deployed := range d.Zones {
 		if deployed == region {
@@ -85,9 +90,10 @@
 	return false
 }
 
-// hasUnresponsiveMember reports whether a daemon of the region stopped answering no
-// longer than LossTimeout ago without having left gracefully. A member that a
-// restarted daemon restored from its disk is no evidence: it was not probed yet.
+// hasUnresponsiveMember reports whether the region has a suspect member, or one that
+// was removed no longer than LossTimeout ago; a member that left gracefully is
+// neither. It ignores members that this daemon restored from its disk after a
+// restart: they have not been probed yet.
 func (d *Directory) hasUnresponsiveMember(region ids.Region) bool {
 	for _, member := range d.Membership.Members() {
 		if member.Restored() {
@@ -101,10 +107,10 @@
 	return false
 }
 
-// checkRedirect counts a redirect out of a region that is not lost as a violated
-// invariant.
+// checkRedirect counts a redirect out of a deployed region that is not lost as an
+// invariant violation.
 func (d *Directory) checkRedirect(req LookupRequest, addresses []ids.Address) {
 	if len(addresses) > 0 && d.isDeployed(req.Region) && !d.regions.isLost(req.Region) {
-		d.Monitor.Violated(invariant.RegionFailover, "clients of %s in %s are led to %v", req.Zone, req.Region, addresses)
+		d.Monitor.Violated(invariant.RegionFailover, "clients of zone %s in region %s are redirected to %v, but the region is not lost", req.Zone, req.Region, addresses)
 	}
 }
--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// pollingRelays is how many relays of a zone may poll before any other daemon.
+	// pollingRelays is how many relays of a zone poll before its other daemons do.
 	pollingRelays = 2
-	// checksPerInterval is how often in an interval the view's age is checked.
+	// checksPerInterval is how many times per Interval the view's age is checked.
 	checksPerInterval = 4
-	// restartDivisor is the part of the interval, one in so many, after which a
-	// restarted daemon without a list considers polling.
+	// restartDivisor defines the time that a restarted daemon waits for a list
+	// before it considers polling: Interval / restartDivisor.
 	restartDivisor = 16
-	// restartDelayDivisor is the part of the interval that a restarted daemon which
-	// is no relay leaves to others first.
+	// restartDelayDivisor defines the time that a restarted daemon that is not a
+	// polling relay then leaves to the relays: Interval / restartDelayDivisor.
 	restartDelayDivisor = 8
 )
 
-// Fallback polls the platform for its own zone while the view is stale: the zone
-// is cut off from the lease's holder, or the whole fleet was down. The zone's
-// first relay polls at once and gossips the list within the zone; the second
-// leaves it an interval to do so, and all other daemons wait for both and then
-// for a random time that keeps them together within the platform's rate limit.
-// After a restart without a list only the random time is left.
+// Fallback polls the platform on behalf of its own zone while the view is stale,
+// because the zone is partitioned from the lease's holder or because the whole
+// fleet was down. The zone's first relay polls at once and gossips the list within
+// the zone. The second relay polls one Interval later. All other daemons wait two
+// Intervals, one for each relay, and then a random time, so that all of them
+// together stay within the platform's rate limit. If they were restarted and have
+// no list, they wait Interval / restartDelayDivisor instead of two Intervals.
 type Fallback struct {
 	Platform   *PlatformClient
 	View       *View
@@ -42,19 +43,20 @@
 	Membership *membership.Table
 	Clock      clock.Clock
 	Log        *log.Logger
-	// RatePerS is the platform's rate limit in calls a second; 0 (no limit) and
-	// anything below 1 count as 1, since all relays may poll at once.
+	// RatePerS is the platform's rate limit in calls per second. 0 (no limit) and
+	// values below 1 count as 1, since all relays may poll at once.
 	RatePerS float64
-	// RouterCount estimates the routers of the whole fleet.
+	// RouterCount estimates the number of routers in the whole fleet.
 	RouterCount func() int
-	// Interval is the time between two polls by the lease's holder.
+	// Interval is the time between two polls by the holder of the discovery lease.
 	Interval time.Duration
 	// Restarted says that the fleet ran before, so that a list should exist already.
-	// At a first start the lease's holder is waited for.
+	// At a first start the daemon waits the view's MaxAge for the lease's holder to
+	// publish one.
 	Restarted bool
 }
 
-// Run keeps the view from going stale until ctx ends.
+// Run polls the platform whenever the view is stale, until ctx ends.
 func (f *Fallback) Run(ctx context.Context) {
 	for clock.Wait(ctx, f.Clock, f.checkInterval()) {
 		if !f.due(f.Clock.Now()) || !clock.Wait(ctx, f.Clock, f.pollDelay()) || f.View.Fresh() {
@@ -64,7 +66,7 @@
 	}
 }
 
-// Poll reads the list once and gossips it within the zone.
+// Poll reads the platform's list once and gossips it within the zone.
 func (f *Fallback) Poll(ctx context.Context) {
 	f.Log.Info().Str("part", logPart).Msg("endpoint list stale, polling platform for own zone")
 	lists, err := f.Platform.List(ctx)
@@ -85,7 +87,7 @@
 // restartedWithoutList reports whether this daemon was restarted and has no list yet.
 func (f *Fallback) restartedWithoutList() bool { return f.Restarted && !f.View.Complete() }
 
-// checkInterval is the time until the view's age is checked again.
+// checkInterval returns the time until the view's age is checked again.
 func (f *Fallback) checkInterval() time.Duration {
 	if f.restartedWithoutList() {
 		return f.Interval / restartDivisor
@@ -93,7 +95,8 @@
 	return f.Interval / checksPerInterval
 }
 
-// due reports whether the list is missing or stale.
+// due reports whether the list has been missing or unconfirmed for so long that
+// the platform is to be polled.
 func (f *Fallback) due(now clock.Instant) bool {
 	if f.View.Fresh() {
 		return false
@@ -105,12 +108,13 @@
 	return now.Since(f.View.ConfirmedAt()) >= maxAge
 }
 
-// pollDelay is how long this daemon leaves the poll to others of its zone.
+// pollDelay returns how long this daemon waits for other members of its zone to
+// poll before it polls itself.
 func (f *Fallback) pollDelay() time.Duration {
 	self := f.Membership.Self()
 	relays := f.Membership.Relays(self.Zone, pollingRelays)
-	// A router that is its zone's only relay has most likely met nobody yet;
-	// once it does, it is told the list.
+	// A router that is its zone's only relay has most likely not contacted any
+	// other member yet; once it does, it receives the list by gossip.
 	isolated := len(relays) == 1 && !self.ServesControl
 	for rank, relay := range relays {
 		if relay.Address == self.Address && !isolated {
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -16,21 +16,23 @@
 )
 
 const (
-	// MaxConcurrentReads is how many zones are read at the same time.
+	// MaxConcurrentReads is the maximum number of zones whose lists are read
+	// concurrently.
 	MaxConcurrentReads = 8
-	// maxPages bounds a list whose pages never end.
+	// maxPages is the maximum number of pages of one list. It ends the read of a
+	// list in which every page names a next one.
 	maxPages = 200
-	// minPagesByZone is how many pages a list must have to be read by zone: a
-	// shorter one takes fewer calls as a whole.
+	// minPagesByZone is the minimum number of pages of a list that is read by zone.
+	// Reading a shorter list as a whole takes fewer calls.
 	minPagesByZone = 4
-	// byZoneTimeoutIntervals is how many intervals a read by zone may take.
+	// byZoneTimeoutIntervals is the timeout of a read by zone, in Intervals.
 	byZoneTimeoutIntervals = 4
-	// conditionReady is the platform's word for a runner that takes requests.
+	// conditionReady is the platform's condition of a runner that takes requests.
 	conditionReady = "ready"
 )
 
-// PageRequest asks for one page of the list of a zone, or of all zones where
-// Zone is empty. Token continues after an earlier page.
+// PageRequest asks for one page of the list of a zone, or of all zones if Zone is
+// empty. Token is the continuation token of the previous page, empty for the first.
 type PageRequest struct {
 	Zone  ids.Zone
 	Token string
@@ -52,7 +54,8 @@
 	return httpcall.OutgoingRequest{Method: http.MethodGet, Path: path}
 }
 
-// Page is one page of the list; Next is the token of the next one, if any.
+// Page is one page of the list. Next is the continuation token of the next page;
+// it is nil or empty in the last one.
 type Page struct {
 	Servers []platformRunner `json:"servers"`
 	Next    *string          `json:"next_token"`
@@ -62,12 +65,12 @@
 // kind errkind.NotReady.
 func (p *Page) Decode(resp httpcall.RawResponse) error {
 	if resp.Status != http.StatusOK {
-		return errkind.Errorf(errkind.NotReady, "the platform answered %d", resp.Status)
+		return errkind.Errorf(errkind.NotReady, "platform returned status %d, want 200", resp.Status)
 	}
 	return json.Unmarshal(resp.Body, p)
 }
 
-// platformRunner is a runner as the platform describes it.
+// platformRunner is a runner as the platform encodes it in JSON.
 type platformRunner struct {
 	ID           ids.RunnerID    `json:"id"`
 	Service      ids.Service     `json:"service"`
@@ -88,29 +91,30 @@
 	}
 }
 
-// PlatformClient reads the platform's list of runners. A short list is read page
-// after page. One whose pages together take more than half an interval is read
-// by zone from then on, several zones at a time, so that the time grows with the
-// largest zone and not with the fleet. It is not safe for concurrent use.
+// PlatformClient reads the platform's list of runners. It reads a short list as a
+// whole, page by page. Once a list of at least minPagesByZone pages takes longer
+// than half an Interval, it reads by zone from then on, several zones concurrently,
+// so that the time depends on the size of the largest zone, not on that of the
+// fleet. It is not safe for concurrent use.
 type PlatformClient struct {
 	HTTP    *http.Client
 	Address ids.Address
 	Clock   clock.Clock
-	// Zones are the zones to read by; those in which runners were listed before
-	// are added to them.
+	// Zones are the zones that are always read when reading by zone. Other zones are
+	// added if a read of the whole list found runners in them.
 	Zones []ids.Zone
 	// Interval is the time between two polls. It is also the timeout of one page,
-	// and of a list that is read as a whole.
+	// and of a read of the whole list.
 	Interval time.Duration
 
 	byZone      bool
 	listedZones map[ids.Zone]bool
-	// LastPages is how many pages the last call of List fetched.
+	// LastPages is the number of pages that the last call of List requested.
 	LastPages int
 }
 
-// List reads the complete list, grouped by zone. It gives a complete list or an
-// error: a list with a hole would declare the runners in it gone.
+// List reads the complete list, grouped by zone. It returns a complete list or an
+// error: runners that an incomplete list omits would be taken for removed.
 func (p *PlatformClient) List(ctx context.Context) (map[ids.Zone]List, error) {
 	if p.byZone {
 		return p.listByZone(ctx)
@@ -136,16 +140,17 @@
 	return groupByZone(list.Runners, p.zones()), nil
 }
 
-// Probe reports whether the platform answers: a page of its list is asked for.
+// Probe reports whether the platform answers a request for the list's first page.
 func (p *PlatformClient) Probe(ctx context.Context) bool {
 	_, err := p.fetchPage(ctx, PageRequest{})
 	return err == nil
 }
 
-// ByZone reports whether the list is long enough to be read by zone.
+// ByZone reports whether the list is read by zone.
 func (p *PlatformClient) ByZone() bool { return p.byZone }
 
-// zones gives the configured zones and those in which runners were listed.
+// zones returns the configured zones, followed by the other zones in which runners
+// were listed.
 func (p *PlatformClient) zones() []ids.Zone {
 	zones := slices.Clone(p.Zones)
 	configured := map[ids.Zone]bool{}
@@ -160,7 +165,8 @@
 	return zones
 }
 
-// listByZone reads the zones' lists concurrently. One zone that fails fails all.
+// listByZone reads the zones' lists concurrently. It returns an error if the read
+// of any zone fails.
 func (p *PlatformClient) listByZone(ctx context.Context) (map[ids.Zone]List, error) {
 	ctx, cancel := p.Clock.WithTimeout(ctx, byZoneTimeoutIntervals*p.Interval)
 	defer cancel()
@@ -194,8 +200,8 @@
 	return lists, nil
 }
 
-// listPages reads one page after another. The number of pages counts those that
-// failed, too.
+// listPages reads the list of a zone, or of all zones if zone is empty, page by
+// page. The returned number of pages includes one that failed.
 func (p *PlatformClient) listPages(ctx context.Context, zone ids.Zone) (list List, pages int, err error) {
 	req := PageRequest{Zone: zone}
 	for pages = 1; pages <= maxPages; pages++ {
@@ -211,9 +217,10 @@
 		}
 		req.Token = *page.Next
 	}
-	return List{}, maxPages, errkind.Errorf(errkind.Internal, "the platform's list has no end")
+	return List{}, maxPages, errkind.Errorf(errkind.Internal, "platform list exceeds the maximum number of pages: last page allowed has a next_token")
 }
 
+// fetchPage requests one page, with Interval as its timeout.
 func (p *PlatformClient) fetchPage(ctx context.Context, req PageRequest) (Page, error) {
 	timeoutCtx, cancel := p.Clock.WithTimeout(ctx, p.Interval)
 	defer cancel()
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -15,63 +15,68 @@
 )
 
 const (
-	// maxFailures is how many polls in a row may fail before the lease is
-	// resigned: another controller may reach the platform.
+	// maxFailures is the number of consecutive failed polls after which the lease is
+	// resigned, since another controller may be able to reach the platform.
 	maxFailures = 2
-	// unchangedThreshold is after how many polls in a row without a change the
-	// interval grows by unchangedBackoff.
+	// unchangedThreshold is the number of consecutive polls without a change after
+	// which the interval is multiplied by unchangedBackoff.
 	unchangedThreshold = 6
 	unchangedBackoff   = 2
-	// rateDivisor is the part, one in so many, of the platform's rate limit that
-	// polls may use.
+	// rateDivisor defines the share of the platform's rate limit that polls may use:
+	// 1/rateDivisor.
 	rateDivisor = 2
-	// minDelayDivisor is the part of the interval, one in so many, that passes at
-	// least between the end of a poll and the next.
+	// minDelayDivisor defines the minimum time between the end of a poll and the
+	// start of the next: Interval / minDelayDivisor.
 	minDelayDivisor = 4
 )
 
 // Publisher polls the platform's list while it holds the discovery lease, and
 // publishes by gossip the lists of the zones that changed. Every item's version
-// carries the lease's epoch, so that an item of a holder that was superseded
-// never replaces one of its successor. Run is the only caller of Poll.
+// contains the lease's epoch, so that an item of a former holder never replaces one
+// of its successor. It is not safe for concurrent use: while Run is running, only
+// Run may call Poll.
 type Publisher struct {
 	Platform *PlatformClient
 	Updates  *gossip.Store
 	Clock    clock.Clock
 	Log      *log.Logger
-	// RatePerS is the platform's rate limit in calls a second; 0 for none.
+	// RatePerS is the platform's rate limit in calls per second; 0 means no limit.
 	RatePerS float64
-	// Held reports whether the lease is held at an instant, and its epoch.
+	// Held reports whether this controller holds the lease at an instant, and under
+	// which epoch.
 	Held func(now clock.Instant) (epoch int64, held bool)
-	// Resign gives the lease up; it may be nil.
+	// Resign gives up the lease; it may be nil.
 	Resign func(ctx context.Context)
-	// Interval is the time from one poll to the next. It doubles while nothing
-	// changes, unless the list is read by zone.
+	// Interval is the time from the start of one poll to that of the next. It is
+	// multiplied by unchangedBackoff while the list does not change, unless the list
+	// is read by zone.
 	Interval time.Duration
-	// RunnersExpected reports whether runners are about to be added, so that the interval does not
-	// double; nil is never.
+	// RunnersExpected reports whether runners are about to be added, so that the
+	// interval must not be extended. nil means never.
 	RunnersExpected func() bool
 	// HeartbeatInterval is the time between two heartbeats of an unchanged list.
 	HeartbeatInterval time.Duration
 
-	// epoch is the one under which the lists in published were published.
+	// epoch is the lease's epoch under which the lists in published were published.
 	epoch     int64
 	published map[ids.Zone]publishedZone
-	// sequence numbers the published items; a new epoch does not restart it.
+	// sequence is the sequence number of the last published item; a new epoch does
+	// not reset it.
 	sequence      int64
 	lastHeartbeat clock.Instant
-	// failures and unchanged count polls in a row.
+	// failures and unchanged are the numbers of consecutive polls that failed and
+	// that found no change.
 	failures  int
 	unchanged int
 }
 
-// publishedZone is a zone's list as last published.
+// publishedZone is a zone's list as last published, with its serial.
 type publishedZone struct {
 	list   List
 	serial ids.Version
 }
 
-// Run polls until ctx ends. The interval includes the time that a poll takes.
+// Run polls until ctx ends. The time that a poll takes counts towards the interval.
 func (p *Publisher) Run(ctx context.Context) {
 	elapsed := time.Duration(0)
 	for clock.Wait(ctx, p.Clock, max(p.delay()-elapsed, p.Interval/minDelayDivisor)) {
@@ -81,8 +86,9 @@
 	}
 }
 
-// delay is the time from one poll to the next: the interval with its backoff, or
-// as much as the pages of one poll need under the platform's rate limit.
+// delay returns the time from the start of one poll to that of the next: the
+// interval with its backoff, or, if longer, the time that the pages of one poll
+// need at the polls' share of the platform's rate limit.
 func (p *Publisher) delay() time.Duration {
 	delay := p.Interval
 	runnersExpected := p.RunnersExpected != nil && p.RunnersExpected()
@@ -95,9 +101,9 @@
 	return max(delay, time.Duration(float64(rateDivisor*p.Platform.LastPages)/p.RatePerS*float64(time.Second)))
 }
 
-// Poll reads the list once and publishes what changed. A list that was read
-// under an earlier epoch is discarded: another holder may have published a newer
-// one in between.
+// Poll reads the list once and publishes the zones that changed, if the lease is
+// held. If the lease ended or its epoch changed during the read, the list is
+// discarded: another holder may have published a newer one in between.
 func (p *Publisher) Poll(ctx context.Context) {
 	startEpoch, held := p.Held(p.Clock.Now())
 	if !held {
@@ -119,6 +125,8 @@
 	p.publish(epoch, lists, now)
 }
 
+// recordFailure counts a failed poll, and resigns the lease after maxFailures
+// consecutive ones.
 func (p *Publisher) recordFailure(ctx context.Context) {
 	if p.failures++; p.failures >= maxFailures && p.Resign != nil {
 		p.failures = 0
@@ -128,8 +136,9 @@
 }
 
 // publish publishes the lists that changed, and a heartbeat with each change and
-// once an interval. Under a new epoch every list is published: another holder may
-// have published newer ones, or read some before it froze.
+// at least once per HeartbeatInterval. Under a new epoch it publishes every list:
+// another holder may have published newer ones, or may yet publish a list that it
+// read before its process was suspended.
 func (p *Publisher) publish(epoch int64, lists map[ids.Zone]List, now clock.Instant) {
 	if epoch != p.epoch {
 		p.epoch, p.published = epoch, map[ids.Zone]publishedZone{}
@@ -153,16 +162,16 @@
 	}
 }
 
-// upToDate reports whether the zone's list is what this publisher published last
-// and the gossip store still holds.
+// upToDate reports whether the zone's list is equivalent to the one that this
+// publisher published last and that the gossip store still holds.
 func (p *Publisher) upToDate(zone ids.Zone, list List) bool {
 	last, ok := p.published[zone]
 	current, _ := p.Updates.Get(ZoneKey(zone))
 	return ok && current.Version == last.serial && list.equivalent(last.list)
 }
 
-// addRemovedZones adds an empty list for each published zone that the platform
-// no longer names.
+// addRemovedZones adds an empty list for each zone that has a published list but no
+// longer appears in the platform's.
 func (p *Publisher) addRemovedZones(lists map[ids.Zone]List) {
 	for _, item := range p.Updates.WithPrefix(ZoneKeyPrefix) {
 		zone, _ := zoneOfKey(item.Key)
@@ -172,7 +181,7 @@
 	}
 }
 
-// digest combines the digests of all published zones.
+// digest returns the combined digest of all published lists.
 func (p *Publisher) digest() int64 {
 	digest := int64(0)
 	for zone, published := range p.published {
@@ -181,7 +190,8 @@
 	return digest
 }
 
-// publishItem puts a message into the gossip store under the next serial.
+// publishItem puts a message into the gossip store under the next serial, which it
+// returns.
 func publishItem[Message any](p *Publisher, key string, message Message) ids.Version {
 	p.sequence++
 	serial := FencedSerial(p.epoch, p.sequence)
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -13,47 +13,50 @@
 	"onyxwell/control/transport"
 )
 
-// ViewOptions are the dependencies and settings of a View.
+// ViewOptions holds the dependencies and settings of a View.
 type ViewOptions struct {
 	Clock clock.Clock
-	// Zones are those whose lists make the view complete. Where there are none, any
-	// zone's list does.
+	// Zones are the zones whose published lists are needed for a complete view. If
+	// it is empty, the list of any one zone suffices.
 	Zones []ids.Zone
-	// MaxAge is how long the list is fresh after it was last confirmed.
+	// MaxAge is how long the list stays fresh after it was last confirmed.
 	MaxAge time.Duration
 }
 
 // View is a daemon's copy of the list of runners. It is assembled from the lists
-// that the lease's holder publishes zone by zone; items may be applied in any
-// order. While these are stale, a list that was read for this zone alone takes
-// their place, until a heartbeat confirms them again. It is safe for concurrent
-// use.
+// that the holder of the discovery lease publishes zone by zone; the items of
+// different keys may be applied in any order. Once these lists are stale, a local
+// list, which a member of this zone read from the platform, replaces them until a
+// heartbeat confirms them again. View is safe for concurrent use.
 type View struct {
 	options   ViewOptions
 	createdAt clock.Instant
 
 	mu sync.Mutex
-	// published holds the lists as published, and digest combines their digests.
+	// published holds the last published list of each zone, and digest is the xor of
+	// their digests.
 	published map[ids.Zone]*ZoneList
 	digest    int64
-	// heartbeatDigest is the digest of the last heartbeat, once one was seen.
+	// heartbeatDigest is the digest of the last heartbeat; it is valid if
+	// heartbeatSeen is set.
 	heartbeatDigest int64
 	heartbeatSeen   bool
-	// active holds the lists in use; it is replaced, never changed. local says that
-	// they were read for this zone.
+	// active holds the lists in use. The map is replaced, never modified. local says
+	// that a local list is in use; in it, the lists of zones that were published
+	// since replace the local ones.
 	active      map[ids.Zone]*ZoneList
 	local       bool
 	confirmedAt clock.Instant
 }
 
-// ZoneList is the list of one zone. It is immutable: callers may compare
+// ZoneList is the list of one zone. It is immutable, so callers may compare
 // pointers to find the zones that may have changed.
 type ZoneList struct {
 	Runners []Runner
 	serial  ids.Version
 }
 
-// NewView makes an empty view, which is neither complete nor fresh.
+// NewView returns an empty view, which is neither complete nor fresh.
 func NewView(options ViewOptions) *View {
 	return &View{
 		options: options, createdAt: options.Clock.Now(),
@@ -61,8 +64,8 @@
 	}
 }
 
-// Apply takes a gossip item and reports whether the list in use may have changed.
-// Items of other kinds, and those that can't be decoded, are ignored.
+// Apply applies a gossip item and reports whether the list in use may have changed.
+// It ignores items of other packages and items that can't be decoded.
 func (v *View) Apply(item gossip.Item) (changed bool) {
 	if zone, ok := zoneOfKey(item.Key); ok {
 		return v.applyZone(zone, item)
@@ -76,6 +79,9 @@
 	return false
 }
 
+// applyZone applies the published list of a zone. The list that makes the published
+// ones complete also confirms them; a later one does only if the digest matches
+// that of the last heartbeat.
 func (v *View) applyZone(zone ids.Zone, item gossip.Item) bool {
 	list, err := transport.Unmarshal[List](item.Body)
 	if err != nil {
@@ -102,6 +108,8 @@
 	return true
 }
 
+// applyHeartbeat applies a heartbeat and reports whether the published lists
+// replaced a local one.
 func (v *View) applyHeartbeat(item gossip.Item) bool {
 	heartbeat, err := transport.Unmarshal[Heartbeat](item.Body)
 	if err != nil {
@@ -113,8 +121,7 @@
 	return v.confirm()
 }
 
-// applyLocal takes a list that was read for this zone, unless the list in use is
-// fresh.
+// applyLocal applies a local list, unless the list in use is fresh.
 func (v *View) applyLocal(item gossip.Item) bool {
 	list, err := transport.Unmarshal[List](item.Body)
 	if err != nil || v.Fresh() {
@@ -124,8 +131,8 @@
 	return true
 }
 
-// SetLocal uses a list in place of the published ones, until a heartbeat confirms
-// these. The list counts as confirmed now.
+// SetLocal replaces the lists in use by a local list, until a heartbeat confirms
+// the published ones. The local list counts as confirmed now.
 func (v *View) SetLocal(list List) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -136,9 +143,9 @@
 	v.confirmedAt = v.options.Clock.Now()
 }
 
-// confirm marks the list as fresh and ends the use of a local one, if the
-// published lists are complete and match the last heartbeat. It reports whether a
-// local list was replaced. v.mu must be held.
+// confirm marks the published lists as fresh and ends the use of a local list, if
+// the published lists are complete and match the last heartbeat. It reports whether
+// it replaced a local list. v.mu must be held.
 func (v *View) confirm() (replaced bool) {
 	if !v.heartbeatSeen || v.heartbeatDigest != v.digest || !v.complete() {
 		return false
@@ -151,12 +158,13 @@
 	return replaced
 }
 
-// usePublished puts the published lists to use. v.mu must be held.
+// usePublished makes the published lists those in use. v.mu must be held.
 func (v *View) usePublished() {
 	v.active, v.local = maps.Clone(v.published), false
 }
 
-// complete reports whether every zone's list was published. v.mu must be held.
+// complete reports whether the lists of all zones in ViewOptions.Zones were
+// published, and at least one list. v.mu must be held.
 func (v *View) complete() bool {
 	for _, zone := range v.options.Zones {
 		if v.published[zone] == nil {
@@ -166,7 +174,8 @@
 	return len(v.published) > 0
 }
 
-// usable reports whether there is a list to use. v.mu must be held.
+// usable reports whether there is a complete list, published or local. v.mu must be
+// held.
 func (v *View) usable() bool { return v.local || v.complete() }
 
 // Complete reports whether there is a complete list, published or local.
@@ -184,8 +193,8 @@
 	return v.usable() && v.options.Clock.Now().Since(v.confirmedAt) < v.options.MaxAge
 }
 
-// ConfirmedAt gives when the list was last confirmed or read; before there is a
-// list, when the view was made.
+// ConfirmedAt returns when the list was last confirmed or, if it is local, applied.
+// While there is no complete list, it returns when the view was created.
 func (v *View) ConfirmedAt() clock.Instant {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -195,8 +204,8 @@
 	return v.createdAt
 }
 
-// Zones gives the lists in use, or nil while there is no complete list. The
-// caller must not change them.
+// Zones returns the lists in use by zone, or nil while there is no complete list.
+// The caller must not modify them.
 func (v *View) Zones() map[ids.Zone]*ZoneList {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -206,7 +215,7 @@
 	return v.active
 }
 
-// Runners gives the runners of all lists in use, ordered by zone.
+// Runners returns the runners of all lists in use, ordered by zone.
 func (v *View) Runners() []Runner {
 	lists := v.Zones()
 	var runners []Runner
--- a/control/outlier/detector.go
+++ b/control/outlier/detector.go
@@ -12,59 +12,63 @@
 )
 
 const (
-	// minFailures and minFailureRatio are how many requests, and which part of them,
-	// must fail for a runner to be an outlier at all.
+	// minFailures and minFailureRatio are the minimum number and the minimum ratio of
+	// failed requests of an outlier.
 	minFailures     = 3.0
 	minFailureRatio = 0.25
-	// peerFactor is how many times its peers' failure ratio an outlier's must be.
+	// peerFactor is the minimum ratio between the failure ratio of an outlier and
+	// that of its peers, the other runners of its service.
 	peerFactor = 3.0
-	// maxEjectedFraction is the part of a service's runners that may be ejected at
-	// a time.
+	// maxEjectedFraction is the maximum fraction of a service's runners that may be
+	// ejected at the same time.
 	maxEjectedFraction = 1.0 / 3
-	// window is how long an outcome counts.
+	// window is how long an outcome is taken into account.
 	window = 2 * time.Second
-	// baseEjectionTime is how long the first ejection lasts. Each further one lasts
-	// twice as long, up to baseEjectionTime << maxBackoff.
+	// baseEjectionTime is the duration of a runner's first ejection. Each further one
+	// lasts twice as long as the one before, up to baseEjectionTime << maxBackoff.
 	baseEjectionTime = 2 * time.Second
 	maxBackoff       = 4
-	// backoffDecay is how long a runner must go without an ejection for the backoff
-	// to fall by one.
+	// backoffDecay is the time without an ejection after which a runner's backoff
+	// decreases by one.
 	backoffDecay = 30 * time.Second
 )
 
-// outcome counts the requests of one sample.
+// outcome holds the numbers of a sample's requests that finished and that failed.
 type outcome struct {
 	at       clock.Instant
 	finished float64
 	failed   float64
 }
 
-// runnerState is what the detector keeps of a runner.
+// runnerState is the detector's state of one runner.
 type runnerState struct {
 	service ids.Service
-	// outcomes are those within the window and since the last ejection.
+	// outcomes holds the outcomes within the window and since the last ejection.
 	outcomes     []outcome
 	ejectedUntil clock.Instant
-	// backoff is the exponent of the next ejection's length.
+	// backoff is the exponent of the next ejection's duration, which is
+	// baseEjectionTime << backoff.
 	backoff int
 }
 
-// serviceTotals adds up the states of a service's runners.
+// serviceTotals holds the sums over all runners of a service: the requests that
+// finished and failed, the runners, and those that are ejected.
 type serviceTotals struct {
 	finished, failed float64
 	runners, ejected int
 }
 
-// Detector finds the outliers of a zone. The zero value is ready, and safe for
-// concurrent use. It reads no clock: instants are given.
+// Detector finds the outliers among the runners that a zone's requests are sent to.
+// The zero value is ready to use, and safe for concurrent use. It reads no clock:
+// callers pass the current instant.
 type Detector struct {
 	mu      sync.Mutex
 	runners map[ids.RunnerID]*runnerState
-	// lastEjected are the runners that the last Evaluate gave, sorted.
+	// lastEjected holds the ejected runners that the last Evaluate returned, sorted.
 	lastEjected []ids.RunnerID
 }
 
-// Add counts the outcomes that a router of the zone reports.
+// Add records the outcomes that a router of the zone reported.
 func (d *Detector) Add(report autoscaler.ReportRequest, now clock.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,9 +88,9 @@
 	}
 }
 
-// Evaluate ejects the outliers found since the last call, and gives all ejections
-// that last. changed reports whether other runners are ejected than after the last
-// call, so that the zone must be notified.
+// Evaluate ejects the runners that are outliers now, and returns all current
+// ejections. changed reports whether the set of ejected runners differs from that
+// of the last call, so that the zone's routers must be notified.
 func (d *Detector) Evaluate(now clock.Instant) (ejections Ejections, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,8 +113,9 @@
 	return ejections, changed
 }
 
-// expire drops outcomes that left the window, lets backoffs decay, forgets runners
-// with neither, and adds up the rest by service.
+// expire drops outcomes older than the window, decreases the backoffs that are due,
+// removes runners that have neither outcomes nor a backoff, and returns the totals
+// of the others by service.
 func (d *Detector) expire(now clock.Instant) map[ids.Service]*serviceTotals {
 	services := map[ids.Service]*serviceTotals{}
 	for id, runner := range d.runners {
@@ -144,17 +149,19 @@
 	return float64(s.ejected+1) <= maxEjectedFraction*float64(s.runners)
 }
 
+// ejected reports whether the runner's ejection lasts at an instant.
 func (r *runnerState) ejected(now clock.Instant) bool { return now.Before(r.ejectedUntil) }
 
-// eject begins an ejection and forgets the outcomes that led to it.
+// eject begins an ejection and drops the outcomes that led to it.
 func (r *runnerState) eject(now clock.Instant) {
 	r.ejectedUntil = now.Add(baseEjectionTime << r.backoff)
 	r.backoff = min(maxBackoff, r.backoff+1)
 	r.outcomes = nil
 }
 
-// isOutlier reports whether the runner's failure ratio is peerFactor times that of
-// all other runners of its service; totals include the runner.
+// isOutlier reports whether the runner has at least minFailures failed requests, a
+// failure ratio of at least minFailureRatio, and one of at least peerFactor times
+// that of all other runners of its service together. totals include the runner.
 func (r *runnerState) isOutlier(totals *serviceTotals) bool {
 	finished, failed := 0.0, 0.0
 	for _, o := range r.outcomes {
