--- a/control/directory/directory_test.go
+++ b/control/directory/directory_test.go
@@ -18,8 +18,8 @@
 
 var zoneRegions = map[ids.Zone]ids.Region{"z1": "r1", "z2": "r1", "z3": "r2"}
 
-// newRouter makes a ready router; its client address is that of the member after
-// an f.
+// newRouter returns a ready router. Its client address is the member's address with
+// the prefix f.
 func newRouter(address ids.Address, zone ids.Zone) membership.Member {
 	return membership.Member{Address: address, Role: "router", Zone: zone, Region: zoneRegions[zone], ClientAddress: "f" + address, Ready: true, Incarnation: 1}
 }
@@ -28,7 +28,8 @@
 	return membership.Member{Address: address, Zone: zone, Region: zoneRegions[zone], Relay: true, Incarnation: 1}
 }
 
-// fixture is the directory of a controller in zone z1, and what it hears.
+// fixture is the directory of a controller in zone z1, with the gossip store and the
+// clock that it uses.
 type fixture struct {
 	*Directory
 	t       testing.TB
@@ -49,7 +50,7 @@
 
 func (f *fixture) merge(members ...membership.Member) { f.Membership.Merge(members) }
 
-// publish publishes the routers of another zone.
+// publish puts the router endpoints of another zone into the gossip store.
 func (f *fixture) publish(serial ids.Version, routers zonesummary.RouterEndpoints) {
 	f.t.Helper()
 	body, err := transport.Marshal(routers)
@@ -59,7 +60,7 @@
 	f.updates.Put(gossip.Item{Key: zonesummary.EndpointsPrefix + string(routers.Zone), Version: serial, Body: body})
 }
 
-// expect checks what a client of a zone and region is answered.
+// expect checks the addresses that the directory chooses for a look-up.
 func (f *fixture) expect(step string, req LookupRequest, want ...ids.Address) {
 	f.t.Helper()
 	if got := f.Choose(req); !slices.Equal(got, want) {
@@ -90,7 +91,8 @@
 	}
 	f.Membership.AdvanceState("b", membership.Removed)
 	f.expect("own zone without routers", LookupRequest{Zone: "z1", Region: "r1"}, "fd")
-	// Routers of a zone whose relays are gone are left out, whatever was published.
+	// Routers of a zone without an alive relay are left out, even if their endpoints
+	// were published.
 	f.Membership.AdvanceState("r2", membership.Suspect)
 	f.expect("zone without relays", LookupRequest{Zone: "z2", Region: "r1"}, "fe")
 }
@@ -99,13 +101,14 @@
 	f := newFixture(t)
 	resp := LookupResponse{Addresses: f.Choose(LookupRequest{})}
 	if reply := resp.Response(); reply.Status != http.StatusServiceUnavailable {
-		t.Fatalf("%+v", reply)
+		t.Fatalf("reply to a look-up without addresses: want status 503, got %+v", reply)
 	}
 }
 
-// TestChoose_regionWithoutReachableRunners has the routers of a region reach no
-// runners: clients are redirected to others; where these are unreachable there is
-// no answer, and only where there are no others are the degraded ones chosen.
+// TestChoose_regionWithoutReachableRunners covers a region whose routers reach no
+// runners. Its clients are redirected to ready routers elsewhere. If other routers
+// may be unreachable, the look-up returns none; the degraded routers are chosen only
+// if all routers are known and none is ready.
 func TestChoose_regionWithoutReachableRunners(t *testing.T) {
 	f := newFixture(t)
 	degraded := newRouter("a", "z1")
@@ -119,5 +122,5 @@
 	f.publish(2, zonesummary.RouterEndpoints{Zone: "z3", Ready: []ids.Address{"fe"}})
 	f.expect("a router that reaches runners", req, "fe")
 	f.Membership.AdvanceState("r3", membership.Removed)
-	f.expect("others may be better, but are unreachable", req)
+	f.expect("other routers may be ready, but are unreachable", req)
 }
--- a/control/directory/redirect_test.go
+++ b/control/directory/redirect_test.go
@@ -10,9 +10,9 @@
 	"onyxwell/control/membership/zonesummary"
 )
 
-// TestChoose_keepsClientsInRegionUnlessLost fixes the order in which a directory
-// hears of routers: other regions' are ready while those of the client's are not.
-// Clients are redirected only where something says that their region is lost.
+// TestChoose_keepsClientsInRegionUnlessLost covers a directory that knows of ready
+// routers in another region before it knows of any in the client's region. Clients
+// are redirected only if there is evidence that their region is lost.
 func TestChoose_keepsClientsInRegionUnlessLost(t *testing.T) {
 	starting, leaving := newRouter("a", "z1"), newRouter("a", "z1")
 	starting.Ready = false
@@ -28,9 +28,9 @@
 		otherZone zonesummary.RouterEndpoints
 		want      []ids.Address
 	}{
-		{name: "region not heard of yet"},
-		{name: "routers start", members: []membership.Member{starting}},
-		{name: "routers leave gracefully", members: []membership.Member{leaving}},
+		{name: "no member of the region known yet"},
+		{name: "routers starting", members: []membership.Member{starting}},
+		{name: "routers leaving gracefully", members: []membership.Member{leaving}},
 		{
 			name: "other zone of the region without a ready router", members: []membership.Member{leaving, newRelay("r2", "z2")},
 			otherZone: zonesummary.RouterEndpoints{Zone: "z2"},
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestChoose_regionLostUntilRouterIsReady takes a region through a loss and its
-// return, and through an absence for no known reason.
+// TestChoose_regionLostUntilRouterIsReady covers a region that is lost and recovers,
+// and one that has no ready router for LossTimeout without evidence of a failure.
 func TestChoose_regionLostUntilRouterIsReady(t *testing.T) {
 	f := newFixture(t)
 	req := LookupRequest{Zone: "z1", Region: "r1"}
@@ -72,15 +72,15 @@
 	f.Membership.AdvanceState("a", membership.Suspect)
 	f.expect("router suspect", req, "fe")
 	restart(2, false)
-	f.expect("router back, not ready", req, "fe")
+	f.expect("router restarted, not ready", req, "fe")
 	restart(3, true)
 	f.expect("router ready", req, "fa")
 	restart(4, false)
 	f.expect("router leaves gracefully", req)
 	f.clock.Advance(lossTimeout)
-	f.expect("absent for the time-out", req)
+	f.expect("no ready router for LossTimeout", req)
 	f.clock.Advance(time.Millisecond)
-	f.expect("absent for longer", req, "fe")
+	f.expect("no ready router for longer than LossTimeout", req, "fe")
 }
 
 func TestDirectory_countsUnjustifiedRedirects(t *testing.T) {
@@ -89,6 +89,6 @@
 	f.checkRedirect(LookupRequest{Zone: "z1", Region: "r1"}, []ids.Address{"fe"})
 	f.checkRedirect(LookupRequest{Zone: "z9", Region: "r9"}, []ids.Address{"fe"})
 	if got := f.Monitor.Count(invariant.RegionFailover); got != 1 {
-		t.Errorf("counted %d", got)
+		t.Errorf("counted %d violations, want 1: the redirect out of a deployed region", got)
 	}
 }
--- a/control/discovery/publisher_lease_test.go
+++ b/control/discovery/publisher_lease_test.go
@@ -13,7 +13,7 @@
 	f.Held = func(clock.Instant) (int64, bool) { return 3, false }
 	f.poll()
 	if calls := f.platform.takeCalls(); len(calls) != 0 {
-		t.Fatalf("%v", calls)
+		t.Fatalf("the platform was polled without the lease: %v", calls)
 	}
 }
 
@@ -24,31 +24,31 @@
 	f.platform.down = true
 	for range maxFailures {
 		if resigned != 0 {
-			t.Fatal("resigned too soon")
+			t.Fatal("resigned before maxFailures polls failed")
 		}
 		f.poll()
 	}
 	if resigned != 1 {
-		t.Fatalf("resigned %d times", resigned)
+		t.Fatalf("resigned %d times after maxFailures failed polls, want 1", resigned)
 	}
 }
 
-// TestPublisher_discardsListReadUnderEarlierEpoch has the lease end and be granted
-// again under a new epoch during a poll: the list may be older than what another
-// holder published in between.
+// TestPublisher_discardsListReadUnderEarlierEpoch checks that a list is discarded if
+// the lease ends and is granted again under a new epoch during the poll: the list
+// may be older than one that another holder published in between.
 func TestPublisher_discardsListReadUnderEarlierEpoch(t *testing.T) {
 	f := newPublisherFixture(t)
 	epoch := int64(2)
 	f.Held = func(clock.Instant) (int64, bool) { epoch++; return epoch, true }
 	f.poll()
 	if _, ok := f.Updates.Get(ZoneKey("a")); ok || len(f.platform.takeCalls()) == 0 {
-		t.Fatal("a list from before the grant was published under its epoch")
+		t.Fatal("a list read under the earlier epoch was published, or the platform was not polled")
 	}
 }
 
-// TestPublisher_staleHolderOverridesNothing has a holder freeze right before it
-// publishes, and wake long after its lease ended: whatever its successor published
-// stays, even if that was no more than a heartbeat of an unchanged list.
+// TestPublisher_staleHolderOverridesNothing suspends a holder right before it
+// publishes and resumes it long after its lease ended. What its successor published
+// must stay, even if that was only a heartbeat of an unchanged list.
 func TestPublisher_staleHolderOverridesNothing(t *testing.T) {
 	f := newPublisherFixture(t)
 	epoch, held := int64(1), true
@@ -62,7 +62,8 @@
 	}
 	frozen.Held = func(clock.Instant) (int64, bool) {
 		if checks++; checks == 2 {
-			// The check was in time; all this happens before it is acted on.
+			// The holder's check of its lease succeeds, but before it publishes, its
+			// successor polls and publishes.
 			epoch, held = 3, true
 			f.platform.condition = "ready"
 			f.clock.Advance(10 * time.Second)
@@ -73,9 +74,9 @@
 	f.platform.condition = "draining"
 	frozen.Poll(context.Background())
 	if list, serial := f.publishedList(t, "a"); serial>>32 != 3 || list.Runners[0].Draining {
-		t.Fatalf("frozen holder's list of epoch %d stands: %+v", serial>>32, list)
+		t.Fatalf("list has epoch %d, want the successor's 3 and no draining runner: %+v", serial>>32, list)
 	}
 	if serial := f.heartbeatSerial(); serial>>32 != 3 {
-		t.Fatalf("frozen holder's heartbeat of epoch %d stands", serial>>32)
+		t.Fatalf("heartbeat has epoch %d, want the successor's 3", serial>>32)
 	}
 }
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -21,19 +21,20 @@
 
 const serverJSON = `{"service":"s","address":"10.0.0.%d:80","zone":"%s","config_version":"v1","capacity":8,"condition":"%s","cold_left_ms":%d,"id":"i-%d"}`
 
-// fakePlatform serves a list with one runner a page.
+// fakePlatform serves a list with one runner per page.
 type fakePlatform struct {
 	mu    sync.Mutex
 	clock *clock.Fake
-	// zones gives the zone of each runner.
+	// zones holds the zone of each runner.
 	zones        []string
 	condition    string
 	warmupLeftMS int
-	// down has each call rejected.
+	// down says that every call is rejected with status 429.
 	down bool
-	// pageDelay is how long a page takes on the clock.
+	// pageDelay is the time that the clock advances per page of the whole list.
 	pageDelay time.Duration
-	calls     []string
+	// calls holds the URIs requested since the last takeCalls.
+	calls []string
 }
 
 func (f *fakePlatform) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -64,9 +65,10 @@
 	fmt.Fprintf(w, `{"servers":[`+serverJSON+`],"next_token":%s}`, number, f.zones[number], f.condition, f.warmupLeftMS, number, next)
 }
 
-// pageTime is how far a page moves the clock. Zones are read at the same time, so that the
-// pages of all zones together take as long as those of one: else a page that is served
-// after all others times out by the time that these took.
+// pageTime returns the time by which a page advances the clock. Zones are read
+// concurrently, so a page of one zone advances it by only 1/fixtureZones of
+// pageDelay. Otherwise the page that is served last would time out because of the
+// time that the pages of the other zones added to the clock.
 func (f *fakePlatform) pageTime(zone string) time.Duration {
 	if zone == "" {
 		return f.pageDelay
@@ -74,7 +76,7 @@
 	return f.pageDelay / fixtureZones
 }
 
-// takeCalls gives the sorted calls since the last takeCalls.
+// takeCalls returns the URIs requested since the last takeCalls, sorted.
 func (f *fakePlatform) takeCalls() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,11 +86,11 @@
 	return calls
 }
 
-// fixtureZones is how many zones a publisherFixture reads at the same time.
+// fixtureZones is the number of zones that a publisherFixture reads concurrently.
 const fixtureZones = 3
 
-// publisherFixture is a publisher that holds the lease under epoch 3, with a
-// platform that lists two runners in zone a and one in zone b.
+// publisherFixture is a publisher that holds the lease under epoch 3, and a platform
+// that lists two runners in zone a and one in zone b.
 type publisherFixture struct {
 	*Publisher
 	platform *fakePlatform
@@ -115,13 +117,13 @@
 
 func (p *publisherFixture) poll() { p.Poll(context.Background()) }
 
-// publishedList gives a zone's list as published, and its serial.
+// publishedList returns a zone's published list and its serial.
 func (p *publisherFixture) publishedList(t *testing.T, zone ids.Zone) (List, ids.Version) {
 	t.Helper()
 	item, ok := p.Updates.Get(ZoneKey(zone))
 	list, err := transport.Unmarshal[List](item.Body)
 	if !ok || err != nil {
-		t.Fatalf("list of %s: published %v, %v", zone, ok, err)
+		t.Fatalf("list of zone %s: in store %v, decoding error %v", zone, ok, err)
 	}
 	return list, item.Version
 }
@@ -143,19 +145,19 @@
 	f.poll()
 	for zone, want := range map[ids.Zone]int{"a": 2, "b": 1, "c": 0} {
 		if list, _ := f.publishedList(t, zone); len(list.Runners) != want {
-			t.Errorf("zone %s: %+v", zone, list)
+			t.Errorf("zone %s: want %d runners, got %+v", zone, want, list)
 		}
 	}
 	if list, _ := f.publishedList(t, "a"); list.Runners[1].ID != "i-1" || list.Runners[1].Draining || list.Runners[0].Capacity != 8 {
-		t.Errorf("%+v", list)
+		t.Errorf("zone a: want a ready second runner i-1 and capacity 8, got %+v", list)
 	}
 	if calls := f.platform.takeCalls(); len(calls) != 3 {
-		t.Errorf("short list not read as a whole: %v", calls)
+		t.Errorf("short list not read as a whole with one call per page: %v", calls)
 	}
 }
 
-// TestPublisher_readsLongListByZone has pages take so long that a read of the
-// whole takes more than half of the interval.
+// TestPublisher_readsLongListByZone makes pages so slow that a read of the whole
+// list takes more than half an interval, so that the next read is by zone.
 func TestPublisher_readsLongListByZone(t *testing.T) {
 	f := newPublisherFixture(t)
 	f.platform.zones = []string{"a", "a", "b", "b", "d"}
@@ -167,10 +169,10 @@
 	want := []string{"/servers?page_token=p+1&zone=a", "/servers?page_token=p+1&zone=b",
 		"/servers?zone=a", "/servers?zone=b", "/servers?zone=c", "/servers?zone=d"}
 	if calls := f.platform.takeCalls(); !slices.Equal(calls, want) {
-		t.Fatalf("%v", calls)
+		t.Fatalf("calls %v, want %v", calls, want)
 	}
 	if after, serialAfter := f.publishedList(t, "a"); serialAfter != serial || !after.equivalent(before) {
-		t.Fatal("an unchanged list was published again because it was read by zone")
+		t.Fatal("an unchanged list was published again after it was read by zone")
 	}
 	f.expectDelay(t, "first read by zone", time.Second)
 	f.Platform.LastPages = 100
@@ -183,12 +185,12 @@
 	f.platform.down = true
 	f.poll()
 	if _, serialAfter := f.publishedList(t, "a"); serialAfter != serial {
-		t.Fatal("a failed poll was published")
+		t.Fatal("a list was published after a failed poll")
 	}
 }
 
-// TestPublisher_continuesTimedOutReadByZone has a read of the whole run out of
-// time: the same poll goes on by zone.
+// TestPublisher_continuesTimedOutReadByZone checks that a poll whose read of the
+// whole list times out goes on by reading zone by zone.
 func TestPublisher_continuesTimedOutReadByZone(t *testing.T) {
 	f := newPublisherFixture(t)
 	f.platform.zones = []string{"a", "a", "a", "b", "b", "b", "c"}
@@ -196,7 +198,7 @@
 	started := f.clock.Now()
 	f.poll()
 	if list, _ := f.publishedList(t, "a"); len(list.Runners) != 3 || !f.Platform.ByZone() {
-		t.Fatalf("after %v: %+v", f.clock.Now().Since(started), list)
+		t.Fatalf("zone a not read by zone, want 3 runners; poll took %v: %+v", f.clock.Now().Since(started), list)
 	}
 }
 
@@ -207,17 +209,17 @@
 	heartbeat := f.heartbeatSerial()
 	f.poll()
 	if _, again := f.publishedList(t, "a"); again != first || f.heartbeatSerial() != heartbeat {
-		t.Fatal("an unchanged list was published at once")
+		t.Fatal("an unchanged list or a heartbeat was published before HeartbeatInterval")
 	}
 	f.clock.Advance(2 * time.Second)
 	f.poll()
 	if _, again := f.publishedList(t, "a"); again != first || f.heartbeatSerial() <= heartbeat {
-		t.Fatal("no heartbeat after its interval")
+		t.Fatal("no heartbeat after HeartbeatInterval, or an unchanged list was published with it")
 	}
 	f.platform.condition = "draining"
 	f.poll()
 	if _, changed := f.publishedList(t, "a"); changed <= first {
-		t.Fatal("a draining runner was not published at once")
+		t.Fatal("the list was not published by the first poll after a runner began to drain")
 	}
 	for range unchangedThreshold {
 		f.expectDelay(t, "few polls without a change", time.Second)
@@ -231,13 +233,13 @@
 	f.Updates.Put(gossip.Item{Key: ZoneKey("gone"), Version: FencedSerial(2, 7), Body: []byte("another's")})
 	f.poll()
 	if list, _ := f.publishedList(t, "gone"); len(list.Runners) != 0 {
-		t.Fatal("a zone that the platform no longer names keeps its runners")
+		t.Fatal("a zone that the platform no longer lists keeps its runners")
 	}
 	_, first := f.publishedList(t, "a")
 	f.Updates.Put(gossip.Item{Key: ZoneKey("a"), Version: FencedSerial(3, 9), Body: []byte("another's")})
 	f.sequence = 20
 	f.poll()
 	if list, last := f.publishedList(t, "a"); last <= first || len(list.Runners) != 2 {
-		t.Fatalf("another holder's list stays: %+v", list)
+		t.Fatalf("another holder's list was not replaced: %+v", list)
 	}
 }
--- a/control/discovery/view_test.go
+++ b/control/discovery/view_test.go
@@ -17,8 +17,7 @@
 
 const maxAge = 3 * time.Second
 
-// viewFixture is a view of zones a and b, with the serials of the lists that its
-// publisher published.
+// viewFixture is a view of zones a and b, with the serials of the published lists.
 type viewFixture struct {
 	*View
 	t       testing.TB
@@ -45,13 +44,14 @@
 	return list
 }
 
-// publish publishes a zone's list and reports whether the view may have changed.
+// publish applies a zone's published list to the view and reports whether the list
+// in use may have changed.
 func (v *viewFixture) publish(zone ids.Zone, serial ids.Version, runnerIDs ...ids.RunnerID) (changed bool) {
 	v.serials[zone] = serial
 	return v.Apply(newItem(ZoneKey(zone), serial, newList(zone, runnerIDs...)))
 }
 
-// heartbeat publishes a heartbeat that confirms the serials.
+// heartbeat applies a heartbeat that confirms the lists with the fixture's serials.
 func (v *viewFixture) heartbeat(serial ids.Version) (changed bool) {
 	digest := int64(0)
 	for zone, published := range v.serials {
@@ -60,6 +60,7 @@
 	return v.Apply(newItem(HeartbeatKey, serial, Heartbeat{Digest: digest}))
 }
 
+// expect checks the IDs of the runners in use.
 func (v *viewFixture) expect(step string, runnerIDs ...ids.RunnerID) {
 	v.t.Helper()
 	runners := v.Runners()
@@ -75,15 +76,15 @@
 func TestView_completeOnceEveryZoneIsPublished(t *testing.T) {
 	f := newViewFixture(t)
 	if f.publish("a", 1, "i"); f.Complete() || f.Zones() != nil {
-		t.Fatal("complete with the list of one zone")
+		t.Fatal("complete with the list of one zone of two")
 	}
 	if !f.publish("b", 1, "j") || !f.Complete() || !f.Fresh() {
-		t.Fatal("not complete with both")
+		t.Fatal("not complete or not fresh with the lists of both zones")
 	}
 	f.expect("both", "i", "j")
 	f.clock.Advance(maxAge)
 	if f.Fresh() {
-		t.Fatal("fresh for ever")
+		t.Fatal("still fresh MaxAge after the last confirmation")
 	}
 	if f.heartbeat(5); !f.Fresh() {
 		t.Fatal("a matching heartbeat does not confirm the lists")
@@ -91,41 +92,41 @@
 	f.clock.Advance(maxAge)
 	f.serials["a"] = 9
 	if f.heartbeat(6); f.Fresh() {
-		t.Fatal("a heartbeat of other lists confirms these")
+		t.Fatal("a heartbeat with another digest confirms the lists")
 	}
-	// The heartbeat came before the list that it confirms.
+	// The heartbeat arrived before the list that it confirms.
 	if f.publish("a", 9, "k"); !f.Fresh() {
-		t.Fatal("the missing list does not confirm the view")
+		t.Fatal("the list that the last heartbeat confirms does not make the view fresh")
 	}
 	f.expect("after the change", "k", "j")
 }
 
-// TestView_heartbeatReplacesLocalList has a zone partitioned: its own list replaces
-// the published ones, and these count again with the next heartbeat of the lease's
-// holder, though none of them changed meanwhile.
+// TestView_heartbeatReplacesLocalList partitions a zone: its local list replaces the
+// published ones. The next heartbeat from the lease's holder makes these active
+// again, although none of them changed in between.
 func TestView_heartbeatReplacesLocalList(t *testing.T) {
 	f := newViewFixture(t)
 	f.publish("a", 1, "i")
 	f.publish("b", 1, "j")
 	local := newItem(LocalKey("a"), 1, newList("a", "x"))
 	if f.Apply(local); !f.Fresh() {
-		t.Fatal("not fresh")
+		t.Fatal("not fresh with the lists of both zones")
 	}
 	f.expect("local list while the published ones are fresh", "i", "j")
 	f.clock.Advance(maxAge)
 	if !f.Apply(local) || !f.Fresh() {
-		t.Fatal("a local list is ignored though the published ones are stale")
+		t.Fatal("a local list is ignored although the published ones are stale")
 	}
 	f.expect("partitioned", "x")
 	f.clock.Advance(maxAge)
 	if !f.heartbeat(7) || !f.Fresh() {
-		t.Fatal("the heartbeat does not bring the published lists back")
+		t.Fatal("the heartbeat does not make the published lists active again")
 	}
 	f.expect("healed", "i", "j")
 }
 
-// TestView_itemOrderDoesNotMatter applies the newest lists and the heartbeat in any
-// order.
+// TestView_itemOrderDoesNotMatter applies the lists of two zones, one of them also
+// in an older version, and the heartbeat in any order.
 func TestView_itemOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := NewView(ViewOptions{Clock: clock.NewFake(), Zones: []ids.Zone{"a", "b"}, MaxAge: maxAge})
@@ -140,7 +141,7 @@
 		}
 		runners := view.Runners()
 		if len(runners) != 2 || runners[0].ID != "i" || runners[1].ID != "j" || view.heartbeatDigest != view.digest {
-			t.Fatalf("%+v", runners)
+			t.Fatalf("want runners i and j and matching digests, got %+v", runners)
 		}
 	})
 }
--- a/control/outlier/detector_test.go
+++ b/control/outlier/detector_test.go
@@ -10,8 +10,8 @@
 	"onyxwell/control/planning/autoscaler"
 )
 
-// newReport reports ten requests at each of ten runners; failed gives how many of
-// them failed, by runner.
+// newReport returns a report of ten requests at each of ten runners. failed holds
+// the number of failed ones by the runner's index.
 func newReport(failed map[int]float64) autoscaler.ReportRequest {
 	var report autoscaler.ReportRequest
 	for index := range 10 {
@@ -22,6 +22,7 @@
 	return report
 }
 
+// leftMSByRunner returns the remaining milliseconds of each ejection.
 func leftMSByRunner(ejections Ejections) map[ids.RunnerID]int64 {
 	leftMS := map[ids.RunnerID]int64{}
 	for _, ejection := range ejections.Runners {
@@ -35,10 +36,10 @@
 	detector.Add(newReport(map[int]float64{2: 4, 5: 2}), fake.Now())
 	ejections, changed := detector.Evaluate(fake.Now())
 	if leftMS := leftMSByRunner(ejections); !changed || len(leftMS) != 1 || leftMS["i2"] != 2000 {
-		t.Fatalf("%v %v", leftMS, changed)
+		t.Fatalf("ejections %v, changed %v; want only i2 for 2000 ms, changed", leftMS, changed)
 	}
 	if _, changed = detector.Evaluate(fake.Now()); changed {
-		t.Fatal("the same ejections count as changed")
+		t.Fatal("unchanged ejections are reported as changed")
 	}
 	all := map[int]float64{}
 	for index := range 10 {
@@ -47,7 +48,7 @@
 	detector = &Detector{}
 	detector.Add(newReport(all), fake.Now())
 	if ejections, _ = detector.Evaluate(fake.Now()); len(ejections.Runners) != 0 {
-		t.Fatalf("all fail alike, yet %v are ejected", ejections)
+		t.Fatalf("all runners have the same failure ratio, yet %v are ejected", ejections)
 	}
 }
 
@@ -59,12 +60,12 @@
 		ejections, _ := detector.Evaluate(fake.Now())
 		leftMS := leftMSByRunner(ejections)["i2"]
 		if leftMS != 2000<<backoff {
-			t.Fatalf("ejection %d lasts %d ms after one of %d", backoff, leftMS, previousMS)
+			t.Fatalf("ejection %d lasts %d ms, the one before %d ms; want twice as long, 2000 ms for the first", backoff, leftMS, previousMS)
 		}
 		previousMS = leftMS
 		fake.Advance(time.Duration(leftMS+1) * time.Millisecond)
 		if ejections, changed := detector.Evaluate(fake.Now()); len(ejections.Runners) != 0 || !changed {
-			t.Fatal("an ejection does not end")
+			t.Fatal("an ejection does not end after its time, or its end is not reported as a change")
 		}
 	}
 	fake.Advance(5 * backoffDecay)
@@ -73,7 +74,7 @@
 	}
 	detector.Add(newReport(map[int]float64{2: 8}), fake.Now())
 	if ejections, _ := detector.Evaluate(fake.Now()); leftMSByRunner(ejections)["i2"] != 2000 {
-		t.Fatalf("the backoff does not decay: %v", ejections)
+		t.Fatalf("after the decay of the backoff, want an ejection of 2000 ms, got %v", ejections)
 	}
 }
 
@@ -84,7 +85,7 @@
 	for range 4 {
 		ejections, _ := detector.Evaluate(fake.Now())
 		if len(ejections.Runners) > 3 {
-			t.Fatalf("%d of ten are ejected", len(ejections.Runners))
+			t.Fatalf("%d of 10 runners are ejected, want at most 3", len(ejections.Runners))
 		}
 		detector.Add(report, fake.Now())
 	}
