--- a/control/discovery/fallback.go
+++ b/control/discovery/fallback.go
@@ -114,7 +114,8 @@
 	self := f.Membership.Self()
 	relays := f.Membership.Relays(self.Zone, pollingRelays)
 	// A router that is its zone's only relay has most likely not contacted any
-	// other member yet; once it does, it receives the list by gossip.
+	// other member yet; once it does, it receives the list by gossip. Therefore it
+	// waits as long as a daemon that is not a relay.
 	isolated := len(relays) == 1 && !self.ServesControl
 	for rank, relay := range relays {
 		if relay.Address == self.Address && !isolated {
--- a/control/discovery/platform.go
+++ b/control/discovery/platform.go
@@ -109,7 +109,9 @@
 
 	byZone      bool
 	listedZones map[ids.Zone]bool
-	// LastPages is the number of pages that the last call of List requested.
+	// LastPages is the number of pages that the last call of List requested. If the
+	// call first read the whole list and then read by zone, the pages of the first
+	// read are not included.
 	LastPages int
 }
 
@@ -217,7 +219,7 @@
 		}
 		req.Token = *page.Next
 	}
-	return List{}, maxPages, errkind.Errorf(errkind.Internal, "platform list exceeds the maximum number of pages: last page allowed has a next_token")
+	return List{}, maxPages, errkind.Errorf(errkind.Internal, "platform list exceeds the maximum number of pages: next_token is still set in the last one")
 }
 
 // fetchPage requests one page, with Interval as its timeout.
--- a/control/discovery/publisher.go
+++ b/control/discovery/publisher.go
@@ -48,8 +48,8 @@
 	// Resign gives up the lease; it may be nil.
 	Resign func(ctx context.Context)
 	// Interval is the time from the start of one poll to that of the next. It is
-	// multiplied by unchangedBackoff while the list does not change, unless the list
-	// is read by zone.
+	// multiplied by unchangedBackoff once unchangedThreshold polls found no change,
+	// unless the list is read by zone.
 	Interval time.Duration
 	// RunnersExpected reports whether runners are about to be added, so that the
 	// interval must not be extended. nil means never.
@@ -64,8 +64,8 @@
 	// not reset it.
 	sequence      int64
 	lastHeartbeat clock.Instant
-	// failures and unchanged are the numbers of consecutive polls that failed and
-	// that found no change.
+	// failures is the number of consecutive polls that failed, and unchanged that of
+	// the polls that succeeded since the list last changed.
 	failures  int
 	unchanged int
 }
--- a/control/discovery/publisher_test.go
+++ b/control/discovery/publisher_test.go
@@ -145,7 +145,7 @@
 	f.poll()
 	for zone, want := range map[ids.Zone]int{"a": 2, "b": 1, "c": 0} {
 		if list, _ := f.publishedList(t, zone); len(list.Runners) != want {
-			t.Errorf("zone %s: want %d runners, got %+v", zone, want, list)
+			t.Errorf("zone %s: wrong number of runners: %+v", zone, list)
 		}
 	}
 	if list, _ := f.publishedList(t, "a"); list.Runners[1].ID != "i-1" || list.Runners[1].Draining || list.Runners[0].Capacity != 8 {
@@ -169,7 +169,7 @@
 	want := []string{"/servers?page_token=p+1&zone=a", "/servers?page_token=p+1&zone=b",
 		"/servers?zone=a", "/servers?zone=b", "/servers?zone=c", "/servers?zone=d"}
 	if calls := f.platform.takeCalls(); !slices.Equal(calls, want) {
-		t.Fatalf("calls %v, want %v", calls, want)
+		t.Fatalf("want one call for each page of each zone, got %v", calls)
 	}
 	if after, serialAfter := f.publishedList(t, "a"); serialAfter != serial || !after.equivalent(before) {
 		t.Fatal("an unchanged list was published again after it was read by zone")
--- a/control/discovery/runner.go
+++ b/control/discovery/runner.go
@@ -10,9 +10,9 @@
 //     number: an item of a former holder never replaces one of its successor.
 //   - A list is published complete or not at all: a runner that is missing from
 //     it no longer exists.
-//   - A View is fresh only if, within its MaxAge, either a heartbeat with a
-//     matching digest confirmed that the platform's list is the same, or the list
-//     was read from the platform within the zone.
+//   - A View is fresh only if, within its MaxAge, a heartbeat with a matching
+//     digest confirmed that the platform's list is the same, the published lists
+//     became complete, or a list that was read within the zone was applied.
 package discovery
 
 import (
--- a/control/discovery/view.go
+++ b/control/discovery/view.go
@@ -25,9 +25,10 @@
 
 // View is a daemon's copy of the list of runners. It is assembled from the lists
 // that the holder of the discovery lease publishes zone by zone; the items of
-// different keys may be applied in any order. Once these lists are stale, a local
-// list, which a member of this zone read from the platform, replaces them until a
-// heartbeat confirms them again. View is safe for concurrent use.
+// different keys may be applied in any order. While these lists are incomplete or
+// stale, a local list, which a member of this zone read from the platform, may
+// replace them. They are used again as soon as they become complete or a heartbeat
+// confirms them. View is safe for concurrent use.
 type View struct {
 	options   ViewOptions
 	createdAt clock.Instant
@@ -131,8 +132,9 @@
 	return true
 }
 
-// SetLocal replaces the lists in use by a local list, until a heartbeat confirms
-// the published ones. The local list counts as confirmed now.
+// SetLocal replaces the lists in use by a local list, until the published ones
+// become complete or a heartbeat confirms them. The local list counts as confirmed
+// now.
 func (v *View) SetLocal(list List) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/control/outlier/detector.go
+++ b/control/outlier/detector.go
@@ -88,9 +88,10 @@
 	}
 }
 
-// Evaluate ejects the runners that are outliers now, and returns all current
-// ejections. changed reports whether the set of ejected runners differs from that
-// of the last call, so that the zone's routers must be notified.
+// Evaluate ejects the runners that are outliers now, as far as maxEjectedFraction
+// permits, and returns all current ejections. changed reports whether the set of
+// ejected runners differs from that of the last call, so that the zone's routers
+// must be notified.
 func (d *Detector) Evaluate(now clock.Instant) (ejections Ejections, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,7 +150,7 @@
 	return float64(s.ejected+1) <= maxEjectedFraction*float64(s.runners)
 }
 
-// ejected reports whether the runner's ejection lasts at an instant.
+// ejected reports whether the runner is ejected at an instant.
 func (r *runnerState) ejected(now clock.Instant) bool { return now.Before(r.ejectedUntil) }
 
 // eject begins an ejection and drops the outcomes that led to it.
