--- a/control/directory/endpoints.go
+++ b/control/directory/endpoints.go
@@ -5,40 +5,41 @@
 	"onyxwell/control/membership"
 )
 
-// endpoint is a router by its client address.
+// endpoint is a router's address for clients, with its zone and region.
 type endpoint struct {
 	address ids.Address
 	zone    ids.Zone
 	region  ids.Region
 }
 
-// endpointSet holds the known routers that serve.
+// endpointSet holds the known routers that serve clients.
 type endpointSet struct {
 	ready []endpoint
-	// degraded are those that reach no runners.
+	// degraded holds the routers that reach no runner for some of their routes.
 	degraded []endpoint
-	// complete is false where a router or a zone may be missing, being unreachable.
+	// complete is false if routers may be missing because they or their zone may be
+	// unreachable.
 	complete bool
 }
 
-// endpoints gives the routers of all zones.
+// endpoints returns the serving routers of all zones.
 func (d *Directory) endpoints() endpointSet {
-	known := d.ownZoneEndpoints()
+	endpoints := d.ownZoneEndpoints()
 	if d.OtherZones == nil {
-		return known
+		return endpoints
 	}
 	reachable, unreachable := d.OtherZones()
 	for _, zone := range reachable {
-		known.ready = append(known.ready, d.zoneEndpoints(zone.Zone, zone.Ready)...)
-		known.degraded = append(known.degraded, d.zoneEndpoints(zone.Zone, zone.Degraded)...)
+		endpoints.ready = append(endpoints.ready, d.zoneEndpoints(zone.Zone, zone.Ready)...)
+		endpoints.degraded = append(endpoints.degraded, d.zoneEndpoints(zone.Zone, zone.Degraded)...)
 	}
-	known.complete = known.complete && len(unreachable) == 0
-	return known
+	endpoints.complete = endpoints.complete && len(unreachable) == 0
+	return endpoints
 }
 
-// ownZoneEndpoints gives the routers of the directory's zone.
+// ownZoneEndpoints returns the serving routers of the directory's own zone.
 func (d *Directory) ownZoneEndpoints() endpointSet {
-	zone, known := d.Membership.Self().Zone, endpointSet{complete: true}
+	zone, endpoints := d.Membership.Self().Zone, endpointSet{complete: true}
 	for _, member := range d.Membership.Members() {
 		if member.Zone != zone || member.ClientAddress == "" {
 			continue
@@ -46,17 +47,18 @@
 		router := endpoint{address: member.ClientAddress, zone: member.Zone, region: member.Region}
 		serving := member.State == membership.Alive && member.Ready
 		if serving && member.Degraded {
-			known.degraded = append(known.degraded, router)
+			endpoints.degraded = append(endpoints.degraded, router)
 		} else if serving {
-			known.ready = append(known.ready, router)
+			endpoints.ready = append(endpoints.ready, router)
 		}
 		if member.State == membership.Removed || member.State == membership.Suspect {
-			known.complete = false
+			endpoints.complete = false
 		}
 	}
-	return known
+	return endpoints
 }
 
+// zoneEndpoints returns the endpoints of routers in a zone, given their addresses.
 func (d *Directory) zoneEndpoints(zone ids.Zone, addresses []ids.Address) []endpoint {
 	var routers []endpoint
 	for _, address := range addresses {
@@ -65,6 +67,7 @@
 	return routers
 }
 
+// anyInRegion reports whether any of the routers is in the region.
 func anyInRegion(region ids.Region, routers []endpoint) bool {
 	for _, router := range routers {
 		if router.region == region {
