--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -83,8 +83,8 @@
 
 	unsupportedChanges atomic.Int64
 	mu                 sync.Mutex
-	// reported are the unsupported fields that were logged last.
-	reported []string
+	// lastLogged are the unsupported fields that were logged last.
+	lastLogged []string
 }
 
 func (a *api) changeConfig(ctx context.Context, req ConfigChangeRequest) (ConfigChangeResponse, error) {
@@ -105,10 +105,10 @@
 	a.unsupportedChanges.Add(1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if slices.Equal(a.reported, resp.Unsupported) {
+	if slices.Equal(a.lastLogged, resp.Unsupported) {
 		return
 	}
-	a.reported = resp.Unsupported
+	a.lastLogged = resp.Unsupported
 	a.log.Warn().Str("part", "admin").Int64("config_version", int64(resp.Version)).Strs("fields", resp.Unsupported).
 		Msg("configuration has unsupported fields")
 }
@@ -190,12 +190,12 @@
 	Verb string
 }
 
-var zoneVerbs = map[string]string{http.MethodPost: command.VerbDrain, http.MethodDelete: command.VerbUndrain}
+var zoneVerbByMethod = map[string]string{http.MethodPost: command.VerbDrain, http.MethodDelete: command.VerbUndrain}
 
 // Decode takes the zone off the path, and the verb off the method.
 func (z *ZoneRequest) Decode(incoming httpcall.Incoming) error {
 	z.Zone = ids.Zone(incoming.Tail)
-	z.Verb = zoneVerbs[incoming.Request.Method]
+	z.Verb = zoneVerbByMethod[incoming.Request.Method]
 	return nil
 }
 
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -114,7 +114,7 @@
 	cases := []struct {
 		name, method, path, match, body string
 		status                          int
-		wantText                        string
+		wantBody                        string
 	}{
 		{"no configuration yet", "GET", "/settings", "", "", 503, "unready"},
 		{"truncated", "PUT", "/settings", "0", validConfig[:50], 400, "not JSON"},
@@ -136,7 +136,7 @@
 	// The cases build on each other.
 	for _, test := range cases {
 		status, text := s.do(test.method, test.path, test.match, test.body)
-		if status != test.status || !strings.Contains(text, test.wantText) {
+		if status != test.status || !strings.Contains(text, test.wantBody) {
 			t.Errorf("%s: %d %s", test.name, status, text)
 		}
 	}
--- a/control/admin/counters.go
+++ b/control/admin/counters.go
@@ -65,7 +65,7 @@
 		return errkind.Errorf(errkind.BadRequest, "id: a text that is not empty is wanted")
 	}
 	c.ID = *id
-	c.Amount, err = wholeNumber(fields["changed_by"])
+	c.Amount, err = parseInteger(fields["changed_by"])
 	return err
 }
 
@@ -76,8 +76,8 @@
 	return "", errkind.Errorf(errkind.BadRequest, "path: a name of 1 to %d bytes is wanted", maxCounterName)
 }
 
-// wholeNumber reads an amount, in whatever way JSON writes a whole number.
-func wholeNumber(text json.RawMessage) (int64, error) {
+// parseInteger reads an amount, in whatever way JSON writes a whole number.
+func parseInteger(text json.RawMessage) (int64, error) {
 	text = bytes.TrimSpace(text)
 	if amount, err := strconv.ParseInt(string(text), 10, 64); err == nil {
 		return amount, nil
--- a/control/admin/counters_test.go
+++ b/control/admin/counters_test.go
@@ -13,23 +13,23 @@
 	"onyxwell/base/httpcall"
 )
 
-// recordedCounters records adds and reads one total.
-type recordedCounters struct{ adds []string }
+// fakeCounters records adds and reads one total.
+type fakeCounters struct{ adds []string }
 
-func (r *recordedCounters) Add(_ context.Context, counter string, id string, amount int64) error {
+func (r *fakeCounters) Add(_ context.Context, counter string, id string, amount int64) error {
 	r.adds = append(r.adds, fmt.Sprint(counter, " ", id, " ", amount))
 	return nil
 }
 
-func (r *recordedCounters) Total(string) (*big.Int, error) {
+func (r *fakeCounters) Total(string) (*big.Int, error) {
 	total, _ := new(big.Int).SetString("36893488147419103228", 10)
 	return total, nil
 }
 
-// TestCounters_calls sends adds, good and bad ones: a bad one is answered 400 with the
+// TestServeCounters_validatesAdds sends adds, good and bad ones: a bad one is answered 400 with the
 // field named, and counts nothing.
-func TestCounters_calls(t *testing.T) {
-	counters := &recordedCounters{}
+func TestServeCounters_validatesAdds(t *testing.T) {
+	counters := &fakeCounters{}
 	mux := httpcall.NewMux(clock.NewFake(), 1<<16)
 	ServeCounters(mux, counters)
 	call := func(method string, path string, body string) (int, string) {
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -41,7 +41,7 @@
 		match, types       []string
 		body               string
 		status             int
-		wantText           string
+		wantBody           string
 	}{
 		{"no If-Match", "PUT", "/settings", nil, nil, next, 400, "If-Match"},
 		{"no If-Match", "PATCH", "/settings", nil, nil, patch, 400, "If-Match"},
@@ -78,12 +78,12 @@
 	for _, match := range []string{"abc", "-1", "+5", "05", "5,6", "5 6", "0x5", "5.0", "*", `W/"5"`, `"5`, `5"`, `""5""`, `"5","6"`, `""`, "", "5\u00a0", "9223372036854775808"} {
 		cases = append(cases, cases[0], cases[1])
 		for index := len(cases) - 2; index < len(cases); index++ {
-			cases[index].name, cases[index].match, cases[index].wantText = "If-Match "+match, []string{match}, "If-Match: "
+			cases[index].name, cases[index].match, cases[index].wantBody = "If-Match "+match, []string{match}, "If-Match: "
 		}
 	}
 	for _, test := range cases {
 		status, text := s.serveDirect(test.method, test.path, http.Header{"If-Match": test.match, "Content-Type": test.types}, strings.NewReader(test.body))
-		if status != test.status || !strings.Contains(text, test.wantText) {
+		if status != test.status || !strings.Contains(text, test.wantBody) {
 			t.Errorf("%s, %s: %d %s", test.method, test.name, status, text)
 		}
 	}
@@ -197,7 +197,7 @@
 // on which they would be invalid by now.
 func TestServe_repeatsReturnOwnVersion(t *testing.T) {
 	s := newTestServer(t)
-	changes := []struct{ method, match, body, wantText string }{
+	changes := []struct{ method, match, body, wantBody string }{
 		{"PUT", "0", validConfig, `{"config_version":5}`},
 		{"PATCH", "5", `{"config_version":8,"remove":{"routes":["r"]}}`, `{"config_version":8}`},
 		{"PUT", "8", strings.Replace(validConfig, ":5", ":9", 1), `{"config_version":9}`},
@@ -205,7 +205,7 @@
 	for round := range 2 {
 		for _, change := range changes {
 			status, text := s.do(change.method, "/settings", change.match, change.body)
-			if status != 200 || text != change.wantText {
+			if status != 200 || text != change.wantBody {
 				t.Errorf("round %d, %s on %s: %d %s", round, change.method, change.match, status, text)
 			}
 		}
--- a/control/admin/rollouts.go
+++ b/control/admin/rollouts.go
@@ -60,7 +60,7 @@
 	if err := json.Unmarshal(fields["service"], &service); err != nil || service == "" {
 		return errkind.Errorf(errkind.InvalidOrder, "service: a name is wanted")
 	}
-	target, err := versionText(fields["target_version"])
+	target, err := compactVersion(fields["target_version"])
 	if err != nil {
 		return err
 	}
@@ -75,21 +75,21 @@
 	return nil
 }
 
-// versionText returns a version as the list of runners writes it: as compact JSON.
-func versionText(text json.RawMessage) (string, error) {
-	wanted := errkind.Errorf(errkind.InvalidOrder, "target_version: a version of 1 to %d bytes is wanted", maxVersionLength)
+// compactVersion returns a version as the list of runners writes it: as compact JSON.
+func compactVersion(text json.RawMessage) (string, error) {
+	invalid := errkind.Errorf(errkind.InvalidOrder, "target_version: a version of 1 to %d bytes is wanted", maxVersionLength)
 	var value any
 	if err := json.Unmarshal(text, &value); err != nil {
-		return "", wanted
+		return "", invalid
 	}
 	switch value.(type) {
 	case string, float64:
 	default:
-		return "", wanted
+		return "", invalid
 	}
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, text); err != nil || value == "" || compact.Len() > maxVersionLength {
-		return "", wanted
+		return "", invalid
 	}
 	return compact.String(), nil
 }
--- a/control/admin/rollouts_test.go
+++ b/control/admin/rollouts_test.go
@@ -40,10 +40,10 @@
 	return recorder
 }
 
-func TestRollouts_ordersAreChecked(t *testing.T) {
+func TestServeRollouts_validatesOrders(t *testing.T) {
 	cases := []struct {
-		name, body, names string
-		status            int
+		name, body, wantBody string
+		status               int
 	}{
 		{"as documented", `{"service":"readers","target_version":"v2","over_s":12}`, "", 200},
 		{"a version that is a number", `{"service":"readers","target_version":3,"over_s":1.5}`, "", 200},
@@ -64,36 +64,36 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			rollouts := &fakeRollouts{}
-			answer := callRollouts(rollouts, http.MethodPost, "/rollouts", test.body)
-			if answer.Code != test.status || !strings.Contains(answer.Body.String(), test.names) {
-				t.Fatalf("%d %s", answer.Code, answer.Body)
+			recorder := callRollouts(rollouts, http.MethodPost, "/rollouts", test.body)
+			if recorder.Code != test.status || !strings.Contains(recorder.Body.String(), test.wantBody) {
+				t.Fatalf("%d %s", recorder.Code, recorder.Body)
 			}
-			if taken := len(rollouts.orders) > 0; taken != (test.status == 200) {
+			if stored := len(rollouts.orders) > 0; stored != (test.status == 200) {
 				t.Errorf("taken: %v", rollouts.orders)
 			}
 		})
 	}
 }
 
-func TestRollouts_errorsAreAnswered(t *testing.T) {
+func TestServeRollouts_mapsErrorsToStatus(t *testing.T) {
 	for kind, status := range map[errkind.Kind]int{errkind.UnknownService: 404, errkind.RolloutConflict: 409, errkind.NoQuorum: 503} {
-		answer := callRollouts(&fakeRollouts{err: errkind.Errorf(kind, "")}, http.MethodPost, "/rollouts", `{"service":"readers","target_version":"v2","over_s":12}`)
-		if answer.Code != status {
-			t.Errorf("%s: %d", kind, answer.Code)
+		recorder := callRollouts(&fakeRollouts{err: errkind.Errorf(kind, "")}, http.MethodPost, "/rollouts", `{"service":"readers","target_version":"v2","over_s":12}`)
+		if recorder.Code != status {
+			t.Errorf("%s: %d", kind, recorder.Code)
 		}
 	}
 }
 
-func TestRollouts_tellsCondition(t *testing.T) {
+func TestServeRollouts_returnsCondition(t *testing.T) {
 	rollouts := &fakeRollouts{}
-	if answer := callRollouts(rollouts, http.MethodGet, "/rollouts/readers", ""); answer.Code != 404 {
-		t.Errorf("without an order: %d", answer.Code)
+	if recorder := callRollouts(rollouts, http.MethodGet, "/rollouts/readers", ""); recorder.Code != 404 {
+		t.Errorf("without an order: %d", recorder.Code)
 	}
-	for condition, word := range map[rollout.Condition]string{rollout.InProgress: "serving", rollout.Finished: "finished", rollout.Reverted: "reverted"} {
+	for condition, name := range map[rollout.Condition]string{rollout.InProgress: "serving", rollout.Finished: "finished", rollout.Reverted: "reverted"} {
 		rollouts.record = rollout.Record{Order: 1, Target: `"v2"`, Condition: int64(condition)}
-		answer := callRollouts(rollouts, http.MethodGet, "/rollouts/readers", "")
-		if want := `{"condition":"` + word + `","target_version":"v2"}`; answer.Code != 200 || strings.TrimSpace(answer.Body.String()) != want {
-			t.Errorf("%d %s, not %s", answer.Code, answer.Body, want)
+		recorder := callRollouts(rollouts, http.MethodGet, "/rollouts/readers", "")
+		if want := `{"condition":"` + name + `","target_version":"v2"}`; recorder.Code != 200 || strings.TrimSpace(recorder.Body.String()) != want {
+			t.Errorf("%d %s, not %s", recorder.Code, recorder.Body, want)
 		}
 	}
 }
--- a/control/config/store/change_log_test.go
+++ b/control/config/store/change_log_test.go
@@ -49,9 +49,9 @@
 	return Change{BaseVersion: base, Body: body}
 }
 
-// grow applies so many changes with uneven increases of the version. All but the
+// appendChanges applies so many changes with uneven increases of the version. All but the
 // last two are added to the history directly, without their documents.
-func (c *changeLog) grow(count int) {
+func (c *changeLog) appendChanges(count int) {
 	c.t.Helper()
 	record, err := DecodeCompressed(c.value)
 	for range count - 2 {
@@ -83,7 +83,7 @@
 		if err != nil || next == nil {
 			c.t.Fatalf("chunk %d: %v", chunk.Index, err)
 		}
-		c.chunks[chunk.Key()], c.sealed = next, chunk.Sealed()
+		c.chunks[chunk.Key()], c.sealed = next, chunk.SealedCount()
 	}
 }
 
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -25,8 +25,8 @@
 // SchemaName names the stored and sent form; it must never change.
 func (Chunk) SchemaName() string { return "Page_25" }
 
-// Sealed is how many changes are sealed once this chunk is.
-func (c Chunk) Sealed() int64 { return (c.Index + 1) * chunkLength }
+// SealedCount is how many changes are sealed once this chunk is.
+func (c Chunk) SealedCount() int64 { return (c.Index + 1) * chunkLength }
 
 // Key is the register's key of the chunk, one of a ring of chunkCount.
 func (c Chunk) Key() string { return chunkKey(c.Index) }
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -86,19 +86,19 @@
 	return applied
 }
 
-// takeEntries gives the first count of encoded entries, and the increase of the
+// firstEntries gives the first count of encoded entries, and the increase of the
 // version over them; none if there are fewer.
-func takeEntries(entries []byte, count int) (taken []byte, delta ids.Version) {
-	visited := 0
+func firstEntries(entries []byte, count int) (prefix []byte, delta ids.Version) {
+	found := 0
 	length := walkEntries(0, entries, func(e entry) bool {
-		if visited == count {
+		if found == count {
 			return false
 		}
-		visited++
+		found++
 		delta += e.delta
 		return true
 	})
-	if visited < count {
+	if found < count {
 		return nil, 0
 	}
 	return entries[:length], delta
@@ -114,7 +114,7 @@
 // and the oldest while there are more than maxRecent.
 func (h *History) truncate(sealed int64) {
 	for {
-		chunk, delta := takeEntries(h.Recent, chunkLength)
+		chunk, delta := firstEntries(h.Recent, chunkLength)
 		// A version's increase takes a byte at least.
 		overflow := len(h.Recent) > maxRecent*(digestLength+1)
 		if chunk == nil || (h.Offset+chunkLength > sealed && !overflow) {
@@ -124,7 +124,7 @@
 		h.Recent = h.Recent[len(chunk):]
 		h.ChunkDeltas = binary.AppendUvarint(slices.Clip(h.ChunkDeltas), uint64(delta))
 	}
-	for surplus := len(h.chunkDeltas()) - chunkCount; surplus > 0; surplus-- {
+	for excess := len(h.chunkDeltas()) - chunkCount; excess > 0; excess-- {
 		_, width := binary.Uvarint(h.ChunkDeltas)
 		h.ChunkDeltas = h.ChunkDeltas[width:]
 	}
@@ -148,13 +148,13 @@
 func (h History) NextChunk(sealed int64) (chunk Chunk, due bool) {
 	offset, baseVersion, rest := h.Offset, h.BaseVersion, h.Recent
 	for {
-		entries, delta := takeEntries(rest, chunkLength)
+		entries, delta := firstEntries(rest, chunkLength)
 		if entries == nil {
 			return Chunk{}, false
 		}
 		rest = rest[len(entries):]
 		if offset >= sealed {
-			following, _ := takeEntries(rest, minRecent)
+			following, _ := firstEntries(rest, minRecent)
 			return Chunk{Index: offset / chunkLength, BaseVersion: baseVersion, Entries: entries}, following != nil
 		}
 		offset, baseVersion = offset+chunkLength, baseVersion+delta
--- a/control/config/store/history_test.go
+++ b/control/config/store/history_test.go
@@ -21,7 +21,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		log := newChangeLog(t)
 		for range rapid.IntRange(1, 6).Draw(t, "stretches") {
-			log.grow(rapid.IntRange(1, 400).Draw(t, "changes"))
+			log.appendChanges(rapid.IntRange(1, 400).Draw(t, "changes"))
 			if rapid.Bool().Draw(t, "sealing") {
 				log.seal()
 			}
@@ -32,8 +32,8 @@
 			if kind := log.lookup(change); kind != errkind.None {
 				t.Fatalf("repeat of change %d of %d on version %d: %v", index, len(log.changes), change.BaseVersion, kind)
 			}
-			rival := patchChange(change.BaseVersion, change.Version(), 1)
-			if kind := log.lookup(rival); kind != errkind.VersionConflict {
+			conflicting := patchChange(change.BaseVersion, change.Version(), 1)
+			if kind := log.lookup(conflicting); kind != errkind.VersionConflict {
 				t.Fatalf("rival of change %d of %d: %v", index, len(log.changes), kind)
 			}
 			if between := change.BaseVersion + 1; between < change.Version() {
@@ -53,7 +53,7 @@
 func TestHistory_dropsOldestChunks(t *testing.T) {
 	log := newChangeLog(t)
 	for range chunkCount + 3 {
-		log.grow(chunkLength)
+		log.appendChanges(chunkLength)
 		log.seal()
 	}
 	counts := map[errkind.Kind]int{}
@@ -73,7 +73,7 @@
 	}
 	chunkBytes, historyBytes := 0, 0
 	for range chunkLength {
-		log.grow(1)
+		log.appendChanges(1)
 		log.seal()
 		record, _ := DecodeCompressed(log.value)
 		historyBytes += len(record.History.Recent) + len(record.History.ChunkDeltas)
@@ -88,9 +88,9 @@
 // TestHistory_missingChunkIsUndecided has a chunk missing, overwritten and torn.
 func TestHistory_missingChunkIsUndecided(t *testing.T) {
 	log := newChangeLog(t)
-	log.grow(2 * chunkLength)
+	log.appendChanges(2 * chunkLength)
 	log.seal()
-	log.grow(1)
+	log.appendChanges(1)
 	chunk := log.chunks[chunkKey(0)]
 	next, err := Chunk{Index: chunkCount}.Apply(chunk)
 	if err != nil || next == nil {
@@ -118,7 +118,7 @@
 func TestHistory_boundedWithoutChunks(t *testing.T) {
 	log := newChangeLog(t)
 	for range maxRecent/chunkLength + 3 {
-		log.grow(chunkLength)
+		log.appendChanges(chunkLength)
 	}
 	record, err := DecodeCompressed(log.value)
 	if err != nil || len(record.History.Recent) > maxRecent*(digestLength+1) {
@@ -163,12 +163,12 @@
 func BenchmarkHistoryLookup(b *testing.B) {
 	for _, chunks := range []int{0, 1, 10, chunkCount} {
 		log := newChangeLog(b)
-		log.grow(minRecent)
+		log.appendChanges(minRecent)
 		for range chunks {
-			log.grow(chunkLength)
+			log.appendChanges(chunkLength)
 			log.seal()
 		}
-		log.grow(2)
+		log.appendChanges(2)
 		record, _ := DecodeCompressed(log.value)
 		for name, index := range map[string]int{"newest": len(log.changes) - 1, "oldest": max(0, len(log.changes)-chunks*chunkLength-minRecent)} {
 			b.Run(fmt.Sprintf("%dchunks/%s", chunks, name), func(b *testing.B) {
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -57,7 +57,7 @@
 
 // rules check what schema.json can't express: relations between fields. Types and
 // ranges of a single field belong there.
-var rules = []func(*config.Config) error{uniqueNames, uniquePaths, knownServices, positiveWeights, uniqueTenants, orderedScaling}
+var rules = []func(*config.Config) error{uniqueNames, uniquePaths, knownServices, positiveWeights, uniqueTenants, validScalingBounds}
 
 func uniqueNames(cfg *config.Config) error {
 	routes := map[string]bool{}
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// orderedScaling checks that no service's least size is above its largest.
-func orderedScaling(cfg *config.Config) error {
+// validScalingBounds checks that no service's least size is above its largest.
+func validScalingBounds(cfg *config.Config) error {
 	for index, service := range cfg.Services {
 		if scaling := service.Scaling; scaling != nil && scaling.Min > scaling.Max {
 			return errkind.Errorf(errkind.InvalidConfig, "services[%d].scaling.min: %d is above max, %d", index, scaling.Min, scaling.Max)
--- a/control/config/tenant.go
+++ b/control/config/tenant.go
@@ -39,8 +39,8 @@
 	DefaultTokens float64 `json:"uncached_tokens"`
 }
 
-// Limited tells whether the tenant has a quota.
-func (t *Tenant) Limited() bool { return t.RatePerSecond > 0 }
+// HasQuota tells whether the tenant has a quota.
+func (t *Tenant) HasQuota() bool { return t.RatePerSecond > 0 }
 
 // Cost is what a request counts as towards the quota; tokens are those of its
 // prompt and the most that it may generate, below 0 where it does not state them.
@@ -72,7 +72,7 @@
 
 // HasQuotas tells whether any tenant has a quota.
 func (c *Config) HasQuotas() bool {
-	return slices.ContainsFunc(c.Tenants, func(tenant Tenant) bool { return tenant.Limited() })
+	return slices.ContainsFunc(c.Tenants, func(tenant Tenant) bool { return tenant.HasQuota() })
 }
 
 // WithTenants returns the configuration with other tenants.
--- a/control/quota/issuer.go
+++ b/control/quota/issuer.go
@@ -143,7 +143,7 @@
 	if tenant == nil {
 		return 0
 	}
-	if !tenant.Limited() {
+	if !tenant.HasQuota() {
 		return need.Amount
 	}
 	bucket := i.buckets[tenant.Name]
--- a/control/quota/issuerallowance.go
+++ b/control/quota/issuerallowance.go
@@ -54,7 +54,7 @@
 		if cfg == nil {
 			break
 		}
-		if tenant := cfg.Tenant(allowance.Tenant); tenant != nil && tenant.Limited() {
+		if tenant := cfg.Tenant(allowance.Tenant); tenant != nil && tenant.HasQuota() {
 			left := share*tenant.RatePerSecond - i.allowancesOfOthers(req.From, allowance.Tenant, now)
 			rates[index] = max(0, min(allowance.Wanted, left))
 		}
--- a/control/quota/relayallowance.go
+++ b/control/quota/relayallowance.go
@@ -104,7 +104,7 @@
 	req = AllowanceRequest{From: r.options.Address, IsWhole: !a.isSynced}
 	for name, p := range r.pools {
 		tenant, held := cfg.Tenant(name), a.rates[name]
-		if tenant == nil || !tenant.Limited() {
+		if tenant == nil || !tenant.HasQuota() {
 			continue
 		}
 		wanted := allowanceMargin * p.demand
--- a/control/quota/relayrefill.go
+++ b/control/quota/relayrefill.go
@@ -55,7 +55,7 @@
 	for name, p := range r.pools {
 		tenant := cfg.Tenant(name)
 		switch {
-		case tenant == nil || !tenant.Limited():
+		case tenant == nil || !tenant.HasQuota():
 			delete(r.pools, name)
 		case now.Since(p.usedAt) > r.options.Policy.IdleTimeout():
 			delete(r.pools, name)
--- a/control/state/command/chunks.go
+++ b/control/state/command/chunks.go
@@ -112,8 +112,8 @@
 	if _, err := d.options.Proposer.Update(ctx, chunk.Key(), chunk.Apply); err != nil {
 		return sealed, err
 	}
-	d.chunks.advance(chunk.Sealed())
-	return chunk.Sealed(), nil
+	d.chunks.advance(chunk.SealedCount())
+	return chunk.SealedCount(), nil
 }
 
 // nextChunk returns the next chunk to write, given the configuration's value and the
--- a/data/proxy/tenant.go
+++ b/data/proxy/tenant.go
@@ -48,7 +48,7 @@
 // chargeQuota charges the request to its tenant's quota. It reports false if the quota
 // is exhausted.
 func (e *exchange) chargeQuota() bool {
-	if e.tenant == nil || !e.tenant.Limited() {
+	if e.tenant == nil || !e.tenant.HasQuota() {
 		return true
 	}
 	ctx, cancel := e.proxy.clock.WithTimeout(e.req.Context(), e.proxy.limiter.MaxWait(e.route.LatencyTarget()))
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -136,7 +136,7 @@
 // charges the cost if so. If the unspent credit does not cover the cost, it requests credit
 // from the relays and waits for the response until ctx is done at the latest.
 func (l *Limiter) Admit(ctx context.Context, tenant *config.Tenant, cost float64) (charge Charge, ok bool) {
-	if !tenant.Limited() {
+	if !tenant.HasQuota() {
 		return Charge{}, true
 	}
 	source, ok := l.admit(ctx, tenant, cost)
--- a/data/ratelimit/refill.go
+++ b/data/ratelimit/refill.go
@@ -55,7 +55,7 @@
 	routers := l.routers()
 	for name, c := range l.credits {
 		tenant := cfg.Tenant(name)
-		if tenant == nil || !tenant.Limited() || now.Since(c.usedAt) > forgetAfter {
+		if tenant == nil || !tenant.HasQuota() || now.Since(c.usedAt) > forgetAfter {
 			delete(l.credits, name)
 			continue
 		}
