--- a/control/config/config.go
+++ b/control/config/config.go
@@ -1,7 +1,7 @@
-// Package config is the operator's configuration as routers and controllers read
-// it: routes, services and limits under one rising version. A Config is immutable
-// once parsed. Package store validates and changes it; here a document is taken
-// as valid.
+// Package config holds the operator's configuration as routers and controllers
+// read it: routes, services, limits and tenants under one increasing version. A
+// Config is immutable once parsed. Package store validates and changes
+// configurations; this package assumes that a document is valid.
 package config
 
 import (
@@ -13,95 +13,98 @@
 	"onyxwell/base/ids"
 )
 
-// Key is the configuration's key in the register and in gossip; it must never
-// change.
+// Key is the key of the configuration in the replicated register and in gossip. It
+// must never change.
 const Key = "spec"
 
-// RouteType says whether a request that may have run may be sent again.
+// RouteType determines whether a request that may already have run may be retried.
 type RouteType string
 
-// The types of routes. A route without a type counts as Unsafe.
+// The route types. A route without a type is treated as Unsafe.
 const (
 	// Safe requests are idempotent.
 	Safe RouteType = "safe"
 	// Unsafe requests run at most once.
 	Unsafe RouteType = "unsafe"
-	// Streaming requests are answered by a stream of events, which is relayed
-	// event by event; they are idempotent if the route is also resumable.
+	// Streaming requests are answered with a stream of events, which is relayed
+	// event by event. They are idempotent if the route is also resumable.
 	Streaming RouteType = "streaming"
 )
 
-// WeightedService is a service with its weight in the split of a route's
-// requests.
+// WeightedService is a service and its weight among the services of a route.
 type WeightedService struct {
 	Service ids.Service `json:"service"`
-	// Weight is relative to the sum of the route's weights, which is above 0; a
-	// service of weight 0 gets no requests.
+	// Weight is relative to the sum of the route's weights, which is above 0. A
+	// service with weight 0 gets no requests.
 	Weight float64 `json:"weight"`
 }
 
-// Route says how requests of a host and a path prefix are served.
+// Route configures how requests for a host and a path prefix are served.
 type Route struct {
-	// Name identifies the route in changes, metrics and logs; unique, required.
+	// Name identifies the route in configuration changes, metrics and logs. It is
+	// unique and required.
 	Name string `json:"name"`
-	// Host is matched against the Host header without its port, in any case;
-	// required.
+	// Host is compared with the Host header, ignoring the header's port and the
+	// case of letters. It is required.
 	Host string `json:"hostname"`
-	// PathPrefix begins and ends with a slash; the longest match wins. Unique for
-	// a host; required.
+	// PathPrefix begins and ends with a slash. The longest match wins. It is
+	// required, and unique among the routes of a host.
 	PathPrefix string    `json:"path_prefix"`
 	Type       RouteType `json:"type"`
-	// TimeoutMS bounds a request from its arrival to its final answer, in
-	// milliseconds; a client may ask for less. Above 0, required.
+	// TimeoutMS limits the time from the arrival of a request to its final
+	// response, in milliseconds; a client may ask for less. It is required and
+	// above 0.
 	TimeoutMS float64 `json:"give_up_ms"`
-	// LatencyTargetMS is the latency target of a response, in milliseconds.
-	// Admission, suspicion of silent runners, Retry-After and headroom are
-	// derived from it. By default 0: no target, and no rejection for long queues.
+	// LatencyTargetMS is the target for the latency of a response, in
+	// milliseconds. Admission control, the detection of silent runners,
+	// Retry-After and headroom are derived from it. The default 0 means no target:
+	// requests are not rejected because of long queues.
 	LatencyTargetMS float64 `json:"goal_ms"`
-	// Priority is sent to runners, bounded to 0 to 9; they serve the lower first.
-	// By default 0.
+	// Priority is sent to runners, clamped to the range 0 to 9. Runners serve lower
+	// values first. The default is 0.
 	Priority int `json:"urgency"`
-	// Service gets all requests, unless Services is set; one of the two is
-	// required.
+	// Service gets all requests unless Services is set. One of the two is required.
 	Service ids.Service `json:"service"`
-	// Services splits the requests at random by weight.
+	// Services are the services among which requests are distributed at random, by
+	// weight.
 	Services []WeightedService `json:"shares"`
-	// MaxAttempts bounds how often one request is sent to runners, retries
-	// included. By default 0, which counts as 1.
+	// MaxAttempts limits how many times a request is sent to runners, including
+	// retries. The default 0 is treated as 1.
 	MaxAttempts int `json:"tries"`
-	// Sticky sends requests that share a prompt prefix to the same runner, for
-	// its prefix cache. By default off.
+	// Sticky sends requests with the same prompt prefix to the same runner, to use
+	// its prefix cache. The default is false.
 	Sticky bool `json:"sticky"`
-	// Resumable lets a stream that broke off be resumed at another runner after
-	// its last event. By default off.
+	// Resumable allows an interrupted stream to be resumed on another runner, after
+	// the last event that was received. The default is false.
 	Resumable bool `json:"resumable"`
 	// TokenGapTargetMS is the target for the time between two tokens, in
-	// milliseconds. It is kept for the operator; nothing acts on it.
+	// milliseconds. It is accepted and stored, but has no effect.
 	TokenGapTargetMS float64 `json:"gap_goal_ms"`
-	// HomeRegions are the regions whose runners may serve the route. By default
-	// empty: all regions.
+	// HomeRegions are the regions whose runners may serve the route. The default,
+	// an empty list, allows all regions.
 	HomeRegions []ids.Region `json:"home_regions"`
-	// Public lets requests without a tenant's key in. By default off.
+	// Public accepts requests without an API key of a tenant. The default is false.
 	Public bool `json:"public"`
 }
 
-// Idempotent tells whether a request may be sent again after it may have run.
+// Idempotent reports whether a request may be retried after it may already have
+// run.
 func (r *Route) Idempotent() bool {
 	return r.Type == Safe || (r.Type == Streaming && r.Resumable)
 }
 
-// AllowsRegion tells whether runners of a region may serve the route.
+// AllowsRegion reports whether runners of the region may serve the route.
 func (r *Route) AllowsRegion(region ids.Region) bool {
 	return len(r.HomeRegions) == 0 || slices.Contains(r.HomeRegions, region)
 }
 
-// LatencyTarget is LatencyTargetMS as a span; 0 if there is no target.
+// LatencyTarget returns LatencyTargetMS as a duration, 0 if there is no target.
 func (r *Route) LatencyTarget() time.Duration {
 	return time.Duration(r.LatencyTargetMS * float64(time.Millisecond))
 }
 
-// WeightedServices gives the services of the route with their weights; a single
-// Service has weight 1.
+// WeightedServices returns the services of the route with their weights. If only
+// Service is set, its weight is 1.
 func (r *Route) WeightedServices() []WeightedService {
 	if len(r.Services) > 0 {
 		return r.Services
@@ -109,9 +112,9 @@
 	return []WeightedService{{Service: r.Service, Weight: 1}}
 }
 
-// Engine describes the inference engine of a model service's runners. By its
-// presence the service's latency model is fitted by the sizes of requests; its
-// fields are kept for the operator, and nothing acts on them.
+// Engine describes the inference engine that the runners of a model service use.
+// If it is present, the service's latency model is fitted to request sizes. Its
+// fields are accepted and stored, but have no effect.
 type Engine struct {
 	Capacity        int     `json:"capacity"`
 	CacheTokens     float64 `json:"cache_tokens"`
@@ -121,74 +124,79 @@
 	Models          []Model `json:"models"`
 }
 
-// Model is a model that the runners of a service serve.
+// Model is a model served by the runners of a service.
 type Model struct {
 	Name string `json:"name"`
 }
 
-// ProtocolHTTP1 is the protocol that runners are spoken to in.
+// ProtocolHTTP1 is the name of HTTP/1.1, the only protocol between routers and
+// runners.
 const ProtocolHTTP1 = "h1"
 
 // Service is a set of interchangeable runners.
 type Service struct {
-	// Name identifies the service in routes and changes; unique, required.
+	// Name identifies the service in routes and configuration changes. It is unique
+	// and required.
 	Name ids.Service `json:"name"`
-	// HealthPath is the path of a runner's health check.
+	// HealthPath is the URL path of a runner's health check.
 	HealthPath string `json:"health_path"`
-	// MaxConnections bounds the concurrent requests at one runner; every router
-	// takes an equal share, of at least 1. By default 0: unbounded.
+	// MaxConnections limits the concurrent requests to one runner. Every router uses
+	// an equal share of it, at least 1. The default 0 means no limit.
 	MaxConnections int `json:"max_conns"`
-	// WarmupSeconds is how long a runner that is new on the endpoint list is in
-	// slow start, in seconds. By default 0: as long as the list says.
+	// WarmupSeconds is the duration of slow start for a runner that is new on the
+	// endpoint list, in seconds. The default 0 uses the duration in the list.
 	WarmupSeconds float64 `json:"warmup_s"`
-	// WarmupRatePerSecond bounds the requests that all routers together send to a
-	// runner in slow start, per second. By default 0: unbounded.
+	// WarmupRatePerSecond limits the requests per second that all routers together
+	// send to a runner in slow start. The default 0 means no limit.
 	WarmupRatePerSecond float64 `json:"cold_per_s"`
-	// Protocol is ProtocolHTTP1, the default; a configuration with another is
-	// invalid, and so is one with TLS, which routers do not speak.
+	// Protocol is ProtocolHTTP1, the default. A configuration with another protocol
+	// is invalid, and so is one with TLS, which routers do not support.
 	Protocol string `json:"protocol"`
 	TLS      bool   `json:"tls"`
-	// Engine is nil for a service that serves no model.
+	// Engine is nil if the service does not serve a model.
 	Engine *Engine `json:"engine"`
-	// Scaling is nil for a service whose runners are not ordered.
+	// Scaling is nil if the number of the service's runners is not managed.
 	Scaling *Scaling `json:"scaling"`
 }
 
-// Scaling bounds how many runners of a service are ordered for a zone.
+// Scaling limits the number of runners that are ordered for a service in one zone.
 type Scaling struct {
 	Min int64 `json:"min"`
 	Max int64 `json:"max"`
-	// StartupSeconds is after how long an ordered runner serves.
+	// StartupSeconds is the time from ordering a runner until it serves requests, in
+	// seconds.
 	StartupSeconds float64 `json:"startup_s"`
 }
 
-// Clamp returns the size within the bounds that is closest to a wanted one.
+// Clamp returns the size between Min and Max that is closest to wanted.
 func (s Scaling) Clamp(wanted int64) int64 { return min(s.Max, max(s.Min, wanted)) }
 
-// Limits bound what a router accepts from a client.
+// Limits restricts what a router accepts from a client.
 type Limits struct {
-	// MaxHeaderBytes bounds a request's header, in bytes. By default 0: unbounded.
+	// MaxHeaderBytes limits the size of a request's header, in bytes. The default 0
+	// means no limit.
 	MaxHeaderBytes int64 `json:"max_header_bytes"`
-	// MaxBodyBytes bounds a request's body, in bytes. By default 0: 1/64 of the
-	// router's memory limit.
+	// MaxBodyBytes limits the size of a request's body, in bytes. The default 0 means
+	// 1/64 of the router's memory limit.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
-	// HeaderTimeoutMS bounds the time for a request's header to arrive, and for
-	// the first request of a connection, in milliseconds. By default 0: unbounded.
+	// HeaderTimeoutMS limits the time for receiving a request's header, and the wait
+	// for the first request on a connection, in milliseconds. The default 0 means no
+	// limit.
 	HeaderTimeoutMS float64 `json:"header_wait_ms"`
-	// IdleTimeoutMS bounds the idle time of a kept connection, and the time for a
-	// request's whole body to arrive, in milliseconds. By default 0: unbounded.
+	// IdleTimeoutMS limits the idle time of a persistent connection, and the time for
+	// receiving a request's whole body, in milliseconds. The default 0 means no limit.
 	IdleTimeoutMS float64 `json:"idle_ms"`
 }
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version rises with every change; 1 or more, required.
+	// Version increases with every change. It is required and at least 1.
 	Version  ids.Version `json:"config_version"`
 	Routes   []Route     `json:"routes"`
 	Services []Service   `json:"services"`
 	Limits   Limits      `json:"limits"`
-	// Tenants are nil where the document has no list of them: then keys mean nothing
-	// and are passed on as any other header.
+	// Tenants is nil if the document has no list of tenants. Then an API key has no
+	// meaning and is forwarded like any other header.
 	Tenants []Tenant `json:"customers"`
 
 	routesByHost   map[string][]*Route
@@ -197,7 +205,7 @@
 	tenantsByKey   map[string]*Tenant
 }
 
-// Parse reads a document that was validated before; its error is that of
+// Parse parses a document that has already been validated. Its errors are those of
 // encoding/json.
 func Parse(document []byte) (*Config, error) {
 	cfg := &Config{routesByHost: map[string][]*Route{}, servicesByName: map[ids.Service]*Service{}}
@@ -217,8 +225,8 @@
 	return cfg, nil
 }
 
-// Match finds the route of a host and path by the longest prefix; nil if there is
-// none.
+// Match returns the route of the host with the longest prefix that matches the path,
+// or nil if there is none.
 func (c *Config) Match(host string, path string) *Route {
 	var best *Route
 	for _, route := range c.routesByHost[NormalizeHost(host)] {
@@ -229,10 +237,10 @@
 	return best
 }
 
-// Service finds a service by its name; nil if there is none.
+// Service returns the service with the name, or nil if there is none.
 func (c *Config) Service(name ids.Service) *Service { return c.servicesByName[name] }
 
-// NormalizeHost gives the host of a Host header in lower case and without a port.
+// NormalizeHost returns the host of a Host header in lower case and without the port.
 func NormalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/control/config/evacuation/evacuation.go
+++ b/control/config/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation keeps which zones are drained: a key of the register for
-// each zone, whose state routers learn by gossip. Every write of a state toggles
-// it, except the first, and increments its version by 1.
+// Package evacuation stores which zones are drained. Each zone has a key in the
+// replicated register, and routers learn its state by gossip. Every write of a state
+// increments its version by 1, and every write except the first toggles the state.
 package evacuation
 
 import (
@@ -10,31 +10,35 @@
 	"onyxwell/control/transport"
 )
 
-// KeyPrefix begins the keys of all zones; it must never change.
+// KeyPrefix is the prefix of the keys of all zones. It must never change.
 const KeyPrefix = "evacuation/"
 
-// State is the register's value of a zone's key. It is stored and gossiped.
+// State is the value of a zone's key. It is stored in the register and gossiped.
 type State struct {
 	Version ids.Version `avro:"Serial"`
-	// Drained says that the zone's runners get no new requests.
+	// Drained is set if the zone's runners get no new requests.
 	Drained bool `avro:"Empty"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name in storage and on the wire; it must never
+// change.
 func (State) SchemaName() string { return "Kept_27" }
 
-// Key is the register's key of a zone.
+// Key returns the key of a zone in the register and in gossip.
 func Key(zone ids.Zone) string { return KeyPrefix + string(zone) }
 
-// ZoneFromKey gives the zone of a key; it is not ok for the keys of others.
+// ZoneFromKey returns the zone that a key belongs to; ok is false if it is not the
+// key of a zone.
 func ZoneFromKey(key string) (zone ids.Zone, ok bool) {
 	name, ok := strings.CutPrefix(key, KeyPrefix)
 	return ids.Zone(name), ok
 }
 
-// Update is the update of a zone's value to a state. It leaves the value as it is
-// if the zone is in that state, or if it was written after the version since: it
-// was in that state meanwhile then. A since of 0 stands for any version.
+// Update returns an update function that sets whether a zone is drained. The function
+// returns nil, which leaves the value unchanged, if the zone already has that state or
+// if the value was written after version since: every write toggles the state, so the
+// zone has had the requested state in the meantime. If since is 0, the version is not
+// checked.
 func Update(key string, drained bool, since ids.Version) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		state, err := Decode(current)
@@ -49,8 +53,8 @@
 	}
 }
 
-// Decode decodes a zone's value. No value is the zero State of a zone that was
-// never drained.
+// Decode decodes a zone's value. An empty value yields the zero State: the zone has
+// never been drained.
 func Decode(value []byte) (State, error) {
 	if len(value) == 0 {
 		return State{}, nil
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -13,23 +13,24 @@
 	"onyxwell/control/transport"
 )
 
-// Change is an operator's change of the configuration. It is sent between
+// Change is a change of the configuration by an operator. It is sent between
 // controllers.
 type Change struct {
-	// Full says that the body is a whole document, and no patch of the one in
-	// force.
+	// Full is set if Body is a whole document instead of a patch of the current one.
 	Full bool `avro:"Whole"`
-	// BaseVersion is the version that has to be in force; 0 for the first.
+	// BaseVersion is the version that must be the current one; it is 0 for the first
+	// configuration.
 	BaseVersion ids.Version `avro:"Match"`
 	// Body is JSON text, compressed if Compressed is set.
 	Body       []byte `avro:"Body"`
 	Compressed bool   `avro:"Packed"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name in storage and on the wire; it must never
+// change.
 func (Change) SchemaName() string { return "Change_25" }
 
-// Compress gives the change with a compressed body, as it is sent.
+// Compress returns the change with its body compressed for sending.
 func (c Change) Compress() Change {
 	if !c.Compressed {
 		c.Body, c.Compressed = compress.Encode(c.Body)
@@ -37,16 +38,16 @@
 	return c
 }
 
-// Version is the version that the change leads to, as its uncompressed body says;
-// 0 if that can't be read.
+// Version returns the version that the change results in, which its body states, or 0
+// if the body cannot be parsed. The body must not be compressed.
 func (c Change) Version() ids.Version {
 	var p patch
 	_ = json.Unmarshal(c.Body, &p)
 	return p.Version
 }
 
-// UnsupportedFields returns the paths of the fields that the change sets and that
-// no router acts on, by its uncompressed body; see config.UnsupportedFields.
+// UnsupportedFields returns the paths of the fields in the change that have no effect
+// on routers; see config.UnsupportedFields. The body must not be compressed.
 func (c Change) UnsupportedFields() []string {
 	if c.Full {
 		return config.UnsupportedFields(c.Body)
@@ -54,7 +55,8 @@
 	var fields map[string]json.RawMessage
 	_ = json.Unmarshal(c.Body, &fields)
 	unsupported := config.UnsupportedFields(fields["changes"])
-	// What is removed has the shape of a document, too: lists by their names.
+	// The object under "remove" has lists under the same keys as a document, so it can
+	// be checked like one.
 	for _, name := range config.UnsupportedFields(fields["remove"]) {
 		unsupported = append(unsupported, "remove."+name)
 	}
@@ -67,8 +69,8 @@
 	return unsupported
 }
 
-// digest identifies the change among the others on the same base version, by its
-// uncompressed body.
+// digest returns a hash that distinguishes the change from others with the same base
+// version. The body must not be compressed.
 func (c Change) digest() []byte {
 	hash := sha256.New()
 	_, _ = fmt.Fprintln(hash, c.Full, c.BaseVersion)
@@ -76,14 +78,17 @@
 	return hash.Sum(nil)[:digestLength]
 }
 
-// Apply is the update of the register's value by the change. One that was applied
-// before leaves the value as it is, whatever is in force by now. Other errors
-// than *VersionConflictError and *ArchivedError, which says where to look the
-// change up, have the kinds InvalidConfig, BadRequest, OutcomeExpired or Internal.
+// Apply is an update of the register's value that applies the change. If the change
+// was applied before, it leaves the value unchanged, whatever the current version is. A
+// *VersionConflictError rejects the change, and an *ArchivedError says which chunk shows
+// whether it was applied. All other errors are of kind InvalidConfig, BadRequest,
+// OutcomeExpired or Internal.
 func (c Change) Apply(current []byte) ([]byte, error) { return c.apply(current, 0) }
 
-// ApplyTruncating is Apply where the oldest changes, so many as sealed says, are
-// in chunks that a majority holds: they leave the record.
+// ApplyTruncating returns an update function like Apply that also removes old history
+// entries from the record. The first sealed changes of the whole history must be in
+// chunks that a majority has stored; only their entries are removed, unless the record
+// exceeds its limit of maxRecent.
 func (c Change) ApplyTruncating(sealed int64) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) { return c.apply(current, sealed) }
 }
@@ -111,7 +116,7 @@
 	return transport.Marshal(record)
 }
 
-// nextDocument gives the valid document that the change leads to, with its
+// nextDocument returns the validated document that results from the change, and its
 // version.
 func (c Change) nextDocument(record Record) ([]byte, ids.Version, error) {
 	document := c.Body
--- a/control/config/store/change_log_test.go
+++ b/control/config/store/change_log_test.go
@@ -9,20 +9,20 @@
 	"onyxwell/control/transport"
 )
 
-// testingT is what *testing.T, *testing.B and *rapid.T have in common.
+// testingT is the part of *testing.T, *testing.B and *rapid.T that changeLog uses.
 type testingT interface {
 	Helper()
 	Fatalf(format string, values ...any)
 }
 
-// changeLog is a record that many changes were applied to, with its chunks as the
-// register would hold them.
+// changeLog holds a record to which many changes are applied, and its chunks as the
+// register would store them.
 type changeLog struct {
 	t       testingT
 	value   []byte
 	changes []Change
 	chunks  map[string][]byte
-	// sealed is how many changes the chunks hold.
+	// sealed is the number of changes in chunks.
 	sealed int64
 }
 
@@ -33,7 +33,7 @@
 	return c
 }
 
-// apply applies a change that must be new.
+// apply applies a change and fails the test if it was applied before.
 func (c *changeLog) apply(change Change) {
 	c.t.Helper()
 	next, err := change.ApplyTruncating(c.sealed)(c.value)
@@ -43,14 +43,15 @@
 	c.value, c.changes = next, append(c.changes, change)
 }
 
-// patchChange is a change that sets a version and a mark.
+// patchChange returns a patch that sets the version. Patches with the same versions and
+// different marks differ in their digests.
 func patchChange(base ids.Version, version ids.Version, mark int) Change {
 	body, _ := json.Marshal(map[string]any{"config_version": version, "mark": mark})
 	return Change{BaseVersion: base, Body: body}
 }
 
-// appendChanges applies so many changes with uneven increases of the version. All but the
-// last two are added to the history directly, without their documents.
+// appendChanges applies count changes that increase the version by 1 to 5. All but the
+// last two are added directly to the history, without applying them to the document.
 func (c *changeLog) appendChanges(count int) {
 	c.t.Helper()
 	record, err := DecodeCompressed(c.value)
@@ -62,7 +63,7 @@
 		c.changes = append(c.changes, change)
 	}
 	if c.value, _ = transport.Marshal(record); err != nil {
-		c.t.Fatalf("%v", err)
+		c.t.Fatalf("decoding the record: %v", err)
 	}
 	for range min(count, 2) {
 		record, _ = DecodeCompressed(c.value)
@@ -70,7 +71,7 @@
 	}
 }
 
-// seal writes the chunks that are due.
+// seal writes all chunks that are due.
 func (c *changeLog) seal() {
 	c.t.Helper()
 	for {
@@ -87,8 +88,8 @@
 	}
 }
 
-// lookup gives the result of a change that is repeated now: None if it counts as
-// applied before. It must never be applied again.
+// lookup sends a change again and returns the kind of its error, None if the change is
+// found to have been applied. It fails the test if the change is applied now.
 func (c *changeLog) lookup(change Change) errkind.Kind {
 	next, err := change.ApplyTruncating(c.sealed)(c.value)
 	var archived *ArchivedError
@@ -96,7 +97,7 @@
 		err = archived.Resolve(c.chunks[archived.Key()])
 	}
 	if next != nil {
-		c.t.Fatalf("a change on version %d was applied again", change.BaseVersion)
+		c.t.Fatalf("a change based on version %d was applied again", change.BaseVersion)
 	}
 	return errkind.KindOf(err)
 }
--- a/control/config/store/change_test.go
+++ b/control/config/store/change_test.go
@@ -27,7 +27,7 @@
 	for target, name := range cases {
 		route := cfg.Match(target[0], target[1])
 		if (route == nil) != (name == "") || (route != nil && route.Name != name) {
-			t.Errorf("%v: %+v", target, route)
+			t.Errorf("%v: got route %+v", target, route)
 		}
 	}
 }
@@ -38,21 +38,21 @@
 		{"two documents", validConfig, validConfig + validConfig, "not JSON"},
 		{"unknown service", `"give_up_ms":100,"service":"s"`, `"give_up_ms":100,"service":"x"`, "routes[0].service"},
 		{"unknown weighted service", `{"service":"s","weight":1}`, `{"service":"x","weight":1}`, "routes[1].shares[0].service"},
-		{"same path", `"/a/b/"`, `"/a/"`, "routes[1].path_prefix"},
-		{"no weight", `"weight":1`, `"weight":0`, "routes[1].shares"},
-		{"no timeout", `"give_up_ms":100,"service"`, `"give_up_ms":0,"service"`, "give_up_ms"},
+		{"duplicate path", `"/a/b/"`, `"/a/"`, "routes[1].path_prefix"},
+		{"weights add up to 0", `"weight":1`, `"weight":0`, "routes[1].shares"},
+		{"timeout of 0", `"give_up_ms":100,"service"`, `"give_up_ms":0,"service"`, "give_up_ms"},
 		{"duplicate route", `"name":"b"`, `"name":"a"`, "routes[1].name"},
 		{"duplicate service", `{"name":"t"`, `{"name":"s"`, "services[1].name"},
 		{"no service", `,"service":"s"`, ``, "routes[0].service"},
 		{"no version", `"config_version":7,`, ``, "config_version"},
-		{"version as text", `"config_version":7`, `"config_version":"7"`, "config_version"},
+		{"version as a string", `"config_version":7`, `"config_version":"7"`, "config_version"},
 		{"unknown type", `"type":"safe"`, `"type":"odd"`, "type"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			document := strings.Replace(validConfig, test.from, test.to, 1)
 			if document == validConfig {
-				t.Fatal("the case changes nothing")
+				t.Fatal("the replacement did not change the document")
 			}
 			_, err := Validate([]byte(document))
 			if errkind.KindOf(err) != errkind.InvalidConfig || !strings.Contains(err.Error(), test.field) {
@@ -62,13 +62,13 @@
 	}
 }
 
-// mustApply applies a change, whose result must be of a kind, and returns the next
-// value.
+// mustApply applies a change and returns the new value. It fails the test if the error
+// is not of the wanted kind.
 func mustApply(t *testing.T, current []byte, change Change, want errkind.Kind) []byte {
 	t.Helper()
 	next, err := change.Apply(current)
 	if errkind.KindOf(err) != want {
-		t.Fatalf("%v, not %v", err, want)
+		t.Fatalf("got error %v, want one of kind %v", err, want)
 	}
 	return next
 }
@@ -77,7 +77,7 @@
 	first := Change{Full: true, BaseVersion: 0, Body: []byte(validConfig)}
 	value := mustApply(t, nil, first, errkind.None)
 	if next := mustApply(t, value, first, errkind.None); next != nil {
-		t.Fatal("a repeat changed the value")
+		t.Fatal("sending the change again changed the value")
 	}
 	conflicting := Change{Full: true, BaseVersion: 0, Body: []byte(strings.Replace(validConfig, ":7", ":8", 1))}
 	mustApply(t, value, conflicting, errkind.VersionConflict)
@@ -88,13 +88,13 @@
 	 {"name":"c","hostname":"shop.example","path_prefix":"/c/","type":"safe","give_up_ms":1,"service":"t"}]},
 	 "remove":{"routes":["b","unknown"]}}`)}
 	newer := mustApply(t, value, patch, errkind.None)
-	// A repeat of an older change is acknowledged, whatever is in force.
+	// An older change that is sent again is acknowledged, whatever the current version is.
 	if next := mustApply(t, newer, first, errkind.None); next != nil {
-		t.Fatal("a late repeat changed the value")
+		t.Fatal("sending an older change again changed the value")
 	}
 	record, err := Decode(newer)
 	if err != nil || record.Version != 9 {
-		t.Fatalf("%+v, %v", record.Version, err)
+		t.Fatalf("got version %+v, error %v", record.Version, err)
 	}
 	var document struct {
 		Version ids.Version       `json:"config_version"`
@@ -108,7 +108,7 @@
 	}
 	if document.Version != 9 || len(document.Routes) != 2 || document.Routes[0].Service != "t" || document.Routes[1].Name != "c" ||
 		document.Extra["kept"] != 1 || document.Limits["max_body_bytes"] != 10 || len(document.Rest) != 2 {
-		t.Fatalf("%s", record.Document)
+		t.Fatalf("unexpected document: %s", record.Document)
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestErrors_keepKindAndText has the texts that operators see.
+// TestErrors_keepKindAndText guards the kinds and the texts of errors that operators see.
 func TestErrors_keepKindAndText(t *testing.T) {
 	archived := &ArchivedError{baseVersion: 3, index: 1}
 	cases := []struct {
@@ -139,7 +139,7 @@
 	}
 	for _, test := range cases {
 		if errkind.KindOf(test.err) != test.kind || test.err.Error() != test.text {
-			t.Errorf("%v, not %s", test.err, test.text)
+			t.Errorf("got %v, want %s", test.err, test.text)
 		}
 	}
 }
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -7,34 +7,37 @@
 	"onyxwell/control/transport"
 )
 
-// ChunkKeyPrefix begins the register's keys of the chunks; it must never change.
+// ChunkKeyPrefix is the prefix of the register's keys of chunks. It must never change.
 const ChunkKeyPrefix = "taken/"
 
-// Chunk is a sealed part of the history under a key of its own. Its content
-// follows from its index and the changes, so that whoever writes it writes the
-// same. It is stored.
+// Chunk is a part of the history that is stored under its own key and no longer
+// changes. Its content is determined by its index and the history of changes, so every
+// controller that writes it writes the same content. It is stored.
 type Chunk struct {
-	// Index counts the chunks from the first change on.
+	// Index is the number of chunks before this one in the whole history.
 	Index int64 `avro:"Index"`
-	// BaseVersion is the version that the first of Entries was applied on.
+	// BaseVersion is the version that the first of Entries was applied to.
 	BaseVersion ids.Version `avro:"Base"`
-	// Entries holds chunkLength entries, encoded as History.Recent.
+	// Entries holds chunkLength entries in the encoding of History.Recent.
 	Entries []byte `avro:"Entries"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name in storage and on the wire; it must never
+// change.
 func (Chunk) SchemaName() string { return "Page_25" }
 
-// SealedCount is how many changes are sealed once this chunk is.
+// SealedCount returns the number of changes, from the first one on, that count as sealed
+// once this chunk is written.
 func (c Chunk) SealedCount() int64 { return (c.Index + 1) * chunkLength }
 
-// Key is the register's key of the chunk, one of a ring of chunkCount.
+// Key returns the register's key of the chunk. There are chunkCount keys, which are
+// used in turn, so a new chunk overwrites the oldest.
 func (c Chunk) Key() string { return chunkKey(c.Index) }
 
 func chunkKey(index int64) string { return fmt.Sprintf("%s%d", ChunkKeyPrefix, index%chunkCount) }
 
-// Apply is the update of the register's value that writes the chunk over an older
-// one. The same chunk or a later one stays.
+// Apply is an update of the register's value for the chunk's key: it replaces an older
+// chunk and leaves the same or a newer chunk unchanged.
 func (c Chunk) Apply(current []byte) ([]byte, error) {
 	if len(current) > 0 {
 		present, err := decodeChunk(c.Key(), current)
@@ -48,9 +51,9 @@
 	return transport.Marshal(c)
 }
 
-// Resolve decides by the chunk's value: nil if the change was applied,
-// *VersionConflictError if another one was, and the error itself if the chunk was
-// overwritten or never written.
+// Resolve decides from the register's value for Key whether the change was applied. It
+// returns nil if it was, a *VersionConflictError if it was not, and a itself if the
+// chunk was overwritten or never written.
 func (a *ArchivedError) Resolve(value []byte) error {
 	if len(value) == 0 {
 		return a
@@ -68,7 +71,7 @@
 	return &VersionConflictError{BaseVersion: a.baseVersion}
 }
 
-// decodeChunk decodes the value of a chunk's key.
+// decodeChunk decodes the register's value for the key of a chunk.
 func decodeChunk(key string, value []byte) (Chunk, error) {
 	chunk, err := transport.Unmarshal[Chunk](value)
 	if err != nil {
--- a/control/config/store/errors.go
+++ b/control/config/store/errors.go
@@ -7,21 +7,22 @@
 	"onyxwell/base/ids"
 )
 
-// VersionConflictError refuses a change on a version that is not in force, and on
-// which this change was never applied. Its kind is errkind.VersionConflict.
+// VersionConflictError rejects a change whose base version is not the current version
+// and that was not applied to that version earlier. Its kind is
+// errkind.VersionConflict.
 type VersionConflictError struct {
-	// BaseVersion is the one that the change asked for.
+	// BaseVersion is the version that the change is based on.
 	BaseVersion ids.Version
-	// Current is the version in force, if CurrentKnown is set; otherwise a later
-	// one than BaseVersion is.
+	// Current is the current version if CurrentKnown is set. Otherwise it is only
+	// known that the current version is newer than BaseVersion.
 	Current      ids.Version
 	CurrentKnown bool
 }
 
-// Error is the text of the kind and the versions.
+// Error returns a text with the kind and the versions.
 func (v *VersionConflictError) Error() string { return v.Unwrap().Error() }
 
-// Unwrap gives the error of the kind.
+// Unwrap returns an error of kind errkind.VersionConflict.
 func (v *VersionConflictError) Unwrap() error {
 	current := "a newer version"
 	if v.CurrentKnown {
@@ -30,22 +31,24 @@
 	return errkind.Errorf(errkind.VersionConflict, "If-Match: %d is not in place, %s is", v.BaseVersion, current)
 }
 
-// ArchivedError reports a change on a version older than the record's recent
-// history: the chunk under Key decides with Resolve whether it was applied. Where
-// nobody looks it up, its kind is errkind.OutcomeExpired.
+// ArchivedError reports a change whose base version is older than the recent history
+// in the record. To learn whether the change was applied, read the chunk under Key and
+// call Resolve with it. A caller that does not do so gets an error of kind
+// errkind.OutcomeExpired.
 type ArchivedError struct {
 	baseVersion ids.Version
 	digest      []byte
 	index       int64
 }
 
-// Error is the text of the kind and the version.
+// Error returns a text with the kind and the base version.
 func (a *ArchivedError) Error() string { return a.Unwrap().Error() }
 
-// Unwrap gives the error of the kind.
+// Unwrap returns an error of kind errkind.OutcomeExpired.
 func (a *ArchivedError) Unwrap() error {
 	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more", a.baseVersion)
 }
 
-// Key is the register's key of the chunk that decides.
+// Key returns the register's key of the chunk that shows whether the change was
+// applied.
 func (a *ArchivedError) Key() string { return chunkKey(a.index) }
--- a/control/config/store/forms_test.go
+++ b/control/config/store/forms_test.go
@@ -6,9 +6,9 @@
 	"onyxwell/control/transport/transporttest"
 )
 
-// TestForms_keepTheirBytes covers each struct of this package that is stored or
-// sent. The golden files hold the bytes that other builds store or send: never
-// edit one.
+// TestForms_keepTheirBytes compares the encoding of each type that this package
+// stores or sends with a golden file. The files hold what other builds store and
+// send, so they must never be edited.
 func TestForms_keepTheirBytes(t *testing.T) {
 	transporttest.Golden[Change](t, "change")
 	transporttest.Golden[Record](t, "kept")
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// digestLength is how many bytes of a change's SHA-256 are kept. Only two
-	// changes on one base version are ever compared, so a change that was never
-	// applied is acknowledged by mistake once in 2^64 (1.8e19) late rivals.
+	// digestLength is the number of bytes of a change's SHA-256 hash that are stored.
+	// Only digests of changes with the same base version are compared, so one in 2^64
+	// (1.8e19) late conflicting changes is acknowledged although it was never applied.
 	digestLength = 8
-	// chunkLength is how many changes a chunk holds.
+	// chunkLength is the number of changes in a chunk.
 	chunkLength = 256
-	// minRecent is how many of the newest changes stay in the record when those
-	// before them go to a chunk: most repeats come soon.
+	// minRecent is the number of newest changes that stay in the record when older ones
+	// are moved to a chunk: most changes that are sent again are recent ones.
 	minRecent = 64
-	// maxRecent bounds the changes in the record while no chunk can be written;
-	// above it the oldest are dropped.
+	// maxRecent limits the number of changes in the record while no chunk can be
+	// written. Beyond it the oldest are dropped.
 	maxRecent = 4096
-	// chunkCount is how many chunks there are. A change is kept for at least
-	// chunkCount-1 chunks and minRecent changes: two days at 18,000 changes a day.
+	// chunkCount is the number of chunks that are kept. A change is remembered at least
+	// until chunkCount-1 chunks and minRecent further changes have followed it: two days
+	// at 18,000 changes a day.
 	chunkCount = 144
 )
 
-// History tells which change was applied on which version. At most one change is
-// ever applied on a version; so the chain of versions, with the digest of each
-// change, decides whether a change was applied, as far back as it reaches.
+// History records which change was applied to which version. At most one change is
+// ever applied to a version, so the sequence of versions with the digest of each change
+// shows whether a change was applied, as far back as the history reaches.
 type History struct {
-	// Offset is how many changes precede those in Recent, a multiple of
-	// chunkLength.
+	// Offset is the number of changes before those in Recent, a multiple of chunkLength.
 	Offset int64 `avro:"First"`
-	// BaseVersion is the version that the first of Recent was applied on.
+	// BaseVersion is the version that the first change in Recent was applied to.
 	BaseVersion ids.Version `avro:"Base"`
-	// Recent holds the entries since then: for each change the increase of the
-	// version as a varint, and the digest.
+	// Recent holds the entries of the changes from BaseVersion on: for each change, the
+	// increase of the version as a varint, and the digest.
 	Recent []byte `avro:"Recent"`
-	// ChunkDeltas holds as varints the increase of the version over each chunk
-	// that is still kept, the oldest first; the last ends at BaseVersion.
+	// ChunkDeltas holds, as varints, the increase of the version over each of the last
+	// chunkCount chunks before Recent, oldest first. The last one ends at BaseVersion.
 	ChunkDeltas []byte `avro:"Spans"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the Avro record name in storage and on the wire; it must never
+// change.
 func (History) SchemaName() string { return "Memory_25" }
 
-// entry is one change of the history.
+// entry is the record of one change in the history.
 type entry struct {
 	baseVersion ids.Version
 	// delta is the increase of the version by the change.
@@ -55,9 +56,9 @@
 	digest []byte
 }
 
-// walkEntries visits encoded entries, the first of them applied on the base
-// version, until visit returns false. It returns the encoded length of the
-// entries before that one.
+// walkEntries calls visit for each of the encoded entries until visit returns false.
+// The first entry was applied to baseVersion. walkEntries returns the encoded length of
+// the entries for which visit returned true.
 func walkEntries(baseVersion ids.Version, entries []byte, visit func(entry) bool) int {
 	rest := entries
 	for len(rest) > 0 {
@@ -75,8 +76,8 @@
 	return len(entries) - len(rest)
 }
 
-// hasEntry tells whether the change of a digest is the one that was applied on a
-// version. The first of the encoded entries was applied on the version first.
+// hasEntry reports whether the change with the digest was applied to baseVersion. The
+// first of the encoded entries was applied to the version first.
 func hasEntry(first ids.Version, entries []byte, baseVersion ids.Version, digest []byte) bool {
 	applied := false
 	walkEntries(first, entries, func(e entry) bool {
@@ -86,8 +87,8 @@
 	return applied
 }
 
-// firstEntries gives the first count of encoded entries, and the increase of the
-// version over them; none if there are fewer.
+// firstEntries returns the first count encoded entries and the increase of the version
+// over them, or nil and 0 if there are fewer.
 func firstEntries(entries []byte, count int) (prefix []byte, delta ids.Version) {
 	found := 0
 	length := walkEntries(0, entries, func(e entry) bool {
@@ -104,18 +105,19 @@
 	return entries[:length], delta
 }
 
-// append adds a change. Recent may be a part of a decoded message's buffer, so
-// that nothing is appended in place.
+// append adds the entry of a change. It copies Recent instead of appending in place,
+// because Recent may be part of the buffer of a decoded message.
 func (h *History) append(delta ids.Version, digest []byte) {
 	h.Recent = append(binary.AppendUvarint(slices.Clip(h.Recent), uint64(delta)), digest...)
 }
 
-// truncate drops whole chunks from Recent: those among the first sealed changes,
-// and the oldest while there are more than maxRecent.
+// truncate removes whole chunks from the start of Recent: those that lie within the
+// first sealed changes of the whole history, and further ones while there are more than
+// maxRecent changes.
 func (h *History) truncate(sealed int64) {
 	for {
 		chunk, delta := firstEntries(h.Recent, chunkLength)
-		// A version's increase takes a byte at least.
+		// The varint of a version's increase takes at least one byte.
 		overflow := len(h.Recent) > maxRecent*(digestLength+1)
 		if chunk == nil || (h.Offset+chunkLength > sealed && !overflow) {
 			break
@@ -143,8 +145,9 @@
 	return deltas
 }
 
-// NextChunk gives the next chunk to write, given how many changes are sealed; it
-// is not due before minRecent changes follow it.
+// NextChunk returns the first chunk of Recent after the sealed changes, where sealed is
+// the number of changes whose chunks are already written. The chunk is due to be written
+// once minRecent changes follow it.
 func (h History) NextChunk(sealed int64) (chunk Chunk, due bool) {
 	offset, baseVersion, rest := h.Offset, h.BaseVersion, h.Recent
 	for {
@@ -161,8 +164,8 @@
 	}
 }
 
-// lookup decides whether a change on an earlier version was applied: nil means
-// that it was. Current is the version in force.
+// lookup decides whether a change whose base version is not the current one was
+// applied. It returns nil if it was. The current version is needed only for errors.
 func (h History) lookup(baseVersion ids.Version, digest []byte, current ids.Version) error {
 	conflict := func() error {
 		return &VersionConflictError{BaseVersion: baseVersion, Current: current, CurrentKnown: true}
@@ -181,8 +184,8 @@
 		}
 	}
 	if index == 0 {
-		// The history reaches back to the first change, and none was applied on
-		// this version.
+		// The history reaches back to the first change, and none was applied to this
+		// version.
 		return conflict()
 	}
 	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more, version %d is in place", baseVersion, current)
--- a/control/config/store/history_test.go
+++ b/control/config/store/history_test.go
@@ -14,9 +14,9 @@
 
 func TestMain(m *testing.M) { proptest.Run(m) }
 
-// TestHistory_decidesEveryChange goes over chunks, some of them sealed late: every
-// repeat is acknowledged; every rival on the same version, and every change on a
-// version that never was, conflicts.
+// TestHistory_decidesEveryChange builds histories over several chunks, some of which are
+// sealed late. Every change that is sent again must be acknowledged. A different change
+// with the same base version, or one based on a version that never existed, must conflict.
 func TestHistory_decidesEveryChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newChangeLog(t)
@@ -30,26 +30,27 @@
 			index := rapid.IntRange(0, len(log.changes)-1).Draw(t, "repeat")
 			change := log.changes[index]
 			if kind := log.lookup(change); kind != errkind.None {
-				t.Fatalf("repeat of change %d of %d on version %d: %v", index, len(log.changes), change.BaseVersion, kind)
+				t.Fatalf("change %d of %d, based on version %d, sent again: %v", index, len(log.changes), change.BaseVersion, kind)
 			}
 			conflicting := patchChange(change.BaseVersion, change.Version(), 1)
 			if kind := log.lookup(conflicting); kind != errkind.VersionConflict {
-				t.Fatalf("rival of change %d of %d: %v", index, len(log.changes), kind)
+				t.Fatalf("conflicting with change %d of %d: %v", index, len(log.changes), kind)
 			}
 			if between := change.BaseVersion + 1; between < change.Version() {
 				if kind := log.lookup(patchChange(between, between+1, 0)); kind != errkind.VersionConflict {
-					t.Fatalf("version %d, which never was: %v", between, kind)
+					t.Fatalf("based on version %d, which never existed: %v", between, kind)
 				}
 			}
 		}
 		record, _ := DecodeCompressed(log.value)
 		if kind := log.lookup(patchChange(record.Version+1, record.Version+2, 0)); kind != errkind.VersionConflict {
-			t.Fatalf("a future version: %v", kind)
+			t.Fatalf("based on a future version: %v", kind)
 		}
 	})
 }
 
-// TestHistory_dropsOldestChunks goes once round the ring of chunks.
+// TestHistory_dropsOldestChunks writes more chunks than there are keys: changes in
+// overwritten chunks must have an unknown outcome, and all newer ones must be found.
 func TestHistory_dropsOldestChunks(t *testing.T) {
 	log := newChangeLog(t)
 	for range chunkCount + 3 {
@@ -64,12 +65,12 @@
 			oldestKnown = index
 		}
 		if oldestKnown >= 0 && kind != errkind.None {
-			t.Fatalf("change %d of %d: %v, though an older one was known", index, len(log.changes), kind)
+			t.Fatalf("change %d of %d: %v, although an older one was found", index, len(log.changes), kind)
 		}
 		counts[kind]++
 	}
 	if counts[errkind.None] < (chunkCount-1)*chunkLength+minRecent || counts[errkind.OutcomeExpired] != oldestKnown {
-		t.Fatalf("%v", counts)
+		t.Fatalf("unexpected number of results of each kind: %v", counts)
 	}
 	chunkBytes, historyBytes := 0, 0
 	for range chunkLength {
@@ -81,11 +82,13 @@
 	for _, chunk := range log.chunks {
 		chunkBytes += len(chunk)
 	}
-	t.Logf("%d of %d changes known; %d bytes of history in an average write; %d chunks of %d bytes in all",
+	t.Logf("%d of %d changes found; %d bytes of history per write on average; %d chunks with %d bytes in total",
 		counts[errkind.None], counts[errkind.None]+counts[errkind.OutcomeExpired], historyBytes/chunkLength, len(log.chunks), chunkBytes)
 }
 
-// TestHistory_missingChunkIsUndecided has a chunk missing, overwritten and torn.
+// TestHistory_missingChunkIsUndecided looks up a change in a chunk that is missing or
+// overwritten, which must have an unknown outcome, and in one that is truncated, which is
+// an internal error.
 func TestHistory_missingChunkIsUndecided(t *testing.T) {
 	log := newChangeLog(t)
 	log.appendChanges(2 * chunkLength)
@@ -102,19 +105,20 @@
 	for _, value := range [][]byte{nil, next} {
 		log.chunks[chunkKey(0)] = value
 		if kind := log.lookup(log.changes[3]); kind != errkind.OutcomeExpired {
-			t.Fatalf("%v", kind)
+			t.Fatalf("missing or overwritten chunk: got kind %v, want OutcomeExpired", kind)
 		}
 	}
 	log.chunks[chunkKey(0)] = chunk[:len(chunk)-1]
 	if kind := log.lookup(log.changes[3]); kind != errkind.Internal {
-		t.Fatalf("torn chunk: %v", kind)
+		t.Fatalf("truncated chunk: got kind %v, want Internal", kind)
 	}
 	if kind := log.lookup(log.changes[len(log.changes)-1]); kind != errkind.None {
-		t.Fatalf("the newest change needs no chunk: %v", kind)
+		t.Fatalf("newest change, which is not in a chunk: %v", kind)
 	}
 }
 
-// TestHistory_boundedWithoutChunks has no chunk ever written.
+// TestHistory_boundedWithoutChunks applies more than maxRecent changes without writing a
+// chunk: the record must stay bounded, and the oldest changes have an unknown outcome.
 func TestHistory_boundedWithoutChunks(t *testing.T) {
 	log := newChangeLog(t)
 	for range maxRecent/chunkLength + 3 {
@@ -122,27 +126,29 @@
 	}
 	record, err := DecodeCompressed(log.value)
 	if err != nil || len(record.History.Recent) > maxRecent*(digestLength+1) {
-		t.Fatalf("%d bytes, %v", len(record.History.Recent), err)
+		t.Fatalf("%d bytes of entries, error %v", len(record.History.Recent), err)
 	}
 	if kind := log.lookup(log.changes[0]); kind != errkind.OutcomeExpired {
-		t.Fatalf("%v", kind)
+		t.Fatalf("oldest change: got kind %v, want OutcomeExpired", kind)
 	}
 	log.seal()
 	if kind := log.lookup(log.changes[len(log.changes)/2]); kind != errkind.None {
-		t.Fatalf("%v", kind)
+		t.Fatalf("change within maxRecent: %v", kind)
 	}
 }
 
-// olderRecord is Record as an older build stored it: the same name, other fields.
+// olderRecord is Record as an older build stored it, with the same schema name and
+// other fields.
 type olderRecord struct {
 	Serial   ids.Version `avro:"Serial"`
 	Document []byte      `avro:"Document"`
 }
 
-// SchemaName is that of Record.
+// SchemaName returns the schema name of Record.
 func (olderRecord) SchemaName() string { return Record{}.SchemaName() }
 
-// TestDecode_rejectsOtherSchema decodes what an older build stored.
+// TestDecode_rejectsOtherSchema checks that a value with another schema, such as one
+// stored by an older build, is rejected instead of being decoded wrongly.
 func TestDecode_rejectsOtherSchema(t *testing.T) {
 	value, err := transport.Marshal(olderRecord{Serial: 7, Document: []byte(validConfig)})
 	if err != nil {
@@ -150,16 +156,16 @@
 	}
 	for _, value := range [][]byte{value, value[4:], []byte("odd")} {
 		if _, err := Decode(value); err == nil {
-			t.Fatal("decoded")
+			t.Fatal("a value with another schema was decoded")
 		}
 		if _, err := (Change{BaseVersion: 7, Body: []byte(validConfig)}).Apply(value); errkind.KindOf(err) != errkind.Internal {
-			t.Fatalf("%v", err)
+			t.Fatalf("got error %v, want one of kind Internal", err)
 		}
 	}
 }
 
-// BenchmarkHistoryLookup measures one lookup in the history, without the
-// register's reads, and how many bytes of a write are the history's.
+// BenchmarkHistoryLookup measures one lookup in the history, without reads from the
+// register, and reports the size of the history in each write.
 func BenchmarkHistoryLookup(b *testing.B) {
 	for _, chunks := range []int{0, 1, 10, chunkCount} {
 		log := newChangeLog(b)
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -7,26 +7,26 @@
 	"onyxwell/base/ids"
 )
 
-// patch is the body of a change that is not full.
+// patch is the body of a change that is not a whole document.
 type patch struct {
 	Version ids.Version `json:"config_version"`
-	// Changes maps a key of the document to its new value; of a list, to the items
-	// to be replaced or added, by their names.
+	// Changes maps keys of the document to new values. For a list, the value holds
+	// the items to replace or add, which are identified by their names.
 	Changes map[string]json.RawMessage `json:"changes"`
-	// Remove maps a list of the document to the names of the items to be removed.
+	// Remove maps keys of lists in the document to the names of the items to remove.
 	Remove map[string][]string `json:"remove"`
 }
 
-// patchFields are the names of its fields.
+// patchFields are the JSON names of the fields of patch.
 var patchFields = []string{"config_version", "changes", "remove"}
 
-// namedItem is an item of a list in the document.
+// namedItem decodes the name of an item of a list in the document.
 type namedItem struct {
 	Name string `json:"name"`
 }
 
-// ApplyPatch makes a whole document of the one in force and a patch of it. What
-// is not changed keeps its bytes. The result is not validated.
+// ApplyPatch applies a patch to a document and returns the resulting document. Parts
+// that the patch does not change are copied byte for byte. The result is not validated.
 func ApplyPatch(document []byte, body []byte) ([]byte, error) {
 	var p patch
 	if err := json.Unmarshal(body, &p); err != nil {
@@ -58,8 +58,8 @@
 	return json.Marshal(fields)
 }
 
-// editList removes items of a list by their names, and replaces or appends
-// others.
+// editList removes the items with the names in remove from the list under key, and
+// replaces or appends the given items by name.
 func editList(fields map[string]json.RawMessage, key string, items []json.RawMessage, remove []string) error {
 	var current []json.RawMessage
 	if value := fields[key]; len(value) > 0 {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// indexItems gives the items of a patch by their names, and the names in order.
+// indexItems returns the items of a list in a patch by name, and their names in order.
 func indexItems(key string, items []json.RawMessage) (byName map[string]json.RawMessage, names []string, err error) {
 	byName = map[string]json.RawMessage{}
 	for index, item := range items {
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -15,8 +15,8 @@
 //go:embed schema.json
 var schemaJSON []byte
 
-// compiledSchema compiles the schema once. The resource's name is part of its
-// errors, which operators see.
+// compiledSchema compiles the schema once. The name of the schema resource is part of
+// validation errors, which operators see.
 var compiledSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
@@ -29,8 +29,8 @@
 	return compiler.Compile("spec.json")
 })
 
-// Validate parses a whole document. An invalid one is refused with an error of
-// the kind errkind.InvalidConfig that names the field.
+// Validate parses and validates a whole document. For an invalid document it returns
+// an error of kind errkind.InvalidConfig that names the field.
 func Validate(document []byte) (*config.Config, error) {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
@@ -55,8 +55,8 @@
 	return cfg, nil
 }
 
-// rules check what schema.json can't express: relations between fields. Types and
-// ranges of a single field belong there.
+// rules check the relations between fields, which schema.json cannot express. Types and
+// ranges of single fields belong in schema.json.
 var rules = []func(*config.Config) error{uniqueNames, uniquePaths, knownServices, positiveWeights, uniqueTenants, validScalingBounds}
 
 func uniqueNames(cfg *config.Config) error {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// validScalingBounds checks that no service's least size is above its largest.
+// validScalingBounds checks that no service has a scaling.min above its scaling.max.
 func validScalingBounds(cfg *config.Config) error {
 	for index, service := range cfg.Services {
 		if scaling := service.Scaling; scaling != nil && scaling.Min > scaling.Max {
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// uniqueTenants refuses a name that stands twice, and a key that two tenants hold:
-// a request with it would be anybody's.
+// uniqueTenants checks that no two tenants have the same name or share an API key. A
+// request with a shared key could not be attributed to one tenant.
 func uniqueTenants(cfg *config.Config) error {
 	names, holders := map[ids.Tenant]bool{}, map[string]ids.Tenant{}
 	for index, tenant := range cfg.Tenants {
--- a/control/config/unsupported.go
+++ b/control/config/unsupported.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// UnsupportedFields returns the paths of a document's fields that no type of this
-// package reads, sorted and each once: routers act as if they were not there. An
-// element of a list stands as "[]", as in "routes[].name". A text that is no JSON
-// object has none.
+// UnsupportedFields returns the paths of the fields of a document that no type of
+// this package reads; they have no effect on routers. The paths are sorted and without
+// duplicates. An element of a list appears as "[]", as in "routes[].name". For a text
+// that is not a JSON object the result is empty.
 func UnsupportedFields(document []byte) []string {
 	var value map[string]any
 	if json.Unmarshal(document, &value) != nil {
@@ -22,8 +22,8 @@
 	return slices.Sorted(maps.Keys(found))
 }
 
-// collectUnsupported adds the fields below a path whose value the Go type does not
-// read.
+// collectUnsupported adds to found the paths of those fields of value, at any depth,
+// that goType does not read. The path is that of value itself.
 func collectUnsupported(found map[string]bool, path string, value any, goType reflect.Type) {
 	for goType.Kind() == reflect.Pointer {
 		goType = goType.Elem()
@@ -53,7 +53,7 @@
 	}
 }
 
-// jsonFields returns the types of a struct's fields by their names in JSON.
+// jsonFields returns the types of a struct's fields by their JSON names.
 func jsonFields(goType reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for index := range goType.NumField() {
