--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -1,7 +1,8 @@
-// Package admin is the operators' HTTP API of a controller: configuration,
-// drained zones and headroom. Each handler is a request that reads the call, one
-// command to the dispatcher, and a response; errors are answered by their kind
-// with the table of package errkind. Nothing is kept here.
+// Package admin implements the HTTP API of a controller for operators and
+// applications: configuration, drained zones, headroom, rollouts, parts of duties and
+// counters. Each handler decodes a request, makes one call, such as a command to the
+// dispatcher, and encodes the result. Errors are mapped to responses by their kind, as
+// defined in package errkind. The package stores no data of its own.
 package admin
 
 import (
@@ -28,30 +29,31 @@
 	"onyxwell/control/state/command"
 )
 
-// Paths of the API; a path that ends with a slash takes a name after it.
+// Paths of the API. A path that ends with a slash is followed by a name.
 const (
 	configPath   = "/settings"
 	zonePath     = "/empty/"
 	headroomPath = "/room"
 )
 
-// Dispatcher leads commands to the owners of their keys.
+// Dispatcher routes commands to the owners of their keys.
 type Dispatcher interface {
-	// Dispatch returns the register's value after the command.
+	// Dispatch executes a command and returns the register's value after it.
 	Dispatch(ctx context.Context, cmd command.Command) ([]byte, error)
 }
 
-// Options are what the API for the configuration and for drained zones stands on.
+// Options holds the dependencies of the calls that Serve registers.
 type Options struct {
 	Log        *log.Logger
 	Dispatcher Dispatcher
-	// Zones are those of the deployment.
+	// Zones are the zones of the deployment, with their regions.
 	Zones map[ids.Zone]ids.Region
 	// Metrics may be nil.
 	Metrics *telemetry.Metrics
 }
 
-// Serve registers the calls for the configuration and for drained zones.
+// Serve registers the handlers for reading and changing the configuration and for
+// draining zones.
 func Serve(calls *httpcall.Mux, options Options) {
 	a := &api{log: options.Log, dispatcher: options.Dispatcher, zones: options.Zones}
 	options.Metrics.CounterFunc("unsupported_changes_total", "Acknowledged changes of the configuration with fields that no router acts on.", nil,
@@ -63,8 +65,8 @@
 	httpcall.Handle(calls, http.MethodDelete, zonePath, a.setZone)
 }
 
-// ServeHeadroom registers the call for the newest headroom report that reached
-// gossip.
+// ServeHeadroom registers the handler that returns the newest headroom report received
+// by gossip.
 func ServeHeadroom(calls *httpcall.Mux, updates *gossip.Store) {
 	httpcall.Handle(calls, http.MethodGet, headroomPath, func(context.Context, EmptyRequest) (HeadroomResponse, error) {
 		item, ok := updates.Get(headroom.ReportKey)
@@ -75,7 +77,7 @@
 	})
 }
 
-// api holds what the handlers stand on.
+// api holds the dependencies and the state of the handlers that Serve registers.
 type api struct {
 	log        *log.Logger
 	dispatcher Dispatcher
@@ -83,7 +85,8 @@
 
 	unsupportedChanges atomic.Int64
 	mu                 sync.Mutex
-	// lastLogged are the unsupported fields that were logged last.
+	// lastLogged holds the unsupported fields in the last log line about them; mu guards
+	// it.
 	lastLogged []string
 }
 
@@ -96,8 +99,8 @@
 	return resp, nil
 }
 
-// reportUnsupported counts a change that sets fields which no router acts on, and
-// logs them where they are not those of the last such line.
+// reportUnsupported counts a change with fields that have no effect on routers, and logs
+// the fields unless they are the same as in the last such log line.
 func (a *api) reportUnsupported(resp ConfigChangeResponse) {
 	if len(resp.Unsupported) == 0 {
 		return
@@ -133,14 +136,15 @@
 	return EmptyResponse{}, err
 }
 
-// ConfigChangeRequest is PUT /settings with a whole document, or PATCH /settings
-// with a patch, on the version that If-Match names.
+// ConfigChangeRequest is a PUT /settings request with a whole document, or a PATCH
+// /settings request with a patch. The If-Match header states the base version.
 type ConfigChangeRequest struct{ Change store.Change }
 
-// versionPattern matches an If-Match header: one version, with or without quotes.
+// versionPattern matches the value of an If-Match header: one version, with or without
+// quotes.
 var versionPattern = regexp.MustCompile(`^(?:(0|[1-9][0-9]*)|"(0|[1-9][0-9]*)")$`)
 
-// Decode takes the base version off the header, and the body.
+// Decode reads the base version from the If-Match header, and takes over the body.
 func (c *ConfigChangeRequest) Decode(incoming httpcall.Incoming) error {
 	ifMatch := incoming.Request.Header.Values("If-Match")
 	if len(ifMatch) != 1 {
@@ -163,28 +167,29 @@
 	return nil
 }
 
-// ConfigChangeResponse acknowledges a change by the version that it led to. A
-// repeated change gets its own version again, whatever came into force since.
+// ConfigChangeResponse acknowledges a change with the version that it resulted in. A
+// change that is sent again gets its own version again, even if a newer one is current
+// by then.
 type ConfigChangeResponse struct {
 	Version ids.Version `json:"config_version"`
-	// Unsupported are the paths of the fields that the change sets and that no
-	// router acts on.
+	// Unsupported are the paths of the fields in the change that have no effect on
+	// routers.
 	Unsupported []string `json:"unsupported_fields,omitempty"`
 }
 
-// Response gives the version, and what is unsupported, as JSON.
+// Response returns the version and the unsupported fields as JSON.
 func (c ConfigChangeResponse) Response() response.Response { return response.JSON(http.StatusOK, c) }
 
-// ConfigResponse is the document in force.
+// ConfigResponse is the current configuration document.
 type ConfigResponse struct{ Document []byte }
 
-// Response gives the document as it was sent.
+// Response returns the document as it is stored.
 func (c ConfigResponse) Response() response.Response {
 	return response.Raw(http.StatusOK, "application/json", c.Document)
 }
 
-// ZoneRequest is POST /empty/ZONE, which drains the zone, or DELETE /empty/ZONE,
-// which undrains it.
+// ZoneRequest is a POST /empty/ZONE request, which drains the zone, or a DELETE
+// /empty/ZONE request, which ends the drain.
 type ZoneRequest struct {
 	Zone ids.Zone
 	Verb string
@@ -192,7 +197,7 @@
 
 var zoneVerbByMethod = map[string]string{http.MethodPost: command.VerbDrain, http.MethodDelete: command.VerbUndrain}
 
-// Decode takes the zone off the path, and the verb off the method.
+// Decode reads the zone from the path, and derives the command verb from the method.
 func (z *ZoneRequest) Decode(incoming httpcall.Incoming) error {
 	z.Zone = ids.Zone(incoming.Tail)
 	z.Verb = zoneVerbByMethod[incoming.Request.Method]
@@ -202,7 +207,7 @@
 // HeadroomResponse is a headroom report as JSON.
 type HeadroomResponse struct{ Report []byte }
 
-// Response gives the report.
+// Response returns the report unchanged.
 func (h HeadroomResponse) Response() response.Response {
 	return response.Raw(http.StatusOK, "application/json", h.Report)
 }
@@ -210,11 +215,11 @@
 // EmptyRequest is a request without parameters.
 type EmptyRequest struct{}
 
-// Decode reads nothing.
+// Decode ignores the request, which has no parameters.
 func (e *EmptyRequest) Decode(httpcall.Incoming) error { return nil }
 
-// EmptyResponse acknowledges a command without a result.
+// EmptyResponse acknowledges a request that has no result.
 type EmptyResponse struct{}
 
-// Response is empty.
+// Response returns status 200 with an empty body.
 func (EmptyResponse) Response() response.Response { return response.Empty(http.StatusOK) }
--- a/control/admin/admin_test.go
+++ b/control/admin/admin_test.go
@@ -21,7 +21,7 @@
 	"onyxwell/control/transport"
 )
 
-// fakeDisk fails every write while failing is set.
+// fakeDisk accepts writes without storing them, and fails them while failing is set.
 type fakeDisk struct{ failing bool }
 
 func (f *fakeDisk) Save([]byte) error {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// loopback is a register.VoterClient of a single voter.
+// loopback is a register.VoterClient that calls the acceptor of a single voter directly.
 type loopback struct{ acceptor *register.Acceptor }
 
 func (l loopback) Prepare(_ context.Context, _ ids.Address, req register.PrepareRequest) (register.PrepareResponse, error) {
@@ -46,7 +46,7 @@
 	return l.acceptor.Confirm(req), nil
 }
 
-// testServer is the API of a controller that is the only voter.
+// testServer serves the API of a controller that is the only voter.
 type testServer struct {
 	*testing.T
 	server  *httptest.Server
@@ -88,7 +88,8 @@
 	return s
 }
 
-// do sends a request over HTTP and returns its status and body.
+// do sends a request over HTTP and returns the status and the body of the response. An
+// empty match sends no If-Match header.
 func (t *testServer) do(method string, path string, match string, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, t.server.URL+path, strings.NewReader(body))
@@ -123,27 +124,27 @@
 		{"first", "PUT", "/settings", "0", validConfig, 200, `"config_version":5`},
 		{"repeated", "PUT", "/settings", "0", validConfig, 200, `"config_version":5`},
 		{"conflicting", "PUT", "/settings", "0", strings.Replace(validConfig, ":5", ":6", 1), 412, "stale-spec"},
-		{"not above", "PUT", "/settings", "5", strings.Replace(validConfig, ":9", ":8", 1), 400, "config_version"},
+		{"version not increased", "PUT", "/settings", "5", strings.Replace(validConfig, ":9", ":8", 1), 400, "config_version"},
 		{"patched", "PATCH", "/settings", "\"5\"", `{"config_version":8,"remove":{"routes":["r"]}}`, 200, `"config_version":8`},
 		{"read back", "GET", "/settings", "", "", 200, `"routes":[]`},
-		{"too long", "PUT", "/settings", "8", strings.Repeat(" ", 4001), 413, "body-too-large"},
+		{"body too large", "PUT", "/settings", "8", strings.Repeat(" ", 4001), 413, "body-too-large"},
 		{"drained", "POST", "/empty/hall", "", "", 200, ""},
 		{"drained again", "POST", "/empty/hall", "", "", 200, ""},
 		{"undrained", "DELETE", "/empty/hall", "", "", 200, ""},
 		{"unknown zone", "POST", "/empty/nowhere", "", "", 404, "unknown-zone"},
 		{"unknown call", "GET", "/nothing", "", "", 404, "unknown-call"},
 	}
-	// The cases build on each other.
+	// Each case depends on the ones before it.
 	for _, test := range cases {
 		status, text := s.do(test.method, test.path, test.match, test.body)
 		if status != test.status || !strings.Contains(text, test.wantBody) {
-			t.Errorf("%s: %d %s", test.name, status, text)
+			t.Errorf("%s: got status %d, body %s", test.name, status, text)
 		}
 	}
 	configItem, _ := s.updates.Get("spec")
 	zoneItem, _ := s.updates.Get("evacuation/hall")
 	if configItem.Version != 8 || zoneItem.Version != 2 {
-		t.Errorf("gossip has versions %d and %d", configItem.Version, zoneItem.Version)
+		t.Errorf("gossip has version %d of the configuration, want 8, and version %d of the zone, want 2", configItem.Version, zoneItem.Version)
 	}
 }
 
@@ -151,39 +152,40 @@
 	s := newTestServer(t)
 	s.disk.failing = true
 	if status, text := s.do("PUT", "/settings", "0", validConfig); status != 503 {
-		t.Fatalf("%d %s", status, text)
+		t.Fatalf("failing disk: got status %d, want 503; body %s", status, text)
 	}
 	if _, ok := s.updates.Get("spec"); ok {
-		t.Fatal("a configuration that no disk holds was published")
+		t.Fatal("a configuration that was not stored on disk was published")
 	}
 	s.disk.failing = false
 	if status, text := s.do("PUT", "/settings", "0", validConfig); status != 200 {
-		t.Fatalf("%d %s", status, text)
+		t.Fatalf("working disk: got status %d, want 200; body %s", status, text)
 	}
 }
 
-// TestServe_reportsUnsupportedFields has what an operator is told of a part of the
-// configuration that no router acts on: in the answer, and once in the log.
+// TestServe_reportsUnsupportedFields checks how an operator learns of fields that have no
+// effect on routers: each response lists them, and a change that is sent again does not
+// log them again.
 func TestServe_reportsUnsupportedFields(t *testing.T) {
 	s := newTestServer(t)
 	first := strings.Replace(validConfig, `"routes"`, `"later":1,"routes"`, 1)
 	for range 2 {
 		if status, text := s.do("PUT", "/settings", "0", first); status != 200 || !strings.Contains(text, `"unsupported_fields":["later"]`) {
-			t.Errorf("%d %s", status, text)
+			t.Errorf("full document: got status %d, body %s", status, text)
 		}
 	}
 	patch := `{"config_version":8,"changes":{"services":[{"name":"s","later":1}]}}`
 	if status, text := s.do("PATCH", "/settings", "5", patch); status != 200 || !strings.Contains(text, `["services[].later"]`) {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("patch: got status %d, body %s", status, text)
 	}
 	misspelt := `{"config_version":10,"change":{},"remove":{"route":["r"]}}`
 	if status, text := s.do("PATCH", "/settings", "8", misspelt); status != 200 || !strings.Contains(text, `["change","remove.route"]`) {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("patch with misspelled keys: got status %d, body %s", status, text)
 	}
 	if got := strings.Count(s.log.String(), "configuration has unsupported fields"); got != 3 {
-		t.Errorf("logged %d times:\n%s", got, s.log.String())
+		t.Errorf("logged %d times, want 3:\n%s", got, s.log.String())
 	}
 	if status, text := s.do("PATCH", "/settings", "10", `{"config_version":11}`); status != 200 || strings.Contains(text, "unsupported") {
-		t.Errorf("%d %s", status, text)
+		t.Errorf("patch without unsupported fields: got status %d, body %s", status, text)
 	}
 }
--- a/control/admin/counters.go
+++ b/control/admin/counters.go
@@ -15,23 +15,25 @@
 )
 
 const (
-	// counterPath is that of a counter, whose name follows.
+	// counterPath is the path of a counter; it is followed by the counter's name.
 	counterPath = "/tallies/"
-	// maxCounterName is the longest name of a counter in bytes.
+	// maxCounterName is the maximum length of a counter's name, in bytes.
 	maxCounterName = 256
-	// maxExactFloat bounds the whole numbers that a float64 holds exactly.
+	// maxExactFloat is the largest n for which a float64 represents every integer from
+	// -n to n exactly.
 	maxExactFloat = 1 << 53
 )
 
-// Counters are the applications' counters.
+// Counters provides access to the counters of applications.
 type Counters interface {
-	// Add adds an amount under an ID, which counts once.
+	// Add adds an amount to a counter. Adds with the same ID count only once.
 	Add(ctx context.Context, counter string, id string, amount int64) error
-	// Total returns the sum of a counter, 0 for a new one.
+	// Total returns the sum of a counter, 0 for one without adds.
 	Total(counter string) (*big.Int, error)
 }
 
-// ServeCounters registers the applications' calls.
+// ServeCounters registers the handlers with which applications add to counters and read
+// them.
 func ServeCounters(calls *httpcall.Mux, counters Counters) {
 	httpcall.Handle(calls, http.MethodPost, counterPath, func(ctx context.Context, req CounterAddRequest) (EmptyResponse, error) {
 		return EmptyResponse{}, counters.Add(ctx, req.Counter, req.ID, req.Amount)
@@ -42,15 +44,15 @@
 	})
 }
 
-// CounterAddRequest is POST /tallies/COUNTER: an amount, and the ID under which it counts
-// once.
+// CounterAddRequest is a POST /tallies/COUNTER request. It adds an amount to the counter;
+// adds with the same ID count only once.
 type CounterAddRequest struct {
 	Counter string
 	ID      string
 	Amount  int64
 }
 
-// Decode takes the counter off the path, and ID and amount off the body.
+// Decode reads the counter from the path, and the ID and the amount from the body.
 func (c *CounterAddRequest) Decode(incoming httpcall.Incoming) error {
 	var err error
 	if c.Counter, err = counterName(incoming); err != nil {
@@ -76,7 +78,8 @@
 	return "", errkind.Errorf(errkind.BadRequest, "path: a name of 1 to %d bytes is wanted", maxCounterName)
 }
 
-// parseInteger reads an amount, in whatever way JSON writes a whole number.
+// parseInteger parses a whole number in any JSON notation, such as 1000, 1000.0 or 1e3.
+// Notations other than plain digits are limited to maxExactFloat.
 func parseInteger(text json.RawMessage) (int64, error) {
 	text = bytes.TrimSpace(text)
 	if amount, err := strconv.ParseInt(string(text), 10, 64); err == nil {
@@ -92,20 +95,20 @@
 	return 0, errkind.Errorf(errkind.BadRequest, "changed_by: a whole number of 64 bits is wanted")
 }
 
-// CounterReadRequest is GET /tallies/COUNTER.
+// CounterReadRequest is a GET /tallies/COUNTER request, which reads the counter's sum.
 type CounterReadRequest struct{ Counter string }
 
-// Decode takes the counter off the path.
+// Decode reads the counter from the path.
 func (c *CounterReadRequest) Decode(incoming httpcall.Incoming) error {
 	var err error
 	c.Counter, err = counterName(incoming)
 	return err
 }
 
-// CounterResponse is the sum of a counter.
+// CounterResponse contains the sum of a counter.
 type CounterResponse struct {
 	Total *big.Int `json:"total"`
 }
 
-// Response gives the sum as JSON.
+// Response returns the sum as JSON.
 func (c CounterResponse) Response() response.Response { return response.JSON(http.StatusOK, c) }
--- a/control/admin/counters_test.go
+++ b/control/admin/counters_test.go
@@ -13,7 +13,7 @@
 	"onyxwell/base/httpcall"
 )
 
-// fakeCounters records adds and reads one total.
+// fakeCounters records adds, and returns the same total for every counter.
 type fakeCounters struct{ adds []string }
 
 func (r *fakeCounters) Add(_ context.Context, counter string, id string, amount int64) error {
@@ -26,8 +26,9 @@
 	return total, nil
 }
 
-// TestServeCounters_validatesAdds sends adds, good and bad ones: a bad one is answered 400 with the
-// field named, and counts nothing.
+// TestServeCounters_validatesAdds sends valid and invalid adds. An invalid one must be
+// answered with status 400 and the name of the field, and must add nothing. The total, read
+// at the end, must be returned exactly although it exceeds 64 bits.
 func TestServeCounters_validatesAdds(t *testing.T) {
 	counters := &fakeCounters{}
 	mux := httpcall.NewMux(clock.NewFake(), 1<<16)
@@ -64,12 +65,12 @@
 		status, body := call(http.MethodPost, test.path, test.body)
 		switch {
 		case test.field == "" && (status != http.StatusOK || len(counters.adds) != 1 || counters.adds[0] != test.add):
-			t.Errorf("%s %s: %d %s, adds %q", test.path, test.body, status, body, counters.adds)
+			t.Errorf("%s %s: got status %d, body %s, adds %q", test.path, test.body, status, body, counters.adds)
 		case test.field != "" && (status != http.StatusBadRequest || len(counters.adds) != 0 || !strings.Contains(body, `"detail":"`+test.field+":")):
-			t.Errorf("%s %s: %d %s, adds %q", test.path, test.body, status, body, counters.adds)
+			t.Errorf("%s %s: got status %d, body %s, adds %q", test.path, test.body, status, body, counters.adds)
 		}
 	}
 	if status, body := call(http.MethodGet, "/tallies/t3", ""); status != http.StatusOK || body != `{"total":36893488147419103228}` {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("read: got status %d, body %s", status, body)
 	}
 }
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -15,7 +15,7 @@
 	"onyxwell/base/response"
 )
 
-// truncatedBody is a body that ends before its Content-Length.
+// truncatedBody is a request body that ends before its Content-Length is reached.
 type truncatedBody struct{ io.Reader }
 
 func (t truncatedBody) Read(buffer []byte) (int, error) {
@@ -26,12 +26,12 @@
 	return n, err
 }
 
-// TestServe_rejectsInvalidRequests sends what no operator should: each request
-// gets its 4xx with the field named, and nothing changes.
+// TestServe_rejectsInvalidRequests sends invalid requests. Each must be answered with a 4xx
+// status and a text that names the invalid part, and must not change anything.
 func TestServe_rejectsInvalidRequests(t *testing.T) {
 	s := newTestServer(t)
 	if status, text := s.do("PUT", "/settings", "0", validConfig); status != 200 {
-		t.Fatalf("%d %s", status, text)
+		t.Fatalf("initial configuration: got status %d, body %s", status, text)
 	}
 	before, _ := s.updates.Get("spec")
 	next := strings.Replace(validConfig, ":5", ":6", 1)
@@ -45,8 +45,8 @@
 	}{
 		{"no If-Match", "PUT", "/settings", nil, nil, next, 400, "If-Match"},
 		{"no If-Match", "PATCH", "/settings", nil, nil, patch, 400, "If-Match"},
-		{"two", "PUT", "/settings", []string{"5", "5"}, nil, next, 400, "If-Match: stands 2 times"},
-		{"duplicate type", "PUT", "/settings", []string{"5"}, []string{"application/json", "application/json"}, next, 400, "Content-Type: stands 2 times"},
+		{"duplicate If-Match", "PUT", "/settings", []string{"5", "5"}, nil, next, 400, "If-Match: stands 2 times"},
+		{"duplicate Content-Type", "PUT", "/settings", []string{"5"}, []string{"application/json", "application/json"}, next, 400, "Content-Type: stands 2 times"},
 		{"over the limit", "PUT", "/settings", []string{"5"}, nil, strings.Repeat(" ", 4001), 413, "body: over 4000 bytes"},
 		{"over the limit", "PATCH", "/settings", []string{"5"}, nil, strings.Repeat(" ", 4001), 413, "body: over 4000 bytes"},
 		{"truncated", "PUT", "/settings", []string{"5"}, nil, next[:60], 400, "not JSON"},
@@ -54,24 +54,24 @@
 		{"empty", "PUT", "/settings", []string{"5"}, nil, "", 400, "not JSON"},
 		{"empty", "PATCH", "/settings", []string{"5"}, nil, "", 400, "not a change"},
 		{"null", "PATCH", "/settings", []string{"5"}, nil, "null", 400, "config_version"},
-		{"list for an object", "PUT", "/settings", []string{"5"}, nil, "[]", 400, "array"},
+		{"list instead of an object", "PUT", "/settings", []string{"5"}, nil, "[]", 400, "array"},
 		{"trailing", "PUT", "/settings", []string{"5"}, nil, next + "{}", 400, "not JSON"},
 		{"trailing", "PATCH", "/settings", []string{"5"}, nil, patch + "x", 400, "not a change"},
 		{"string for a number", "PUT", "/settings", []string{"5"}, nil, strings.Replace(next, ":6", `:"6"`, 1), 400, "config_version"},
 		{"string for a number", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":"6"}`, 400, "config_version"},
 		{"number out of range", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":9223372036854775808}`, 400, "config_version"},
 		{"number missing", "PATCH", "/settings", []string{"5"}, nil, `{"changes":{}}`, 400, "config_version"},
-		{"object for a list", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":{}}}`, 400, "routes"},
+		{"object instead of a list", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":{}}}`, 400, "routes"},
 		{"item without a name", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"changes":{"routes":[{}]}}`, 400, "changes.routes[0].name"},
-		{"removed by number", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"remove":{"routes":[7]}}`, 400, "remove"},
+		{"number instead of a name to remove", "PATCH", "/settings", []string{"5"}, nil, `{"config_version":6,"remove":{"routes":[7]}}`, 400, "remove"},
 		{"unknown zone", "POST", "/empty/nowhere", nil, nil, "", 404, "nowhere"},
 		{"unknown zone", "DELETE", "/empty/HALL", nil, nil, "", 404, "HALL"},
 		{"no zone", "POST", "/empty/", nil, nil, "", 404, "unknown-zone"},
-		{"below a zone", "POST", "/empty/hall/x", nil, nil, "", 404, "/empty/hall/x"},
-		{"an escaped slash", "POST", "/empty/hall%2F", nil, nil, "", 404, "/empty/hall/"},
-		{"dots", "POST", "/empty/../empty/hall", nil, nil, "", 404, "/empty/../empty/hall"},
-		{"below the settings", "PUT", "/settings/", []string{"5"}, nil, next, 404, "/settings/"},
-		{"capitals", "PUT", "/Settings", []string{"5"}, nil, next, 404, "/Settings"},
+		{"path below a zone", "POST", "/empty/hall/x", nil, nil, "", 404, "/empty/hall/x"},
+		{"escaped slash", "POST", "/empty/hall%2F", nil, nil, "", 404, "/empty/hall/"},
+		{"dot segments", "POST", "/empty/../empty/hall", nil, nil, "", 404, "/empty/../empty/hall"},
+		{"path below the settings", "PUT", "/settings/", []string{"5"}, nil, next, 404, "/settings/"},
+		{"path with capitals", "PUT", "/Settings", []string{"5"}, nil, next, 404, "/Settings"},
 		{"another method", "DELETE", "/settings", []string{"5"}, nil, "", 404, "DELETE /settings"},
 		{"another method", "PUT", "/empty/hall", nil, nil, "", 404, "PUT /empty/hall"},
 	}
@@ -84,25 +84,25 @@
 	for _, test := range cases {
 		status, text := s.serveDirect(test.method, test.path, http.Header{"If-Match": test.match, "Content-Type": test.types}, strings.NewReader(test.body))
 		if status != test.status || !strings.Contains(text, test.wantBody) {
-			t.Errorf("%s, %s: %d %s", test.method, test.name, status, text)
+			t.Errorf("%s, %s: got status %d, body %s", test.method, test.name, status, text)
 		}
 	}
 	if status, text := s.serveDirect("PUT", "/settings", http.Header{"If-Match": {"5"}}, truncatedBody{strings.NewReader(next)}); status != 400 || !strings.Contains(text, "body") {
-		t.Errorf("truncated body: %d %s", status, text)
+		t.Errorf("truncated body: got status %d, body %s", status, text)
 	}
 	after, _ := s.updates.Get("spec")
 	_, drained := s.updates.Get("evacuation/hall")
 	if status, text := s.do("GET", "/settings", "", ""); status != 200 || text != validConfig || after.Version != before.Version || drained {
-		t.Fatalf("something changed: %d %s, version %d, drained %v", status, text, after.Version, drained)
+		t.Fatalf("an invalid request had an effect: got status %d, body %s, version %d, drained %v", status, text, after.Version, drained)
 	}
 	if status, text := s.do("PUT", "/settings", `"5"`, next); status != 200 {
-		t.Fatalf("a valid request after them: %d %s", status, text)
+		t.Fatalf("valid request after the invalid ones: got status %d, body %s", status, text)
 	}
 }
 
-// TestServe_rejectsInvalidZones names zones that do not exist, by names close to
-// one that does, and sends bodies that are too long or truncated. A short body is
-// ignored, whatever it holds.
+// TestServe_rejectsInvalidZones requests zones that do not exist, with names similar to an
+// existing one, and sends bodies that are too large or truncated. The content of a body
+// within the limit is ignored.
 func TestServe_rejectsInvalidZones(t *testing.T) {
 	s := newTestServer(t)
 	names := []string{
@@ -112,53 +112,53 @@
 	for _, name := range names {
 		for _, method := range []string{"POST", "DELETE"} {
 			if status, text := s.serveDirect(method, "/empty/"+name, nil, nil); status != 404 || len(text) > 5000 {
-				t.Errorf("%s %s: %d %s", method, name, status, text)
+				t.Errorf("%s %s: got status %d, body %s", method, name, status, text)
 			}
 		}
 	}
 	for _, method := range []string{"POST", "DELETE"} {
 		if status, text := s.serveDirect(method, "/empty/hall", nil, strings.NewReader(strings.Repeat(" ", 4001))); status != 413 || !strings.Contains(text, "body: over 4000 bytes") {
-			t.Errorf("%s, over the limit: %d %s", method, status, text)
+			t.Errorf("%s, body over the limit: got status %d, body %s", method, status, text)
 		}
 		if status, text := s.serveDirect(method, "/empty/hall", nil, truncatedBody{strings.NewReader("{}")}); status != 400 || !strings.Contains(text, "body: it is not whole") {
-			t.Errorf("%s, truncated: %d %s", method, status, text)
+			t.Errorf("%s, truncated body: got status %d, body %s", method, status, text)
 		}
 	}
 	for _, method := range []string{"GET", "PUT", "PATCH", "HEAD", "post"} {
 		if status, text := s.serveDirect(method, "/empty/hall", nil, nil); status != 404 {
-			t.Errorf("%s: %d %s", method, status, text)
+			t.Errorf("%s: got status %d, body %s", method, status, text)
 		}
 	}
 	if item, ok := s.updates.Get("evacuation/hall"); ok {
-		t.Fatalf("something changed: %+v", item)
+		t.Fatalf("an invalid request had an effect: %+v", item)
 	}
 	for _, body := range []string{"", "{}", "x", `{"zone":"other"}`} {
 		before, _ := s.updates.Get("evacuation/hall")
 		for _, method := range []string{"POST", "DELETE"} {
 			if status, text := s.serveDirect(method, "/empty/hall", nil, strings.NewReader(body)); status != 200 {
-				t.Errorf("%s with %q: %d %s", method, body, status, text)
+				t.Errorf("%s with body %q: got status %d, body %s", method, body, status, text)
 			}
 		}
 		if after, _ := s.updates.Get("evacuation/hall"); after.Version != before.Version+2 {
-			t.Errorf("with %q: from %d to %d", body, before.Version, after.Version)
+			t.Errorf("drain and undrain with body %q: version changed from %d to %d, want an increase by 2", body, before.Version, after.Version)
 		}
 	}
 }
 
-// TestServe_rejectsContradictoryHeaders sends contradictory headers over a raw
-// connection.
+// TestServe_rejectsContradictoryHeaders sends contradictory and malformed headers over a
+// raw TCP connection. None may have an effect.
 func TestServe_rejectsContradictoryHeaders(t *testing.T) {
 	s := newTestServer(t)
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(validConfig))
 	headers := map[string]string{
-		"two lengths":            length + "Content-Length: 7\r\nIf-Match: 0\r\n",
-		"no number for a length": "Content-Length: x\r\nIf-Match: 0\r\n",
-		"an odd coding":          "Transfer-Encoding: odd\r\nIf-Match: 0\r\n",
-		"two versions":           length + "If-Match: 0\r\nif-match: 5\r\n",
-		"one version twice":      length + "If-Match: 0\r\nIF-MATCH: 0\r\n",
-		"two types":              length + "If-Match: 0\r\nContent-Type: application/json\r\nContent-Type: text/plain\r\n",
-		"a space in a name":      length + "If-Match : 0\r\n",
-		"a folded version":       length + "If-Match: 0\r\n 1\r\n",
+		"two lengths":                 length + "Content-Length: 7\r\nIf-Match: 0\r\n",
+		"length that is not a number": "Content-Length: x\r\nIf-Match: 0\r\n",
+		"unknown transfer coding":     "Transfer-Encoding: odd\r\nIf-Match: 0\r\n",
+		"two versions":                length + "If-Match: 0\r\nif-match: 5\r\n",
+		"duplicate version":           length + "If-Match: 0\r\nIF-MATCH: 0\r\n",
+		"two types":                   length + "If-Match: 0\r\nContent-Type: application/json\r\nContent-Type: text/plain\r\n",
+		"space in a header name":      length + "If-Match : 0\r\n",
+		"folded header line":          length + "If-Match: 0\r\n 1\r\n",
 	}
 	for name, header := range headers {
 		conn, err := net.Dial("tcp", s.server.Listener.Addr().String())
@@ -168,19 +168,20 @@
 		_, _ = fmt.Fprintf(conn, "PUT /settings HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%s\r\n%s", header, validConfig)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode/100 != 4 && resp.StatusCode != http.StatusNotImplemented {
-			t.Errorf("%s: %+v %v", name, resp, err)
+			t.Errorf("%s: got response %+v, error %v", name, resp, err)
 		}
 		_ = conn.Close()
 	}
 	if item, ok := s.updates.Get("spec"); ok {
-		t.Fatalf("something changed: %+v", item)
+		t.Fatalf("an invalid request had an effect: %+v", item)
 	}
 	if status, text := s.do("PUT", "/settings", "0", validConfig); status != 200 {
-		t.Fatalf("a valid request after them: %d %s", status, text)
+		t.Fatalf("valid request after the invalid ones: got status %d, body %s", status, text)
 	}
 }
 
-// serveDirect serves a request without a network; the path is taken as it is.
+// serveDirect passes a request to the handlers without a network connection, so the path
+// is not normalized, and returns the status and the body of the response.
 func (t *testServer) serveDirect(method string, path string, header http.Header, body io.Reader) (int, string) {
 	recorder := httptest.NewRecorder()
 	req := httptest.NewRequest(method, path, body)
@@ -193,8 +194,9 @@
 	return recorder.Code, recorder.Body.String()
 }
 
-// TestServe_repeatsReturnOwnVersion repeats changes after others came into force,
-// on which they would be invalid by now.
+// TestServe_repeatsReturnOwnVersion sends changes again after later ones were applied. As
+// new changes they would be invalid by then, but each must be acknowledged with its own
+// version.
 func TestServe_repeatsReturnOwnVersion(t *testing.T) {
 	s := newTestServer(t)
 	changes := []struct{ method, match, body, wantBody string }{
@@ -206,16 +208,16 @@
 		for _, change := range changes {
 			status, text := s.do(change.method, "/settings", change.match, change.body)
 			if status != 200 || text != change.wantBody {
-				t.Errorf("round %d, %s on %s: %d %s", round, change.method, change.match, status, text)
+				t.Errorf("round %d, %s on version %s: got status %d, body %s", round, change.method, change.match, status, text)
 			}
 		}
 	}
 	if item, _ := s.updates.Get("spec"); item.Version != 9 {
-		t.Errorf("gossip has version %d", item.Version)
+		t.Errorf("gossip has version %d, want 9", item.Version)
 	}
 	recorder := httptest.NewRecorder()
 	response.FromKind(errkind.OutcomeExpired, "").Send(recorder)
 	if recorder.Code != 503 {
-		t.Errorf("%d for an expired outcome", recorder.Code)
+		t.Errorf("expired outcome: got status %d, want 503", recorder.Code)
 	}
 }
--- a/control/admin/parts.go
+++ b/control/admin/parts.go
@@ -10,22 +10,24 @@
 	"onyxwell/control/duty"
 )
 
-// partsPath is that of the parts of duties.
+// partsPath is the path of the calls for parts of duties.
 const partsPath = "/parts"
 
-// ServeParts registers the hand-over of a part of the platform's duties.
+// ServeParts registers the handler that requests the hand-over of a part of the duties
+// to another controller.
 func ServeParts(calls *httpcall.Mux, handOver func(ctx context.Context, part duty.Part) error) {
 	httpcall.Handle(calls, http.MethodPost, partsPath, func(ctx context.Context, req HandOverRequest) (EmptyResponse, error) {
 		return EmptyResponse{}, handOver(ctx, req.Part)
 	})
 }
 
-// HandOverRequest is POST /parts: the part that another controller is to hold.
+// HandOverRequest is a POST /parts request, which asks to reassign a part of the duties
+// to another controller.
 type HandOverRequest struct {
 	Part duty.Part `json:"part"`
 }
 
-// Decode takes the part off the body.
+// Decode reads the part from the body.
 func (h *HandOverRequest) Decode(incoming httpcall.Incoming) error {
 	if err := json.Unmarshal(incoming.Body, h); err != nil {
 		return errkind.Errorf(errkind.BadRequest, "body: it is no JSON object")
--- a/control/admin/rollouts.go
+++ b/control/admin/rollouts.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	// rolloutsPath is where rollouts are ordered; a service's follows after a slash.
+	// rolloutsPath is the path for ordering a rollout. rolloutPath is followed by the
+	// name of a service, and reads its rollout.
 	rolloutsPath = "/rollouts"
 	rolloutPath  = rolloutsPath + "/"
-	// minRolloutSeconds and maxRolloutSeconds bound the term of a rollout.
+	// minRolloutSeconds and maxRolloutSeconds limit the time allowed for a rollout.
 	minRolloutSeconds = 1
 	maxRolloutSeconds = 7 * 24 * 3600
-	// maxVersionLength is the longest name of a version in bytes.
+	// maxVersionLength is the maximum length of a version as compact JSON, in bytes.
 	maxVersionLength = 256
 )
 
-// Rollouts takes orders of rollouts and tells what became of them.
+// Rollouts accepts orders of rollouts and reports their state.
 type Rollouts interface {
-	// OrderRollout stores an order.
+	// OrderRollout stores an order for a rollout.
 	OrderRollout(ctx context.Context, order rollout.Order) error
-	// ReadRollout returns the newest record of a service's rollout, the zero Record for none.
+	// ReadRollout returns the newest record of a service's rollout, or the zero Record if
+	// there is none.
 	ReadRollout(ctx context.Context, service ids.Service) (rollout.Record, error)
 }
 
-// ServeRollouts registers the calls for rollouts.
+// ServeRollouts registers the handlers for ordering rollouts and reading their state.
 func ServeRollouts(calls *httpcall.Mux, rollouts Rollouts) {
 	httpcall.Handle(calls, http.MethodPost, rolloutsPath, func(ctx context.Context, req RolloutRequest) (EmptyResponse, error) {
 		return EmptyResponse{}, rollouts.OrderRollout(ctx, req.Order)
@@ -46,11 +48,11 @@
 	})
 }
 
-// RolloutRequest is POST /rollouts: a service, the version that its traffic is to move to,
-// and the seconds that it may take.
+// RolloutRequest is a POST /rollouts request. It states a service, the version to move its
+// traffic to, and the time allowed for the rollout in seconds.
 type RolloutRequest struct{ Order rollout.Order }
 
-// Decode reads the body. Its errors name the field.
+// Decode reads the order from the body. Errors name the invalid field.
 func (r *RolloutRequest) Decode(incoming httpcall.Incoming) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(incoming.Body, &fields); err != nil || fields == nil {
@@ -75,7 +77,8 @@
 	return nil
 }
 
-// compactVersion returns a version as the list of runners writes it: as compact JSON.
+// compactVersion checks a version, a JSON string or number, and returns it as compact
+// JSON, which is also the form in the list of runners.
 func compactVersion(text json.RawMessage) (string, error) {
 	invalid := errkind.Errorf(errkind.InvalidOrder, "target_version: a version of 1 to %d bytes is wanted", maxVersionLength)
 	var value any
@@ -94,20 +97,21 @@
 	return compact.String(), nil
 }
 
-// RolloutReadRequest is GET /rollouts/SERVICE.
+// RolloutReadRequest is a GET /rollouts/SERVICE request, which reads the state of the
+// service's newest rollout.
 type RolloutReadRequest struct{ Service ids.Service }
 
-// Decode takes the service off the path.
+// Decode reads the service from the path.
 func (r *RolloutReadRequest) Decode(incoming httpcall.Incoming) error {
 	r.Service = ids.Service(incoming.Tail)
 	return nil
 }
 
-// RolloutResponse tells what became of a rollout.
+// RolloutResponse contains the state and the target version of a rollout.
 type RolloutResponse struct {
 	Condition string          `json:"condition"`
 	Target    json.RawMessage `json:"target_version"`
 }
 
-// Response gives it as JSON.
+// Response returns the state and the target version as JSON.
 func (r RolloutResponse) Response() response.Response { return response.JSON(http.StatusOK, r) }
