--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -42,7 +42,7 @@
 	Dispatch(ctx context.Context, cmd command.Command) ([]byte, error)
 }
 
-// Options holds the dependencies of the calls that Serve registers.
+// Options holds the dependencies of the handlers that Serve registers.
 type Options struct {
 	Log        *log.Logger
 	Dispatcher Dispatcher
@@ -144,7 +144,7 @@
 // quotes.
 var versionPattern = regexp.MustCompile(`^(?:(0|[1-9][0-9]*)|"(0|[1-9][0-9]*)")$`)
 
-// Decode reads the base version from the If-Match header, and takes over the body.
+// Decode reads the base version from the If-Match header. It does not parse the body.
 func (c *ConfigChangeRequest) Decode(incoming httpcall.Incoming) error {
 	ifMatch := incoming.Request.Header.Values("If-Match")
 	if len(ifMatch) != 1 {
--- a/control/admin/counters.go
+++ b/control/admin/counters.go
@@ -79,7 +79,7 @@
 }
 
 // parseInteger parses a whole number in any JSON notation, such as 1000, 1000.0 or 1e3.
-// Notations other than plain digits are limited to maxExactFloat.
+// With a fraction or an exponent, its absolute value is limited to maxExactFloat.
 func parseInteger(text json.RawMessage) (int64, error) {
 	text = bytes.TrimSpace(text)
 	if amount, err := strconv.ParseInt(string(text), 10, 64); err == nil {
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -13,8 +13,8 @@
 	"onyxwell/control/transport"
 )
 
-// Change is a change of the configuration by an operator. It is sent between
-// controllers.
+// Change is an operator's change to the configuration: a whole document or a patch. It
+// is sent between controllers.
 type Change struct {
 	// Full is set if Body is a whole document instead of a patch of the current one.
 	Full bool `avro:"Whole"`
@@ -78,11 +78,11 @@
 	return hash.Sum(nil)[:digestLength]
 }
 
-// Apply is an update of the register's value that applies the change. If the change
-// was applied before, it leaves the value unchanged, whatever the current version is. A
-// *VersionConflictError rejects the change, and an *ArchivedError says which chunk shows
-// whether it was applied. All other errors are of kind InvalidConfig, BadRequest,
-// OutcomeExpired or Internal.
+// Apply is an update function that applies the change to the register's value. If the
+// change was applied before, it returns nil, which leaves the value unchanged, whatever
+// the current version is. A *VersionConflictError rejects the change, and an
+// *ArchivedError says which chunk shows whether it was applied. All other errors are of
+// kind InvalidConfig, BadRequest, OutcomeExpired or Internal.
 func (c Change) Apply(current []byte) ([]byte, error) { return c.apply(current, 0) }
 
 // ApplyTruncating returns an update function like Apply that also removes old history
--- a/control/config/store/change_test.go
+++ b/control/config/store/change_test.go
@@ -27,7 +27,7 @@
 	for target, name := range cases {
 		route := cfg.Match(target[0], target[1])
 		if (route == nil) != (name == "") || (route != nil && route.Name != name) {
-			t.Errorf("%v: got route %+v", target, route)
+			t.Errorf("host and path %q: got route %+v", target, route)
 		}
 	}
 }
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -10,9 +10,9 @@
 // ChunkKeyPrefix is the prefix of the register's keys of chunks. It must never change.
 const ChunkKeyPrefix = "taken/"
 
-// Chunk is a part of the history that is stored under its own key and no longer
-// changes. Its content is determined by its index and the history of changes, so every
-// controller that writes it writes the same content. It is stored.
+// Chunk is a sealed part of the history: it is stored under its own key, and its entries
+// no longer change. Its content is determined by its index and the history of changes, so
+// every controller that writes it writes the same content. It is stored.
 type Chunk struct {
 	// Index is the number of chunks before this one in the whole history.
 	Index int64 `avro:"Index"`
@@ -36,8 +36,8 @@
 
 func chunkKey(index int64) string { return fmt.Sprintf("%s%d", ChunkKeyPrefix, index%chunkCount) }
 
-// Apply is an update of the register's value for the chunk's key: it replaces an older
-// chunk and leaves the same or a newer chunk unchanged.
+// Apply is an update function for the register's value under the chunk's key. It replaces
+// an older chunk, and leaves the same or a newer chunk unchanged by returning nil.
 func (c Chunk) Apply(current []byte) ([]byte, error) {
 	if len(current) > 0 {
 		present, err := decodeChunk(c.Key(), current)
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -11,8 +11,9 @@
 
 const (
 	// digestLength is the number of bytes of a change's SHA-256 hash that are stored.
-	// Only digests of changes with the same base version are compared, so one in 2^64
-	// (1.8e19) late conflicting changes is acknowledged although it was never applied.
+	// Only digests of changes with the same base version are compared, so a conflicting
+	// change that arrives late is wrongly acknowledged as applied with a probability of
+	// one in 2^64 (1.8e19).
 	digestLength = 8
 	// chunkLength is the number of changes in a chunk.
 	chunkLength = 256
@@ -39,8 +40,9 @@
 	// Recent holds the entries of the changes from BaseVersion on: for each change, the
 	// increase of the version as a varint, and the digest.
 	Recent []byte `avro:"Recent"`
-	// ChunkDeltas holds, as varints, the increase of the version over each of the last
-	// chunkCount chunks before Recent, oldest first. The last one ends at BaseVersion.
+	// ChunkDeltas holds, as varints, the increase of the version over each of the chunks
+	// before Recent, at most the last chunkCount ones, oldest first. The last one ends at
+	// BaseVersion.
 	ChunkDeltas []byte `avro:"Spans"`
 }
 
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -25,8 +25,10 @@
 	Name string `json:"name"`
 }
 
-// ApplyPatch applies a patch to a document and returns the resulting document. Parts
-// that the patch does not change are copied byte for byte. The result is not validated.
+// ApplyPatch applies a patch to a document and returns the resulting document. Values
+// that the patch does not change are copied without being decoded, so numbers keep their
+// notation; but white space is removed, the document's keys are sorted, and the characters
+// <, > and & in strings are escaped. The result is not validated.
 func ApplyPatch(document []byte, body []byte) ([]byte, error) {
 	var p patch
 	if err := json.Unmarshal(body, &p); err != nil {
