--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -87,8 +87,8 @@
 
 // ApplyTruncating returns an update function like Apply that also removes old history
 // entries from the record. The first sealed changes of the whole history must be in
-// chunks that a majority has stored; only their entries are removed, unless the record
-// exceeds its limit of maxRecent.
+// chunks that a majority has stored; only their entries are removed, unless the history
+// in the record exceeds its limit, see maxRecent.
 func (c Change) ApplyTruncating(sealed int64) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) { return c.apply(current, sealed) }
 }
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -114,12 +114,14 @@
 }
 
 // truncate removes whole chunks from the start of Recent: those that lie within the
-// first sealed changes of the whole history, and further ones while there are more than
-// maxRecent changes.
+// first sealed changes of the whole history, and further ones while Recent takes more
+// bytes than maxRecent entries of the minimum size.
 func (h *History) truncate(sealed int64) {
 	for {
 		chunk, delta := firstEntries(h.Recent, chunkLength)
-		// The varint of a version's increase takes at least one byte.
+		// An entry takes at least digestLength+1 bytes: the varint of the version's
+		// increase takes one byte or more. Entries with longer varints are therefore
+		// dropped before there are maxRecent of them.
 		overflow := len(h.Recent) > maxRecent*(digestLength+1)
 		if chunk == nil || (h.Offset+chunkLength > sealed && !overflow) {
 			break
