--- a/control/admin/admin.go
+++ b/control/admin/admin.go
@@ -71,7 +71,7 @@
 	httpcall.Handle(calls, http.MethodGet, headroomPath, func(context.Context, EmptyRequest) (HeadroomResponse, error) {
 		item, ok := updates.Get(headroom.ReportKey)
 		if !ok {
-			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no estimate was made yet")
+			return HeadroomResponse{}, errkind.Errorf(errkind.NotReady, "no headroom report is available yet")
 		}
 		return HeadroomResponse{Report: item.Body}, nil
 	})
@@ -123,7 +123,7 @@
 	}
 	record, err := store.Decode(value)
 	if err == nil && record.Version == 0 {
-		err = errkind.Errorf(errkind.NotReady, "no spec was taken yet")
+		err = errkind.Errorf(errkind.NotReady, "no configuration has been stored yet")
 	}
 	return ConfigResponse{Document: record.Document}, err
 }
@@ -148,18 +148,18 @@
 func (c *ConfigChangeRequest) Decode(incoming httpcall.Incoming) error {
 	ifMatch := incoming.Request.Header.Values("If-Match")
 	if len(ifMatch) != 1 {
-		return errkind.Errorf(errkind.BadRequest, "If-Match: stands %d times, not once", len(ifMatch))
+		return errkind.Errorf(errkind.BadRequest, "If-Match: header is present %d times, must be present once", len(ifMatch))
 	}
 	if types := incoming.Request.Header.Values("Content-Type"); len(types) > 1 {
-		return errkind.Errorf(errkind.BadRequest, "Content-Type: stands %d times", len(types))
+		return errkind.Errorf(errkind.BadRequest, "Content-Type: header is present %d times", len(types))
 	}
 	groups := versionPattern.FindStringSubmatch(ifMatch[0])
 	if groups == nil {
-		return errkind.Errorf(errkind.BadRequest, "If-Match: %q is no version", ifMatch[0])
+		return errkind.Errorf(errkind.BadRequest, "If-Match: %q is not a version", ifMatch[0])
 	}
 	version, err := strconv.ParseInt(groups[1]+groups[2], 10, 64)
 	if err != nil {
-		return errkind.Errorf(errkind.BadRequest, "If-Match: %s is above any version", ifMatch[0])
+		return errkind.Errorf(errkind.BadRequest, "If-Match: version %s is out of range", ifMatch[0])
 	}
 	c.Change = store.Change{
 		Full: incoming.Request.Method == http.MethodPut, BaseVersion: ids.Version(version), Body: incoming.Body,
--- a/control/admin/counters.go
+++ b/control/admin/counters.go
@@ -60,11 +60,11 @@
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(incoming.Body, &fields); err != nil || fields == nil {
-		return errkind.Errorf(errkind.BadRequest, "body: it is no JSON object")
+		return errkind.Errorf(errkind.BadRequest, "body: must be a JSON object")
 	}
 	var id *string
 	if err := json.Unmarshal(fields["id"], &id); err != nil || id == nil || *id == "" {
-		return errkind.Errorf(errkind.BadRequest, "id: a text that is not empty is wanted")
+		return errkind.Errorf(errkind.BadRequest, "id: must be a non-empty string")
 	}
 	c.ID = *id
 	c.Amount, err = parseInteger(fields["changed_by"])
@@ -75,7 +75,7 @@
 	if name := incoming.Tail; name != "" && len(name) <= maxCounterName {
 		return name, nil
 	}
-	return "", errkind.Errorf(errkind.BadRequest, "path: a name of 1 to %d bytes is wanted", maxCounterName)
+	return "", errkind.Errorf(errkind.BadRequest, "path: the name of the counter must have 1 to %d bytes", maxCounterName)
 }
 
 // parseInteger parses a whole number in any JSON notation, such as 1000, 1000.0 or 1e3.
@@ -92,7 +92,7 @@
 			return int64(amount), nil
 		}
 	}
-	return 0, errkind.Errorf(errkind.BadRequest, "changed_by: a whole number of 64 bits is wanted")
+	return 0, errkind.Errorf(errkind.BadRequest, "changed_by: must be an integer of 64 bits")
 }
 
 // CounterReadRequest is a GET /tallies/COUNTER request, which reads the counter's sum.
--- a/control/admin/invalid_request_test.go
+++ b/control/admin/invalid_request_test.go
@@ -45,8 +45,8 @@
 	}{
 		{"no If-Match", "PUT", "/settings", nil, nil, next, 400, "If-Match"},
 		{"no If-Match", "PATCH", "/settings", nil, nil, patch, 400, "If-Match"},
-		{"duplicate If-Match", "PUT", "/settings", []string{"5", "5"}, nil, next, 400, "If-Match: stands 2 times"},
-		{"duplicate Content-Type", "PUT", "/settings", []string{"5"}, []string{"application/json", "application/json"}, next, 400, "Content-Type: stands 2 times"},
+		{"duplicate If-Match", "PUT", "/settings", []string{"5", "5"}, nil, next, 400, "If-Match: header is present 2 times"},
+		{"duplicate Content-Type", "PUT", "/settings", []string{"5"}, []string{"application/json", "application/json"}, next, 400, "Content-Type: header is present 2 times"},
 		{"over the limit", "PUT", "/settings", []string{"5"}, nil, strings.Repeat(" ", 4001), 413, "body: over 4000 bytes"},
 		{"over the limit", "PATCH", "/settings", []string{"5"}, nil, strings.Repeat(" ", 4001), 413, "body: over 4000 bytes"},
 		{"truncated", "PUT", "/settings", []string{"5"}, nil, next[:60], 400, "not JSON"},
--- a/control/admin/parts.go
+++ b/control/admin/parts.go
@@ -30,10 +30,10 @@
 // Decode reads the part from the body.
 func (h *HandOverRequest) Decode(incoming httpcall.Incoming) error {
 	if err := json.Unmarshal(incoming.Body, h); err != nil {
-		return errkind.Errorf(errkind.BadRequest, "body: it is no JSON object")
+		return errkind.Errorf(errkind.BadRequest, "body: must be a JSON object")
 	}
 	if h.Part == "" {
-		return errkind.Errorf(errkind.BadRequest, "part: a name is wanted")
+		return errkind.Errorf(errkind.BadRequest, "part: must not be empty")
 	}
 	return nil
 }
--- a/control/admin/rollouts.go
+++ b/control/admin/rollouts.go
@@ -42,7 +42,7 @@
 	httpcall.Handle(calls, http.MethodGet, rolloutPath, func(ctx context.Context, req RolloutReadRequest) (RolloutResponse, error) {
 		record, err := rollouts.ReadRollout(ctx, req.Service)
 		if err == nil && record.Order == 0 {
-			err = errkind.Errorf(errkind.UnknownService, "no rollout of %q was ordered", req.Service)
+			err = errkind.Errorf(errkind.UnknownService, "no rollout of service %q has been ordered", req.Service)
 		}
 		return RolloutResponse{Condition: rollout.Condition(record.Condition).String(), Target: json.RawMessage(record.Target)}, err
 	})
@@ -56,11 +56,11 @@
 func (r *RolloutRequest) Decode(incoming httpcall.Incoming) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(incoming.Body, &fields); err != nil || fields == nil {
-		return errkind.Errorf(errkind.InvalidOrder, "body: it is no JSON object")
+		return errkind.Errorf(errkind.InvalidOrder, "body: must be a JSON object")
 	}
 	var service string
 	if err := json.Unmarshal(fields["service"], &service); err != nil || service == "" {
-		return errkind.Errorf(errkind.InvalidOrder, "service: a name is wanted")
+		return errkind.Errorf(errkind.InvalidOrder, "service: must be a non-empty string")
 	}
 	target, err := compactVersion(fields["target_version"])
 	if err != nil {
@@ -68,10 +68,10 @@
 	}
 	var seconds *float64
 	if err := json.Unmarshal(fields["over_s"], &seconds); err != nil || seconds == nil {
-		return errkind.Errorf(errkind.InvalidOrder, "over_s: a number of seconds is wanted")
+		return errkind.Errorf(errkind.InvalidOrder, "over_s: must be a number of seconds")
 	}
 	if *seconds < minRolloutSeconds || *seconds > maxRolloutSeconds {
-		return errkind.Errorf(errkind.InvalidOrder, "over_s: from %d to %d seconds are wanted", minRolloutSeconds, maxRolloutSeconds)
+		return errkind.Errorf(errkind.InvalidOrder, "over_s: must be from %d to %d seconds", minRolloutSeconds, maxRolloutSeconds)
 	}
 	r.Order = rollout.Order{Service: ids.Service(service), Target: target, TermMS: int64(*seconds * 1000)}
 	return nil
@@ -80,7 +80,7 @@
 // compactVersion checks a version, a JSON string or number, and returns it as compact
 // JSON, which is also the form in the list of runners.
 func compactVersion(text json.RawMessage) (string, error) {
-	invalid := errkind.Errorf(errkind.InvalidOrder, "target_version: a version of 1 to %d bytes is wanted", maxVersionLength)
+	invalid := errkind.Errorf(errkind.InvalidOrder, "target_version: must be a string or number of 1 to %d bytes", maxVersionLength)
 	var value any
 	if err := json.Unmarshal(text, &value); err != nil {
 		return "", invalid
--- a/control/config/store/change.go
+++ b/control/config/store/change.go
@@ -99,7 +99,7 @@
 		return nil, transport.NewStoredValueError(config.Key, err)
 	}
 	if c.Body, err = compress.Decode(c.Body, c.Compressed); err != nil {
-		return nil, errkind.Errorf(errkind.BadRequest, "packed change: %v", err)
+		return nil, errkind.Errorf(errkind.BadRequest, "decompressing the change: %v", err)
 	}
 	digest := c.digest()
 	if c.BaseVersion != record.Version {
@@ -131,7 +131,7 @@
 		return nil, 0, err
 	}
 	if cfg.Version <= record.Version {
-		return nil, 0, errkind.Errorf(errkind.InvalidConfig, "config_version: %d is not above %d", cfg.Version, record.Version)
+		return nil, 0, errkind.Errorf(errkind.InvalidConfig, "config_version: %d must be above the current version %d", cfg.Version, record.Version)
 	}
 	return document, cfg.Version, nil
 }
--- a/control/config/store/change_test.go
+++ b/control/config/store/change_test.go
@@ -131,11 +131,11 @@
 		kind errkind.Kind
 		text string
 	}{
-		{History{}.lookup(3, nil, 7), errkind.VersionConflict, "stale-spec: If-Match: 3 is not in place, version 7 is"},
-		{&VersionConflictError{BaseVersion: 3}, errkind.VersionConflict, "stale-spec: If-Match: 3 is not in place, a newer version is"},
-		{archived, errkind.OutcomeExpired, "forgotten: If-Match: what was taken on 3 is not remembered any more"},
-		{archived.Resolve(nil), errkind.OutcomeExpired, "forgotten: If-Match: what was taken on 3 is not remembered any more"},
-		{History{Offset: chunkLength, BaseVersion: 5}.lookup(3, nil, 7), errkind.OutcomeExpired, "forgotten: If-Match: what was taken on 3 is not remembered any more, version 7 is in place"},
+		{History{}.lookup(3, nil, 7), errkind.VersionConflict, "stale-spec: If-Match: version 3 is not the current version, version 7 is"},
+		{&VersionConflictError{BaseVersion: 3}, errkind.VersionConflict, "stale-spec: If-Match: version 3 is not the current version, a newer version is"},
+		{archived, errkind.OutcomeExpired, "forgotten: If-Match: the outcome of changes to version 3 is no longer known"},
+		{archived.Resolve(nil), errkind.OutcomeExpired, "forgotten: If-Match: the outcome of changes to version 3 is no longer known"},
+		{History{Offset: chunkLength, BaseVersion: 5}.lookup(3, nil, 7), errkind.OutcomeExpired, "forgotten: If-Match: the outcome of changes to version 3 is no longer known, the current version is 7"},
 	}
 	for _, test := range cases {
 		if errkind.KindOf(test.err) != test.kind || test.err.Error() != test.text {
--- a/control/config/store/errors.go
+++ b/control/config/store/errors.go
@@ -28,7 +28,7 @@
 	if v.CurrentKnown {
 		current = fmt.Sprintf("version %d", v.Current)
 	}
-	return errkind.Errorf(errkind.VersionConflict, "If-Match: %d is not in place, %s is", v.BaseVersion, current)
+	return errkind.Errorf(errkind.VersionConflict, "If-Match: version %d is not the current version, %s is", v.BaseVersion, current)
 }
 
 // ArchivedError reports a change whose base version is older than the recent history
@@ -46,7 +46,7 @@
 
 // Unwrap returns an error of kind errkind.OutcomeExpired.
 func (a *ArchivedError) Unwrap() error {
-	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more", a.baseVersion)
+	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: the outcome of changes to version %d is no longer known", a.baseVersion)
 }
 
 // Key returns the register's key of the chunk that shows whether the change was
--- a/control/config/store/history.go
+++ b/control/config/store/history.go
@@ -192,5 +192,5 @@
 		// version.
 		return conflict()
 	}
-	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: what was taken on %d is not remembered any more, version %d is in place", baseVersion, current)
+	return errkind.Errorf(errkind.OutcomeExpired, "If-Match: the outcome of changes to version %d is no longer known, the current version is %d", baseVersion, current)
 }
--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -37,7 +37,7 @@
 	fields := map[string]json.RawMessage{}
 	if len(document) > 0 {
 		if err := json.Unmarshal(document, &fields); err != nil {
-			return nil, errkind.Errorf(errkind.Internal, "kept document: %v", err)
+			return nil, errkind.Errorf(errkind.Internal, "decoding the stored document: %v", err)
 		}
 	}
 	for key, names := range p.Remove {
@@ -66,7 +66,7 @@
 	var current []json.RawMessage
 	if value := fields[key]; len(value) > 0 {
 		if err := json.Unmarshal(value, &current); err != nil {
-			return errkind.Errorf(errkind.InvalidConfig, "%s: is no list", key)
+			return errkind.Errorf(errkind.InvalidConfig, "%s: must be a list", key)
 		}
 	}
 	replacements, names, err := indexItems(key, items)
@@ -107,7 +107,7 @@
 			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: missing", key, index)
 		}
 		if _, ok := byName[name]; ok {
-			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: %q stands twice", key, index, name)
+			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: duplicate name %q", key, index, name)
 		}
 		byName[name] = item
 		names = append(names, name)
--- a/control/config/store/validate.go
+++ b/control/config/store/validate.go
@@ -63,14 +63,14 @@
 	routes := map[string]bool{}
 	for index, route := range cfg.Routes {
 		if routes[route.Name] {
-			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].name: %q stands twice", index, route.Name)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].name: duplicate name %q", index, route.Name)
 		}
 		routes[route.Name] = true
 	}
 	services := map[ids.Service]bool{}
 	for index, service := range cfg.Services {
 		if services[service.Name] {
-			return errkind.Errorf(errkind.InvalidConfig, "services[%d].name: %q stands twice", index, service.Name)
+			return errkind.Errorf(errkind.InvalidConfig, "services[%d].name: duplicate name %q", index, service.Name)
 		}
 		services[service.Name] = true
 	}
@@ -81,7 +81,7 @@
 func validScalingBounds(cfg *config.Config) error {
 	for index, service := range cfg.Services {
 		if scaling := service.Scaling; scaling != nil && scaling.Min > scaling.Max {
-			return errkind.Errorf(errkind.InvalidConfig, "services[%d].scaling.min: %d is above max, %d", index, scaling.Min, scaling.Max)
+			return errkind.Errorf(errkind.InvalidConfig, "services[%d].scaling.min: %d must not be above scaling.max, %d", index, scaling.Min, scaling.Max)
 		}
 	}
 	return nil
@@ -93,7 +93,7 @@
 	for index, route := range cfg.Routes {
 		p := path{host: config.NormalizeHost(route.Host), prefix: route.PathPrefix}
 		if paths[p] {
-			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].path_prefix: %q stands twice for this host", index, route.PathPrefix)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].path_prefix: %q is already used for this host", index, route.PathPrefix)
 		}
 		paths[p] = true
 	}
@@ -106,11 +106,11 @@
 			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: missing", index)
 		}
 		if route.Service != "" && cfg.Service(route.Service) == nil {
-			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: %q is not known", index, route.Service)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].service: unknown service %q", index, route.Service)
 		}
 		for position, weighted := range route.Services {
 			if cfg.Service(weighted.Service) == nil {
-				return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares[%d].service: %q is not known", index, position, weighted.Service)
+				return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares[%d].service: unknown service %q", index, position, weighted.Service)
 			}
 		}
 	}
@@ -124,7 +124,7 @@
 			total += weighted.Weight
 		}
 		if total <= 0 {
-			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares: the weights add up to 0", index)
+			return errkind.Errorf(errkind.InvalidConfig, "routes[%d].shares: the sum of the weights must be above 0", index)
 		}
 	}
 	return nil
@@ -136,12 +136,12 @@
 	names, holders := map[ids.Tenant]bool{}, map[string]ids.Tenant{}
 	for index, tenant := range cfg.Tenants {
 		if names[tenant.Name] {
-			return errkind.Errorf(errkind.InvalidConfig, "customers[%d].name: %q stands twice", index, tenant.Name)
+			return errkind.Errorf(errkind.InvalidConfig, "customers[%d].name: duplicate name %q", index, tenant.Name)
 		}
 		names[tenant.Name] = true
 		for position, key := range tenant.APIKeys {
 			if holder, ok := holders[key]; ok && holder != tenant.Name {
-				return errkind.Errorf(errkind.InvalidConfig, "customers[%d].api_keys[%d]: is also a key of %q", index, position, holder)
+				return errkind.Errorf(errkind.InvalidConfig, "customers[%d].api_keys[%d]: also belongs to tenant %q", index, position, holder)
 			}
 			holders[key] = tenant.Name
 		}
