--- a/control/config/store/patch.go
+++ b/control/config/store/patch.go
@@ -7,26 +7,28 @@
 	"onyxwell/base/ids"
 )
 
-// patch is the body of a change that is not full.
+// patch is the body of a change that is not a whole document.
 type patch struct {
 	Version ids.Version `json:"config_version"`
-	// Changes maps a key of the document to its new value; of a list, to the items
-	// to be replaced or added, by their names.
+	// Changes maps keys of the document to new values. For a list, the value holds
+	// the items to replace or add, which are identified by their names.
 	Changes map[string]json.RawMessage `json:"changes"`
-	// Remove maps a list of the document to the names of the items to be removed.
+	// Remove maps keys of lists in the document to the names of the items to remove.
 	Remove map[string][]string `json:"remove"`
 }
 
-// patchFields are the names of its fields.
+// patchFields are the JSON names of the fields of patch.
 var patchFields = []string{"config_version", "changes", "remove"}
 
-// namedItem is an item of a list in the document.
+// namedItem decodes the name of an item of a list in the document.
 type namedItem struct {
 	Name string `json:"name"`
 }
 
-// ApplyPatch makes a whole document of the one in force and a patch of it. What
-// is not changed keeps its bytes. The result is not validated.
+// ApplyPatch applies a patch to a document and returns the resulting document. Values
+// that the patch does not change are copied without being decoded, so numbers keep their
+// notation; but white space is removed, the document's keys are sorted, and the characters
+// <, > and & in strings are escaped. The result is not validated.
 func ApplyPatch(document []byte, body []byte) ([]byte, error) {
 	var p patch
 	if err := json.Unmarshal(body, &p); err != nil {
@@ -35,7 +37,7 @@
 	fields := map[string]json.RawMessage{}
 	if len(document) > 0 {
 		if err := json.Unmarshal(document, &fields); err != nil {
-			return nil, errkind.Errorf(errkind.Internal, "kept document: %v", err)
+			return nil, errkind.Errorf(errkind.Internal, "decoding the stored document: %v", err)
 		}
 	}
 	for key, names := range p.Remove {
@@ -58,13 +60,13 @@
 	return json.Marshal(fields)
 }
 
-// editList removes items of a list by their names, and replaces or appends
-// others.
+// editList removes the items with the names in remove from the list under key, and
+// replaces or appends the given items by name.
 func editList(fields map[string]json.RawMessage, key string, items []json.RawMessage, remove []string) error {
 	var current []json.RawMessage
 	if value := fields[key]; len(value) > 0 {
 		if err := json.Unmarshal(value, &current); err != nil {
-			return errkind.Errorf(errkind.InvalidConfig, "%s: is no list", key)
+			return errkind.Errorf(errkind.InvalidConfig, "%s: must be a list", key)
 		}
 	}
 	replacements, names, err := indexItems(key, items)
@@ -96,7 +98,7 @@
 	return err
 }
 
-// indexItems gives the items of a patch by their names, and the names in order.
+// indexItems returns the items of a list in a patch by name, and their names in order.
 func indexItems(key string, items []json.RawMessage) (byName map[string]json.RawMessage, names []string, err error) {
 	byName = map[string]json.RawMessage{}
 	for index, item := range items {
@@ -105,7 +107,7 @@
 			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: missing", key, index)
 		}
 		if _, ok := byName[name]; ok {
-			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: %q stands twice", key, index, name)
+			return nil, nil, errkind.Errorf(errkind.InvalidConfig, "changes.%s[%d].name: duplicate name %q", key, index, name)
 		}
 		byName[name] = item
 		names = append(names, name)
