--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -13,10 +13,10 @@
 const (
 	// metricWindow is how far back the autoscaler's metrics go.
 	metricWindow = 600 * time.Second
-	// metricStep is the time between two evaluations of them.
-	metricStep = time.Second
-	// planSteps is how many steps pass between two routine plans.
-	planSteps = 5
+	// metricInterval is the time between two evaluations of them.
+	metricInterval = time.Second
+	// ticksPerPlan is how many steps pass between two routine plans.
+	ticksPerPlan = 5
 )
 
 // newAutoscaler makes the planning singleton; the headroom estimate runs under
@@ -31,7 +31,7 @@
 		Clock:          c.clock,
 		Address:        c.daemon.Address, Gossip: c.daemon.Updates, Lease: holder.Held, Now: c.clock.Now,
 		Runners: c.listRunners, NewSerial: discovery.FencedSerial,
-		Window: metricWindow, Interval: metricStep, TicksPerPlan: planSteps, GroupByLength: c.settings.Grouping,
+		Window: metricWindow, Interval: metricInterval, TicksPerPlan: ticksPerPlan, GroupByLength: c.settings.Grouping,
 	})
 	c.autoscaler.RegisterHandlers(c.daemon.Calls)
 	c.daemon.AddService("headroom", func(ctx context.Context) error { c.publishHeadroom(ctx, holder); return nil })
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -37,9 +37,9 @@
 // across restarts.
 const membersFile = "members"
 
-// voterTimeoutCommands is how many command timeouts a change of the voter set
+// voterTimeoutFactor is how many command timeouts a change of the voter set
 // may take.
-const voterTimeoutCommands = 3
+const voterTimeoutFactor = 3
 
 // Options replace what a controller takes from the machine by default.
 type Options struct {
@@ -175,7 +175,7 @@
 		Seeds: c.settings.SeedAddresses(), Zones: c.settings.Zones,
 		Membership: c.daemon.Membership, Transport: c.daemon.Transport, Quorum: c.quorum,
 		ReplaceAfter: c.timing.LeaseDuration, LeaseTTL: c.timing.LeaseDuration,
-		Timeout:     voterTimeoutCommands * c.timing.CommandTimeout,
+		Timeout:     voterTimeoutFactor * c.timing.CommandTimeout,
 		TargetCount: voter.TargetCount(c.settings),
 		Timing:      voter.TimingOf(c.settings, c.timing.LeaseDuration, c.timing.ForwardTimeout),
 	})
--- a/control/controller/duties.go
+++ b/control/controller/duties.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// dutyStep is the time between two looks at what a duty has to do.
-	dutyStep = time.Second / 4
+	// dutyInterval is the time between two looks at what a duty has to do.
+	dutyInterval = time.Second / 4
 	// dutyCheckInterval is the time between two looks at the session while a call runs.
 	dutyCheckInterval = 20 * time.Millisecond
 	// maxClockDrift is by how much the time of day may differ from the monotonic clock
@@ -50,7 +50,7 @@
 	c.addSingleton(singleton{lease: duty.LeaseName, newService: func(holder *lease.Holder) func(context.Context) { return c.newAssigner(holder, parts) }})
 	c.duties.client = duty.NewClient(duty.ClientOptions{
 		Clock: c.clock, Session: c.duties.session, Node: c.settings.NodeName, Address: c.settings.Platform.Address,
-		Timeout: c.handOverTime(), CheckInterval: dutyCheckInterval, NewHTTP: c.newDutyHTTP,
+		Timeout: c.handOverDelay(), CheckInterval: dutyCheckInterval, NewHTTP: c.newDutyHTTPClient,
 	})
 	c.daemon.Metrics.GaugeFunc("duty_parts_held", "Parts of duties at the platform that this controller may act for now.", nil, func() float64 {
 		return float64(len(slices.DeleteFunc(c.duties.session.Status(), func(part duty.PartStatus) bool { return !part.Acting })))
@@ -60,7 +60,7 @@
 		c.addUsageCollector()
 	}
 	if c.settings.HasDuty(settings.ScalingDuty) {
-		c.addOrderer()
+		c.addSizeOrders()
 	}
 }
 
@@ -78,9 +78,9 @@
 	return parts
 }
 
-// handOverTime is for how long a new holder of a part makes no call: long enough, too,
+// handOverDelay is for how long a new holder of a part makes no call: long enough, too,
 // for a session of which a new assigner knows nothing.
-func (c *Controller) handOverTime() time.Duration {
+func (c *Controller) handOverDelay() time.Duration {
 	return max(settings.Milliseconds(c.settings.Bounds.LeaseMS), c.timing.LeaseDuration)
 }
 
@@ -88,7 +88,7 @@
 // controller with whoever does.
 func (c *Controller) newAssigner(holder *lease.Holder, parts []duty.Part) func(context.Context) {
 	c.duties.assigner = duty.NewAssigner(duty.AssignerOptions{
-		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Parts: parts, TTL: c.timing.LeaseDuration, HandOver: c.handOverTime(),
+		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Parts: parts, TTL: c.timing.LeaseDuration, HandOver: c.handOverDelay(),
 		Held: holder.Held, Update: c.commands.Update, Publish: func(item gossip.Item) { c.daemon.Updates.Put(item) }, NewSerial: discovery.FencedSerial, Log: c.log,
 	})
 	c.duties.session = duty.NewSession(duty.SessionOptions{
@@ -121,9 +121,9 @@
 	return transport.Send[duty.SessionResponse](ctx, c.daemon.Transport, to, duty.SessionMessage, req)
 }
 
-// newDutyHTTP makes a client whose connections serve one call each. Unacknowledged bytes
+// newDutyHTTPClient makes a client whose connections serve one call each. Unacknowledged bytes
 // end a connection within half of a session, also while this process is stopped.
-func (c *Controller) newDutyHTTP(wrap func(net.Conn) net.Conn) *http.Client {
+func (c *Controller) newDutyHTTPClient(wrap func(net.Conn) net.Conn) *http.Client {
 	return c.daemon.Network.Client(httpcall.ClientOptions{
 		Dialer:         httpcall.Dialer{Timeout: c.timing.ConnectTimeout, UserTimeout: c.timing.LeaseDuration / 2, Wrap: wrap},
 		MaxIdlePerHost: -1,
--- a/control/controller/dutysizes.go
+++ b/control/controller/dutysizes.go
@@ -14,13 +14,13 @@
 // orderRetryPause is the time after an order that the platform did not take.
 const orderRetryPause = time.Second / 2
 
-// addOrderer adds the orders of zones' sizes.
-func (c *Controller) addOrderer() {
+// addSizeOrders adds the orders of zones' sizes.
+func (c *Controller) addSizeOrders() {
 	orderer := sizing.New(sizing.Options{
 		Clock: c.clock, Zones: c.settings.ZoneNames(), Config: c.daemon.Config, Planned: c.plannedSizes, Frozen: c.isChangingVersion,
 		Held: c.duties.session.Held, Update: c.commands.Update, Call: c.duties.client.Call, RetryPause: orderRetryPause, Log: c.log,
 	})
-	c.daemon.AddService("sizing", func(ctx context.Context) error { orderer.Run(ctx, dutyStep); return nil })
+	c.daemon.AddService("sizing", func(ctx context.Context) error { orderer.Run(ctx, dutyInterval); return nil })
 }
 
 // plannedSizes returns what the planner has decided last.
@@ -57,7 +57,7 @@
 // scaledService returns a service with the zones in which it has runners.
 func (c *Controller) scaledService(service config.Service, lost map[ids.Zone]bool) autoscaler.ScaledService {
 	result := autoscaler.ScaledService{
-		Service: service.Name, Horizon: settings.Seconds(service.Scaling.StartupSeconds+service.WarmupSeconds) + metricStep,
+		Service: service.Name, Horizon: settings.Seconds(service.Scaling.StartupSeconds+service.WarmupSeconds) + metricInterval,
 		TolerateRegion: c.settings.Tolerate.Regions > 0, TolerateZone: c.settings.Tolerate.Zones > 0,
 	}
 	present, known := map[ids.Zone]int64{}, map[ids.Zone]bool{}
--- a/control/controller/dutyusage.go
+++ b/control/controller/dutyusage.go
@@ -19,7 +19,7 @@
 	c.duties.usage = usage.NewCollector(usage.Options{
 		Clock: c.clock, Now: agreed.Now, Synced: agreed.Synced,
 		Window: settings.Seconds(bounds.UsageWindowS), Late: settings.Seconds(bounds.UsageLateS), Zones: c.settings.ZoneNames(),
-		CallsPerStep: max(1, int(dutyRateShare*c.settings.Platform.DutiesPerS*dutyStep.Seconds())),
+		CallsPerStep: max(1, int(dutyRateShare*c.settings.Platform.DutiesPerS*dutyInterval.Seconds())),
 		Merge:        settings.Milliseconds(bounds.MergeMS),
 		Assigned:     func() (int64, bool) { return c.duties.session.Assigned(duty.UsagePart) },
 		Held:         func() (int64, bool) { return c.duties.session.Held(duty.UsagePart) },
@@ -40,5 +40,5 @@
 		c.daemon.Metrics.CounterFunc("usage_windows_total", "Windows of usage that this controller decided, decided without all zones, reported, or failed to report (calls).",
 			map[string]string{"result": result}, func() float64 { return float64(read(c.duties.usage.Stats())) })
 	}
-	c.daemon.AddService("usage", func(ctx context.Context) error { c.duties.usage.Run(ctx, dutyStep); return nil })
+	c.daemon.AddService("usage", func(ctx context.Context) error { c.duties.usage.Run(ctx, dutyInterval); return nil })
 }
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -15,8 +15,8 @@
 	"onyxwell/control/state/lease"
 )
 
-// headroomSteps is how many steps of the metrics pass between two estimates.
-const headroomSteps = 5
+// ticksPerEstimate is how many steps of the metrics pass between two estimates.
+const ticksPerEstimate = 5
 
 // Conditions of a runner that keep its capacity out of the estimate; only
 // headroom.StateReady counts. They are part of the published report.
@@ -31,7 +31,7 @@
 // controller holds the planning lease. An estimate that outlived the epoch it
 // was begun under is dropped.
 func (c *Controller) publishHeadroom(ctx context.Context, holder *lease.Holder) {
-	for sequence := int64(1); clock.Wait(ctx, c.clock, headroomSteps*metricStep); sequence++ {
+	for sequence := int64(1); clock.Wait(ctx, c.clock, ticksPerEstimate*metricInterval); sequence++ {
 		epoch, held := holder.Held(c.clock.Now())
 		if !held {
 			continue
--- a/control/controller/inspect.go
+++ b/control/controller/inspect.go
@@ -19,10 +19,10 @@
 	return 0, false
 }
 
-// KnowsRouters reports whether this controller knows how many routers there may be. One
+// KnowsRouterCount reports whether this controller knows how many routers there may be. One
 // that lost its disk does not until its zone's size is published, and as the issuer of
 // quotas would grant next to nothing meanwhile.
-func (c *Controller) KnowsRouters() bool { return c.daemon.Zones.LargestRouterCount() > 0 }
+func (c *Controller) KnowsRouterCount() bool { return c.daemon.Zones.LargestRouterCount() > 0 }
 
 // Voters gives the voter set as this controller knows it.
 func (c *Controller) Voters() register.VoterSet { return c.voter.Acceptor.Voters() }
--- a/control/controller/rollouts.go
+++ b/control/controller/rollouts.go
@@ -125,7 +125,7 @@
 // The configuration that was gossiped may be behind: only a majority can tell that a service
 // is unknown.
 func (c *Controller) checkService(ctx context.Context, service ids.Service) error {
-	if known := c.daemon.Config(); known != nil && known.Service(service) != nil {
+	if current := c.daemon.Config(); current != nil && current.Service(service) != nil {
 		return nil
 	}
 	value, err := c.commands.Dispatch(ctx, command.Command{Key: config.Key, Verb: command.VerbRead})
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -27,9 +27,9 @@
 	adminBodyDivisor = 16
 	// lookupBodyLimit bounds the body of a directory look-up, in bytes.
 	lookupBodyLimit = 1 << 16
-	// heartbeatPolls is how many polls of the platform pass between two
+	// pollsPerHeartbeat is how many polls of the platform pass between two
 	// heartbeats of an unchanged endpoint list.
-	heartbeatPolls = 2
+	pollsPerHeartbeat = 2
 )
 
 // addServices adds the services that the supervisor starts, in this order.
@@ -40,7 +40,7 @@
 	c.daemon.AddService("counters", func(ctx context.Context) error { c.counters.Run(ctx); return nil })
 	c.addSingleton(singleton{lease: discoveryLease, newService: c.newPublisher})
 	c.addSingleton(singleton{lease: planningLease, newService: c.newAutoscaler})
-	c.addSingleton(singleton{lease: quotaLease, newService: c.newQuotaIssuer, eligible: c.KnowsRouters})
+	c.addSingleton(singleton{lease: quotaLease, newService: c.newQuotaIssuer, eligible: c.KnowsRouterCount})
 	c.addDuties()
 	c.addRollouts()
 	c.addAdminAPI()
@@ -59,16 +59,16 @@
 }
 
 // addSingleton adds a singleton and the holder of its lease.
-func (c *Controller) addSingleton(added singleton) {
+func (c *Controller) addSingleton(s singleton) {
 	holder := lease.NewHolder(lease.Options{
 		Clock: c.clock, Log: c.log,
-		Name: added.lease, Address: c.daemon.Address, TTL: c.timing.LeaseDuration, Eligible: added.eligible,
+		Name: s.lease, Address: c.daemon.Address, TTL: c.timing.LeaseDuration, Eligible: s.eligible,
 		RequestGrant: c.voter.RequestLease, NextEpoch: c.commands.NextEpoch, Monitor: c.daemon.Monitor,
 	})
 	c.leases = append(c.leases, holder)
-	run := added.newService(holder)
-	c.daemon.AddService("lease "+added.lease, func(ctx context.Context) error { holder.Run(ctx); return nil })
-	c.daemon.AddService(added.lease, func(ctx context.Context) error { run(ctx); return nil })
+	run := s.newService(holder)
+	c.daemon.AddService("lease "+s.lease, func(ctx context.Context) error { holder.Run(ctx); return nil })
+	c.daemon.AddService(s.lease, func(ctx context.Context) error { run(ctx); return nil })
 }
 
 // newPublisher makes the singleton that polls the platform's endpoint list.
@@ -79,7 +79,7 @@
 			holder.StepDown(ctx, c.timing.LeaseDuration)
 		},
 		Expecting: c.awaitsRunners,
-		Interval:  c.timing.DiscoveryInterval, HeartbeatInterval: heartbeatPolls * c.timing.DiscoveryInterval,
+		Interval:  c.timing.DiscoveryInterval, HeartbeatInterval: pollsPerHeartbeat * c.timing.DiscoveryInterval,
 		Clock: c.clock, Log: c.log, RatePerS: c.settings.Platform.RatePerS,
 	}
 	return func(ctx context.Context) { publisher.Run(ctx) }
@@ -110,13 +110,13 @@
 // addDirectory serves clients' look-ups.
 func (c *Controller) addDirectory() {
 	mux := c.newMux(lookupBodyLimit)
-	clients := &directory.Directory{
+	handler := &directory.Directory{
 		Membership: c.daemon.Membership, OtherZones: c.daemon.Zones.RemoteEndpoints, Zones: c.settings.Zones,
 		LossTimeout: max(settings.Seconds(c.settings.Bounds.RecoveryS), c.timing.LeaseDuration),
 		TTLMaxS:     c.settings.Bounds.TTLMaxS,
 		Metrics:     c.daemon.Metrics, Monitor: c.daemon.Monitor,
 	}
-	clients.Serve(mux)
+	handler.Serve(mux)
 	c.addListener("directory", mux)
 }
 
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -77,12 +77,12 @@
 
 // status queries the voters for the redundancy; all else is this controller's own.
 func (c *Controller) status(ctx context.Context) status {
-	gossiped, traffic := &c.daemon.Gossiper.Stats, &c.daemon.Traffic
+	gossipStats, traffic := &c.daemon.Gossiper.Stats, &c.daemon.Traffic
 	return status{
 		Address: c.daemon.Address, Regions: c.daemon.Zones.Regions(), Voters: c.Voters().Members,
 		Quorum: c.quorum.Status(c.clock.Now()), Redundancy: c.voter.QueryRedundancy(ctx),
 		Counters: c.counters.Status(), Duties: c.dutiesStatus(), Rollouts: c.rolloutStatuses(),
-		Pushed: gossiped.Pushed.Load(), PushesFailed: gossiped.Failed.Load(), Relayed: gossiped.Relayed.Load(),
+		Pushed: gossipStats.Pushed.Load(), PushesFailed: gossipStats.Failed.Load(), Relayed: gossipStats.Relayed.Load(),
 		MessagesSent: traffic.Messages.Load(), BytesOut: traffic.BytesOut.Load(), BytesIn: traffic.BytesIn.Load(),
 		MessagesRejected: c.daemon.Transport.Guard.Totals(),
 		Owners:           c.owners(), Leases: c.heldLeases(), Serials: c.serials(), Zones: c.zoneStatuses(),
--- a/simulation/invariants.go
+++ b/simulation/invariants.go
@@ -65,7 +65,7 @@
 		if machine.process == nil || machine.frozen || machine.process.controller == nil {
 			continue
 		}
-		if _, held := machine.process.controller.HoldsLease(quota.LeaseName); held && !machine.process.controller.KnowsRouters() {
+		if _, held := machine.process.controller.HoldsLease(quota.LeaseName); held && !machine.process.controller.KnowsRouterCount() {
 			c.reportViolation("%s issues quotas and does not know how many routers there are", machine.name)
 		}
 	}
