--- a/control/controller/autoscaler.go
+++ b/control/controller/autoscaler.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// metricWindow is how far back the autoscaler's metrics go.
+	// metricWindow is the time span that the autoscaler's metrics cover.
 	metricWindow = 600 * time.Second
-	// metricInterval is the time between two evaluations of them.
+	// metricInterval is the interval at which the metrics are evaluated.
 	metricInterval = time.Second
-	// ticksPerPlan is how many steps pass between two routine plans.
+	// ticksPerPlan is the number of evaluations between two routine plans.
 	ticksPerPlan = 5
 )
 
-// newAutoscaler makes the planning singleton; the headroom estimate runs under
-// the same lease.
+// newAutoscaler creates the planning singleton. The headroom service uses the same
+// lease.
 func (c *Controller) newAutoscaler(holder *lease.Holder) func(context.Context) {
 	var scaled func() []autoscaler.ScaledService
 	if c.settings.HasDuty(settings.ScalingDuty) {
@@ -38,7 +38,7 @@
 	return func(ctx context.Context) { c.autoscaler.Run(ctx) }
 }
 
-// listRunners gives the current endpoint list as the autoscaler sees it.
+// listRunners returns the current endpoint list in the form that the autoscaler takes.
 func (c *Controller) listRunners() []autoscaler.Runner {
 	var runners []autoscaler.Runner
 	for _, runner := range c.view.Runners() {
--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -1,9 +1,9 @@
 // Package controller assembles a fleet-controller from the control packages:
 // the voter and the registers, the command dispatcher with its admin API, the
-// singletons that a lease keeps to one controller at a time, and the client
-// directory. It owns the order in which these are built, started and stopped,
-// and no state of its own. It runs on the machine's network and disk, or on
-// those of a simulation.
+// singletons that a lease restricts to one controller at a time, and the client
+// directory. It determines the order in which these are built, started and
+// stopped, and has no state of its own. It runs on the machine's network and
+// disk, or on simulated ones.
 package controller
 
 import (
@@ -30,22 +30,23 @@
 	"onyxwell/control/state/wal"
 )
 
-// Role is the controllers' role in the deploy file and in the membership.
+// Role is the role of controllers in the deploy file and in the membership.
 const Role = "fleet-controller"
 
-// membersFile is the file in the data directory that keeps the membership
-// across restarts.
+// membersFile is the name of the file in the data directory that keeps the
+// membership across restarts.
 const membersFile = "members"
 
-// voterTimeoutFactor is how many command timeouts a change of the voter set
-// may take.
+// voterTimeoutFactor is the number of command timeouts that one attempt to join
+// the voter set, or one survey of it, may take.
 const voterTimeoutFactor = 3
 
-// Options replace what a controller takes from the machine by default.
+// Options override the network and the disk, which a controller otherwise takes from
+// the machine.
 type Options struct {
-	// Network defaults to the machine's own.
+	// Network defaults to the machine's network.
 	Network daemon.Network
-	// Disk defaults to the settings' data directory.
+	// Disk defaults to the data directory of the settings.
 	Disk wal.FS
 }
 
@@ -66,12 +67,12 @@
 	view       *discovery.View
 	leases     []*lease.Holder
 	duties     *duties
-	// director is nil where no rollouts are ordered.
+	// director is nil if the settings have no rollouts.
 	director *rollout.Director
 }
 
 // New assembles a controller and loads its state from the disk. It opens the
-// datagram socket; everything else is opened by Run.
+// datagram socket; Run opens the other sockets.
 func New(env scope.Scope, options Options) (*Controller, error) {
 	c := &Controller{
 		clock: env.Clock, log: env.Log, settings: env.Settings,
@@ -103,10 +104,11 @@
 	return c, nil
 }
 
-// Run runs the controller until ctx ends, then shuts down gracefully: it
-// announces its departure, resigns its leases and hands its vote over, all
-// within the command timeout so that commands in flight are answered. Reloaded
-// settings arrive on reloads. An error is that of the supervisor.
+// Run runs the controller until ctx is done and then shuts it down gracefully:
+// it gives up its duties, announces its departure, resigns its leases, waits for
+// the command timeout so that commands in flight are answered, and hands over
+// its vote and its counters. Reloaded settings arrive on reloads. If the
+// supervisor ends first, Run returns its error.
 func (c *Controller) Run(ctx context.Context, reloads <-chan *settings.Settings) error {
 	defer c.voter.Close()
 	defer c.counters.Close()
@@ -128,8 +130,9 @@
 	}
 }
 
-// shutDown leaves the fleet. Resignations are not awaited one by one: each is a
-// message to voters that may be unreachable, and the command timeout bounds all.
+// shutDown leaves the fleet. It does not wait for one resignation after the other,
+// since each is a message to voters that may be unreachable, but for the command
+// timeout in all.
 func (c *Controller) shutDown(ctx context.Context) {
 	c.leaveDuties(ctx)
 	c.voter.Leave()
@@ -147,8 +150,9 @@
 	<-counters
 }
 
-// restoreMembership loads the members known before the restart and keeps the
-// file up to date. Without them the seeds have to answer.
+// restoreMembership loads the members that were known before the restart and adds
+// a service that keeps the file up to date. Without the file, the controller can
+// rejoin only through the seeds.
 func (c *Controller) restoreMembership(disk wal.FS) {
 	members := &membership.Store{
 		Clock: c.clock, Log: c.log,
@@ -161,7 +165,8 @@
 	c.daemon.AddService("members", func(ctx context.Context) error { members.Run(ctx, c.timing.LeaseDuration); return nil })
 }
 
-// openVoter opens the disk's vote and the quorum tracker that it reports to.
+// openVoter creates the quorum tracker and opens the voter on the disk, which reports
+// to the tracker.
 func (c *Controller) openVoter(ctx context.Context, disk wal.FS) error {
 	c.quorum = quorum.New(quorum.Options{
 		Clock: c.clock, Log: c.log,
@@ -187,7 +192,7 @@
 	return nil
 }
 
-// openCounters opens the disk's replica of the counters.
+// openCounters opens the replica of the counters on the disk.
 func (c *Controller) openCounters(ctx context.Context, disk wal.FS) error {
 	var err error
 	c.counters, err = counter.Open(ctx, counter.Options{
@@ -203,8 +208,8 @@
 	return nil
 }
 
-// addCommands builds the proposer on the voter, the dispatcher on the proposer,
-// and registers what they answer to other daemons.
+// addCommands creates the proposer, which uses the voter, and the dispatcher, which
+// uses the proposer, and registers the handlers for calls from other daemons.
 func (c *Controller) addCommands() {
 	c.proposer = register.NewProposer(register.ProposerOptions{
 		Clock: c.clock, Log: c.log,
--- a/control/controller/duties.go
+++ b/control/controller/duties.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// dutyInterval is the time between two looks at what a duty has to do.
+	// dutyInterval is the interval at which a duty checks for work.
 	dutyInterval = time.Second / 4
-	// dutyCheckInterval is the time between two looks at the session while a call runs.
+	// dutyCheckInterval is the interval at which the session is checked while a call runs.
 	dutyCheckInterval = 20 * time.Millisecond
-	// maxClockDrift is by how much the time of day may differ from the monotonic clock
-	// over a session; beyond it the machine may have been suspended.
+	// maxClockDrift is the maximum difference between the time of day and the monotonic
+	// clock over one session. If it is exceeded, the machine may have been suspended.
 	maxClockDrift = 100 * time.Millisecond
 )
 
-// duties are the parts of the platform's duties at this controller; nil where the
-// settings ask for none.
+// duties holds what this controller needs to take part in the duties at the platform.
+// Controller.duties is nil if the settings ask for no duties.
 type duties struct {
 	session  *duty.Session
 	assigner *duty.Assigner
@@ -40,7 +40,7 @@
 	usage    *usage.Collector
 }
 
-// addDuties adds the session, the assigner and the duties that the settings ask for.
+// addDuties adds the assigner, the session and the duties that the settings ask for.
 func (c *Controller) addDuties() {
 	parts := c.dutyParts()
 	if len(parts) == 0 {
@@ -78,14 +78,15 @@
 	return parts
 }
 
-// handOverDelay is for how long a new holder of a part makes no call: long enough, too,
-// for a session of which a new assigner knows nothing.
+// handOverDelay returns how long a new holder of a part waits before its first call. It
+// is no shorter than the duration of a session, because a new assigner may not know of a
+// session that still runs. It also bounds each call.
 func (c *Controller) handOverDelay() time.Duration {
 	return max(settings.Milliseconds(c.settings.Bounds.LeaseMS), c.timing.LeaseDuration)
 }
 
-// newAssigner makes the singleton that deals the parts, and the session of this
-// controller with whoever does.
+// newAssigner creates the singleton that assigns the parts to controllers, and the
+// session of this controller with the current assigner.
 func (c *Controller) newAssigner(holder *lease.Holder, parts []duty.Part) func(context.Context) {
 	c.duties.assigner = duty.NewAssigner(duty.AssignerOptions{
 		Clock: c.clock, Wall: time.Now, Address: c.daemon.Address, Parts: parts, TTL: c.timing.LeaseDuration, HandOver: c.handOverDelay(),
@@ -105,7 +106,8 @@
 	return c.duties.assigner.Run
 }
 
-// answerHeartbeat answers as the assigner, or tells who that may be.
+// answerHeartbeat answers a heartbeat as the assigner. If this controller is not the
+// assigner, the response names the controller that was last known to be.
 func (c *Controller) answerHeartbeat(req duty.SessionRequest) duty.SessionResponse {
 	resp := c.duties.assigner.Renew(req, c.clock.Now())
 	if !resp.Assigning {
@@ -114,6 +116,7 @@
 	return resp
 }
 
+// sendHeartbeat sends a heartbeat to a controller, which may be this one.
 func (c *Controller) sendHeartbeat(ctx context.Context, to ids.Address, req duty.SessionRequest) (duty.SessionResponse, error) {
 	if to == c.daemon.Address {
 		return c.answerHeartbeat(req), nil
@@ -121,8 +124,9 @@
 	return transport.Send[duty.SessionResponse](ctx, c.daemon.Transport, to, duty.SessionMessage, req)
 }
 
-// newDutyHTTPClient makes a client whose connections serve one call each. Unacknowledged bytes
-// end a connection within half of a session, also while this process is stopped.
+// newDutyHTTPClient creates an HTTP client that uses each connection for one call only.
+// The kernel closes a connection whose bytes stay unacknowledged for half the duration of
+// a session, even while this process is stopped.
 func (c *Controller) newDutyHTTPClient(wrap func(net.Conn) net.Conn) *http.Client {
 	return c.daemon.Network.Client(httpcall.ClientOptions{
 		Dialer:         httpcall.Dialer{Timeout: c.timing.ConnectTimeout, UserTimeout: c.timing.LeaseDuration / 2, Wrap: wrap},
@@ -130,8 +134,8 @@
 	})
 }
 
-// leaveDuties gives this controller's parts up and waits for calls that run, within the
-// time-out of a command.
+// leaveDuties gives up the parts of this controller and waits until no call is running,
+// for at most the command timeout.
 func (c *Controller) leaveDuties(ctx context.Context) {
 	if c.duties == nil {
 		return
@@ -144,15 +148,17 @@
 	c.duties.session.Renew(ctx)
 }
 
-// dutiesStatus is the part of GET /status that tells of the duties at the platform.
+// dutiesStatus is the part of the response to GET /status about the duties at the
+// platform.
 type dutiesStatus struct {
 	Assigner ids.Address         `json:"assigner"`
 	Held     []duty.PartStatus   `json:"held_here"`
 	Parts    []duty.PartOverview `json:"parts"`
 }
 
-// dutiesStatus returns the parts as this controller knows them: what is held here, and
-// what the assigner told of all.
+// dutiesStatus returns the parts that this controller holds, and the last known overview
+// of all parts. Only the assigner knows the last call of each part; the other controllers
+// leave it empty.
 func (c *Controller) dutiesStatus() *dutiesStatus {
 	if c.duties == nil {
 		return nil
@@ -165,7 +171,8 @@
 	return &dutiesStatus{Assigner: overview.Assigner, Held: c.duties.session.Status(), Parts: overview.Parts}
 }
 
-// handOverPart asks the assigner to give a part to another controller.
+// handOverPart asks the assigner to assign a part to another controller. It asks one
+// controller after the other until it reaches the assigner.
 func (c *Controller) handOverPart(ctx context.Context, part duty.Part) error {
 	if c.duties == nil {
 		return errkind.Errorf(errkind.UnknownCall, "the boot file asks for no duties")
@@ -185,11 +192,12 @@
 	return errkind.Errorf(errkind.NoQuorum, "no controller assigns duties now")
 }
 
+// sendHandOver sends a hand-over request to a controller, which may be this one.
 func (c *Controller) sendHandOver(ctx context.Context, to ids.Address, req duty.HandOverRequest) (duty.HandOverResponse, error) {
 	if to == c.daemon.Address {
 		return c.duties.assigner.HandOver(req, c.clock.Now()), nil
 	}
-	// One that is without power must not take the time of those after it.
+	// A controller without power must not use up the time for those that are asked after it.
 	ctx, cancel := c.clock.WithTimeout(ctx, c.timing.ConnectTimeout)
 	defer cancel()
 	return transport.Send[duty.HandOverResponse](ctx, c.daemon.Transport, to, duty.HandOverMessage, req)
--- a/control/controller/dutysizes.go
+++ b/control/controller/dutysizes.go
@@ -11,10 +11,10 @@
 	"onyxwell/control/sizing"
 )
 
-// orderRetryPause is the time after an order that the platform did not take.
+// orderRetryPause is the time before an order that the platform did not accept is retried.
 const orderRetryPause = time.Second / 2
 
-// addSizeOrders adds the orders of zones' sizes.
+// addSizeOrders adds the service that orders the number of runners of each zone.
 func (c *Controller) addSizeOrders() {
 	orderer := sizing.New(sizing.Options{
 		Clock: c.clock, Zones: c.settings.ZoneNames(), Config: c.daemon.Config, Planned: c.plannedSizes, Frozen: c.isChangingVersion,
@@ -23,7 +23,8 @@
 	c.daemon.AddService("sizing", func(ctx context.Context) error { orderer.Run(ctx, dutyInterval); return nil })
 }
 
-// plannedSizes returns what the planner has decided last.
+// plannedSizes returns the newest sizes that the planner has published. It is empty if
+// there are none or they cannot be decoded.
 func (c *Controller) plannedSizes() autoscaler.Sizes {
 	item, ok := c.daemon.Updates.Get(autoscaler.SizesKey)
 	if !ok {
@@ -36,9 +37,9 @@
 	return sizes
 }
 
-// scaledServices returns the services whose runners are ordered, with their zones as they
-// are now, without those that change their version. It is empty while the list of runners is
-// stale.
+// scaledServices returns the services whose number of runners is ordered, with the current
+// state of their zones. Services that are changing their version are left out. The result is
+// empty while there is no configuration or the list of runners is incomplete.
 func (c *Controller) scaledServices() []autoscaler.ScaledService {
 	cfg := c.daemon.Config()
 	if cfg == nil || !c.view.Complete() {
@@ -54,7 +55,7 @@
 	return scaled
 }
 
-// scaledService returns a service with the zones in which it has runners.
+// scaledService returns a service with the state of the zones in which it has runners.
 func (c *Controller) scaledService(service config.Service, lost map[ids.Zone]bool) autoscaler.ScaledService {
 	result := autoscaler.ScaledService{
 		Service: service.Name, Horizon: settings.Seconds(service.Scaling.StartupSeconds+service.WarmupSeconds) + metricInterval,
@@ -83,7 +84,7 @@
 	return result
 }
 
-// lostZones returns the zones of whose backbone nobody answers.
+// lostZones reports for each zone whether no daemon of it is known to be alive.
 func (c *Controller) lostZones() map[ids.Zone]bool {
 	lost := map[ids.Zone]bool{}
 	for _, zone := range c.zoneStatuses() {
--- a/control/controller/dutyusage.go
+++ b/control/controller/dutyusage.go
@@ -9,11 +9,12 @@
 	"onyxwell/control/usage"
 )
 
-// dutyRateShare is the part of the calls of duties that the platform takes which reports of
-// usage may use up, also after an outage.
+// dutyRateShare is the share of the platform's rate limit for calls of duties that usage
+// reports may take, even when many of them are due after an outage.
 const dutyRateShare = 0.5
 
-// addUsageCollector adds the holder's side of usage.
+// addUsageCollector adds the collector that the holder of the usage part runs, and its
+// message handlers and metrics.
 func (c *Controller) addUsageCollector() {
 	agreed, bounds := c.daemon.ServeTime(), c.settings.Bounds
 	c.duties.usage = usage.NewCollector(usage.Options{
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -15,11 +15,11 @@
 	"onyxwell/control/state/lease"
 )
 
-// ticksPerEstimate is how many steps of the metrics pass between two estimates.
+// ticksPerEstimate is the number of metric intervals between two headroom estimates.
 const ticksPerEstimate = 5
 
-// Conditions of a runner that keep its capacity out of the estimate; only
-// headroom.StateReady counts. They are part of the published report.
+// Conditions that exclude the capacity of a runner from the estimate: only runners
+// in headroom.StateReady count. The values are part of the published report.
 const (
 	conditionDraining    = "draining"
 	conditionEvacuated   = "emptied"
@@ -27,9 +27,9 @@
 	conditionWarmingUp   = "cold"
 )
 
-// publishHeadroom publishes the headroom of every model family while this
-// controller holds the planning lease. An estimate that outlived the epoch it
-// was begun under is dropped.
+// publishHeadroom periodically publishes the headroom of every model family while
+// this controller holds the planning lease. It discards an estimate if the lease is
+// lost or its epoch changes while the estimate is made.
 func (c *Controller) publishHeadroom(ctx context.Context, holder *lease.Holder) {
 	for sequence := int64(1); clock.Wait(ctx, c.clock, ticksPerEstimate*metricInterval); sequence++ {
 		epoch, held := holder.Held(c.clock.Now())
@@ -49,8 +49,8 @@
 	}
 }
 
-// headroomInput gathers the configuration, the recent work and every listed
-// runner; ok is false until there is a configuration that can be read.
+// headroomInput collects the configuration, the recent work, every listed runner
+// and the number of routers. ok is false while there is no valid configuration.
 func (c *Controller) headroomInput() (input headroom.Input, ok bool) {
 	item, ok := c.daemon.Updates.Get(config.Key)
 	if !ok {
@@ -75,7 +75,8 @@
 	return input, true
 }
 
-// runnerCondition gives the first condition that holds, in this order.
+// runnerCondition returns the condition of a runner. If several apply, the first in
+// the order of the cases is returned.
 func runnerCondition(runner discovery.Runner, evacuated bool, quarantined bool) string {
 	switch {
 	case runner.Draining:
@@ -90,7 +91,7 @@
 	return headroom.StateReady
 }
 
-// zoneEvacuated reports whether the operator has drained the zone.
+// zoneEvacuated reports whether the operator has drained a zone.
 func (c *Controller) zoneEvacuated(zone ids.Zone) bool {
 	item, ok := c.daemon.Updates.Get(evacuation.Key(zone))
 	if !ok {
@@ -100,7 +101,7 @@
 	return err == nil && state.Drained
 }
 
-// quarantinedRunners gives the runners that the current plan takes out of use.
+// quarantinedRunners returns the runners that the current routing plan quarantines.
 func (c *Controller) quarantinedRunners() map[ids.RunnerID]bool {
 	quarantined := map[ids.RunnerID]bool{}
 	item, _ := c.daemon.Updates.Get(autoscaler.RoutingKey)
@@ -112,7 +113,8 @@
 	return quarantined
 }
 
-// routerCounts counts the routers of each region, lost ones included.
+// routerCounts returns the number of known routers, including lost ones, and of ready
+// routers in each region.
 func (c *Controller) routerCounts() []headroom.RouterCount {
 	var counts []headroom.RouterCount
 	for _, region := range c.daemon.Zones.Regions() {
--- a/control/controller/rollouts.go
+++ b/control/controller/rollouts.go
@@ -15,7 +15,7 @@
 	"onyxwell/control/state/lease"
 )
 
-// addRollouts adds the singleton that takes rollouts through their stages, where the
+// addRollouts adds the singleton that moves rollouts through their stages, if the
 // settings have rollouts.
 func (c *Controller) addRollouts() {
 	if !c.settings.HasRule(settings.RolloutRule) {
@@ -24,6 +24,8 @@
 	c.addSingleton(singleton{lease: rolloutLease, newService: c.newDirector})
 }
 
+// newDirector creates the rollout director, and registers its message handler and
+// metrics.
 func (c *Controller) newDirector(holder *lease.Holder) func(context.Context) {
 	c.director = rollout.NewDirector(rollout.DirectorOptions{
 		Clock: c.clock, Address: c.daemon.Address, Policy: rollout.PolicyOf(c.settings.Bounds), Zones: c.settings.Zones,
@@ -43,7 +45,8 @@
 	return c.director.Run
 }
 
-// runnersForRollout returns the runners of a service that may get requests.
+// runnersForRollout returns the runners of a service that may receive requests: those
+// that are not draining and whose zone is not evacuated.
 func (c *Controller) runnersForRollout(service ids.Service) []rollout.Runner {
 	var runners []rollout.Runner
 	for _, runner := range c.view.Runners() {
@@ -54,8 +57,8 @@
 	return runners
 }
 
-// isChangingVersion reports whether a rollout of a service is in progress, or has left
-// runners of more than one version.
+// isChangingVersion reports whether a rollout of a service is in progress, or has ended
+// and left runners of more than one version.
 func (c *Controller) isChangingVersion(service ids.Service) bool {
 	if c.director == nil {
 		return false
@@ -75,10 +78,11 @@
 	return len(versions) > 1
 }
 
-// awaitsRunners reports whether a rollout waits for runners of its target version.
+// awaitsRunners reports whether a rollout is waiting for runners of its target version.
 func (c *Controller) awaitsRunners() bool { return c.director != nil && c.director.AwaitsRunners() }
 
-// zoneHasRouters reports whether a zone may have routers: one of unknown size may.
+// zoneHasRouters reports whether a zone may have routers. It returns true for a zone of
+// unknown size.
 func (c *Controller) zoneHasRouters(zone ids.Zone) bool {
 	for _, size := range c.daemon.Zones.Sizes() {
 		if size.Zone == zone {
@@ -88,8 +92,8 @@
 	return true
 }
 
-// agreedUnixMS returns the agreed time in milliseconds since the start of 1970, 0 where it
-// is not known.
+// agreedUnixMS returns the agreed time as a Unix time in milliseconds, or 0 if it is not
+// known.
 func (c *Controller) agreedUnixMS() int64 {
 	agreed := c.daemon.AgreedTime()
 	if agreed == nil || !agreed.Synced() {
@@ -98,6 +102,8 @@
 	return agreed.Now().Milliseconds()
 }
 
+// rolloutStatuses returns the status of the rollouts known to this controller, nil if
+// the settings have no rollouts.
 func (c *Controller) rolloutStatuses() []rollout.Status {
 	if c.director == nil {
 		return nil
@@ -105,7 +111,8 @@
 	return c.director.Statuses()
 }
 
-// serveRollouts serves the operators' calls for rollouts, where the settings have them.
+// serveRollouts registers the rollout calls of the admin API, if the settings have
+// rollouts.
 func (c *Controller) serveRollouts(mux *httpcall.Mux) {
 	if c.director != nil {
 		admin.ServeRollouts(mux, c)
@@ -121,9 +128,9 @@
 	return c.commands.OrderRollout(ctx, order)
 }
 
-// checkService returns an error for a service that the configuration in force doesn't have.
-// The configuration that was gossiped may be behind: only a majority can tell that a service
-// is unknown.
+// checkService returns an error if the configuration in force does not have the service.
+// The gossiped configuration may be out of date, so that a service which it lacks is unknown
+// only if a majority of the voters confirms it.
 func (c *Controller) checkService(ctx context.Context, service ids.Service) error {
 	if current := c.daemon.Config(); current != nil && current.Service(service) != nil {
 		return nil
@@ -144,7 +151,7 @@
 		return err
 	}
 	if parsed.Service(service) == nil {
-		return errkind.Errorf(errkind.UnknownService, "service: %q", service)
+		return errkind.Errorf(errkind.UnknownService, "service: %q is not in the configuration in force", service)
 	}
 	return nil
 }
--- a/control/controller/services.go
+++ b/control/controller/services.go
@@ -13,7 +13,7 @@
 	"onyxwell/control/state/lease"
 )
 
-// Names of the singletons' leases. They are stored and sent; they never change.
+// Names of the singletons' leases. They are stored and sent, so they must never change.
 const (
 	discoveryLease = "census"
 	planningLease  = "plan"
@@ -22,17 +22,17 @@
 )
 
 const (
-	// adminBodyDivisor is the part of the memory limit, one in so many, that the
-	// body of an admin call may take.
+	// adminBodyDivisor divides the memory limit to give the maximum size of the body
+	// of an admin call.
 	adminBodyDivisor = 16
-	// lookupBodyLimit bounds the body of a directory look-up, in bytes.
+	// lookupBodyLimit is the maximum size of the body of a directory lookup, in bytes.
 	lookupBodyLimit = 1 << 16
-	// pollsPerHeartbeat is how many polls of the platform pass between two
-	// heartbeats of an unchanged endpoint list.
+	// pollsPerHeartbeat is the number of discovery intervals between two heartbeats
+	// of an unchanged endpoint list.
 	pollsPerHeartbeat = 2
 )
 
-// addServices adds the services that the supervisor starts, in this order.
+// addServices adds the services in the order in which the supervisor starts them.
 func (c *Controller) addServices() {
 	c.daemon.AddService("quorum", func(ctx context.Context) error { c.quorum.Run(ctx); return nil })
 	c.daemon.AddService("voter", func(ctx context.Context) error { c.voter.Run(ctx, c.timing.GossipInterval); return nil })
@@ -49,16 +49,17 @@
 
 // singleton is a service that acts only while this controller holds a lease.
 type singleton struct {
-	// lease is the lease's name.
+	// lease is the name of the lease.
 	lease string
-	// newService is called once, before the supervisor starts.
+	// newService returns the function that runs the service. It is called once, before the
+	// supervisor starts.
 	newService func(*lease.Holder) func(context.Context)
-	// eligible reports whether the service could do its work here; until it can, the lease
-	// is left to other controllers. nil is always.
+	// eligible reports whether the service could do its work on this controller; while it
+	// could not, the lease is left to other controllers. nil means always eligible.
 	eligible func() bool
 }
 
-// addSingleton adds a singleton and the holder of its lease.
+// addSingleton adds the service of a singleton and that of its lease holder.
 func (c *Controller) addSingleton(s singleton) {
 	holder := lease.NewHolder(lease.Options{
 		Clock: c.clock, Log: c.log,
@@ -71,7 +72,8 @@
 	c.daemon.AddService(s.lease, func(ctx context.Context) error { run(ctx); return nil })
 }
 
-// newPublisher makes the singleton that polls the platform's endpoint list.
+// newPublisher creates the singleton that polls the platform's endpoint list and
+// publishes it.
 func (c *Controller) newPublisher(holder *lease.Holder) func(context.Context) {
 	publisher := &discovery.Publisher{
 		Platform: c.daemon.NewPlatformClient(), Updates: c.daemon.Updates, Held: holder.Held,
@@ -85,7 +87,7 @@
 	return func(ctx context.Context) { publisher.Run(ctx) }
 }
 
-// newQuotaIssuer makes the singleton that issues credit for the tenants' quotas.
+// newQuotaIssuer creates the singleton that issues credit for the tenants' quotas.
 func (c *Controller) newQuotaIssuer(holder *lease.Holder) func(context.Context) {
 	issuer := quota.NewIssuer(quota.IssuerOptions{
 		Clock: c.clock, Address: c.daemon.Address, Policy: c.daemon.QuotaPolicy(), Held: holder.Held,
@@ -95,7 +97,7 @@
 	return issuer.Run
 }
 
-// addAdminAPI serves the operator's calls.
+// addAdminAPI adds the listener of the admin API.
 func (c *Controller) addAdminAPI() {
 	mux := c.newMux(c.settings.Limits.MemoryMB << 20 / adminBodyDivisor)
 	admin.Serve(mux, admin.Options{Log: c.log, Dispatcher: c.commands, Zones: c.settings.Zones, Metrics: c.daemon.Metrics})
@@ -107,7 +109,7 @@
 	c.addListener("control", mux)
 }
 
-// addDirectory serves clients' look-ups.
+// addDirectory adds the listener for the directory lookups of clients.
 func (c *Controller) addDirectory() {
 	mux := c.newMux(lookupBodyLimit)
 	handler := &directory.Directory{
@@ -120,14 +122,15 @@
 	c.addListener("directory", mux)
 }
 
-// newMux makes a mux that shares the daemon's metrics, log and quota for bodies.
+// newMux creates a mux that uses the daemon's metrics, log and quota for request bodies.
 func (c *Controller) newMux(bodyLimit int64) *httpcall.Mux {
 	mux := httpcall.NewMux(c.clock, bodyLimit)
 	mux.Metrics, mux.Bodies, mux.Log = c.daemon.Metrics, c.daemon.BodyQuota, c.log
 	return mux
 }
 
-// addListener serves a mux at the address that the settings list under name.
+// addListener adds a service that serves a mux at the address that the settings list
+// under name.
 func (c *Controller) addListener(name string, mux *httpcall.Mux) {
 	c.daemon.AddService(name, func(ctx context.Context) error {
 		return c.daemon.ServeHTTP(ctx, c.settings.Listen[name], mux)
--- a/control/controller/status.go
+++ b/control/controller/status.go
@@ -20,26 +20,26 @@
 )
 
 // status is the response to GET /status: the fleet as seen from this controller.
-// The JSON names are the operators'.
+// Operators rely on the JSON names.
 type status struct {
 	Address ids.Address                 `json:"address"`
 	Zones   []zoneStatus                `json:"zones"`
 	Regions []zonesummary.RegionSummary `json:"regions"`
 	Quorum  quorum.Status               `json:"contact"`
 	Voters  []register.Member           `json:"voters"`
-	// Redundancy is how many further losses the control state survives.
+	// Redundancy describes how many further losses of voters the control state survives.
 	Redundancy register.Redundancy `json:"redundancy"`
-	// Owners gives the owner of each register's key.
+	// Owners maps each register key to its owner.
 	Owners map[string]string `json:"owners"`
-	// Leases gives, by name, whether this controller holds the lease.
+	// Leases reports, by lease name, whether this controller holds the lease.
 	Leases map[string]bool `json:"duties_held_here"`
-	// Serials gives the version of each gossip item.
+	// Serials maps the key of each gossip item to its version.
 	Serials map[string]int64 `json:"news"`
-	// Counters is this controller's replica of the applications' counters.
+	// Counters is the status of this controller's replica of the applications' counters.
 	Counters counter.Status `json:"counters"`
-	// Duties are the parts of the duties at the platform; nil where there are none.
+	// Duties describes the parts of the duties at the platform; nil if there are none.
 	Duties *dutiesStatus `json:"duties,omitempty"`
-	// Rollouts are those known here; the director knows most of them.
+	// Rollouts lists the rollouts that this controller knows. The director knows most.
 	Rollouts     []rollout.Status `json:"rollouts,omitempty"`
 	Pushed       int64            `json:"pushed"`
 	PushesFailed int64            `json:"pushes_failed"`
@@ -47,11 +47,11 @@
 	MessagesSent int64            `json:"messages_sent"`
 	BytesOut     int64            `json:"bytes_out"`
 	BytesIn      int64            `json:"bytes_in"`
-	// MessagesRejected counts messages of other daemons that were dropped, by reason.
+	// MessagesRejected counts the messages from other daemons that were dropped, by reason.
 	MessagesRejected map[string]int64 `json:"messages_refused"`
 }
 
-// zoneStatus gives the relays of a zone, and whether any of its daemons is alive.
+// zoneStatus holds the live relays of a zone, and whether any of its daemons is alive.
 type zoneStatus struct {
 	Zone      ids.Zone      `json:"zone"`
 	Region    ids.Region    `json:"region"`
@@ -68,14 +68,15 @@
 	return response.Raw(http.StatusOK, "application/json", append(body, '\n'))
 }
 
-// serveStatus adds GET /status to the admin API.
+// serveStatus registers the handler of GET /status.
 func (c *Controller) serveStatus(mux *httpcall.Mux) {
 	httpcall.Handle(mux, http.MethodGet, "/status", func(ctx context.Context, _ admin.EmptyRequest) (status, error) {
 		return c.status(ctx), nil
 	})
 }
 
-// status queries the voters for the redundancy; all else is this controller's own.
+// status collects the response to GET /status. A controller that does not vote queries the
+// voters for the redundancy; everything else is known locally.
 func (c *Controller) status(ctx context.Context) status {
 	gossipStats, traffic := &c.daemon.Gossiper.Stats, &c.daemon.Traffic
 	return status{
@@ -89,7 +90,8 @@
 	}
 }
 
-// owners gives the owner of each key, without the chunks of stored configurations.
+// owners returns the owner of each register key, except those of the chunks of stored
+// configurations.
 func (c *Controller) owners() map[string]string {
 	owners := map[string]string{}
 	for _, slot := range c.Slots() {
@@ -100,6 +102,7 @@
 	return owners
 }
 
+// heldLeases reports, by lease name, whether this controller holds the lease.
 func (c *Controller) heldLeases() map[string]bool {
 	leases, now := map[string]bool{}, c.clock.Now()
 	for _, holder := range c.leases {
@@ -108,7 +111,8 @@
 	return leases
 }
 
-// serials gives the versions of the items that any controller of this zone keeps.
+// serials returns the versions of the stored gossip items that any controller of this
+// zone should hold.
 func (c *Controller) serials() map[string]int64 {
 	serials := map[string]int64{}
 	for _, item := range c.daemon.Updates.Versions(membership.Member{ServesControl: true, Zone: c.settings.Zone}) {
@@ -117,6 +121,7 @@
 	return serials
 }
 
+// zoneStatuses returns the status of each zone of the settings, from the membership.
 func (c *Controller) zoneStatuses() []zoneStatus {
 	var statuses []zoneStatus
 	members := c.daemon.Membership.Members()
