--- a/control/controller/controller.go
+++ b/control/controller/controller.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// shutDown leaves the fleet. It does not wait for one resignation after the other,
-// since each is a message to voters that may be unreachable, but for the command
-// timeout in all.
+// shutDown leaves the fleet. It does not wait for each resignation, which is a
+// message to voters that may be unreachable; it waits once, for the command
+// timeout.
 func (c *Controller) shutDown(ctx context.Context) {
 	c.leaveDuties(ctx)
 	c.voter.Leave()
--- a/control/controller/duties.go
+++ b/control/controller/duties.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// dutyInterval is the interval at which a duty checks for work.
+	// dutyInterval is the interval at which the services of the duties check for work.
 	dutyInterval = time.Second / 4
 	// dutyCheckInterval is the interval at which the session is checked while a call runs.
 	dutyCheckInterval = 20 * time.Millisecond
@@ -79,8 +79,8 @@
 }
 
 // handOverDelay returns how long a new holder of a part waits before its first call. It
-// is no shorter than the duration of a session, because a new assigner may not know of a
-// session that still runs. It also bounds each call.
+// is at least the duration of a session, because a new assigner may not know of a
+// session that is still valid. It is also the timeout of a call.
 func (c *Controller) handOverDelay() time.Duration {
 	return max(settings.Milliseconds(c.settings.Bounds.LeaseMS), c.timing.LeaseDuration)
 }
@@ -107,7 +107,7 @@
 }
 
 // answerHeartbeat answers a heartbeat as the assigner. If this controller is not the
-// assigner, the response names the controller that was last known to be.
+// assigner, the response names the last known one.
 func (c *Controller) answerHeartbeat(req duty.SessionRequest) duty.SessionResponse {
 	resp := c.duties.assigner.Renew(req, c.clock.Now())
 	if !resp.Assigning {
--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -75,8 +75,7 @@
 	return input, true
 }
 
-// runnerCondition returns the condition of a runner. If several apply, the first in
-// the order of the cases is returned.
+// runnerCondition returns the condition of a runner: the first case that applies.
 func runnerCondition(runner discovery.Runner, evacuated bool, quarantined bool) string {
 	switch {
 	case runner.Draining:
--- a/control/controller/rollouts.go
+++ b/control/controller/rollouts.go
@@ -129,8 +129,8 @@
 }
 
 // checkService returns an error if the configuration in force does not have the service.
-// The gossiped configuration may be out of date, so that a service which it lacks is unknown
-// only if a majority of the voters confirms it.
+// The gossiped configuration may be out of date, so a service that it lacks is looked up in
+// the configuration that a majority of the voters confirms.
 func (c *Controller) checkService(ctx context.Context, service ids.Service) error {
 	if current := c.daemon.Config(); current != nil && current.Service(service) != nil {
 		return nil
