--- a/control/controller/dutyusage.go
+++ b/control/controller/dutyusage.go
@@ -9,17 +9,18 @@
 	"onyxwell/control/usage"
 )
 
-// dutyRateShare is the part of the calls of duties that the platform takes which reports of
-// usage may use up, also after an outage.
+// dutyRateShare is the share of the platform's rate limit for calls of duties that usage
+// reports may take, even when many of them are due after an outage.
 const dutyRateShare = 0.5
 
-// addUsageCollector adds the holder's side of usage.
+// addUsageCollector adds the collector that the holder of the usage part runs, and its
+// message handlers and metrics.
 func (c *Controller) addUsageCollector() {
 	agreed, bounds := c.daemon.ServeTime(), c.settings.Bounds
 	c.duties.usage = usage.NewCollector(usage.CollectorOptions{
 		Clock: c.clock, Now: agreed.Now, Synced: agreed.Synced,
 		Window: settings.Seconds(bounds.UsageWindowS), DueAfter: settings.Seconds(bounds.UsageLateS), Zones: c.settings.ZoneNames(),
-		CallsPerStep: max(1, int(dutyRateShare*c.settings.Platform.DutiesPerS*dutyStep.Seconds())),
+		CallsPerStep: max(1, int(dutyRateShare*c.settings.Platform.DutiesPerS*dutyInterval.Seconds())),
 		MergeTime:    settings.Milliseconds(bounds.MergeMS),
 		Assigned:     func() (int64, bool) { return c.duties.session.Assigned(duty.UsagePart) },
 		Held:         func() (int64, bool) { return c.duties.session.Held(duty.UsagePart) },
@@ -40,5 +41,5 @@
 		c.daemon.Metrics.CounterFunc("usage_windows_total", "Windows of usage that this controller decided, decided without all zones, reported, or failed to report (calls).",
 			map[string]string{"result": result}, func() float64 { return float64(read(c.duties.usage.Stats())) })
 	}
-	c.daemon.AddService("usage", func(ctx context.Context) error { c.duties.usage.Run(ctx, dutyStep); return nil })
+	c.daemon.AddService("usage", func(ctx context.Context) error { c.duties.usage.Run(ctx, dutyInterval); return nil })
 }
