--- a/control/controller/rollouts.go
+++ b/control/controller/rollouts.go
@@ -91,7 +91,7 @@
 // agreedUnixMS returns the agreed time in milliseconds since the start of 1970, 0 where it
 // is not known.
 func (c *Controller) agreedUnixMS() int64 {
-	agreed := c.daemon.AgreedTime()
+	agreed := c.daemon.SyncedClock()
 	if agreed == nil || !agreed.Synced() {
 		return 0
 	}
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -78,15 +78,15 @@
 	socket     Socket
 	reports    autoscaler.Aggregator
 	quotaRelay *quota.Relay
-	quotas     quotaContext
-	usage      *usageContext
-	rollouts   *rolloutContext
+	quotas     quotaState
+	usage      *usageState
+	rollouts   *rolloutState
 	outliers   outlier.Detector
 
 	mu sync.Mutex
-	// planSerial is the version of the routing plan that planOwner was read from.
-	planSerial ids.Version
-	planOwner  ids.Address
+	// planVersion is the version of the routing plan that planOwner was read from.
+	planVersion ids.Version
+	planOwner   ids.Address
 }
 
 // Options are what a role brings to the common part.
@@ -193,7 +193,7 @@
 	d.addRollouts()
 	d.addMetrics()
 	if options.View != nil {
-		d.addListFallback(options.View)
+		d.addDiscoveryFallback(options.View)
 	}
 	d.AddService("relays", func(ctx context.Context) error {
 		for clock.Wait(ctx, d.clock, d.timing.ZoneSummaryInterval) {
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -12,9 +12,9 @@
 // the list of runners is stale.
 const maxMissedPolls = 4
 
-// platformIdlePeerTimeouts is how many peer timeouts an idle connection to the
+// platformIdleTimeoutFactor is how many peer timeouts an idle connection to the
 // platform is kept.
-const platformIdlePeerTimeouts = 4
+const platformIdleTimeoutFactor = 4
 
 // NewView makes the view of the list of runners for a daemon of these settings.
 func NewView(env scope.Scope) *discovery.View {
@@ -29,16 +29,16 @@
 	return &discovery.PlatformClient{
 		HTTP: d.Network.Client(httpcall.ClientOptions{
 			Dialer:      httpcall.Dialer{Timeout: d.timing.ConnectTimeout, UserTimeout: d.timing.PeerTimeout},
-			IdleTimeout: platformIdlePeerTimeouts * d.timing.PeerTimeout, MaxIdlePerHost: discovery.MaxConcurrentReads,
+			IdleTimeout: platformIdleTimeoutFactor * d.timing.PeerTimeout, MaxIdlePerHost: discovery.MaxConcurrentReads,
 		}),
 		Clock: d.clock, Interval: d.timing.DiscoveryInterval,
 		Address: d.settings.Platform.Address, Zones: d.settings.ZoneNames(),
 	}
 }
 
-// addListFallback polls the platform from this daemon while the view is stale,
+// addDiscoveryFallback polls the platform from this daemon while the view is stale,
 // and has gossip fetch a list eagerly while there is none.
-func (d *Daemon) addListFallback(view *discovery.View) {
+func (d *Daemon) addDiscoveryFallback(view *discovery.View) {
 	fallback := &discovery.Fallback{
 		Platform: d.NewPlatformClient(), View: view, Updates: d.Updates, Membership: d.Membership,
 		Clock: d.clock, Log: d.log, RatePerS: d.settings.Platform.RatePerS,
--- a/control/daemon/quota.go
+++ b/control/daemon/quota.go
@@ -12,15 +12,15 @@
 	"onyxwell/control/transport"
 )
 
-// quotaContext is what a daemon knows of the quotas around it.
-type quotaContext struct {
+// quotaState is what a daemon knows of the quotas around it.
+type quotaState struct {
 	policy quota.Policy
-	// issue and allow are set where this daemon may be the issuer.
-	issue func(quota.AcquireRequest, clock.Instant) quota.AcquireResponse
-	allow func(quota.AllowanceRequest, clock.Instant) quota.AllowanceResponse
+	// localAcquire and allow are set where this daemon may be the issuer.
+	localAcquire func(quota.AcquireRequest, clock.Instant) quota.AcquireResponse
+	localRenew   func(quota.AllowanceRequest, clock.Instant) quota.AllowanceResponse
 
-	// silent are the relays that did not answer this daemon.
-	silent quota.UnresponsiveRelays
+	// unresponsiveRelays are the relays that did not answer this daemon.
+	unresponsiveRelays quota.UnresponsiveRelays
 
 	mu sync.Mutex
 	// config was parsed from the gossiped item of that version.
@@ -36,14 +36,14 @@
 
 // addQuotaRelay has this daemon relay credit for quotas to the routers of its zone
 // while they ask it. A nil inForce stands for the configuration in the gossip store.
-func (d *Daemon) addQuotaRelay(inForce func() *config.Config) {
-	if inForce == nil {
-		inForce = d.Config
+func (d *Daemon) addQuotaRelay(currentConfig func() *config.Config) {
+	if currentConfig == nil {
+		currentConfig = d.Config
 	}
 	d.quotas.policy = quota.NewPolicy(d.settings.Bounds)
 	d.quotaRelay = quota.NewRelay(quota.RelayOptions{
 		Clock: d.clock, Address: d.Address, Policy: d.quotas.policy, Zones: len(d.settings.Zones),
-		Config: inForce, Routers: d.Zones.LargestRouterCount, Issue: d.issueQuota, RenewAllowances: d.allowQuota,
+		Config: currentConfig, Routers: d.Zones.LargestRouterCount, Issue: d.acquireFromIssuer, RenewAllowances: d.renewFromIssuer,
 	})
 	transport.Handle(d.Calls, quota.RelayMessage, d.quotaRelay.Acquire)
 	d.AddService("quota relay", func(ctx context.Context) error { d.quotaRelay.Run(ctx); return nil })
@@ -51,7 +51,7 @@
 
 // ServeQuotaIssuer has this daemon answer relays by an issuer.
 func (d *Daemon) ServeQuotaIssuer(issuer *quota.Issuer) {
-	d.quotas.issue, d.quotas.allow = issuer.Acquire, issuer.RenewAllowances
+	d.quotas.localAcquire, d.quotas.localRenew = issuer.Acquire, issuer.RenewAllowances
 	transport.Handle(d.Calls, quota.IssueMessage, func(_ context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
 		return issuer.Acquire(req, d.clock.Now()), nil
 	})
@@ -68,10 +68,10 @@
 	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, d.timing.RelaysPerZone) {
 		relays = append(relays, relay.Address)
 	}
-	return quota.AskRelays(ctx, d.quotas.silent.Order(relays, d.clock.Now()), req, delegate, d.askQuotaRelay)
+	return quota.AskRelays(ctx, d.quotas.unresponsiveRelays.Order(relays, d.clock.Now()), req, delegate, d.acquireFromRelay)
 }
 
-func (d *Daemon) askQuotaRelay(ctx context.Context, relay ids.Address, req quota.AcquireRequest) (quota.AcquireResponse, error) {
+func (d *Daemon) acquireFromRelay(ctx context.Context, relay ids.Address, req quota.AcquireRequest) (quota.AcquireResponse, error) {
 	if relay == d.Address {
 		return d.quotaRelay.Acquire(ctx, req)
 	}
@@ -81,23 +81,23 @@
 	resp, err := transport.Send[quota.AcquireResponse](limited, d.Transport, relay, quota.RelayMessage, req)
 	if err == nil || ctx.Err() == nil {
 		// That the caller waited no longer says nothing of the relay.
-		d.quotas.silent.Record(relay, startedAt, err == nil)
+		d.quotas.unresponsiveRelays.Record(relay, startedAt, err == nil)
 	}
 	return resp, err
 }
 
-// issueQuota asks the issuer for credit.
-func (d *Daemon) issueQuota(ctx context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
-	return askQuotaIssuer(ctx, d, d.quotas.issue, quota.IssueMessage, req)
+// acquireFromIssuer asks the issuer for credit.
+func (d *Daemon) acquireFromIssuer(ctx context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
+	return callQuotaIssuer(ctx, d, d.quotas.localAcquire, quota.IssueMessage, req)
 }
 
-// allowQuota asks the issuer for allowances.
-func (d *Daemon) allowQuota(ctx context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
-	return askQuotaIssuer(ctx, d, d.quotas.allow, quota.AllowanceMessage, req)
+// renewFromIssuer asks the issuer for allowances.
+func (d *Daemon) renewFromIssuer(ctx context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
+	return callQuotaIssuer(ctx, d, d.quotas.localRenew, quota.AllowanceMessage, req)
 }
 
-// askQuotaIssuer sends a request to the issuer, or has the local one answer it.
-func askQuotaIssuer[Request, Response any](ctx context.Context, d *Daemon, local func(Request, clock.Instant) Response, message string, req Request) (Response, error) {
+// callQuotaIssuer sends a request to the issuer, or has the local one answer it.
+func callQuotaIssuer[Request, Response any](ctx context.Context, d *Daemon, local func(Request, clock.Instant) Response, message string, req Request) (Response, error) {
 	issuer := d.quotaIssuer()
 	switch {
 	case issuer == "":
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -23,8 +23,8 @@
 const (
 	// relayReportMessage goes from a router to its zone's relay, which aggregates it.
 	relayReportMessage = "sum"
-	// plannerReport goes to the planner.
-	plannerReport = "report"
+	// plannerReportMessage goes to the planner.
+	plannerReportMessage = "report"
 )
 
 // addReports takes the reports of the zone's routers, ejects outliers from the
@@ -33,7 +33,7 @@
 	transport.Handle(d.Calls, relayReportMessage, func(_ context.Context, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
 		report, err := message.Decode()
 		if err == nil {
-			d.addReport(report, d.clock.Now())
+			d.recordReport(report, d.clock.Now())
 		}
 		return autoscaler.ReportResponse{Owner: true}, err
 	})
@@ -48,7 +48,7 @@
 	})
 }
 
-func (d *Daemon) addReport(report autoscaler.ReportRequest, now clock.Instant) {
+func (d *Daemon) recordReport(report autoscaler.ReportRequest, now clock.Instant) {
 	d.reports.Add(report)
 	d.outliers.Add(report, now)
 }
@@ -71,7 +71,7 @@
 	report, ok := d.reports.Flush()
 	if planner := d.plannerAddress(); ok && planner != "" {
 		report.From = d.Address
-		go func() { _ = d.sendReport(ctx, planner, plannerReport, report) }()
+		go func() { _ = d.sendReport(ctx, planner, plannerReportMessage, report) }()
 	}
 }
 
@@ -80,7 +80,7 @@
 func (d *Daemon) Report(ctx context.Context, report autoscaler.ReportRequest) {
 	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, d.timing.RelaysPerZone) {
 		if relay.Address == d.Address {
-			d.addReport(report, d.clock.Now())
+			d.recordReport(report, d.clock.Now())
 			return
 		}
 		if d.sendReport(ctx, relay.Address, relayReportMessage, report) == nil {
@@ -88,7 +88,7 @@
 		}
 	}
 	if planner := d.plannerAddress(); planner != "" {
-		_ = d.sendReport(ctx, planner, plannerReport, report)
+		_ = d.sendReport(ctx, planner, plannerReportMessage, report)
 	}
 }
 
@@ -112,9 +112,9 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if item.Version != d.planSerial {
+	if item.Version != d.planVersion {
 		if routing, err := autoscaler.ReadRouting(item.Body); err == nil {
-			d.planSerial, d.planOwner = item.Version, routing.Owner
+			d.planVersion, d.planOwner = item.Version, routing.Owner
 		}
 	}
 	return d.planOwner
--- a/control/daemon/rollout.go
+++ b/control/daemon/rollout.go
@@ -10,12 +10,12 @@
 	"onyxwell/control/transport"
 )
 
-// rolloutContext is what a daemon knows of rollouts; it is nil where none are ordered.
-type rolloutContext struct {
+// rolloutState is what a daemon knows of rollouts; it is nil where none are ordered.
+type rolloutState struct {
 	policy rollout.Policy
 	relay  *rollout.Relay
-	// direct is set where this daemon may be the director.
-	direct func(rollout.ExchangeRequest) rollout.ExchangeResponse
+	// localDirector is set where this daemon may be the director.
+	localDirector func(rollout.ExchangeRequest) rollout.ExchangeResponse
 }
 
 // addRollouts has this daemon relay reports and permits of rollouts for the routers of its
@@ -24,7 +24,7 @@
 	if !d.settings.HasRule(settings.RolloutRule) {
 		return
 	}
-	d.rollouts = &rolloutContext{policy: rollout.PolicyOf(d.settings.Bounds)}
+	d.rollouts = &rolloutState{policy: rollout.PolicyOf(d.settings.Bounds)}
 	d.rollouts.relay = rollout.NewRelay(rollout.RelayOptions{
 		Clock: d.clock, Address: d.Address, Zone: d.settings.Zone, Policy: d.rollouts.policy,
 		Routers: d.zoneRouters, Send: d.sendToDirector,
@@ -35,7 +35,7 @@
 
 // ServeRolloutDirector has this daemon answer relays by direct.
 func (d *Daemon) ServeRolloutDirector(direct func(rollout.ExchangeRequest) rollout.ExchangeResponse) {
-	d.rollouts.direct = direct
+	d.rollouts.localDirector = direct
 	transport.Handle(d.Calls, rollout.DirectMessage, func(_ context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 		return direct(req), nil
 	})
@@ -48,7 +48,7 @@
 	err := errkind.Errorf(errkind.NotReady, "no relay is known")
 	for _, relay := range d.Membership.Relays(d.settings.Zone, d.timing.RelaysPerZone) {
 		var resp rollout.ExchangeResponse
-		if resp, err = d.askRolloutRelay(ctx, relay.Address, req); err == nil && resp.Directing {
+		if resp, err = d.exchangeWithRelay(ctx, relay.Address, req); err == nil && resp.Directing {
 			return resp, nil
 		}
 		if err == nil {
@@ -59,7 +59,7 @@
 	return rollout.ExchangeResponse{}, err
 }
 
-func (d *Daemon) askRolloutRelay(ctx context.Context, relay ids.Address, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
+func (d *Daemon) exchangeWithRelay(ctx context.Context, relay ids.Address, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 	if relay == d.Address {
 		return d.rollouts.relay.Exchange(ctx, req)
 	}
@@ -74,8 +74,8 @@
 	switch {
 	case director == "":
 		return rollout.ExchangeResponse{}, errkind.Errorf(errkind.NotReady, "no director is known")
-	case director == d.Address && d.rollouts.direct != nil:
-		return d.rollouts.direct(req), nil
+	case director == d.Address && d.rollouts.localDirector != nil:
+		return d.rollouts.localDirector(req), nil
 	}
 	limited, cancel := d.clock.WithTimeout(ctx, d.rollouts.policy.PermitTTL/2)
 	defer cancel()
--- a/control/daemon/usage.go
+++ b/control/daemon/usage.go
@@ -23,10 +23,10 @@
 // lost with it.
 const usageForwardInterval = time.Second / 4
 
-// usageContext is what a daemon knows of usage; it is nil where nobody asks for it.
-type usageContext struct {
-	relay *usage.Relay
-	time  *timesync.Clock
+// usageState is what a daemon knows of usage; it is nil where nobody asks for it.
+type usageState struct {
+	relay       *usage.Relay
+	syncedClock *timesync.Clock
 }
 
 // addUsage has this daemon keep the agreed time and relay the counts of the zone's
@@ -35,10 +35,10 @@
 	if !d.settings.HasDuty(settings.UsageDuty) {
 		return
 	}
-	d.usage = &usageContext{time: timesync.New(timesync.Options{Clock: d.clock, Wall: time.Now, Peers: d.otherControllers, Ask: d.askTime})}
+	d.usage = &usageState{syncedClock: timesync.New(timesync.Options{Clock: d.clock, Wall: time.Now, Peers: d.otherControllers, Ask: d.requestTimeSample})}
 	d.usage.relay = usage.NewRelay(usage.RelayOptions{
 		Zone: d.settings.Zone, Routers: d.zoneRouters, Now: d.syncedUnixNanos,
-		Term: d.usageTerm, SendSums: d.sendUsageSums, Collect: d.collectUsage, Copy: d.copyUsage, Log: d.log,
+		Term: d.usageTerm, SendSums: d.sendUsageSums, Collect: d.sendUsageReports, Copy: d.copyUsage, Log: d.log,
 	})
 	transport.Handle(d.Calls, usage.ReportMessage, d.usage.relay.Report)
 	d.AddService("usage relay", func(ctx context.Context) error {
@@ -61,26 +61,26 @@
 	if d.usage == nil {
 		return nil
 	}
-	transport.Handle(d.Calls, timesync.SampleMessage, d.usage.time.ServeSample)
-	d.AddService("time", func(ctx context.Context) error { d.usage.time.Run(ctx); return nil })
-	return d.usage.time
+	transport.Handle(d.Calls, timesync.SampleMessage, d.usage.syncedClock.ServeSample)
+	d.AddService("time", func(ctx context.Context) error { d.usage.syncedClock.Run(ctx); return nil })
+	return d.usage.syncedClock
 }
 
-// AgreedTime returns the agreed time, nil where nobody asks for usage reports.
-func (d *Daemon) AgreedTime() *timesync.Clock {
+// SyncedClock returns the agreed time, nil where nobody asks for usage reports.
+func (d *Daemon) SyncedClock() *timesync.Clock {
 	if d.usage == nil {
 		return nil
 	}
-	return d.usage.time
+	return d.usage.syncedClock
 }
 
 // syncedUnixNanos returns the agreed time for the routers of the zone, 0 where it is this
 // machine's own alone.
 func (d *Daemon) syncedUnixNanos() int64 {
-	if !d.usage.time.Synced() {
+	if !d.usage.syncedClock.Synced() {
 		return 0
 	}
-	return int64(d.usage.time.Now())
+	return int64(d.usage.syncedClock.Now())
 }
 
 // ReportUsage sends a router's counts to the first of its zone's relays that answers, and
@@ -95,7 +95,7 @@
 			continue
 		}
 		if resp.UnixNanos > 0 && relay.Address != d.Address {
-			d.usage.time.Adopt(resp.UnixNanos, started)
+			d.usage.syncedClock.Adopt(resp.UnixNanos, started)
 		}
 		return resp.Decided, nil
 	}
@@ -106,12 +106,12 @@
 	if relay == d.Address {
 		return d.usage.relay.Report(ctx, report)
 	}
-	return sendBounded[usage.ReportResponse](ctx, d, relay, usage.ReportMessage, report)
+	return sendWithConnectTimeout[usage.ReportResponse](ctx, d, relay, usage.ReportMessage, report)
 }
 
-// sendBounded is transport.Send, for no longer than connecting may take: a machine without
+// sendWithConnectTimeout is transport.Send, for no longer than connecting may take: a machine without
 // power must not hold up those that are asked after it.
-func sendBounded[Response, Request any](ctx context.Context, d *Daemon, to ids.Address, message string, req Request) (Response, error) {
+func sendWithConnectTimeout[Response, Request any](ctx context.Context, d *Daemon, to ids.Address, message string, req Request) (Response, error) {
 	limited, cancel := d.clock.WithTimeout(ctx, d.timing.ConnectTimeout)
 	defer cancel()
 	return transport.Send[Response](limited, d.Transport, to, message, req)
@@ -125,29 +125,29 @@
 
 // sendUsageSums sends the sums of the zone to the holder of the part of usage.
 func (d *Daemon) sendUsageSums(ctx context.Context, holder ids.Address, req usage.SumsRequest) (usage.CollectResponse, error) {
-	return sendBounded[usage.CollectResponse](ctx, d, holder, usage.SumsMessage, req)
+	return sendWithConnectTimeout[usage.CollectResponse](ctx, d, holder, usage.SumsMessage, req)
 }
 
-// collectUsage sends the reports of the zone's routers to a holder of an older build.
-func (d *Daemon) collectUsage(ctx context.Context, holder ids.Address, req usage.CollectRequest) (usage.CollectResponse, error) {
-	return sendBounded[usage.CollectResponse](ctx, d, holder, usage.CollectMessage, req)
+// sendUsageReports sends the reports of the zone's routers to a holder of an older build.
+func (d *Daemon) sendUsageReports(ctx context.Context, holder ids.Address, req usage.CollectRequest) (usage.CollectResponse, error) {
+	return sendWithConnectTimeout[usage.CollectResponse](ctx, d, holder, usage.CollectMessage, req)
 }
 
 // copyUsage sends the counts of the zone to a controller that is not lost together with
 // this zone and the holder of the part of usage, where both are in one region.
 func (d *Daemon) copyUsage(ctx context.Context, counts usage.ZoneCounts) {
-	keeper := usageKeeper(d.Membership.Members(), d.Membership.Self(), d.usageTerm().Holder)
-	if keeper == "" {
+	recipient := copyRecipient(d.Membership.Members(), d.Membership.Self(), d.usageTerm().Holder)
+	if recipient == "" {
 		return
 	}
 	// One that does not know the message, of an older build, keeps nothing.
-	_, _ = sendBounded[usage.CopyResponse](ctx, d, keeper, usage.CopyMessage, counts)
+	_, _ = sendWithConnectTimeout[usage.CopyResponse](ctx, d, recipient, usage.CopyMessage, counts)
 }
 
-// usageKeeper returns the controller that keeps a copy of a zone's counts: the first of
+// copyRecipient returns the controller that keeps a copy of a zone's counts: the first of
 // another region, or, where there is none, of another zone. It is "" where the holder is
 // itself in another region, or there is nobody.
-func usageKeeper(members []membership.Member, self membership.Member, holder ids.Address) ids.Address {
+func copyRecipient(members []membership.Member, self membership.Member, holder ids.Address) ids.Address {
 	var otherRegion, otherZone []ids.Address
 	for _, member := range members {
 		if member.Address == holder && member.Region != self.Region {
@@ -175,10 +175,10 @@
 func (d *Daemon) UsageCopies(ctx context.Context) []usage.ZoneCounts {
 	var mu sync.Mutex
 	var copies []usage.ZoneCounts
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, controller := range d.otherControllers() {
-		asked.Go(func() {
-			resp, err := sendBounded[usage.CopiesResponse](ctx, d, controller, usage.CopiesMessage, usage.CopiesRequest{From: d.Address})
+		requests.Go(func() {
+			resp, err := sendWithConnectTimeout[usage.CopiesResponse](ctx, d, controller, usage.CopiesMessage, usage.CopiesRequest{From: d.Address})
 			if err != nil {
 				return
 			}
@@ -187,7 +187,7 @@
 			copies = append(copies, resp.Zones...)
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 	return copies
 }
 
@@ -238,6 +238,6 @@
 	return controllers
 }
 
-func (d *Daemon) askTime(ctx context.Context, peer ids.Address) (timesync.SampleResponse, error) {
+func (d *Daemon) requestTimeSample(ctx context.Context, peer ids.Address) (timesync.SampleResponse, error) {
 	return transport.Send[timesync.SampleResponse](ctx, d.Transport, peer, timesync.SampleMessage, timesync.SampleRequest{From: d.Address})
 }
--- a/control/daemon/usage_test.go
+++ b/control/daemon/usage_test.go
@@ -7,9 +7,9 @@
 	"onyxwell/control/membership"
 )
 
-// TestUsageKeeper_survivesRegion chooses the controller that keeps a copy of a zone's counts:
+// TestCopyRecipient_survivesRegionLoss chooses the controller that keeps a copy of a zone's counts:
 // one that is not lost together with the zone and the holder, where there is one.
-func TestUsageKeeper_survivesRegion(t *testing.T) {
+func TestCopyRecipient_survivesRegionLoss(t *testing.T) {
 	controller := func(address ids.Address, zone ids.Zone, region ids.Region, state membership.State) membership.Member {
 		return membership.Member{Address: address, Zone: zone, Region: region, ServesControl: true, State: state}
 	}
@@ -30,7 +30,7 @@
 		{"nobody else", []membership.Member{north1}, "a", ""},
 	}
 	for _, test := range cases {
-		if got := usageKeeper(test.members, north1, test.holder); got != test.want {
+		if got := copyRecipient(test.members, north1, test.holder); got != test.want {
 			t.Errorf("%s: %q, want %q", test.name, got, test.want)
 		}
 	}
--- a/data/router/usage.go
+++ b/data/router/usage.go
@@ -28,7 +28,7 @@
 
 func newUsageReporter(source clock.Clock, node *settings.Settings, d *daemon.Daemon) *usageReporter {
 	reporter := &usageReporter{clock: source, daemon: d}
-	if agreed := d.AgreedTime(); agreed != nil {
+	if agreed := d.SyncedClock(); agreed != nil {
 		reporter.meter = usage.NewMeter(settings.Seconds(node.Bounds.UsageWindowS), agreed.Now)
 		reporter.incarnation = newIncarnation(agreed)
 	}
