--- a/control/transport/client.go
+++ b/control/transport/client.go
@@ -11,47 +11,49 @@
 	"onyxwell/base/response"
 )
 
-// contentType is that of every request and of every successful response.
+// contentType is the Content-Type of every request and every successful response.
 const contentType = "avro/binary"
 
 const (
-	// idleTimeoutFactor is how many TCP user timeouts (Dialer.UserTimeout) an idle connection is kept.
-	idleTimeoutFactor  = 10
+	// idleTimeoutFactor is the idle timeout of a connection as a multiple of the TCP
+	// user timeout (Dialer.UserTimeout).
+	idleTimeoutFactor = 10
+	// maxIdleConnections is the maximum number of idle connections per host.
 	maxIdleConnections = 4
 )
 
-// Client sends messages to other daemons. Guard and Stats are set before its
-// first use; it is safe for concurrent use then.
+// Client sends messages to other daemons. Guard and Stats must be set before the
+// first use; after that it is safe for concurrent use.
 type Client struct {
-	// Guard tags each request with the deployment and counts the responses that
+	// Guard adds the deployment tag to each request and counts the responses that
 	// can't be decoded. It may be nil.
 	Guard *Guard
-	// Stats counts the requests that were answered, by message name. It may be nil.
+	// Stats counts the calls answered with status 200 by message name. It may be nil.
 	Stats      *MessageStats
 	httpClient *http.Client
 	traffic    *httpcall.Traffic
 }
 
-// NewClient returns a client over the machine's own network. The dialer says how
-// long connecting may take and when an unresponsive connection is given up.
+// NewClient returns a client that uses the host's network. The dialer sets the
+// connect timeout and the time after which an unresponsive connection is closed.
 func NewClient(dialer httpcall.Dialer) *Client {
 	return NewClientOnNetwork(systemNetwork{}, dialer)
 }
 
-// Network makes the HTTP clients that messages travel through.
+// Network creates the HTTP clients that send messages.
 type Network interface {
 	Client(options httpcall.ClientOptions) *http.Client
 }
 
-// systemNetwork is the machine's own network.
+// systemNetwork is the host's network.
 type systemNetwork struct{}
 
 func (systemNetwork) Client(options httpcall.ClientOptions) *http.Client {
 	return httpcall.NewClient(options)
 }
 
-// NewClientOnNetwork returns a client over another network than the machine's
-// own, such as a simulated one.
+// NewClientOnNetwork returns a client that uses the given network, for example a
+// simulated one.
 func NewClientOnNetwork(network Network, dialer httpcall.Dialer) *Client {
 	return &Client{
 		traffic: dialer.Traffic,
@@ -61,13 +63,13 @@
 	}
 }
 
-// outgoingRequest is a request on the client's side, already encoded.
+// outgoingRequest is an encoded request on the client side.
 type outgoingRequest struct {
 	name string
 	body []byte
 }
 
-// Encode implements the request side of an HTTP call.
+// Encode returns the HTTP request that carries the message.
 func (o outgoingRequest) Encode() httpcall.OutgoingRequest {
 	return httpcall.OutgoingRequest{
 		Method: http.MethodPost, Path: "/" + o.name, Body: o.body,
@@ -75,11 +77,12 @@
 	}
 }
 
-// incomingResponse is a response on the client's side, still encoded.
+// incomingResponse is a response on the client side that is not decoded yet.
 type incomingResponse struct{ body []byte }
 
-// Decode keeps the body of a success; any other status becomes an error of the
-// kind that the response's header names, Internal where it names none.
+// Decode stores the body of a response with status 200. For any other status it
+// returns an error of the kind given in the response header, or of kind Internal
+// if the header gives none.
 func (i *incomingResponse) Decode(raw httpcall.RawResponse) error {
 	if raw.Status == http.StatusOK {
 		i.body = raw.Body
@@ -90,13 +93,13 @@
 	if kind == errkind.None {
 		kind = errkind.Internal
 	}
-	return errkind.Errorf(kind, "error answered by another daemon")
+	return errkind.Errorf(kind, "the peer daemon responded with an error")
 }
 
-// Send sends req to the daemon at an address as the message of that name, and
-// waits for the response until ctx ends. An error that the other daemon answered
-// keeps its errkind.Kind; a response that can't be decoded is an error with a
-// RejectReason, and is counted by the client's guard.
+// Send sends req to the daemon at address as the message with the given name and
+// waits for the response until ctx is done. An error returned by the other daemon
+// keeps its errkind.Kind. A response that can't be decoded results in an error
+// with a RejectReason and is counted by the client's guard.
 func Send[Response, Request any](ctx context.Context, client *Client, address ids.Address, name string, req Request) (Response, error) {
 	var zero Response
 	body, err := Seal(client.Guard, req)
--- a/control/transport/doc.go
+++ b/control/transport/doc.go
@@ -1,10 +1,10 @@
-// Package transport carries messages between the daemons of one deployment:
-// HTTP calls and datagrams whose bodies are Avro, with a schema derived from the
-// Go type. Values on disk have the same encoding.
+// Package transport carries messages between the daemons of one deployment: HTTP
+// calls and datagrams with bodies in Avro, whose schema is derived from the Go
+// type. Values on disk use the same encoding.
 //
-// An encoded message begins with the fingerprint of its schema, and one that is
-// sent has the tag of the deployment before that, so a message of another form
-// or of another deployment is rejected before it is decoded. Schemas hang on
-// SchemaName and on the avro tags alone, never on Go names: the bytes outlive a
-// rename.
+// An encoded message starts with the fingerprint of its schema. In requests and
+// datagrams the tag of the deployment precedes it. A message with another schema
+// or from another deployment is therefore rejected before it is decoded. The
+// names in a schema come from SchemaName and the avro tags, never from Go
+// identifiers, so renaming a Go type or field doesn't change the encoded bytes.
 package transport
--- a/control/transport/schema.go
+++ b/control/transport/schema.go
@@ -11,34 +11,34 @@
 	"github.com/hamba/avro/v2"
 )
 
-// fingerprintLength is how many bytes of its schema's fingerprint go ahead of
-// each message and of each value on a disk: two forms of one message are taken
-// for each other with a probability of 2^-32.
+// fingerprintLength is the number of bytes of the schema fingerprint that precede
+// each message and each value on disk. Two schemas of one message collide with a
+// probability of 2^-32.
 const fingerprintLength = 4
 
-// Named is implemented by every struct that is stored or sent. The name is part
-// of the schema, and so of the fingerprint ahead of every stored value and every
-// message: it stays as it is when the Go type is renamed or moved, and so do the
-// names in the avro tags of the fields.
+// Named must be implemented by every struct that is stored or sent. The name is
+// part of the schema and therefore of the fingerprint that precedes every stored
+// value and every message. It must not change if the Go type is renamed or moved,
+// and neither must the names in the avro tags of the fields.
 type Named interface {
 	SchemaName() string
 }
 
-// messageSchema is the schema of a message type with its fingerprint.
+// messageSchema is the Avro schema of a message type and its truncated fingerprint.
 type messageSchema struct {
 	schema      avro.Schema
 	fingerprint [fingerprintLength]byte
 }
 
-// schemas caches the schemas by type. The map is never changed, only replaced
-// whole under schemasMu, so that readers need no lock.
+// schemas caches the schemas by type. The map is never modified, only replaced as a
+// whole while schemasMu is held, so that readers need no lock.
 var (
 	schemas   atomic.Pointer[map[reflect.Type]messageSchema]
 	schemasMu sync.Mutex
 )
 
 // schemaFor returns the schema of a message type. It consists of the type's
-// SchemaName and of the fields' avro tags and types, in the fields' order.
+// SchemaName and the avro tags and types of the fields, in field order.
 func schemaFor(typ reflect.Type) (messageSchema, error) {
 	if cached := schemas.Load(); cached != nil {
 		if schema, ok := (*cached)[typ]; ok {
@@ -83,8 +83,9 @@
 	reflect.Bool: "boolean", reflect.Float64: "double",
 }
 
-// schemaDefinition returns the type's schema as Avro has it in JSON. A record is
-// defined where it occurs first and named from then on; defined says which are.
+// schemaDefinition returns the Avro schema of a type in the form that is marshaled
+// to JSON. A record is defined at its first occurrence and referenced by name after
+// that; defined has the records that are already defined.
 func schemaDefinition(typ reflect.Type, defined map[reflect.Type]bool) (any, error) {
 	if name, ok := primitiveTypes[typ.Kind()]; ok {
 		return name, nil
--- a/control/transport/stats.go
+++ b/control/transport/stats.go
@@ -5,24 +5,25 @@
 	"sync"
 )
 
-// MessageVolume is what the messages of one name sum up to.
+// MessageVolume has the totals for the messages of one name.
 type MessageVolume struct {
-	// Messages is how many were answered.
+	// Messages is the number of successful calls and sent datagrams.
 	Messages int64
-	// RequestBytes and ResponseBytes are the lengths of the bodies, without heads.
+	// RequestBytes and ResponseBytes are the total lengths of the bodies, without the
+	// HTTP headers.
 	RequestBytes  int64
 	ResponseBytes int64
 }
 
-// MessageStats counts the messages that a daemon sent and that were answered, by name. The zero value
-// is ready; it is safe for concurrent use.
+// MessageStats counts the successful calls and the datagrams that a daemon has sent,
+// by message name. The zero value is ready to use. It is safe for concurrent use.
 type MessageStats struct {
 	mu      sync.Mutex
 	volumes map[string]MessageVolume
 }
 
-// Add counts one message by the lengths of its bodies in bytes. On nil
-// MessageStats it does nothing.
+// Add counts one message with the lengths of its bodies in bytes. It does nothing if
+// m is nil.
 func (m *MessageStats) Add(name string, requestBytes int, responseBytes int) {
 	if m == nil {
 		return
@@ -39,7 +40,7 @@
 	m.volumes[name] = volume
 }
 
-// Snapshot returns a copy of the counts, by message name.
+// Snapshot returns a copy of the totals by message name.
 func (m *MessageStats) Snapshot() map[string]MessageVolume {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/transport/stored.go
+++ b/control/transport/stored.go
@@ -6,21 +6,23 @@
 	"onyxwell/base/errkind"
 )
 
-// StoredValueError reports the value of a register's key that this build can't
-// decode. Err names the form that this build expects and the one that was found.
+// StoredValueError means that this build can't decode the stored value of a
+// register key. If the value has another schema, Err has the fingerprints of the
+// schema that this build expects and of the one that was found.
 type StoredValueError struct {
 	Key string
 	Err error
 }
 
-// NewStoredValueError returns a *StoredValueError under the kind errkind.Internal:
-// the value is at fault, not the request that met it.
+// NewStoredValueError returns an error of kind errkind.Internal that wraps a
+// *StoredValueError. The kind is Internal because the stored value is at fault, not
+// the request that reads it.
 func NewStoredValueError(key string, err error) error {
 	return errkind.Errorf(errkind.Internal, "%w", &StoredValueError{Key: key, Err: err})
 }
 
-// UnmarshalStored decodes the value of a register's key; one that was never written is the
-// zero value.
+// UnmarshalStored decodes the stored value of a register key. It returns the zero
+// value if the key was never written.
 func UnmarshalStored[Value any](key string, stored []byte) (Value, error) {
 	var value Value
 	if len(stored) == 0 {
@@ -33,7 +35,7 @@
 	return value, nil
 }
 
-// Error names the key, what is wrong with its value, and what to do.
+// Error names the key, the reason why its value can't be decoded, and the remedy.
 func (s *StoredValueError) Error() string {
 	reason := errkind.DetailOf(s.Err)
 	if reason == "" {
@@ -42,5 +44,5 @@
 	return fmt.Sprintf("key %s: the stored value can't be read: %s: run the build that wrote it", s.Key, reason)
 }
 
-// Unwrap returns the decoder's error.
+// Unwrap returns the decoding error.
 func (s *StoredValueError) Unwrap() error { return s.Err }
--- a/control/transport/transport_test.go
+++ b/control/transport/transport_test.go
@@ -23,7 +23,7 @@
 	Bytes []byte `avro:"Bytes"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the name in the schema. It must never change.
 func (sampleItem) SchemaName() string { return "item_24" }
 
 type sampleMessage struct {
@@ -31,23 +31,23 @@
 	Items  []sampleItem `avro:"Items"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the name in the schema. It must never change.
 func (sampleMessage) SchemaName() string { return "question_24" }
 
-// olderMessage is sampleMessage in the form of another build.
+// olderMessage stands for sampleMessage as another build defines it.
 type olderMessage struct {
 	Number int64    `avro:"Number"`
 	Items  []string `avro:"Items"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the name in the schema. It must never change.
 func (olderMessage) SchemaName() string { return "older_24" }
 
 type sampleReply struct {
 	Sum int64 `avro:"Sum"`
 }
 
-// SchemaName names the stored and sent form; it must never change.
+// SchemaName returns the name in the schema. It must never change.
 func (sampleReply) SchemaName() string { return "answer_24" }
 
 var sampleRequest = sampleMessage{Number: 700, Items: []sampleItem{{Name: "a", Bytes: []byte("xyz")}, {Name: "b"}}}
@@ -65,36 +65,37 @@
 }
 
 func TestUnmarshal_rejectsDamagedMessages(t *testing.T) {
-	whole, err := Marshal(sampleRequest)
+	encoded, err := Marshal(sampleRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if decoded, err := Unmarshal[sampleMessage](whole); err != nil || decoded.Number != 700 || len(decoded.Items) != 2 || string(decoded.Items[0].Bytes) != "xyz" {
+	if decoded, err := Unmarshal[sampleMessage](encoded); err != nil || decoded.Number != 700 || len(decoded.Items) != 2 || string(decoded.Items[0].Bytes) != "xyz" {
 		t.Fatalf("%+v, %v", decoded, err)
 	}
-	for length := range whole {
-		if _, err := Unmarshal[sampleMessage](whole[:length]); err == nil || RejectReasonOf(err) != Malformed {
-			t.Errorf("cut to %d of %d bytes: %v", length, len(whole), err)
+	for length := range encoded {
+		if _, err := Unmarshal[sampleMessage](encoded[:length]); err == nil || RejectReasonOf(err) != Malformed {
+			t.Errorf("truncated to %d of %d bytes: %v", length, len(encoded), err)
 		}
 	}
-	if _, err := Unmarshal[sampleMessage](append(bytes.Clone(whole), 0)); err == nil || RejectReasonOf(err) != Malformed {
-		t.Errorf("a byte too many: %v", err)
+	if _, err := Unmarshal[sampleMessage](append(bytes.Clone(encoded), 0)); err == nil || RejectReasonOf(err) != Malformed {
+		t.Errorf("with one trailing byte: %v", err)
 	}
-	// Whatever single bit is flipped, decoding ends with an error or a message, and
-	// claims no memory that the bytes can't fill.
-	for index := range whole {
+	// With any single bit flipped, decoding must return a message or an error, without
+	// a panic and without allocating more memory than the message can fill.
+	for index := range encoded {
 		for bit := range 8 {
-			damaged := bytes.Clone(whole)
+			damaged := bytes.Clone(encoded)
 			damaged[index] ^= 1 << bit
 			_, _ = Unmarshal[sampleMessage](damaged)
 		}
 	}
-	if _, err := Unmarshal[olderMessage](whole); err == nil || RejectReasonOf(err) != SchemaMismatch {
-		t.Errorf("read as another type: %v", err)
+	if _, err := Unmarshal[olderMessage](encoded); err == nil || RejectReasonOf(err) != SchemaMismatch {
+		t.Errorf("decoded as another type: %v", err)
 	}
 }
 
-// postMessage posts a body to a mux and returns the status and the kind answered.
+// postMessage posts a body to a mux and returns the status and the error kind of the
+// response.
 func postMessage(mux *httpcall.Mux, name string, body []byte) (int, errkind.Kind) {
 	recorder := httptest.NewRecorder()
 	req := httptest.NewRequest(http.MethodPost, "/"+name, bytes.NewReader(body))
@@ -112,7 +113,7 @@
 	guard.log = scope.NewLogger("warn", logged)
 	mux.Gate = guard
 	Handle(mux, "sum", func(context.Context, sampleMessage) (sampleReply, error) { handled++; return sampleReply{Sum: 1}, nil })
-	good, _ := Seal(guard, sampleRequest)
+	valid, _ := Seal(guard, sampleRequest)
 	foreign, _ := Seal(NewGuard(nil, nil), sampleRequest)
 	otherSchema, _ := Seal(guard, olderMessage{Number: 7})
 	tests := []struct {
@@ -122,34 +123,35 @@
 		kind       errkind.Kind
 		reason     RejectReason
 	}{
-		{"torn", "sum", good[:len(good)-2], 400, errkind.BadRequest, Malformed},
+		{"truncated", "sum", valid[:len(valid)-2], 400, errkind.BadRequest, Malformed},
 		{"empty", "sum", nil, 400, errkind.BadRequest, Malformed},
-		{"another version", "sum", otherSchema, 400, errkind.BadRequest, SchemaMismatch},
-		{"another deployment", "sum", foreign, 400, errkind.BadRequest, ForeignDeployment},
-		{"oversized", "sum", append(bytes.Clone(good), make([]byte, 100)...), 413, errkind.BodyTooLarge, TooLarge},
-		{"unknown", "product", good, 404, errkind.UnknownCall, UnknownMessage},
+		{"other schema", "sum", otherSchema, 400, errkind.BadRequest, SchemaMismatch},
+		{"other deployment", "sum", foreign, 400, errkind.BadRequest, ForeignDeployment},
+		{"too large", "sum", append(bytes.Clone(valid), make([]byte, 100)...), 413, errkind.BodyTooLarge, TooLarge},
+		{"unknown message", "product", valid, 404, errkind.UnknownCall, UnknownMessage},
 	}
 	for _, test := range tests {
 		for range 3 {
 			before := guard.Counts[test.reason].Load()
 			status, kind := postMessage(mux, test.call, test.body)
 			if status != test.status || kind != test.kind || guard.Counts[test.reason].Load() != before+1 {
-				t.Errorf("%s: %d %v, counted %v", test.name, status, kind, guard.Totals())
+				t.Errorf("%s: status %d, kind %v, rejections %v", test.name, status, kind, guard.Totals())
 			}
 		}
 	}
-	if status, _ := postMessage(mux, "sum", good); status != 200 || handled != 1 {
-		t.Fatalf("%d for a good one, %d were handled", status, handled)
+	if status, _ := postMessage(mux, "sum", valid); status != 200 || handled != 1 {
+		t.Fatalf("status %d for a valid message, %d messages handled", status, handled)
 	}
-	// Torn and empty are one reason of one sender.
+	// The truncated and the empty message have the same reason and sender, so they are
+	// logged once.
 	if lines := strings.Count(logged.String(), "\n"); lines != int(rejectReasonCount) {
-		t.Errorf("%d lines:\n%s", lines, logged)
+		t.Errorf("%d log lines:\n%s", lines, logged)
 	}
 	for sender := range 2 * maxLoggedRejections {
 		guard.Rejected(fmt.Sprint(sender), errkind.Errorf(errkind.BadRequest, "odd"))
 	}
 	if lines := strings.Count(logged.String(), "\n"); lines != maxLoggedRejections {
-		t.Errorf("%d lines after many senders", lines)
+		t.Errorf("%d log lines after many senders", lines)
 	}
 }
 
@@ -175,7 +177,7 @@
 	foreign := NewClient(httpcall.Dialer{Timeout: time.Second, UserTimeout: time.Second})
 	foreign.Guard = NewGuard(nil, nil)
 	if _, err := Send[olderMessage](top, foreign, address, "sum", sampleRequest); errkind.KindOf(err) != errkind.BadRequest {
-		t.Fatalf("a foreign message: %v", err)
+		t.Fatalf("message from another deployment: %v", err)
 	}
 }
 
@@ -195,8 +197,8 @@
 
 func (untagged) SchemaName() string { return "untagged" }
 
-// TestMarshal_rejectsTypesWithoutExplicitNames keeps a form from hanging on the names
-// of Go types and fields, which may change while stored values stay.
+// TestMarshal_rejectsTypesWithoutExplicitNames guards against schemas that depend on
+// the names of Go types and fields: renaming these would make stored values unreadable.
 func TestMarshal_rejectsTypesWithoutExplicitNames(t *testing.T) {
 	if _, err := Marshal(unnamed{}); err == nil || !strings.Contains(err.Error(), "SchemaName") {
 		t.Errorf("no SchemaName: %v", err)
--- a/control/transport/transporttest/golden.go
+++ b/control/transport/transporttest/golden.go
@@ -1,5 +1,5 @@
-// Package transporttest checks that stored values and messages keep their bytes:
-// what one build stores or sends must be read by every other.
+// Package transporttest checks that the encoding of stored values and messages
+// doesn't change: every build must be able to read what another one stores or sends.
 package transporttest
 
 import (
@@ -15,53 +15,54 @@
 	"onyxwell/control/transport"
 )
 
-var update = flag.Bool("update-forms", false, "write the golden files of forms that have none yet")
+var update = flag.Bool("update-forms", false, "write the golden files that don't exist yet")
 
-// Golden checks one form against testdata/forms/NAME.hex of the package under
-// test: a fixed value packs to these bytes, and these bytes unpack to that
-// value. With -update-forms a file that is missing is written; one that exists
+// Golden checks the encoding of one type against testdata/forms/NAME.hex of the
+// package under test: a fixed value must encode to these bytes, and these bytes must
+// decode to that value. With -update-forms a missing file is written; an existing one
 // is never overwritten.
-func Golden[Form any](t *testing.T, name string) {
+func Golden[Value any](t *testing.T, name string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
-		var value Form
+		var value Value
 		filler := &filler{}
 		filler.fill(reflect.ValueOf(&value).Elem())
-		packed, err := transport.Marshal(value)
+		encoded, err := transport.Marshal(value)
 		if err != nil {
-			t.Fatalf("pack: %v", err)
+			t.Fatalf("encode: %v", err)
 		}
 		path := filepath.Join("testdata", "forms", name+".hex")
 		if _, err := os.Stat(path); os.IsNotExist(err) && *update {
-			write(t, path, packed)
+			writeHexFile(t, path, encoded)
 		}
-		golden := read(t, path)
-		if string(packed) != string(golden) {
-			t.Errorf("packs to\n%x, not to\n%x", packed, golden)
+		golden := readHexFile(t, path)
+		if string(encoded) != string(golden) {
+			t.Errorf("encodes to\n%x, not to\n%x", encoded, golden)
 		}
-		unpacked, err := transport.Unmarshal[Form](golden)
+		decoded, err := transport.Unmarshal[Value](golden)
 		if err != nil {
-			t.Fatalf("unpack: %v", err)
+			t.Fatalf("decode: %v", err)
 		}
-		if !reflect.DeepEqual(unpacked, value) {
-			t.Errorf("unpacks to\n%+v, not to\n%+v", unpacked, value)
+		if !reflect.DeepEqual(decoded, value) {
+			t.Errorf("decodes to\n%+v, not to\n%+v", decoded, value)
 		}
-		again, err := transport.Marshal(unpacked)
-		if err != nil || string(again) != string(golden) {
-			t.Errorf("packs again to %x, %v", again, err)
+		reencoded, err := transport.Marshal(decoded)
+		if err != nil || string(reencoded) != string(golden) {
+			t.Errorf("encodes again to %x, %v", reencoded, err)
 		}
 	})
 }
 
+// bytesPerLine is the number of bytes in one line of a golden file.
 const bytesPerLine = 32
 
-func write(t *testing.T, path string, packed []byte) {
+func writeHexFile(t *testing.T, path string, encoded []byte) {
 	t.Helper()
 	var lines strings.Builder
-	for len(packed) > 0 {
-		count := min(bytesPerLine, len(packed))
-		fmt.Fprintf(&lines, "%x\n", packed[:count])
-		packed = packed[count:]
+	for len(encoded) > 0 {
+		count := min(bytesPerLine, len(encoded))
+		fmt.Fprintf(&lines, "%x\n", encoded[:count])
+		encoded = encoded[count:]
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -71,24 +72,26 @@
 	}
 }
 
-func read(t *testing.T, path string) []byte {
+func readHexFile(t *testing.T, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed, err := hex.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
+	encoded, err := hex.DecodeString(strings.ReplaceAll(string(text), "\n", ""))
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	return packed
+	return encoded
 }
 
-// filler sets every field of a value to something that no other field of the
-// same kind has, by the order of the fields alone: names play no part.
+// filler sets the fields of a value to test data that depends only on the position
+// of each field, not on its name. Except for booleans, no two fields of the same kind
+// get the same content.
 type filler struct{ count int64 }
 
-const slicesHold = 2
+// filledSliceLength is the length of every slice other than byte slices.
+const filledSliceLength = 2
 
 func (f *filler) fill(value reflect.Value) {
 	f.count++
@@ -108,7 +111,7 @@
 			f.fill(value.Field(index))
 		}
 	default:
-		panic(fmt.Sprintf("transporttest: %s has no form", value.Type()))
+		panic(fmt.Sprintf("transporttest: type %s is not supported", value.Type()))
 	}
 }
 
@@ -117,7 +120,7 @@
 		value.SetBytes(fmt.Appendf(nil, "bytes-%d", f.count))
 		return
 	}
-	value.Set(reflect.MakeSlice(value.Type(), slicesHold, slicesHold))
+	value.Set(reflect.MakeSlice(value.Type(), filledSliceLength, filledSliceLength))
 	for index := range value.Len() {
 		f.fill(value.Index(index))
 	}
