--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon is what a router and a fleet-controller have in common: the
-// membership and its probes, the gossip store, the transport and the handlers
-// for calls of other daemons, discovery's fallback, outlier detection for the
-// zone, metrics, and the supervisor that restarts services which fail. It owns
-// the daemon's datagram socket and its internal listener.
+// Package daemon implements what routers and fleet-controllers have in common: the
+// membership and its probes, the gossip store, the transport and the handlers for
+// calls from other daemons, the relays for quotas, rollouts and usage, the discovery
+// fallback, outlier detection for the zone, metrics, and the supervisor that restarts
+// failed services. It owns the daemon's datagram socket and its internal listener.
 package daemon
 
 import (
@@ -32,44 +32,45 @@
 	"onyxwell/control/transport"
 )
 
-// RouterRole is the routers' role in the deploy file and in the membership.
+// RouterRole is the role of routers in the deploy file and in the membership.
 const RouterRole = "router"
 
 const (
-	// bodyMemoryDivisor is the part of the memory limit, one in so many, that the
-	// bodies of all calls may take together: each is decoded into further copies
-	// while it is served.
+	// bodyMemoryDivisor divides the memory limit to get the limit for the bodies of all
+	// calls together. It leaves room for the copies that decoding makes of each body
+	// while the call is served.
 	bodyMemoryDivisor = 4
-	// callBodyDivisor is the part that the body of one call of another daemon may
-	// take.
+	// callBodyDivisor divides the memory limit to get the limit for the body of one call
+	// from another daemon.
 	callBodyDivisor = 8
-	// maxDatagram is the size of the receive buffer in bytes.
+	// maxDatagram is the size in bytes of the receive buffer for datagrams.
 	maxDatagram = 64 << 10
 )
 
-// Daemon is the common part of a router and a fleet-controller. Its exported
-// fields are set by New and must not be changed.
+// Daemon is the common base of a router and a fleet-controller. Its exported fields
+// are set by New and must not be changed afterwards.
 type Daemon struct {
 	clock    clock.Clock
 	log      *log.Logger
 	settings *settings.Settings
 	Network  Network
-	// Address is where other daemons reach this one.
+	// Address is the internal address at which other daemons reach this one.
 	Address    ids.Address
 	Membership *membership.Table
 	// Updates is the gossip store.
 	Updates   *gossip.Store
 	Transport *transport.Client
-	// Calls has the handlers for calls of other daemons.
+	// Calls has the handlers for calls from other daemons.
 	Calls    *httpcall.Mux
 	Gossiper *gossip.Gossiper
 	Zones    *zonesummary.Manager
 	Metrics  *telemetry.Metrics
-	// Monitor counts violated invariants.
+	// Monitor counts invariant violations.
 	Monitor *invariant.Monitor
-	// BodyQuota bounds the memory of the bodies of all calls together.
+	// BodyQuota limits the memory for the bodies of all calls together.
 	BodyQuota *memquota.Quota
-	// Traffic counts messages and bytes to and from other daemons.
+	// Traffic counts the messages sent to other daemons, and the bytes sent to and
+	// received from them.
 	Traffic httpcall.Traffic
 
 	timing     Timing
@@ -84,31 +85,32 @@
 	outliers   outlier.Detector
 
 	mu sync.Mutex
-	// planVersion is the version of the routing plan that planOwner was read from.
+	// planVersion is the version of the routing plan from which planOwner was read.
 	planVersion ids.Version
 	planOwner   ids.Address
 }
 
-// Options are what a role brings to the common part.
+// Options configure a Daemon for its role.
 type Options struct {
 	// Role is the daemon's role in the deploy file and in the membership.
 	Role string
-	// OnUpdate is called with each new gossip item, in the order of its versions.
+	// OnUpdate is called with each new gossip item, in the order of the item's versions.
+	// It is required.
 	OnUpdate func(gossip.Item)
-	// View is the list of runners that OnUpdate keeps up to date. With one, the
-	// daemon polls the platform itself while the list is stale; it may be nil.
+	// View is the list of runners that OnUpdate keeps up to date. If it is set, the
+	// daemon polls the platform itself while the list is stale. It may be nil.
 	View *discovery.View
-	// Config returns the configuration in force, nil for none. It defaults to the one
-	// in the gossip store.
+	// Config returns the current configuration, or nil if there is none. It defaults to
+	// Daemon.Config, which reads the gossip store.
 	Config func() *config.Config
 	// Network defaults to HostNetwork.
 	Network Network
-	// Monitor defaults to a new one that logs.
+	// Monitor defaults to a new monitor that logs to the daemon's log.
 	Monitor *invariant.Monitor
 }
 
-// New assembles the common part for a role and opens its datagram socket.
-// Everything else starts with Run.
+// New creates the daemon for a role and opens its datagram socket. Everything else
+// is started by Run.
 func New(env scope.Scope, options Options) (*Daemon, error) {
 	d := &Daemon{
 		clock: env.Clock, log: env.Log, settings: env.Settings, Network: options.Network, Monitor: options.Monitor,
@@ -138,8 +140,8 @@
 	return d, nil
 }
 
-// initMembership makes the membership table, the zones' summaries and the gossip
-// store that feeds them.
+// initMembership creates the membership table, the zone summaries and the gossip
+// store that updates them.
 func (d *Daemon) initMembership(options Options) {
 	node := d.settings
 	d.Membership = membership.NewTable(d.clock, membership.Member{
@@ -157,8 +159,10 @@
 	d.Zones.Store = d.Updates
 }
 
-// initTransport makes the client for calls to other daemons and the handlers for
-// theirs; one guard drops what is not of this fleet in both directions.
+// initTransport creates the client for calls to other daemons and the mux for calls
+// from them. Both use one guard, which adds the deployment tag to outgoing requests,
+// rejects incoming messages from other deployments, and counts the rejected messages of
+// both directions.
 func (d *Daemon) initTransport() {
 	memory := d.settings.Limits.MemoryMB << 20
 	d.Transport = transport.NewClientOnNetwork(d.Network, httpcall.Dialer{
@@ -182,7 +186,7 @@
 	d.Gossiper.RegisterHandlers(d.Calls)
 }
 
-// addServices adds the services that the supervisor starts, in this order.
+// addServices adds the services in the order in which the supervisor starts them.
 func (d *Daemon) addServices(options Options) {
 	d.AddService("calls", func(ctx context.Context) error { return d.Network.Serve(ctx, d.Address, d.Calls, &d.Traffic) })
 	d.AddService("probe", func(ctx context.Context) error { d.prober.Run(ctx); return nil })
@@ -205,7 +209,7 @@
 	d.AddService("gossip", func(ctx context.Context) error { d.Gossiper.Run(ctx); return nil })
 }
 
-// service is a suture.Service.
+// service is a named function that the supervisor runs as a suture.Service.
 type service struct {
 	name string
 	run  func(ctx context.Context) error
@@ -214,16 +218,16 @@
 // Serve implements suture.Service.
 func (s service) Serve(ctx context.Context) error { return s.run(ctx) }
 
-// String names the service in the supervisor's log lines.
+// String returns the name of the service in the supervisor's log lines.
 func (s service) String() string { return s.name }
 
-// AddService adds a service that the supervisor starts, and starts again whenever
-// run returns before its ctx ends. It must not be called once Run was.
+// AddService adds a service that the supervisor starts, and restarts whenever run
+// returns before its ctx is done. It must not be called after Run.
 func (d *Daemon) AddService(name string, run func(ctx context.Context) error) {
 	d.supervisor.Add(service{name: name, run: run})
 }
 
-// AddOneShot adds a service that is not started again after run returns.
+// AddOneShot adds a service that is not restarted after run returns.
 func (d *Daemon) AddOneShot(name string, run func(ctx context.Context)) {
 	d.AddService(name, func(ctx context.Context) error {
 		run(ctx)
@@ -232,11 +236,11 @@
 	})
 }
 
-// Run runs all services until ctx ends.
+// Run runs all services until ctx is done.
 func (d *Daemon) Run(ctx context.Context) error { return d.supervisor.Serve(ctx) }
 
-// ServeHTTP serves a handler at an address until ctx ends. It does not count the
-// traffic, which is that of other daemons alone.
+// ServeHTTP serves a handler at an address until ctx is done. Its traffic is not
+// counted, because Traffic covers only other daemons.
 func (d *Daemon) ServeHTTP(ctx context.Context, address ids.Address, handler http.Handler) error {
 	return d.Network.Serve(ctx, address, handler, nil)
 }
@@ -248,8 +252,8 @@
 	d.socket.Send(to, body)
 }
 
-// receiveDatagrams passes datagrams to the prober until ctx ends, which closes the
-// socket.
+// receiveDatagrams passes datagrams to the prober until receiving fails. The socket
+// is closed when ctx is done.
 func (d *Daemon) receiveDatagrams(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = d.socket.Close() })
 	defer stop()
@@ -264,20 +268,20 @@
 	}
 }
 
-// Leave marks this daemon as having left and announces it. It does not wait for
-// the announcement to arrive.
+// Leave marks this daemon as Left in the membership and announces that by gossip. It
+// doesn't wait until the announcement has arrived.
 func (d *Daemon) Leave(ctx context.Context) {
 	d.Membership.UpdateSelf(func(self *membership.Member) { self.State, self.Ready = membership.Left, false })
 	d.GossipNow(ctx)
 }
 
-// GossipNow starts exchanges with several members at once and does not wait for
-// them; each ends with ctx or the gossiper's time-out.
+// GossipNow starts concurrent gossip exchanges with several members without waiting
+// for them. Each ends when ctx is done or after the gossiper's timeout.
 func (d *Daemon) GossipNow(ctx context.Context) {
 	for _, address := range d.Gossiper.AnnounceTargets() {
 		go d.Gossiper.Exchange(ctx, address)
 	}
 }
 
-// Reload applies reloaded settings. Only the seeds take effect without a restart.
+// Reload applies reloaded settings. Only changed seeds take effect without a restart.
 func (d *Daemon) Reload(reloaded *settings.Settings) { d.Gossiper.SetSeeds(reloaded.SeedAddresses()) }
--- a/control/daemon/discovery.go
+++ b/control/daemon/discovery.go
@@ -8,15 +8,15 @@
 	"onyxwell/control/discovery"
 )
 
-// maxMissedPolls is how many polls of the platform may be missed in a row before
-// the list of runners is stale.
+// maxMissedPolls is the number of consecutive polls of the platform that may be
+// missed before the list of runners is stale.
 const maxMissedPolls = 4
 
-// platformIdleTimeoutFactor is how many peer timeouts an idle connection to the
-// platform is kept.
+// platformIdleTimeoutFactor is the idle timeout of a connection to the platform as a
+// multiple of the peer timeout.
 const platformIdleTimeoutFactor = 4
 
-// NewView makes the view of the list of runners for a daemon of these settings.
+// NewView returns a view of the list of runners for a daemon with the settings of env.
 func NewView(env scope.Scope) *discovery.View {
 	return discovery.NewView(discovery.ViewOptions{
 		Clock: env.Clock, Zones: env.Settings.ZoneNames(),
@@ -24,7 +24,7 @@
 	})
 }
 
-// NewPlatformClient makes a client of the platform with connections of its own.
+// NewPlatformClient returns a client of the platform with its own connections.
 func (d *Daemon) NewPlatformClient() *discovery.PlatformClient {
 	return &discovery.PlatformClient{
 		HTTP: d.Network.Client(httpcall.ClientOptions{
@@ -36,8 +36,9 @@
 	}
 }
 
-// addDiscoveryFallback polls the platform from this daemon while the view is stale,
-// and has gossip fetch a list eagerly while there is none.
+// addDiscoveryFallback adds the service that polls the platform from this daemon while
+// the view is stale. It also makes the gossiper fetch a list eagerly while the view is
+// incomplete.
 func (d *Daemon) addDiscoveryFallback(view *discovery.View) {
 	fallback := &discovery.Fallback{
 		Platform: d.NewPlatformClient(), View: view, Updates: d.Updates, Membership: d.Membership,
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -15,11 +15,11 @@
 	"onyxwell/control/transport"
 )
 
-// trafficLogInterval is the time between two debug lines on the traffic.
+// trafficLogInterval is the interval between debug log lines about the traffic.
 const trafficLogInterval = 10 * time.Second
 
-// addMetrics registers the daemon's metrics, and serves them where the settings
-// name a port and a path.
+// addMetrics registers the daemon's metrics and serves them if the settings specify a
+// port that no other listener uses. At log level debug it also logs the traffic.
 func (d *Daemon) addMetrics() {
 	d.registerMetrics()
 	if d.log.Level <= log.DebugLevel {
@@ -52,7 +52,8 @@
 	}
 }
 
-// logTraffic logs the traffic to other daemons since the start, by message.
+// logTraffic periodically logs the traffic to other daemons since the start, by
+// message name.
 func (d *Daemon) logTraffic(ctx context.Context) error {
 	for clock.Wait(ctx, d.clock, trafficLogInterval) {
 		stats := d.Transport.Stats.Snapshot()
--- a/control/daemon/network.go
+++ b/control/daemon/network.go
@@ -12,35 +12,35 @@
 	"onyxwell/base/ids"
 )
 
-// Time-outs of HostNetwork's servers.
+// Timeouts of the HTTP servers of HostNetwork.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 60 * time.Second
 )
 
-// Network is how a daemon reaches others and is reached by them. HostNetwork is
-// the machine's own; simulations and fault injection bring others.
+// Network connects a daemon to other daemons. HostNetwork uses the host's network;
+// simulations and fault injection have other implementations.
 type Network interface {
-	// Serve answers calls at an address until ctx ends, and counts the bytes where
-	// traffic is not nil.
+	// Serve serves calls at an address until ctx is done. It counts the bytes in traffic
+	// unless that is nil.
 	Serve(ctx context.Context, address ids.Address, handler http.Handler, traffic *httpcall.Traffic) error
-	// Client makes a client with connections of its own.
+	// Client returns a client with its own connections.
 	Client(options httpcall.ClientOptions) *http.Client
-	// Datagrams opens a socket at an address.
+	// Datagrams opens a datagram socket at an address.
 	Datagrams(address ids.Address) (Socket, error)
 }
 
-// Socket sends and receives datagrams. It may lose, repeat and reorder them.
+// Socket sends and receives datagrams, which may be lost, duplicated or reordered.
 type Socket interface {
-	// Send sends a datagram; there is no error, since it may be lost in any case.
+	// Send sends a datagram. It returns no error, because a datagram may be lost anyway.
 	Send(to ids.Address, body []byte)
-	// Receive blocks for the next datagram and gives its length and its sender. It
+	// Receive waits for the next datagram and returns its length and its sender. It
 	// fails once the socket is closed.
 	Receive(buffer []byte) (int, fmt.Stringer, error)
 	Close() error
 }
 
-// HostNetwork is the machine's network: HTTP over TCP, and UDP.
+// HostNetwork is the network of the host: HTTP over TCP, and UDP datagrams.
 type HostNetwork struct{}
 
 // Serve implements Network.
--- a/control/daemon/quota.go
+++ b/control/daemon/quota.go
@@ -12,30 +12,31 @@
 	"onyxwell/control/transport"
 )
 
-// quotaState is what a daemon knows of the quotas around it.
+// quotaState is a daemon's state for relaying quota credit and calling the quota issuer.
 type quotaState struct {
 	policy quota.Policy
-	// localAcquire and allow are set where this daemon may be the issuer.
+	// localAcquire and localRenew call the issuer in this process. They are set only if
+	// this daemon may be the issuer.
 	localAcquire func(quota.AcquireRequest, clock.Instant) quota.AcquireResponse
 	localRenew   func(quota.AllowanceRequest, clock.Instant) quota.AllowanceResponse
 
-	// unresponsiveRelays are the relays that did not answer this daemon.
+	// unresponsiveRelays records the relays that did not respond to this daemon.
 	unresponsiveRelays quota.UnresponsiveRelays
 
 	mu sync.Mutex
-	// config was parsed from the gossiped item of that version.
+	// config was parsed from the gossip item with version configVersion.
 	config        *config.Config
 	configVersion ids.Version
-	// issuer was decoded from the gossiped item of that version.
+	// issuer was decoded from the gossip item with version issuerVersion.
 	issuer        ids.Address
 	issuerVersion ids.Version
 }
 
-// QuotaPolicy returns the policy that follows from the settings.
+// QuotaPolicy returns the quota policy derived from the settings.
 func (d *Daemon) QuotaPolicy() quota.Policy { return d.quotas.policy }
 
-// addQuotaRelay has this daemon relay credit for quotas to the routers of its zone
-// while they ask it. A nil inForce stands for the configuration in the gossip store.
+// addQuotaRelay makes this daemon a relay from which the routers of its zone can acquire
+// quota credit. If currentConfig is nil, the configuration in the gossip store is used.
 func (d *Daemon) addQuotaRelay(currentConfig func() *config.Config) {
 	if currentConfig == nil {
 		currentConfig = d.Config
@@ -49,7 +50,7 @@
 	d.AddService("quota relay", func(ctx context.Context) error { d.quotaRelay.Run(ctx); return nil })
 }
 
-// ServeQuotaIssuer has this daemon answer relays by an issuer.
+// ServeQuotaIssuer registers the handlers that answer quota relays by calling issuer.
 func (d *Daemon) ServeQuotaIssuer(issuer *quota.Issuer) {
 	d.quotas.localAcquire, d.quotas.localRenew = issuer.Acquire, issuer.RenewAllowances
 	transport.Handle(d.Calls, quota.IssueMessage, func(_ context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
@@ -60,8 +61,8 @@
 	})
 }
 
-// AcquireQuota asks the relays of the zone for credit, as quota.AskRelays does. Those that did
-// not answer of late come last.
+// AcquireQuota acquires credit from the relays of the zone by quota.AskRelays. Relays
+// that recently did not respond are asked last.
 func (d *Daemon) AcquireQuota(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error) {
 	req.From = d.Address
 	var relays []ids.Address
@@ -80,29 +81,31 @@
 	startedAt := d.clock.Now()
 	resp, err := transport.Send[quota.AcquireResponse](limited, d.Transport, relay, quota.RelayMessage, req)
 	if err == nil || ctx.Err() == nil {
-		// That the caller waited no longer says nothing of the relay.
+		// If the caller canceled the request, the failure says nothing about the relay and
+		// isn't recorded.
 		d.quotas.unresponsiveRelays.Record(relay, startedAt, err == nil)
 	}
 	return resp, err
 }
 
-// acquireFromIssuer asks the issuer for credit.
+// acquireFromIssuer acquires credit from the issuer.
 func (d *Daemon) acquireFromIssuer(ctx context.Context, req quota.AcquireRequest) (quota.AcquireResponse, error) {
 	return callQuotaIssuer(ctx, d, d.quotas.localAcquire, quota.IssueMessage, req)
 }
 
-// renewFromIssuer asks the issuer for allowances.
+// renewFromIssuer renews allowances at the issuer.
 func (d *Daemon) renewFromIssuer(ctx context.Context, req quota.AllowanceRequest) (quota.AllowanceResponse, error) {
 	return callQuotaIssuer(ctx, d, d.quotas.localRenew, quota.AllowanceMessage, req)
 }
 
-// callQuotaIssuer sends a request to the issuer, or has the local one answer it.
+// callQuotaIssuer sends a request to the issuer, or calls local if this daemon is the
+// issuer.
 func callQuotaIssuer[Request, Response any](ctx context.Context, d *Daemon, local func(Request, clock.Instant) Response, message string, req Request) (Response, error) {
 	issuer := d.quotaIssuer()
 	switch {
 	case issuer == "":
 		var none Response
-		return none, errkind.Errorf(errkind.NotReady, "no issuer is known")
+		return none, errkind.Errorf(errkind.NotReady, "no quota issuer is known")
 	case issuer == d.Address && local != nil:
 		return local(req, d.clock.Now()), nil
 	}
@@ -111,8 +114,8 @@
 	return transport.Send[Response](limited, d.Transport, issuer, message, req)
 }
 
-// quotaIssuer returns the address of the issuer that was announced last, empty if
-// none was.
+// quotaIssuer returns the address of the issuer that was announced last, or "" if none
+// was announced.
 func (d *Daemon) quotaIssuer() ids.Address {
 	item, ok := d.Updates.Get(quota.IssuerKey)
 	if !ok {
@@ -128,8 +131,8 @@
 	return d.quotas.issuer
 }
 
-// Config returns the configuration in the gossip store, nil for none. It is parsed
-// once a version.
+// Config returns the configuration in the gossip store, or nil if there is none. Each
+// version that is valid is parsed only once.
 func (d *Daemon) Config() *config.Config {
 	item, ok := d.Updates.Get(config.Key)
 	if !ok {
--- a/control/daemon/readindex.go
+++ b/control/daemon/readindex.go
@@ -9,14 +9,14 @@
 	"onyxwell/control/transport"
 )
 
-// readIndexWaitFactor is how many forward time-outs a starting daemon waits
-// for a read index before it goes on without.
+// readIndexWaitFactor is the maximum time that a starting daemon waits for a read
+// index before it continues without one, as a multiple of the forward timeout.
 const readIndexWaitFactor = 2
 
-// NewReadIndexGate makes a gate that holds a starting daemon back until the
-// configuration version it applied is no older than one that a majority of the
-// voters confirmed after the start. applied is closed once there is a version,
-// and serial gives it.
+// NewReadIndexGate returns a gate that delays a starting daemon until the
+// configuration version that it has applied is at least as new as one that a majority
+// of the voters confirmed after the start. applied must be closed once a version is
+// applied; appliedVersion returns that version.
 func (d *Daemon) NewReadIndexGate(applied <-chan struct{}, appliedVersion func() ids.Version) *readindex.Gate {
 	return readindex.NewGate(readindex.Options{
 		Clock: d.clock, Log: d.log,
@@ -28,8 +28,8 @@
 	})
 }
 
-// controllersOrSeeds gives the controllersOrSeeds that are alive, or the seeds where none is
-// known.
+// controllersOrSeeds returns the controllers that are alive, or the seeds if no such
+// controller is known.
 func (d *Daemon) controllersOrSeeds() []ids.Address {
 	var addresses []ids.Address
 	for _, member := range d.Membership.Members() {
--- a/control/daemon/reports.go
+++ b/control/daemon/reports.go
@@ -12,23 +12,26 @@
 )
 
 const (
-	// detectionInterval is the time between two evaluations of the zone's runners.
+	// detectionInterval is the interval between evaluations of the zone's runners.
 	detectionInterval = time.Second / 2
-	// detectionsPerReport is how many evaluations pass between two reports to the
-	// planner.
+	// detectionsPerReport is the number of evaluations per report to the planner.
 	detectionsPerReport = 2
 )
 
-// Names of the messages that carry a report. They are sent; they never change.
+// Names of the messages that carry a report. They are part of the wire protocol and
+// must not change.
 const (
-	// relayReportMessage goes from a router to its zone's relay, which aggregates it.
+	// relayReportMessage is sent by a router to a relay of its zone, which aggregates the
+	// reports.
 	relayReportMessage = "sum"
-	// plannerReportMessage goes to the planner.
+	// plannerReportMessage is sent to the planner, with an aggregate from a relay or, if no
+	// relay responds, with the report of a router.
 	plannerReportMessage = "report"
 )
 
-// addReports takes the reports of the zone's routers, ejects outliers from the
-// zone by them, and forwards their aggregate to the planner.
+// addReports adds the handler for the reports of the zone's routers, and the service
+// that detects the zone's outliers from them and forwards their aggregate to the
+// planner.
 func (d *Daemon) addReports() {
 	transport.Handle(d.Calls, relayReportMessage, func(_ context.Context, message autoscaler.ReportMessage) (autoscaler.ReportResponse, error) {
 		report, err := message.Decode()
@@ -53,7 +56,8 @@
 	d.outliers.Add(report, now)
 }
 
-// detectOutliers gossips the zone's ejections where they changed.
+// detectOutliers evaluates the zone's outliers and gossips the ejections if they have
+// changed.
 func (d *Daemon) detectOutliers(now clock.Instant) {
 	ejections, changed := d.outliers.Evaluate(now)
 	if !changed {
@@ -64,9 +68,9 @@
 	}
 }
 
-// forwardReports sends the aggregate to the planner without waiting for it: a
-// planner that does not answer must not hold up the detection. The send ends with
-// ctx or the gossiper's time-out.
+// forwardReports sends the aggregated reports to the planner. It doesn't wait for the
+// response, because an unresponsive planner must not delay outlier detection. Sending
+// ends when ctx is done or after the gossiper's timeout.
 func (d *Daemon) forwardReports(ctx context.Context) {
 	report, ok := d.reports.Flush()
 	if planner := d.plannerAddress(); ok && planner != "" {
@@ -75,8 +79,8 @@
 	}
 }
 
-// Report sends a router's report to the first of its zone's relays that answers,
-// or to the planner where none does. A report that nobody takes is lost.
+// Report sends a router's report to the first relay of its zone that responds, or to
+// the planner if none does. A report that neither accepts is lost.
 func (d *Daemon) Report(ctx context.Context, report autoscaler.ReportRequest) {
 	for _, relay := range d.Membership.Relays(d.Membership.Self().Zone, d.timing.RelaysPerZone) {
 		if relay.Address == d.Address {
@@ -103,8 +107,8 @@
 	return err
 }
 
-// plannerAddress gives the owner of the current routing plan, or "" while there is
-// none. A plan is decoded once a version.
+// plannerAddress returns the owner of the current routing plan, or "" if there is no
+// plan. Each version that is valid is decoded only once.
 func (d *Daemon) plannerAddress() ids.Address {
 	item, ok := d.Updates.Get(autoscaler.RoutingKey)
 	if !ok {
--- a/control/daemon/rollout.go
+++ b/control/daemon/rollout.go
@@ -10,16 +10,18 @@
 	"onyxwell/control/transport"
 )
 
-// rolloutState is what a daemon knows of rollouts; it is nil where none are ordered.
+// rolloutState is a daemon's state for relaying rollouts. It is nil if the settings don't
+// have the rollout rule.
 type rolloutState struct {
 	policy rollout.Policy
 	relay  *rollout.Relay
-	// localDirector is set where this daemon may be the director.
+	// localDirector calls the director in this process. It is set only if this daemon may
+	// be the director.
 	localDirector func(rollout.ExchangeRequest) rollout.ExchangeResponse
 }
 
-// addRollouts has this daemon relay reports and permits of rollouts for the routers of its
-// zone, where the settings have rollouts.
+// addRollouts makes this daemon a relay for the rollout reports and permits of the routers
+// of its zone, if the settings have the rollout rule.
 func (d *Daemon) addRollouts() {
 	if !d.settings.HasRule(settings.RolloutRule) {
 		return
@@ -33,7 +35,8 @@
 	d.AddService("rollout relay", func(ctx context.Context) error { d.rollouts.relay.Run(ctx); return nil })
 }
 
-// ServeRolloutDirector has this daemon answer relays by direct.
+// ServeRolloutDirector registers the handler that answers rollout relays by calling direct.
+// It must be called only if the settings have the rollout rule.
 func (d *Daemon) ServeRolloutDirector(direct func(rollout.ExchangeRequest) rollout.ExchangeResponse) {
 	d.rollouts.localDirector = direct
 	transport.Handle(d.Calls, rollout.DirectMessage, func(_ context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
@@ -41,18 +44,20 @@
 	})
 }
 
-// ExchangeRollouts reports to the first of the zone's relays that answers in contact with
-// the director, and returns the permits that it grants.
+// ExchangeRollouts sends a router's report to the relays of the zone, one after the other,
+// until one responds that is in contact with the director, and returns that response with
+// its permits. If there is none, the response is empty, and the error is that of the last
+// relay, which is nil if it responded without such contact.
 func (d *Daemon) ExchangeRollouts(ctx context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 	req.From, req.Zone = d.Address, d.settings.Zone
-	err := errkind.Errorf(errkind.NotReady, "no relay is known")
+	err := errkind.Errorf(errkind.NotReady, "no rollout relay is known")
 	for _, relay := range d.Membership.Relays(d.settings.Zone, d.timing.RelaysPerZone) {
 		var resp rollout.ExchangeResponse
 		if resp, err = d.exchangeWithRelay(ctx, relay.Address, req); err == nil && resp.Directing {
 			return resp, nil
 		}
 		if err == nil {
-			// The report was taken; another relay is asked for permits alone.
+			// The relay has accepted the counts, so the next one is asked only for permits.
 			req = req.WithoutCounts()
 		}
 	}
@@ -68,12 +73,13 @@
 	return transport.Send[rollout.ExchangeResponse](limited, d.Transport, relay, rollout.RelayMessage, req)
 }
 
-// sendToDirector sends a relay's message to the director that was announced last.
+// sendToDirector sends a relay's request to the director that was announced last, or
+// calls the director in this process if this daemon is the director.
 func (d *Daemon) sendToDirector(ctx context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 	director := d.rolloutDirector()
 	switch {
 	case director == "":
-		return rollout.ExchangeResponse{}, errkind.Errorf(errkind.NotReady, "no director is known")
+		return rollout.ExchangeResponse{}, errkind.Errorf(errkind.NotReady, "no rollout director is known")
 	case director == d.Address && d.rollouts.localDirector != nil:
 		return d.rollouts.localDirector(req), nil
 	}
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -7,44 +7,46 @@
 	"onyxwell/control/membership"
 )
 
-// Timing holds a daemon's intervals and time-outs. All follow from the bounds in
-// the settings, so that every daemon of a fleet agrees on them.
+// Timing holds a daemon's intervals and timeouts. All are fixed or derived from the
+// bounds in the settings, so that every daemon of a fleet uses the same ones.
 type Timing struct {
-	// ConnectTimeout bounds connecting to another daemon.
+	// ConnectTimeout is the timeout for connecting to another daemon.
 	ConnectTimeout time.Duration
-	// PeerTimeout is how long a peer may leave data unacknowledged before its
-	// connections are closed, and the time-out of a message.
+	// PeerTimeout is how long a peer may leave data unacknowledged before the connection
+	// is closed. It is also the timeout of a message.
 	PeerTimeout time.Duration
-	// GossipInterval is the time between two anti-entropy exchanges.
+	// GossipInterval is the interval between anti-entropy exchanges.
 	GossipInterval time.Duration
-	// DiscoveryInterval is the time between two polls of the platform.
+	// DiscoveryInterval is the interval between polls of the platform.
 	DiscoveryInterval time.Duration
 	// LeaseDuration is the time to live of a lease.
 	LeaseDuration time.Duration
-	// SweepInterval is the time between two sweeps for committed values that were
-	// never gossiped.
+	// SweepInterval is the interval between sweeps for committed values that were never
+	// gossiped.
 	SweepInterval time.Duration
-	// ForwardTimeout bounds the answer of a key's owner to a forwarded command.
+	// ForwardTimeout is how long to wait for the response of a key's owner to a forwarded
+	// command.
 	ForwardTimeout time.Duration
-	// CommandTimeout bounds an operator's command in all.
+	// CommandTimeout is the overall timeout of an operator's command.
 	CommandTimeout time.Duration
-	// Probe configures the membership's probes.
+	// Probe configures the probes of the membership.
 	Probe membership.ProbeConfig
-	// ZoneSummaryInterval is the time between two relay elections and zone summaries.
+	// ZoneSummaryInterval is the interval at which a daemon updates its own relay role and
+	// the zone summaries.
 	ZoneSummaryInterval time.Duration
-	// ZoneSettleTime is for how long no further router of a zone must be heard of before
-	// its size is published for the first time.
+	// ZoneSettleTime is how long no further router of a zone must have been discovered
+	// before the size of the zone is published for the first time.
 	ZoneSettleTime time.Duration
-	// RelaysPerZone is how many daemons of a zone relay gossip.
+	// RelaysPerZone is the number of daemons in a zone that act as relays.
 	RelaysPerZone int
-	// Fanout is how many others a relay pushes to at most.
+	// Fanout is the maximum number of other daemons to which a relay pushes.
 	Fanout int
 }
 
-// TimingOf derives the timing from the settings' bounds: gossip must reach every
-// daemon well within apply_within_ms, and commands be answered well within the
-// time for acknowledging them. A missing drain_ms or in_touch_ms counts as
-// apply_within_ms.
+// TimingOf derives the timing from the bounds in the settings. Gossip must reach every
+// daemon well within apply_within_ms, and commands must be answered well within the time
+// for acknowledging them. If drain_ms or in_touch_ms is missing, apply_within_ms is used
+// instead.
 func TimingOf(node *settings.Settings) Timing {
 	apply := settings.Milliseconds(node.Bounds.ApplyWithinMS)
 	inTouch := settings.Milliseconds(node.Bounds.InTouchMS)
--- a/control/daemon/usage.go
+++ b/control/daemon/usage.go
@@ -18,19 +18,20 @@
 	"onyxwell/control/usage"
 )
 
-// usageForwardInterval is the time between two messages of a zone's relay to the holder
-// of the part of usage, and between two copies. What a lost region had counted in it is
-// lost with it.
+// usageForwardInterval is the interval at which a zone's relay sends counts to the holder
+// of the usage duty, and also the interval between copies. If a region is lost, the counts
+// that it made within this interval are lost, too.
 const usageForwardInterval = time.Second / 4
 
-// usageState is what a daemon knows of usage; it is nil where nobody asks for it.
+// usageState is a daemon's state for usage reports. It is nil if the settings don't ask for
+// them.
 type usageState struct {
 	relay       *usage.Relay
 	syncedClock *timesync.Clock
 }
 
-// addUsage has this daemon keep the agreed time and relay the counts of the zone's
-// routers, where the settings ask for usage reports.
+// addUsage creates the clock for the agreed time (package timesync) and makes this daemon a
+// relay for the counts of the zone's routers, if the settings ask for usage reports.
 func (d *Daemon) addUsage() {
 	if !d.settings.HasDuty(settings.UsageDuty) {
 		return
@@ -55,8 +56,9 @@
 	})
 }
 
-// ServeTime has this daemon agree on the time with other controllers, and tell them its
-// own. It returns nil where nobody asks for usage reports.
+// ServeTime adds the service that synchronizes the clock with other controllers and the
+// handler that answers their time samples, and returns the clock. It returns nil if the
+// settings don't ask for usage reports.
 func (d *Daemon) ServeTime() *timesync.Clock {
 	if d.usage == nil {
 		return nil
@@ -66,7 +68,8 @@
 	return d.usage.syncedClock
 }
 
-// SyncedClock returns the agreed time, nil where nobody asks for usage reports.
+// SyncedClock returns the clock for the agreed time (package timesync), or nil if the
+// settings don't ask for usage reports.
 func (d *Daemon) SyncedClock() *timesync.Clock {
 	if d.usage == nil {
 		return nil
@@ -74,8 +77,8 @@
 	return d.usage.syncedClock
 }
 
-// syncedUnixNanos returns the agreed time for the routers of the zone, 0 where it is this
-// machine's own alone.
+// syncedUnixNanos returns the agreed time, which the relay passes on to the routers of
+// the zone, or 0 if the clock is not synchronized.
 func (d *Daemon) syncedUnixNanos() int64 {
 	if !d.usage.syncedClock.Synced() {
 		return 0
@@ -83,11 +86,12 @@
 	return int64(d.usage.syncedClock.Now())
 }
 
-// ReportUsage sends a router's counts to the first of its zone's relays that answers, and
-// takes the agreed time over from it. It returns the last window that needs no counts.
+// ReportUsage sends a router's counts to the first relay of its zone that accepts them, and
+// adopts the agreed time from its response. It returns the last window for which no
+// more counts are needed.
 func (d *Daemon) ReportUsage(ctx context.Context, report usage.RouterReport) (decided int64, err error) {
 	report.Router = d.Address
-	err = errkind.Errorf(errkind.NotReady, "no relay is known")
+	err = errkind.Errorf(errkind.NotReady, "no usage relay is known")
 	for _, relay := range d.Membership.Relays(d.settings.Zone, d.timing.RelaysPerZone) {
 		started := d.clock.Now()
 		var resp usage.ReportResponse
@@ -109,44 +113,47 @@
 	return sendWithConnectTimeout[usage.ReportResponse](ctx, d, relay, usage.ReportMessage, report)
 }
 
-// sendWithConnectTimeout is transport.Send, for no longer than connecting may take: a machine without
-// power must not hold up those that are asked after it.
+// sendWithConnectTimeout calls transport.Send with the connect timeout as the timeout of the
+// whole call, so that a host without power doesn't delay the calls to the ones after it.
 func sendWithConnectTimeout[Response, Request any](ctx context.Context, d *Daemon, to ids.Address, message string, req Request) (Response, error) {
 	limited, cancel := d.clock.WithTimeout(ctx, d.timing.ConnectTimeout)
 	defer cancel()
 	return transport.Send[Response](limited, d.Transport, to, message, req)
 }
 
-// usageTerm returns who holds the part of usage, as was gossiped last.
+// usageTerm returns the holder of the usage duty and its fence, as gossiped last.
 func (d *Daemon) usageTerm() usage.Term {
 	holder, fence := d.DutyOverview().Holder(duty.UsagePart)
 	return usage.Term{Holder: holder, Fence: fence}
 }
 
-// sendUsageSums sends the sums of the zone to the holder of the part of usage.
+// sendUsageSums sends the sums of the zone to the holder of the usage duty.
 func (d *Daemon) sendUsageSums(ctx context.Context, holder ids.Address, req usage.SumsRequest) (usage.CollectResponse, error) {
 	return sendWithConnectTimeout[usage.CollectResponse](ctx, d, holder, usage.SumsMessage, req)
 }
 
-// sendUsageReports sends the reports of the zone's routers to a holder of an older build.
+// sendUsageReports sends the reports of the zone's routers to a holder with an older build,
+// which doesn't know usage.SumsMessage.
 func (d *Daemon) sendUsageReports(ctx context.Context, holder ids.Address, req usage.CollectRequest) (usage.CollectResponse, error) {
 	return sendWithConnectTimeout[usage.CollectResponse](ctx, d, holder, usage.CollectMessage, req)
 }
 
-// copyUsage sends the counts of the zone to a controller that is not lost together with
-// this zone and the holder of the part of usage, where both are in one region.
+// copyUsage sends a copy of the zone's counts to the controller chosen by copyRecipient, so
+// that the counts survive if the zone and the holder of the usage duty are lost together.
 func (d *Daemon) copyUsage(ctx context.Context, counts usage.ZoneCounts) {
 	recipient := copyRecipient(d.Membership.Members(), d.Membership.Self(), d.usageTerm().Holder)
 	if recipient == "" {
 		return
 	}
-	// One that does not know the message, of an older build, keeps nothing.
+	// The error is ignored: a controller with an older build doesn't know the message and
+	// keeps no copy.
 	_, _ = sendWithConnectTimeout[usage.CopyResponse](ctx, d, recipient, usage.CopyMessage, counts)
 }
 
-// copyRecipient returns the controller that keeps a copy of a zone's counts: the first of
-// another region, or, where there is none, of another zone. It is "" where the holder is
-// itself in another region, or there is nobody.
+// copyRecipient returns the controller that keeps a copy of a zone's counts: the one with
+// the lowest address in another region or, if there is none, in another zone. It returns ""
+// if the holder is itself in another region, which makes a copy unnecessary, or if there is
+// no such controller.
 func copyRecipient(members []membership.Member, self membership.Member, holder ids.Address) ids.Address {
 	var otherRegion, otherZone []ids.Address
 	for _, member := range members {
@@ -170,8 +177,8 @@
 	return slices.Min(otherRegion)
 }
 
-// UsageCopies asks all other controllers for the copies of zones' counts that they keep,
-// and returns those of who answers.
+// UsageCopies asks all other controllers for their copies of the zones' counts and returns
+// the copies from those that respond.
 func (d *Daemon) UsageCopies(ctx context.Context) []usage.ZoneCounts {
 	var mu sync.Mutex
 	var copies []usage.ZoneCounts
@@ -191,7 +198,8 @@
 	return copies
 }
 
-// DutyOverview returns who holds the parts of duties, as was gossiped last.
+// DutyOverview returns the overview of the duty holders, as gossiped last. It is empty if
+// there is none or it can't be decoded.
 func (d *Daemon) DutyOverview() duty.Overview {
 	item, ok := d.Updates.Get(duty.OverviewKey)
 	if !ok {
@@ -204,7 +212,7 @@
 	return overview
 }
 
-// zoneRouters returns the routers of this zone that are up.
+// zoneRouters returns the routers of this zone that are alive.
 func (d *Daemon) zoneRouters() []ids.Address {
 	var routers []ids.Address
 	for _, member := range d.Membership.Members() {
@@ -215,8 +223,7 @@
 	return routers
 }
 
-// otherControllers returns the other controllers that are up, in an order of their own
-// each time.
+// otherControllers returns the other controllers that are alive, in random order.
 func (d *Daemon) otherControllers() []ids.Address {
 	var controllers []ids.Address
 	for _, member := range d.Membership.Members() {
@@ -228,7 +235,8 @@
 	return controllers
 }
 
-// Controllers returns the controllers that are up, the one that assigns duties first.
+// Controllers returns the other controllers that are alive and this daemon's own address.
+// The controller that assigns duties comes first, if it is among them.
 func (d *Daemon) Controllers() []ids.Address {
 	assigner := d.DutyOverview().Assigner
 	controllers := append(d.otherControllers(), d.Address)
--- a/control/daemon/usage_test.go
+++ b/control/daemon/usage_test.go
@@ -7,8 +7,8 @@
 	"onyxwell/control/membership"
 )
 
-// TestCopyRecipient_survivesRegionLoss chooses the controller that keeps a copy of a zone's counts:
-// one that is not lost together with the zone and the holder, where there is one.
+// TestCopyRecipient_survivesRegionLoss checks that the copy of a zone's counts goes to a
+// controller that isn't lost together with the zone and the holder, if there is one.
 func TestCopyRecipient_survivesRegionLoss(t *testing.T) {
 	controller := func(address ids.Address, zone ids.Zone, region ids.Region, state membership.State) membership.Member {
 		return membership.Member{Address: address, Zone: zone, Region: region, ServesControl: true, State: state}
