--- a/control/controller/rollouts.go
+++ b/control/controller/rollouts.go
@@ -95,7 +95,7 @@
 // agreedUnixMS returns the agreed time as a Unix time in milliseconds, or 0 if it is not
 // known.
 func (c *Controller) agreedUnixMS() int64 {
-	agreed := c.daemon.AgreedTime()
+	agreed := c.daemon.SyncedClock()
 	if agreed == nil || !agreed.Synced() {
 		return 0
 	}
--- a/control/daemon/usage.go
+++ b/control/daemon/usage.go
@@ -18,27 +18,28 @@
 	"onyxwell/control/usage"
 )
 
-// usageForwardInterval is the time between two messages of a zone's relay to the holder
-// of the part of usage, and between two copies. What a lost region had counted in it is
-// lost with it.
+// usageForwardInterval is the interval at which a zone's relay sends counts to the holder
+// of the usage duty, and also the interval between copies. If a region is lost, the counts
+// that it made within this interval are lost, too.
 const usageForwardInterval = time.Second / 4
 
-// usageContext is what a daemon knows of usage; it is nil where nobody asks for it.
-type usageContext struct {
-	relay *usage.Relay
-	time  *timesync.Clock
+// usageState is a daemon's state for usage reports. It is nil if the settings don't ask for
+// them.
+type usageState struct {
+	relay       *usage.Relay
+	syncedClock *timesync.Clock
 }
 
-// addUsage has this daemon keep the agreed time and relay the counts of the zone's
-// routers, where the settings ask for usage reports.
+// addUsage creates the clock for the agreed time (package timesync) and makes this daemon a
+// relay for the counts of the zone's routers, if the settings ask for usage reports.
 func (d *Daemon) addUsage() {
 	if !d.settings.HasDuty(settings.UsageDuty) {
 		return
 	}
-	d.usage = &usageContext{time: timesync.New(timesync.Options{Clock: d.clock, Wall: time.Now, Peers: d.otherControllers, Ask: d.askTime})}
+	d.usage = &usageState{syncedClock: timesync.New(timesync.Options{Clock: d.clock, Wall: time.Now, Peers: d.otherControllers, Ask: d.requestTimeSample})}
 	d.usage.relay = usage.NewRelay(usage.RelayOptions{
 		Zone: d.settings.Zone, Routers: d.zoneRouters, Now: d.syncedUnixNanos,
-		Term: d.usageTerm, SendSums: d.sendUsageSums, SendReports: d.collectUsage, SendCopy: d.copyUsage, Log: d.log,
+		Term: d.usageTerm, SendSums: d.sendUsageSums, SendReports: d.sendUsageReports, SendCopy: d.copyUsage, Log: d.log,
 	})
 	transport.Handle(d.Calls, usage.ReportMessage, d.usage.relay.ReceiveReport)
 	d.AddService("usage relay", func(ctx context.Context) error {
@@ -55,39 +56,42 @@
 	})
 }
 
-// ServeTime has this daemon agree on the time with other controllers, and tell them its
-// own. It returns nil where nobody asks for usage reports.
+// ServeTime adds the service that synchronizes the clock with other controllers and the
+// handler that answers their time samples, and returns the clock. It returns nil if the
+// settings don't ask for usage reports.
 func (d *Daemon) ServeTime() *timesync.Clock {
 	if d.usage == nil {
 		return nil
 	}
-	transport.Handle(d.Calls, timesync.SampleMessage, d.usage.time.ServeSample)
-	d.AddService("time", func(ctx context.Context) error { d.usage.time.Run(ctx); return nil })
-	return d.usage.time
+	transport.Handle(d.Calls, timesync.SampleMessage, d.usage.syncedClock.ServeSample)
+	d.AddService("time", func(ctx context.Context) error { d.usage.syncedClock.Run(ctx); return nil })
+	return d.usage.syncedClock
 }
 
-// AgreedTime returns the agreed time, nil where nobody asks for usage reports.
-func (d *Daemon) AgreedTime() *timesync.Clock {
+// SyncedClock returns the clock for the agreed time (package timesync), or nil if the
+// settings don't ask for usage reports.
+func (d *Daemon) SyncedClock() *timesync.Clock {
 	if d.usage == nil {
 		return nil
 	}
-	return d.usage.time
+	return d.usage.syncedClock
 }
 
-// syncedUnixNanos returns the agreed time for the routers of the zone, 0 where it is this
-// machine's own alone.
+// syncedUnixNanos returns the agreed time, which the relay passes on to the routers of
+// the zone, or 0 if the clock is not synchronized.
 func (d *Daemon) syncedUnixNanos() int64 {
-	if !d.usage.time.Synced() {
+	if !d.usage.syncedClock.Synced() {
 		return 0
 	}
-	return int64(d.usage.time.Now())
+	return int64(d.usage.syncedClock.Now())
 }
 
-// ReportUsage sends a router's counts to the first of its zone's relays that answers, and
-// takes the agreed time over from it. It returns the last window that needs no counts.
+// ReportUsage sends a router's counts to the first relay of its zone that accepts them, and
+// adopts the agreed time from its response. It returns the last window for which no
+// more counts are needed.
 func (d *Daemon) ReportUsage(ctx context.Context, report usage.RouterReport) (decided int64, err error) {
 	report.Router = d.Address
-	err = errkind.Errorf(errkind.NotReady, "no relay is known")
+	err = errkind.Errorf(errkind.NotReady, "no usage relay is known")
 	for _, relay := range d.Membership.Relays(d.settings.Zone, d.timing.RelaysPerZone) {
 		started := d.clock.Now()
 		var resp usage.ReportResponse
@@ -95,7 +99,7 @@
 			continue
 		}
 		if resp.UnixNanos > 0 && relay.Address != d.Address {
-			d.usage.time.Adopt(resp.UnixNanos, started)
+			d.usage.syncedClock.Adopt(resp.UnixNanos, started)
 		}
 		return resp.Decided, nil
 	}
@@ -106,48 +110,51 @@
 	if relay == d.Address {
 		return d.usage.relay.ReceiveReport(ctx, report)
 	}
-	return sendBounded[usage.ReportResponse](ctx, d, relay, usage.ReportMessage, report)
+	return sendWithConnectTimeout[usage.ReportResponse](ctx, d, relay, usage.ReportMessage, report)
 }
 
-// sendBounded is transport.Send, for no longer than connecting may take: a machine without
-// power must not hold up those that are asked after it.
-func sendBounded[Response, Request any](ctx context.Context, d *Daemon, to ids.Address, message string, req Request) (Response, error) {
+// sendWithConnectTimeout calls transport.Send with the connect timeout as the timeout of the
+// whole call, so that a host without power doesn't delay the calls to the ones after it.
+func sendWithConnectTimeout[Response, Request any](ctx context.Context, d *Daemon, to ids.Address, message string, req Request) (Response, error) {
 	limited, cancel := d.clock.WithTimeout(ctx, d.timing.ConnectTimeout)
 	defer cancel()
 	return transport.Send[Response](limited, d.Transport, to, message, req)
 }
 
-// usageTerm returns who holds the part of usage, as was gossiped last.
+// usageTerm returns the holder of the usage duty and its fence, as gossiped last.
 func (d *Daemon) usageTerm() usage.Term {
 	holder, fence := d.DutyOverview().Holder(duty.UsagePart)
 	return usage.Term{Holder: holder, Fence: fence}
 }
 
-// sendUsageSums sends the sums of the zone to the holder of the part of usage.
+// sendUsageSums sends the sums of the zone to the holder of the usage duty.
 func (d *Daemon) sendUsageSums(ctx context.Context, holder ids.Address, req usage.SumsRequest) (usage.CollectResponse, error) {
-	return sendBounded[usage.CollectResponse](ctx, d, holder, usage.SumsMessage, req)
+	return sendWithConnectTimeout[usage.CollectResponse](ctx, d, holder, usage.SumsMessage, req)
 }
 
-// collectUsage sends the reports of the zone's routers to a holder of an older build.
-func (d *Daemon) collectUsage(ctx context.Context, holder ids.Address, req usage.CollectRequest) (usage.CollectResponse, error) {
-	return sendBounded[usage.CollectResponse](ctx, d, holder, usage.CollectMessage, req)
+// sendUsageReports sends the reports of the zone's routers to a holder with an older build,
+// which doesn't know usage.SumsMessage.
+func (d *Daemon) sendUsageReports(ctx context.Context, holder ids.Address, req usage.CollectRequest) (usage.CollectResponse, error) {
+	return sendWithConnectTimeout[usage.CollectResponse](ctx, d, holder, usage.CollectMessage, req)
 }
 
-// copyUsage sends the counts of the zone to a controller that is not lost together with
-// this zone and the holder of the part of usage, where both are in one region.
+// copyUsage sends a copy of the zone's counts to the controller chosen by copyRecipient, so
+// that the counts survive if the zone and the holder of the usage duty are lost together.
 func (d *Daemon) copyUsage(ctx context.Context, counts usage.ZoneCounts) {
-	keeper := usageKeeper(d.Membership.Members(), d.Membership.Self(), d.usageTerm().Holder)
-	if keeper == "" {
+	recipient := copyRecipient(d.Membership.Members(), d.Membership.Self(), d.usageTerm().Holder)
+	if recipient == "" {
 		return
 	}
-	// One that does not know the message, of an older build, keeps nothing.
-	_, _ = sendBounded[usage.CopyResponse](ctx, d, keeper, usage.CopyMessage, counts)
+	// The error is ignored: a controller with an older build doesn't know the message and
+	// keeps no copy.
+	_, _ = sendWithConnectTimeout[usage.CopyResponse](ctx, d, recipient, usage.CopyMessage, counts)
 }
 
-// usageKeeper returns the controller that keeps a copy of a zone's counts: the first of
-// another region, or, where there is none, of another zone. It is "" where the holder is
-// itself in another region, or there is nobody.
-func usageKeeper(members []membership.Member, self membership.Member, holder ids.Address) ids.Address {
+// copyRecipient returns the controller that keeps a copy of a zone's counts: the one with
+// the lowest address in another region or, if there is none, in another zone. It returns ""
+// if the holder is itself in another region, which makes a copy unnecessary, or if there is
+// no such controller.
+func copyRecipient(members []membership.Member, self membership.Member, holder ids.Address) ids.Address {
 	var otherRegion, otherZone []ids.Address
 	for _, member := range members {
 		if member.Address == holder && member.Region != self.Region {
@@ -170,15 +177,15 @@
 	return slices.Min(otherRegion)
 }
 
-// UsageCopies asks all other controllers for the copies of zones' counts that they keep,
-// and returns those of who answers.
+// UsageCopies asks all other controllers for their copies of the zones' counts and returns
+// the copies from those that respond.
 func (d *Daemon) UsageCopies(ctx context.Context) []usage.ZoneCounts {
 	var mu sync.Mutex
 	var copies []usage.ZoneCounts
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, controller := range d.otherControllers() {
-		asked.Go(func() {
-			resp, err := sendBounded[usage.CopiesResponse](ctx, d, controller, usage.CopiesMessage, usage.CopiesRequest{From: d.Address})
+		requests.Go(func() {
+			resp, err := sendWithConnectTimeout[usage.CopiesResponse](ctx, d, controller, usage.CopiesMessage, usage.CopiesRequest{From: d.Address})
 			if err != nil {
 				return
 			}
@@ -187,11 +194,12 @@
 			copies = append(copies, resp.Zones...)
 		})
 	}
-	asked.Wait()
+	requests.Wait()
 	return copies
 }
 
-// DutyOverview returns who holds the parts of duties, as was gossiped last.
+// DutyOverview returns the overview of the duty holders, as gossiped last. It is empty if
+// there is none or it can't be decoded.
 func (d *Daemon) DutyOverview() duty.Overview {
 	item, ok := d.Updates.Get(duty.OverviewKey)
 	if !ok {
@@ -204,7 +212,7 @@
 	return overview
 }
 
-// zoneRouters returns the routers of this zone that are up.
+// zoneRouters returns the routers of this zone that are alive.
 func (d *Daemon) zoneRouters() []ids.Address {
 	var routers []ids.Address
 	for _, member := range d.Membership.Members() {
@@ -215,8 +223,7 @@
 	return routers
 }
 
-// otherControllers returns the other controllers that are up, in an order of their own
-// each time.
+// otherControllers returns the other controllers that are alive, in random order.
 func (d *Daemon) otherControllers() []ids.Address {
 	var controllers []ids.Address
 	for _, member := range d.Membership.Members() {
@@ -228,7 +235,8 @@
 	return controllers
 }
 
-// Controllers returns the controllers that are up, the one that assigns duties first.
+// Controllers returns the other controllers that are alive and this daemon's own address.
+// The controller that assigns duties comes first, if it is among them.
 func (d *Daemon) Controllers() []ids.Address {
 	assigner := d.DutyOverview().Assigner
 	controllers := append(d.otherControllers(), d.Address)
@@ -238,6 +246,6 @@
 	return controllers
 }
 
-func (d *Daemon) askTime(ctx context.Context, peer ids.Address) (timesync.SampleResponse, error) {
+func (d *Daemon) requestTimeSample(ctx context.Context, peer ids.Address) (timesync.SampleResponse, error) {
 	return transport.Send[timesync.SampleResponse](ctx, d.Transport, peer, timesync.SampleMessage, timesync.SampleRequest{From: d.Address})
 }
