--- a/control/state/command/owner_health.go
+++ b/control/state/command/owner_health.go
@@ -37,9 +37,9 @@
 }
 
 // recordUnanswered records that an owner left a command unanswered, and reports
-// whether the owner is only busy: it has answered another message since the command
-// was sent, and has left at most maxUnanswered commands in a row unanswered.
-// Otherwise the owner is suspected from now on.
+// whether the owner is only busy: it has answered another message that was sent after
+// the command, as answeredOther reports, and has left at most maxUnanswered commands
+// in a row unanswered. Otherwise the owner is suspected from now on.
 func (o *ownerHealth) recordUnanswered(owner ids.Address, answeredOther bool, now clock.Instant) (busy bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/control/state/command/reconcile.go
+++ b/control/state/command/reconcile.go
@@ -11,8 +11,8 @@
 	"onyxwell/control/state/register"
 )
 
-// LatestVersion returns the version of the newest configuration, as confirmed by a
-// majority after the call, or 0 if there is no configuration yet.
+// LatestVersion returns the version of the newest configuration, or 0 if there is
+// none yet. A majority confirms it during the call.
 func (d *Dispatcher) LatestVersion(ctx context.Context) (ids.Version, error) {
 	value, err := d.Dispatch(ctx, Command{Key: config.Key, Verb: VerbRead})
 	if err != nil {
--- a/control/state/lease/lease_test.go
+++ b/control/state/lease/lease_test.go
@@ -118,9 +118,9 @@
 	})
 }
 
-// TestLease_splitVotesResolve has each voter grant the lease to a different
-// daemon first. Once these grants are no longer in force, one daemon must acquire
-// the lease.
+// TestLease_splitVotesResolve guards against daemons that keep splitting the votes,
+// so that none ever acquires the lease: each voter first grants it to a different
+// daemon. Once these grants are no longer in force, one daemon must acquire it.
 func TestLease_splitVotesResolve(t *testing.T) {
 	c := newCluster()
 	c.clock.Advance(testTTL)
--- a/control/state/lease/lessor.go
+++ b/control/state/lease/lessor.go
@@ -67,7 +67,7 @@
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	if fingerprint != l.votersFingerprint {
-		// Voters of the previous set may have made grants that are unknown here.
+		// Other voters, of either set, may have made grants that are unknown here.
 		l.noGrantsUntil, l.votersFingerprint = now.Add(l.ttl), fingerprint
 	}
 	stale := !l.recordRequest(req)
--- a/control/state/quorum/silence_test.go
+++ b/control/state/quorum/silence_test.go
@@ -70,7 +70,7 @@
 					<-guarded.Done()
 				}
 				if took := ctx.Now().Since(start); took > 250*time.Millisecond {
-					t.Errorf("rtt %v, partitioned %v after the start: canceled after %v, want at most 250ms", rtt, after, took)
+					t.Errorf("rtt %v, partitioned %v after the start: refused or canceled after %v, want at most 250ms", rtt, after, took)
 				}
 				for range 2 {
 					if _, _, err := link.tracker.WithQuorum(ctx); errkind.KindOf(err) != errkind.NoQuorum || link.tracker.Status(ctx.Now()).Majority {
@@ -95,8 +95,8 @@
 		"two of three packets lost": func(number int64) time.Duration {
 			return rtt + 270*time.Millisecond*time.Duration(min(1, number%3))
 		},
-		"latency of 180 ms": constantDelay(180 * time.Millisecond),
-		"latency of 300 ms": constantDelay(300 * time.Millisecond),
+		"round trip of 180 ms": constantDelay(180 * time.Millisecond),
+		"round trip of 300 ms": constantDelay(300 * time.Millisecond),
 		"permanent congestion": func(number int64) time.Duration {
 			return rtt + min(150*time.Millisecond, time.Duration(max(0, number-8))*10*time.Millisecond)
 		},
--- a/control/state/readindex/reader.go
+++ b/control/state/readindex/reader.go
@@ -65,7 +65,8 @@
 	})
 }
 
-// ReadIndex returns the newest version, as confirmed by a majority after the call.
+// ReadIndex returns the newest version. The read in which a majority confirms it
+// begins after the call has.
 func (r *Reader) ReadIndex(ctx context.Context) (ids.Version, error) {
 	read := r.join(ctx)
 	select {
--- a/control/state/register/repair.go
+++ b/control/state/register/repair.go
@@ -27,9 +27,10 @@
 }
 
 // takeoverRounds is the number of successive rounds that a key may lag before a
-// voter other than its owner acquires it. A voter waits two more rounds for each
-// voter that precedes it in the voter set, and doubles its wait after each
-// takeover, up to 1<<maxTakeoverBackoff times the initial one.
+// voter other than its owner acquires it; if the owner does not answer, one round
+// is enough. A voter waits two more rounds for each answering voter that precedes
+// it in the voter set, and doubles its wait after each takeover, up to
+// 1<<maxTakeoverBackoff times the initial one.
 const (
 	takeoverRounds     = 3
 	maxTakeoverBackoff = 6
@@ -103,8 +104,9 @@
 func (r *Repairer) HasLagging() bool { return len(r.laggingRounds) > 0 }
 
 // HandOff reports whether MinCopies other disks, or all if there are fewer, hold
-// each newest proposal that this disk holds. Where they do not, it starts copying.
-// A leaving voter calls it until it returns true.
+// each newest proposal that this disk holds. Where they do not, it has the proposal
+// copied and returns false; the next call checks the result. A leaving voter calls
+// it until it returns true.
 func (r *Repairer) HandOff(ctx context.Context) bool {
 	if !r.Joiner.Acceptor.Voting() {
 		return true
--- a/control/state/register/replacement_test.go
+++ b/control/state/register/replacement_test.go
@@ -11,7 +11,7 @@
 // TestJoin_replacesLostVotersInAnyOrder lets up to the tolerated number of voters be
 // lost for good, lose their disks or be down temporarily, in any order and several
 // times in succession, and loses joining nodes after any of their requests. The
-// remaining voters must serve updates throughout, and a few runs of each joining
+// remaining voters must serve updates throughout, and two more runs of each joining
 // node must complete the voter set.
 func TestJoin_replacesLostVotersInAnyOrder(t *testing.T) {
 	for losses := 1; losses <= 2; losses++ {
--- a/control/state/register/safety_test.go
+++ b/control/state/register/safety_test.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// TestProposer_staleOwnerIsSuperseded has another node take a key over: the former owner
-// must not return a value from before the takeover.
+// TestProposer_staleOwnerIsSuperseded has another node take a key over and update it. The
+// former owner must not return a value that lacks that update, nor get an update
+// acknowledged that is not applied on top of it, but must be able to acquire the key again.
 func TestProposer_staleOwnerIsSuperseded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultFreeCluster(t, 1)
--- a/control/state/register/voterset.go
+++ b/control/state/register/voterset.go
@@ -144,7 +144,9 @@
 }
 
 // distinctMembers returns one member per address: that of the first set which
-// names the address, unless it is a learner there and a voter in a later set.
+// names the address, unless it is a learner there and a voter in a later set. The
+// newer set comes second, so the incarnation that it gives such a voter is the one
+// in force.
 func distinctMembers(sets [][]Member) []Member {
 	var members []Member
 	indexes := map[ids.Address]int{}
--- a/control/state/voter/liveness_test.go
+++ b/control/state/voter/liveness_test.go
@@ -73,7 +73,7 @@
 	silent[otherPeer] = true
 	advance(2 * testTiming.LostAfter)
 	if allLost := v.liveness.lostVoters(v.Acceptor.Voters()); len(allLost) != 0 || v.liveness.suspected(silentPeer) {
-		t.Fatalf("a partitioned voter suspects another or considers lost: %v", allLost)
+		t.Fatalf("a partitioned voter suspects a silent peer, or considers these lost: %v", allLost)
 	}
 	silent[otherPeer] = false
 	round()
--- a/control/state/voter/timing_test.go
+++ b/control/state/voter/timing_test.go
@@ -33,7 +33,7 @@
 		replacement := timing.Tick + 2*timing.RequestTimeout + 6*timing.RequestTimeout/4
 		total := timing.LostAfter + 2*replacement + 3*timing.Tick
 		if total >= catchUp {
-			t.Errorf("two replacements take %v, not less than the %v to catch up: %+v", total, catchUp, timing)
+			t.Errorf("two replacements take %v, want less than the %v to catch up: %+v", total, catchUp, timing)
 		}
 		if timing.SuspectAfter <= forwardTimeout*2/3+time.Duration(timing.RequestTimeout)/4 || timing.LostAfter <= timing.SuspectAfter {
 			t.Errorf("a voter that responds may be suspected between two heartbeats, or lost before it is suspected: %+v, a heartbeat every %v", timing, forwardTimeout*2/3)
