--- a/control/planning/autoscaler/sizing.go
+++ b/control/planning/autoscaler/sizing.go
@@ -155,8 +155,8 @@
 
 // forecast returns the load of a region to provision for: the peak of the history, or
 // the linear extrapolation over one horizon if that is higher, times loadHeadroom. It
-// does not extrapolate while a region is lost, because the rise is then the load that
-// moves from that region to the others.
+// does not extrapolate before the history covers the horizon, nor while a region is lost,
+// because the rise is then the load that moves from that region to the others.
 func (s *sizer) forecast(service ScaledService, region ids.Region, now clock.Instant) float64 {
 	history := s.history[service.Service]
 	if len(history) == 0 {
@@ -346,10 +346,11 @@
 	saturated bool
 }
 
-// replicaLimit returns the estimated rate limit of a runner of the service. If the
-// runners are not saturated, the limit is at least the rate at which
-// unsaturatedUtilization of the slots would be in use, by Little's law with the current
-// execution time. The limit is 0 if there are too few metrics for an estimate.
+// replicaLimit returns the estimated rate limit of a runner of the service: the highest one
+// of its types. If the runners are not saturated, the limit is at least the rate at which
+// unsaturatedUtilization of the slots would be in use, by Little's law with the execution
+// time over the last horizon. The limit is 0 if no request finished in that time, or if the
+// runners are saturated and there are too few metrics for an estimate.
 func (p *Planner) replicaLimit(service ScaledService, runners []Runner) replicaLimit {
 	finished, running, points := 0.0, 0.0, 0.0
 	for _, series := range p.window.runners {
--- a/control/rollout/analysis.go
+++ b/control/rollout/analysis.go
@@ -114,8 +114,8 @@
 	return a.rate
 }
 
-// rateDeviations is how many standard deviations of the count the actual rate is assumed to
-// exceed the counted one by at most.
+// rateDeviations is how many standard deviations maxRequestsPerS adds to the number of counted
+// attempts.
 const rateDeviations = 2
 
 // maxRequestsPerS returns an upper estimate of requestsPerS. allocated is the exposure that
--- a/control/rollout/control.go
+++ b/control/rollout/control.go
@@ -91,7 +91,7 @@
 	ended, failed := int64(0), int64(0)
 	for _, other := range j.routes {
 		routeEnded, routeFailed := other.old.totals()
-		if j.withoutBaseline {
+		if j.oldHasNoTraffic {
 			routeEnded, routeFailed = other.target.totals()
 			if other == evidence {
 				continue
@@ -100,7 +100,7 @@
 		ended, failed = ended+routeEnded, failed+routeFailed
 	}
 	rate = ratio(failed, ended)
-	if j.withoutBaseline {
+	if j.oldHasNoTraffic {
 		return rate, ended >= minBaselineAttempts
 	}
 	if routeEnded, routeFailed := evidence.old.totals(); routeEnded >= minBaselineAttempts {
--- a/control/rollout/decision.go
+++ b/control/rollout/decision.go
@@ -149,8 +149,8 @@
 	return ok && now.Since(since) >= clampedFraction(timedTimeFraction, t.term(), minTimedTime, maxTimedTime)
 }
 
-// targetStarted reports whether enough runners of the target version are listed; late in the
-// term, one is enough.
+// targetStarted reports whether enough runners of the target version are listed. After
+// startTimeFraction of the term, one is enough.
 func (d *Director) targetStarted(t *trackedRollout, now clock.Instant) bool {
 	old, target := 0, 0
 	for _, runner := range d.options.Runners(t.service) {
--- a/control/rollout/director.go
+++ b/control/rollout/director.go
@@ -155,7 +155,8 @@
 	current.record = record
 }
 
-// orderAge returns how long ago an order was given, 0 if the agreed time is unknown.
+// orderAge returns how long ago an order was given, at most its term; 0 if the agreed time now
+// or at the order is unknown.
 func (d *Director) orderAge(record Record) time.Duration {
 	if d.options.UnixMS == nil || record.OrderedUnixMS == 0 {
 		return 0
--- a/control/rollout/evidence.go
+++ b/control/rollout/evidence.go
@@ -108,7 +108,7 @@
 
 // restoreJudge adds stored evidence to a Judge that has none, and returns it.
 func restoreJudge(j *Judge, stored JudgeEvidence, stage Stage, now clock.Instant) *Judge {
-	j.withoutBaseline = stage == Full
+	j.oldHasNoTraffic = stage == Full
 	j.pooled = sequentialTest{sum: stored.PooledSum, cusum: stored.PooledCusum}
 	if stored.TimedMS >= 0 {
 		j.timedSince = now.Add(-time.Duration(stored.TimedMS) * time.Millisecond)
--- a/control/rollout/judge.go
+++ b/control/rollout/judge.go
@@ -67,8 +67,8 @@
 	// timedSince is when the first attempt at a warm runner of the target version was timed,
 	// 0 if none was.
 	timedSince clock.Instant
-	// withoutBaseline is set once the old version gets no traffic.
-	withoutBaseline bool
+	// oldHasNoTraffic is set once the old version gets no traffic.
+	oldHasNoTraffic bool
 	// failuresOnly disables the comparison of durations.
 	failuresOnly bool
 }
@@ -79,7 +79,7 @@
 // BeginStage restarts the evidence in favor of the version: only attempts from now on count
 // for it. Evidence against the version is kept.
 func (j *Judge) BeginStage(stage Stage) {
-	j.withoutBaseline = stage == Full
+	j.oldHasNoTraffic = stage == Full
 	j.pooled.sum = 0
 	for _, evidence := range j.routes {
 		evidence.ended, evidence.failed, evidence.timed = 0, 0, 0
@@ -144,7 +144,7 @@
 		compared = addSlowAttempts(&evidence.slowFirst, &evidence.old.firstByte, &firstByte)
 		addSlowAttempts(&evidence.slowWhole, &evidence.old.whole, &whole)
 	}
-	if total := firstByte.Total(); total > 0 && (compared || j.withoutBaseline) {
+	if total := firstByte.Total(); total > 0 && (compared || j.oldHasNoTraffic) {
 		evidence.timed += total
 		j.timedSince = cmp.Or(j.timedSince, now)
 	}
--- a/control/rollout/judge_test.go
+++ b/control/rollout/judge_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestJudge_withoutBaselineFindsFailingRoute checks that, once the old version gets no traffic,
+// TestJudge_withoutOldTrafficFindsFailingRoute checks that, once the old version gets no traffic,
 // a route that fails is found soon if other routes at the target version don't fail.
-func TestJudge_withoutBaselineFindsFailingRoute(t *testing.T) {
+func TestJudge_withoutOldTrafficFindsFailingRoute(t *testing.T) {
 	judge := NewJudge()
 	judge.BeginStage(Full)
 	now := clock.Instant(time.Hour)
--- a/control/rollout/load.go
+++ b/control/rollout/load.go
@@ -22,7 +22,7 @@
 	// loadTestBudgetFraction is the fraction of the exposure budget that the runner under load
 	// may use.
 	loadTestBudgetFraction = 0.65
-	// resumedBudgetFraction replaces canaryBudgetFraction after a takeover.
+	// resumedBudgetFraction replaces canaryBudgetFraction in loadTestUsageLimit after a takeover.
 	resumedBudgetFraction = 1.1
 	// maxLoadTestLocalShare bounds the share of its region's requests that each runner under
 	// load gets if the other regions send it none; maxLoadTestShare bounds its share of all
--- a/control/rollout/record.go
+++ b/control/rollout/record.go
@@ -55,7 +55,7 @@
 	Waiting Stage = iota
 	// Canary: a few runners of the target version get traffic.
 	Canary
-	// Partial: a larger fraction of them gets traffic.
+	// Partial: a larger fraction of them gets traffic, each as much as an old runner.
 	Partial
 	// Full: the target version gets all new requests; those running at the old one end.
 	Full
@@ -188,8 +188,8 @@
 }
 
 // Apply returns the register update that applies the step. It changes nothing if the step is
-// outdated: the record has another order, is finished or reverted, was written under a later
-// epoch, or is at a later stage.
+// outdated: the record has another order, is finished or reverted, or was written under a later
+// epoch, or the step is to InProgress and the record is at a later stage.
 func (t Transition) Apply() func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		record, err := Decode(t.Service, current)
--- a/control/rollout/record_test.go
+++ b/control/rollout/record_test.go
@@ -111,6 +111,6 @@
 		t.Errorf("%q, %v", service, ok)
 	}
 	if _, ok := ServiceOfKey("spec"); ok {
-		t.Error("the key of no rollout yields a service")
+		t.Error("a key that is not of a rollout yields a service")
 	}
 }
--- a/control/rollout/relay_test.go
+++ b/control/rollout/relay_test.go
@@ -48,7 +48,7 @@
 	f := newRelayFixture()
 	f.answer = ExchangeResponse{Directing: true, Permits: []Permit{{Service: "s", Order: 1, Stage: int64(Canary), TTLMS: 1000}}}
 	if resp := f.ask(t, 1, 1); resp.Directing {
-		t.Fatalf("response before the first exchange with the director: %+v", resp)
+		t.Fatalf("before the first exchange with the director: got %+v, want Directing false", resp)
 	}
 	f.Forward(t.Context())
 	f.clock.Advance(300 * time.Millisecond)
@@ -57,7 +57,7 @@
 	}
 	f.clock.Advance(700 * time.Millisecond)
 	if resp := f.ask(t, 1, 1); resp.Directing {
-		t.Errorf("after the permit expired: got %+v, want no permits", resp)
+		t.Errorf("after the permit expired: got %+v, want Directing false", resp)
 	}
 }
 
--- a/control/rollout/status.go
+++ b/control/rollout/status.go
@@ -48,7 +48,7 @@
 	return NoRollout
 }
 
-// Count returns the number of services whose newest rollout has a condition.
+// Count returns the number of services whose newest rollout has the given condition.
 func (d *Director) Count(condition Condition) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/control/rollout/takeover.go
+++ b/control/rollout/takeover.go
@@ -11,8 +11,8 @@
 
 const (
 	// saveInterval is the time between two writes of the evidence. Each write includes the
-	// exposure that may be used until maxSaveAge after it; no permits are granted after that.
-	// What routers report later goes to the director that takes over.
+	// exposure that may be used until maxSaveAge after it; no permits are granted after that,
+	// except in the stage Full. What routers report later goes to the director that takes over.
 	saveInterval = 500 * time.Millisecond
 	maxSaveAge   = 2 * saveInterval
 )
@@ -45,8 +45,8 @@
 	return due
 }
 
-// save stores evidence. If that fails, it is due again at the next step, and permits stop once
-// the last stored evidence is older than maxSaveAge.
+// save stores evidence. If that fails, it is due again at the next step, and permits, except for
+// the stage Full, stop once the last stored evidence is older than maxSaveAge.
 func (d *Director) save(ctx context.Context, save savedEvidence) {
 	startedAt := d.options.Clock.Now()
 	if _, err := d.options.Update(ctx, evidenceKey(save.service), save.evidence.update()); err != nil {
--- a/control/sizing/sizing_test.go
+++ b/control/sizing/sizing_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	f.Step(context.Background())
 	if !slices.Equal(f.sentBodies, bodies) {
-		t.Errorf("%s: sent unexpected documents %q", moment, f.sentBodies)
+		t.Errorf("%s: sent documents %q, not the expected ones", moment, f.sentBodies)
 	}
 	f.sentBodies = nil
 }
