--- a/control/planning/headroom/headroom_test.go
+++ b/control/planning/headroom/headroom_test.go
@@ -120,7 +120,8 @@
 
 // TestEstimate_countsRunnersByState checks a service with four runners. Its headroom must
 // not depend on how the work is distributed over the regions that a route may use, and
-// must decrease if the runners of a region are not ready.
+// must decrease if the runners of a region are not ready. Runners outside of a route's home
+// regions must not count for that route.
 func TestEstimate_countsRunnersByState(t *testing.T) {
 	full := estimateService(t, newInput(StateReady, StateReady, StateReady, StateReady))
 	idleRegion := newInput(StateReady, StateReady, StateReady, StateReady)
--- a/control/rollout/judge.go
+++ b/control/rollout/judge.go
@@ -67,7 +67,7 @@
 	// timedSince is when the first attempt at a warm runner of the target version was timed,
 	// 0 if none was.
 	timedSince clock.Instant
-	// oldHasNoTraffic is set once the old version gets no traffic.
+	// oldHasNoTraffic is set in the stage Full, when no new requests go to the old version.
 	oldHasNoTraffic bool
 	// failuresOnly disables the comparison of durations.
 	failuresOnly bool
