--- a/data/balancer/affinity_test.go
+++ b/data/balancer/affinity_test.go
@@ -10,8 +10,8 @@
 )
 
 // admitPrompts passes admissions of count prompts to visit. Every sixth prompt is long
-// and begins with one of 3 common prefixes; the others are short and begin with one of
-// 80 rare prefixes.
+// and begins with the same common prefix, common0; the others are short and begin with
+// one of 80 rare prefixes.
 func admitPrompts(b *Balancer, count int, visit func(admission *Admission)) {
 	for number := range count {
 		req := Request{PromptParts: []string{fmt.Sprint("rare", number%80), fmt.Sprint("thing", number%640), "own"}, PartTokens: 2000}
--- a/data/balancer/selection.go
+++ b/data/balancer/selection.go
@@ -18,16 +18,16 @@
 	// recheckDelay is the delay before a runner that is temporarily unable to accept
 	// a request is checked again.
 	recheckDelay = 20 * time.Millisecond
-	// minSilenceLimit and silenceDivisor determine how long a pending request may
-	// wait for a response before its runner is excluded: 1/silenceDivisor of the
+	// minSilenceLimit and silenceDivisor determine how long a runner with a pending
+	// request may give no sign of life before it is excluded: 1/silenceDivisor of the
 	// route's latency target, but at least minSilenceLimit.
 	minSilenceLimit = 50 * time.Millisecond
 	silenceDivisor  = 2
-	// minQueued is the minimum number of pending requests at a runner for their waiting
-	// time to be taken into account.
+	// minQueued is the minimum number of pending requests of the same priority at a
+	// runner for their waiting time to be taken into account.
 	minQueued = 2
-	// maxQueuedShare is the fraction of the latency target that the oldest pending
-	// request may have waited.
+	// maxQueuedShare is the fraction of the latency target that the oldest of these
+	// requests may have waited.
 	maxQueuedShare = 0.6
 )
 
@@ -43,8 +43,10 @@
 
 // selectRunner selects the runner for the next attempt. If there is none now but may
 // be one soon, it returns nil and the delay after which to call it again. It filters
-// by health, queueing delay, region and length class, in this order, and then picks
-// by prefix affinity or, for requests without affinity, by power of two choices.
+// by availability and health, queueing delay, region and length class, in this order,
+// and then picks by prefix affinity or, for requests without affinity, by power of two
+// choices. Requests that are worth sending to another region for their cached prefix
+// skip the region filter.
 func (b *Balancer) selectRunner(admission *Admission, now clock.Instant) (*snapshot.Runner, time.Duration) {
 	snap := b.options.Snapshots.Current()
 	if snap.Config == nil {
--- a/data/proxy/attempt.go
+++ b/data/proxy/attempt.go
@@ -200,13 +200,13 @@
 		monitor.Violated(invariant.AttemptLimit, "attempt %s of route %s is sent to %s after %d attempts of at most %d", id, route.Name, runner.ID, arrivals, route.MaxAttempts)
 	}
 	if !e.hasConsistentTenant() {
-		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s with the client's key, or for tenant %q instead of the key's", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
+		monitor.Violated(invariant.TenantKnown, "attempt %s of route %s is sent to %s with the client's key, or with a wrong or missing tenant: %q", id, route.Name, runner.ID, e.upstreamRequest.Tenant)
 	}
 	if !e.balancerRequest.AllowsRegion(runner.Region) {
 		monitor.Violated(invariant.Home, "attempt %s of route %s is sent to %s in region %s, which is no home region", id, route.Name, runner.ID, runner.Region)
 	}
 	if timeout := e.clientTimeout; timeout > 0 && now.Add(timeLeft).Since(e.arrivedAt) > timeout {
-		monitor.Violated(invariant.DeadlineNotExtended, "attempt %s is sent with %v left, past the client's timeout of %v", id, timeLeft, timeout)
+		monitor.Violated(invariant.DeadlineNotExtended, "attempt %s is sent with %v left, which ends after the client's timeout of %v", id, timeLeft, timeout)
 	}
 }
 
--- a/data/proxy/framing_test.go
+++ b/data/proxy/framing_test.go
@@ -167,9 +167,9 @@
 func (endlessBody) Read(buffer []byte) (int, error) { return len(buffer), nil }
 func (endlessBody) Close() error                    { return nil }
 
-// TestRelay_endlessResponseIsGarbled relays a response that exceeds the size limit,
+// TestRelay_endlessResponseIsInvalid relays a response that exceeds the size limit,
 // with and without a Content-Length.
-func TestRelay_endlessResponseIsGarbled(t *testing.T) {
+func TestRelay_endlessResponseIsInvalid(t *testing.T) {
 	e := &exchange{proxy: New(Options{Clock: clock.NewMonotonic(), Log: scope.NewLogger("error", io.Discard), Limits: settings.Limits{MemoryMB: 8}}), route: &config.Route{}}
 	for _, length := range []int64{-1, 1 << 40} {
 		if outcome, done := e.relay(&http.Response{StatusCode: 200, Body: endlessBody{}, ContentLength: length}); outcome != upstream.InvalidResponse || done {
--- a/data/proxy/proxy.go
+++ b/data/proxy/proxy.go
@@ -62,7 +62,8 @@
 	// keys, which may have been revoked meanwhile; 0 is no limit.
 	RevokedKeyTimeout time.Duration
 	// OnRequestBegan is called once for each request of a tenant that a runner
-	// has begun to execute, with the time since then; it may be nil.
+	// has begun to execute, which its first response head with status 200 shows,
+	// with the time since then. It may be nil.
 	OnRequestBegan func(tenant ids.Tenant, age time.Duration)
 	Metrics        *telemetry.Metrics
 	Monitor        *invariant.Monitor
--- a/data/proxy/proxy_test.go
+++ b/data/proxy/proxy_test.go
@@ -44,7 +44,8 @@
 
 // TestProxy_runnerFailureByRouteType lets a runner fail in different ways on the
 // different types of routes. A request is retried only if it certainly was not
-// executed or may be executed again.
+// executed or may be executed again. Otherwise the client must get a 502, which does
+// not promise that the request was not executed, or the runner's own response.
 func TestProxy_runnerFailureByRouteType(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/data/router/serve.go
+++ b/data/router/serve.go
@@ -50,7 +50,8 @@
 }
 
 // serveClients serves clients once the router has a list of runners and a configuration
-// and the read-index gate is open.
+// and the read-index gate is open: the configuration is confirmed as the newest, or could
+// not be confirmed for too long.
 func (r *Router) serveClients(ctx context.Context) error {
 	listener, err := r.listen(ctx)
 	if err != nil || listener == nil {
--- a/data/slowstart/slowstart_test.go
+++ b/data/slowstart/slowstart_test.go
@@ -78,7 +78,7 @@
 
 // TestTracker_routersSpreadTheirFirstRequest has far more routers than the rate per
 // second learn of a runner in slow start at the same time. All of them have requests for
-// it at once, and their sum must stay within the rate.
+// it at once, and in each second their sum may exceed the rate by at most one.
 func TestTracker_routersSpreadTheirFirstRequest(t *testing.T) {
 	const routers, rate = 72, 20.0
 	limit := Limit{RequestsPerSecond: rate, Routers: routers}
--- a/data/upstream/client.go
+++ b/data/upstream/client.go
@@ -116,8 +116,8 @@
 }
 
 // releaseAfterBody replaces the response's body by one that returns the connection
-// to its pool or closes it when the body has been read or closed. A response with
-// a Content-Length of 0 releases the connection at once.
+// to its pool or closes it when the body has been read or closed. If the body is
+// empty, as in any response to HEAD, that happens at once.
 func (c *Client) releaseAfterBody(pc *persistConn, write *requestWrite, stopAbort func() bool, obs observation, resp *http.Response) {
 	selfDelimited, closeRequested := resp.ContentLength != lengthUntilClose, resp.Close
 	onEnd := func(complete bool) {
--- a/data/upstream/exhaustion_test.go
+++ b/data/upstream/exhaustion_test.go
@@ -29,7 +29,7 @@
 		}
 		result := client.Send(context.Background(), Attempt{Request: &Request{Method: "GET", Target: "/", Host: "h", AttemptID: "a"}, Address: "127.0.0.1:1", TimeLeft: time.Second})
 		if result.Outcome != Unsent || result.Cause != tc.want {
-			t.Errorf("%v: outcome is %v with cause %s, want cause %s", tc.err, result.Outcome, result.Cause, tc.want)
+			t.Errorf("%v: outcome is %v with cause %s, want unsent with cause %s", tc.err, result.Outcome, result.Cause, tc.want)
 		}
 	}
 }
