--- a/data/proxy/failure_test.go
+++ b/data/proxy/failure_test.go
@@ -149,7 +149,9 @@
 }
 
 // TestDiscard_doesNotWaitForSilentBody discards a response whose body never
-// arrives, and responses without a body: discard must return.
+// arrives, as when a runner rejects a request and does not send the rest of the
+// rejection, and responses without a body: discard must return, or the request
+// would wait.
 func TestDiscard_doesNotWaitForSilentBody(t *testing.T) {
 	silent, runner := net.Pipe()
 	defer runner.Close()
--- a/data/upstream/fakeconn_test.go
+++ b/data/upstream/fakeconn_test.go
@@ -27,7 +27,7 @@
 const acceptAll = 1 << 30
 
 // fakeConn is an in-memory connection whose peer follows a list of exchanges. Each
-// Write begins the next one.
+// Write begins the next one, if any is left.
 type fakeConn struct {
 	exchanges []exchange
 	written   bytes.Buffer
