--- a/control/duty/client.go
+++ b/control/duty/client.go
@@ -23,8 +23,8 @@
 
 // Errors of Client.Call.
 var (
-	// ErrNotHeld reports that nothing was sent: this controller does not hold the part under
-	// the given fence, or may not make calls for it yet.
+	// ErrNotHeld reports that no complete request was sent: this controller does not hold the
+	// part under the given fence, or may not make calls for it yet.
 	ErrNotHeld = errors.New("duty: part is not held by this controller")
 	// ErrFenceRefused reports that the platform refused the fence of the call, because it has
 	// accepted a call under a higher one.
--- a/control/duty/cluster_test.go
+++ b/control/duty/cluster_test.go
@@ -70,8 +70,8 @@
 	assigner    *Assigner
 	// A down node does nothing. A frozen node does nothing either, but resumes with its state.
 	down, frozen bool
-	// A partitioned node cannot communicate with others. Requests of and to a node that
-	// losesResponses are handled, but the responses are lost.
+	// A partitioned node cannot communicate with others. If losesResponses is set, requests
+	// from and to the node are handled, but their responses are lost.
 	partitioned, losesResponses bool
 	// platformUnreachable has the node's calls to the platform fail.
 	platformUnreachable bool
@@ -147,8 +147,8 @@
 	return SessionResponse{}, errUnreachable
 }
 
-// update simulates the register. A partitioned controller reaches no majority. The response to
-// a controller that losesResponses is lost although the value is stored.
+// update simulates the register. A partitioned controller reaches no majority. With
+// losesResponses, the value is stored but the response is lost.
 func (n *node) update(_ context.Context, _ string, update UpdateFunc) ([]byte, error) {
 	if n.partitioned {
 		return nil, errUnreachable
--- a/control/quota/doc.go
+++ b/control/quota/doc.go
@@ -6,10 +6,10 @@
 //
 // Invariants, for each tenant:
 //
-//   - Only the holder of a lease, the issuer, issues credit. It never issues more than
-//     the rate times the elapsed time, plus the burst, plus the amount by which a single
-//     request exceeds the burst, plus a share of the excess that the operator tolerates
-//     (Policy). A new issuer starts with an empty bucket.
+//   - Only one controller issues credit at a time: the issuer, which holds a lease. It
+//     never issues more than the rate times the elapsed time, plus the burst, plus the
+//     amount by which a single request exceeds the burst, plus a share of the excess that
+//     the operator tolerates (Policy). A new issuer starts with an empty bucket.
 //   - The unspent credit of all relays and routers together is bounded by a further
 //     share of the tolerated excess, so the requests that run in a window exceed the
 //     credit issued in it by no more than that share.
--- a/control/quota/issuer.go
+++ b/control/quota/issuer.go
@@ -15,7 +15,8 @@
 )
 
 // maxPrefetchFraction is the largest fraction of a bucket that a single need for prefetched
-// credit may take, so that the first relay to ask does not take everything.
+// credit may take, so that the first relay to ask does not take everything. Relays apply it to
+// their routers alike.
 const maxPrefetchFraction = 0.5
 
 // IssuerOptions configure an Issuer. All are required but Log.
--- a/control/quota/policy.go
+++ b/control/quota/policy.go
@@ -190,7 +190,8 @@
 // tenant's credit.
 func (p Policy) IdleTimeout() time.Duration { return p.Window }
 
-// Limit is the rate and the burst of a token bucket, as a share of a tenant's quota.
+// Limit is the part of a tenant's quota by which a token bucket is filled, in the unit of the
+// quota.
 type Limit struct {
 	RatePerSecond float64
 	Burst         float64
--- a/control/quota/relay.go
+++ b/control/quota/relay.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// denialDivisor divides the refill interval into the time for which a relay does not
-	// ask the issuer again after the issuer denied a tenant's need.
+	// denialDivisor divides the refill interval into the time for which, after the issuer
+	// denied a tenant's need, a relay does not ask it for the same or a larger amount.
 	denialDivisor = 4
 	// idleIntervals is the number of intervals without a need after which a tenant's
 	// credit is no longer refilled.
@@ -192,8 +192,8 @@
 	}
 }
 
-// inContact records a router's request, and reports whether the issuer responded within
-// ContactTimeout.
+// inContact records a router's request, and reports whether the issuer is available and
+// answered a request that was sent within ContactTimeout.
 func (r *Relay) inContact(req AcquireRequest) bool {
 	now := r.options.Clock.Now()
 	r.mu.Lock()
@@ -274,7 +274,8 @@
 	return p
 }
 
-// recordGrant adds a need whose remainder the issuer granted to the tenant's granted credit.
+// recordGrant counts the whole amount of a need as granted, once the issuer has granted its
+// remainder.
 func (r *Relay) recordGrant(need Need) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/usage/relay.go
+++ b/control/usage/relay.go
@@ -53,8 +53,8 @@
 	// forwardDue and copyDue report that a router has reported since the last message to the
 	// holder, and since the last copy. A failed message leaves forwardDue set.
 	forwardDue, copyDue bool
-	// term is the term whose holder has accepted sent. failures is the number of consecutive
-	// messages that were not accepted.
+	// sent holds the counts that the holder of term has accepted. failures is the number of
+	// consecutive messages that were not accepted.
 	term     Term
 	sent     counts
 	failures int
--- a/control/usage/tally.go
+++ b/control/usage/tally.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// dropRouters drops the incarnations without remaining counts of routers that are gone.
+// dropRouters drops the incarnations that have no counts left and whose router is gone.
 func (t *tally) dropRouters(gone func(ids.Address) bool) {
 	for key, counts := range t.incarnations {
 		if len(counts.windows) == 0 && gone(key.router) {
--- a/control/usage/zone.go
+++ b/control/usage/zone.go
@@ -26,8 +26,9 @@
 	// closedKnown is set.
 	closed      int64
 	closedKnown bool
-	// lastContact is when a relay last sent a message, contactRegainedAt when one last did so
-	// after the zone had been silent.
+	// lastContact is when a relay last sent a message, or when the collector's term started if
+	// none has since. contactRegainedAt is when a relay last sent one after the zone had been
+	// silent.
 	lastContact, contactRegainedAt clock.Instant
 }
 
--- a/data/canary/division.go
+++ b/data/canary/division.go
@@ -7,9 +7,10 @@
 	"onyxwell/data/snapshot"
 )
 
-// trafficSplit is how a router splits the traffic of a service under its current permits.
-type trafficSplit struct {
-	spread rollout.TrafficSplit
+// routerSplit is how a router splits the traffic of a service under its current permits: first
+// the shares of the load test, then the split between the old versions and the target version.
+type routerSplit struct {
+	byVersion rollout.TrafficSplit
 	// loadedTarget and loadedOld are the runners of the load test, empty if there is none;
 	// loadedTargetShare and loadedOldShare are the shares of this router's requests that go to
 	// them.
@@ -25,7 +26,7 @@
 const milliPerUnit = 1000
 
 // loadedRunner returns the runner of a load-test arm, empty for the other arms.
-func (s *trafficSplit) loadedRunner(arm Arm) ids.RunnerID {
+func (s *routerSplit) loadedRunner(arm Arm) ids.RunnerID {
 	switch arm {
 	case LoadedTarget:
 		return s.loadedTarget
@@ -37,7 +38,7 @@
 
 // splitOf returns the split under the current permits, and computes it only if the snapshot or
 // a permit has changed. The caller holds g.mu.
-func (g *Gate) splitOf(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *trafficSplit {
+func (g *Gate) splitOf(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, now clock.Instant) *routerSplit {
 	permit, loadPermit := state.permit, rollout.Permit{}
 	permit.TTLMS = 0
 	if state.hasLoadPermit(now) {
@@ -50,19 +51,19 @@
 	return &state.split
 }
 
-func (g *Gate) computeSplit(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, permit, loadPermit rollout.Permit) trafficSplit {
+func (g *Gate) computeSplit(state *rolloutState, snap *snapshot.Snapshot, service ids.Service, permit, loadPermit rollout.Permit) routerSplit {
 	var runners []rollout.Runner
 	for _, runner := range snap.Runners[service] {
 		if snap.Available(runner) {
 			runners = append(runners, rollout.Runner{ID: runner.ID, Region: runner.Region, Version: runner.Version, Slots: runner.Capacity})
 		}
 	}
-	split := trafficSplit{snap: snap, permit: permit, loadPermit: loadPermit}
+	split := routerSplit{snap: snap, permit: permit, loadPermit: loadPermit}
 	target := snap.Rollouts[service].Target
 	if pair, ok := rollout.SelectLoadTestPair(runners, target, state.order); ok && loadPermit.Order == state.order {
 		split.applyLoadPair(pair, g.options.Region)
 	}
-	split.spread = rollout.NewTrafficSplit(runners, rollout.SplitSpec{
+	split.byVersion = rollout.NewTrafficSplit(runners, rollout.SplitSpec{
 		Target: target, Order: state.order, RunnerFraction: float64(permit.RunnersMilli) / milliPerUnit, LoadFactor: float64(permit.LoadMilli) / milliPerUnit,
 		Full: state.isFull(), LoadTestTarget: split.loadedTarget, LoadTestOld: split.loadedOld,
 	})
@@ -70,8 +71,8 @@
 }
 
 // applyLoadPair sends a share of this router's requests to the two runners of the load test.
-// The old one gets none if the share is above rollout.MaxControlShare.
-func (s *trafficSplit) applyLoadPair(pair rollout.LoadTestPair, region ids.Region) {
+// The old one gets none if the share is above rollout.MaxBaselineShare.
+func (s *routerSplit) applyLoadPair(pair rollout.LoadTestPair, region ids.Region) {
 	shareMilli := s.loadPermit.RunnersMilli
 	if pair.Target.Region == region {
 		shareMilli = s.loadPermit.LoadMilli
--- a/data/canary/gate.go
+++ b/data/canary/gate.go
@@ -36,8 +36,8 @@
 	Target
 	// LoadedOld and LoadedTarget are the arms of the load test: one runner of the old version
 	// and one of the target version, each of which gets as much load as a runner may, and no
-	// requests of other arms. Only the old one takes requests of the Old arm, if no other runner
-	// can.
+	// requests of other arms. There is one exception: the old one takes requests of the Old arm
+	// that no other runner can take.
 	LoadedOld
 	LoadedTarget
 )
@@ -91,7 +91,7 @@
 	// in progress, even if the permit expires or is withdrawn.
 	latchedUntil clock.Instant
 	counts       map[countKey]*armCounts
-	split        trafficSplit
+	split        routerSplit
 }
 
 // New returns a Gate without permits.
@@ -162,7 +162,7 @@
 	if draw -= split.loadedTargetShare; draw < split.loadedOldShare {
 		return LoadedOld
 	}
-	if draw -= split.loadedOldShare; draw < recent.oversampling(route, state.permit)*split.spread.Share[g.options.Region] {
+	if draw -= split.loadedOldShare; draw < recent.oversampling(route, state.permit)*split.byVersion.Share[g.options.Region] {
 		return Target
 	}
 	return Old
@@ -260,12 +260,12 @@
 	if latched || (arm == Target && permitted) {
 		filter := Filter{Arm: Target, target: record.Target, allowsTarget: true, CanFallBack: !latched}
 		if !state.isFull() {
-			filter.active = split.spread.Active
+			filter.active = split.byVersion.Active
 		}
 		return filter
 	}
 	filter := Filter{Arm: Old, target: record.Target, allowsOld: true, excludedRunner: split.loadedOld}
-	if rollout.Stage(record.Stage) == rollout.Full && !split.spread.HasOld {
+	if rollout.Stage(record.Stage) == rollout.Full && !split.byVersion.HasOld {
 		// The old runners are gone, but the verdict has not reached this router yet.
 		filter.allowsTarget = true
 	}
--- a/data/ratelimit/limiter.go
+++ b/data/ratelimit/limiter.go
@@ -43,7 +43,7 @@
 	Config func() *config.Config
 	// Routers returns the largest number of routers that may exist; 0 means unknown. Unless
 	// a relay reports a number, an unknown number leaves this router without prefetched
-	// credit, a share of its own, and grace.
+	// credit, a share of its own or grace.
 	Routers func() int
 	// Acquire requests credit from the relays of the zone, as quota.AskRelays does.
 	Acquire func(ctx context.Context, req quota.AcquireRequest, delegate ids.Address) (quota.RelayAnswer, error)
