--- a/control/config/evacuation/evacuation.go
+++ b/control/config/evacuation/evacuation.go
@@ -35,10 +35,10 @@
 }
 
 // Update returns an update function that sets whether a zone is drained. The function
-// returns nil, which leaves the value unchanged, if the zone already has that state or
-// if the value was written after version since: every write toggles the state, so the
-// zone has had the requested state in the meantime. If since is 0, the version is not
-// checked.
+// returns nil, which leaves the value unchanged, in two cases: a stored value already has
+// that state, or it was written after version since. In the second case the zone has had
+// the requested state in the meantime, because every write but the first toggles it. If
+// since is 0, the version is not checked.
 func Update(key string, drained bool, since ids.Version) func(current []byte) ([]byte, error) {
 	return func(current []byte) ([]byte, error) {
 		state, err := Decode(current)
--- a/control/config/store/chunk.go
+++ b/control/config/store/chunk.go
@@ -12,7 +12,7 @@
 
 // Chunk is a sealed part of the history: it is stored under its own key, and its entries
 // no longer change. Its content is determined by its index and the history of changes, so
-// every controller that writes it writes the same content. It is stored.
+// every controller that writes it writes the same content.
 type Chunk struct {
 	// Index is the number of chunks before this one in the whole history.
 	Index int64 `avro:"Index"`
--- a/control/config/tenant.go
+++ b/control/config/tenant.go
@@ -25,8 +25,9 @@
 	APIKeys []string `json:"api_keys"`
 	// Priority overrides the priority of the route unless it is nil.
 	Priority *int `json:"urgency"`
-	// HomeRegions are the regions whose runners may serve the tenant, in addition to
-	// the restriction by the route. The default, an empty list, allows all regions.
+	// HomeRegions are the regions whose runners may serve the tenant; the route's
+	// HomeRegions must allow a runner as well. The default, an empty list, allows all
+	// regions.
 	HomeRegions []ids.Region `json:"home_regions"`
 	// RatePerSecond is the quota for all routers together, in Unit per second. The
 	// default 0 means no limit.
--- a/control/controller/duties.go
+++ b/control/controller/duties.go
@@ -157,8 +157,8 @@
 }
 
 // dutiesStatus returns the parts that this controller holds, and the last known overview
-// of all parts. Only the assigner knows the last call of each part; the other controllers
-// leave it empty.
+// of all parts. The last call of each part is known only to the assigner. It is empty at a
+// controller that was never the assigner, and may be outdated at a former one.
 func (c *Controller) dutiesStatus() *dutiesStatus {
 	if c.duties == nil {
 		return nil
--- a/control/counter/peer.go
+++ b/control/counter/peer.go
@@ -85,7 +85,7 @@
 	// maxExchangeRecords keeps an exchange below the length from which the transport
 	// treats a message as large, 64 KiB.
 	maxExchangeRecords = 2000
-	// retryPause is the pause after a failed exchange, before the retry if the peer is not
-	// silent yet, and the time between two checks whether a hand-over is complete.
+	// retryPause is the pause after a failed exchange, and the time between two checks
+	// whether a hand-over is complete.
 	retryPause = 20 * time.Millisecond
 )
--- a/control/counter/replicator.go
+++ b/control/counter/replicator.go
@@ -268,7 +268,7 @@
 	return resp, nil
 }
 
-// recordCaller makes the sender of a request, and the controllers that it names, peers and
+// recordCaller adds the sender of a request and the controllers that it names as peers, and
 // records the sender's vector. The membership need not know the sender yet, for example if
 // it is new. A controller that has left does not become a peer. The caller holds mu.
 func (s *Service) recordCaller(req ExchangeRequest) {
--- a/control/counter/service.go
+++ b/control/counter/service.go
@@ -262,7 +262,8 @@
 
 // checkProgress releases the adds that enough disks hold by now, and sets ready once this
 // controller has caught up. It is called after each change of the records or of what is
-// known about peers, and at least once per Interval for CatchUpTimeout. The caller holds mu.
+// known about peers, and at least once per Interval so that CatchUpTimeout takes effect.
+// The caller holds mu.
 func (s *Service) checkProgress() {
 	s.waiters = slices.DeleteFunc(s.waiters, func(waiter *copyWaiter) bool {
 		safe := s.hasEnoughCopies(waiter.origin, waiter.sequence)
--- a/control/daemon/quota.go
+++ b/control/daemon/quota.go
@@ -81,7 +81,7 @@
 	startedAt := d.clock.Now()
 	resp, err := transport.Send[quota.AcquireResponse](limited, d.Transport, relay, quota.RelayMessage, req)
 	if err == nil || ctx.Err() == nil {
-		// If the caller canceled the request, the failure says nothing about the relay and
+		// A failure after the caller's context has ended says nothing about the relay and
 		// isn't recorded.
 		d.quotas.unresponsiveRelays.Record(relay, startedAt, err == nil)
 	}
--- a/control/daemon/rollout.go
+++ b/control/daemon/rollout.go
@@ -47,7 +47,8 @@
 // ExchangeRollouts sends a router's report to the relays of the zone, one after the other,
 // until one responds that is in contact with the director, and returns that response with
 // its permits. If there is none, the response is empty, and the error is that of the last
-// relay, which is nil if it responded without such contact.
+// relay, which is nil if it responded without such contact. If no relay is known, the error
+// is of kind errkind.NotReady.
 func (d *Daemon) ExchangeRollouts(ctx context.Context, req rollout.ExchangeRequest) (rollout.ExchangeResponse, error) {
 	req.From, req.Zone = d.Address, d.settings.Zone
 	err := errkind.Errorf(errkind.NotReady, "no rollout relay is known")
--- a/control/directory/directory.go
+++ b/control/directory/directory.go
@@ -62,8 +62,9 @@
 type Directory struct {
 	Membership *membership.Table
 	// OtherZones returns the router endpoints of the other reachable zones, and the
-	// zones that may be unreachable. A zone may be in both. OtherZones may be nil.
-	OtherZones func() (reachable []zonesummary.RouterEndpoints, unreachable []ids.Zone)
+	// doubtful zones, which may be unreachable. A zone may be in both. OtherZones may be
+	// nil.
+	OtherZones func() (reachable []zonesummary.RouterEndpoints, doubtful []ids.Zone)
 	// Zones maps each zone of the deployment to its region.
 	Zones map[ids.Zone]ids.Region
 	// LossTimeout is the time after which a region without a ready router counts as
--- a/control/directory/endpoints.go
+++ b/control/directory/endpoints.go
@@ -28,12 +28,12 @@
 	if d.OtherZones == nil {
 		return endpoints
 	}
-	reachable, unreachable := d.OtherZones()
+	reachable, doubtful := d.OtherZones()
 	for _, zone := range reachable {
 		endpoints.ready = append(endpoints.ready, d.zoneEndpoints(zone.Zone, zone.Ready)...)
 		endpoints.degraded = append(endpoints.degraded, d.zoneEndpoints(zone.Zone, zone.Degraded)...)
 	}
-	endpoints.complete = endpoints.complete && len(unreachable) == 0
+	endpoints.complete = endpoints.complete && len(doubtful) == 0
 	return endpoints
 }
 
--- a/control/gossip/message.go
+++ b/control/gossip/message.go
@@ -73,8 +73,8 @@
 // SchemaName returns the stored and sent Avro record name; it must never change.
 func (GiveResponse) SchemaName() string { return "GiveTold_23" }
 
-// Targets lists the daemons that a push still has to reach from its sender or receiver:
-// the members of regions and zones, each through one daemon there, and single members.
+// Targets lists what the daemon that sends or receives a push still has to reach: whole
+// regions and zones, each through one daemon there, and single members.
 type Targets struct {
 	Regions []ids.Region  `avro:"Regions"`
 	Zones   []ids.Zone    `avro:"Zones"`
--- a/control/gossip/partner.go
+++ b/control/gossip/partner.go
@@ -42,10 +42,10 @@
 	oddsSeed           = 32
 	oddsRemoteBackbone = 4
 	oddsRemoteOther    = 16
-	// oddsJoiningSeed applies to seeds that have not answered since the start, during
-	// the first joiningExchanges exchanges and also later, where there are several zones,
-	// while no member of another zone is known. Otherwise oddsUnansweredSeed applies to
-	// them.
+	// oddsJoiningSeed and oddsUnansweredSeed apply to seeds that have not answered since
+	// the start. oddsJoiningSeed applies during the first joiningExchanges exchanges and,
+	// in a deployment of several zones, as long as no member of another zone is known;
+	// oddsUnansweredSeed applies otherwise.
 	oddsJoiningSeed    = 2
 	oddsUnansweredSeed = 8
 	joiningExchanges   = 16
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -148,7 +148,7 @@
 	network.clock.Advance(3 * time.Second)
 	network.probers["a"].removeExpiredSuspects(true)
 	if network.state("a", "b") != Suspect {
-		t.Fatal("a daemon that stalled itself removed another")
+		t.Fatal("a daemon that had stalled removed another")
 	}
 	network.probers["a"].removeExpiredSuspects(false)
 	if network.state("a", "b") != Removed {
--- a/control/membership/prober.go
+++ b/control/membership/prober.go
@@ -27,8 +27,8 @@
 // Multiples of the durations in ProbeConfig.
 const (
 	// stalledIntervals is the gap between two probe rounds, in intervals, above which
-	// this daemon must have stalled itself; it then neither probes nor removes
-	// members in that round.
+	// this daemon must have stalled; it then neither probes nor removes members in that
+	// round.
 	stalledIntervals = 3
 	// indirectAckTimeouts is how long an indirect probe waits for an ack, in ack
 	// timeouts.
@@ -82,8 +82,8 @@
 }
 
 // Probe pings a member directly, then through other members, and marks it as Suspect
-// if no ack arrives either way. If the member belongs to another zone, Probe probes the
-// other known members of that zone immediately and returns after those probes.
+// if no ack arrives either way. If the member belongs to another zone, Probe then probes
+// the other live backbone members of that zone immediately and returns after those probes.
 func (p *Prober) Probe(ctx context.Context, target Member) {
 	if !p.probeFailed(ctx, target) {
 		return
--- a/control/membership/relays.go
+++ b/control/membership/relays.go
@@ -12,7 +12,8 @@
 
 // Relays returns up to count daemons that forward updates for a zone, in order of
 // preference and each on a different machine. For its own zone a daemon computes them
-// from all members; for another zone it can choose only among that zone's backbone.
+// from all live members; for another zone it can choose only among that zone's live
+// backbone members.
 // Daemons need not agree on the relays: versions only increase, so diverging views
 // cost nothing but bandwidth.
 func (t *Table) Relays(zone ids.Zone, count int) []Member {
