--- a/control/controller/headroom.go
+++ b/control/controller/headroom.go
@@ -19,7 +19,7 @@
 const ticksPerEstimate = 5
 
 // Conditions that exclude the capacity of a runner from the estimate: only runners
-// in headroom.StateReady count. The values are part of the published report.
+// in headroom.StateReady count. They are values of headroom.Runner.State.
 const (
 	conditionDraining    = "draining"
 	conditionEvacuated   = "emptied"
